--- a/examples/embed.rs
+++ b/crates/pebblepost-dispatch/examples/embed.rs
@@ -1,8 +1,8 @@
 //! A dispatcher inside a program: events in, actions out. The "workers" here are three counters.
 
-use pebblewind::api::*;
-use pebblewind::wire::parse_settings;
-use pebblewind::{Dispatcher, Event};
+use pebblepost_dispatch::api::*;
+use pebblepost_dispatch::wire::parse_settings;
+use pebblepost_dispatch::{Dispatcher, Event};
 use std::time::Duration;
 
 fn main() {
--- a/src/bin/pebblewind-adapter.rs
+++ b/crates/pebblepost-dispatch/src/bin/pebblepost-dispatch-adapter.rs
@@ -3,8 +3,8 @@
 
 #![forbid(unsafe_code)]
 
-use pebblewind::Dispatcher;
-use pebblewind::wire::{BATCH_HEADER, BatchHeader, Message, Reply, WireError, parse_batch};
+use pebblepost_dispatch::Dispatcher;
+use pebblepost_dispatch::wire::{BATCH_HEADER, BatchHeader, Message, Reply, WireError, parse_batch};
 use std::collections::HashMap;
 use std::io::{self, BufReader, Read, Write};
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
     match run(BufReader::with_capacity(1 << 20, io::stdin().lock()), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("pebblewind-adapter: {error}");
+            eprintln!("pebblepost-dispatch-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/lib.rs
+++ b/crates/pebblepost-dispatch/src/lib.rs
@@ -1,4 +1,4 @@
-//! pebblewind decides, for one dispatcher node, which worker gets which job.
+//! pebblepost_dispatch decides, for one dispatcher node, which worker gets which job.
 //!
 //! The crate does no input or output and reads no clock: the caller hands every [`Event`] to a
 //! [`Dispatcher`] together with the time, and carries out the [`Action`]s it returns. The same
@@ -25,7 +25,7 @@
 pub mod room;
 pub mod wire;
 
-#[doc = include_str!("../README.md")]
+#[doc = include_str!("../../../README.md")]
 #[cfg(doctest)]
 struct Readme;
 
--- a/src/policy.rs
+++ b/crates/pebblepost-dispatch/src/policy.rs
@@ -1,4 +1,4 @@
-//! Every decision of a pebblewind node. Interface (settings, events, actions): `src/api.rs`.
+//! Every decision of a pebblepost_dispatch node. Interface (settings, events, actions): `src/api.rs`.
 //! The mechanism is Van Houdt's preventive probing: a random first probe precedes each job; a
 //! worker with fewer than L busy slots and room for the job gets it; otherwise d-1 more random
 //! workers are probed and the fewest-busy of all d gets it, ties broken at random. What departs
--- a/tests/classes.rs
+++ b/crates/pebblepost-dispatch/tests/classes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use pebblewind::api::*;
+use pebblepost_dispatch::api::*;
 use std::time::Duration;
 
 fn unsafe_class() -> Class {
--- a/tests/common/mod.rs
+++ b/crates/pebblepost-dispatch/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A hand-driven node: a [`Dispatcher`] with its clock, timers and actions.
 #![allow(dead_code)]
 
-use pebblewind::Dispatcher;
-use pebblewind::api::*;
+use pebblepost_dispatch::Dispatcher;
+use pebblepost_dispatch::api::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/tests/fleet.rs
+++ b/crates/pebblepost-dispatch/tests/fleet.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::*;
-use pebblewind::Dispatcher;
-use pebblewind::api::*;
+use pebblepost_dispatch::Dispatcher;
+use pebblepost_dispatch::api::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
--- a/tests/known.rs
+++ b/crates/pebblepost-dispatch/tests/known.rs
@@ -1,9 +1,9 @@
 //! What a node knows of keys, waits and shares, and what it holds against a worker.
 
-use pebblewind::api::Time;
-use pebblewind::health::Health;
-use pebblewind::keys::{Asked, Kept, first, place};
-use pebblewind::means::{Shares, Waits};
+use pebblepost_dispatch::api::Time;
+use pebblepost_dispatch::health::Health;
+use pebblepost_dispatch::keys::{Asked, Kept, first, place};
+use pebblepost_dispatch::means::{Shares, Waits};
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
--- a/tests/policy_requests.rs
+++ b/crates/pebblepost-dispatch/tests/policy_requests.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pebblewind::api::*;
+use pebblepost_dispatch::api::*;
 use std::time::Duration;
 
 #[test]
--- a/tests/room.rs
+++ b/crates/pebblepost-dispatch/tests/room.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use pebblewind::api::*;
-use pebblewind::room::{Outlook, Reservation, Room, RoomSettings};
+use pebblepost_dispatch::api::*;
+use pebblepost_dispatch::room::{Outlook, Reservation, Room, RoomSettings};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -148,9 +148,10 @@
     let wrong = text(RoomSettings { most_held: 0.9, ..usual });
     assert_eq!(wrong, Err("room.mostHeld is 0.9: 0 to 0.5 is allowed".to_owned()));
     assert!(text(RoomSettings { deviations: f64::NAN, ..usual }).is_err());
-    let parsed = pebblewind::wire::parse_settings("room.mostHeld=0.9").map(|_| ()).map_err(|e| e.to_string());
+    let parsed =
+        pebblepost_dispatch::wire::parse_settings("room.mostHeld=0.9").map(|_| ()).map_err(|e| e.to_string());
     assert_eq!(parsed, wrong);
-    assert!(!pebblewind::wire::parse_settings("room.enabled=false").expect("sound").room.enabled);
+    assert!(!pebblepost_dispatch::wire::parse_settings("room.enabled=false").expect("sound").room.enabled);
 }
 
 proptest! {
--- a/tests/rules.rs
+++ b/crates/pebblepost-dispatch/tests/rules.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::{START, settings};
-use pebblewind::Dispatcher;
-use pebblewind::api::*;
+use pebblepost_dispatch::Dispatcher;
+use pebblepost_dispatch::api::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::{BTreeMap, HashMap};
--- a/tests/wire.rs
+++ b/crates/pebblepost-dispatch/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The codec, and the built adapter end to end.
 
-use pebblewind::api::*;
-use pebblewind::wire::*;
+use pebblepost_dispatch::api::*;
+use pebblepost_dispatch::wire::*;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
@@ -135,7 +135,7 @@
 }
 
 fn adapter(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_pebblewind-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_pebblepost-dispatch-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -209,7 +209,7 @@
         let output = adapter(&input);
         assert_eq!(output.status.code(), Some(1), "{name}");
         let errors = String::from_utf8(output.stderr).expect("text");
-        assert_eq!(errors, format!("pebblewind-adapter: {message}\n"), "{name}");
+        assert_eq!(errors, format!("pebblepost-dispatch-adapter: {message}\n"), "{name}");
         assert!(output.stdout.is_empty(), "{name}");
     }
 }
--- a/store/tests/common/mod.rs
+++ b/crates/pebblepost-fleet-store/tests/common/mod.rs
@@ -2,10 +2,10 @@
 
 use pebblepost_fleet::command::{Act, Op};
 use pebblepost_fleet::{Answer, Text};
-use pebblepost_store::client::{Client, Unreachable, command};
-use pebblepost_store::group::Peer;
-use pebblepost_store::keeper::{KeeperError, Settings, ask_once, run};
-use pebblepost_store::wire::{Ask, Say};
+use pebblepost_fleet_store::client::{Client, Unreachable, command};
+use pebblepost_fleet_store::group::Peer;
+use pebblepost_fleet_store::keeper::{KeeperError, Settings, ask_once, run};
+use pebblepost_fleet_store::wire::{Ask, Say};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, TcpListener};
 use std::path::PathBuf;
--- a/store/tests/disk.rs
+++ b/crates/pebblepost-fleet-store/tests/disk.rs
@@ -1,6 +1,6 @@
 //! A keeper's disk: what was acknowledged comes back, and what was damaged is refused by name.
 
-use pebblepost_store::disk::{Disk, DiskError, FILE};
+use pebblepost_fleet_store::disk::{Disk, DiskError, FILE};
 use std::os::unix::fs::FileExt;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
--- a/rig/src/dispatcher.rs
+++ b/crates/pebblepost-harness/src/dispatcher.rs
@@ -101,7 +101,7 @@
         });
         let id = format!("{}-{address}", std::process::id()).replace(':', "-");
         let files =
-            ["config", "operator"].map(|w| start.folder.join(format!("pebblepost-rig-{id}-{w}.json")));
+            ["config", "operator"].map(|w| start.folder.join(format!("pebblepost-harness-{id}-{w}.json")));
         let mut operator = start.operator.clone();
         if let Some(fleet) = operator.get_mut("fleet") {
             fleet["zone"] = ZONES[start.number % ZONES.len()].into();
@@ -263,7 +263,7 @@
     if !cfg!(debug_assertions) {
         build.arg("--release");
     }
-    build.current_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/.."));
+    build.current_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."));
     if !build.status().context("cargo")?.success() {
         bail!("pebblepost did not build");
     }
--- a/rig/src/main.rs
+++ b/crates/pebblepost-harness/src/main.rs
@@ -4,8 +4,8 @@
 
 use anyhow::Result;
 use clap::{Args, Parser, Subcommand};
-use pebblepost_rig::scenario::{Hints, Order, Scenario};
-use pebblepost_rig::{cpu, dispatcher, fleet, release, room, store};
+use pebblepost_harness::scenario::{Hints, Order, Scenario};
+use pebblepost_harness::{cpu, dispatcher, fleet, release, room, store};
 use std::path::PathBuf;
 
 /// Measured runs of real pebblepost processes on loopback.
--- a/rig/src/release/run.rs
+++ b/crates/pebblepost-harness/src/release/run.rs
@@ -402,7 +402,7 @@
 /// Runs it. Returns the figures and what was found, in words.
 pub async fn run(plan: &Plan, program: &Path) -> Result<(Summary, Vec<String>)> {
     let folder =
-        std::env::temp_dir().join(format!("pebblepost-rig-release-{}-{}", std::process::id(), plan.seed));
+        std::env::temp_dir().join(format!("pebblepost-harness-release-{}-{}", std::process::id(), plan.seed));
     let schedule = schedule(plan);
     let mut group = Group::start(program, plan.keepers, folder.clone()).await?;
     let named = |(i, at): (usize, &SocketAddr)| ((i + 1).to_string(), json!(at));
--- a/rig/src/store/herd.rs
+++ b/crates/pebblepost-harness/src/store/herd.rs
@@ -66,7 +66,7 @@
 
 /// Plays it.
 pub async fn measure(program: &Path, dispatchers: usize) -> Result<Herd> {
-    let folder = std::env::temp_dir().join(format!("pebblepost-rig-herd-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("pebblepost-harness-herd-{}", std::process::id()));
     let group = Group::start(program, 3, folder).await?;
     let named = |(i, at): (usize, &SocketAddr)| ((i + 1).to_string(), json!(at));
     let keepers = Value::Object(group.outside().iter().enumerate().map(named).collect());
--- a/rig/src/store/run.rs
+++ b/crates/pebblepost-harness/src/store/run.rs
@@ -273,7 +273,7 @@
 /// Runs it. Returns the figures and what was found, in words.
 pub async fn run(plan: &Plan, schedule: &Schedule, program: &Path) -> Result<(Summary, Vec<String>)> {
     let folder =
-        std::env::temp_dir().join(format!("pebblepost-rig-store-{}-{}", std::process::id(), plan.seed));
+        std::env::temp_dir().join(format!("pebblepost-harness-store-{}-{}", std::process::id(), plan.seed));
     let mut group = Group::start(program, plan.keepers, folder).await?;
     let shared = Arc::new(Shared {
         plan: plan.clone(),
--- a/rig/src/store/serving.rs
+++ b/crates/pebblepost-harness/src/store/serving.rs
@@ -129,7 +129,7 @@
         };
         sides[0].push(play(&json!({})).await?);
         let folder =
-            std::env::temp_dir().join(format!("pebblepost-rig-serving-{}-{round}", std::process::id()));
+            std::env::temp_dir().join(format!("pebblepost-harness-serving-{}-{round}", std::process::id()));
         let mut group = Group::start(program, 3, folder).await?;
         let named = |(i, at): (usize, &std::net::SocketAddr)| ((i + 1).to_string(), json!(at));
         let keepers: serde_json::Map<_, _> = group.outside().iter().enumerate().map(named).collect();
--- a/rig/tests/release.rs
+++ b/crates/pebblepost-harness/tests/release.rs
@@ -1,8 +1,8 @@
 //! Releases of real dispatchers by doubled drivers that are killed, while keepers and dispatchers break. What is judged is
 //! safety, as seen from outside; how long anything takes is bounded generously and not judged.
 
-use pebblepost_rig::dispatcher;
-use pebblepost_rig::release::run::{Mode, Plan, run};
+use pebblepost_harness::dispatcher;
+use pebblepost_harness::release::run::{Mode, Plan, run};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn no_more_dispatchers_go_at_once_than_the_budget_allows_whatever_breaks() {
--- a/rig/tests/run.rs
+++ b/crates/pebblepost-harness/tests/run.rs
@@ -1,9 +1,9 @@
 //! Real dispatchers among stand-ins, a few seconds each: what goes wrong must break no rule.
 
-use pebblepost_rig::clients::Outcome;
-use pebblepost_rig::dispatcher::built;
-use pebblepost_rig::run::{Played, Run};
-use pebblepost_rig::scenario::{Fault, Hints, Scenario, Trouble};
+use pebblepost_harness::clients::Outcome;
+use pebblepost_harness::dispatcher::built;
+use pebblepost_harness::run::{Played, Run};
+use pebblepost_harness::scenario::{Fault, Hints, Scenario, Trouble};
 use serde_json::json;
 
 /// Plays all at the same time, each with a fleet of its own.
@@ -73,8 +73,8 @@
         assert_eq!(played.broken, [], "scenario {n}");
         let lost = played.fates.iter().filter(|f| f.outcome == Outcome::Lost).count();
         assert_eq!((lost, played.fates.len()), (0, played.plan.arrivals.len()), "scenario {n}");
-        let small = |f: &&pebblepost_rig::clients::Fate| !played.plan.arrivals[f.arrival].large;
-        let served = |f: &&pebblepost_rig::clients::Fate| matches!(f.outcome, Outcome::Served(_));
+        let small = |f: &&pebblepost_harness::clients::Fate| !played.plan.arrivals[f.arrival].large;
+        let served = |f: &&pebblepost_harness::clients::Fate| matches!(f.outcome, Outcome::Served(_));
         let (all, in_the_end) = (
             played.fates.iter().filter(small).count(),
             played.fates.iter().filter(small).filter(served).count(),
--- a/rig/tests/store.rs
+++ b/crates/pebblepost-harness/tests/store.rs
@@ -1,10 +1,10 @@
 //! Three keepers as processes, faults between them, and the judgement. What is judged is safety; how long anything takes
 //! is bounded generously and not judged.
 
-use pebblepost_rig::dispatcher;
-use pebblepost_rig::fault::relay::Wire;
-use pebblepost_rig::fault::schedule::{Damage, Fault, Schedule, What};
-use pebblepost_rig::store::run::{Plan, run, schedule};
+use pebblepost_harness::dispatcher;
+use pebblepost_harness::fault::relay::Wire;
+use pebblepost_harness::fault::schedule::{Damage, Fault, Schedule, What};
+use pebblepost_harness::store::run::{Plan, run, schedule};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_acknowledged_is_lost_and_no_read_is_old_whatever_happens_between_three_keepers() {
--- a/crates/proxy/src/dispatch/attempts.rs
+++ b/crates/pebblepost-proxy/src/dispatch/attempts.rs
@@ -1,8 +1,8 @@
 //! What is known of the attempts of one request, and what that leaves to answer.
 
 use http::StatusCode;
+use pebblepost_dispatch::api::WorkerId;
 use pebblepost_transcriber::Answer;
-use pebblewind::api::WorkerId;
 use std::time::Duration;
 
 /// The attempts of one request, over all legs of a stream.
--- a/crates/proxy/src/dispatch/call.rs
+++ b/crates/pebblepost-proxy/src/dispatch/call.rs
@@ -8,10 +8,10 @@
 use crate::request::{RequestHead, WholeBody};
 use http::{HeaderName, HeaderValue};
 use log::debug;
+use pebblepost_dispatch::api::{Report, Status, WorkerId};
 use pebblepost_transcriber::{
     Answer, AnswerHead, EventStream, Failure, Load, Outgoing, StreamAnswer, Target,
 };
-use pebblewind::api::{Report, Status, WorkerId};
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/proxy/src/dispatch/policy.rs
+++ b/crates/pebblepost-proxy/src/dispatch/policy.rs
@@ -2,9 +2,9 @@
 
 use super::workers::HOME;
 use pebblepost_configuration::{Route, RouteKind};
-use pebblewind::Settings;
-use pebblewind::api::{Class, Discovery, Effect, Prices, ReportField, ReportSource};
-use pebblewind::room::RoomSettings;
+use pebblepost_dispatch::Settings;
+use pebblepost_dispatch::api::{Class, Discovery, Effect, Prices, ReportField, ReportSource};
+use pebblepost_dispatch::room::RoomSettings;
 use std::time::Duration;
 
 /// Part of its worth that an answer keeps after the target latency.
--- a/crates/proxy/src/dispatch/service.rs
+++ b/crates/pebblepost-proxy/src/dispatch/service.rs
@@ -5,13 +5,13 @@
 use super::ticket::{Command, Commands, Ticket};
 use super::workers::Workers;
 use log::debug;
-use pebblepost_messages::feed::Instance;
-use pebblepost_transcriber::{Client, Load, Target};
-use pebblewind::Dispatcher;
-use pebblewind::api::{
+use pebblepost_dispatch::Dispatcher;
+use pebblepost_dispatch::api::{
     Action, AttemptNo, ClassId, Event, ListKind, Report, RequestId, Status, TenantId, Time, TimerToken,
     WorkerId,
 };
+use pebblepost_messages::feed::Instance;
+use pebblepost_transcriber::{Client, Load, Target};
 use std::cell::RefCell;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
--- a/crates/proxy/src/dispatch/ticket.rs
+++ b/crates/pebblepost-proxy/src/dispatch/ticket.rs
@@ -1,7 +1,7 @@
 //! A request as the decisions know it: what they ask for, and how its attempts ended.
 
 use super::service::Service;
-use pebblewind::api::{AttemptNo, Event, Report, RequestId, Status, WorkerId};
+use pebblepost_dispatch::api::{AttemptNo, Event, Report, RequestId, Status, WorkerId};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::future::poll_fn;
--- a/crates/proxy/src/dispatch/workers.rs
+++ b/crates/pebblepost-proxy/src/dispatch/workers.rs
@@ -1,9 +1,9 @@
 //! The transcribers of one service, numbered for the decisions.
 
 use log::warn;
+use pebblepost_dispatch::api::{CellId, Entry, KindId, Time, WorkerId, WorkerState, ZoneId};
 use pebblepost_messages::feed::{Instance, InstanceState};
 use pebblepost_transcriber::Target;
-use pebblewind::api::{CellId, Entry, KindId, Time, WorkerId, WorkerState, ZoneId};
 use std::collections::HashMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
--- a/crates/proxy/src/lib.rs
+++ b/crates/pebblepost-proxy/src/lib.rs
@@ -1,7 +1,7 @@
 //! Data plane: client connections, routing, decisions, attempts.
 //!
 //! * `front`: connections of clients; `handler`: one request from its head to its answer.
-//! * `dispatch`: decisions by `pebblewind`, attempts at transcribers, streams.
+//! * `dispatch`: decisions by `pebblepost_dispatch`, attempts at transcribers, streams.
 //! * `feed_client`: configuration and transcribers, as the agent of this machine passes them on.
 //! * `ready`, `lifecycle`: readiness, and the way from SIGTERM to the end.
 
--- a/pebblepost/src/config.rs
+++ b/crates/pebblepost/src/config.rs
@@ -3,8 +3,8 @@
 //! The settings stay what they are in `config.json`: they are flattened into the pairs that
 //! [`parse_settings`] reads, so there is no second type for them.
 
-use pebblewind::Settings;
-use pebblewind::wire::parse_settings;
+use pebblepost_dispatch::Settings;
+use pebblepost_dispatch::wire::parse_settings;
 use serde::Deserialize;
 use serde_json::{Map, Value, json};
 use std::collections::BTreeMap;
--- a/pebblepost/src/deadlines.rs
+++ b/crates/pebblepost/src/deadlines.rs
@@ -1,6 +1,6 @@
 //! The one sorted structure that holds every deadline of the program; swept once a turn.
 
-use pebblewind::api::Time;
+use pebblepost_dispatch::api::Time;
 use std::collections::BTreeMap;
 
 /// Names an entry, so that it can be withdrawn.
--- a/pebblepost/src/discovery.rs
+++ b/crates/pebblepost/src/discovery.rs
@@ -6,9 +6,11 @@
 use crate::http::{self, Body, Head};
 use crate::net::{Clock, ConnKey, Due, Role, Shared, number};
 use crate::sight::Mute;
+use pebblepost_dispatch::api::{
+    CellId, Entry, KindId, ListKind, Settings, Time, WorkerId, WorkerState, ZoneId,
+};
 use pebblepost_fleet::sight::{Seen, Sight};
 use pebblepost_fleet::{Name, Text};
-use pebblewind::api::{CellId, Entry, KindId, ListKind, Settings, Time, WorkerId, WorkerState, ZoneId};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::Value;
@@ -346,7 +348,7 @@
 impl Discovery {
     /// No call is out. Without an address there will be none.
     pub fn new(address: Option<SocketAddr>, settings: &Settings, seed: u64) -> Self {
-        let pushed = settings.discovery == pebblewind::api::Discovery::Push;
+        let pushed = settings.discovery == pebblepost_dispatch::api::Discovery::Push;
         Self {
             address,
             watching: None,
--- a/pebblepost/src/engine.rs
+++ b/crates/pebblepost/src/engine.rs
@@ -7,9 +7,9 @@
 //! request's end or its client's. These hold when an attempt is decided on and, where its connection has to
 //! come up first, again when its first byte goes out.
 
+use pebblepost_dispatch::api::*;
+use pebblepost_dispatch::{Action, Dispatcher, Event};
 use pebblepost_fleet::doing::Counts;
-use pebblewind::api::*;
-use pebblewind::{Action, Dispatcher, Event};
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
--- a/pebblepost/src/fleet/error.rs
+++ b/crates/pebblepost/src/fleet/error.rs
@@ -1,8 +1,8 @@
 //! Why a command came to nothing.
 
 use pebblepost_fleet::Refusal;
-use pebblepost_store::client::Unreachable;
-use pebblepost_store::wire::Say;
+use pebblepost_fleet_store::client::Unreachable;
+use pebblepost_fleet_store::wire::Say;
 use std::process::ExitCode;
 use thiserror::Error;
 
--- a/pebblepost/src/fleet/keepers.rs
+++ b/crates/pebblepost/src/fleet/keepers.rs
@@ -2,9 +2,9 @@
 
 use super::Desk;
 use super::error::{FleetError, Result, misplaced};
-use pebblepost_store::group::Peer;
-use pebblepost_store::keeper::ask_once;
-use pebblepost_store::wire::{Ask, Say, Status};
+use pebblepost_fleet_store::group::Peer;
+use pebblepost_fleet_store::keeper::ask_once;
+use pebblepost_fleet_store::wire::{Ask, Say, Status};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/pebblepost/src/fleet/permits.rs
+++ b/crates/pebblepost/src/fleet/permits.rs
@@ -7,7 +7,7 @@
 use pebblepost_fleet::command::Op;
 use pebblepost_fleet::state::{Snapshot, Value};
 use pebblepost_fleet::{Key, Kind, Name, Subject, Text};
-use pebblepost_store::wire::{Ask, Say};
+use pebblepost_fleet_store::wire::{Ask, Say};
 use serde_json::{Value as Json, json};
 use std::time::{Duration, Instant};
 
--- a/pebblepost/src/fleet/view.rs
+++ b/crates/pebblepost/src/fleet/view.rs
@@ -5,7 +5,7 @@
 use super::text::told;
 use pebblepost_fleet::Key;
 use pebblepost_fleet::state::{Change, Entry, Snapshot};
-use pebblepost_store::wire::{Ask, Say};
+use pebblepost_fleet_store::wire::{Ask, Say};
 use serde_json::json;
 use std::time::Duration;
 
--- a/pebblepost/src/front/faktory.rs
+++ b/crates/pebblepost/src/front/faktory.rs
@@ -8,7 +8,7 @@
 use crate::config;
 use crate::engine::{Answer, DeliveryAttempt, Input, Request};
 use crate::net::{ConnKey, Due, Role, Shared};
-use pebblewind::api::*;
+use pebblepost_dispatch::api::*;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, HashMap};
--- a/pebblepost/src/front/platform.rs
+++ b/crates/pebblepost/src/front/platform.rs
@@ -6,7 +6,7 @@
 use crate::http::{self, Body, Head, Malformed};
 use crate::net::{Conn, ConnKey, Role, Shared, number};
 use crate::workers;
-use pebblewind::api::{ClassId, RequestId, TenantId};
+use pebblepost_dispatch::api::{ClassId, RequestId, TenantId};
 use std::collections::HashMap;
 use std::fmt::Write;
 use std::time::Duration;
--- a/pebblepost/src/keep.rs
+++ b/crates/pebblepost/src/keep.rs
@@ -1,7 +1,7 @@
 //! `pebblepost keep`: one keeper of the agreed store.
 
 use crate::config::{ConfigError, check};
-use pebblepost_store::keeper::{self, KeeperError, Settings};
+use pebblepost_fleet_store::keeper::{self, KeeperError, Settings};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/pebblepost/src/lib.rs
+++ b/crates/pebblepost/src/lib.rs
@@ -1,4 +1,4 @@
-//! pebblepost: a dispatcher on real sockets around the decisions of [`pebblewind`].
+//! pebblepost: a dispatcher on real sockets around the decisions of [`pebblepost_dispatch`].
 //!
 //! `docs/architecture.md` tells the life of a request and who owns what.
 
--- a/pebblepost/src/net.rs
+++ b/crates/pebblepost/src/net.rs
@@ -8,7 +8,7 @@
 use crate::front::{faktory, platform};
 use crate::health;
 use crate::workers::Link;
-use pebblewind::api::{RequestId, Time, WorkerId};
+use pebblepost_dispatch::api::{RequestId, Time, WorkerId};
 use polling::{Event, PollMode, Poller};
 use slab::Slab;
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
--- a/pebblepost/src/sight.rs
+++ b/crates/pebblepost/src/sight.rs
@@ -1,7 +1,7 @@
 //! How this dispatcher sees the workers, for the agreed list: by what discovery says of them and by how their probes end. No
 //! I/O and no clock. Nothing of it decides where a request goes.
 
-use pebblewind::api::{Status, Time, WorkerId};
+use pebblepost_dispatch::api::{Status, Time, WorkerId};
 use std::collections::HashMap;
 use std::time::Duration;
 
--- a/pebblepost/src/turn.rs
+++ b/crates/pebblepost/src/turn.rs
@@ -11,7 +11,7 @@
 use crate::net::{Clock, ConnKey, Due, Listener, Net, Ready, Role, Shared, Signal};
 use crate::sight::Mute;
 use crate::workers::Workers;
-use pebblewind::api::{ListKind, Status};
+use pebblepost_dispatch::api::{ListKind, Status};
 use std::io::{self, Read};
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
--- a/pebblepost/src/workers.rs
+++ b/crates/pebblepost/src/workers.rs
@@ -4,7 +4,7 @@
 use crate::engine::{DeliveryAttempt, Input};
 use crate::http::{self, Body, Head};
 use crate::net::{Conn, ConnKey, Role, Shared};
-use pebblewind::api::{Report, Settings, Status, Time, WorkerId};
+use pebblepost_dispatch::api::{Report, Settings, Status, Time, WorkerId};
 use serde_json::Value;
 use std::collections::HashMap;
 use std::time::Duration;
--- a/pebblepost/tests/engine.rs
+++ b/crates/pebblepost/tests/engine.rs
@@ -4,7 +4,7 @@
 
 use pebblepost::config::read_settings;
 use pebblepost::engine::{Answer, DeliveryAttempt, Due, Engine, Input, Output, Request};
-use pebblewind::api::*;
+use pebblepost_dispatch::api::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 use std::collections::{BTreeMap, HashMap, HashSet};
--- a/pebblepost/tests/platform.rs
+++ b/crates/pebblepost/tests/platform.rs
@@ -446,7 +446,7 @@
 
 #[test]
 fn the_files_that_come_with_the_program_are_sound() {
-    let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).parent().expect("a workspace");
+    let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).ancestors().nth(2).expect("a workspace");
     let example = root.join("examples/config.json");
     let var = |name: &str| (name == "PROXY_CONFIG").then(|| example.to_str().map(str::to_owned))?;
     let both = pebblepost::config::read(var, Some(&root.join("examples/operator.json"))).expect("sound");
