--- /dev/null
+++ b/crates/pebblepost-messages/tests/encodings.rs
@@ -0,0 +1,290 @@
+//! Every message that crosses a process border, byte for byte: programs of different builds speak to each other, and
+//! batch jobs on disk hold some of these types.
+
+use nanoserde::{DeBin, SerBin};
+use pebblepost_messages::batch::{
+    FromStore, HeldLease, Item, ItemOutcome, ItemResult, Job, JobAnswer, JobTerms, LeasedItem, PartialText,
+    ResultPage, ResultState, Scorer, SubmitOutcome, ToStore, WorkLease, store_group_of,
+};
+use pebblepost_messages::control::{FromControl, GroupEpoch, SubscriberRole, ToControl};
+use pebblepost_messages::feed::{
+    ConfigurationUpdate, FeedBatch, FeedReply, FeedUpdate, Instance, InstanceState, ModelVersion, StoreGroup,
+};
+use pebblepost_messages::{DiskId, Member};
+use std::fmt::Write;
+
+const APPROVED: &str = include_str!("approved/encodings.txt");
+
+/// Lines `name hex`, and a check of each that it reads back as the value that was written.
+#[derive(Default)]
+struct Encodings(String);
+
+impl Encodings {
+    fn add<T: SerBin + DeBin + PartialEq>(&mut self, name: &str, value: &T) {
+        let bytes = value.serialize_bin();
+        assert!(T::deserialize_bin(&bytes).is_ok_and(|read| read == *value), "{name} does not read back");
+        self.0.push_str(name);
+        self.0.push(' ');
+        for byte in bytes {
+            write!(self.0, "{byte:02x}").unwrap();
+        }
+        self.0.push('\n');
+    }
+}
+
+fn member() -> Member {
+    Member {
+        disk: DiskId(0x0102_0304_0506_0708),
+        node: "storage-1".into(),
+        address: "10.0.0.1:7301".into(),
+        zone: "a".into(),
+        region: "north".into(),
+    }
+}
+
+fn scorer() -> Scorer {
+    Scorer { id: "s1".into(), hostname: "score.example".into(), path: "/score".into(), body: vec![1, 2] }
+}
+
+fn item() -> Item {
+    Item {
+        id: "i1".into(),
+        path: "/make".into(),
+        headers: vec![("Model".into(), "lm".into())],
+        body: vec![9, 8, 7],
+        tokens: 11,
+        group: "g1".into(),
+        scorer: Some(scorer()),
+    }
+}
+
+fn terms() -> JobTerms {
+    JobTerms {
+        route: "train".into(),
+        hostname: "train.example".into(),
+        run_deadline_ms: 60_000,
+        queue_ttl_ms: 3_600_000,
+        max_attempts: 3,
+        priority: 5,
+        single_version: true,
+    }
+}
+
+fn job() -> Job {
+    Job {
+        id: "j1".into(),
+        terms: terms(),
+        step: 4,
+        model: "lm".into(),
+        min_version: 6,
+        desired: 2,
+        items: vec![item(), Item::default()],
+    }
+}
+
+fn partial() -> PartialText {
+    PartialText { last_event: 3, message: b"a\nb".to_vec(), versions: vec![6, 7] }
+}
+
+fn result(state: ResultState) -> ItemResult {
+    ItemResult {
+        id: "i1".into(),
+        state,
+        message: b"a\nb".to_vec(),
+        versions: vec![6, 7],
+        score: "0.5".into(),
+    }
+}
+
+fn lease() -> WorkLease {
+    WorkLease {
+        lease: 12,
+        store_group: 3,
+        epoch: 5,
+        job: "j1".into(),
+        terms: terms(),
+        model: "lm".into(),
+        min_version: 6,
+        due_in_ms: 700,
+        expires_in_ms: 800,
+        items: vec![LeasedItem {
+            item: item(),
+            failed_attempts: 1,
+            failed_scorer_attempts: 2,
+            partial: partial(),
+        }],
+    }
+}
+
+fn model_version() -> ModelVersion {
+    ModelVersion { model: "lm".into(), generation: 7 }
+}
+
+fn instance(state: InstanceState) -> Instance {
+    Instance {
+        id: "t1".into(),
+        backend: "model".into(),
+        address: "10.0.1.1:80".into(),
+        zone: "a".into(),
+        slots: 6,
+        state,
+        cold_remaining_ms: 250,
+        models: vec![model_version()],
+        sequence: 42,
+    }
+}
+
+fn group_epoch() -> GroupEpoch {
+    GroupEpoch { epoch: 5, primary: DiskId(1), in_sync: vec![DiskId(1), DiskId(2)] }
+}
+
+fn store_group() -> StoreGroup {
+    StoreGroup { group: 3, epoch: 5, primary: member(), in_sync: vec![member()], targets: vec![member()] }
+}
+
+fn updates() -> Vec<FeedUpdate> {
+    vec![
+        FeedUpdate::Configuration(ConfigurationUpdate::Whole { generation: 7, document: b"{}".to_vec() }),
+        FeedUpdate::Configuration(ConfigurationUpdate::Packed {
+            generation: 7,
+            bytes: 2,
+            packed: vec![3, 0],
+        }),
+        FeedUpdate::Configuration(ConfigurationUpdate::Patch {
+            base: 6,
+            generation: 7,
+            patch: b"[]".to_vec(),
+        }),
+        FeedUpdate::Instances { whole: true, instances: vec![instance(InstanceState::Ready)] },
+        FeedUpdate::Instances {
+            whole: false,
+            instances: vec![instance(InstanceState::Draining), instance(InstanceState::Gone)],
+        },
+        FeedUpdate::StoreGroups(vec![store_group()]),
+        FeedUpdate::NamedVersions(vec![model_version()]),
+        FeedUpdate::ProxyCount(9),
+    ]
+}
+
+fn to_store(encodings: &mut Encodings) {
+    let (call, store_group, job_id) = (77, 3, || "j1".to_owned());
+    let hello = ToStore::ProxyHello { node: "edge-1".into(), zone: "a".into() };
+    encodings.add("to_store.proxy_hello", &hello);
+    encodings.add("to_store.submit", &ToStore::Submit { call, store_group, job: job() });
+    let read = ToStore::Read { call, store_group, job: job_id(), start: 5, wait_ms: 900 };
+    encodings.add("to_store.read", &read);
+    let body = ToStore::ItemBody { call, store_group, job: job_id(), item: "i1".into() };
+    encodings.add("to_store.item_body", &body);
+    encodings.add("to_store.end", &ToStore::End { call, store_group, job: job_id() });
+    encodings.add("to_store.take_work", &ToStore::TakeWork { most_items: 16 });
+    let returned = ItemOutcome::Returned {
+        id: "i2".into(),
+        failed_attempts: 1,
+        failed_scorer_attempts: 2,
+        partial: partial(),
+    };
+    let outcomes = vec![
+        ItemOutcome::Finished(result(ResultState::Completed)),
+        ItemOutcome::Finished(result(ResultState::DeadLetter)),
+        returned,
+    ];
+    encodings
+        .add("to_store.outcomes", &ToStore::Outcomes { store_group, job: job_id(), lease: 12, outcomes });
+    let held = HeldLease { store_group, job: job_id(), items: vec!["i1".into(), "i2".into()] };
+    encodings.add("to_store.holding", &ToStore::Holding(vec![held]));
+    encodings.add("to_store.keep_alive", &ToStore::KeepAlive);
+    encodings.add("to_store.peer_hello", &ToStore::PeerHello { member: member() });
+    let replication = ToStore::Replication { to: DiskId(2), store_group, message: vec![5, 6] };
+    encodings.add("to_store.replication", &replication);
+    encodings.add("to_store.leaving", &ToStore::Leaving);
+    encodings.add("to_store.status", &ToStore::Status);
+}
+
+fn from_store(encodings: &mut Encodings) {
+    let call = 77;
+    let outcomes = [
+        ("accepted", SubmitOutcome::Accepted),
+        ("refused", SubmitOutcome::Refused { retry_after_ms: 1500 }),
+        ("not_primary", SubmitOutcome::NotPrimary),
+        ("unknown", SubmitOutcome::Unknown),
+    ];
+    for (name, outcome) in outcomes {
+        encodings.add(&format!("from_store.submitted.{name}"), &FromStore::Submitted { call, outcome });
+    }
+    let page = ResultPage { total: 8, start: 5, results: vec![result(ResultState::Completed)] };
+    encodings.add("from_store.results.found", &FromStore::Results { call, answer: JobAnswer::Found(page) });
+    encodings.add("from_store.results.no_such", &FromStore::Results { call, answer: JobAnswer::NoSuch });
+    encodings.add("from_store.results.not_sure", &FromStore::Results { call, answer: JobAnswer::NotSure });
+    encodings
+        .add("from_store.body.found", &FromStore::Body { call, answer: JobAnswer::Found(vec![1, 2, 3]) });
+    encodings.add("from_store.body.no_such", &FromStore::Body { call, answer: JobAnswer::NoSuch });
+    encodings.add("from_store.ended.found", &FromStore::Ended { call, answer: JobAnswer::Found(true) });
+    encodings.add("from_store.ended.not_sure", &FromStore::Ended { call, answer: JobAnswer::NotSure });
+    encodings.add("from_store.work_available", &FromStore::WorkAvailable);
+    encodings.add("from_store.work", &FromStore::Work(vec![lease()]));
+    encodings.add("from_store.cancel", &FromStore::Cancel { jobs: vec!["j1".into(), "j2".into()] });
+    encodings.add("from_store.renew", &FromStore::Renew { groups: vec![(3, 5), (4, 6)] });
+    encodings.add("from_store.keep_alive", &FromStore::KeepAlive);
+    encodings.add("from_store.status", &FromStore::Status(b"{}".to_vec()));
+}
+
+fn to_control(encodings: &mut Encodings) {
+    let roles = [
+        ("agent", SubscriberRole::Agent),
+        ("store", SubscriberRole::Store),
+        ("standby", SubscriberRole::Standby),
+    ];
+    for (name, role) in roles {
+        let subscribe = ToControl::Subscribe { node: "edge-1".into(), zone: "a".into(), role, generation: 7 };
+        encodings.add(&format!("to_control.subscribe.{name}"), &subscribe);
+    }
+    let acknowledge = FeedReply::Acknowledge { sequence: 4, generation: 7 };
+    encodings.add("to_control.reply", &ToControl::Reply(acknowledge));
+    encodings.add("to_control.store_hello", &ToControl::StoreHello { member: member(), founding: true });
+    let change = ToControl::ChangeGroup { request: 8, group: 3, expected_epoch: 4, proposed: group_epoch() };
+    encodings.add("to_control.change_group", &change);
+    encodings.add("to_control.peer_hello", &ToControl::PeerHello { member: member() });
+    encodings.add("to_control.replication", &ToControl::Replication(vec![5, 6]));
+    encodings.add("to_control.announce", &ToControl::Announce(vec![instance(InstanceState::Ready)]));
+    encodings.add("to_control.keep_alive", &ToControl::KeepAlive);
+    encodings.add("to_control.status", &ToControl::Status);
+    encodings.add("to_control.version_slack", &ToControl::VersionSlack { model: "lm".into(), slack: 2 });
+}
+
+fn from_control(encodings: &mut Encodings) {
+    let members = || vec!["10.0.0.1:7300".to_owned(), "10.0.0.2:7300".to_owned()];
+    let redirect = FromControl::Redirect { primary: Some("10.0.0.1:7300".into()), members: members() };
+    encodings.add("from_control.redirect", &redirect);
+    let unknown = FromControl::Redirect { primary: None, members: members() };
+    encodings.add("from_control.redirect.unknown", &unknown);
+    for (index, update) in updates().into_iter().enumerate() {
+        let batch = FeedBatch { sequence: 9, updates: vec![update] };
+        encodings.add(&format!("from_control.feed.{index}"), &FromControl::Feed(batch));
+    }
+    encodings.add("from_control.members", &FromControl::Members(members()));
+    let changed = FromControl::GroupChanged { request: 8, group: 3, accepted: true, current: group_epoch() };
+    encodings.add("from_control.group_changed", &changed);
+    encodings.add("from_control.keep_alive", &FromControl::KeepAlive);
+    encodings.add("from_control.status", &FromControl::Status(b"{}".to_vec()));
+}
+
+#[test]
+fn every_message_has_the_approved_bytes() {
+    let mut encodings = Encodings::default();
+    to_store(&mut encodings);
+    from_store(&mut encodings);
+    to_control(&mut encodings);
+    from_control(&mut encodings);
+    encodings.add("feed_batch", &FeedBatch { sequence: 9, updates: updates() });
+    encodings.add("job", &job());
+    for (written, approved) in encodings.0.lines().zip(APPROVED.lines()) {
+        assert_eq!(written, approved);
+    }
+    assert_eq!(encodings.0.lines().count(), APPROVED.lines().count());
+}
+
+#[test]
+fn a_job_belongs_to_the_group_that_it_always_did() {
+    let groups: Vec<u32> = ["", "j1", "job-2", "train/step/17"].into_iter().map(store_group_of).collect();
+    assert_eq!(groups, [5, 4, 3, 1]);
+}
