--- a/crates/pebblepost-agent/src/lib.rs
+++ b/crates/pebblepost-agent/src/lib.rs
@@ -24,10 +24,10 @@
 /// Limits of the link to the proxy, which takes what comes over the link to the control plane. Both ends share a
 /// machine, so that an end is seen without a silence.
 const PROXY_LINK_LIMITS: LinkLimits = LinkLimits {
-    most_frame_bytes: CONTROL_LINK_LIMITS.most_frame_bytes,
-    most_queued_bytes: CONTROL_LINK_LIMITS.most_queued_bytes,
-    connect: Duration::from_secs(1),
-    silence: Duration::from_secs(3600),
+    max_frame_bytes: CONTROL_LINK_LIMITS.max_frame_bytes,
+    max_queued_bytes: CONTROL_LINK_LIMITS.max_queued_bytes,
+    connect_timeout: Duration::from_secs(1),
+    read_timeout: Duration::from_secs(3600),
 };
 const BIND_PAUSE: Duration = Duration::from_millis(200);
 
@@ -47,7 +47,7 @@
         node: settings.node_name.clone(),
         zone: settings.zone.clone(),
         control: settings.control_links(),
-        grace: settings.bounds.grace,
+        grace: settings.bounds.shutdown_grace,
         reload: Box::new(read_control_links),
     };
     serve(options, listener, signals).await;
--- a/crates/pebblepost-batch-runner/src/attempt.rs
+++ b/crates/pebblepost-batch-runner/src/attempt.rs
@@ -9,7 +9,9 @@
 use http::header::HOST;
 use http::{HeaderMap, HeaderName, HeaderValue, Method, StatusCode};
 use pebblepost_messages::batch::Item;
-use pebblepost_transcriber::{Answer, AnswerHead, EventStream, Failure, Outgoing, StreamAnswer};
+use pebblepost_transcriber::{
+    BufferedResponse, ClientError, EventStream, OutgoingRequest, ResponseHead, StreamResponse,
+};
 use std::pin::pin;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
@@ -67,13 +69,13 @@
     let opening = shared.client.open_stream(&place.target, outgoing);
     match watch(shared, place, HEAD_TIMEOUT, opening).await {
         None => RunEnd::Broken,
-        Some(Err(Failure::NotSent)) => RunEnd::NotSent,
+        Some(Err(ClientError::NotSent)) => RunEnd::NotSent,
         Some(Err(_)) => RunEnd::Broken,
-        Some(Ok(StreamAnswer::Whole(answer))) => {
+        Some(Ok(StreamResponse::Whole(answer))) => {
             note_load(shared, place, &answer.head);
             end_of_answer(&answer)
         }
-        Some(Ok(StreamAnswer::Stream(head, stream))) => {
+        Some(Ok(StreamResponse::Stream(head, stream))) => {
             note_load(shared, place, &head);
             place.has_begun();
             let version = head_version(&head).or(place.version);
@@ -134,7 +136,7 @@
     }
 }
 
-fn end_of_answer(answer: &Answer) -> RunEnd {
+fn end_of_answer(answer: &BufferedResponse) -> RunEnd {
     let head = &answer.head;
     match head.status {
         StatusCode::MISDIRECTED_REQUEST => RunEnd::VersionMoved,
@@ -146,18 +148,18 @@
 }
 
 /// Takes over the load that an answer tells.
-pub(crate) fn note_load(shared: &Shared, place: &Place, head: &AnswerHead) {
+pub(crate) fn note_load(shared: &Shared, place: &Place, head: &ResponseHead) {
     if let Some(load) = &head.load {
         shared.load.borrow_mut().answer(&place.target.instance, load, Instant::now());
     }
 }
 
-fn head_version(head: &AnswerHead) -> Option<u64> {
+fn head_version(head: &ResponseHead) -> Option<u64> {
     head.headers.get("weight-versions")?.to_str().ok()?.trim().parse().ok()
 }
 
 /// The request that runs an item.
-fn request(terms: &LeaseTerms, item: &Item, version: Option<u64>, last_event: u64) -> Outgoing {
+fn request(terms: &LeaseTerms, item: &Item, version: Option<u64>, last_event: u64) -> OutgoingRequest {
     let mut headers = HeaderMap::with_capacity(item.headers.len() + 8);
     for (name, value) in &item.headers {
         insert(&mut headers, name, value);
@@ -177,7 +179,7 @@
         headers.insert("last-event-id", HeaderValue::from(last_event));
     }
     let left = terms.expires_at.saturating_duration_since(Instant::now());
-    Outgoing {
+    OutgoingRequest {
         method: Method::POST,
         path: item.path.clone(),
         headers,
--- a/crates/pebblepost-batch-runner/src/calls.rs
+++ b/crates/pebblepost-batch-runner/src/calls.rs
@@ -100,10 +100,10 @@
         };
         match outcome {
             SubmitOutcome::Accepted => return json(StatusCode::ACCEPTED, Bytes::from_static(b"{}")),
-            SubmitOutcome::Refused { .. } if submission.may_be_taken => {
+            SubmitOutcome::Rejected { .. } if submission.may_be_taken => {
                 return status(StatusCode::GATEWAY_TIMEOUT);
             }
-            SubmitOutcome::Refused { retry_after_ms } => {
+            SubmitOutcome::Rejected { retry_after_ms } => {
                 return refused(StatusCode::TOO_MANY_REQUESTS, Duration::from_millis(retry_after_ms));
             }
             SubmitOutcome::NotPrimary => shared.wait_for_change(RETRY_PAUSE).await,
@@ -140,7 +140,7 @@
     };
     let answer = ask_until_sure(shared, store_group, begun + wait + CALL_FOR, message, |reply| match reply {
         FromStore::Results { answer, .. } => answer,
-        _ => JobAnswer::NotSure,
+        _ => JobAnswer::Uncertain,
     });
     found_or_not(answer.await, |page| json(StatusCode::OK, job_answer::page(&page)))
 }
@@ -154,7 +154,7 @@
     let until = Instant::now() + CALL_FOR;
     let answer = ask_until_sure(shared, store_group, until, message, |reply| match reply {
         FromStore::Body { answer, .. } => answer,
-        _ => JobAnswer::NotSure,
+        _ => JobAnswer::Uncertain,
     });
     found_or_not(answer.await, |body| {
         let mut response = Response::new(Bytes::from(body));
@@ -169,9 +169,9 @@
     let message = || ToStore::End { call: 0, store_group, job: job.to_owned() };
     let until = Instant::now() + CALL_FOR;
     let answer = ask_until_sure(shared, store_group, until, message, |reply| match reply {
-        FromStore::Ended { answer: JobAnswer::Found(false), .. } => JobAnswer::NotSure,
+        FromStore::Ended { answer: JobAnswer::Found(false), .. } => JobAnswer::Uncertain,
         FromStore::Ended { answer, .. } => answer,
-        _ => JobAnswer::NotSure,
+        _ => JobAnswer::Uncertain,
     });
     found_or_not(answer.await, |_| json(StatusCode::OK, Bytes::from_static(b"{}")))
 }
@@ -186,21 +186,21 @@
             CallEnd::NotSent => continue,
             CallEnd::NoReply => {}
             CallEnd::Reply(reply) => match answer_in(reply) {
-                JobAnswer::NotSure => {}
+                JobAnswer::Uncertain => {}
                 sure => return sure,
             },
         }
         shared.wait_for_change(RETRY_PAUSE).await;
     }
-    JobAnswer::NotSure
+    JobAnswer::Uncertain
 }
 
 /// The answer to a caller; 503 where nobody is sure.
 fn found_or_not<T>(answer: JobAnswer<T>, found: impl FnOnce(T) -> Response<Bytes>) -> Response<Bytes> {
     match answer {
         JobAnswer::Found(content) => found(content),
-        JobAnswer::NoSuch => status(StatusCode::NOT_FOUND),
-        JobAnswer::NotSure => refused(StatusCode::SERVICE_UNAVAILABLE, RETRY_PAUSE),
+        JobAnswer::NotFound => status(StatusCode::NOT_FOUND),
+        JobAnswer::Uncertain => refused(StatusCode::SERVICE_UNAVAILABLE, RETRY_PAUSE),
     }
 }
 
--- a/crates/pebblepost-batch-runner/src/execution.rs
+++ b/crates/pebblepost-batch-runner/src/execution.rs
@@ -114,7 +114,7 @@
         if !link.may_have_work.get() || link.asked.get() > 0 {
             continue;
         }
-        if link.send(&ToStore::TakeWork { most_items: room }) {
+        if link.send(&ToStore::RequestWork { max_items: room }) {
             link.asked.set(room);
         }
     }
--- a/crates/pebblepost-batch-runner/src/job_request.rs
+++ b/crates/pebblepost-batch-runner/src/job_request.rs
@@ -46,7 +46,7 @@
         step: number(&value, "step")?,
         model: text(&value, "model")?.unwrap_or_default().to_owned(),
         min_version: number(&value, "min_version")?,
-        desired: u32::try_from(number(&value, "desired")?).unwrap_or(u32::MAX),
+        desired_groups: u32::try_from(number(&value, "desired")?).unwrap_or(u32::MAX),
         items,
     })
 }
--- a/crates/pebblepost-batch-runner/src/lease_table.rs
+++ b/crates/pebblepost-batch-runner/src/lease_table.rs
@@ -2,7 +2,7 @@
 //! still at work.
 
 use crate::text::Progress;
-use pebblepost_messages::batch::{HeldLease, LEASE_MS, RENEW_MS, WorkLease};
+use pebblepost_messages::batch::{ActiveLease, LEASE_MS, RENEW_MS, WorkLease};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -130,12 +130,12 @@
 
     /// The leases of a group, to be announced to its primary of this epoch, which may renew them
     /// from now on.
-    pub fn announce(&mut self, store_group: u32, epoch: u64) -> Vec<HeldLease> {
+    pub fn announce(&mut self, store_group: u32, epoch: u64) -> Vec<ActiveLease> {
         let mut held = Vec::new();
         for lease in self.leases.values_mut().filter(|lease| lease.store_group == store_group) {
             lease.epoch = lease.epoch.max(epoch);
             let items = lease.items.keys().cloned().collect();
-            held.push(HeldLease { store_group, job: lease.job.clone(), items });
+            held.push(ActiveLease { store_group, job: lease.job.clone(), items });
         }
         held
     }
--- a/crates/pebblepost-batch-runner/src/load.rs
+++ b/crates/pebblepost-batch-runner/src/load.rs
@@ -114,7 +114,7 @@
         transcriber.observation = Some(Observation { as_of, received: now, busy });
         transcriber.reported = Some(now);
         transcriber.heard.note(now);
-        transcriber.has_order = load.busy;
+        transcriber.has_order = load.order_in_progress;
         transcriber.versions.clone_from(&load.models);
     }
 
--- a/crates/pebblepost-batch-runner/src/probing.rs
+++ b/crates/pebblepost-batch-runner/src/probing.rs
@@ -42,7 +42,7 @@
     /// Asks a transcriber for its load; whether it answered.
     async fn ask_for_load(&self, target: &Target, backend: &str) -> bool {
         let id = target.instance.as_str();
-        match self.client.report(target, PROBE_TIMEOUT).await {
+        match self.client.load_report(target, PROBE_TIMEOUT).await {
             Ok(Some(report)) => self.load.borrow_mut().report(id, &report, Instant::now()),
             // Alive, and tells no load: what this proxy has there is all that is known.
             Ok(None) => self.load.borrow_mut().tells_no_load(backend, Instant::now()),
--- a/crates/pebblepost-batch-runner/src/scorer.rs
+++ b/crates/pebblepost-batch-runner/src/scorer.rs
@@ -10,7 +10,7 @@
 use http::{HeaderMap, Method, StatusCode};
 use pebblepost_messages::batch::Scorer;
 use pebblepost_messages::feed::InstanceState;
-use pebblepost_transcriber::{Answer, Failure, Outgoing};
+use pebblepost_transcriber::{BufferedResponse, ClientError, OutgoingRequest};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -135,7 +135,7 @@
         Err(failure) => {
             shared.counts.add(Count::ScorerBroken);
             log::debug!("scorer call {} at {}: {failure:?}", scorer.id, place.target.instance);
-            if failure != Failure::TimedOut {
+            if failure != ClientError::TimedOut {
                 let until = Instant::now() + AVOID_AFTER_BREAK;
                 shared.load.borrow_mut().avoid(&place.target.instance, until);
             }
@@ -144,7 +144,7 @@
     }
 }
 
-fn end_of_answer(answer: &Answer, max_attempts: u32) -> ScoreEnd {
+fn end_of_answer(answer: &BufferedResponse, max_attempts: u32) -> ScoreEnd {
     let head = &answer.head;
     if head.status == StatusCode::INTERNAL_SERVER_ERROR && !head.not_executed {
         return ScoreEnd::Failed { max_attempts };
@@ -156,11 +156,11 @@
     }
 }
 
-fn request(scorer: &Scorer, deadline: Duration) -> Outgoing {
+fn request(scorer: &Scorer, deadline: Duration) -> OutgoingRequest {
     let mut headers = HeaderMap::with_capacity(6);
     insert(&mut headers, HOST.as_str(), &scorer.hostname);
     insert(&mut headers, "request-id", &scorer.id);
-    Outgoing {
+    OutgoingRequest {
         method: Method::POST,
         path: scorer.path.clone(),
         headers,
--- a/crates/pebblepost-batch-runner/src/store_link.rs
+++ b/crates/pebblepost-batch-runner/src/store_link.rs
@@ -15,10 +15,10 @@
 
 /// Limits of links to stores. A job is one frame.
 const LIMITS: LinkLimits = LinkLimits {
-    most_frame_bytes: 64 * 1024 * 1024,
-    most_queued_bytes: 80 * 1024 * 1024,
-    connect: Duration::from_millis(400),
-    silence: Duration::from_millis(1500),
+    max_frame_bytes: 64 * 1024 * 1024,
+    max_queued_bytes: 80 * 1024 * 1024,
+    connect_timeout: Duration::from_millis(400),
+    read_timeout: Duration::from_millis(1500),
 };
 const KEEP_ALIVE: Duration = Duration::from_millis(500);
 const LEAST_PAUSE: Duration = Duration::from_millis(50);
--- a/crates/pebblepost-batch-runner/src/store_links.rs
+++ b/crates/pebblepost-batch-runner/src/store_links.rs
@@ -142,7 +142,7 @@
                 held.extend(leases.announce(group, epoch));
             }
         }
-        link.send(&ToStore::Holding(held));
+        link.send(&ToStore::ActiveLeases(held));
     }
 
     fn groups_of(&self, address: SocketAddr) -> Vec<(u32, u64)> {
--- a/crates/pebblepost-batch-store/src/program/configuration.rs
+++ b/crates/pebblepost-batch-store/src/program/configuration.rs
@@ -34,7 +34,7 @@
 
 /// Settings of the store.
 pub(super) fn store_settings(settings: &Settings, opened: &Opened) -> StoreSettings {
-    let status = settings.bounds.status;
+    let status = settings.bounds.job_retention;
     StoreSettings {
         me: Member {
             disk: DiskId(opened.identity),
@@ -51,7 +51,7 @@
 }
 
 fn replica_settings(settings: &Settings) -> ReplicaSettings {
-    let tolerate = settings.tolerate;
+    let tolerate = settings.tolerance;
     ReplicaSettings {
         tolerance: Tolerance {
             machines: tolerate.machines,
--- a/crates/pebblepost-batch-store/src/program/feed.rs
+++ b/crates/pebblepost-batch-store/src/program/feed.rs
@@ -46,8 +46,8 @@
     }
 
     fn note_generation(&self, update: &ConfigurationUpdate) {
-        let (ConfigurationUpdate::Whole { generation, .. }
-        | ConfigurationUpdate::Packed { generation, .. }
+        let (ConfigurationUpdate::Full { generation, .. }
+        | ConfigurationUpdate::Compressed { generation, .. }
         | ConfigurationUpdate::Patch { generation, .. }) = update;
         self.generation.set(self.generation.get().max(*generation));
     }
--- a/crates/pebblepost-batch-store/src/program/links.rs
+++ b/crates/pebblepost-batch-store/src/program/links.rs
@@ -66,10 +66,10 @@
 /// Starts to listen; tries again while the port is taken.
 pub(super) async fn listen(address: SocketAddr) -> Result<Listener> {
     let limits = LinkLimits {
-        most_frame_bytes: MOST_FRAME_BYTES,
-        most_queued_bytes: MOST_QUEUED_BYTES,
-        connect: CONNECT,
-        silence: SILENCE,
+        max_frame_bytes: MOST_FRAME_BYTES,
+        max_queued_bytes: MOST_QUEUED_BYTES,
+        connect_timeout: CONNECT,
+        read_timeout: SILENCE,
     };
     let mut tries = 1;
     loop {
--- a/crates/pebblepost-batch-store/src/program/peers.rs
+++ b/crates/pebblepost-batch-store/src/program/peers.rs
@@ -15,10 +15,10 @@
 
 /// Limits of links to other storage machines.
 const LIMITS: LinkLimits = LinkLimits {
-    most_frame_bytes: MOST_FRAME_BYTES,
-    most_queued_bytes: 64 * 1024 * 1024,
-    connect: CONNECT,
-    silence: SILENCE,
+    max_frame_bytes: MOST_FRAME_BYTES,
+    max_queued_bytes: 64 * 1024 * 1024,
+    connect_timeout: CONNECT,
+    read_timeout: SILENCE,
 };
 /// Pause after a failure before the next connection is opened.
 const PAUSE: Duration = Duration::from_millis(200);
--- a/crates/pebblepost-batch-store/src/store/calls.rs
+++ b/crates/pebblepost-batch-store/src/store/calls.rs
@@ -31,7 +31,7 @@
             return;
         }
         if !budget.has_room_for(held_bytes, &job) {
-            let outcome = SubmitOutcome::Refused { retry_after_ms: NO_ROOM_RETRY_MS };
+            let outcome = SubmitOutcome::Rejected { retry_after_ms: NO_ROOM_RETRY_MS };
             return self.submitted(&[caller], outcome);
         }
         let proposed = Proposed::Job { job: job.id.clone(), bytes: job_bytes(&job), callers: vec![caller] };
@@ -44,7 +44,7 @@
 
     pub(super) fn end(&mut self, now: Duration, caller: Caller, number: u32, job: String) {
         let Some(group) = self.acting_group(now, number) else {
-            return self.ended(&[caller], &JobAnswer::NotSure);
+            return self.ended(&[caller], &JobAnswer::Uncertain);
         };
         if let Some(callers) = group.end_callers(&job) {
             callers.push(caller);
@@ -55,19 +55,19 @@
             return self.ended(&[caller], &JobAnswer::Found(true));
         }
         if known.is_none() && group.submit_callers(&job).is_none() {
-            return self.ended(&[caller], &JobAnswer::NoSuch);
+            return self.ended(&[caller], &JobAnswer::NotFound);
         }
         let proposed = Proposed::End { job: job.clone(), callers: vec![caller] };
         if let Err(error) = group.propose(now, Change::EndJob { job }, proposed) {
             log::debug!("group {number}: a job was not ended: {error:?}");
-            self.ended(&[caller], &JobAnswer::NotSure);
+            self.ended(&[caller], &JobAnswer::Uncertain);
         }
         self.settle(now, number);
     }
 
     pub(super) fn item_body(&mut self, now: Duration, caller: Caller, number: u32, job: &str, item: &str) {
         let answer = match self.acting_group(now, number) {
-            None => JobAnswer::NotSure,
+            None => JobAnswer::Uncertain,
             Some(group) => body_of(group.state().job(job), item),
         };
         self.outbox.reply(caller.link, FromStore::Body { call: caller.call, answer });
@@ -76,7 +76,7 @@
     /// Answers a read, or keeps it until there is a result.
     pub(super) fn read(&mut self, now: Duration, number: u32, reader: Reader) {
         let Some(group) = self.acting_group(now, number) else {
-            return self.answer_read(reader.caller, JobAnswer::NotSure);
+            return self.answer_read(reader.caller, JobAnswer::Uncertain);
         };
         match page_for(group.state().job(&reader.job), &reader) {
             JobAnswer::Found(page) if page.results.is_empty() && now < reader.until => {
@@ -123,11 +123,11 @@
 fn page_for(job: Option<&StoredJob>, reader: &Reader) -> JobAnswer<ResultPage> {
     match job {
         Some(job) => JobAnswer::Found(job.page(reader.start, MOST_PAGE_BYTES)),
-        None => JobAnswer::NoSuch,
+        None => JobAnswer::NotFound,
     }
 }
 
 fn body_of(job: Option<&StoredJob>, item: &str) -> JobAnswer<Vec<u8>> {
     let found = job.and_then(|job| job.unlisted_item(job.unlisted_index(item)?));
-    found.map_or(JobAnswer::NoSuch, |item| JobAnswer::Found(item.body.clone()))
+    found.map_or(JobAnswer::NotFound, |item| JobAnswer::Found(item.body.clone()))
 }
--- a/crates/pebblepost-batch-store/src/store/commits.rs
+++ b/crates/pebblepost-batch-store/src/store/commits.rs
@@ -67,12 +67,12 @@
         for proposed in undecided {
             match proposed {
                 Proposed::Job { callers, .. } => self.submitted(&callers, SubmitOutcome::Unknown),
-                Proposed::End { callers, .. } => self.ended(&callers, &JobAnswer::NotSure),
+                Proposed::End { callers, .. } => self.ended(&callers, &JobAnswer::Uncertain),
                 Proposed::Results { .. } | Proposed::Forget { .. } => {}
             }
         }
         for reader in readers {
-            let message = FromStore::Results { call: reader.caller.call, answer: JobAnswer::NotSure };
+            let message = FromStore::Results { call: reader.caller.call, answer: JobAnswer::Uncertain };
             self.outbox.reply(reader.caller.link, message);
         }
     }
--- a/crates/pebblepost-batch-store/src/store/early.rs
+++ b/crates/pebblepost-batch-store/src/store/early.rs
@@ -4,7 +4,7 @@
 //! it then is kept until it has.
 
 use super::outbox::LinkId;
-use pebblepost_messages::batch::{HeldLease, ItemResult};
+use pebblepost_messages::batch::{ActiveLease, ItemResult};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -26,14 +26,14 @@
 /// What came too early.
 #[derive(Debug, Default)]
 pub(super) struct Early {
-    announced: BTreeMap<LinkId, Vec<HeldLease>>,
+    announced: BTreeMap<LinkId, Vec<ActiveLease>>,
     results: VecDeque<(Duration, EarlyResult)>,
     bytes: usize,
 }
 
 impl Early {
     /// Keeps the leases that a proxy announced last.
-    pub(super) fn keep_announced(&mut self, link: LinkId, leases: Vec<HeldLease>) {
+    pub(super) fn keep_announced(&mut self, link: LinkId, leases: Vec<ActiveLease>) {
         self.announced.insert(link, leases);
     }
 
@@ -43,8 +43,8 @@
     }
 
     /// Takes the leases announced of a group.
-    pub(super) fn take_announced(&mut self, group: u32) -> Vec<(LinkId, Vec<HeldLease>)> {
-        let of_group = |lease: &mut HeldLease| lease.store_group == group;
+    pub(super) fn take_announced(&mut self, group: u32) -> Vec<(LinkId, Vec<ActiveLease>)> {
+        let of_group = |lease: &mut ActiveLease| lease.store_group == group;
         let taken = self.announced.iter_mut();
         taken.map(|(link, leases)| (*link, leases.extract_if(.., of_group).collect())).collect()
     }
--- a/crates/pebblepost-batch-store/src/store/leave.rs
+++ b/crates/pebblepost-batch-store/src/store/leave.rs
@@ -12,7 +12,7 @@
         self.is_leaving = true;
         self.leaving.insert(self.settings.me.disk);
         for peer in self.other_machines() {
-            self.outbox.send_to_peer(peer, ToStore::Leaving);
+            self.outbox.send_to_peer(peer, ToStore::ShuttingDown);
         }
         self.set_targets_anew(now);
     }
--- a/crates/pebblepost-batch-store/src/store/mod.rs
+++ b/crates/pebblepost-batch-store/src/store/mod.rs
@@ -132,7 +132,7 @@
 
     /// First message on each new connection to the control plane, after the subscription.
     pub fn announcement(&self) -> ToControl {
-        ToControl::StoreHello { member: self.settings.me.clone(), founding: self.settings.founding }
+        ToControl::StoreHello { member: self.settings.me.clone(), bootstrap: self.settings.founding }
     }
 
     /// A link was opened to this store.
@@ -165,7 +165,7 @@
                     self.replicate(now, store_group, &peer, &message);
                 }
             }
-            (ToStore::Leaving, Some(Caller::Peer(peer))) => {
+            (ToStore::ShuttingDown, Some(Caller::Peer(peer))) => {
                 let disk = peer.disk;
                 self.peer_leaves(now, disk);
             }
@@ -187,12 +187,12 @@
                 self.item_body(now, caller(call), store_group, &job, &item);
             }
             ToStore::End { call, store_group, job } => self.end(now, caller(call), store_group, job),
-            ToStore::TakeWork { most_items } => self.take_work(now, link, most_items),
+            ToStore::RequestWork { max_items } => self.take_work(now, link, max_items),
             ToStore::Outcomes { store_group, job, lease, outcomes } => {
                 let lease = work::LeaseOfProxy { proxy: ProxyId(link.0), number: lease };
                 self.outcomes(now, lease, store_group, &job, outcomes);
             }
-            ToStore::Holding(leases) => self.holding(now, link, leases),
+            ToStore::ActiveLeases(leases) => self.holding(now, link, leases),
             _ => log::warn!("a message from a proxy that is not one of a proxy"),
         }
     }
--- a/crates/pebblepost-batch-store/src/store/work.rs
+++ b/crates/pebblepost-batch-store/src/store/work.rs
@@ -6,7 +6,9 @@
 use super::outbox::LinkId;
 use pebblepost_batch::command::Change;
 use pebblepost_batch::scheduler::{ExpiredItems, ItemProgress, ProxyId};
-use pebblepost_messages::batch::{FromStore, HeldLease, ItemOutcome, ItemResult, Job, RENEW_MS, ResultState};
+use pebblepost_messages::batch::{
+    ActiveLease, FromStore, ItemOutcome, ItemResult, Job, RENEW_MS, ResultState,
+};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -27,14 +29,14 @@
 }
 
 impl Store {
-    pub(super) fn take_work(&mut self, now: Duration, link: LinkId, most_items: u32) {
-        let most_items = usize::try_from(most_items.min(MOST_ITEMS_AT_ONCE)).unwrap_or(0);
+    pub(super) fn take_work(&mut self, now: Duration, link: LinkId, max_items: u32) {
+        let max_items = usize::try_from(max_items.min(MOST_ITEMS_AT_ONCE)).unwrap_or(0);
         let groups = &self.groups;
         let states = |number: u32| {
             let group = groups.get(&number).filter(|group| group.is_acting(now));
             group.map(Group::state)
         };
-        let leases = self.scheduler.take(now, ProxyId(link.0), most_items, states);
+        let leases = self.scheduler.take(now, ProxyId(link.0), max_items, states);
         self.outbox.reply(link, FromStore::Work(leases));
     }
 
@@ -81,8 +83,8 @@
 
     /// A proxy announces the leases that it holds. Those of groups that this machine is not
     /// primary of yet are kept until it is.
-    pub(super) fn holding(&mut self, now: Duration, link: LinkId, leases: Vec<HeldLease>) {
-        let is_scheduled = |lease: &HeldLease| self.scheduler.has_group(lease.store_group);
+    pub(super) fn holding(&mut self, now: Duration, link: LinkId, leases: Vec<ActiveLease>) {
+        let is_scheduled = |lease: &ActiveLease| self.scheduler.has_group(lease.store_group);
         let (ours, early): (Vec<_>, Vec<_>) = leases.into_iter().partition(is_scheduled);
         self.early.keep_announced(link, early);
         self.take_announced(now, link, ours);
@@ -101,7 +103,7 @@
 
     /// Leases of jobs that are over are cancelled, the others are renewed at once: they may have
     /// been without renewal for a while.
-    fn take_announced(&mut self, now: Duration, link: LinkId, leases: Vec<HeldLease>) {
+    fn take_announced(&mut self, now: Duration, link: LinkId, leases: Vec<ActiveLease>) {
         let mut over = Vec::new();
         let mut held = BTreeSet::new();
         for lease in leases {
--- a/crates/pebblepost-batch/src/scheduler/job_schedule.rs
+++ b/crates/pebblepost-batch/src/scheduler/job_schedule.rs
@@ -82,7 +82,7 @@
         let mut schedule = JobSchedule {
             key,
             is_taken_over: false,
-            desired: usize::try_from(job.job().desired).unwrap_or(usize::MAX),
+            desired: usize::try_from(job.job().desired_groups).unwrap_or(usize::MAX),
             surplus_at_ms: taken_at_ms.saturating_add(run_deadline_ms / 100 * SURPLUS_AFTER_PERCENT),
             expires_at_ms: taken_at_ms.saturating_add(signed(terms.queue_ttl_ms)),
             items: Vec::new(),
--- a/crates/pebblepost-batch/src/scheduler/mod.rs
+++ b/crates/pebblepost-batch/src/scheduler/mod.rs
@@ -122,10 +122,10 @@
         }
     }
 
-    /// Leases items to a proxy: at most `most_items`, and a few more to keep a group of samples
+    /// Leases items to a proxy: at most `max_items`, and a few more to keep a group of samples
     /// whole. `states` gives the replicated state of a group, if it may be acted on now.
     pub fn take<'state>(
-        &mut self, now: Duration, proxy: ProxyId, most_items: usize,
+        &mut self, now: Duration, proxy: ProxyId, max_items: usize,
         states: impl Fn(u32) -> Option<&'state BatchState>,
     ) -> Vec<WorkLease> {
         let mut given: Vec<WorkLease> = Vec::new();
@@ -135,14 +135,14 @@
                 break;
             }
             for key in self.order.clone() {
-                if count >= most_items || body_bytes(&given) >= MOST_BYTES_AT_ONCE {
+                if count >= max_items || body_bytes(&given) >= MOST_BYTES_AT_ONCE {
                     break;
                 }
                 let Some(job) = states(key.group).and_then(|state| state.job(&key.job)) else { continue };
-                count += self.take_from_job(now, proxy, most_items - count, with_surplus, job, &mut given);
+                count += self.take_from_job(now, proxy, max_items - count, with_surplus, job, &mut given);
             }
         }
-        if given.is_empty() || count < most_items {
+        if given.is_empty() || count < max_items {
             self.idle.insert(proxy);
         } else {
             self.idle.remove(&proxy);
--- a/crates/pebblepost-configuration/src/document.rs
+++ b/crates/pebblepost-configuration/src/document.rs
@@ -1,6 +1,6 @@
 //! Reading and writing of whole JSON documents, bounded in size and depth.
 
-use crate::Invalid;
+use crate::ConfigurationError;
 use simd_json::BorrowedValue;
 use simd_json::prelude::*;
 
@@ -10,21 +10,25 @@
 const MOST_DEPTH: usize = 100;
 
 /// A copy for the parser to work in; refused where the parser can't be trusted with it.
-pub(crate) fn buffer_of(document: &[u8]) -> Result<Vec<u8>, Invalid> {
+pub(crate) fn buffer_of(document: &[u8]) -> Result<Vec<u8>, ConfigurationError> {
     if document.len() > MOST_BYTES {
-        return Err(Invalid(format!("the document has more than {MOST_BYTES} bytes")));
+        return Err(ConfigurationError(format!("the document has more than {MOST_BYTES} bytes")));
     }
     if depth_of(document) > MOST_DEPTH {
-        return Err(Invalid(format!("the document is nested deeper than {MOST_DEPTH} levels")));
+        return Err(ConfigurationError(format!("the document is nested deeper than {MOST_DEPTH} levels")));
     }
     Ok(document.to_vec())
 }
 
 /// Reads a JSON object.
-pub(crate) fn read(buffer: &mut [u8]) -> Result<BorrowedValue<'_>, Invalid> {
+pub(crate) fn read(buffer: &mut [u8]) -> Result<BorrowedValue<'_>, ConfigurationError> {
     let value = simd_json::to_borrowed_value(buffer)
-        .map_err(|error| Invalid(format!("the document is not valid JSON: {error}")))?;
-    if value.is_object() { Ok(value) } else { Err(Invalid("the document is not an object".to_owned())) }
+        .map_err(|error| ConfigurationError(format!("the document is not valid JSON: {error}")))?;
+    if value.is_object() {
+        Ok(value)
+    } else {
+        Err(ConfigurationError("the document is not an object".to_owned()))
+    }
 }
 
 /// The document of a value.
@@ -34,7 +38,7 @@
 
 /// Whether two documents say the same: compared as JSON values, so that spaces, the order of an object's fields
 /// and the way a number is written don't matter. Documents that can't be read are the same if their bytes are.
-pub fn same_document(left: &[u8], right: &[u8]) -> bool {
+pub fn is_same_document(left: &[u8], right: &[u8]) -> bool {
     if left == right {
         return true;
     }
--- a/crates/pebblepost-configuration/src/fields.rs
+++ b/crates/pebblepost-configuration/src/fields.rs
@@ -2,7 +2,7 @@
 //!
 //! `null` counts as absent.
 
-use crate::Invalid;
+use crate::ConfigurationError;
 use simd_json::BorrowedValue;
 use simd_json::prelude::*;
 use std::fmt::Display;
@@ -13,7 +13,7 @@
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
 /// The version of a document or patch.
-pub(crate) fn generation(document: &BorrowedValue<'_>) -> Result<u64, Invalid> {
+pub(crate) fn generation(document: &BorrowedValue<'_>) -> Result<u64, ConfigurationError> {
     let item = Item { value: document, label: "the document".to_owned() };
     if let Some(generation) = item.get("generation").and_then(|value| value.as_u64()) {
         return Ok(generation);
@@ -30,12 +30,14 @@
 
 impl<'a, 'b> Item<'a, 'b> {
     /// The object; `label` stands for it in errors.
-    pub(crate) fn new(value: &'a BorrowedValue<'b>, label: impl Display) -> Result<Item<'a, 'b>, Invalid> {
+    pub(crate) fn new(
+        value: &'a BorrowedValue<'b>, label: impl Display,
+    ) -> Result<Item<'a, 'b>, ConfigurationError> {
         let label = label.to_string();
         if value.is_object() {
             Ok(Item { value, label })
         } else {
-            Err(Invalid(format!("{label} is not an object")))
+            Err(ConfigurationError(format!("{label} is not an object")))
         }
     }
 
@@ -45,12 +47,12 @@
     }
 
     /// The error that a field is wrong.
-    pub(crate) fn invalid(&self, field: &str, reason: impl Display) -> Invalid {
-        Invalid(format!("{}: `{field}` {reason}", self.label))
+    pub(crate) fn invalid(&self, field: &str, reason: impl Display) -> ConfigurationError {
+        ConfigurationError(format!("{}: `{field}` {reason}", self.label))
     }
 
     /// The error that a field is missing.
-    pub(crate) fn missing(&self, field: &str) -> Invalid {
+    pub(crate) fn missing(&self, field: &str) -> ConfigurationError {
         self.invalid(field, "is missing")
     }
 
@@ -60,24 +62,24 @@
     }
 
     /// A text.
-    pub(crate) fn text(&self, field: &str) -> Result<Option<&'a str>, Invalid> {
+    pub(crate) fn text(&self, field: &str) -> Result<Option<&'a str>, ConfigurationError> {
         let Some(value) = self.get(field) else { return Ok(None) };
         value.as_str().map(Some).ok_or_else(|| self.invalid(field, "must be a text"))
     }
 
     /// A text that has to be there.
-    pub(crate) fn required_text(&self, field: &str) -> Result<&'a str, Invalid> {
+    pub(crate) fn required_text(&self, field: &str) -> Result<&'a str, ConfigurationError> {
         self.text(field)?.ok_or_else(|| self.missing(field))
     }
 
     /// True or false; absent means false.
-    pub(crate) fn flag(&self, field: &str) -> Result<bool, Invalid> {
+    pub(crate) fn flag(&self, field: &str) -> Result<bool, ConfigurationError> {
         let Some(value) = self.get(field) else { return Ok(false) };
         value.as_bool().ok_or_else(|| self.invalid(field, "must be true or false"))
     }
 
     /// A number, 0 or more.
-    pub(crate) fn number(&self, field: &str) -> Result<Option<f64>, Invalid> {
+    pub(crate) fn number(&self, field: &str) -> Result<Option<f64>, ConfigurationError> {
         let Some(value) = self.get(field) else { return Ok(None) };
         let number = value.cast_f64().ok_or_else(|| self.invalid(field, "must be a number"))?;
         if number.is_finite() && number >= 0.0 {
@@ -88,24 +90,24 @@
     }
 
     /// A whole number; too large a one is cut.
-    pub(crate) fn count(&self, field: &str) -> Result<Option<u32>, Invalid> {
+    pub(crate) fn count(&self, field: &str) -> Result<Option<u32>, ConfigurationError> {
         let Some(number) = self.number(field)? else { return Ok(None) };
         let whole = whole(number).ok_or_else(|| self.invalid(field, "must be a whole number"))?;
         Ok(Some(u32::try_from(whole).unwrap_or(u32::MAX)))
     }
 
     /// A time in milliseconds.
-    pub(crate) fn milliseconds(&self, field: &str) -> Result<Option<Duration>, Invalid> {
+    pub(crate) fn milliseconds(&self, field: &str) -> Result<Option<Duration>, ConfigurationError> {
         Ok(self.number(field)?.map(|number| duration(number / MILLISECONDS_PER_SECOND)))
     }
 
     /// A time in seconds.
-    pub(crate) fn seconds(&self, field: &str) -> Result<Option<Duration>, Invalid> {
+    pub(crate) fn seconds(&self, field: &str) -> Result<Option<Duration>, ConfigurationError> {
         Ok(self.number(field)?.map(duration))
     }
 
     /// A list.
-    pub(crate) fn list(&self, field: &str) -> Result<Option<&'a [BorrowedValue<'b>]>, Invalid> {
+    pub(crate) fn list(&self, field: &str) -> Result<Option<&'a [BorrowedValue<'b>]>, ConfigurationError> {
         let Some(value) = self.get(field) else { return Ok(None) };
         match value.as_array() {
             Some(list) => Ok(Some(list.as_slice())),
--- a/crates/pebblepost-configuration/src/lib.rs
+++ b/crates/pebblepost-configuration/src/lib.rs
@@ -9,7 +9,7 @@
 mod services;
 mod table;
 
-pub use document::same_document;
+pub use document::is_same_document;
 
 use simd_json::BorrowedValue;
 use std::fmt;
@@ -104,21 +104,21 @@
     table: RoutingTable,
 }
 
-/// Why a document was refused; one sentence for the operator.
+/// Why a document was rejected: one sentence for the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Invalid(pub String);
+pub struct ConfigurationError(pub String);
 
-impl fmt::Display for Invalid {
+impl fmt::Display for ConfigurationError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Invalid {}
+impl std::error::Error for ConfigurationError {}
 
 impl Configuration {
     /// Reads and checks a whole document.
-    pub fn parse(document: &[u8]) -> Result<Configuration, Invalid> {
+    pub fn parse(document: &[u8]) -> Result<Configuration, ConfigurationError> {
         let mut buffer = document::buffer_of(document)?;
         let value = document::read(&mut buffer)?;
         Configuration::checked(&value, document.to_vec())
@@ -126,7 +126,7 @@
 
     /// This configuration with a patch (`generation`, `upsert`, `remove`) on it, checked. Fields of the document
     /// that these pages don't know are kept.
-    pub fn patched(&self, patch: &[u8]) -> Result<Configuration, Invalid> {
+    pub fn patched(&self, patch: &[u8]) -> Result<Configuration, ConfigurationError> {
         let mut document_buffer = document::buffer_of(&self.document)?;
         let mut patch_buffer = document::buffer_of(patch)?;
         let mut value = document::read(&mut document_buffer)?;
@@ -134,14 +134,16 @@
         let generation = fields::generation(&patch)?;
         if generation <= self.generation {
             let current = self.generation;
-            return Err(Invalid(format!("generation {generation} is not above the current {current}")));
+            return Err(ConfigurationError(format!(
+                "generation {generation} is not above the current {current}"
+            )));
         }
         patch::apply(&mut value, patch)?;
         let document = document::write(&value);
         Configuration::checked(&value, document)
     }
 
-    fn checked(value: &BorrowedValue<'_>, document: Vec<u8>) -> Result<Configuration, Invalid> {
+    fn checked(value: &BorrowedValue<'_>, document: Vec<u8>) -> Result<Configuration, ConfigurationError> {
         let generation = fields::generation(value)?;
         let services = services::read_all(value)?;
         let routes = routes::read_all(value, &services)?;
--- a/crates/pebblepost-configuration/src/patch.rs
+++ b/crates/pebblepost-configuration/src/patch.rs
@@ -1,15 +1,17 @@
 //! Putting a patch on a document.
 
-use crate::Invalid;
+use crate::ConfigurationError;
 use simd_json::borrowed::Object;
 use simd_json::prelude::*;
 use simd_json::{BorrowedValue, ValueType};
 
 /// Applies `remove`, then `upsert`, then `generation` and `limits`. Items keep their order: a replaced one its
 /// place, a new one comes last.
-pub(crate) fn apply<'a>(document: &mut BorrowedValue<'a>, patch: BorrowedValue<'a>) -> Result<(), Invalid> {
+pub(crate) fn apply<'a>(
+    document: &mut BorrowedValue<'a>, patch: BorrowedValue<'a>,
+) -> Result<(), ConfigurationError> {
     let (Some(document), BorrowedValue::Object(mut patch)) = (document.as_object_mut(), patch) else {
-        return Err(Invalid("the patch is not an object".to_owned()));
+        return Err(ConfigurationError("the patch is not an object".to_owned()));
     };
     if let Some(lists) = take_object(&mut patch, "remove")? {
         for (key, names) in lists {
@@ -29,17 +31,18 @@
     Ok(())
 }
 
-fn take_object<'a>(patch: &mut Object<'a>, key: &str) -> Result<Option<Object<'a>>, Invalid> {
+fn take_object<'a>(patch: &mut Object<'a>, key: &str) -> Result<Option<Object<'a>>, ConfigurationError> {
     match patch.remove(key) {
         None => Ok(None),
         Some(value) if value.is_null() => Ok(None),
         Some(BorrowedValue::Object(object)) => Ok(Some(*object)),
-        Some(_) => Err(Invalid(format!("the patch: `{key}` must be an object"))),
+        Some(_) => Err(ConfigurationError(format!("the patch: `{key}` must be an object"))),
     }
 }
 
-fn remove(document: &mut Object<'_>, key: &str, names: &BorrowedValue<'_>) -> Result<(), Invalid> {
-    let invalid = || Invalid(format!("the patch: `remove` must hold a list of names under `{key}`"));
+fn remove(document: &mut Object<'_>, key: &str, names: &BorrowedValue<'_>) -> Result<(), ConfigurationError> {
+    let invalid =
+        || ConfigurationError(format!("the patch: `remove` must hold a list of names under `{key}`"));
     let names: Vec<&str> = match names.value_type() {
         ValueType::Null => return Ok(()),
         ValueType::Array => names
@@ -56,7 +59,9 @@
     Ok(())
 }
 
-fn upsert<'a>(document: &mut Object<'a>, key: &str, items: BorrowedValue<'a>) -> Result<(), Invalid> {
+fn upsert<'a>(
+    document: &mut Object<'a>, key: &str, items: BorrowedValue<'a>,
+) -> Result<(), ConfigurationError> {
     let items = match items {
         BorrowedValue::Array(items) => *items,
         // What is no list, such as `limits`, is replaced as a whole.
@@ -68,11 +73,11 @@
     };
     let list = document.entry(key.to_owned().into()).or_insert_with(BorrowedValue::array);
     let Some(list) = list.as_array_mut() else {
-        return Err(Invalid(format!("the document: `{key}` is no list")));
+        return Err(ConfigurationError(format!("the document: `{key}` is no list")));
     };
     for item in items {
         let Some(name) = name_of(&item) else {
-            return Err(Invalid(format!("the patch: an item of `{key}` has no name")));
+            return Err(ConfigurationError(format!("the patch: an item of `{key}` has no name")));
         };
         match list.iter_mut().find(|other| name_of(other) == Some(name)) {
             Some(place) => *place = item,
--- a/crates/pebblepost-configuration/src/routes.rs
+++ b/crates/pebblepost-configuration/src/routes.rs
@@ -1,7 +1,7 @@
 //! Routes of a document.
 
 use crate::fields::Item;
-use crate::{Invalid, Route, RouteKind, Service};
+use crate::{ConfigurationError, Route, RouteKind, Service};
 use simd_json::BorrowedValue;
 use std::collections::HashSet;
 use std::time::Duration;
@@ -18,7 +18,9 @@
 const LARGEST_WEIGHT: f64 = 1e12;
 
 /// All routes, each checked by itself and against the services; names checked.
-pub(crate) fn read_all(document: &BorrowedValue<'_>, services: &[Service]) -> Result<Vec<Route>, Invalid> {
+pub(crate) fn read_all(
+    document: &BorrowedValue<'_>, services: &[Service],
+) -> Result<Vec<Route>, ConfigurationError> {
     let document = Item::new(document, "the document")?;
     let values = document.list("routes")?.ok_or_else(|| document.missing("routes"))?;
     let services: HashSet<&str> = services.iter().map(|service| service.name.as_str()).collect();
@@ -27,14 +29,16 @@
     for (index, value) in values.iter().enumerate() {
         let route = read(value, index, &services)?;
         if !names.insert(route.name.clone()) {
-            return Err(Invalid(format!("two routes have the name '{}'", route.name)));
+            return Err(ConfigurationError(format!("two routes have the name '{}'", route.name)));
         }
         routes.push(route);
     }
     Ok(routes)
 }
 
-fn read(value: &BorrowedValue<'_>, index: usize, services: &HashSet<&str>) -> Result<Route, Invalid> {
+fn read(
+    value: &BorrowedValue<'_>, index: usize, services: &HashSet<&str>,
+) -> Result<Route, ConfigurationError> {
     let mut item = Item::new(value, format_args!("route {index}"))?;
     let name = item.required_text("name")?;
     item.relabel(format_args!("route '{name}'"));
@@ -66,7 +70,7 @@
     }
 }
 
-fn read_prefix(item: &Item<'_, '_>) -> Result<String, Invalid> {
+fn read_prefix(item: &Item<'_, '_>) -> Result<String, ConfigurationError> {
     let prefix = item.required_text("path_prefix")?;
     if prefix.starts_with('/') && prefix.ends_with('/') {
         Ok(prefix.to_owned())
@@ -75,12 +79,14 @@
     }
 }
 
-fn read_timeout(item: &Item<'_, '_>) -> Result<Duration, Invalid> {
+fn read_timeout(item: &Item<'_, '_>) -> Result<Duration, ConfigurationError> {
     let timeout = item.milliseconds("timeout_ms")?.unwrap_or(DEFAULT_TIMEOUT);
     if timeout.is_zero() { Err(item.invalid("timeout_ms", "must be above 0")) } else { Ok(timeout) }
 }
 
-fn read_backends(item: &Item<'_, '_>, services: &HashSet<&str>) -> Result<Vec<(String, u64)>, Invalid> {
+fn read_backends(
+    item: &Item<'_, '_>, services: &HashSet<&str>,
+) -> Result<Vec<(String, u64)>, ConfigurationError> {
     let single = item.text("backend")?;
     if let Some(backend) = single {
         check_service(item, "backend", backend, services)?;
@@ -94,7 +100,9 @@
     }
 }
 
-fn read_split(item: &Item<'_, '_>, services: &HashSet<&str>) -> Result<Option<Vec<(String, u64)>>, Invalid> {
+fn read_split(
+    item: &Item<'_, '_>, services: &HashSet<&str>,
+) -> Result<Option<Vec<(String, u64)>>, ConfigurationError> {
     let Some(parts) = item.list("traffic_split")? else { return Ok(None) };
     let mut weights = Vec::with_capacity(parts.len());
     for part in parts {
@@ -119,7 +127,7 @@
 
 fn check_service(
     item: &Item<'_, '_>, field: &str, backend: &str, services: &HashSet<&str>,
-) -> Result<(), Invalid> {
+) -> Result<(), ConfigurationError> {
     if services.contains(backend) {
         Ok(())
     } else {
--- a/crates/pebblepost-configuration/src/services.rs
+++ b/crates/pebblepost-configuration/src/services.rs
@@ -1,7 +1,7 @@
 //! Services and limits of a document.
 
 use crate::fields::Item;
-use crate::{Invalid, Limits, Service};
+use crate::{ConfigurationError, Limits, Service};
 use simd_json::BorrowedValue;
 use simd_json::prelude::*;
 use std::collections::HashSet;
@@ -17,7 +17,7 @@
 };
 
 /// All services, with their names checked.
-pub(crate) fn read_all(document: &BorrowedValue<'_>) -> Result<Vec<Service>, Invalid> {
+pub(crate) fn read_all(document: &BorrowedValue<'_>) -> Result<Vec<Service>, ConfigurationError> {
     let document = Item::new(document, "the document")?;
     let values = document.list("services")?.ok_or_else(|| document.missing("services"))?;
     let mut names = HashSet::new();
@@ -25,14 +25,14 @@
     for (index, value) in values.iter().enumerate() {
         let service = read(value, index)?;
         if !names.insert(service.name.clone()) {
-            return Err(Invalid(format!("two services have the name '{}'", service.name)));
+            return Err(ConfigurationError(format!("two services have the name '{}'", service.name)));
         }
         services.push(service);
     }
     Ok(services)
 }
 
-fn read(value: &BorrowedValue<'_>, index: usize) -> Result<Service, Invalid> {
+fn read(value: &BorrowedValue<'_>, index: usize) -> Result<Service, ConfigurationError> {
     let mut item = Item::new(value, format_args!("service {index}"))?;
     let name = item.required_text("name")?;
     item.relabel(format_args!("service '{name}'"));
@@ -51,7 +51,7 @@
     })
 }
 
-fn read_models(engine: &Item<'_, '_>) -> Result<Vec<String>, Invalid> {
+fn read_models(engine: &Item<'_, '_>) -> Result<Vec<String>, ConfigurationError> {
     let mut models = Vec::new();
     for value in engine.list("models")?.unwrap_or_default() {
         let model = match value.as_str() {
@@ -64,7 +64,7 @@
 }
 
 /// Bounds on clients; those that are not named have defaults.
-pub(crate) fn read_limits(document: &BorrowedValue<'_>) -> Result<Limits, Invalid> {
+pub(crate) fn read_limits(document: &BorrowedValue<'_>) -> Result<Limits, ConfigurationError> {
     let document = Item::new(document, "the document")?;
     let Some(value) = document.get("limits") else { return Ok(DEFAULT_LIMITS) };
     let limits = Item::new(value, "limits")?;
@@ -76,6 +76,6 @@
     })
 }
 
-fn bytes(limits: &Item<'_, '_>, field: &str, default: usize) -> Result<usize, Invalid> {
+fn bytes(limits: &Item<'_, '_>, field: &str, default: usize) -> Result<usize, ConfigurationError> {
     Ok(limits.number(field)?.map_or(default, |number| number as usize))
 }
--- a/crates/pebblepost-configuration/src/table.rs
+++ b/crates/pebblepost-configuration/src/table.rs
@@ -1,6 +1,6 @@
 //! Lookup of routes by host and path.
 
-use crate::{Invalid, Route};
+use crate::{ConfigurationError, Route};
 use std::borrow::Cow;
 use std::collections::HashMap;
 
@@ -19,7 +19,7 @@
 
 impl RoutingTable {
     /// The table; refused if two routes have the same host and prefix.
-    pub(crate) fn new(routes: &[Route]) -> Result<RoutingTable, Invalid> {
+    pub(crate) fn new(routes: &[Route]) -> Result<RoutingTable, ConfigurationError> {
         let mut hosts: HashMap<String, HostRoutes> = HashMap::new();
         for (index, route) in routes.iter().enumerate() {
             let host = hosts.entry(normal_host(&route.hostname).into_owned()).or_default();
@@ -27,7 +27,9 @@
             if let Some(other) = host.by_prefix.insert(route.path_prefix.clone(), index) {
                 let other = routes.get(other).map_or("", |other| other.name.as_str());
                 let name = &route.name;
-                return Err(Invalid(format!("routes '{other}' and '{name}' have the same host and prefix")));
+                return Err(ConfigurationError(format!(
+                    "routes '{other}' and '{name}' have the same host and prefix"
+                )));
             }
         }
         Ok(RoutingTable { hosts })
--- a/crates/pebblepost-control/src/core.rs
+++ b/crates/pebblepost-control/src/core.rs
@@ -197,7 +197,7 @@
             zone: settings.zone.clone(),
             region: settings.region.clone(),
         };
-        let tolerate = settings.tolerate;
+        let tolerate = settings.tolerance;
         CoreSettings {
             me,
             control,
--- a/crates/pebblepost-control/src/core/links.rs
+++ b/crates/pebblepost-control/src/core/links.rs
@@ -51,7 +51,7 @@
                     primary.feed.reply(now, connection, &reply);
                 }
             }
-            ToControl::StoreHello { member, founding } => {
+            ToControl::StoreHello { member, bootstrap: founding } => {
                 self.store_hello(now, connection, member, founding);
             }
             ToControl::ChangeGroup { request, group, expected_epoch, proposed } => {
@@ -148,7 +148,9 @@
         }
         for update in &batch.updates {
             match update {
-                FeedUpdate::Instances { whole, instances } => self.registry.copy(now, *whole, instances),
+                FeedUpdate::Instances { complete: whole, instances } => {
+                    self.registry.copy(now, *whole, instances)
+                }
                 FeedUpdate::ProxyCount(count) => self.proxy_count = *count,
                 FeedUpdate::Configuration(_) | FeedUpdate::StoreGroups(_) | FeedUpdate::NamedVersions(_) => {}
             }
--- a/crates/pebblepost-control/src/core/primary.rs
+++ b/crates/pebblepost-control/src/core/primary.rs
@@ -125,7 +125,7 @@
         let mut state = FeedState::default();
         let known = self.registry.live().chain(self.registry.lately_gone());
         let instances = known.cloned().collect();
-        state.apply(&FeedUpdate::Instances { whole: false, instances });
+        state.apply(&FeedUpdate::Instances { complete: false, instances });
         state.apply(&FeedUpdate::ProxyCount(self.proxy_count));
         FeedServer::new(now, state)
     }
--- a/crates/pebblepost-control/src/feed_server.rs
+++ b/crates/pebblepost-control/src/feed_server.rs
@@ -4,7 +4,7 @@
 //! everything else within [`COALESCE`]. Each flush has a number; a subscriber's acknowledgement
 //! says up to which flush it acts.
 
-use pebblepost_feed::{FeedState, packing};
+use pebblepost_feed::{FeedState, compression};
 use pebblepost_messages::control::{FromControl, SubscriberRole};
 use pebblepost_messages::feed::{
     ConfigurationUpdate, FeedBatch, FeedReply, FeedUpdate, Instance, ModelVersion, StoreGroup,
@@ -201,7 +201,7 @@
         if instances.is_empty() {
             return;
         }
-        self.state.apply(&FeedUpdate::Instances { whole: false, instances: instances.to_vec() });
+        self.state.apply(&FeedUpdate::Instances { complete: false, instances: instances.to_vec() });
         for instance in instances {
             self.pending.instances.insert(instance.id.clone(), instance.clone());
         }
@@ -340,11 +340,11 @@
         let mut updates = Vec::new();
         if pending.whole_list {
             let instances = self.state.instances().cloned().collect();
-            updates.push(FeedUpdate::Instances { whole: true, instances });
+            updates.push(FeedUpdate::Instances { complete: true, instances });
         }
         if !pending.instances.is_empty() {
             let instances = pending.instances.values().cloned().collect();
-            updates.push(FeedUpdate::Instances { whole: false, instances });
+            updates.push(FeedUpdate::Instances { complete: false, instances });
         }
         if !pending.groups.is_empty() {
             updates.push(FeedUpdate::StoreGroups(pending.groups.values().cloned().collect()));
@@ -375,7 +375,7 @@
             Some((base, patch)) if *base == known => {
                 ConfigurationUpdate::Patch { base: *base, generation, patch: patch.clone() }
             }
-            _ => self.packed.get_or_init(|| packing::pack(generation, document)).clone(),
+            _ => self.packed.get_or_init(|| compression::compress(generation, document)).clone(),
         };
         Some(FeedUpdate::Configuration(update))
     }
--- a/crates/pebblepost-control/src/program.rs
+++ b/crates/pebblepost-control/src/program.rs
@@ -47,10 +47,10 @@
 
 /// Limits of links that other programs open, and of those to other control processes.
 pub const LINK_LIMITS: LinkLimits = LinkLimits {
-    most_frame_bytes: 48 * 1024 * 1024,
-    most_queued_bytes: 64 * 1024 * 1024,
-    connect: Duration::from_millis(400),
-    silence: Duration::from_millis(2500),
+    max_frame_bytes: 48 * 1024 * 1024,
+    max_queued_bytes: 64 * 1024 * 1024,
+    connect_timeout: Duration::from_millis(400),
+    read_timeout: Duration::from_millis(2500),
 };
 
 /// Runs the program until SIGTERM.
--- a/crates/pebblepost-control/src/registry.rs
+++ b/crates/pebblepost-control/src/registry.rs
@@ -239,7 +239,7 @@
 fn differs(known: &Instance, merged: &Instance) -> bool {
     let told = |instance: &Instance| Instance {
         sequence: 0,
-        cold_remaining_ms: u32::from(instance.cold_remaining_ms > 0),
+        warm_up_remaining_ms: u32::from(instance.warm_up_remaining_ms > 0),
         ..instance.clone()
     };
     told(known) != told(merged)
--- a/crates/pebblepost-control/src/shell.rs
+++ b/crates/pebblepost-control/src/shell.rs
@@ -20,10 +20,10 @@
 
 /// Limits of the client for orders and reports.
 const CLIENT_LIMITS: ClientLimits = ClientLimits {
-    connect: Duration::from_millis(400),
-    most_connections_each: 2,
-    idle: Duration::from_secs(2),
-    most_body_bytes: 256 * 1024,
+    connect_timeout: Duration::from_millis(400),
+    max_connections_per_transcriber: 2,
+    idle_timeout: Duration::from_secs(2),
+    max_body_bytes: 256 * 1024,
 };
 
 /// The core and everything that it acts on.
--- a/crates/pebblepost-control/src/state.rs
+++ b/crates/pebblepost-control/src/state.rs
@@ -132,7 +132,8 @@
         if change.base != current {
             return Err(ChangeRefusal::OtherVersion { current });
         }
-        let invalid = |refused: pebblepost_configuration::Invalid| ChangeRefusal::Invalid(refused.0);
+        let invalid =
+            |refused: pebblepost_configuration::ConfigurationError| ChangeRefusal::Invalid(refused.0);
         let made = match (change.method, &self.configuration) {
             (ChangeMethod::Whole, _) => Configuration::parse(&change.body).map_err(invalid)?,
             (ChangeMethod::Patch, Some(configuration)) => {
--- a/crates/pebblepost-control/src/tasks.rs
+++ b/crates/pebblepost-control/src/tasks.rs
@@ -138,7 +138,7 @@
     let answer = match target {
         Some(target) => match client.order(&target, Bytes::from(body), left).await {
             Ok(status) => order_answer(status.as_u16()),
-            Err(pebblepost_transcriber::Failure::NotSent) => OrderAnswer::Refused,
+            Err(pebblepost_transcriber::ClientError::NotSent) => OrderAnswer::Refused,
             Err(_) => OrderAnswer::Unknown,
         },
         None => OrderAnswer::Refused,
@@ -160,10 +160,14 @@
 /// Asks a transcriber for its report and tells the loop.
 pub async fn ask_report(client: Client, instance: String, address: String, events: EventSender) {
     let report = match target(&instance, &address) {
-        Some(target) => client.report(&target, ORDER_TIME).await.ok().flatten(),
+        Some(target) => client.load_report(&target, ORDER_TIME).await.ok().flatten(),
         None => None,
     };
-    let report = report.map(|load| Reported { busy: load.busy, models: load.models, running: load.running });
+    let report = report.map(|load| Reported {
+        busy: load.order_in_progress,
+        models: load.models,
+        running: load.running,
+    });
     events.send(Event::Input(Input::Reported { instance, report })).await.ok();
 }
 
--- a/crates/pebblepost-dispatch/src/api.rs
+++ b/crates/pebblepost-dispatch/src/api.rs
@@ -3,7 +3,7 @@
 //!
 //! Classes, tenants, zones and kinds are indices: names never reach the decisions.
 
-use crate::room::RoomSettings;
+use crate::room::ReservationSettings;
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
@@ -70,7 +70,7 @@
 
 /// Which workers drop a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// Every worker.
     All,
     /// The workers of one zone.
@@ -81,35 +81,35 @@
 
 /// What running a request twice would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: safe to repeat.
-    Safe,
+    Idempotent,
     /// The workers of `group` drop a repeat for `window` after the first send that may have run.
-    Keyed {
+    Deduplicated {
         /// Who drops repeats.
-        group: Group,
+        scope: DeduplicationScope,
         /// For how long.
         window: Duration,
     },
     /// The effect would happen twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Answers within this time (plus `stretch` times the job's own work) have full worth.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Total time a client waits.
     pub deadline: Duration,
     /// How far it may be repeated.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Worth of a request answered within the aim.
-    pub worth: f64,
+    pub value: f64,
     /// Fraction of the worth left after the aim.
     pub late_value: f64,
     /// Multiple of the job's own work that is added to the aim.
-    pub stretch: f64,
+    pub latency_stretch: f64,
     /// The machine kind it needs; `None`: any.
     pub kind: Option<KindId>,
     /// The only machine kinds it may be sent to, at any attempt; `None`: any, empty: nowhere.
@@ -126,7 +126,7 @@
 #[derive(Clone, Debug)]
 pub struct Tenant {
     /// Its fraction of the service.
-    pub fraction: f64,
+    pub quota_share: f64,
     /// Requests a second, over all nodes, within its share.
     pub quota_per_s: f64,
 }
@@ -165,7 +165,7 @@
     /// Changes come unasked.
     Push,
     /// Only after [`Action::Watch`] or [`Action::Fetch`].
-    Ask,
+    Poll,
 }
 
 /// Points taken off the result, by unit (see the operators' pages).
@@ -197,17 +197,17 @@
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request beyond its tenant's share, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// How the list of workers is learned.
     pub discovery: Discovery,
     /// [`Action::Probe`] is allowed.
-    pub probing: bool,
+    pub probing_enabled: bool,
     /// [`Action::Cancel`] is allowed.
-    pub cancelling: bool,
+    pub cancelling_enabled: bool,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedging_enabled: bool,
     /// Clients receive the advice of [`Action::Refuse`].
-    pub retry_after: bool,
+    pub retry_after_enabled: bool,
     /// Longest advice a client honours.
     pub max_retry_after: Duration,
     /// Most attempts for a request.
@@ -221,7 +221,7 @@
     /// Interval of progress notes; `None`: workers send none.
     pub progress: Option<Duration>,
     /// Workers tell when a job starts.
-    pub tells_start: bool,
+    pub start_reported: bool,
     /// Sends to a worker must cease this long after its drain or end was told.
     pub drain_grace: Duration,
     /// Idle connections to a draining worker must be closed within this time; `None`: no such rule.
@@ -230,16 +230,16 @@
     pub full_may_have_run: bool,
     /// A final answer is valid this long after the deadline.
     pub answer_slack: Duration,
-    /// Longest time without asking discovery ([`Discovery::Ask`]).
-    pub ask_within: Duration,
+    /// Longest time without asking discovery ([`Discovery::Poll`]).
+    pub max_discovery_interval: Duration,
     /// A worker starts with at least this fraction of its capacity.
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     /// A worker is warm after this time.
-    pub warm_up: Duration,
+    pub warm_up_time: Duration,
     /// A cold worker falls over at this multiple of its present capacity.
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// Sustained for this time.
-    pub fall: Duration,
+    pub overload_time: Duration,
     /// Prices of the operators.
     pub prices: Prices,
     /// Shortest time between two calls of the dispatcher.
@@ -247,7 +247,7 @@
     /// Workers serve their queues in order: what waits there keeps its turn. Otherwise whatever fits may start.
     pub queues_in_order: bool,
     /// Room for large jobs.
-    pub room: RoomSettings,
+    pub reservations: ReservationSettings,
 }
 
 impl Settings {
--- a/crates/pebblepost-dispatch/src/health.rs
+++ b/crates/pebblepost-dispatch/src/health.rs
@@ -1,8 +1,9 @@
-//! What is held against one worker, and for how long. No I/O, no clock; the policy says what counts and how long a
-//! first offence does.
+//! What is held against one worker, and for how long. No I/O, no clock; the policy says what counts and how
+//! long a first offence does.
 //!
-//! Three things are told apart: bad work (errors, resets, time-outs), probes that failed, and a class of jobs that it
-//! takes and never starts while it goes on with all others, as a process does that hangs on one of what it depends on.
+//! Three things are told apart: bad work (errors, resets, time-outs), probes that failed, and a class of jobs
+//! that it takes and never starts while it goes on with all others, as a process does that hangs on one of
+//! what it depends on.
 
 use crate::api::Time;
 use std::time::Duration;
@@ -18,7 +19,8 @@
     strikes: u32,
     failed_probes: u32,
     until: Time,
-    /// By class: when the latest that it started had been sent, how often in a row it left one lying, and until when none goes there.
+    /// By class: when the latest that it started had been sent, how often in a row it left one lying, and
+    /// until when none goes there.
     classes: Vec<(usize, Time, u32, Time)>,
 }
 
@@ -53,8 +55,8 @@
         &mut self.classes[at]
     }
 
-    /// It has room and has not started a job of this class that was sent then: none goes there for `base`, then one
-    /// is tried. If it has started one that was sent later, a connection was lost and not the class.
+    /// It has room and has not started a job of this class that was sent then: none goes there for `base`,
+    /// then one is tried. If it has started one that was sent later, a connection was lost and not the class.
     pub fn left_lying(&mut self, now: Time, class: usize, sent: Time, base: Duration) {
         let (_, started, times, until) = self.class(class);
         // Jobs sent before the first was missed are missed after it: they are the same offence.
--- a/crates/pebblepost-dispatch/src/keys.rs
+++ b/crates/pebblepost-dispatch/src/keys.rs
@@ -1,15 +1,15 @@
-//! Where to find what jobs of one key need: an order of workers for each key, and what this node has sent where.
-//! No I/O, no clock.
+//! Where to find what jobs of one key need: an order of workers for each key, and what this node has sent
+//! where. No I/O, no clock.
 //!
-//! The order is rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998)
-//! with weights (Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005): every node that knows the
-//! same weights has the same order, a worker comes first for a part of the keys that is its weight's part of all,
-//! and one that leaves moves only its own keys.
+//! The order is rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit
+//! rates", 1998) with weights (Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005): every
+//! node that knows the same weights has the same order, a worker comes first for a part of the keys that is
+//! its weight's part of all, and one that leaves moves only its own keys.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Keys remembered for each worker. Workers keep fewer for each of their slots, but what one node sees is a part of
-/// what they get, and what is often asked for stays in front.
+/// Keys remembered for each worker. Workers keep fewer for each of their slots, but what one node sees is a
+/// part of what they get, and what is often asked for stays in front.
 const MEMORY: usize = 8;
 
 /// Scatters numbers evenly (the last steps of SplitMix64).
@@ -69,8 +69,8 @@
 /// Jobs that count in it.
 const RECENT: usize = 256;
 
-/// Part of the fleet that the jobs of a key get, as a multiple of their part of all jobs: they come in bunches, and what
-/// one node sees of them is a sample.
+/// Part of the fleet that the jobs of a key get, as a multiple of their part of all jobs: they come in
+/// bunches, and what one node sees of them is a sample.
 const SPREAD: f64 = 1.5;
 
 impl Asked {
@@ -92,8 +92,8 @@
         }
     }
 
-    /// On how many of so many workers its jobs go, in the key's order: one, unless it is asked for more often than
-    /// one can bear.
+    /// On how many of so many workers its jobs go, in the key's order: one, unless it is asked for more often
+    /// than one can bear.
     pub fn replicas(&self, key: u64, workers: usize) -> usize {
         let asked = self.counts.get(&key).copied().unwrap_or(0) as f64;
         let part = asked / self.recent.len().max(RECENT / 8) as f64;
--- a/crates/pebblepost-dispatch/src/means.rs
+++ b/crates/pebblepost-dispatch/src/means.rs
@@ -70,8 +70,8 @@
     pub slots: f64,
     /// Its times for jobs without a hint, as a multiple of what is usual in the fleet.
     pub pace: f64,
-    /// Mean time and mean hint of its jobs, in seconds, and not the mean of their ratios: what a job has to fetch does
-    /// not grow with it.
+    /// Mean time and mean hint of its jobs, in seconds, and not the mean of their ratios: what a job has to
+    /// fetch does not grow with it.
     time: f64,
     hint: f64,
 }
@@ -110,8 +110,8 @@
         (self.at, self.seen) = (now, secs(waited));
     }
 
-    /// Seconds that the next job would wait, before what this node sent since: what the last one waited counts for
-    /// less as it ages, and nobody waits for less than one that is waiting still has.
+    /// Seconds that the next job would wait, before what this node sent since: what the last one waited
+    /// counts for less as it ages, and nobody waits for less than one that is waiting still has.
     pub fn expected(&self, now: Time, waiting: Duration) -> f64 {
         (self.seen * (-secs(now.since(self.at))).exp()).max(secs(waiting))
     }
--- a/crates/pebblepost-dispatch/src/policy.rs
+++ b/crates/pebblepost-dispatch/src/policy.rs
@@ -96,8 +96,8 @@
 
     /// Fraction of its capacity that a worker surely has: it grows at least evenly while it warms up.
     fn warmth(&self, now: Time, s: &Settings) -> f64 {
-        let Some(start) = self.started.filter(|start| now < *start + s.warm_up) else { return 1.0 };
-        s.cold_from + (1.0 - s.cold_from) * secs(now.since(start)) / secs(s.warm_up)
+        let Some(start) = self.started.filter(|start| now < *start + s.warm_up_time) else { return 1.0 };
+        s.cold_capacity + (1.0 - s.cold_capacity) * secs(now.since(start)) / secs(s.warm_up_time)
     }
 }
 
@@ -209,7 +209,7 @@
 impl Dispatcher {
     /// A node that has just started and knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Self {
-        let service: Vec<f64> = settings.classes.iter().map(|c| secs(c.aim)).collect();
+        let service: Vec<f64> = settings.classes.iter().map(|c| secs(c.latency_target)).collect();
         let mean_service = service.iter().sum::<f64>() / service.len().max(1) as f64;
         let tick = secs(settings.tick);
         Self {
@@ -221,7 +221,7 @@
             pools: Vec::new(),
             fleet: [0.0; 2],
             requests: HashMap::new(),
-            reservations: Room::new(settings.room),
+            reservations: Room::new(settings.reservations),
             room_share: 1.0,
             mean_busy: 0.0,
             arrivals: Rate { per_s: 0.0, last: now },
@@ -229,7 +229,7 @@
             kinds: BTreeMap::new(),
             mean_hint: 0.0,
             // Between the youngest and the oldest that would matter, until evidence comes.
-            age: span((tick * secs(settings.fall)).sqrt()),
+            age: span((tick * secs(settings.overload_time)).sqrt()),
             checks: 0,
             round_trip: Timing { mean: 4.0 * tick, spread: tick },
             service,
@@ -243,7 +243,7 @@
             subscribed: false,
             asks: 0,
             asked: Asked::default(),
-            shares: Shares::new(settings.tenants.iter().map(|t| t.fraction)),
+            shares: Shares::new(settings.tenants.iter().map(|t| t.quota_share)),
             settings,
         }
     }
@@ -303,11 +303,11 @@
         let fits = |w: &Worker| w.free >= r.slots && w.queue < 1.0 && w.memory >= r.memory.min(w.k_memory);
         let Some(a) = a.filter(|a| fits(&self.workers[a.worker])) else { return };
         let more = (r.attempts.len() as u32) < self.settings.max_attempts && now < self.last_start(id);
-        if self.settings.cancelling && self.may_repeat(now, r) && more && r.phase == Phase::Placed {
+        if self.settings.cancelling_enabled && self.may_repeat(now, r) && more && r.phase == Phase::Placed {
             out.push(Action::Cancel { id, attempt: no });
         }
         self.workers[a.worker].own.retain(|o| o.0 != a.sent); // It holds no slot there.
-        self.workers[a.worker].health.left_lying(now, r.class, a.sent, self.settings.fall / 2);
+        self.workers[a.worker].health.left_lying(now, r.class, a.sent, self.settings.overload_time / 2);
         let least = a.idle.map_or(self.idle_limit, |idle| idle / 2);
         self.idle_limit = self.idle_limit.min(least).max(self.settings.tick);
     }
@@ -385,7 +385,7 @@
         r.drawn.clear();
         r.answered.clear();
         r.phase = Phase::First;
-        if !self.settings.probing {
+        if !self.settings.probing_enabled {
             // Exception: where probes are not allowed, d random workers are compared by own load.
             self.draw_many(now, id, D, false, out);
             return self.choose(now, id, out);
@@ -412,19 +412,21 @@
         let mut got = 0;
         while got < n {
             let Some(w) = self.draw(now, id, away) else { return got };
-            let span =
-                secs(now.since(self.started).clamp(self.settings.fall, CROWD_MEMORY * self.settings.fall));
+            let span = secs(
+                now.since(self.started)
+                    .clamp(self.settings.overload_time, CROWD_MEMORY * self.settings.overload_time),
+            );
             let side = self.side(w);
             self.draws[side].count(now, span, self.settings.tick);
             let admitted = self.cold_admits(now, id, w); // Before the probe: a lot lost costs none.
             let Some(r) = self.requests.get_mut(&id) else { return got };
-            if !admitted && self.settings.probing {
+            if !admitted && self.settings.probing_enabled {
                 r.refused.push(w);
                 continue;
             }
             got += 1;
             r.drawn.push(w);
-            if self.settings.probing {
+            if self.settings.probing_enabled {
                 self.workers[w].probes.push_back(Asker::Request(id, r.turn));
                 out.push(Action::Probe { worker: self.workers[w].id });
             } else {
@@ -612,7 +614,7 @@
         let least = burdens.iter().map(|b| b.1).reduce(|a, b| if b < a { b } else { a });
         let ties: Vec<usize> = burdens.iter().filter(|b| Some(b.1) == least).map(|b| b.0).collect();
         let best = (!ties.is_empty()).then(|| ties[self.rng.random_range(0..ties.len())]);
-        let free = |w| self.room(now, w, slots, memory) && !self.misled(w) || !self.settings.probing;
+        let free = |w| self.room(now, w, slots, memory) && !self.misled(w) || !self.settings.probing_enabled;
         let takes = |w: &usize| self.below_threshold(now, *w, slots, memory) || free(*w);
         let in_time = |w: &usize| self.warm(now, *w) || self.ends_in_time(now, id, *w);
         if let Some(w) = best.filter(takes).filter(in_time) {
@@ -662,12 +664,12 @@
         let attempt = Attempt { worker: w, sent: now, slots: r.slots, open: true, ..Attempt::default() };
         r.attempts.push(Attempt { idle, queued, level, found, ..attempt });
         out.push(Action::Send { id, worker: worker.id, timeout: None });
-        if self.settings.tells_start && self.settings.probing {
+        if self.settings.start_reported && self.settings.probing_enabled {
             out.push(Action::SetTimer { at: now + silence, token: token(Timer::Silence, no, id.0) });
         }
         // The age of reports is looked at with each of the first sends, then with some.
         self.checks += 1;
-        if self.settings.probing && !queued && (self.checks <= 8 || self.checks.is_multiple_of(16)) {
+        if self.settings.probing_enabled && !queued && (self.checks <= 8 || self.checks.is_multiple_of(16)) {
             out.push(Action::SetTimer { at: now + self.age, token: token(Timer::Check, no, id.0) });
         }
     }
@@ -727,7 +729,7 @@
         let guess = n * mean / 2.0 + n.min(3.0) * here + 2.0 * n / (n + 10.0);
         let waiting = if self.tells_queue() { worker.queue } else { guess };
         let passed = |o: &&(Time, f64, bool, Time)| o.2 || o.1 > 1.0 && !self.settings.queues_in_order;
-        let first = worker.own.iter().find(|o| !passed(o)).filter(|_| self.settings.tells_start);
+        let first = worker.own.iter().find(|o| !passed(o)).filter(|_| self.settings.start_reported);
         let waited = first.map_or(Duration::ZERO, |o| now.since(o.0));
         let in_order = self.settings.queues_in_order;
         Outlook { worker: w, slots, free, own, others, waiting, waited, in_order, run }
@@ -757,7 +759,7 @@
         if (full || status == Status::Ok) && !queued && self.stale(w) {
             blend(&mut self.turned_away, f64::from(u8::from(full)), GAIN);
         }
-        if full || status == Status::Ok && !self.settings.tells_start {
+        if full || status == Status::Ok && !self.settings.start_reported {
             self.learn_meaning(w, level, full);
         }
         if status != Status::Moot {
@@ -816,12 +818,15 @@
 
     fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id) else { return };
-        let harmless = match self.settings.classes[r.class].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+        let harmless = match self.settings.classes[r.class].idempotency {
+            Idempotency::Idempotent | Idempotency::Deduplicated { scope: DeduplicationScope::All, .. } => {
+                true
+            }
             _ => r.ran.is_none() && !r.open(),
         };
         let advice = span(self.mean_service * self.rng.random_range(0.5..1.5));
-        let retry_after = self.settings.retry_after.then_some(advice.min(self.settings.max_retry_after));
+        let retry_after =
+            self.settings.retry_after_enabled.then_some(advice.min(self.settings.max_retry_after));
         let answer = if harmless { Action::Refuse { id, retry_after } } else { Action::Fail { id } };
         self.finish(id, Some(answer), out);
     }
@@ -831,7 +836,8 @@
         let Some(r) = self.requests.get_mut(&id) else { return };
         if r.phase != Phase::Done {
             out.extend(answer);
-            let open = r.attempts.iter().enumerate().filter(|(_, a)| a.open && self.settings.cancelling);
+            let open =
+                r.attempts.iter().enumerate().filter(|(_, a)| a.open && self.settings.cancelling_enabled);
             out.extend(open.map(|(no, _)| Action::Cancel { id, attempt: AttemptNo(no as u8) }));
         }
         r.phase = Phase::Done;
@@ -845,15 +851,15 @@
     fn may_send(&self, now: Time, id: RequestId) -> bool {
         let Some(r) = self.requests.get(&id) else { return false };
         let more = (r.attempts.len() as u32) < self.settings.max_attempts && r.phase != Phase::Done;
-        more && now < r.deadline && (!r.open() || self.settings.second_copies) && self.may_repeat(now, r)
+        more && now < r.deadline && (!r.open() || self.settings.hedging_enabled) && self.may_repeat(now, r)
     }
 
     fn may_repeat(&self, now: Time, r: &Request) -> bool {
         let ran = r.ran.or_else(|| r.attempts.iter().find(|a| a.open).map(|a| (a.worker, a.sent)));
-        match (self.settings.classes[r.class].effect, ran) {
-            (Effect::Safe, _) | (_, None) => true,
-            (Effect::Unsafe, Some(_)) => false,
-            (Effect::Keyed { window, .. }, Some((_, at))) => now < at + window,
+        match (self.settings.classes[r.class].idempotency, ran) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::NonIdempotent, Some(_)) => false,
+            (Idempotency::Deduplicated { window, .. }, Some((_, at))) => now < at + window,
         }
     }
 
@@ -863,9 +869,13 @@
         let worker = &self.workers[w];
         let class = &self.settings.classes[r.class];
         let open = r.attempts.iter().find(|a| a.open).map(|a| a.worker);
-        let in_group = match (class.effect, r.ran.map(|(f, _)| f).or(open)) {
-            (Effect::Keyed { group: Group::Zone, .. }, Some(f)) => worker.zone == self.workers[f].zone,
-            (Effect::Keyed { group: Group::Cell, .. }, Some(f)) => worker.cell == self.workers[f].cell,
+        let in_group = match (class.idempotency, r.ran.map(|(f, _)| f).or(open)) {
+            (Idempotency::Deduplicated { scope: DeduplicationScope::Zone, .. }, Some(f)) => {
+                worker.zone == self.workers[f].zone
+            }
+            (Idempotency::Deduplicated { scope: DeduplicationScope::Cell, .. }, Some(f)) => {
+                worker.cell == self.workers[f].cell
+            }
             _ => true,
         };
         worker.state == WorkerState::Ready
@@ -883,7 +893,12 @@
         let class = &self.settings.classes[r.class];
         let bound = r.ran.is_some() || r.open();
         let pool = self.pools.get(r.class)?;
-        if bound && matches!(class.effect, Effect::Keyed { group: Group::Zone | Group::Cell, .. }) {
+        if bound
+            && matches!(
+                class.idempotency,
+                Idempotency::Deduplicated { scope: DeduplicationScope::Zone | DeduplicationScope::Cell, .. }
+            )
+        {
             let fresh = |w: &usize| !r.drawn.contains(w) && !r.refused.contains(w);
             let all = pool.iter().flatten().copied();
             let group: Vec<usize> = all.filter(|w| fresh(w) && self.eligible(now, id, *w)).collect();
@@ -949,7 +964,7 @@
             k if k == Timer::Turn as u64 => self.turn_over(now, id, extra, out),
             k if k == Timer::Silence as u64 => self.look(id, AttemptNo(extra as u8), true, out),
             k if k == Timer::Check as u64 => self.look(id, AttemptNo(extra as u8), false, out),
-            k if k == Timer::Ask as u64 && self.settings.discovery == Discovery::Ask && !self.subscribed => {
+            k if k == Timer::Ask as u64 && self.settings.discovery == Discovery::Poll && !self.subscribed => {
                 out.push(Action::Watch);
             }
             _ => {}
@@ -1003,7 +1018,7 @@
         }
         // The list tells of a restart seconds later. One broken connection is none: any may break.
         let (failures, since) = std::mem::take(&mut worker.down);
-        if failures > 1 && now >= since + self.settings.fall {
+        if failures > 1 && now >= since + self.settings.overload_time {
             worker.started = worker.started.max(Some(now));
         }
         worker.reported = now;
@@ -1031,7 +1046,7 @@
     /// The age of reports is the while after a send by which two in three jobs show (a staircase).
     fn learn_age(&mut self, shown: bool) {
         let age = self.age.mul_f64(if shown { 0.8 } else { 1.5 });
-        self.age = age.clamp(self.settings.tick, self.settings.warm_up.max(self.settings.tick));
+        self.age = age.clamp(self.settings.tick, self.settings.warm_up_time.max(self.settings.tick));
     }
 
     /// Reports are stale if a worker may have filled or emptied a slot since.
@@ -1068,7 +1083,7 @@
     fn strike(&mut self, now: Time, w: usize) {
         let pool = self.pools.last().map_or(0, |p| self.spread(p[0].len()));
         let revisit = span(2.0 * pool as f64 / self.arrivals.per_s.max(0.1)).min(self.settings.keepalive);
-        self.workers[w].health.struck(now, self.settings.fall.max(revisit));
+        self.workers[w].health.struck(now, self.settings.overload_time.max(revisit));
     }
 
     /// Probes the worker of an attempt that is out: to learn the age of reports, or if it has not started.
@@ -1095,7 +1110,7 @@
         let Some(cost) = self.requests.get(&id).map(|r| r.cost.max(1.0)) else { return false };
         let rate =
             warmth * self.k_of_kind(w).max(1.0) / (self.mean_service * self.pace(w)).max(f64::MIN_POSITIVE);
-        let bearable = (0.5 * self.settings.tip_multiple * rate).max(0.5 / secs(self.lag()));
+        let bearable = (0.5 * self.settings.overload_multiple * rate).max(0.5 / secs(self.lag()));
         let side = self.side(w);
         let draws = self.draws[side].per_s / self.fleet[side].max(1.0);
         // Nodes stand where workers stand; those at home have most of the use of a worker.
@@ -1103,7 +1118,7 @@
             * [self.fleet[0] / self.fleet.iter().sum::<f64>(), 1.0][side];
         let part = if self.fleet[1] > 0.0 { [1.0 - AWAY_PART, AWAY_PART][side] } else { 1.0 };
         let lot = part * bearable / (nodes * draws * cost).max(f64::MIN_POSITIVE);
-        cost <= (bearable * secs(self.settings.fall) / 2.0).max(1.0)
+        cost <= (bearable * secs(self.settings.overload_time) / 2.0).max(1.0)
             && self.rng.random_bool(lot.clamp(0.0, 1.0))
     }
 
@@ -1127,13 +1142,13 @@
     fn patience(&self, id: RequestId) -> Duration {
         let Some(r) = self.requests.get(&id) else { return Duration::ZERO };
         let class = &self.settings.classes[r.class];
-        let slack = secs(class.aim);
+        let slack = secs(class.latency_target);
         let whole = secs(r.deadline.since(r.arrived));
         match r.work {
             // What its own work leaves, on a worker of usual speed.
-            Some(work) => span((slack + class.stretch * work).min(whole) - work * self.best_pace()),
+            Some(work) => span((slack + class.latency_stretch * work).min(whole) - work * self.best_pace()),
             None => {
-                let slack = slack + 0.5 * (class.stretch - 1.0).max(0.0) * self.service[r.class];
+                let slack = slack + 0.5 * (class.latency_stretch - 1.0).max(0.0) * self.service[r.class];
                 span(slack).min(r.deadline.since(r.arrived) / 2)
             }
         }
@@ -1141,7 +1156,7 @@
 
     /// A late answer keeps some worth, and workers tell of starts but not of their queues.
     fn by_waits(&self, id: RequestId) -> bool {
-        self.late_value(id) > 0.0 && self.settings.tells_start && !self.tells_queue()
+        self.late_value(id) > 0.0 && self.settings.start_reported && !self.tells_queue()
     }
 
     fn late_value(&self, id: RequestId) -> f64 {
@@ -1196,7 +1211,7 @@
     fn due(&self, id: RequestId) -> Time {
         let Some(r) = self.requests.get(&id) else { return Time(0) };
         let class = &self.settings.classes[r.class];
-        r.deadline.min(r.arrived + class.aim + span(class.stretch * r.work.unwrap_or(0.0)))
+        r.deadline.min(r.arrived + class.latency_target + span(class.latency_stretch * r.work.unwrap_or(0.0)))
     }
 
     fn worth_queueing(&self, now: Time, id: RequestId, w: usize) -> bool {
@@ -1218,7 +1233,7 @@
     // ---- Discovery ----
 
     fn members(&mut self, now: Time, kind: ListKind, entries: &[Entry], out: &mut Vec<Action>) {
-        let ask = self.settings.discovery == Discovery::Ask;
+        let ask = self.settings.discovery == Discovery::Poll;
         match kind {
             ListKind::Failed => (self.subscribed, self.asks) = (false, self.asks + 1),
             ListKind::Cached => {}
@@ -1226,7 +1241,7 @@
         }
         if ask && !self.subscribed {
             // All nodes may have to ask at once: spread by their number, backed off, within the stated time.
-            let within = self.settings.ask_within.mul_f64(0.75);
+            let within = self.settings.max_discovery_interval.mul_f64(0.75);
             let part = f64::from(self.settings.nodes.max(3)) * f64::from(1 << self.asks.min(3)) / 40.0;
             let at = now + within.mul_f64(part.min(1.0) * self.rng.random_range(0.1..1.0));
             out.push(Action::SetTimer { at, token: token(Timer::Ask, 0, 0) });
--- a/crates/pebblepost-dispatch/src/room.rs
+++ b/crates/pebblepost-dispatch/src/room.rs
@@ -22,25 +22,25 @@
 
 /// The operator's part in it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RoomSettings {
+pub struct ReservationSettings {
     /// Off: large jobs are placed as all others are.
     pub enabled: bool,
     /// A job is large from so many deviations above the recent mean of its logarithm on.
-    pub deviations: f64,
+    pub size_deviations: f64,
     /// Part of all slots that may be held for large jobs at once; the rest is the small ones' floor.
-    pub most_held: f64,
+    pub max_reserved_fraction: f64,
 }
 
-impl Default for RoomSettings {
+impl Default for ReservationSettings {
     fn default() -> Self {
-        Self { enabled: true, deviations: 2.0, most_held: 0.25 }
+        Self { enabled: true, size_deviations: 2.0, max_reserved_fraction: 0.25 }
     }
 }
 
 /// A setting of the room that cannot be used.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("{key} is {value}: {allowed} is allowed")]
-pub struct BadSetting {
+pub struct InvalidSetting {
     /// Its key.
     pub key: &'static str,
     /// What it was set to.
@@ -49,15 +49,15 @@
     pub allowed: &'static str,
 }
 
-impl RoomSettings {
+impl ReservationSettings {
     /// Checks the ranges.
-    pub fn check(&self) -> Result<(), BadSetting> {
-        let bad = |key, value, allowed| Err(BadSetting { key, value, allowed });
-        if !(0.5..=6.0).contains(&self.deviations) {
-            return bad("room.deviations", self.deviations, "0.5 to 6");
+    pub fn check(&self) -> Result<(), InvalidSetting> {
+        let bad = |key, value, allowed| Err(InvalidSetting { key, value, allowed });
+        if !(0.5..=6.0).contains(&self.size_deviations) {
+            return bad("room.deviations", self.size_deviations, "0.5 to 6");
         }
-        if !(0.0..=0.5).contains(&self.most_held) {
-            return bad("room.mostHeld", self.most_held, "0 to 0.5");
+        if !(0.0..=0.5).contains(&self.max_reserved_fraction) {
+            return bad("room.mostHeld", self.max_reserved_fraction, "0 to 0.5");
         }
         Ok(())
     }
@@ -146,7 +146,7 @@
 /// What is held, and what is large.
 #[derive(Clone, Debug)]
 pub struct Room {
-    settings: RoomSettings,
+    settings: ReservationSettings,
     held: Vec<Reservation>,
     /// Mean and variance of the logarithm of recent jobs' slot-seconds, their mean slots, and their number.
     mean: f64,
@@ -157,7 +157,7 @@
 
 impl Room {
     /// Nothing held, nothing seen.
-    pub fn new(settings: RoomSettings) -> Self {
+    pub fn new(settings: ReservationSettings) -> Self {
         Self { settings, held: Vec::new(), mean: 0.0, variance: 0.0, width: 1.0, seen: 0 }
     }
 
@@ -168,11 +168,13 @@
     pub fn size_up(&mut self, work: Option<f64>, slots: f64, pace: f64, usual: f64) -> bool {
         let Some(area) = work.map(|w| w * slots).filter(|a| *a > 0.0 && a.is_finite()) else { return false };
         let log = area.ln();
-        let long =
-            log > self.mean + self.settings.deviations * self.variance.sqrt() && area * pace > 2.0 * usual;
+        let long = log > self.mean + self.settings.size_deviations * self.variance.sqrt()
+            && area * pace > 2.0 * usual;
         let wide = slots > 1.5 * self.width;
-        let large =
-            self.settings.enabled && self.settings.most_held > 0.0 && self.seen >= ENOUGH && (long || wide);
+        let large = self.settings.enabled
+            && self.settings.max_reserved_fraction > 0.0
+            && self.seen >= ENOUGH
+            && (long || wide);
         self.seen = self.seen.saturating_add(1);
         let gain = GAIN.max(1.0 / f64::from(self.seen));
         let off = log - self.mean;
@@ -221,7 +223,7 @@
         self.release(request);
         self.held.retain(|r| r.latest >= now);
         let held: f64 = self.held.iter().map(|r| r.slots).sum();
-        if self.held.len() >= MOST || held + slots > (self.settings.most_held * all).max(slots) {
+        if self.held.len() >= MOST || held + slots > (self.settings.max_reserved_fraction * all).max(slots) {
             return None;
         }
         let offers = outlooks.iter().filter_map(|o| {
--- a/crates/pebblepost-dispatch/src/wire.rs
+++ b/crates/pebblepost-dispatch/src/wire.rs
@@ -4,7 +4,7 @@
 //! fields. Unknown codes of sound length and unknown settings keys are skipped.
 
 use crate::api::*;
-use crate::room::RoomSettings;
+use crate::room::ReservationSettings;
 use std::collections::HashMap;
 use std::time::Duration;
 use thiserror::Error;
@@ -306,16 +306,16 @@
         zone: ZoneId(p.parse("locality", 0)?),
         classes: (0..classes).map(|i| class(&p, i)).collect::<Result<_>>()?,
         tenants: (0..tenants).map(|i| tenant(&p, i)).collect::<Result<_>>()?,
-        over_share_worth: p.number("overShareWorth", 1.0)?,
+        over_quota_value: p.number("overShareWorth", 1.0)?,
         discovery: match p.word("discovery") {
-            "ask" => Discovery::Ask,
+            "ask" => Discovery::Poll,
             "push" | "" => Discovery::Push,
             other => return Err(WireError::Setting(format!("discovery={other}"))),
         },
-        probing: p.parse("caps.probing", false)?,
-        cancelling: p.parse("caps.cancelling", false)?,
-        second_copies: p.parse("caps.mayDuplicate", false)?,
-        retry_after: p.parse("caps.retryAfter", false)?,
+        probing_enabled: p.parse("caps.probing", false)?,
+        cancelling_enabled: p.parse("caps.cancelling", false)?,
+        hedging_enabled: p.parse("caps.mayDuplicate", false)?,
+        retry_after_enabled: p.parse("caps.retryAfter", false)?,
         max_retry_after: p.duration("caps.maxRetryAfter", zero)?,
         max_attempts: p.parse("caps.sendCap", 1)?,
         keepalive: p.duration("caps.keepalive", zero)?,
@@ -326,7 +326,7 @@
             _ => ReportSource::None,
         },
         progress: (!progress.is_zero()).then_some(progress),
-        tells_start: p.parse("domain.tellsStart", false)?,
+        start_reported: p.parse("domain.tellsStart", false)?,
         drain_grace: p.duration("invariants.stopSendingWithin", zero)?,
         close_idle_within: match p.duration("invariants.letGoIn", zero)? {
             Duration::ZERO => None,
@@ -334,11 +334,11 @@
         },
         full_may_have_run: p.parse("invariants.mayShedBegun", false)?,
         answer_slack: p.duration("invariants.answerSlack", zero)?,
-        ask_within: p.duration("invariants.askWithin", Duration::from_secs(3600))?,
-        cold_from: p.number("invariants.coldFrom", 1.0)?.min(1.0),
-        warm_up: p.duration("invariants.warmUp", zero)?,
-        tip_multiple: p.number("invariants.tipMultiple", 1.0)?,
-        fall: p.duration("invariants.fall", zero)?,
+        max_discovery_interval: p.duration("invariants.askWithin", Duration::from_secs(3600))?,
+        cold_capacity: p.number("invariants.coldFrom", 1.0)?.min(1.0),
+        warm_up_time: p.duration("invariants.warmUp", zero)?,
+        overload_multiple: p.number("invariants.tipMultiple", 1.0)?,
+        overload_time: p.duration("invariants.fall", zero)?,
         prices: Prices {
             handshake: p.number("charges.handshake", 0.0)?,
             connection: p.number("charges.connection", 0.0)?,
@@ -349,16 +349,16 @@
         },
         tick: p.duration("tick", zero)?,
         queues_in_order: p.word("domain.queueOrder") != "backfill",
-        room: room(&p)?,
+        reservations: room(&p)?,
     })
 }
 
-fn room(p: &Pairs) -> Result<RoomSettings> {
-    let usual = RoomSettings::default();
-    let room = RoomSettings {
+fn room(p: &Pairs) -> Result<ReservationSettings> {
+    let usual = ReservationSettings::default();
+    let room = ReservationSettings {
         enabled: p.parse("room.enabled", usual.enabled)?,
-        deviations: p.number("room.deviations", usual.deviations)?,
-        most_held: p.number("room.mostHeld", usual.most_held)?,
+        size_deviations: p.number("room.deviations", usual.size_deviations)?,
+        max_reserved_fraction: p.number("room.mostHeld", usual.max_reserved_fraction)?,
     };
     room.check().map_err(|bad| WireError::Range(bad.to_string()))?;
     Ok(room)
@@ -368,14 +368,14 @@
     let key = |name: &str| format!("classes.{i}.{name}");
     let window = p.duration(&key("window"), Duration::ZERO)?;
     let group = match p.word(&key("group")) {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        _ => Group::Cell, // The narrowest, so that an unknown word breaks no rule.
+        "all" => DeduplicationScope::All,
+        "zone" => DeduplicationScope::Zone,
+        _ => DeduplicationScope::Cell, // The narrowest, so that an unknown word breaks no rule.
     };
     let effect = match p.word(&key("effect")) {
-        "read_like" => Effect::Safe,
-        "idempotency_key" => Effect::Keyed { group, window },
-        "non_idempotent" | "" => Effect::Unsafe,
+        "read_like" => Idempotency::Idempotent,
+        "idempotency_key" => Idempotency::Deduplicated { scope: group, window },
+        "non_idempotent" | "" => Idempotency::NonIdempotent,
         other => return Err(WireError::Setting(format!("{}={other}", key("effect")))),
     };
     // A value for each class, or one for all.
@@ -390,12 +390,12 @@
     };
     let kind = parsed("domain.classKind", -1.0)?;
     Ok(Class {
-        aim: p.duration(&key("onTime"), Duration::ZERO)?,
+        latency_target: p.duration(&key("onTime"), Duration::ZERO)?,
         deadline: p.duration(&key("deadline"), Duration::ZERO)?,
-        effect,
-        worth: p.number(&key("worth"), 1.0)?,
+        idempotency: effect,
+        value: p.number(&key("worth"), 1.0)?,
         late_value: p.number(&key("lateValue"), 0.0)?,
-        stretch: p.number(&key("aimStretch"), parsed("domain.classStretch", 0.0)?)?,
+        latency_stretch: p.number(&key("aimStretch"), parsed("domain.classStretch", 0.0)?)?,
         kind: (kind >= 0.0).then_some(KindId(kind as u16)),
         only_kinds: p.set(&key("kindsOnly"), KindId)?,
         only_zones: p.set(&key("failureDomainsAllowed"), ZoneId)?,
@@ -406,7 +406,7 @@
 
 fn tenant(p: &Pairs, i: u16) -> Result<Tenant> {
     Ok(Tenant {
-        fraction: p.number(&format!("tenants.{i}.fraction"), 0.0)?,
+        quota_share: p.number(&format!("tenants.{i}.fraction"), 0.0)?,
         quota_per_s: p.number(&format!("tenants.{i}.quotaRps"), 0.0)?,
     })
 }
--- a/crates/pebblepost-feed/src/packing.rs
+++ b/crates/pebblepost-feed/src/compression.rs
@@ -11,26 +11,30 @@
 
 /// A packed document that can't be unpacked to the length that it tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Damaged;
+pub struct DecompressError;
 
-impl fmt::Display for Damaged {
+impl fmt::Display for DecompressError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("its packed document is damaged")
     }
 }
 
-impl std::error::Error for Damaged {}
+impl std::error::Error for DecompressError {}
 
 /// A whole configuration, compressed.
-pub fn pack(generation: u64, document: &[u8]) -> ConfigurationUpdate {
+pub fn compress(generation: u64, document: &[u8]) -> ConfigurationUpdate {
     let packed = miniz_oxide::deflate::compress_to_vec(document, LEVEL);
-    ConfigurationUpdate::Packed { generation, bytes: document.len() as u64, packed }
+    ConfigurationUpdate::Compressed {
+        generation,
+        uncompressed_bytes: document.len() as u64,
+        compressed: packed,
+    }
 }
 
 /// The document of a packed configuration.
-pub fn unpack(bytes: u64, packed: &[u8]) -> Result<Vec<u8>, Damaged> {
-    let expected = usize::try_from(bytes).ok().filter(|bytes| *bytes <= MOST_BYTES).ok_or(Damaged)?;
+pub fn decompress(bytes: u64, packed: &[u8]) -> Result<Vec<u8>, DecompressError> {
+    let expected = usize::try_from(bytes).ok().filter(|bytes| *bytes <= MOST_BYTES).ok_or(DecompressError)?;
     let document =
-        miniz_oxide::inflate::decompress_to_vec_with_limit(packed, expected).map_err(|_| Damaged)?;
-    if document.len() == expected { Ok(document) } else { Err(Damaged) }
+        miniz_oxide::inflate::decompress_to_vec_with_limit(packed, expected).map_err(|_| DecompressError)?;
+    if document.len() == expected { Ok(document) } else { Err(DecompressError) }
 }
--- a/crates/pebblepost-feed/src/lib.rs
+++ b/crates/pebblepost-feed/src/lib.rs
@@ -4,18 +4,18 @@
 //! processes) and by the control primary, which publishes it. Nothing in it goes back within one
 //! life: an older configuration, announcement, epoch or version is ignored.
 
+pub mod compression;
 mod instances;
-pub mod packing;
 
 use instances::Instances;
-use pebblepost_configuration::{Configuration, Invalid};
+use pebblepost_configuration::{Configuration, ConfigurationError};
 use pebblepost_messages::feed::{ConfigurationUpdate, FeedUpdate, Instance, ModelVersion, StoreGroup};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// What an update changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Changes {
+pub struct FeedChanges {
     /// A newer configuration is in force.
     pub configuration: bool,
     /// Ids of transcribers that are new or changed in any way.
@@ -29,14 +29,14 @@
     pub gap: bool,
 }
 
-impl Changes {
+impl FeedChanges {
     /// Whether anything changed.
     pub fn any(&self) -> bool {
-        *self != Changes::default()
+        *self != FeedChanges::default()
     }
 
     /// Adds the changes of a later update.
-    pub fn merge(&mut self, mut later: Changes) {
+    pub fn merge(&mut self, mut later: FeedChanges) {
         self.configuration |= later.configuration;
         self.named_versions |= later.named_versions;
         self.gap |= later.gap;
@@ -58,22 +58,22 @@
 
 impl FeedState {
     /// Takes an update in.
-    pub fn apply(&mut self, update: &FeedUpdate) -> Changes {
+    pub fn apply(&mut self, update: &FeedUpdate) -> FeedChanges {
         match update {
             FeedUpdate::Configuration(update) => self.apply_configuration(update),
-            FeedUpdate::Instances { whole, instances } => self.apply_instances(*whole, instances),
+            FeedUpdate::Instances { complete: whole, instances } => self.apply_instances(*whole, instances),
             FeedUpdate::StoreGroups(groups) => self.apply_store_groups(groups),
             FeedUpdate::NamedVersions(versions) => self.apply_named_versions(versions),
             FeedUpdate::ProxyCount(count) => {
                 self.proxy_count = *count;
-                Changes::default()
+                FeedChanges::default()
             }
         }
     }
 
     /// Takes several updates in.
-    pub fn apply_all(&mut self, updates: &[FeedUpdate]) -> Changes {
-        let mut changes = Changes::default();
+    pub fn apply_all(&mut self, updates: &[FeedUpdate]) -> FeedChanges {
+        let mut changes = FeedChanges::default();
         for update in updates {
             changes.merge(self.apply(update));
         }
@@ -85,7 +85,7 @@
     pub fn snapshot(&self) -> Vec<FeedUpdate> {
         let mut updates = Vec::new();
         if let Some(configuration) = &self.configuration {
-            updates.push(FeedUpdate::Configuration(ConfigurationUpdate::Whole {
+            updates.push(FeedUpdate::Configuration(ConfigurationUpdate::Full {
                 generation: configuration.generation(),
                 document: configuration.document().to_vec(),
             }));
@@ -149,54 +149,54 @@
         self.proxy_count.max(1)
     }
 
-    fn apply_configuration(&mut self, update: &ConfigurationUpdate) -> Changes {
+    fn apply_configuration(&mut self, update: &ConfigurationUpdate) -> FeedChanges {
         let newer = match update {
-            ConfigurationUpdate::Whole { generation, document } => {
+            ConfigurationUpdate::Full { generation, document } => {
                 if *generation <= self.generation() {
-                    return Changes::default();
+                    return FeedChanges::default();
                 }
                 Configuration::parse(document)
             }
-            ConfigurationUpdate::Packed { generation, bytes, packed } => {
+            ConfigurationUpdate::Compressed { generation, uncompressed_bytes: bytes, compressed: packed } => {
                 if *generation <= self.generation() {
-                    return Changes::default();
+                    return FeedChanges::default();
                 }
-                match packing::unpack(*bytes, packed) {
+                match compression::decompress(*bytes, packed) {
                     Ok(document) => Configuration::parse(&document),
                     Err(damaged) => {
                         log::error!("configuration {generation} from the feed can't be used: {damaged}");
-                        return Changes { gap: true, ..Changes::default() };
+                        return FeedChanges { gap: true, ..FeedChanges::default() };
                     }
                 }
             }
             ConfigurationUpdate::Patch { base, generation, patch } => {
                 if *generation <= self.generation() {
-                    return Changes::default();
+                    return FeedChanges::default();
                 }
                 match &self.configuration {
                     Some(held) if held.generation() == *base => held.patched(patch),
-                    _ => return Changes { gap: true, ..Changes::default() },
+                    _ => return FeedChanges { gap: true, ..FeedChanges::default() },
                 }
             }
         };
         self.take_configuration(newer)
     }
 
-    fn take_configuration(&mut self, newer: Result<Configuration, Invalid>) -> Changes {
+    fn take_configuration(&mut self, newer: Result<Configuration, ConfigurationError>) -> FeedChanges {
         match newer {
             Ok(configuration) => {
                 log::info!("configuration {} is in force", configuration.generation());
                 self.configuration = Some(Arc::new(configuration));
-                Changes { configuration: true, ..Changes::default() }
+                FeedChanges { configuration: true, ..FeedChanges::default() }
             }
             Err(error) => {
                 log::error!("a configuration from the feed can't be used: {error}");
-                Changes::default()
+                FeedChanges::default()
             }
         }
     }
 
-    fn apply_instances(&mut self, whole: bool, announced: &[Instance]) -> Changes {
+    fn apply_instances(&mut self, whole: bool, announced: &[Instance]) -> FeedChanges {
         let mut changed: Vec<String> = announced
             .iter()
             .filter(|instance| self.instances.announce(instance))
@@ -207,10 +207,10 @@
             let ids: BTreeSet<&str> = announced.iter().map(|instance| instance.id.as_str()).collect();
             changed.append(&mut self.instances.retain(&ids));
         }
-        Changes { instances: changed, ..Changes::default() }
+        FeedChanges { instances: changed, ..FeedChanges::default() }
     }
 
-    fn apply_store_groups(&mut self, groups: &[StoreGroup]) -> Changes {
+    fn apply_store_groups(&mut self, groups: &[StoreGroup]) -> FeedChanges {
         let mut changed = Vec::new();
         for group in groups {
             let known = self.store_groups.get(&group.group);
@@ -219,10 +219,10 @@
                 changed.push(group.group);
             }
         }
-        Changes { store_groups: changed, ..Changes::default() }
+        FeedChanges { store_groups: changed, ..FeedChanges::default() }
     }
 
-    fn apply_named_versions(&mut self, versions: &[ModelVersion]) -> Changes {
+    fn apply_named_versions(&mut self, versions: &[ModelVersion]) -> FeedChanges {
         let mut risen = false;
         for version in versions {
             if version.generation > self.named_version(&version.model) {
@@ -230,7 +230,7 @@
                 risen = true;
             }
         }
-        Changes { named_versions: risen, ..Changes::default() }
+        FeedChanges { named_versions: risen, ..FeedChanges::default() }
     }
 
     fn instances_update(&self) -> FeedUpdate {
@@ -240,7 +240,7 @@
         } else {
             self.instances.all().cloned().collect()
         };
-        FeedUpdate::Instances { whole, instances }
+        FeedUpdate::Instances { complete: whole, instances }
     }
 
     fn named_versions_update(&self) -> Vec<ModelVersion> {
--- a/crates/pebblepost-link/src/control_client.rs
+++ b/crates/pebblepost-link/src/control_client.rs
@@ -18,10 +18,10 @@
 /// Limits that fit links to the control plane. A snapshot holds the whole configuration, of which the control
 /// plane takes up to 33 MiB.
 pub const CONTROL_LINK_LIMITS: LinkLimits = LinkLimits {
-    most_frame_bytes: 48 * 1024 * 1024,
-    most_queued_bytes: 48 * 1024 * 1024,
-    connect: Duration::from_millis(400),
-    silence: Duration::from_millis(1500),
+    max_frame_bytes: 48 * 1024 * 1024,
+    max_queued_bytes: 48 * 1024 * 1024,
+    connect_timeout: Duration::from_millis(400),
+    read_timeout: Duration::from_millis(1500),
 };
 
 /// How often a keep-alive is sent.
--- a/crates/pebblepost-link/src/frame.rs
+++ b/crates/pebblepost-link/src/frame.rs
@@ -40,13 +40,13 @@
     buffer: Vec<u8>,
     consumed: usize,
     preamble_seen: bool,
-    most_frame_bytes: usize,
+    max_frame_bytes: usize,
 }
 
 impl Decoder {
     /// A decoder at the start of a link.
-    pub(crate) fn new(most_frame_bytes: usize) -> Decoder {
-        Decoder { buffer: Vec::new(), consumed: 0, preamble_seen: false, most_frame_bytes }
+    pub(crate) fn new(max_frame_bytes: usize) -> Decoder {
+        Decoder { buffer: Vec::new(), consumed: 0, preamble_seen: false, max_frame_bytes }
     }
 
     /// Next message, if all of it has been received.
@@ -95,9 +95,9 @@
         };
         let length = usize::try_from(u32::from_le_bytes(*prefix))?;
         ensure!(
-            length <= self.most_frame_bytes,
+            length <= self.max_frame_bytes,
             "a frame of {length} bytes is over the {} allowed",
-            self.most_frame_bytes
+            self.max_frame_bytes
         );
         Ok(Some(length))
     }
--- a/crates/pebblepost-link/src/lib.rs
+++ b/crates/pebblepost-link/src/lib.rs
@@ -24,12 +24,12 @@
 /// Limits of a link.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkLimits {
-    /// Largest frame.
-    pub most_frame_bytes: usize,
-    /// Bytes that may wait to be written; a link that would exceed it is closed.
-    pub most_queued_bytes: usize,
-    /// Time for a connection to come up.
-    pub connect: Duration,
-    /// A link from which nothing was read for so long is closed.
-    pub silence: Duration,
+    /// Largest frame, in bytes.
+    pub max_frame_bytes: usize,
+    /// Most bytes queued for writing; a link that would exceed it is closed.
+    pub max_queued_bytes: usize,
+    /// Time limit for establishing a connection.
+    pub connect_timeout: Duration,
+    /// A link on which nothing is received for this long is closed.
+    pub read_timeout: Duration,
 }
--- a/crates/pebblepost-link/src/receiver.rs
+++ b/crates/pebblepost-link/src/receiver.rs
@@ -30,8 +30,8 @@
 impl Receiver {
     pub(crate) fn new(shared: Rc<Shared>, half: OwnedReadHalf) -> Receiver {
         let now = Instant::now();
-        let silence_check = Box::pin(sleep_until(now + shared.limits.silence));
-        let decoder = Decoder::new(shared.limits.most_frame_bytes);
+        let silence_check = Box::pin(sleep_until(now + shared.limits.read_timeout));
+        let decoder = Decoder::new(shared.limits.max_frame_bytes);
         Receiver { shared, half, decoder, last_read: now, silence_check }
     }
 
@@ -79,7 +79,7 @@
 
     /// Sets the timer anew only when it fires, not with every read.
     fn check_silence(&mut self) -> Result<()> {
-        let silence = self.shared.limits.silence;
+        let silence = self.shared.limits.read_timeout;
         let deadline = self.last_read + silence;
         if Instant::now() >= deadline {
             return Err(self.fail(format!("nothing was read for {} ms", silence.as_millis())));
--- a/crates/pebblepost-link/src/shared.rs
+++ b/crates/pebblepost-link/src/shared.rs
@@ -76,12 +76,12 @@
         if self.phase() != Phase::Open {
             return false;
         }
-        if !frame::append(message, &mut self.queue.borrow_mut(), self.limits.most_frame_bytes) {
-            self.abort(format!("a message is over {} bytes", self.limits.most_frame_bytes));
+        if !frame::append(message, &mut self.queue.borrow_mut(), self.limits.max_frame_bytes) {
+            self.abort(format!("a message is over {} bytes", self.limits.max_frame_bytes));
             return false;
         }
         let queued = self.queued_bytes();
-        if queued > self.limits.most_queued_bytes {
+        if queued > self.limits.max_queued_bytes {
             self.abort(format!("{queued} bytes wait to be written, more than allowed"));
             return false;
         }
--- a/crates/pebblepost-link/src/socket.rs
+++ b/crates/pebblepost-link/src/socket.rs
@@ -19,7 +19,7 @@
 
 /// Opens a link.
 pub async fn connect(address: SocketAddr, limits: LinkLimits) -> Result<(Sender, Receiver)> {
-    let stream = timeout(limits.connect, TcpStream::connect(address))
+    let stream = timeout(limits.connect_timeout, TcpStream::connect(address))
         .await
         .wrap_err_with(|| format!("connecting to {address}: no answer"))?
         .wrap_err_with(|| format!("connecting to {address}"))?;
@@ -74,7 +74,7 @@
 /// Frames go out at once, and a connection whose bytes stay unacknowledged ends after the time of silence.
 fn prepare(stream: &TcpStream, limits: LinkLimits) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(limits.silence))
+    SockRef::from(stream).set_tcp_user_timeout(Some(limits.read_timeout))
 }
 
 fn start(stream: TcpStream, peer: SocketAddr, limits: LinkLimits) -> (Sender, Receiver) {
--- a/crates/pebblepost-link/src/writer.rs
+++ b/crates/pebblepost-link/src/writer.rs
@@ -21,7 +21,7 @@
         result = &mut writing => return report(&shared, result),
         () = shared.writer_closing.notified() => {}
     }
-    match timeout(shared.limits.connect, writing).await {
+    match timeout(shared.limits.connect_timeout, writing).await {
         Ok(result) => report(&shared, result),
         Err(_) => log::debug!("link with {}: not all was written before its end", shared.peer),
     }
--- a/crates/pebblepost-messages/src/batch.rs
+++ b/crates/pebblepost-messages/src/batch.rs
@@ -66,8 +66,8 @@
     pub model: String,
     /// Oldest version of the weights that may make its tokens.
     pub min_version: u64,
-    /// Whole groups that the trainer waits for.
-    pub desired: u32,
+    /// Complete groups that the trainer waits for.
+    pub desired_groups: u32,
     /// The items, in the order submitted.
     pub items: Vec<Item>,
 }
@@ -166,7 +166,7 @@
 
 /// A lease that a proxy holds, announced to a new primary.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct HeldLease {
+pub struct ActiveLease {
     /// Group of batch jobs.
     pub store_group: u32,
     /// Id of the job.
@@ -227,10 +227,10 @@
         /// Id of the job.
         job: String,
     },
-    /// The proxy has room for this many more items.
-    TakeWork {
+    /// The proxy has capacity for this many more items.
+    RequestWork {
         /// Most items to lease.
-        most_items: u32,
+        max_items: u32,
     },
     /// Ends of leased items.
     Outcomes {
@@ -243,8 +243,8 @@
         /// The ends.
         outcomes: Vec<ItemOutcome>,
     },
-    /// Leases that the proxy holds, sent to a machine that became primary of their group.
-    Holding(Vec<HeldLease>),
+    /// The leases of a proxy, announced to the new primary of their group.
+    ActiveLeases(Vec<ActiveLease>),
     /// Nothing to say; keeps the connection and the leases alive.
     KeepAlive,
     /// First message of another storage machine: its disk.
@@ -261,9 +261,9 @@
         /// The message.
         message: Vec<u8>,
     },
-    /// From another storage machine: it is about to stop, and other machines are to hold what it
-    /// holds.
-    Leaving,
+    /// From another storage machine: it is about to shut down, and its replicas are to move to other
+    /// machines.
+    ShuttingDown,
     /// An operator's command asks for the state of the store.
     Status,
 }
@@ -273,9 +273,9 @@
 pub enum SubmitOutcome {
     /// In custody, on as many disks as must be.
     Accepted,
-    /// Surely not taken, and never will be by this call.
-    Refused {
-        /// When to come back.
+    /// Rejected: the job is not stored, and this call will not store it later.
+    Rejected {
+        /// Back-off that the client is asked to keep.
         retry_after_ms: u64,
     },
     /// This machine is not the primary, and did not take it.
@@ -289,10 +289,10 @@
 pub enum JobAnswer<T> {
     /// The answer.
     Found(T),
-    /// There is no such job, or no such item.
-    NoSuch,
-    /// This machine can't be sure: not the primary, or its lease has ended.
-    NotSure,
+    /// No such job or item.
+    NotFound,
+    /// This machine cannot answer: it is not the primary, or its lease has expired.
+    Uncertain,
 }
 
 /// Results of a job from a position on.
@@ -339,7 +339,7 @@
     },
     /// There are items to lease.
     WorkAvailable,
-    /// Leases, in answer to [`ToStore::TakeWork`]; empty if there is nothing more.
+    /// Leases, in answer to [`ToStore::RequestWork`]; empty if there is nothing more.
     Work(Vec<WorkLease>),
     /// Jobs that have ended: nothing of them may be sent any more.
     Cancel {
--- a/crates/pebblepost-messages/src/control.rs
+++ b/crates/pebblepost-messages/src/control.rs
@@ -47,8 +47,8 @@
     StoreHello {
         /// The machine and its disk.
         member: Member,
-        /// The disk was empty and this is the first start of the whole system.
-        founding: bool,
+        /// First start of the system with an empty disk.
+        bootstrap: bool,
     },
     /// A storage machine asks for a new epoch of a group.
     ChangeGroup {
--- a/crates/pebblepost-messages/src/feed.rs
+++ b/crates/pebblepost-messages/src/feed.rs
@@ -40,32 +40,32 @@
     pub slots: u32,
     /// Whether it takes new requests.
     pub state: InstanceState,
-    /// How much longer it stays slow from its start, at the time of the announcement.
-    pub cold_remaining_ms: u32,
+    /// Remaining slow-start time, as of the announcement.
+    pub warm_up_remaining_ms: u32,
     /// Models and versions that it holds.
     pub models: Vec<ModelVersion>,
     /// Sequence number of the announcement: a higher one replaces a lower one.
     pub sequence: u64,
 }
 
-/// The operator's configuration, whole or as a change of the one before.
+/// The operator's configuration, as a full document or as a patch on the previous version.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum ConfigurationUpdate {
-    /// The whole document.
-    Whole {
+    /// The full document.
+    Full {
         /// Its version.
         generation: u64,
         /// The document, JSON.
         document: Vec<u8>,
     },
-    /// The whole document, compressed.
-    Packed {
+    /// The full document, compressed.
+    Compressed {
         /// Its version.
         generation: u64,
-        /// Bytes of the document.
-        bytes: u64,
+        /// Length of the document once decompressed.
+        uncompressed_bytes: u64,
         /// The document, JSON, as a raw deflate stream.
-        packed: Vec<u8>,
+        compressed: Vec<u8>,
     },
     /// A patch on the version `base`.
     Patch {
@@ -98,10 +98,10 @@
 pub enum FeedUpdate {
     /// The configuration. A receiver ignores one that is not newer than what it has.
     Configuration(ConfigurationUpdate),
-    /// Transcribers that changed; with `whole` the complete list: ids that are not in it are gone.
+    /// Transcribers that changed; with `complete` the complete list: ids that are not in it are gone.
     Instances {
         /// The list is complete.
-        whole: bool,
+        complete: bool,
         /// The transcribers.
         instances: Vec<Instance>,
     },
--- a/crates/pebblepost-proxy/src/answer.rs
+++ b/crates/pebblepost-proxy/src/answer.rs
@@ -7,7 +7,7 @@
 use http::header::{CONTENT_LENGTH, HeaderName, RETRY_AFTER};
 use http::{HeaderMap, HeaderValue, Method, Response, StatusCode};
 use hyper::body::{Body, Frame, SizeHint};
-use pebblepost_transcriber::{Answer, AnswerHead};
+use pebblepost_transcriber::{BufferedResponse, ResponseHead};
 use std::fmt;
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -88,8 +88,8 @@
 }
 
 /// A transcriber's whole answer: status, headers and body unchanged.
-pub(crate) fn of_transcriber(answer: Answer, method: &Method) -> Response<Payload> {
-    let Answer { head, body } = answer;
+pub(crate) fn of_transcriber(answer: BufferedResponse, method: &Method) -> Response<Payload> {
+    let BufferedResponse { head, body } = answer;
     let bodiless = *method == Method::HEAD || head.status == StatusCode::NOT_MODIFIED;
     let mut response = Response::new(Payload::Whole(body));
     *response.status_mut() = head.status;
@@ -101,7 +101,7 @@
 }
 
 /// The head of a transcriber's stream, with the events that follow.
-pub(crate) fn of_stream(head: AnswerHead, events: EventBody) -> Response<Payload> {
+pub(crate) fn of_stream(head: ResponseHead, events: EventBody) -> Response<Payload> {
     let mut response = Response::new(Payload::Events(events));
     *response.status_mut() = head.status;
     *response.headers_mut() = head.headers;
--- a/crates/pebblepost-proxy/src/context.rs
+++ b/crates/pebblepost-proxy/src/context.rs
@@ -7,7 +7,7 @@
 use log::{debug, info};
 use pebblepost_batch_runner::BatchRunner;
 use pebblepost_configuration::{Configuration, Limits};
-use pebblepost_feed::{Changes, FeedState};
+use pebblepost_feed::{FeedChanges, FeedState};
 use pebblepost_messages::feed::{FeedUpdate, InstanceState};
 use pebblepost_settings::{MachineLimits, Settings};
 use pebblepost_transcriber::{Client, ClientLimits, Target};
@@ -129,7 +129,7 @@
         applied
     }
 
-    fn take_changes(&self, changes: &Changes) {
+    fn take_changes(&self, changes: &FeedChanges) {
         let feed = self.feed.borrow();
         for id in &changes.instances {
             let Some(instance) = feed.instance(id) else { continue };
@@ -139,7 +139,7 @@
             }
             debug!("transcriber {id} is {:?}", instance.state);
             if let Ok(address) = instance.address.parse() {
-                self.client.forget(&Target { instance: id.clone(), address });
+                self.client.close_idle(&Target { instance: id.clone(), address });
             }
         }
         if let Some(configuration) = feed.configuration().filter(|_| changes.configuration) {
@@ -159,7 +159,7 @@
 
     /// What this process has done, in one line of `name=value`.
     pub(crate) fn describe_counts(&self) -> String {
-        let (front, client) = (self.counters.get(), self.client.counts());
+        let (front, client) = (self.counters.get(), self.client.metrics());
         format!(
             "counts: requests={} answered={} refused={} failed={} connections={} first={} renewed={} sent={} reports={} {}",
             front.requests,
@@ -167,8 +167,8 @@
             front.refused,
             front.failed,
             client.connections,
-            client.first_connections,
-            client.renewed_connections,
+            client.initial_connections,
+            client.replaced_connections,
             client.requests,
             client.reports,
             self.runner.counts(),
@@ -187,9 +187,9 @@
 
 fn client_limits(limits: &MachineLimits, connections: u32) -> ClientLimits {
     ClientLimits {
-        connect: CONNECT_TIMEOUT,
-        most_connections_each: connections.max(LEAST_CONNECTIONS) as usize,
-        idle: CLIENT_IDLE,
-        most_body_bytes: usize::try_from(limits.memory_bytes / ANSWER_SHARE).unwrap_or(usize::MAX),
+        connect_timeout: CONNECT_TIMEOUT,
+        max_connections_per_transcriber: connections.max(LEAST_CONNECTIONS) as usize,
+        idle_timeout: CLIENT_IDLE,
+        max_body_bytes: usize::try_from(limits.memory_bytes / ANSWER_SHARE).unwrap_or(usize::MAX),
     }
 }
--- a/crates/pebblepost-proxy/src/dispatch/attempts.rs
+++ b/crates/pebblepost-proxy/src/dispatch/attempts.rs
@@ -2,7 +2,7 @@
 
 use http::StatusCode;
 use pebblepost_dispatch::api::WorkerId;
-use pebblepost_transcriber::Answer;
+use pebblepost_transcriber::BufferedResponse;
 use std::time::Duration;
 
 /// The attempts of one request, over all legs of a stream.
@@ -15,7 +15,7 @@
     may_have_run: bool,
     timed_out: bool,
     /// A failure of a transcriber's, to be passed on if nothing better comes.
-    failure: Option<Answer>,
+    failure: Option<BufferedResponse>,
 }
 
 /// How a request ends that no transcriber has answered.
@@ -24,7 +24,7 @@
     /// It has not run and never will.
     Refused(Duration),
     /// A transcriber's own failure.
-    Failure(Answer),
+    Failure(BufferedResponse),
     /// It may have run; a 502 or 504.
     Unknown(StatusCode),
 }
@@ -63,7 +63,7 @@
     }
 
     /// The attempt may have run, and ended like this.
-    pub(super) fn ran(&mut self, failure: Option<Answer>, timed_out: bool) {
+    pub(super) fn ran(&mut self, failure: Option<BufferedResponse>, timed_out: bool) {
         self.may_have_run = true;
         self.timed_out = timed_out;
         if failure.is_some() {
--- a/crates/pebblepost-proxy/src/dispatch/call.rs
+++ b/crates/pebblepost-proxy/src/dispatch/call.rs
@@ -10,7 +10,7 @@
 use log::debug;
 use pebblepost_dispatch::api::{Report, Status, WorkerId};
 use pebblepost_transcriber::{
-    Answer, AnswerHead, EventStream, Failure, Load, Outgoing, StreamAnswer, Target,
+    BufferedResponse, ClientError, EventStream, Load, OutgoingRequest, ResponseHead, StreamResponse, Target,
 };
 use std::pin::pin;
 use std::rc::Rc;
@@ -30,15 +30,15 @@
 /// What a transcriber answers.
 #[derive(Debug)]
 enum Reply {
-    Whole(Answer),
-    Stream(AnswerHead, EventStream),
+    Whole(BufferedResponse),
+    Stream(ResponseHead, EventStream),
 }
 
 /// What came of a call.
 #[derive(Debug)]
 pub(super) enum Settled {
     /// A transcriber's whole answer.
-    Answer(Answer),
+    Answer(BufferedResponse),
     /// A transcriber's stream has begun.
     Stream(OpenStream),
     /// No transcriber's answer.
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub(super) struct OpenStream {
     /// Head of the answer.
-    pub(super) head: AnswerHead,
+    pub(super) head: ResponseHead,
     /// What follows.
     pub(super) events: EventStream,
     /// Its attempt.
@@ -129,7 +129,9 @@
     }
 
     /// Takes a whole answer in; returns it if it is the one for the client.
-    fn take_answer(&mut self, ticket: &mut Ticket, worker: WorkerId, answer: Answer) -> Option<Answer> {
+    fn take_answer(
+        &mut self, ticket: &mut Ticket, worker: WorkerId, answer: BufferedResponse,
+    ) -> Option<BufferedResponse> {
         let report = self.report(worker, answer.head.load.as_ref());
         match judge(&answer.head) {
             Verdict::Final => {
@@ -149,17 +151,17 @@
         None
     }
 
-    fn take_failure(&mut self, ticket: &mut Ticket, failure: Failure) {
+    fn take_failure(&mut self, ticket: &mut Ticket, failure: ClientError) {
         let status = match failure {
-            Failure::NotSent => {
+            ClientError::NotSent => {
                 self.attempts.not_sent();
                 Status::ConnectFailed
             }
-            Failure::MayHaveRun => {
+            ClientError::MayHaveRun => {
                 self.attempts.ran(None, false);
                 Status::Reset
             }
-            Failure::TimedOut => {
+            ClientError::TimedOut => {
                 self.attempts.ran(None, true);
                 Status::Timeout
             }
@@ -193,7 +195,7 @@
 
     /// Sends the request to a transcriber. One that stays silent is asked for its load: if it does
     /// not answer that either, and the request may go elsewhere, it is given up.
-    async fn attempt(&self, target: &Target) -> Result<Reply, Failure> {
+    async fn attempt(&self, target: &Target) -> Result<Reply, ClientError> {
         let client = self.service.client();
         let mut reply = pin!(self.send(target));
         let mut patience = (self.policy.target_latency * SILENCE_IN_TARGETS).max(LEAST_SILENCE);
@@ -210,9 +212,9 @@
             tokio::select! {
                 biased;
                 reply = reply.as_mut() => return reply,
-                load = client.report(target, ALIVE_WITHIN) => {
+                load = client.load_report(target, ALIVE_WITHIN) => {
                     if load.is_err() {
-                        return Err(Failure::TimedOut);
+                        return Err(ClientError::TimedOut);
                     }
                 }
             }
@@ -220,23 +222,23 @@
         }
     }
 
-    async fn send(&self, target: &Target) -> Result<Reply, Failure> {
+    async fn send(&self, target: &Target) -> Result<Reply, ClientError> {
         let client = self.service.client();
         if !self.policy.streaming {
             return client.send(target, self.outgoing()).await.map(Reply::Whole);
         }
         match client.open_stream(target, self.outgoing()).await? {
-            StreamAnswer::Stream(head, events) => Ok(Reply::Stream(head, events)),
-            StreamAnswer::Whole(answer) => Ok(Reply::Whole(answer)),
+            StreamResponse::Stream(head, events) => Ok(Reply::Stream(head, events)),
+            StreamResponse::Whole(answer) => Ok(Reply::Whole(answer)),
         }
     }
 
-    fn outgoing(&self) -> Outgoing {
+    fn outgoing(&self) -> OutgoingRequest {
         let mut headers = self.head.headers.clone();
         if let Some(id) = self.last_event {
             headers.insert(LAST_EVENT_ID, HeaderValue::from(id));
         }
-        Outgoing {
+        OutgoingRequest {
             method: self.head.method.clone(),
             path: self.head.path.clone(),
             headers,
--- a/crates/pebblepost-proxy/src/dispatch/events.rs
+++ b/crates/pebblepost-proxy/src/dispatch/events.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use log::debug;
 use pebblepost_dispatch::api::{Report, Status};
-use pebblepost_transcriber::{Failure, StreamEvent};
+use pebblepost_transcriber::{ClientError, StreamEvent};
 use std::fmt;
 use std::future::Future;
 use std::pin::Pin;
@@ -82,7 +82,7 @@
                 Ok(Some(event)) if self.is_repeated(&event) => continue,
                 Ok(Some(event)) if self.is_out_of_order(&event) => {
                     debug!("{}: event {} is out of order", self.call.head.request_id, event.id);
-                    self.break_off(Failure::MayHaveRun);
+                    self.break_off(ClientError::MayHaveRun);
                 }
                 Ok(Some(event)) => {
                     self.call.last_event = Some(event.id);
@@ -98,7 +98,7 @@
         }
     }
 
-    async fn receive(&mut self) -> Result<Option<StreamEvent>, Failure> {
+    async fn receive(&mut self) -> Result<Option<StreamEvent>, ClientError> {
         let left = self.call.left();
         let silence = self.call.policy.target_latency * SILENCE_IN_TARGETS;
         let silence = if self.call.policy.resumable { silence.max(LEAST_SILENCE) } else { left };
@@ -115,8 +115,8 @@
         self.call.last_event.is_some_and(|last| event.id != last + 1)
     }
 
-    fn break_off(&mut self, failure: Failure) {
-        let timed_out = failure == Failure::TimedOut;
+    fn break_off(&mut self, failure: ClientError) {
+        let timed_out = failure == ClientError::TimedOut;
         let status = if timed_out { Status::Timeout } else { Status::Reset };
         self.call.attempts.ran(None, timed_out);
         self.stream.ticket.end(status, Report::new(), true);
--- a/crates/pebblepost-proxy/src/dispatch/policy.rs
+++ b/crates/pebblepost-proxy/src/dispatch/policy.rs
@@ -3,8 +3,8 @@
 use super::workers::HOME;
 use pebblepost_configuration::{Route, RouteKind};
 use pebblepost_dispatch::Settings;
-use pebblepost_dispatch::api::{Class, Discovery, Effect, Prices, ReportField, ReportSource};
-use pebblepost_dispatch::room::RoomSettings;
+use pebblepost_dispatch::api::{Class, Discovery, Idempotency, Prices, ReportField, ReportSource};
+use pebblepost_dispatch::room::ReservationSettings;
 use std::time::Duration;
 
 /// Part of its worth that an answer keeps after the target latency.
@@ -85,12 +85,12 @@
     /// The class, as the decisions read it.
     pub(super) fn to_class(self) -> Class {
         Class {
-            aim: self.target_latency,
+            latency_target: self.target_latency,
             deadline: self.timeout,
-            effect: if self.repeatable { Effect::Safe } else { Effect::Unsafe },
-            worth: 1.0,
+            idempotency: if self.repeatable { Idempotency::Idempotent } else { Idempotency::NonIdempotent },
+            value: 1.0,
             late_value: LATE_VALUE,
-            stretch: 0.0,
+            latency_stretch: 0.0,
             kind: None,
             only_kinds: None,
             only_zones: None,
@@ -107,31 +107,31 @@
         zone: HOME,
         classes: vec![first.to_class()],
         tenants: Vec::new(),
-        over_share_worth: 1.0,
+        over_quota_value: 1.0,
         discovery: Discovery::Push,
-        probing: true,
-        cancelling: false,
-        second_copies: false,
-        retry_after: true,
+        probing_enabled: true,
+        cancelling_enabled: false,
+        hedging_enabled: false,
+        retry_after_enabled: true,
         max_retry_after: MAX_RETRY_AFTER,
         max_attempts: MOST_SENDS,
         keepalive: Duration::from_secs(10),
         report_fields: vec![ReportField::FreeSlots, ReportField::Queue],
         report_source: ReportSource::Piggyback,
         progress: None,
-        tells_start: false,
+        start_reported: false,
         drain_grace: Duration::ZERO,
         close_idle_within: None,
         full_may_have_run: false,
         answer_slack: Duration::ZERO,
-        ask_within: Duration::from_secs(10),
-        cold_from: 0.3,
-        warm_up: WARM_UP,
-        tip_multiple: 2.0,
-        fall: Duration::from_millis(500),
+        max_discovery_interval: Duration::from_secs(10),
+        cold_capacity: 0.3,
+        warm_up_time: WARM_UP,
+        overload_multiple: 2.0,
+        overload_time: Duration::from_millis(500),
         prices: Prices::default(),
         tick: TICK,
         queues_in_order: true,
-        room: RoomSettings { enabled: false, ..RoomSettings::default() },
+        reservations: ReservationSettings { enabled: false, ..ReservationSettings::default() },
     }
 }
--- a/crates/pebblepost-proxy/src/dispatch/service.rs
+++ b/crates/pebblepost-proxy/src/dispatch/service.rs
@@ -225,7 +225,7 @@
     /// A load report, in the order that the decisions' settings name.
     pub(super) fn report(&self, worker: WorkerId, load: &Load) -> Report {
         let slots = load.slots.unwrap_or_else(|| self.state.borrow().workers.slots(worker)).max(1);
-        if load.busy {
+        if load.order_in_progress {
             // Until its order is done, it turns away whatever has not begun.
             return vec![0.0, slots as f32];
         }
@@ -271,7 +271,7 @@
 async fn probe(service: Rc<Service>, worker: WorkerId) {
     let sent = Instant::now();
     let result = match service.ready(worker) {
-        Some(target) => service.client.report(&target, PROBE_TIMEOUT).await.map_err(probe_failure),
+        Some(target) => service.client.load_report(&target, PROBE_TIMEOUT).await.map_err(probe_failure),
         None => Err(Status::ConnectFailed),
     };
     let (status, report) = match result {
@@ -282,12 +282,12 @@
     service.tell(Event::Probed { worker, status, latency: sent.elapsed(), report });
 }
 
-fn probe_failure(failure: pebblepost_transcriber::Failure) -> Status {
-    use pebblepost_transcriber::Failure;
+fn probe_failure(failure: pebblepost_transcriber::ClientError) -> Status {
+    use pebblepost_transcriber::ClientError;
     match failure {
-        Failure::NotSent => Status::ConnectFailed,
-        Failure::MayHaveRun => Status::Reset,
-        Failure::TimedOut => Status::Timeout,
+        ClientError::NotSent => Status::ConnectFailed,
+        ClientError::MayHaveRun => Status::Reset,
+        ClientError::TimedOut => Status::Timeout,
     }
 }
 
