--- a/crates/pebblepost-proxy/src/dispatch/verdict.rs
+++ b/crates/pebblepost-proxy/src/dispatch/verdict.rs
@@ -2,7 +2,7 @@
 
 use http::header::{CONTENT_ENCODING, HeaderName};
 use http::{HeaderMap, StatusCode};
-use pebblepost_transcriber::AnswerHead;
+use pebblepost_transcriber::ResponseHead;
 
 const RESPONSE_SEAL: HeaderName = HeaderName::from_static("response-seal");
 
@@ -20,7 +20,7 @@
 }
 
 /// Judges an answer by its head.
-pub(super) fn judge(head: &AnswerHead) -> Verdict {
+pub(super) fn judge(head: &ResponseHead) -> Verdict {
     if head.not_executed {
         return Verdict::NotExecuted;
     }
--- a/crates/pebblepost-proxy/src/dispatch/workers.rs
+++ b/crates/pebblepost-proxy/src/dispatch/workers.rs
@@ -77,7 +77,7 @@
         let target = Target { instance: instance.id.clone(), address };
         self.workers.push(Worker { target, slots, state, zone, in_flight: 0 });
         self.numbers.insert(instance.id.clone(), number);
-        let cold = Duration::from_millis(instance.cold_remaining_ms.into());
+        let cold = Duration::from_millis(instance.warm_up_remaining_ms.into());
         let started = (!cold.is_zero()).then(|| now + cold - warm_up);
         let entry = self.entry(number, &instance.id, started);
         Some(WorkerChange { entry, new_with_slots: Some(slots) })
--- a/crates/pebblepost-proxy/src/feed_client.rs
+++ b/crates/pebblepost-proxy/src/feed_client.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 const LINK_LIMITS: LinkLimits = LinkLimits {
-    most_frame_bytes: 64 << 20,
-    most_queued_bytes: 1 << 20,
-    connect: Duration::from_secs(1),
+    max_frame_bytes: 64 << 20,
+    max_queued_bytes: 1 << 20,
+    connect_timeout: Duration::from_secs(1),
     // The agent shares this machine: its end resets the connection.
-    silence: Duration::from_secs(3600),
+    read_timeout: Duration::from_secs(3600),
 };
 /// First and longest pause before the agent is called again.
 const PAUSES: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(200));
--- a/crates/pebblepost-proxy/src/proxy.rs
+++ b/crates/pebblepost-proxy/src/proxy.rs
@@ -121,7 +121,7 @@
     /// is under way, all inside the grace of the settings.
     pub async fn stop(&self) {
         let started = Instant::now();
-        let grace = self.context.settings.bounds.grace;
+        let grace = self.context.settings.bounds.shutdown_grace;
         let end = started + grace.saturating_sub(END_MARGIN);
         info!("ending: not ready, done within {:?}", grace.saturating_sub(END_MARGIN));
         self.context.lifecycle.leave(end - ANSWER_MARGIN.min(grace / 4));
--- a/crates/pebblepost-settings/src/lib.rs
+++ b/crates/pebblepost-settings/src/lib.rs
@@ -54,7 +54,7 @@
     /// Limits of the machine.
     pub limits: MachineLimits,
     /// What may be lost at once.
-    pub tolerate: Tolerate,
+    pub tolerance: FaultTolerance,
     /// Time bounds of the operators.
     pub bounds: Bounds,
 }
@@ -74,7 +74,7 @@
 
 /// What may be lost at once.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tolerate {
+pub struct FaultTolerance {
     /// Machines.
     pub machines: usize,
     /// Zones.
@@ -89,9 +89,9 @@
     /// An acknowledgement is due within this time.
     pub ack_timeout: Duration,
     /// A transcriber that leaves serves on for this time.
-    pub drain: Duration,
+    pub drain_period: Duration,
     /// From SIGTERM to SIGKILL.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// A configuration is in force everywhere within this time.
     pub config_apply: Duration,
     /// A machine that is back counts as lost for this time more.
@@ -99,15 +99,15 @@
     /// An address may be used again after this time.
     pub addr_reuse: Duration,
     /// Batch jobs are kept for this time after they were sent.
-    pub status: Duration,
+    pub job_retention: Duration,
     /// Nothing of a job runs this long after its end was acknowledged.
-    pub cancel: Duration,
+    pub cancel_timeout: Duration,
     /// Orders of two holders are this far apart.
     pub lease: Duration,
     /// Transcribers check fence tokens.
     pub fencing: bool,
     /// Longest time between an event's making and its passing on.
-    pub pass: Duration,
+    pub forward_delay: Duration,
 }
 
 impl Default for Bounds {
@@ -115,16 +115,16 @@
     fn default() -> Bounds {
         Bounds {
             ack_timeout: Duration::from_millis(4000),
-            drain: Duration::from_millis(2000),
-            grace: Duration::from_secs(8),
+            drain_period: Duration::from_millis(2000),
+            shutdown_grace: Duration::from_secs(8),
             config_apply: Duration::from_millis(2000),
             catch_up: Duration::from_millis(4500),
             addr_reuse: Duration::from_secs(2),
-            status: Duration::from_secs(120),
-            cancel: Duration::from_millis(3000),
+            job_retention: Duration::from_secs(120),
+            cancel_timeout: Duration::from_millis(3000),
             lease: Duration::from_millis(3000),
             fencing: false,
-            pass: Duration::from_millis(120),
+            forward_delay: Duration::from_millis(120),
         }
     }
 }
@@ -168,7 +168,7 @@
             listen_ready: listen.address("ready")?,
             listen_control: listen.address("control")?,
             limits: read_limits(&root.section("limits")?)?,
-            tolerate: read_tolerate(&root.section("tolerate")?)?,
+            tolerance: read_tolerate(&root.section("tolerate")?)?,
             bounds: read_bounds(&root.section("bounds")?)?,
         })
     }
@@ -233,8 +233,8 @@
     (number * BYTES_PER_MB) as u64
 }
 
-fn read_tolerate(section: &Section<'_>) -> Result<Tolerate> {
-    Ok(Tolerate {
+fn read_tolerate(section: &Section<'_>) -> Result<FaultTolerance> {
+    Ok(FaultTolerance {
         machines: section.count("machines", 0)?,
         zones: section.count("zones", 0)?,
         regions: section.count("regions", 0)?,
@@ -245,15 +245,15 @@
     let default = Bounds::default();
     Ok(Bounds {
         ack_timeout: section.milliseconds("ack_timeout_ms", default.ack_timeout)?,
-        drain: section.milliseconds("drain_ms", default.drain)?,
-        grace: section.seconds("grace_s", default.grace)?,
+        drain_period: section.milliseconds("drain_ms", default.drain_period)?,
+        shutdown_grace: section.seconds("grace_s", default.shutdown_grace)?,
         config_apply: section.milliseconds("config_apply_ms", default.config_apply)?,
         catch_up: section.seconds("catch_up_s", default.catch_up)?,
         addr_reuse: section.seconds("addr_reuse_s", default.addr_reuse)?,
-        status: section.seconds("status_s", default.status)?,
-        cancel: section.milliseconds("cancel_ms", default.cancel)?,
+        job_retention: section.seconds("status_s", default.job_retention)?,
+        cancel_timeout: section.milliseconds("cancel_ms", default.cancel_timeout)?,
         lease: section.milliseconds("lease_ms", default.lease)?,
         fencing: section.flag("fencing", default.fencing)?,
-        pass: section.milliseconds("pass_ms", default.pass)?,
+        forward_delay: section.milliseconds("pass_ms", default.forward_delay)?,
     })
 }
--- a/crates/pebblepost-system/src/operator/status.rs
+++ b/crates/pebblepost-system/src/operator/status.rs
@@ -17,10 +17,10 @@
 /// How long one process may take to answer.
 const PATIENCE: Duration = Duration::from_secs(2);
 const LIMITS: LinkLimits = LinkLimits {
-    most_frame_bytes: 16 * 1024 * 1024,
-    most_queued_bytes: 1024 * 1024,
-    connect: PATIENCE,
-    silence: PATIENCE,
+    max_frame_bytes: 16 * 1024 * 1024,
+    max_queued_bytes: 1024 * 1024,
+    connect_timeout: PATIENCE,
+    read_timeout: PATIENCE,
 };
 /// Part of the state that `versions` prints.
 const VERSIONS: &str = "named_versions";
--- a/crates/pebblepost-transcriber/src/answer.rs
+++ b/crates/pebblepost-transcriber/src/answer.rs
@@ -3,7 +3,7 @@
 use crate::connection::Connection;
 use crate::headers::{idle_allowance, is_delimited, remove_connection_headers};
 use crate::report::parse_instance_load;
-use crate::{AnswerHead, Failure};
+use crate::{ClientError, ResponseHead};
 use bytes::{Bytes, BytesMut};
 use http::header::CONTENT_ENCODING;
 use http::{HeaderMap, Response, StatusCode};
@@ -13,7 +13,7 @@
 
 /// A head that was checked, and what its connection allows after the body.
 pub(crate) struct CheckedHead {
-    pub(crate) head: AnswerHead,
+    pub(crate) head: ResponseHead,
     /// The end of the body can be told from a broken connection.
     pub(crate) delimited: bool,
     /// How long the connection may rest after the body; `None` if it must be closed.
@@ -34,15 +34,15 @@
 /// Checks a head: the answer must be that of our request, and the body that of the transcriber.
 pub(crate) fn check_head(
     response: Response<Incoming>, expected: Expected<'_>,
-) -> Result<(CheckedHead, Incoming), Failure> {
+) -> Result<(CheckedHead, Incoming), ClientError> {
     let (parts, body) = response.into_parts();
     let mut headers = parts.headers;
     if !is_answer_to(&headers, expected.request_id) {
         log::debug!("answer to another request, status {}", parts.status);
-        return Err(Failure::MayHaveRun);
+        return Err(ClientError::MayHaveRun);
     }
     if headers.contains_key(CONTENT_ENCODING) {
-        return Err(Failure::MayHaveRun);
+        return Err(ClientError::MayHaveRun);
     }
     let delimited = is_delimited(parts.status, &headers, expected.head_request);
     let allowance = idle_allowance(&headers, expected.idle);
@@ -51,7 +51,7 @@
         headers.contains_key("not-executed") || parts.status == StatusCode::MISDIRECTED_REQUEST;
     let load =
         headers.get("instance-load").and_then(|value| value.to_str().ok()).and_then(parse_instance_load);
-    let head = AnswerHead { status: parts.status, headers, not_executed, load };
+    let head = ResponseHead { status: parts.status, headers, not_executed, load };
     Ok((CheckedHead { head, delimited, allowance }, body))
 }
 
@@ -65,17 +65,17 @@
 /// Reads a body to its complete end.
 pub(crate) async fn read_body(
     connection: &mut Connection, mut body: Incoming, most_bytes: usize,
-) -> Result<Bytes, Failure> {
+) -> Result<Bytes, ClientError> {
     let announced = body.size_hint().lower();
     if announced > most_bytes as u64 {
-        return Err(Failure::MayHaveRun);
+        return Err(ClientError::MayHaveRun);
     }
     let mut first = Bytes::new();
     let mut rest = BytesMut::new();
     while let Some(frame) = poll_fn(|context| connection.poll_frame(&mut body, context)).await {
-        let Ok(data) = frame.map_err(|_| Failure::MayHaveRun)?.into_data() else { continue };
+        let Ok(data) = frame.map_err(|_| ClientError::MayHaveRun)?.into_data() else { continue };
         if first.len() + rest.len() + data.len() > most_bytes {
-            return Err(Failure::MayHaveRun);
+            return Err(ClientError::MayHaveRun);
         }
         if first.is_empty() && rest.is_empty() {
             first = data;
--- a/crates/pebblepost-transcriber/src/lib.rs
+++ b/crates/pebblepost-transcriber/src/lib.rs
@@ -15,8 +15,8 @@
 pub use client::Client;
 pub use events::{EventParser, InvalidEvent, StreamEvent};
 pub use headers::remove_connection_headers;
-pub use report::{parse_instance_load, parse_report};
-pub use stream::{EventStream, StreamAnswer};
+pub use report::{parse_instance_load, parse_load_report};
+pub use stream::{EventStream, StreamResponse};
 
 use bytes::Bytes;
 use http::{HeaderMap, Method, StatusCode};
@@ -34,7 +34,7 @@
 
 /// A request to send on.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// Method.
     pub method: Method,
     /// Path and query, unchanged.
@@ -52,7 +52,7 @@
 
 /// Why a call brought no answer of the transcriber's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum ClientError {
     /// No connection, or the connection turned out closed before a byte of the request was
     /// written: it has not run.
     NotSent,
@@ -72,7 +72,7 @@
     /// Slots, where told.
     pub slots: Option<u32>,
     /// An order is under way.
-    pub busy: bool,
+    pub order_in_progress: bool,
     /// Orders taken.
     pub sequence: u64,
     /// Models and their versions.
@@ -81,7 +81,7 @@
 
 /// Head of an answer that carries the right `Request-Id`.
 #[derive(Clone, Debug)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Status.
     pub status: StatusCode,
     /// Headers, without those of one connection only.
@@ -94,22 +94,22 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct BufferedResponse {
     /// Its head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// Its body, whole.
     pub body: Bytes,
 }
 
 /// What the client does, counted since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ClientCounts {
+pub struct ClientMetrics {
     /// Connections opened.
     pub connections: u64,
     /// Of these, connections to a transcriber to which there was none.
-    pub first_connections: u64,
+    pub initial_connections: u64,
     /// Of these, connections in the place of one that had rested too long or was found closed.
-    pub renewed_connections: u64,
+    pub replaced_connections: u64,
     /// Requests sent, reports and orders included.
     pub requests: u64,
     /// Reports asked for.
@@ -120,11 +120,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
     /// Time for a connection to come up.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Most connections to one transcriber, idle and busy together.
-    pub most_connections_each: usize,
+    pub max_connections_per_transcriber: usize,
     /// An idle connection is closed after this time, or earlier if `Keep-Alive` says so.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Most bytes of a whole answer.
-    pub most_body_bytes: usize,
+    pub max_body_bytes: usize,
 }
--- a/crates/pebblepost-transcriber/src/pool.rs
+++ b/crates/pebblepost-transcriber/src/pool.rs
@@ -146,7 +146,7 @@
                 Ok(pooled) => return Lot::Reused(pooled),
                 Err(reason) => reason,
             };
-            if host.open.get() < limits.most_connections_each.max(1) {
+            if host.open.get() < limits.max_connections_per_transcriber.max(1) {
                 host.open.set(host.open.get() + 1);
                 return Lot::Free(Place { host }, reason);
             }
--- a/crates/pebblepost-transcriber/src/report.rs
+++ b/crates/pebblepost-transcriber/src/report.rs
@@ -21,7 +21,7 @@
 
 /// Reads the body of `GET /report`. Fields that are missing count as 0, absent or empty; `None`
 /// if the body is no JSON object.
-pub fn parse_report(body: &[u8]) -> Option<Load> {
+pub fn parse_load_report(body: &[u8]) -> Option<Load> {
     let mut buffer = body.to_vec();
     let report = simd_json::to_borrowed_value(&mut buffer).ok()?;
     report.as_object()?;
@@ -41,7 +41,7 @@
         running: small("running").unwrap_or(0),
         waiting: small("waiting").unwrap_or(0),
         slots: small("slots"),
-        busy: report.get("busy").and_then(|busy| busy.as_bool()).unwrap_or(false),
+        order_in_progress: report.get("busy").and_then(|busy| busy.as_bool()).unwrap_or(false),
         sequence: number("sequence").unwrap_or(0),
         models: models.unwrap_or_default(),
     })
--- a/crates/pebblepost-transcriber/src/request.rs
+++ b/crates/pebblepost-transcriber/src/request.rs
@@ -1,6 +1,6 @@
 //! Building of the request that goes out on a connection.
 
-use crate::{Failure, Outgoing, Target};
+use crate::{ClientError, OutgoingRequest, Target};
 use bytes::Bytes;
 use http::header::{CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Uri};
@@ -14,10 +14,10 @@
 pub(crate) type WireRequest = Request<Full<Bytes>>;
 
 /// Builds the request; all but its deadline, which [`set_deadline`] adds when it is written.
-pub(crate) fn build(target: &Target, outgoing: Outgoing) -> Result<WireRequest, Failure> {
-    let Outgoing { method, path, mut headers, body, .. } = outgoing;
-    let uri = Uri::try_from(path).map_err(|_| Failure::NotSent)?;
-    let instance = HeaderValue::from_str(&target.instance).map_err(|_| Failure::NotSent)?;
+pub(crate) fn build(target: &Target, outgoing: OutgoingRequest) -> Result<WireRequest, ClientError> {
+    let OutgoingRequest { method, path, mut headers, body, .. } = outgoing;
+    let uri = Uri::try_from(path).map_err(|_| ClientError::NotSent)?;
+    let instance = HeaderValue::from_str(&target.instance).map_err(|_| ClientError::NotSent)?;
     headers.insert(TARGET_INSTANCE, instance);
     headers.remove(TRANSFER_ENCODING);
     headers.remove(CONTENT_LENGTH);
@@ -43,10 +43,12 @@
 }
 
 /// A request of our own, such as one for a report; it carries no `Request-Id`.
-pub(crate) fn own(target: &Target, method: Method, path: &str, body: Bytes, deadline: Duration) -> Outgoing {
+pub(crate) fn own(
+    target: &Target, method: Method, path: &str, body: Bytes, deadline: Duration,
+) -> OutgoingRequest {
     let mut headers = HeaderMap::with_capacity(6);
     if let Ok(host) = HeaderValue::from_str(&target.address.to_string()) {
         headers.insert(HOST, host);
     }
-    Outgoing { method, path: path.to_owned(), headers, body, request_id: String::new(), deadline }
+    OutgoingRequest { method, path: path.to_owned(), headers, body, request_id: String::new(), deadline }
 }
--- a/crates/pebblepost/src/config.rs
+++ b/crates/pebblepost/src/config.rs
@@ -440,7 +440,7 @@
 /// Reads the settings as the decisions do. On sockets a refusal always can say when to come back.
 pub fn read_settings(file: &str, json: &Value) -> Result<Settings> {
     let mut settings = parse_settings(&flatten(json)).or_else(|e| wrong(file, "settings", e))?;
-    settings.retry_after = true;
+    settings.retry_after_enabled = true;
     if settings.max_retry_after.is_zero() {
         settings.max_retry_after = Duration::from_secs(2);
     }
--- a/crates/pebblepost/src/engine.rs
+++ b/crates/pebblepost/src/engine.rs
@@ -405,20 +405,21 @@
         let this = this.map(|no| usize::from(no.0));
         let others = || r.attempts.iter().enumerate().filter(|(no, _)| Some(*no) != this).map(|(_, a)| a);
         let first = others().filter(|a| a.open || a.may_have_run).min_by_key(|a| a.sent);
-        let repeats = match (self.settings.classes.get(usize::from(r.class.0)).map(|c| c.effect), first) {
-            (_, None) | (Some(Effect::Safe), _) => true,
-            (None | Some(Effect::Unsafe), Some(_)) => false,
-            (Some(Effect::Keyed { group, window }), Some(first)) => {
+        let repeats = match (self.settings.classes.get(usize::from(r.class.0)).map(|c| c.idempotency), first)
+        {
+            (_, None) | (Some(Idempotency::Idempotent), _) => true,
+            (None | Some(Idempotency::NonIdempotent), Some(_)) => false,
+            (Some(Idempotency::Deduplicated { scope: group, window }), Some(first)) => {
                 let same = |of: fn(&Entry) -> u16| self.workers.get(&first.worker).map(of) == Some(of(to));
                 now < first.sent + window
                     && match group {
-                        Group::All => true,
-                        Group::Zone => same(|entry| entry.zone.0),
-                        Group::Cell => same(|entry| entry.cell.0),
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => same(|entry| entry.zone.0),
+                        DeduplicationScope::Cell => same(|entry| entry.cell.0),
                     }
             }
         };
-        let alone = self.settings.second_copies || !others().any(|a| a.open);
+        let alone = self.settings.hedging_enabled || !others().any(|a| a.open);
         repeats && alone && !r.answered && now < r.deadline
     }
 
--- a/crates/pebblepost/src/turn.rs
+++ b/crates/pebblepost/src/turn.rs
@@ -230,7 +230,9 @@
         let busy = self.engine.busy(&self.s.registry.all_marked());
         let busy = busy.into_iter().filter_map(|worker| self.s.registry.mark_of(worker)?.parse().ok());
         agent.confirms(self.acts_by, busy.collect());
-        if let Some(seen) = self.s.registry.seen(self.s.net.now, self.engine.settings().warm_up, &self.mute) {
+        if let Some(seen) =
+            self.s.registry.seen(self.s.net.now, self.engine.settings().warm_up_time, &self.mute)
+        {
             agent.sees(seen);
         }
     }
