--- a/crates/pebblepost-membership/tests/common/mod.rs
+++ b/crates/pebblepost-membership/tests/common/mod.rs
@@ -39,11 +39,72 @@
     pub state: MemberState,
 }
 
+/// An FNV-1a hash of 64 bits.
+#[derive(Clone, Copy, Debug)]
+pub struct Digest(pub u64);
+
+impl Default for Digest {
+    fn default() -> Digest {
+        Digest(0xcbf2_9ce4_8422_2325)
+    }
+}
+
+impl Digest {
+    pub fn bytes(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        for byte in bytes {
+            self.byte(*byte);
+        }
+    }
+
+    pub fn number(&mut self, number: u64) {
+        for byte in number.to_le_bytes() {
+            self.byte(byte);
+        }
+    }
+
+    fn byte(&mut self, byte: u8) {
+        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+    }
+}
+
+/// Digests of all that the members put out, in order, and of each kind of datagram by itself.
+#[derive(Clone, Debug, Default)]
+pub struct Transcript {
+    pub outputs: u64,
+    pub digest: Digest,
+    /// By the byte that names the kind: number of datagrams, and digest.
+    pub kinds: BTreeMap<u8, (u64, Digest)>,
+}
+
+impl Transcript {
+    fn output(&mut self, now: Duration, node: usize, output: &Output) {
+        self.outputs += 1;
+        self.digest.number(now.as_nanos() as u64);
+        self.digest.number(node as u64);
+        match output {
+            Output::Send { to, datagram } => {
+                self.digest.number(node_of(*to) as u64);
+                self.digest.bytes(datagram);
+                let (count, digest) = self.kinds.entry(datagram[1]).or_default();
+                *count += 1;
+                digest.bytes(datagram);
+            }
+            Output::Changed { member, state } => {
+                self.digest.bytes(member.name.as_bytes());
+                self.digest.number(member.incarnation);
+                self.digest.number(*state as u64);
+            }
+        }
+    }
+}
+
 pub struct Network {
     pub now: Duration,
     pub nodes: Vec<Node>,
     pub seen: Vec<Seen>,
     pub loss: f64,
+    pub transcript: Option<Transcript>,
     settings: Settings,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     event_count: u64,
@@ -77,6 +138,7 @@
             nodes: Vec::new(),
             seen: Vec::new(),
             loss: 0.0,
+            transcript: None,
             settings,
             events: BinaryHeap::new(),
             event_count: 0,
@@ -244,6 +306,9 @@
 
     fn carry_out(&mut self, node: usize) {
         for output in self.nodes[node].membership.take_outputs() {
+            if let Some(transcript) = &mut self.transcript {
+                transcript.output(self.now, node, &output);
+            }
             match output {
                 Output::Send { to, datagram } => self.send(node, to, datagram),
                 Output::Changed { member, state } => {
--- a/crates/pebblepost-replication/tests/simulation/mod.rs
+++ b/crates/pebblepost-replication/tests/simulation/mod.rs
@@ -10,6 +10,7 @@
 pub mod random;
 pub mod repair;
 pub mod report;
+pub mod transcript;
 pub mod world;
 
 use pebblepost_replication::guards::{RegisterGuards, ReplicaGuards};
--- /dev/null
+++ b/crates/pebblepost-replication/tests/simulation/transcript.rs
@@ -0,0 +1,103 @@
+//! Digests of everything that the processes of a simulated run send, store and report.
+
+use nanoserde::SerBin;
+use pebblepost_replication::register::RegisterOutput;
+use pebblepost_replication::replica::ReplicaOutput;
+use std::collections::BTreeMap;
+
+/// An FNV-1a hash of 64 bits.
+#[derive(Clone, Copy, Debug)]
+pub struct Digest(pub u64);
+
+impl Default for Digest {
+    fn default() -> Self {
+        Self(0xcbf2_9ce4_8422_2325)
+    }
+}
+
+impl Digest {
+    pub fn bytes(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        for byte in bytes {
+            self.byte(*byte);
+        }
+    }
+
+    pub fn number(&mut self, number: u64) {
+        for byte in number.to_le_bytes() {
+            self.byte(byte);
+        }
+    }
+
+    fn byte(&mut self, byte: u8) {
+        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+    }
+}
+
+/// What is known of one kind of message or record, by the tag that it starts with.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Variant {
+    pub count: u64,
+    pub digest: Digest,
+}
+
+/// The run in the order in which it happened, and each variant by itself.
+#[derive(Clone, Debug, Default)]
+pub struct Transcript {
+    pub outputs: u64,
+    pub digest: Digest,
+    pub variants: BTreeMap<(&'static str, u16), Variant>,
+}
+
+impl Transcript {
+    pub fn register(&mut self, now: u64, slot: usize, output: &RegisterOutput) {
+        match output {
+            RegisterOutput::Send { to, message } => {
+                self.variant("register message", message);
+                self.output(now, slot, 0, &[to.disk.0], message);
+            }
+            RegisterOutput::Persist { token, state } => {
+                self.output(now, slot, 1, &[*token], &state.serialize_bin());
+            }
+            RegisterOutput::Chosen(record) => self.output(now, slot, 2, &[], &record.serialize_bin()),
+            RegisterOutput::Rejected { epoch } => self.output(now, slot, 3, &[*epoch], &[]),
+        }
+    }
+
+    pub fn replica(&mut self, now: u64, slot: usize, output: &ReplicaOutput) {
+        match output {
+            ReplicaOutput::Send { to, message } => {
+                self.variant("replica message", message);
+                self.output(now, slot, 10, &[to.disk.0], message);
+            }
+            ReplicaOutput::Persist { token, records } => {
+                for record in records {
+                    let bytes = record.serialize_bin();
+                    self.variant("disk record", &bytes);
+                    self.output(now, slot, 11, &[*token], &bytes);
+                }
+            }
+            ReplicaOutput::ChangeEpoch { expected, record } => {
+                self.output(now, slot, 12, &[*expected], &record.serialize_bin());
+            }
+            ReplicaOutput::Committed { index } => self.output(now, slot, 13, &[*index], &[]),
+            ReplicaOutput::BecamePrimary { epoch } => self.output(now, slot, 14, &[*epoch], &[]),
+            ReplicaOutput::Stopped => self.output(now, slot, 15, &[], &[]),
+        }
+    }
+
+    fn variant(&mut self, kind: &'static str, bytes: &[u8]) {
+        let tag = u16::from_le_bytes([bytes[0], bytes[1]]);
+        let variant = self.variants.entry((kind, tag)).or_default();
+        variant.count += 1;
+        variant.digest.bytes(bytes);
+    }
+
+    fn output(&mut self, now: u64, slot: usize, kind: u64, numbers: &[u64], bytes: &[u8]) {
+        self.outputs += 1;
+        for number in [now, slot as u64, kind].iter().chain(numbers) {
+            self.digest.number(*number);
+        }
+        self.digest.bytes(bytes);
+    }
+}
--- a/crates/pebblepost-replication/tests/simulation/world.rs
+++ b/crates/pebblepost-replication/tests/simulation/world.rs
@@ -6,6 +6,7 @@
 use super::process::Process;
 use super::random::Random;
 use super::repair;
+use super::transcript::Transcript;
 use super::{Options, Plan};
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
@@ -78,6 +79,8 @@
     pub cuts: Vec<Vec<u32>>,
     pub loss_permille: u64,
     pub checker: Checker,
+    /// What the processes put out, where that is asked for.
+    pub transcript: Option<Transcript>,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     events: Vec<Option<Event>>,
     free: Vec<usize>,
@@ -104,6 +107,7 @@
             cuts: vec![vec![0; MOST_SLOTS]; MOST_SLOTS],
             loss_permille: 0,
             checker: Checker::default(),
+            transcript: None,
             queue: BinaryHeap::new(),
             events: Vec::new(),
             free: Vec::new(),
@@ -463,6 +467,9 @@
     }
 
     fn carry_out_register(&mut self, slot: usize, output: RegisterOutput) {
+        if let Some(transcript) = &mut self.transcript {
+            transcript.register(self.now, slot, &output);
+        }
         match output {
             RegisterOutput::Send { to, message } => {
                 self.send(slot, &to, Payload::Register(message));
@@ -495,6 +502,9 @@
     }
 
     fn carry_out_replica(&mut self, slot: usize, output: ReplicaOutput) {
+        if let Some(transcript) = &mut self.transcript {
+            transcript.replica(self.now, slot, &output);
+        }
         match output {
             ReplicaOutput::Send { to, message } => {
                 self.send(slot, &to, Payload::Replica(message));
--- a/crates/pebblepost-ring/tests/common/simulated_disk.rs
+++ b/crates/pebblepost-ring/tests/common/simulated_disk.rs
@@ -1,6 +1,6 @@
 //! A folder of files in memory that loses what was not synced when power is lost.
 
-use super::Random;
+use super::{Digest, Random};
 use pebblepost_ring::storage::Storage;
 use std::{
     collections::BTreeMap,
@@ -135,6 +135,24 @@
         self.state().syncs
     }
 
+    /// Digest of all that is on the disk, and of how it came there.
+    pub fn digest(&self) -> u64 {
+        let state = self.state();
+        let mut digest = Digest::default();
+        for number in [state.random.0, state.operations, state.syncs] {
+            digest.number(number);
+        }
+        for (name, content) in state.names.iter().chain(&state.durable_names) {
+            digest.bytes(name.as_bytes());
+            digest.number(*content as u64);
+        }
+        for content in &state.contents {
+            digest.bytes(&content.live);
+            digest.bytes(&content.durable);
+        }
+        digest.0
+    }
+
     /// Total length of all files.
     pub fn total_bytes(&self) -> u64 {
         let state = self.state();
