--- a/crates/pebblepost-replication/src/guards.rs
+++ b/crates/pebblepost-replication/src/guards.rs
@@ -6,15 +6,15 @@
 pub struct RegisterGuards {
     /// While a change of the witness set is unfinished, a majority of the former set counts too.
     pub former_majority: bool,
-    /// Promises and acceptances are on disk before they are told.
+    /// Promises and acceptances are on disk before they are sent.
     pub persisted_before_reply: bool,
-    /// A record found half accepted is completed before anything builds on it.
-    pub complete_found: bool,
+    /// A record accepted by less than a quorum is completed before anything builds on it.
+    pub completes_accepted: bool,
 }
 
 impl Default for RegisterGuards {
     fn default() -> Self {
-        Self { former_majority: true, persisted_before_reply: true, complete_found: true }
+        Self { former_majority: true, persisted_before_reply: true, completes_accepted: true }
     }
 }
 
--- a/crates/pebblepost-replication/src/random.rs
+++ b/crates/pebblepost-replication/src/random.rs
@@ -1,8 +1,8 @@
-//! A small seeded generator for back-off and staggering.
+//! A small seeded generator for backoff and staggering. Not for anything that must be unpredictable.
 
 use std::time::Duration;
 
-/// An xorshift generator.
+/// An xorshift generator (64 bits).
 #[derive(Clone, Debug)]
 pub(crate) struct Random(u64);
 
@@ -13,7 +13,7 @@
         Self((seed ^ SPREAD).wrapping_mul(SPREAD) | 1)
     }
 
-    /// Next number.
+    /// The next number.
     pub(crate) fn next(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -21,10 +21,10 @@
         self.0
     }
 
-    /// A duration below `most`.
-    pub(crate) fn below(&mut self, most: Duration) -> Duration {
+    /// A duration below `limit`, in steps of a 1,024th of it.
+    pub(crate) fn duration_below(&mut self, limit: Duration) -> Duration {
         const STEPS: u32 = 1024;
         let step = u32::try_from(self.next() >> 32 & u64::from(STEPS - 1)).unwrap_or(0);
-        most * step / STEPS
+        limit * step / STEPS
     }
 }
--- a/crates/pebblepost-replication/src/register.rs
+++ b/crates/pebblepost-replication/src/register.rs
@@ -1,194 +1,149 @@
 //! The epoch register: a compare-and-swap register that lives on the witnesses' disks.
 //!
-//! Two rounds as in CASPaxos: prepare asks a quorum for the newest accepted record, accept writes
-//! the same record again (to complete it) or its successor. A record is chosen when a quorum (see
-//! [`EpochRecord::has_quorum`]) accepted it under one ballot. Times are the caller's steady clock.
+//! Single-decree Paxos in its register form (CASPaxos): the prepare phase asks a quorum for the
+//! record accepted under the highest proposal number, the accept phase writes the same record again
+//! (to complete it) or its successor. A record is chosen when a quorum (see
+//! [`EpochRecord::has_quorum`]) accepted it under one number.
+//!
+//! * `acceptor`: answers prepare and accept requests and learns what is chosen.
+//! * `proposer`: drives an operation through attempts; `operation` and `attempt` are its state.
+//! * `message`, `output`, `witness_state`, `proposal_number`: the types that cross the border.
+//!
+//! The register never reads a clock and does no I/O: times are those of the caller's steady clock.
 
 mod acceptor;
 mod attempt;
 mod message;
+mod operation;
+mod output;
+mod proposal_number;
 mod proposer;
+mod witness_state;
 
 use crate::codec::decode;
 use crate::guards::RegisterGuards;
 use crate::random::Random;
 use crate::record::EpochRecord;
-use acceptor::{Acceptor, send};
-use attempt::{Attempt, Goal, Task};
+use acceptor::Acceptor;
+use attempt::Promise;
 use message::{ChosenRecord, RegisterMessage};
-use nanoserde::{DeBin, SerBin};
-use pebblepost_messages::{DiskId, Member};
+use operation::Goal;
+use pebblepost_messages::Member;
+use proposer::{Context, Proposer};
 use std::time::Duration;
 
-/// How long a proposal is retried.
-const PROPOSAL_TIME: Duration = Duration::from_millis(1000);
-/// How soon the newest record is asked for after a restart, at random below this.
-const REFRESH_SPREAD: Duration = Duration::from_millis(200);
-/// How soon it is asked for again when nobody answered.
-const REFRESH_AGAIN: Duration = Duration::from_millis(500);
-
-/// What a witness keeps on disk.
-#[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
-pub struct WitnessState {
-    /// Highest ballot promised.
-    pub promised: Ballot,
-    /// Ballot under which `accepted` was accepted.
-    pub accepted_ballot: Ballot,
-    /// Newest accepted record.
-    pub accepted: Option<EpochRecord>,
-}
-
-/// Number of an attempt to change the register: round, then the disk that makes it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct Ballot {
-    /// Round.
-    pub round: u64,
-    /// Disk of the proposer.
-    pub proposer: DiskId,
-}
-
-/// Something the caller must do.
-#[derive(Clone, Debug, PartialEq)]
-pub enum RegisterOutput {
-    /// Send a message (to itself as well).
-    Send {
-        /// Receiver.
-        to: Member,
-        /// Encoded message.
-        message: Vec<u8>,
-    },
-    /// Write the witness state; call [`Register::persisted`] with the token once it is on disk.
-    Persist {
-        /// Comes back.
-        token: u64,
-        /// The state.
-        state: WitnessState,
-    },
-    /// A record newer than all before is known to be chosen.
-    Chosen(EpochRecord),
-    /// The proposal failed: another record was chosen, or no majority answered in time. In the
-    /// second case the record may still be chosen later.
-    Rejected {
-        /// Epoch number that was proposed.
-        epoch: u64,
-    },
-}
+pub use output::RegisterOutput;
+pub use proposal_number::ProposalNumber;
+pub use witness_state::WitnessState;
 
 /// A witness and a proposer of one register.
 #[derive(Debug)]
 pub struct Register {
-    me: Member,
-    guards: RegisterGuards,
     acceptor: Acceptor,
-    chosen: Option<ChosenRecord>,
-    task: Option<Task>,
-    attempt: Option<Attempt>,
-    highest_round: u64,
-    random: Random,
-    /// When to ask for the newest record, if that is unknown since the start.
-    refresh_at: Option<Duration>,
-    wants_refresh: bool,
+    proposer: Proposer,
     outputs: Vec<RegisterOutput>,
 }
 
 impl Register {
     /// A register at this machine. `recovered` is what its disk held; `founding` is the first
-    /// record where this disk is a founder's (used only if nothing was recovered).
+    /// record where this disk is a founder's (used only if nothing was recovered). `seed` spreads
+    /// the backoff.
     pub fn new(
-        me: Member, recovered: Option<WitnessState>, founding: Option<EpochRecord>, seed: u64,
+        local: Member, recovered: Option<WitnessState>, founding: Option<EpochRecord>, seed: u64,
     ) -> Self {
-        Self::with_guards(me, recovered, founding, seed, RegisterGuards::default())
+        Self::with_guards(local, recovered, founding, seed, RegisterGuards::default())
     }
 
     /// As [`Register::new`], with guards taken out.
     #[doc(hidden)]
     pub fn with_guards(
-        me: Member, recovered: Option<WitnessState>, founding: Option<EpochRecord>, seed: u64,
+        local: Member, recovered: Option<WitnessState>, founding: Option<EpochRecord>, seed: u64,
         guards: RegisterGuards,
     ) -> Self {
-        let wants_refresh = recovered.is_some();
-        let first = || WitnessState { accepted: founding.clone(), ..WitnessState::default() };
-        let state = recovered.unwrap_or_else(first);
-        let chosen = state
-            .accepted
-            .clone()
-            .filter(|record| record.epoch == 0)
-            .map(|record| ChosenRecord { ballot: Ballot::default(), record });
+        let needs_refresh = recovered.is_some();
+        let state =
+            recovered.unwrap_or_else(|| WitnessState { accepted: founding, ..WitnessState::default() });
+        let counter = state.promised.counter;
         Self {
-            guards,
-            highest_round: state.promised.round,
-            acceptor: Acceptor::new(me.disk, state, guards),
-            me,
-            chosen,
-            task: None,
-            attempt: None,
-            random: Random::new(seed),
-            refresh_at: None,
-            wants_refresh,
+            acceptor: Acceptor::new(local.disk, state, guards),
+            proposer: Proposer::new(local, guards, counter, needs_refresh, Random::new(seed)),
             outputs: Vec::new(),
         }
     }
 
     /// The newest record known to be chosen (the founding one at first), if any.
     pub fn chosen(&self) -> Option<&EpochRecord> {
-        self.chosen.as_ref().map(|chosen| &chosen.record)
+        self.acceptor.chosen().map(|chosen| &chosen.record)
     }
 
-    /// Whether a proposal is under way; another one would be rejected.
+    /// Whether a proposal is in progress; another one would be rejected.
     pub fn is_proposing(&self) -> bool {
-        matches!(&self.task, Some(Task { goal: Goal::Propose { .. }, .. }))
+        self.proposer.is_proposing()
     }
 
-    /// Proposes a record that follows the chosen one: `expected` is its epoch. One at a time.
+    /// Proposes a record that follows the chosen one: `expected` is its epoch. One at a time; a
+    /// proposal that can't succeed is answered by [`RegisterOutput::Rejected`] at once.
     pub fn propose(&mut self, now: Duration, expected: u64, record: EpochRecord) {
-        let is_old = self.chosen().is_some_and(|chosen| chosen.epoch > expected);
-        if self.is_proposing() || is_old || record.epoch != expected + 1 {
+        let is_stale = self.chosen().is_some_and(|chosen| chosen.epoch > expected);
+        if self.is_proposing() || is_stale || record.epoch != expected + 1 {
             self.outputs.push(RegisterOutput::Rejected { epoch: record.epoch });
             return;
         }
-        self.start(now, Goal::Propose { expected, record });
+        let (proposer, mut context) = self.split(now);
+        proposer.start(&mut context, Goal::Propose { expected, record });
     }
 
-    /// Asks a majority for the newest chosen record (completes one that is half accepted).
+    /// Asks a quorum for the newest chosen record, and completes one that is accepted by less than
+    /// a quorum. Does nothing while another operation is in progress.
     pub fn refresh(&mut self, now: Duration) {
-        if self.task.is_none() {
-            self.start(now, Goal::Refresh);
+        if !self.proposer.is_busy() {
+            let (proposer, mut context) = self.split(now);
+            proposer.start(&mut context, Goal::Refresh);
         }
     }
 
-    /// Tells a member the newest chosen record. To be called when a connection to it opens, so
+    /// Sends the newest chosen record to a member. To be called when a connection to it opens, so
     /// that machines that lag behind or are new come to know the group.
-    pub fn introduce(&mut self, to: &Member) {
-        if let Some(chosen) = self.chosen.clone() {
-            self.outputs.push(send(to.clone(), &RegisterMessage::Learn(chosen)));
+    pub fn announce_chosen(&mut self, to: &Member) {
+        if let Some(chosen) = self.acceptor.chosen().cloned() {
+            self.outputs.push(RegisterOutput::send(to.clone(), &RegisterMessage::Learn(chosen)));
         }
     }
 
-    /// A message arrived. What can't be read is dropped.
+    /// The earlier name of [`Register::announce_chosen`].
+    #[doc(hidden)]
+    pub fn introduce(&mut self, to: &Member) {
+        self.announce_chosen(to);
+    }
+
+    /// A message arrived. What can't be decoded is dropped.
     pub fn receive(&mut self, now: Duration, from: &Member, message: &[u8]) {
         let Some(message) = decode::<RegisterMessage>(message) else { return };
         match message {
-            RegisterMessage::Prepare { ballot, known } => {
-                let chosen = self.chosen.clone();
-                self.acceptor.prepare(from, ballot, &known, chosen, &mut self.outputs);
+            RegisterMessage::Prepare { number, known } => {
+                self.acceptor.prepare(from, number, &known, &mut self.outputs);
             }
-            RegisterMessage::Accept { ballot, record } => {
-                let chosen = self.chosen.clone();
-                self.acceptor.accept(from, ballot, record, chosen, &mut self.outputs);
+            RegisterMessage::Accept { number, record } => {
+                self.acceptor.accept(from, number, record, &mut self.outputs);
             }
-            RegisterMessage::Promise { ballot, accepted_ballot, accepted, chosen } => {
+            RegisterMessage::Promise { number, accepted_number, accepted, chosen } => {
                 self.learn_from_reply(chosen);
-                self.promised(now, from.disk, ballot, attempt::PromiseReply { accepted_ballot, accepted });
+                let (proposer, mut context) = self.split(now);
+                proposer.on_promise(&mut context, from.disk, number, Promise { accepted_number, accepted });
+            }
+            RegisterMessage::Accepted { number } => {
+                let (proposer, mut context) = self.split(now);
+                proposer.on_accepted(&mut context, from.disk, number);
             }
-            RegisterMessage::Accepted { ballot } => self.accepted(now, from.disk, ballot),
-            RegisterMessage::Refused { ballot, promised, chosen } => {
-                self.highest_round = self.highest_round.max(promised.round);
+            RegisterMessage::Rejected { number, promised, chosen } => {
+                self.proposer.observe(promised);
                 self.learn_from_reply(chosen);
-                self.refused(now, ballot);
+                self.proposer.on_rejected(now, number);
             }
-            RegisterMessage::Learn(chosen) => self.learn(chosen),
+            RegisterMessage::Learn(chosen) => self.acceptor.learn(chosen, &mut self.outputs),
         }
-        self.end_task_if_overtaken();
+        let (proposer, mut context) = self.split(now);
+        proposer.end_if_overtaken(&mut context);
     }
 
     /// A write is on disk.
@@ -198,8 +153,8 @@
 
     /// Time passed: retries and timeouts. To be called every 50 ms or so.
     pub fn tick(&mut self, now: Duration) {
-        self.refresh_when_due(now);
-        self.drive_task(now);
+        let (proposer, mut context) = self.split(now);
+        proposer.tick(&mut context);
     }
 
     /// Takes what the caller must do.
@@ -207,34 +162,15 @@
         std::mem::take(&mut self.outputs)
     }
 
-    fn refresh_when_due(&mut self, now: Duration) {
-        if !self.wants_refresh || self.task.is_some() {
-            return;
-        }
-        match self.refresh_at {
-            None => self.refresh_at = Some(now + self.random.below(REFRESH_SPREAD)),
-            Some(due) if now >= due => {
-                self.refresh_at = Some(now + PROPOSAL_TIME + REFRESH_AGAIN);
-                self.refresh(now);
-            }
-            Some(_) => {}
-        }
+    /// The proposer, and what its events work on.
+    fn split(&mut self, now: Duration) -> (&mut Proposer, Context<'_>) {
+        let context = Context { now, acceptor: &mut self.acceptor, outputs: &mut self.outputs };
+        (&mut self.proposer, context)
     }
 
     fn learn_from_reply(&mut self, chosen: Option<ChosenRecord>) {
         if let Some(chosen) = chosen {
-            self.learn(chosen);
-        }
-    }
-
-    /// Takes note of a chosen record.
-    fn learn(&mut self, chosen: ChosenRecord) {
-        self.acceptor.learn(&chosen, &mut self.outputs);
-        let known = self.chosen().map(|record| record.epoch);
-        if known.is_some_and(|epoch| epoch >= chosen.record.epoch) {
-            return;
+            self.acceptor.learn(chosen, &mut self.outputs);
         }
-        self.outputs.push(RegisterOutput::Chosen(chosen.record.clone()));
-        self.chosen = Some(chosen);
     }
 }
--- a/crates/pebblepost-replication/src/register/acceptor.rs
+++ b/crates/pebblepost-replication/src/register/acceptor.rs
@@ -1,130 +1,166 @@
-//! The witness's side: promises and acceptances, told only once they are on disk.
+//! The acceptor and learner: promises and acceptances, sent only once they are on disk.
+//!
+//! Owns the witness state and the newest chosen record. It never starts a proposal.
 
 use super::message::{ChosenRecord, RegisterMessage};
-use super::{Ballot, RegisterOutput, WitnessState};
+use super::output::RegisterOutput;
+use super::proposal_number::ProposalNumber;
+use super::witness_state::WitnessState;
 use crate::guards::RegisterGuards;
 use crate::record::EpochRecord;
-use nanoserde::SerBin;
 use pebblepost_messages::{DiskId, Member};
 use std::collections::VecDeque;
 
 /// A reply that waits for a write.
 #[derive(Debug)]
-struct HeldReply {
+struct PendingReply {
     token: u64,
     to: Member,
     message: RegisterMessage,
 }
 
-/// State of a witness.
+/// Acceptor and learner of one member.
 #[derive(Debug)]
 pub(super) struct Acceptor {
-    me: DiskId,
+    local_disk: DiskId,
     guards: RegisterGuards,
     state: WitnessState,
-    issued: u64,
-    persisted: u64,
-    held: VecDeque<HeldReply>,
+    /// The newest record known to be chosen.
+    chosen: Option<ChosenRecord>,
+    /// Token of the newest write that was asked for.
+    issued_token: u64,
+    /// Token of the newest write that is on disk.
+    persisted_token: u64,
+    pending_replies: VecDeque<PendingReply>,
 }
 
 impl Acceptor {
-    pub(super) fn new(me: DiskId, state: WitnessState, guards: RegisterGuards) -> Self {
-        Self { me, guards, state, issued: 0, persisted: 0, held: VecDeque::new() }
+    /// An acceptor with this state. A founding record (epoch 0) counts as chosen.
+    pub(super) fn new(local_disk: DiskId, state: WitnessState, guards: RegisterGuards) -> Self {
+        let founding = state.accepted.clone().filter(|record| record.epoch == 0);
+        let chosen = founding.map(|record| ChosenRecord { number: ProposalNumber::default(), record });
+        Self {
+            local_disk,
+            guards,
+            state,
+            chosen,
+            issued_token: 0,
+            persisted_token: 0,
+            pending_replies: VecDeque::new(),
+        }
     }
 
+    /// The state as it is, or will be, on disk.
     pub(super) fn state(&self) -> &WitnessState {
         &self.state
     }
 
-    /// Answers a prepare; `chosen` goes along for proposers that lag behind.
+    /// The newest record known to be chosen.
+    pub(super) fn chosen(&self) -> Option<&ChosenRecord> {
+        self.chosen.as_ref()
+    }
+
+    /// Answers a prepare request. A known chosen record goes along for proposers that lag behind.
     pub(super) fn prepare(
-        &mut self, from: &Member, ballot: Ballot, known: &EpochRecord, chosen: Option<ChosenRecord>,
+        &mut self, from: &Member, number: ProposalNumber, known: &EpochRecord,
         outputs: &mut Vec<RegisterOutput>,
     ) {
         if !self.may_answer(from, known) {
             return;
         }
-        if ballot < self.state.promised {
-            self.refuse(from, ballot, chosen, outputs);
+        if number < self.state.promised {
+            self.reject(from, number, outputs);
             return;
         }
-        if ballot > self.state.promised {
-            self.state.promised = ballot;
+        if number > self.state.promised {
+            self.state.promised = number;
             self.persist(outputs);
         }
-        let accepted_ballot = self.state.accepted_ballot;
-        let accepted = self.state.accepted.clone();
-        let promise = RegisterMessage::Promise { ballot, accepted_ballot, accepted, chosen };
+        let promise = RegisterMessage::Promise {
+            number,
+            accepted_number: self.state.accepted_number,
+            accepted: self.state.accepted.clone(),
+            chosen: self.chosen.clone(),
+        };
         self.reply(from, promise, outputs);
     }
 
-    /// Answers an accept.
+    /// Answers an accept request.
     pub(super) fn accept(
-        &mut self, from: &Member, ballot: Ballot, record: EpochRecord, chosen: Option<ChosenRecord>,
+        &mut self, from: &Member, number: ProposalNumber, record: EpochRecord,
         outputs: &mut Vec<RegisterOutput>,
     ) {
         if !self.may_answer(from, &record) {
             return;
         }
-        if ballot < self.state.promised {
-            self.refuse(from, ballot, chosen, outputs);
+        if number < self.state.promised {
+            self.reject(from, number, outputs);
             return;
         }
-        if ballot > self.state.accepted_ballot {
-            self.state = WitnessState { promised: ballot, accepted_ballot: ballot, accepted: Some(record) };
+        if number > self.state.accepted_number {
+            self.state = WitnessState { promised: number, accepted_number: number, accepted: Some(record) };
             self.persist(outputs);
         }
-        self.reply(from, RegisterMessage::Accepted { ballot }, outputs);
+        self.reply(from, RegisterMessage::Accepted { number }, outputs);
     }
 
-    /// Takes over a chosen record as accepted, so that it is known after a restart.
-    pub(super) fn learn(&mut self, chosen: &ChosenRecord, outputs: &mut Vec<RegisterOutput>) {
-        if chosen.ballot <= self.state.accepted_ballot {
+    /// Takes note of a chosen record. It is stored as accepted, so that it is known after a restart.
+    pub(super) fn learn(&mut self, chosen: ChosenRecord, outputs: &mut Vec<RegisterOutput>) {
+        self.store_chosen(&chosen, outputs);
+        let known_epoch = self.chosen.as_ref().map(|known| known.record.epoch);
+        if known_epoch.is_some_and(|epoch| epoch >= chosen.record.epoch) {
             return;
         }
-        self.state.promised = self.state.promised.max(chosen.ballot);
-        self.state.accepted_ballot = chosen.ballot;
-        self.state.accepted = Some(chosen.record.clone());
-        self.persist(outputs);
+        outputs.push(RegisterOutput::Chosen(chosen.record.clone()));
+        self.chosen = Some(chosen);
     }
 
-    /// A write is on disk: the replies that waited for it go out.
+    /// A write is on disk: the replies that waited for it are sent.
     pub(super) fn persisted(&mut self, token: u64, outputs: &mut Vec<RegisterOutput>) {
-        self.persisted = self.persisted.max(token);
-        while self.held.front().is_some_and(|reply| reply.token <= self.persisted) {
-            let Some(reply) = self.held.pop_front() else { break };
-            outputs.push(send(reply.to, &reply.message));
+        self.persisted_token = self.persisted_token.max(token);
+        while let Some(reply) = self.pending_replies.pop_front_if(|reply| reply.token <= self.persisted_token)
+        {
+            outputs.push(RegisterOutput::send(reply.to, &reply.message));
+        }
+    }
+
+    fn store_chosen(&mut self, chosen: &ChosenRecord, outputs: &mut Vec<RegisterOutput>) {
+        if chosen.number <= self.state.accepted_number {
+            return;
         }
+        self.state.promised = self.state.promised.max(chosen.number);
+        self.state.accepted_number = chosen.number;
+        self.state.accepted = Some(chosen.record.clone());
+        self.persist(outputs);
     }
 
-    /// A disk that knows no record has promised nothing and answers only where the record at
-    /// hand names it; a proposer always answers itself, so that no ballot is used twice.
+    /// A disk without any record has promised nothing and answers only where the record at hand
+    /// names it as a witness. A proposer always answers itself, so that no number is used twice.
     fn may_answer(&self, from: &Member, record: &EpochRecord) -> bool {
-        self.state.accepted.is_some() || from.disk == self.me || record.is_witness(self.me)
+        self.state.accepted.is_some() || from.disk == self.local_disk || record.is_witness(self.local_disk)
     }
 
-    fn refuse(
-        &self, to: &Member, ballot: Ballot, chosen: Option<ChosenRecord>, outputs: &mut Vec<RegisterOutput>,
-    ) {
-        let message = RegisterMessage::Refused { ballot, promised: self.state.promised, chosen };
-        outputs.push(send(to.clone(), &message));
+    fn reject(&self, to: &Member, number: ProposalNumber, outputs: &mut Vec<RegisterOutput>) {
+        let (promised, chosen) = (self.state.promised, self.chosen.clone());
+        let message = RegisterMessage::Rejected { number, promised, chosen };
+        outputs.push(RegisterOutput::send(to.clone(), &message));
     }
 
     fn persist(&mut self, outputs: &mut Vec<RegisterOutput>) {
-        self.issued += 1;
-        outputs.push(RegisterOutput::Persist { token: self.issued, state: self.state.clone() });
+        self.issued_token += 1;
+        outputs.push(RegisterOutput::Persist { token: self.issued_token, state: self.state.clone() });
     }
 
+    /// Sends a reply once all that it tells of is on disk.
     fn reply(&mut self, to: &Member, message: RegisterMessage, outputs: &mut Vec<RegisterOutput>) {
-        if self.persisted >= self.issued || !self.guards.persisted_before_reply {
-            outputs.push(send(to.clone(), &message));
+        if self.persisted_token >= self.issued_token || !self.guards.persisted_before_reply {
+            outputs.push(RegisterOutput::send(to.clone(), &message));
         } else {
-            self.held.push_back(HeldReply { token: self.issued, to: to.clone(), message });
+            self.pending_replies.push_back(PendingReply {
+                token: self.issued_token,
+                to: to.clone(),
+                message,
+            });
         }
     }
 }
-
-/// A message to a member.
-pub(super) fn send(to: Member, message: &RegisterMessage) -> RegisterOutput {
-    RegisterOutput::Send { to, message: message.serialize_bin() }
-}
--- a/crates/pebblepost-replication/src/register/attempt.rs
+++ b/crates/pebblepost-replication/src/register/attempt.rs
@@ -1,68 +1,68 @@
-//! One ballot of a proposer: who was asked, who answered.
+//! One attempt of a proposer: who was asked under its number, who answered.
 
-use super::Ballot;
+use super::proposal_number::ProposalNumber;
 use crate::record::EpochRecord;
 use pebblepost_messages::DiskId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What the proposer wants.
-#[derive(Clone, Debug)]
-pub(super) enum Goal {
-    /// To know the newest chosen record.
-    Refresh,
-    /// To have a record chosen after epoch `expected`.
-    Propose { expected: u64, record: EpochRecord },
+/// What a witness had accepted when it promised.
+#[derive(Debug)]
+pub(super) struct Promise {
+    pub(super) accepted_number: ProposalNumber,
+    pub(super) accepted: Option<EpochRecord>,
 }
 
-/// A goal and how long it is pursued.
-#[derive(Debug)]
-pub(super) struct Task {
-    pub(super) goal: Goal,
-    pub(super) deadline: Duration,
-    pub(super) failures: u32,
-    /// When the next ballot starts, while none is under way.
-    pub(super) retry_at: Duration,
+impl Promise {
+    /// The accepted record and its number, if there is one.
+    fn accepted_under(&self) -> Option<(ProposalNumber, &EpochRecord)> {
+        self.accepted.as_ref().map(|record| (self.accepted_number, record))
+    }
 }
 
-/// What a witness had accepted when it promised.
-#[derive(Debug)]
-pub(super) struct PromiseReply {
-    pub(super) accepted_ballot: Ballot,
-    pub(super) accepted: Option<EpochRecord>,
+/// The promises of one attempt, by the disk that made them.
+#[derive(Debug, Default)]
+pub(super) struct Promises(BTreeMap<DiskId, Promise>);
+
+impl Promises {
+    pub(super) fn insert(&mut self, disk: DiskId, promise: Promise) {
+        self.0.insert(disk, promise);
+    }
+
+    /// The disks that promised.
+    pub(super) fn disks(&self) -> BTreeSet<DiskId> {
+        self.0.keys().copied().collect()
+    }
+
+    /// The record accepted under the highest number, and that number.
+    pub(super) fn highest_accepted(&self) -> Option<(ProposalNumber, &EpochRecord)> {
+        let accepted = self.0.values().filter_map(Promise::accepted_under);
+        accepted.max_by_key(|(number, _)| *number)
+    }
+
+    /// The disks that had accepted a record under this number.
+    pub(super) fn disks_accepted_under(&self, number: ProposalNumber) -> BTreeSet<DiskId> {
+        let is_accepted =
+            |promise: &Promise| promise.accepted_under().is_some_and(|accepted| accepted.0 == number);
+        self.0.iter().filter(|(_, promise)| is_accepted(promise)).map(|(disk, _)| *disk).collect()
+    }
 }
 
-/// The two rounds of a ballot.
+/// The two phases of Paxos.
 #[derive(Debug)]
 pub(super) enum Phase {
-    /// Promises are collected.
-    Prepare { known: EpochRecord, replies: BTreeMap<DiskId, PromiseReply> },
+    /// Promises are collected. `known` is the record whose witnesses were asked first.
+    Prepare { known: EpochRecord, promises: Promises },
     /// Acceptances are collected. `previous` is the record that it follows, where it is new.
-    Accept { record: EpochRecord, previous: Option<EpochRecord>, answered: BTreeSet<DiskId> },
+    Accept { record: EpochRecord, previous: Option<EpochRecord>, accepted_by: BTreeSet<DiskId> },
 }
 
-/// One ballot under way.
+/// An attempt in progress.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    pub(super) ballot: Ballot,
+    pub(super) number: ProposalNumber,
     pub(super) deadline: Duration,
-    pub(super) asked: BTreeSet<DiskId>,
+    /// Disks that were sent the prepare request.
+    pub(super) prepared: BTreeSet<DiskId>,
     pub(super) phase: Phase,
 }
-
-/// The promise with the highest accepted ballot.
-pub(super) fn newest(replies: &BTreeMap<DiskId, PromiseReply>) -> Option<(Ballot, &EpochRecord)> {
-    replies
-        .values()
-        .filter_map(|reply| reply.accepted.as_ref().map(|record| (reply.accepted_ballot, record)))
-        .max_by_key(|(ballot, _)| *ballot)
-}
-
-/// The disks that reported this accepted ballot.
-pub(super) fn disks_at(replies: &BTreeMap<DiskId, PromiseReply>, ballot: Ballot) -> BTreeSet<DiskId> {
-    replies
-        .iter()
-        .filter(|(_, reply)| reply.accepted.is_some() && reply.accepted_ballot == ballot)
-        .map(|(disk, _)| *disk)
-        .collect()
-}
--- a/crates/pebblepost-replication/src/register/message.rs
+++ b/crates/pebblepost-replication/src/register/message.rs
@@ -1,34 +1,34 @@
-//! Messages between the members of a register.
+//! Messages between the members of a register. The order of variants and fields is the wire form.
 
-use super::Ballot;
+use super::proposal_number::ProposalNumber;
 use crate::record::EpochRecord;
 use nanoserde::{DeBin, SerBin};
 
-/// A record that is known to be chosen, with a ballot under which it was.
+/// A record that is known to be chosen, with a proposal number under which it was.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ChosenRecord {
-    pub ballot: Ballot,
+    pub number: ProposalNumber,
     pub record: EpochRecord,
 }
 
 /// A message of the register.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum RegisterMessage {
-    /// First round: asks for a promise. `known` is the record whose witnesses are asked.
-    Prepare { ballot: Ballot, known: EpochRecord },
-    /// Answer to a prepare.
+    /// Phase 1: asks for a promise. `known` is the record whose witnesses are asked.
+    Prepare { number: ProposalNumber, known: EpochRecord },
+    /// Answer to a prepare request.
     Promise {
-        ballot: Ballot,
-        accepted_ballot: Ballot,
+        number: ProposalNumber,
+        accepted_number: ProposalNumber,
         accepted: Option<EpochRecord>,
         chosen: Option<ChosenRecord>,
     },
-    /// Second round: asks to accept a record.
-    Accept { ballot: Ballot, record: EpochRecord },
-    /// Answer to an accept.
-    Accepted { ballot: Ballot },
-    /// A higher ballot was promised.
-    Refused { ballot: Ballot, promised: Ballot, chosen: Option<ChosenRecord> },
+    /// Phase 2: asks to accept a record.
+    Accept { number: ProposalNumber, record: EpochRecord },
+    /// Answer to an accept request.
+    Accepted { number: ProposalNumber },
+    /// A higher number was promised.
+    Rejected { number: ProposalNumber, promised: ProposalNumber, chosen: Option<ChosenRecord> },
     /// A record was chosen.
     Learn(ChosenRecord),
 }
--- a/crates/pebblepost-replication/src/register/proposer.rs
+++ b/crates/pebblepost-replication/src/register/proposer.rs
@@ -1,22 +1,51 @@
-//! The proposer's side: ballots, retries, completion of what is found half accepted.
+//! The proposer: attempts, retries, and completion of records that are accepted but not chosen.
+//!
+//! Owns the operation in progress. It never answers for the local acceptor, which it only reads and
+//! hands chosen records to.
 
-use super::acceptor::send;
-use super::attempt::{Attempt, Goal, Phase, PromiseReply, Task, disks_at, newest};
+use super::acceptor::Acceptor;
+use super::attempt::{Attempt, Phase, Promise, Promises};
 use super::message::{ChosenRecord, RegisterMessage};
-use super::{Ballot, PROPOSAL_TIME, Register, RegisterOutput};
+use super::operation::{Goal, Operation, REFRESH_INTERVAL};
+use super::output::RegisterOutput;
+use super::proposal_number::ProposalNumber;
+use crate::guards::RegisterGuards;
+use crate::random::Random;
 use crate::record::{EpochRecord, has_majority};
 use pebblepost_messages::{DiskId, Member};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long one ballot may take before the next.
-const BALLOT_TIME: Duration = Duration::from_millis(250);
-/// Back-off after a refused ballot, doubled with every failure.
-const BACKOFF: Duration = Duration::from_millis(20);
-/// Doublings of the back-off.
-const MOST_DOUBLINGS: u32 = 4;
+/// How long one phase of an attempt may take before the next attempt.
+const PHASE_TIMEOUT: Duration = Duration::from_millis(250);
+/// The first refresh after a restart comes at random within this time.
+const REFRESH_JITTER: Duration = Duration::from_millis(200);
 
-/// What follows once promises of a quorum are there.
+/// What an event works on beside the proposer itself.
+pub(super) struct Context<'a> {
+    pub(super) now: Duration,
+    pub(super) acceptor: &'a mut Acceptor,
+    pub(super) outputs: &'a mut Vec<RegisterOutput>,
+}
+
+impl Context<'_> {
+    fn chosen(&self) -> Option<&EpochRecord> {
+        self.acceptor.chosen().map(|chosen| &chosen.record)
+    }
+
+    fn send(&mut self, to: Member, message: &RegisterMessage) {
+        self.outputs.push(RegisterOutput::send(to, message));
+    }
+}
+
+/// When the newest chosen record is asked for, if it is unknown since the start.
+#[derive(Debug)]
+struct RefreshSchedule {
+    is_needed: bool,
+    due_at: Option<Duration>,
+}
+
+/// What follows once a quorum has promised.
 enum Decision {
     Finish,
     Reject,
@@ -24,64 +53,131 @@
     Write { record: EpochRecord, previous: Option<EpochRecord> },
 }
 
-impl Register {
-    pub(super) fn start(&mut self, now: Duration, goal: Goal) {
-        let deadline = now + PROPOSAL_TIME;
-        self.task = Some(Task { goal, deadline, failures: 0, retry_at: now });
+/// The proposer of one member.
+#[derive(Debug)]
+pub(super) struct Proposer {
+    local: Member,
+    guards: RegisterGuards,
+    operation: Option<Operation>,
+    attempt: Option<Attempt>,
+    /// Highest counter of any proposal number seen.
+    highest_counter: u64,
+    refresh: RefreshSchedule,
+    random: Random,
+}
+
+impl Proposer {
+    /// A proposer that has seen this counter. `needs_refresh`: the local disk has held a state
+    /// before, so that the newest chosen record may be elsewhere.
+    pub(super) fn new(
+        local: Member, guards: RegisterGuards, highest_counter: u64, needs_refresh: bool, random: Random,
+    ) -> Self {
+        Self {
+            local,
+            guards,
+            operation: None,
+            attempt: None,
+            highest_counter,
+            refresh: RefreshSchedule { is_needed: needs_refresh, due_at: None },
+            random,
+        }
+    }
+
+    /// Whether an operation is in progress.
+    pub(super) fn is_busy(&self) -> bool {
+        self.operation.is_some()
+    }
+
+    /// Whether the operation in progress is a proposal.
+    pub(super) fn is_proposing(&self) -> bool {
+        matches!(&self.operation, Some(Operation { goal: Goal::Propose { .. }, .. }))
+    }
+
+    /// Starts an operation in place of the one in progress.
+    pub(super) fn start(&mut self, context: &mut Context<'_>, goal: Goal) {
+        self.operation = Some(Operation::new(goal, context.now));
         self.attempt = None;
-        self.begin_ballot(now);
+        self.begin_attempt(context);
     }
 
-    pub(super) fn drive_task(&mut self, now: Duration) {
-        let Some(task) = &self.task else { return };
-        if now >= task.deadline {
-            self.fail_task();
+    /// Starts the refresh, ends and retries attempts whose time has come.
+    pub(super) fn tick(&mut self, context: &mut Context<'_>) {
+        self.refresh_when_due(context);
+        let Some(operation) = &self.operation else { return };
+        if context.now >= operation.deadline {
+            self.fail_operation(context);
             return;
         }
-        if self.attempt.as_ref().is_some_and(|attempt| now >= attempt.deadline) {
-            self.back_off(now);
+        if self.attempt.as_ref().is_some_and(|attempt| context.now >= attempt.deadline) {
+            self.back_off(context.now);
         }
-        let is_due = self.task.as_ref().is_some_and(|task| now >= task.retry_at);
+        let is_due = self.operation.as_ref().is_some_and(|operation| context.now >= operation.retry_at);
         if self.attempt.is_none() && is_due {
-            self.begin_ballot(now);
+            self.begin_attempt(context);
         }
     }
 
-    pub(super) fn promised(&mut self, now: Duration, from: DiskId, ballot: Ballot, reply: PromiseReply) {
-        let Some(attempt) = self.attempt.as_mut().filter(|attempt| attempt.ballot == ballot) else { return };
-        let Phase::Prepare { replies, .. } = &mut attempt.phase else { return };
-        replies.insert(from, reply);
-        self.check_promises(now);
+    /// A witness has promised.
+    pub(super) fn on_promise(
+        &mut self, context: &mut Context<'_>, from: DiskId, number: ProposalNumber, promise: Promise,
+    ) {
+        let Some(attempt) = self.attempt.as_mut().filter(|attempt| attempt.number == number) else { return };
+        let Phase::Prepare { promises, .. } = &mut attempt.phase else { return };
+        promises.insert(from, promise);
+        self.check_promises(context);
     }
 
-    pub(super) fn accepted(&mut self, now: Duration, from: DiskId, ballot: Ballot) {
-        let Some(attempt) = self.attempt.as_mut().filter(|attempt| attempt.ballot == ballot) else { return };
-        let Phase::Accept { record, previous, answered } = &mut attempt.phase else { return };
-        answered.insert(from);
-        let (record, previous, answered) = (record.clone(), previous.clone(), answered.clone());
-        let follows_quorum = previous.is_none_or(|previous| self.is_quorum(&previous, &answered));
-        if self.is_quorum(&record, &answered) && follows_quorum {
-            self.record_chosen(now, ballot, record);
+    /// A witness has accepted.
+    pub(super) fn on_accepted(&mut self, context: &mut Context<'_>, from: DiskId, number: ProposalNumber) {
+        let Some(attempt) = self.attempt.as_mut().filter(|attempt| attempt.number == number) else { return };
+        let Phase::Accept { record, previous, accepted_by } = &mut attempt.phase else { return };
+        accepted_by.insert(from);
+        let (record, previous, accepted_by) = (record.clone(), previous.clone(), accepted_by.clone());
+        let has_previous_quorum = previous.is_none_or(|previous| self.is_quorum(&previous, &accepted_by));
+        if self.is_quorum(&record, &accepted_by) && has_previous_quorum {
+            self.on_chosen(context, number, record);
         }
     }
 
-    pub(super) fn refused(&mut self, now: Duration, ballot: Ballot) {
-        if self.attempt.as_ref().is_some_and(|attempt| attempt.ballot == ballot) {
+    /// A witness has promised a higher number.
+    pub(super) fn on_rejected(&mut self, now: Duration, number: ProposalNumber) {
+        if self.attempt.as_ref().is_some_and(|attempt| attempt.number == number) {
             self.back_off(now);
         }
     }
 
+    /// Takes note of a number that some witness has promised.
+    pub(super) fn observe(&mut self, promised: ProposalNumber) {
+        self.highest_counter = self.highest_counter.max(promised.counter);
+    }
+
     /// Ends a proposal that another record overtook, or that turns out to be chosen.
-    pub(super) fn end_task_if_overtaken(&mut self) {
-        let Some(Task { goal: Goal::Propose { expected, record }, .. }) = &self.task else { return };
-        let Some(chosen) = &self.chosen else { return };
-        if chosen.record.epoch <= *expected {
+    pub(super) fn end_if_overtaken(&mut self, context: &mut Context<'_>) {
+        let Some(Operation { goal: Goal::Propose { expected, record }, .. }) = &self.operation else {
+            return;
+        };
+        let Some(chosen) = context.chosen() else { return };
+        if chosen.epoch <= *expected {
             return;
         }
-        if chosen.record == *record {
-            self.finish_task();
+        if chosen == record {
+            self.finish_operation();
         } else {
-            self.fail_task();
+            self.fail_operation(context);
+        }
+    }
+
+    fn refresh_when_due(&mut self, context: &mut Context<'_>) {
+        if !self.refresh.is_needed || self.is_busy() {
+            return;
+        }
+        match self.refresh.due_at {
+            None => self.refresh.due_at = Some(context.now + self.random.duration_below(REFRESH_JITTER)),
+            Some(due_at) if context.now >= due_at => {
+                self.refresh.due_at = Some(context.now + REFRESH_INTERVAL);
+                self.start(context, Goal::Refresh);
+            }
+            Some(_) => {}
         }
     }
 
@@ -93,94 +189,87 @@
         }
     }
 
-    /// The newest record known here, chosen or not: its witnesses are asked first.
-    fn newest_known(&self) -> Option<EpochRecord> {
-        let state = self.acceptor.state();
-        match (&self.chosen, &state.accepted) {
-            (Some(chosen), Some(accepted)) if state.accepted_ballot > chosen.ballot => Some(accepted.clone()),
-            (Some(chosen), _) => Some(chosen.record.clone()),
-            (None, accepted) => accepted.clone(),
-        }
-    }
-
-    fn begin_ballot(&mut self, now: Duration) {
-        let Some(known) = self.newest_known() else {
-            self.fail_task();
+    fn begin_attempt(&mut self, context: &mut Context<'_>) {
+        let Some(known) = newest_known(context.acceptor) else {
+            self.fail_operation(context);
             return;
         };
-        let promised = self.acceptor.state().promised.round;
-        self.highest_round = self.highest_round.max(promised) + 1;
-        let ballot = Ballot { round: self.highest_round, proposer: self.me.disk };
+        let promised = context.acceptor.state().promised.counter;
+        self.highest_counter = self.highest_counter.max(promised) + 1;
         self.attempt = Some(Attempt {
-            ballot,
-            deadline: now + BALLOT_TIME,
-            asked: BTreeSet::new(),
-            phase: Phase::Prepare { known: known.clone(), replies: BTreeMap::new() },
+            number: ProposalNumber { counter: self.highest_counter, proposer: self.local.disk },
+            deadline: context.now + PHASE_TIMEOUT,
+            prepared: BTreeSet::new(),
+            phase: Phase::Prepare { known: known.clone(), promises: Promises::default() },
         });
-        // Itself always: a ballot is on its own disk before anything is proposed under it, so
-        // that no later life uses it again.
-        let me = self.me.clone();
-        self.ask(&known, std::iter::once(&me));
-        self.ask(&known, known.all_witnesses());
+        // Itself always: a number is on its own disk before anything is proposed under it, so that
+        // no later incarnation uses it again.
+        let local = self.local.clone();
+        self.send_prepare(context, &known, std::iter::once(&local));
+        self.send_prepare(context, &known, known.all_witnesses());
     }
 
-    /// Sends the prepare to those that were not asked yet.
-    fn ask<'a>(&mut self, known: &EpochRecord, members: impl Iterator<Item = &'a Member>) {
+    /// Sends the prepare request to those that have not been sent it yet.
+    fn send_prepare<'a>(
+        &mut self, context: &mut Context<'_>, known: &EpochRecord, members: impl Iterator<Item = &'a Member>,
+    ) {
         let Some(attempt) = &mut self.attempt else { return };
         for member in members {
-            if attempt.asked.insert(member.disk) {
-                let prepare = RegisterMessage::Prepare { ballot: attempt.ballot, known: known.clone() };
-                self.outputs.push(send(member.clone(), &prepare));
+            if attempt.prepared.insert(member.disk) {
+                let prepare = RegisterMessage::Prepare { number: attempt.number, known: known.clone() };
+                context.send(member.clone(), &prepare);
             }
         }
     }
 
-    /// Asks the witnesses of the newest record seen, too, and goes on once they are a quorum.
-    fn check_promises(&mut self, now: Duration) {
-        let Some(Attempt { phase: Phase::Prepare { known, replies }, .. }) = &self.attempt else { return };
-        let chosen_epoch = self.chosen().map_or(0, |record| record.epoch);
-        let seen = newest(replies).map(|(_, record)| record);
-        let required = seen.filter(|record| record.epoch >= chosen_epoch);
-        let required = required.or(self.chosen()).unwrap_or(known).clone();
-        let answered: BTreeSet<DiskId> = replies.keys().copied().collect();
-        self.ask(&required, required.all_witnesses());
-        if answered.contains(&self.me.disk) && self.is_quorum(&required, &answered) {
-            self.carry_out(now);
+    /// Asks the witnesses of the newest record seen as well, and goes on once they are a quorum.
+    fn check_promises(&mut self, context: &mut Context<'_>) {
+        let Some(Attempt { phase: Phase::Prepare { known, promises }, .. }) = &self.attempt else { return };
+        let chosen = context.chosen();
+        let chosen_epoch = chosen.map_or(0, |record| record.epoch);
+        let accepted = promises.highest_accepted().map(|(_, record)| record);
+        let required = accepted.filter(|record| record.epoch >= chosen_epoch);
+        let required = required.or(chosen).unwrap_or(known).clone();
+        let promised_by = promises.disks();
+        self.send_prepare(context, &required, required.all_witnesses());
+        if promised_by.contains(&self.local.disk) && self.is_quorum(&required, &promised_by) {
+            self.on_promise_quorum(context);
         }
     }
 
-    fn carry_out(&mut self, now: Duration) {
-        match self.decide() {
-            Decision::Finish => self.finish_task(),
-            Decision::Reject => self.fail_task(),
-            Decision::Retry => self.back_off(now),
-            Decision::Write { record, previous } => self.write(now, record, previous),
+    fn on_promise_quorum(&mut self, context: &mut Context<'_>) {
+        match self.decide(context) {
+            Decision::Finish => self.finish_operation(),
+            Decision::Reject => self.fail_operation(context),
+            Decision::Retry => self.back_off(context.now),
+            Decision::Write { record, previous } => self.send_accept(context, record, previous),
         }
     }
 
-    fn decide(&mut self) -> Decision {
-        let Some(Attempt { phase: Phase::Prepare { replies, .. }, .. }) = &self.attempt else {
+    fn decide(&self, context: &mut Context<'_>) -> Decision {
+        let Some(Attempt { phase: Phase::Prepare { promises, .. }, .. }) = &self.attempt else {
             return Decision::Retry;
         };
-        let Some((ballot, found)) = newest(replies) else { return Decision::Retry };
-        let found = found.clone();
-        if self.chosen().is_some_and(|chosen| chosen.epoch > found.epoch) {
+        let Some((number, accepted)) = promises.highest_accepted() else { return Decision::Retry };
+        let chosen = context.chosen();
+        if chosen.is_some_and(|chosen| chosen.epoch > accepted.epoch) {
             return Decision::Retry;
         }
-        let is_known = self.chosen() == Some(&found);
-        let is_chosen = is_known || self.is_quorum(&found, &disks_at(replies, ballot));
-        if !is_chosen && self.guards.complete_found {
-            return Decision::Write { record: found, previous: None };
+        let is_known = chosen == Some(accepted);
+        let is_chosen = is_known || self.is_quorum(accepted, &promises.disks_accepted_under(number));
+        let accepted = accepted.clone();
+        if !is_chosen && self.guards.completes_accepted {
+            return Decision::Write { record: accepted, previous: None };
         }
         if !is_known {
-            self.announce(ChosenRecord { ballot, record: found.clone() });
+            self.announce(context, ChosenRecord { number, record: accepted.clone() });
         }
-        self.decide_on_chosen(found)
+        self.decide_after(accepted)
     }
 
     /// What the goal asks for once the newest chosen record is known.
-    fn decide_on_chosen(&self, chosen: EpochRecord) -> Decision {
-        let Some(Task { goal, .. }) = &self.task else { return Decision::Finish };
+    fn decide_after(&self, chosen: EpochRecord) -> Decision {
+        let Some(Operation { goal, .. }) = &self.operation else { return Decision::Finish };
         match goal {
             Goal::Refresh => Decision::Finish,
             Goal::Propose { record, .. } if *record == chosen => Decision::Finish,
@@ -194,65 +283,74 @@
         }
     }
 
-    fn write(&mut self, now: Duration, record: EpochRecord, previous: Option<EpochRecord>) {
+    /// Phase 2: asks the witnesses of the record, and of the one before it, to accept.
+    fn send_accept(&mut self, context: &mut Context<'_>, record: EpochRecord, previous: Option<EpochRecord>) {
         let Some(attempt) = &mut self.attempt else { return };
-        attempt.deadline = now + BALLOT_TIME;
-        let mut receivers: BTreeMap<DiskId, Member> = BTreeMap::new();
+        attempt.deadline = context.now + PHASE_TIMEOUT;
         let records = std::iter::once(&record).chain(previous.as_ref());
-        for member in records.flat_map(|record| record.all_witnesses()) {
-            receivers.insert(member.disk, member.clone());
-        }
-        let accept = RegisterMessage::Accept { ballot: attempt.ballot, record: record.clone() };
-        attempt.phase = Phase::Accept { record, previous, answered: BTreeSet::new() };
+        let receivers = by_disk(records.flat_map(EpochRecord::all_witnesses));
+        let accept = RegisterMessage::Accept { number: attempt.number, record: record.clone() };
+        attempt.phase = Phase::Accept { record, previous, accepted_by: BTreeSet::new() };
         for member in receivers.into_values() {
-            self.outputs.push(send(member, &accept));
+            context.send(member, &accept);
         }
     }
 
-    fn record_chosen(&mut self, now: Duration, ballot: Ballot, record: EpochRecord) {
-        self.announce(ChosenRecord { ballot, record: record.clone() });
-        match self.decide_on_chosen(record) {
-            Decision::Finish => self.finish_task(),
-            Decision::Reject => self.fail_task(),
-            Decision::Retry | Decision::Write { .. } => self.begin_ballot(now),
+    fn on_chosen(&mut self, context: &mut Context<'_>, number: ProposalNumber, record: EpochRecord) {
+        self.announce(context, ChosenRecord { number, record: record.clone() });
+        match self.decide_after(record) {
+            Decision::Finish => self.finish_operation(),
+            Decision::Reject => self.fail_operation(context),
+            Decision::Retry | Decision::Write { .. } => self.begin_attempt(context),
         }
     }
 
-    /// Tells everybody whom it concerns that a record is chosen.
-    fn announce(&mut self, chosen: ChosenRecord) {
-        let mut receivers: BTreeMap<DiskId, Member> = BTreeMap::new();
+    /// Sends a chosen record to its witnesses and replicas, and learns it here.
+    fn announce(&self, context: &mut Context<'_>, chosen: ChosenRecord) {
         let replicas = chosen.record.in_sync.iter();
-        for member in chosen.record.all_witnesses().chain(replicas) {
-            receivers.insert(member.disk, member.clone());
-        }
-        receivers.remove(&self.me.disk);
+        let mut receivers = by_disk(chosen.record.all_witnesses().chain(replicas));
+        receivers.remove(&self.local.disk);
         let learn = RegisterMessage::Learn(chosen.clone());
         for member in receivers.into_values() {
-            self.outputs.push(send(member, &learn));
+            context.send(member, &learn);
         }
-        self.learn(chosen);
+        context.acceptor.learn(chosen, context.outputs);
     }
 
     fn back_off(&mut self, now: Duration) {
         self.attempt = None;
-        let Some(task) = &mut self.task else { return };
-        let most = BACKOFF * (1 << task.failures.min(MOST_DOUBLINGS));
-        task.failures += 1;
-        task.retry_at = now + self.random.below(most);
+        let Some(operation) = &mut self.operation else { return };
+        let max_backoff = operation.fail_attempt();
+        operation.retry_at = now + self.random.duration_below(max_backoff);
     }
 
-    fn finish_task(&mut self) {
-        if matches!(&self.task, Some(Task { goal: Goal::Refresh, .. })) {
-            self.wants_refresh = false;
+    fn finish_operation(&mut self) {
+        if matches!(&self.operation, Some(Operation { goal: Goal::Refresh, .. })) {
+            self.refresh.is_needed = false;
         }
-        self.task = None;
+        self.operation = None;
         self.attempt = None;
     }
 
-    fn fail_task(&mut self) {
+    fn fail_operation(&mut self, context: &mut Context<'_>) {
         self.attempt = None;
-        if let Some(Task { goal: Goal::Propose { record, .. }, .. }) = self.task.take() {
-            self.outputs.push(RegisterOutput::Rejected { epoch: record.epoch });
+        if let Some(Operation { goal: Goal::Propose { record, .. }, .. }) = self.operation.take() {
+            context.outputs.push(RegisterOutput::Rejected { epoch: record.epoch });
         }
     }
 }
+
+/// The newest record known to the acceptor, chosen or not: its witnesses are asked first.
+fn newest_known(acceptor: &Acceptor) -> Option<EpochRecord> {
+    let state = acceptor.state();
+    match (acceptor.chosen(), &state.accepted) {
+        (Some(chosen), Some(accepted)) if state.accepted_number > chosen.number => Some(accepted.clone()),
+        (Some(chosen), _) => Some(chosen.record.clone()),
+        (None, accepted) => accepted.clone(),
+    }
+}
+
+/// Each member once, in the order of the disks; the last one given counts.
+fn by_disk<'a>(members: impl Iterator<Item = &'a Member>) -> BTreeMap<DiskId, Member> {
+    members.map(|member| (member.disk, member.clone())).collect()
+}
--- a/crates/pebblepost-replication/src/replica.rs
+++ b/crates/pebblepost-replication/src/replica.rs
@@ -268,7 +268,7 @@
     pub fn change_ended(&mut self, now: Duration) {
         self.advance(now);
         self.change.requests_in_flight = self.change.requests_in_flight.saturating_sub(1);
-        let pause = self.settings.beacon + self.random.below(self.settings.beacon * 2);
+        let pause = self.settings.beacon + self.random.duration_below(self.settings.beacon * 2);
         self.change.retry_at = now + pause;
     }
 
--- a/crates/pebblepost-replication/tests/guards.rs
+++ b/crates/pebblepost-replication/tests/guards.rs
@@ -43,7 +43,7 @@
 #[case::old_epochs_refused(without_replica(Plan::Wild, |guards| guards.old_epochs_refused = false), 0)]
 #[case::former_majority(without_register(|guards| guards.former_majority = false), 200)]
 #[case::persisted_before_reply(without_register(|guards| guards.persisted_before_reply = false), 0)]
-#[case::complete_found(without_register(|guards| guards.complete_found = false), 100)]
+#[case::completes_accepted(without_register(|guards| guards.completes_accepted = false), 100)]
 #[case::wiped_keeps_identity(with_kept_identity(Plan::Borne), 0)]
 #[case::second_loss_after_a_commit_on_too_few(without_commit_on_all(), 0)]
 #[case::second_loss_with_an_old_identity(with_kept_identity(Plan::SecondLoss), 0)]
--- a/crates/pebblepost-replication/tests/pinned_bytes.rs
+++ b/crates/pebblepost-replication/tests/pinned_bytes.rs
@@ -54,7 +54,7 @@
     let bytes: Vec<u8> = numbers.iter().flat_map(|number| number.to_le_bytes()).collect();
     let (promised, accepted) = bytes.split_at(16);
     state.promised = DeBin::deserialize_bin(promised).expect("a proposal number");
-    state.accepted_ballot = DeBin::deserialize_bin(accepted).expect("a proposal number");
+    state.accepted_number = DeBin::deserialize_bin(accepted).expect("a proposal number");
     state
 }
 
