--- /dev/null
+++ b/crates/pebblepost-replication/src/replica/handover.rs
@@ -0,0 +1,35 @@
+//! Handing the primary's role over, where the primary itself is not a target any more.
+
+use super::core::Replica;
+use super::state_machine::StateMachine;
+use pebblepost_messages::{DiskId, Member};
+
+impl<S: StateMachine> Replica<S> {
+    /// Steps towards a successor among the others: first the log drains, then the change is
+    /// requested. False where no successor can be named.
+    pub(super) fn hand_over(&mut self, in_sync: &[Member]) -> bool {
+        let others: Vec<Member> =
+            in_sync.iter().filter(|member| member.disk != self.local.disk).cloned().collect();
+        let Some(successor) = self.successor_among(&others) else { return false };
+        // Only who leads can promise that no older primary acts any more.
+        if !self.settings.tolerance.is_met_by(&others) || !self.holds_lease(self.now) {
+            return false;
+        }
+        let (now, drain_timeout) = (self.now, self.settings.most_lag);
+        let is_drained = self.commit_index == self.log.last_index();
+        let Some(primary) = self.primary_mut() else { return false };
+        let draining_since = *primary.draining_since.get_or_insert(now);
+        if is_drained || now.saturating_sub(draining_since) > drain_timeout {
+            self.request_epoch(successor, others);
+        }
+        true
+    }
+
+    /// The most advanced replica that is a target.
+    fn successor_among(&self, others: &[Member]) -> Option<DiskId> {
+        let primary = self.primary()?;
+        let targets = others.iter().filter(|member| self.is_target(member.disk));
+        let matched = |member: &&Member| primary.progress.matched(member.disk);
+        targets.max_by_key(matched).map(|member| member.disk)
+    }
+}
--- a/crates/pebblepost-replication/src/replica/log.rs
+++ b/crates/pebblepost-replication/src/replica/log.rs
@@ -1,4 +1,6 @@
-//! The log of a replica in memory: a base that the state covers, and the entries after it.
+//! The log of a replica in memory: a base that the state machine covers, and the entries after it.
+//!
+//! Indexes start at 1. The log never reads or writes a disk.
 
 use crate::codec::Blob;
 use nanoserde::{DeBin, SerBin};
@@ -55,8 +57,8 @@
     /// Entries from an index on, with their indexes.
     pub(super) fn entries_from(&self, index: u64) -> impl Iterator<Item = (u64, &LogEntry)> {
         let first = index.max(self.base_index + 1);
-        let skipped = usize::try_from(first - self.base_index - 1).unwrap_or(usize::MAX);
-        (first..).zip(self.entries.iter().skip(skipped))
+        let skip_count = usize::try_from(first - self.base_index - 1).unwrap_or(usize::MAX);
+        (first..).zip(self.entries.iter().skip(skip_count))
     }
 
     /// Appends an entry; its index.
@@ -74,9 +76,9 @@
         }
     }
 
-    /// Forgets the oldest entries up to `most_index` until at most `most_bytes` are kept.
-    pub(super) fn trim(&mut self, most_index: u64, most_bytes: usize) {
-        while self.bytes > most_bytes && self.base_index < most_index {
+    /// Drops the oldest entries up to `max_index` until at most `max_bytes` are kept.
+    pub(super) fn trim(&mut self, max_index: u64, max_bytes: usize) {
+        while self.bytes > max_bytes && self.base_index < max_index {
             let Some(entry) = self.entries.pop_front() else { return };
             self.bytes -= entry.data.0.len();
             self.base_index += 1;
@@ -89,11 +91,11 @@
         *self = Self { base_index: index, base_epoch: epoch, ..Self::default() };
     }
 
-    /// Newest index up to `most_index` whose epoch is at most `most_epoch`; `None` if it is not
+    /// Newest index up to `max_index` whose epoch is at most `max_epoch`; `None` if it is not
     /// kept. Logs that differ can agree no further than this.
-    pub(super) fn newest_at_most(&self, most_index: u64, most_epoch: u64) -> Option<u64> {
-        let mut index = most_index.min(self.last_index());
-        while self.epoch_at(index)? > most_epoch {
+    pub(super) fn last_index_at_most(&self, max_index: u64, max_epoch: u64) -> Option<u64> {
+        let mut index = max_index.min(self.last_index());
+        while self.epoch_at(index)? > max_epoch {
             index = index.checked_sub(1)?;
         }
         Some(index)
--- /dev/null
+++ b/crates/pebblepost-replication/src/replica/removal_state.rs
@@ -0,0 +1,56 @@
+//! What a replica has confirmed, and its requests to be removed.
+
+use std::time::Duration;
+
+/// Confirmations and removal requests of this replica.
+#[derive(Debug)]
+pub(super) struct RemovalState {
+    /// Newest epoch in which this replica acknowledged a heartbeat or an entry, in a former
+    /// incarnation too.
+    confirmed_epoch: u64,
+    last_number: u64,
+    /// Number of the newest request, if nothing was confirmed since.
+    open_request: Option<u64>,
+    next_request_at: Duration,
+}
+
+impl RemovalState {
+    /// After a start: a former incarnation may have confirmed something in the recovered epoch.
+    pub(super) fn new(recovered_epoch: u64) -> Self {
+        Self {
+            confirmed_epoch: recovered_epoch,
+            last_number: 0,
+            open_request: None,
+            next_request_at: Duration::ZERO,
+        }
+    }
+
+    pub(super) fn confirmed_epoch(&self) -> u64 {
+        self.confirmed_epoch
+    }
+
+    /// Something is about to be acknowledged to the primary of this epoch.
+    pub(super) fn on_confirmation(&mut self, epoch: u64) {
+        self.confirmed_epoch = epoch;
+        self.open_request = None;
+    }
+
+    pub(super) fn is_request_due(&self, now: Duration) -> bool {
+        now >= self.next_request_at
+    }
+
+    /// Starts the next request; its number.
+    pub(super) fn start_request(&mut self, now: Duration, interval: Duration) -> u64 {
+        self.next_request_at = now + interval;
+        self.last_number += 1;
+        self.open_request = Some(self.last_number);
+        self.last_number
+    }
+
+    /// The primary of this epoch has granted a request.
+    pub(super) fn on_granted(&mut self, epoch: u64, number: u64) {
+        if self.open_request == Some(number) {
+            self.confirmed_epoch = epoch.saturating_sub(1);
+        }
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-replication/src/replica/snapshot.rs
@@ -0,0 +1,55 @@
+//! Snapshots in transfer, chunk by chunk.
+
+use super::message::MAX_PAYLOAD_BYTES;
+
+/// A snapshot on its way to another replica.
+#[derive(Debug)]
+pub(super) struct OutgoingSnapshot {
+    /// Index of the last entry that it covers.
+    pub(super) index: u64,
+    /// Epoch of that entry.
+    pub(super) index_epoch: u64,
+    pub(super) data: Vec<u8>,
+    /// Bytes that the receiver holds.
+    pub(super) offset: usize,
+}
+
+impl OutgoingSnapshot {
+    /// The next chunk.
+    pub(super) fn chunk(&self) -> &[u8] {
+        let end = self.data.len().min(self.offset + MAX_PAYLOAD_BYTES);
+        &self.data[self.offset..end]
+    }
+
+    /// The receiver holds this many bytes; whether that is all.
+    pub(super) fn on_received(&mut self, offset: u64) -> bool {
+        let offset = usize::try_from(offset).unwrap_or(usize::MAX);
+        let is_complete = offset >= self.data.len();
+        if !is_complete {
+            self.offset = offset;
+        }
+        is_complete
+    }
+}
+
+/// A snapshot that is arriving.
+#[derive(Debug)]
+pub(super) struct IncomingSnapshot {
+    /// Index of the last entry that it covers.
+    pub(super) index: u64,
+    pub(super) data: Vec<u8>,
+}
+
+impl IncomingSnapshot {
+    pub(super) fn new(index: u64) -> Self {
+        Self { index, data: Vec::new() }
+    }
+
+    /// Adds a chunk if it follows the bytes that are here; how many are here then.
+    pub(super) fn add_chunk(&mut self, offset: u64, bytes: &[u8]) -> u64 {
+        if offset == self.data.len() as u64 {
+            self.data.extend_from_slice(bytes);
+        }
+        self.data.len() as u64
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-replication/src/replica/write_queue.rs
@@ -0,0 +1,82 @@
+//! Records on their way to the disk, and how far the log is persisted.
+
+use super::disk_record::DiskRecord;
+use std::collections::VecDeque;
+use std::time::Duration;
+
+/// A write in progress.
+#[derive(Debug)]
+struct Write {
+    token: u64,
+    last_index: u64,
+    started_at: Duration,
+}
+
+/// Records that wait for the caller, and writes in progress.
+#[derive(Debug, Default)]
+pub(super) struct WriteQueue {
+    issued_token: u64,
+    persisted_token: u64,
+    /// Token of the write that holds the newest epoch record.
+    epoch_token: u64,
+    /// The log is on disk up to this index.
+    persisted_index: u64,
+    in_flight: VecDeque<Write>,
+    pending: Vec<DiskRecord>,
+}
+
+impl WriteQueue {
+    /// A queue for a disk that holds the log up to an index.
+    pub(super) fn new(persisted_index: u64) -> Self {
+        Self { persisted_index, ..Self::default() }
+    }
+
+    pub(super) fn push(&mut self, record: DiskRecord) {
+        if matches!(record, DiskRecord::Epoch(_)) {
+            self.epoch_token = self.issued_token + 1;
+        }
+        self.pending.push(record);
+    }
+
+    /// Entries at `index` and above are replaced: those on disk don't count any more.
+    pub(super) fn truncate_from(&mut self, index: u64) {
+        let last_kept = index.saturating_sub(1);
+        self.persisted_index = self.persisted_index.min(last_kept);
+        for write in &mut self.in_flight {
+            write.last_index = write.last_index.min(last_kept);
+        }
+    }
+
+    /// The records to be written next, with their token.
+    pub(super) fn flush(&mut self, now: Duration, last_index: u64) -> Option<(u64, Vec<DiskRecord>)> {
+        if self.pending.is_empty() {
+            return None;
+        }
+        self.issued_token += 1;
+        self.in_flight.push_back(Write { token: self.issued_token, last_index, started_at: now });
+        Some((self.issued_token, std::mem::take(&mut self.pending)))
+    }
+
+    /// Everything up to a token is on disk.
+    pub(super) fn complete(&mut self, token: u64) {
+        while let Some(write) = self.in_flight.pop_front_if(|write| write.token <= token) {
+            self.persisted_token = write.token;
+            self.persisted_index = write.last_index;
+        }
+    }
+
+    /// The log is on disk up to this index.
+    pub(super) fn persisted_index(&self) -> u64 {
+        self.persisted_index
+    }
+
+    /// Whether the newest epoch record is on disk.
+    pub(super) fn is_epoch_persisted(&self) -> bool {
+        self.persisted_token >= self.epoch_token
+    }
+
+    /// Whether the oldest write in progress has taken longer than `timeout`.
+    pub(super) fn is_hanging(&self, now: Duration, timeout: Duration) -> bool {
+        self.in_flight.front().is_some_and(|write| now.saturating_sub(write.started_at) > timeout)
+    }
+}
--- a/crates/pebblepost-replication/tests/leaving.rs
+++ b/crates/pebblepost-replication/tests/leaving.rs
@@ -111,13 +111,13 @@
 #[rstest]
 #[case::held_to(true)]
 #[case::taken_out(false)]
-fn an_empty_replica_that_is_counted_as_in_sync_does_not_stand(#[case] history_before_standing: bool) {
-    let guards = ReplicaGuards { history_before_standing, ..ReplicaGuards::default() };
+fn an_empty_replica_that_is_counted_as_in_sync_does_not_stand(#[case] complete_log_before_standing: bool) {
+    let guards = ReplicaGuards { complete_log_before_standing, ..ReplicaGuards::default() };
     let state = Entries::default();
     let mut replica = Replica::with_guards(member(2), settings(1), state, Vec::new(), Duration::ZERO, guards);
     // Primary 1 and its disk are lost. What replica 2 once confirmed is gone as well.
     replica.configure(Duration::ZERO, &record(3, &[1, 2]));
-    assert_eq!(asked_for(&mut replica).is_empty(), history_before_standing);
+    assert_eq!(asked_for(&mut replica).is_empty(), complete_log_before_standing);
 }
 
 #[rstest]
--- a/crates/pebblepost-replication/tests/resumption.rs
+++ b/crates/pebblepost-replication/tests/resumption.rs
@@ -100,7 +100,7 @@
     let mut replica = restarted(records.clone(), &[2, 3], ReplicaGuards::default());
     let stood_at = stands(&mut replica).map(|stood| stood.0);
     assert!(stood_at.is_some_and(|at| at >= GRACE), "{stood_at:?}");
-    let unguarded = ReplicaGuards { ended_term_was_acted: false, ..ReplicaGuards::default() };
+    let unguarded = ReplicaGuards { takeover_needs_acted_term: false, ..ReplicaGuards::default() };
     let mut replica = restarted(records, &[2, 3], unguarded);
     assert_eq!(stands(&mut replica).map(|stood| stood.0), Some(0), "the guard is what makes it wait");
 }
