--- a/crates/pebblepost-replication/src/codec.rs
+++ b/crates/pebblepost-replication/src/codec.rs
@@ -1,4 +1,5 @@
-//! Encoding of messages: decoding never panics and never reserves more than arrived.
+//! Encoding of messages. Decoding never panics and never allocates more than was received: a list
+//! of `nanoserde` itself reserves memory for any length that a message claims.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use pebblepost_messages::{DiskId, Member};
@@ -23,7 +24,7 @@
     }
 }
 
-/// A list whose decoding reserves nothing ahead.
+/// A list whose decoding reserves no memory ahead.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Sequence<T>(pub Vec<T>);
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// Decodes a whole message; `None` if it can't be read.
+/// Decodes a complete message; `None` if it can't be decoded.
 pub(crate) fn decode<M: DeBin>(bytes: &[u8]) -> Option<M> {
     M::deserialize_bin(bytes).ok()
 }
@@ -60,18 +61,18 @@
 }
 
 fn decode_string(offset: &mut usize, bytes: &[u8]) -> Result<String, DeBinErr> {
-    let mut ahead = *offset;
-    decode_length(&mut ahead, bytes)?;
+    let mut text_start = *offset;
+    decode_length(&mut text_start, bytes)?;
     String::de_bin(offset, bytes)
 }
 
 fn decode_list<T>(
-    offset: &mut usize, bytes: &[u8], item: impl Fn(&mut usize, &[u8]) -> Result<T, DeBinErr>,
+    offset: &mut usize, bytes: &[u8], decode_item: impl Fn(&mut usize, &[u8]) -> Result<T, DeBinErr>,
 ) -> Result<Vec<T>, DeBinErr> {
     let length = decode_length(offset, bytes)?;
     let mut items = Vec::new();
     for _ in 0..length {
-        items.push(item(offset, bytes)?);
+        items.push(decode_item(offset, bytes)?);
     }
     Ok(items)
 }
--- a/crates/pebblepost-replication/src/guards.rs
+++ b/crates/pebblepost-replication/src/guards.rs
@@ -26,7 +26,7 @@
     /// An entry is committed only when every in-sync replica has it on disk.
     pub commit_waits_for_all: bool,
     /// While a change of the epoch is undecided, commits and the lease need its replicas too.
-    pub joiner_waits: bool,
+    pub commit_waits_for_joiner: bool,
     /// A joiner is proposed only when it holds everything that may be committed.
     pub joiner_is_caught_up: bool,
     /// The primary acts only under its lease.
@@ -52,7 +52,7 @@
     fn default() -> Self {
         Self {
             commit_waits_for_all: true,
-            joiner_waits: true,
+            commit_waits_for_joiner: true,
             joiner_is_caught_up: true,
             lease: true,
             election_timeout: true,
--- a/crates/pebblepost-replication/src/lib.rs
+++ b/crates/pebblepost-replication/src/lib.rs
@@ -3,10 +3,10 @@
 //! * [`record`]: the epoch record.
 //! * [`register`]: the epoch register, a compare-and-swap register on the witnesses' disks.
 //! * [`replica`]: a replica of a group: its log, its role, its lease.
-//! * [`witnesses`]: the next step of a change of the witness set.
 //!
 //! The caller hands in messages, completed writes and the time since an arbitrary start of its
-//! steady clock, and carries out the outputs.
+//! monotonic clock, and carries out the outputs. Nothing here reads a clock, does I/O or starts a
+//! thread; the same inputs give the same outputs.
 
 mod codec;
 #[doc(hidden)]
@@ -15,4 +15,3 @@
 pub mod record;
 pub mod register;
 pub mod replica;
-pub mod witnesses;
--- a/crates/pebblepost-replication/src/record.rs
+++ b/crates/pebblepost-replication/src/record.rs
@@ -1,4 +1,4 @@
-//! The epoch record: who is primary, which replicas are in sync, which witnesses decide.
+//! The epoch record: which replica is primary, which are in sync, which witnesses decide.
 
 use crate::codec::decode_members;
 use nanoserde::{DeBin, DeBinErr, SerBin};
@@ -16,7 +16,7 @@
     pub in_sync: Vec<Member>,
     /// The witnesses; empty where another configuration manager decides.
     pub witnesses: Vec<Member>,
-    /// The witnesses before a change that is not completed; empty otherwise.
+    /// The witnesses before a change that is not finished; empty otherwise.
     pub former_witnesses: Vec<Member>,
 }
 
@@ -54,14 +54,14 @@
         self.in_sync.iter().find(|member| member.disk == self.primary)
     }
 
-    /// Whether these disks make a quorum: a majority of the witnesses and, while a change of the
-    /// witness set is unfinished, a majority of the former ones as well.
+    /// Whether these disks are a quorum: a majority of the witnesses and, while a change of the
+    /// witness set is unfinished, a majority of the former ones as well (joint consensus).
     pub fn has_quorum(&self, disks: &BTreeSet<DiskId>) -> bool {
         has_majority(&self.witnesses, disks)
             && (self.former_witnesses.is_empty() || has_majority(&self.former_witnesses, disks))
     }
 
-    /// Whether `next` is a legal successor: one epoch on, and at most one step of one change of
+    /// Whether `next` is a valid successor: the next epoch, and at most one step of one change of
     /// the witness set.
     pub fn may_be_followed_by(&self, next: &EpochRecord) -> bool {
         let unchanged = next.witnesses == self.witnesses && next.former_witnesses == self.former_witnesses;
@@ -76,7 +76,7 @@
     }
 }
 
-/// How many disks, and in how many places, must hold what is acknowledged.
+/// The losses that a group must survive without losing what it acknowledged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tolerance {
     /// Machines that may be lost at once.
@@ -88,7 +88,7 @@
 }
 
 impl Tolerance {
-    /// Whether a set of replicas outlives the losses that are to be borne.
+    /// Whether one replica at least is left of a set after the losses.
     pub fn is_met_by(&self, replicas: &[Member]) -> bool {
         let distinct = |key: fn(&Member) -> &String| replicas.iter().map(key).collect::<BTreeSet<_>>().len();
         replicas.len() > self.machines
@@ -97,13 +97,13 @@
     }
 }
 
-/// Whether a list of members holds a disk.
+/// Whether a list of members contains a disk.
 pub(crate) fn contains(members: &[Member], disk: DiskId) -> bool {
     members.iter().any(|member| member.disk == disk)
 }
 
-/// Whether these disks hold a majority of the members.
+/// Whether these disks are those of a majority of the members.
 pub(crate) fn has_majority(members: &[Member], disks: &BTreeSet<DiskId>) -> bool {
-    let held = members.iter().filter(|member| disks.contains(&member.disk)).count();
-    held * 2 > members.len()
+    let count = members.iter().filter(|member| disks.contains(&member.disk)).count();
+    count * 2 > members.len()
 }
--- a/crates/pebblepost-replication/src/replica/catch_up.rs
+++ b/crates/pebblepost-replication/src/replica/catch_up.rs
@@ -9,7 +9,7 @@
 use crate::codec::Blob;
 use pebblepost_messages::{DiskId, Member};
 
-/// Heartbeat intervals without a word of the primary before a replica asks to join.
+/// Heartbeat intervals without contact to the primary before a replica asks to join.
 const JOIN_AFTER_HEARTBEATS: u32 = 3;
 
 /// The primary's side.
--- a/crates/pebblepost-replication/src/replica/commit.rs
+++ b/crates/pebblepost-replication/src/replica/commit.rs
@@ -9,7 +9,7 @@
     /// The other replicas whose disks count: those in sync, and those that an undecided change would
     /// add.
     pub(super) fn counting_members(&self) -> impl Iterator<Item = &Member> {
-        let joiners = self.pending_change.joiners().iter().filter(|_| self.guards.joiner_waits);
+        let joiners = self.pending_change.joiners().iter().filter(|_| self.guards.commit_waits_for_joiner);
         self.record.in_sync.iter().chain(joiners).filter(|member| member.disk != self.local.disk)
     }
 
--- a/crates/pebblepost-replication/src/replica/primary_term.rs
+++ b/crates/pebblepost-replication/src/replica/primary_term.rs
@@ -97,7 +97,7 @@
             return;
         }
         let now = self.now;
-        if !self.primary().is_some_and(|primary| !primary.is_epoch_open) {
+        if self.primary().is_none_or(|primary| primary.is_epoch_open) {
             return;
         }
         // Who was dropped by this epoch is sent its record, and nothing that it would acknowledge.
--- a/crates/pebblepost-replication/tests/group/mod.rs
+++ b/crates/pebblepost-replication/tests/group/mod.rs
@@ -1,6 +1,6 @@
 //! Some replicas without disks or links, and a configuration manager.
 
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses a part of the group")]
 
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::{EpochRecord, Tolerance};
@@ -68,15 +68,15 @@
     pub disks: Vec<Vec<DiskRecord>>,
     /// Disks whose writes don't end.
     pub hanging: Vec<u64>,
-    /// Machines that are cut off.
-    pub silent: Vec<u64>,
+    /// Machines that are partitioned from all others.
+    pub partitioned: Vec<u64>,
     pub current: EpochRecord,
     pub became_primary: Vec<u64>,
     pub stopped: Vec<u64>,
     pub largest_message: usize,
     /// Changes that were asked for are not decided yet.
-    pub holds_changes: bool,
-    held: Vec<(u64, EpochRecord)>,
+    pub defers_changes: bool,
+    deferred: Vec<(u64, EpochRecord)>,
 }
 
 impl Group {
@@ -90,16 +90,16 @@
             replicas: (1..=count).map(new).collect(),
             disks: vec![Vec::new(); count as usize],
             hanging: Vec::new(),
-            silent: Vec::new(),
+            partitioned: Vec::new(),
             current: current.clone(),
             became_primary: Vec::new(),
             stopped: Vec::new(),
             largest_message: 0,
-            holds_changes: false,
-            held: Vec::new(),
+            defers_changes: false,
+            deferred: Vec::new(),
         };
         group.replicas.iter_mut().for_each(|replica| replica.configure(Duration::ZERO, &current));
-        group.pass(200);
+        group.advance(200);
         group
     }
 
@@ -110,7 +110,7 @@
     pub fn propose(&mut self, disk: u64, entry: &[u8]) -> Result<u64, ProposeError> {
         let now = self.now;
         let result = self.replica(disk).propose(now, entry.to_vec());
-        self.settle();
+        self.deliver_all();
         result
     }
 
@@ -129,16 +129,16 @@
         self.replica(disk).state().0.clone()
     }
 
-    pub fn pass(&mut self, milliseconds: u64) {
+    pub fn advance(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds / 50 {
             self.now += Duration::from_millis(50);
             let now = self.now;
             self.replicas.iter_mut().for_each(|replica| replica.tick(now));
-            self.settle();
+            self.deliver_all();
         }
     }
 
-    pub fn settle(&mut self) {
+    pub fn deliver_all(&mut self) {
         let mut messages: VecDeque<(u64, u64, Vec<u8>)> = VecDeque::new();
         loop {
             let mut changed = false;
@@ -147,7 +147,7 @@
             }
             if let Some((from, to, message)) = messages.pop_front() {
                 let now = self.now;
-                if !self.silent.contains(&from) && !self.silent.contains(&to) {
+                if !self.partitioned.contains(&from) && !self.partitioned.contains(&to) {
                     self.replica(to).receive(now, &member(from), &message);
                 }
             } else if !changed {
@@ -181,37 +181,37 @@
         changed
     }
 
-    /// Decides the changes that were held back.
-    pub fn decide_held(&mut self) {
-        self.holds_changes = false;
-        for (disk, record) in std::mem::take(&mut self.held) {
+    /// Decides the changes that were deferred.
+    pub fn decide_deferred(&mut self) {
+        self.defers_changes = false;
+        for (disk, record) in std::mem::take(&mut self.deferred) {
             self.change_epoch(disk, record.epoch - 1, record);
         }
-        self.settle();
+        self.deliver_all();
     }
 
-    /// Sets the wanted holders at all replicas.
+    /// Sets the targets at all replicas.
     pub fn set_targets(&mut self, targets: &[u64]) {
         let now = self.now;
         let targets: Vec<Member> = targets.iter().map(|disk| member(*disk)).collect();
         self.replicas.iter_mut().for_each(|replica| replica.set_targets(now, targets.clone()));
-        self.settle();
+        self.deliver_all();
     }
 
     fn change_epoch(&mut self, disk: u64, expected: u64, record: EpochRecord) {
-        if self.holds_changes {
-            self.held.push((disk, record));
+        if self.defers_changes {
+            self.deferred.push((disk, record));
             return;
         }
         let now = self.now;
-        if expected == self.current.epoch && !self.silent.contains(&disk) {
+        if expected == self.current.epoch && !self.partitioned.contains(&disk) {
             self.current = record;
         }
         let current = self.current.clone();
-        if !self.silent.contains(&disk) {
+        if !self.partitioned.contains(&disk) {
             self.replica(disk).configure(now, &current);
         }
-        self.replica(disk).change_ended(now);
+        self.replica(disk).epoch_change_ended(now);
     }
 
     pub fn restart(&mut self, disk: u64, recovered: Vec<DiskRecord>) {
--- a/crates/pebblepost-replication/tests/guards.rs
+++ b/crates/pebblepost-replication/tests/guards.rs
@@ -4,11 +4,11 @@
 
 use pebblepost_replication::guards::{RegisterGuards, ReplicaGuards};
 use rstest::rstest;
-use simulation::{Options, Plan, first_broken};
+use simulation::{Options, Plan, first_violation};
 
 /// Schedules within which a missing guard must show. Each case starts shortly before the first
 /// seed that shows it, so that the whole takes seconds.
-const MOST_SCHEDULES: u64 = 200;
+const MAX_SCHEDULES: u64 = 200;
 
 fn without_replica(plan: Plan, change: fn(&mut ReplicaGuards)) -> Options {
     let mut options = Options::new(3, 1, plan);
@@ -17,13 +17,13 @@
 }
 
 fn without_register(change: fn(&mut RegisterGuards)) -> Options {
-    let mut options = Options::new(3, 1, Plan::Ambush);
+    let mut options = Options::new(3, 1, Plan::Transitions);
     change(&mut options.register_guards);
     options
 }
 
 fn with_kept_identity(plan: Plan) -> Options {
-    Options { wiped_keeps_identity: true, ..Options::new(3, 1, plan) }
+    Options { wiped_disk_keeps_identity: true, ..Options::new(3, 1, plan) }
 }
 
 fn without_commit_on_all() -> Options {
@@ -33,22 +33,22 @@
 }
 
 #[rstest]
-#[case::commit_waits_for_all(without_replica(Plan::Wild, |guards| guards.commit_waits_for_all = false), 0)]
-#[case::joiner_waits(without_replica(Plan::Ambush, |guards| guards.joiner_waits = false), 5150)]
+#[case::commit_waits_for_all(without_replica(Plan::Random, |guards| guards.commit_waits_for_all = false), 0)]
+#[case::commit_waits_for_joiner(without_replica(Plan::Transitions, |guards| guards.commit_waits_for_joiner = false), 5150)]
 #[case::joiner_is_caught_up(without_replica(Plan::Targets, |guards| guards.joiner_is_caught_up = false), 3300)]
-#[case::lease(without_replica(Plan::Wild, |guards| guards.lease = false), 0)]
-#[case::election_timeout(without_replica(Plan::Wild, |guards| guards.election_timeout = false), 0)]
-#[case::persisted_before_ack(without_replica(Plan::Wild, |guards| guards.persisted_before_ack = false), 150)]
-#[case::new_epoch_after_restart(without_replica(Plan::Wild, |guards| guards.new_epoch_after_restart = false), 300)]
-#[case::old_epochs_rejected(without_replica(Plan::Wild, |guards| guards.old_epochs_rejected = false), 0)]
+#[case::lease(without_replica(Plan::Random, |guards| guards.lease = false), 0)]
+#[case::election_timeout(without_replica(Plan::Random, |guards| guards.election_timeout = false), 0)]
+#[case::persisted_before_ack(without_replica(Plan::Random, |guards| guards.persisted_before_ack = false), 150)]
+#[case::new_epoch_after_restart(without_replica(Plan::Random, |guards| guards.new_epoch_after_restart = false), 300)]
+#[case::old_epochs_rejected(without_replica(Plan::Random, |guards| guards.old_epochs_rejected = false), 0)]
 #[case::former_majority(without_register(|guards| guards.former_majority = false), 200)]
 #[case::persisted_before_reply(without_register(|guards| guards.persisted_before_reply = false), 0)]
 #[case::completes_accepted(without_register(|guards| guards.completes_accepted = false), 100)]
-#[case::wiped_keeps_identity(with_kept_identity(Plan::Borne), 0)]
+#[case::wiped_disk_keeps_identity(with_kept_identity(Plan::Tolerated), 0)]
 #[case::second_loss_after_a_commit_on_too_few(without_commit_on_all(), 0)]
 #[case::second_loss_with_an_old_identity(with_kept_identity(Plan::SecondLoss), 0)]
-#[case::behind_with_an_old_identity(with_kept_identity(Plan::Behind), 0)]
+#[case::behind_with_an_old_identity(with_kept_identity(Plan::StaleMinority), 0)]
 fn a_missing_guard_shows(#[case] options: Options, #[case] first_seed: u64) {
-    let broken = first_broken(options, first_seed, MOST_SCHEDULES);
-    assert!(broken.is_some(), "no schedule of {MOST_SCHEDULES} breaks with {options:?}");
+    let violation = first_violation(options, first_seed, MAX_SCHEDULES);
+    assert!(violation.is_some(), "no schedule of {MAX_SCHEDULES} shows a violation with {options:?}");
 }
--- a/crates/pebblepost-replication/tests/pinned_bytes.rs
+++ b/crates/pebblepost-replication/tests/pinned_bytes.rs
@@ -88,10 +88,10 @@
 }
 
 #[test]
-fn requests_to_leave_are_sent_as_before() {
+fn removal_requests_are_sent_as_before() {
     let mut group = Group::new(3, 1, record(1, &[1, 2]));
     let now = group.now;
-    group.replica(3).ask_to_leave(now);
+    group.replica(3).request_removal(now);
     let requests = messages_with_tag(group.replica(3).take_outputs(), 14);
     assert_eq!(
         requests.iter().map(|message| hex(message)).collect::<Vec<_>>(),
@@ -106,7 +106,7 @@
 }
 
 const PLANS: [Plan; 6] =
-    [Plan::Wild, Plan::Borne, Plan::Targets, Plan::Ambush, Plan::SecondLoss, Plan::Behind];
+    [Plan::Random, Plan::Tolerated, Plan::Targets, Plan::Transitions, Plan::SecondLoss, Plan::StaleMinority];
 
 fn run(machines: usize, tolerance: usize, plan: Plan, seed: u64) -> Transcript {
     let mut world = simulation::world::World::new(Options::new(machines, tolerance, plan), seed);
--- a/crates/pebblepost-replication/tests/register.rs
+++ b/crates/pebblepost-replication/tests/register.rs
@@ -24,14 +24,14 @@
     EpochRecord { epoch: of.epoch + 1, primary: DiskId(primary), in_sync, ..of.clone() }
 }
 
-/// Registers of disks 1, 2, ... with writes that are durable at once, and what they said.
+/// Registers of disks 1, 2, ... with writes that are durable at once, and what they put out.
 struct Group {
     now: Duration,
     registers: Vec<Register>,
     states: Vec<Option<WitnessState>>,
     chosen: Vec<Vec<EpochRecord>>,
     rejected: Vec<Vec<u64>>,
-    silent: Vec<u64>,
+    partitioned: Vec<u64>,
 }
 
 impl Group {
@@ -45,7 +45,7 @@
             states: vec![None; count],
             chosen: vec![Vec::new(); count],
             rejected: vec![Vec::new(); count],
-            silent: Vec::new(),
+            partitioned: Vec::new(),
         }
     }
 
@@ -56,18 +56,18 @@
     fn propose(&mut self, disk: u64, record: &EpochRecord) {
         let now = self.now;
         self.register(disk).propose(now, record.epoch - 1, record.clone());
-        self.settle();
+        self.deliver_all();
     }
 
     /// Carries out everything until nothing is under way.
-    fn settle(&mut self) {
+    fn deliver_all(&mut self) {
         let mut messages: VecDeque<(u64, u64, Vec<u8>)> = VecDeque::new();
         loop {
             for disk in 1..=self.registers.len() as u64 {
                 self.collect(disk, &mut messages);
             }
             let Some((from, to, message)) = messages.pop_front() else { return };
-            let is_lost = self.silent.contains(&from) || self.silent.contains(&to);
+            let is_lost = self.partitioned.contains(&from) || self.partitioned.contains(&to);
             if !is_lost && to as usize <= self.registers.len() {
                 let now = self.now;
                 self.register(to).receive(now, &member(from), &message);
@@ -77,31 +77,31 @@
 
     fn collect(&mut self, disk: u64, messages: &mut VecDeque<(u64, u64, Vec<u8>)>) {
         let now = self.now;
-        let place = disk as usize - 1;
+        let index = disk as usize - 1;
         for output in self.register(disk).take_outputs() {
             match output {
                 RegisterOutput::Send { to, message } => messages.push_back((disk, to.disk.0, message)),
                 RegisterOutput::Persist { token, state } => {
-                    self.states[place] = Some(state);
+                    self.states[index] = Some(state);
                     self.register(disk).persisted(now, token);
                 }
-                RegisterOutput::Chosen(record) => self.chosen[place].push(record),
-                RegisterOutput::Rejected { epoch } => self.rejected[place].push(epoch),
+                RegisterOutput::Chosen(record) => self.chosen[index].push(record),
+                RegisterOutput::Rejected { epoch } => self.rejected[index].push(epoch),
             }
         }
     }
 
-    /// Lets time pass, tick by tick.
-    fn pass(&mut self, milliseconds: u64) {
+    /// Advances the time, tick by tick.
+    fn advance(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds / 50 {
             self.now += Duration::from_millis(50);
             let now = self.now;
             self.registers.iter_mut().for_each(|register| register.tick(now));
-            self.settle();
+            self.deliver_all();
         }
     }
 
-    /// The process starts anew with what its disk holds.
+    /// The process restarts with what its disk holds.
     fn restart(&mut self, disk: u64) {
         let recovered = self.states[disk as usize - 1].clone();
         *self.register(disk) = Register::new(member(disk), recovered, Some(founding()), 99);
@@ -123,12 +123,12 @@
 fn a_proposal_on_an_old_epoch_is_rejected() {
     let mut group = Group::new(3);
     let first = successor(&founding(), 2);
-    group.silent = vec![1];
+    group.partitioned = vec![1];
     group.propose(2, &first);
-    group.silent.clear();
+    group.partitioned.clear();
     let other = successor(&founding(), 1);
     group.propose(1, &other);
-    group.pass(1_500);
+    group.advance(1_500);
     assert_eq!(group.rejected[0], vec![1]);
     assert_eq!(group.register(1).chosen(), Some(&first));
 }
@@ -148,7 +148,7 @@
     let mut record = successor(&founding(), 1);
     change(&mut record);
     group.register(1).propose(Duration::ZERO, 0, record.clone());
-    group.settle();
+    group.deliver_all();
     assert_eq!(group.rejected[0], vec![record.epoch]);
     assert_eq!(group.register(1).chosen(), Some(&founding()));
 }
@@ -171,7 +171,7 @@
     finish.former_witnesses.clear();
     group.propose(1, &finish);
     assert_eq!(group.register(4).chosen(), Some(&finish));
-    group.silent = vec![2, 3];
+    group.partitioned = vec![2, 3];
     group.propose(4, &successor(&finish, 4));
     assert_eq!(group.register(1).chosen().map(|record| record.epoch), Some(3));
 }
@@ -179,16 +179,16 @@
 #[rstest]
 fn without_a_majority_nothing_is_chosen_and_the_proposal_ends() {
     let mut group = Group::new(3);
-    group.silent = vec![2, 3];
+    group.partitioned = vec![2, 3];
     group.propose(1, &successor(&founding(), 1));
-    group.pass(1_500);
+    group.advance(1_500);
     assert_eq!(group.rejected[0], vec![1]);
     assert_eq!(group.register(1).chosen(), Some(&founding()));
 }
 
 /// A record that one witness accepted is completed by the next proposer before anything else.
 #[rstest]
-fn a_half_accepted_record_is_completed() {
+fn a_record_accepted_by_one_witness_is_completed() {
     let mut group = Group::new(3);
     let first = successor(&founding(), 1);
     group.register(1).propose(Duration::ZERO, 0, first.clone());
@@ -208,12 +208,12 @@
     assert_eq!(group.states[2].as_ref().and_then(|state| state.accepted.clone()), Some(founding()));
 
     // Disk 2 hears disk 1 but not disk 3: it finds the record and completes it.
-    group.silent = vec![3];
+    group.partitioned = vec![3];
     group.propose(2, &successor(&founding(), 2));
-    group.pass(1_500);
+    group.advance(1_500);
     assert_eq!(group.register(2).chosen(), Some(&first));
     assert_eq!(group.rejected[1], vec![1]);
-    let accepted = |place: usize| group.states[place].as_ref().and_then(|state| state.accepted.clone());
+    let accepted = |index: usize| group.states[index].as_ref().and_then(|state| state.accepted.clone());
     assert_eq!((accepted(0), accepted(1)), (Some(first.clone()), Some(first)));
 }
 
@@ -224,16 +224,16 @@
     group.propose(2, &first);
     (1..=3).for_each(|disk| group.restart(disk));
     assert_eq!(group.register(1).chosen(), None);
-    group.pass(2_000);
+    group.advance(2_000);
     for disk in 1..=3 {
         assert_eq!(group.register(disk).chosen(), Some(&first), "disk {disk}");
     }
 }
 
 #[rstest]
-fn a_disk_without_a_record_says_nothing_until_a_record_names_it() {
+fn a_disk_without_a_record_does_not_answer_until_a_record_names_it() {
     let mut group = Group::new(5);
-    group.silent = vec![2, 3];
+    group.partitioned = vec![2, 3];
     group.propose(1, &successor(&founding(), 1));
     group.propose(5, &successor(&founding(), 5));
     assert_eq!(group.rejected[4], vec![1]);
@@ -241,18 +241,18 @@
 }
 
 #[rstest]
-fn a_newcomer_is_introduced() {
+fn a_new_member_learns_the_chosen_record() {
     let mut group = Group::new(4);
     let first = successor(&founding(), 2);
     group.propose(2, &first);
-    let newcomer = member(4);
-    group.register(1).introduce(&newcomer);
-    group.settle();
+    let new_member = member(4);
+    group.register(1).announce_chosen(&new_member);
+    group.deliver_all();
     assert_eq!(group.register(4).chosen(), Some(&first));
 }
 
 #[rstest]
-fn bytes_that_are_no_message_are_dropped() {
+fn undecodable_messages_are_dropped() {
     let mut group = Group::new(1);
     let mut bytes = Vec::new();
     for length in 0..200_u8 {
--- a/crates/pebblepost-replication/tests/replica.rs
+++ b/crates/pebblepost-replication/tests/replica.rs
@@ -14,43 +14,43 @@
     assert_eq!(group.propose(1, b"one"), Ok(1));
     assert_eq!(group.replica(1).committed(), 0);
     // The disk of 3 hangs for too long: it is dropped, and the others commit.
-    group.pass(1_000);
+    group.advance(1_000);
     assert_eq!(group.replica(1).committed(), 1);
     assert_eq!(group.current.in_sync, vec![member(1), member(2)]);
     assert!(group.is_acting(1));
 }
 
 #[rstest]
-fn a_replica_that_is_not_primary_takes_nothing() {
+fn a_replica_that_is_not_primary_rejects_proposals() {
     let mut group = Group::new(3, 1, record(1, &[1, 2, 3]));
     assert_eq!(group.propose(2, b"one"), Err(ProposeError::NotPrimary));
 }
 
 #[rstest]
-fn with_too_few_replicas_nothing_is_taken() {
+fn with_too_few_replicas_proposals_are_rejected() {
     let mut group = Group::new(1, 1, record(1, &[1]));
     assert_eq!(group.propose(1, b"one"), Err(ProposeError::TooFewReplicas));
     assert!(!group.is_acting(1));
 }
 
 #[rstest]
-fn a_cut_off_primary_stops_before_its_successor_acts() {
+fn a_partitioned_primary_stops_before_its_successor_acts() {
     let mut group = Group::new(3, 1, record(1, &[1, 2, 3]));
     group.propose(1, b"one").expect("the primary acts");
-    group.silent = vec![1];
+    group.partitioned = vec![1];
     let mut handover = Vec::new();
     for _ in 0..40 {
-        group.pass(50);
+        group.advance(50);
         let acting: Vec<u64> = (1..=3).filter(|disk| group.is_acting(*disk)).collect();
         assert!(acting.len() <= 1, "{acting:?} act at {:?}", group.now);
         handover.extend(acting);
     }
     handover.dedup();
     assert_eq!(handover, vec![1, 2]);
-    group.silent.clear();
-    group.pass(500);
+    group.partitioned.clear();
+    group.advance(500);
     assert_eq!(group.stopped, vec![1]);
-    group.pass(1_000);
+    group.advance(1_000);
     assert_eq!(group.current.in_sync.len(), 3, "the old primary is in sync again");
 }
 
@@ -59,9 +59,9 @@
     let mut group = Group::new(3, 1, record(1, &[1, 2, 3]));
     group.hanging = vec![1];
     group.propose(1, b"undecided").expect("the primary acts");
-    group.pass(500);
+    group.advance(500);
     assert!(!group.is_acting(1));
-    group.pass(1_500);
+    group.advance(1_500);
     assert!(group.is_acting(2));
     assert_eq!(group.entries(2), vec![b"undecided".to_vec()]);
 }
@@ -80,9 +80,9 @@
         let records = if from_checkpoint { checkpoint } else { group.disks[disk as usize - 1].clone() };
         group.restart(disk, records);
     }
-    group.pass(400);
+    group.advance(400);
     assert_eq!(group.acting(), [1], "the former primary need not wait for itself, all others wait");
-    group.pass(1_500);
+    group.advance(1_500);
     assert_eq!(group.acting(), [1]);
     assert_eq!(group.entries(1), entries);
     assert!(group.current.epoch > 1);
@@ -97,15 +97,15 @@
     for entry in &entries {
         group.propose(1, entry).expect("the primary acts");
     }
-    group.silent.push(1);
+    group.partitioned.push(1);
     for disk in 2..=3 {
         let checkpoint = group.replica(disk).checkpoint().expect("a sound state");
         let records = if from_checkpoint { checkpoint } else { group.disks[disk as usize - 1].clone() };
         group.restart(disk, records);
     }
-    group.pass(400);
-    assert!(!group.is_acting(2) && !group.is_acting(3), "nobody follows before the grace time");
-    group.pass(1_500);
+    group.advance(400);
+    assert!(!group.is_acting(2) && !group.is_acting(3), "nobody follows before the election timeout");
+    group.advance(1_500);
     let acting: Vec<u64> = group.acting().into_iter().filter(|disk| *disk != 1).collect();
     assert_eq!(acting.len(), 1);
     assert_eq!(group.entries(acting[0]), entries);
@@ -118,7 +118,7 @@
     let records = vec![DiskRecord::Epoch(record(1, &[1])), entry(1), entry(2), entry(4)];
     let mut alone = Group::new(1, 0, record(1, &[1]));
     alone.restart(1, records.clone());
-    alone.pass(1_500);
+    alone.advance(1_500);
     assert_eq!(alone.replica(1).progress(), [(member(1).disk, 2)]);
     // It acknowledged what is missing now: alone it would lead with an old state.
     assert_eq!(alone.acting(), [0; 0]);
@@ -130,35 +130,35 @@
     group.restart(1, kept);
     group.restart(2, records);
     group.replicas.iter_mut().for_each(|replica| replica.configure(now, &current));
-    group.pass(1_500);
+    group.advance(1_500);
     assert_eq!(group.entries(2), [[1], [2], [3], [4]]);
-    group.silent = vec![1];
-    group.pass(3_000);
+    group.partitioned = vec![1];
+    group.advance(3_000);
     assert_eq!(group.current.primary, member(2).disk, "now it may lead");
 }
 
 #[rstest]
-fn a_newcomer_gets_a_snapshot_in_pieces() {
+fn a_new_replica_gets_a_snapshot_in_chunks() {
     let mut group = Group::new(3, 1, record(1, &[1, 2]));
-    group.silent = vec![3];
+    group.partitioned = vec![3];
     for number in 0..10_u8 {
         group.propose(1, &vec![number; 100_000]).expect("the primary acts");
     }
-    group.silent.clear();
+    group.partitioned.clear();
     group.largest_message = 0;
-    group.pass(3_000);
+    group.advance(3_000);
     assert_eq!(group.current.in_sync.len(), 3);
     assert_eq!(group.entries(3).len(), 10);
     assert!(group.largest_message < 300_000, "a message of {} bytes", group.largest_message);
 }
 
 #[rstest]
-fn a_lost_replica_is_exchanged_in_one_step() {
+fn a_lost_replica_is_replaced_in_one_step() {
     let mut group = Group::new(3, 1, record(1, &[1, 2]));
-    group.silent = vec![3];
+    group.partitioned = vec![3];
     group.propose(1, b"one").expect("the primary acts");
-    group.silent = vec![2];
-    group.pass(2_000);
+    group.partitioned = vec![2];
+    group.advance(2_000);
     assert_eq!(group.current.in_sync, vec![member(1), member(3)]);
     assert!(group.is_acting(1));
     assert_eq!(group.entries(1), vec![b"one".to_vec()]);
@@ -171,7 +171,7 @@
     let now = group.now;
     let targets = vec![member(3), member(4)];
     group.replicas.iter_mut().for_each(|replica| replica.set_targets(now, targets.clone()));
-    group.pass(3_000);
+    group.advance(3_000);
     let mut in_sync: Vec<u64> = group.current.in_sync.iter().map(|member| member.disk.0).collect();
     in_sync.sort_unstable();
     assert_eq!(in_sync, vec![3, 4]);
@@ -182,7 +182,7 @@
 }
 
 #[rstest]
-fn bytes_that_are_no_message_are_dropped() {
+fn undecodable_messages_are_dropped() {
     let mut group = Group::new(3, 1, record(1, &[1, 2, 3]));
     let mut bytes = Vec::new();
     for length in 0..200_u8 {
@@ -196,6 +196,6 @@
         }
         bytes.push(length.wrapping_mul(151) | 0xc0);
     }
-    group.pass(200);
+    group.advance(200);
     assert!(group.is_acting(1));
 }
--- a/crates/pebblepost-replication/tests/resumption.rs
+++ b/crates/pebblepost-replication/tests/resumption.rs
@@ -21,7 +21,7 @@
 }
 
 const GRACE: u64 = 700;
-/// After so many milliseconds a primary that was started anew leaves out who was not heard.
+/// After so many milliseconds a primary that was restarted leaves out who was not heard.
 const RESUME: u64 = 200;
 
 fn settings() -> ReplicaSettings {
@@ -50,7 +50,7 @@
     DiskRecord::Entry { index, epoch, entry: vec![1] }
 }
 
-/// Replica 1, started anew at time 0 with what its disk held, while these others are heard.
+/// Replica 1, restarted at time 0 with what its disk held, while these others are heard.
 fn restarted(records: Vec<DiskRecord>, heard: &[u64], guards: ReplicaGuards) -> Replica<Nothing> {
     let me = member(1);
     let mut replica = Replica::with_guards(me, settings(), Nothing, records, Duration::ZERO, guards);
@@ -75,7 +75,7 @@
 #[case::all_are_heard(&[2, 3], 0, &[1, 2, 3])]
 #[case::one_is_missing(&[2], RESUME, &[1, 2])]
 #[case::nobody_is_heard(&[], RESUME, &[1, 2, 3])]
-fn a_primary_started_anew_goes_on_at_once(
+fn a_restarted_primary_goes_on_at_once(
     #[case] heard: &[u64], #[case] expected_at: u64, #[case] expected: &[u64],
 ) {
     let records = vec![DiskRecord::Epoch(epoch(1, 1)), entry(1, 1)];
@@ -123,11 +123,11 @@
 #[case::of_an_epoch_that_is_not_in_force(epoch(2, 2), entry(1, 1), false)]
 #[case::of_another_primary(epoch(1, 3), entry(1, 1), false)]
 fn a_replica_need_not_wait_for_a_primary_whose_disk_was_replaced(
-    #[case] told: EpochRecord, #[case] last: DiskRecord, #[case] at_once: bool,
+    #[case] announced: EpochRecord, #[case] last: DiskRecord, #[case] at_once: bool,
 ) {
     let records = vec![DiskRecord::Epoch(epoch(1, 2)), last];
     let mut replica = restarted(records, &[3], ReplicaGuards::default());
-    for message in messages_of_successor_of_2(&told) {
+    for message in messages_of_successor_of_2(&announced) {
         replica.receive(Duration::ZERO, &Member { disk: DiskId(9), ..member(2) }, &message);
     }
     let stood = stands(&mut replica);
--- a/crates/pebblepost-replication/tests/simulation/checker.rs
+++ b/crates/pebblepost-replication/tests/simulation/checker.rs
@@ -1,5 +1,6 @@
 //! What must hold whatever happens.
 
+use super::violation::Violation;
 use pebblepost_replication::record::EpochRecord;
 use std::collections::BTreeMap;
 
@@ -11,12 +12,17 @@
     acknowledged_to: u64,
     pub acknowledged: u64,
     chosen: BTreeMap<u64, EpochRecord>,
-    pub broken: Option<String>,
+    pub violation: Option<Violation>,
 }
 
 impl Checker {
-    pub fn fail(&mut self, broken: String) {
-        self.broken.get_or_insert(broken);
+    /// Keeps the first violation.
+    pub fn fail(&mut self, violation: Violation) {
+        self.violation.get_or_insert(violation);
+    }
+
+    pub fn fail_safety(&mut self, found: String) {
+        self.fail(Violation::Safety(found));
     }
 
     /// A replica applied entries: they are the same at all replicas.
@@ -24,7 +30,7 @@
         for (index, value) in values.iter().enumerate().skip(from) {
             match self.applied.get(index) {
                 Some(known) if known != value => {
-                    self.fail(format!("{who} applied {value} at {}, others {known}", index + 1));
+                    self.fail_safety(format!("{who} applied {value} at {}, others {known}", index + 1));
                 }
                 Some(_) => {}
                 None => self.applied.push(*value),
@@ -36,7 +42,7 @@
     pub fn acknowledged(&mut self, who: &str, index: u64, value: u64) {
         let applied = self.applied.get(index as usize - 1);
         if applied != Some(&value) {
-            self.fail(format!("{who} acknowledged {value} at {index}, where {applied:?} is applied"));
+            self.fail_safety(format!("{who} acknowledged {value} at {index}, where {applied:?} is applied"));
         }
         self.acknowledged_to = self.acknowledged_to.max(index);
         self.acknowledged += 1;
@@ -46,7 +52,7 @@
     pub fn acting(&mut self, who: &str, length: usize) {
         if (length as u64) < self.acknowledged_to {
             let to = self.acknowledged_to;
-            self.fail(format!("{who} acts with {length} entries, {to} were acknowledged"));
+            self.fail_safety(format!("{who} acts with {length} entries, {to} were acknowledged"));
         }
     }
 
@@ -54,8 +60,8 @@
     pub fn chosen(&mut self, who: &str, record: &EpochRecord) {
         let known = self.chosen.entry(record.epoch).or_insert_with(|| record.clone());
         if known != record {
-            let broken = format!("{who} learned {record:?}, others {known:?}");
-            self.fail(broken);
+            let found = format!("{who} learned {record:?}, others {known:?}");
+            self.fail_safety(found);
         }
     }
 }
--- a/crates/pebblepost-replication/tests/simulation/faults.rs
+++ b/crates/pebblepost-replication/tests/simulation/faults.rs
@@ -2,7 +2,7 @@
 
 use super::Plan;
 use super::random::Random;
-use super::repair;
+use super::repeated_loss;
 use super::world::{Event, MILLISECOND, SECOND, World};
 
 /// Something that goes wrong, or ends.
@@ -16,11 +16,11 @@
     Replace(usize),
     Freeze(usize),
     Thaw(usize),
-    Cut {
+    Partition {
         from: usize,
         to: usize,
     },
-    Join {
+    Heal {
         from: usize,
         to: usize,
     },
@@ -29,14 +29,14 @@
     /// What the machine sends takes so much longer.
     Slow(usize, u64),
     /// Messages of the replicas to the machine are lost.
-    Deaf(usize, bool),
+    DropInbound(usize, bool),
     Targets(Vec<usize>),
     /// A client's acknowledgement is followed at once by a loss: the acting machine is wiped.
     WipeActing,
     KillActing,
     /// Disks are lost once the group is repaired; since then it should be.
     LoseOnceRepaired {
-        rounds: u32,
+        losses: u32,
         since: u64,
     },
 }
@@ -49,20 +49,20 @@
 /// Schedules the faults of a world; when they end.
 pub fn plan(world: &mut World) -> u64 {
     match world.options.plan {
-        Plan::Wild => plan_wild(world, true),
-        Plan::Borne => plan_borne(world),
+        Plan::Random => plan_random(world, true),
+        Plan::Tolerated => plan_tolerated(world),
         Plan::Targets => {
-            let end = plan_wild(world, false);
+            let end = plan_random(world, false);
             plan_targets(world, end);
             end
         }
-        Plan::Ambush => plan_ambush(world),
-        Plan::SecondLoss => repair::plan_second_loss(world),
-        Plan::Behind => repair::plan_behind(world),
+        Plan::Transitions => plan_transitions(world),
+        Plan::SecondLoss => repeated_loss::plan_second_loss(world),
+        Plan::StaleMinority => repeated_loss::plan_stale_minority(world),
     }
 }
 
-/// A span between two faults: sometimes long enough to settle, sometimes not.
+/// A span between two faults: sometimes long enough to deliver_all, sometimes not.
 fn pause(random: &mut Random) -> u64 {
     if random.permille(300) {
         random.range(0, 60) * MILLISECOND
@@ -79,7 +79,7 @@
     }
 }
 
-fn plan_wild(world: &mut World, loses_disks: bool) -> u64 {
+fn plan_random(world: &mut World, loses_disks: bool) -> u64 {
     let mut lost_disks = 0;
     let mut at = FIRST_FAULT + world.random.range(0, 1_500) * MILLISECOND;
     let count = world.random.range(3, 12);
@@ -113,9 +113,9 @@
         6 | 7 => plan_isolation(world, at, slot, length),
         8 => {
             let other = (slot + 1 + world.random.index(machines - 1)) % machines;
-            plan_cut(world, at, slot, other, length);
+            plan_partition(world, at, slot, other, length);
             if world.random.permille(500) {
-                plan_cut(world, at, other, slot, length);
+                plan_partition(world, at, other, slot, length);
             }
         }
         9 => {
@@ -151,9 +151,9 @@
     world.schedule_at(at + length, Event::Fault(Fault::Start(slot)));
 }
 
-fn plan_cut(world: &mut World, at: u64, from: usize, to: usize, length: u64) {
-    world.schedule_at(at, Event::Fault(Fault::Cut { from, to }));
-    world.schedule_at(at + length, Event::Fault(Fault::Join { from, to }));
+fn plan_partition(world: &mut World, at: u64, from: usize, to: usize, length: u64) {
+    world.schedule_at(at, Event::Fault(Fault::Partition { from, to }));
+    world.schedule_at(at + length, Event::Fault(Fault::Heal { from, to }));
 }
 
 /// Cuts a machine off from all others, in one direction or both.
@@ -161,38 +161,38 @@
     let directions = world.random.range(0, 4);
     for other in (0..world.options.machines).filter(|other| *other != slot) {
         if directions != 1 {
-            plan_cut(world, at, slot, other, length);
+            plan_partition(world, at, slot, other, length);
         }
         if directions != 2 {
-            plan_cut(world, at, other, slot, length);
+            plan_partition(world, at, other, slot, length);
         }
     }
 }
 
-/// At most as many machines as are to be borne are lost at a time.
-fn plan_borne(world: &mut World) -> u64 {
+/// At most as many machines as tolerated are lost at a time.
+fn plan_tolerated(world: &mut World) -> u64 {
     let mut present: Vec<usize> = (0..world.options.machines).collect();
     let mut spare = world.options.machines;
     // When each machine that may be lost together counts as back.
     let mut lost_until = vec![0; world.options.tolerance];
     let mut at = 2 * SECOND;
     for _ in 0..world.random.range(4, 7) {
-        let Some(place) = lost_until.iter().position(|until| *until <= at) else {
+        let Some(index) = lost_until.iter().position(|until| *until <= at) else {
             at = lost_until.iter().copied().min().unwrap_or(at);
             continue;
         };
         let position = world.random.index(present.len());
         let slot = present[position];
         let length = duration(&mut world.random);
-        if spare < super::world::MOST_REPLACED && world.random.permille(400) {
+        if spare < super::world::MAX_REPLACED && world.random.permille(400) {
             world.schedule_at(at, Event::Fault(Fault::Replace(slot)));
             present[position] = spare;
             spare += 1;
-            lost_until[place] = at + CATCH_UP;
+            lost_until[index] = at + CATCH_UP;
         } else {
             let fault = if world.random.permille(600) { Fault::Wipe(slot) } else { Fault::Kill(slot) };
             plan_stop(world, at, fault, slot, length);
-            lost_until[place] = at + length + CATCH_UP;
+            lost_until[index] = at + length + CATCH_UP;
         }
         at += world.random.range(0, 2 * CATCH_UP);
     }
@@ -213,7 +213,7 @@
 
 /// Machines are stopped or cut off one at a time, long enough to be dropped, and come back; the
 /// ambushes do the rest.
-fn plan_ambush(world: &mut World) -> u64 {
+fn plan_transitions(world: &mut World) -> u64 {
     let spare = world.add_slot(false);
     world.schedule(SECOND, Event::Fault(Fault::Start(spare)));
     let mut at = 1_500 * MILLISECOND;
@@ -231,16 +231,16 @@
 }
 
 /// Strikes in so many of a thousand cases.
-const STRIKES_PERMILLE: u64 = 250;
+const INJECTION_PERMILLE: u64 = 250;
 
-fn strikes(world: &mut World) -> bool {
-    let is_due = world.options.plan == Plan::Ambush && !world.are_faults_over();
-    is_due && world.random.permille(STRIKES_PERMILLE)
+fn injects_fault(world: &mut World) -> bool {
+    let is_due = world.options.plan == Plan::Transitions && !world.are_faults_over();
+    is_due && world.random.permille(INJECTION_PERMILLE)
 }
 
 /// A machine proposes an epoch record: soon after, links between random machines break.
-pub fn strike_at_proposal(world: &mut World) {
-    if !strikes(world) {
+pub fn inject_at_proposal(world: &mut World) {
+    if !injects_fault(world) {
         return;
     }
     if world.random.permille(500) {
@@ -257,20 +257,20 @@
         let from = world.random.index(count);
         let to = (from + 1 + world.random.index(count - 1)) % count;
         let length = world.random.range(50, 900) * MILLISECOND;
-        plan_cut(world, at, from, to, length);
-        plan_cut(world, at, to, from, length);
+        plan_partition(world, at, from, to, length);
+        plan_partition(world, at, to, from, length);
     }
 }
 
 /// A joiner is proposed: it hears no more entries, an entry is proposed at once, and soon all
 /// the others die for a while.
-pub fn strike_at_join(world: &mut World, primary: usize, joiner: usize) {
-    if !strikes(world) {
+pub fn inject_at_join(world: &mut World, primary: usize, joiner: usize) {
+    if !injects_fault(world) {
         return;
     }
-    let deaf_for = world.random.range(100, 400) * MILLISECOND;
-    apply(world, Fault::Deaf(joiner, true));
-    world.schedule(deaf_for, Event::Fault(Fault::Deaf(joiner, false)));
+    let drop_time = world.random.range(100, 400) * MILLISECOND;
+    apply(world, Fault::DropInbound(joiner, true));
+    world.schedule(drop_time, Event::Fault(Fault::DropInbound(joiner, false)));
     world.propose(primary);
     let dies_in = world.random.range(5, 40) * MILLISECOND;
     for slot in (0..world.slots.len()).filter(|slot| *slot != joiner) {
@@ -282,27 +282,27 @@
 
 /// A change of the witnesses starts: the primary and the new witness are parted from the others,
 /// among them the witness that was taken to be gone.
-pub fn strike_at_witness_change(world: &mut World, primary: usize, new_witness: usize) {
-    if !strikes(world) {
+pub fn inject_at_witness_change(world: &mut World, primary: usize, new_witness: usize) {
+    if !injects_fault(world) {
         return;
     }
-    world.cuts.iter_mut().flatten().for_each(|cut| *cut = 0);
+    world.partitions.iter_mut().flatten().for_each(|cut| *cut = 0);
     let at = world.now + world.random.range(0, 12 * MILLISECOND);
     let length = world.random.range(1_500, 3_000) * MILLISECOND;
     for slot in 0..world.slots.len() {
         world.start(slot);
         if slot != primary && slot != new_witness {
             for side in [primary, new_witness] {
-                plan_cut(world, at, slot, side, length);
-                plan_cut(world, at, side, slot, length);
+                plan_partition(world, at, slot, side, length);
+                plan_partition(world, at, side, slot, length);
             }
         }
     }
 }
 
 /// A record was chosen: everything loses power.
-pub fn strike_at_choice(world: &mut World) {
-    if !strikes(world) || world.random.permille(600) {
+pub fn inject_at_choice(world: &mut World) {
+    if !injects_fault(world) || world.random.permille(600) {
         return;
     }
     let at = world.now + world.random.range(0, 3 * MILLISECOND);
@@ -322,14 +322,14 @@
         Fault::Replace(slot) => replace(world, slot),
         Fault::Freeze(slot) => world.slots[slot].is_frozen = world.slots[slot].process.is_some(),
         Fault::Thaw(slot) => world.thaw(slot),
-        Fault::Cut { from, to } => world.cuts[from][to] += 1,
-        Fault::Join { from, to } => world.cuts[from][to] = world.cuts[from][to].saturating_sub(1),
+        Fault::Partition { from, to } => world.partitions[from][to] += 1,
+        Fault::Heal { from, to } => world.partitions[from][to] = world.partitions[from][to].saturating_sub(1),
         Fault::Loss(share) => world.loss_permille = share,
         Fault::DiskHangs(slot, length) => world.slots[slot].disk.hangs_until = world.now + length,
         Fault::Slow(slot, extra) => world.slots[slot].extra_delay = extra,
-        Fault::Deaf(slot, is_deaf) => world.slots[slot].is_deaf = is_deaf,
+        Fault::DropInbound(slot, drops_inbound) => world.slots[slot].drops_inbound = drops_inbound,
         Fault::Targets(targets) => world.set_targets(&targets),
-        Fault::LoseOnceRepaired { rounds, since } => repair::lose_once_repaired(world, rounds, since),
+        Fault::LoseOnceRepaired { losses, since } => repeated_loss::lose_once_repaired(world, losses, since),
         Fault::WipeActing => {
             if let Some(slot) = world.acting().first().copied() {
                 world.wipe(slot);
@@ -355,12 +355,12 @@
 
 /// Ends all faults: everything that exists runs and is connected.
 pub fn heal_everything(world: &mut World) {
-    world.cuts.iter_mut().flatten().for_each(|cut| *cut = 0);
+    world.partitions.iter_mut().flatten().for_each(|cut| *cut = 0);
     world.loss_permille = 0;
     for slot in 0..world.slots.len() {
         world.slots[slot].disk.hangs_until = 0;
         world.slots[slot].extra_delay = 0;
-        world.slots[slot].is_deaf = false;
+        world.slots[slot].drops_inbound = false;
         world.thaw(slot);
         world.start(slot);
     }
--- a/crates/pebblepost-replication/tests/simulation/machine.rs
+++ b/crates/pebblepost-replication/tests/simulation/machine.rs
@@ -5,14 +5,14 @@
 #[derive(Debug, Default)]
 pub struct ListMachine {
     pub values: Vec<u64>,
-    /// What broke the contract of the library.
-    pub broken: Option<String>,
+    /// How the library broke its contract.
+    pub violation: Option<String>,
 }
 
 impl StateMachine for ListMachine {
     fn apply(&mut self, index: u64, entry: &[u8]) {
         if index != self.values.len() as u64 + 1 {
-            self.broken = Some(format!("entry {index} applied after {}", self.values.len()));
+            self.violation = Some(format!("entry {index} applied after {}", self.values.len()));
         }
         self.values.push(u64::from_le_bytes(entry.try_into().expect("an entry of eight bytes")));
     }
--- a/crates/pebblepost-replication/tests/simulation/mod.rs
+++ b/crates/pebblepost-replication/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
 //! A deterministic simulation of a replicated group: seeded network, clocks, disks and faults.
 
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses a part of the simulation")]
 
 pub mod checker;
 pub mod disk;
@@ -8,17 +8,20 @@
 pub mod machine;
 pub mod process;
 pub mod random;
-pub mod repair;
+pub mod repeated_loss;
 pub mod report;
 pub mod transcript;
+pub mod violation;
+pub mod witness_change;
 pub mod world;
 
 use pebblepost_replication::guards::{RegisterGuards, ReplicaGuards};
 use pebblepost_replication::record::Tolerance;
 use pebblepost_replication::replica::ReplicaSettings;
 use std::time::Duration;
+use violation::Violation;
 
-/// What a schedule is played with.
+/// What a schedule is run with.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
     /// Machines at the start, all founders.
@@ -29,27 +32,27 @@
     pub register_guards: RegisterGuards,
     pub replica_guards: ReplicaGuards,
     /// Fault of the caller: a wiped machine comes back under its old identity.
-    pub wiped_keeps_identity: bool,
+    pub wiped_disk_keeps_identity: bool,
 }
 
 /// Which faults a schedule has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// Any number of machines stops, freezes or is cut off at any time; at most as many disks as
-    /// are to be borne are lost over the whole schedule.
-    Wild,
-    /// At most as many machines as are to be borne are lost at once, each counting 4.5 s after
+    /// Any number of machines stops, freezes or is partitioned at any time; at most as many disks
+    /// as tolerated are lost over the whole schedule.
+    Random,
+    /// At most as many machines as tolerated are lost at once, each counting 4.5 s after
     /// its return; disks are lost and machines are replaced again and again.
-    Borne,
-    /// The wanted holders of the group change, beside the faults of `Wild` without lost disks.
+    Tolerated,
+    /// The targets of the group change, beside the faults of `Random` without lost disks.
     Targets,
-    /// Faults strike at the moments when the group changes: records proposed, records chosen,
+    /// Faults are injected at the moments when the group changes: records proposed, records chosen,
     /// joiners added, witnesses replaced. No disks are lost; one spare machine is there.
-    Ambush,
-    /// The next disks are lost in the moment in which the group holds itself to be repaired.
+    Transitions,
+    /// The next disks are lost at the moment at which the group counts itself as repaired.
     SecondLoss,
     /// Machines that missed changes come back while those that hold them are gone.
-    Behind,
+    StaleMinority,
 }
 
 impl Options {
@@ -60,7 +63,7 @@
             plan,
             register_guards: RegisterGuards::default(),
             replica_guards: ReplicaGuards::default(),
-            wiped_keeps_identity: false,
+            wiped_disk_keeps_identity: false,
         }
     }
 }
@@ -78,28 +81,28 @@
     }
 }
 
-/// Plays one schedule; what was broken, if anything.
-pub fn play(options: Options, seed: u64) -> Result<world::Summary, String> {
+/// Runs one schedule.
+pub fn run(options: Options, seed: u64) -> Result<world::Summary, Violation> {
     let mut world = world::World::new(options, seed);
     world.run()
 }
 
-/// Plays many schedules and panics at the first that breaks something.
-pub fn play_all(options: Options, first_seed: u64, count: u64) {
+/// Runs many schedules and panics at the first that breaks something.
+pub fn run_all(options: Options, first_seed: u64, count: u64) {
     let mut acknowledged = 0;
     for seed in first_seed..first_seed + count {
-        match play(options, seed) {
+        match run(options, seed) {
             Ok(summary) => acknowledged += summary.acknowledged,
-            Err(broken) => panic!("{options:?}, seed {seed}: {broken}"),
+            Err(violation) => panic!("{options:?}, seed {seed}: {violation}"),
         }
     }
     assert!(acknowledged > count * 10, "only {acknowledged} acknowledged in {count} schedules");
 }
 
 /// The first seed of so many that breaks a safety rule.
-pub fn first_broken(options: Options, first_seed: u64, count: u64) -> Option<(u64, String)> {
+pub fn first_violation(options: Options, first_seed: u64, count: u64) -> Option<(u64, Violation)> {
     (first_seed..first_seed + count).find_map(|seed| {
-        let broken = play(options, seed).err().filter(|broken| !broken.contains(world::LIVENESS));
-        broken.map(|broken| (seed, broken))
+        let violation = run(options, seed).err().filter(Violation::is_safety);
+        violation.map(|violation| (seed, violation))
     })
 }
--- a/crates/pebblepost-replication/tests/simulation/process.rs
+++ b/crates/pebblepost-replication/tests/simulation/process.rs
@@ -1,18 +1,18 @@
 //! A process: a register and a replica, and what a control program does around them.
 
 use super::machine::ListMachine;
+use super::witness_change::next_witness_change;
 use super::{Options, settings};
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
 use pebblepost_replication::register::{Register, WitnessState};
 use pebblepost_replication::replica::{DiskRecord, Replica};
-use pebblepost_replication::witnesses::next_witness_step;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A member not heard for so long is taken to be gone, by the driver of the witness set.
+/// A member not heard from for this long counts as gone, to the driver of the witness set.
 const GONE_AFTER: Duration = Duration::from_millis(1500);
-/// A member not heard for so long had its connection opened anew.
+/// A member not heard from for this long has reconnected.
 const RECONNECTED_AFTER: Duration = Duration::from_millis(700);
 
 pub struct Process {
@@ -21,13 +21,13 @@
     pub replica: Replica<ListMachine>,
     /// The replica waits for the register's answer.
     pub change_in_flight: bool,
-    /// Entries proposed by clients in this life.
+    /// Entries proposed by clients since the start of the process.
     pub proposals: BTreeMap<u64, u64>,
     /// Applied entries that were checked.
     pub checked: usize,
     heard: BTreeMap<DiskId, (Member, Duration)>,
     clock_offset: u64,
-    wanted_witnesses: usize,
+    witness_count: usize,
 }
 
 impl Process {
@@ -55,7 +55,7 @@
             checked: 0,
             heard: BTreeMap::new(),
             clock_offset,
-            wanted_witnesses: 2 * options.tolerance + 1,
+            witness_count: 2 * options.tolerance + 1,
         }
     }
 
@@ -64,12 +64,12 @@
         Duration::from_micros(now + self.clock_offset)
     }
 
-    /// A greeting of a connected member; whoever was away is told the newest record.
-    pub fn hear(&mut self, now: u64, from: &Member) {
+    /// A greeting of a connected member; whoever was away is announced the newest record.
+    pub fn on_hello(&mut self, now: u64, from: &Member) {
         let local = self.local(now);
         let last = self.heard.insert(from.disk, (from.clone(), local));
         if last.is_none_or(|(_, at)| local - at > RECONNECTED_AFTER) {
-            self.register.introduce(from);
+            self.register.announce_chosen(from);
         }
     }
 
@@ -81,17 +81,17 @@
             return None;
         }
         let record = self.replica.record();
-        let is_living = |(_, at): &&(Member, Duration)| local - *at < GONE_AFTER;
-        let witnesses_live = record.witnesses.iter().all(|witness| {
-            witness.disk == self.me.disk || self.heard.get(&witness.disk).as_ref().is_some_and(is_living)
+        let is_up = |(_, at): &&(Member, Duration)| local - *at < GONE_AFTER;
+        let witnesses_up = record.witnesses.iter().all(|witness| {
+            witness.disk == self.me.disk || self.heard.get(&witness.disk).as_ref().is_some_and(is_up)
         });
-        if witnesses_live && record.former_witnesses.is_empty() {
+        if witnesses_up && record.former_witnesses.is_empty() {
             return None;
         }
-        let mut living: Vec<Member> =
-            self.heard.values().filter(is_living).map(|(member, _)| member.clone()).collect();
-        living.push(self.me.clone());
-        let next = next_witness_step(record, &living, self.wanted_witnesses)?;
+        let mut reachable: Vec<Member> =
+            self.heard.values().filter(is_up).map(|(member, _)| member.clone()).collect();
+        reachable.push(self.me.clone());
+        let next = next_witness_change(record, &reachable, self.witness_count)?;
         let new_witness = next.witnesses.iter().find(|member| !record.is_witness(member.disk)).cloned();
         let expected = record.epoch;
         self.register.propose(local, expected, next);
--- a/crates/pebblepost-replication/tests/simulation/repair.rs
+++ b/crates/pebblepost-replication/tests/simulation/repeated_loss.rs
@@ -2,36 +2,37 @@
 
 use super::Plan;
 use super::faults::Fault;
+use super::violation::Violation;
 use super::world::{Event, MILLISECOND, SECOND, World};
 use pebblepost_messages::Member;
 
-/// Repairs that a schedule waits for.
-const ROUNDS: u32 = 5;
-/// How often a world is looked at for whether it is repaired.
-const LOOK: u64 = MILLISECOND;
+/// Losses of a schedule, each after the repair of the one before.
+const LOSSES: u32 = 5;
+/// How often it is checked whether the group is repaired.
+const CHECK_INTERVAL: u64 = MILLISECOND;
 /// Time in which a loss has to be repaired once the machines are back.
-const MOST_REPAIR: u64 = 4_500 * MILLISECOND;
-/// When the first loss strikes, at the earliest.
-const FIRST_LOSS: u64 = 2 * SECOND;
+const REPAIR_TIMEOUT: u64 = 4_500 * MILLISECOND;
+/// When the first loss happens, at the earliest.
+const FIRST_LOSS_AT: u64 = 2 * SECOND;
 
-/// As many disks as are to be borne are lost, and again in the moment in which the group holds itself to be repaired.
+/// As many disks as tolerated are lost, and again at the moment at which the group counts itself as repaired.
 pub fn plan_second_loss(world: &mut World) -> u64 {
-    let at = FIRST_LOSS + world.random.range(0, 500) * MILLISECOND;
-    world.schedule_at(at, Event::Fault(Fault::LoseOnceRepaired { rounds: ROUNDS, since: at }));
-    at + u64::from(ROUNDS) * (MOST_REPAIR + SECOND)
+    let at = FIRST_LOSS_AT + world.random.range(0, 500) * MILLISECOND;
+    world.schedule_at(at, Event::Fault(Fault::LoseOnceRepaired { losses: LOSSES, since: at }));
+    at + u64::from(LOSSES) * (REPAIR_TIMEOUT + SECOND)
 }
 
-/// Loses disks if the group is repaired, and looks again later.
-pub fn lose_once_repaired(world: &mut World, rounds: u32, since: u64) {
+/// Loses disks if the group is repaired, and checks again later.
+pub fn lose_once_repaired(world: &mut World, losses: u32, since: u64) {
     if !is_repaired(world) {
-        if world.now.saturating_sub(since) > MOST_REPAIR {
-            let broken = format!("{}: not repaired: {}", super::world::LIVENESS, world.describe());
-            world.checker.fail(broken);
+        if world.now.saturating_sub(since) > REPAIR_TIMEOUT {
+            let found = format!("not repaired: {}", world.describe());
+            world.checker.fail(Violation::Liveness(found));
         }
-        world.schedule(LOOK, Event::Fault(Fault::LoseOnceRepaired { rounds, since }));
+        world.schedule(CHECK_INTERVAL, Event::Fault(Fault::LoseOnceRepaired { losses, since }));
         return;
     }
-    if rounds == 0 {
+    if losses == 0 {
         return;
     }
     let mut back_at = world.now;
@@ -46,8 +47,11 @@
         world.schedule_at(at, Event::Fault(Fault::Slow(slot, extra)));
         back_at = back_at.max(at + length);
     }
-    let look = back_at + MILLISECOND;
-    world.schedule_at(look, Event::Fault(Fault::LoseOnceRepaired { rounds: rounds - 1, since: look }));
+    let next_check = back_at + MILLISECOND;
+    world.schedule_at(
+        next_check,
+        Event::Fault(Fault::LoseOnceRepaired { losses: losses - 1, since: next_check }),
+    );
 }
 
 /// How many machines hold the group where disks are lost right after a repair: no more than must.
@@ -61,7 +65,7 @@
     is_tight.then(|| world.slots[..holder_count(world)].iter().map(|slot| (*slot.member).clone()).collect())
 }
 
-/// As many holders as are to be borne.
+/// As many holders as tolerated.
 fn victims(world: &mut World) -> Vec<usize> {
     let spared = world.random.index(holder_count(world));
     (0..holder_count(world)).filter(|slot| *slot != spared).collect()
@@ -83,30 +87,30 @@
 
 /// A minority is cut off and misses everything; one of the others loses its disk, the rest go dark, and the cut heals:
 /// those who missed it must not lead.
-pub fn plan_behind(world: &mut World) -> u64 {
+pub fn plan_stale_minority(world: &mut World) -> u64 {
     let machines = world.options.machines;
-    let mut at = FIRST_LOSS;
+    let mut at = FIRST_LOSS_AT;
     for _ in 0..3 {
         let first = world.random.index(machines);
         let order: Vec<usize> = (0..machines).map(|number| (first + number) % machines).collect();
         let (behind, others) = order.split_at(world.options.tolerance);
-        let cut_for = world.random.range(500, 4_000) * MILLISECOND;
+        let partition_time = world.random.range(500, 4_000) * MILLISECOND;
         for (from, to) in behind.iter().flat_map(|one| others.iter().map(move |other| (*one, *other))) {
             for (from, to) in [(from, to), (to, from)] {
-                world.schedule_at(at, Event::Fault(Fault::Cut { from, to }));
-                world.schedule_at(at + cut_for, Event::Fault(Fault::Join { from, to }));
+                world.schedule_at(at, Event::Fault(Fault::Partition { from, to }));
+                world.schedule_at(at + partition_time, Event::Fault(Fault::Heal { from, to }));
             }
         }
-        let struck = at + cut_for - world.random.range(0, 200) * MILLISECOND;
-        let dark_for = world.random.range(200, 4_000) * MILLISECOND;
+        let lost_at = at + partition_time - world.random.range(0, 200) * MILLISECOND;
+        let down_time = world.random.range(200, 4_000) * MILLISECOND;
         for (position, slot) in others.iter().enumerate() {
             let is_lost = position == 0;
             let fault = if is_lost { Fault::Wipe(*slot) } else { Fault::Kill(*slot) };
-            let back = if is_lost { world.random.range(50, 600) * MILLISECOND } else { dark_for };
-            world.schedule_at(struck, Event::Fault(fault));
-            world.schedule_at(struck + back, Event::Fault(Fault::Start(*slot)));
+            let back = if is_lost { world.random.range(50, 600) * MILLISECOND } else { down_time };
+            world.schedule_at(lost_at, Event::Fault(fault));
+            world.schedule_at(lost_at + back, Event::Fault(Fault::Start(*slot)));
         }
-        at = struck + dark_for + MOST_REPAIR;
+        at = lost_at + down_time + REPAIR_TIMEOUT;
     }
     at
 }
--- a/crates/pebblepost-replication/tests/simulation/report.rs
+++ b/crates/pebblepost-replication/tests/simulation/report.rs
@@ -1,15 +1,15 @@
-//! What a world looks like, for reports of what broke.
+//! What a world looks like, for reports of violations.
 
 use super::world::{Slot, World};
 use pebblepost_messages::Member;
 
 impl World {
-    /// What each machine takes to be the case, for reports.
+    /// What each machine knows, for reports.
     pub fn describe(&self) -> String {
         let describe = |slot: &Slot| {
             let process = slot.process.as_ref()?;
             let record = process.replica.record();
-            let disks = |members: &[Member]| members.iter().map(|m| m.disk.0).collect::<Vec<_>>();
+            let disks = |members: &[Member]| members.iter().map(|member| member.disk.0).collect::<Vec<_>>();
             Some(format!(
                 "[{} epoch {} primary {} in sync {:?} witnesses {:?} former {:?} committed {} progress {:?}]",
                 slot.member.disk.0,
--- /dev/null
+++ b/crates/pebblepost-replication/tests/simulation/violation.rs
@@ -0,0 +1,35 @@
+//! Rules that a schedule broke.
+
+use std::fmt;
+
+/// What a schedule broke.
+#[derive(Clone, Debug)]
+pub enum Violation {
+    /// Something happened that must never happen.
+    Safety(String),
+    /// Something did not happen in time.
+    Liveness(String),
+}
+
+impl Violation {
+    /// The same, with the time at which it was found.
+    pub fn at(self, milliseconds: u64) -> Self {
+        match self {
+            Self::Safety(found) => Self::Safety(format!("at {milliseconds} ms: {found}")),
+            Self::Liveness(found) => Self::Liveness(format!("at {milliseconds} ms: {found}")),
+        }
+    }
+
+    pub fn is_safety(&self) -> bool {
+        matches!(self, Self::Safety(_))
+    }
+}
+
+impl fmt::Display for Violation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Safety(found) => write!(f, "safety: {found}"),
+            Self::Liveness(found) => write!(f, "liveness: {found}"),
+        }
+    }
+}
--- a/crates/pebblepost-replication/tests/simulation/world.rs
+++ b/crates/pebblepost-replication/tests/simulation/world.rs
@@ -5,8 +5,9 @@
 use super::faults::{self, Fault};
 use super::process::Process;
 use super::random::Random;
-use super::repair;
+use super::repeated_loss;
 use super::transcript::Transcript;
+use super::violation::Violation;
 use super::{Options, Plan};
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
@@ -16,13 +17,10 @@
 use std::collections::BinaryHeap;
 use std::rc::Rc;
 
-/// How a broken liveness rule is told from a broken safety rule.
-pub const LIVENESS: &str = "liveness";
-
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
 const TICK: u64 = 50 * MILLISECOND;
-const GREETING: u64 = 300 * MILLISECOND;
+const HELLO_INTERVAL: u64 = 300 * MILLISECOND;
 const CLIENT_PERIOD: u64 = 50 * MILLISECOND;
 /// Clients ask so many times less often once the faults are over.
 const CALM_CLIENTS: u64 = 4;
@@ -36,14 +34,14 @@
 pub enum Payload {
     Register(Vec<u8>),
     Replica(Vec<u8>),
-    Greeting,
+    Hello,
 }
 
 pub enum Event {
     Deliver { to: usize, from: Rc<Member>, payload: Payload },
-    Synced { slot: usize, life: u64 },
-    Tick { slot: usize, life: u64 },
-    Greet,
+    Synced { slot: usize, incarnation: u64 },
+    Tick { slot: usize, incarnation: u64 },
+    Hello,
     Client,
     Fault(Fault),
     FaultsEnd,
@@ -51,17 +49,18 @@
     End,
 }
 
-/// A machine's place: address, disk, process.
+#[expect(clippy::struct_excessive_bools, reason = "independent conditions of a simulated machine")]
+/// A machine: address, disk, process.
 pub struct Slot {
     pub member: Rc<Member>,
     pub disk: SimulatedDisk,
     pub process: Option<Process>,
-    pub life: u64,
+    pub incarnation: u64,
     pub is_founder: bool,
     pub is_removed: bool,
     pub is_frozen: bool,
     pub extra_delay: u64,
-    pub is_deaf: bool,
+    pub drops_inbound: bool,
     /// What arrived while the machine was frozen.
     inbox: Vec<Event>,
 }
@@ -76,7 +75,7 @@
     pub now: u64,
     pub slots: Vec<Slot>,
     /// Cuts from one machine to another, counted.
-    pub cuts: Vec<Vec<u32>>,
+    pub partitions: Vec<Vec<u32>>,
     pub loss_permille: u64,
     pub checker: Checker,
     /// What the processes put out, where that is asked for.
@@ -93,9 +92,9 @@
 }
 
 /// Most machines of one schedule, spares included.
-pub const MOST_SLOTS: usize = 12;
+pub const MAX_SLOTS: usize = 12;
 /// Slots that replacements may fill.
-pub const MOST_REPLACED: usize = 11;
+pub const MAX_REPLACED: usize = 11;
 
 impl World {
     pub fn new(options: Options, seed: u64) -> Self {
@@ -104,7 +103,7 @@
             random: Random::new(seed),
             now: 0,
             slots: Vec::new(),
-            cuts: vec![vec![0; MOST_SLOTS]; MOST_SLOTS],
+            partitions: vec![vec![0; MAX_SLOTS]; MAX_SLOTS],
             loss_permille: 0,
             checker: Checker::default(),
             transcript: None,
@@ -112,7 +111,7 @@
             events: Vec::new(),
             free: Vec::new(),
             sequence: 0,
-            last_delivery: vec![vec![0; MOST_SLOTS]; MOST_SLOTS],
+            last_delivery: vec![vec![0; MAX_SLOTS]; MAX_SLOTS],
             founding: EpochRecord::default(),
             next_value: 1,
             faults_end: 0,
@@ -131,7 +130,7 @@
             let delay = self.random.range(0, 200 * MILLISECOND);
             self.schedule(delay, Event::Fault(Fault::Start(slot)));
         }
-        self.schedule(0, Event::Greet);
+        self.schedule(0, Event::Hello);
         self.schedule(SECOND, Event::Client);
         self.faults_end = faults::plan(self);
         let end = self.faults_end;
@@ -148,12 +147,12 @@
             member: Rc::new(member(slot, disk)),
             disk: SimulatedDisk::default(),
             process: None,
-            life: 0,
+            incarnation: 0,
             is_founder,
             is_removed: false,
             is_frozen: false,
             extra_delay: 0,
-            is_deaf: false,
+            drops_inbound: false,
             inbox: Vec::new(),
         });
         slot
@@ -168,30 +167,31 @@
     }
 
     pub fn schedule_at(&mut self, at: u64, event: Event) {
-        let place = self.free.pop().unwrap_or_else(|| {
+        let index = self.free.pop().unwrap_or_else(|| {
             self.events.push(None);
             self.events.len() - 1
         });
-        self.events[place] = Some(event);
+        self.events[index] = Some(event);
         self.sequence += 1;
-        self.queue.push(Reverse((at, self.sequence, place)));
+        self.queue.push(Reverse((at, self.sequence, index)));
     }
 
-    pub fn run(&mut self) -> Result<Summary, String> {
-        while let Some(Reverse((at, _, place))) = self.queue.pop() {
+    pub fn run(&mut self) -> Result<Summary, Violation> {
+        while let Some(Reverse((at, _, index))) = self.queue.pop() {
             self.now = at;
-            let event = self.events[place].take().expect("an event at its place");
-            self.free.push(place);
+            let event = self.events[index].take().expect("an event at its index");
+            self.free.push(index);
             if matches!(event, Event::End) {
                 break;
             }
             self.handle(event);
-            if let Some(broken) = self.checker.broken.take() {
-                return Err(format!("at {} ms: {broken}", self.now / MILLISECOND));
+            if let Some(violation) = self.checker.violation.take() {
+                return Err(violation.at(self.now / MILLISECOND));
             }
         }
         if self.checker.acknowledged == self.acknowledged_at_end {
-            return Err(format!("{LIVENESS}: nothing acknowledged after the faults: {}", self.describe()));
+            let found = format!("nothing acknowledged after the faults: {}", self.describe());
+            return Err(Violation::Liveness(found));
         }
         Ok(Summary { acknowledged: self.checker.acknowledged })
     }
@@ -199,9 +199,9 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Deliver { to, from, payload } => self.deliver(to, from, payload),
-            Event::Synced { slot, life } => self.synced(slot, life),
-            Event::Tick { slot, life } => self.tick(slot, life),
-            Event::Greet => self.greet(),
+            Event::Synced { slot, incarnation } => self.synced(slot, incarnation),
+            Event::Tick { slot, incarnation } => self.tick(slot, incarnation),
+            Event::Hello => self.send_hellos(),
             Event::Client => self.client(),
             Event::Fault(fault) => faults::apply(self, fault),
             Event::FaultsEnd => self.end_faults(),
@@ -221,8 +221,8 @@
 
     fn must_act(&mut self) {
         if self.acting().is_empty() {
-            let broken = format!("{LIVENESS}: nobody acts: {}", self.describe());
-            self.checker.fail(broken);
+            let found = format!("nobody acts: {}", self.describe());
+            self.checker.fail(Violation::Liveness(found));
         }
     }
 
@@ -232,47 +232,47 @@
             return;
         }
         let seed = self.random.next();
-        let place = &mut self.slots[slot];
-        place.life += 1;
-        place.is_frozen = false;
-        place.inbox.clear();
-        let founding = place.is_founder.then(|| self.founding.clone());
-        let me = (*place.member).clone();
-        let recovered = place.disk.recovered();
-        place.process = Some(Process::new(&self.options, me, recovered, founding, self.now, seed));
-        let life = place.life;
-        self.schedule(seed % TICK, Event::Tick { slot, life });
+        let machine = &mut self.slots[slot];
+        machine.incarnation += 1;
+        machine.is_frozen = false;
+        machine.inbox.clear();
+        let founding = machine.is_founder.then(|| self.founding.clone());
+        let me = (*machine.member).clone();
+        let recovered = machine.disk.recovered();
+        machine.process = Some(Process::new(&self.options, me, recovered, founding, self.now, seed));
+        let incarnation = machine.incarnation;
+        self.schedule(seed % TICK, Event::Tick { slot, incarnation });
         self.drain(slot);
     }
 
     /// Stops the process; the disk keeps what was durable and some of the rest.
     pub fn stop(&mut self, slot: usize) {
-        let place = &mut self.slots[slot];
-        place.process = None;
-        place.is_frozen = false;
-        place.life += 1;
-        place.inbox.clear();
-        place.disk.lose_pending(&mut self.random);
+        let machine = &mut self.slots[slot];
+        machine.process = None;
+        machine.is_frozen = false;
+        machine.incarnation += 1;
+        machine.inbox.clear();
+        machine.disk.lose_pending(&mut self.random);
     }
 
     /// Stops the machine and empties its disk: what comes back is a new replica.
     pub fn wipe(&mut self, slot: usize) {
         self.stop(slot);
         self.slots[slot].disk.wipe();
-        if self.options.wiped_keeps_identity {
+        if self.options.wiped_disk_keeps_identity {
             return;
         }
         let disk = self.new_disk();
-        let place = &mut self.slots[slot];
-        place.is_founder = false;
-        place.member = Rc::new(member(slot, disk));
+        let machine = &mut self.slots[slot];
+        machine.is_founder = false;
+        machine.member = Rc::new(member(slot, disk));
     }
 
     pub fn thaw(&mut self, slot: usize) {
         if !std::mem::take(&mut self.slots[slot].is_frozen) {
             return;
         }
-        let life = self.slots[slot].life;
+        let incarnation = self.slots[slot].incarnation;
         let ticks_first = self.random.permille(500);
         if ticks_first {
             self.tick_process(slot);
@@ -280,43 +280,43 @@
         for event in std::mem::take(&mut self.slots[slot].inbox) {
             self.handle(event);
         }
-        self.schedule(0, Event::Tick { slot, life });
+        self.schedule(0, Event::Tick { slot, incarnation });
     }
 
     fn deliver(&mut self, to: usize, from: Rc<Member>, payload: Payload) {
-        let place = &mut self.slots[to];
-        if place.is_frozen {
-            place.inbox.push(Event::Deliver { to, from, payload });
+        let machine = &mut self.slots[to];
+        if machine.is_frozen {
+            machine.inbox.push(Event::Deliver { to, from, payload });
             return;
         }
         let now = self.now;
-        let Some(process) = &mut place.process else { return };
+        let Some(process) = &mut machine.process else { return };
         let local = process.local(now);
         match payload {
             Payload::Register(message) => process.register.receive(local, &from, &message),
             Payload::Replica(message) => process.replica.receive(local, &from, &message),
-            Payload::Greeting => process.hear(now, &from),
+            Payload::Hello => process.on_hello(now, &from),
         }
         self.drain(to);
     }
 
-    fn synced(&mut self, slot: usize, life: u64) {
+    fn synced(&mut self, slot: usize, incarnation: u64) {
         let now = self.now;
-        let place = &mut self.slots[slot];
-        if place.life != life {
+        let machine = &mut self.slots[slot];
+        if machine.incarnation != incarnation {
             return;
         }
-        if now < place.disk.hangs_until {
-            let until = place.disk.hangs_until;
-            self.schedule_at(until, Event::Synced { slot, life });
+        if now < machine.disk.hangs_until {
+            let until = machine.disk.hangs_until;
+            self.schedule_at(until, Event::Synced { slot, incarnation });
             return;
         }
-        if place.is_frozen {
-            place.inbox.push(Event::Synced { slot, life });
+        if machine.is_frozen {
+            machine.inbox.push(Event::Synced { slot, incarnation });
             return;
         }
-        let Some(waiter) = place.disk.complete_one() else { return };
-        let Some(process) = &mut place.process else { return };
+        let Some(waiter) = machine.disk.complete_one() else { return };
+        let Some(process) = &mut machine.process else { return };
         let local = process.local(now);
         match waiter {
             Waiter::Register(token) => process.register.persisted(local, token),
@@ -326,20 +326,20 @@
         self.drain(slot);
     }
 
-    fn tick(&mut self, slot: usize, life: u64) {
-        if self.slots[slot].life != life || self.slots[slot].is_frozen {
+    fn tick(&mut self, slot: usize, incarnation: u64) {
+        if self.slots[slot].incarnation != incarnation || self.slots[slot].is_frozen {
             return;
         }
         self.tick_process(slot);
         self.check_acting();
-        self.schedule(TICK, Event::Tick { slot, life });
+        self.schedule(TICK, Event::Tick { slot, incarnation });
     }
 
     fn tick_process(&mut self, slot: usize) {
         let now = self.now;
-        let holders = repair::holders(self);
-        let place = &mut self.slots[slot];
-        let Some(process) = &mut place.process else { return };
+        let holders = repeated_loss::holders(self);
+        let machine = &mut self.slots[slot];
+        let Some(process) = &mut machine.process else { return };
         let local = process.local(now);
         process.register.tick(local);
         if let Some(holders) = holders {
@@ -347,12 +347,12 @@
         }
         process.replica.tick(local);
         let new_witness = process.drive_witnesses(now);
-        if place.disk.replica_records() > CHECKPOINT_RECORDS {
+        if machine.disk.replica_records() > CHECKPOINT_RECORDS {
             let records = process.replica.checkpoint().expect("a sound state");
             self.write(slot, Waiter::Checkpoint, Stored::Replica(records));
         }
         if let Some(new_witness) = new_witness {
-            faults::strike_at_witness_change(self, slot, slot_of(&new_witness));
+            faults::inject_at_witness_change(self, slot, slot_of(&new_witness));
         }
         self.drain(slot);
     }
@@ -369,25 +369,25 @@
     fn check_acting(&mut self) {
         let acting = self.acting();
         if acting.len() > 1 {
-            let broken = format!("two primaries act: {acting:?}: {}", self.describe());
-            self.checker.fail(broken);
+            let found = format!("two primaries act: {acting:?}: {}", self.describe());
+            self.checker.fail_safety(found);
         }
         for slot in acting {
-            let place = &self.slots[slot];
-            if let Some(process) = &place.process {
-                self.checker.acting(&place.member.node, process.replica.state().values.len());
+            let machine = &self.slots[slot];
+            if let Some(process) = &machine.process {
+                self.checker.acting(&machine.member.node, process.replica.state().values.len());
             }
         }
     }
 
-    fn greet(&mut self) {
+    fn send_hellos(&mut self) {
         for from in 0..self.slots.len() {
-            let greets = self.slots[from].process.is_some() && !self.slots[from].is_frozen;
-            for to in (0..self.slots.len()).filter(|to| greets && *to != from) {
-                self.transmit(from, to, Payload::Greeting);
+            let is_up = self.slots[from].process.is_some() && !self.slots[from].is_frozen;
+            for to in (0..self.slots.len()).filter(|to| is_up && *to != from) {
+                self.transmit(from, to, Payload::Hello);
             }
         }
-        self.schedule(GREETING, Event::Greet);
+        self.schedule(HELLO_INTERVAL, Event::Hello);
     }
 
     /// Clients propose through whoever acts.
@@ -417,17 +417,17 @@
 
     fn write(&mut self, slot: usize, waiter: Waiter, stored: Stored) {
         let latency = self.random.range(300, 4 * MILLISECOND);
-        let place = &mut self.slots[slot];
-        let due = place.disk.write(self.now, latency, waiter, stored);
-        let life = place.life;
-        self.schedule_at(due, Event::Synced { slot, life });
+        let machine = &mut self.slots[slot];
+        let due = machine.disk.write(self.now, latency, waiter, stored);
+        let incarnation = machine.incarnation;
+        self.schedule_at(due, Event::Synced { slot, incarnation });
     }
 
     fn transmit(&mut self, from: usize, to: usize, payload: Payload) {
-        if from != to && (self.cuts[from][to] > 0 || self.random.permille(self.loss_permille)) {
+        if from != to && (self.partitions[from][to] > 0 || self.random.permille(self.loss_permille)) {
             return;
         }
-        if matches!(payload, Payload::Replica(_)) && self.slots[to].is_deaf {
+        if matches!(payload, Payload::Replica(_)) && self.slots[to].drops_inbound {
             return;
         }
         let extra = self.slots[from].extra_delay;
@@ -484,7 +484,7 @@
                     let local = process.local(now);
                     process.replica.configure(local, &record);
                 }
-                faults::strike_at_choice(self);
+                faults::inject_at_choice(self);
             }
             RegisterOutput::Rejected { .. } => {}
         }
@@ -497,7 +497,7 @@
         if process.change_in_flight && !process.register.is_proposing() {
             process.change_in_flight = false;
             let local = process.local(now);
-            process.replica.change_ended(local);
+            process.replica.epoch_change_ended(local);
         }
     }
 
@@ -528,16 +528,16 @@
         let Some(process) = &mut self.slots[slot].process else { return };
         let local = process.local(now);
         if process.register.is_proposing() {
-            process.replica.change_ended(local);
+            process.replica.epoch_change_ended(local);
             return;
         }
         process.change_in_flight = true;
         let joiner = record.in_sync.iter().find(|member| !process.replica.record().is_in_sync(member.disk));
         let joiner = joiner.filter(|_| expected > 0).map(slot_of);
         process.register.propose(local, expected, record);
-        faults::strike_at_proposal(self);
+        faults::inject_at_proposal(self);
         if let Some(joiner) = joiner {
-            faults::strike_at_join(self, slot, joiner);
+            faults::inject_at_join(self, slot, joiner);
         }
     }
 
@@ -554,16 +554,16 @@
         let Some(process) = &mut self.slots[slot].process else { return };
         let state = process.replica.state();
         if state.values.len() < process.checked {
-            self.checker.fail(format!("{} lost applied entries", process.me.node));
+            self.checker.fail_safety(format!("{} lost applied entries", process.me.node));
         }
         self.checker.applied(&process.me.node, process.checked, &state.values);
         process.checked = state.values.len();
-        if let Some(broken) = &state.broken {
-            self.checker.fail(broken.clone());
+        if let Some(violation) = &state.violation {
+            self.checker.fail_safety(violation.clone());
         }
     }
 
-    /// The machines that the group should be held by.
+    /// The machines that should hold the group.
     pub fn set_targets(&mut self, targets: &[usize]) {
         debug_assert_eq!(self.options.plan, Plan::Targets);
         let members: Vec<Member> = targets.iter().map(|slot| (*self.slots[*slot].member).clone()).collect();
