--- /dev/null
+++ b/crates/pebblepost-control/tests/stored_forms.rs
@@ -0,0 +1,182 @@
+//! Bytes on disk and between control processes: the approved ones are read, and written again.
+
+mod support;
+
+use nanoserde::{DeBin, SerBin};
+use pebblepost_control::command::{ChangeMethod, Command, ConfigurationChange, FoundedGroup};
+use pebblepost_control::departures::Departure;
+use pebblepost_control::disk_record::{ControlRecord, RecoveredRecords};
+use pebblepost_control::peers::{PeerMessage, PeerPart};
+use pebblepost_control::state::ControlState;
+use pebblepost_messages::control::GroupEpoch;
+use pebblepost_messages::{DiskId, Member};
+use pebblepost_replication::record::EpochRecord;
+use pebblepost_replication::register::{Ballot, WitnessState};
+use pebblepost_replication::replica::{DiskRecord, StateMachine};
+use rstest::rstest;
+use std::fmt::{Debug, Write};
+use support::documents::{configuration, patch};
+
+const APPROVED: &str = include_str!("transcripts/stored_forms.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
+    (0..text.len()).step_by(2).map(byte).collect()
+}
+
+fn member(number: u64, node: &str) -> Member {
+    Member {
+        disk: DiskId(number),
+        node: node.into(),
+        address: format!("10.0.0.{number}:7300"),
+        zone: format!("zone-{number}"),
+        region: "region".into(),
+    }
+}
+
+fn epoch_record() -> EpochRecord {
+    EpochRecord {
+        epoch: 7,
+        primary: DiskId(1),
+        in_sync: vec![member(1, "a"), member(2, "b")],
+        witnesses: vec![member(1, "a"), member(3, "c")],
+        former_witnesses: vec![member(4, "d")],
+    }
+}
+
+fn group_epoch(epoch: u64, primary: u64, in_sync: &[u64]) -> GroupEpoch {
+    let in_sync = in_sync.iter().map(|disk| DiskId(*disk)).collect();
+    GroupEpoch { epoch, primary: DiskId(primary), in_sync }
+}
+
+fn commands() -> Vec<(&'static str, Command)> {
+    let replicas = vec![DiskId(1), DiskId(2)];
+    let change =
+        |base, method, body| Command::ChangeConfiguration(ConfigurationChange { base, method, body });
+    let departure = |departure| Command::NoteDeparture { instance: "i-9".into(), departure };
+    vec![
+        ("entry: configuration, whole", change(0, ChangeMethod::Whole, configuration(3, 10))),
+        ("entry: configuration, patch", change(3, ChangeMethod::Patch, patch(4, 11))),
+        ("entry: version", Command::NameVersion { model: "m".into(), generation: 12 }),
+        ("entry: store joined", Command::StoreJoined(member(1, "a"))),
+        ("entry: store joined, second", Command::StoreJoined(member(2, "b"))),
+        ("entry: store joined, third", Command::StoreJoined(member(3, "c"))),
+        ("entry: store joined, fourth", Command::StoreJoined(member(4, "d"))),
+        (
+            "entry: first groups",
+            Command::FoundStoreGroups(vec![
+                FoundedGroup { group: 0, primary: DiskId(1), replicas: replicas.clone() },
+                FoundedGroup { group: 5, primary: DiskId(2), replicas },
+            ]),
+        ),
+        (
+            "entry: epoch of a group",
+            Command::ChangeGroup {
+                proposer: DiskId(1),
+                group: 5,
+                expected_epoch: 1,
+                proposed: group_epoch(2, 2, &[2, 1, 3]),
+            },
+        ),
+        ("entry: targets", Command::SetTargets { group: 5, targets: vec![DiskId(2), DiskId(3)] }),
+        ("entry: store left", Command::StoreLeft(DiskId(4))),
+        ("entry: retire", Command::Retire { node: "a".into(), least_remaining: 2 }),
+        ("entry: retire completed", Command::RetireCompleted { node: "a".into() }),
+        ("entry: orders", Command::HoldOrders { holder: DiskId(0xfeed) }),
+        ("entry: draining", departure(Departure::Draining)),
+        ("entry: gone", departure(Departure::Gone)),
+    ]
+}
+
+fn records() -> Vec<(&'static str, ControlRecord)> {
+    let witness = WitnessState {
+        promised: Ballot { round: 9, proposer: DiskId(2) },
+        accepted_ballot: Ballot { round: 8, proposer: DiskId(1) },
+        accepted: Some(epoch_record()),
+    };
+    let entry = DiskRecord::Entry { index: 4, epoch: 7, entry: vec![1, 2, 3] };
+    let snapshot = DiskRecord::Snapshot { index: 5, epoch: 7, state: vec![4, 5] };
+    vec![
+        ("disk: first record", ControlRecord::Founding(epoch_record())),
+        ("disk: witness", ControlRecord::Witness(witness)),
+        ("disk: entry", ControlRecord::Replica(entry)),
+        ("disk: snapshot", ControlRecord::Replica(snapshot)),
+        ("disk: epoch", ControlRecord::Replica(DiskRecord::Epoch(epoch_record()))),
+        ("disk: acted", ControlRecord::Replica(DiskRecord::Acted { epoch: 7 })),
+    ]
+}
+
+fn peer_messages() -> Vec<(&'static str, PeerMessage)> {
+    vec![
+        ("peer: register", PeerMessage { to: DiskId(3), part: PeerPart::Register(vec![1, 2]) }),
+        ("peer: replica", PeerMessage { to: DiskId(3), part: PeerPart::Replica(vec![3]) }),
+    ]
+}
+
+/// The state after all entries.
+fn state() -> ControlState {
+    let mut state = ControlState::default();
+    for (index, (_, command)) in commands().iter().enumerate() {
+        state.apply(index as u64 + 1, &command.encode());
+    }
+    assert!(!state.is_damaged());
+    state
+}
+
+fn approved(name: &str) -> Vec<u8> {
+    let line = APPROVED.lines().find_map(|line| line.strip_prefix(&format!("{name} = ")));
+    unhex(line.unwrap_or_else(|| panic!("{name} is not approved")))
+}
+
+fn assert_read<T: DeBin + PartialEq + Debug>(named: Vec<(&'static str, T)>) {
+    for (name, value) in named {
+        assert_eq!(T::deserialize_bin(&approved(name)).ok(), Some(value), "{name}");
+    }
+}
+
+#[rstest]
+fn the_same_bytes_are_written() {
+    let mut transcript = String::new();
+    let mut write = |name: &str, bytes: &[u8]| {
+        writeln!(transcript, "{name} = {}", hex(bytes)).expect("a text grows");
+    };
+    commands().iter().for_each(|(name, command)| write(name, &command.encode()));
+    records().iter().for_each(|(name, record)| write(name, &record.encode()));
+    peer_messages().iter().for_each(|(name, message)| write(name, &message.serialize_bin()));
+    write("snapshot", &state().snapshot());
+    write("snapshot of nothing", &ControlState::default().snapshot());
+    assert_eq!(transcript.trim(), APPROVED.trim(), "\n--- got ---\n{transcript}\n-----------");
+}
+
+#[rstest]
+fn the_approved_bytes_are_read() {
+    assert_read(commands());
+    assert_read(records());
+    assert_read(peer_messages());
+    let encoded: Vec<Vec<u8>> = records().iter().map(|(name, _)| approved(name)).collect();
+    let recovered = RecoveredRecords::read(&encoded).expect("the records are read");
+    assert_eq!(recovered.replica.len(), 4);
+    assert_eq!(recovered.founding, Some(epoch_record()));
+}
+
+#[rstest]
+fn an_approved_snapshot_is_restored_and_written_again() {
+    let bytes = approved("snapshot");
+    let mut restored = ControlState::default();
+    restored.restore(&bytes);
+    assert!(!restored.is_damaged());
+    assert_eq!(restored.snapshot(), bytes);
+    assert_eq!(restored.generation(), 4);
+    assert_eq!(restored.named_versions().get("m"), Some(&12));
+    assert_eq!(restored.groups(), state().groups());
+    assert_eq!(restored.stores(), state().stores());
+    assert_eq!(restored.retirements(), state().retirements());
+    assert_eq!(restored.order_holder(), DiskId(0xfeed));
+    assert_eq!(restored.departures().of("i-9"), Some(Departure::Gone));
+    let first = ConfigurationChange { base: 0, method: ChangeMethod::Whole, body: configuration(3, 10) };
+    assert_eq!(restored.taken(&first), Some(3));
+}
--- a/crates/pebblepost-control/tests/support/cluster.rs
+++ b/crates/pebblepost-control/tests/support/cluster.rs
@@ -1,5 +1,6 @@
 //! Control processes on a simulated network, with simulated disks and one clock.
 
+use super::trace::Trace;
 use pebblepost_control::api::{Answer, Call};
 use pebblepost_control::core::{Core, CoreSettings, Input, Output};
 use pebblepost_control::disk_record::{ControlRecord, RecoveredRecords};
@@ -88,6 +89,8 @@
     pub dialed_now: Vec<(usize, String)>,
     /// Outputs that ask for reports: time and instance.
     pub asked: Vec<(Duration, String)>,
+    /// Digest of everything that the processes did.
+    pub trace: Trace,
 }
 
 fn control_address(index: usize) -> SocketAddr {
@@ -135,6 +138,7 @@
             orders: Vec::new(),
             dialed_now: Vec::new(),
             asked: Vec::new(),
+            trace: Trace::default(),
         };
         for (index, seed) in seeds.iter().enumerate() {
             cluster.add(settings(index, founder_disk(*seed), true, &seeds));
@@ -439,6 +443,7 @@
         let due = core.due_at();
         let outputs = core.take_outputs();
         for output in outputs {
+            self.trace.output(self.now, index, &output);
             match output {
                 Output::Answer { id, answer } => {
                     self.answers.insert(id, answer);
--- a/crates/pebblepost-control/tests/support/mod.rs
+++ b/crates/pebblepost-control/tests/support/mod.rs
@@ -5,6 +5,7 @@
 pub mod documents;
 pub mod random;
 pub mod store;
+pub mod trace;
 
 use pebblepost_control::api::{Answer, Call};
 
--- /dev/null
+++ b/crates/pebblepost-control/tests/support/trace.rs
@@ -0,0 +1,100 @@
+//! Digest of everything that control processes do in a run: times, numbers and encoded bytes in their order, no
+//! names of the code.
+
+use nanoserde::SerBin;
+use pebblepost_control::core::Output;
+use pebblepost_control::disk_record::ControlRecord;
+use std::time::Duration;
+
+const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const PRIME: u64 = 0x0000_0100_0000_01b3;
+
+/// An FNV-1a hash and how many outputs went into it.
+#[derive(Clone, Copy, Debug)]
+pub struct Trace {
+    hash: u64,
+    outputs: u64,
+}
+
+impl Default for Trace {
+    fn default() -> Trace {
+        Trace { hash: OFFSET, outputs: 0 }
+    }
+}
+
+impl Trace {
+    /// The digest as approved files show it.
+    pub fn shown(&self) -> String {
+        format!("{:016x} after {} outputs", self.hash, self.outputs)
+    }
+
+    /// Takes in bytes and their length.
+    pub fn bytes(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        for byte in bytes {
+            self.hash = (self.hash ^ u64::from(*byte)).wrapping_mul(PRIME);
+        }
+    }
+
+    /// Takes in a number.
+    pub fn number(&mut self, number: u64) {
+        for byte in number.to_le_bytes() {
+            self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(PRIME);
+        }
+    }
+
+    /// Takes in what a process does at some time.
+    pub fn output(&mut self, now: Duration, node: usize, output: &Output) {
+        self.outputs += 1;
+        self.number(now.as_micros() as u64);
+        self.number(node as u64);
+        match output {
+            Output::Answer { id, answer } => {
+                self.number(1);
+                self.number(*id);
+                self.number(u64::from(answer.status));
+                self.bytes(answer.location.as_deref().unwrap_or_default().as_bytes());
+                self.bytes(&answer.body);
+            }
+            Output::Send { connection, message } => {
+                self.number(2);
+                self.number(*connection);
+                self.bytes(&message.serialize_bin());
+            }
+            Output::Close { connection } => {
+                self.number(3);
+                self.number(*connection);
+            }
+            Output::SendPeer { address, message } => {
+                self.number(4);
+                self.bytes(address.as_bytes());
+                self.bytes(&message.serialize_bin());
+            }
+            Output::Dial(addresses) => {
+                self.number(5);
+                addresses.iter().for_each(|address| self.bytes(address.as_bytes()));
+            }
+            Output::DialNow(address) => {
+                self.number(6);
+                self.bytes(address.as_bytes());
+            }
+            Output::Append { write, records } => {
+                self.number(7);
+                self.number(*write);
+                records.iter().map(ControlRecord::encode).for_each(|record| self.bytes(&record));
+            }
+            Output::SendOrder { order, body, decided } => {
+                self.number(8);
+                self.bytes(order.instance.as_bytes());
+                self.bytes(order.address.as_bytes());
+                self.bytes(body);
+                self.number(decided.as_micros() as u64);
+            }
+            Output::AskReport { instance, address } => {
+                self.number(9);
+                self.bytes(instance.as_bytes());
+                self.bytes(address.as_bytes());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-control/tests/whole_system_run.rs
@@ -0,0 +1,193 @@
+//! One run of the control plane with all that it serves: agents, storage machines, transcribers, operators, a killed
+//! primary. Its digest, the operators' status and the errors of announcements are as approved.
+
+mod support;
+
+use pebblepost_control::api::{Answer, Call, Request};
+use pebblepost_messages::control::{FromControl, SubscriberRole, ToControl};
+use pebblepost_messages::feed::FeedReply;
+use pebblepost_rollout::{OrderAnswer, Reported};
+use rstest::rstest;
+use std::fmt::Write;
+use std::time::Duration;
+use support::cluster::Cluster;
+use support::documents::{announcement, configuration, patch};
+use support::random::Random;
+use support::store::Store;
+use support::{call, shown};
+
+struct Run {
+    cluster: Cluster,
+    random: Random,
+    stores: Vec<Store>,
+    agents: Vec<usize>,
+    sequence: u64,
+    answered_orders: usize,
+    answered_reports: usize,
+}
+
+impl Run {
+    fn new(seed: u64) -> Run {
+        let mut cluster = Cluster::acting();
+        let stores = (1..=4).map(|number| Store::start(&mut cluster, number, true)).collect();
+        let primary = cluster.primary();
+        let agents = (0..2).map(|_| cluster.connect(primary)).collect();
+        let random = Random(seed);
+        Run { cluster, random, stores, agents, sequence: 0, answered_orders: 0, answered_reports: 0 }
+    }
+
+    fn subscribe_agents(&mut self) {
+        let primary = self.cluster.primary();
+        for agent in self.agents.clone() {
+            self.cluster.reconnect(agent, primary);
+            let message = ToControl::Subscribe {
+                node: format!("edge-{agent}"),
+                zone: "zone-0".into(),
+                role: SubscriberRole::Agent,
+                generation: 0,
+            };
+            self.cluster.send(agent, message);
+        }
+    }
+
+    fn serve(&mut self, steps: usize) {
+        for _ in 0..steps {
+            self.step();
+        }
+    }
+
+    fn step(&mut self) {
+        for store in &mut self.stores {
+            store.act(&mut self.cluster);
+        }
+        for agent in self.agents.clone() {
+            for message in self.cluster.received(agent) {
+                if let FromControl::Feed(batch) = message {
+                    let reply = FeedReply::Acknowledge { sequence: batch.sequence, generation: 0 };
+                    self.cluster.send(agent, ToControl::Reply(reply));
+                }
+            }
+            self.cluster.send(agent, ToControl::KeepAlive);
+        }
+        self.announce();
+        self.answer_orders();
+        let pause = 100 + self.random.below(200);
+        self.cluster.run(Duration::from_millis(pause));
+    }
+
+    fn announce(&mut self) {
+        self.sequence += 1;
+        let Some(primary) = self.cluster.acting_nodes().first().copied() else { return };
+        for number in 1..=5 {
+            let body = announcement(&format!("10.9.0.{number}:8080"), "ready", 1, self.sequence);
+            self.cluster.send_call(primary, call("PUT", &format!("/instances/i-{number}"), None, body));
+        }
+    }
+
+    fn answer_orders(&mut self) {
+        let orders = self.cluster.orders[self.answered_orders..].to_vec();
+        self.answered_orders = self.cluster.orders.len();
+        for (_, node, order, _) in orders {
+            let answer = match self.random.below(5) {
+                0 => OrderAnswer::UnderWay,
+                1 => OrderAnswer::Conflict,
+                2 => OrderAnswer::Unknown,
+                3 => OrderAnswer::Refused,
+                _ => OrderAnswer::AlreadyHolds,
+            };
+            self.cluster.answer_order(node, order, answer);
+        }
+        let asked = self.cluster.asked[self.answered_reports..].to_vec();
+        self.answered_reports = self.cluster.asked.len();
+        let Some(primary) = self.cluster.acting_nodes().first().copied() else { return };
+        for (_, instance) in asked {
+            let report = Reported { busy: false, models: vec![("m".into(), 1)], running: 1 };
+            self.cluster.report(primary, &instance, report);
+        }
+    }
+
+    fn call_primary(&mut self, call: Call) -> String {
+        let primary = self.cluster.primary();
+        self.cluster.call(primary, call).map_or_else(|| "no answer".into(), |answer| shown(&answer))
+    }
+
+    fn status(&mut self) -> String {
+        let agent = self.agents[0];
+        self.cluster.received(agent);
+        self.cluster.send(agent, ToControl::Status);
+        self.cluster.run(Duration::from_millis(5));
+        let status = |message| match message {
+            FromControl::Status(body) => String::from_utf8(body).ok(),
+            _ => None,
+        };
+        self.cluster.received(agent).into_iter().find_map(status).expect("a status")
+    }
+}
+
+fn run(seed: u64) -> String {
+    let mut run = Run::new(seed);
+    run.subscribe_agents();
+    run.serve(12);
+    let mut lines = vec![format!("seed {seed}")];
+    let calls = [
+        call("PUT", "/config", Some(0), configuration(3, 20)),
+        call("PATCH", "/config", Some(3), patch(4, 30)),
+        call("POST", "/version-put", None, b"{\"model\":\"m\",\"generation\":2}".to_vec()),
+    ];
+    lines.extend(calls.map(|call| run.call_primary(call)));
+    run.serve(40);
+    lines.push(run.status());
+    lines.push(run.call_primary(call("POST", "/retire/storage-2", None, Vec::new())));
+    run.serve(40);
+    lines.push(run.call_primary(call("GET", "/retire/storage-2", None, Vec::new())));
+    lines.push(run.call_primary(call("DELETE", "/instances/i-5", None, Vec::new())));
+    let killed = run.cluster.primary();
+    run.cluster.kill(killed);
+    run.cluster.run_until_acting();
+    run.subscribe_agents();
+    for store in &run.stores {
+        store.reconnect(&mut run.cluster);
+    }
+    run.serve(60);
+    run.cluster.start(killed);
+    run.serve(60);
+    lines.push(run.status());
+    let standby = (0..3).find(|node| *node != run.cluster.primary()).expect("a standby");
+    let elsewhere = run.cluster.call(standby, call("GET", "/config", None, Vec::new()));
+    lines.push(elsewhere.map_or_else(|| "no answer".into(), |answer| shown(&answer)));
+    lines.push(run.cluster.trace.shown());
+    lines.join("\n")
+}
+
+#[rstest]
+fn transcript_of_whole_runs() {
+    let transcript = [1, 2, 3].map(run).join("\n");
+    let approved = include_str!("transcripts/whole_system_run.txt");
+    assert_eq!(transcript.trim(), approved.trim(), "\n--- got ---\n{transcript}\n-----------");
+}
+
+#[rstest]
+fn transcript_of_announcements_that_cannot_be_read() {
+    let long = "x".repeat(257);
+    let many = vec!["{\"name\":\"m\"}"; 257].join(",");
+    let bodies = [
+        ("no JSON", "{".to_string()),
+        ("no address", "{\"backend\":\"b\"}".into()),
+        ("address of another type", "{\"backend\":\"b\",\"address\":7}".into()),
+        ("address without port", "{\"backend\":\"b\",\"address\":\"10.0.0.1\"}".into()),
+        ("long address", format!("{{\"backend\":\"b\",\"address\":\"{long}\"}}")),
+        ("no backend", "{\"address\":\"10.0.0.1:1\"}".into()),
+        ("long backend", format!("{{\"backend\":\"{long}\",\"address\":\"10.0.0.1:1\"}}")),
+        ("state", "{\"backend\":\"b\",\"address\":\"10.0.0.1:1\",\"state\":\"gone\"}".into()),
+        ("models", format!("{{\"backend\":\"b\",\"address\":\"10.0.0.1:1\",\"models\":[{many}]}}")),
+        ("model", "{\"backend\":\"b\",\"address\":\"10.0.0.1:1\",\"models\":[{}]}".into()),
+    ];
+    let mut transcript = String::new();
+    for (what, body) in bodies {
+        let read = Request::read(&call("PUT", "/instances/i-1", None, body.into_bytes()));
+        let answer = read.map_or_else(|answer| answer, |_| Answer::acknowledged());
+        writeln!(transcript, "{what}: {}", shown(&answer)).expect("a text grows");
+    }
+    let approved = include_str!("transcripts/announcement_errors.txt");
+    assert_eq!(transcript.trim(), approved.trim(), "\n--- got ---\n{transcript}\n-----------");
+}
--- a/crates/pebblepost-control/tests/worst_days.rs
+++ b/crates/pebblepost-control/tests/worst_days.rs
@@ -335,3 +335,38 @@
         assert!(day.left.len() > 2, "seed {seed}: {} transcribers left", day.left.len());
     }
 }
+
+#[rstest]
+fn whole_runs_are_as_approved() {
+    let kinds: [(&str, &[Trouble], u64); 6] = [
+        ("cut off", &[Trouble::Isolate], 9_100),
+        ("heard by nobody", &[Trouble::Mute], 9_200),
+        ("frozen", &[Trouble::Freeze], 9_300),
+        ("killed", &[Trouble::Kill, Trouble::KillAll], 9_400),
+        ("without disk", &[Trouble::Wipe], 9_500),
+        (
+            "of all kinds",
+            &[
+                Trouble::Isolate,
+                Trouble::Mute,
+                Trouble::Freeze,
+                Trouble::Kill,
+                Trouble::KillAll,
+                Trouble::Wipe,
+            ],
+            9_600,
+        ),
+    ];
+    let mut lines = Vec::new();
+    for (kind, troubles, first_seed) in kinds {
+        for seed in first_seed..first_seed + 2 {
+            let mut day = Day::new(seed, troubles);
+            (0..200).for_each(|_| day.step());
+            day.finish();
+            lines.push(format!("{kind} {seed}: {}", day.cluster.trace.shown()));
+        }
+    }
+    let transcript = lines.join("\n");
+    let approved = include_str!("transcripts/run_digests.txt");
+    assert_eq!(transcript.trim(), approved.trim(), "\n--- got ---\n{transcript}\n-----------");
+}
