--- a/crates/pebblepost-control/src/api.rs
+++ b/crates/pebblepost-control/src/api.rs
@@ -1,8 +1,8 @@
 //! The HTTP interface without I/O: calls, answers, and what a call asks for.
 
 use crate::announcement;
-use crate::command::{ChangeMethod, ChangeRefusal, ConfigurationChange, RetireRefusal};
 use crate::state::RetirementState;
+use crate::state::command::{ChangeError, ChangeMethod, ConfigurationChange, RetirementError};
 use pebblepost_messages::feed::Instance;
 use simd_json::prelude::{ValueAsScalar, ValueObjectAccess, ValueObjectAccessAsScalar};
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
         let path = call.path.trim_start_matches('/');
         let (first, rest) = path.split_once('/').unwrap_or((path, ""));
         match (call.method.as_str(), first, rest) {
-            ("PUT", "config", "") => change(call, ChangeMethod::Whole),
+            ("PUT", "config", "") => change(call, ChangeMethod::Replace),
             ("PATCH", "config", "") => change(call, ChangeMethod::Patch),
             ("GET", "config", "") => Ok(Request::ReadConfiguration),
             ("POST", "version-put", "") => version(call),
@@ -162,20 +162,18 @@
     }
 
     /// A change of the configuration was not taken.
-    pub fn change_refused(refusal: &ChangeRefusal) -> Answer {
+    pub fn change_refused(refusal: &ChangeError) -> Answer {
         match refusal {
-            ChangeRefusal::OtherVersion { current } => {
-                Answer::error(412, &format!("version {current} is current"))
-            }
-            ChangeRefusal::Invalid(reason) => Answer::invalid(reason),
+            ChangeError::VersionMismatch { .. } => Answer::error(412, &refusal.to_string()),
+            _ => Answer::invalid(&refusal.to_string()),
         }
     }
 
     /// A machine is not emptied.
-    pub fn retire_refused(refusal: RetireRefusal) -> Answer {
+    pub fn retire_refused(refusal: RetirementError) -> Answer {
         match refusal {
-            RetireRefusal::UnknownNode => Answer::error(404, "no such storage machine"),
-            RetireRefusal::TooFewRemain => Answer::error(409, "too few storage machines would remain"),
+            RetirementError::UnknownNode => Answer::error(404, "no such storage machine"),
+            RetirementError::TooFewRemaining => Answer::error(409, "too few storage machines would remain"),
         }
     }
 }
--- a/crates/pebblepost-control/src/core.rs
+++ b/crates/pebblepost-control/src/core.rs
@@ -15,12 +15,12 @@
 mod status;
 
 use crate::api::{Answer, Call};
-use crate::disk_record::{ControlRecord, RecoveredRecords};
 use crate::feed_server::ConnectionId;
 use crate::founding::founding_record;
 use crate::peers::Peers;
 use crate::registry::Registry;
 use crate::state::ControlState;
+use crate::state::disk_record::{ControlRecord, RecoveredState};
 use calls::Waiting;
 use group::Group;
 use links::{Connection, PeerLink};
@@ -248,12 +248,12 @@
 
 impl Core {
     /// A process with what its disk held.
-    pub fn new(now: Duration, settings: CoreSettings, recovered: RecoveredRecords) -> Core {
+    pub fn new(now: Duration, settings: CoreSettings, recovered: RecoveredState) -> Core {
         let founding = recovered
-            .founding
+            .bootstrap
             .clone()
             .or_else(|| settings.founder.then(|| founding_record(&settings.seeds, settings.link_port)));
-        let is_first_start = settings.founder && recovered.founding.is_none();
+        let is_first_start = settings.founder && recovered.bootstrap.is_none();
         let peers = Peers::new(now, settings.me.clone(), settings.seed_links());
         let mut core = Core {
             group: Group::new(now, &settings, recovered, founding.clone()),
--- a/crates/pebblepost-control/src/core/calls.rs
+++ b/crates/pebblepost-control/src/core/calls.rs
@@ -2,10 +2,10 @@
 
 use super::{CallId, Core, Output};
 use crate::api::{Answer, Call, Request};
-use crate::command::{Command, ConfigurationChange, Outcome};
-use crate::departures::Departure;
 use crate::feed_server::ConnectionId;
 use crate::registry::RegistryChange;
+use crate::state::command::{Command, ConfigurationChange, Outcome};
+use crate::state::shutdowns::ShutdownPhase;
 use pebblepost_messages::control::{FromControl, GroupEpoch};
 use pebblepost_messages::feed::{Instance, InstanceState};
 use pebblepost_replication::replica::ProposeError;
@@ -79,7 +79,7 @@
             Request::Remove { id: instance } => {
                 let change = self.registry.remove(&instance);
                 self.registry_changed(now, &change);
-                self.note_departure(now, id, instance, Departure::Gone);
+                self.note_departure(now, id, instance, ShutdownPhase::Terminated);
             }
             Request::Retire { node } => self.retire(now, id, node),
             Request::ReadRetirement { node } => {
@@ -91,11 +91,11 @@
     }
 
     fn change_configuration(&mut self, now: Duration, id: CallId, change: ConfigurationChange) {
-        if self.state().taken(&change).is_some() {
+        if self.state().accepted_generation(&change).is_some() {
             self.answer(id, Answer::acknowledged());
             return;
         }
-        if let Err(refusal) = self.state().check(&change) {
+        if let Err(refusal) = self.state().validate(&change) {
             self.answer(id, Answer::change_refused(&refusal));
             return;
         }
@@ -112,7 +112,7 @@
     }
 
     fn announce(&mut self, now: Duration, id: CallId, mut instance: Instance) {
-        if self.state().departures().of(&instance.id) == Some(Departure::Draining) {
+        if self.state().shutdowns().phase(&instance.id) == Some(ShutdownPhase::Draining) {
             // It may have been known to a former primary only.
             instance.state = InstanceState::Draining;
         }
@@ -121,18 +121,18 @@
         let change = self.registry.announce(now, instance);
         self.registry_changed(now, &change);
         if drains {
-            self.note_departure(now, id, instance_id, Departure::Draining);
+            self.note_departure(now, id, instance_id, ShutdownPhase::Draining);
         } else {
             self.answer(id, Answer::announced(self.settings.control));
         }
     }
 
     /// A departure is acknowledged once later primaries know of it and every subscriber acts by it.
-    fn note_departure(&mut self, now: Duration, id: CallId, instance: String, departure: Departure) {
-        let is_noted = self.state().departures().of(&instance).is_some_and(|noted| noted >= departure);
+    fn note_departure(&mut self, now: Duration, id: CallId, instance: String, phase: ShutdownPhase) {
+        let is_noted = self.state().shutdowns().phase(&instance).is_some_and(|noted| noted >= phase);
         let proposed = match is_noted {
             true => Ok(0),
-            false => self.group.replica.propose(now, Command::NoteDeparture { instance, departure }.encode()),
+            false => self.group.replica.propose(now, Command::RecordShutdown { instance, phase }.encode()),
         };
         let Some(primary) = &mut self.primary else { return };
         primary.feed.flush(now);
@@ -156,8 +156,8 @@
             self.answer(id, Answer::retire_refused(refusal));
             return;
         }
-        let least_remaining = primary.stores.least_remaining();
-        self.propose_for(now, id, &Command::Retire { node, least_remaining });
+        let min_remaining = primary.stores.min_remaining();
+        self.propose_for(now, id, &Command::Retire { node, min_remaining });
     }
 
     fn propose_for(&mut self, now: Duration, id: CallId, command: &Command) {
@@ -280,12 +280,12 @@
 
 fn answer_to(outcome: Option<&Outcome>) -> Answer {
     match outcome {
-        Some(Outcome::ConfigurationTaken { .. } | Outcome::VersionNamed | Outcome::Retiring) => {
+        Some(Outcome::ConfigurationAccepted { .. } | Outcome::VersionNamed | Outcome::Retiring) => {
             Answer::acknowledged()
         }
-        Some(Outcome::ConfigurationRefused(refusal)) => Answer::change_refused(refusal),
-        Some(Outcome::RetireRefused(refusal)) => Answer::retire_refused(*refusal),
-        Some(Outcome::GroupChanged { .. } | Outcome::Applied | Outcome::Unreadable) | None => {
+        Some(Outcome::ConfigurationRejected(refusal)) => Answer::change_refused(refusal),
+        Some(Outcome::RetirementRejected(refusal)) => Answer::retire_refused(*refusal),
+        Some(Outcome::GroupChanged { .. } | Outcome::Applied | Outcome::Undecodable) | None => {
             Answer::unavailable("not known whether it was taken")
         }
     }
--- a/crates/pebblepost-control/src/core/group.rs
+++ b/crates/pebblepost-control/src/core/group.rs
@@ -1,9 +1,9 @@
 //! The epoch register and the replica of the control state, and how they use links and disk.
 
 use super::{Core, CoreSettings, Output};
-use crate::disk_record::{ControlRecord, RecoveredRecords};
 use crate::peers::{PeerMessage, PeerPart, members_of};
 use crate::state::ControlState;
+use crate::state::disk_record::{ControlRecord, RecoveredState};
 use nanoserde::{DeBin, SerBin};
 use pebblepost_messages::control::ToControl;
 use pebblepost_messages::{DiskId, Member};
@@ -54,7 +54,7 @@
 
 impl Group {
     pub(super) fn new(
-        now: Duration, settings: &CoreSettings, recovered: RecoveredRecords, founding: Option<EpochRecord>,
+        now: Duration, settings: &CoreSettings, recovered: RecoveredState, founding: Option<EpochRecord>,
     ) -> Group {
         let me = settings.me.clone();
         let replica_settings = ReplicaSettings {
@@ -87,7 +87,7 @@
     }
 
     pub(super) fn write_founding(&mut self, record: EpochRecord, outputs: &mut Vec<Output>) {
-        self.append(Owner::Founding, vec![ControlRecord::Founding(record)], outputs);
+        self.append(Owner::Founding, vec![ControlRecord::Bootstrap(record)], outputs);
     }
 
     pub(super) fn tick(&mut self, now: Duration) {
@@ -185,7 +185,7 @@
     }
 
     pub(super) fn checkpoint(&self) -> Option<Vec<ControlRecord>> {
-        let founding = self.founding.clone().map(ControlRecord::Founding);
+        let founding = self.founding.clone().map(ControlRecord::Bootstrap);
         let witness = self.witness.clone().map(ControlRecord::Witness);
         let replica = self.replica.checkpoint()?.into_iter().map(ControlRecord::Replica);
         Some(founding.into_iter().chain(witness).chain(replica).collect())
--- a/crates/pebblepost-control/src/core/primary.rs
+++ b/crates/pebblepost-control/src/core/primary.rs
@@ -3,10 +3,10 @@
 
 use super::calls::WaitingChange;
 use super::{Core, Output};
-use crate::command::Command;
 use crate::feed_server::{FeedOutput, FeedServer, PublishedConfiguration};
 use crate::orders;
 use crate::state::ControlState;
+use crate::state::command::Command;
 use crate::stores::{Stores, feed_groups};
 use crate::witnesses::{self, Evidence};
 use pebblepost_feed::FeedState;
@@ -84,21 +84,21 @@
 
     /// The copy of the registrations may lack the newest departures, or all of them after a restart.
     fn recall_departures(&mut self) {
-        for (instance, departure) in self.group.replica.state().departures().all() {
+        for (instance, departure) in self.group.replica.state().shutdowns().iter() {
             self.registry.depart(instance, departure);
         }
     }
 
     /// How long a new primary orders nothing: another one may have done so just before.
     fn wait_for_orders_of_others(&self) -> Duration {
-        let holder = self.state().order_holder();
+        let holder = self.state().order_lease_holder();
         let is_other = holder != DiskId::default() && holder != self.settings.me.disk;
         if is_other { self.settings.order_lease + ORDER_SLACK } else { Duration::ZERO }
     }
 
     /// Whether the replicated state says that this process orders transcribers: a successor can tell then.
     fn holds_orders(&self) -> bool {
-        self.state().order_holder() == self.settings.me.disk
+        self.state().order_lease_holder() == self.settings.me.disk
     }
 
     /// Becomes the holder of orders once those of another one are old.
@@ -108,7 +108,7 @@
         if holds || primary.hold_proposed || now < primary.orders_from {
             return;
         }
-        let command = Command::HoldOrders { holder: self.settings.me.disk };
+        let command = Command::AcquireOrderLease { holder: self.settings.me.disk };
         primary.hold_proposed = self.group.replica.propose(now, command.encode()).is_ok();
     }
 
@@ -292,7 +292,7 @@
         }
         primary.plan_at = now + PLAN_EVERY;
         for command in primary.stores.plan(now, state) {
-            log::info!("storage machines: {}", command.summary());
+            log::info!("proposing command: {}", command);
             if let Ok(index) = self.group.replica.propose(now, command.encode()) {
                 primary.planned.insert(index);
             }
--- a/crates/pebblepost-control/src/founding.rs
+++ b/crates/pebblepost-control/src/founding.rs
@@ -4,7 +4,7 @@
 //! know the same first record without having agreed on it. Every other disk draws its identity at
 //! random and has to be added.
 
-use crate::digest::fnv1a;
+use crate::hash::fnv1a;
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
 use pebblepost_settings::Settings;
--- a/crates/pebblepost-control/src/lib.rs
+++ b/crates/pebblepost-control/src/lib.rs
@@ -13,14 +13,10 @@
 
 pub mod announcement;
 pub mod api;
-pub mod command;
 pub mod core;
-pub mod departures;
-pub mod digest;
-pub mod disk_record;
 pub mod feed_server;
 pub mod founding;
-pub mod history;
+pub mod hash;
 pub mod http;
 pub mod orders;
 pub mod peers;
--- a/crates/pebblepost-control/src/placement.rs
+++ b/crates/pebblepost-control/src/placement.rs
@@ -1,8 +1,8 @@
 //! Placement of the groups of batch jobs on storage machines: rendezvous hashing with bounded
 //! load, spread over zones, with as little movement as possible.
 
-use crate::command::FoundedGroup;
-use crate::digest::{fnv1a, mix};
+use crate::hash::{fnv1a, mix};
+use crate::state::command::InitialAssignment;
 use pebblepost_messages::batch::STORE_GROUPS;
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::Tolerance;
@@ -129,7 +129,7 @@
 }
 
 /// First assignment of all groups.
-pub fn found(usable: &BTreeMap<DiskId, Member>, tolerance: &Tolerance) -> Vec<FoundedGroup> {
+pub fn found(usable: &BTreeMap<DiskId, Member>, tolerance: &Tolerance) -> Vec<InitialAssignment> {
     let mut placement = Placement::new(std::iter::empty(), usable);
     let mut primaries: BTreeMap<DiskId, usize> = BTreeMap::new();
     let mut founded = Vec::new();
@@ -141,7 +141,7 @@
         };
         let Some(primary) = replicas.iter().min_by_key(burden).copied() else { continue };
         *primaries.entry(primary).or_default() += 1;
-        founded.push(FoundedGroup { group, primary, replicas });
+        founded.push(InitialAssignment { group, primary, replicas });
     }
     founded
 }
--- a/crates/pebblepost-control/src/program.rs
+++ b/crates/pebblepost-control/src/program.rs
@@ -1,10 +1,10 @@
 //! The program: settings, disk, listeners, links, signals, and the loop around [`Core`].
 
 use crate::core::{Core, CoreSettings, Input};
-use crate::disk_record::RecoveredRecords;
 use crate::founding::{founder_disk, identity_to_format};
 use crate::http;
 use crate::shell::Shell;
+use crate::state::disk_record::RecoveredState;
 use crate::tasks;
 use eyre::{Result, WrapErr, eyre};
 use pebblepost_link::{LinkLimits, Listener};
@@ -85,7 +85,7 @@
 
 fn open_disk(
     settings: &Settings, control: SocketAddr, completions: mpsc::UnboundedSender<pebblepost_ring::Completion>,
-) -> Result<(Disk, CoreSettings, RecoveredRecords)> {
+) -> Result<(Disk, CoreSettings, RecoveredState)> {
     let folder = settings.data_dir.as_ref().ok_or_else(|| eyre!("settings: data_dir is missing"))?;
     let most_bytes = settings.limits.disk_bytes / 4 * 3;
     let identity = identity_to_format(settings).map(|disk| disk.0);
@@ -95,7 +95,7 @@
     });
     let (disk, opened) = Disk::open(folder, most_bytes, identity, completed)
         .wrap_err_with(|| format!("opening the disk at {}", folder.display()))?;
-    let recovered = RecoveredRecords::read(&opened.records)
+    let recovered = RecoveredState::decode(&opened.records)
         .map_err(|error| eyre!("reading the records at {}: {error}", folder.display()))?;
     let disk_id = DiskId(opened.identity);
     // Only a disk that was formatted at the first start of the whole system has this identity. If
--- a/crates/pebblepost-control/src/registry.rs
+++ b/crates/pebblepost-control/src/registry.rs
@@ -3,7 +3,7 @@
 //! Soft state. The primary keeps it by announcements, standbys keep a copy by the feed. An
 //! incarnation that is gone never comes back.
 
-use crate::departures::Departure;
+use crate::state::shutdowns::ShutdownPhase;
 use pebblepost_messages::feed::{Instance, InstanceState};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -111,12 +111,12 @@
     }
 
     /// An incarnation is known to leave; the control state remembers it.
-    pub fn depart(&mut self, id: &str, departure: Departure) {
-        match departure {
-            Departure::Gone => {
+    pub fn depart(&mut self, id: &str, phase: ShutdownPhase) {
+        match phase {
+            ShutdownPhase::Terminated => {
                 self.remove(id);
             }
-            Departure::Draining => {
+            ShutdownPhase::Draining => {
                 if let Some(registration) = self.live.get_mut(id) {
                     registration.instance.state = InstanceState::Draining;
                 }
--- a/crates/pebblepost-control/src/shell.rs
+++ b/crates/pebblepost-control/src/shell.rs
@@ -2,9 +2,9 @@
 
 use crate::api::Answer;
 use crate::core::{CallId, Core, Input, Output};
-use crate::disk_record::ControlRecord;
 use crate::feed_server::ConnectionId;
 use crate::http::IncomingCall;
+use crate::state::disk_record::ControlRecord;
 use crate::tasks::{Event, EventSender, ask_report, keep_peer_link, send_order};
 use pebblepost_link::Sender;
 use pebblepost_ring::{Completion, Disk};
--- a/crates/pebblepost-control/src/stores.rs
+++ b/crates/pebblepost-control/src/stores.rs
@@ -1,7 +1,7 @@
 //! Storage machines as the primary sees them, and what it has to change in their groups.
 
-use crate::command::{Command, RetireRefusal};
 use crate::placement::{self, Placement};
+use crate::state::command::{Command, RetirementError};
 use crate::state::{ControlState, RetirementState};
 use pebblepost_messages::batch::STORE_GROUPS;
 use pebblepost_messages::feed::StoreGroup;
@@ -114,20 +114,20 @@
     /// Whether a machine may be emptied; `Ok` also if it is already.
     pub fn check_retirement(
         &self, now: Duration, state: &ControlState, node: &str,
-    ) -> Result<(), RetireRefusal> {
+    ) -> Result<(), RetirementError> {
         if state.retirements().contains_key(node) {
             return Ok(());
         }
         if state.disks_of(node).is_empty() {
-            return Err(RetireRefusal::UnknownNode);
+            return Err(RetirementError::UnknownNode);
         }
         let remaining: Vec<Member> =
             self.usable(now, state).into_values().filter(|member| member.node != node).collect();
-        if self.tolerance.is_met_by(&remaining) { Ok(()) } else { Err(RetireRefusal::TooFewRemain) }
+        if self.tolerance.is_met_by(&remaining) { Ok(()) } else { Err(RetirementError::TooFewRemaining) }
     }
 
     /// Machines that must remain beside one that is emptied.
-    pub fn least_remaining(&self) -> u32 {
+    pub fn min_remaining(&self) -> u32 {
         u32::try_from(placement::copies(&self.tolerance)).unwrap_or(u32::MAX)
     }
 
@@ -155,7 +155,7 @@
         let connected = self.announced.values().filter(|announced| announced.connections > 0);
         let new = connected
             .filter(|announced| state.stores().get(&announced.member.disk) != Some(&announced.member));
-        new.map(|announced| Command::StoreJoined(announced.member.clone())).collect()
+        new.map(|announced| Command::AddStore(announced.member.clone())).collect()
     }
 
     fn founding(&self, now: Duration, state: &ControlState) -> Option<Command> {
@@ -172,7 +172,7 @@
         let members: Vec<Member> = usable.values().cloned().collect();
         let enough =
             members.len() >= placement::copies(&self.tolerance) && self.tolerance.is_met_by(&members);
-        enough.then(|| Command::FoundStoreGroups(placement::found(&usable, &self.tolerance)))
+        enough.then(|| Command::BootstrapGroups(placement::found(&usable, &self.tolerance)))
     }
 
     fn retarget(&self, now: Duration, state: &ControlState) -> Vec<Command> {
@@ -203,7 +203,7 @@
     fn completed(&self, state: &ControlState) -> Vec<Command> {
         let running = state.retirements().iter().filter(|(_, state)| **state == RetirementState::Running);
         let empty = running.filter(|(node, _)| self.is_empty(state, node));
-        empty.map(|(node, _)| Command::RetireCompleted { node: node.clone() }).collect()
+        empty.map(|(node, _)| Command::CompleteRetirement { node: node.clone() }).collect()
     }
 
     fn is_empty(&self, state: &ControlState, node: &str) -> bool {
@@ -238,7 +238,7 @@
                 && (silent(disk) || self.is_replaced(member))
         };
         let forgotten = state.stores().iter().filter(forget);
-        forgotten.map(|(disk, _)| Command::StoreLeft(*disk)).collect()
+        forgotten.map(|(disk, _)| Command::RemoveStore(*disk)).collect()
     }
 }
 
--- a/crates/pebblepost-control/tests/state.rs
+++ b/crates/pebblepost-control/tests/state.rs
@@ -3,10 +3,10 @@
 mod support;
 
 use nanoserde::SerBin;
-use pebblepost_control::command::{
-    ChangeMethod, Command, ConfigurationChange, FoundedGroup, Outcome, RetireRefusal,
+use pebblepost_control::state::command::{
+    ChangeError, ChangeMethod, Command, ConfigurationChange, InitialAssignment, Outcome, RetirementError,
 };
-use pebblepost_control::departures::{Departure, Departures};
+use pebblepost_control::state::shutdowns::{ShutdownPhase, Shutdowns};
 use pebblepost_control::state::{ControlState, RetirementState};
 use pebblepost_messages::control::GroupEpoch;
 use pebblepost_messages::{DiskId, Member};
@@ -37,10 +37,34 @@
     Member { disk: DiskId(number), node: node.into(), ..Member::default() }
 }
 
+/// One line for an outcome, as the transcript names it.
+fn shown(outcome: &Outcome) -> String {
+    match outcome {
+        Outcome::ConfigurationAccepted { generation } => {
+            format!("ConfigurationTaken {{ generation: {generation} }}")
+        }
+        Outcome::ConfigurationRejected(ChangeError::VersionMismatch { current }) => {
+            format!("ConfigurationRefused(OtherVersion {{ current: {current} }})")
+        }
+        Outcome::ConfigurationRejected(error) => {
+            format!("ConfigurationRefused(Invalid({:?}))", error.to_string())
+        }
+        Outcome::VersionNamed => "VersionNamed".into(),
+        Outcome::GroupChanged { accepted, current } => {
+            format!("GroupChanged {{ accepted: {accepted}, current: {current:?} }}")
+        }
+        Outcome::Retiring => "Retiring".into(),
+        Outcome::RetirementRejected(RetirementError::UnknownNode) => "RetireRefused(UnknownNode)".into(),
+        Outcome::RetirementRejected(RetirementError::TooFewRemaining) => "RetireRefused(TooFewRemain)".into(),
+        Outcome::Applied => "Applied".into(),
+        Outcome::Undecodable => "Unreadable".into(),
+    }
+}
+
 #[rstest]
 fn transcript_of_entries() {
     let mut log = Log::default();
-    let group = |primary, replicas: &[u64]| FoundedGroup {
+    let group = |primary, replicas: &[u64]| InitialAssignment {
         group: 0,
         primary: DiskId(primary),
         replicas: replicas.iter().map(|disk| DiskId(*disk)).collect(),
@@ -57,22 +81,22 @@
         proposed,
     };
     let mut lines: Vec<String> = vec![
-        format!("patch before any: {:?}", log.change(0, ChangeMethod::Patch, patch(2, 10))),
-        format!("first: {:?}", log.change(0, ChangeMethod::Whole, configuration(2, 10))),
-        format!("first again: {:?}", log.change(0, ChangeMethod::Whole, configuration(2, 10))),
-        format!("other on the same: {:?}", log.change(0, ChangeMethod::Whole, configuration(2, 11))),
-        format!("patch: {:?}", log.change(2, ChangeMethod::Patch, patch(5, 12))),
-        format!("first again, late: {:?}", log.change(0, ChangeMethod::Whole, configuration(2, 10))),
-        format!("not above: {:?}", log.change(5, ChangeMethod::Patch, patch(5, 13))),
+        format!("patch before any: {}", shown(&log.change(0, ChangeMethod::Patch, patch(2, 10)))),
+        format!("first: {}", shown(&log.change(0, ChangeMethod::Replace, configuration(2, 10)))),
+        format!("first again: {}", shown(&log.change(0, ChangeMethod::Replace, configuration(2, 10)))),
+        format!("other on the same: {}", shown(&log.change(0, ChangeMethod::Replace, configuration(2, 11)))),
+        format!("patch: {}", shown(&log.change(2, ChangeMethod::Patch, patch(5, 12)))),
+        format!("first again, late: {}", shown(&log.change(0, ChangeMethod::Replace, configuration(2, 10)))),
+        format!("not above: {}", shown(&log.change(5, ChangeMethod::Patch, patch(5, 13)))),
     ];
     let commands = [
         ("named", Command::NameVersion { model: "m".into(), generation: 3 }),
         ("named lower", Command::NameVersion { model: "m".into(), generation: 2 }),
-        ("joined", Command::StoreJoined(member(1, "a"))),
-        ("joined", Command::StoreJoined(member(2, "b"))),
-        ("joined", Command::StoreJoined(member(3, "c"))),
-        ("founded", Command::FoundStoreGroups(vec![group(1, &[1, 2])])),
-        ("founded again", Command::FoundStoreGroups(vec![group(3, &[3, 2])])),
+        ("joined", Command::AddStore(member(1, "a"))),
+        ("joined", Command::AddStore(member(2, "b"))),
+        ("joined", Command::AddStore(member(3, "c"))),
+        ("founded", Command::BootstrapGroups(vec![group(1, &[1, 2])])),
+        ("founded again", Command::BootstrapGroups(vec![group(3, &[3, 2])])),
         (
             "changed",
             Command::ChangeGroup {
@@ -87,13 +111,13 @@
         ("changed to a primary not in sync", change(2, 0, 2, epoch(3, 3, &[1, 2]))),
         ("changed to a joiner as primary", change(2, 0, 2, epoch(3, 3, &[3, 2]))),
         ("unknown group", change(1, 7, 0, epoch(1, 1, &[1]))),
-        ("retire unknown", Command::Retire { node: "z".into(), least_remaining: 2 }),
-        ("retire", Command::Retire { node: "b".into(), least_remaining: 2 }),
-        ("retire again", Command::Retire { node: "b".into(), least_remaining: 2 }),
-        ("retire another", Command::Retire { node: "a".into(), least_remaining: 2 }),
-        ("completed too early", Command::RetireCompleted { node: "b".into() }),
+        ("retire unknown", Command::Retire { node: "z".into(), min_remaining: 2 }),
+        ("retire", Command::Retire { node: "b".into(), min_remaining: 2 }),
+        ("retire again", Command::Retire { node: "b".into(), min_remaining: 2 }),
+        ("retire another", Command::Retire { node: "a".into(), min_remaining: 2 }),
+        ("completed too early", Command::CompleteRetirement { node: "b".into() }),
     ];
-    lines.extend(commands.iter().map(|(what, command)| format!("{what}: {:?}", log.apply(command))));
+    lines.extend(commands.iter().map(|(what, command)| format!("{what}: {}", shown(&log.apply(command)))));
     lines.push(format!("retirements: {:?}", log.state.retirements()));
     let transcript = lines.join("\n");
     let approved = include_str!("transcripts/state_entries.txt");
@@ -105,37 +129,37 @@
 fn an_emptied_machine_is_completed_only_when_no_group_names_it() {
     let mut log = Log::default();
     for (disk, node) in [(1, "a"), (2, "b"), (3, "c")] {
-        log.apply(&Command::StoreJoined(member(disk, node)));
+        log.apply(&Command::AddStore(member(disk, node)));
     }
     let replicas = vec![DiskId(1), DiskId(2)];
-    log.apply(&Command::FoundStoreGroups(vec![FoundedGroup { group: 0, primary: DiskId(1), replicas }]));
-    log.apply(&Command::Retire { node: "a".into(), least_remaining: 2 });
+    log.apply(&Command::BootstrapGroups(vec![InitialAssignment { group: 0, primary: DiskId(1), replicas }]));
+    log.apply(&Command::Retire { node: "a".into(), min_remaining: 2 });
     log.apply(&Command::SetTargets { group: 0, targets: vec![DiskId(2), DiskId(3)] });
-    log.apply(&Command::RetireCompleted { node: "a".into() });
+    log.apply(&Command::CompleteRetirement { node: "a".into() });
     assert_eq!(log.state.retirements()["a"], RetirementState::Running);
     let in_sync = vec![DiskId(1), DiskId(2), DiskId(3)];
     let proposed = GroupEpoch { epoch: 2, primary: DiskId(2), in_sync };
     log.apply(&Command::ChangeGroup { proposer: DiskId(2), group: 0, expected_epoch: 1, proposed });
-    log.apply(&Command::RetireCompleted { node: "a".into() });
+    log.apply(&Command::CompleteRetirement { node: "a".into() });
     assert_eq!(log.state.retirements()["a"], RetirementState::Running);
     let proposed = GroupEpoch { epoch: 3, primary: DiskId(2), in_sync: vec![DiskId(2), DiskId(3)] };
     log.apply(&Command::ChangeGroup { proposer: DiskId(2), group: 0, expected_epoch: 2, proposed });
-    log.apply(&Command::RetireCompleted { node: "a".into() });
+    log.apply(&Command::CompleteRetirement { node: "a".into() });
     assert_eq!(log.state.retirements()["a"], RetirementState::Completed);
 }
 
 #[rstest]
 fn a_snapshot_holds_everything() {
     let mut log = Log::default();
-    log.change(0, ChangeMethod::Whole, configuration(2, 10));
+    log.change(0, ChangeMethod::Replace, configuration(2, 10));
     log.change(2, ChangeMethod::Patch, patch(5, 12));
     log.apply(&Command::NameVersion { model: "m".into(), generation: 3 });
-    log.apply(&Command::StoreJoined(member(1, "a")));
+    log.apply(&Command::AddStore(member(1, "a")));
     let replicas = vec![DiskId(1)];
-    log.apply(&Command::FoundStoreGroups(vec![FoundedGroup { group: 4, primary: DiskId(1), replicas }]));
-    log.apply(&Command::StoreJoined(member(2, "b")));
-    log.apply(&Command::Retire { node: "b".into(), least_remaining: 1 });
-    log.apply(&Command::NoteDeparture { instance: "i-1".into(), departure: Departure::Draining });
+    log.apply(&Command::BootstrapGroups(vec![InitialAssignment { group: 4, primary: DiskId(1), replicas }]));
+    log.apply(&Command::AddStore(member(2, "b")));
+    log.apply(&Command::Retire { node: "b".into(), min_remaining: 1 });
+    log.apply(&Command::RecordShutdown { instance: "i-1".into(), phase: ShutdownPhase::Draining });
     let mut copy = ControlState::default();
     copy.restore(&log.state.snapshot());
     assert_eq!(copy.snapshot(), log.state.snapshot());
@@ -143,9 +167,9 @@
     assert_eq!(copy.groups(), log.state.groups());
     assert_eq!(copy.stores(), log.state.stores());
     assert_eq!(copy.retirements(), log.state.retirements());
-    assert_eq!(copy.departures(), log.state.departures());
-    let first = ConfigurationChange { base: 0, method: ChangeMethod::Whole, body: configuration(2, 10) };
-    assert_eq!(copy.taken(&first), Some(2), "repeats are known after a snapshot, too");
+    assert_eq!(copy.shutdowns(), log.state.shutdowns());
+    let first = ConfigurationChange { base: 0, method: ChangeMethod::Replace, body: configuration(2, 10) };
+    assert_eq!(copy.accepted_generation(&first), Some(2), "repeats are known after a snapshot, too");
 }
 
 #[rstest]
@@ -153,16 +177,16 @@
     let mut log = Log::default();
     let change = |generation: u64| ConfigurationChange {
         base: generation - 1,
-        method: ChangeMethod::Whole,
+        method: ChangeMethod::Replace,
         body: configuration(generation, 10),
     };
     for generation in 1..=1030 {
         let outcome = log.apply(&Command::ChangeConfiguration(change(generation)));
-        assert_eq!(outcome, Outcome::ConfigurationTaken { generation });
+        assert_eq!(outcome, Outcome::ConfigurationAccepted { generation });
     }
-    assert_eq!(log.state.taken(&change(6)), None);
+    assert_eq!(log.state.accepted_generation(&change(6)), None);
     for generation in 7..=1030 {
-        assert_eq!(log.state.taken(&change(generation)), Some(generation));
+        assert_eq!(log.state.accepted_generation(&change(generation)), Some(generation));
     }
 }
 
@@ -173,7 +197,7 @@
     let mut state = ControlState::default();
     let before = state.snapshot();
     state.apply(1, entry);
-    assert_eq!(state.outcome(1), Some(&Outcome::Unreadable));
+    assert_eq!(state.outcome(1), Some(&Outcome::Undecodable));
     assert_eq!(state.snapshot(), before);
     assert!(state.is_damaged());
 }
@@ -181,7 +205,7 @@
 #[rstest]
 fn a_snapshot_that_cannot_be_read_marks_the_state_damaged() {
     let mut log = Log::default();
-    log.change(0, ChangeMethod::Whole, configuration(2, 10));
+    log.change(0, ChangeMethod::Replace, configuration(2, 10));
     let snapshot = log.state.snapshot();
     for length in 0..snapshot.len() {
         let mut copy = ControlState::default();
@@ -195,9 +219,9 @@
 #[rstest]
 fn a_snapshot_of_an_older_program_is_read() {
     let mut log = Log::default();
-    log.change(0, ChangeMethod::Whole, configuration(2, 10));
+    log.change(0, ChangeMethod::Replace, configuration(2, 10));
     let mut nothing_left = Vec::new();
-    Departures::default().ser_bin(&mut nothing_left);
+    Shutdowns::default().ser_bin(&mut nothing_left);
     let snapshot = log.state.snapshot();
     let mut copy = ControlState::default();
     copy.restore(&snapshot[..snapshot.len() - nothing_left.len()]);
@@ -209,34 +233,34 @@
 fn departures_only_go_forward_and_the_oldest_are_forgotten() {
     const MOST: u32 = 4096;
     let mut log = Log::default();
-    let note = |log: &mut Log, number: u32, departure| {
-        log.apply(&Command::NoteDeparture { instance: format!("i-{number}"), departure });
+    let note = |log: &mut Log, number: u32, phase| {
+        log.apply(&Command::RecordShutdown { instance: format!("i-{number}"), phase });
     };
-    note(&mut log, 0, Departure::Draining);
-    note(&mut log, 0, Departure::Gone);
-    note(&mut log, 0, Departure::Draining);
-    assert_eq!(log.state.departures().of("i-0"), Some(Departure::Gone));
-    (1..=MOST).for_each(|number| note(&mut log, number, Departure::Gone));
-    assert_eq!(log.state.departures().of("i-0"), None);
-    assert_eq!(log.state.departures().all().count(), MOST as usize);
+    note(&mut log, 0, ShutdownPhase::Draining);
+    note(&mut log, 0, ShutdownPhase::Terminated);
+    note(&mut log, 0, ShutdownPhase::Draining);
+    assert_eq!(log.state.shutdowns().phase("i-0"), Some(ShutdownPhase::Terminated));
+    (1..=MOST).for_each(|number| note(&mut log, number, ShutdownPhase::Terminated));
+    assert_eq!(log.state.shutdowns().phase("i-0"), None);
+    assert_eq!(log.state.shutdowns().iter().count(), MOST as usize);
 }
 
 #[rstest]
 fn nothing_counts_on_a_machine_that_may_have_been_taken_away() {
     let mut log = Log::default();
     for (disk, node) in [(1, "a"), (2, "b"), (3, "c")] {
-        log.apply(&Command::StoreJoined(member(disk, node)));
+        log.apply(&Command::AddStore(member(disk, node)));
     }
     let replicas = vec![DiskId(1), DiskId(2)];
-    log.apply(&Command::FoundStoreGroups(vec![FoundedGroup { group: 0, primary: DiskId(1), replicas }]));
+    log.apply(&Command::BootstrapGroups(vec![InitialAssignment { group: 0, primary: DiskId(1), replicas }]));
     let exchange = |with: u64| Command::ChangeGroup {
         proposer: DiskId(1),
         group: 0,
         expected_epoch: 1,
         proposed: GroupEpoch { epoch: 2, primary: DiskId(1), in_sync: vec![DiskId(1), DiskId(with)] },
     };
-    log.apply(&Command::Retire { node: "c".into(), least_remaining: 2 });
-    log.apply(&Command::RetireCompleted { node: "c".into() });
+    log.apply(&Command::Retire { node: "c".into(), min_remaining: 2 });
+    log.apply(&Command::CompleteRetirement { node: "c".into() });
     assert_eq!(log.state.retirements()["c"], RetirementState::Completed);
     // The primary had asked for it before: with c gone, disk 1 would hold the only copy.
     let outcome = log.apply(&exchange(3));
@@ -248,9 +272,9 @@
 fn two_retirements_at_once_are_settled_by_the_log() {
     let mut log = Log::default();
     for (disk, node) in [(1, "a"), (2, "b"), (3, "c")] {
-        log.apply(&Command::StoreJoined(member(disk, node)));
+        log.apply(&Command::AddStore(member(disk, node)));
     }
-    assert_eq!(log.apply(&Command::Retire { node: "a".into(), least_remaining: 2 }), Outcome::Retiring);
-    let second = log.apply(&Command::Retire { node: "b".into(), least_remaining: 2 });
-    assert_eq!(second, Outcome::RetireRefused(RetireRefusal::TooFewRemain));
+    assert_eq!(log.apply(&Command::Retire { node: "a".into(), min_remaining: 2 }), Outcome::Retiring);
+    let second = log.apply(&Command::Retire { node: "b".into(), min_remaining: 2 });
+    assert_eq!(second, Outcome::RetirementRejected(RetirementError::TooFewRemaining));
 }
--- a/crates/pebblepost-control/tests/stored_forms.rs
+++ b/crates/pebblepost-control/tests/stored_forms.rs
@@ -3,11 +3,11 @@
 mod support;
 
 use nanoserde::{DeBin, SerBin};
-use pebblepost_control::command::{ChangeMethod, Command, ConfigurationChange, FoundedGroup};
-use pebblepost_control::departures::Departure;
-use pebblepost_control::disk_record::{ControlRecord, RecoveredRecords};
 use pebblepost_control::peers::{PeerMessage, PeerPart};
 use pebblepost_control::state::ControlState;
+use pebblepost_control::state::command::{ChangeMethod, Command, ConfigurationChange, InitialAssignment};
+use pebblepost_control::state::disk_record::{ControlRecord, RecoveredState};
+use pebblepost_control::state::shutdowns::ShutdownPhase;
 use pebblepost_messages::control::GroupEpoch;
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
@@ -57,20 +57,20 @@
     let replicas = vec![DiskId(1), DiskId(2)];
     let change =
         |base, method, body| Command::ChangeConfiguration(ConfigurationChange { base, method, body });
-    let departure = |departure| Command::NoteDeparture { instance: "i-9".into(), departure };
+    let shutdown = |phase| Command::RecordShutdown { instance: "i-9".into(), phase };
     vec![
-        ("entry: configuration, whole", change(0, ChangeMethod::Whole, configuration(3, 10))),
+        ("entry: configuration, whole", change(0, ChangeMethod::Replace, configuration(3, 10))),
         ("entry: configuration, patch", change(3, ChangeMethod::Patch, patch(4, 11))),
         ("entry: version", Command::NameVersion { model: "m".into(), generation: 12 }),
-        ("entry: store joined", Command::StoreJoined(member(1, "a"))),
-        ("entry: store joined, second", Command::StoreJoined(member(2, "b"))),
-        ("entry: store joined, third", Command::StoreJoined(member(3, "c"))),
-        ("entry: store joined, fourth", Command::StoreJoined(member(4, "d"))),
+        ("entry: store joined", Command::AddStore(member(1, "a"))),
+        ("entry: store joined, second", Command::AddStore(member(2, "b"))),
+        ("entry: store joined, third", Command::AddStore(member(3, "c"))),
+        ("entry: store joined, fourth", Command::AddStore(member(4, "d"))),
         (
             "entry: first groups",
-            Command::FoundStoreGroups(vec![
-                FoundedGroup { group: 0, primary: DiskId(1), replicas: replicas.clone() },
-                FoundedGroup { group: 5, primary: DiskId(2), replicas },
+            Command::BootstrapGroups(vec![
+                InitialAssignment { group: 0, primary: DiskId(1), replicas: replicas.clone() },
+                InitialAssignment { group: 5, primary: DiskId(2), replicas },
             ]),
         ),
         (
@@ -83,12 +83,12 @@
             },
         ),
         ("entry: targets", Command::SetTargets { group: 5, targets: vec![DiskId(2), DiskId(3)] }),
-        ("entry: store left", Command::StoreLeft(DiskId(4))),
-        ("entry: retire", Command::Retire { node: "a".into(), least_remaining: 2 }),
-        ("entry: retire completed", Command::RetireCompleted { node: "a".into() }),
-        ("entry: orders", Command::HoldOrders { holder: DiskId(0xfeed) }),
-        ("entry: draining", departure(Departure::Draining)),
-        ("entry: gone", departure(Departure::Gone)),
+        ("entry: store left", Command::RemoveStore(DiskId(4))),
+        ("entry: retire", Command::Retire { node: "a".into(), min_remaining: 2 }),
+        ("entry: retire completed", Command::CompleteRetirement { node: "a".into() }),
+        ("entry: orders", Command::AcquireOrderLease { holder: DiskId(0xfeed) }),
+        ("entry: draining", shutdown(ShutdownPhase::Draining)),
+        ("entry: gone", shutdown(ShutdownPhase::Terminated)),
     ]
 }
 
@@ -101,7 +101,7 @@
     let entry = DiskRecord::Entry { index: 4, epoch: 7, entry: vec![1, 2, 3] };
     let snapshot = DiskRecord::Snapshot { index: 5, epoch: 7, state: vec![4, 5] };
     vec![
-        ("disk: first record", ControlRecord::Founding(epoch_record())),
+        ("disk: first record", ControlRecord::Bootstrap(epoch_record())),
         ("disk: witness", ControlRecord::Witness(witness)),
         ("disk: entry", ControlRecord::Replica(entry)),
         ("disk: snapshot", ControlRecord::Replica(snapshot)),
@@ -158,9 +158,9 @@
     assert_read(records());
     assert_read(peer_messages());
     let encoded: Vec<Vec<u8>> = records().iter().map(|(name, _)| approved(name)).collect();
-    let recovered = RecoveredRecords::read(&encoded).expect("the records are read");
+    let recovered = RecoveredState::decode(&encoded).expect("the records are read");
     assert_eq!(recovered.replica.len(), 4);
-    assert_eq!(recovered.founding, Some(epoch_record()));
+    assert_eq!(recovered.bootstrap, Some(epoch_record()));
 }
 
 #[rstest]
@@ -175,8 +175,8 @@
     assert_eq!(restored.groups(), state().groups());
     assert_eq!(restored.stores(), state().stores());
     assert_eq!(restored.retirements(), state().retirements());
-    assert_eq!(restored.order_holder(), DiskId(0xfeed));
-    assert_eq!(restored.departures().of("i-9"), Some(Departure::Gone));
-    let first = ConfigurationChange { base: 0, method: ChangeMethod::Whole, body: configuration(3, 10) };
-    assert_eq!(restored.taken(&first), Some(3));
+    assert_eq!(restored.order_lease_holder(), DiskId(0xfeed));
+    assert_eq!(restored.shutdowns().phase("i-9"), Some(ShutdownPhase::Terminated));
+    let first = ConfigurationChange { base: 0, method: ChangeMethod::Replace, body: configuration(3, 10) };
+    assert_eq!(restored.accepted_generation(&first), Some(3));
 }
--- a/crates/pebblepost-control/tests/support/cluster.rs
+++ b/crates/pebblepost-control/tests/support/cluster.rs
@@ -3,8 +3,8 @@
 use super::trace::Trace;
 use pebblepost_control::api::{Answer, Call};
 use pebblepost_control::core::{Core, CoreSettings, Input, Output};
-use pebblepost_control::disk_record::{ControlRecord, RecoveredRecords};
 use pebblepost_control::founding::founder_disk;
+use pebblepost_control::state::disk_record::{ControlRecord, RecoveredState};
 use pebblepost_messages::control::{FromControl, ToControl};
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::Tolerance;
@@ -180,7 +180,7 @@
     pub fn start(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        let recovered = RecoveredRecords::read(&node.disk.records).expect("records can be read");
+        let recovered = RecoveredState::decode(&node.disk.records).expect("records can be read");
         node.life += 1;
         node.core = Some(Core::new(now, node.settings.clone(), recovered));
         self.carry_out(index);
--- a/crates/pebblepost-control/tests/support/trace.rs
+++ b/crates/pebblepost-control/tests/support/trace.rs
@@ -3,7 +3,7 @@
 
 use nanoserde::SerBin;
 use pebblepost_control::core::Output;
-use pebblepost_control::disk_record::ControlRecord;
+use pebblepost_control::state::disk_record::ControlRecord;
 use std::time::Duration;
 
 const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
