--- a/crates/pebblepost-control/src/api.rs
+++ b/crates/pebblepost-control/src/api.rs
@@ -1,7 +1,8 @@
 //! The HTTP interface without I/O: calls, answers, and what a call asks for.
 
-use crate::announcement;
 use crate::state::RetirementState;
+pub mod registration;
+
 use crate::state::command::{ChangeError, ChangeMethod, ConfigurationChange, RetirementError};
 use pebblepost_messages::feed::Instance;
 use simd_json::prelude::{ValueAsScalar, ValueObjectAccess, ValueObjectAccessAsScalar};
@@ -77,9 +78,9 @@
             ("PATCH", "config", "") => change(call, ChangeMethod::Patch),
             ("GET", "config", "") => Ok(Request::ReadConfiguration),
             ("POST", "version-put", "") => version(call),
-            ("PUT", "instances", id) if is_name(id) => announcement::parse(id, &call.body)
+            ("PUT", "instances", id) if is_name(id) => registration::parse(id, &call.body)
                 .map(Request::Announce)
-                .map_err(|error| Answer::invalid(&error)),
+                .map_err(|error| Answer::invalid(&error.to_string())),
             ("DELETE", "instances", id) if is_name(id) => Ok(Request::Remove { id: id.into() }),
             ("POST", "retire", node) if is_name(node) => Ok(Request::Retire { node: node.into() }),
             ("GET", "retire", node) if is_name(node) => Ok(Request::ReadRetirement { node: node.into() }),
--- a/crates/pebblepost-control/src/core/calls.rs
+++ b/crates/pebblepost-control/src/core/calls.rs
@@ -77,7 +77,7 @@
             Request::NameVersion { model, generation } => self.name_version(now, id, model, generation),
             Request::Announce(instance) => self.announce(now, id, instance),
             Request::Remove { id: instance } => {
-                let change = self.registry.remove(&instance);
+                let change = self.registry.deregister(&instance);
                 self.registry_changed(now, &change);
                 self.note_departure(now, id, instance, ShutdownPhase::Terminated);
             }
@@ -118,7 +118,7 @@
         }
         let drains = instance.state == InstanceState::Draining;
         let instance_id = instance.id.clone();
-        let change = self.registry.announce(now, instance);
+        let change = self.registry.register(now, instance);
         self.registry_changed(now, &change);
         if drains {
             self.note_departure(now, id, instance_id, ShutdownPhase::Draining);
@@ -260,7 +260,7 @@
 
     pub(super) fn registry_changed(&mut self, now: Duration, change: &RegistryChange) {
         let Some(primary) = &mut self.primary else { return };
-        primary.feed.publish_instances(now, &change.instances, change.drains);
+        primary.feed.publish_instances(now, &change.instances, change.has_shutdown);
         for instance in &change.instances {
             primary.planner.instance(now, instance);
         }
--- a/crates/pebblepost-control/src/core/links.rs
+++ b/crates/pebblepost-control/src/core/links.rs
@@ -149,7 +149,7 @@
         for update in &batch.updates {
             match update {
                 FeedUpdate::Instances { complete: whole, instances } => {
-                    self.registry.copy(now, *whole, instances)
+                    self.registry.replicate(now, *whole, instances)
                 }
                 FeedUpdate::ProxyCount(count) => self.proxy_count = *count,
                 FeedUpdate::Configuration(_) | FeedUpdate::StoreGroups(_) | FeedUpdate::NamedVersions(_) => {}
--- a/crates/pebblepost-control/src/core/primary.rs
+++ b/crates/pebblepost-control/src/core/primary.rs
@@ -56,7 +56,7 @@
             return;
         }
         log::info!("primary of epoch {epoch}");
-        self.registry.restart_clocks(now);
+        self.registry.start_grace_period(now);
         self.recall_departures();
         let orders_from = now + self.wait_for_orders_of_others();
         let mut stores = Stores::new(self.settings.tolerance);
@@ -75,7 +75,7 @@
             not_acting_since: None,
             published_groups: BTreeMap::new(),
             planned_generation: 0,
-            list_complete_at: Some(self.registry.grace_ends()),
+            list_complete_at: Some(self.registry.grace_until()),
         });
         self.publish(now);
         self.teach_planner(now);
@@ -85,7 +85,7 @@
     /// The copy of the registrations may lack the newest departures, or all of them after a restart.
     fn recall_departures(&mut self) {
         for (instance, departure) in self.group.replica.state().shutdowns().iter() {
-            self.registry.depart(instance, departure);
+            self.registry.apply_shutdown(instance, departure);
         }
     }
 
@@ -123,7 +123,7 @@
 
     fn first_feed(&self, now: Duration) -> FeedServer {
         let mut state = FeedState::default();
-        let known = self.registry.live().chain(self.registry.lately_gone());
+        let known = self.registry.live().chain(self.registry.recently_terminated());
         let instances = known.cloned().collect();
         state.apply(&FeedUpdate::Instances { complete: false, instances });
         state.apply(&FeedUpdate::ProxyCount(self.proxy_count));
@@ -323,7 +323,7 @@
                     self.outputs.push(Output::AskReport { instance, address });
                 }
                 PlanOutput::Holds { instance, model, generation } => {
-                    let change = self.registry.holds(&instance, &model, generation);
+                    let change = self.registry.version_loaded(&instance, &model, generation);
                     self.registry_changed(now, &change);
                 }
             }
--- a/crates/pebblepost-control/src/lib.rs
+++ b/crates/pebblepost-control/src/lib.rs
@@ -11,7 +11,6 @@
 //! * [`founding`], [`peers`], [`witnesses`]: the control group itself.
 //! * [`api`]: calls and answers of the HTTP interface.
 
-pub mod announcement;
 pub mod api;
 pub mod core;
 pub mod feed_server;
--- a/crates/pebblepost-control/src/registry.rs
+++ b/crates/pebblepost-control/src/registry.rs
@@ -1,120 +1,123 @@
-//! Registrations of transcribers: which incarnations exist, and in which state.
+//! Service registry of transcribers: which incarnations exist, and in which state.
 //!
-//! Soft state. The primary keeps it by announcements, standbys keep a copy by the feed. An
-//! incarnation that is gone never comes back.
+//! Soft state, never stored: the primary maintains it from heartbeats, standbys replicate it from the primary's feed.
+//! A terminated incarnation never becomes live again.
 
 use crate::state::shutdowns::ShutdownPhase;
 use pebblepost_messages::feed::{Instance, InstanceState};
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::time::Duration;
 
-/// Incarnations that are gone and remembered.
-const MOST_GONE: usize = 4096;
-/// Incarnations that ended last, which newcomers of the feed are told of.
-const MOST_LATELY_GONE: usize = 64;
-/// Heartbeats that may be missed before an incarnation is taken to have ended. That is for good,
-/// so it must outlast cuts between machines that pass.
-const HEARTBEATS_UNTIL_GONE: u32 = 12;
-/// Least silence before an incarnation is taken to have ended.
-const LEAST_SILENCE: Duration = Duration::from_secs(15);
-
-/// What an announcement changed.
+/// Terminated incarnations that are remembered.
+const MAX_TERMINATED: usize = 4096;
+/// The incarnations terminated last that a new primary publishes.
+const MAX_RECENTLY_TERMINATED: usize = 64;
+/// Heartbeats that an incarnation may miss before it counts as terminated. That is final, so the limit has to outlast
+/// temporary network partitions.
+const MISSED_HEARTBEATS_LIMIT: u32 = 12;
+/// Lower bound of the time without heartbeats after which an incarnation counts as terminated.
+const MIN_TIME_TO_LIVE: Duration = Duration::from_secs(15);
+
+/// What an operation on the registry changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RegistryChange {
     /// The incarnations that changed, as they are now.
     pub instances: Vec<Instance>,
-    /// One of them drains or is gone now and did not before.
-    pub drains: bool,
+    /// Whether one of them has begun to drain or has terminated: proxies have to know at once.
+    pub has_shutdown: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Registration {
     instance: Instance,
-    heard: Duration,
+    last_heartbeat: Duration,
 }
 
-/// The registrations.
+/// The registry.
 #[derive(Clone, Debug)]
 pub struct Registry {
-    heartbeat: Duration,
+    heartbeat_interval: Duration,
     live: BTreeMap<String, Registration>,
+    /// Identities of live incarnations by address.
     by_address: HashMap<String, String>,
-    gone: BTreeMap<String, Instance>,
-    gone_order: VecDeque<String>,
-    nothing_ends_before: Duration,
+    terminated: BTreeMap<String, Instance>,
+    /// Identities of terminated incarnations, oldest first.
+    terminated_order: VecDeque<String>,
+    /// No incarnation expires before this time.
+    grace_until: Duration,
 }
 
 impl Registry {
-    /// An empty registry for transcribers that announce themselves once in `heartbeat`.
-    pub fn new(heartbeat: Duration) -> Registry {
+    /// An empty registry for transcribers that send a heartbeat each `heartbeat_interval`.
+    pub fn new(heartbeat_interval: Duration) -> Registry {
         Registry {
-            heartbeat,
+            heartbeat_interval,
             live: BTreeMap::new(),
             by_address: HashMap::new(),
-            gone: BTreeMap::new(),
-            gone_order: VecDeque::new(),
-            nothing_ends_before: Duration::ZERO,
+            terminated: BTreeMap::new(),
+            terminated_order: VecDeque::new(),
+            grace_until: Duration::ZERO,
         }
     }
 
-    /// Starts the clock of every incarnation anew: this process begins to hear announcements.
-    pub fn restart_clocks(&mut self, now: Duration) {
+    /// Resets the time of each incarnation's last heartbeat: this process only begins to receive them.
+    pub fn start_grace_period(&mut self, now: Duration) {
         for registration in self.live.values_mut() {
-            registration.heard = now;
+            registration.last_heartbeat = now;
         }
-        self.nothing_ends_before = now + self.longest_silence();
+        self.grace_until = now + self.time_to_live();
     }
 
-    /// When the clocks count again after their new start: whoever has not been heard by then has
-    /// ended.
-    pub fn grace_ends(&self) -> Duration {
-        self.nothing_ends_before
+    /// End of the grace period: an incarnation without a heartbeat until then has terminated.
+    pub fn grace_until(&self) -> Duration {
+        self.grace_until
     }
 
-    /// The incarnations that ended last.
-    pub fn lately_gone(&self) -> impl Iterator<Item = &Instance> {
-        self.gone_order.iter().rev().take(MOST_LATELY_GONE).filter_map(|id| self.gone.get(id))
+    /// The incarnations terminated last, newest first.
+    pub fn recently_terminated(&self) -> impl Iterator<Item = &Instance> {
+        let newest = self.terminated_order.iter().rev().take(MAX_RECENTLY_TERMINATED);
+        newest.filter_map(|id| self.terminated.get(id))
     }
 
-    /// Incarnations that are not gone.
+    /// Incarnations that have not terminated.
     pub fn live(&self) -> impl Iterator<Item = &Instance> {
         self.live.values().map(|registration| &registration.instance)
     }
 
-    /// An incarnation, also one that is gone.
+    /// An incarnation, live or terminated.
     pub fn instance(&self, id: &str) -> Option<&Instance> {
-        self.live.get(id).map(|registration| &registration.instance).or_else(|| self.gone.get(id))
+        self.live.get(id).map(|registration| &registration.instance).or_else(|| self.terminated.get(id))
     }
 
-    /// An announcement came.
-    pub fn announce(&mut self, now: Duration, announced: Instance) -> RegistryChange {
-        if self.gone.contains_key(&announced.id) {
+    /// Processes a registration or heartbeat. One that is not newer than the last only counts as a sign of life.
+    pub fn register(&mut self, now: Duration, instance: Instance) -> RegistryChange {
+        if self.terminated.contains_key(&instance.id) {
             return RegistryChange::default();
         }
-        if let Some(registration) = self.live.get_mut(&announced.id) {
-            registration.heard = now;
-            if announced.sequence <= registration.instance.sequence {
+        if let Some(registration) = self.live.get_mut(&instance.id) {
+            registration.last_heartbeat = now;
+            if instance.sequence <= registration.instance.sequence {
                 return RegistryChange::default();
             }
         }
-        self.take_in(now, announced)
+        self.upsert(now, instance)
     }
 
-    /// An incarnation ended, by its own word.
-    pub fn remove(&mut self, id: &str) -> RegistryChange {
-        if self.gone.contains_key(id) {
+    /// Terminates an incarnation. An unknown one is recorded too: its registration may arrive later.
+    pub fn deregister(&mut self, id: &str) -> RegistryChange {
+        if self.terminated.contains_key(id) {
             return RegistryChange::default();
         }
         let known = self.live.get(id).map(|registration| registration.instance.clone());
-        let ended = known.unwrap_or_else(|| Instance { id: id.into(), ..Instance::default() });
-        RegistryChange { instances: vec![self.end(ended)], drains: true }
+        let instance = known.unwrap_or_else(|| Instance { id: id.into(), ..Instance::default() });
+        RegistryChange { instances: vec![self.terminate(instance)], has_shutdown: true }
     }
 
-    /// An incarnation is known to leave; the control state remembers it.
-    pub fn depart(&mut self, id: &str, phase: ShutdownPhase) {
+    /// Applies a graceful shutdown from the replicated state.
+    pub fn apply_shutdown(&mut self, id: &str, phase: ShutdownPhase) {
         match phase {
             ShutdownPhase::Terminated => {
-                self.remove(id);
+                self.deregister(id);
             }
             ShutdownPhase::Draining => {
                 if let Some(registration) = self.live.get_mut(id) {
@@ -124,123 +127,124 @@
         }
     }
 
-    /// A transcriber surely holds a version now.
-    pub fn holds(&mut self, id: &str, model: &str, generation: u64) -> RegistryChange {
+    /// Records that a transcriber is known to have loaded a version of a model.
+    pub fn version_loaded(&mut self, id: &str, model: &str, generation: u64) -> RegistryChange {
         let Some(registration) = self.live.get_mut(id) else { return RegistryChange::default() };
         let models = &mut registration.instance.models;
-        let Some(held) = models.iter_mut().find(|held| held.model == model) else {
+        let Some(loaded) = models.iter_mut().find(|loaded| loaded.model == model) else {
             return RegistryChange::default();
         };
-        if held.generation >= generation {
+        if loaded.generation >= generation {
             return RegistryChange::default();
         }
-        held.generation = generation;
-        RegistryChange { instances: vec![registration.instance.clone()], drains: false }
+        loaded.generation = generation;
+        RegistryChange { instances: vec![registration.instance.clone()], has_shutdown: false }
     }
 
-    fn longest_silence(&self) -> Duration {
-        (self.heartbeat * HEARTBEATS_UNTIL_GONE).max(LEAST_SILENCE)
-    }
-
-    /// Ends the incarnations that were silent for too long.
+    /// Terminates the incarnations whose time to live has passed without a heartbeat.
     pub fn expire(&mut self, now: Duration) -> RegistryChange {
-        if now < self.nothing_ends_before {
+        if now < self.grace_until {
             return RegistryChange::default();
         }
-        let silence = self.longest_silence();
-        let silent = |registration: &&Registration| now.saturating_sub(registration.heard) > silence;
-        let ended: Vec<Instance> =
-            self.live.values().filter(silent).map(|registration| registration.instance.clone()).collect();
-        let drains = !ended.is_empty();
-        RegistryChange { instances: ended.into_iter().map(|instance| self.end(instance)).collect(), drains }
-    }
-
-    /// Takes in what the primary's feed says (standbys).
-    pub fn copy(&mut self, now: Duration, whole: bool, instances: &[Instance]) {
-        if whole {
-            let kept: std::collections::HashSet<&str> =
-                instances.iter().map(|instance| instance.id.as_str()).collect();
-            let missing = |id: &&String| !kept.contains(id.as_str());
-            let ended: Vec<String> = self.live.keys().filter(missing).cloned().collect();
-            for id in ended {
-                self.remove(&id);
+        let time_to_live = self.time_to_live();
+        let expired =
+            |registration: &&Registration| now.saturating_sub(registration.last_heartbeat) > time_to_live;
+        let expired: Vec<Instance> =
+            self.live.values().filter(expired).map(|registration| registration.instance.clone()).collect();
+        let has_shutdown = !expired.is_empty();
+        let instances = expired.into_iter().map(|instance| self.terminate(instance)).collect();
+        RegistryChange { instances, has_shutdown }
+    }
+
+    /// Replicates what the primary's feed publishes. Live incarnations absent from a `complete` list have terminated.
+    pub fn replicate(&mut self, now: Duration, complete: bool, instances: &[Instance]) {
+        if complete {
+            let listed: HashSet<&str> = instances.iter().map(|instance| instance.id.as_str()).collect();
+            let missing = |id: &&String| !listed.contains(id.as_str());
+            let terminated: Vec<String> = self.live.keys().filter(missing).cloned().collect();
+            for id in terminated {
+                self.deregister(&id);
             }
         }
         for instance in instances {
-            self.copy_one(now, instance);
+            self.replicate_one(now, instance);
         }
     }
 
-    fn copy_one(&mut self, now: Duration, instance: &Instance) {
-        if self.gone.contains_key(&instance.id) {
+    fn replicate_one(&mut self, now: Duration, instance: &Instance) {
+        if self.terminated.contains_key(&instance.id) {
             return;
         }
         if instance.state == InstanceState::Gone {
-            self.end(instance.clone());
+            self.terminate(instance.clone());
             return;
         }
-        self.take_in(now, instance.clone());
+        self.upsert(now, instance.clone());
+    }
+
+    fn time_to_live(&self) -> Duration {
+        (self.heartbeat_interval * MISSED_HEARTBEATS_LIMIT).max(MIN_TIME_TO_LIVE)
     }
 
-    fn take_in(&mut self, now: Duration, announced: Instance) -> RegistryChange {
-        let mut change = self.end_former_at(&announced);
-        let known = self.live.get(&announced.id).map(|registration| registration.instance.clone());
-        let merged =
-            known.as_ref().map_or_else(|| announced.clone(), |known| merge(known, announced.clone()));
-        change.drains |= merged.state == InstanceState::Draining
+    fn upsert(&mut self, now: Duration, instance: Instance) -> RegistryChange {
+        let mut change = self.terminate_former_at(&instance);
+        let known = self.live.get(&instance.id).map(|registration| registration.instance.clone());
+        let merged = known.as_ref().map_or_else(|| instance.clone(), |known| merge(known, instance.clone()));
+        change.has_shutdown |= merged.state == InstanceState::Draining
             && known.as_ref().is_none_or(|known| known.state != InstanceState::Draining);
-        if known.as_ref().is_none_or(|known| differs(known, &merged)) {
+        if known.as_ref().is_none_or(|known| is_visible_change(known, &merged)) {
             change.instances.push(merged.clone());
         }
         if let Some(known) = known.filter(|known| known.address != merged.address) {
             self.by_address.remove(&known.address);
         }
         self.by_address.insert(merged.address.clone(), merged.id.clone());
-        self.live.insert(merged.id.clone(), Registration { instance: merged, heard: now });
+        self.live.insert(merged.id.clone(), Registration { instance: merged, last_heartbeat: now });
         change
     }
 
-    fn end_former_at(&mut self, announced: &Instance) -> RegistryChange {
-        let former = self.by_address.get(&announced.address).filter(|id| **id != announced.id).cloned();
-        former.map_or_else(RegistryChange::default, |id| self.remove(&id))
+    /// An address that is used by a new incarnation shows that the former one there has terminated.
+    fn terminate_former_at(&mut self, instance: &Instance) -> RegistryChange {
+        let former = self.by_address.get(&instance.address).filter(|id| **id != instance.id).cloned();
+        former.map_or_else(RegistryChange::default, |id| self.deregister(&id))
     }
 
-    fn end(&mut self, mut instance: Instance) -> Instance {
+    fn terminate(&mut self, mut instance: Instance) -> Instance {
         instance.state = InstanceState::Gone;
         self.live.remove(&instance.id);
         if self.by_address.get(&instance.address) == Some(&instance.id) {
             self.by_address.remove(&instance.address);
         }
-        self.gone.insert(instance.id.clone(), instance.clone());
-        self.gone_order.push_back(instance.id.clone());
-        if self.gone_order.len() > MOST_GONE
-            && let Some(oldest) = self.gone_order.pop_front()
+        self.terminated.insert(instance.id.clone(), instance.clone());
+        self.terminated_order.push_back(instance.id.clone());
+        if self.terminated_order.len() > MAX_TERMINATED
+            && let Some(oldest) = self.terminated_order.pop_front()
         {
-            self.gone.remove(&oldest);
+            self.terminated.remove(&oldest);
         }
         instance
     }
 }
 
-/// A later announcement on top of an earlier one: draining stays, versions only rise.
-fn merge(known: &Instance, mut announced: Instance) -> Instance {
+/// Merges a newer registration into the known one: draining is final, versions only rise.
+fn merge(known: &Instance, mut newer: Instance) -> Instance {
     if known.state == InstanceState::Draining {
-        announced.state = InstanceState::Draining;
+        newer.state = InstanceState::Draining;
     }
-    for model in &mut announced.models {
-        let held = known.models.iter().find(|held| held.model == model.model);
-        model.generation = model.generation.max(held.map_or(0, |held| held.generation));
+    for model in &mut newer.models {
+        let loaded = known.models.iter().find(|loaded| loaded.model == model.model);
+        model.generation = model.generation.max(loaded.map_or(0, |loaded| loaded.generation));
     }
-    announced
+    newer
 }
 
-/// Whether receivers have to hear of it. The time that a transcriber stays slow counts down by
-/// itself at the receivers; only its end is told.
-fn differs(known: &Instance, merged: &Instance) -> bool {
-    let told = |instance: &Instance| Instance {
+/// Whether subscribers need to be sent the difference. They count the remaining warm-up time down themselves, so only
+/// its end is published.
+fn is_visible_change(known: &Instance, merged: &Instance) -> bool {
+    let published = |instance: &Instance| Instance {
         sequence: 0,
         warm_up_remaining_ms: u32::from(instance.warm_up_remaining_ms > 0),
         ..instance.clone()
     };
-    told(known) != told(merged)
+    published(known) != published(merged)
 }
--- a/crates/pebblepost-control/tests/registry.rs
+++ b/crates/pebblepost-control/tests/registry.rs
@@ -1,6 +1,6 @@
 //! Registrations: order of announcements, ends, addresses used again, copies.
 
-use pebblepost_control::announcement;
+use pebblepost_control::api::registration;
 use pebblepost_control::registry::Registry;
 use pebblepost_messages::feed::{Instance, InstanceState, ModelVersion};
 use rstest::rstest;
@@ -34,54 +34,54 @@
 #[rstest]
 fn late_announcements_change_nothing() {
     let mut registry = Registry::new(HEARTBEAT);
-    assert_eq!(registry.announce(second(1), instance("i", "10.0.0.1:1", 4)).instances.len(), 1);
-    assert!(registry.announce(second(2), instance("i", "10.0.0.2:1", 3)).instances.is_empty());
+    assert_eq!(registry.register(second(1), instance("i", "10.0.0.1:1", 4)).instances.len(), 1);
+    assert!(registry.register(second(2), instance("i", "10.0.0.2:1", 3)).instances.is_empty());
     assert_eq!(registry.instance("i").map(|known| known.address.as_str()), Some("10.0.0.1:1"));
-    assert!(registry.announce(second(2), instance("i", "10.0.0.1:1", 5)).instances.is_empty(), "nothing new");
+    assert!(registry.register(second(2), instance("i", "10.0.0.1:1", 5)).instances.is_empty(), "nothing new");
 }
 
 #[rstest]
 fn draining_stays() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.announce(second(1), instance("i", "10.0.0.1:1", 1));
-    let change = registry.announce(second(2), draining("i", "10.0.0.1:1", 2));
-    assert!(change.drains);
-    registry.announce(second(3), instance("i", "10.0.0.1:1", 3));
+    registry.register(second(1), instance("i", "10.0.0.1:1", 1));
+    let change = registry.register(second(2), draining("i", "10.0.0.1:1", 2));
+    assert!(change.has_shutdown);
+    registry.register(second(3), instance("i", "10.0.0.1:1", 3));
     assert_eq!(state(&registry, "i"), Some(InstanceState::Draining));
 }
 
 #[rstest]
 fn who_ended_never_comes_back() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.announce(second(1), instance("i", "10.0.0.1:1", 1));
-    assert!(registry.remove("i").drains);
-    assert!(registry.remove("i").instances.is_empty());
-    registry.announce(second(2), instance("i", "10.0.0.1:1", 9));
+    registry.register(second(1), instance("i", "10.0.0.1:1", 1));
+    assert!(registry.deregister("i").has_shutdown);
+    assert!(registry.deregister("i").instances.is_empty());
+    registry.register(second(2), instance("i", "10.0.0.1:1", 9));
     assert_eq!(state(&registry, "i"), Some(InstanceState::Gone));
-    assert_eq!(registry.remove("unknown").instances.len(), 1, "its announcement may still be on its way");
-    registry.announce(second(2), instance("unknown", "10.0.0.3:1", 1));
+    assert_eq!(registry.deregister("unknown").instances.len(), 1, "its announcement may still be on its way");
+    registry.register(second(2), instance("unknown", "10.0.0.3:1", 1));
     assert_eq!(registry.live().count(), 0);
 }
 
 #[rstest]
 fn an_address_used_again_ends_its_former_holder() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.announce(second(1), instance("old", "10.0.0.1:1", 1));
-    let change = registry.announce(second(5), instance("new", "10.0.0.1:1", 1));
+    registry.register(second(1), instance("old", "10.0.0.1:1", 1));
+    let change = registry.register(second(5), instance("new", "10.0.0.1:1", 1));
     assert_eq!(change.instances.len(), 2);
-    assert!(change.drains);
+    assert!(change.has_shutdown);
     assert_eq!(state(&registry, "old"), Some(InstanceState::Gone));
     assert_eq!(state(&registry, "new"), Some(InstanceState::Ready));
-    registry.announce(second(6), instance("old", "10.0.0.1:1", 2));
+    registry.register(second(6), instance("old", "10.0.0.1:1", 2));
     assert_eq!(state(&registry, "new"), Some(InstanceState::Ready), "the old one does not take it back");
 }
 
 #[rstest]
 fn silence_ends_an_incarnation_but_not_after_a_new_start_of_the_clocks() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.announce(second(1), instance("i", "10.0.0.1:1", 1));
+    registry.register(second(1), instance("i", "10.0.0.1:1", 1));
     assert!(registry.expire(second(15)).instances.is_empty());
-    registry.restart_clocks(second(100));
+    registry.start_grace_period(second(100));
     assert!(registry.expire(second(114)).instances.is_empty());
     let ended = registry.expire(second(117));
     assert_eq!(ended.instances.len(), 1);
@@ -91,11 +91,11 @@
 #[rstest]
 fn versions_only_rise() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.announce(second(1), instance("i", "10.0.0.1:1", 1));
-    assert_eq!(registry.holds("i", "m", 3).instances.len(), 1);
-    assert!(registry.holds("i", "m", 2).instances.is_empty());
-    assert!(registry.holds("i", "other", 2).instances.is_empty());
-    registry.announce(second(2), instance("i", "10.0.0.1:1", 2));
+    registry.register(second(1), instance("i", "10.0.0.1:1", 1));
+    assert_eq!(registry.version_loaded("i", "m", 3).instances.len(), 1);
+    assert!(registry.version_loaded("i", "m", 2).instances.is_empty());
+    assert!(registry.version_loaded("i", "other", 2).instances.is_empty());
+    registry.register(second(2), instance("i", "10.0.0.1:1", 2));
     let held = registry.instance("i").map(|known| known.models[0].generation);
     assert_eq!(held, Some(3), "a report from before the change");
 }
@@ -105,26 +105,26 @@
     let mut registry = Registry::new(HEARTBEAT);
     let cold =
         |left, sequence| Instance { warm_up_remaining_ms: left, ..instance("i", "10.0.0.1:1", sequence) };
-    assert_eq!(registry.announce(second(1), cold(900, 1)).instances.len(), 1);
-    assert!(registry.announce(second(2), cold(400, 2)).instances.is_empty());
-    assert_eq!(registry.announce(second(3), cold(0, 3)).instances.len(), 1);
-    assert!(registry.announce(second(4), cold(0, 4)).instances.is_empty());
+    assert_eq!(registry.register(second(1), cold(900, 1)).instances.len(), 1);
+    assert!(registry.register(second(2), cold(400, 2)).instances.is_empty());
+    assert_eq!(registry.register(second(3), cold(0, 3)).instances.len(), 1);
+    assert!(registry.register(second(4), cold(0, 4)).instances.is_empty());
 }
 
 #[rstest]
 fn a_standby_keeps_a_copy() {
     let mut registry = Registry::new(HEARTBEAT);
-    registry.copy(second(1), false, &[instance("a", "10.0.0.1:1", 1), draining("b", "10.0.0.2:1", 1)]);
-    registry.copy(
+    registry.replicate(second(1), false, &[instance("a", "10.0.0.1:1", 1), draining("b", "10.0.0.2:1", 1)]);
+    registry.replicate(
         second(2),
         false,
         &[Instance { state: InstanceState::Gone, ..instance("a", "10.0.0.1:1", 1) }],
     );
     assert_eq!(state(&registry, "a"), Some(InstanceState::Gone));
     assert_eq!(state(&registry, "b"), Some(InstanceState::Draining));
-    registry.copy(second(3), true, &[instance("c", "10.0.0.3:1", 1)]);
+    registry.replicate(second(3), true, &[instance("c", "10.0.0.3:1", 1)]);
     assert_eq!(state(&registry, "b"), Some(InstanceState::Gone), "not in the whole list");
-    registry.announce(second(4), instance("a", "10.0.0.1:1", 7));
+    registry.register(second(4), instance("a", "10.0.0.1:1", 7));
     assert_eq!(state(&registry, "a"), Some(InstanceState::Gone));
 }
 
@@ -136,8 +136,8 @@
 #[case::bad_state(b"{\"backend\":\"x\",\"address\":\"10.0.0.1:1\",\"state\":\"asleep\"}", "neither")]
 #[case::bad_model(b"{\"backend\":\"x\",\"address\":\"10.0.0.1:1\",\"models\":[{}]}", "name")]
 fn announcements_that_are_not_proper(#[case] body: &[u8], #[case] reason: &str) {
-    let error = announcement::parse("i-1", body).expect_err("refused");
-    assert!(error.contains(reason), "{error}");
+    let error = registration::parse("i-1", body).expect_err("refused");
+    assert!(error.to_string().contains(reason), "{error}");
 }
 
 #[rstest]
@@ -158,5 +158,5 @@
         models: vec![ModelVersion { model: "daka510000".into(), generation: 4 }],
         sequence: 4,
     };
-    assert_eq!(announcement::parse("i-7f3a91c2", body.as_bytes()), Ok(expected));
+    assert_eq!(registration::parse("i-7f3a91c2", body.as_bytes()), Ok(expected));
 }
