--- a/crates/pebblepost-control/src/core.rs
+++ b/crates/pebblepost-control/src/core.rs
@@ -16,8 +16,8 @@
 
 use crate::api::{Answer, Call};
 use crate::feed_server::ConnectionId;
-use crate::founding::founding_record;
-use crate::peers::Peers;
+use crate::membership::Peers;
+use crate::membership::bootstrap::bootstrap_record;
 use crate::registry::Registry;
 use crate::state::ControlState;
 use crate::state::disk_record::{ControlRecord, RecoveredState};
@@ -252,7 +252,7 @@
         let founding = recovered
             .bootstrap
             .clone()
-            .or_else(|| settings.founder.then(|| founding_record(&settings.seeds, settings.link_port)));
+            .or_else(|| settings.founder.then(|| bootstrap_record(&settings.seeds, settings.link_port)));
         let is_first_start = settings.founder && recovered.bootstrap.is_none();
         let peers = Peers::new(now, settings.me.clone(), settings.seed_links());
         let mut core = Core {
@@ -364,7 +364,7 @@
     }
 
     fn look_over(&mut self, now: Duration) {
-        self.peers.forget(now, self.group.replica.record());
+        self.peers.expire(now, self.group.replica.record());
         self.keep_links_alive(now);
         self.tell_members(now);
         self.follow_primary(now);
@@ -381,7 +381,7 @@
     }
 
     fn dial(&mut self) {
-        let wanted = self.peers.addresses(self.group.replica.record());
+        let wanted = self.peers.addresses_to_dial(self.group.replica.record());
         if wanted != self.dialed {
             self.dialed.clone_from(&wanted);
             self.outputs.push(Output::Dial(wanted));
--- a/crates/pebblepost-control/src/core/calls.rs
+++ b/crates/pebblepost-control/src/core/calls.rs
@@ -6,6 +6,7 @@
 use crate::registry::RegistryChange;
 use crate::state::command::{Command, ConfigurationChange, Outcome};
 use crate::state::shutdowns::ShutdownPhase;
+use crate::storage::GroupPlanner;
 use pebblepost_messages::control::{FromControl, GroupEpoch};
 use pebblepost_messages::feed::{Instance, InstanceState};
 use pebblepost_replication::replica::ProposeError;
@@ -152,11 +153,13 @@
             self.answer(id, Answer::acknowledged());
             return;
         }
-        if let Err(refusal) = primary.stores.check_retirement(now, self.state(), &node) {
+        let nodes = &primary.stores;
+        let planner = GroupPlanner { now, state: self.state(), nodes, tolerance: &self.settings.tolerance };
+        if let Err(refusal) = planner.check_retirement(&node) {
             self.answer(id, Answer::retire_refused(refusal));
             return;
         }
-        let min_remaining = primary.stores.min_remaining();
+        let min_remaining = planner.min_remaining();
         self.propose_for(now, id, &Command::Retire { node, min_remaining });
     }
 
--- a/crates/pebblepost-control/src/core/group.rs
+++ b/crates/pebblepost-control/src/core/group.rs
@@ -1,7 +1,7 @@
 //! The epoch register and the replica of the control state, and how they use links and disk.
 
 use super::{Core, CoreSettings, Output};
-use crate::peers::{PeerMessage, PeerPart, members_of};
+use crate::membership::{PeerMessage, PeerPayload, members_of};
 use crate::state::ControlState;
 use crate::state::disk_record::{ControlRecord, RecoveredState};
 use nanoserde::{DeBin, SerBin};
@@ -113,9 +113,9 @@
         if message.to != self.me.disk {
             return;
         }
-        match message.part {
-            PeerPart::Register(message) => self.register.receive(now, from, &message),
-            PeerPart::Replica(message) => self.replica.receive(now, from, &message),
+        match message.payload {
+            PeerPayload::Register(message) => self.register.receive(now, from, &message),
+            PeerPayload::Replica(message) => self.replica.receive(now, from, &message),
         }
     }
 
@@ -208,7 +208,7 @@
                     self.register.receive(now, &me, &message);
                 }
                 RegisterOutput::Send { to, message } => {
-                    outputs.push(send(&to, PeerPart::Register(message)));
+                    outputs.push(send(&to, PeerPayload::Register(message)));
                 }
                 RegisterOutput::Persist { token, state } => {
                     self.witness = Some(state.clone());
@@ -248,7 +248,7 @@
         for output in wanted {
             match output {
                 ReplicaOutput::Send { to, message } => {
-                    self.outputs.push(send(&to, PeerPart::Replica(message)));
+                    self.outputs.push(send(&to, PeerPayload::Replica(message)));
                 }
                 ReplicaOutput::Persist { token, records } => {
                     let records = records.into_iter().map(ControlRecord::Replica).collect();
@@ -276,8 +276,8 @@
     }
 }
 
-fn send(to: &Member, part: PeerPart) -> Output {
-    let message = PeerMessage { to: to.disk, part };
+fn send(to: &Member, payload: PeerPayload) -> Output {
+    let message = PeerMessage { to: to.disk, payload };
     Output::SendPeer {
         address: to.address.clone(),
         message: ToControl::Replication(SerBin::serialize_bin(&message)),
--- a/crates/pebblepost-control/src/core/links.rs
+++ b/crates/pebblepost-control/src/core/links.rs
@@ -90,7 +90,7 @@
     pub(super) fn peer_up(&mut self, now: Duration, address: String) {
         let hello = ToControl::PeerHello { member: self.settings.me.clone() };
         self.outputs.push(Output::SendPeer { address: address.clone(), message: hello });
-        for standing in self.peers.standings(now) {
+        for standing in self.peers.statuses(now) {
             if standing.member.address == address {
                 self.group.introduce(&standing.member);
             }
@@ -106,9 +106,9 @@
     pub(super) fn peer_message(&mut self, now: Duration, address: &str, message: FromControl) {
         match message {
             FromControl::Feed(batch) => self.fold(now, address, &batch),
-            FromControl::Members(members) => self.peers.learn(&members),
+            FromControl::Members(members) => self.peers.add_candidates(&members),
             FromControl::Redirect { members, .. } => {
-                self.peers.learn(&members);
+                self.peers.add_candidates(&members);
                 if let Some(link) = self.peer_links.get_mut(address) {
                     link.subscribed = false;
                     link.subscribe_at = now + SUBSCRIBE_AGAIN;
@@ -166,12 +166,12 @@
     fn heard_from(&mut self, now: Duration, connection: ConnectionId) {
         let peer = self.connections.get(&connection).and_then(|known| known.peer.as_ref());
         if let Some(peer) = peer {
-            self.peers.heard(now, peer);
+            self.peers.message_received(now, peer);
         }
         if let Some(primary) = &mut self.primary {
             primary.feed.heard(now, connection);
             if let Some(disk) = self.connections.get(&connection).and_then(|known| known.store) {
-                primary.stores.heard(now, disk);
+                primary.stores.message_received(now, disk);
             }
         }
     }
@@ -182,7 +182,7 @@
     ) {
         let Some(primary) = &mut self.primary else { return };
         primary.feed.subscribe(now, connection, node, role, generation);
-        let members = FromControl::Members(self.peers.told(now, self.group.replica.record()));
+        let members = FromControl::Members(self.peers.advertised(now, self.group.replica.record()));
         self.send(now, connection, members);
     }
 
@@ -197,7 +197,7 @@
     }
 
     fn peer_hello(&mut self, now: Duration, connection: ConnectionId, member: Member) {
-        self.peers.heard(now, &member);
+        self.peers.message_received(now, &member);
         if self.peer_links.contains_key(&member.address) {
             self.group.introduce(&member);
         } else {
@@ -206,7 +206,7 @@
         if let Some(known) = self.connections.get_mut(&connection) {
             known.peer = Some(member);
         }
-        let members = FromControl::Members(self.peers.told(now, self.group.replica.record()));
+        let members = FromControl::Members(self.peers.advertised(now, self.group.replica.record()));
         self.send(now, connection, members);
         if self.primary.is_none() {
             // It may be the one that was waited for.
@@ -218,7 +218,7 @@
     /// carry replication as well and stay.
     pub(super) fn redirect(&mut self, now: Duration, connection: ConnectionId) {
         let primary = self.live_primary(now).map(|primary| primary.address.clone());
-        let members = self.peers.told(now, self.group.replica.record());
+        let members = self.peers.advertised(now, self.group.replica.record());
         self.send(now, connection, FromControl::Redirect { primary, members });
         let is_peer = self.connections.get(&connection).is_some_and(|known| known.peer.is_some());
         if !is_peer {
@@ -242,9 +242,9 @@
     /// The primary, if it is another process that was heard lately.
     pub(super) fn live_primary(&self, now: Duration) -> Option<&Member> {
         let primary = self.other_primary()?;
-        let standings = self.peers.standings(now);
+        let standings = self.peers.statuses(now);
         let standing = standings.iter().find(|standing| standing.member.disk == primary.disk)?;
-        (standing.silence < PRIMARY_SILENCE).then_some(primary)
+        (standing.silent_for < PRIMARY_SILENCE).then_some(primary)
     }
 
     pub(super) fn send(&mut self, now: Duration, connection: ConnectionId, message: FromControl) {
@@ -257,7 +257,7 @@
     /// Tells everybody of the control processes if they are others than before, so that nobody is
     /// left with those that were replaced.
     pub(super) fn tell_members(&mut self, now: Duration) {
-        let members = self.peers.told(now, self.group.replica.record());
+        let members = self.peers.advertised(now, self.group.replica.record());
         if members == self.told_members {
             return;
         }
--- a/crates/pebblepost-control/src/core/primary.rs
+++ b/crates/pebblepost-control/src/core/primary.rs
@@ -4,14 +4,15 @@
 use super::calls::WaitingChange;
 use super::{Core, Output};
 use crate::feed_server::{FeedOutput, FeedServer, PublishedConfiguration};
+use crate::membership::witnesses::{self, FailureEvidence};
 use crate::orders;
 use crate::state::ControlState;
 use crate::state::command::Command;
-use crate::stores::{Stores, feed_groups};
-use crate::witnesses::{self, Evidence};
+use crate::storage::{GroupPlanner, StorageNodes};
 use pebblepost_feed::FeedState;
-use pebblepost_messages::DiskId;
+use pebblepost_messages::batch::STORE_GROUPS;
 use pebblepost_messages::feed::{FeedUpdate, ModelVersion, StoreGroup};
+use pebblepost_messages::{DiskId, Member};
 use pebblepost_rollout::{Order, OrderAnswer, PlanOutput, Planner, Reported};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -33,7 +34,7 @@
     pub(super) epoch: u64,
     pub(super) since: Duration,
     pub(super) feed: FeedServer,
-    pub(super) stores: Stores,
+    pub(super) stores: StorageNodes,
     pub(super) planner: Planner,
     /// Orders of another holder are old from then on.
     orders_from: Duration,
@@ -59,13 +60,11 @@
         self.registry.start_grace_period(now);
         self.recall_departures();
         let orders_from = now + self.wait_for_orders_of_others();
-        let mut stores = Stores::new(self.settings.tolerance);
-        stores.restart(now);
         self.primary = Some(Primary {
             epoch,
             since: now,
             feed: self.first_feed(now),
-            stores,
+            stores: StorageNodes::new(now),
             planner: Planner::new(if self.holds_orders() { now } else { orders_from + TAKE_OVER_TIME }),
             orders_from,
             hold_proposed: false,
@@ -114,7 +113,7 @@
 
     /// Whoever is connected learns of the epoch, also those that hold nothing: callers and links wait there.
     fn introduce_epoch(&mut self, now: Duration) {
-        for standing in self.peers.standings(now) {
+        for standing in self.peers.statuses(now) {
             if standing.member.disk != self.settings.me.disk {
                 self.group.introduce(&standing.member);
             }
@@ -253,9 +252,9 @@
     fn look_over_witnesses(&mut self, now: Duration) {
         let Some(primary) = self.primary.as_ref().filter(|_| !self.group.is_changing()) else { return };
         let is_early = now.saturating_sub(primary.since) < WITNESS_GRACE;
-        let evidence = if is_early { Evidence::Replacement } else { Evidence::Silence };
+        let evidence = if is_early { FailureEvidence::Replacement } else { FailureEvidence::Timeout };
         let record = self.group.replica.record();
-        let standings = self.peers.standings(now);
+        let standings = self.peers.statuses(now);
         let wanted = self.settings.wanted_witnesses();
         let change = witnesses::next_change(record, &standings, wanted, evidence);
         if let Some(next) = change {
@@ -291,7 +290,9 @@
             return;
         }
         primary.plan_at = now + PLAN_EVERY;
-        for command in primary.stores.plan(now, state) {
+        let tolerance = &self.settings.tolerance;
+        let planner = GroupPlanner { now, state, nodes: &primary.stores, tolerance };
+        for command in planner.plan() {
             log::info!("proposing command: {}", command);
             if let Ok(index) = self.group.replica.propose(now, command.encode()) {
                 primary.planned.insert(index);
@@ -340,3 +341,20 @@
         patch: patch.map(|patch| (patch.base, patch.patch.clone())),
     }
 }
+
+/// The groups as the feed publishes them.
+fn feed_groups(state: &ControlState) -> Vec<StoreGroup> {
+    let member = |disk: &DiskId| {
+        let unknown = || Member { disk: *disk, ..Member::default() };
+        state.stores().get(disk).cloned().unwrap_or_else(unknown)
+    };
+    let groups = state.groups().iter().filter(|(group, _)| **group < STORE_GROUPS);
+    let feed = groups.map(|(group, assignment)| StoreGroup {
+        group: *group,
+        epoch: assignment.epoch.epoch,
+        primary: member(&assignment.epoch.primary),
+        in_sync: assignment.epoch.in_sync.iter().map(member).collect(),
+        targets: assignment.targets.iter().map(member).collect(),
+    });
+    feed.collect()
+}
--- a/crates/pebblepost-control/src/lib.rs
+++ b/crates/pebblepost-control/src/lib.rs
@@ -14,18 +14,15 @@
 pub mod api;
 pub mod core;
 pub mod feed_server;
-pub mod founding;
 pub mod hash;
 pub mod http;
+pub mod membership;
 pub mod orders;
-pub mod peers;
-pub mod placement;
 pub mod program;
 pub mod registry;
 mod shell;
 pub mod state;
-pub mod stores;
+pub mod storage;
 pub mod tasks;
-pub mod witnesses;
 
 pub use program::run;
--- a/crates/pebblepost-control/src/program.rs
+++ b/crates/pebblepost-control/src/program.rs
@@ -1,8 +1,8 @@
 //! The program: settings, disk, listeners, links, signals, and the loop around [`Core`].
 
 use crate::core::{Core, CoreSettings, Input};
-use crate::founding::{founder_disk, identity_to_format};
 use crate::http;
+use crate::membership::bootstrap::{bootstrap_disk, identity_to_format};
 use crate::shell::Shell;
 use crate::state::disk_record::RecoveredState;
 use crate::tasks;
@@ -100,7 +100,7 @@
     let disk_id = DiskId(opened.identity);
     // Only a disk that was formatted at the first start of the whole system has this identity. If
     // nothing was written to it since, it still founds, also after a restart.
-    let founder = settings.seeds.contains(&control) && disk_id == founder_disk(control);
+    let founder = settings.seeds.contains(&control) && disk_id == bootstrap_disk(control);
     log::info!(
         "disk {:016x}: {}{} records",
         disk_id.0,
--- a/crates/pebblepost-control/tests/stored_forms.rs
+++ b/crates/pebblepost-control/tests/stored_forms.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use nanoserde::{DeBin, SerBin};
-use pebblepost_control::peers::{PeerMessage, PeerPart};
+use pebblepost_control::membership::{PeerMessage, PeerPayload};
 use pebblepost_control::state::ControlState;
 use pebblepost_control::state::command::{ChangeMethod, Command, ConfigurationChange, InitialAssignment};
 use pebblepost_control::state::disk_record::{ControlRecord, RecoveredState};
@@ -112,8 +112,8 @@
 
 fn peer_messages() -> Vec<(&'static str, PeerMessage)> {
     vec![
-        ("peer: register", PeerMessage { to: DiskId(3), part: PeerPart::Register(vec![1, 2]) }),
-        ("peer: replica", PeerMessage { to: DiskId(3), part: PeerPart::Replica(vec![3]) }),
+        ("peer: register", PeerMessage { to: DiskId(3), payload: PeerPayload::Register(vec![1, 2]) }),
+        ("peer: replica", PeerMessage { to: DiskId(3), payload: PeerPayload::Replica(vec![3]) }),
     ]
 }
 
--- a/crates/pebblepost-control/tests/support/cluster.rs
+++ b/crates/pebblepost-control/tests/support/cluster.rs
@@ -3,7 +3,7 @@
 use super::trace::Trace;
 use pebblepost_control::api::{Answer, Call};
 use pebblepost_control::core::{Core, CoreSettings, Input, Output};
-use pebblepost_control::founding::founder_disk;
+use pebblepost_control::membership::bootstrap::bootstrap_disk;
 use pebblepost_control::state::disk_record::{ControlRecord, RecoveredState};
 use pebblepost_messages::control::{FromControl, ToControl};
 use pebblepost_messages::{DiskId, Member};
@@ -141,7 +141,7 @@
             trace: Trace::default(),
         };
         for (index, seed) in seeds.iter().enumerate() {
-            cluster.add(settings(index, founder_disk(*seed), true, &seeds));
+            cluster.add(settings(index, bootstrap_disk(*seed), true, &seeds));
         }
         cluster.at(Duration::ZERO, Happening::Redial);
         cluster
--- a/crates/pebblepost-control/tests/witnesses.rs
+++ b/crates/pebblepost-control/tests/witnesses.rs
@@ -1,8 +1,11 @@
 //! Which machines are witnesses, and which identity a founder's disk has.
 
-use pebblepost_control::founding::{founder_disk, founding_record};
-use pebblepost_control::placement;
-use pebblepost_control::witnesses::{Evidence, Standing, next_change};
+use pebblepost_control::membership::bootstrap::{bootstrap_disk, bootstrap_record};
+use pebblepost_control::membership::{
+    PeerStatus,
+    witnesses::{FailureEvidence, next_change},
+};
+use pebblepost_control::storage::placement;
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::{EpochRecord, Tolerance};
 use rstest::rstest;
@@ -14,8 +17,8 @@
     Member { disk: DiskId(disk), address: format!("10.0.0.{disk}:7300"), ..Member::default() }
 }
 
-fn standing(disk: u64, silence_ms: u64) -> Standing {
-    Standing { member: member(disk), silence: Duration::from_millis(silence_ms) }
+fn standing(disk: u64, silence_ms: u64) -> PeerStatus {
+    PeerStatus { member: member(disk), silent_for: Duration::from_millis(silence_ms) }
 }
 
 fn record(witnesses: &[u64]) -> EpochRecord {
@@ -35,17 +38,17 @@
 #[rstest]
 fn nothing_changes_while_all_are_heard() {
     let known = [standing(1, 0), standing(2, 100), standing(3, 1400), standing(4, 0)];
-    assert_eq!(next_change(&record(&[1, 2, 3]), &known, 3, Evidence::Silence), None);
+    assert_eq!(next_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout), None);
 }
 
 #[rstest]
 fn a_lost_witness_is_exchanged_in_two_steps() {
     let known = [standing(1, 0), standing(2, 100), standing(3, 1600), standing(4, 0)];
-    let first = next_change(&record(&[1, 2, 3]), &known, 3, Evidence::Silence).expect("a change");
+    let first = next_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout).expect("a change");
     assert_eq!((first.epoch, disks(&first.witnesses)), (6, vec![1, 2, 4]));
     assert_eq!(disks(&first.former_witnesses), [1, 2, 3]);
     assert!(record(&[1, 2, 3]).may_be_followed_by(&first));
-    let second = next_change(&first, &known, 3, Evidence::Silence).expect("its completion");
+    let second = next_change(&first, &known, 3, FailureEvidence::Timeout).expect("its completion");
     assert_eq!((second.epoch, disks(&second.witnesses)), (7, vec![1, 2, 4]));
     assert!(second.former_witnesses.is_empty());
     assert!(first.may_be_followed_by(&second));
@@ -54,7 +57,7 @@
 #[rstest]
 fn nobody_is_exchanged_without_a_live_successor() {
     let known = [standing(1, 0), standing(2, 100), standing(3, 1600), standing(4, 1600)];
-    assert_eq!(next_change(&record(&[1, 2, 3]), &known, 3, Evidence::Silence), None);
+    assert_eq!(next_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout), None);
 }
 
 #[rstest]
@@ -62,7 +65,7 @@
     let mut fresh = standing(9, 0);
     fresh.member.address = member(3).address;
     let known = [standing(1, 0), standing(2, 100), standing(3, 300), fresh];
-    let change = next_change(&record(&[1, 2, 3]), &known, 3, Evidence::Silence).expect("a change");
+    let change = next_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout).expect("a change");
     assert_eq!(disks(&change.witnesses), [1, 2, 9]);
 }
 
@@ -71,17 +74,21 @@
     let mut fresh = standing(9, 0);
     fresh.member.address = member(3).address;
     let known = [standing(1, 0), standing(2, 9_000), fresh, standing(4, 0)];
-    let change = next_change(&record(&[1, 2, 3]), &known, 3, Evidence::Replacement).expect("a change");
+    let change = next_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Replacement).expect("a change");
     assert_eq!(disks(&change.witnesses), [1, 2, 4], "2 may not have found this primary yet");
-    assert_eq!(next_change(&record(&[1, 2, 4]), &known, 3, Evidence::Replacement), None);
+    assert_eq!(next_change(&record(&[1, 2, 4]), &known, 3, FailureEvidence::Replacement), None);
 }
 
 #[rstest]
 fn the_set_grows_to_what_is_wanted() {
     let known = [standing(1, 0), standing(2, 100), standing(3, 300)];
-    let change = next_change(&record(&[1, 2]), &known, 3, Evidence::Silence).expect("a change");
+    let change = next_change(&record(&[1, 2]), &known, 3, FailureEvidence::Timeout).expect("a change");
     assert_eq!(disks(&change.witnesses), [1, 2, 3]);
-    assert_eq!(next_change(&record(&[1, 2, 3]), &known, 5, Evidence::Silence), None, "nobody is left to add");
+    assert_eq!(
+        next_change(&record(&[1, 2, 3]), &known, 5, FailureEvidence::Timeout),
+        None,
+        "nobody is left to add"
+    );
 }
 
 #[rstest]
@@ -92,14 +99,13 @@
         .collect();
     let mut shuffled = seeds.clone();
     shuffled.reverse();
-    let record = founding_record(&seeds, 7300);
-    assert_eq!(record, founding_record(&shuffled, 7300));
+    let record = bootstrap_record(&seeds, 7300);
+    assert_eq!(record, bootstrap_record(&shuffled, 7300));
     assert_eq!(record.witnesses.len(), 3);
     assert!(
-        record
-            .witnesses
-            .iter()
-            .any(|witness| { witness.disk == founder_disk(seeds[0]) && witness.address == "10.1.0.14:7300" })
+        record.witnesses.iter().any(|witness| {
+            witness.disk == bootstrap_disk(seeds[0]) && witness.address == "10.1.0.14:7300"
+        })
     );
 }
 
@@ -117,7 +123,7 @@
             (DiskId(disk), Member { node: format!("s{disk}"), zone, ..member(disk) })
         })
         .collect();
-    let founded = placement::found(&usable, &tolerance);
+    let founded = placement::assign_all(&usable, &tolerance);
     let mut load: BTreeMap<DiskId, usize> = usable.keys().map(|disk| (*disk, 0)).collect();
     for group in &founded {
         assert_eq!(group.replicas.len(), copies);
