--- a/crates/pebblepost-control/src/core.rs
+++ b/crates/pebblepost-control/src/core.rs
@@ -14,7 +14,7 @@
 mod primary;
 mod status;
 
-use crate::api::{Answer, Call};
+use crate::api::{HttpRequest, HttpResponse};
 use crate::feed_server::ConnectionId;
 use crate::membership::Peers;
 use crate::membership::bootstrap::bootstrap_record;
@@ -35,7 +35,7 @@
 use std::time::Duration;
 
 /// Number of a call of this process.
-pub type CallId = u64;
+pub type RequestId = u64;
 
 /// How often links, registrations and peers are looked over.
 const LOOK_OVER: Duration = Duration::from_millis(250);
@@ -44,11 +44,11 @@
 #[derive(Debug)]
 pub enum Input {
     /// A call over HTTP.
-    Call {
+    Request {
         /// Its number.
-        id: CallId,
+        id: RequestId,
         /// The call.
-        call: Call,
+        request: HttpRequest,
     },
     /// A message on a link that another program opened.
     Message {
@@ -109,12 +109,12 @@
 /// Something that has to be done.
 #[derive(Debug, PartialEq)]
 pub enum Output {
-    /// Answer a call.
-    Answer {
+    /// Respond to a request.
+    Respond {
         /// Number of the call.
-        id: CallId,
+        id: RequestId,
         /// The answer.
-        answer: Answer,
+        response: HttpResponse,
     },
     /// Send on a link that another program opened.
     Send {
@@ -239,7 +239,7 @@
     registry: Registry,
     proxy_count: u32,
     primary: Option<Primary>,
-    waiting: BTreeMap<CallId, Waiting>,
+    waiting: BTreeMap<RequestId, Waiting>,
     dialed: BTreeSet<String>,
     told_members: Vec<String>,
     look_over_at: Duration,
@@ -280,7 +280,7 @@
     /// Something happened.
     pub fn handle(&mut self, now: Duration, input: Input) {
         match input {
-            Input::Call { id, call } => self.call(now, id, &call),
+            Input::Request { id, request: call } => self.call(now, id, &call),
             Input::Message { connection, message } => self.message(now, connection, message),
             Input::Closed { connection } => self.closed(now, connection),
             Input::PeerUp { address } => self.peer_up(now, address),
--- a/crates/pebblepost-control/src/core/calls.rs
+++ b/crates/pebblepost-control/src/core/calls.rs
@@ -1,7 +1,7 @@
 //! Calls over HTTP: answered at once, or when what they wait for has happened.
 
-use super::{CallId, Core, Output};
-use crate::api::{Answer, Call, Request};
+use super::{Core, Output, RequestId};
+use crate::api::{HttpRequest, HttpResponse, Operation};
 use crate::feed_server::ConnectionId;
 use crate::registry::RegistryChange;
 use crate::state::command::{Command, ConfigurationChange, Outcome};
@@ -37,28 +37,28 @@
 }
 
 impl Core {
-    pub(super) fn call(&mut self, now: Duration, id: CallId, call: &Call) {
+    pub(super) fn call(&mut self, now: Duration, id: RequestId, call: &HttpRequest) {
         if !self.is_acting(now) {
             self.answer_elsewhere_or_hold(now, id, call);
             return;
         }
-        match Request::read(call) {
+        match Operation::parse(call) {
             Ok(request) => self.request(now, id, request),
             Err(answer) => self.answer(id, answer),
         }
     }
 
     /// Sends a caller to the primary, if one is known.
-    pub(super) fn answer_elsewhere(&mut self, now: Duration, id: CallId, call: &Call) {
+    pub(super) fn answer_elsewhere(&mut self, now: Duration, id: RequestId, call: &HttpRequest) {
         self.answer(id, self.elsewhere(now, &call.path));
     }
 
     /// Where the caller should go while this process is not the acting primary.
-    fn elsewhere(&self, now: Duration, path: &str) -> Answer {
+    fn elsewhere(&self, now: Duration, path: &str) -> HttpResponse {
         let address = self.live_primary(now).and_then(|primary| primary.address.parse().ok());
         match address {
-            Some(address) => Answer::redirect(self.control_address(address), path),
-            None => Answer::unavailable("there is no primary now"),
+            Some(address) => HttpResponse::redirect(self.control_address(address), path),
+            None => HttpResponse::unavailable("there is no primary now"),
         }
     }
 
@@ -67,52 +67,55 @@
         SocketAddr::new(link.ip(), self.settings.control.port())
     }
 
-    fn request(&mut self, now: Duration, id: CallId, request: Request) {
+    fn request(&mut self, now: Duration, id: RequestId, request: Operation) {
         match request {
-            Request::ChangeConfiguration(change) => self.change_configuration(now, id, change),
-            Request::ReadConfiguration => {
+            Operation::ChangeConfiguration(change) => self.change_configuration(now, id, change),
+            Operation::ReadConfiguration => {
                 let document = self.state().configuration().map(|known| known.document().to_vec());
-                let missing = || Answer::error(404, "there is no configuration yet");
-                self.answer(id, document.map_or_else(missing, |document| Answer::configuration(&document)));
+                let missing = || HttpResponse::error(404, "there is no configuration yet");
+                self.answer(
+                    id,
+                    document.map_or_else(missing, |document| HttpResponse::configuration(&document)),
+                );
             }
-            Request::NameVersion { model, generation } => self.name_version(now, id, model, generation),
-            Request::Announce(instance) => self.announce(now, id, instance),
-            Request::Remove { id: instance } => {
+            Operation::NameVersion { model, generation } => self.name_version(now, id, model, generation),
+            Operation::Register(instance) => self.announce(now, id, instance),
+            Operation::Deregister { id: instance } => {
                 let change = self.registry.deregister(&instance);
                 self.registry_changed(now, &change);
                 self.note_departure(now, id, instance, ShutdownPhase::Terminated);
             }
-            Request::Retire { node } => self.retire(now, id, node),
-            Request::ReadRetirement { node } => {
+            Operation::Retire { node } => self.retire(now, id, node),
+            Operation::ReadRetirement { node } => {
                 let state = self.state().retirements().get(&node).copied();
-                let unknown = || Answer::error(404, "no such storage machine is being emptied");
-                self.answer(id, state.map_or_else(unknown, Answer::retirement));
+                let unknown = || HttpResponse::error(404, "no such storage machine is being emptied");
+                self.answer(id, state.map_or_else(unknown, HttpResponse::retirement));
             }
         }
     }
 
-    fn change_configuration(&mut self, now: Duration, id: CallId, change: ConfigurationChange) {
+    fn change_configuration(&mut self, now: Duration, id: RequestId, change: ConfigurationChange) {
         if self.state().accepted_generation(&change).is_some() {
-            self.answer(id, Answer::acknowledged());
+            self.answer(id, HttpResponse::ok());
             return;
         }
         if let Err(refusal) = self.state().validate(&change) {
-            self.answer(id, Answer::change_refused(&refusal));
+            self.answer(id, HttpResponse::change_rejected(&refusal));
             return;
         }
         self.propose_for(now, id, &Command::ChangeConfiguration(change));
     }
 
-    fn name_version(&mut self, now: Duration, id: CallId, model: String, generation: u64) {
+    fn name_version(&mut self, now: Duration, id: RequestId, model: String, generation: u64) {
         let named = self.state().named_versions().get(&model).copied().unwrap_or(0);
         if named >= generation {
-            self.answer(id, Answer::acknowledged());
+            self.answer(id, HttpResponse::ok());
             return;
         }
         self.propose_for(now, id, &Command::NameVersion { model, generation });
     }
 
-    fn announce(&mut self, now: Duration, id: CallId, mut instance: Instance) {
+    fn announce(&mut self, now: Duration, id: RequestId, mut instance: Instance) {
         if self.state().shutdowns().phase(&instance.id) == Some(ShutdownPhase::Draining) {
             // It may have been known to a former primary only.
             instance.state = InstanceState::Draining;
@@ -124,12 +127,12 @@
         if drains {
             self.note_departure(now, id, instance_id, ShutdownPhase::Draining);
         } else {
-            self.answer(id, Answer::announced(self.settings.control));
+            self.answer(id, HttpResponse::registered(self.settings.control));
         }
     }
 
     /// A departure is acknowledged once later primaries know of it and every subscriber acts by it.
-    fn note_departure(&mut self, now: Duration, id: CallId, instance: String, phase: ShutdownPhase) {
+    fn note_departure(&mut self, now: Duration, id: RequestId, instance: String, phase: ShutdownPhase) {
         let is_noted = self.state().shutdowns().phase(&instance).is_some_and(|noted| noted >= phase);
         let proposed = match is_noted {
             true => Ok(0),
@@ -147,23 +150,23 @@
         }
     }
 
-    fn retire(&mut self, now: Duration, id: CallId, node: String) {
+    fn retire(&mut self, now: Duration, id: RequestId, node: String) {
         let Some(primary) = &self.primary else { return };
         if self.state().retirements().contains_key(&node) {
-            self.answer(id, Answer::acknowledged());
+            self.answer(id, HttpResponse::ok());
             return;
         }
         let nodes = &primary.stores;
         let planner = GroupPlanner { now, state: self.state(), nodes, tolerance: &self.settings.tolerance };
         if let Err(refusal) = planner.check_retirement(&node) {
-            self.answer(id, Answer::retire_refused(refusal));
+            self.answer(id, HttpResponse::retirement_rejected(refusal));
             return;
         }
         let min_remaining = planner.min_remaining();
         self.propose_for(now, id, &Command::Retire { node, min_remaining });
     }
 
-    fn propose_for(&mut self, now: Duration, id: CallId, command: &Command) {
+    fn propose_for(&mut self, now: Duration, id: RequestId, command: &Command) {
         match self.group.replica.propose(now, command.encode()) {
             Ok(index) => {
                 self.waiting.insert(id, Waiting::Commit { index, give_up: now + COMMIT_WAIT });
@@ -204,8 +207,8 @@
 
     /// Entries up to an index are committed: whoever waits for them is answered.
     pub(super) fn answer_committed(&mut self, now: Duration, committed: u64) {
-        let done = |(_, waiting): &(&CallId, &Waiting)| matches!(waiting, Waiting::Commit { index, .. } if *index <= committed);
-        let ready: Vec<CallId> = self.waiting.iter().filter(done).map(|(id, _)| *id).collect();
+        let done = |(_, waiting): &(&RequestId, &Waiting)| matches!(waiting, Waiting::Commit { index, .. } if *index <= committed);
+        let ready: Vec<RequestId> = self.waiting.iter().filter(done).map(|(id, _)| *id).collect();
         for id in ready {
             let Some(Waiting::Commit { index, .. }) = self.waiting.remove(&id) else { continue };
             let answer = answer_to(self.state().outcome(index));
@@ -228,36 +231,36 @@
         }
         let committed = self.group.replica.committed();
         let Some(primary) = &self.primary else { return };
-        let done = |(_, waiting): &(&CallId, &Waiting)| match waiting {
+        let done = |(_, waiting): &(&RequestId, &Waiting)| match waiting {
             Waiting::Departure { index, flush, due } => {
                 *index <= committed && (now >= *due || primary.feed.is_acknowledged(*flush))
             }
             Waiting::Commit { .. } => false,
         };
-        let ready: Vec<CallId> = self.waiting.iter().filter(done).map(|(id, _)| *id).collect();
+        let ready: Vec<RequestId> = self.waiting.iter().filter(done).map(|(id, _)| *id).collect();
         for id in ready {
             self.waiting.remove(&id);
-            self.answer(id, Answer::announced(self.settings.control));
+            self.answer(id, HttpResponse::registered(self.settings.control));
         }
     }
 
     /// Gives up calls that waited too long: what becomes of them is not known.
     pub(super) fn give_up_calls(&mut self, now: Duration) {
-        let late = |(_, waiting): &(&CallId, &Waiting)| match waiting {
+        let late = |(_, waiting): &(&RequestId, &Waiting)| match waiting {
             Waiting::Commit { give_up, .. } => now >= *give_up,
             Waiting::Departure { due, .. } => now >= *due + COMMIT_WAIT,
         };
-        let late: Vec<CallId> = self.waiting.iter().filter(late).map(|(id, _)| *id).collect();
+        let late: Vec<RequestId> = self.waiting.iter().filter(late).map(|(id, _)| *id).collect();
         for id in late {
             self.waiting.remove(&id);
-            self.answer(id, Answer::unavailable("not known in time whether it was taken"));
+            self.answer(id, HttpResponse::unavailable("not known in time whether it was taken"));
         }
     }
 
     /// This process stops being primary: what waits may or may not be taken.
     pub(super) fn abandon_calls(&mut self) {
         for (id, _) in std::mem::take(&mut self.waiting) {
-            self.answer(id, Answer::unavailable("the primary changed; it may or may not be taken"));
+            self.answer(id, HttpResponse::unavailable("the primary changed; it may or may not be taken"));
         }
     }
 
@@ -269,27 +272,27 @@
         }
     }
 
-    fn answer(&mut self, id: CallId, answer: Answer) {
-        self.outputs.push(Output::Answer { id, answer });
+    fn answer(&mut self, id: RequestId, answer: HttpResponse) {
+        self.outputs.push(Output::Respond { id, response: answer });
     }
 }
 
-fn not_proposed(error: ProposeError) -> Answer {
+fn not_proposed(error: ProposeError) -> HttpResponse {
     match error {
-        ProposeError::NotPrimary => Answer::unavailable("not the primary any more"),
-        ProposeError::TooFewReplicas => Answer::unavailable("too few disks can take it now"),
+        ProposeError::NotPrimary => HttpResponse::unavailable("not the primary any more"),
+        ProposeError::TooFewReplicas => HttpResponse::unavailable("too few disks can take it now"),
     }
 }
 
-fn answer_to(outcome: Option<&Outcome>) -> Answer {
+fn answer_to(outcome: Option<&Outcome>) -> HttpResponse {
     match outcome {
         Some(Outcome::ConfigurationAccepted { .. } | Outcome::VersionNamed | Outcome::Retiring) => {
-            Answer::acknowledged()
+            HttpResponse::ok()
         }
-        Some(Outcome::ConfigurationRejected(refusal)) => Answer::change_refused(refusal),
-        Some(Outcome::RetirementRejected(refusal)) => Answer::retire_refused(*refusal),
+        Some(Outcome::ConfigurationRejected(refusal)) => HttpResponse::change_rejected(refusal),
+        Some(Outcome::RetirementRejected(refusal)) => HttpResponse::retirement_rejected(*refusal),
         Some(Outcome::GroupChanged { .. } | Outcome::Applied | Outcome::Undecodable) | None => {
-            Answer::unavailable("not known whether it was taken")
+            HttpResponse::unavailable("not known whether it was taken")
         }
     }
 }
--- a/crates/pebblepost-control/src/core/early.rs
+++ b/crates/pebblepost-control/src/core/early.rs
@@ -1,8 +1,8 @@
 //! What comes while no primary is known: links of proxies' agents and storage machines, and calls, wait here for one,
 //! for a while, so that they are served the moment it acts.
 
-use super::{CallId, Core};
-use crate::api::Call;
+use super::{Core, RequestId};
+use crate::api::HttpRequest;
 use crate::feed_server::ConnectionId;
 use pebblepost_messages::control::ToControl;
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Waiting {
     links: BTreeMap<ConnectionId, Early<Vec<ToControl>>>,
-    calls: BTreeMap<CallId, Early<Call>>,
+    calls: BTreeMap<RequestId, Early<HttpRequest>>,
 }
 
 impl Waiting {
@@ -52,7 +52,7 @@
     }
 
     /// A call that only the acting primary answers: it is sent there, or waits until there is one.
-    pub(super) fn answer_elsewhere_or_hold(&mut self, now: Duration, id: CallId, call: &Call) {
+    pub(super) fn answer_elsewhere_or_hold(&mut self, now: Duration, id: RequestId, call: &HttpRequest) {
         if self.live_primary(now).is_some() || self.early.calls.len() >= MOST_CALLS {
             self.answer_elsewhere(now, id, call);
             return;
--- a/crates/pebblepost-control/src/http.rs
+++ b/crates/pebblepost-control/src/http.rs
@@ -3,7 +3,7 @@
 //! `xitca-web`'s own server starts threads and listens for signals itself, so only its application
 //! and its HTTP/1 service are used: the listener and its tasks live on the caller's `LocalSet`.
 
-use crate::api::{Answer, Call, MOST_BODY_BYTES};
+use crate::api::{HttpRequest, HttpResponse, MAX_BODY_BYTES};
 use eyre::{Result, WrapErr, eyre};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -31,19 +31,19 @@
 
 /// A call that came, and where its answer goes.
 #[derive(Debug)]
-pub struct IncomingCall {
+pub struct IncomingRequest {
     /// The call.
-    pub call: Call,
+    pub request: HttpRequest,
     /// Where its answer goes.
-    pub reply: oneshot::Sender<Answer>,
+    pub reply: oneshot::Sender<HttpResponse>,
 }
 
 /// Where calls are handed in.
-pub type CallSender = mpsc::Sender<IncomingCall>;
+pub type RequestSender = mpsc::Sender<IncomingRequest>;
 
 /// Serves calls until the listener fails for good. Connections beyond `most_connections` are closed
 /// at once. Runs on the caller's `LocalSet`.
-pub async fn serve(listener: TcpListener, calls: CallSender, most_connections: usize) -> Result<()> {
+pub async fn serve(listener: TcpListener, calls: RequestSender, most_connections: usize) -> Result<()> {
     let config = HttpServiceConfig::new()
         .request_head_timeout(HEAD_TIME)
         .keep_alive_timeout(IDLE_TIME)
@@ -84,7 +84,7 @@
     }
 }
 
-async fn handle(mut context: WebContext<'_, CallSender>) -> Result<WebResponse, xitca_web::error::Error> {
+async fn handle(mut context: WebContext<'_, RequestSender>) -> Result<WebResponse, xitca_web::error::Error> {
     let request = context.take_request();
     let calls = context.state().clone();
     let answer = match read(request).await {
@@ -94,15 +94,15 @@
     Ok(respond(context, answer))
 }
 
-async fn read(request: Request<RequestExt<RequestBody>>) -> Result<Call, Answer> {
-    let too_large = || Answer::error(413, "the body is too large");
+async fn read(request: Request<RequestExt<RequestBody>>) -> Result<HttpRequest, HttpResponse> {
+    let too_large = || HttpResponse::error(413, "the body is too large");
     let (head, body) = request.into_parts();
     let length = head.headers.get(CONTENT_LENGTH).and_then(|length| length.to_str().ok()?.parse().ok());
-    if length.is_some_and(|length: usize| length > MOST_BODY_BYTES) {
+    if length.is_some_and(|length: usize| length > MAX_BODY_BYTES) {
         return Err(too_large());
     }
     let if_match = head.headers.get(IF_MATCH).and_then(|version| version.to_str().ok());
-    let mut call = Call {
+    let mut call = HttpRequest {
         method: head.method.as_str().into(),
         path: head.uri.path().into(),
         if_match: if_match.map(String::from),
@@ -110,8 +110,8 @@
     };
     let mut body = std::pin::pin!(body);
     while let Some(piece) = body.as_mut().data().await {
-        let piece = piece.map_err(|_| Answer::invalid("the body broke off"))?;
-        if call.body.len() + piece.len() > MOST_BODY_BYTES {
+        let piece = piece.map_err(|_| HttpResponse::bad_request("the body broke off"))?;
+        if call.body.len() + piece.len() > MAX_BODY_BYTES {
             return Err(too_large());
         }
         call.body.extend_from_slice(&piece);
@@ -119,15 +119,15 @@
     Ok(call)
 }
 
-async fn ask(calls: &CallSender, call: Call) -> Answer {
+async fn ask(calls: &RequestSender, call: HttpRequest) -> HttpResponse {
     let (reply, answer) = oneshot::channel();
-    if calls.send(IncomingCall { call, reply }).await.is_err() {
-        return Answer::unavailable("this process is ending");
+    if calls.send(IncomingRequest { request: call, reply }).await.is_err() {
+        return HttpResponse::unavailable("this process is ending");
     }
-    answer.await.unwrap_or_else(|_| Answer::unavailable("this process is ending"))
+    answer.await.unwrap_or_else(|_| HttpResponse::unavailable("this process is ending"))
 }
 
-fn respond(context: WebContext<'_, CallSender>, answer: Answer) -> WebResponse {
+fn respond(context: WebContext<'_, RequestSender>, answer: HttpResponse) -> WebResponse {
     let mut response = context.into_response(ResponseBody::bytes(answer.body));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let json = HeaderValue::from_static("application/json");
--- a/crates/pebblepost-control/src/shell.rs
+++ b/crates/pebblepost-control/src/shell.rs
@@ -1,9 +1,9 @@
 //! Carries out what the core wants: answers, links, the disk, orders.
 
-use crate::api::Answer;
-use crate::core::{CallId, Core, Input, Output};
+use crate::api::HttpResponse;
+use crate::core::{Core, Input, Output, RequestId};
 use crate::feed_server::ConnectionId;
-use crate::http::IncomingCall;
+use crate::http::IncomingRequest;
 use crate::state::disk_record::ControlRecord;
 use crate::tasks::{Event, EventSender, ask_report, keep_peer_link, send_order};
 use pebblepost_link::Sender;
@@ -34,8 +34,8 @@
     disk: Disk,
     events: EventSender,
     client: Client,
-    calls: BTreeMap<CallId, oneshot::Sender<Answer>>,
-    last_call: CallId,
+    calls: BTreeMap<RequestId, oneshot::Sender<HttpResponse>>,
+    last_call: RequestId,
     links: HashMap<ConnectionId, Sender>,
     peers: HashMap<String, Sender>,
     dials: HashMap<String, AbortHandle>,
@@ -83,10 +83,10 @@
     }
 
     /// A call came.
-    pub fn call(&mut self, incoming: IncomingCall) {
+    pub fn call(&mut self, incoming: IncomingRequest) {
         self.last_call += 1;
         self.calls.insert(self.last_call, incoming.reply);
-        self.handle(Input::Call { id: self.last_call, call: incoming.call });
+        self.handle(Input::Request { id: self.last_call, request: incoming.request });
     }
 
     /// A task told something.
@@ -134,7 +134,7 @@
     pub fn carry_out(&mut self) {
         for output in self.core.take_outputs() {
             match output {
-                Output::Answer { id, answer } => {
+                Output::Respond { id, response: answer } => {
                     if let Some(reply) = self.calls.remove(&id) {
                         // The caller may have gone.
                         reply.send(answer).ok();
--- a/crates/pebblepost-control/tests/calls.rs
+++ b/crates/pebblepost-control/tests/calls.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pebblepost_control::api::Call;
+use pebblepost_control::api::HttpRequest;
 use rstest::rstest;
 use std::time::Duration;
 use support::cluster::Cluster;
@@ -26,7 +26,7 @@
     }
 
     fn call_at(&mut self, node: usize, method: &str, path: &str, if_match: Option<&str>, body: &[u8]) {
-        let call = Call {
+        let call = HttpRequest {
             method: method.into(),
             path: path.into(),
             if_match: if_match.map(String::from),
--- a/crates/pebblepost-control/tests/early.rs
+++ b/crates/pebblepost-control/tests/early.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pebblepost_control::api::Call;
+use pebblepost_control::api::HttpRequest;
 use pebblepost_messages::control::{FromControl, SubscriberRole, ToControl};
 use pebblepost_messages::{DiskId, Member};
 use rstest::rstest;
@@ -42,9 +42,9 @@
     cluster
 }
 
-fn announce() -> Call {
+fn announce() -> HttpRequest {
     let body = announcement("10.9.0.1:8080", "ready", 1, 1);
-    Call { method: "PUT".into(), path: "/instances/i-1".into(), if_match: None, body }
+    HttpRequest { method: "PUT".into(), path: "/instances/i-1".into(), if_match: None, body }
 }
 
 #[rstest]
--- a/crates/pebblepost-control/tests/failover.rs
+++ b/crates/pebblepost-control/tests/failover.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pebblepost_control::api::Answer;
+use pebblepost_control::api::HttpResponse;
 use pebblepost_control::core::Input;
 use pebblepost_messages::control::ToControl;
 use pebblepost_messages::{DiskId, Member};
@@ -12,7 +12,7 @@
 use support::documents::{announcement, configuration, patch};
 use support::{call, status};
 
-fn put(cluster: &mut Cluster, base: u64, generation: u64) -> Option<Answer> {
+fn put(cluster: &mut Cluster, base: u64, generation: u64) -> Option<HttpResponse> {
     let primary = cluster.primary();
     cluster.call(primary, call("PUT", "/config", Some(base), configuration(generation, 1000)))
 }
--- a/crates/pebblepost-control/tests/feed.rs
+++ b/crates/pebblepost-control/tests/feed.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pebblepost_control::api::{Call, MOST_BODY_BYTES};
+use pebblepost_control::api::{HttpRequest, MAX_BODY_BYTES};
 use pebblepost_feed::FeedState;
 use pebblepost_link::control_client::CONTROL_LINK_LIMITS;
 use pebblepost_messages::control::{FromControl, SubscriberRole, ToControl};
@@ -91,8 +91,13 @@
     }
 }
 
-fn call(method: &str, path: &str, if_match: Option<u64>, body: Vec<u8>) -> Call {
-    Call { method: method.into(), path: path.into(), if_match: if_match.map(|base| base.to_string()), body }
+fn call(method: &str, path: &str, if_match: Option<u64>, body: Vec<u8>) -> HttpRequest {
+    HttpRequest {
+        method: method.into(),
+        path: path.into(),
+        if_match: if_match.map(|base| base.to_string()),
+        body,
+    }
 }
 
 #[rstest]
@@ -257,5 +262,5 @@
 #[rstest]
 fn a_snapshot_with_the_largest_configuration_fits_a_frame() {
     let room_for_the_rest = 8 * 1024 * 1024;
-    assert!(MOST_BODY_BYTES + room_for_the_rest <= CONTROL_LINK_LIMITS.max_frame_bytes);
+    assert!(MAX_BODY_BYTES + room_for_the_rest <= CONTROL_LINK_LIMITS.max_frame_bytes);
 }
--- a/crates/pebblepost-control/tests/http.rs
+++ b/crates/pebblepost-control/tests/http.rs
@@ -1,7 +1,7 @@
 //! The HTTP front with real connections: what it hands in and what it writes back.
 
-use pebblepost_control::api::{Answer, Call, MOST_BODY_BYTES};
-use pebblepost_control::http::{IncomingCall, serve};
+use pebblepost_control::api::{HttpRequest, HttpResponse, MAX_BODY_BYTES};
+use pebblepost_control::http::{IncomingRequest, serve};
 use pebblepost_control::program::most_connections_of_calls;
 use rstest::rstest;
 use std::cell::RefCell;
@@ -16,7 +16,7 @@
 const MOST_CONNECTIONS: usize = 4;
 
 /// Runs an exchange with a front whose calls are answered by `answer`; the calls that came.
-fn exchange(answer: fn(&Call) -> Answer, request: &'static [u8]) -> (Vec<Call>, String) {
+fn exchange(answer: fn(&HttpRequest) -> HttpResponse, request: &'static [u8]) -> (Vec<HttpRequest>, String) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
@@ -33,9 +33,10 @@
 
 /// Answers calls and notes them.
 async fn answer_all(
-    mut incoming: mpsc::Receiver<IncomingCall>, answer: fn(&Call) -> Answer, seen: Rc<RefCell<Vec<Call>>>,
+    mut incoming: mpsc::Receiver<IncomingRequest>, answer: fn(&HttpRequest) -> HttpResponse,
+    seen: Rc<RefCell<Vec<HttpRequest>>>,
 ) {
-    while let Some(IncomingCall { call, reply }) = incoming.recv().await {
+    while let Some(IncomingRequest { request: call, reply }) = incoming.recv().await {
         reply.send(answer(&call)).ok();
         seen.borrow_mut().push(call);
     }
@@ -51,14 +52,14 @@
 }
 
 /// An answer that tells what was handed in.
-fn echo(call: &Call) -> Answer {
+fn echo(call: &HttpRequest) -> HttpResponse {
     let text =
         format!("{} {} {:?} {}", call.method, call.path, call.if_match, String::from_utf8_lossy(&call.body));
-    Answer { status: 200, location: None, body: text.into_bytes() }
+    HttpResponse { status: 200, location: None, body: text.into_bytes() }
 }
 
-fn redirect(call: &Call) -> Answer {
-    Answer::redirect("10.0.0.4:8080".parse().expect("an address"), &call.path)
+fn redirect(call: &HttpRequest) -> HttpResponse {
+    HttpResponse::redirect("10.0.0.4:8080".parse().expect("an address"), &call.path)
 }
 
 #[rstest]
@@ -105,7 +106,7 @@
 
 #[rstest]
 fn a_body_that_is_too_large_is_refused_by_its_length() {
-    const { assert!(MOST_BODY_BYTES >= 32 * 1024 * 1024, "a configuration may have 32 MiB") };
+    const { assert!(MAX_BODY_BYTES >= 32 * 1024 * 1024, "a configuration may have 32 MiB") };
     let (calls, answer) = exchange(
         echo,
         b"PUT /config HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\nConnection: close\r\n\r\n",
--- a/crates/pebblepost-control/tests/orders.rs
+++ b/crates/pebblepost-control/tests/orders.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pebblepost_control::api::Call;
+use pebblepost_control::api::HttpRequest;
 use pebblepost_control::orders;
 use pebblepost_rollout::{LoadMode, Order, OrderAnswer};
 use rstest::rstest;
@@ -12,14 +12,14 @@
 
 fn put(cluster: &mut Cluster, path: &str, body: Vec<u8>) {
     let primary = cluster.primary();
-    let call = Call { method: "PUT".into(), path: path.into(), if_match: None, body };
+    let call = HttpRequest { method: "PUT".into(), path: path.into(), if_match: None, body };
     assert_eq!(cluster.call(primary, call).map(|answer| answer.status), Some(200));
 }
 
 fn name_version(cluster: &mut Cluster, generation: u64) {
     let primary = cluster.primary();
     let body = format!("{{\"model\":\"m\",\"generation\":{generation}}}").into_bytes();
-    let call = Call { method: "POST".into(), path: "/version-put".into(), if_match: None, body };
+    let call = HttpRequest { method: "POST".into(), path: "/version-put".into(), if_match: None, body };
     assert_eq!(cluster.call(primary, call).map(|answer| answer.status), Some(200));
 }
 
--- a/crates/pebblepost-control/tests/races.rs
+++ b/crates/pebblepost-control/tests/races.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use pebblepost_control::api::Call;
+use pebblepost_control::api::HttpRequest;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 struct Sent {
     base: u64,
     generation: u64,
-    call: Call,
+    call: HttpRequest,
     calls: Vec<u64>,
     acknowledged: bool,
 }
@@ -58,8 +58,12 @@
         } else {
             ("PATCH", patch(generation, timeout))
         };
-        let call =
-            Call { method: method.into(), path: "/config".into(), if_match: Some(base.to_string()), body };
+        let call = HttpRequest {
+            method: method.into(),
+            path: "/config".into(),
+            if_match: Some(base.to_string()),
+            body,
+        };
         let node = self.random.below(3) as usize;
         let id = self.cluster.send_call(node, call.clone());
         self.sent.push(Sent { base, generation, call, calls: vec![id], acknowledged: false });
--- a/crates/pebblepost-control/tests/stores.rs
+++ b/crates/pebblepost-control/tests/stores.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pebblepost_control::api::{Answer, Call};
+use pebblepost_control::api::{HttpRequest, HttpResponse};
 use pebblepost_control::state::RetirementState;
 use pebblepost_messages::batch::STORE_GROUPS;
 use pebblepost_messages::control::{FromControl, GroupEpoch, ToControl};
@@ -43,9 +43,9 @@
     (held, led)
 }
 
-fn call(cluster: &mut Cluster, method: &str, path: &str) -> Answer {
+fn call(cluster: &mut Cluster, method: &str, path: &str) -> HttpResponse {
     let primary = cluster.primary();
-    let call = Call { method: method.into(), path: path.into(), ..Call::default() };
+    let call = HttpRequest { method: method.into(), path: path.into(), ..HttpRequest::default() };
     cluster.call(primary, call).expect("an answer")
 }
 
--- a/crates/pebblepost-control/tests/support/cluster.rs
+++ b/crates/pebblepost-control/tests/support/cluster.rs
@@ -1,7 +1,7 @@
 //! Control processes on a simulated network, with simulated disks and one clock.
 
 use super::trace::Trace;
-use pebblepost_control::api::{Answer, Call};
+use pebblepost_control::api::{HttpRequest, HttpResponse};
 use pebblepost_control::core::{Core, CoreSettings, Input, Output};
 use pebblepost_control::membership::bootstrap::bootstrap_disk;
 use pebblepost_control::state::disk_record::{ControlRecord, RecoveredState};
@@ -75,7 +75,7 @@
     number: u64,
     last_connection: u64,
     connections: BTreeMap<(usize, u64), OtherEnd>,
-    answers: BTreeMap<u64, Answer>,
+    answers: BTreeMap<u64, HttpResponse>,
     last_call: u64,
     cut: BTreeSet<usize>,
     /// Machines that reach no other control process, though programs reach them.
@@ -292,22 +292,22 @@
     }
 
     /// Sends a call; its number.
-    pub fn send_call(&mut self, index: usize, call: Call) -> u64 {
+    pub fn send_call(&mut self, index: usize, call: HttpRequest) -> u64 {
         self.last_call += 1;
         let id = self.last_call;
         if self.is_up(index) {
-            self.input(index, Input::Call { id, call });
+            self.input(index, Input::Request { id, request: call });
         }
         id
     }
 
     /// The answer to a call, if it has come.
-    pub fn answer(&self, id: u64) -> Option<&Answer> {
+    pub fn answer(&self, id: u64) -> Option<&HttpResponse> {
         self.answers.get(&id)
     }
 
     /// Sends a call and runs until it is answered, five seconds at most.
-    pub fn call(&mut self, index: usize, call: Call) -> Option<Answer> {
+    pub fn call(&mut self, index: usize, call: HttpRequest) -> Option<HttpResponse> {
         let id = self.send_call(index, call);
         let until = self.now + Duration::from_secs(5);
         while !self.answers.contains_key(&id) && self.now < until {
@@ -445,7 +445,7 @@
         for output in outputs {
             self.trace.output(self.now, index, &output);
             match output {
-                Output::Answer { id, answer } => {
+                Output::Respond { id, response: answer } => {
                     self.answers.insert(id, answer);
                 }
                 Output::Send { connection, message } => self.send_back(index, connection, message),
--- a/crates/pebblepost-control/tests/support/trace.rs
+++ b/crates/pebblepost-control/tests/support/trace.rs
@@ -49,7 +49,7 @@
         self.number(now.as_micros() as u64);
         self.number(node as u64);
         match output {
-            Output::Answer { id, answer } => {
+            Output::Respond { id, response: answer } => {
                 self.number(1);
                 self.number(*id);
                 self.number(u64::from(answer.status));
--- a/crates/pebblepost-control/tests/whole_system_run.rs
+++ b/crates/pebblepost-control/tests/whole_system_run.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use pebblepost_control::api::{Answer, Call, Request};
+use pebblepost_control::api::{HttpRequest, HttpResponse, Operation};
 use pebblepost_messages::control::{FromControl, SubscriberRole, ToControl};
 use pebblepost_messages::feed::FeedReply;
 use pebblepost_rollout::{OrderAnswer, Reported};
@@ -106,7 +106,7 @@
         }
     }
 
-    fn call_primary(&mut self, call: Call) -> String {
+    fn call_primary(&mut self, call: HttpRequest) -> String {
         let primary = self.cluster.primary();
         self.cluster.call(primary, call).map_or_else(|| "no answer".into(), |answer| shown(&answer))
     }
@@ -184,8 +184,8 @@
     ];
     let mut transcript = String::new();
     for (what, body) in bodies {
-        let read = Request::read(&call("PUT", "/instances/i-1", None, body.into_bytes()));
-        let answer = read.map_or_else(|answer| answer, |_| Answer::acknowledged());
+        let read = Operation::parse(&call("PUT", "/instances/i-1", None, body.into_bytes()));
+        let answer = read.map_or_else(|answer| answer, |_| HttpResponse::ok());
         writeln!(transcript, "{what}: {}", shown(&answer)).expect("a text grows");
     }
     let approved = include_str!("transcripts/announcement_errors.txt");
--- a/crates/pebblepost-control/tests/worst_days.rs
+++ b/crates/pebblepost-control/tests/worst_days.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use pebblepost_control::api::Call;
+use pebblepost_control::api::HttpRequest;
 use pebblepost_messages::feed::InstanceState;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,7 +21,7 @@
 struct Change {
     base: u64,
     generation: u64,
-    call: Call,
+    call: HttpRequest,
     calls: Vec<u64>,
     taken: bool,
     refused: bool,
