--- a/crates/pebblepost-control/src/core.rs
+++ b/crates/pebblepost-control/src/core.rs
@@ -15,7 +15,7 @@
 mod status;
 
 use crate::api::{HttpRequest, HttpResponse};
-use crate::feed_server::ConnectionId;
+use crate::feed::ConnectionId;
 use crate::membership::Peers;
 use crate::membership::bootstrap::bootstrap_record;
 use crate::registry::Registry;
--- a/crates/pebblepost-control/src/core/calls.rs
+++ b/crates/pebblepost-control/src/core/calls.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, Output, RequestId};
 use crate::api::{HttpRequest, HttpResponse, Operation};
-use crate::feed_server::ConnectionId;
+use crate::feed::{ConnectionId, Urgency};
 use crate::registry::RegistryChange;
 use crate::state::command::{Command, ConfigurationChange, Outcome};
 use crate::state::shutdowns::ShutdownPhase;
@@ -266,7 +266,8 @@
 
     pub(super) fn registry_changed(&mut self, now: Duration, change: &RegistryChange) {
         let Some(primary) = &mut self.primary else { return };
-        primary.feed.publish_instances(now, &change.instances, change.has_shutdown);
+        let urgency = if change.has_shutdown { Urgency::Immediate } else { Urgency::Coalesced };
+        primary.feed.publish_instances(now, &change.instances, urgency);
         for instance in &change.instances {
             primary.planner.instance(now, instance);
         }
--- a/crates/pebblepost-control/src/core/early.rs
+++ b/crates/pebblepost-control/src/core/early.rs
@@ -3,7 +3,7 @@
 
 use super::{Core, RequestId};
 use crate::api::HttpRequest;
-use crate::feed_server::ConnectionId;
+use crate::feed::ConnectionId;
 use pebblepost_messages::control::ToControl;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/pebblepost-control/src/core/links.rs
+++ b/crates/pebblepost-control/src/core/links.rs
@@ -1,7 +1,7 @@
 //! Links: subscribers of the feed, storage machines, other control processes.
 
 use super::{Core, Output};
-use crate::feed_server::ConnectionId;
+use crate::feed::ConnectionId;
 use pebblepost_messages::control::{FromControl, SubscriberRole, ToControl};
 use pebblepost_messages::feed::{FeedBatch, FeedReply, FeedUpdate};
 use pebblepost_messages::{DiskId, Member};
@@ -48,7 +48,7 @@
             }
             ToControl::Reply(reply) => {
                 if let Some(primary) = &mut self.primary {
-                    primary.feed.reply(now, connection, &reply);
+                    primary.feed.acknowledge(now, connection, &reply);
                 }
             }
             ToControl::StoreHello { member, bootstrap: founding } => {
@@ -169,7 +169,7 @@
             self.peers.message_received(now, peer);
         }
         if let Some(primary) = &mut self.primary {
-            primary.feed.heard(now, connection);
+            primary.feed.message_received(now, connection);
             if let Some(disk) = self.connections.get(&connection).and_then(|known| known.store) {
                 primary.stores.message_received(now, disk);
             }
--- a/crates/pebblepost-control/src/core/primary.rs
+++ b/crates/pebblepost-control/src/core/primary.rs
@@ -3,7 +3,7 @@
 
 use super::calls::WaitingChange;
 use super::{Core, Output};
-use crate::feed_server::{FeedOutput, FeedServer, PublishedConfiguration};
+use crate::feed::{FeedAction, FeedPublisher, PublishedConfiguration};
 use crate::membership::witnesses::{self, FailureEvidence};
 use crate::orders;
 use crate::state::ControlState;
@@ -33,7 +33,7 @@
 pub(super) struct Primary {
     pub(super) epoch: u64,
     pub(super) since: Duration,
-    pub(super) feed: FeedServer,
+    pub(super) feed: FeedPublisher,
     pub(super) stores: StorageNodes,
     pub(super) planner: Planner,
     /// Orders of another holder are old from then on.
@@ -120,13 +120,13 @@
         }
     }
 
-    fn first_feed(&self, now: Duration) -> FeedServer {
+    fn first_feed(&self, now: Duration) -> FeedPublisher {
         let mut state = FeedState::default();
         let known = self.registry.live().chain(self.registry.recently_terminated());
         let instances = known.cloned().collect();
         state.apply(&FeedUpdate::Instances { complete: false, instances });
         state.apply(&FeedUpdate::ProxyCount(self.proxy_count));
-        FeedServer::new(now, state)
+        FeedPublisher::new(now, state)
     }
 
     pub(super) fn stopped(&mut self, now: Duration) {
@@ -269,13 +269,11 @@
         self.plan_stores(now);
         self.settle_planner(now);
         let Some(primary) = &mut self.primary else { return };
-        if primary.feed.due_at().is_some_and(|due| due <= now) {
-            primary.feed.flush(now);
-        }
-        for output in primary.feed.take_outputs() {
+        primary.feed.flush_due(now);
+        for output in primary.feed.take_actions() {
             match output {
-                FeedOutput::Send(connection, message) => self.send(now, connection, message),
-                FeedOutput::Drop(connection) => self.redirect(now, connection),
+                FeedAction::Send(connection, message) => self.send(now, connection, message),
+                FeedAction::Disconnect(connection) => self.redirect(now, connection),
             }
         }
     }
--- a/crates/pebblepost-control/src/core/status.rs
+++ b/crates/pebblepost-control/src/core/status.rs
@@ -35,7 +35,7 @@
                 "node": subscriber.node,
                 "role": format!("{:?}", subscriber.role),
                 "generation": subscriber.generation,
-                "behind": subscriber.behind,
+                "behind": subscriber.lag,
             })
         });
         list(subscribers)
--- /dev/null
+++ b/crates/pebblepost-control/src/feed/pending.rs
@@ -0,0 +1,80 @@
+//! Updates that wait for the next flush of the feed.
+
+use pebblepost_messages::feed::{FeedUpdate, Instance, ModelVersion, StoreGroup};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Time over which updates that are not urgent are coalesced into one flush.
+const COALESCE_DELAY: Duration = Duration::from_millis(20);
+
+/// When an update is sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Urgency {
+    /// With the next flush, at once.
+    Immediate,
+    /// Coalesced with other updates.
+    Coalesced,
+}
+
+/// Updates since the last flush. Later ones replace earlier ones of the same item.
+#[derive(Clone, Debug, Default)]
+pub(super) struct PendingUpdates {
+    pub(super) configuration: bool,
+    pub(super) proxy_count: bool,
+    /// The complete list of transcribers is to be sent.
+    pub(super) complete_list: bool,
+    instances: BTreeMap<String, Instance>,
+    groups: BTreeMap<u32, StoreGroup>,
+    named_versions: BTreeMap<String, u64>,
+    due: Option<Duration>,
+}
+
+impl PendingUpdates {
+    /// When the next flush is due; `None` if nothing is pending.
+    pub(super) fn due_at(&self) -> Option<Duration> {
+        self.due
+    }
+
+    /// Makes sure that a flush takes place in time for an update of this urgency.
+    pub(super) fn schedule(&mut self, now: Duration, urgency: Urgency) {
+        let at = match urgency {
+            Urgency::Immediate => now,
+            Urgency::Coalesced => now + COALESCE_DELAY,
+        };
+        self.due = Some(self.due.map_or(at, |due| due.min(at)));
+    }
+
+    pub(super) fn add_instances(&mut self, instances: &[Instance]) {
+        for instance in instances {
+            self.instances.insert(instance.id.clone(), instance.clone());
+        }
+    }
+
+    pub(super) fn add_groups(&mut self, groups: Vec<StoreGroup>) {
+        self.groups.extend(groups.into_iter().map(|group| (group.group, group)));
+    }
+
+    pub(super) fn add_named_versions(&mut self, versions: Vec<ModelVersion>) {
+        self.named_versions.extend(versions.into_iter().map(|version| (version.model, version.generation)));
+    }
+
+    /// The updates of single items, in the order in which they are sent.
+    pub(super) fn items(&self) -> Vec<FeedUpdate> {
+        let mut updates = Vec::new();
+        if !self.instances.is_empty() {
+            let instances = self.instances.values().cloned().collect();
+            updates.push(FeedUpdate::Instances { complete: false, instances });
+        }
+        if !self.groups.is_empty() {
+            updates.push(FeedUpdate::StoreGroups(self.groups.values().cloned().collect()));
+        }
+        if !self.named_versions.is_empty() {
+            let version = |(model, generation): (&String, &u64)| ModelVersion {
+                model: model.clone(),
+                generation: *generation,
+            };
+            updates.push(FeedUpdate::NamedVersions(self.named_versions.iter().map(version).collect()));
+        }
+        updates
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-control/src/feed/subscriptions.rs
@@ -0,0 +1,168 @@
+//! The subscribers of the feed and how far each has acknowledged it.
+
+use pebblepost_messages::control::SubscriberRole;
+use pebblepost_messages::feed::FeedReply;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Number of an inbound connection of this process, never reused.
+pub type ConnectionId = u64;
+
+/// A subscriber that was sent nothing for this long gets a keep-alive.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// A subscriber that sent nothing for this long is disconnected.
+const SUBSCRIBER_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// A subscriber, for the operator's status.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SubscriberStatus {
+    /// Name of the machine.
+    pub node: String,
+    /// Its role.
+    pub role: SubscriberRole,
+    /// Version of the configuration that it has acknowledged.
+    pub generation: u64,
+    /// Number of flushes that it has not acknowledged.
+    pub lag: u64,
+}
+
+#[derive(Clone, Debug)]
+pub(super) struct Subscription {
+    node: String,
+    role: SubscriberRole,
+    /// Flush that the first batch, the snapshot, corresponds to.
+    first_flush: u64,
+    acknowledged_flush: u64,
+    sent_generation: u64,
+    acknowledged_generation: u64,
+    last_message: Duration,
+    last_sent: Duration,
+}
+
+impl Subscription {
+    /// A subscription whose subscriber has the configuration `generation` already.
+    pub(super) fn new(
+        now: Duration, node: String, role: SubscriberRole, first_flush: u64, generation: u64,
+    ) -> Subscription {
+        Subscription {
+            node,
+            role,
+            first_flush,
+            acknowledged_flush: 0,
+            sent_generation: generation,
+            acknowledged_generation: 0,
+            last_message: now,
+            last_sent: now,
+        }
+    }
+
+    /// Sequence number, on this subscription, of the batch that a flush sends; from 1.
+    pub(super) fn sequence_of(&self, flush: u64) -> u64 {
+        flush - self.first_flush + 1
+    }
+
+    /// Version of the configuration that was sent last.
+    pub(super) fn sent_generation(&self) -> u64 {
+        self.sent_generation
+    }
+}
+
+/// All subscriptions, by connection.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Subscriptions {
+    by_connection: BTreeMap<ConnectionId, Subscription>,
+}
+
+impl Subscriptions {
+    pub(super) fn insert(&mut self, connection: ConnectionId, subscription: Subscription) {
+        self.by_connection.insert(connection, subscription);
+    }
+
+    /// Removes a subscription; its role if there was one.
+    pub(super) fn remove(&mut self, connection: ConnectionId) -> Option<SubscriberRole> {
+        self.by_connection.remove(&connection).map(|subscription| subscription.role)
+    }
+
+    pub(super) fn get(&self, connection: ConnectionId) -> Option<&Subscription> {
+        self.by_connection.get(&connection)
+    }
+
+    pub(super) fn connections(&self) -> impl Iterator<Item = ConnectionId> {
+        self.by_connection.keys().copied()
+    }
+
+    pub(super) fn into_connections(self) -> Vec<ConnectionId> {
+        self.by_connection.into_keys().collect()
+    }
+
+    pub(super) fn message_received(&mut self, now: Duration, connection: ConnectionId) {
+        if let Some(subscription) = self.by_connection.get_mut(&connection) {
+            subscription.last_message = now;
+        }
+    }
+
+    /// Processes an acknowledgement. Sequence 0 acknowledges the configuration only.
+    pub(super) fn acknowledge(
+        &mut self, now: Duration, connection: ConnectionId, reply: &FeedReply, newest_flush: u64,
+    ) {
+        let Some(subscription) = self.by_connection.get_mut(&connection) else { return };
+        let FeedReply::Acknowledge { sequence, generation } = reply;
+        if *sequence > 0 {
+            let flush = subscription.first_flush.saturating_add(sequence - 1).min(newest_flush);
+            subscription.acknowledged_flush = subscription.acknowledged_flush.max(flush);
+        }
+        subscription.acknowledged_generation = subscription.acknowledged_generation.max(*generation);
+        subscription.last_message = now;
+    }
+
+    /// Whether every subscriber has acknowledged everything up to a flush.
+    pub(super) fn is_acknowledged(&self, flush: u64) -> bool {
+        self.by_connection.values().all(|subscription| subscription.acknowledged_flush >= flush)
+    }
+
+    /// Records that a batch was sent with the configuration up to `generation`.
+    pub(super) fn batch_sent(&mut self, now: Duration, connection: ConnectionId, generation: u64) {
+        if let Some(subscription) = self.by_connection.get_mut(&connection) {
+            subscription.last_sent = now;
+            subscription.sent_generation = subscription.sent_generation.max(generation);
+        }
+    }
+
+    /// Records that a keep-alive was sent.
+    pub(super) fn keep_alive_sent(&mut self, now: Duration, connection: ConnectionId) {
+        if let Some(subscription) = self.by_connection.get_mut(&connection) {
+            subscription.last_sent = now;
+        }
+    }
+
+    /// Subscribers that sent nothing for too long.
+    pub(super) fn timed_out(&self, now: Duration) -> Vec<ConnectionId> {
+        self.matching(|subscription| now.saturating_sub(subscription.last_message) >= SUBSCRIBER_TIMEOUT)
+    }
+
+    /// Subscribers that are due a keep-alive.
+    pub(super) fn idle(&self, now: Duration) -> Vec<ConnectionId> {
+        self.matching(|subscription| now.saturating_sub(subscription.last_sent) >= KEEP_ALIVE_INTERVAL)
+    }
+
+    /// Number of subscribers that are agents, each beside one proxy.
+    pub(super) fn agent_count(&self) -> usize {
+        let is_agent = |subscription: &&Subscription| subscription.role == SubscriberRole::Agent;
+        self.by_connection.values().filter(is_agent).count()
+    }
+
+    pub(super) fn statuses(&self, newest_flush: u64) -> Vec<SubscriberStatus> {
+        let status = |subscription: &Subscription| SubscriberStatus {
+            node: subscription.node.clone(),
+            role: subscription.role,
+            generation: subscription.acknowledged_generation,
+            lag: newest_flush.saturating_sub(subscription.acknowledged_flush),
+        };
+        self.by_connection.values().map(status).collect()
+    }
+
+    fn matching(&self, is_match: impl Fn(&Subscription) -> bool) -> Vec<ConnectionId> {
+        let matching = self.by_connection.iter().filter(|(_, subscription)| is_match(subscription));
+        matching.map(|(connection, _)| *connection).collect()
+    }
+}
--- a/crates/pebblepost-control/src/lib.rs
+++ b/crates/pebblepost-control/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub mod api;
 pub mod core;
-pub mod feed_server;
+pub mod feed;
 pub mod hash;
 pub mod http;
 pub mod membership;
--- a/crates/pebblepost-control/src/shell.rs
+++ b/crates/pebblepost-control/src/shell.rs
@@ -2,7 +2,7 @@
 
 use crate::api::HttpResponse;
 use crate::core::{Core, Input, Output, RequestId};
-use crate::feed_server::ConnectionId;
+use crate::feed::ConnectionId;
 use crate::http::IncomingRequest;
 use crate::state::disk_record::ControlRecord;
 use crate::tasks::{Event, EventSender, ask_report, keep_peer_link, send_order};
--- a/crates/pebblepost-control/src/tasks.rs
+++ b/crates/pebblepost-control/src/tasks.rs
@@ -2,7 +2,7 @@
 //! reports.
 
 use crate::core::Input;
-use crate::feed_server::ConnectionId;
+use crate::feed::ConnectionId;
 use crate::program::LINK_LIMITS;
 use bytes::Bytes;
 use pebblepost_link::{Listener, Receiver, Sender, connect};
