--- a/crates/pebblepost-control/src/core.rs
+++ b/crates/pebblepost-control/src/core.rs
@@ -14,13 +14,13 @@
 mod primary;
 mod status;
 
-use crate::api::{Answer, Call};
-use crate::disk_record::{ControlRecord, RecoveredRecords};
-use crate::feed_server::ConnectionId;
-use crate::founding::founding_record;
-use crate::peers::Peers;
+use crate::api::{HttpRequest, HttpResponse};
+use crate::feed::ConnectionId;
+use crate::membership::Peers;
+use crate::membership::bootstrap::bootstrap_record;
 use crate::registry::Registry;
 use crate::state::ControlState;
+use crate::state::disk_record::{ControlRecord, RecoveredState};
 use calls::Waiting;
 use group::Group;
 use links::{Connection, PeerLink};
@@ -35,7 +35,7 @@
 use std::time::Duration;
 
 /// Number of a call of this process.
-pub type CallId = u64;
+pub type RequestId = u64;
 
 /// How often links, registrations and peers are looked over.
 const LOOK_OVER: Duration = Duration::from_millis(250);
@@ -44,11 +44,11 @@
 #[derive(Debug)]
 pub enum Input {
     /// A call over HTTP.
-    Call {
+    Request {
         /// Its number.
-        id: CallId,
+        id: RequestId,
         /// The call.
-        call: Call,
+        request: HttpRequest,
     },
     /// A message on a link that another program opened.
     Message {
@@ -109,12 +109,12 @@
 /// Something that has to be done.
 #[derive(Debug, PartialEq)]
 pub enum Output {
-    /// Answer a call.
-    Answer {
+    /// Respond to a request.
+    Respond {
         /// Number of the call.
-        id: CallId,
+        id: RequestId,
         /// The answer.
-        answer: Answer,
+        response: HttpResponse,
     },
     /// Send on a link that another program opened.
     Send {
@@ -239,7 +239,7 @@
     registry: Registry,
     proxy_count: u32,
     primary: Option<Primary>,
-    waiting: BTreeMap<CallId, Waiting>,
+    waiting: BTreeMap<RequestId, Waiting>,
     dialed: BTreeSet<String>,
     told_members: Vec<String>,
     look_over_at: Duration,
@@ -248,12 +248,12 @@
 
 impl Core {
     /// A process with what its disk held.
-    pub fn new(now: Duration, settings: CoreSettings, recovered: RecoveredRecords) -> Core {
+    pub fn new(now: Duration, settings: CoreSettings, recovered: RecoveredState) -> Core {
         let founding = recovered
-            .founding
+            .bootstrap
             .clone()
-            .or_else(|| settings.founder.then(|| founding_record(&settings.seeds, settings.link_port)));
-        let is_first_start = settings.founder && recovered.founding.is_none();
+            .or_else(|| settings.founder.then(|| bootstrap_record(&settings.seeds, settings.link_port)));
+        let is_first_start = settings.founder && recovered.bootstrap.is_none();
         let peers = Peers::new(now, settings.me.clone(), settings.seed_links());
         let mut core = Core {
             group: Group::new(now, &settings, recovered, founding.clone()),
@@ -280,7 +280,7 @@
     /// Something happened.
     pub fn handle(&mut self, now: Duration, input: Input) {
         match input {
-            Input::Call { id, call } => self.call(now, id, &call),
+            Input::Request { id, request: call } => self.call(now, id, &call),
             Input::Message { connection, message } => self.message(now, connection, message),
             Input::Closed { connection } => self.closed(now, connection),
             Input::PeerUp { address } => self.peer_up(now, address),
@@ -364,7 +364,7 @@
     }
 
     fn look_over(&mut self, now: Duration) {
-        self.peers.forget(now, self.group.replica.record());
+        self.peers.expire(now, self.group.replica.record());
         self.keep_links_alive(now);
         self.tell_members(now);
         self.follow_primary(now);
@@ -381,7 +381,7 @@
     }
 
     fn dial(&mut self) {
-        let wanted = self.peers.addresses(self.group.replica.record());
+        let wanted = self.peers.addresses_to_dial(self.group.replica.record());
         if wanted != self.dialed {
             self.dialed.clone_from(&wanted);
             self.outputs.push(Output::Dial(wanted));
--- a/crates/pebblepost-control/src/core/group.rs
+++ b/crates/pebblepost-control/src/core/group.rs
@@ -1,9 +1,9 @@
 //! The epoch register and the replica of the control state, and how they use links and disk.
 
 use super::{Core, CoreSettings, Output};
-use crate::disk_record::{ControlRecord, RecoveredRecords};
-use crate::peers::{PeerMessage, PeerPart, members_of};
+use crate::membership::{PeerMessage, PeerPayload, members_of};
 use crate::state::ControlState;
+use crate::state::disk_record::{ControlRecord, RecoveredState};
 use nanoserde::{DeBin, SerBin};
 use pebblepost_messages::control::ToControl;
 use pebblepost_messages::{DiskId, Member};
@@ -54,7 +54,7 @@
 
 impl Group {
     pub(super) fn new(
-        now: Duration, settings: &CoreSettings, recovered: RecoveredRecords, founding: Option<EpochRecord>,
+        now: Duration, settings: &CoreSettings, recovered: RecoveredState, founding: Option<EpochRecord>,
     ) -> Group {
         let me = settings.me.clone();
         let replica_settings = ReplicaSettings {
@@ -87,7 +87,7 @@
     }
 
     pub(super) fn write_founding(&mut self, record: EpochRecord, outputs: &mut Vec<Output>) {
-        self.append(Owner::Founding, vec![ControlRecord::Founding(record)], outputs);
+        self.append(Owner::Founding, vec![ControlRecord::Bootstrap(record)], outputs);
     }
 
     pub(super) fn tick(&mut self, now: Duration) {
@@ -113,9 +113,9 @@
         if message.to != self.me.disk {
             return;
         }
-        match message.part {
-            PeerPart::Register(message) => self.register.receive(now, from, &message),
-            PeerPart::Replica(message) => self.replica.receive(now, from, &message),
+        match message.payload {
+            PeerPayload::Register(message) => self.register.receive(now, from, &message),
+            PeerPayload::Replica(message) => self.replica.receive(now, from, &message),
         }
     }
 
@@ -185,7 +185,7 @@
     }
 
     pub(super) fn checkpoint(&self) -> Option<Vec<ControlRecord>> {
-        let founding = self.founding.clone().map(ControlRecord::Founding);
+        let founding = self.founding.clone().map(ControlRecord::Bootstrap);
         let witness = self.witness.clone().map(ControlRecord::Witness);
         let replica = self.replica.checkpoint()?.into_iter().map(ControlRecord::Replica);
         Some(founding.into_iter().chain(witness).chain(replica).collect())
@@ -208,7 +208,7 @@
                     self.register.receive(now, &me, &message);
                 }
                 RegisterOutput::Send { to, message } => {
-                    outputs.push(send(&to, PeerPart::Register(message)));
+                    outputs.push(send(&to, PeerPayload::Register(message)));
                 }
                 RegisterOutput::Persist { token, state } => {
                     self.witness = Some(state.clone());
@@ -248,7 +248,7 @@
         for output in wanted {
             match output {
                 ReplicaOutput::Send { to, message } => {
-                    self.outputs.push(send(&to, PeerPart::Replica(message)));
+                    self.outputs.push(send(&to, PeerPayload::Replica(message)));
                 }
                 ReplicaOutput::Persist { token, records } => {
                     let records = records.into_iter().map(ControlRecord::Replica).collect();
@@ -276,8 +276,8 @@
     }
 }
 
-fn send(to: &Member, part: PeerPart) -> Output {
-    let message = PeerMessage { to: to.disk, part };
+fn send(to: &Member, payload: PeerPayload) -> Output {
+    let message = PeerMessage { to: to.disk, payload };
     Output::SendPeer {
         address: to.address.clone(),
         message: ToControl::Replication(SerBin::serialize_bin(&message)),
--- a/crates/pebblepost-control/src/core/primary.rs
+++ b/crates/pebblepost-control/src/core/primary.rs
@@ -3,15 +3,16 @@
 
 use super::calls::WaitingChange;
 use super::{Core, Output};
-use crate::command::Command;
-use crate::feed_server::{FeedOutput, FeedServer, PublishedConfiguration};
+use crate::feed::{FeedAction, FeedPublisher, PublishedConfiguration};
+use crate::membership::witnesses::{self, FailureEvidence};
 use crate::orders;
 use crate::state::ControlState;
-use crate::stores::{Stores, feed_groups};
-use crate::witnesses::{self, Evidence};
+use crate::state::command::Command;
+use crate::storage::{GroupPlanner, StorageNodes};
 use pebblepost_feed::FeedState;
-use pebblepost_messages::DiskId;
+use pebblepost_messages::batch::STORE_GROUPS;
 use pebblepost_messages::feed::{FeedUpdate, ModelVersion, StoreGroup};
+use pebblepost_messages::{DiskId, Member};
 use pebblepost_rollout::{Order, OrderAnswer, PlanOutput, Planner, Reported};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -32,8 +33,8 @@
 pub(super) struct Primary {
     pub(super) epoch: u64,
     pub(super) since: Duration,
-    pub(super) feed: FeedServer,
-    pub(super) stores: Stores,
+    pub(super) feed: FeedPublisher,
+    pub(super) stores: StorageNodes,
     pub(super) planner: Planner,
     /// Orders of another holder are old from then on.
     orders_from: Duration,
@@ -56,16 +57,14 @@
             return;
         }
         log::info!("primary of epoch {epoch}");
-        self.registry.restart_clocks(now);
+        self.registry.start_grace_period(now);
         self.recall_departures();
         let orders_from = now + self.wait_for_orders_of_others();
-        let mut stores = Stores::new(self.settings.tolerance);
-        stores.restart(now);
         self.primary = Some(Primary {
             epoch,
             since: now,
             feed: self.first_feed(now),
-            stores,
+            stores: StorageNodes::new(now),
             planner: Planner::new(if self.holds_orders() { now } else { orders_from + TAKE_OVER_TIME }),
             orders_from,
             hold_proposed: false,
@@ -75,7 +74,7 @@
             not_acting_since: None,
             published_groups: BTreeMap::new(),
             planned_generation: 0,
-            list_complete_at: Some(self.registry.grace_ends()),
+            list_complete_at: Some(self.registry.grace_until()),
         });
         self.publish(now);
         self.teach_planner(now);
@@ -84,21 +83,21 @@
 
     /// The copy of the registrations may lack the newest departures, or all of them after a restart.
     fn recall_departures(&mut self) {
-        for (instance, departure) in self.group.replica.state().departures().all() {
-            self.registry.depart(instance, departure);
+        for (instance, departure) in self.group.replica.state().shutdowns().iter() {
+            self.registry.apply_shutdown(instance, departure);
         }
     }
 
     /// How long a new primary orders nothing: another one may have done so just before.
     fn wait_for_orders_of_others(&self) -> Duration {
-        let holder = self.state().order_holder();
+        let holder = self.state().order_lease_holder();
         let is_other = holder != DiskId::default() && holder != self.settings.me.disk;
         if is_other { self.settings.order_lease + ORDER_SLACK } else { Duration::ZERO }
     }
 
     /// Whether the replicated state says that this process orders transcribers: a successor can tell then.
     fn holds_orders(&self) -> bool {
-        self.state().order_holder() == self.settings.me.disk
+        self.state().order_lease_holder() == self.settings.me.disk
     }
 
     /// Becomes the holder of orders once those of another one are old.
@@ -108,26 +107,26 @@
         if holds || primary.hold_proposed || now < primary.orders_from {
             return;
         }
-        let command = Command::HoldOrders { holder: self.settings.me.disk };
+        let command = Command::AcquireOrderLease { holder: self.settings.me.disk };
         primary.hold_proposed = self.group.replica.propose(now, command.encode()).is_ok();
     }
 
     /// Whoever is connected learns of the epoch, also those that hold nothing: callers and links wait there.
     fn introduce_epoch(&mut self, now: Duration) {
-        for standing in self.peers.standings(now) {
+        for standing in self.peers.statuses(now) {
             if standing.member.disk != self.settings.me.disk {
                 self.group.introduce(&standing.member);
             }
         }
     }
 
-    fn first_feed(&self, now: Duration) -> FeedServer {
+    fn first_feed(&self, now: Duration) -> FeedPublisher {
         let mut state = FeedState::default();
-        let known = self.registry.live().chain(self.registry.lately_gone());
+        let known = self.registry.live().chain(self.registry.recently_terminated());
         let instances = known.cloned().collect();
         state.apply(&FeedUpdate::Instances { complete: false, instances });
         state.apply(&FeedUpdate::ProxyCount(self.proxy_count));
-        FeedServer::new(now, state)
+        FeedPublisher::new(now, state)
     }
 
     pub(super) fn stopped(&mut self, now: Duration) {
@@ -253,9 +252,9 @@
     fn look_over_witnesses(&mut self, now: Duration) {
         let Some(primary) = self.primary.as_ref().filter(|_| !self.group.is_changing()) else { return };
         let is_early = now.saturating_sub(primary.since) < WITNESS_GRACE;
-        let evidence = if is_early { Evidence::Replacement } else { Evidence::Silence };
+        let evidence = if is_early { FailureEvidence::Replacement } else { FailureEvidence::Timeout };
         let record = self.group.replica.record();
-        let standings = self.peers.standings(now);
+        let standings = self.peers.statuses(now);
         let wanted = self.settings.wanted_witnesses();
         let change = witnesses::next_change(record, &standings, wanted, evidence);
         if let Some(next) = change {
@@ -270,13 +269,11 @@
         self.plan_stores(now);
         self.settle_planner(now);
         let Some(primary) = &mut self.primary else { return };
-        if primary.feed.due_at().is_some_and(|due| due <= now) {
-            primary.feed.flush(now);
-        }
-        for output in primary.feed.take_outputs() {
+        primary.feed.flush_due(now);
+        for output in primary.feed.take_actions() {
             match output {
-                FeedOutput::Send(connection, message) => self.send(now, connection, message),
-                FeedOutput::Drop(connection) => self.redirect(now, connection),
+                FeedAction::Send(connection, message) => self.send(now, connection, message),
+                FeedAction::Disconnect(connection) => self.redirect(now, connection),
             }
         }
     }
@@ -291,8 +288,10 @@
             return;
         }
         primary.plan_at = now + PLAN_EVERY;
-        for command in primary.stores.plan(now, state) {
-            log::info!("storage machines: {}", command.summary());
+        let tolerance = &self.settings.tolerance;
+        let planner = GroupPlanner { now, state, nodes: &primary.stores, tolerance };
+        for command in planner.plan() {
+            log::info!("proposing command: {}", command);
             if let Ok(index) = self.group.replica.propose(now, command.encode()) {
                 primary.planned.insert(index);
             }
@@ -323,7 +322,7 @@
                     self.outputs.push(Output::AskReport { instance, address });
                 }
                 PlanOutput::Holds { instance, model, generation } => {
-                    let change = self.registry.holds(&instance, &model, generation);
+                    let change = self.registry.version_loaded(&instance, &model, generation);
                     self.registry_changed(now, &change);
                 }
             }
@@ -340,3 +339,20 @@
         patch: patch.map(|patch| (patch.base, patch.patch.clone())),
     }
 }
+
+/// The groups as the feed publishes them.
+fn feed_groups(state: &ControlState) -> Vec<StoreGroup> {
+    let member = |disk: &DiskId| {
+        let unknown = || Member { disk: *disk, ..Member::default() };
+        state.stores().get(disk).cloned().unwrap_or_else(unknown)
+    };
+    let groups = state.groups().iter().filter(|(group, _)| **group < STORE_GROUPS);
+    let feed = groups.map(|(group, assignment)| StoreGroup {
+        group: *group,
+        epoch: assignment.epoch.epoch,
+        primary: member(&assignment.epoch.primary),
+        in_sync: assignment.epoch.in_sync.iter().map(member).collect(),
+        targets: assignment.targets.iter().map(member).collect(),
+    });
+    feed.collect()
+}
--- a/crates/pebblepost-control/src/lib.rs
+++ b/crates/pebblepost-control/src/lib.rs
@@ -11,26 +11,18 @@
 //! * [`founding`], [`peers`], [`witnesses`]: the control group itself.
 //! * [`api`]: calls and answers of the HTTP interface.
 
-pub mod announcement;
 pub mod api;
-pub mod command;
 pub mod core;
-pub mod departures;
-pub mod digest;
-pub mod disk_record;
-pub mod feed_server;
-pub mod founding;
-pub mod history;
+pub mod feed;
+pub mod hash;
 pub mod http;
+pub mod membership;
 pub mod orders;
-pub mod peers;
-pub mod placement;
 pub mod program;
 pub mod registry;
 mod shell;
 pub mod state;
-pub mod stores;
+pub mod storage;
 pub mod tasks;
-pub mod witnesses;
 
 pub use program::run;
--- a/crates/pebblepost-control/tests/support/cluster.rs
+++ b/crates/pebblepost-control/tests/support/cluster.rs
@@ -1,9 +1,10 @@
 //! Control processes on a simulated network, with simulated disks and one clock.
 
-use pebblepost_control::api::{Answer, Call};
+use super::trace::Trace;
+use pebblepost_control::api::{HttpRequest, HttpResponse};
 use pebblepost_control::core::{Core, CoreSettings, Input, Output};
-use pebblepost_control::disk_record::{ControlRecord, RecoveredRecords};
-use pebblepost_control::founding::founder_disk;
+use pebblepost_control::membership::bootstrap::bootstrap_disk;
+use pebblepost_control::state::disk_record::{ControlRecord, RecoveredState};
 use pebblepost_messages::control::{FromControl, ToControl};
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::Tolerance;
@@ -74,7 +75,7 @@
     number: u64,
     last_connection: u64,
     connections: BTreeMap<(usize, u64), OtherEnd>,
-    answers: BTreeMap<u64, Answer>,
+    answers: BTreeMap<u64, HttpResponse>,
     last_call: u64,
     cut: BTreeSet<usize>,
     /// Machines that reach no other control process, though programs reach them.
@@ -88,6 +89,8 @@
     pub dialed_now: Vec<(usize, String)>,
     /// Outputs that ask for reports: time and instance.
     pub asked: Vec<(Duration, String)>,
+    /// Digest of everything that the processes did.
+    pub trace: Trace,
 }
 
 fn control_address(index: usize) -> SocketAddr {
@@ -135,9 +138,10 @@
             orders: Vec::new(),
             dialed_now: Vec::new(),
             asked: Vec::new(),
+            trace: Trace::default(),
         };
         for (index, seed) in seeds.iter().enumerate() {
-            cluster.add(settings(index, founder_disk(*seed), true, &seeds));
+            cluster.add(settings(index, bootstrap_disk(*seed), true, &seeds));
         }
         cluster.at(Duration::ZERO, Happening::Redial);
         cluster
@@ -176,7 +180,7 @@
     pub fn start(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
-        let recovered = RecoveredRecords::read(&node.disk.records).expect("records can be read");
+        let recovered = RecoveredState::decode(&node.disk.records).expect("records can be read");
         node.life += 1;
         node.core = Some(Core::new(now, node.settings.clone(), recovered));
         self.carry_out(index);
@@ -288,22 +292,22 @@
     }
 
     /// Sends a call; its number.
-    pub fn send_call(&mut self, index: usize, call: Call) -> u64 {
+    pub fn send_call(&mut self, index: usize, call: HttpRequest) -> u64 {
         self.last_call += 1;
         let id = self.last_call;
         if self.is_up(index) {
-            self.input(index, Input::Call { id, call });
+            self.input(index, Input::Request { id, request: call });
         }
         id
     }
 
     /// The answer to a call, if it has come.
-    pub fn answer(&self, id: u64) -> Option<&Answer> {
+    pub fn answer(&self, id: u64) -> Option<&HttpResponse> {
         self.answers.get(&id)
     }
 
     /// Sends a call and runs until it is answered, five seconds at most.
-    pub fn call(&mut self, index: usize, call: Call) -> Option<Answer> {
+    pub fn call(&mut self, index: usize, call: HttpRequest) -> Option<HttpResponse> {
         let id = self.send_call(index, call);
         let until = self.now + Duration::from_secs(5);
         while !self.answers.contains_key(&id) && self.now < until {
@@ -439,8 +443,9 @@
         let due = core.due_at();
         let outputs = core.take_outputs();
         for output in outputs {
+            self.trace.output(self.now, index, &output);
             match output {
-                Output::Answer { id, answer } => {
+                Output::Respond { id, response: answer } => {
                     self.answers.insert(id, answer);
                 }
                 Output::Send { connection, message } => self.send_back(index, connection, message),
