--- a/crates/pebblepost-batch-store/tests/simulation/transcript.rs
+++ b/crates/pebblepost-batch-store/tests/simulation/transcript.rs
@@ -1,7 +1,9 @@
 //! Messages between proxies and stores as lines, and their comparison with an approved text.
+//!
+//! The words of the lines are fixed here: they do not follow the names of types and fields in the code.
 
 use pebblepost_messages::batch::{
-    ActiveLease, FromStore, ItemOutcome, ItemResult, JobAnswer, ResultPage, ToStore, WorkLease,
+    ActiveLease, FromStore, ItemOutcome, ItemResult, JobAnswer, ResultPage, SubmitOutcome, ToStore, WorkLease,
 };
 use std::fmt::Debug;
 use std::path::Path;
@@ -27,6 +29,16 @@
             let held = |lease: &ActiveLease| format!("{:?} of {}", lease.items, lease.job);
             format!("Holding [{}]", leases.iter().map(held).collect::<Vec<_>>().join(", "))
         }
+        ToStore::Read { call, store_group, job, start, wait_ms } => format!(
+            "Read {{ call: {call}, store_group: {store_group}, job: {job:?}, start: {start}, wait_ms: {wait_ms} }}"
+        ),
+        ToStore::ItemBody { call, store_group, job, item } => {
+            format!("ItemBody {{ call: {call}, store_group: {store_group}, job: {job:?}, item: {item:?} }}")
+        }
+        ToStore::End { call, store_group, job } => {
+            format!("End {{ call: {call}, store_group: {store_group}, job: {job:?} }}")
+        }
+        ToStore::RequestWork { max_items } => format!("TakeWork {{ most_items: {max_items} }}"),
         other => format!("{other:?}"),
     }
 }
@@ -43,6 +55,21 @@
         FromStore::Body { call, answer: JobAnswer::Found(body) } => {
             format!("Body call {call}: {:?}", String::from_utf8_lossy(body))
         }
+        FromStore::Submitted { call, outcome } => {
+            format!("Submitted {{ call: {call}, outcome: {} }}", submit_outcome(*outcome))
+        }
+        FromStore::Results { call, answer } => {
+            format!("Results {{ call: {call}, answer: {} }}", job_answer(answer))
+        }
+        FromStore::Body { call, answer } => {
+            format!("Body {{ call: {call}, answer: {} }}", job_answer(answer))
+        }
+        FromStore::Ended { call, answer } => {
+            format!("Ended {{ call: {call}, answer: {} }}", job_answer(answer))
+        }
+        FromStore::Cancel { jobs } => format!("Cancel {{ jobs: {jobs:?} }}"),
+        FromStore::Renew { groups } => format!("Renew {{ groups: {groups:?} }}"),
+        FromStore::WorkAvailable => "WorkAvailable".to_owned(),
         other => format!("{other:?}"),
     }
 }
@@ -58,6 +85,25 @@
     assert!(approved == text, "{} differs; received:\n{text}", path.display());
 }
 
+fn submit_outcome(outcome: SubmitOutcome) -> String {
+    match outcome {
+        SubmitOutcome::Accepted => "Accepted".to_owned(),
+        SubmitOutcome::Rejected { retry_after_ms } => {
+            format!("Refused {{ retry_after_ms: {retry_after_ms} }}")
+        }
+        SubmitOutcome::NotPrimary => "NotPrimary".to_owned(),
+        SubmitOutcome::Unknown => "Unknown".to_owned(),
+    }
+}
+
+fn job_answer<T: Debug>(answer: &JobAnswer<T>) -> String {
+    match answer {
+        JobAnswer::Found(found) => format!("Found({found:?})"),
+        JobAnswer::NotFound => "NoSuch".to_owned(),
+        JobAnswer::Uncertain => "NotSure".to_owned(),
+    }
+}
+
 fn outcome(outcome: &ItemOutcome) -> String {
     match outcome {
         ItemOutcome::Finished(finished) => result(finished),
