--- /dev/null
+++ b/crates/pebblepost-batch/tests/decisions.rs
@@ -0,0 +1,232 @@
+//! What the scheduler decides over random sequences of events, as approved digests of whole runs.
+
+mod support;
+
+use pebblepost_batch::clock::GroupClock;
+use pebblepost_batch::command::Change;
+use pebblepost_batch::scheduler::{ItemProgress, ProxyId, Scheduler};
+use pebblepost_batch::state::BatchState;
+use pebblepost_messages::batch::{PartialText, WorkLease};
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+use rstest::rstest;
+use std::time::Duration;
+use support::{Digest, apply, approve, job, listing, ms, result};
+
+const GROUPS: u32 = 2;
+const PROXIES: u64 = 3;
+
+/// A primary of two groups under random events.
+struct Run {
+    random: StdRng,
+    digest: Digest,
+    now_ms: u64,
+    states: Vec<BatchState>,
+    scheduler: Scheduler,
+    given: Vec<(ProxyId, WorkLease)>,
+    jobs: u64,
+    epoch: u64,
+}
+
+impl Run {
+    fn new(seed: u64) -> Run {
+        Run {
+            random: StdRng::seed_from_u64(seed),
+            digest: Digest::default(),
+            now_ms: 0,
+            states: (0..GROUPS).map(|_| BatchState::default()).collect(),
+            scheduler: Scheduler::default(),
+            given: Vec::new(),
+            jobs: 0,
+            epoch: 0,
+        }
+    }
+
+    fn now(&self) -> Duration {
+        ms(self.now_ms)
+    }
+
+    fn clock(&self) -> GroupClock {
+        GroupClock::new(self.now(), self.now_ms)
+    }
+
+    fn proxy(&mut self) -> ProxyId {
+        ProxyId(self.random.random_range(0..PROXIES))
+    }
+
+    fn group(&mut self) -> u32 {
+        self.random.random_range(0..GROUPS)
+    }
+
+    fn start_group(&mut self, group: u32) {
+        self.epoch += 1;
+        let (now, clock) = (self.now(), self.clock());
+        let state = &self.states[group as usize];
+        self.scheduler.start_group(now, group, self.epoch, &clock, state);
+    }
+
+    fn add_job(&mut self) {
+        let group = self.group();
+        self.jobs += 1;
+        let id = format!("job-{}", self.jobs);
+        let groups = self.random.random_range(1..8);
+        let per_group = self.random.random_range(1..5);
+        let desired = self.random.random_range(0..6);
+        let mut job = job(&id, groups, per_group, desired);
+        job.terms.priority = self.random.random_range(0..3);
+        job.terms.run_deadline_ms = self.random.random_range(500..6_000);
+        job.terms.queue_ttl_ms = self.random.random_range(2_000..20_000);
+        let (now, clock) = (self.now(), self.clock());
+        let state = &mut self.states[group as usize];
+        apply(state, self.now_ms, Change::AddJob(job));
+        if self.scheduler.has_group(group) {
+            let stored = state.job(&id).expect("just added");
+            self.scheduler.add_job(now, group, &clock, stored);
+        }
+    }
+
+    fn lease(&mut self) {
+        let (now, proxy) = (self.now(), self.proxy());
+        let most_items = self.random.random_range(0..12);
+        let states = &self.states;
+        let leases = self.scheduler.take(now, proxy, most_items, |group| states.get(group as usize));
+        for lease in leases {
+            self.digest.number(lease.lease);
+            self.digest.number(u64::from(lease.store_group));
+            self.digest.number(lease.epoch);
+            self.digest.bytes(lease.job.as_bytes());
+            self.digest.number(lease.due_in_ms);
+            self.digest.number(lease.expires_in_ms);
+            for leased in &lease.items {
+                self.digest.bytes(leased.item.id.as_bytes());
+                self.digest.number(u64::from(leased.failed_attempts));
+                self.digest.number(u64::from(leased.failed_scorer_attempts));
+                self.digest.bytes(&leased.partial.message);
+            }
+            self.given.push((proxy, lease));
+        }
+    }
+
+    /// A lease given before, one of its items and the index of the item if it is not listed.
+    fn given_item(&mut self) -> Option<(ProxyId, WorkLease, String, usize)> {
+        if self.given.is_empty() {
+            return None;
+        }
+        let number = self.random.random_range(0..self.given.len());
+        let (proxy, lease) = self.given[number].clone();
+        let item = self.random.random_range(0..lease.items.len());
+        let id = lease.items[item].item.id.clone();
+        let state = &self.states[lease.store_group as usize];
+        let index = state.job(&lease.job)?.unlisted_index(&id)?;
+        Some((proxy, lease, id, index))
+    }
+
+    fn finish(&mut self) {
+        let Some((_, lease, item, index)) = self.given_item() else { return };
+        let is_first = self.scheduler.finish(&lease.job, index);
+        self.digest.number(u64::from(is_first));
+        if is_first {
+            let state = &mut self.states[lease.store_group as usize];
+            apply(state, self.now_ms, listing(&lease.job, vec![result(&item, "text")]));
+        }
+    }
+
+    fn hand_back(&mut self) {
+        let Some((proxy, lease, _, index)) = self.given_item() else { return };
+        let progress = ItemProgress {
+            failed_attempts: self.random.random_range(0..3),
+            failed_scorer_attempts: self.random.random_range(0..3),
+            partial: PartialText { last_event: 1, message: b"part".to_vec(), versions: vec![3] },
+        };
+        self.scheduler.hand_back(proxy, lease.lease, &lease.job, index, progress);
+    }
+
+    fn announce(&mut self) {
+        let (now, proxy) = (self.now(), self.proxy());
+        if let Some((_, lease, _, index)) = self.given_item() {
+            self.scheduler.hold(now, proxy, &lease.job, &[index]);
+        }
+        self.scheduler.has_announced(now, proxy);
+    }
+
+    fn renew(&mut self) {
+        let acting: [bool; 2] = [self.random.random_bool(0.9), self.random.random_bool(0.9)];
+        let now = self.now();
+        for (proxy, groups) in self.scheduler.renew(now, |group| acting[group as usize]) {
+            self.digest.number(proxy.0);
+            groups.iter().for_each(|group| self.digest.number(u64::from(*group)));
+        }
+    }
+
+    fn expire(&mut self) {
+        for expired in self.scheduler.take_expired(self.now()) {
+            self.digest.number(u64::from(expired.group));
+            self.digest.bytes(expired.job.as_bytes());
+            expired.items.iter().for_each(|item| self.digest.number(*item as u64));
+        }
+    }
+
+    fn wake_idle(&mut self) {
+        let now = self.now();
+        let has_work = self.scheduler.has_work(now, |_| true);
+        self.digest.number(u64::from(has_work));
+        for proxy in self.scheduler.take_idle(now, |group| group == 0 || now > ms(1_000)) {
+            self.digest.number(proxy.0);
+        }
+    }
+
+    fn end_job(&mut self) {
+        let id = format!("job-{}", self.random.random_range(0..self.jobs.max(1)));
+        for state in &mut self.states {
+            apply(state, self.now_ms, Change::EndJob { job: id.clone() });
+        }
+        self.scheduler.remove_job(&id);
+    }
+
+    fn step(&mut self) {
+        self.now_ms += self.random.random_range(0..80);
+        match self.random.random_range(0..40) {
+            0..4 => self.add_job(),
+            4..14 => self.lease(),
+            14..22 => self.finish(),
+            22..26 => self.hand_back(),
+            26..28 => self.announce(),
+            28..32 => self.renew(),
+            32 => self.expire(),
+            33 => self.wake_idle(),
+            34 => self.end_job(),
+            35 => {
+                let proxy = self.proxy();
+                self.scheduler.connect_proxy(proxy);
+            }
+            36 => {
+                let proxy = self.proxy();
+                self.scheduler.disconnect_proxy(proxy);
+            }
+            37 => {
+                let group = self.group();
+                self.start_group(group);
+            }
+            38 => {
+                if let Some((_, lease, _, index)) = self.given_item() {
+                    self.scheduler.drop_result(&lease.job, index);
+                }
+            }
+            _ => self.scheduler.end_leases(self.now()),
+        }
+        self.digest.number(self.scheduler.open_jobs() as u64);
+        self.digest.number(self.scheduler.leased_items() as u64);
+    }
+}
+
+#[rstest]
+fn decisions_are_the_approved_ones() {
+    let lines = (1..=12).map(|seed| {
+        let mut run = Run::new(seed);
+        (0..PROXIES).for_each(|proxy| run.scheduler.connect_proxy(ProxyId(proxy)));
+        (0..GROUPS).for_each(|group| run.start_group(group));
+        (0..4_000).for_each(|_| run.step());
+        format!("{seed} {} {} {}", run.digest.hex(), run.given.len(), run.jobs)
+    });
+    approve("decisions.txt", &lines.collect::<Vec<_>>());
+}
--- a/crates/pebblepost-batch/tests/support/mod.rs
+++ b/crates/pebblepost-batch/tests/support/mod.rs
@@ -51,3 +51,64 @@
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
+
+/// FNV-1a over 64 bits.
+pub struct Digest(u64);
+
+impl Default for Digest {
+    fn default() -> Digest {
+        Digest(0xcbf2_9ce4_8422_2325)
+    }
+}
+
+impl Digest {
+    /// Adds the length of some bytes and the bytes.
+    pub fn bytes(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        bytes.iter().for_each(|byte| self.byte(*byte));
+    }
+
+    /// Adds a number.
+    pub fn number(&mut self, number: u64) {
+        number.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
+    }
+
+    /// The digest so far, in hexadecimal.
+    pub fn hex(&self) -> String {
+        format!("{:016x}", self.0)
+    }
+
+    fn byte(&mut self, byte: u8) {
+        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+    }
+}
+
+/// Bytes in hexadecimal.
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// Bytes that are written in hexadecimal.
+pub fn from_hex(text: &str) -> Vec<u8> {
+    let digits = |start: usize| u8::from_str_radix(&text[start..start + 2], 16).expect("hexadecimal digits");
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+/// Compares lines with the approved ones of `tests/approved`; `APPROVE=1` writes them anew.
+pub fn approve(name: &str, lines: &[String]) {
+    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/approved").join(name);
+    let text = lines.join("\n") + "\n";
+    if std::env::var_os("APPROVE").is_some() {
+        std::fs::write(&path, &text).expect("writing the approved text");
+    }
+    let approved = std::fs::read_to_string(&path).unwrap_or_default();
+    assert!(approved == text, "{} differs; received:\n{text}", path.display());
+}
+
+/// The approved lines, each a name and a value.
+pub fn approved(name: &str) -> std::collections::BTreeMap<String, String> {
+    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/approved").join(name);
+    let text = std::fs::read_to_string(&path).expect("reading the approved text");
+    let pairs = text.lines().filter_map(|line| line.split_once(' '));
+    pairs.map(|(name, value)| (name.to_owned(), value.to_owned())).collect()
+}
