--- a/crates/pebblepost-batch-store/tests/schedules.rs
+++ b/crates/pebblepost-batch-store/tests/schedules.rs
@@ -6,6 +6,8 @@
 use rand::RngExt;
 use rstest::rstest;
 use simulation::client::{What, job};
+use simulation::digest::Digest;
+use simulation::transcript::approve;
 use simulation::world::{Plan, World};
 
 const PLAN: Plan = Plan { seed: 0, machines: 3, proxies: 2, tolerate: 1, most_bytes: u64::MAX };
@@ -289,3 +291,28 @@
     assert_eq!(world.clients.refused, ["large"]);
     assert!(!world.proxies.iter().flat_map(|proxy| proxy.running()).any(|running| running.job == "large"));
 }
+
+/// A day with all kinds of trouble: a digest of all that the stores put out, and numbers that say what happened.
+fn day(seed: u64) -> String {
+    let mut world = World::new(Plan { seed, machines: 4, ..PLAN });
+    world.digest = Some(Digest::default());
+    work(&mut world, 3_000);
+    for kind in [0, 1, 2, 3, 4, 5] {
+        let machine = world.random.random_range(0..4);
+        let away = lose(&mut world, machine, &[kind]);
+        work(&mut world, away + CATCH_UP_MS);
+    }
+    read_all(&mut world);
+    assert_eq!(world.checker.violations, [""; 0], "seed {seed}");
+    let mut digest = world.digest.take().unwrap_or_default();
+    (0..4).for_each(|machine| digest.bytes(world.status(machine).as_bytes()));
+    digest.number(world.random.random_range(0..u64::MAX));
+    let results: usize = world.checker.jobs().iter().map(|id| world.checker.seen(id)).sum();
+    format!("{seed} {} {} {} {results}", digest.hex(), world.now, world.checker.jobs().len())
+}
+
+#[rstest]
+fn days_are_the_approved_ones() {
+    let lines: Vec<String> = (950..956).map(day).collect();
+    approve("days.txt", &lines);
+}
--- a/crates/pebblepost-batch-store/tests/simulation/mod.rs
+++ b/crates/pebblepost-batch-store/tests/simulation/mod.rs
@@ -6,6 +6,7 @@
 pub mod checker;
 pub mod client;
 pub mod control;
+pub mod digest;
 pub mod disk;
 pub mod proxy;
 pub mod transcript;
--- a/crates/pebblepost-batch-store/tests/simulation/world.rs
+++ b/crates/pebblepost-batch-store/tests/simulation/world.rs
@@ -3,6 +3,7 @@
 use super::checker::Checker;
 use super::client::Clients;
 use super::control::Control;
+use super::digest::Digest;
 use super::disk::Disk;
 use super::proxy::{Outgoing, Proxy};
 use super::transcript;
@@ -110,6 +111,8 @@
     pub checker: Checker,
     /// Messages between proxies and stores, as lines.
     pub transcript: Vec<String>,
+    /// All that the stores put out, if it is kept.
+    pub digest: Option<Digest>,
 }
 
 impl World {
@@ -129,6 +132,7 @@
             clients: Clients::default(),
             checker: Checker::default(),
             transcript: Vec::new(),
+            digest: None,
         };
         for machine in 0..plan.machines {
             world.after(0, Event::Start { machine });
@@ -534,6 +538,9 @@
         let (is_cut, life) = (self.machines[machine].is_cut, self.machines[machine].life);
         let Some(store) = &mut self.machines[machine].store else { return };
         for output in store.take_outputs(now) {
+            if let Some(digest) = &mut self.digest {
+                digest.output(self.now, machine, &output);
+            }
             match output {
                 StoreOutput::Append { ticket, records } => {
                     let number = self.machines[machine].disk.append(ticket, records);
--- /dev/null
+++ b/crates/pebblepost-batch-store/tests/stored_form.rs
@@ -0,0 +1,171 @@
+//! Records on the disk and the status of a store by their bytes: those of earlier versions are read,
+//! and the same are written.
+
+use nanoserde::{DeBin, SerBin};
+use pebblepost_batch::admission::Budget;
+use pebblepost_batch::command::{Change, Command};
+use pebblepost_batch::state::{BatchState, Retention};
+use pebblepost_batch_store::store::{GroupRecord, LinkId, Store, StoreOutput, StoreSettings};
+use pebblepost_messages::batch::{FromStore, Item, Job, ToStore};
+use pebblepost_messages::control::ToControl;
+use pebblepost_messages::feed::StoreGroup;
+use pebblepost_messages::{DiskId, Member};
+use pebblepost_replication::record::{EpochRecord, Tolerance};
+use pebblepost_replication::replica::{DiskRecord, ReplicaSettings, StateMachine};
+use rstest::rstest;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+fn path(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/approved").join(name)
+}
+
+fn approved(name: &str) -> String {
+    std::fs::read_to_string(path(name)).unwrap_or_default()
+}
+
+/// Compares lines with the approved ones of `tests/approved`; `APPROVE=1` writes them anew.
+fn approve(name: &str, lines: &[String]) {
+    let text = lines.join("\n") + "\n";
+    if std::env::var_os("APPROVE").is_some() {
+        std::fs::write(path(name), &text).expect("writing the approved text");
+    }
+    assert!(approved(name) == text, "{name} differs; received:\n{text}");
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let digits = |start: usize| u8::from_str_radix(&text[start..start + 2], 16).expect("hexadecimal digits");
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+fn member(number: u64) -> Member {
+    Member {
+        disk: DiskId(number),
+        node: format!("store-{number}"),
+        address: format!("10.0.0.{number}:7301"),
+        zone: "zone \"a\"".to_owned(),
+        region: "region".to_owned(),
+    }
+}
+
+fn epoch_record() -> EpochRecord {
+    EpochRecord {
+        epoch: 1,
+        primary: DiskId(1),
+        in_sync: vec![member(1)],
+        witnesses: Vec::new(),
+        former_witnesses: Vec::new(),
+    }
+}
+
+fn entry() -> Vec<u8> {
+    let items = vec![Item { id: "i".to_owned(), body: vec![1, 2, 3], ..Item::default() }];
+    let job = Job { id: "job-c".to_owned(), items, ..Job::default() };
+    Command { now_ms: 1_000, change: Change::AddJob(job) }.encode()
+}
+
+/// Each kind of record, in an order in which a disk may hold them.
+fn records() -> Vec<(&'static str, GroupRecord)> {
+    let record = |record: DiskRecord| GroupRecord { group: 6, record: Some(record) };
+    vec![
+        ("void", GroupRecord { group: 7, record: None }),
+        (
+            "snapshot",
+            record(DiskRecord::Snapshot { index: 4, epoch: 1, state: BatchState::default().snapshot() }),
+        ),
+        ("epoch", record(DiskRecord::Epoch(epoch_record()))),
+        ("acted", record(DiskRecord::Acted { epoch: 1 })),
+        ("entry", record(DiskRecord::Entry { index: 5, epoch: 1, entry: entry() })),
+    ]
+}
+
+fn settings() -> StoreSettings {
+    let millis = Duration::from_millis;
+    StoreSettings {
+        me: member(1),
+        founding: false,
+        replica: ReplicaSettings {
+            tolerance: Tolerance { machines: 0, zones: 0, regions: 0 },
+            beacon: millis(200),
+            lease: millis(900),
+            grace: millis(1_100),
+            most_lag: millis(600),
+            most_own_write: millis(600),
+            kept_bytes: 20_000,
+        },
+        retention: Retention { ended: Duration::from_secs(130), open: Duration::from_secs(720) },
+        budget: Budget::new(1_000_000, u64::MAX),
+    }
+}
+
+#[rstest]
+fn records_have_the_approved_bytes() {
+    let lines =
+        records().into_iter().map(|(name, record)| format!("{name} {}", hex(&record.serialize_bin())));
+    approve("records.txt", &lines.collect::<Vec<_>>());
+}
+
+#[rstest]
+fn records_of_earlier_versions_are_read() {
+    for (line, (name, record)) in approved("records.txt").lines().zip(records()) {
+        let bytes = line.split_once(' ').map(|(_, bytes)| from_hex(bytes)).expect("a name and bytes");
+        assert_eq!(GroupRecord::deserialize_bin(&bytes).expect("can be read"), record, "{name}");
+    }
+}
+
+#[rstest]
+fn a_store_goes_on_with_the_records_of_earlier_versions() {
+    let bytes = approved("records.txt");
+    let records: Vec<Vec<u8>> =
+        bytes.lines().filter_map(|line| line.split_once(' ')).map(|(_, bytes)| from_hex(bytes)).collect();
+    let now = Duration::ZERO;
+    let mut store = Store::new(now, settings(), &records).expect("records that can be read");
+    store.link_opened(LinkId(1));
+    store.receive(now, LinkId(1), ToStore::ProxyHello { node: "p".to_owned(), zone: "a".to_owned() });
+    let group = StoreGroup {
+        group: 6,
+        epoch: 1,
+        primary: member(1),
+        in_sync: vec![member(1)],
+        targets: vec![member(1)],
+    };
+    store.assign(now, &[group]);
+    let mut statuses = Vec::new();
+    for step in 1..=80 {
+        let now = Duration::from_millis(step * 50);
+        store.tick(now);
+        for output in store.take_outputs(now) {
+            match output {
+                StoreOutput::Append { ticket, .. } => store.synced(now, ticket),
+                StoreOutput::ToControl(ToControl::ChangeGroup { request, group, proposed, .. }) => {
+                    store.group_changed(now, request, group, &proposed);
+                }
+                _ => {}
+            }
+        }
+    }
+    let now = Duration::from_millis(4_010);
+    store.receive(now, LinkId(1), ToStore::Status);
+    for output in store.take_outputs(now) {
+        if let StoreOutput::Reply { message: FromStore::Status(status), .. } = output {
+            statuses.push(String::from_utf8(status).expect("text"));
+        }
+    }
+    store.checkpoint();
+    for output in store.take_outputs(now) {
+        if let StoreOutput::Checkpoint { records } = output {
+            statuses.extend(records.iter().map(|record| hex(record)));
+        }
+    }
+    approve("resumed.txt", &statuses);
+}
+
+#[rstest]
+fn a_record_that_can_not_be_read_is_an_error() {
+    let error = Store::new(Duration::ZERO, settings(), &[vec![1, 2, 3]]).expect_err("no record");
+    assert_eq!(error.to_string(), "Bin deserialize error at:0 wanted:4 bytes but max size is 3");
+}
