--- a/crates/pebblepost-rollout/tests/fleet.rs
+++ b/crates/pebblepost-rollout/tests/fleet.rs
@@ -4,6 +4,7 @@
 mod simulation;
 
 use rstest::rstest;
+use simulation::digest::approve;
 use simulation::{Faults, FleetShape, Random, Simulation, model_name};
 use std::time::Duration;
 
@@ -73,3 +74,38 @@
     }
     println!("{faults:?} {shape:?}: {longest:?} at the most after the last trouble");
 }
+
+/// A run in which everything goes wrong for a while, and jobs allow older versions.
+fn digest_of_run(shape: FleetShape, seed: u64) -> String {
+    let mut simulation = Simulation::new(shape, Faults::default(), seed);
+    let mut random = Random(seed + 5_000);
+    simulation.run_for(Duration::from_secs(5));
+    simulation.faults = Faults {
+        lost_answers: 6,
+        crash_every: Some(Duration::from_secs(4)),
+        hang_every: Some(Duration::from_secs(3)),
+    };
+    let mut newest = vec![1; shape.models];
+    for _ in 0..6 {
+        for (number, generation) in newest.iter_mut().enumerate() {
+            simulation.run_for(Duration::from_millis(random.below(2_500)));
+            *generation += 1;
+            simulation.name_version(&model_name(number), *generation, number % 2 == 0);
+            simulation.planner.observe_slack(simulation.now, &model_name(number), random.below(3));
+            simulation.planner.running(&format!("i-{}", random.below(9)), 3);
+        }
+    }
+    simulation.faults = Faults::default();
+    simulation.run_for(Duration::from_secs(10));
+    let (orders, asks, loads) = (simulation.orders, simulation.asks, simulation.loads);
+    let digest = simulation.digest.hex();
+    format!("{} {} {seed} {digest} {orders} {asks} {loads}", shape.transcribers, shape.models)
+}
+
+#[rstest]
+fn decisions_are_the_approved_ones() {
+    let two_models = FleetShape { transcribers: 24, models: 2, load: Duration::from_millis(250) };
+    let shapes = [SMALL, THREE_MODELS, two_models].into_iter();
+    let runs = shapes.flat_map(|shape| (1..=4).map(move |seed| digest_of_run(shape, seed)));
+    approve("decisions.txt", &runs.collect::<Vec<_>>());
+}
--- a/crates/pebblepost-rollout/tests/simulation/mod.rs
+++ b/crates/pebblepost-rollout/tests/simulation/mod.rs
@@ -1,5 +1,8 @@
 //! A simulated fleet of transcribers with a clock of its own, for the planner's property tests.
 
+pub mod digest;
+
+use digest::Digest;
 use pebblepost_messages::feed::{Instance, InstanceState, ModelVersion};
 use pebblepost_rollout::{Order, OrderAnswer, PlanOutput, Planner, Reported};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -97,6 +100,8 @@
     /// When each version first and last came to be held.
     pub held_times: BTreeMap<(String, u64), (Duration, Duration)>,
     pub faults: Faults,
+    /// All that the planner puts out, and when it wants to be called next.
+    pub digest: Digest,
     shape: FleetShape,
     random: Random,
     engines: Vec<Engine>,
@@ -120,6 +125,7 @@
             most_loading: 0,
             held_times: BTreeMap::new(),
             faults,
+            digest: Digest::default(),
             shape,
             random: Random(seed),
             engines: Vec::new(),
@@ -190,6 +196,9 @@
         if self.now >= self.next_tick {
             self.next_tick = self.now + TICK;
             self.planner.tick(self.now);
+            let wake_in = self.planner.next_wake(self.now).map(|at| at.saturating_sub(self.now).as_millis());
+            self.digest
+                .number(wake_in.map_or(u64::MAX, |millis| u64::try_from(millis).expect("a short run")));
         }
         self.carry_out();
         self.remember();
@@ -337,6 +346,7 @@
 
     fn carry_out(&mut self) {
         for output in self.planner.take_outputs() {
+            self.digest.output(self.now, &output);
             match output {
                 PlanOutput::Send(order) => {
                     self.orders += 1;
