--- a/crates/pebblepost-batch-store/src/store/calls.rs
+++ b/crates/pebblepost-batch-store/src/store/calls.rs
@@ -3,7 +3,7 @@
 use super::Store;
 use super::group::{Caller, Proposed, Reader};
 use pebblepost_batch::command::Change;
-use pebblepost_batch::job::{StoredJob, job_bytes};
+use pebblepost_batch::job::{StoredJob, estimated_job_bytes};
 use pebblepost_messages::batch::{FromStore, Job, JobAnswer, ResultPage, SubmitOutcome, store_group_of};
 use std::time::Duration;
 
@@ -30,11 +30,12 @@
             callers.push(caller);
             return;
         }
-        if !budget.has_room_for(held_bytes, &job) {
+        if !budget.admits(held_bytes, &job) {
             let outcome = SubmitOutcome::Rejected { retry_after_ms: NO_ROOM_RETRY_MS };
             return self.submitted(&[caller], outcome);
         }
-        let proposed = Proposed::Job { job: job.id.clone(), bytes: job_bytes(&job), callers: vec![caller] };
+        let proposed =
+            Proposed::Job { job: job.id.clone(), bytes: estimated_job_bytes(&job), callers: vec![caller] };
         if let Err(error) = group.propose(now, Change::AddJob(job), proposed) {
             log::debug!("group {number}: a job was not taken: {error:?}");
             self.submitted(&[caller], SubmitOutcome::NotPrimary);
@@ -115,7 +116,7 @@
 
     /// Bytes that jobs take here, those under way among them.
     pub(super) fn held_bytes(&self) -> u64 {
-        let held = self.groups.values().map(|group| group.state().held_bytes() + group.proposed_bytes());
+        let held = self.groups.values().map(|group| group.state().estimated_bytes() + group.proposed_bytes());
         held.sum()
     }
 }
@@ -128,6 +129,6 @@
 }
 
 fn body_of(job: Option<&StoredJob>, item: &str) -> JobAnswer<Vec<u8>> {
-    let found = job.and_then(|job| job.unlisted_item(job.unlisted_index(item)?));
+    let found = job.and_then(|job| job.pending_item(job.pending_index(item)?));
     found.map_or(JobAnswer::NotFound, |item| JobAnswer::Found(item.body.clone()))
 }
--- a/crates/pebblepost-batch-store/src/store/group.rs
+++ b/crates/pebblepost-batch-store/src/store/group.rs
@@ -146,7 +146,7 @@
             .gathered
             .iter()
             .map(|(job, results)| JobResults { job: job.clone(), results: results.clone() });
-        let change = Change::AddResults(listed.collect());
+        let change = Change::AppendResults(listed.collect());
         match self.propose(now, change, Proposed::Results { jobs }) {
             Ok(()) => self.gathered.clear(),
             Err(error) => log::debug!("proposing results: {error:?}"),
--- a/crates/pebblepost-batch-store/src/store/status.rs
+++ b/crates/pebblepost-batch-store/src/store/status.rs
@@ -23,7 +23,7 @@
             self.settings.me.disk.0,
             self.proxies().len(),
             self.held_bytes(),
-            self.settings.budget.most_bytes(),
+            self.settings.budget.max_bytes(),
             self.scheduler.open_jobs(),
             self.scheduler.leased_items(),
             groups.join(",")
--- a/crates/pebblepost-batch-store/src/store/work.rs
+++ b/crates/pebblepost-batch-store/src/store/work.rs
@@ -63,7 +63,7 @@
     fn finished(&mut self, number: u32, job: &str, result: ItemResult) {
         let Some(group) = self.groups.get_mut(&number) else { return };
         let Some(stored) = group.state().job(job) else { return };
-        let Some(item) = stored.unlisted_index(&result.id) else { return };
+        let Some(item) = stored.pending_index(&result.id) else { return };
         if !versions_fit(stored.job(), &result) {
             log::error!("a result of item {} of job {job} has versions that do not fit", result.id);
             self.scheduler.drop_result(job, item);
@@ -76,7 +76,7 @@
 
     fn handed_back(&mut self, lease: LeaseOfProxy, number: u32, job: &str, id: &str, progress: ItemProgress) {
         let stored = self.groups.get(&number).and_then(|group| group.state().job(job));
-        if let Some(item) = stored.and_then(|stored| stored.unlisted_index(id)) {
+        if let Some(item) = stored.and_then(|stored| stored.pending_index(id)) {
             self.scheduler.hand_back(lease.proxy, lease.number, job, item, progress);
         }
     }
@@ -113,7 +113,7 @@
                 over.push(lease.job);
                 continue;
             };
-            let items: Vec<usize> = lease.items.iter().filter_map(|id| open.unlisted_index(id)).collect();
+            let items: Vec<usize> = lease.items.iter().filter_map(|id| open.pending_index(id)).collect();
             held.insert(lease.store_group);
             self.scheduler.hold(now, ProxyId(link.0), &lease.job, &items);
         }
@@ -167,12 +167,12 @@
         for number in numbers {
             let Some(group) = self.acting_group(now, number) else { continue };
             let now_ms = group.clock(now).now_ms(now);
-            let jobs = group.state().forgettable(now_ms, retention);
+            let jobs = group.state().jobs_past_retention(now_ms, retention);
             if jobs.is_empty() {
                 continue;
             }
             let proposed = Proposed::Forget { jobs: jobs.clone() };
-            if let Err(error) = group.propose(now, Change::ForgetJobs { jobs }, proposed) {
+            if let Err(error) = group.propose(now, Change::DeleteJobs { jobs }, proposed) {
                 log::debug!("group {number}: jobs were not forgotten: {error:?}");
             }
             self.settle(now, number);
@@ -200,7 +200,7 @@
 
 fn give_up(group: &mut Group, expired: &ExpiredItems) {
     let Some(stored) = group.state().job(&expired.job) else { return };
-    let ids = expired.items.iter().filter_map(|index| Some(stored.unlisted_item(*index)?.id.clone()));
+    let ids = expired.items.iter().filter_map(|index| Some(stored.pending_item(*index)?.id.clone()));
     let ids: Vec<String> = ids.collect();
     for id in ids {
         let result = ItemResult { id, state: ResultState::DeadLetter, ..ItemResult::default() };
--- a/crates/pebblepost-batch/src/admission.rs
+++ b/crates/pebblepost-batch/src/admission.rs
@@ -1,30 +1,32 @@
-//! Whether there is room for another batch job.
+//! Admission of batch jobs by the memory that they are estimated to take.
+//!
+//! Owns no state: the caller passes the bytes that are in use.
 
-use crate::job::job_bytes;
+use crate::job::estimated_job_bytes;
 use pebblepost_messages::batch::Job;
 
-/// Share of a limit that batch jobs may take, in hundredths.
+/// Share of the smaller of memory and disk that batch jobs may take, in percent.
 const SHARE_PERCENT: u64 = 60;
 
-/// Bytes that batch jobs may take on one machine.
+/// Limit on the bytes that the batch jobs of one machine may take.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    most_bytes: u64,
+    max_bytes: u64,
 }
 
 impl Budget {
-    /// The budget of a machine with so much memory and a ring of so many bytes on disk.
+    /// The budget of a machine with this memory limit and this capacity of its on-disk ring, in bytes.
     pub fn new(memory_bytes: u64, ring_bytes: u64) -> Budget {
-        Budget { most_bytes: memory_bytes.min(ring_bytes) / 100 * SHARE_PERCENT }
+        Budget { max_bytes: memory_bytes.min(ring_bytes) / 100 * SHARE_PERCENT }
     }
 
-    /// Bytes that may be taken in all.
-    pub fn most_bytes(&self) -> u64 {
-        self.most_bytes
+    /// The limit in bytes.
+    pub fn max_bytes(&self) -> u64 {
+        self.max_bytes
     }
 
-    /// Whether a job fits beside what is held already (and what is under way).
-    pub fn has_room_for(&self, held_bytes: u64, job: &Job) -> bool {
-        held_bytes.saturating_add(job_bytes(job)) <= self.most_bytes
+    /// Whether a job fits beside `used_bytes`, which count stored and proposed jobs.
+    pub fn admits(&self, used_bytes: u64, job: &Job) -> bool {
+        used_bytes.saturating_add(estimated_job_bytes(job)) <= self.max_bytes
     }
 }
--- a/crates/pebblepost-batch/src/clock.rs
+++ b/crates/pebblepost-batch/src/clock.rs
@@ -1,7 +1,7 @@
-//! The time of a group of jobs: milliseconds that only rise, stamped on its entries.
+//! The time of a group of jobs: milliseconds that never go back, stamped on its log entries.
 //!
-//! The time stands still while no machine estimates it, so it never runs ahead of the true time
-//! since a job was taken: nothing is given up or forgotten too early.
+//! The time stands still while no machine advances it, so it never runs ahead of the real time since a
+//! job was accepted: no item is dead-lettered and no job deleted too early.
 
 use std::time::Duration;
 
@@ -13,18 +13,18 @@
 }
 
 impl GroupClock {
-    /// An estimate that starts from the newest stamp seen.
+    /// An estimate that starts from the newest time stamp seen.
     pub fn new(now: Duration, stamp_ms: u64) -> GroupClock {
         GroupClock { base_ms: stamp_ms, anchored_at: now }
     }
 
-    /// The group's time now.
+    /// The group's time at `now`.
     pub fn now_ms(&self, now: Duration) -> u64 {
         let elapsed = now.saturating_sub(self.anchored_at);
         self.base_ms.saturating_add(whole_millis(elapsed))
     }
 
-    /// Takes in the newest stamp of the applied entries; a stamp behind the estimate changes nothing.
+    /// Catches up with the newest time stamp of the applied entries; one behind the estimate is ignored.
     pub fn observe(&mut self, now: Duration, stamp_ms: u64) {
         if stamp_ms > self.now_ms(now) {
             *self = GroupClock::new(now, stamp_ms);
--- a/crates/pebblepost-batch/src/command.rs
+++ b/crates/pebblepost-batch/src/command.rs
@@ -1,8 +1,16 @@
 //! Entries of the replicated log of a group of jobs.
+//!
+//! The binary form is stored on disk and sent between replicas: variants and fields keep their order;
+//! new variants are appended. Names are free, as they are not written.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use pebblepost_messages::batch::{ItemResult, Job};
 
+/// Bytes that are not a log entry of this program.
+#[derive(Clone, Debug, thiserror::Error)]
+#[error("{0}")]
+pub struct DecodeError(#[from] DeBinErr);
+
 /// Results of items of one job, in the order in which they get their positions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct JobResults {
@@ -12,30 +20,30 @@
     pub results: Vec<ItemResult>,
 }
 
-/// What an entry changes.
+/// A change of a group's state.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Change {
-    /// Takes a job into custody; no effect if it is there already.
+    /// Stores a job. Idempotent: no effect if a job with this id is stored.
     AddJob(Job),
-    /// Lists results: each gets the next position of its job. A result of an item that is listed
-    /// already, of an unknown item, or of a job that has ended has no effect.
-    AddResults(Vec<JobResults>),
-    /// Ends a job: nothing more of it is listed, and its bodies are dropped.
+    /// Appends results: each gets the next position of its job. A result of an item that has one, of
+    /// an unknown item, or of a job that has ended has no effect.
+    AppendResults(Vec<JobResults>),
+    /// Ends a job: no more results are appended, and its items are dropped.
     EndJob {
         /// Id of the job.
         job: String,
     },
-    /// Drops jobs that need not be kept any longer.
-    ForgetJobs {
+    /// Deletes jobs whose retention time has passed.
+    DeleteJobs {
         /// Ids of the jobs.
         jobs: Vec<String>,
     },
 }
 
-/// An entry.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Command {
-    /// The group's time at the primary that proposed it.
+    /// The group's time at the primary that proposed it, in milliseconds.
     pub now_ms: u64,
     /// The change.
     pub change: Change,
@@ -47,8 +55,12 @@
         self.serialize_bin()
     }
 
-    /// Reads the bytes of an entry.
-    pub fn decode(entry: &[u8]) -> Result<Command, DeBinErr> {
-        Command::deserialize_bin(entry)
+    /// Reads an entry from its bytes.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes end early or name an unknown change.
+    pub fn decode(entry: &[u8]) -> Result<Command, DecodeError> {
+        Ok(Command::deserialize_bin(entry)?)
     }
 }
--- a/crates/pebblepost-batch/src/lib.rs
+++ b/crates/pebblepost-batch/src/lib.rs
@@ -1,13 +1,17 @@
-//! State of batch jobs, without I/O or clock.
+//! Replicated state and scheduling of batch jobs, without I/O or clock.
 //!
-//! * [`command`]: entries of the replicated log of a group of jobs.
-//! * [`state`]: the replicated state that they make: jobs, bodies, results at fixed positions.
-//! * [`job`]: one job in it.
-//! * [`clock`]: the time of a group, stamped on its entries, that only rises.
-//! * [`scheduler`]: soft state of a primary: which items wait, which are leased and to whom.
-//! * [`admission`]: whether there is room for another job.
+//! Batch jobs are spread over groups; each group is a replicated state machine of its own. Layers,
+//! each of which knows only those above it in this list:
 //!
-//! The caller hands in the time since an arbitrary start of its steady clock.
+//! * [`job`]: one stored job: its items, results at fixed positions, and an estimate of its memory.
+//! * [`command`]: the entries of a group's replicated log.
+//! * [`state`]: the replicated state machine that applies them.
+//! * [`admission`]: whether another job fits into the memory budget.
+//! * [`clock`]: the time of a group, which is stamped on its log entries and never goes back.
+//! * [`scheduler`]: soft state of a primary: which items are pending, and which proxy leases which.
+//!
+//! The crate never sends, stores or waits: the caller passes the time since an arbitrary start of its
+//! monotonic clock, and carries out what the functions return.
 
 pub mod admission;
 pub mod clock;
--- a/crates/pebblepost-batch/src/scheduler/job_schedule.rs
+++ b/crates/pebblepost-batch/src/scheduler/job_schedule.rs
@@ -215,7 +215,7 @@
                 self.sample_groups.push(SampleGroup::default());
                 by_name.insert(&item.group, sample_group);
             }
-            let waits = job.unlisted_item(index).is_some();
+            let waits = job.pending_item(index).is_some();
             let state = if waits { ItemState::Waiting } else { ItemState::Finished };
             self.items.push(ItemSlot { state, sample_group, progress: None });
             let group = &mut self.sample_groups[sample_group];
--- a/crates/pebblepost-batch/src/scheduler/mod.rs
+++ b/crates/pebblepost-batch/src/scheduler/mod.rs
@@ -321,7 +321,7 @@
     now: Duration, epoch: u64, key: LeaseKey, schedule: &JobSchedule, stored: &StoredJob, indices: &[usize],
 ) -> WorkLease {
     let leased = |index: &usize| {
-        let item = stored.unlisted_item(*index)?.clone();
+        let item = stored.pending_item(*index)?.clone();
         let progress = schedule.progress(*index);
         Some(LeasedItem {
             item,
--- a/crates/pebblepost-batch/src/state.rs
+++ b/crates/pebblepost-batch/src/state.rs
@@ -1,5 +1,9 @@
 //! The replicated state of one group of jobs.
+//!
+//! Owns the stored jobs. It changes by committed log entries only, in the same way on every replica, and
+//! reads no clock: the time comes with the entries.
 
+use crate::clock::whole_millis;
 use crate::command::{Change, Command, JobResults};
 use crate::job::StoredJob;
 use nanoserde::{DeBin, DeBinErr, SerBin};
@@ -8,49 +12,49 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long jobs are kept.
+/// How long jobs are stored.
 #[derive(Clone, Copy, Debug)]
 pub struct Retention {
-    /// A job that has ended is kept for this time after it was taken.
+    /// Retention of a job that has ended, from its submission on.
     pub ended: Duration,
-    /// A job that nobody ends is kept for this time after its items may be given up.
+    /// Retention of a job that nobody ends, from the expiry of its items (`queue_ttl_ms`) on.
     pub open: Duration,
 }
 
-/// Jobs of one group: changed by committed entries only, in the same way on every replica.
+/// Jobs of one group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BatchState {
     clock_ms: u64,
     jobs: BTreeMap<String, StoredJob>,
-    held_bytes: u64,
+    estimated_bytes: u64,
     is_damaged: bool,
 }
 
 impl BatchState {
-    /// The newest time stamped on an applied entry.
+    /// The newest time stamp of an applied entry, in milliseconds of the group's time.
     pub fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
 
-    /// A job, if it is in custody.
+    /// A stored job by its id.
     pub fn job(&self, id: &str) -> Option<&StoredJob> {
         self.jobs.get(id)
     }
 
-    /// All jobs, by id.
+    /// All stored jobs, by id.
     pub fn jobs(&self) -> impl Iterator<Item = &StoredJob> {
         self.jobs.values()
     }
 
-    /// Bytes that all jobs are estimated to take.
-    pub fn held_bytes(&self) -> u64 {
-        self.held_bytes
+    /// Estimated memory of all jobs in bytes.
+    pub fn estimated_bytes(&self) -> u64 {
+        self.estimated_bytes
     }
 
-    /// Ids of the jobs that need not be kept at the group's time `now_ms`.
-    pub fn forgettable(&self, now_ms: u64, retention: Retention) -> Vec<String> {
-        let is_due = |job: &&StoredJob| now_ms > kept_until_ms(job, retention);
-        self.jobs.values().filter(is_due).map(|job| job.id().to_owned()).collect()
+    /// Ids of the jobs whose retention time has passed at the group's time `now_ms`.
+    pub fn jobs_past_retention(&self, now_ms: u64, retention: Retention) -> Vec<String> {
+        let is_past = |job: &&StoredJob| now_ms > retained_until_ms(job, retention);
+        self.jobs.values().filter(is_past).map(|job| job.id().to_owned()).collect()
     }
 
     fn add_job(&mut self, now_ms: u64, job: Job) {
@@ -59,30 +63,28 @@
         }
         let id = job.id.clone();
         let stored = StoredJob::new(now_ms, job);
-        self.held_bytes += stored.held_bytes();
+        self.estimated_bytes += stored.estimated_bytes();
         self.jobs.insert(id, stored);
     }
 
-    fn add_results(&mut self, listed: JobResults) {
-        self.change_job(&listed.job, |job| {
-            for result in listed.results {
-                job.list(result);
-            }
+    fn append_results(&mut self, appended: JobResults) {
+        self.change_job(&appended.job, |job| {
+            appended.results.into_iter().for_each(|result| job.append_result(result));
         });
     }
 
-    fn forget(&mut self, id: &str) {
+    fn delete_job(&mut self, id: &str) {
         if let Some(job) = self.jobs.remove(id) {
-            self.held_bytes = self.held_bytes.saturating_sub(job.held_bytes());
+            self.estimated_bytes = self.estimated_bytes.saturating_sub(job.estimated_bytes());
         }
     }
 
-    /// Changes a job, if it is there, and the bytes held with it.
+    /// Changes a job, if it is stored, and updates the estimate of the memory.
     fn change_job(&mut self, id: &str, change: impl FnOnce(&mut StoredJob)) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let before = job.held_bytes();
+        let before = job.estimated_bytes();
         change(job);
-        self.held_bytes = self.held_bytes.saturating_sub(before) + job.held_bytes();
+        self.estimated_bytes = self.estimated_bytes.saturating_sub(before) + job.estimated_bytes();
     }
 
     fn read(snapshot: &[u8]) -> Result<BatchState, DeBinErr> {
@@ -92,7 +94,7 @@
         let mut state = BatchState { clock_ms, ..BatchState::default() };
         for _ in 0..count {
             let job = StoredJob::read(&mut offset, snapshot)?;
-            state.held_bytes += job.held_bytes();
+            state.estimated_bytes += job.estimated_bytes();
             state.jobs.insert(job.id().to_owned(), job);
         }
         Ok(state)
@@ -104,7 +106,7 @@
         let command = match Command::decode(entry) {
             Ok(command) => command,
             Err(error) => {
-                log::error!("applying entry {index} of a group of batch jobs: {error}");
+                log::error!("log entry not decodable index={index} error={error}");
                 self.is_damaged = true;
                 return;
             }
@@ -112,9 +114,9 @@
         self.clock_ms = self.clock_ms.max(command.now_ms);
         match command.change {
             Change::AddJob(job) => self.add_job(command.now_ms, job),
-            Change::AddResults(lists) => lists.into_iter().for_each(|listed| self.add_results(listed)),
+            Change::AppendResults(jobs) => jobs.into_iter().for_each(|results| self.append_results(results)),
             Change::EndJob { job } => self.change_job(&job, StoredJob::end),
-            Change::ForgetJobs { jobs } => jobs.iter().for_each(|id| self.forget(id)),
+            Change::DeleteJobs { jobs } => jobs.iter().for_each(|id| self.delete_job(id)),
         }
     }
 
@@ -132,7 +134,7 @@
         *self = match BatchState::read(snapshot) {
             Ok(state) => state,
             Err(error) => {
-                log::error!("restoring a snapshot of a group of batch jobs: {error}");
+                log::error!("snapshot not decodable error={error}");
                 BatchState { is_damaged: true, ..BatchState::default() }
             }
         };
@@ -143,11 +145,11 @@
     }
 }
 
-fn kept_until_ms(job: &StoredJob, retention: Retention) -> u64 {
-    let millis = crate::clock::whole_millis;
-    let kept = match job.has_ended() {
-        true => millis(retention.ended),
-        false => job.job().terms.queue_ttl_ms.saturating_add(millis(retention.open)),
+/// End of a job's retention, in milliseconds of the group's time.
+fn retained_until_ms(job: &StoredJob, retention: Retention) -> u64 {
+    let retained_ms = match job.has_ended() {
+        true => whole_millis(retention.ended),
+        false => job.job().terms.queue_ttl_ms.saturating_add(whole_millis(retention.open)),
     };
-    job.submitted_at_ms().saturating_add(kept)
+    job.submitted_at_ms().saturating_add(retained_ms)
 }
--- a/crates/pebblepost-batch/tests/decisions.rs
+++ b/crates/pebblepost-batch/tests/decisions.rs
@@ -117,7 +117,7 @@
         let item = self.random.random_range(0..lease.items.len());
         let id = lease.items[item].item.id.clone();
         let state = &self.states[lease.store_group as usize];
-        let index = state.job(&lease.job)?.unlisted_index(&id)?;
+        let index = state.job(&lease.job)?.pending_index(&id)?;
         Some((proxy, lease, id, index))
     }
 
--- a/crates/pebblepost-batch/tests/scheduler.rs
+++ b/crates/pebblepost-batch/tests/scheduler.rs
@@ -49,7 +49,7 @@
     }
 
     fn index(&self, job: &str, item: &str) -> usize {
-        self.state.job(job).and_then(|job| job.unlisted_index(item)).expect("the item is not listed")
+        self.state.job(job).and_then(|job| job.pending_index(item)).expect("the item is not listed")
     }
 
     fn finish(&mut self, job: &str, item: &str) -> bool {
--- a/crates/pebblepost-batch/tests/state.rs
+++ b/crates/pebblepost-batch/tests/state.rs
@@ -45,7 +45,7 @@
             listing(&id, results.collect())
         }
         18 => Change::EndJob { job: id },
-        _ => Change::ForgetJobs { jobs: vec![id] },
+        _ => Change::DeleteJobs { jobs: vec![id] },
     }
 }
 
@@ -57,7 +57,7 @@
         let mut seen = Seen::new();
         for step in 0..200 {
             let change = random_change(&mut random);
-            if let Change::ForgetJobs { jobs } = &change {
+            if let Change::DeleteJobs { jobs } = &change {
                 jobs.iter().for_each(|id| drop(seen.remove(id)));
             }
             apply(&mut state, step * 7, change);
@@ -117,9 +117,9 @@
     apply(&mut state, 1, Change::AddJob(job("j", 1, 2, 1)));
     apply(&mut state, 2, listing("j", vec![result("j-0", "text")]));
     let stored = state.job("j").expect("the job is there");
-    assert_eq!(stored.unlisted_index("j-0"), None);
-    let index = stored.unlisted_index("j-1").expect("not listed");
-    assert_eq!(stored.unlisted_item(index).map(|item| item.body.clone()), Some(vec![1; 8]));
+    assert_eq!(stored.pending_index("j-0"), None);
+    let index = stored.pending_index("j-1").expect("not listed");
+    assert_eq!(stored.pending_item(index).map(|item| item.body.clone()), Some(vec![1; 8]));
 }
 
 #[rstest]
@@ -132,7 +132,7 @@
     apply(&mut state, 5, listing("j", vec![result("j-0", "late")]));
     let stored = state.job("j").expect("the job is there");
     assert_eq!(stored.results(), [result("j-2", "text")]);
-    assert_eq!(stored.total(), 3);
+    assert_eq!(stored.item_count(), 3);
     assert!(stored.job().items.is_empty());
 }
 
@@ -158,11 +158,11 @@
     apply(&mut state, 1_000, Change::AddJob(job("ended", 1, 1, 1)));
     apply(&mut state, 1_000, Change::AddJob(job("open", 1, 1, 1)));
     apply(&mut state, 2_000, Change::EndJob { job: "ended".to_owned() });
-    assert!(state.forgettable(121_000, RETENTION).is_empty());
-    assert_eq!(state.forgettable(121_001, RETENTION), ["ended"]);
-    assert_eq!(state.forgettable(141_001, RETENTION), ["ended", "open"]);
-    apply(&mut state, 141_001, Change::ForgetJobs { jobs: vec!["ended".to_owned(), "open".to_owned()] });
-    assert_eq!((state.jobs().count(), state.held_bytes()), (0, 0));
+    assert!(state.jobs_past_retention(121_000, RETENTION).is_empty());
+    assert_eq!(state.jobs_past_retention(121_001, RETENTION), ["ended"]);
+    assert_eq!(state.jobs_past_retention(141_001, RETENTION), ["ended", "open"]);
+    apply(&mut state, 141_001, Change::DeleteJobs { jobs: vec!["ended".to_owned(), "open".to_owned()] });
+    assert_eq!((state.jobs().count(), state.estimated_bytes()), (0, 0));
 }
 
 #[rstest]
@@ -171,11 +171,11 @@
     let mut bulky = job("j", 1, 4, 1);
     bulky.items.iter_mut().for_each(|item| item.body = vec![7; 10_000]);
     apply(&mut state, 1, Change::AddJob(bulky));
-    let open = state.held_bytes();
+    let open = state.estimated_bytes();
     apply(&mut state, 2, listing("j", vec![result("j-0", "text")]));
-    let listed = state.held_bytes();
+    let listed = state.estimated_bytes();
     apply(&mut state, 3, Change::EndJob { job: "j".to_owned() });
-    assert!(open > listed && listed > state.held_bytes() && state.held_bytes() > 0);
+    assert!(open > listed && listed > state.estimated_bytes() && state.estimated_bytes() > 0);
 }
 
 #[rstest]
@@ -202,9 +202,9 @@
 #[rstest]
 fn a_budget_refuses_what_goes_beyond_it() {
     let budget = Budget::new(1_000_000, 2_000_000);
-    assert_eq!(budget.most_bytes(), 600_000);
+    assert_eq!(budget.max_bytes(), 600_000);
     let small = job("j", 1, 10, 1);
-    assert!(budget.has_room_for(0, &small));
-    assert!(!budget.has_room_for(590_000, &small));
-    assert!(budget.has_room_for(600_000, &Job::default()));
+    assert!(budget.admits(0, &small));
+    assert!(!budget.admits(590_000, &small));
+    assert!(budget.admits(600_000, &Job::default()));
 }
--- a/crates/pebblepost-batch/tests/stored_form.rs
+++ b/crates/pebblepost-batch/tests/stored_form.rs
@@ -68,9 +68,9 @@
     ];
     vec![
         ("add_job", Change::AddJob(full_job("a"))),
-        ("add_results", Change::AddResults(listed)),
+        ("add_results", Change::AppendResults(listed)),
         ("end_job", Change::EndJob { job: "b".to_owned() }),
-        ("forget_jobs", Change::ForgetJobs { jobs: vec!["a".to_owned(), "b".to_owned()] }),
+        ("forget_jobs", Change::DeleteJobs { jobs: vec!["a".to_owned(), "b".to_owned()] }),
     ]
 }
 
@@ -118,7 +118,7 @@
     assert!(!restored.is_damaged());
     assert_eq!(restored, full_state());
     assert_eq!(restored.snapshot(), snapshot);
-    assert_eq!(restored.held_bytes(), 25_554);
+    assert_eq!(restored.estimated_bytes(), 25_554);
 }
 
 #[rstest]
--- a/crates/pebblepost-batch/tests/support/mod.rs
+++ b/crates/pebblepost-batch/tests/support/mod.rs
@@ -44,7 +44,7 @@
 
 /// A change that lists results of one job.
 pub fn listing(job: &str, results: Vec<ItemResult>) -> Change {
-    Change::AddResults(vec![JobResults { job: job.to_owned(), results }])
+    Change::AppendResults(vec![JobResults { job: job.to_owned(), results }])
 }
 
 /// Milliseconds.
