--- a/crates/pebblepost-batch-store/src/store/mod.rs
+++ b/crates/pebblepost-batch-store/src/store/mod.rs
@@ -23,7 +23,7 @@
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use outbox::Outbox;
 use pebblepost_batch::admission::Budget;
-use pebblepost_batch::scheduler::{ProxyId, Scheduler};
+use pebblepost_batch::scheduler::{ProxyId, ProxyLease, Scheduler};
 use pebblepost_batch::state::{BatchState, Retention};
 use pebblepost_messages::batch::{FromStore, STORE_GROUPS, ToStore};
 use pebblepost_messages::control::ToControl;
@@ -189,7 +189,7 @@
             ToStore::End { call, store_group, job } => self.end(now, caller(call), store_group, job),
             ToStore::RequestWork { max_items } => self.take_work(now, link, max_items),
             ToStore::Outcomes { store_group, job, lease, outcomes } => {
-                let lease = work::LeaseOfProxy { proxy: ProxyId(link.0), number: lease };
+                let lease = ProxyLease { proxy: ProxyId(link.0), number: lease };
                 self.outcomes(now, lease, store_group, &job, outcomes);
             }
             ToStore::ActiveLeases(leases) => self.holding(now, link, leases),
--- a/crates/pebblepost-batch-store/src/store/status.rs
+++ b/crates/pebblepost-batch-store/src/store/status.rs
@@ -24,8 +24,8 @@
             self.proxies().len(),
             self.held_bytes(),
             self.settings.budget.max_bytes(),
-            self.scheduler.open_jobs(),
-            self.scheduler.leased_items(),
+            self.scheduler.job_count(),
+            self.scheduler.leased_item_count(),
             groups.join(",")
         )
     }
--- a/crates/pebblepost-batch-store/src/store/work.rs
+++ b/crates/pebblepost-batch-store/src/store/work.rs
@@ -5,10 +5,8 @@
 use super::group::{Group, Proposed};
 use super::outbox::LinkId;
 use pebblepost_batch::command::Change;
-use pebblepost_batch::scheduler::{ExpiredItems, ItemProgress, ProxyId};
-use pebblepost_messages::batch::{
-    ActiveLease, FromStore, ItemOutcome, ItemResult, Job, RENEW_MS, ResultState,
-};
+use pebblepost_batch::scheduler::{ExpiredItems, ItemProgress, ProxyId, ProxyLease};
+use pebblepost_messages::batch::{FromStore, ActiveLease, ItemOutcome, ItemResult, Job, RENEW_MS, ResultState};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -21,13 +19,6 @@
 /// Items that one answer leases at most.
 const MOST_ITEMS_AT_ONCE: u32 = 512;
 
-/// A lease as a proxy names it.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct LeaseOfProxy {
-    pub(super) proxy: ProxyId,
-    pub(super) number: u64,
-}
-
 impl Store {
     pub(super) fn take_work(&mut self, now: Duration, link: LinkId, max_items: u32) {
         let max_items = usize::try_from(max_items.min(MOST_ITEMS_AT_ONCE)).unwrap_or(0);
@@ -36,13 +27,13 @@
             let group = groups.get(&number).filter(|group| group.is_acting(now));
             group.map(Group::state)
         };
-        let leases = self.scheduler.take(now, ProxyId(link.0), max_items, states);
+        let leases = self.scheduler.lease_items(now, ProxyId(link.0), max_items, states);
         self.outbox.reply(link, FromStore::Work(leases));
     }
 
     /// Takes the outcomes of items of one lease.
     pub(super) fn outcomes(
-        &mut self, now: Duration, lease: LeaseOfProxy, number: u32, job: &str, outcomes: Vec<ItemOutcome>,
+        &mut self, now: Duration, lease: ProxyLease, number: u32, job: &str, outcomes: Vec<ItemOutcome>,
     ) {
         let is_primary = self.scheduler.has_group(number);
         for outcome in outcomes {
@@ -66,18 +57,18 @@
         let Some(item) = stored.pending_index(&result.id) else { return };
         if !versions_fit(stored.job(), &result) {
             log::error!("a result of item {} of job {job} has versions that do not fit", result.id);
-            self.scheduler.drop_result(job, item);
+            self.scheduler.reject_result(job, item);
             return;
         }
-        if self.scheduler.finish(job, item) {
+        if self.scheduler.finish_item(job, item) {
             group.gather(job, result);
         }
     }
 
-    fn handed_back(&mut self, lease: LeaseOfProxy, number: u32, job: &str, id: &str, progress: ItemProgress) {
+    fn handed_back(&mut self, lease: ProxyLease, number: u32, job: &str, id: &str, progress: ItemProgress) {
         let stored = self.groups.get(&number).and_then(|group| group.state().job(job));
         if let Some(item) = stored.and_then(|stored| stored.pending_index(id)) {
-            self.scheduler.hand_back(lease.proxy, lease.number, job, item, progress);
+            self.scheduler.return_item(lease, job, item, progress);
         }
     }
 
@@ -88,7 +79,7 @@
         let (ours, early): (Vec<_>, Vec<_>) = leases.into_iter().partition(is_scheduled);
         self.early.keep_announced(link, early);
         self.take_announced(now, link, ours);
-        self.scheduler.has_announced(now, ProxyId(link.0));
+        self.scheduler.lease_report_received(now, ProxyId(link.0));
     }
 
     /// Takes what proxies said before this machine was primary of a group.
@@ -115,7 +106,7 @@
             };
             let items: Vec<usize> = lease.items.iter().filter_map(|id| open.pending_index(id)).collect();
             held.insert(lease.store_group);
-            self.scheduler.hold(now, ProxyId(link.0), &lease.job, &items);
+            self.scheduler.restore_lease(now, ProxyId(link.0), &lease.job, &items);
         }
         if !over.is_empty() {
             self.outbox.reply(link, FromStore::Cancel { jobs: over });
@@ -133,7 +124,7 @@
         self.last_done.renewal = now;
         let groups = &self.groups;
         let is_acting = |number: u32| groups.get(&number).is_some_and(|group| group.is_acting(now));
-        for (proxy, renewed) in self.scheduler.renew(now, is_acting) {
+        for (proxy, renewed) in self.scheduler.renew_leases(now, is_acting) {
             let groups = renewed.into_iter().flat_map(|number| self.epochs_of_term(number)).collect();
             self.outbox.reply(LinkId(proxy.0), FromStore::Renew { groups });
         }
@@ -150,7 +141,7 @@
 
     /// Lists items whose time to be given up has come, and that nobody runs.
     pub(super) fn list_expired(&mut self, now: Duration) {
-        for expired in self.scheduler.take_expired(now) {
+        for expired in self.scheduler.take_expired_items(now) {
             if let Some(group) = self.groups.get_mut(&expired.group) {
                 give_up(group, &expired);
             }
@@ -185,7 +176,7 @@
         let is_leaving = self.is_leaving;
         let is_acting =
             |number: u32| !is_leaving && groups.get(&number).is_some_and(|group| group.is_acting(now));
-        for proxy in self.scheduler.take_idle(now, is_acting) {
+        for proxy in self.scheduler.take_idle_proxies(now, is_acting) {
             self.outbox.reply(LinkId(proxy.0), FromStore::WorkAvailable);
         }
     }
--- /dev/null
+++ b/crates/pebblepost-batch/src/scheduler/job_queue.rs
@@ -0,0 +1,78 @@
+//! The jobs that are scheduled on this machine, in the order in which they are leased.
+//!
+//! Owns the [`JobSchedule`]s and their order; it knows no leases.
+
+use super::job_schedule::{JobRank, JobSchedule};
+use std::collections::{BTreeSet, HashMap};
+use std::time::Duration;
+
+/// Items that expired before anybody finished them.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ExpiredItems {
+    /// Group of batch jobs.
+    pub group: u32,
+    /// Id of the job.
+    pub job: String,
+    /// Indices of the items.
+    pub items: Vec<usize>,
+}
+
+/// Scheduled jobs.
+#[derive(Debug, Default)]
+pub(super) struct JobQueue {
+    jobs: HashMap<String, JobSchedule>,
+    ranks: BTreeSet<JobRank>,
+}
+
+impl JobQueue {
+    pub(super) fn contains(&self, job: &str) -> bool {
+        self.jobs.contains_key(job)
+    }
+
+    pub(super) fn len(&self) -> usize {
+        self.jobs.len()
+    }
+
+    pub(super) fn get_mut(&mut self, job: &str) -> Option<&mut JobSchedule> {
+        self.jobs.get_mut(job)
+    }
+
+    pub(super) fn schedules(&self) -> impl Iterator<Item = &JobSchedule> {
+        self.jobs.values()
+    }
+
+    /// The jobs in the order in which they are leased, as of now.
+    pub(super) fn ranks(&self) -> BTreeSet<JobRank> {
+        self.ranks.clone()
+    }
+
+    pub(super) fn insert(&mut self, job: &str, schedule: JobSchedule) {
+        self.ranks.insert(schedule.rank().clone());
+        self.jobs.insert(job.to_owned(), schedule);
+    }
+
+    /// Removes a job; whether it was there.
+    pub(super) fn remove(&mut self, job: &str) -> bool {
+        let Some(schedule) = self.jobs.remove(job) else { return false };
+        self.ranks.remove(schedule.rank());
+        true
+    }
+
+    pub(super) fn remove_group(&mut self, group: u32) {
+        self.jobs.retain(|_, schedule| schedule.group() != group);
+        self.ranks.retain(|rank| rank.group != group);
+    }
+
+    /// Finishes the pending items that have expired, and returns them by the id of their job.
+    pub(super) fn take_expired(&mut self, now: Duration) -> Vec<ExpiredItems> {
+        let mut expired = Vec::new();
+        for (id, schedule) in &mut self.jobs {
+            let items = schedule.take_expired(now);
+            if !items.is_empty() {
+                expired.push(ExpiredItems { group: schedule.group(), job: id.clone(), items });
+            }
+        }
+        expired.sort_by(|left, right| left.job.cmp(&right.job));
+        expired
+    }
+}
--- a/crates/pebblepost-batch/tests/decisions.rs
+++ b/crates/pebblepost-batch/tests/decisions.rs
@@ -4,7 +4,7 @@
 
 use pebblepost_batch::clock::GroupClock;
 use pebblepost_batch::command::Change;
-use pebblepost_batch::scheduler::{ItemProgress, ProxyId, Scheduler};
+use pebblepost_batch::scheduler::{ItemProgress, ProxyId, ProxyLease, Scheduler};
 use pebblepost_batch::state::BatchState;
 use pebblepost_messages::batch::{PartialText, WorkLease};
 use rand::rngs::StdRng;
@@ -89,7 +89,7 @@
         let (now, proxy) = (self.now(), self.proxy());
         let most_items = self.random.random_range(0..12);
         let states = &self.states;
-        let leases = self.scheduler.take(now, proxy, most_items, |group| states.get(group as usize));
+        let leases = self.scheduler.lease_items(now, proxy, most_items, |group| states.get(group as usize));
         for lease in leases {
             self.digest.number(lease.lease);
             self.digest.number(u64::from(lease.store_group));
@@ -123,7 +123,7 @@
 
     fn finish(&mut self) {
         let Some((_, lease, item, index)) = self.given_item() else { return };
-        let is_first = self.scheduler.finish(&lease.job, index);
+        let is_first = self.scheduler.finish_item(&lease.job, index);
         self.digest.number(u64::from(is_first));
         if is_first {
             let state = &mut self.states[lease.store_group as usize];
@@ -138,28 +138,28 @@
             failed_scorer_attempts: self.random.random_range(0..3),
             partial: PartialText { last_event: 1, message: b"part".to_vec(), versions: vec![3] },
         };
-        self.scheduler.hand_back(proxy, lease.lease, &lease.job, index, progress);
+        self.scheduler.return_item(ProxyLease { proxy, number: lease.lease }, &lease.job, index, progress);
     }
 
     fn announce(&mut self) {
         let (now, proxy) = (self.now(), self.proxy());
         if let Some((_, lease, _, index)) = self.given_item() {
-            self.scheduler.hold(now, proxy, &lease.job, &[index]);
+            self.scheduler.restore_lease(now, proxy, &lease.job, &[index]);
         }
-        self.scheduler.has_announced(now, proxy);
+        self.scheduler.lease_report_received(now, proxy);
     }
 
     fn renew(&mut self) {
         let acting: [bool; 2] = [self.random.random_bool(0.9), self.random.random_bool(0.9)];
         let now = self.now();
-        for (proxy, groups) in self.scheduler.renew(now, |group| acting[group as usize]) {
+        for (proxy, groups) in self.scheduler.renew_leases(now, |group| acting[group as usize]) {
             self.digest.number(proxy.0);
             groups.iter().for_each(|group| self.digest.number(u64::from(*group)));
         }
     }
 
     fn expire(&mut self) {
-        for expired in self.scheduler.take_expired(self.now()) {
+        for expired in self.scheduler.take_expired_items(self.now()) {
             self.digest.number(u64::from(expired.group));
             self.digest.bytes(expired.job.as_bytes());
             expired.items.iter().for_each(|item| self.digest.number(*item as u64));
@@ -168,9 +168,9 @@
 
     fn wake_idle(&mut self) {
         let now = self.now();
-        let has_work = self.scheduler.has_work(now, |_| true);
+        let has_work = self.scheduler.has_pending_items(now, |_| true);
         self.digest.number(u64::from(has_work));
-        for proxy in self.scheduler.take_idle(now, |group| group == 0 || now > ms(1_000)) {
+        for proxy in self.scheduler.take_idle_proxies(now, |group| group == 0 || now > ms(1_000)) {
             self.digest.number(proxy.0);
         }
     }
@@ -209,13 +209,13 @@
             }
             38 => {
                 if let Some((_, lease, _, index)) = self.given_item() {
-                    self.scheduler.drop_result(&lease.job, index);
+                    self.scheduler.reject_result(&lease.job, index);
                 }
             }
-            _ => self.scheduler.end_leases(self.now()),
+            _ => self.scheduler.expire_leases(self.now()),
         }
-        self.digest.number(self.scheduler.open_jobs() as u64);
-        self.digest.number(self.scheduler.leased_items() as u64);
+        self.digest.number(self.scheduler.job_count() as u64);
+        self.digest.number(self.scheduler.leased_item_count() as u64);
     }
 }
 
--- a/crates/pebblepost-batch/tests/scheduler.rs
+++ b/crates/pebblepost-batch/tests/scheduler.rs
@@ -4,7 +4,7 @@
 
 use pebblepost_batch::clock::GroupClock;
 use pebblepost_batch::command::Change;
-use pebblepost_batch::scheduler::{ItemProgress, ProxyId, SURPLUS_MARGIN, Scheduler};
+use pebblepost_batch::scheduler::{ItemProgress, OVERSAMPLING_MARGIN, ProxyId, ProxyLease, Scheduler};
 use pebblepost_batch::state::BatchState;
 use pebblepost_messages::batch::{Job, PartialText, WorkLease};
 use rstest::rstest;
@@ -39,7 +39,7 @@
     }
 
     fn leases(&mut self, now: u64, proxy: ProxyId, most: usize) -> Vec<WorkLease> {
-        self.scheduler.take(ms(now), proxy, most, |_| Some(&self.state))
+        self.scheduler.lease_items(ms(now), proxy, most, |_| Some(&self.state))
     }
 
     /// Ids of the items leased, by lease.
@@ -54,7 +54,7 @@
 
     fn finish(&mut self, job: &str, item: &str) -> bool {
         let index = self.index(job, item);
-        self.scheduler.finish(job, index)
+        self.scheduler.finish_item(job, index)
     }
 }
 
@@ -113,7 +113,7 @@
     let partial = PartialText { last_event: 2, message: b"a\nb".to_vec(), versions: vec![7] };
     let progress = ItemProgress { failed_attempts: 1, failed_scorer_attempts: 2, partial: partial.clone() };
     let index = primary.index("j", "j-1");
-    primary.scheduler.hand_back(FIRST, given, "j", index, progress);
+    primary.scheduler.return_item(ProxyLease { proxy: FIRST, number: given }, "j", index, progress);
     let leases = primary.leases(0, SECOND, 1);
     let leased = &leases[0].items[0];
     assert_eq!(leases[0].items.len(), 1);
@@ -125,7 +125,12 @@
 fn only_the_holder_hands_an_item_back() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
     let given = primary.leases(0, FIRST, 1)[0].lease;
-    primary.scheduler.hand_back(SECOND, given, "j", 0, ItemProgress::default());
+    primary.scheduler.return_item(
+        ProxyLease { proxy: SECOND, number: given },
+        "j",
+        0,
+        ItemProgress::default(),
+    );
     assert!(primary.take(0, SECOND, 1).is_empty());
 }
 
@@ -133,11 +138,26 @@
 fn an_item_is_not_handed_back_under_an_earlier_lease() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
     let first = primary.leases(0, FIRST, 1)[0].lease;
-    primary.scheduler.hand_back(FIRST, first, "j", 0, ItemProgress::default());
+    primary.scheduler.return_item(
+        ProxyLease { proxy: FIRST, number: first },
+        "j",
+        0,
+        ItemProgress::default(),
+    );
     let second = primary.leases(0, FIRST, 1)[0].lease;
-    primary.scheduler.hand_back(FIRST, first, "j", 0, ItemProgress::default());
+    primary.scheduler.return_item(
+        ProxyLease { proxy: FIRST, number: first },
+        "j",
+        0,
+        ItemProgress::default(),
+    );
     assert!(primary.take(0, SECOND, 1).is_empty());
-    primary.scheduler.hand_back(FIRST, second, "j", 0, ItemProgress::default());
+    primary.scheduler.return_item(
+        ProxyLease { proxy: FIRST, number: second },
+        "j",
+        0,
+        ItemProgress::default(),
+    );
     assert_eq!(primary.take(0, SECOND, 1), [["j-0"]]);
 }
 
@@ -146,10 +166,10 @@
     let desired = 4;
     let mut primary = Primary::new(vec![job("j", 10, 1, desired)]);
     let begun = primary.take(0, FIRST, 100).len();
-    assert_eq!(begun, 4 + SURPLUS_MARGIN);
+    assert_eq!(begun, 4 + OVERSAMPLING_MARGIN);
     assert!(primary.take(2_900, FIRST, 100).is_empty());
-    assert!(primary.scheduler.take_idle(ms(2_900), |_| true).is_empty());
-    assert_eq!(primary.scheduler.take_idle(ms(3_000), |_| true), [FIRST]);
+    assert!(primary.scheduler.take_idle_proxies(ms(2_900), |_| true).is_empty());
+    assert_eq!(primary.scheduler.take_idle_proxies(ms(3_000), |_| true), [FIRST]);
     assert_eq!(primary.take(3_000, FIRST, 100).len(), 10 - begun);
 }
 
@@ -158,7 +178,7 @@
     let mut early = job("early", 10, 1, 1);
     early.terms.run_deadline_ms = 1_000;
     let mut primary = Primary::new(vec![early, job("late", 2, 1, 2)]);
-    primary.take(0, FIRST, 1 + SURPLUS_MARGIN);
+    primary.take(0, FIRST, 1 + OVERSAMPLING_MARGIN);
     let leases = primary.leases(700, FIRST, 5);
     assert!(leases.iter().all(|lease| lease.job == "late"));
     assert_eq!(primary.leases(700, FIRST, 1)[0].job, "early");
@@ -176,8 +196,8 @@
 fn an_item_whose_result_is_of_no_use_waits_again() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
     primary.take(0, FIRST, 1);
-    primary.scheduler.drop_result("j", 0);
-    assert_eq!(primary.scheduler.leased_items(), 0);
+    primary.scheduler.reject_result("j", 0);
+    assert_eq!(primary.scheduler.leased_item_count(), 0);
     assert_eq!(primary.take(0, SECOND, 1), [["j-0"]]);
 }
 
@@ -185,13 +205,13 @@
 fn the_leases_of_a_lost_proxy_end_when_their_last_renewal_does() {
     let mut primary = Primary::new(vec![job("j", 1, 2, 1)]);
     primary.take(0, FIRST, 2);
-    let renewed = primary.scheduler.renew(ms(400), |_| true);
+    let renewed = primary.scheduler.renew_leases(ms(400), |_| true);
     assert_eq!(renewed, [(FIRST, vec![GROUP])]);
     primary.scheduler.disconnect_proxy(FIRST);
-    assert!(primary.scheduler.renew(ms(800), |_| true).is_empty());
-    primary.scheduler.end_leases(ms(1_899));
+    assert!(primary.scheduler.renew_leases(ms(800), |_| true).is_empty());
+    primary.scheduler.expire_leases(ms(1_899));
     assert!(primary.take(1_899, SECOND, 2).is_empty());
-    primary.scheduler.end_leases(ms(1_900));
+    primary.scheduler.expire_leases(ms(1_900));
     assert_eq!(primary.take(1_900, SECOND, 2), [["j-0", "j-1"]]);
     assert!(primary.finish("j", "j-0"), "a late result is taken");
 }
@@ -200,8 +220,8 @@
 fn a_primary_that_may_not_act_renews_nothing() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
     primary.take(0, FIRST, 1);
-    assert!(primary.scheduler.renew(ms(400), |_| false).is_empty());
-    assert!(primary.scheduler.renew(ms(1_600), |_| true).is_empty(), "it has ended by then");
+    assert!(primary.scheduler.renew_leases(ms(400), |_| false).is_empty());
+    assert!(primary.scheduler.renew_leases(ms(1_600), |_| true).is_empty(), "it has ended by then");
     assert_eq!(primary.take(1_600, SECOND, 1), [["j-0"]]);
 }
 
@@ -210,9 +230,9 @@
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
     primary.take(0, FIRST, 1);
     for step in 0..160 {
-        primary.scheduler.renew(ms(step * 400), |_| true);
+        primary.scheduler.renew_leases(ms(step * 400), |_| true);
     }
-    assert_eq!(primary.scheduler.leased_items(), 0);
+    assert_eq!(primary.scheduler.leased_item_count(), 0);
 }
 
 #[rstest]
@@ -221,8 +241,13 @@
     let given = primary.leases(0, FIRST, 1)[0].lease;
     primary.scheduler.remove_job("j");
     assert!(primary.take(0, FIRST, 9).is_empty());
-    assert_eq!((primary.scheduler.open_jobs(), primary.scheduler.leased_items()), (0, 0));
-    primary.scheduler.hand_back(FIRST, given, "j", 0, ItemProgress::default());
+    assert_eq!((primary.scheduler.job_count(), primary.scheduler.leased_item_count()), (0, 0));
+    primary.scheduler.return_item(
+        ProxyLease { proxy: FIRST, number: given },
+        "j",
+        0,
+        ItemProgress::default(),
+    );
     assert!(primary.take(0, FIRST, 9).is_empty());
 }
 
@@ -230,10 +255,10 @@
 fn an_idle_proxy_is_told_of_new_work_once() {
     let mut primary = Primary::new(vec![]);
     assert!(primary.take(0, FIRST, 1).is_empty());
-    assert!(primary.scheduler.take_idle(ms(0), |_| true).is_empty());
+    assert!(primary.scheduler.take_idle_proxies(ms(0), |_| true).is_empty());
     primary.add(10, job("j", 1, 1, 1));
-    assert_eq!(primary.scheduler.take_idle(ms(10), |_| true), [FIRST]);
-    assert!(primary.scheduler.take_idle(ms(10), |_| true).is_empty());
+    assert_eq!(primary.scheduler.take_idle_proxies(ms(10), |_| true), [FIRST]);
+    assert!(primary.scheduler.take_idle_proxies(ms(10), |_| true).is_empty());
 }
 
 #[rstest]
@@ -241,8 +266,8 @@
     let mut primary = Primary::new(vec![]);
     primary.take(0, FIRST, 1);
     primary.add(10, job("j", 1, 1, 1));
-    assert!(primary.scheduler.take_idle(ms(10), |_| false).is_empty());
-    assert_eq!(primary.scheduler.take_idle(ms(10), |_| true), [FIRST]);
+    assert!(primary.scheduler.take_idle_proxies(ms(10), |_| false).is_empty());
+    assert_eq!(primary.scheduler.take_idle_proxies(ms(10), |_| true), [FIRST]);
 }
 
 #[rstest]
@@ -251,7 +276,7 @@
     bulky.items.iter_mut().for_each(|item| item.body = vec![0; 3 * 1024 * 1024]);
     let mut primary = Primary::new(vec![bulky]);
     assert_eq!(primary.take(0, FIRST, 4).len(), 2);
-    assert_eq!(primary.scheduler.take_idle(ms(0), |_| true), [FIRST]);
+    assert_eq!(primary.scheduler.take_idle_proxies(ms(0), |_| true), [FIRST]);
     assert_eq!(primary.take(0, FIRST, 4).len(), 2);
 }
 
@@ -259,13 +284,18 @@
 fn items_are_given_up_only_when_their_time_has_come_and_nobody_runs_them() {
     let mut primary = Primary::new(vec![job("j", 3, 1, 3)]);
     let given = primary.leases(0, FIRST, 1)[0].lease;
-    assert!(primary.scheduler.take_expired(ms(19_999)).is_empty());
-    let expired = primary.scheduler.take_expired(ms(20_000));
+    assert!(primary.scheduler.take_expired_items(ms(19_999)).is_empty());
+    let expired = primary.scheduler.take_expired_items(ms(20_000));
     assert_eq!(expired.iter().map(|expired| expired.items.as_slice()).collect::<Vec<_>>(), [[1, 2]]);
-    assert!(primary.scheduler.take_expired(ms(20_001)).is_empty());
+    assert!(primary.scheduler.take_expired_items(ms(20_001)).is_empty());
     assert!(primary.take(20_001, SECOND, 9).is_empty());
-    primary.scheduler.hand_back(FIRST, given, "j", 0, ItemProgress::default());
-    assert_eq!(primary.scheduler.take_expired(ms(20_002)).len(), 1);
+    primary.scheduler.return_item(
+        ProxyLease { proxy: FIRST, number: given },
+        "j",
+        0,
+        ItemProgress::default(),
+    );
+    assert_eq!(primary.scheduler.take_expired_items(ms(20_002)).len(), 1);
 }
 
 /// A scheduler that takes over a job of four items, the first of them listed.
@@ -289,13 +319,13 @@
 #[rstest]
 fn a_new_primary_waits_no_longer_than_for_the_proxies_announcements() {
     let mut primary = taken_over(&[FIRST, SECOND]);
-    primary.scheduler.has_announced(ms(1_249), FIRST);
-    primary.scheduler.hold(ms(1_250), FIRST, "j", &[1, 2]);
-    primary.scheduler.has_announced(ms(1_250), SECOND);
+    primary.scheduler.lease_report_received(ms(1_249), FIRST);
+    primary.scheduler.restore_lease(ms(1_250), FIRST, "j", &[1, 2]);
+    primary.scheduler.lease_report_received(ms(1_250), SECOND);
     assert!(primary.take(1_250, SECOND, 9).is_empty(), "the first came too early to count");
-    primary.scheduler.has_announced(ms(1_300), FIRST);
+    primary.scheduler.lease_report_received(ms(1_300), FIRST);
     assert_eq!(primary.take(1_300, SECOND, 9), [["j-3"]]);
-    let renewed = primary.scheduler.renew(ms(1_400), |_| true);
+    let renewed = primary.scheduler.renew_leases(ms(1_400), |_| true);
     assert_eq!(renewed, [(FIRST, vec![GROUP]), (SECOND, vec![GROUP])]);
 }
 
@@ -309,8 +339,8 @@
 #[rstest]
 fn an_announced_lease_is_handed_back_under_its_earlier_number() {
     let mut primary = taken_over(&[FIRST]);
-    primary.scheduler.hold(ms(1_100), FIRST, "j", &[1]);
-    primary.scheduler.hand_back(FIRST, 77, "j", 1, ItemProgress::default());
+    primary.scheduler.restore_lease(ms(1_100), FIRST, "j", &[1]);
+    primary.scheduler.return_item(ProxyLease { proxy: FIRST, number: 77 }, "j", 1, ItemProgress::default());
     assert_eq!(primary.take(1_600, FIRST, 1), [["j-1"]]);
 }
 
@@ -321,9 +351,9 @@
     primary.scheduler.disconnect_proxy(FIRST);
     let again = ProxyId(7);
     primary.scheduler.connect_proxy(again);
-    primary.scheduler.hold(ms(300), again, "j", &[0]);
-    primary.scheduler.renew(ms(1_400), |_| true);
-    primary.scheduler.end_leases(ms(1_600));
+    primary.scheduler.restore_lease(ms(300), again, "j", &[0]);
+    primary.scheduler.renew_leases(ms(1_400), |_| true);
+    primary.scheduler.expire_leases(ms(1_600));
     assert_eq!(primary.take(1_600, SECOND, 2), [["j-1"]]);
 }
 
@@ -331,8 +361,13 @@
 fn a_held_lease_of_another_connected_proxy_stays_with_it() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
     let given = primary.leases(0, FIRST, 1)[0].lease;
-    primary.scheduler.hold(ms(10), SECOND, "j", &[0]);
-    primary.scheduler.hand_back(FIRST, given, "j", 0, ItemProgress::default());
+    primary.scheduler.restore_lease(ms(10), SECOND, "j", &[0]);
+    primary.scheduler.return_item(
+        ProxyLease { proxy: FIRST, number: given },
+        "j",
+        0,
+        ItemProgress::default(),
+    );
     assert_eq!(primary.take(20, SECOND, 1), [["j-0"]]);
 }
 
@@ -343,5 +378,5 @@
     primary.scheduler.stop_group(GROUP);
     assert!(primary.take(0, SECOND, 9).is_empty());
     assert!(!primary.scheduler.has_group(GROUP));
-    assert!(!primary.scheduler.finish("j", 0));
+    assert!(!primary.scheduler.finish_item("j", 0));
 }
