--- a/crates/pebblepost-batch-store/src/store/status.rs
+++ b/crates/pebblepost-batch-store/src/store/status.rs
@@ -23,9 +23,9 @@
             self.settings.me.disk.0,
             self.proxies().len(),
             self.held_bytes(),
-            self.settings.budget.most_bytes(),
-            self.scheduler.open_jobs(),
-            self.scheduler.leased_items(),
+            self.settings.budget.max_bytes(),
+            self.scheduler.job_count(),
+            self.scheduler.leased_item_count(),
             groups.join(",")
         )
     }
