--- a/crates/pebblepost-batch-runner/src/lib.rs
+++ b/crates/pebblepost-batch-runner/src/lib.rs
@@ -37,6 +37,7 @@
 use pebblepost_feed::FeedState;
 use pebblepost_settings::Settings;
 use pebblepost_transcriber::Client;
+use random::Random;
 use shared::Shared;
 use std::cell::RefCell;
 use std::fmt;
@@ -59,7 +60,14 @@
     /// Starts the runner's tasks (`spawn_local`): links to the stores named in the feed's groups,
     /// work leases. `feed` is folded by the proxy; [`BatchRunner::feed_changed`] tells of changes.
     pub fn start(settings: &Settings, client: Client, feed: Rc<RefCell<FeedState>>) -> BatchRunner {
-        let shared = Shared::new(settings, client, feed);
+        BatchRunner::start_with_random(settings, client, feed, Random::default())
+    }
+
+    /// As [`BatchRunner::start`], with a generator of the caller's: runs that can be repeated.
+    pub fn start_with_random(
+        settings: &Settings, client: Client, feed: Rc<RefCell<FeedState>>, random: Random,
+    ) -> BatchRunner {
+        let shared = Shared::new(settings, client, feed, random);
         outbox::start(shared.clone());
         execution::start(shared.clone());
         shared.feed_changed();
--- a/crates/pebblepost-batch-runner/src/shared.rs
+++ b/crates/pebblepost-batch-runner/src/shared.rs
@@ -40,7 +40,9 @@
 }
 
 impl Shared {
-    pub(crate) fn new(settings: &Settings, client: Client, feed: Rc<RefCell<FeedState>>) -> Rc<Shared> {
+    pub(crate) fn new(
+        settings: &Settings, client: Client, feed: Rc<RefCell<FeedState>>, random: Random,
+    ) -> Rc<Shared> {
         Rc::new(Shared {
             node: settings.node_name.clone(),
             zone: settings.zone.clone(),
@@ -52,7 +54,7 @@
             outbox: Outbox::default(),
             room: Room::default(),
             scorer_limits: ScorerLimits::default(),
-            random: Random::default(),
+            random,
             counts: Counts::default(),
             stopping: Cell::new(false),
             changed: Notify::new(),
--- /dev/null
+++ b/crates/pebblepost-batch-runner/tests/approved.rs
@@ -0,0 +1,535 @@
+//! Digests of decisions, of a whole seeded run and of the messages that it sends, against approved values.
+
+mod support;
+
+use nanoserde::SerBin;
+use pebblepost_batch_runner::BatchRunner;
+use pebblepost_batch_runner::attempt::priority;
+use pebblepost_batch_runner::lease_table::{LeaseTable, Validity};
+use pebblepost_batch_runner::load::{LoadBook, REPORT_LAG};
+use pebblepost_batch_runner::placement::{Probed, Queueing, choose};
+use pebblepost_batch_runner::random::Random;
+use pebblepost_batch_runner::subset::{self, SubsetSize, affinity};
+use pebblepost_batch_runner::text::{Progress, Text, VersionTerms};
+use pebblepost_messages::batch::{
+    FromStore, Item, ItemOutcome, LeasedItem, PartialText, ResultState, ToStore, WorkLease,
+};
+use pebblepost_messages::feed::InstanceState;
+use pebblepost_transcriber::{Load, StreamEvent};
+use rstest::rstest;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use support::{
+    Bench, END, FakeStore, Fleet, Reply, Seen, StoreEnd, events, lease, leased, plain, report, run,
+    run_within, stream_head,
+};
+use tokio::time::Instant;
+
+/// FNV-1a of 64 bits.
+struct Digest(u64);
+
+impl Digest {
+    fn new() -> Digest {
+        Digest(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+
+    fn number(&mut self, number: u64) {
+        self.bytes(&number.to_le_bytes());
+    }
+}
+
+#[rstest]
+#[case::one(1, 0xbee6_f0ff_0fb7_f70f)]
+#[case::large(0x9e37_79b9_7f4a_7c15, 0x0909_31cd_6554_f78e)]
+fn draws_are_as_approved(#[case] seed: u64, #[case] approved: u64) {
+    let random = Random::seeded(seed);
+    let mut digest = Digest::new();
+    let elements: Vec<u64> = (0..17).collect();
+    for round in 0..500 {
+        digest.number(random.below(round + 1));
+        digest.number(*random.pick(&elements).unwrap());
+        let pause = random.pause(Duration::from_millis(round), Duration::from_millis(2 * round));
+        digest.number(u64::try_from(pause.as_nanos()).unwrap());
+    }
+    assert!(random.pick::<u64>(&[]).is_none());
+    digest.number(random.below(u64::MAX));
+    assert_eq!(digest.0, approved, "{:#x}", digest.0);
+}
+
+#[rstest]
+#[case::one(1, 0xc532_112e_c497_2e28)]
+#[case::large(0x9e37_79b9_7f4a_7c15, 0x9f4d_7670_8fbf_3c4b)]
+fn choices_of_a_transcriber_are_as_approved(#[case] seed: u64, #[case] approved: u64) {
+    let random = Random::seeded(seed);
+    let mut digest = Digest::new();
+    for _ in 0..5000 {
+        let draw = |_| {
+            let slots = u32::try_from(random.below(12)).unwrap();
+            Probed { slots, busy: u32::try_from(random.below(15)).unwrap() }
+        };
+        let probed: Vec<Probed> = (0..random.below(4)).map(draw).collect();
+        let items = 1 + u32::try_from(random.below(16)).unwrap();
+        let queueing = match random.below(3) {
+            0 => Queueing::None,
+            1 => Queueing::UpTo(34),
+            _ => Queueing::UpTo(50),
+        };
+        for candidate in &probed {
+            digest.number(u64::from(candidate.accepts(items)));
+            digest.number(u64::from(candidate.free()));
+        }
+        match choose(&probed, items, queueing, &random) {
+            None => digest.number(u64::MAX),
+            Some(choice) => {
+                digest.number(u64::try_from(choice.index).unwrap());
+                digest.number(u64::from(choice.items));
+            }
+        }
+    }
+    assert_eq!(digest.0, approved, "{:#x}", digest.0);
+}
+
+#[test]
+fn subsets_and_priorities_are_as_approved() {
+    let mut digest = Digest::new();
+    for node in ["edge-1", "edge-2", "a-longer-name-of-a-machine"] {
+        for instance in 0..64 {
+            digest.number(affinity(node, &format!("i-{instance}")));
+        }
+    }
+    for transcribers in [1, 4, 7, 40, 57, 600] {
+        for proxies in [0, 1, 3, 40, 300] {
+            let first = SubsetSize::new(transcribers, proxies);
+            for full in [0, 2, 3, 7, 20, 21, 22, 400, u32::MAX] {
+                let size = first.after_tries(full);
+                for serving in [0, 1, transcribers / 2, transcribers] {
+                    let wide = size.of_which_serve(transcribers, serving);
+                    let mut kept: Vec<usize> = (0..transcribers).collect();
+                    let near = subset::keep(&mut kept, wide, |index| *index < transcribers / 3);
+                    for number in [size.near, size.all, wide.near, wide.all, near, kept.len()] {
+                        digest.number(u64::try_from(number).unwrap());
+                    }
+                    kept.iter().for_each(|index| digest.number(u64::try_from(*index).unwrap()));
+                }
+            }
+        }
+    }
+    for rank in 0..4 {
+        for due_ms in [0, 2999, 3000, 5999, 6000, 9000] {
+            digest.number(u64::from(priority(rank, Duration::from_millis(due_ms))));
+        }
+    }
+    assert_eq!(digest.0, 0x810f_6584_45c7_b6f4, "{:#x}", digest.0);
+}
+
+#[rstest]
+#[case::one(1, 0xcd7c_7a90_3113_d84e)]
+#[case::large(0x9e37_79b9_7f4a_7c15, 0x7845_58da_b80d_84c6)]
+fn known_loads_are_as_approved(#[case] seed: u64, #[case] approved: u64) {
+    let random = Random::seeded(seed);
+    let start = Instant::now() + 4 * REPORT_LAG;
+    let (mut now, mut book, mut digest) = (start, LoadBook::default(), Digest::new());
+    let mut started = Vec::new();
+    for _ in 0..4000 {
+        now += Duration::from_millis(random.below(120));
+        let id = format!("i-{}", random.below(5));
+        let load = Load {
+            running: u32::try_from(random.below(9)).unwrap(),
+            waiting: u32::try_from(random.below(3)).unwrap(),
+            order_in_progress: random.below(4) == 0,
+            models: vec![("m".to_owned(), random.below(6)), ("n".to_owned(), 3)],
+            ..Load::default()
+        };
+        match random.below(9) {
+            0 | 1 => {
+                book.start(&id, now);
+                started.push((id.clone(), now));
+            }
+            2 | 3 if !started.is_empty() => {
+                let index = usize::try_from(random.below(started.len() as u64)).unwrap();
+                let (id, at) = started.swap_remove(index);
+                book.end(&id, at, now);
+            }
+            4 => book.report(&id, &load, now),
+            5 => book.answer(&id, &load, now),
+            6 => book.forget_report(&id),
+            7 => book.avoid(&id, now + Duration::from_millis(random.below(900))),
+            _ => book.tells_no_load(&id, now),
+        }
+        if random.below(40) == 0 {
+            book.retain(|known| known != id);
+        }
+        if random.below(10) == 0 {
+            book.heard(&id).note(now);
+        }
+        for index in 0..5 {
+            let id = format!("i-{index}");
+            digest.number(u64::from(book.busy(&id)));
+            digest.number(book.version(&id, "m").unwrap_or(u64::MAX));
+            let heard = book.heard(&id).is_within(Duration::from_millis(500), now);
+            let flags = [
+                book.is_avoided(&id, now),
+                book.is_fresh(&id, true, now),
+                book.is_fresh(&id, false, now),
+                book.is_silent(&id, now),
+                book.has_order(&id),
+                heard,
+            ];
+            digest.bytes(&flags.map(u8::from));
+        }
+    }
+    assert_eq!(digest.0, approved, "{:#x}", digest.0);
+}
+
+fn work_of(random: &Random, number: u64) -> WorkLease {
+    let leased = |id: u64| LeasedItem {
+        item: Item { id: format!("item-{id}"), ..Item::default() },
+        ..LeasedItem::default()
+    };
+    let first = random.below(20);
+    WorkLease {
+        lease: number,
+        store_group: u32::try_from(random.below(3)).unwrap(),
+        epoch: random.below(4),
+        job: format!("job-{}", random.below(4)),
+        items: (first..=first + random.below(4)).map(leased).collect(),
+        ..WorkLease::default()
+    }
+}
+
+fn progress_of(random: &Random) -> Progress {
+    let last_event = random.below(5);
+    let message = vec![b'x'; usize::try_from(last_event).unwrap()];
+    let partial = PartialText { last_event, message, versions: vec![3] };
+    let any = VersionTerms { min_version: 3, single_version: false };
+    Progress {
+        failed_attempts: u32::try_from(random.below(3)).unwrap(),
+        text: Text::from_partial(partial, any),
+        ..Progress::default()
+    }
+}
+
+#[rstest]
+#[case::one(1, 0x60b4_f4ff_e343_e56a)]
+#[case::large(0x9e37_79b9_7f4a_7c15, 0xfa39_a193_ab7e_79f9)]
+fn leases_are_as_approved(#[case] seed: u64, #[case] approved: u64) {
+    let random = Random::seeded(seed);
+    let (mut now, mut table, mut digest) = (Instant::now(), LeaseTable::default(), Digest::new());
+    let mut keys = Vec::new();
+    for number in 0..4000 {
+        now += Duration::from_millis(random.below(400));
+        match random.below(8) {
+            0..=2 => {
+                let lease = work_of(&random, number);
+                let progress = lease.items.iter().map(|_| progress_of(&random)).collect();
+                match table.add(&lease, progress, now) {
+                    None => digest.number(u64::MAX),
+                    Some(key) => keys.push((key, lease)),
+                }
+            }
+            3 if !keys.is_empty() => {
+                let index = usize::try_from(random.below(keys.len() as u64)).unwrap();
+                let (key, lease) = &keys[index];
+                let item = &lease.items[0].item.id;
+                let finished = table.finish(*key, item);
+                digest.number(finished.map_or(u64::MAX, |item| {
+                    let progress = item.progress.borrow();
+                    item.lease * 1000 + progress.text.last_event() * 10 + u64::from(progress.failed_attempts)
+                }));
+            }
+            4 | 5 => {
+                for group in 0..3 {
+                    table.renew(group, random.below(4), now);
+                }
+            }
+            6 => {
+                let group = u32::try_from(random.below(3)).unwrap();
+                let held = table.announce(group, random.below(4));
+                digest.bytes(&ToStore::ActiveLeases(held).serialize_bin());
+            }
+            _ if random.below(30) == 0 => table.cancel(&[format!("job-{}", random.below(4))], now),
+            _ => digest.number(u64::try_from(table.abandon(now)).unwrap()),
+        }
+        for (key, _) in keys.iter().rev().take(12) {
+            digest.number(match table.validity(*key, now) {
+                Validity::Valid => 0,
+                Validity::Void => 1,
+                Validity::Over => 2,
+            });
+        }
+        for group in 0..3 {
+            digest.number(u64::from(table.awaits_renewal(group, now)));
+        }
+        digest.number(u64::from(table.is_empty()));
+    }
+    for item in table.stop_all() {
+        digest.number(item.lease);
+        digest.bytes(item.item.as_bytes());
+    }
+    assert_eq!(digest.0, approved, "{:#x}", digest.0);
+}
+
+#[rstest]
+#[case::single(true, 0x7cdb_1dc4_83d4_31df)]
+#[case::any(false, 0x7987_b3fd_d075_18ee)]
+fn texts_are_as_approved(#[case] single_version: bool, #[case] approved: u64) {
+    let random = Random::seeded(11);
+    let terms = VersionTerms { min_version: 2, single_version };
+    let (mut text, mut digest) = (Text::default(), Digest::new());
+    for _ in 0..3000 {
+        let is_next = random.below(8) > 0;
+        let id = if is_next { text.last_event() + 1 } else { random.below(6) };
+        let weight_version = Some(random.below(30)).filter(|version| *version < 4);
+        let data = vec![b'a'; usize::try_from(random.below(5)).unwrap()];
+        let event = StreamEvent { id, data, weight_version, ..StreamEvent::default() };
+        digest.number(match text.add(&event, terms) {
+            Ok(()) => 0,
+            Err(error) => error as u64 + 1,
+        });
+        match random.below(40) {
+            0 => text.clear(),
+            1 => text = Text::from_partial(text.partial(), terms),
+            2 => text = Text::from_partial(text.partial_before_last(), terms),
+            3 | 4 => text.begin_run(Some(2 + random.below(2))),
+            _ => {}
+        }
+        digest.number(u64::from(text.can_continue_under(Some(3), terms)));
+        digest.bytes(&text.partial().serialize_bin());
+        digest.bytes(&text.partial_before_last().serialize_bin());
+    }
+    assert_eq!(digest.0, approved, "{:#x}", digest.0);
+}
+
+const TWO_SERVICES: &str = r#"{"generation":8,"routes":[
+ {"name":"r-lots","hostname":"h.example","path_prefix":"/lot/","kind":"rollout","timeout_ms":6000,
+  "target_latency_ms":500,"priority":1,"max_attempts":2,"queue_ttl_s":40.0,"run_deadline_ms":4500,
+  "single_version":false,
+  "traffic_split":[{"backend":"models","weight":3},{"backend":"others","weight":1}]},
+ {"name":"r-score","hostname":"h.example","path_prefix":"/score/","kind":"idempotent","timeout_ms":1500,
+  "target_latency_ms":150,"priority":2,"backend":"desk","max_attempts":2}],
+ "services":[{"name":"models","health_path":"/healthz","max_conns":150},
+  {"name":"others","health_path":"/healthz","max_conns":150},
+  {"name":"desk","health_path":"/healthz","max_conns":96}]}"#;
+
+/// Lets the paused clock pass slowly, a millisecond in about a real one, and never in a leap: what a test waits for
+/// comes by real sockets.
+fn pass_time() {
+    tokio::time::pause();
+    tokio::task::spawn_local(async {
+        loop {
+            let step = std::time::Instant::now();
+            while step.elapsed() < Duration::from_millis(1) {
+                tokio::task::yield_now().await;
+            }
+            tokio::time::advance(Duration::from_millis(1)).await;
+        }
+    });
+}
+
+/// A transcriber of a seeded run: what it reports and how it answers follows from its number and the item.
+fn transcriber(index: u32, calls: Rc<Cell<u32>>) -> impl FnMut(&Seen) -> Reply + 'static {
+    let mut scored = 0;
+    move |seen| {
+        if seen.text.starts_with("GET /report") {
+            calls.set(calls.get() + 1);
+            return Reply::Write(report(1, (index * 5 + calls.get()) % 11));
+        }
+        let id = seen.header("request-id").unwrap().to_owned();
+        scored += u32::from(id.starts_with("s-"));
+        if id.starts_with("s-") && scored % 3 == 0 {
+            return Reply::Write(plain(503, &id, "not-executed: 1\r\n"));
+        }
+        if id.starts_with("s-") {
+            return Reply::Write(plain(200, &id, "response-seal: seal\r\n"));
+        }
+        let last: u64 = seen.header("last-event-id").map_or(0, |last| last.parse().unwrap());
+        match (id.len() as u32 + calls.get()) % 7 {
+            0 => Reply::Write(plain(503, &id, "not-executed: 1\r\n")),
+            1 => Reply::Write(plain(421, &id, "")),
+            2 if last == 0 => Reply::WriteAndClose([stream_head(&id, 1), events(1, 2)].concat()),
+            _ => Reply::Write([stream_head(&id, 1), events(last + 1, 3), END.to_vec()].concat()),
+        }
+    }
+}
+
+/// A run of single items, each of which is over before the next: requests and messages in their order.
+async fn transcript(random: Random) -> Vec<String> {
+    let (fleet, _) = Fleet::recording_reports();
+    let mut store = FakeStore::start();
+    let bench = Bench::start_with(TWO_SERVICES, random);
+    bench.set_primary(store.address, 1);
+    let (mut end, _) = store.accept().await;
+    for index in 0..14_u32 {
+        let id = format!("i-{index}");
+        let backend = if index % 7 == 6 {
+            "desk"
+        } else if index % 3 == 0 {
+            "others"
+        } else {
+            "models"
+        };
+        let address = fleet.start(&id, transcriber(index, Rc::default())).await;
+        let zone = if index % 2 == 0 { "z" } else { "y" };
+        bench.announce_in(zone, &id, backend, address, InstanceState::Ready, 1);
+    }
+    pass_time();
+    let mut lines = Vec::new();
+    for round in 0..40_usize {
+        tokio::time::advance(Duration::from_millis(1100)).await;
+        end.sender.send(&FromStore::WorkAvailable);
+        let name = format!("a{}", "x".repeat(round % 9));
+        end.give(vec![lease(vec![leased(&name, round % 3 == 0)], false)]).await;
+        let outcomes = end.outcomes().await;
+        for seen in fleet.seen.borrow_mut().drain(..) {
+            let is_port = |line: &&str| line.starts_with("host: 127.0.0.1:");
+            lines.push(seen.transcriber.clone());
+            lines.extend(seen.text.lines().filter(|line| !is_port(line)).map(str::to_owned));
+        }
+        lines.push(outcomes.serialize_bin().iter().map(|byte| format!("{byte:02x}")).collect());
+    }
+    lines
+}
+
+#[rstest]
+#[case::seed_1(1, 0xdee9_8709_0a29_3ee5)]
+#[case::seed_2(0x9e37_79b9_7f4a_7c15, 0x818c_f09a_f2b6_2118)]
+#[case::seed_3(4711, 0x93b0_ffe2_b320_9846)]
+fn a_seeded_run_is_as_approved(#[case] seed: u64, #[case] approved: u64) {
+    run_within(Duration::from_secs(200), async move {
+        let lines = transcript(Random::seeded(seed)).await;
+        let mut digest = Digest::new();
+        lines.iter().for_each(|line| digest.bytes(line.as_bytes()));
+        assert_eq!(digest.0, approved, "{:#x}\n{}", digest.0, lines.join("\n"));
+    });
+}
+
+/// Each message that a runner sends to a store, by its bytes.
+#[test]
+fn sent_messages_are_as_approved() {
+    run(async {
+        let (fleet, _) = Fleet::new();
+        let (bench, mut store) = (Bench::start(false), FakeStore::start());
+        bench.set_primary(store.address, 3);
+        let (mut end, holding) = store.accept().await;
+        let mut sent = vec![holding];
+        let models = fleet.start("i-1", transcriber(0, Rc::default())).await;
+        bench.ready("i-1", "models", models);
+        sent.push(first(&mut end, |message| matches!(message, ToStore::RequestWork { .. })).await);
+        sent.push(submit(&bench, &mut end).await);
+        for (method, path) in
+            [("GET", "/lots/job?start_after=12"), ("DELETE", "/lots/job"), ("GET", "/items/job?id=e%205")]
+        {
+            let request = support::request(method, path, &[("wait-ms", "0")], "");
+            let asked = tokio::select! {
+                _ = bench.runner.answer(None, request) => panic!("answered by nobody"),
+                asked = first(&mut end, is_call) => asked,
+            };
+            sent.push(asked);
+        }
+        let lines: Vec<String> = sent
+            .iter()
+            .map(|message| message.serialize_bin().iter().map(|byte| format!("{byte:02x}")).collect())
+            .collect();
+        let approved: Vec<&str> = include_str!("approved/messages.txt").lines().collect();
+        assert_eq!(lines, approved, "{}", lines.join("\n"));
+    });
+}
+
+fn is_call(message: &ToStore) -> bool {
+    matches!(
+        message,
+        ToStore::Submit { .. } | ToStore::Read { .. } | ToStore::End { .. } | ToStore::ItemBody { .. }
+    )
+}
+
+async fn first(end: &mut StoreEnd, wanted: impl Fn(&ToStore) -> bool) -> ToStore {
+    loop {
+        let message = end.next().await;
+        if wanted(&message) {
+            return message;
+        }
+    }
+}
+
+async fn submit(bench: &Bench, end: &mut StoreEnd) -> ToStore {
+    const JOB: &str = r#"{"step":7,"model":"daka","min_version":6,"desired":1,"requests":[
+     {"id":"e5","path":"/lot/3","headers":{"Model":"daka"},"body":"aGk=","tokens":9,"group":"g",
+      "scorer":{"id":"s5","hostname":"h.example","path":"/score/1","body":"aG8="}}]}"#;
+    let configuration = bench.feed.borrow().configuration().cloned().unwrap();
+    let route = configuration.route("h.example", "/lot/1");
+    let request = support::request("POST", "/lot/1", &[("request-id", "job")], JOB);
+    tokio::select! {
+        _ = bench.runner.answer(route, request) => panic!("answered by nobody"),
+        asked = first(end, is_call) => asked,
+    }
+}
+
+#[rstest]
+#[case::no_request_id("POST", "/lot/1", &[], "{}", 400, "the `Request-Id` is missing")]
+#[case::not_json("POST", "/lot/1", &[("request-id", "j")], "[]", 400, "the body is no object")]
+#[case::bad_start("GET", "/lots/j?start_after=x", &[], "", 400, "`start_after` is no whole number")]
+#[case::no_item("GET", "/items/j", &[], "", 400, "`id` is missing")]
+#[case::empty_item("GET", "/items/j?id=", &[], "", 400, "`id` is missing")]
+#[case::method_of_a_job("PUT", "/lots/j", &[], "", 405, "")]
+#[case::method_of_an_item("DELETE", "/items/j?id=a", &[], "", 405, "")]
+#[case::method_of_a_route("GET", "/lot/1", &[], "", 405, "")]
+fn rejections_are_as_approved(
+    #[case] method: &'static str, #[case] path: &'static str, #[case] headers: &'static [(&str, &str)],
+    #[case] body: &'static str, #[case] status: u16, #[case] text: &'static str,
+) {
+    run(async move {
+        let bench = Bench::start(true);
+        let configuration = bench.feed.borrow().configuration().cloned().unwrap();
+        let route = configuration.route("h.example", "/lot/1");
+        let answer = bench.runner.answer(route, support::request(method, path, headers, body)).await;
+        assert_eq!((answer.status().as_u16(), &answer.body()[..]), (status, text.as_bytes()));
+        let content_type = answer.headers().get("content-type").map(|value| value.to_str().unwrap());
+        assert_eq!(content_type, (!text.is_empty()).then_some("text/plain"));
+        assert_eq!(answer.headers().get("retry-after"), None);
+    });
+}
+
+#[test]
+fn a_path_of_no_route_is_not_found_and_a_job_of_no_store_is_unavailable() {
+    run(async {
+        let bench = Bench::start(true);
+        let answer = bench.runner.answer(None, support::request("POST", "/x", &[], "")).await;
+        assert_eq!((answer.status().as_u16(), answer.body().len()), (404, 0));
+        tokio::time::pause();
+        let answer = bench.runner.answer(None, support::request("GET", "/lots/j", &[], "")).await;
+        assert_eq!((answer.status().as_u16(), answer.body().len()), (503, 0));
+        assert_eq!(answer.headers().get("retry-after").unwrap(), "0.060");
+        assert!(BatchRunner::is_job_call("/lots/j") && BatchRunner::is_job_call("/items/j"));
+        assert!(!BatchRunner::is_job_call("/lots") && !BatchRunner::is_job_call("/lot/1"));
+    });
+}
+
+/// The counts of a runner, as its proxy writes them.
+#[test]
+fn counts_are_named_as_approved() {
+    run(async {
+        let (fleet, _) = Fleet::new();
+        let (bench, mut store) = (Bench::start(false), FakeStore::start());
+        bench.set_primary(store.address, 1);
+        let (mut end, _) = store.accept().await;
+        assert_eq!(bench.runner.counts().to_string(), "");
+        let answer = |seen: &Seen| match seen.text.starts_with("GET /report") {
+            true => Reply::Write(report(1, 0)),
+            false => Reply::Write(plain(422, seen.header("request-id").unwrap(), "")),
+        };
+        let models = fleet.start("i-1", answer).await;
+        bench.ready("i-1", "models", models);
+        end.give(vec![lease(vec![leased("a", false)], false)]).await;
+        let ToStore::Outcomes { outcomes, .. } = end.outcomes().await else { panic!("no outcomes") };
+        let ItemOutcome::Finished(result) = &outcomes[0] else { panic!("handed back") };
+        assert_eq!(result.state, ResultState::DeadLetter);
+        assert_eq!(bench.runner.counts().to_string(), "groups_whole=1 runs=1");
+    });
+}
--- a/crates/pebblepost-batch-runner/tests/support/mod.rs
+++ b/crates/pebblepost-batch-runner/tests/support/mod.rs
@@ -4,6 +4,7 @@
 
 use bytes::Bytes;
 use pebblepost_batch_runner::BatchRunner;
+use pebblepost_batch_runner::random::Random;
 use pebblepost_feed::FeedState;
 use pebblepost_link::{LinkLimits, Listener, Sender};
 use pebblepost_messages::batch::{
@@ -42,9 +43,14 @@
 
 /// Runs a test on a current-thread runtime with a `LocalSet`.
 pub fn run<F: Future<Output = ()>>(test: F) {
+    run_within(Duration::from_secs(20), test);
+}
+
+/// As [`run`], with a limit of the runtime's clock.
+pub fn run_within<F: Future<Output = ()>>(limit: Duration, test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(Duration::from_secs(20), test).await.expect("the test hangs");
+        tokio::time::timeout(limit, test).await.expect("the test hangs");
     });
 }
 
@@ -183,12 +189,20 @@
     pub seen: Rc<RefCell<Vec<Seen>>>,
     pub closed: Rc<RefCell<Vec<String>>>,
     closings: mpsc::UnboundedSender<String>,
+    records_reports: bool,
 }
 
 impl Fleet {
     pub fn new() -> (Fleet, mpsc::UnboundedReceiver<String>) {
         let (closings, closed) = mpsc::unbounded_channel();
-        (Fleet { seen: Rc::default(), closed: Rc::default(), closings }, closed)
+        let fleet = Fleet { seen: Rc::default(), closed: Rc::default(), closings, records_reports: false };
+        (fleet, closed)
+    }
+
+    /// One whose record has the reports, too.
+    pub fn recording_reports() -> (Fleet, mpsc::UnboundedReceiver<String>) {
+        let (fleet, closed) = Fleet::new();
+        (Fleet { records_reports: true, ..fleet }, closed)
     }
 
     /// Starts a transcriber.
@@ -208,7 +222,7 @@
     async fn serve(self, id: String, mut stream: TcpStream, handler: Handler) {
         while let Some(text) = read_request(&mut stream).await {
             let seen = Seen { transcriber: id.clone(), text };
-            if !seen.text.starts_with("GET /report") {
+            if self.records_reports || !seen.text.starts_with("GET /report") {
                 self.seen.borrow_mut().push(seen.clone());
             }
             let reply = (handler.borrow_mut())(&seen);
@@ -317,6 +331,12 @@
 impl Bench {
     /// A runner for a job route; a text of it is made under a single version if asked for.
     pub fn start(single_version: bool) -> Bench {
+        let document = CONFIGURATION.replace("SINGLE", if single_version { "true" } else { "false" });
+        Bench::start_with(&document, Random::default())
+    }
+
+    /// A runner with this configuration.
+    pub fn start_with(document: &str, random: Random) -> Bench {
         let settings = Settings::parse(SETTINGS, "local.toml").unwrap();
         let client = Client::new(ClientLimits {
             connect_timeout: Duration::from_millis(500),
@@ -325,10 +345,9 @@
             max_body_bytes: 1 << 20,
         });
         let feed = Rc::new(RefCell::new(FeedState::default()));
-        let document = CONFIGURATION.replace("SINGLE", if single_version { "true" } else { "false" });
-        let update = ConfigurationUpdate::Full { generation: 7, document: document.into_bytes() };
+        let update = ConfigurationUpdate::Full { generation: 7, document: document.as_bytes().to_vec() };
         assert!(feed.borrow_mut().apply(&FeedUpdate::Configuration(update)).configuration);
-        let runner = BatchRunner::start(&settings, client, feed.clone());
+        let runner = BatchRunner::start_with_random(&settings, client, feed.clone(), random);
         Bench { runner, feed }
     }
 
@@ -366,7 +385,7 @@
         &self, zone: &str, id: &str, backend: &str, address: SocketAddr, state: InstanceState, sequence: u64,
     ) {
         let models = match backend {
-            "models" => vec![ModelVersion { model: "daka".to_owned(), generation: 1 }],
+            "models" | "others" => vec![ModelVersion { model: "daka".to_owned(), generation: 1 }],
             _ => Vec::new(),
         };
         let instance = Instance {
