--- a/crates/pebblepost-batch-runner/src/attempt.rs
+++ b/crates/pebblepost-batch-runner/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One run of an item at a transcriber.
 
+use crate::item_progress::SharedProgress;
 use crate::item_run::LeaseTerms;
-use crate::lease_table::SharedProgress;
 use crate::placing::Place;
 use crate::shared::Shared;
 use crate::text::TextError;
@@ -61,7 +61,7 @@
 pub(crate) async fn run(
     shared: &Shared, terms: &LeaseTerms, item: &Item, place: &Place, progress: &SharedProgress,
 ) -> RunEnd {
-    if !progress.borrow().text.can_continue_under(place.version, terms.versions) {
+    if !progress.borrow().text.can_resume_under(place.version, terms.versions) {
         progress.borrow_mut().text.clear();
     }
     let last_event = progress.borrow().text.last_event();
@@ -79,7 +79,7 @@
             note_load(shared, place, &head);
             place.has_begun();
             let version = head_version(&head).or(place.version);
-            progress.borrow_mut().text.begin_run(version);
+            progress.borrow_mut().text.start_attempt(version);
             read(shared, place, stream, terms, progress).await
         }
     }
@@ -94,13 +94,13 @@
             return RunEnd::Broken;
         };
         match next {
-            Ok(Some(event)) => match progress.borrow_mut().text.add(&event, terms.versions) {
+            Ok(Some(event)) => match progress.borrow_mut().text.append(&event, terms.versions) {
                 Ok(()) => {}
-                Err(TextError::UnexpectedId) => return RunEnd::UnexpectedEvent,
+                Err(TextError::UnexpectedEventId) => return RunEnd::UnexpectedEvent,
                 Err(TextError::VersionTooOld | TextError::MixedVersions) => return RunEnd::WrongVersion,
             },
             Ok(None) if progress.borrow().text.last_event() > 0 => {
-                progress.borrow_mut().is_whole = true;
+                progress.borrow_mut().is_complete = true;
                 return RunEnd::Whole;
             }
             Ok(None) => return RunEnd::Unclear,
@@ -118,7 +118,7 @@
     let mut work = pin!(work);
     loop {
         if let Ok(done) = timeout_at(until.min(Instant::now() + LOOK_AFTER), work.as_mut()).await {
-            place.heard.note(Instant::now());
+            place.last_heard.record(Instant::now());
             return Some(done);
         }
         if Instant::now() >= until {
@@ -150,7 +150,7 @@
 /// Takes over the load that an answer tells.
 pub(crate) fn note_load(shared: &Shared, place: &Place, head: &ResponseHead) {
     if let Some(load) = &head.load {
-        shared.load.borrow_mut().answer(&place.target.instance, load, Instant::now());
+        shared.load.borrow_mut().record_answer(&place.target.instance, load, Instant::now());
     }
 }
 
--- a/crates/pebblepost-batch-runner/src/calls.rs
+++ b/crates/pebblepost-batch-runner/src/calls.rs
@@ -1,8 +1,8 @@
 //! Calls of batch jobs: each goes to the primary of the job's group, and again when the primary
 //! changes or can't be sure.
 
-use crate::job_answer;
-use crate::job_request;
+use crate::job::request as job_request;
+use crate::job::response as job_answer;
 use crate::shared::Shared;
 use crate::store_link::CallEnd;
 use bytes::Bytes;
--- a/crates/pebblepost-batch-runner/src/candidates.rs
+++ b/crates/pebblepost-batch-runner/src/candidates.rs
@@ -1,9 +1,9 @@
 //! Which transcribers may take a request, and in which order they are probed.
 
-use crate::placement::NEAR_PROBES;
+use crate::placement::choice::MAX_LOCAL_PROBES;
+use crate::placement::subset::{self, SubsetSize, rendezvous_hash};
 use crate::placing::Need;
 use crate::shared::Shared;
-use crate::subset::{self, SubsetSize, affinity};
 use pebblepost_messages::feed::{Instance, InstanceState};
 use pebblepost_transcriber::Target;
 use tokio::time::Instant;
@@ -74,7 +74,7 @@
     fn ready_instances(&self, backend: &str, need: &Need<'_>, tries: u32) -> Vec<Candidate> {
         let mut found = self.find_ready(backend, need);
         let proxies = usize::try_from(self.feed.borrow().proxy_count()).unwrap_or(usize::MAX);
-        let size = SubsetSize::new(found.len(), proxies).after_tries(tries);
+        let size = SubsetSize::new(found.len(), proxies).widened_after(tries);
         found.sort_unstable_by_key(|found| (found.is_far, found.affinity));
         let serving = found.iter().filter(|found| !found.is_old).count();
         if serving == 0 {
@@ -84,9 +84,9 @@
             keep_serving(&mut found, size, serving);
         }
         let near = found.iter().filter(|found| !found.is_far).count();
-        self.shuffle(&mut found[..near]);
-        self.shuffle(&mut found[near..]);
-        found.drain(near.min(NEAR_PROBES)..near);
+        self.random.shuffle(&mut found[..near]);
+        self.random.shuffle(&mut found[near..]);
+        found.drain(near.min(MAX_LOCAL_PROBES)..near);
         found.into_iter().map(|found| found.candidate).collect()
     }
 
@@ -99,38 +99,31 @@
             if instance.state != InstanceState::Ready || instance.backend != backend {
                 continue;
             }
-            if load.is_avoided(&instance.id, now) {
+            if load.is_ejected(&instance.id, now) {
                 continue;
             }
             let Some(announced) = announced_version(instance, need.model) else { continue };
             let known = announced.max(load.version(&instance.id, need.model).unwrap_or(0));
             let Ok(address) = instance.address.parse() else { continue };
             let is_far = instance.zone != self.zone;
-            let affinity = affinity(&self.node, &instance.id);
+            let affinity = rendezvous_hash(&self.node, &instance.id);
             let target = Target { instance: instance.id.clone(), address };
             let candidate = Candidate { target, backend: instance.backend.clone(), slots: instance.slots };
             ready.push(Found { candidate, is_old: known < need.min_version, is_far, affinity });
         }
         ready
     }
-
-    fn shuffle<T>(&self, elements: &mut [T]) {
-        for index in 1..elements.len() {
-            let other = self.random.below(index as u64 + 1);
-            elements.swap(index, usize::try_from(other).unwrap_or(0));
-        }
-    }
 }
 
 /// Keeps those that serve the request, `serving` of all, from a subset that holds about as many of them as `size` says.
 /// Which transcribers serve a model changes with every version: a subset drawn from all changes less than one drawn from
 /// them, and connections with it.
 fn keep_serving(found: &mut Vec<Found>, size: SubsetSize, serving: usize) {
-    let wide = size.of_which_serve(found.len(), serving);
+    let wide = size.scaled_to_serving(found.len(), serving);
     let near = found.iter().filter(|found| !found.is_far).count();
     let is_in_subset = |index: usize| match index < near {
-        true => index < wide.near,
-        false => index - near < wide.all - wide.near.min(near),
+        true => index < wide.local,
+        false => index - near < wide.total - wide.local.min(near),
     };
     let any_serves = found.iter().enumerate().any(|(index, found)| !found.is_old && is_in_subset(index));
     let mut index = 0;
@@ -139,7 +132,7 @@
         index += 1;
         keep
     });
-    subset::keep(found, size, |found| !found.is_far);
+    subset::retain_subset(found, size, |found| !found.is_far);
 }
 
 /// The version of a model that a transcriber announced; `None` if it holds no such model. Where no
--- a/crates/pebblepost-batch-runner/src/execution.rs
+++ b/crates/pebblepost-batch-runner/src/execution.rs
@@ -1,12 +1,13 @@
 //! Taking work from the stores while there is room, and handing it back at the end.
 
-use crate::counts::Count;
+use crate::item_progress::ItemProgress;
 use crate::item_run::{self, LeaseTerms};
-use crate::lease_table::{LeaseKey, TakenItem};
+use crate::lease_table::{LeaseKey, ReleasedItem};
+use crate::metrics::Metric;
 use crate::outbox::Outcome;
 use crate::placing::{Need, Place, Placed};
 use crate::shared::Shared;
-use crate::text::{Progress, Text};
+use crate::text::Text;
 use pebblepost_configuration::{Configuration, RouteKind};
 use pebblepost_messages::batch::{ItemOutcome, LeasedItem, ToStore, WorkLease};
 use pebblepost_messages::feed::InstanceState;
@@ -184,15 +185,15 @@
     let rooms: VecDeque<InRoom> = items.iter().map(|_| InRoom::enter(shared)).collect();
     let place = place_items(shared.clone(), key, terms, items, rooms);
     let task = tokio::task::spawn_local(place);
-    shared.leases.borrow_mut().set_placing(key, task.abort_handle());
+    shared.leases.borrow_mut().set_placement_task(key, task.abort_handle());
 }
 
-fn progress_of(leased: &LeasedItem, terms: &LeaseTerms) -> Progress {
-    Progress {
+fn progress_of(leased: &LeasedItem, terms: &LeaseTerms) -> ItemProgress {
+    ItemProgress {
         failed_attempts: leased.failed_attempts,
         failed_scorer_attempts: leased.failed_scorer_attempts,
         text: Text::from_partial(leased.partial.clone(), terms.versions),
-        is_whole: false,
+        is_complete: false,
     }
 }
 
@@ -211,7 +212,11 @@
             // Each item sees for itself.
             Placed::NoRoute | Placed::Stopped | Placed::Expired => VecDeque::new(),
         };
-        shared.counts.add(if places.len() < items.len() { Count::GroupsSplit } else { Count::GroupsWhole });
+        shared.counts.increment(if places.len() < items.len() {
+            Metric::GroupsSplit
+        } else {
+            Metric::GroupsPlacedWhole
+        });
         let beginning = places.front().filter(|_| places.len() > 1).map(Place::watch_beginning);
         let batch = if places.is_empty() { items.len() } else { places.len().min(items.len()) };
         for leased in items.drain(..if beginning.is_some() { 1 } else { batch }) {
@@ -236,18 +241,18 @@
     let Some(progress) = shared.leases.borrow().progress(key, &id) else { return };
     let run = item_run::run(shared.clone(), key, terms.clone(), leased.item, progress, place, room);
     let task = tokio::task::spawn_local(run);
-    shared.leases.borrow_mut().set_run(key, &id, task.abort_handle());
+    shared.leases.borrow_mut().set_item_task(key, &id, task.abort_handle());
 }
 
 /// Hands an item back, with what is known of it.
 pub(crate) fn hand_back(shared: &Shared, key: LeaseKey, item: &str) {
-    let taken = shared.leases.borrow_mut().finish(key, item);
+    let taken = shared.leases.borrow_mut().release(key, item);
     if let Some(taken) = taken {
         push_returned(shared, taken);
     }
 }
 
-fn push_returned(shared: &Shared, taken: TakenItem) {
+fn push_returned(shared: &Shared, taken: ReleasedItem) {
     let progress = taken.progress.borrow();
     let outcome = ItemOutcome::Returned {
         id: taken.item,
@@ -255,7 +260,7 @@
         failed_scorer_attempts: progress.failed_scorer_attempts,
         partial: progress.partial(),
     };
-    let TakenItem { store_group, job, lease, .. } = taken;
+    let ReleasedItem { store_group, job, lease, .. } = taken;
     shared.outbox.push(Outcome { store_group, job, lease, outcome });
 }
 
@@ -268,7 +273,7 @@
     while !shared.leases.borrow().is_empty() && Instant::now() < finish_until {
         sleep(STOP_CHECK).await;
     }
-    let unfinished = shared.leases.borrow_mut().stop_all();
+    let unfinished = shared.leases.borrow_mut().release_all();
     log::info!("{} items are handed back", unfinished.len());
     for taken in unfinished {
         push_returned(shared, taken);
--- a/crates/pebblepost-batch-runner/src/item_run.rs
+++ b/crates/pebblepost-batch-runner/src/item_run.rs
@@ -1,14 +1,15 @@
 //! An item from its placement to its outcome: runs until its text is whole, then the scorer.
 
 use crate::attempt::{self, RunEnd};
-use crate::counts::Count;
 use crate::execution::{InRoom, hand_back};
-use crate::lease_table::{LeaseKey, SharedProgress, Validity};
+use crate::item_progress::SharedProgress;
+use crate::lease_table::{LeaseKey, LeaseStatus};
+use crate::metrics::Metric;
 use crate::outbox::Outcome;
 use crate::placing::{Need, Place, Placed};
 use crate::scorer::{self, ScoreEnd};
 use crate::shared::Shared;
-use crate::text::VersionTerms;
+use crate::text::VersionRequirement;
 use pebblepost_messages::batch::{Item, ItemOutcome, ItemResult, JobTerms, ResultState, WorkLease};
 use std::rc::Rc;
 use std::time::Duration;
@@ -34,7 +35,7 @@
 pub(crate) struct LeaseTerms {
     pub(crate) job: JobTerms,
     pub(crate) model: String,
-    pub(crate) versions: VersionTerms,
+    pub(crate) versions: VersionRequirement,
     pub(crate) due_at: Instant,
     pub(crate) expires_at: Instant,
 }
@@ -44,7 +45,7 @@
         LeaseTerms {
             job: lease.terms.clone(),
             model: lease.model.clone(),
-            versions: VersionTerms {
+            versions: VersionRequirement {
                 min_version: lease.min_version,
                 single_version: lease.terms.single_version,
             },
@@ -87,11 +88,11 @@
         }
         ItemEnd::Returned => return hand_back(&shared, key, &item.id),
         ItemEnd::Abandoned => {
-            shared.leases.borrow_mut().finish(key, &item.id);
+            shared.leases.borrow_mut().release(key, &item.id);
             return;
         }
     };
-    let taken = shared.leases.borrow_mut().finish(key, &item.id);
+    let taken = shared.leases.borrow_mut().release(key, &item.id);
     if let Some(taken) = taken {
         let outcome = ItemOutcome::Finished(result);
         let (store_group, lease) = (taken.store_group, taken.lease);
@@ -144,7 +145,7 @@
             if !self.shared.is_still_right(&next, &need) {
                 continue;
             }
-            self.shared.counts.add(Count::Runs);
+            self.shared.counts.increment(Metric::Attempts);
             let end = attempt::run(self.shared, self.terms, self.item, &next, self.progress).await;
             if end != RunEnd::Whole {
                 log::debug!("item {} at {}: {end:?}", self.item.id, next.target.instance);
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Counts a failed attempt; whether there were as many as the route allows.
+    /// Metrics a failed attempt; whether there were as many as the route allows.
     fn has_failed_too_often(&self) -> bool {
         let mut progress = self.progress.borrow_mut();
         progress.failed_attempts += 1;
@@ -177,22 +178,22 @@
     }
 
     fn note_end(&self, end: RunEnd, place: &Place) {
-        self.shared.counts.add(match end {
-            RunEnd::NotTaken => Count::RunsNotTaken,
-            RunEnd::VersionMoved => Count::RunsVersionMoved,
-            RunEnd::NotSent => Count::RunsNotSent,
-            RunEnd::Broken => Count::RunsBroken,
-            RunEnd::Failed => Count::RunsFailed,
-            _ => Count::RunsOther,
+        self.shared.counts.increment(match end {
+            RunEnd::NotTaken => Metric::AttemptsRejected,
+            RunEnd::VersionMoved => Metric::AttemptsVersionMismatch,
+            RunEnd::NotSent => Metric::AttemptsNotSent,
+            RunEnd::Broken => Metric::AttemptsInterrupted,
+            RunEnd::Failed => Metric::AttemptsFailed,
+            _ => Metric::AttemptsOther,
         });
         let instance = &place.target.instance;
         match end {
-            RunEnd::VersionMoved => self.shared.load.borrow_mut().forget_report(instance),
-            RunEnd::NotTaken => self.shared.load.borrow_mut().forget_report(instance),
+            RunEnd::VersionMoved => self.shared.load.borrow_mut().invalidate_report(instance),
+            RunEnd::NotTaken => self.shared.load.borrow_mut().invalidate_report(instance),
             RunEnd::WrongVersion => self.progress.borrow_mut().text.clear(),
             RunEnd::Broken | RunEnd::NotSent => {
                 let until = Instant::now() + AVOID_AFTER_BREAK;
-                self.shared.load.borrow_mut().avoid(instance, until);
+                self.shared.load.borrow_mut().eject(instance, until);
             }
             _ => {}
         }
@@ -201,12 +202,12 @@
     /// Waits until something of the lease may be sent; the end if that never comes.
     async fn wait_until_valid(&self) -> Option<ItemEnd> {
         loop {
-            let validity = self.shared.leases.borrow().validity(self.key, Instant::now());
+            let validity = self.shared.leases.borrow().status(self.key, Instant::now());
             match validity {
-                Validity::Valid => return None,
-                Validity::Over => return Some(ItemEnd::Abandoned),
-                Validity::Void if self.shared.stopping.get() => return Some(ItemEnd::Returned),
-                Validity::Void => self.shared.wait_for_change(VALIDITY_CHECK).await,
+                LeaseStatus::Valid => return None,
+                LeaseStatus::Ended => return Some(ItemEnd::Abandoned),
+                LeaseStatus::Expired if self.shared.stopping.get() => return Some(ItemEnd::Returned),
+                LeaseStatus::Expired => self.shared.wait_for_change(VALIDITY_CHECK).await,
             }
         }
     }
@@ -223,8 +224,8 @@
                 return ItemEnd::DeadLetter;
             }
             let is_valid = || {
-                let validity = self.shared.leases.borrow().validity(self.key, Instant::now());
-                validity == Validity::Valid
+                let validity = self.shared.leases.borrow().status(self.key, Instant::now());
+                validity == LeaseStatus::Valid
             };
             match scorer::call(self.shared, call, self.terms, is_valid).await {
                 ScoreEnd::Score(score) => return ItemEnd::Completed(score),
@@ -237,7 +238,7 @@
                     }
                 }
                 ScoreEnd::Retry => {
-                    sleep(self.shared.random.pause(pause / 2, pause)).await;
+                    sleep(self.shared.random.duration_between(pause / 2, pause)).await;
                     pause = (pause * 2).min(scorer::LONGEST_PAUSE);
                 }
             }
--- /dev/null
+++ b/crates/pebblepost-batch-runner/src/job/mod.rs
@@ -0,0 +1,4 @@
+//! The HTTP face of batch jobs.
+
+pub mod request;
+pub mod response;
--- a/crates/pebblepost-batch-runner/src/lib.rs
+++ b/crates/pebblepost-batch-runner/src/lib.rs
@@ -11,13 +11,13 @@
 pub mod attempt;
 mod calls;
 mod candidates;
-mod counts;
 mod execution;
+pub mod item_progress;
 mod item_run;
-pub mod job_answer;
-pub mod job_request;
+pub mod job;
 pub mod lease_table;
-pub mod load;
+pub mod load_table;
+mod metrics;
 mod outbox;
 pub mod placement;
 mod placing;
@@ -27,10 +27,9 @@
 mod shared;
 mod store_link;
 mod store_links;
-pub mod subset;
 pub mod text;
 
-pub use counts::{Count, Counts};
+pub use metrics::{Metric, Metrics};
 
 use bytes::Bytes;
 use pebblepost_configuration::Route;
@@ -93,7 +92,7 @@
     }
 
     /// What it has done so far.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &Metrics {
         &self.shared.counts
     }
 
--- /dev/null
+++ b/crates/pebblepost-batch-runner/src/placement/mod.rs
@@ -0,0 +1,4 @@
+//! Placement of groups of items on transcribers.
+
+pub mod choice;
+pub mod subset;
--- a/crates/pebblepost-batch-runner/src/placing.rs
+++ b/crates/pebblepost-batch-runner/src/placing.rs
@@ -2,10 +2,10 @@
 //! while all are full.
 
 use crate::candidates::{Candidate, Candidates};
-use crate::counts::Count;
 use crate::item_run::LeaseTerms;
-use crate::load::Heard;
-use crate::placement::{MOST_PROBES, Probed, Queueing, choose};
+use crate::load_table::LastHeard;
+use crate::metrics::Metric;
+use crate::placement::choice::{MAX_PROBES, ProbedLoad, QueueLimit, choose};
 use crate::probing::ProbedCandidate;
 use crate::shared::Shared;
 use pebblepost_transcriber::Target;
@@ -55,11 +55,13 @@
         }
     }
 
-    fn queueing(&self, now: Instant) -> Queueing {
+    fn queueing(&self, now: Instant) -> QueueLimit {
         match self.is_text {
-            false => Queueing::UpTo(SCORER_QUEUE_PERCENT),
-            true if now + URGENT_BEFORE_DUE >= self.due_at => Queueing::UpTo(URGENT_QUEUE_PERCENT),
-            true => Queueing::UpTo(QUEUE_PERCENT),
+            false => QueueLimit::PercentOfSlots(SCORER_QUEUE_PERCENT),
+            true if now + URGENT_BEFORE_DUE >= self.due_at => {
+                QueueLimit::PercentOfSlots(URGENT_QUEUE_PERCENT)
+            }
+            true => QueueLimit::PercentOfSlots(QUEUE_PERCENT),
         }
     }
 }
@@ -84,7 +86,7 @@
     /// Version of the model that the transcriber reported.
     pub(crate) version: Option<u64>,
     /// When anything came from the transcriber last.
-    pub(crate) heard: Heard,
+    pub(crate) last_heard: LastHeard,
     started: Instant,
     /// Told once a run has begun here; dropped untold where none does.
     begun: Cell<Option<oneshot::Sender<()>>>,
@@ -110,7 +112,7 @@
 impl Drop for Place {
     fn drop(&mut self) {
         let mut load = self.shared.load.borrow_mut();
-        load.end(&self.target.instance, self.started, Instant::now());
+        load.end_request(&self.target.instance, self.started, Instant::now());
     }
 }
 
@@ -129,18 +131,18 @@
             match self.candidates(need, tries) {
                 Candidates::NoRoute => return Placed::NoRoute,
                 Candidates::Of(candidates) if candidates.is_empty() => {
-                    self.counts.add(Count::WaitsNoCandidate)
+                    self.counts.increment(Metric::NoCandidateBackoffs)
                 }
                 Candidates::Of(candidates) => {
                     let places = self.probe_and_choose(need, candidates, items).await;
                     if !places.is_empty() {
                         return Placed::At(places);
                     }
-                    self.counts.add(Count::WaitsFull);
+                    self.counts.increment(Metric::FullBackoffs);
                     tries += 1;
                 }
             }
-            sleep(self.random.pause(LEAST_HOLD, MOST_HOLD)).await;
+            sleep(self.random.duration_between(LEAST_HOLD, MOST_HOLD)).await;
         }
     }
 
@@ -157,9 +159,9 @@
     async fn probe_and_choose(
         self: &Rc<Self>, need: &Need<'_>, candidates: Vec<Candidate>, items: u32,
     ) -> Vec<Place> {
-        let mut probed: Vec<ProbedCandidate> = Vec::with_capacity(MOST_PROBES);
+        let mut probed: Vec<ProbedCandidate> = Vec::with_capacity(MAX_PROBES);
         for candidate in candidates {
-            if probed.len() >= MOST_PROBES {
+            if probed.len() >= MAX_PROBES {
                 break;
             }
             let Some(found) = self.probe(need, candidate).await else { continue };
@@ -169,7 +171,7 @@
                 break;
             }
         }
-        let loads: Vec<Probed> = probed.iter().map(|found| found.probed).collect();
+        let loads: Vec<ProbedLoad> = probed.iter().map(|found| found.probed).collect();
         match choose(&loads, items, need.queueing(Instant::now()), &self.random) {
             Some(choice) => self.reserve(&probed[choice.index], choice.items),
             None => Vec::new(),
@@ -178,15 +180,15 @@
 
     fn reserve(self: &Rc<Self>, found: &ProbedCandidate, items: u32) -> Vec<Place> {
         let now = Instant::now();
-        let heard = self.load.borrow_mut().heard(&found.candidate.target.instance);
+        let last_heard = self.load.borrow_mut().last_heard(&found.candidate.target.instance);
         let place = || {
-            self.load.borrow_mut().start(&found.candidate.target.instance, now);
+            self.load.borrow_mut().start_request(&found.candidate.target.instance, now);
             Place {
                 shared: self.clone(),
                 target: found.candidate.target.clone(),
                 backend: found.candidate.backend.clone(),
                 version: found.version,
-                heard: heard.clone(),
+                last_heard: last_heard.clone(),
                 started: now,
                 begun: Cell::new(None),
             }
--- a/crates/pebblepost-batch-runner/src/probing.rs
+++ b/crates/pebblepost-batch-runner/src/probing.rs
@@ -1,7 +1,7 @@
 //! What is known of the load of a transcriber, by a probe where no report is fresh, and whether it is there at all.
 
 use crate::candidates::Candidate;
-use crate::placement::Probed;
+use crate::placement::choice::ProbedLoad;
 use crate::placing::{Need, Place};
 use crate::shared::Shared;
 use pebblepost_transcriber::Target;
@@ -16,7 +16,7 @@
 /// A candidate with its load.
 pub(crate) struct ProbedCandidate {
     pub(crate) candidate: Candidate,
-    pub(crate) probed: Probed,
+    pub(crate) probed: ProbedLoad,
     pub(crate) version: Option<u64>,
 }
 
@@ -31,10 +31,10 @@
         }
         let load = self.load.borrow();
         let version = load.version(id, need.model);
-        if versions_matter && !self.serves_model(need, version, load.has_order(id)) {
+        if versions_matter && !self.serves_model(need, version, load.is_executing_order(id)) {
             return None;
         }
-        let probed = Probed { slots: candidate.slots, busy: load.busy(id) };
+        let probed = ProbedLoad { slots: candidate.slots, busy: load.busy(id) };
         drop(load);
         Some(ProbedCandidate { candidate, probed, version })
     }
@@ -43,13 +43,13 @@
     async fn ask_for_load(&self, target: &Target, backend: &str) -> bool {
         let id = target.instance.as_str();
         match self.client.load_report(target, PROBE_TIMEOUT).await {
-            Ok(Some(report)) => self.load.borrow_mut().report(id, &report, Instant::now()),
+            Ok(Some(report)) => self.load.borrow_mut().record_report(id, &report, Instant::now()),
             // Alive, and tells no load: what this proxy has there is all that is known.
-            Ok(None) => self.load.borrow_mut().tells_no_load(backend, Instant::now()),
+            Ok(None) => self.load.borrow_mut().record_unreported_service(backend, Instant::now()),
             Err(failure) => {
                 log::debug!("probe of {id}: {failure:?}");
                 let until = Instant::now() + AVOID_AFTER_FAILED_PROBE;
-                self.load.borrow_mut().avoid(id, until);
+                self.load.borrow_mut().eject(id, until);
                 return false;
             }
         }
@@ -60,10 +60,10 @@
     /// asked again.
     pub(crate) async fn is_there(&self, place: &Place, within: Duration) -> bool {
         let now = Instant::now();
-        if place.heard.is_within(within, now) {
+        if place.last_heard.is_within(within, now) {
             return true;
         }
-        if self.load.borrow().is_avoided(&place.target.instance, now) {
+        if self.load.borrow().is_ejected(&place.target.instance, now) {
             return false;
         }
         self.ask_for_load(&place.target, &place.backend).await
@@ -80,7 +80,7 @@
     fn needs_report(&self, candidate: &Candidate, versions_matter: bool) -> bool {
         let now = Instant::now();
         let load = self.load.borrow();
-        let is_silent = !versions_matter && load.is_silent(&candidate.backend, now);
+        let is_silent = !versions_matter && load.is_unreported_service(&candidate.backend, now);
         !is_silent && !load.is_fresh(&candidate.target.instance, versions_matter, now)
     }
 }
--- a/crates/pebblepost-batch-runner/src/random.rs
+++ b/crates/pebblepost-batch-runner/src/random.rs
@@ -1,10 +1,13 @@
-//! Small random numbers: choices among transcribers, jitter of pauses.
+//! Random numbers for choices among transcribers and for the jitter of back-offs.
+//!
+//! Owns the state of one generator. All draws of a runner come from the same one, in the order of its
+//! decisions, so that a seed repeats a run.
 
 use std::cell::Cell;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::time::Duration;
 
-/// A generator (xorshift64*), seeded by the operating system.
+/// A generator (xorshift64*), seeded by the operating system unless a seed is given.
 #[derive(Debug)]
 pub struct Random {
     state: Cell<u64>,
@@ -33,15 +36,23 @@
         (state.wrapping_mul(MULTIPLIER) >> 11) % bound
     }
 
-    /// One of the elements.
+    /// One of the elements; `None`, without a draw, if there is none.
     pub fn pick<'a, T>(&self, elements: &'a [T]) -> Option<&'a T> {
         let length = u64::try_from(elements.len()).ok().filter(|length| *length > 0)?;
         elements.get(usize::try_from(self.below(length)).unwrap_or(0))
     }
 
-    /// A time between `least` and `most`.
-    pub fn pause(&self, least: Duration, most: Duration) -> Duration {
-        let span = u64::try_from(most.saturating_sub(least).as_micros()).unwrap_or(0);
-        least + Duration::from_micros(self.below(span + 1))
+    /// Shuffles the elements in place.
+    pub fn shuffle<T>(&self, elements: &mut [T]) {
+        for index in 1..elements.len() {
+            let other = self.below(index as u64 + 1);
+            elements.swap(index, usize::try_from(other).unwrap_or(0));
+        }
+    }
+
+    /// A time from `min` to `max`, both included, in steps of a microsecond.
+    pub fn duration_between(&self, min: Duration, max: Duration) -> Duration {
+        let span = u64::try_from(max.saturating_sub(min).as_micros()).unwrap_or(0);
+        min + Duration::from_micros(self.below(span + 1))
     }
 }
--- a/crates/pebblepost-batch-runner/src/scorer.rs
+++ b/crates/pebblepost-batch-runner/src/scorer.rs
@@ -1,8 +1,8 @@
 //! The call that scores a text.
 
 use crate::attempt::{insert, note_load};
-use crate::counts::Count;
 use crate::item_run::LeaseTerms;
+use crate::metrics::Metric;
 use crate::placing::{Need, Placed};
 use crate::shared::Shared;
 use bytes::Bytes;
@@ -119,25 +119,25 @@
         return ScoreEnd::Retry;
     }
     let outgoing = request(scorer, route.timeout.min(CALL_TIMEOUT));
-    shared.counts.add(Count::ScorerCalls);
+    shared.counts.increment(Metric::ScorerCalls);
     match shared.client.send(&place.target, outgoing).await {
         Ok(answer) => {
             note_load(shared, place, &answer.head);
             if answer.head.not_executed {
-                shared.counts.add(Count::ScorerNotTaken);
+                shared.counts.increment(Metric::ScorerCallsRejected);
             }
             let end = end_of_answer(&answer, route.max_attempts);
             if matches!(end, ScoreEnd::Failed { .. }) {
-                shared.counts.add(Count::ScorerFailed);
+                shared.counts.increment(Metric::ScorerCallsFailed);
             }
             end
         }
         Err(failure) => {
-            shared.counts.add(Count::ScorerBroken);
+            shared.counts.increment(Metric::ScorerCallsInterrupted);
             log::debug!("scorer call {} at {}: {failure:?}", scorer.id, place.target.instance);
             if failure != ClientError::TimedOut {
                 let until = Instant::now() + AVOID_AFTER_BREAK;
-                shared.load.borrow_mut().avoid(&place.target.instance, until);
+                shared.load.borrow_mut().eject(&place.target.instance, until);
             }
             ScoreEnd::Retry
         }
--- a/crates/pebblepost-batch-runner/src/shared.rs
+++ b/crates/pebblepost-batch-runner/src/shared.rs
@@ -1,9 +1,9 @@
 //! State shared by the tasks of a runner.
 
-use crate::counts::Counts;
 use crate::execution::Room;
 use crate::lease_table::LeaseTable;
-use crate::load::LoadBook;
+use crate::load_table::LoadTable;
+use crate::metrics::Metrics;
 use crate::outbox::Outbox;
 use crate::random::Random;
 use crate::scorer::ScorerLimits;
@@ -27,12 +27,12 @@
     pub(crate) feed: Rc<RefCell<FeedState>>,
     pub(crate) links: StoreLinks,
     pub(crate) leases: RefCell<LeaseTable>,
-    pub(crate) load: RefCell<LoadBook>,
+    pub(crate) load: RefCell<LoadTable>,
     pub(crate) outbox: Outbox,
     pub(crate) room: Room,
     pub(crate) scorer_limits: ScorerLimits,
     pub(crate) random: Random,
-    pub(crate) counts: Counts,
+    pub(crate) counts: Metrics,
     /// No new work is begun.
     pub(crate) stopping: Cell<bool>,
     /// The feed, a link to a store or a lease has changed.
@@ -55,7 +55,7 @@
             room: Room::default(),
             scorer_limits: ScorerLimits::default(),
             random,
-            counts: Counts::default(),
+            counts: Metrics::default(),
             stopping: Cell::new(false),
             changed: Notify::new(),
         })
--- a/crates/pebblepost-batch-runner/src/store_link.rs
+++ b/crates/pebblepost-batch-runner/src/store_link.rs
@@ -154,7 +154,7 @@
         if was_up {
             shared.links.went_down(&shared, link.address);
         }
-        sleep(shared.random.pause(LEAST_PAUSE, MOST_PAUSE)).await;
+        sleep(shared.random.duration_between(LEAST_PAUSE, MOST_PAUSE)).await;
     }
 }
 
--- a/crates/pebblepost-batch-runner/src/store_links.rs
+++ b/crates/pebblepost-batch-runner/src/store_links.rs
@@ -110,11 +110,11 @@
         let now = Instant::now();
         let is_overdue = {
             let mut leases = shared.leases.borrow_mut();
-            let abandoned = leases.abandon(now);
+            let abandoned = leases.remove_abandoned(now);
             if abandoned > 0 {
                 log::debug!("{abandoned} leases were not renewed and are given up");
             }
-            self.groups_of(link.address).iter().any(|(group, _)| leases.awaits_renewal(*group, now))
+            self.groups_of(link.address).iter().any(|(group, _)| leases.is_renewal_overdue(*group, now))
         };
         if is_overdue {
             self.announce(shared, link);
--- a/crates/pebblepost-batch-runner/src/text.rs
+++ b/crates/pebblepost-batch-runner/src/text.rs
@@ -1,143 +1,149 @@
-//! The text of an item, put together from the events of one or more runs, and the versions of the
-//! weights that made it.
+//! The generated text of an item, assembled from the events of one or more attempts, and the weight
+//! versions that made it.
+//!
+//! Owns the text and the checks of an event against it. Reads no sockets and knows no leases.
 
 use pebblepost_messages::batch::PartialText;
 use pebblepost_transcriber::StreamEvent;
+use thiserror::Error;
 
-/// Why an event can't be added.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why an event can't be appended to a text.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum TextError {
-    /// Its id is not one above the last.
-    UnexpectedId,
-    /// It was made under a version older than allowed.
+    /// The id of the event is not the successor of the last event's id.
+    #[error("the event id does not follow the last one")]
+    UnexpectedEventId,
+    /// The event was made under a version below the required minimum.
+    #[error("the event was made under a version older than allowed")]
     VersionTooOld,
-    /// It was made under another version than the text before, and a single one is wanted.
+    /// The event was made under another version than the text, and a single one is required.
+    #[error("the event was made under another version than the text")]
     MixedVersions,
 }
 
-/// What versions may make a text.
+/// Weight versions that may make a text.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct VersionTerms {
+pub struct VersionRequirement {
     /// Oldest version allowed.
     pub min_version: u64,
-    /// The text must be made under a single version.
+    /// The whole text must be made under a single version.
     pub single_version: bool,
 }
 
-/// A text as far as it is known.
+impl VersionRequirement {
+    /// Whether a text made under these versions may be used.
+    fn allows(&self, versions: &[u64]) -> bool {
+        versions.iter().all(|version| *version >= self.min_version)
+            && (!self.single_version || versions.len() <= 1)
+    }
+}
+
+/// Lengths of a text at an earlier moment.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct Watermark {
+    message_bytes: usize,
+    version_count: usize,
+}
+
+/// A text as far as its events have arrived.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Text {
-    so_far: PartialText,
-    /// Version under which the present run makes events; `None` if the run does not tell.
-    run_version: Option<u64>,
-    /// Length of the message, and count of the versions, before the last event.
-    before_last: (usize, usize),
+    content: PartialText,
+    /// Version under which the current attempt makes events; `None` if the transcriber does not say.
+    attempt_version: Option<u64>,
+    /// The text before its last event.
+    before_last_event: Watermark,
 }
 
 impl Text {
-    /// Goes on from a kept text, or starts anew if its versions do not fit.
-    pub fn from_partial(partial: PartialText, terms: VersionTerms) -> Text {
-        let fits = partial.versions.iter().all(|version| *version >= terms.min_version)
-            && (!terms.single_version || partial.versions.len() <= 1);
-        if !fits || partial.last_event == 0 {
+    /// Resumes a stored text; an empty one if its versions do not meet the requirement.
+    pub fn from_partial(partial: PartialText, requirement: VersionRequirement) -> Text {
+        if !requirement.allows(&partial.versions) || partial.last_event == 0 {
             return Text::default();
         }
-        let before_last = (partial.message.len(), partial.versions.len());
-        Text { so_far: partial, run_version: None, before_last }
+        let before_last_event = watermark(&partial);
+        Text { content: partial, attempt_version: None, before_last_event }
     }
 
-    /// Id of the last event; 0 for none.
+    /// Id of the last event; 0 if there is none.
     pub fn last_event(&self) -> u64 {
-        self.so_far.last_event
+        self.content.last_event
     }
 
-    /// Whether a run under this version may go on with the text.
-    pub fn can_continue_under(&self, version: Option<u64>, terms: VersionTerms) -> bool {
+    /// Whether an attempt under this version may resume the text.
+    pub fn can_resume_under(&self, version: Option<u64>, requirement: VersionRequirement) -> bool {
         match version {
-            Some(version) if terms.single_version => {
-                self.so_far.versions.iter().all(|other| *other == version)
+            Some(version) if requirement.single_version => {
+                self.content.versions.iter().all(|other| *other == version)
             }
             _ => true,
         }
     }
 
-    /// Forgets all events.
+    /// Drops all events.
     pub fn clear(&mut self) {
         *self = Text::default();
     }
 
-    /// A run begins, under this version.
-    pub fn begin_run(&mut self, version: Option<u64>) {
-        self.run_version = version;
+    /// Notes that an attempt under this version starts.
+    pub fn start_attempt(&mut self, version: Option<u64>) {
+        self.attempt_version = version;
     }
 
-    /// Adds the next event. After an error the text is as it was.
-    pub fn add(&mut self, event: &StreamEvent, terms: VersionTerms) -> Result<(), TextError> {
-        if event.id != self.so_far.last_event + 1 {
-            return Err(TextError::UnexpectedId);
+    /// Appends the next event.
+    ///
+    /// # Errors
+    /// The event does not follow the last one, or its version is not allowed; the text is then unchanged.
+    pub fn append(&mut self, event: &StreamEvent, requirement: VersionRequirement) -> Result<(), TextError> {
+        if event.id != self.content.last_event + 1 {
+            return Err(TextError::UnexpectedEventId);
         }
-        let version = event.weight_version.or(self.run_version);
-        self.check_version(version, terms)?;
-        self.run_version = version;
-        self.before_last = (self.so_far.message.len(), self.so_far.versions.len());
-        if self.so_far.last_event > 0 {
-            self.so_far.message.push(b'\n');
+        let version = event.weight_version.or(self.attempt_version);
+        self.check_version(version, requirement)?;
+        self.attempt_version = version;
+        self.before_last_event = watermark(&self.content);
+        if self.content.last_event > 0 {
+            self.content.message.push(b'\n');
         }
-        self.so_far.message.extend_from_slice(&event.data);
-        self.so_far.last_event = event.id;
-        if let Some(version) = version.filter(|version| !self.so_far.versions.contains(version)) {
-            self.so_far.versions.push(version);
+        self.content.message.extend_from_slice(&event.data);
+        self.content.last_event = event.id;
+        if let Some(version) = version.filter(|version| !self.content.versions.contains(version)) {
+            self.content.versions.push(version);
         }
         Ok(())
     }
 
-    /// The text so far, to be continued by another run.
+    /// The text so far, for another attempt to resume.
     pub fn partial(&self) -> PartialText {
-        self.so_far.clone()
+        self.content.clone()
     }
 
-    /// The text without its last event: for a text that is whole, so that a run which continues it
-    /// has an event to make. Nothing if the last event came with an earlier lease.
-    pub fn partial_before_last(&self) -> PartialText {
-        let (length, versions) = self.before_last;
-        if self.so_far.last_event <= 1 || length == self.so_far.message.len() {
+    /// The text without its last event. A complete text is stored this way, as an attempt that resumes
+    /// it needs an event to make. Empty if the last event came under an earlier lease.
+    pub fn partial_before_last_event(&self) -> PartialText {
+        let Watermark { message_bytes, version_count } = self.before_last_event;
+        if self.content.last_event <= 1 || message_bytes == self.content.message.len() {
             return PartialText::default();
         }
         PartialText {
-            last_event: self.so_far.last_event - 1,
-            message: self.so_far.message[..length].to_vec(),
-            versions: self.so_far.versions[..versions].to_vec(),
+            last_event: self.content.last_event - 1,
+            message: self.content.message[..message_bytes].to_vec(),
+            versions: self.content.versions[..version_count].to_vec(),
         }
     }
 
-    fn check_version(&self, version: Option<u64>, terms: VersionTerms) -> Result<(), TextError> {
+    fn check_version(&self, version: Option<u64>, requirement: VersionRequirement) -> Result<(), TextError> {
         let Some(version) = version else { return Ok(()) };
-        if version < terms.min_version {
+        if version < requirement.min_version {
             return Err(TextError::VersionTooOld);
         }
-        if terms.single_version && self.so_far.versions.iter().any(|other| *other != version) {
+        if requirement.single_version && self.content.versions.iter().any(|other| *other != version) {
             return Err(TextError::MixedVersions);
         }
         Ok(())
     }
 }
 
-/// What is known of an item that is at work.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Progress {
-    /// Failed attempts of the text.
-    pub failed_attempts: u32,
-    /// Failed attempts of the scorer's call.
-    pub failed_scorer_attempts: u32,
-    /// The text.
-    pub text: Text,
-    /// All of the text is there.
-    pub is_whole: bool,
-}
-
-impl Progress {
-    /// The text to hand back.
-    pub fn partial(&self) -> PartialText {
-        if self.is_whole { self.text.partial_before_last() } else { self.text.partial() }
-    }
+fn watermark(partial: &PartialText) -> Watermark {
+    Watermark { message_bytes: partial.message.len(), version_count: partial.versions.len() }
 }
--- a/crates/pebblepost-batch-runner/tests/approved.rs
+++ b/crates/pebblepost-batch-runner/tests/approved.rs
@@ -5,12 +5,13 @@
 use nanoserde::SerBin;
 use pebblepost_batch_runner::BatchRunner;
 use pebblepost_batch_runner::attempt::priority;
-use pebblepost_batch_runner::lease_table::{LeaseTable, Validity};
-use pebblepost_batch_runner::load::{LoadBook, REPORT_LAG};
-use pebblepost_batch_runner::placement::{Probed, Queueing, choose};
+use pebblepost_batch_runner::item_progress::ItemProgress;
+use pebblepost_batch_runner::lease_table::{LeaseStatus, LeaseTable};
+use pebblepost_batch_runner::load_table::{LoadTable, REPORT_LAG};
+use pebblepost_batch_runner::placement::choice::{ProbedLoad, QueueLimit, choose};
+use pebblepost_batch_runner::placement::subset::{self, SubsetSize, rendezvous_hash};
 use pebblepost_batch_runner::random::Random;
-use pebblepost_batch_runner::subset::{self, SubsetSize, affinity};
-use pebblepost_batch_runner::text::{Progress, Text, VersionTerms};
+use pebblepost_batch_runner::text::{Text, VersionRequirement};
 use pebblepost_messages::batch::{
     FromStore, Item, ItemOutcome, LeasedItem, PartialText, ResultState, ToStore, WorkLease,
 };
@@ -55,7 +56,7 @@
     for round in 0..500 {
         digest.number(random.below(round + 1));
         digest.number(*random.pick(&elements).unwrap());
-        let pause = random.pause(Duration::from_millis(round), Duration::from_millis(2 * round));
+        let pause = random.duration_between(Duration::from_millis(round), Duration::from_millis(2 * round));
         digest.number(u64::try_from(pause.as_nanos()).unwrap());
     }
     assert!(random.pick::<u64>(&[]).is_none());
@@ -72,18 +73,18 @@
     for _ in 0..5000 {
         let draw = |_| {
             let slots = u32::try_from(random.below(12)).unwrap();
-            Probed { slots, busy: u32::try_from(random.below(15)).unwrap() }
+            ProbedLoad { slots, busy: u32::try_from(random.below(15)).unwrap() }
         };
-        let probed: Vec<Probed> = (0..random.below(4)).map(draw).collect();
+        let probed: Vec<ProbedLoad> = (0..random.below(4)).map(draw).collect();
         let items = 1 + u32::try_from(random.below(16)).unwrap();
         let queueing = match random.below(3) {
-            0 => Queueing::None,
-            1 => Queueing::UpTo(34),
-            _ => Queueing::UpTo(50),
+            0 => QueueLimit::FreeSlotsOnly,
+            1 => QueueLimit::PercentOfSlots(34),
+            _ => QueueLimit::PercentOfSlots(50),
         };
         for candidate in &probed {
             digest.number(u64::from(candidate.accepts(items)));
-            digest.number(u64::from(candidate.free()));
+            digest.number(u64::from(candidate.free_slots()));
         }
         match choose(&probed, items, queueing, &random) {
             None => digest.number(u64::MAX),
@@ -101,19 +102,19 @@
     let mut digest = Digest::new();
     for node in ["edge-1", "edge-2", "a-longer-name-of-a-machine"] {
         for instance in 0..64 {
-            digest.number(affinity(node, &format!("i-{instance}")));
+            digest.number(rendezvous_hash(node, &format!("i-{instance}")));
         }
     }
     for transcribers in [1, 4, 7, 40, 57, 600] {
         for proxies in [0, 1, 3, 40, 300] {
             let first = SubsetSize::new(transcribers, proxies);
             for full in [0, 2, 3, 7, 20, 21, 22, 400, u32::MAX] {
-                let size = first.after_tries(full);
+                let size = first.widened_after(full);
                 for serving in [0, 1, transcribers / 2, transcribers] {
-                    let wide = size.of_which_serve(transcribers, serving);
+                    let wide = size.scaled_to_serving(transcribers, serving);
                     let mut kept: Vec<usize> = (0..transcribers).collect();
-                    let near = subset::keep(&mut kept, wide, |index| *index < transcribers / 3);
-                    for number in [size.near, size.all, wide.near, wide.all, near, kept.len()] {
+                    let near = subset::retain_subset(&mut kept, wide, |index| *index < transcribers / 3);
+                    for number in [size.local, size.total, wide.local, wide.total, near, kept.len()] {
                         digest.number(u64::try_from(number).unwrap());
                     }
                     kept.iter().for_each(|index| digest.number(u64::try_from(*index).unwrap()));
@@ -135,7 +136,7 @@
 fn known_loads_are_as_approved(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
     let start = Instant::now() + 4 * REPORT_LAG;
-    let (mut now, mut book, mut digest) = (start, LoadBook::default(), Digest::new());
+    let (mut now, mut book, mut digest) = (start, LoadTable::default(), Digest::new());
     let mut started = Vec::new();
     for _ in 0..4000 {
         now += Duration::from_millis(random.below(120));
@@ -149,37 +150,37 @@
         };
         match random.below(9) {
             0 | 1 => {
-                book.start(&id, now);
+                book.start_request(&id, now);
                 started.push((id.clone(), now));
             }
             2 | 3 if !started.is_empty() => {
                 let index = usize::try_from(random.below(started.len() as u64)).unwrap();
                 let (id, at) = started.swap_remove(index);
-                book.end(&id, at, now);
+                book.end_request(&id, at, now);
             }
-            4 => book.report(&id, &load, now),
-            5 => book.answer(&id, &load, now),
-            6 => book.forget_report(&id),
-            7 => book.avoid(&id, now + Duration::from_millis(random.below(900))),
-            _ => book.tells_no_load(&id, now),
+            4 => book.record_report(&id, &load, now),
+            5 => book.record_answer(&id, &load, now),
+            6 => book.invalidate_report(&id),
+            7 => book.eject(&id, now + Duration::from_millis(random.below(900))),
+            _ => book.record_unreported_service(&id, now),
         }
         if random.below(40) == 0 {
             book.retain(|known| known != id);
         }
         if random.below(10) == 0 {
-            book.heard(&id).note(now);
+            book.last_heard(&id).record(now);
         }
         for index in 0..5 {
             let id = format!("i-{index}");
             digest.number(u64::from(book.busy(&id)));
             digest.number(book.version(&id, "m").unwrap_or(u64::MAX));
-            let heard = book.heard(&id).is_within(Duration::from_millis(500), now);
+            let heard = book.last_heard(&id).is_within(Duration::from_millis(500), now);
             let flags = [
-                book.is_avoided(&id, now),
+                book.is_ejected(&id, now),
                 book.is_fresh(&id, true, now),
                 book.is_fresh(&id, false, now),
-                book.is_silent(&id, now),
-                book.has_order(&id),
+                book.is_unreported_service(&id, now),
+                book.is_executing_order(&id),
                 heard,
             ];
             digest.bytes(&flags.map(u8::from));
@@ -204,15 +205,15 @@
     }
 }
 
-fn progress_of(random: &Random) -> Progress {
+fn progress_of(random: &Random) -> ItemProgress {
     let last_event = random.below(5);
     let message = vec![b'x'; usize::try_from(last_event).unwrap()];
     let partial = PartialText { last_event, message, versions: vec![3] };
-    let any = VersionTerms { min_version: 3, single_version: false };
-    Progress {
+    let any = VersionRequirement { min_version: 3, single_version: false };
+    ItemProgress {
         failed_attempts: u32::try_from(random.below(3)).unwrap(),
         text: Text::from_partial(partial, any),
-        ..Progress::default()
+        ..ItemProgress::default()
     }
 }
 
@@ -238,7 +239,7 @@
                 let index = usize::try_from(random.below(keys.len() as u64)).unwrap();
                 let (key, lease) = &keys[index];
                 let item = &lease.items[0].item.id;
-                let finished = table.finish(*key, item);
+                let finished = table.release(*key, item);
                 digest.number(finished.map_or(u64::MAX, |item| {
                     let progress = item.progress.borrow();
                     item.lease * 1000 + progress.text.last_event() * 10 + u64::from(progress.failed_attempts)
@@ -255,21 +256,21 @@
                 digest.bytes(&ToStore::ActiveLeases(held).serialize_bin());
             }
             _ if random.below(30) == 0 => table.cancel(&[format!("job-{}", random.below(4))], now),
-            _ => digest.number(u64::try_from(table.abandon(now)).unwrap()),
+            _ => digest.number(u64::try_from(table.remove_abandoned(now)).unwrap()),
         }
         for (key, _) in keys.iter().rev().take(12) {
-            digest.number(match table.validity(*key, now) {
-                Validity::Valid => 0,
-                Validity::Void => 1,
-                Validity::Over => 2,
+            digest.number(match table.status(*key, now) {
+                LeaseStatus::Valid => 0,
+                LeaseStatus::Expired => 1,
+                LeaseStatus::Ended => 2,
             });
         }
         for group in 0..3 {
-            digest.number(u64::from(table.awaits_renewal(group, now)));
+            digest.number(u64::from(table.is_renewal_overdue(group, now)));
         }
         digest.number(u64::from(table.is_empty()));
     }
-    for item in table.stop_all() {
+    for item in table.release_all() {
         digest.number(item.lease);
         digest.bytes(item.item.as_bytes());
     }
@@ -281,7 +282,7 @@
 #[case::any(false, 0x7987_b3fd_d075_18ee)]
 fn texts_are_as_approved(#[case] single_version: bool, #[case] approved: u64) {
     let random = Random::seeded(11);
-    let terms = VersionTerms { min_version: 2, single_version };
+    let terms = VersionRequirement { min_version: 2, single_version };
     let (mut text, mut digest) = (Text::default(), Digest::new());
     for _ in 0..3000 {
         let is_next = random.below(8) > 0;
@@ -289,20 +290,20 @@
         let weight_version = Some(random.below(30)).filter(|version| *version < 4);
         let data = vec![b'a'; usize::try_from(random.below(5)).unwrap()];
         let event = StreamEvent { id, data, weight_version, ..StreamEvent::default() };
-        digest.number(match text.add(&event, terms) {
+        digest.number(match text.append(&event, terms) {
             Ok(()) => 0,
             Err(error) => error as u64 + 1,
         });
         match random.below(40) {
             0 => text.clear(),
             1 => text = Text::from_partial(text.partial(), terms),
-            2 => text = Text::from_partial(text.partial_before_last(), terms),
-            3 | 4 => text.begin_run(Some(2 + random.below(2))),
+            2 => text = Text::from_partial(text.partial_before_last_event(), terms),
+            3 | 4 => text.start_attempt(Some(2 + random.below(2))),
             _ => {}
         }
-        digest.number(u64::from(text.can_continue_under(Some(3), terms)));
+        digest.number(u64::from(text.can_resume_under(Some(3), terms)));
         digest.bytes(&text.partial().serialize_bin());
-        digest.bytes(&text.partial_before_last().serialize_bin());
+        digest.bytes(&text.partial_before_last_event().serialize_bin());
     }
     assert_eq!(digest.0, approved, "{:#x}", digest.0);
 }
--- a/crates/pebblepost-batch-runner/tests/parts.rs
+++ b/crates/pebblepost-batch-runner/tests/parts.rs
@@ -1,14 +1,17 @@
 //! The parts that need no connections: texts, placement, load, leases, JSON.
 
 use pebblepost_batch_runner::attempt::priority;
-use pebblepost_batch_runner::job_answer::{MOST_PAGE_BYTES, page};
-use pebblepost_batch_runner::job_request::parse;
-use pebblepost_batch_runner::lease_table::{ABANDON_AFTER, LEASE, LeaseTable, Validity};
-use pebblepost_batch_runner::load::{LoadBook, REPORT_LAG, REPORT_REUSE, SILENT_SERVICE, VERSIONS_REUSE};
-use pebblepost_batch_runner::placement::{Choice, Probed, Queueing, choose};
+use pebblepost_batch_runner::item_progress::ItemProgress;
+use pebblepost_batch_runner::job::request::parse;
+use pebblepost_batch_runner::job::response::{MOST_PAGE_BYTES, page};
+use pebblepost_batch_runner::lease_table::{ABANDON_AFTER, LEASE_DURATION, LeaseStatus, LeaseTable};
+use pebblepost_batch_runner::load_table::{
+    LoadTable, REPORT_LAG, REPORT_REUSE, UNREPORTED_SERVICE_REUSE, VERSIONS_REUSE,
+};
+use pebblepost_batch_runner::placement::choice::{Choice, ProbedLoad, QueueLimit, choose};
+use pebblepost_batch_runner::placement::subset::{self, SubsetSize, rendezvous_hash};
 use pebblepost_batch_runner::random::Random;
-use pebblepost_batch_runner::subset::{self, SubsetSize, affinity};
-use pebblepost_batch_runner::text::{Progress, Text, TextError, VersionTerms};
+use pebblepost_batch_runner::text::{Text, TextError, VersionRequirement};
 use pebblepost_messages::batch::{
     ActiveLease, Item, ItemResult, JobTerms, LeasedItem, PartialText, ResultPage, ResultState, WorkLease,
 };
@@ -17,8 +20,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-const ANY: VersionTerms = VersionTerms { min_version: 3, single_version: false };
-const SINGLE: VersionTerms = VersionTerms { min_version: 3, single_version: true };
+const ANY: VersionRequirement = VersionRequirement { min_version: 3, single_version: false };
+const SINGLE: VersionRequirement = VersionRequirement { min_version: 3, single_version: true };
 
 fn event(id: u64, data: &str, weight_version: Option<u64>) -> StreamEvent {
     StreamEvent { id, data: data.as_bytes().to_vec(), weight_version, ..StreamEvent::default() }
@@ -31,36 +34,36 @@
 #[test]
 fn a_text_joins_events_and_names_versions_once() {
     let mut text = Text::default();
-    text.begin_run(Some(3));
-    text.add(&event(1, "", None), ANY).unwrap();
-    text.add(&event(2, "b", Some(4)), ANY).unwrap();
-    text.add(&event(3, "c", None), ANY).unwrap();
+    text.start_attempt(Some(3));
+    text.append(&event(1, "", None), ANY).unwrap();
+    text.append(&event(2, "b", Some(4)), ANY).unwrap();
+    text.append(&event(3, "c", None), ANY).unwrap();
     assert_eq!(text.partial(), partial(3, "\nb\nc", &[3, 4]));
-    assert_eq!(text.partial_before_last(), partial(2, "\nb", &[3, 4]));
-    text.begin_run(Some(4));
-    text.add(&event(4, "d", None), ANY).unwrap();
+    assert_eq!(text.partial_before_last_event(), partial(2, "\nb", &[3, 4]));
+    text.start_attempt(Some(4));
+    text.append(&event(4, "d", None), ANY).unwrap();
     assert_eq!(text.partial(), partial(4, "\nb\nc\nd", &[3, 4]));
 }
 
 #[test]
 fn a_version_is_named_only_if_it_made_an_event() {
     let mut text = Text::default();
-    text.begin_run(Some(3));
-    text.add(&event(1, "a", Some(5)), SINGLE).unwrap();
+    text.start_attempt(Some(3));
+    text.append(&event(1, "a", Some(5)), SINGLE).unwrap();
     assert_eq!(text.partial().versions, [5]);
 }
 
 #[rstest]
-#[case::gap(event(3, "x", None), TextError::UnexpectedId)]
-#[case::repeat(event(1, "x", None), TextError::UnexpectedId)]
+#[case::gap(event(3, "x", None), TextError::UnexpectedEventId)]
+#[case::repeat(event(1, "x", None), TextError::UnexpectedEventId)]
 #[case::too_old(event(2, "x", Some(2)), TextError::VersionTooOld)]
 #[case::mixed(event(2, "x", Some(4)), TextError::MixedVersions)]
 fn an_event_that_does_not_fit_changes_nothing(#[case] wrong: StreamEvent, #[case] error: TextError) {
     let mut text = Text::default();
-    text.begin_run(Some(3));
-    text.add(&event(1, "a", None), SINGLE).unwrap();
+    text.start_attempt(Some(3));
+    text.append(&event(1, "a", None), SINGLE).unwrap();
     let before = text.clone();
-    assert_eq!(text.add(&wrong, SINGLE), Err(error));
+    assert_eq!(text.append(&wrong, SINGLE), Err(error));
     assert_eq!(text, before);
 }
 
@@ -70,7 +73,7 @@
 #[case::mixed(partial(2, "a\nb", &[3, 4]), SINGLE, 0)]
 #[case::two_allowed(partial(2, "a\nb", &[3, 4]), ANY, 2)]
 fn a_kept_text_is_used_if_its_versions_fit(
-    #[case] kept: PartialText, #[case] terms: VersionTerms, #[case] last: u64,
+    #[case] kept: PartialText, #[case] terms: VersionRequirement, #[case] last: u64,
 ) {
     assert_eq!(Text::from_partial(kept, terms).last_event(), last);
 }
@@ -78,9 +81,9 @@
 #[test]
 fn a_single_version_text_goes_on_under_its_version_only() {
     let text = Text::from_partial(partial(1, "a", &[3]), SINGLE);
-    assert!(text.can_continue_under(Some(3), SINGLE));
-    assert!(!text.can_continue_under(Some(4), SINGLE));
-    assert!(text.can_continue_under(Some(4), ANY));
+    assert!(text.can_resume_under(Some(3), SINGLE));
+    assert!(!text.can_resume_under(Some(4), SINGLE));
+    assert!(text.can_resume_under(Some(4), ANY));
 }
 
 #[rstest]
@@ -88,32 +91,32 @@
 #[case::at_threshold(7, 1, false)]
 #[case::no_room_for_all(6, 3, false)]
 fn one_probe_is_enough_below_the_threshold(#[case] busy: u32, #[case] items: u32, #[case] accepts: bool) {
-    assert_eq!(Probed { slots: 8, busy }.accepts(items), accepts);
+    assert_eq!(ProbedLoad { slots: 8, busy }.accepts(items), accepts);
 }
 
 #[rstest]
-#[case::fewest_busy(&[7, 5], 2, Queueing::None, Some((1, 2)))]
-#[case::split(&[7, 6], 4, Queueing::None, Some((1, 2)))]
-#[case::full(&[8, 9], 1, Queueing::None, None)]
-#[case::queue(&[9, 8], 4, Queueing::UpTo(25), Some((1, 2)))]
-#[case::queue_full(&[10, 12], 1, Queueing::UpTo(25), None)]
-#[case::none_probed(&[], 1, Queueing::None, None)]
+#[case::fewest_busy(&[7, 5], 2, QueueLimit::FreeSlotsOnly, Some((1, 2)))]
+#[case::split(&[7, 6], 4, QueueLimit::FreeSlotsOnly, Some((1, 2)))]
+#[case::full(&[8, 9], 1, QueueLimit::FreeSlotsOnly, None)]
+#[case::queue(&[9, 8], 4, QueueLimit::PercentOfSlots(25), Some((1, 2)))]
+#[case::queue_full(&[10, 12], 1, QueueLimit::PercentOfSlots(25), None)]
+#[case::none_probed(&[], 1, QueueLimit::FreeSlotsOnly, None)]
 fn the_fewest_busy_takes_what_it_has_room_for(
-    #[case] busy: &[u32], #[case] items: u32, #[case] queueing: Queueing,
+    #[case] busy: &[u32], #[case] items: u32, #[case] queueing: QueueLimit,
     #[case] expected: Option<(usize, u32)>,
 ) {
-    let probed: Vec<Probed> = busy.iter().map(|busy| Probed { slots: 8, busy: *busy }).collect();
+    let probed: Vec<ProbedLoad> = busy.iter().map(|busy| ProbedLoad { slots: 8, busy: *busy }).collect();
     let choice = choose(&probed, items, queueing, &Random::seeded(7));
     assert_eq!(choice, expected.map(|(index, items)| Choice { index, items }));
 }
 
 #[test]
 fn ties_are_broken_at_random() {
-    let probed = [Probed { slots: 8, busy: 7 }; 2];
+    let probed = [ProbedLoad { slots: 8, busy: 7 }; 2];
     let random = Random::seeded(7);
     let mut chosen = [0; 2];
     for _ in 0..100 {
-        let choice = choose(&probed, 1, Queueing::None, &random).unwrap();
+        let choice = choose(&probed, 1, QueueLimit::FreeSlotsOnly, &random).unwrap();
         chosen[choice.index] += 1;
     }
     assert!(chosen.iter().all(|count| *count > 25), "{chosen:?}");
@@ -126,16 +129,16 @@
 #[test]
 fn own_requests_are_added_to_a_report_that_can_not_tell_them_yet() {
     let start = Instant::now();
-    let mut book = LoadBook::default();
-    book.start("i", start);
-    book.start("i", start + REPORT_LAG);
+    let mut book = LoadTable::default();
+    book.start_request("i", start);
+    book.start_request("i", start + REPORT_LAG);
     let now = start + REPORT_LAG + Duration::from_millis(10);
-    book.report("i", &load(5), now);
+    book.record_report("i", &load(5), now);
     // The report is of a moment at which one of ours ran.
     assert_eq!(book.busy("i"), 4 + 2);
-    book.end("i", start, now);
+    book.end_request("i", start, now);
     assert_eq!(book.busy("i"), 4 + 1);
-    book.answer("i", &load(3), now);
+    book.record_answer("i", &load(3), now);
     assert_eq!(book.busy("i"), 2 + 1);
     assert_eq!(book.version("i", "m"), Some(4));
 }
@@ -143,28 +146,28 @@
 #[test]
 fn a_report_is_used_for_a_while() {
     let now = Instant::now();
-    let mut book = LoadBook::default();
+    let mut book = LoadTable::default();
     assert!(!book.is_fresh("i", false, now));
-    book.report("i", &load(5), now);
+    book.record_report("i", &load(5), now);
     assert!(book.is_fresh("i", true, now));
     assert!(!book.is_fresh("i", true, now + REPORT_REUSE));
     let later = now + VERSIONS_REUSE;
-    book.answer("i", &load(5), later);
+    book.record_answer("i", &load(5), later);
     assert!(book.is_fresh("i", false, later));
     assert!(!book.is_fresh("i", true, later), "its version may have moved");
-    book.forget_report("i");
+    book.invalidate_report("i");
     assert!(!book.is_fresh("i", false, later));
 }
 
 #[test]
 fn a_service_without_reports_is_asked_again_after_a_while() {
     let now = Instant::now();
-    let mut book = LoadBook::default();
-    assert!(!book.is_silent("desk", now));
-    book.tells_no_load("desk", now);
-    assert!(book.is_silent("desk", now));
-    assert!(!book.is_silent("models", now));
-    assert!(!book.is_silent("desk", now + SILENT_SERVICE));
+    let mut book = LoadTable::default();
+    assert!(!book.is_unreported_service("desk", now));
+    book.record_unreported_service("desk", now);
+    assert!(book.is_unreported_service("desk", now));
+    assert!(!book.is_unreported_service("models", now));
+    assert!(!book.is_unreported_service("desk", now + UNREPORTED_SERVICE_REUSE));
 }
 
 fn work(job: &str, items: &[&str], epoch: u64) -> WorkLease {
@@ -185,7 +188,7 @@
 fn add(
     table: &mut LeaseTable, lease: &WorkLease, now: Instant,
 ) -> Option<pebblepost_batch_runner::lease_table::LeaseKey> {
-    table.add(lease, vec![Progress::default(); lease.items.len()], now)
+    table.add(lease, vec![ItemProgress::default(); lease.items.len()], now)
 }
 
 #[test]
@@ -193,15 +196,15 @@
     let now = Instant::now();
     let mut table = LeaseTable::default();
     let key = add(&mut table, &work("j", &["a"], 4), now).unwrap();
-    assert_eq!(table.validity(key, now + LEASE - Duration::from_millis(1)), Validity::Valid);
-    assert_eq!(table.validity(key, now + LEASE), Validity::Void);
-    table.renew(2, 5, now + LEASE);
-    assert_eq!(table.validity(key, now + LEASE), Validity::Void, "another epoch");
-    table.renew(3, 4, now + LEASE);
-    assert_eq!(table.validity(key, now + LEASE), Validity::Void, "another group");
-    table.renew(2, 4, now + LEASE);
-    assert_eq!(table.validity(key, now + LEASE), Validity::Valid);
-    assert_eq!(table.validity(key, now + 2 * LEASE + ABANDON_AFTER), Validity::Over);
+    assert_eq!(table.status(key, now + LEASE_DURATION - Duration::from_millis(1)), LeaseStatus::Valid);
+    assert_eq!(table.status(key, now + LEASE_DURATION), LeaseStatus::Expired);
+    table.renew(2, 5, now + LEASE_DURATION);
+    assert_eq!(table.status(key, now + LEASE_DURATION), LeaseStatus::Expired, "another epoch");
+    table.renew(3, 4, now + LEASE_DURATION);
+    assert_eq!(table.status(key, now + LEASE_DURATION), LeaseStatus::Expired, "another group");
+    table.renew(2, 4, now + LEASE_DURATION);
+    assert_eq!(table.status(key, now + LEASE_DURATION), LeaseStatus::Valid);
+    assert_eq!(table.status(key, now + 2 * LEASE_DURATION + ABANDON_AFTER), LeaseStatus::Ended);
 }
 
 #[test]
@@ -209,14 +212,14 @@
     let now = Instant::now();
     let mut table = LeaseTable::default();
     let key = add(&mut table, &work("j", &["a", "b"], 4), now).unwrap();
-    table.finish(key, "a").unwrap();
-    assert!(!table.awaits_renewal(2, now));
-    assert!(table.awaits_renewal(2, now + LEASE));
+    table.release(key, "a").unwrap();
+    assert!(!table.is_renewal_overdue(2, now));
+    assert!(table.is_renewal_overdue(2, now + LEASE_DURATION));
     let held = ActiveLease { store_group: 2, job: "j".to_owned(), items: vec!["b".to_owned()] };
     assert_eq!(table.announce(2, 5), [held]);
     assert!(table.announce(3, 5).is_empty());
-    table.renew(2, 5, now + LEASE);
-    assert_eq!(table.validity(key, now + LEASE), Validity::Valid);
+    table.renew(2, 5, now + LEASE_DURATION);
+    assert_eq!(table.status(key, now + LEASE_DURATION), LeaseStatus::Valid);
 }
 
 #[test]
@@ -226,9 +229,9 @@
     let key = add(&mut table, &work("j", &["a"], 4), now).unwrap();
     let other = add(&mut table, &work("k", &["a"], 4), now).unwrap();
     table.cancel(&["j".to_owned()], now);
-    assert_eq!(table.validity(key, now), Validity::Over);
-    assert_eq!(table.validity(other, now), Validity::Valid);
-    assert!(table.finish(key, "a").is_none());
+    assert_eq!(table.status(key, now), LeaseStatus::Ended);
+    assert_eq!(table.status(other, now), LeaseStatus::Valid);
+    assert!(table.release(key, "a").is_none());
     assert!(add(&mut table, &work("j", &["a"], 5), now).is_none());
 }
 
@@ -240,7 +243,7 @@
     let text = Text::from_partial(partial(2, "x\ny", &[3]), ANY);
     table.progress(first, "a").unwrap().borrow_mut().text = text;
     let second = add(&mut table, &work("j", &["a"], 4), now).unwrap();
-    assert_eq!(table.validity(first, now), Validity::Over);
+    assert_eq!(table.status(first, now), LeaseStatus::Ended);
     assert_eq!(table.progress(second, "a").unwrap().borrow().text.last_event(), 2);
 }
 
@@ -249,8 +252,8 @@
     let now = Instant::now();
     let mut table = LeaseTable::default();
     let key = add(&mut table, &work("j", &["a", "b"], 4), now).unwrap();
-    table.finish(key, "a").unwrap();
-    let items: Vec<String> = table.stop_all().into_iter().map(|taken| taken.item).collect();
+    table.release(key, "a").unwrap();
+    let items: Vec<String> = table.release_all().into_iter().map(|taken| taken.item).collect();
     assert_eq!(items, ["b"]);
     assert!(table.is_empty());
 }
@@ -314,8 +317,9 @@
 #[case::idle(0, true)]
 #[case::not_idle(1, false)]
 fn a_group_larger_than_a_transcriber_is_accepted_by_an_idle_one(#[case] busy: u32, #[case] accepts: bool) {
-    assert_eq!(Probed { slots: 6, busy }.accepts(16), accepts);
-    let choice = choose(&[Probed { slots: 6, busy: 0 }], 16, Queueing::UpTo(34), &Random::seeded(7));
+    assert_eq!(ProbedLoad { slots: 6, busy }.accepts(16), accepts);
+    let choice =
+        choose(&[ProbedLoad { slots: 6, busy: 0 }], 16, QueueLimit::PercentOfSlots(34), &Random::seeded(7));
     assert_eq!(choice, Some(Choice { index: 0, items: 9 }), "six run, three are at hand");
 }
 
@@ -340,15 +344,17 @@
     #[case] proxies: usize, #[case] transcribers: usize, #[case] zones: usize,
 ) {
     // What a request that waits looks at after a few tries.
-    let size = SubsetSize::new(transcribers, proxies).after_tries(3);
+    let size = SubsetSize::new(transcribers, proxies).widened_after(3);
     let mut shared_by = vec![0; transcribers];
     for proxy in 0..proxies {
         let node = format!("edge-{proxy}");
         let is_far = |transcriber: usize| transcriber % zones != proxy % zones;
         let mut order: Vec<usize> = (0..transcribers).collect();
-        order.sort_by_key(|transcriber| (is_far(*transcriber), affinity(&node, &format!("i-{transcriber}"))));
-        subset::keep(&mut order, size, |transcriber| !is_far(*transcriber));
-        assert!(order.len() <= size.all);
+        order.sort_by_key(|transcriber| {
+            (is_far(*transcriber), rendezvous_hash(&node, &format!("i-{transcriber}")))
+        });
+        subset::retain_subset(&mut order, size, |transcriber| !is_far(*transcriber));
+        assert!(order.len() <= size.total);
         order.iter().for_each(|transcriber| shared_by[*transcriber] += 1);
     }
     let mean = shared_by.iter().sum::<usize>() as f64 / transcribers as f64;
