--- a/crates/pebblepost-batch-runner/src/attempt.rs
+++ b/crates/pebblepost-batch-runner/src/attempt.rs
@@ -1,8 +1,8 @@
 //! One run of an item at a transcriber.
 
 use crate::item_progress::SharedProgress;
-use crate::item_run::LeaseTerms;
-use crate::placing::Place;
+use crate::lease_terms::LeaseTerms;
+use crate::placement::reservation::Reservation;
 use crate::shared::Shared;
 use crate::text::TextError;
 use bytes::Bytes;
@@ -59,7 +59,7 @@
 
 /// Runs an item once.
 pub(crate) async fn run(
-    shared: &Shared, terms: &LeaseTerms, item: &Item, place: &Place, progress: &SharedProgress,
+    shared: &Shared, terms: &LeaseTerms, item: &Item, place: &Reservation, progress: &SharedProgress,
 ) -> RunEnd {
     if !progress.borrow().text.can_resume_under(place.version, terms.versions) {
         progress.borrow_mut().text.clear();
@@ -72,12 +72,12 @@
         Some(Err(ClientError::NotSent)) => RunEnd::NotSent,
         Some(Err(_)) => RunEnd::Broken,
         Some(Ok(StreamResponse::Whole(answer))) => {
-            note_load(shared, place, &answer.head);
+            place.record_load(&answer.head);
             end_of_answer(&answer)
         }
         Some(Ok(StreamResponse::Stream(head, stream))) => {
-            note_load(shared, place, &head);
-            place.has_begun();
+            place.record_load(&head);
+            place.signal_start();
             let version = head_version(&head).or(place.version);
             progress.borrow_mut().text.start_attempt(version);
             read(shared, place, stream, terms, progress).await
@@ -87,7 +87,8 @@
 
 /// Reads events until the stream ends.
 async fn read(
-    shared: &Shared, place: &Place, mut stream: EventStream, terms: &LeaseTerms, progress: &SharedProgress,
+    shared: &Shared, place: &Reservation, mut stream: EventStream, terms: &LeaseTerms,
+    progress: &SharedProgress,
 ) -> RunEnd {
     loop {
         let Some(next) = watch(shared, place, SILENCE, stream.next(SILENCE)).await else {
@@ -112,13 +113,13 @@
 /// Waits for what a transcriber does, `most` at most. One that is quiet is asked for its load now and then: `None` as soon
 /// as it does not answer.
 async fn watch<T>(
-    shared: &Shared, place: &Place, most: Duration, work: impl Future<Output = T>,
+    shared: &Shared, place: &Reservation, most: Duration, work: impl Future<Output = T>,
 ) -> Option<T> {
     let until = Instant::now() + most;
     let mut work = pin!(work);
     loop {
         if let Ok(done) = timeout_at(until.min(Instant::now() + LOOK_AFTER), work.as_mut()).await {
-            place.last_heard.record(Instant::now());
+            place.record_heard();
             return Some(done);
         }
         if Instant::now() >= until {
@@ -127,7 +128,7 @@
         tokio::select! {
             biased;
             done = work.as_mut() => return Some(done),
-            is_there = shared.is_there(place, LOOK_AFTER) => {
+            is_there = shared.placer.prober.is_healthy(place, LOOK_AFTER) => {
                 if !is_there {
                     return None;
                 }
@@ -147,13 +148,6 @@
     }
 }
 
-/// Takes over the load that an answer tells.
-pub(crate) fn note_load(shared: &Shared, place: &Place, head: &ResponseHead) {
-    if let Some(load) = &head.load {
-        shared.load.borrow_mut().record_answer(&place.target.instance, load, Instant::now());
-    }
-}
-
 fn head_version(head: &ResponseHead) -> Option<u64> {
     head.headers.get("weight-versions")?.to_str().ok()?.trim().parse().ok()
 }
--- a/crates/pebblepost-batch-runner/src/calls.rs
+++ b/crates/pebblepost-batch-runner/src/calls.rs
@@ -106,7 +106,7 @@
             SubmitOutcome::Rejected { retry_after_ms } => {
                 return refused(StatusCode::TOO_MANY_REQUESTS, Duration::from_millis(retry_after_ms));
             }
-            SubmitOutcome::NotPrimary => shared.wait_for_change(RETRY_PAUSE).await,
+            SubmitOutcome::NotPrimary => shared.changes.wait(RETRY_PAUSE).await,
             SubmitOutcome::Unknown => {
                 submission.may_be_taken = true;
                 sleep(RETRY_PAUSE).await;
@@ -190,7 +190,7 @@
                 sure => return sure,
             },
         }
-        shared.wait_for_change(RETRY_PAUSE).await;
+        shared.changes.wait(RETRY_PAUSE).await;
     }
     JobAnswer::Uncertain
 }
@@ -208,7 +208,7 @@
 async fn call_primary(shared: &Shared, group: u32, message: &mut ToStore, until: Instant) -> CallEnd {
     let Some(link) = shared.links.to_primary(group) else {
         let left = until.saturating_duration_since(Instant::now());
-        shared.wait_for_change(left).await;
+        shared.changes.wait(left).await;
         return CallEnd::NotSent;
     };
     link.call(message, until).await
--- a/crates/pebblepost-batch-runner/src/execution.rs
+++ b/crates/pebblepost-batch-runner/src/execution.rs
@@ -1,16 +1,17 @@
 //! Taking work from the stores while there is room, and handing it back at the end.
 
 use crate::item_progress::ItemProgress;
-use crate::item_run::{self, LeaseTerms};
+use crate::item_run;
 use crate::lease_table::{LeaseKey, ReleasedItem};
+use crate::lease_terms::LeaseTerms;
 use crate::metrics::Metric;
 use crate::outbox::Outcome;
-use crate::placing::{Need, Place, Placed};
+use crate::placement::requirements::Requirements;
+use crate::placement::reservation::Reservation;
 use crate::shared::Shared;
 use crate::text::Text;
 use pebblepost_configuration::{Configuration, RouteKind};
 use pebblepost_messages::batch::{ItemOutcome, LeasedItem, ToStore, WorkLease};
-use pebblepost_messages::feed::InstanceState;
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -102,7 +103,7 @@
 
 /// Asks the stores for as many items as there is room for.
 fn ask_for_work(shared: &Rc<Shared>) {
-    if shared.stopping.get() || shared.links.all().iter().all(|link| !link.may_have_work.get()) {
+    if shared.shutdown.is_set() || shared.links.all().iter().all(|link| !link.may_have_work.get()) {
         return;
     }
     let target = target_room(shared);
@@ -142,18 +143,12 @@
 }
 
 fn share_of_slots(shared: &Shared) -> u32 {
-    let Some(configuration) = shared.configuration() else { return 0 };
-    let feed = shared.feed.borrow();
-    let ready = feed.instances().filter(|instance| instance.state == InstanceState::Ready);
-    let slots: u64 = ready
-        .filter(|instance| runs_items(&configuration, &instance.backend))
-        .map(|instance| u64::from(instance.slots))
-        .sum();
-    if slots == 0 {
+    let Some(configuration) = shared.feed.configuration() else { return 0 };
+    let share = shared.feed.share_of_slots(ROOM_PERCENT, |backend| runs_items(&configuration, backend));
+    if share == 0 {
         return 0;
     }
-    let share = (slots * ROOM_PERCENT).div_ceil(100 * u64::from(feed.proxy_count()));
-    u32::try_from(share).unwrap_or(u32::MAX).max(LEAST_ROOM)
+    share.max(LEAST_ROOM)
 }
 
 fn runs_items(configuration: &Configuration, backend: &str) -> bool {
@@ -175,7 +170,7 @@
     let terms = Rc::new(LeaseTerms::new(&lease, now));
     let progress = lease.items.iter().map(|leased| progress_of(leased, &terms)).collect();
     let Some(key) = shared.leases.borrow_mut().add(&lease, progress, now) else { return };
-    if shared.stopping.get() {
+    if shared.shutdown.is_set() {
         for leased in lease.items {
             hand_back(shared, key, &leased.item.id);
         }
@@ -206,18 +201,18 @@
 ) {
     while let Some(first) = items.front() {
         let count = u32::try_from(items.len()).unwrap_or(u32::MAX);
-        let need = Need::of_text(&terms, &first.item.path);
-        let mut places = match shared.find_place(&need, count).await {
-            Placed::At(places) => VecDeque::from(places),
+        let need = Requirements::of_text(&terms, &first.item.path);
+        let mut places = match shared.placer.place(&need, count).await {
+            Ok(places) => VecDeque::from(places),
             // Each item sees for itself.
-            Placed::NoRoute | Placed::Stopped | Placed::Expired => VecDeque::new(),
+            Err(_) => VecDeque::new(),
         };
-        shared.counts.increment(if places.len() < items.len() {
+        shared.metrics.increment(if places.len() < items.len() {
             Metric::GroupsSplit
         } else {
             Metric::GroupsPlacedWhole
         });
-        let beginning = places.front().filter(|_| places.len() > 1).map(Place::watch_beginning);
+        let beginning = places.front().filter(|_| places.len() > 1).map(Reservation::on_start);
         let batch = if places.is_empty() { items.len() } else { places.len().min(items.len()) };
         for leased in items.drain(..if beginning.is_some() { 1 } else { batch }) {
             start_run(&shared, key, &terms, leased, places.pop_front(), &mut rooms);
@@ -233,8 +228,8 @@
 }
 
 fn start_run(
-    shared: &Rc<Shared>, key: LeaseKey, terms: &Rc<LeaseTerms>, leased: LeasedItem, place: Option<Place>,
-    rooms: &mut VecDeque<InRoom>,
+    shared: &Rc<Shared>, key: LeaseKey, terms: &Rc<LeaseTerms>, leased: LeasedItem,
+    place: Option<Reservation>, rooms: &mut VecDeque<InRoom>,
 ) {
     let Some(room) = rooms.pop_front() else { return };
     let id = leased.item.id.clone();
@@ -267,8 +262,8 @@
 /// Ends the work: running texts get a while to finish, the rest is handed back.
 pub(crate) async fn stop(shared: &Rc<Shared>, most: Duration) {
     let begun = Instant::now();
-    shared.stopping.set(true);
-    shared.changed.notify_waiters();
+    shared.shutdown.set();
+    shared.changes.notify();
     let finish_until = begun + most * FINISH_PERCENT / 100;
     while !shared.leases.borrow().is_empty() && Instant::now() < finish_until {
         sleep(STOP_CHECK).await;
--- a/crates/pebblepost-batch-runner/src/item_run.rs
+++ b/crates/pebblepost-batch-runner/src/item_run.rs
@@ -4,21 +4,21 @@
 use crate::execution::{InRoom, hand_back};
 use crate::item_progress::SharedProgress;
 use crate::lease_table::{LeaseKey, LeaseStatus};
+use crate::lease_terms::LeaseTerms;
 use crate::metrics::Metric;
 use crate::outbox::Outcome;
-use crate::placing::{Need, Place, Placed};
+use crate::placement::placer::PlacementError;
+use crate::placement::requirements::Requirements;
+use crate::placement::reservation::Reservation;
 use crate::scorer::{self, ScoreEnd};
 use crate::shared::Shared;
-use crate::text::VersionRequirement;
-use pebblepost_messages::batch::{Item, ItemOutcome, ItemResult, JobTerms, ResultState, WorkLease};
+use pebblepost_messages::batch::{Item, ItemOutcome, ItemResult, ResultState};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
 /// How long to wait for the renewal of a lease before it is looked at again.
 const VALIDITY_CHECK: Duration = Duration::from_millis(200);
-/// Added to the time at which an item may be given up, so that it is surely over.
-const EXPIRY_MARGIN: Duration = Duration::from_millis(200);
 /// Pauses after a run that did not end the text.
 const SHORT_PAUSE: Duration = Duration::from_millis(10);
 const FULL_PAUSE: Duration = Duration::from_millis(50);
@@ -30,31 +30,6 @@
 /// After so many events that did not continue it, a text starts anew.
 const MOST_UNEXPECTED_EVENTS: u32 = 2;
 
-/// What holds for all items of a lease.
-#[derive(Debug)]
-pub(crate) struct LeaseTerms {
-    pub(crate) job: JobTerms,
-    pub(crate) model: String,
-    pub(crate) versions: VersionRequirement,
-    pub(crate) due_at: Instant,
-    pub(crate) expires_at: Instant,
-}
-
-impl LeaseTerms {
-    pub(crate) fn new(lease: &WorkLease, now: Instant) -> LeaseTerms {
-        LeaseTerms {
-            job: lease.terms.clone(),
-            model: lease.model.clone(),
-            versions: VersionRequirement {
-                min_version: lease.min_version,
-                single_version: lease.terms.single_version,
-            },
-            due_at: now + Duration::from_millis(lease.due_in_ms),
-            expires_at: now + Duration::from_millis(lease.expires_in_ms) + EXPIRY_MARGIN,
-        }
-    }
-}
-
 /// How the work on an item ended.
 enum ItemEnd {
     /// Its text is whole, with the score if it has a scorer.
@@ -70,7 +45,7 @@
 /// Runs an item to its outcome.
 pub(crate) async fn run(
     shared: Rc<Shared>, key: LeaseKey, terms: Rc<LeaseTerms>, item: Item, progress: SharedProgress,
-    place: Option<Place>, mut room: InRoom,
+    place: Option<Reservation>, mut room: InRoom,
 ) {
     let work = ItemWork { shared: &shared, key, terms: &terms, item: &item, progress: &progress };
     let end = match work.make_text(place).await {
@@ -122,16 +97,16 @@
 
 impl ItemWork<'_> {
     /// Runs the item until its text is whole (`None`) or its work is over.
-    async fn make_text(&self, mut place: Option<Place>) -> Option<ItemEnd> {
-        let need = Need::of_text(self.terms, &self.item.path);
+    async fn make_text(&self, mut place: Option<Reservation>) -> Option<ItemEnd> {
+        let need = Requirements::of_text(self.terms, &self.item.path);
         let mut unexpected_events = 0;
         loop {
             let Some(next) = place.take() else {
-                place = match self.shared.find_place(&need, 1).await {
-                    Placed::At(mut places) => places.pop(),
-                    Placed::Expired => return Some(ItemEnd::DeadLetter),
-                    Placed::Stopped => return Some(ItemEnd::Returned),
-                    Placed::NoRoute => {
+                place = match self.shared.placer.place(&need, 1).await {
+                    Ok(mut places) => places.pop(),
+                    Err(PlacementError::Expired) => return Some(ItemEnd::DeadLetter),
+                    Err(PlacementError::ShuttingDown) => return Some(ItemEnd::Returned),
+                    Err(PlacementError::NoRoute(_)) => {
                         // Our configuration may be an old one: another proxy may know better.
                         sleep(NO_ROUTE_HOLD).await;
                         return Some(ItemEnd::Returned);
@@ -142,10 +117,10 @@
             if let Some(end) = self.wait_until_valid().await {
                 return Some(end);
             }
-            if !self.shared.is_still_right(&next, &need) {
+            if !self.shared.placer.is_still_allowed(&next, &need) {
                 continue;
             }
-            self.shared.counts.increment(Metric::Attempts);
+            self.shared.metrics.increment(Metric::Attempts);
             let end = attempt::run(self.shared, self.terms, self.item, &next, self.progress).await;
             if end != RunEnd::Whole {
                 log::debug!("item {} at {}: {end:?}", self.item.id, next.target.instance);
@@ -177,8 +152,8 @@
         progress.failed_attempts >= self.terms.job.max_attempts.max(1)
     }
 
-    fn note_end(&self, end: RunEnd, place: &Place) {
-        self.shared.counts.increment(match end {
+    fn note_end(&self, end: RunEnd, place: &Reservation) {
+        self.shared.metrics.increment(match end {
             RunEnd::NotTaken => Metric::AttemptsRejected,
             RunEnd::VersionMoved => Metric::AttemptsVersionMismatch,
             RunEnd::NotSent => Metric::AttemptsNotSent,
@@ -186,14 +161,12 @@
             RunEnd::Failed => Metric::AttemptsFailed,
             _ => Metric::AttemptsOther,
         });
-        let instance = &place.target.instance;
         match end {
-            RunEnd::VersionMoved => self.shared.load.borrow_mut().invalidate_report(instance),
-            RunEnd::NotTaken => self.shared.load.borrow_mut().invalidate_report(instance),
+            RunEnd::VersionMoved => place.invalidate_report(),
+            RunEnd::NotTaken => place.invalidate_report(),
             RunEnd::WrongVersion => self.progress.borrow_mut().text.clear(),
             RunEnd::Broken | RunEnd::NotSent => {
-                let until = Instant::now() + AVOID_AFTER_BREAK;
-                self.shared.load.borrow_mut().eject(instance, until);
+                place.eject(AVOID_AFTER_BREAK);
             }
             _ => {}
         }
@@ -206,8 +179,8 @@
             match validity {
                 LeaseStatus::Valid => return None,
                 LeaseStatus::Ended => return Some(ItemEnd::Abandoned),
-                LeaseStatus::Expired if self.shared.stopping.get() => return Some(ItemEnd::Returned),
-                LeaseStatus::Expired => self.shared.wait_for_change(VALIDITY_CHECK).await,
+                LeaseStatus::Expired if self.shared.shutdown.is_set() => return Some(ItemEnd::Returned),
+                LeaseStatus::Expired => self.shared.changes.wait(VALIDITY_CHECK).await,
             }
         }
     }
--- /dev/null
+++ b/crates/pebblepost-batch-runner/src/lease_terms.rs
@@ -0,0 +1,40 @@
+//! What applies to all items of a lease.
+//!
+//! Immutable; the times are converted to this process's clock when the lease arrives.
+
+use crate::text::VersionRequirement;
+use pebblepost_messages::batch::{JobTerms, WorkLease};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Added to the expiry of an item, so that it has surely passed by the store's clock, too.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(200);
+
+/// What applies to all items of a lease.
+#[derive(Debug)]
+pub(crate) struct LeaseTerms {
+    /// Terms of the job's route.
+    pub(crate) job: JobTerms,
+    /// Model that makes the texts; empty for none.
+    pub(crate) model: String,
+    pub(crate) versions: VersionRequirement,
+    /// When the results are due.
+    pub(crate) due_at: Instant,
+    /// When unfinished items become dead letters.
+    pub(crate) expires_at: Instant,
+}
+
+impl LeaseTerms {
+    pub(crate) fn new(lease: &WorkLease, now: Instant) -> LeaseTerms {
+        LeaseTerms {
+            job: lease.terms.clone(),
+            model: lease.model.clone(),
+            versions: VersionRequirement {
+                min_version: lease.min_version,
+                single_version: lease.terms.single_version,
+            },
+            due_at: now + Duration::from_millis(lease.due_in_ms),
+            expires_at: now + Duration::from_millis(lease.expires_in_ms) + EXPIRY_MARGIN,
+        }
+    }
+}
--- a/crates/pebblepost-batch-runner/src/lib.rs
+++ b/crates/pebblepost-batch-runner/src/lib.rs
@@ -10,21 +10,22 @@
 
 pub mod attempt;
 mod calls;
-mod candidates;
+mod change_signal;
 mod execution;
+mod feed_view;
 pub mod item_progress;
 mod item_run;
 pub mod job;
 pub mod lease_table;
+mod lease_terms;
 pub mod load_table;
 mod metrics;
 mod outbox;
 pub mod placement;
-mod placing;
-mod probing;
 pub mod random;
 mod scorer;
 mod shared;
+mod shutdown;
 mod store_link;
 mod store_links;
 pub mod text;
@@ -93,7 +94,7 @@
 
     /// What it has done so far.
     pub fn counts(&self) -> &Metrics {
-        &self.shared.counts
+        &self.shared.metrics
     }
 
     /// SIGTERM: takes no new work, hands unfinished leases back with the text so far; returns
--- /dev/null
+++ b/crates/pebblepost-batch-runner/src/placement/placer.rs
@@ -0,0 +1,113 @@
+//! Finds transcribers for groups of items and for calls of scorers: rounds of random probes, with a back-off
+//! while all are full.
+
+use crate::feed_view::FeedView;
+use crate::metrics::{Metric, Metrics};
+use crate::placement::candidates::{Candidate, CandidateSelector, NoRoute, ProbedCandidate};
+use crate::placement::choice::{MAX_PROBES, ProbedLoad, choose};
+use crate::placement::probing::Prober;
+use crate::placement::requirements::{RequestKind, Requirements};
+use crate::placement::reservation::Reservation;
+use crate::random::Random;
+use crate::shutdown::ShutdownFlag;
+use std::rc::Rc;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::time::{Instant, sleep};
+
+/// Back-off after a round that found no place.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(100);
+
+/// Why a request was not placed.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub(crate) enum PlacementError {
+    /// No route of the configuration in force matches the request.
+    #[error(transparent)]
+    NoRoute(#[from] NoRoute),
+    /// The proxy shuts down.
+    #[error("the proxy shuts down")]
+    ShuttingDown,
+    /// The item has expired.
+    #[error("the item has expired")]
+    Expired,
+}
+
+/// Places requests on transcribers.
+pub(crate) struct Placer {
+    pub(crate) feed: FeedView,
+    pub(crate) selector: CandidateSelector,
+    pub(crate) prober: Prober,
+    pub(crate) random: Rc<Random>,
+    pub(crate) metrics: Rc<Metrics>,
+    pub(crate) shutdown: Rc<ShutdownFlag>,
+}
+
+impl Placer {
+    /// Reserves slots for up to this many items, at least one, all at one transcriber. Waits while there is none.
+    ///
+    /// # Errors
+    /// No route matches, the proxy shuts down (texts only) or the item has expired.
+    pub(crate) async fn place(
+        &self, requirements: &Requirements<'_>, items: u32,
+    ) -> Result<Vec<Reservation>, PlacementError> {
+        let mut full_rounds = 0;
+        loop {
+            if Instant::now() >= requirements.expires_at {
+                return Err(PlacementError::Expired);
+            }
+            if requirements.kind == RequestKind::Text && self.shutdown.is_set() {
+                return Err(PlacementError::ShuttingDown);
+            }
+            let candidates = self.selector.select(requirements, full_rounds)?;
+            if candidates.is_empty() {
+                self.metrics.increment(Metric::NoCandidateBackoffs);
+            } else {
+                let reservations = self.probe_and_reserve(requirements, candidates, items).await;
+                if !reservations.is_empty() {
+                    return Ok(reservations);
+                }
+                self.metrics.increment(Metric::FullBackoffs);
+                full_rounds += 1;
+            }
+            sleep(self.random.duration_between(MIN_BACKOFF, MAX_BACKOFF)).await;
+        }
+    }
+
+    /// Whether a request may still be sent to its reservation: the route still names the service, and the
+    /// transcriber is ready.
+    pub(crate) fn is_still_allowed(
+        &self, reservation: &Reservation, requirements: &Requirements<'_>,
+    ) -> bool {
+        let Some(configuration) = self.feed.configuration() else { return false };
+        let route = configuration.route(requirements.hostname, requirements.path);
+        let names_service = route.is_some_and(|route| {
+            route.backends.iter().any(|(name, weight)| *name == reservation.backend && *weight > 0)
+        });
+        names_service && self.feed.is_ready(&reservation.target.instance)
+    }
+
+    /// Probes candidates until one accepts all items, [`MAX_PROBES`] at most, and reserves slots at the chosen
+    /// one. Empty if all are full.
+    async fn probe_and_reserve(
+        &self, requirements: &Requirements<'_>, candidates: Vec<Candidate>, items: u32,
+    ) -> Vec<Reservation> {
+        let mut probed: Vec<ProbedCandidate> = Vec::with_capacity(MAX_PROBES);
+        for candidate in candidates {
+            if probed.len() >= MAX_PROBES {
+                break;
+            }
+            let Some(found) = self.prober.probe(requirements, candidate).await else { continue };
+            let accepts = found.load.accepts(items);
+            probed.push(found);
+            if accepts {
+                break;
+            }
+        }
+        let loads: Vec<ProbedLoad> = probed.iter().map(|found| found.load).collect();
+        match choose(&loads, items, requirements.queue_limit(Instant::now()), &self.random) {
+            Some(choice) => Reservation::reserve(&self.prober.loads, &probed[choice.index], choice.items),
+            None => Vec::new(),
+        }
+    }
+}
--- a/crates/pebblepost-batch-runner/src/scorer.rs
+++ b/crates/pebblepost-batch-runner/src/scorer.rs
@@ -1,22 +1,20 @@
 //! The call that scores a text.
 
-use crate::attempt::{insert, note_load};
-use crate::item_run::LeaseTerms;
+use crate::attempt::insert;
+use crate::lease_terms::LeaseTerms;
 use crate::metrics::Metric;
-use crate::placing::{Need, Placed};
+use crate::placement::requirements::Requirements;
 use crate::shared::Shared;
 use bytes::Bytes;
 use http::header::HOST;
 use http::{HeaderMap, Method, StatusCode};
 use pebblepost_messages::batch::Scorer;
-use pebblepost_messages::feed::InstanceState;
 use pebblepost_transcriber::{BufferedResponse, ClientError, OutgoingRequest};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
-use tokio::time::Instant;
 
 /// Pauses between calls that brought no answer of use.
 pub(crate) const FIRST_PAUSE: Duration = Duration::from_millis(20);
@@ -86,58 +84,42 @@
 
 /// Our share of the slots of a service.
 fn most_calls(shared: &Shared, service: &str) -> u32 {
-    let feed = shared.feed.borrow();
-    let slots: u64 = feed
-        .instances()
-        .filter(|instance| instance.backend == service && instance.state == InstanceState::Ready)
-        .map(|instance| u64::from(instance.slots))
-        .sum();
-    let share = (slots * SHARE_PERCENT).div_ceil(100 * u64::from(feed.proxy_count()));
-    u32::try_from(share).unwrap_or(u32::MAX).max(LEAST_CALLS)
+    shared.feed.share_of_slots(SHARE_PERCENT, |backend| backend == service).max(LEAST_CALLS)
 }
 
 /// Calls the scorer once. Nothing is sent unless `is_valid` says so just before.
 pub(crate) async fn call(
     shared: &Rc<Shared>, scorer: &Scorer, terms: &LeaseTerms, is_valid: impl Fn() -> bool,
 ) -> ScoreEnd {
-    let Some(configuration) = shared.configuration() else { return ScoreEnd::Retry };
+    let Some(configuration) = shared.feed.configuration() else { return ScoreEnd::Retry };
     let Some(route) = configuration.route(&scorer.hostname, &scorer.path) else { return ScoreEnd::Retry };
-    let need = Need {
-        hostname: &scorer.hostname,
-        path: &scorer.path,
-        model: "",
-        min_version: 0,
-        is_text: false,
-        due_at: terms.due_at,
-        expires_at: terms.expires_at,
-    };
+    let need = Requirements::of_scorer(terms, scorer);
     let service = route.backends.first().map_or("", |(name, _)| name.as_str());
     let _permit = shared.scorer_limits.acquire(shared, service).await;
-    let Placed::At(places) = shared.find_place(&need, 1).await else { return ScoreEnd::Retry };
+    let Ok(places) = shared.placer.place(&need, 1).await else { return ScoreEnd::Retry };
     let Some(place) = places.first() else { return ScoreEnd::Retry };
-    if !is_valid() || !shared.is_still_right(place, &need) {
+    if !is_valid() || !shared.placer.is_still_allowed(place, &need) {
         return ScoreEnd::Retry;
     }
     let outgoing = request(scorer, route.timeout.min(CALL_TIMEOUT));
-    shared.counts.increment(Metric::ScorerCalls);
+    shared.metrics.increment(Metric::ScorerCalls);
     match shared.client.send(&place.target, outgoing).await {
         Ok(answer) => {
-            note_load(shared, place, &answer.head);
+            place.record_load(&answer.head);
             if answer.head.not_executed {
-                shared.counts.increment(Metric::ScorerCallsRejected);
+                shared.metrics.increment(Metric::ScorerCallsRejected);
             }
             let end = end_of_answer(&answer, route.max_attempts);
             if matches!(end, ScoreEnd::Failed { .. }) {
-                shared.counts.increment(Metric::ScorerCallsFailed);
+                shared.metrics.increment(Metric::ScorerCallsFailed);
             }
             end
         }
         Err(failure) => {
-            shared.counts.increment(Metric::ScorerCallsInterrupted);
+            shared.metrics.increment(Metric::ScorerCallsInterrupted);
             log::debug!("scorer call {} at {}: {failure:?}", scorer.id, place.target.instance);
             if failure != ClientError::TimedOut {
-                let until = Instant::now() + AVOID_AFTER_BREAK;
-                shared.load.borrow_mut().eject(&place.target.instance, until);
+                place.eject(AVOID_AFTER_BREAK);
             }
             ScoreEnd::Retry
         }
--- /dev/null
+++ b/crates/pebblepost-batch-runner/src/shutdown.rs
@@ -0,0 +1,23 @@
+//! Whether the runner shuts down.
+//!
+//! Owns the flag only; [`crate::execution`] decides what a shutdown does.
+
+use std::cell::Cell;
+
+/// Set once, when the shutdown begins.
+#[derive(Debug, Default)]
+pub(crate) struct ShutdownFlag {
+    is_set: Cell<bool>,
+}
+
+impl ShutdownFlag {
+    /// Begins the shutdown: no new work is taken from now on.
+    pub(crate) fn set(&self) {
+        self.is_set.set(true);
+    }
+
+    /// Whether the shutdown has begun.
+    pub(crate) fn is_set(&self) -> bool {
+        self.is_set.get()
+    }
+}
--- a/crates/pebblepost-batch-runner/src/store_link.rs
+++ b/crates/pebblepost-batch-runner/src/store_link.rs
@@ -208,7 +208,7 @@
         FromStore::Cancel { jobs } => {
             log::debug!("{} jobs cancelled", jobs.len());
             shared.leases.borrow_mut().cancel(&jobs, Instant::now());
-            shared.changed.notify_waiters();
+            shared.changes.notify();
         }
         FromStore::Renew { groups } => {
             let now = Instant::now();
@@ -217,7 +217,7 @@
                 leases.renew(group, epoch, now);
             }
             drop(leases);
-            shared.changed.notify_waiters();
+            shared.changes.notify();
         }
         _ => {}
     }
--- a/crates/pebblepost-batch-runner/src/store_links.rs
+++ b/crates/pebblepost-batch-runner/src/store_links.rs
@@ -35,7 +35,7 @@
     pub(crate) fn follow_feed(&self, shared: &Rc<Shared>) {
         let mut changed = Vec::new();
         {
-            let feed = shared.feed.borrow();
+            let feed = shared.feed.state();
             let mut primaries = self.primaries.borrow_mut();
             for group in feed.store_groups() {
                 let Ok(address) = group.primary.address.parse() else { continue };
@@ -95,14 +95,14 @@
         self.announce(shared, link);
         link.may_have_work.set(true);
         shared.room.wake();
-        shared.changed.notify_waiters();
+        shared.changes.notify();
     }
 
     /// A link is lost.
     pub(crate) fn went_down(&self, shared: &Rc<Shared>, address: SocketAddr) {
         log::info!("link to the store at {address} is lost");
         shared.room.wake();
-        shared.changed.notify_waiters();
+        shared.changes.notify();
     }
 
     /// Announces leases whose renewal is overdue.
