--- a/crates/pebblepost-batch-runner/src/lib.rs
+++ b/crates/pebblepost-batch-runner/src/lib.rs
@@ -10,33 +10,34 @@
 
 pub mod attempt;
 mod calls;
-mod candidates;
-mod counts;
+mod change_signal;
 mod execution;
+mod feed_view;
+pub mod item_progress;
 mod item_run;
-pub mod job_answer;
-pub mod job_request;
+pub mod job;
 pub mod lease_table;
-pub mod load;
+mod lease_terms;
+pub mod load_table;
+mod metrics;
 mod outbox;
 pub mod placement;
-mod placing;
-mod probing;
 pub mod random;
 mod scorer;
 mod shared;
+mod shutdown;
 mod store_link;
 mod store_links;
-pub mod subset;
 pub mod text;
 
-pub use counts::{Count, Counts};
+pub use metrics::{Metric, Metrics};
 
 use bytes::Bytes;
 use pebblepost_configuration::Route;
 use pebblepost_feed::FeedState;
 use pebblepost_settings::Settings;
 use pebblepost_transcriber::Client;
+use random::Random;
 use shared::Shared;
 use std::cell::RefCell;
 use std::fmt;
@@ -59,7 +60,14 @@
     /// Starts the runner's tasks (`spawn_local`): links to the stores named in the feed's groups,
     /// work leases. `feed` is folded by the proxy; [`BatchRunner::feed_changed`] tells of changes.
     pub fn start(settings: &Settings, client: Client, feed: Rc<RefCell<FeedState>>) -> BatchRunner {
-        let shared = Shared::new(settings, client, feed);
+        BatchRunner::start_with_random(settings, client, feed, Random::default())
+    }
+
+    /// As [`BatchRunner::start`], with a generator of the caller's: runs that can be repeated.
+    pub fn start_with_random(
+        settings: &Settings, client: Client, feed: Rc<RefCell<FeedState>>, random: Random,
+    ) -> BatchRunner {
+        let shared = Shared::new(settings, client, feed, random);
         outbox::start(shared.clone());
         execution::start(shared.clone());
         shared.feed_changed();
@@ -85,8 +93,8 @@
     }
 
     /// What it has done so far.
-    pub fn counts(&self) -> &Counts {
-        &self.shared.counts
+    pub fn counts(&self) -> &Metrics {
+        &self.shared.metrics
     }
 
     /// SIGTERM: takes no new work, hands unfinished leases back with the text so far; returns
--- a/crates/pebblepost-batch-runner/src/store_link.rs
+++ b/crates/pebblepost-batch-runner/src/store_link.rs
@@ -154,7 +154,7 @@
         if was_up {
             shared.links.went_down(&shared, link.address);
         }
-        sleep(shared.random.pause(LEAST_PAUSE, MOST_PAUSE)).await;
+        sleep(shared.random.duration_between(LEAST_PAUSE, MOST_PAUSE)).await;
     }
 }
 
@@ -208,7 +208,7 @@
         FromStore::Cancel { jobs } => {
             log::debug!("{} jobs cancelled", jobs.len());
             shared.leases.borrow_mut().cancel(&jobs, Instant::now());
-            shared.changed.notify_waiters();
+            shared.changes.notify();
         }
         FromStore::Renew { groups } => {
             let now = Instant::now();
@@ -217,7 +217,7 @@
                 leases.renew(group, epoch, now);
             }
             drop(leases);
-            shared.changed.notify_waiters();
+            shared.changes.notify();
         }
         _ => {}
     }
--- a/crates/pebblepost-batch-runner/src/store_links.rs
+++ b/crates/pebblepost-batch-runner/src/store_links.rs
@@ -35,7 +35,7 @@
     pub(crate) fn follow_feed(&self, shared: &Rc<Shared>) {
         let mut changed = Vec::new();
         {
-            let feed = shared.feed.borrow();
+            let feed = shared.feed.state();
             let mut primaries = self.primaries.borrow_mut();
             for group in feed.store_groups() {
                 let Ok(address) = group.primary.address.parse() else { continue };
@@ -95,14 +95,14 @@
         self.announce(shared, link);
         link.may_have_work.set(true);
         shared.room.wake();
-        shared.changed.notify_waiters();
+        shared.changes.notify();
     }
 
     /// A link is lost.
     pub(crate) fn went_down(&self, shared: &Rc<Shared>, address: SocketAddr) {
         log::info!("link to the store at {address} is lost");
         shared.room.wake();
-        shared.changed.notify_waiters();
+        shared.changes.notify();
     }
 
     /// Announces leases whose renewal is overdue.
@@ -110,11 +110,11 @@
         let now = Instant::now();
         let is_overdue = {
             let mut leases = shared.leases.borrow_mut();
-            let abandoned = leases.abandon(now);
+            let abandoned = leases.remove_abandoned(now);
             if abandoned > 0 {
                 log::debug!("{abandoned} leases were not renewed and are given up");
             }
-            self.groups_of(link.address).iter().any(|(group, _)| leases.awaits_renewal(*group, now))
+            self.groups_of(link.address).iter().any(|(group, _)| leases.is_renewal_overdue(*group, now))
         };
         if is_overdue {
             self.announce(shared, link);
