--- a/crates/pebblepost-dispatch/src/api.rs
+++ b/crates/pebblepost-dispatch/src/api.rs
@@ -244,7 +244,8 @@
     pub prices: Prices,
     /// Shortest time between two calls of the dispatcher.
     pub tick: Duration,
-    /// Workers serve their queues in order: what waits there keeps its turn. Otherwise whatever fits may start.
+    /// Workers serve their queues in order: what waits there keeps its turn. Otherwise whatever fits may
+    /// start.
     pub queues_in_order: bool,
     /// Room for large jobs.
     pub reservations: ReservationSettings,
--- a/crates/pebblepost-dispatch/src/classes.rs
+++ b/crates/pebblepost-dispatch/src/classes.rs
@@ -1,7 +1,7 @@
 //! Request classes that become known while a node runs: its routes change, its learned state stays.
 
 use crate::api::{Class, ClassId};
-use crate::means::secs;
+use crate::estimators::seconds;
 use crate::policy::Dispatcher;
 
 impl Dispatcher {
@@ -9,7 +9,7 @@
     /// `None` if there are as many classes as can be told apart.
     pub fn add_class(&mut self, class: Class) -> Option<ClassId> {
         let id = u16::try_from(self.settings.classes.len()).ok()?;
-        self.service.push(secs(class.latency_target));
+        self.service.push(seconds(class.latency_target));
         self.settings.classes.push(class);
         self.rebuild_pools();
         Some(ClassId(id))
--- a/crates/pebblepost-dispatch/src/lib.rs
+++ b/crates/pebblepost-dispatch/src/lib.rs
@@ -9,7 +9,7 @@
 //! * [`policy`]: every decision, in one module.
 //! * [`health`]: what is held against a worker.
 //! * [`keys`]: where to find what jobs of one key need.
-//! * [`means`]: running means, waits and shares as a node learns them.
+//! * [`estimators`]: running estimates of rates, durations, waits and shares.
 //! * [`room`]: what is held for large jobs.
 //! * [`wire`]: the byte protocol of the operators' bench, translated into [`api`] types.
 
@@ -18,9 +18,9 @@
 
 pub mod api;
 pub mod classes;
+pub mod estimators;
 pub mod health;
 pub mod keys;
-pub mod means;
 pub mod policy;
 pub mod room;
 pub mod wire;
--- a/crates/pebblepost-dispatch/src/policy.rs
+++ b/crates/pebblepost-dispatch/src/policy.rs
@@ -7,9 +7,12 @@
 #![allow(clippy::too_many_arguments)] // The caller's out-list and the clock go everywhere.
 
 use crate::api::*;
+use crate::estimators::{
+    DurationEstimate, EWMA_GAIN, EventRate, KindEstimate, QueueWait, TenantUsage, from_seconds, seconds,
+    update_mean,
+};
 use crate::health::Health;
 use crate::keys::{self, Asked, Kept};
-use crate::means::{GAIN, Kind, Rate, Shares, Timing, Waits, blend, secs, span};
 use crate::room::{Outlook, Room};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -68,7 +71,7 @@
     reported: Time,
     /// Own attempts that are out: when sent, slots, whether known to have started, when expected to end.
     own: Vec<(Time, f64, bool, Time)>,
-    waits: Waits,
+    waits: QueueWait,
     kept: Kept,
     idle: VecDeque<Time>,    // Since when its connections have been idle, oldest first.
     probes: VecDeque<Asker>, // Who waits for each probe that is out, oldest first.
@@ -97,7 +100,7 @@
     /// Fraction of its capacity that a worker surely has: it grows at least evenly while it warms up.
     fn warmth(&self, now: Time, s: &Settings) -> f64 {
         let Some(start) = self.started.filter(|start| now < *start + s.warm_up_time) else { return 1.0 };
-        s.cold_capacity + (1.0 - s.cold_capacity) * secs(now.since(start)) / secs(s.warm_up_time)
+        s.cold_capacity + (1.0 - s.cold_capacity) * seconds(now.since(start)) / seconds(s.warm_up_time)
     }
 }
 
@@ -107,7 +110,7 @@
     More(bool), // d-1 more are out; `true`: those of the spill to other zones.
     Placed,     // An attempt is out.
     #[default]
-    Held, // Waits for a fresh round of probes.
+    Held, // QueueWait for a fresh round of probes.
     Done,       // Answered; kept until its attempts have ended.
 }
 
@@ -182,25 +185,25 @@
     /// Learned: share of workers probed away that have room, busy count of workers, own requests a second.
     room_share: f64,
     mean_busy: f64,
-    arrivals: Rate,
+    arrivals: EventRate,
     /// Learned: own draws a second, at home and away; what machines of a kind are like.
-    draws: [Rate; 2],
-    kinds: BTreeMap<KindId, Kind>,
+    draws: [EventRate; 2],
+    kinds: BTreeMap<KindId, KindEstimate>,
     mean_hint: f64,
     age: Duration, // Learned: age of reports, probe round trip and its spread, service time by class.
     checks: u32,
-    round_trip: Timing,
+    round_trip: DurationEstimate,
     pub(crate) service: Vec<f64>,
     mean_service: f64,
     /// Learned: time from send to start and its spread, and how long connections outlive their last use.
-    start_delay: Timing,
+    start_delay: DurationEstimate,
     idle_limit: Duration,
     queued: usize, // Own attempts that are out and found no free slot.
     /// Learned: share of own sends that went badly (full, or started late), by `level` of report, and of all.
     meaning: [f64; LEVELS],
     mean_meaning: f64,
     turned_away: f64, // Learned: share of own sends that were refused.
-    shares: Shares,
+    shares: TenantUsage,
     asked: Asked,
     subscribed: bool,
     asks: u32,
@@ -209,9 +212,9 @@
 impl Dispatcher {
     /// A node that has just started and knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Self {
-        let service: Vec<f64> = settings.classes.iter().map(|c| secs(c.latency_target)).collect();
+        let service: Vec<f64> = settings.classes.iter().map(|c| seconds(c.latency_target)).collect();
         let mean_service = service.iter().sum::<f64>() / service.len().max(1) as f64;
-        let tick = secs(settings.tick);
+        let tick = seconds(settings.tick);
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
             seed,
@@ -224,17 +227,17 @@
             reservations: Room::new(settings.reservations),
             room_share: 1.0,
             mean_busy: 0.0,
-            arrivals: Rate { per_s: 0.0, last: now },
-            draws: [Rate { per_s: 0.0, last: now }; 2],
+            arrivals: EventRate::new(now),
+            draws: [EventRate::new(now); 2],
             kinds: BTreeMap::new(),
             mean_hint: 0.0,
             // Between the youngest and the oldest that would matter, until evidence comes.
-            age: span((tick * secs(settings.overload_time)).sqrt()),
+            age: from_seconds((tick * seconds(settings.overload_time)).sqrt()),
             checks: 0,
-            round_trip: Timing { mean: 4.0 * tick, spread: tick },
+            round_trip: DurationEstimate { mean: 4.0 * tick, deviation: tick },
             service,
             mean_service,
-            start_delay: Timing { mean: 4.0 * tick, spread: tick },
+            start_delay: DurationEstimate { mean: 4.0 * tick, deviation: tick },
             idle_limit: settings.keepalive,
             queued: 0,
             meaning: [0.0; LEVELS],
@@ -243,7 +246,7 @@
             subscribed: false,
             asks: 0,
             asked: Asked::default(),
-            shares: Shares::new(settings.tenants.iter().map(|t| t.quota_share)),
+            shares: TenantUsage::new(settings.tenants.iter().map(|t| t.quota_share)),
             settings,
         }
     }
@@ -283,14 +286,14 @@
         let (level, w, sent, queued, idle) = (a.level, a.worker, a.sent, a.queued, a.idle);
         let ends = now + self.run(now, id, w);
         self.reservations.release(id);
-        self.workers[w].waits.started(now, now.since(sent));
+        self.workers[w].waits.record_start(now, now.since(sent));
         self.workers[w].health.started(sent, class);
         self.workers[w].own.iter_mut().filter(|o| o.0 == sent).for_each(|o| (o.2, o.3) = (true, ends));
         if !queued {
-            self.start_delay.learn(secs(now.since(sent)));
+            self.start_delay.record(seconds(now.since(sent)));
         }
         if idle.is_some_and(|idle| idle > self.idle_limit / 2) {
-            self.idle_limit = self.idle_limit.mul_f64(1.0 + GAIN).min(self.settings.keepalive);
+            self.idle_limit = self.idle_limit.mul_f64(1.0 + EWMA_GAIN).min(self.settings.keepalive);
         }
         self.learn_meaning(w, level, late);
     }
@@ -344,13 +347,13 @@
             return;
         }
         // Rate over the life of the node at first, then over its last connections' lifetime.
-        let life = secs(now.since(self.started).max(self.settings.tick));
-        self.arrivals.count(now, life.min(secs(self.settings.keepalive)), self.settings.tick);
-        self.shares.count(tenant);
+        let life = seconds(now.since(self.started).max(self.settings.tick));
+        self.arrivals.record(now, life.min(seconds(self.settings.keepalive)), self.settings.tick);
+        self.shares.record(tenant);
         self.asked.count(key);
         let cost = self.cost(class, work);
         let slots = if slots > 0.0 { slots } else { 1.0 };
-        let work = work.map(secs).filter(|hint| *hint > 0.0);
+        let work = work.map(seconds).filter(|hint| *hint > 0.0);
         let large = self.reservations.size_up(work, slots, self.best_pace(), self.mean_service);
         let deadline = now + time_left;
         let request = Request {
@@ -398,7 +401,7 @@
 
     /// A probe is given up on after its usual round trip; its answer still counts if it comes later.
     fn patience_for_probe(&self) -> Duration {
-        self.round_trip.usual().max(2 * self.settings.tick)
+        self.round_trip.upper_bound().max(2 * self.settings.tick)
     }
 
     fn set_turn_timer(&mut self, now: Time, id: RequestId, after: Duration, out: &mut Vec<Action>) {
@@ -412,12 +415,12 @@
         let mut got = 0;
         while got < n {
             let Some(w) = self.draw(now, id, away) else { return got };
-            let span = secs(
+            let span = seconds(
                 now.since(self.started)
                     .clamp(self.settings.overload_time, CROWD_MEMORY * self.settings.overload_time),
             );
             let side = self.side(w);
-            self.draws[side].count(now, span, self.settings.tick);
+            self.draws[side].record(now, span, self.settings.tick);
             let admitted = self.cold_admits(now, id, w); // Before the probe: a lot lost costs none.
             let Some(r) = self.requests.get_mut(&id) else { return got };
             if !admitted && self.settings.probing_enabled {
@@ -459,7 +462,7 @@
         let (waiting, phase) = (r.drawn.len() > r.answered.len(), r.phase);
         if ok && self.side(w) == 1 {
             let room = self.room(now, w, slots, memory);
-            blend(&mut self.room_share, f64::from(u8::from(room)), GAIN);
+            update_mean(&mut self.room_share, f64::from(u8::from(room)), EWMA_GAIN);
         }
         match phase {
             Phase::First => {
@@ -490,7 +493,7 @@
 
     /// Old reports still tell busy workers from others, until many sends made on them are refused.
     fn misled(&self, w: usize) -> bool {
-        self.stale(w) && self.turned_away > GAIN
+        self.stale(w) && self.turned_away > EWMA_GAIN
     }
 
     /// Own sends of this long before a report may be missing in it.
@@ -554,10 +557,11 @@
             return;
         }
         let bad = f64::from(u8::from(bad));
-        blend(&mut self.mean_meaning, bad, GAIN);
+        update_mean(&mut self.mean_meaning, bad, EWMA_GAIN);
         for (i, m) in self.meaning.iter_mut().enumerate() {
-            let (seen, gain) = if i == level { (bad, GAIN) } else { (self.mean_meaning, GAIN * GAIN) };
-            blend(m, seen, gain);
+            let (seen, gain) =
+                if i == level { (bad, EWMA_GAIN) } else { (self.mean_meaning, EWMA_GAIN * EWMA_GAIN) };
+            update_mean(m, seen, gain);
         }
     }
 
@@ -646,13 +650,13 @@
         let queued = self.requests.get(&id).is_some_and(|r| !self.room(now, w, r.slots, r.memory));
         let (found, level) = (self.counted(w), self.level(w));
         let idle = self.refresh(now, w, out);
-        let ends = now + span(self.wait(now, id, w)) + self.run(now, id, w);
+        let ends = now + from_seconds(self.wait(now, id, w)) + self.run(now, id, w);
         self.reservations.release(id);
         if queued {
             self.reserve(now, id, Some(w)); // What it waits for is not given away meanwhile.
         }
-        let silence = self.start_delay.usual().max(self.patience(id) / 4).max(2 * self.lag());
-        let silence = silence + if queued { 2 * span(self.queueing(now, w)) } else { Duration::ZERO };
+        let silence = self.start_delay.upper_bound().max(self.patience(id) / 4).max(2 * self.lag());
+        let silence = silence + if queued { 2 * from_seconds(self.queueing(now, w)) } else { Duration::ZERO };
         let Some(r) = self.requests.get_mut(&id) else { return };
         let worker = &mut self.workers[w];
         self.queued += usize::from(queued);
@@ -721,7 +725,7 @@
         let slots = self.usable(now, w);
         let free = self.free(w) - (self.k_of_kind(w) - slots).max(0.0);
         let own = worker.holding(self.settings.queues_in_order).collect();
-        let (others, run) = (span(self.mean_service * self.pace(w)), self.run(now, id, w));
+        let (others, run) = (from_seconds(self.mean_service * self.pace(w)), self.run(now, id, w));
         // Not told how many wait: others as this node's here and in the mean, and two more in a small part.
         let here = worker.own.iter().filter(|o| !o.2).count() as f64;
         let mean = self.queued as f64 / (self.fleet[0] + self.fleet[1]).max(1.0);
@@ -748,7 +752,7 @@
         let took = a.started.map_or(latency, |at| now.since(at));
         let work = r.work.filter(|_| status == Status::Ok && a.started.is_some());
         if let (Some(work), Some(kind)) = (work, self.kinds.get_mut(&self.workers[a.worker].kind)) {
-            kind.ran(took, work);
+            kind.record_hinted_run(took, work);
         }
         let known = (a.started.is_some() || !queued).then_some(r.class);
         if status == Status::Full && !queued && !self.stale(w) {
@@ -757,7 +761,7 @@
         }
         let full = status == Status::Full;
         if (full || status == Status::Ok) && !queued && self.stale(w) {
-            blend(&mut self.turned_away, f64::from(u8::from(full)), GAIN);
+            update_mean(&mut self.turned_away, f64::from(u8::from(full)), EWMA_GAIN);
         }
         if full || status == Status::Ok && !self.settings.start_reported {
             self.learn_meaning(w, level, full);
@@ -806,9 +810,11 @@
                 if let Some(class) = class {
                     let usual = self.service[class].max(f64::MIN_POSITIVE);
                     let kind = self.kinds.get_mut(&worker.kind);
-                    kind.into_iter().for_each(|kind| blend(&mut kind.pace, secs(latency) / usual, GAIN));
-                    blend(&mut self.service[class], secs(latency), GAIN);
-                    blend(&mut self.mean_service, secs(latency), GAIN);
+                    kind.into_iter().for_each(|kind| {
+                        update_mean(&mut kind.relative_service_time, seconds(latency) / usual, EWMA_GAIN)
+                    });
+                    update_mean(&mut self.service[class], seconds(latency), EWMA_GAIN);
+                    update_mean(&mut self.mean_service, seconds(latency), EWMA_GAIN);
                 }
             }
             Status::Error | Status::Timeout => self.strike(now, w),
@@ -824,7 +830,7 @@
             }
             _ => r.ran.is_none() && !r.open(),
         };
-        let advice = span(self.mean_service * self.rng.random_range(0.5..1.5));
+        let advice = from_seconds(self.mean_service * self.rng.random_range(0.5..1.5));
         let retry_after =
             self.settings.retry_after_enabled.then_some(advice.min(self.settings.max_retry_after));
         let answer = if harmless { Action::Refuse { id, retry_after } } else { Action::Fail { id } };
@@ -908,7 +914,7 @@
         let fresh = |w: &usize| !r.drawn.contains(w) && !r.refused.contains(w);
         let wide = |w: &usize| self.workers[*w].reports < 2 || self.k_of_kind(*w) >= r.slots;
         // One seen without room a moment ago has none now: a client that repeats at once goes on to others.
-        let from = if self.by_waits(id) { now } else { now - span(0.03 * self.mean_service) };
+        let from = if self.by_waits(id) { now } else { now - from_seconds(0.03 * self.mean_service) };
         let full = |w: &usize| self.workers[*w].reported > from && !self.room(now, *w, r.slots, 0.0);
         let well = |w: &usize| self.workers[*w].health.sound(now, r.class) && wide(w);
         let sound = |w: &usize| well(w) && fresh(w) && !full(w);
@@ -948,7 +954,7 @@
         if prices.handshake <= 0.0 {
             return size;
         }
-        let reused = self.arrivals.per_s * secs(self.settings.keepalive) / USES_PER_CONNECTION;
+        let reused = self.arrivals.per_second * seconds(self.settings.keepalive) / USES_PER_CONNECTION;
         let each = prices.connection * f64::from(self.settings.nodes) / (100.0 * size.max(1) as f64);
         let worth = prices.handshake / USES_PER_CONNECTION / each; // Infinite where they cost nothing.
         (reused.min(worth).max(MIN_SPREAD) as usize).min(size)
@@ -1001,8 +1007,8 @@
                 ReportField::FreeSlots => {
                     worker.free = value.round();
                     worker.k = worker.k.max(worker.free);
-                    let kind = self.kinds.entry(worker.kind).or_insert(Kind::new(worker.k));
-                    blend(&mut kind.slots, worker.k, GAIN);
+                    let kind = self.kinds.entry(worker.kind).or_insert(KindEstimate::new(worker.k));
+                    update_mean(&mut kind.slots, worker.k, EWMA_GAIN);
                 }
                 ReportField::FreeMemory => {
                     worker.memory = value;
@@ -1025,7 +1031,7 @@
         worker.reports = worker.reports.saturating_add(1);
         if worker.reports >= 2 {
             let busy = worker.k - worker.free + worker.queue;
-            blend(&mut self.mean_busy, busy, GAIN);
+            update_mean(&mut self.mean_busy, busy, EWMA_GAIN);
         }
     }
 
@@ -1051,7 +1057,7 @@
 
     /// Reports are stale if a worker may have filled or emptied a slot since.
     fn stale(&self, w: usize) -> bool {
-        secs(self.age) * self.workers[w].k.max(1.0) > self.mean_service
+        seconds(self.age) * self.workers[w].k.max(1.0) > self.mean_service
     }
 
     fn probed(
@@ -1065,7 +1071,7 @@
         if ok {
             worker.health.probe_answered();
             self.report(now, w, report);
-            self.round_trip.learn(secs(latency));
+            self.round_trip.record(seconds(latency));
         } else if status != Status::Reset && worker.reported + latency <= now {
             // A broken connection says nothing, nor does a silent one of a worker heard since.
             worker.health.probe_failed(now);
@@ -1082,7 +1088,8 @@
     /// Bad work: out of the draws for a cold worker's fall or two visits, if longer; doubled; jobs clear it.
     fn strike(&mut self, now: Time, w: usize) {
         let pool = self.pools.last().map_or(0, |p| self.spread(p[0].len()));
-        let revisit = span(2.0 * pool as f64 / self.arrivals.per_s.max(0.1)).min(self.settings.keepalive);
+        let revisit =
+            from_seconds(2.0 * pool as f64 / self.arrivals.per_second.max(0.1)).min(self.settings.keepalive);
         self.workers[w].health.struck(now, self.settings.overload_time.max(revisit));
     }
 
@@ -1110,25 +1117,25 @@
         let Some(cost) = self.requests.get(&id).map(|r| r.cost.max(1.0)) else { return false };
         let rate =
             warmth * self.k_of_kind(w).max(1.0) / (self.mean_service * self.pace(w)).max(f64::MIN_POSITIVE);
-        let bearable = (0.5 * self.settings.overload_multiple * rate).max(0.5 / secs(self.lag()));
+        let bearable = (0.5 * self.settings.overload_multiple * rate).max(0.5 / seconds(self.lag()));
         let side = self.side(w);
-        let draws = self.draws[side].per_s / self.fleet[side].max(1.0);
+        let draws = self.draws[side].per_second / self.fleet[side].max(1.0);
         // Nodes stand where workers stand; those at home have most of the use of a worker.
         let nodes = f64::from(self.settings.nodes.max(1))
             * [self.fleet[0] / self.fleet.iter().sum::<f64>(), 1.0][side];
         let part = if self.fleet[1] > 0.0 { [1.0 - AWAY_PART, AWAY_PART][side] } else { 1.0 };
         let lot = part * bearable / (nodes * draws * cost).max(f64::MIN_POSITIVE);
-        cost <= (bearable * secs(self.settings.overload_time) / 2.0).max(1.0)
+        cost <= (bearable * seconds(self.settings.overload_time) / 2.0).max(1.0)
             && self.rng.random_bool(lot.clamp(0.0, 1.0))
     }
 
     /// Work of a request, in mean jobs.
     fn cost(&mut self, class: usize, work: Option<Duration>) -> f64 {
-        let Some(hint) = work.map(secs).filter(|hint| *hint > 0.0) else {
+        let Some(hint) = work.map(seconds).filter(|hint| *hint > 0.0) else {
             return self.service[class] / self.mean_service.max(f64::MIN_POSITIVE);
         };
         let seen = if self.mean_hint > 0.0 { self.mean_hint } else { hint };
-        self.mean_hint = seen + GAIN * (hint - seen);
+        self.mean_hint = seen + EWMA_GAIN * (hint - seen);
         hint / self.mean_hint
     }
 
@@ -1142,14 +1149,16 @@
     fn patience(&self, id: RequestId) -> Duration {
         let Some(r) = self.requests.get(&id) else { return Duration::ZERO };
         let class = &self.settings.classes[r.class];
-        let slack = secs(class.latency_target);
-        let whole = secs(r.deadline.since(r.arrived));
+        let slack = seconds(class.latency_target);
+        let whole = seconds(r.deadline.since(r.arrived));
         match r.work {
             // What its own work leaves, on a worker of usual speed.
-            Some(work) => span((slack + class.latency_stretch * work).min(whole) - work * self.best_pace()),
+            Some(work) => {
+                from_seconds((slack + class.latency_stretch * work).min(whole) - work * self.best_pace())
+            }
             None => {
                 let slack = slack + 0.5 * (class.latency_stretch - 1.0).max(0.0) * self.service[r.class];
-                span(slack).min(r.deadline.since(r.arrived) / 2)
+                from_seconds(slack).min(r.deadline.since(r.arrived) / 2)
             }
         }
     }
@@ -1177,33 +1186,34 @@
     /// How long a job would wait at a worker for its slots, in seconds.
     fn wait(&self, now: Time, id: RequestId, w: usize) -> f64 {
         let slots = self.requests.get(&id).map_or(1.0, |r| r.slots);
-        let wait = |o: Outlook| o.opening(now, slots).map_or(f64::INFINITY, |at| secs(at.since(now)));
+        let wait = |o: Outlook| o.opening(now, slots).map_or(f64::INFINITY, |at| seconds(at.since(now)));
         if self.room(now, w, slots, 0.0) { 0.0 } else { wait(self.outlook(now, id, w)) }
     }
 
     /// Whether a request would end in time there, by its hint.
     fn ends_in_time(&self, now: Time, id: RequestId, w: usize) -> bool {
         let hinted = self.requests.get(&id).is_some_and(|r| r.work.is_some());
-        !hinted || now + span(self.wait(now, id, w)) + self.run(now, id, w) <= self.due(id)
+        !hinted || now + from_seconds(self.wait(now, id, w)) + self.run(now, id, w) <= self.due(id)
     }
 
     /// Time that a second of hinted work takes on the fastest kind of machine.
     fn best_pace(&self) -> f64 {
-        self.kinds.values().map(Kind::per_hint).reduce(f64::min).unwrap_or(1.0)
+        self.kinds.values().map(KindEstimate::seconds_per_hinted_second).reduce(f64::min).unwrap_or(1.0)
     }
 
     /// Its kind's times as a multiple of what is usual.
     fn pace(&self, w: usize) -> f64 {
-        self.kinds.get(&self.workers[w].kind).map_or(1.0, |kind| kind.pace)
+        self.kinds.get(&self.workers[w].kind).map_or(1.0, |kind| kind.relative_service_time)
     }
 
     /// How long a request would run there: by its hint, at the pace learned for the kind, slower while cold.
     fn run(&self, now: Time, id: RequestId, w: usize) -> Duration {
         let warm = (LIKELY * self.workers[w].warmth(now, &self.settings)).min(1.0);
-        let per_hint = self.kinds.get(&self.workers[w].kind).map_or(1.0, Kind::per_hint);
+        let per_hint =
+            self.kinds.get(&self.workers[w].kind).map_or(1.0, KindEstimate::seconds_per_hinted_second);
         match self.requests.get(&id).and_then(|r| r.work) {
-            Some(work) => span(work * per_hint / warm),
-            None => span(self.mean_service * self.pace(w)),
+            Some(work) => from_seconds(work * per_hint / warm),
+            None => from_seconds(self.mean_service * self.pace(w)),
         }
     }
 
@@ -1211,7 +1221,9 @@
     fn due(&self, id: RequestId) -> Time {
         let Some(r) = self.requests.get(&id) else { return Time(0) };
         let class = &self.settings.classes[r.class];
-        r.deadline.min(r.arrived + class.latency_target + span(class.latency_stretch * r.work.unwrap_or(0.0)))
+        r.deadline.min(
+            r.arrived + class.latency_target + from_seconds(class.latency_stretch * r.work.unwrap_or(0.0)),
+        )
     }
 
     fn worth_queueing(&self, now: Time, id: RequestId, w: usize) -> bool {
@@ -1220,13 +1232,13 @@
         }
         // By the waits seen; less for whoever is over its share.
         if self.by_waits(id) {
-            let over = self.requests.get(&id).map_or(1.0, |r| self.shares.over(r.tenant));
-            return self.queueing(now, w) * over <= secs(self.patience(id));
+            let over = self.requests.get(&id).map_or(1.0, |r| self.shares.relative_usage(r.tenant));
+            return self.queueing(now, w) * over <= seconds(self.patience(id));
         }
         let ahead = (self.busy(w) - self.workers[w].k + 1.0).max(0.0);
         let wait = self.wait(now, id, w);
         // Where a late answer keeps some worth, one job ahead is never too many.
-        now + span(wait * if ahead > 1.0 { 2.0 } else { 1.0 }) <= self.in_time_until(id)
+        now + from_seconds(wait * if ahead > 1.0 { 2.0 } else { 1.0 }) <= self.in_time_until(id)
             || self.late_value(id) > 0.0 && ahead <= 1.0
     }
 
