--- a/crates/pebblepost-control/tests/stored_forms.rs
+++ b/crates/pebblepost-control/tests/stored_forms.rs
@@ -11,7 +11,7 @@
 use pebblepost_messages::control::GroupEpoch;
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
-use pebblepost_replication::register::{Ballot, WitnessState};
+use pebblepost_replication::register::{ProposalNumber, WitnessState};
 use pebblepost_replication::replica::{DiskRecord, StateMachine};
 use rstest::rstest;
 use std::fmt::{Debug, Write};
@@ -94,8 +94,8 @@
 
 fn records() -> Vec<(&'static str, ControlRecord)> {
     let witness = WitnessState {
-        promised: Ballot { round: 9, proposer: DiskId(2) },
-        accepted_ballot: Ballot { round: 8, proposer: DiskId(1) },
+        promised: ProposalNumber { counter: 9, proposer: DiskId(2) },
+        accepted_number: ProposalNumber { counter: 8, proposer: DiskId(1) },
         accepted: Some(epoch_record()),
     };
     let entry = DiskRecord::Entry { index: 4, epoch: 7, entry: vec![1, 2, 3] };
