--- a/crates/pebblepost-batch-runner/src/calls.rs
+++ b/crates/pebblepost-batch-runner/src/calls.rs
@@ -2,7 +2,7 @@
 //! changes or can't be sure.
 
 use crate::job::request as job_request;
-use crate::job::response as job_answer;
+use crate::job::result_page;
 use crate::shared::Shared;
 use crate::store_link::CallEnd;
 use bytes::Bytes;
@@ -75,7 +75,7 @@
     }
     let job = match job_request::parse(id, terms(route), Vec::from(body)) {
         Ok(job) => job,
-        Err(invalid) => return text(StatusCode::BAD_REQUEST, &invalid.0),
+        Err(error) => return text(StatusCode::BAD_REQUEST, &error.to_string()),
     };
     let (id, begun) = (job.id.clone(), Instant::now());
     let answer = offer(shared, job, until).await;
@@ -142,7 +142,7 @@
         FromStore::Results { answer, .. } => answer,
         _ => JobAnswer::Uncertain,
     });
-    found_or_not(answer.await, |page| json(StatusCode::OK, job_answer::page(&page)))
+    found_or_not(answer.await, |page| json(StatusCode::OK, result_page::to_json(&page)))
 }
 
 async fn item_body(shared: &Rc<Shared>, job: &str, request: &Request<Bytes>) -> Response<Bytes> {
--- a/crates/pebblepost-batch-runner/src/job/mod.rs
+++ b/crates/pebblepost-batch-runner/src/job/mod.rs
@@ -1,4 +1,4 @@
 //! The HTTP face of batch jobs.
 
 pub mod request;
-pub mod response;
+pub mod result_page;
--- a/crates/pebblepost-batch-runner/src/job/request.rs
+++ b/crates/pebblepost-batch-runner/src/job/request.rs
@@ -1,135 +1,182 @@
-//! Reading of a submitted batch job.
+//! Reads the JSON body of a submitted batch job.
+//!
+//! Checks the form of the job only; whether it is accepted is the store's decision.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use pebblepost_messages::batch::{Item, Job, JobTerms, Scorer};
-use simd_json::BorrowedValue;
 use simd_json::prelude::{ValueAsArray, ValueAsObject, ValueAsScalar, ValueObjectAccess};
+use simd_json::{BorrowedValue, StaticNode};
 use std::collections::HashSet;
-use std::fmt;
+use thiserror::Error;
 
-/// Why a body is no batch job; one sentence for the client.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct InvalidJob(pub String);
+/// Why a body is not a batch job. The text goes to the client.
+#[derive(Debug, Error)]
+pub enum JobError {
+    /// The body is not valid JSON.
+    #[error("the body is not JSON: {0}")]
+    NotJson(#[from] simd_json::Error),
+    /// The body is JSON, but not an object.
+    #[error("the body is no object")]
+    NotAnObject,
+    /// The list of items is missing.
+    #[error("`requests` is missing or no list")]
+    NoRequests,
+    /// A field of the job is invalid.
+    #[error(transparent)]
+    Field(#[from] FieldError),
+    /// An item is invalid.
+    #[error("item {position}: {cause}")]
+    Item {
+        /// Position of the item in the list, from 0.
+        position: usize,
+        /// Why it is invalid.
+        cause: ItemError,
+    },
+}
 
-impl fmt::Display for InvalidJob {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(&self.0)
-    }
+/// Why an item of a job is invalid.
+#[derive(Debug, Error)]
+pub enum ItemError {
+    /// A field of the item is invalid.
+    #[error(transparent)]
+    Field(#[from] FieldError),
+    /// A field of its scorer is invalid.
+    #[error("scorer: {0}")]
+    Scorer(FieldError),
+    /// Another item of the job has the same id.
+    #[error("its id was used before")]
+    DuplicateId,
+}
+
+/// Why a field is invalid.
+#[derive(Debug, Error)]
+pub enum FieldError {
+    /// A required text is missing or empty.
+    #[error("`{0}` is missing")]
+    Missing(&'static str),
+    /// It is not a text.
+    #[error("`{0}` is no text")]
+    NotText(&'static str),
+    /// It is not a whole number.
+    #[error("`{0}` is no whole number")]
+    NotWholeNumber(&'static str),
+    /// It is not valid base64.
+    #[error("`{0}` is no base64")]
+    NotBase64(&'static str),
+    /// `path` is not a path.
+    #[error("`path` is no path")]
+    NotAPath,
+    /// `headers` is not an object.
+    #[error("`headers` is no object")]
+    HeadersNotAnObject,
+    /// The value of a header is not a text.
+    #[error("header `{0}` is no text")]
+    HeaderNotText(String),
 }
 
-/// Reads the JSON body of a `POST` that submits a job. Fields that these pages don't know are
-/// passed over.
-pub fn parse(id: &str, terms: JobTerms, mut body: Vec<u8>) -> Result<Job, InvalidJob> {
-    let value = simd_json::to_borrowed_value(&mut body)
-        .map_err(|error| InvalidJob(format!("the body is not JSON: {error}")))?;
+/// Reads the body of a submitted job. Unknown fields are ignored.
+///
+/// # Errors
+/// The body is not JSON, or a required field is missing or invalid.
+pub fn parse(id: &str, terms: JobTerms, mut body: Vec<u8>) -> Result<Job, JobError> {
+    let value = simd_json::to_borrowed_value(&mut body)?;
     if value.as_object().is_none() {
-        return Err(InvalidJob("the body is no object".to_owned()));
+        return Err(JobError::NotAnObject);
     }
-    let requests = value
-        .get("requests")
-        .and_then(|requests| requests.as_array())
-        .ok_or_else(|| InvalidJob("`requests` is missing or no list".to_owned()))?;
+    let requests =
+        value.get("requests").and_then(|requests| requests.as_array()).ok_or(JobError::NoRequests)?;
+    Ok(Job {
+        id: id.to_owned(),
+        terms,
+        items: parse_items(requests)?,
+        step: whole_number(&value, "step")?,
+        model: text(&value, "model")?.unwrap_or_default().to_owned(),
+        min_version: whole_number(&value, "min_version")?,
+        desired_groups: u32::try_from(whole_number(&value, "desired")?).unwrap_or(u32::MAX),
+    })
+}
+
+fn parse_items(requests: &[BorrowedValue<'_>]) -> Result<Vec<Item>, JobError> {
     let mut items = Vec::with_capacity(requests.len());
     let mut ids = HashSet::with_capacity(requests.len());
     for (position, request) in requests.iter().enumerate() {
-        let item = parse_item(request)
-            .map_err(|InvalidJob(reason)| InvalidJob(format!("item {position}: {reason}")))?;
+        let item = parse_item(request).map_err(|cause| JobError::Item { position, cause })?;
         if !ids.insert(item.id.clone()) {
-            return Err(InvalidJob(format!("item {position}: its id was used before")));
+            return Err(JobError::Item { position, cause: ItemError::DuplicateId });
         }
         items.push(item);
     }
-    Ok(Job {
-        id: id.to_owned(),
-        terms,
-        step: number(&value, "step")?,
-        model: text(&value, "model")?.unwrap_or_default().to_owned(),
-        min_version: number(&value, "min_version")?,
-        desired_groups: u32::try_from(number(&value, "desired")?).unwrap_or(u32::MAX),
-        items,
-    })
+    Ok(items)
 }
 
-fn parse_item(value: &BorrowedValue<'_>) -> Result<Item, InvalidJob> {
+fn parse_item(value: &BorrowedValue<'_>) -> Result<Item, ItemError> {
     Ok(Item {
         id: required_text(value, "id")?,
         path: required_path(value)?,
         headers: parse_headers(value)?,
-        body: bytes(value, "body")?,
-        tokens: number(value, "tokens")?,
+        body: base64_bytes(value, "body")?,
+        tokens: whole_number(value, "tokens")?,
         group: text(value, "group")?.unwrap_or_default().to_owned(),
-        scorer: match value.get("scorer") {
-            None => None,
-            Some(scorer) if is_null(scorer) => None,
-            Some(scorer) => Some(parse_scorer(scorer)?),
-        },
+        scorer: field(value, "scorer").map(parse_scorer).transpose().map_err(ItemError::Scorer)?,
     })
 }
 
-fn parse_scorer(value: &BorrowedValue<'_>) -> Result<Scorer, InvalidJob> {
-    let scorer = || -> Result<Scorer, InvalidJob> {
-        Ok(Scorer {
-            id: required_text(value, "id")?,
-            hostname: required_text(value, "hostname")?,
-            path: required_path(value)?,
-            body: bytes(value, "body")?,
-        })
-    };
-    scorer().map_err(|InvalidJob(reason)| InvalidJob(format!("scorer: {reason}")))
+fn parse_scorer(value: &BorrowedValue<'_>) -> Result<Scorer, FieldError> {
+    Ok(Scorer {
+        id: required_text(value, "id")?,
+        hostname: required_text(value, "hostname")?,
+        path: required_path(value)?,
+        body: base64_bytes(value, "body")?,
+    })
 }
 
-fn parse_headers(value: &BorrowedValue<'_>) -> Result<Vec<(String, String)>, InvalidJob> {
-    let Some(headers) = value.get("headers").filter(|headers| !is_null(headers)) else {
-        return Ok(Vec::new());
-    };
-    let headers = headers.as_object().ok_or_else(|| InvalidJob("`headers` is no object".to_owned()))?;
+/// Headers in the order of their names.
+fn parse_headers(value: &BorrowedValue<'_>) -> Result<Vec<(String, String)>, FieldError> {
+    let Some(headers) = field(value, "headers") else { return Ok(Vec::new()) };
+    let headers = headers.as_object().ok_or(FieldError::HeadersNotAnObject)?;
     let mut pairs = Vec::with_capacity(headers.len());
     for (name, value) in headers.iter() {
-        let value = value.as_str().ok_or_else(|| InvalidJob(format!("header `{name}` is no text")))?;
+        let value = value.as_str().ok_or_else(|| FieldError::HeaderNotText(name.to_string()))?;
         pairs.push((name.to_string(), value.to_owned()));
     }
     pairs.sort_unstable();
     Ok(pairs)
 }
 
-fn required_text(value: &BorrowedValue<'_>, name: &str) -> Result<String, InvalidJob> {
+fn required_text(value: &BorrowedValue<'_>, name: &'static str) -> Result<String, FieldError> {
     match text(value, name)? {
         Some(text) if !text.is_empty() => Ok(text.to_owned()),
-        _ => Err(InvalidJob(format!("`{name}` is missing"))),
+        _ => Err(FieldError::Missing(name)),
     }
 }
 
-fn required_path(value: &BorrowedValue<'_>) -> Result<String, InvalidJob> {
+fn required_path(value: &BorrowedValue<'_>) -> Result<String, FieldError> {
     let path = required_text(value, "path")?;
     if path.starts_with('/') && path.parse::<http::uri::PathAndQuery>().is_ok() {
         return Ok(path);
     }
-    Err(InvalidJob("`path` is no path".to_owned()))
+    Err(FieldError::NotAPath)
 }
 
-fn text<'a>(value: &'a BorrowedValue<'_>, name: &str) -> Result<Option<&'a str>, InvalidJob> {
-    match value.get(name) {
-        None => Ok(None),
-        Some(field) if is_null(field) => Ok(None),
-        Some(field) => field.as_str().map(Some).ok_or_else(|| InvalidJob(format!("`{name}` is no text"))),
-    }
+fn text<'a>(value: &'a BorrowedValue<'_>, name: &'static str) -> Result<Option<&'a str>, FieldError> {
+    let Some(field) = field(value, name) else { return Ok(None) };
+    field.as_str().map(Some).ok_or(FieldError::NotText(name))
 }
 
 /// A whole number; 0 where it is missing.
-fn number(value: &BorrowedValue<'_>, name: &str) -> Result<u64, InvalidJob> {
-    match value.get(name) {
-        None => Ok(0),
-        Some(field) if is_null(field) => Ok(0),
-        Some(field) => field.as_u64().ok_or_else(|| InvalidJob(format!("`{name}` is no whole number"))),
-    }
+fn whole_number(value: &BorrowedValue<'_>, name: &'static str) -> Result<u64, FieldError> {
+    let Some(field) = field(value, name) else { return Ok(0) };
+    field.as_u64().ok_or(FieldError::NotWholeNumber(name))
 }
 
-fn bytes(value: &BorrowedValue<'_>, name: &str) -> Result<Vec<u8>, InvalidJob> {
+/// Bytes in base64; empty where they are missing.
+fn base64_bytes(value: &BorrowedValue<'_>, name: &'static str) -> Result<Vec<u8>, FieldError> {
     let Some(encoded) = text(value, name)? else { return Ok(Vec::new()) };
-    STANDARD.decode(encoded).map_err(|_| InvalidJob(format!("`{name}` is no base64")))
+    STANDARD.decode(encoded).map_err(|_| FieldError::NotBase64(name))
 }
 
-fn is_null(value: &BorrowedValue<'_>) -> bool {
-    matches!(value, BorrowedValue::Static(simd_json::StaticNode::Null))
+/// A field; `None` where it is missing or `null`.
+fn field<'a, 'v>(value: &'a BorrowedValue<'v>, name: &str) -> Option<&'a BorrowedValue<'v>> {
+    value.get(name).filter(|field| !matches!(field, BorrowedValue::Static(StaticNode::Null)))
 }
--- a/crates/pebblepost-batch-runner/src/job/response.rs
+++ b/crates/pebblepost-batch-runner/src/job/result_page.rs
@@ -5,10 +5,10 @@
 use std::io::Write;
 
 /// Most bytes of results in one answer; at least one result is given.
-pub const MOST_PAGE_BYTES: usize = 1024 * 1024;
+pub const MAX_PAGE_BYTES: usize = 1024 * 1024;
 
 /// The answer to `GET /lots/ID`.
-pub fn page(page: &ResultPage) -> Bytes {
+pub fn to_json(page: &ResultPage) -> Bytes {
     let mut results = Vec::with_capacity(page.results.len() * 128);
     let mut count = 0;
     for result in &page.results {
@@ -17,7 +17,7 @@
             results.push(b',');
         }
         write_result(result, &mut results);
-        if count > 0 && results.len() > MOST_PAGE_BYTES {
+        if count > 0 && results.len() > MAX_PAGE_BYTES {
             results.truncate(start);
             break;
         }
@@ -38,9 +38,9 @@
         ResultState::DeadLetter => "dead_letter",
     };
     json.extend_from_slice(b"{\"id\":");
-    write_text(&result.id, json);
+    write_string(&result.id, json);
     let _ = write!(json, ",\"state\":\"{state}\",\"message\":");
-    write_text(&String::from_utf8_lossy(&result.message), json);
+    write_string(&String::from_utf8_lossy(&result.message), json);
     json.extend_from_slice(b",\"versions\":[");
     for (position, version) in result.versions.iter().enumerate() {
         let separator = if position == 0 { "" } else { "," };
@@ -49,13 +49,13 @@
     json.push(b']');
     if !result.score.is_empty() {
         json.extend_from_slice(b",\"score\":");
-        write_text(&result.score, json);
+        write_string(&result.score, json);
     }
     json.push(b'}');
 }
 
 /// Writes a JSON string.
-fn write_text(text: &str, json: &mut Vec<u8>) {
+fn write_string(text: &str, json: &mut Vec<u8>) {
     json.push(b'"');
     let mut plain = 0;
     for (index, byte) in text.bytes().enumerate() {
--- a/crates/pebblepost-batch-runner/tests/parts.rs
+++ b/crates/pebblepost-batch-runner/tests/parts.rs
@@ -3,7 +3,7 @@
 use pebblepost_batch_runner::attempt::priority;
 use pebblepost_batch_runner::item_progress::ItemProgress;
 use pebblepost_batch_runner::job::request::parse;
-use pebblepost_batch_runner::job::response::{MOST_PAGE_BYTES, page};
+use pebblepost_batch_runner::job::result_page::{MAX_PAGE_BYTES, to_json};
 use pebblepost_batch_runner::lease_table::{ABANDON_AFTER, LEASE_DURATION, LeaseStatus, LeaseTable};
 use pebblepost_batch_runner::load_table::{
     LoadTable, REPORT_LAG, REPORT_REUSE, UNREPORTED_SERVICE_REUSE, VERSIONS_REUSE,
@@ -267,7 +267,7 @@
     let mut dead = result("b\"", b"");
     dead.state = ResultState::DeadLetter;
     let results = vec![result("a", "\u{1}\\ \t\r\u{e9}\u{1f600}".as_bytes()), dead, result("c", b"\xff")];
-    let json = page(&ResultPage { total: 3, start: 0, results });
+    let json = to_json(&ResultPage { total: 3, start: 0, results });
     let approved = concat!(
         r#"{"total":3,"next_token":3,"results":["#,
         r#"{"id":"a","state":"completed","message":"\u0001\\ \t\ré😀","versions":[]},"#,
@@ -279,12 +279,12 @@
 
 #[test]
 fn a_page_ends_before_it_is_too_large() {
-    let large = vec![b'x'; MOST_PAGE_BYTES / 2];
+    let large = vec![b'x'; MAX_PAGE_BYTES / 2];
     let results = (0..3).map(|index| result(&index.to_string(), &large)).collect();
-    let json = page(&ResultPage { total: 9, start: 4, results });
+    let json = to_json(&ResultPage { total: 9, start: 4, results });
     assert!(json.starts_with(br#"{"total":9,"next_token":5,"#));
-    let too_large = vec![result("a", &vec![b'x'; 2 * MOST_PAGE_BYTES])];
-    let json = page(&ResultPage { total: 9, start: 4, results: too_large });
+    let too_large = vec![result("a", &vec![b'x'; 2 * MAX_PAGE_BYTES])];
+    let json = to_json(&ResultPage { total: 9, start: 4, results: too_large });
     assert!(json.starts_with(br#"{"total":9,"next_token":5,"#), "one at least");
 }
 
@@ -310,7 +310,7 @@
 )]
 fn a_body_that_is_no_job_says_why(#[case] body: &str, #[case] reason: &str) {
     let error = parse("j", JobTerms::default(), body.as_bytes().to_vec()).unwrap_err();
-    assert!(error.0.starts_with(reason), "{error}");
+    assert!(error.to_string().starts_with(reason), "{error}");
 }
 
 #[rstest]
