--- /dev/null
+++ b/crates/pebblepost-batch-runner/src/execution/item.rs
@@ -0,0 +1,260 @@
+//! One item, from its first attempt to its outcome: attempts until the text is complete, then the call of its scorer
+//! until it is scored.
+//!
+//! Decides retries, their back-off and when an item becomes a dead letter. Nothing is sent while the lease is not
+//! valid.
+
+use crate::capacity::CapacityPermit;
+use crate::change_signal::ChangeSignal;
+use crate::execution::attempt::{AttemptOutcome, AttemptRunner};
+use crate::execution::outcomes::OutcomeReporter;
+use crate::execution::scorer::{ScorerClient, ScorerOutcome};
+use crate::item_progress::SharedProgress;
+use crate::lease_table::{LeaseKey, LeaseStatus, LeaseTable};
+use crate::lease_terms::LeaseTerms;
+use crate::metrics::{Metric, Metrics};
+use crate::placement::placer::{PlacementError, Placer};
+use crate::placement::requirements::Requirements;
+use crate::placement::reservation::Reservation;
+use crate::random::Random;
+use crate::shutdown::ShutdownFlag;
+use pebblepost_messages::batch::{Item, ItemResult, ResultState};
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{Instant, sleep};
+
+/// How long to wait for the renewal of a lease before its status is checked again.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Back-off after an attempt that did not complete the text.
+const RETRY_BACKOFF: Duration = Duration::from_millis(10);
+const REJECTED_BACKOFF: Duration = Duration::from_millis(50);
+const UNKNOWN_BACKOFF: Duration = Duration::from_millis(200);
+/// Back-off between calls of a scorer; doubles from the first to the longest.
+const FIRST_SCORER_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_SCORER_BACKOFF: Duration = Duration::from_millis(400);
+/// An item without a route is returned after this time.
+const NO_ROUTE_DELAY: Duration = Duration::from_millis(1000);
+/// How long a transcriber that broke an attempt off is ejected.
+const EJECTION_AFTER_BREAK: Duration = Duration::from_millis(700);
+/// A text starts anew after this many events that did not follow it.
+const MAX_UNEXPECTED_EVENTS: u32 = 2;
+
+/// An item in flight.
+pub(crate) struct LeasedTask {
+    pub(crate) key: LeaseKey,
+    pub(crate) terms: Rc<LeaseTerms>,
+    pub(crate) item: Item,
+    pub(crate) progress: SharedProgress,
+}
+
+impl LeasedTask {
+    /// Counts a failed attempt; whether that was the last one that the route allows.
+    fn count_failed_attempt(&self) -> bool {
+        let mut progress = self.progress.borrow_mut();
+        progress.failed_attempts += 1;
+        progress.failed_attempts >= self.terms.job.max_attempts.max(1)
+    }
+
+    /// Counts a failed call of the scorer; whether that was the last one that both routes allow.
+    fn count_failed_scorer_attempt(&self, max_attempts: u32) -> bool {
+        let mut progress = self.progress.borrow_mut();
+        progress.failed_scorer_attempts += 1;
+        progress.failed_scorer_attempts >= max_attempts.max(self.terms.job.max_attempts).max(1)
+    }
+
+    fn completed_result(&self, score: String) -> ItemResult {
+        let partial = self.progress.borrow().text.partial();
+        ItemResult {
+            id: self.item.id.clone(),
+            state: ResultState::Completed,
+            message: partial.message,
+            versions: partial.versions,
+            score,
+        }
+    }
+
+    fn dead_letter_result(&self) -> ItemResult {
+        ItemResult { id: self.item.id.clone(), state: ResultState::DeadLetter, ..ItemResult::default() }
+    }
+}
+
+/// Why an item ends without a score.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Unscored {
+    /// It can't be completed, or not in time.
+    DeadLetter,
+    /// It goes back to its store: the proxy shuts down or knows no route.
+    Returned,
+    /// Its lease has ended: nothing is reported.
+    Abandoned,
+}
+
+/// Executes items.
+pub(crate) struct ItemExecutor {
+    pub(crate) leases: Rc<RefCell<LeaseTable>>,
+    pub(crate) placer: Rc<Placer>,
+    pub(crate) attempts: AttemptRunner,
+    pub(crate) scorers: ScorerClient,
+    pub(crate) outcomes: Rc<OutcomeReporter>,
+    pub(crate) random: Rc<Random>,
+    pub(crate) metrics: Rc<Metrics>,
+    pub(crate) shutdown: Rc<ShutdownFlag>,
+    pub(crate) changes: Rc<ChangeSignal>,
+}
+
+impl ItemExecutor {
+    /// Executes an item and reports its outcome. The first attempt goes to the reservation, if there is one.
+    pub(crate) async fn execute(
+        self: Rc<Self>, task: LeasedTask, reservation: Option<Reservation>, mut permit: CapacityPermit,
+    ) {
+        match self.run(&task, reservation, &mut permit).await {
+            Ok(score) => self.outcomes.finish(task.key, task.completed_result(score)),
+            Err(Unscored::DeadLetter) => {
+                log::debug!("dead letter item={}", task.item.id);
+                self.outcomes.finish(task.key, task.dead_letter_result());
+            }
+            Err(Unscored::Returned) => self.outcomes.return_item(task.key, &task.item.id),
+            Err(Unscored::Abandoned) => self.outcomes.abandon(task.key, &task.item.id),
+        }
+    }
+
+    /// The score of the complete text; empty for an item without a scorer.
+    async fn run(
+        &self, task: &LeasedTask, reservation: Option<Reservation>, permit: &mut CapacityPermit,
+    ) -> Result<String, Unscored> {
+        self.complete_text(task, reservation).await?;
+        permit.release_text();
+        self.score(task).await
+    }
+
+    /// Makes attempts until the text is complete.
+    async fn complete_text(
+        &self, task: &LeasedTask, mut reservation: Option<Reservation>,
+    ) -> Result<(), Unscored> {
+        let requirements = Requirements::of_text(&task.terms, &task.item.path);
+        let mut unexpected_events = 0;
+        loop {
+            let Some(current) = reservation.take() else {
+                reservation = self.place(&requirements).await?;
+                continue;
+            };
+            self.wait_until_lease_is_valid(task.key).await?;
+            if !self.placer.is_still_allowed(&current, &requirements) {
+                continue;
+            }
+            self.metrics.increment(Metric::Attempts);
+            let outcome = self.attempts.run(&task.terms, &task.item, &current, &task.progress).await;
+            if outcome == AttemptOutcome::Complete {
+                return Ok(());
+            }
+            let instance = &current.target.instance;
+            log::debug!("attempt ended item={} instance={instance} outcome={outcome:?}", task.item.id);
+            if is_final(outcome, task) {
+                return Err(Unscored::DeadLetter);
+            }
+            if outcome == AttemptOutcome::UnexpectedEvent {
+                unexpected_events += 1;
+                if unexpected_events >= MAX_UNEXPECTED_EVENTS {
+                    task.progress.borrow_mut().text.clear();
+                    unexpected_events = 0;
+                }
+            }
+            self.note_retry(outcome, task, &current);
+            // The slot is free again before the back-off.
+            drop(current);
+            sleep(backoff_after(outcome)).await;
+        }
+    }
+
+    async fn place(&self, requirements: &Requirements<'_>) -> Result<Option<Reservation>, Unscored> {
+        match self.placer.place(requirements, 1).await {
+            Ok(mut reservations) => Ok(reservations.pop()),
+            Err(PlacementError::Expired) => Err(Unscored::DeadLetter),
+            Err(PlacementError::ShuttingDown) => Err(Unscored::Returned),
+            Err(PlacementError::NoRoute(_)) => {
+                // This proxy's configuration may be an old one: another proxy may know the route.
+                sleep(NO_ROUTE_DELAY).await;
+                Err(Unscored::Returned)
+            }
+        }
+    }
+
+    /// Records what an attempt that is to be retried says about its transcriber and about the text.
+    fn note_retry(&self, outcome: AttemptOutcome, task: &LeasedTask, reservation: &Reservation) {
+        self.metrics.increment(match outcome {
+            AttemptOutcome::Rejected => Metric::AttemptsRejected,
+            AttemptOutcome::VersionMismatch => Metric::AttemptsVersionMismatch,
+            AttemptOutcome::NotSent => Metric::AttemptsNotSent,
+            AttemptOutcome::Interrupted => Metric::AttemptsInterrupted,
+            AttemptOutcome::Failed => Metric::AttemptsFailed,
+            _ => Metric::AttemptsOther,
+        });
+        match outcome {
+            AttemptOutcome::VersionMismatch | AttemptOutcome::Rejected => reservation.invalidate_report(),
+            AttemptOutcome::VersionNotAllowed => task.progress.borrow_mut().text.clear(),
+            AttemptOutcome::Interrupted | AttemptOutcome::NotSent => {
+                reservation.eject(EJECTION_AFTER_BREAK);
+            }
+            _ => {}
+        }
+    }
+
+    /// Calls the scorer until it returns a score.
+    async fn score(&self, task: &LeasedTask) -> Result<String, Unscored> {
+        let Some(scorer) = &task.item.scorer else { return Ok(String::new()) };
+        let mut backoff = FIRST_SCORER_BACKOFF;
+        loop {
+            self.wait_until_lease_is_valid(task.key).await?;
+            if Instant::now() >= task.terms.expires_at {
+                return Err(Unscored::DeadLetter);
+            }
+            let is_lease_valid = || self.lease_status(task.key) == LeaseStatus::Valid;
+            match self.scorers.call(scorer, &task.terms, is_lease_valid).await {
+                ScorerOutcome::Scored(score) => return Ok(score),
+                ScorerOutcome::Failed { max_attempts } => {
+                    if task.count_failed_scorer_attempt(max_attempts) {
+                        return Err(Unscored::DeadLetter);
+                    }
+                }
+                ScorerOutcome::Retry => {
+                    sleep(self.random.duration_between(backoff / 2, backoff)).await;
+                    backoff = (backoff * 2).min(MAX_SCORER_BACKOFF);
+                }
+            }
+        }
+    }
+
+    /// Waits until requests of the lease may be sent.
+    async fn wait_until_lease_is_valid(&self, key: LeaseKey) -> Result<(), Unscored> {
+        loop {
+            match self.lease_status(key) {
+                LeaseStatus::Valid => return Ok(()),
+                LeaseStatus::Ended => return Err(Unscored::Abandoned),
+                LeaseStatus::Expired if self.shutdown.is_set() => return Err(Unscored::Returned),
+                LeaseStatus::Expired => self.changes.wait(LEASE_CHECK_INTERVAL).await,
+            }
+        }
+    }
+
+    fn lease_status(&self, key: LeaseKey) -> LeaseStatus {
+        self.leases.borrow().status(key, Instant::now())
+    }
+}
+
+/// Whether there is no other attempt. Counts a failed one.
+fn is_final(outcome: AttemptOutcome, task: &LeasedTask) -> bool {
+    match outcome {
+        AttemptOutcome::Unprocessable => true,
+        AttemptOutcome::Failed => task.count_failed_attempt(),
+        _ => false,
+    }
+}
+
+fn backoff_after(outcome: AttemptOutcome) -> Duration {
+    match outcome {
+        AttemptOutcome::Rejected => REJECTED_BACKOFF,
+        AttemptOutcome::Unknown => UNKNOWN_BACKOFF,
+        _ => RETRY_BACKOFF,
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-batch-runner/src/execution/lease.rs
@@ -0,0 +1,119 @@
+//! The items of a lease: placed together where a transcriber has capacity, each with a task of its own.
+//!
+//! Owns no state; leases and permits are below, an item's attempts in [`super::item`].
+
+use crate::capacity::{Capacity, CapacityPermit};
+use crate::execution::item::{ItemExecutor, LeasedTask};
+use crate::execution::outcomes::OutcomeReporter;
+use crate::item_progress::ItemProgress;
+use crate::lease_table::{LeaseKey, LeaseTable};
+use crate::lease_terms::LeaseTerms;
+use crate::metrics::{Metric, Metrics};
+use crate::placement::placer::Placer;
+use crate::placement::requirements::Requirements;
+use crate::placement::reservation::Reservation;
+use crate::shutdown::ShutdownFlag;
+use pebblepost_messages::batch::{LeasedItem, WorkLease};
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{Instant, timeout};
+
+/// The first attempt of a group must start within this time, or the other items are placed anew.
+const FIRST_START_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// An item that awaits its placement.
+struct PendingItem {
+    leased: LeasedItem,
+    permit: CapacityPermit,
+}
+
+/// Executes leases.
+pub(crate) struct LeaseExecutor {
+    pub(crate) leases: Rc<RefCell<LeaseTable>>,
+    pub(crate) capacity: Rc<Capacity>,
+    pub(crate) placer: Rc<Placer>,
+    pub(crate) items: Rc<ItemExecutor>,
+    pub(crate) outcomes: Rc<OutcomeReporter>,
+    pub(crate) metrics: Rc<Metrics>,
+    pub(crate) shutdown: Rc<ShutdownFlag>,
+}
+
+impl LeaseExecutor {
+    /// Starts the execution of leases that a store gave. During a shutdown their items are returned at once.
+    pub(crate) fn accept(self: &Rc<Self>, leases: Vec<WorkLease>) {
+        for lease in leases {
+            self.accept_one(lease);
+        }
+    }
+
+    fn accept_one(self: &Rc<Self>, lease: WorkLease) {
+        let now = Instant::now();
+        let terms = Rc::new(LeaseTerms::new(&lease, now));
+        let progress =
+            lease.items.iter().map(|leased| ItemProgress::from_leased(leased, terms.versions)).collect();
+        let Some(key) = self.leases.borrow_mut().add(&lease, progress, now) else { return };
+        if self.shutdown.is_set() {
+            for leased in lease.items {
+                self.outcomes.return_item(key, &leased.item.id);
+            }
+            return;
+        }
+        let admit = |leased| PendingItem { leased, permit: self.capacity.admit() };
+        let pending = lease.items.into_iter().map(admit).collect();
+        let task = tokio::task::spawn_local(self.clone().place_items(key, terms, pending));
+        self.leases.borrow_mut().set_placement_task(key, task.abort_handle());
+    }
+
+    /// Places the items of a lease, as many at a time as one transcriber has capacity for, and starts them.
+    ///
+    /// The first item of several goes ahead: a transcriber that rejects it rejects one item, not all, and one that
+    /// starts it has the common prompt in its prefix cache when the others come.
+    async fn place_items(
+        self: Rc<Self>, key: LeaseKey, terms: Rc<LeaseTerms>, mut pending: VecDeque<PendingItem>,
+    ) {
+        while let Some(first) = pending.front() {
+            let requirements = Requirements::of_text(&terms, &first.leased.item.path);
+            let count = u32::try_from(pending.len()).unwrap_or(u32::MAX);
+            // Without a reservation each item finds out for itself why there is none.
+            let placed = self.placer.place(&requirements, count).await.unwrap_or_default();
+            let mut reservations = VecDeque::from(placed);
+            let is_split = reservations.len() < pending.len();
+            self.metrics.increment(if is_split { Metric::GroupsSplit } else { Metric::GroupsPlacedWhole });
+            let batch =
+                if reservations.is_empty() { pending.len() } else { reservations.len().min(pending.len()) };
+            let on_start = reservations.front().filter(|_| reservations.len() > 1).map(Reservation::on_start);
+            let Some(on_start) = on_start else {
+                self.start_items(key, &terms, pending.drain(..batch), &mut reservations);
+                continue;
+            };
+            self.start_items(key, &terms, pending.drain(..1), &mut reservations);
+            if matches!(timeout(FIRST_START_TIMEOUT, on_start).await, Ok(Ok(()))) {
+                self.start_items(key, &terms, pending.drain(..batch - 1), &mut reservations);
+            }
+        }
+    }
+
+    /// Starts a task for each item, with a reservation as long as there are any.
+    fn start_items(
+        &self, key: LeaseKey, terms: &Rc<LeaseTerms>, pending: impl Iterator<Item = PendingItem>,
+        reservations: &mut VecDeque<Reservation>,
+    ) {
+        for PendingItem { leased, permit } in pending {
+            self.start_item(key, terms, leased, reservations.pop_front(), permit);
+        }
+    }
+
+    fn start_item(
+        &self, key: LeaseKey, terms: &Rc<LeaseTerms>, leased: LeasedItem, reservation: Option<Reservation>,
+        permit: CapacityPermit,
+    ) {
+        let id = leased.item.id.clone();
+        let Some(progress) = self.leases.borrow().progress(key, &id) else { return };
+        let task = LeasedTask { key, terms: terms.clone(), item: leased.item, progress };
+        let execution = self.items.clone().execute(task, reservation, permit);
+        let task = tokio::task::spawn_local(execution);
+        self.leases.borrow_mut().set_item_task(key, &id, task.abort_handle());
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-batch-runner/src/job/api.rs
@@ -0,0 +1,239 @@
+//! The calls of batch jobs: each goes to the primary of the job's store group, and again when the primary changes or
+//! can't be certain.
+//!
+//! Owns no state. A call that may have been executed is never answered as if it had not been.
+
+use crate::change_signal::ChangeSignal;
+use crate::job::http_response::{empty, json, octets, retry_after, text};
+use crate::job::{request, result_page};
+use crate::store::link::CallOutcome;
+use crate::store::links::StoreLinks;
+use bytes::Bytes;
+use http::{HeaderMap, Method, Request, Response, StatusCode};
+use pebblepost_configuration::Route;
+use pebblepost_messages::batch::{
+    FromStore, Job, JobAnswer, JobTerms, SubmitOutcome, ToStore, store_group_of,
+};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{Instant, sleep};
+
+/// How long a submitted job is offered to primaries.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(3500);
+/// How long the other calls are retried, beyond the time for which the client lets them wait.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Longest time that a read waits for a result.
+const MAX_READ_WAIT: Duration = Duration::from_millis(2000);
+/// Back-off before a store that was not certain is called again.
+const RETRY_BACKOFF: Duration = Duration::from_millis(60);
+/// `Retry-After` of a job that no store was offered.
+const RETRY_AFTER_NOT_OFFERED: Duration = Duration::from_millis(500);
+/// Most bytes of a job's body.
+const MAX_JOB_BYTES: usize = 48 * 1024 * 1024;
+
+const JOBS_PREFIX: &str = "/lots/";
+const ITEMS_PREFIX: &str = "/items/";
+const REQUEST_ID: &str = "request-id";
+const WAIT_MS: &str = "wait-ms";
+
+/// Whether a path is that of a call about a submitted job.
+pub(crate) fn is_job_call(path: &str) -> bool {
+    path.starts_with(JOBS_PREFIX) || path.starts_with(ITEMS_PREFIX)
+}
+
+/// Answers the calls of batch jobs.
+pub(crate) struct JobApi {
+    pub(crate) links: Rc<StoreLinks>,
+    pub(crate) changes: Rc<ChangeSignal>,
+}
+
+impl JobApi {
+    /// Answers a call; `route` is the `rollout` route of a submission.
+    pub(crate) async fn answer(&self, route: Option<&Route>, request: Request<Bytes>) -> Response<Bytes> {
+        let path = request.uri().path();
+        if let Some(job) = path.strip_prefix(JOBS_PREFIX) {
+            return match *request.method() {
+                Method::GET => self.read(job, &request).await,
+                Method::DELETE => self.end(job).await,
+                _ => empty(StatusCode::METHOD_NOT_ALLOWED),
+            };
+        }
+        if let Some(job) = path.strip_prefix(ITEMS_PREFIX) {
+            return match *request.method() {
+                Method::GET => self.item_body(job, &request).await,
+                _ => empty(StatusCode::METHOD_NOT_ALLOWED),
+            };
+        }
+        match route {
+            Some(route) if *request.method() == Method::POST => self.submit(route, request).await,
+            Some(_) => empty(StatusCode::METHOD_NOT_ALLOWED),
+            None => empty(StatusCode::NOT_FOUND),
+        }
+    }
+
+    async fn submit(&self, route: &Route, request: Request<Bytes>) -> Response<Bytes> {
+        let deadline = Instant::now() + SUBMIT_TIMEOUT;
+        let (parts, body) = request.into_parts();
+        let Some(id) = header_text(&parts.headers, REQUEST_ID).filter(|id| !id.is_empty()) else {
+            return text(StatusCode::BAD_REQUEST, "the `Request-Id` is missing");
+        };
+        if body.len() > MAX_JOB_BYTES {
+            return empty(StatusCode::PAYLOAD_TOO_LARGE);
+        }
+        let job = match request::parse(id, terms_of(route), Vec::from(body)) {
+            Ok(job) => job,
+            Err(error) => return text(StatusCode::BAD_REQUEST, &error.to_string()),
+        };
+        let (id, begun) = (job.id.clone(), Instant::now());
+        let response = self.offer(job, deadline).await;
+        let elapsed_ms = begun.elapsed().as_millis();
+        log::info!("job submitted job={id} status={} elapsed_ms={elapsed_ms}", response.status().as_u16());
+        response
+    }
+
+    /// Offers a job to the primary of its group, and to its successors, until one has accepted or rejected it.
+    async fn offer(&self, job: Job, deadline: Instant) -> Response<Bytes> {
+        let store_group = store_group_of(&job.id);
+        let mut message = ToStore::Submit { call: 0, store_group, job };
+        let mut may_be_accepted = false;
+        while Instant::now() < deadline {
+            let outcome = match self.call_primary(store_group, &mut message, deadline).await {
+                CallOutcome::Reply(FromStore::Submitted { outcome, .. }) => outcome,
+                CallOutcome::NotSent => continue,
+                CallOutcome::Reply(_) | CallOutcome::NoReply => SubmitOutcome::Unknown,
+            };
+            match outcome {
+                SubmitOutcome::Accepted => return json(StatusCode::ACCEPTED, Bytes::from_static(b"{}")),
+                SubmitOutcome::Rejected { .. } if may_be_accepted => {
+                    return empty(StatusCode::GATEWAY_TIMEOUT);
+                }
+                SubmitOutcome::Rejected { retry_after_ms } => {
+                    let time = Duration::from_millis(retry_after_ms);
+                    return retry_after(StatusCode::TOO_MANY_REQUESTS, time);
+                }
+                SubmitOutcome::NotPrimary => self.changes.wait(RETRY_BACKOFF).await,
+                SubmitOutcome::Unknown => {
+                    may_be_accepted = true;
+                    sleep(RETRY_BACKOFF).await;
+                }
+            }
+        }
+        match may_be_accepted {
+            true => empty(StatusCode::GATEWAY_TIMEOUT),
+            false => retry_after(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_NOT_OFFERED),
+        }
+    }
+
+    async fn read(&self, job: &str, request: &Request<Bytes>) -> Response<Bytes> {
+        let start = match query_value(request, "start_after") {
+            None | Some("") => 0,
+            Some(value) => match value.parse() {
+                Ok(start) => start,
+                Err(_) => return text(StatusCode::BAD_REQUEST, "`start_after` is no whole number"),
+            },
+        };
+        let wait = header_text(request.headers(), WAIT_MS)
+            .and_then(|value| value.parse().ok())
+            .map_or(Duration::ZERO, Duration::from_millis)
+            .min(MAX_READ_WAIT);
+        let begun = Instant::now();
+        let store_group = store_group_of(job);
+        let message = || {
+            let remaining = wait.saturating_sub(begun.elapsed());
+            let wait_ms = u64::try_from(remaining.as_millis()).unwrap_or(0);
+            ToStore::Read { call: 0, store_group, job: job.to_owned(), start, wait_ms }
+        };
+        let deadline = begun + wait + CALL_TIMEOUT;
+        let answer = self.call_until_certain(store_group, deadline, message, |reply| match reply {
+            FromStore::Results { answer, .. } => answer,
+            _ => JobAnswer::Uncertain,
+        });
+        respond(answer.await, |page| json(StatusCode::OK, result_page::to_json(&page)))
+    }
+
+    async fn item_body(&self, job: &str, request: &Request<Bytes>) -> Response<Bytes> {
+        let Some(item) = query_value(request, "id").filter(|item| !item.is_empty()) else {
+            return text(StatusCode::BAD_REQUEST, "`id` is missing");
+        };
+        let store_group = store_group_of(job);
+        let message =
+            || ToStore::ItemBody { call: 0, store_group, job: job.to_owned(), item: item.to_owned() };
+        let deadline = Instant::now() + CALL_TIMEOUT;
+        let answer = self.call_until_certain(store_group, deadline, message, |reply| match reply {
+            FromStore::Body { answer, .. } => answer,
+            _ => JobAnswer::Uncertain,
+        });
+        respond(answer.await, |body| octets(Bytes::from(body)))
+    }
+
+    async fn end(&self, job: &str) -> Response<Bytes> {
+        let store_group = store_group_of(job);
+        let message = || ToStore::End { call: 0, store_group, job: job.to_owned() };
+        let deadline = Instant::now() + CALL_TIMEOUT;
+        let answer = self.call_until_certain(store_group, deadline, message, |reply| match reply {
+            FromStore::Ended { answer: JobAnswer::Found(false), .. } => JobAnswer::Uncertain,
+            FromStore::Ended { answer, .. } => answer,
+            _ => JobAnswer::Uncertain,
+        });
+        respond(answer.await, |_| json(StatusCode::OK, Bytes::from_static(b"{}")))
+    }
+
+    /// Calls the primary of a group, and its successors, until one is certain or the deadline has passed.
+    async fn call_until_certain<T>(
+        &self, group: u32, deadline: Instant, message: impl Fn() -> ToStore,
+        answer_in: impl Fn(FromStore) -> JobAnswer<T>,
+    ) -> JobAnswer<T> {
+        while Instant::now() < deadline {
+            match self.call_primary(group, &mut message(), deadline).await {
+                CallOutcome::NotSent => continue,
+                CallOutcome::NoReply => {}
+                CallOutcome::Reply(reply) => match answer_in(reply) {
+                    JobAnswer::Uncertain => {}
+                    certain => return certain,
+                },
+            }
+            self.changes.wait(RETRY_BACKOFF).await;
+        }
+        JobAnswer::Uncertain
+    }
+
+    /// Calls the primary of a group. Where there is no link to it, waits for a change instead.
+    async fn call_primary(&self, group: u32, message: &mut ToStore, deadline: Instant) -> CallOutcome {
+        let Some(link) = self.links.primary_link(group) else {
+            self.changes.wait(deadline.saturating_duration_since(Instant::now())).await;
+            return CallOutcome::NotSent;
+        };
+        link.call(message, deadline).await
+    }
+}
+
+/// The response to an answer; 503 where no store was certain.
+fn respond<T>(answer: JobAnswer<T>, found: impl FnOnce(T) -> Response<Bytes>) -> Response<Bytes> {
+    match answer {
+        JobAnswer::Found(content) => found(content),
+        JobAnswer::NotFound => empty(StatusCode::NOT_FOUND),
+        JobAnswer::Uncertain => retry_after(StatusCode::SERVICE_UNAVAILABLE, RETRY_BACKOFF),
+    }
+}
+
+fn terms_of(route: &Route) -> JobTerms {
+    let milliseconds = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
+    JobTerms {
+        route: route.name.clone(),
+        hostname: route.hostname.clone(),
+        run_deadline_ms: milliseconds(route.run_deadline),
+        queue_ttl_ms: milliseconds(route.queue_ttl),
+        max_attempts: route.max_attempts,
+        priority: route.priority,
+        single_version: route.single_version,
+    }
+}
+
+fn query_value<'a>(request: &'a Request<Bytes>, name: &str) -> Option<&'a str> {
+    let mut pairs = request.uri().query()?.split('&').filter_map(|pair| pair.split_once('='));
+    pairs.find(|(found, _)| *found == name).map(|(_, value)| value)
+}
+
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    headers.get(name).and_then(|value| value.to_str().ok())
+}
--- a/crates/pebblepost-batch-runner/src/placement/candidates.rs
+++ b/crates/pebblepost-batch-runner/src/placement/candidates.rs
@@ -3,6 +3,7 @@
 //! Reads the feed and the load table and draws random numbers; changes neither.
 
 use crate::feed_view::FeedView;
+use crate::identity::ProxyIdentity;
 use crate::load_table::LoadTable;
 use crate::placement::choice::{MAX_LOCAL_PROBES, ProbedLoad};
 use crate::placement::requirements::Requirements;
@@ -49,9 +50,7 @@
     pub(crate) feed: FeedView,
     pub(crate) loads: Rc<RefCell<LoadTable>>,
     pub(crate) random: Rc<Random>,
-    /// Name of the proxy's machine, and its zone.
-    pub(crate) node: String,
-    pub(crate) zone: String,
+    pub(crate) identity: Rc<ProxyIdentity>,
 }
 
 impl CandidateSelector {
@@ -142,8 +141,8 @@
         Some(RankedCandidate {
             candidate: Candidate { target, backend: instance.backend.clone(), slots: instance.slots },
             is_serving: known >= requirements.min_version,
-            is_remote: instance.zone != self.zone,
-            rendezvous_hash: rendezvous_hash(&self.node, &instance.id),
+            is_remote: instance.zone != self.identity.zone,
+            rendezvous_hash: rendezvous_hash(&self.identity.node, &instance.id),
         })
     }
 }
--- a/crates/pebblepost-batch-runner/src/placement/placer.rs
+++ b/crates/pebblepost-batch-runner/src/placement/placer.rs
@@ -37,7 +37,7 @@
 pub(crate) struct Placer {
     pub(crate) feed: FeedView,
     pub(crate) selector: CandidateSelector,
-    pub(crate) prober: Prober,
+    pub(crate) prober: Rc<Prober>,
     pub(crate) random: Rc<Random>,
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) shutdown: Rc<ShutdownFlag>,
--- /dev/null
+++ b/crates/pebblepost-batch-runner/src/runner.rs
@@ -0,0 +1,235 @@
+//! The runner of one proxy: builds the parts, connects them and starts their tasks.
+
+use crate::capacity::Capacity;
+use crate::change_signal::ChangeSignal;
+use crate::execution::attempt::AttemptRunner;
+use crate::execution::graceful_shutdown::GracefulShutdown;
+use crate::execution::item::ItemExecutor;
+use crate::execution::lease::LeaseExecutor;
+use crate::execution::outcomes::OutcomeReporter;
+use crate::execution::scorer::ScorerClient;
+use crate::execution::work_requests::WorkRequester;
+use crate::feed_view::FeedView;
+use crate::identity::ProxyIdentity;
+use crate::job::api::{self, JobApi};
+use crate::lease_table::LeaseTable;
+use crate::load_table::LoadTable;
+use crate::metrics::Metrics;
+use crate::placement::candidates::CandidateSelector;
+use crate::placement::placer::Placer;
+use crate::placement::probing::Prober;
+use crate::random::Random;
+use crate::shutdown::ShutdownFlag;
+use crate::store::links::StoreLinks;
+use crate::store::outbox::Outbox;
+use crate::store_events::StoreEvents;
+use bytes::Bytes;
+use pebblepost_configuration::Route;
+use pebblepost_feed::FeedState;
+use pebblepost_settings::Settings;
+use pebblepost_transcriber::Client;
+use std::cell::RefCell;
+use std::fmt;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::task::spawn_local;
+
+/// The runner of one proxy; cheap to clone.
+#[derive(Clone)]
+pub struct BatchRunner {
+    parts: Rc<Parts>,
+}
+
+/// What the runner's public functions use.
+struct Parts {
+    feed: FeedView,
+    loads: Rc<RefCell<LoadTable>>,
+    capacity: Rc<Capacity>,
+    changes: Rc<ChangeSignal>,
+    metrics: Rc<Metrics>,
+    store_events: Rc<StoreEvents>,
+    job_api: JobApi,
+    graceful_shutdown: GracefulShutdown,
+}
+
+impl fmt::Debug for BatchRunner {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.debug_struct("BatchRunner").finish_non_exhaustive()
+    }
+}
+
+impl BatchRunner {
+    /// Starts the runner's tasks (`spawn_local`): links to the stores that the feed names, requests for work, the
+    /// outbox. The proxy folds its feed into `feed` and calls [`BatchRunner::feed_changed`] after each change.
+    pub fn start(settings: &Settings, client: Client, feed: Rc<RefCell<FeedState>>) -> BatchRunner {
+        BatchRunner::start_with_random(settings, client, feed, Random::default())
+    }
+
+    /// As [`BatchRunner::start`], with a generator of the caller's: a seeded one repeats a run.
+    pub fn start_with_random(
+        settings: &Settings, client: Client, feed: Rc<RefCell<FeedState>>, random: Random,
+    ) -> BatchRunner {
+        let state = State::new(settings, client, FeedView::new(feed), random);
+        let outcomes =
+            Rc::new(OutcomeReporter { leases: state.leases.clone(), outbox: state.outbox.clone() });
+        let executor = state.lease_executor(&outcomes);
+        let work_requester = WorkRequester {
+            links: state.links.clone(),
+            capacity: state.capacity.clone(),
+            shutdown: state.shutdown.clone(),
+        };
+        spawn_local(state.outbox.clone().run(state.links.clone()));
+        spawn_local(work_requester.run());
+        let runner = BatchRunner { parts: Rc::new(state.into_parts(executor, outcomes)) };
+        runner.feed_changed();
+        runner
+    }
+
+    /// Acts on a change of the feed's state.
+    pub fn feed_changed(&self) {
+        let parts = &self.parts;
+        parts.store_events.follow_feed(&parts.feed.state());
+        parts.loads.borrow_mut().retain(|id| parts.feed.is_present(id));
+        parts.capacity.feed_changed();
+        parts.changes.notify();
+    }
+
+    /// Whether a path is that of a call about a submitted job (`/lots/ID`, `/items/ID`).
+    pub fn is_job_call(path: &str) -> bool {
+        api::is_job_call(path)
+    }
+
+    /// Answers a call: a `POST` under the prefix of a `rollout` route (`route` given), or a call about a submitted
+    /// job, whatever its host. The request's body is complete.
+    pub async fn answer(
+        &self, route: Option<&Route>, request: http::Request<Bytes>,
+    ) -> http::Response<Bytes> {
+        self.parts.job_api.answer(route, request).await
+    }
+
+    /// The counters since the start.
+    pub fn counts(&self) -> &Metrics {
+        &self.parts.metrics
+    }
+
+    /// Graceful shutdown: takes no new work, and returns unfinished items with the text so far to their stores.
+    /// Returns when done, or after the limit.
+    pub async fn stop(&self, limit: Duration) {
+        self.parts.graceful_shutdown.run(limit).await;
+    }
+}
+
+/// The state below all decisions, before the parts are built that share it.
+struct State {
+    client: Client,
+    feed: FeedView,
+    identity: Rc<ProxyIdentity>,
+    random: Rc<Random>,
+    metrics: Rc<Metrics>,
+    shutdown: Rc<ShutdownFlag>,
+    changes: Rc<ChangeSignal>,
+    loads: Rc<RefCell<LoadTable>>,
+    leases: Rc<RefCell<LeaseTable>>,
+    capacity: Rc<Capacity>,
+    links: Rc<StoreLinks>,
+    outbox: Rc<Outbox>,
+}
+
+impl State {
+    fn new(settings: &Settings, client: Client, feed: FeedView, random: Random) -> State {
+        let identity =
+            Rc::new(ProxyIdentity { node: settings.node_name.clone(), zone: settings.zone.clone() });
+        let random = Rc::new(random);
+        State {
+            client,
+            capacity: Rc::new(Capacity::new(feed.clone())),
+            feed,
+            links: Rc::new(StoreLinks::new(identity.clone(), random.clone())),
+            identity,
+            random,
+            metrics: Rc::default(),
+            shutdown: Rc::default(),
+            changes: Rc::default(),
+            loads: Rc::default(),
+            leases: Rc::default(),
+            outbox: Rc::default(),
+        }
+    }
+
+    fn prober(&self) -> Prober {
+        Prober { client: self.client.clone(), feed: self.feed.clone(), loads: self.loads.clone() }
+    }
+
+    fn placer(&self, prober: Rc<Prober>) -> Placer {
+        let selector = CandidateSelector {
+            feed: self.feed.clone(),
+            loads: self.loads.clone(),
+            random: self.random.clone(),
+            identity: self.identity.clone(),
+        };
+        Placer {
+            feed: self.feed.clone(),
+            selector,
+            prober,
+            random: self.random.clone(),
+            metrics: self.metrics.clone(),
+            shutdown: self.shutdown.clone(),
+        }
+    }
+
+    fn lease_executor(&self, outcomes: &Rc<OutcomeReporter>) -> Rc<LeaseExecutor> {
+        let prober = Rc::new(self.prober());
+        let placer = Rc::new(self.placer(prober.clone()));
+        let scorers =
+            ScorerClient::new(self.client.clone(), self.feed.clone(), placer.clone(), self.metrics.clone());
+        let items = ItemExecutor {
+            leases: self.leases.clone(),
+            placer: placer.clone(),
+            attempts: AttemptRunner { client: self.client.clone(), prober },
+            scorers,
+            outcomes: outcomes.clone(),
+            random: self.random.clone(),
+            metrics: self.metrics.clone(),
+            shutdown: self.shutdown.clone(),
+            changes: self.changes.clone(),
+        };
+        Rc::new(LeaseExecutor {
+            leases: self.leases.clone(),
+            capacity: self.capacity.clone(),
+            placer,
+            items: Rc::new(items),
+            outcomes: outcomes.clone(),
+            metrics: self.metrics.clone(),
+            shutdown: self.shutdown.clone(),
+        })
+    }
+
+    fn into_parts(self, executor: Rc<LeaseExecutor>, outcomes: Rc<OutcomeReporter>) -> Parts {
+        let store_events = StoreEvents {
+            links: self.links.clone(),
+            leases: self.leases.clone(),
+            outbox: self.outbox.clone(),
+            capacity: self.capacity.clone(),
+            executor,
+            changes: self.changes.clone(),
+        };
+        let graceful_shutdown = GracefulShutdown {
+            flag: self.shutdown,
+            changes: self.changes.clone(),
+            leases: self.leases,
+            outcomes,
+            outbox: self.outbox,
+            links: self.links.clone(),
+        };
+        Parts {
+            feed: self.feed,
+            loads: self.loads,
+            capacity: self.capacity,
+            metrics: self.metrics,
+            store_events: Rc::new(store_events),
+            job_api: JobApi { links: self.links, changes: self.changes.clone() },
+            graceful_shutdown,
+            changes: self.changes,
+        }
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-batch-runner/src/store/link.rs
@@ -0,0 +1,228 @@
+//! A link to one storage machine, connected again whenever it is lost.
+//!
+//! Owns the connection, the numbers of its calls and the requests for work under way on it. Knows no leases and no
+//! items: messages other than the replies to calls go to [`LinkEvents`].
+
+use crate::identity::ProxyIdentity;
+use crate::random::Random;
+use eyre::Result;
+use pebblepost_link::{LinkLimits, Receiver, Sender, connect};
+use pebblepost_messages::batch::{FromStore, ToStore};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::convert::Infallible;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::task::AbortHandle;
+use tokio::time::{Instant, MissedTickBehavior, interval_at, sleep, timeout_at};
+
+/// Limits of links to stores. A job is one frame.
+const LIMITS: LinkLimits = LinkLimits {
+    max_frame_bytes: 64 * 1024 * 1024,
+    max_queued_bytes: 80 * 1024 * 1024,
+    connect_timeout: Duration::from_millis(400),
+    read_timeout: Duration::from_millis(1500),
+};
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
+/// Back-off before a link is connected again.
+const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(300);
+
+/// What happens on a link.
+pub(crate) trait LinkEvents: 'static {
+    /// The link is up and the proxy has introduced itself.
+    fn link_up(&self, link: &StoreLink);
+    /// The link was up and is lost.
+    fn link_down(&self, link: &StoreLink);
+    /// A keep-alive was sent.
+    fn keep_alive_sent(&self, link: &StoreLink);
+    /// A message came that is no reply to a call.
+    fn message_received(&self, link: &StoreLink, message: FromStore);
+}
+
+/// A link to one storage machine.
+pub(crate) struct StoreLink {
+    pub(crate) address: SocketAddr,
+    sender: RefCell<Option<Sender>>,
+    /// Callers that await a reply, by the number of their call.
+    pending_calls: RefCell<HashMap<u64, oneshot::Sender<FromStore>>>,
+    next_call: Cell<u64>,
+    /// The machine may have items to lease.
+    pub(crate) may_have_work: Cell<bool>,
+    /// Items that were requested and not answered yet.
+    pub(crate) requested_items: Cell<u32>,
+    task: RefCell<Option<AbortHandle>>,
+}
+
+/// How a call on a link ended.
+pub(crate) enum CallOutcome {
+    /// The store replied.
+    Reply(FromStore),
+    /// The link was down: nothing was sent.
+    NotSent,
+    /// The link was lost, or no reply came in time: the store may have executed the call.
+    NoReply,
+}
+
+/// Removes a call when its caller is gone.
+struct PendingCall<'a> {
+    link: &'a StoreLink,
+    number: u64,
+}
+
+impl Drop for PendingCall<'_> {
+    fn drop(&mut self) {
+        self.link.pending_calls.borrow_mut().remove(&self.number);
+    }
+}
+
+impl StoreLink {
+    /// Starts the task that keeps a link connected.
+    pub(crate) fn start<E: LinkEvents>(
+        address: SocketAddr, identity: Rc<ProxyIdentity>, random: Rc<Random>, events: Rc<E>,
+    ) -> Rc<StoreLink> {
+        let link = Rc::new(StoreLink {
+            address,
+            sender: RefCell::default(),
+            pending_calls: RefCell::default(),
+            next_call: Cell::new(1),
+            may_have_work: Cell::new(false),
+            requested_items: Cell::new(0),
+            task: RefCell::default(),
+        });
+        let task = tokio::task::spawn_local(keep_connected(link.clone(), identity, random, events));
+        *link.task.borrow_mut() = Some(task.abort_handle());
+        link
+    }
+
+    /// Closes the link for good.
+    pub(crate) fn close(&self) {
+        if let Some(task) = self.task.borrow_mut().take() {
+            task.abort();
+        }
+        self.reset();
+    }
+
+    /// Whether messages can be sent.
+    pub(crate) fn is_up(&self) -> bool {
+        self.sender.borrow().as_ref().is_some_and(|sender| !sender.is_closed())
+    }
+
+    /// Queues a message; false if the link is down.
+    pub(crate) fn send(&self, message: &ToStore) -> bool {
+        self.sender.borrow().as_ref().is_some_and(|sender| sender.send(message))
+    }
+
+    /// Bytes that wait to be written.
+    pub(crate) fn queued_bytes(&self) -> usize {
+        self.sender.borrow().as_ref().map_or(0, Sender::queued_bytes)
+    }
+
+    /// Makes a call: numbers the message, sends it and waits for the reply until the deadline.
+    pub(crate) async fn call(&self, message: &mut ToStore, deadline: Instant) -> CallOutcome {
+        let number = self.next_call.get();
+        self.next_call.set(number + 1);
+        set_call_number(message, number);
+        let (reply_sender, reply) = oneshot::channel();
+        self.pending_calls.borrow_mut().insert(number, reply_sender);
+        let _pending = PendingCall { link: self, number };
+        if !self.send(message) {
+            return CallOutcome::NotSent;
+        }
+        match timeout_at(deadline, reply).await {
+            Ok(Ok(reply)) => CallOutcome::Reply(reply),
+            Ok(Err(_)) | Err(_) => CallOutcome::NoReply,
+        }
+    }
+
+    /// Hands a reply to its caller.
+    fn complete_call(&self, number: u64, reply: FromStore) {
+        if let Some(caller) = self.pending_calls.borrow_mut().remove(&number) {
+            // The caller may be gone.
+            let _ = caller.send(reply);
+        }
+    }
+
+    /// Drops the connection, its calls and its requests for work.
+    fn reset(&self) {
+        if let Some(sender) = self.sender.borrow_mut().take() {
+            sender.close();
+        }
+        self.pending_calls.borrow_mut().clear();
+        self.may_have_work.set(false);
+        self.requested_items.set(0);
+    }
+}
+
+fn set_call_number(message: &mut ToStore, number: u64) {
+    match message {
+        ToStore::Submit { call, .. }
+        | ToStore::Read { call, .. }
+        | ToStore::ItemBody { call, .. }
+        | ToStore::End { call, .. } => *call = number,
+        _ => {}
+    }
+}
+
+/// The call that a message replies to; `None` if it is no reply.
+fn call_number(message: &FromStore) -> Option<u64> {
+    match message {
+        FromStore::Submitted { call, .. }
+        | FromStore::Results { call, .. }
+        | FromStore::Body { call, .. }
+        | FromStore::Ended { call, .. } => Some(*call),
+        _ => None,
+    }
+}
+
+/// Connects, and connects again, until the task is aborted.
+async fn keep_connected<E: LinkEvents>(
+    link: Rc<StoreLink>, identity: Rc<ProxyIdentity>, random: Rc<Random>, events: Rc<E>,
+) {
+    loop {
+        let Err(error) = run_connection(&link, &identity, &*events).await;
+        log::debug!("store connection ended address={} cause={error:#}", link.address);
+        let was_up = link.sender.borrow().is_some();
+        link.reset();
+        if was_up {
+            events.link_down(&link);
+        }
+        sleep(random.duration_between(MIN_RECONNECT_BACKOFF, MAX_RECONNECT_BACKOFF)).await;
+    }
+}
+
+/// Runs one connection until it fails.
+async fn run_connection<E: LinkEvents>(
+    link: &StoreLink, identity: &ProxyIdentity, events: &E,
+) -> Result<Infallible> {
+    let (sender, receiver) = connect(link.address, LIMITS).await?;
+    sender.send(&ToStore::ProxyHello { node: identity.node.clone(), zone: identity.zone.clone() });
+    *link.sender.borrow_mut() = Some(sender.clone());
+    events.link_up(link);
+    exchange_messages(link, &sender, receiver, events).await
+}
+
+async fn exchange_messages<E: LinkEvents>(
+    link: &StoreLink, sender: &Sender, mut receiver: Receiver, events: &E,
+) -> Result<Infallible> {
+    let mut keep_alive = interval_at(Instant::now() + KEEP_ALIVE_INTERVAL, KEEP_ALIVE_INTERVAL);
+    keep_alive.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    loop {
+        tokio::select! {
+            biased;
+            message = receiver.receive::<FromStore>() => {
+                let message = message?;
+                match call_number(&message) {
+                    Some(number) => link.complete_call(number, message),
+                    None => events.message_received(link, message),
+                }
+            }
+            _ = keep_alive.tick() => {
+                sender.send(&ToStore::KeepAlive);
+                events.keep_alive_sent(link);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-batch-runner/src/store/links.rs
@@ -0,0 +1,119 @@
+//! A link to each storage machine that is primary of a store group (a group of batch jobs).
+//!
+//! Owns the links and who is primary of which group. Decides nothing about leases or outcomes.
+
+use crate::identity::ProxyIdentity;
+use crate::random::Random;
+use crate::store::link::{LinkEvents, StoreLink};
+use pebblepost_feed::FeedState;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// The primary of a store group, as the feed reported it last.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Primary {
+    address: SocketAddr,
+    epoch: u64,
+}
+
+/// A store group with the epoch of its primary.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct GroupEpoch {
+    pub(crate) store_group: u32,
+    pub(crate) epoch: u64,
+}
+
+/// Links to all primaries.
+pub(crate) struct StoreLinks {
+    identity: Rc<ProxyIdentity>,
+    random: Rc<Random>,
+    primaries: RefCell<BTreeMap<u32, Primary>>,
+    links: RefCell<BTreeMap<SocketAddr, Rc<StoreLink>>>,
+    /// Rotates the order in which work is requested.
+    next_rotation: Cell<usize>,
+}
+
+impl StoreLinks {
+    pub(crate) fn new(identity: Rc<ProxyIdentity>, random: Rc<Random>) -> StoreLinks {
+        StoreLinks {
+            identity,
+            random,
+            primaries: RefCell::default(),
+            links: RefCell::default(),
+            next_rotation: Cell::default(),
+        }
+    }
+
+    /// Takes over the primaries of the feed; returns the store groups whose primary or epoch has changed.
+    pub(crate) fn update_primaries(&self, feed: &FeedState) -> Vec<u32> {
+        let mut changed = Vec::new();
+        let mut primaries = self.primaries.borrow_mut();
+        for group in feed.store_groups() {
+            let Ok(address) = group.primary.address.parse() else { continue };
+            let primary = Primary { address, epoch: group.epoch };
+            if primaries.insert(group.group, primary) != Some(primary) {
+                changed.push(group.group);
+            }
+        }
+        changed
+    }
+
+    /// Closes links to machines that are primary of no group, and starts links to those that are.
+    pub(crate) fn reconcile<E: LinkEvents>(&self, events: &Rc<E>) {
+        let wanted: Vec<SocketAddr> =
+            self.primaries.borrow().values().map(|primary| primary.address).collect();
+        let mut links = self.links.borrow_mut();
+        links.retain(|address, link| {
+            let retained = wanted.contains(address);
+            if !retained {
+                link.close();
+            }
+            retained
+        });
+        for address in wanted {
+            links.entry(address).or_insert_with(|| {
+                StoreLink::start(address, self.identity.clone(), self.random.clone(), events.clone())
+            });
+        }
+    }
+
+    /// The link to the primary of a group, if it is up.
+    pub(crate) fn primary_link(&self, group: u32) -> Option<Rc<StoreLink>> {
+        let address = self.primary(group)?.address;
+        self.links.borrow().get(&address).filter(|link| link.is_up()).cloned()
+    }
+
+    /// All links, starting one further each time.
+    pub(crate) fn rotated(&self) -> Vec<Rc<StoreLink>> {
+        let mut links = self.all();
+        if !links.is_empty() {
+            let rotation = self.next_rotation.get() % links.len();
+            self.next_rotation.set(rotation + 1);
+            links.rotate_left(rotation);
+        }
+        links
+    }
+
+    /// All links.
+    pub(crate) fn all(&self) -> Vec<Rc<StoreLink>> {
+        self.links.borrow().values().cloned().collect()
+    }
+
+    /// The groups that the machine at an address is primary of.
+    pub(crate) fn groups_of(&self, address: SocketAddr) -> Vec<GroupEpoch> {
+        let primaries = self.primaries.borrow();
+        let led = primaries.iter().filter(|(_, primary)| primary.address == address);
+        led.map(|(group, primary)| GroupEpoch { store_group: *group, epoch: primary.epoch }).collect()
+    }
+
+    /// Whether the machine at an address is primary of a group.
+    pub(crate) fn is_primary(&self, group: u32, address: SocketAddr) -> bool {
+        self.primary(group).is_some_and(|primary| primary.address == address)
+    }
+
+    fn primary(&self, group: u32) -> Option<Primary> {
+        self.primaries.borrow().get(&group).copied()
+    }
+}
--- a/crates/pebblepost-batch-runner/tests/approved.rs
+++ b/crates/pebblepost-batch-runner/tests/approved.rs
@@ -4,7 +4,7 @@
 
 use nanoserde::SerBin;
 use pebblepost_batch_runner::BatchRunner;
-use pebblepost_batch_runner::attempt::priority;
+use pebblepost_batch_runner::execution::priority::priority;
 use pebblepost_batch_runner::item_progress::ItemProgress;
 use pebblepost_batch_runner::lease_table::{LeaseStatus, LeaseTable};
 use pebblepost_batch_runner::load_table::{LoadTable, REPORT_LAG};
--- a/crates/pebblepost-batch-runner/tests/parts.rs
+++ b/crates/pebblepost-batch-runner/tests/parts.rs
@@ -1,6 +1,6 @@
 //! The parts that need no connections: texts, placement, load, leases, JSON.
 
-use pebblepost_batch_runner::attempt::priority;
+use pebblepost_batch_runner::execution::priority::priority;
 use pebblepost_batch_runner::item_progress::ItemProgress;
 use pebblepost_batch_runner::job::request::parse;
 use pebblepost_batch_runner::job::result_page::{MAX_PAGE_BYTES, to_json};
