--- a/crates/pebblepost-batch-runner/tests/approved.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
@@ -1,7 +1,9 @@
 //! Digests of decisions, of a whole seeded run and of the messages that it sends, against approved values.
 
-mod support;
-
+use crate::support::{
+    END, FakeStore, Reply, RunnerUnderTest, SeenRequest, StoreEnd, Transcribers, events, lease, leased,
+    plain, report, request, run, run_within, stream_head,
+};
 use nanoserde::SerBin;
 use pebblepost_batch_runner::BatchRunner;
 use pebblepost_batch_runner::execution::priority::priority;
@@ -21,10 +23,6 @@
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
-use support::{
-    Bench, END, FakeStore, Fleet, Reply, Seen, StoreEnd, events, lease, leased, plain, report, run,
-    run_within, stream_head,
-};
 use tokio::time::Instant;
 
 /// FNV-1a of 64 bits.
@@ -49,7 +47,7 @@
 #[rstest]
 #[case::one(1, 0xbee6_f0ff_0fb7_f70f)]
 #[case::large(0x9e37_79b9_7f4a_7c15, 0x0909_31cd_6554_f78e)]
-fn draws_are_as_approved(#[case] seed: u64, #[case] approved: u64) {
+fn draws_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
     let mut digest = Digest::new();
     let elements: Vec<u64> = (0..17).collect();
@@ -67,7 +65,7 @@
 #[rstest]
 #[case::one(1, 0xc532_112e_c497_2e28)]
 #[case::large(0x9e37_79b9_7f4a_7c15, 0x9f4d_7670_8fbf_3c4b)]
-fn choices_of_a_transcriber_are_as_approved(#[case] seed: u64, #[case] approved: u64) {
+fn choices_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
     let mut digest = Digest::new();
     for _ in 0..5000 {
@@ -98,7 +96,7 @@
 }
 
 #[test]
-fn subsets_and_priorities_are_as_approved() {
+fn subsets_and_priorities_match_the_approved_digest() {
     let mut digest = Digest::new();
     for node in ["edge-1", "edge-2", "a-longer-name-of-a-machine"] {
         for instance in 0..64 {
@@ -112,12 +110,12 @@
                 let size = first.widened_after(full);
                 for serving in [0, 1, transcribers / 2, transcribers] {
                     let wide = size.scaled_to_serving(transcribers, serving);
-                    let mut kept: Vec<usize> = (0..transcribers).collect();
-                    let near = subset::retain_subset(&mut kept, wide, |index| *index < transcribers / 3);
-                    for number in [size.local, size.total, wide.local, wide.total, near, kept.len()] {
+                    let mut retained: Vec<usize> = (0..transcribers).collect();
+                    let local = subset::retain_subset(&mut retained, wide, |index| *index < transcribers / 3);
+                    for number in [size.local, size.total, wide.local, wide.total, local, retained.len()] {
                         digest.number(u64::try_from(number).unwrap());
                     }
-                    kept.iter().for_each(|index| digest.number(u64::try_from(*index).unwrap()));
+                    retained.iter().for_each(|index| digest.number(u64::try_from(*index).unwrap()));
                 }
             }
         }
@@ -133,10 +131,10 @@
 #[rstest]
 #[case::one(1, 0xcd7c_7a90_3113_d84e)]
 #[case::large(0x9e37_79b9_7f4a_7c15, 0x7845_58da_b80d_84c6)]
-fn known_loads_are_as_approved(#[case] seed: u64, #[case] approved: u64) {
+fn loads_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
     let start = Instant::now() + 4 * REPORT_LAG;
-    let (mut now, mut book, mut digest) = (start, LoadTable::default(), Digest::new());
+    let (mut now, mut loads, mut digest) = (start, LoadTable::default(), Digest::new());
     let mut started = Vec::new();
     for _ in 0..4000 {
         now += Duration::from_millis(random.below(120));
@@ -150,37 +148,37 @@
         };
         match random.below(9) {
             0 | 1 => {
-                book.start_request(&id, now);
+                loads.start_request(&id, now);
                 started.push((id.clone(), now));
             }
             2 | 3 if !started.is_empty() => {
                 let index = usize::try_from(random.below(started.len() as u64)).unwrap();
                 let (id, at) = started.swap_remove(index);
-                book.end_request(&id, at, now);
+                loads.end_request(&id, at, now);
             }
-            4 => book.record_report(&id, &load, now),
-            5 => book.record_answer(&id, &load, now),
-            6 => book.invalidate_report(&id),
-            7 => book.eject(&id, now + Duration::from_millis(random.below(900))),
-            _ => book.record_unreported_service(&id, now),
+            4 => loads.record_report(&id, &load, now),
+            5 => loads.record_answer(&id, &load, now),
+            6 => loads.invalidate_report(&id),
+            7 => loads.eject(&id, now + Duration::from_millis(random.below(900))),
+            _ => loads.record_unreported_service(&id, now),
         }
         if random.below(40) == 0 {
-            book.retain(|known| known != id);
+            loads.retain(|known| known != id);
         }
         if random.below(10) == 0 {
-            book.last_heard(&id).record(now);
+            loads.last_heard(&id).record(now);
         }
         for index in 0..5 {
             let id = format!("i-{index}");
-            digest.number(u64::from(book.busy(&id)));
-            digest.number(book.version(&id, "m").unwrap_or(u64::MAX));
-            let heard = book.last_heard(&id).is_within(Duration::from_millis(500), now);
+            digest.number(u64::from(loads.busy(&id)));
+            digest.number(loads.version(&id, "m").unwrap_or(u64::MAX));
+            let heard = loads.last_heard(&id).is_within(Duration::from_millis(500), now);
             let flags = [
-                book.is_ejected(&id, now),
-                book.is_fresh(&id, true, now),
-                book.is_fresh(&id, false, now),
-                book.is_unreported_service(&id, now),
-                book.is_executing_order(&id),
+                loads.is_ejected(&id, now),
+                loads.is_fresh(&id, true, now),
+                loads.is_fresh(&id, false, now),
+                loads.is_unreported_service(&id, now),
+                loads.is_executing_order(&id),
                 heard,
             ];
             digest.bytes(&flags.map(u8::from));
@@ -220,7 +218,7 @@
 #[rstest]
 #[case::one(1, 0x60b4_f4ff_e343_e56a)]
 #[case::large(0x9e37_79b9_7f4a_7c15, 0xfa39_a193_ab7e_79f9)]
-fn leases_are_as_approved(#[case] seed: u64, #[case] approved: u64) {
+fn leases_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
     let (mut now, mut table, mut digest) = (Instant::now(), LeaseTable::default(), Digest::new());
     let mut keys = Vec::new();
@@ -252,8 +250,8 @@
             }
             6 => {
                 let group = u32::try_from(random.below(3)).unwrap();
-                let held = table.announce(group, random.below(4));
-                digest.bytes(&ToStore::ActiveLeases(held).serialize_bin());
+                let announced = table.announce(group, random.below(4));
+                digest.bytes(&ToStore::ActiveLeases(announced).serialize_bin());
             }
             _ if random.below(30) == 0 => table.cancel(&[format!("job-{}", random.below(4))], now),
             _ => digest.number(u64::try_from(table.remove_abandoned(now)).unwrap()),
@@ -280,7 +278,7 @@
 #[rstest]
 #[case::single(true, 0x7cdb_1dc4_83d4_31df)]
 #[case::any(false, 0x7987_b3fd_d075_18ee)]
-fn texts_are_as_approved(#[case] single_version: bool, #[case] approved: u64) {
+fn texts_match_the_approved_digest(#[case] single_version: bool, #[case] approved: u64) {
     let random = Random::seeded(11);
     let terms = VersionRequirement { min_version: 2, single_version };
     let (mut text, mut digest) = (Text::default(), Digest::new());
@@ -314,13 +312,13 @@
   "single_version":false,
   "traffic_split":[{"backend":"models","weight":3},{"backend":"others","weight":1}]},
  {"name":"r-score","hostname":"h.example","path_prefix":"/score/","kind":"idempotent","timeout_ms":1500,
-  "target_latency_ms":150,"priority":2,"backend":"desk","max_attempts":2}],
+  "target_latency_ms":150,"priority":2,"backend":"scorers","max_attempts":2}],
  "services":[{"name":"models","health_path":"/healthz","max_conns":150},
   {"name":"others","health_path":"/healthz","max_conns":150},
-  {"name":"desk","health_path":"/healthz","max_conns":96}]}"#;
+  {"name":"scorers","health_path":"/healthz","max_conns":96}]}"#;
 
-/// Lets the paused clock pass slowly, a millisecond in about a real one, and never in a leap: what a test waits for
-/// comes by real sockets.
+/// Advances the paused clock by a millisecond in about each real one, and never in a leap: what a test waits for
+/// arrives over real sockets.
 fn pass_time() {
     tokio::time::pause();
     tokio::task::spawn_local(async {
@@ -334,8 +332,8 @@
     });
 }
 
-/// A transcriber of a seeded run: what it reports and how it answers follows from its number and the item.
-fn transcriber(index: u32, calls: Rc<Cell<u32>>) -> impl FnMut(&Seen) -> Reply + 'static {
+/// A transcriber of a seeded run: its reports and responses follow from its number and the item.
+fn transcriber(index: u32, calls: Rc<Cell<u32>>) -> impl FnMut(&SeenRequest) -> Reply + 'static {
     let mut scored = 0;
     move |seen| {
         if seen.text.starts_with("GET /report") {
@@ -360,25 +358,25 @@
     }
 }
 
-/// A run of single items, each of which is over before the next: requests and messages in their order.
+/// A run of single items, each of which ends before the next starts: requests and messages in their order.
 async fn transcript(random: Random) -> Vec<String> {
-    let (fleet, _) = Fleet::recording_reports();
+    let (transcribers, _) = Transcribers::recording_reports();
     let mut store = FakeStore::start();
-    let bench = Bench::start_with(TWO_SERVICES, random);
-    bench.set_primary(store.address, 1);
+    let under_test = RunnerUnderTest::start_with(TWO_SERVICES, random);
+    under_test.set_primary(store.address, 1);
     let (mut end, _) = store.accept().await;
     for index in 0..14_u32 {
         let id = format!("i-{index}");
         let backend = if index % 7 == 6 {
-            "desk"
+            "scorers"
         } else if index % 3 == 0 {
             "others"
         } else {
             "models"
         };
-        let address = fleet.start(&id, transcriber(index, Rc::default())).await;
+        let address = transcribers.start(&id, transcriber(index, Rc::default())).await;
         let zone = if index % 2 == 0 { "z" } else { "y" };
-        bench.announce_in(zone, &id, backend, address, InstanceState::Ready, 1);
+        under_test.announce_in(zone, &id, backend, address, InstanceState::Ready, 1);
     }
     pass_time();
     let mut lines = Vec::new();
@@ -388,7 +386,7 @@
         let name = format!("a{}", "x".repeat(round % 9));
         end.give(vec![lease(vec![leased(&name, round % 3 == 0)], false)]).await;
         let outcomes = end.outcomes().await;
-        for seen in fleet.seen.borrow_mut().drain(..) {
+        for seen in transcribers.seen.borrow_mut().drain(..) {
             let is_port = |line: &&str| line.starts_with("host: 127.0.0.1:");
             lines.push(seen.transcriber.clone());
             lines.extend(seen.text.lines().filter(|line| !is_port(line)).map(str::to_owned));
@@ -402,7 +400,7 @@
 #[case::seed_1(1, 0xdee9_8709_0a29_3ee5)]
 #[case::seed_2(0x9e37_79b9_7f4a_7c15, 0x818c_f09a_f2b6_2118)]
 #[case::seed_3(4711, 0x93b0_ffe2_b320_9846)]
-fn a_seeded_run_is_as_approved(#[case] seed: u64, #[case] approved: u64) {
+fn seeded_runs_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     run_within(Duration::from_secs(200), async move {
         let lines = transcript(Random::seeded(seed)).await;
         let mut digest = Digest::new();
@@ -413,23 +411,23 @@
 
 /// Each message that a runner sends to a store, by its bytes.
 #[test]
-fn sent_messages_are_as_approved() {
+fn sent_messages_match_the_approved_bytes() {
     run(async {
-        let (fleet, _) = Fleet::new();
-        let (bench, mut store) = (Bench::start(false), FakeStore::start());
-        bench.set_primary(store.address, 3);
+        let (transcribers, _) = Transcribers::new();
+        let (under_test, mut store) = (RunnerUnderTest::start(false), FakeStore::start());
+        under_test.set_primary(store.address, 3);
         let (mut end, holding) = store.accept().await;
         let mut sent = vec![holding];
-        let models = fleet.start("i-1", transcriber(0, Rc::default())).await;
-        bench.ready("i-1", "models", models);
+        let models = transcribers.start("i-1", transcriber(0, Rc::default())).await;
+        under_test.ready("i-1", "models", models);
         sent.push(first(&mut end, |message| matches!(message, ToStore::RequestWork { .. })).await);
-        sent.push(submit(&bench, &mut end).await);
+        sent.push(submit(&under_test, &mut end).await);
         for (method, path) in
             [("GET", "/lots/job?start_after=12"), ("DELETE", "/lots/job"), ("GET", "/items/job?id=e%205")]
         {
-            let request = support::request(method, path, &[("wait-ms", "0")], "");
+            let request = request(method, path, &[("wait-ms", "0")], "");
             let asked = tokio::select! {
-                _ = bench.runner.answer(None, request) => panic!("answered by nobody"),
+                _ = under_test.runner.answer(None, request) => panic!("answered by nobody"),
                 asked = first(&mut end, is_call) => asked,
             };
             sent.push(asked);
@@ -438,7 +436,7 @@
             .iter()
             .map(|message| message.serialize_bin().iter().map(|byte| format!("{byte:02x}")).collect())
             .collect();
-        let approved: Vec<&str> = include_str!("approved/messages.txt").lines().collect();
+        let approved: Vec<&str> = include_str!("approved_values/messages.txt").lines().collect();
         assert_eq!(lines, approved, "{}", lines.join("\n"));
     });
 }
@@ -459,15 +457,15 @@
     }
 }
 
-async fn submit(bench: &Bench, end: &mut StoreEnd) -> ToStore {
+async fn submit(under_test: &RunnerUnderTest, end: &mut StoreEnd) -> ToStore {
     const JOB: &str = r#"{"step":7,"model":"daka","min_version":6,"desired":1,"requests":[
      {"id":"e5","path":"/lot/3","headers":{"Model":"daka"},"body":"aGk=","tokens":9,"group":"g",
       "scorer":{"id":"s5","hostname":"h.example","path":"/score/1","body":"aG8="}}]}"#;
-    let configuration = bench.feed.borrow().configuration().cloned().unwrap();
+    let configuration = under_test.feed.borrow().configuration().cloned().unwrap();
     let route = configuration.route("h.example", "/lot/1");
-    let request = support::request("POST", "/lot/1", &[("request-id", "job")], JOB);
+    let request = request("POST", "/lot/1", &[("request-id", "job")], JOB);
     tokio::select! {
-        _ = bench.runner.answer(route, request) => panic!("answered by nobody"),
+        _ = under_test.runner.answer(route, request) => panic!("answered by nobody"),
         asked = first(end, is_call) => asked,
     }
 }
@@ -481,15 +479,15 @@
 #[case::method_of_a_job("PUT", "/lots/j", &[], "", 405, "")]
 #[case::method_of_an_item("DELETE", "/items/j?id=a", &[], "", 405, "")]
 #[case::method_of_a_route("GET", "/lot/1", &[], "", 405, "")]
-fn rejections_are_as_approved(
+fn rejections_have_the_approved_status_and_text(
     #[case] method: &'static str, #[case] path: &'static str, #[case] headers: &'static [(&str, &str)],
     #[case] body: &'static str, #[case] status: u16, #[case] text: &'static str,
 ) {
     run(async move {
-        let bench = Bench::start(true);
-        let configuration = bench.feed.borrow().configuration().cloned().unwrap();
+        let under_test = RunnerUnderTest::start(true);
+        let configuration = under_test.feed.borrow().configuration().cloned().unwrap();
         let route = configuration.route("h.example", "/lot/1");
-        let answer = bench.runner.answer(route, support::request(method, path, headers, body)).await;
+        let answer = under_test.runner.answer(route, request(method, path, headers, body)).await;
         assert_eq!((answer.status().as_u16(), &answer.body()[..]), (status, text.as_bytes()));
         let content_type = answer.headers().get("content-type").map(|value| value.to_str().unwrap());
         assert_eq!(content_type, (!text.is_empty()).then_some("text/plain"));
@@ -498,13 +496,13 @@
 }
 
 #[test]
-fn a_path_of_no_route_is_not_found_and_a_job_of_no_store_is_unavailable() {
+fn unknown_paths_are_not_found_and_jobs_without_a_store_unavailable() {
     run(async {
-        let bench = Bench::start(true);
-        let answer = bench.runner.answer(None, support::request("POST", "/x", &[], "")).await;
+        let under_test = RunnerUnderTest::start(true);
+        let answer = under_test.runner.answer(None, request("POST", "/x", &[], "")).await;
         assert_eq!((answer.status().as_u16(), answer.body().len()), (404, 0));
         tokio::time::pause();
-        let answer = bench.runner.answer(None, support::request("GET", "/lots/j", &[], "")).await;
+        let answer = under_test.runner.answer(None, request("GET", "/lots/j", &[], "")).await;
         assert_eq!((answer.status().as_u16(), answer.body().len()), (503, 0));
         assert_eq!(answer.headers().get("retry-after").unwrap(), "0.060");
         assert!(BatchRunner::is_job_call("/lots/j") && BatchRunner::is_job_call("/items/j"));
@@ -512,25 +510,25 @@
     });
 }
 
-/// The counts of a runner, as its proxy writes them.
+/// The names of the counters in the operator's output.
 #[test]
-fn counts_are_named_as_approved() {
+fn metrics_have_the_approved_names() {
     run(async {
-        let (fleet, _) = Fleet::new();
-        let (bench, mut store) = (Bench::start(false), FakeStore::start());
-        bench.set_primary(store.address, 1);
+        let (transcribers, _) = Transcribers::new();
+        let (under_test, mut store) = (RunnerUnderTest::start(false), FakeStore::start());
+        under_test.set_primary(store.address, 1);
         let (mut end, _) = store.accept().await;
-        assert_eq!(bench.runner.counts().to_string(), "");
-        let answer = |seen: &Seen| match seen.text.starts_with("GET /report") {
+        assert_eq!(under_test.runner.counts().to_string(), "");
+        let answer = |seen: &SeenRequest| match seen.text.starts_with("GET /report") {
             true => Reply::Write(report(1, 0)),
             false => Reply::Write(plain(422, seen.header("request-id").unwrap(), "")),
         };
-        let models = fleet.start("i-1", answer).await;
-        bench.ready("i-1", "models", models);
+        let models = transcribers.start("i-1", answer).await;
+        under_test.ready("i-1", "models", models);
         end.give(vec![lease(vec![leased("a", false)], false)]).await;
         let ToStore::Outcomes { outcomes, .. } = end.outcomes().await else { panic!("no outcomes") };
         let ItemOutcome::Finished(result) = &outcomes[0] else { panic!("handed back") };
         assert_eq!(result.state, ResultState::DeadLetter);
-        assert_eq!(bench.runner.counts().to_string(), "groups_whole=1 runs=1");
+        assert_eq!(under_test.runner.counts().to_string(), "groups_whole=1 runs=1");
     });
 }
--- /dev/null
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/execution.rs
@@ -0,0 +1,467 @@
+//! Execution of leased items, with a fake store and fake transcribers.
+
+use crate::support::{
+    END, FakeStore, Reply, RunnerUnderTest, SeenRequest, StoreEnd, Transcribers, event_with_version, events,
+    lease, leased, plain, report, report_with_order, run, stream_head,
+};
+use pebblepost_messages::batch::{
+    ActiveLease, FromStore, ItemOutcome, ItemResult, PartialText, ResultState, ToStore,
+};
+use pebblepost_messages::feed::{FeedUpdate, InstanceState, ModelVersion};
+use rstest::rstest;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// A handler that reports, and answers everything else by `answer`.
+fn reporting(
+    mut answer: impl FnMut(&SeenRequest) -> Reply + 'static,
+) -> impl FnMut(&SeenRequest) -> Reply + 'static {
+    move |seen| match seen.text.starts_with("GET /report") {
+        true => Reply::Write(report(1, 0)),
+        false => answer(seen),
+    }
+}
+
+fn id(seen: &SeenRequest) -> String {
+    seen.header("request-id").unwrap().to_owned()
+}
+
+/// A complete text of three events.
+fn complete_text(seen: &SeenRequest) -> Reply {
+    Reply::Write([stream_head(&id(seen), 1), events(1, 3), END.to_vec()].concat())
+}
+
+/// The rest of a text of three events, after the last event that the request names.
+fn remaining_events(seen: &SeenRequest) -> Reply {
+    let last: u64 = seen.header("last-event-id").map_or(0, |last| last.parse().unwrap());
+    Reply::Write([stream_head(&id(seen), 1), events(last + 1, 3), END.to_vec()].concat())
+}
+
+fn completed(id: &str, score: &str) -> ItemOutcome {
+    ItemOutcome::Finished(ItemResult {
+        id: id.to_owned(),
+        state: ResultState::Completed,
+        message: b"d1\nd2\nd3".to_vec(),
+        versions: vec![1],
+        score: score.to_owned(),
+    })
+}
+
+fn dead_letter(id: &str) -> ItemOutcome {
+    ItemOutcome::Finished(ItemResult {
+        id: id.to_owned(),
+        state: ResultState::DeadLetter,
+        ..ItemResult::default()
+    })
+}
+
+fn outcomes(message: ToStore) -> Vec<ItemOutcome> {
+    match message {
+        ToStore::Outcomes { store_group: 0, job, lease: 5, outcomes } if job == "job" => outcomes,
+        other => panic!("no outcomes: {other:?}"),
+    }
+}
+
+async fn start(single_version: bool) -> (RunnerUnderTest, FakeStore, StoreEnd) {
+    let (under_test, mut store) = (RunnerUnderTest::start(single_version), FakeStore::start());
+    under_test.set_primary(store.address, 1);
+    let (end, _) = store.accept().await;
+    (under_test, store, end)
+}
+
+#[test]
+fn executes_and_scores_an_item_with_approved_requests() {
+    run(async {
+        let (transcribers, _) = Transcribers::new();
+        let models = transcribers.start("i-1", reporting(complete_text)).await;
+        let score = |seen: &SeenRequest| Reply::Write(plain(200, &id(seen), "response-seal: seal\r\n"));
+        let scorers = transcribers.start("i-2", reporting(score)).await;
+        let (under_test, _store, mut end) = start(true).await;
+        under_test.ready("i-1", "models", models);
+        under_test.ready("i-2", "scorers", scorers);
+        let requested = end.give(vec![lease(vec![leased("a", true)], true)]).await;
+        assert_eq!(requested, 10, "8 slots, and 15 in 100 more");
+        assert_eq!(outcomes(end.outcomes().await), [completed("a", "seal")]);
+        let seen: Vec<String> = transcribers.seen.borrow().iter().map(|seen| seen.text.clone()).collect();
+        let approved = [
+            "POST /lot/3 HTTP/1.1\nmodel: daka\nhost: h.example\nrequest-id: a\npriority: 7\n\
+             expect-version: 1\ntarget-instance: i-1\ncontent-length: 6\ndeadline-ms: (left)\n\nprompt",
+            "POST /score/1 HTTP/1.1\nhost: h.example\nrequest-id: s-a\ntarget-instance: i-2\n\
+             content-length: 5\ndeadline-ms: (left)\n\njudge",
+        ];
+        assert_eq!(seen, approved);
+    });
+}
+
+/// An order in progress changes the model where a newer version of it is named, and another model where not.
+#[rstest]
+#[case::of_another_model(1, "i-busy")]
+#[case::perhaps_of_this_model(2, "i-idle")]
+fn an_order_holds_back_texts_of_its_own_model_only(#[case] named: u64, #[case] expected: &str) {
+    let expected = expected.to_owned();
+    run(async move {
+        let (transcribers, _) = Transcribers::new();
+        let during_order = |seen: &SeenRequest| match seen.text.starts_with("GET /report") {
+            true => Reply::Write(report_with_order(1, 0, true)),
+            false => complete_text(seen),
+        };
+        let busy = transcribers.start("i-busy", during_order).await;
+        let idle = transcribers.start("i-idle", reporting(complete_text)).await;
+        let (under_test, _store, mut end) = start(false).await;
+        let version = ModelVersion { model: "daka".to_owned(), generation: named };
+        under_test.apply(FeedUpdate::NamedVersions(vec![version]));
+        // The one in the runner's own zone is probed first.
+        under_test.announce_in("z", "i-busy", "models", busy, InstanceState::Ready, 1);
+        under_test.announce_in("far", "i-idle", "models", idle, InstanceState::Ready, 1);
+        end.give(vec![lease(vec![leased("a", false)], false)]).await;
+        assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
+        let attempts: Vec<String> =
+            transcribers.seen.borrow().iter().map(|seen| seen.transcriber.clone()).collect();
+        assert_eq!(attempts, [expected]);
+    });
+}
+
+#[test]
+fn resumes_an_interrupted_text_after_its_last_event() {
+    run(async {
+        let (transcribers, _) = Transcribers::new();
+        let break_off =
+            |seen: &SeenRequest| Reply::WriteAndClose([stream_head(&id(seen), 1), events(1, 2)].concat());
+        let breaking = transcribers.start("i-1", reporting(break_off)).await;
+        let (under_test, _store, mut end) = start(false).await;
+        under_test.ready("i-1", "models", breaking);
+        end.give(vec![lease(vec![leased("a", false)], false)]).await;
+        while transcribers.seen.borrow().is_empty() {
+            tokio::task::yield_now().await;
+        }
+        let other = transcribers.start("i-2", reporting(remaining_events)).await;
+        under_test.ready("i-2", "models", other);
+        under_test.announce("i-1", "models", breaking, InstanceState::Draining, 2);
+        assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
+        let seen = transcribers.seen.borrow();
+        let last = seen.last().unwrap();
+        assert_eq!((last.transcriber.as_str(), last.header("last-event-id")), ("i-2", Some("2")));
+        assert_eq!(seen[0].header("last-event-id"), None);
+    });
+}
+
+#[test]
+fn resumes_a_stored_text() {
+    run(async {
+        let (transcribers, _) = Transcribers::new();
+        let models = transcribers.start("i-1", reporting(remaining_events)).await;
+        let (under_test, _store, mut end) = start(true).await;
+        under_test.ready("i-1", "models", models);
+        let mut item = leased("a", false);
+        item.partial = PartialText { last_event: 2, message: b"d1\nd2".to_vec(), versions: vec![1] };
+        end.give(vec![lease(vec![item], true)]).await;
+        assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
+        assert_eq!(transcribers.seen.borrow()[0].header("last-event-id"), Some("2"));
+    });
+}
+
+#[test]
+fn restarts_a_text_under_two_versions_where_one_is_required() {
+    run(async {
+        let (transcribers, _) = Transcribers::new();
+        let mut attempts = 0;
+        let answer = move |seen: &SeenRequest| {
+            attempts += 1;
+            match attempts {
+                1 => Reply::WriteAndHang(
+                    [stream_head(&id(seen), 1), events(1, 1), event_with_version(2, 2)].concat(),
+                ),
+                _ => complete_text(seen),
+            }
+        };
+        let models = transcribers.start("i-1", reporting(answer)).await;
+        let (under_test, _store, mut end) = start(true).await;
+        under_test.ready("i-1", "models", models);
+        end.give(vec![lease(vec![leased("a", false)], true)]).await;
+        assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
+        assert_eq!(transcribers.seen.borrow().len(), 2);
+        assert_eq!(transcribers.seen.borrow()[1].header("last-event-id"), None);
+    });
+}
+
+#[test]
+fn reports_all_versions_of_a_text() {
+    run(async {
+        let (transcribers, _) = Transcribers::new();
+        let answer = |seen: &SeenRequest| {
+            let parts = [stream_head(&id(seen), 1), events(1, 1), event_with_version(2, 2), events(3, 3)];
+            Reply::Write([parts.concat(), END.to_vec()].concat())
+        };
+        let models = transcribers.start("i-1", reporting(answer)).await;
+        let (under_test, _store, mut end) = start(false).await;
+        under_test.ready("i-1", "models", models);
+        end.give(vec![lease(vec![leased("a", false)], false)]).await;
+        let ItemOutcome::Finished(result) = outcomes(end.outcomes().await).remove(0) else { panic!() };
+        assert_eq!((result.message, result.versions), (b"d1\nd2\nd3".to_vec(), vec![1, 2]));
+    });
+}
+
+#[rstest]
+#[case::failed(500, 2)]
+#[case::impossible(422, 1)]
+fn an_item_becomes_a_dead_letter(#[case] status: u16, #[case] attempts: usize) {
+    run(async move {
+        let (transcribers, _) = Transcribers::new();
+        let answer = move |seen: &SeenRequest| Reply::Write(plain(status, &id(seen), ""));
+        let models = transcribers.start("i-1", reporting(answer)).await;
+        let (under_test, _store, mut end) = start(true).await;
+        under_test.ready("i-1", "models", models);
+        end.give(vec![lease(vec![leased("a", false)], true)]).await;
+        assert_eq!(outcomes(end.outcomes().await), [dead_letter("a")]);
+        assert_eq!(transcribers.seen.borrow().len(), attempts);
+    });
+}
+
+#[rstest]
+#[case::version_moved(421, "")]
+#[case::full(503, "not-executed: 1\r\n")]
+fn retries_a_rejected_attempt(#[case] status: u16, #[case] header: &'static str) {
+    run(async move {
+        let (transcribers, _) = Transcribers::new();
+        let mut attempts = 0;
+        let answer = move |seen: &SeenRequest| {
+            attempts += 1;
+            if attempts <= 3 { Reply::Write(plain(status, &id(seen), header)) } else { complete_text(seen) }
+        };
+        let models = transcribers.start("i-1", reporting(answer)).await;
+        let (under_test, _store, mut end) = start(true).await;
+        under_test.ready("i-1", "models", models);
+        end.give(vec![lease(vec![leased("a", false)], true)]).await;
+        assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
+    });
+}
+
+#[test]
+fn a_scorer_that_fails_too_often_makes_a_dead_letter() {
+    run(async {
+        let (transcribers, _) = Transcribers::new();
+        let models = transcribers.start("i-1", reporting(complete_text)).await;
+        let scorers =
+            transcribers.start("i-2", reporting(|seen| Reply::Write(plain(500, &id(seen), "")))).await;
+        let (under_test, _store, mut end) = start(true).await;
+        under_test.ready("i-1", "models", models);
+        under_test.ready("i-2", "scorers", scorers);
+        end.give(vec![lease(vec![leased("a", true)], true)]).await;
+        assert_eq!(outcomes(end.outcomes().await), [dead_letter("a")]);
+        assert_eq!(transcribers.seen.borrow().len(), 3, "the text, and two calls");
+    });
+}
+
+#[test]
+fn a_cancel_aborts_the_attempts_of_its_job() {
+    run(async {
+        let (transcribers, mut closed) = Transcribers::new();
+        let answer =
+            |seen: &SeenRequest| Reply::WriteAndHang([stream_head(&id(seen), 1), events(1, 1)].concat());
+        let models = transcribers.start("i-1", reporting(answer)).await;
+        let (under_test, _store, mut end) = start(true).await;
+        under_test.ready("i-1", "models", models);
+        end.give(vec![lease(vec![leased("a", false), leased("b", false)], true)]).await;
+        while transcribers.seen.borrow().len() < 2 {
+            tokio::task::yield_now().await;
+        }
+        end.sender.send(&FromStore::Cancel { jobs: vec!["job".to_owned()] });
+        closed.recv().await.unwrap();
+        closed.recv().await.unwrap();
+        end.sender.send(&FromStore::WorkAvailable);
+        end.give(vec![lease(vec![leased("c", false)], true)]).await;
+        end.sender.send(&FromStore::WorkAvailable);
+        end.give(Vec::new()).await;
+        assert_eq!(transcribers.seen.borrow().len(), 2, "work that crossed the cancel is not started");
+    });
+}
+
+#[test]
+fn a_lost_link_has_leases_announced_and_outcomes_resent() {
+    run(async {
+        let (transcribers, _) = Transcribers::new();
+        let answer = |seen: &SeenRequest| match id(seen).as_str() {
+            "b" => Reply::WriteAndHang([stream_head("b", 1), events(1, 1)].concat()),
+            _ => complete_text(seen),
+        };
+        let models = transcribers.start("i-1", reporting(answer)).await;
+        let (under_test, mut store, mut end) = start(true).await;
+        under_test.ready("i-1", "models", models);
+        end.give(vec![lease(vec![leased("a", false), leased("b", false)], true)]).await;
+        assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
+        end.sender.close();
+        let (mut end, announced) = store.accept().await;
+        let active = ActiveLease { store_group: 0, job: "job".to_owned(), items: vec!["b".to_owned()] };
+        assert_eq!(announced, ToStore::ActiveLeases(vec![active]));
+        assert_eq!(outcomes(end.outcomes_before_leases.remove(0)), [completed("a", "")]);
+    });
+}
+
+#[test]
+fn sends_nothing_of_an_expired_lease_until_it_is_renewed() {
+    run(async {
+        let (transcribers, _) = Transcribers::new();
+        let full = |seen: &SeenRequest| match seen.text.starts_with("GET /report") {
+            true => Reply::Write(report(1, 16)),
+            false => complete_text(seen),
+        };
+        let full = transcribers.start("i-0", full).await;
+        let models = transcribers.start("i-1", reporting(complete_text)).await;
+        let (under_test, _store, mut end) = start(true).await;
+        under_test.ready("i-0", "models", full);
+        end.give(vec![lease(vec![leased("a", false)], true)]).await;
+        tokio::time::pause();
+        end.keep_alive(4).await;
+        under_test.ready("i-1", "models", models);
+        end.keep_alive(1).await;
+        assert!(transcribers.seen.borrow().is_empty());
+        end.sender.send(&FromStore::Renew { groups: vec![(0, 1)] });
+        assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
+    });
+}
+
+#[test]
+fn sends_nothing_new_to_a_draining_transcriber() {
+    run(async {
+        let (transcribers, _) = Transcribers::new();
+        let draining = transcribers.start("i-1", reporting(complete_text)).await;
+        let models = transcribers.start("i-2", reporting(complete_text)).await;
+        let (under_test, _store, mut end) = start(true).await;
+        under_test.ready("i-1", "models", draining);
+        under_test.ready("i-2", "models", models);
+        under_test.announce("i-1", "models", draining, InstanceState::Draining, 2);
+        let items = (0..6).map(|index| leased(&format!("a{index}"), false)).collect();
+        end.give(vec![lease(items, true)]).await;
+        let mut finished = 0;
+        while finished < 6 {
+            finished += outcomes(end.outcomes().await).len();
+        }
+        assert!(transcribers.seen.borrow().iter().all(|seen| seen.transcriber == "i-2"));
+    });
+}
+
+#[test]
+fn returns_an_item_without_a_route() {
+    run(async {
+        let (under_test, _store, mut end) = start(true).await;
+        let (transcribers, _) = Transcribers::new();
+        let models = transcribers.start("i-1", reporting(complete_text)).await;
+        under_test.ready("i-1", "models", models);
+        let mut item = leased("a", false);
+        item.item.path = "/gone/3".to_owned();
+        end.give(vec![lease(vec![item], true)]).await;
+        tokio::time::pause();
+        let returned = ItemOutcome::Returned {
+            id: "a".to_owned(),
+            failed_attempts: 0,
+            failed_scorer_attempts: 0,
+            partial: PartialText::default(),
+        };
+        assert_eq!(outcomes(end.outcomes().await), [returned]);
+        assert!(transcribers.seen.borrow().is_empty());
+    });
+}
+
+#[test]
+fn a_shutdown_returns_unfinished_items_with_their_text() {
+    run(async {
+        let (transcribers, mut closed) = Transcribers::new();
+        let answer =
+            |seen: &SeenRequest| Reply::WriteAndHang([stream_head(&id(seen), 1), events(1, 2)].concat());
+        let models = transcribers.start("i-1", reporting(answer)).await;
+        let (under_test, _store, mut end) = start(true).await;
+        under_test.ready("i-1", "models", models);
+        end.give(vec![lease(vec![leased("a", false)], true)]).await;
+        while transcribers.seen.borrow().is_empty() {
+            tokio::task::yield_now().await;
+        }
+        under_test.runner.stop(Duration::from_millis(300)).await;
+        closed.recv().await.unwrap();
+        let partial = PartialText { last_event: 2, message: b"d1\nd2".to_vec(), versions: vec![1] };
+        let returned = ItemOutcome::Returned {
+            id: "a".to_owned(),
+            failed_attempts: 0,
+            failed_scorer_attempts: 0,
+            partial,
+        };
+        assert_eq!(outcomes(end.outcomes().await), [returned]);
+    });
+}
+
+#[test]
+fn requests_no_work_without_capacity() {
+    run(async {
+        let (_bench, _store, mut end) = start(true).await;
+        end.sender.send(&FromStore::WorkAvailable);
+        end.sender.send(&FromStore::Cancel { jobs: Vec::new() });
+        // Without a transcriber there is no capacity: the next message is the keep-alive's announcement,
+        // or nothing at all until the link is closed.
+        end.sender.close();
+        let messages = end.remaining_messages().await;
+        assert!(!messages.iter().any(|message| matches!(message, ToStore::RequestWork { .. })));
+    });
+}
+
+#[test]
+fn prefers_the_own_zone_until_it_is_full() {
+    run(async {
+        let (transcribers, _) = Transcribers::new();
+        let near = transcribers.start("near", reporting(complete_text)).await;
+        let (under_test, _store, mut end) = start(true).await;
+        under_test.ready("near", "models", near);
+        for far in ["far-1", "far-2", "far-3"] {
+            let address = transcribers.start(far, reporting(complete_text)).await;
+            under_test.announce_in("y", far, "models", address, InstanceState::Ready, 1);
+        }
+        let items = |name: &str, count| (0..count).map(|n| leased(&format!("{name}{n}"), false)).collect();
+        end.give(vec![lease(items("a", 4), true)]).await;
+        let mut finished = 0;
+        while finished < 4 {
+            finished += outcomes(end.outcomes().await).len();
+        }
+        assert!(transcribers.seen.borrow().iter().all(|seen| seen.transcriber == "near"));
+        let full = |seen: &SeenRequest| match seen.text.starts_with("GET /report") {
+            true => Reply::Write(report(1, 8)),
+            false => complete_text(seen),
+        };
+        let full = transcribers.start("full", full).await;
+        under_test.announce("near", "models", near, InstanceState::Gone, 2);
+        under_test.ready("full", "models", full);
+        transcribers.seen.borrow_mut().clear();
+        end.sender.send(&FromStore::WorkAvailable);
+        end.give(vec![lease(items("b", 4), true)]).await;
+        finished = 0;
+        while finished < 4 {
+            finished += outcomes(end.outcomes().await).len();
+        }
+        assert!(transcribers.seen.borrow().iter().all(|seen| seen.transcriber.starts_with("far")));
+    });
+}
+
+#[test]
+fn does_not_probe_scorers_that_report_no_load_again() {
+    run(async {
+        let (transcribers, _) = Transcribers::new();
+        let models = transcribers.start("i-1", reporting(complete_text)).await;
+        let probes = Rc::new(Cell::new(0));
+        let counter = probes.clone();
+        let scorers = move |seen: &SeenRequest| {
+            if seen.text.starts_with("GET /report") {
+                counter.set(counter.get() + 1);
+                return Reply::Write(plain(400, "", "not-executed: 1\r\n"));
+            }
+            Reply::Write(plain(200, &id(seen), "response-seal: seal\r\n"))
+        };
+        let scorers = transcribers.start("i-2", scorers).await;
+        let (under_test, _store, mut end) = start(true).await;
+        under_test.ready("i-1", "models", models);
+        under_test.ready("i-2", "scorers", scorers);
+        for name in ["a", "b", "c"] {
+            end.sender.send(&FromStore::WorkAvailable);
+            end.give(vec![lease(vec![leased(name, true)], true)]).await;
+            assert_eq!(outcomes(end.outcomes().await), [completed(name, "seal")]);
+        }
+        assert_eq!(probes.get(), 1);
+    });
+}
--- a/crates/pebblepost-batch-runner/tests/calls.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/job_api.rs
@@ -1,28 +1,26 @@
 //! Calls of batch jobs, with fake stores.
 
-mod support;
-
+use crate::support::{FakeStore, RunnerUnderTest, StoreEnd, request, run};
 use pebblepost_messages::batch::{
     FromStore, ItemResult, Job, JobAnswer, JobTerms, ResultPage, ResultState, SubmitOutcome, ToStore,
     store_group_of,
 };
 use rstest::rstest;
-use support::{Bench, FakeStore, StoreEnd, request, run};
 
 const JOB: &str = r#"{"step":7,"model":"daka","min_version":6,"desired":1,"more":[],"requests":[
  {"id":"e5","path":"/lot/3","headers":{"Model":"daka"},"body":"aGk=","tokens":9,"group":"g",
   "scorer":{"id":"s5","hostname":"h.example","path":"/score/1","body":""}}]}"#;
 
-async fn submit(bench: &Bench) -> (u16, Option<String>, String) {
-    let configuration = bench.feed.borrow().configuration().cloned().unwrap();
+async fn submit(under_test: &RunnerUnderTest) -> (u16, Option<String>, String) {
+    let configuration = under_test.feed.borrow().configuration().cloned().unwrap();
     let route = configuration.route("h.example", "/lot/1");
     let call = request("POST", "/lot/1", &[("request-id", "job")], JOB);
-    summary(bench.runner.answer(route, call).await)
+    summary(under_test.runner.answer(route, call).await)
 }
 
-async fn call(bench: &Bench, method: &str, path: &str) -> (u16, Option<String>, String) {
+async fn call(under_test: &RunnerUnderTest, method: &str, path: &str) -> (u16, Option<String>, String) {
     let call = request(method, path, &[("wait-ms", "0")], "");
-    summary(bench.runner.answer(None, call).await)
+    summary(under_test.runner.answer(None, call).await)
 }
 
 fn summary(answer: http::Response<bytes::Bytes>) -> (u16, Option<String>, String) {
@@ -66,13 +64,13 @@
 }
 
 #[test]
-fn a_job_is_given_to_the_primary_with_the_terms_of_its_route() {
+fn submits_a_job_to_the_primary_with_the_terms_of_its_route() {
     run(async {
-        let (bench, mut store) = (Bench::start(true), FakeStore::start());
-        bench.set_primary(store.address, 1);
-        let (answer, job) = tokio::join!(submit(&bench), async {
-            let (mut end, holding) = store.accept().await;
-            assert_eq!(holding, ToStore::ActiveLeases(Vec::new()));
+        let (under_test, mut store) = (RunnerUnderTest::start(true), FakeStore::start());
+        under_test.set_primary(store.address, 1);
+        let (answer, job) = tokio::join!(submit(&under_test), async {
+            let (mut end, announced) = store.accept().await;
+            assert_eq!(announced, ToStore::ActiveLeases(Vec::new()));
             answer_submit(&mut end, SubmitOutcome::Accepted).await
         });
         assert_eq!(answer, (202, None, "{}".to_owned()));
@@ -96,11 +94,12 @@
 #[case::not_primary(Some(SubmitOutcome::NotPrimary))]
 #[case::unknown(Some(SubmitOutcome::Unknown))]
 #[case::lost(None)]
-fn a_job_follows_the_primary(#[case] first: Option<SubmitOutcome>) {
+fn resubmits_a_job_to_the_new_primary(#[case] first: Option<SubmitOutcome>) {
     run(async move {
-        let (bench, mut old, mut new) = (Bench::start(true), FakeStore::start(), FakeStore::start());
-        bench.set_primary(old.address, 1);
-        let (answer, ()) = tokio::join!(submit(&bench), async {
+        let (under_test, mut old, mut new) =
+            (RunnerUnderTest::start(true), FakeStore::start(), FakeStore::start());
+        under_test.set_primary(old.address, 1);
+        let (answer, ()) = tokio::join!(submit(&under_test), async {
             let (mut end, _) = old.accept().await;
             match first {
                 Some(outcome) => drop(answer_submit(&mut end, outcome).await),
@@ -109,7 +108,7 @@
                     end.sender.close();
                 }
             }
-            bench.set_primary(new.address, 2);
+            under_test.set_primary(new.address, 2);
             let (mut end, _) = new.accept().await;
             answer_submit(&mut end, SubmitOutcome::Accepted).await;
         });
@@ -118,11 +117,11 @@
 }
 
 #[test]
-fn a_refused_job_is_to_come_back() {
+fn a_rejected_job_gets_retry_after() {
     run(async {
-        let (bench, mut store) = (Bench::start(true), FakeStore::start());
-        bench.set_primary(store.address, 1);
-        let (answer, _) = tokio::join!(submit(&bench), async {
+        let (under_test, mut store) = (RunnerUnderTest::start(true), FakeStore::start());
+        under_test.set_primary(store.address, 1);
+        let (answer, _) = tokio::join!(submit(&under_test), async {
             let (mut end, _) = store.accept().await;
             answer_submit(&mut end, SubmitOutcome::Rejected { retry_after_ms: 250 }).await
         });
@@ -131,11 +130,11 @@
 }
 
 #[test]
-fn a_refusal_after_an_unclear_send_promises_nothing() {
+fn a_rejection_after_an_uncertain_submission_is_a_gateway_timeout() {
     run(async {
-        let (bench, mut store) = (Bench::start(true), FakeStore::start());
-        bench.set_primary(store.address, 1);
-        let (answer, ()) = tokio::join!(submit(&bench), async {
+        let (under_test, mut store) = (RunnerUnderTest::start(true), FakeStore::start());
+        under_test.set_primary(store.address, 1);
+        let (answer, ()) = tokio::join!(submit(&under_test), async {
             let (mut end, _) = store.accept().await;
             answer_submit(&mut end, SubmitOutcome::Unknown).await;
             answer_submit(&mut end, SubmitOutcome::Rejected { retry_after_ms: 250 }).await;
@@ -145,20 +144,20 @@
 }
 
 #[test]
-fn a_job_that_no_store_was_offered_is_refused() {
+fn a_job_that_no_store_was_offered_is_unavailable() {
     run(async {
-        let bench = Bench::start(true);
+        let under_test = RunnerUnderTest::start(true);
         tokio::time::pause();
-        let answer = submit(&bench).await;
+        let answer = submit(&under_test).await;
         assert_eq!((answer.0, answer.1.is_some()), (503, true));
     });
 }
 
 #[test]
-fn a_job_that_a_store_may_have_taken_is_not_refused() {
+fn a_job_that_a_store_may_have_accepted_is_a_gateway_timeout() {
     run(async {
-        let (bench, mut store) = (Bench::start(true), FakeStore::start());
-        bench.set_primary(store.address, 1);
+        let (under_test, mut store) = (RunnerUnderTest::start(true), FakeStore::start());
+        under_test.set_primary(store.address, 1);
         let (mut end, _) = store.accept().await;
         let unclear = async {
             loop {
@@ -167,7 +166,7 @@
         };
         tokio::time::pause();
         let answer = tokio::select! {
-            answer = submit(&bench) => answer,
+            answer = submit(&under_test) => answer,
             () = unclear => unreachable!("it has no end"),
         };
         assert_eq!((answer.0, answer.1), (504, None));
@@ -178,22 +177,22 @@
 #[case::no_json("{", 400)]
 #[case::no_requests("{}", 400)]
 #[case::bad_body(r#"{"requests":[{"id":"a","path":"/lot/1","body":"*"}]}"#, 400)]
-fn what_is_no_job_is_refused_at_once(#[case] body: &'static str, #[case] status: u16) {
+fn rejects_an_invalid_job_at_once(#[case] body: &'static str, #[case] status: u16) {
     run(async move {
-        let bench = Bench::start(true);
-        let configuration = bench.feed.borrow().configuration().cloned().unwrap();
+        let under_test = RunnerUnderTest::start(true);
+        let configuration = under_test.feed.borrow().configuration().cloned().unwrap();
         let route = configuration.route("h.example", "/lot/1");
         let call = request("POST", "/lot/1", &[("request-id", "job")], body);
-        assert_eq!(bench.runner.answer(route, call).await.status().as_u16(), status);
+        assert_eq!(under_test.runner.answer(route, call).await.status().as_u16(), status);
     });
 }
 
 #[test]
-fn results_are_read_and_a_store_that_is_not_sure_is_asked_again() {
+fn reads_results_and_retries_an_uncertain_store() {
     run(async {
-        let (bench, mut store) = (Bench::start(true), FakeStore::start());
-        bench.set_primary(store.address, 1);
-        let (answer, ()) = tokio::join!(call(&bench, "GET", "/lots/job?start_after=12"), async {
+        let (under_test, mut store) = (RunnerUnderTest::start(true), FakeStore::start());
+        under_test.set_primary(store.address, 1);
+        let (answer, ()) = tokio::join!(call(&under_test, "GET", "/lots/job?start_after=12"), async {
             let (mut end, _) = store.accept().await;
             let first = next_call(&mut end).await;
             let approved = ToStore::Read {
@@ -229,9 +228,9 @@
 #[case::body("GET", "/items/job?id=e5")]
 fn a_job_that_no_store_knows_is_not_found(#[case] method: &'static str, #[case] path: &'static str) {
     run(async move {
-        let (bench, mut store) = (Bench::start(true), FakeStore::start());
-        bench.set_primary(store.address, 1);
-        let (answer, ()) = tokio::join!(call(&bench, method, path), async {
+        let (under_test, mut store) = (RunnerUnderTest::start(true), FakeStore::start());
+        under_test.set_primary(store.address, 1);
+        let (answer, ()) = tokio::join!(call(&under_test, method, path), async {
             let (mut end, _) = store.accept().await;
             let message = next_call(&mut end).await;
             let call = number(&message);
@@ -249,26 +248,26 @@
 #[case::read("GET", "/lots/job")]
 #[case::end("DELETE", "/lots/job")]
 #[case::body("GET", "/items/job?id=e5")]
-fn without_a_store_nothing_is_sure(#[case] method: &'static str, #[case] path: &'static str) {
+fn calls_without_a_store_are_unavailable(#[case] method: &'static str, #[case] path: &'static str) {
     run(async move {
-        let bench = Bench::start(true);
+        let under_test = RunnerUnderTest::start(true);
         tokio::time::pause();
-        assert_eq!(call(&bench, method, path).await.0, 503);
+        assert_eq!(call(&under_test, method, path).await.0, 503);
     });
 }
 
 #[test]
-fn a_job_is_ended_and_a_body_read() {
+fn ends_a_job_and_reads_the_body_of_an_item() {
     run(async {
-        let (bench, mut store) = (Bench::start(true), FakeStore::start());
-        bench.set_primary(store.address, 1);
+        let (under_test, mut store) = (RunnerUnderTest::start(true), FakeStore::start());
+        under_test.set_primary(store.address, 1);
         let (mut end, _) = store.accept().await;
-        let (answer, ()) = tokio::join!(call(&bench, "DELETE", "/lots/job"), async {
+        let (answer, ()) = tokio::join!(call(&under_test, "DELETE", "/lots/job"), async {
             let call = number(&next_call(&mut end).await);
             end.sender.send(&FromStore::Ended { call, answer: JobAnswer::Found(true) });
         });
         assert_eq!(answer.0, 200);
-        let (answer, ()) = tokio::join!(call(&bench, "GET", "/items/job?id=e5"), async {
+        let (answer, ()) = tokio::join!(call(&under_test, "GET", "/items/job?id=e5"), async {
             let message = next_call(&mut end).await;
             assert!(matches!(&message, ToStore::ItemBody { item, .. } if item == "e5"));
             let answer = JobAnswer::Found(b"hi".to_vec());
--- /dev/null
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/job_json.rs
@@ -0,0 +1,61 @@
+//! JSON of submitted jobs and of results.
+
+use pebblepost_batch_runner::job::request::parse;
+use pebblepost_batch_runner::job::result_page::{MAX_PAGE_BYTES, to_json};
+use pebblepost_messages::batch::{ItemResult, JobTerms, ResultPage, ResultState};
+use rstest::rstest;
+
+fn result(id: &str, message: &[u8]) -> ItemResult {
+    ItemResult { id: id.to_owned(), message: message.to_vec(), ..ItemResult::default() }
+}
+
+#[test]
+fn writes_results_as_json() {
+    let mut dead = result("b\"", b"");
+    dead.state = ResultState::DeadLetter;
+    let results = vec![result("a", "\u{1}\\ \t\r\u{e9}\u{1f600}".as_bytes()), dead, result("c", b"\xff")];
+    let json = to_json(&ResultPage { total: 3, start: 0, results });
+    let approved = concat!(
+        r#"{"total":3,"next_token":3,"results":["#,
+        r#"{"id":"a","state":"completed","message":"\u0001\\ \t\ré😀","versions":[]},"#,
+        r#"{"id":"b\"","state":"dead_letter","message":"","versions":[]},"#,
+        "{\"id\":\"c\",\"state\":\"completed\",\"message\":\"\u{fffd}\",\"versions\":[]}]}",
+    );
+    assert_eq!(std::str::from_utf8(&json).unwrap(), approved);
+}
+
+#[test]
+fn limits_the_size_of_a_page_but_gives_one_result() {
+    let large = vec![b'x'; MAX_PAGE_BYTES / 2];
+    let results = (0..3).map(|index| result(&index.to_string(), &large)).collect();
+    let json = to_json(&ResultPage { total: 9, start: 4, results });
+    assert!(json.starts_with(br#"{"total":9,"next_token":5,"#));
+    let too_large = vec![result("a", &vec![b'x'; 2 * MAX_PAGE_BYTES])];
+    let json = to_json(&ResultPage { total: 9, start: 4, results: too_large });
+    assert!(json.starts_with(br#"{"total":9,"next_token":5,"#), "one at least");
+}
+
+#[rstest]
+#[case::not_json("{", "the body is not JSON")]
+#[case::no_object("[]", "the body is no object")]
+#[case::no_requests("{}", "`requests` is missing or no list")]
+#[case::no_id(r#"{"requests":[{"path":"/a"}]}"#, "item 0: `id` is missing")]
+#[case::no_path(r#"{"requests":[{"id":"a","path":"a"}]}"#, "item 0: `path` is no path")]
+#[case::bad_body(r#"{"requests":[{"id":"a","path":"/a","body":"*"}]}"#, "item 0: `body` is no base64")]
+#[case::bad_header(
+    r#"{"requests":[{"id":"a","path":"/a","headers":{"x":1}}]}"#,
+    "item 0: header `x` is no text"
+)]
+#[case::bad_scorer(
+    r#"{"requests":[{"id":"a","path":"/a","scorer":{"id":"s"}}]}"#,
+    "item 0: scorer: `hostname` is missing"
+)]
+#[case::bad_step(r#"{"step":"x","requests":[]}"#, "`step` is no whole number")]
+#[case::twice(
+    r#"{"requests":[{"id":"a","path":"/a"},{"id":"a","path":"/a"}]}"#,
+    "item 1: its id was used before"
+)]
+fn says_why_a_body_is_not_a_job(#[case] body: &str, #[case] reason: &str) {
+    let error = parse("j", JobTerms::default(), body.as_bytes().to_vec()).unwrap_err();
+    assert!(error.to_string().starts_with(reason), "{error}");
+}
--- /dev/null
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/placement.rs
@@ -0,0 +1,94 @@
+//! The placement rule, subsets and priorities.
+
+use pebblepost_batch_runner::execution::priority::priority;
+use pebblepost_batch_runner::placement::choice::{Choice, ProbedLoad, QueueLimit, choose};
+use pebblepost_batch_runner::placement::subset::{SubsetSize, rendezvous_hash, retain_subset};
+use pebblepost_batch_runner::random::Random;
+use rstest::rstest;
+use std::time::Duration;
+
+#[rstest]
+#[case::below_threshold(6, 2, true)]
+#[case::at_threshold(7, 1, false)]
+#[case::no_room_for_all(6, 3, false)]
+fn accepts_a_group_without_another_probe_below_the_threshold(
+    #[case] busy: u32, #[case] items: u32, #[case] accepts: bool,
+) {
+    assert_eq!(ProbedLoad { slots: 8, busy }.accepts(items), accepts);
+}
+
+#[rstest]
+#[case::fewest_busy(&[7, 5], 2, QueueLimit::FreeSlotsOnly, Some((1, 2)))]
+#[case::split(&[7, 6], 4, QueueLimit::FreeSlotsOnly, Some((1, 2)))]
+#[case::full(&[8, 9], 1, QueueLimit::FreeSlotsOnly, None)]
+#[case::queue(&[9, 8], 4, QueueLimit::PercentOfSlots(25), Some((1, 2)))]
+#[case::queue_full(&[10, 12], 1, QueueLimit::PercentOfSlots(25), None)]
+#[case::none_probed(&[], 1, QueueLimit::FreeSlotsOnly, None)]
+fn chooses_the_least_busy_up_to_its_capacity(
+    #[case] busy: &[u32], #[case] items: u32, #[case] queueing: QueueLimit,
+    #[case] expected: Option<(usize, u32)>,
+) {
+    let probed: Vec<ProbedLoad> = busy.iter().map(|busy| ProbedLoad { slots: 8, busy: *busy }).collect();
+    let choice = choose(&probed, items, queueing, &Random::seeded(7));
+    assert_eq!(choice, expected.map(|(index, items)| Choice { index, items }));
+}
+
+#[test]
+fn breaks_ties_at_random() {
+    let probed = [ProbedLoad { slots: 8, busy: 7 }; 2];
+    let random = Random::seeded(7);
+    let mut chosen = [0; 2];
+    for _ in 0..100 {
+        let choice = choose(&probed, 1, QueueLimit::FreeSlotsOnly, &random).unwrap();
+        chosen[choice.index] += 1;
+    }
+    assert!(chosen.iter().all(|count| *count > 25), "{chosen:?}");
+}
+
+#[rstest]
+#[case::idle(0, true)]
+#[case::not_idle(1, false)]
+fn an_idle_transcriber_accepts_a_group_larger_than_itself(#[case] busy: u32, #[case] accepts: bool) {
+    assert_eq!(ProbedLoad { slots: 6, busy }.accepts(16), accepts);
+    let choice =
+        choose(&[ProbedLoad { slots: 6, busy: 0 }], 16, QueueLimit::PercentOfSlots(34), &Random::seeded(7));
+    assert_eq!(choice, Some(Choice { index: 0, items: 9 }), "six run, three are at hand");
+}
+
+#[rstest]
+#[case::highest_rank(0, [5, 4, 3])]
+#[case::other_rank(2, [8, 7, 6])]
+fn priority_rises_as_items_become_due_and_falls_with_the_rank(#[case] rank: u32, #[case] expected: [u16; 3]) {
+    let due_in = [Duration::from_secs(12), Duration::from_secs(5), Duration::from_secs(1)];
+    assert_eq!(due_in.map(|due_in| priority(rank, due_in)), expected);
+}
+
+/// Proxies and transcribers, spread over zones in turn.
+#[rstest]
+#[case::many_zones(60, 48, 4)]
+#[case::few_zones(57, 45, 3)]
+#[case::few_machines(7, 9, 3)]
+#[case::few_proxies(4, 40, 2)]
+#[case::few_transcribers(40, 4, 2)]
+fn every_transcriber_is_in_some_subset_and_none_in_too_many(
+    #[case] proxies: usize, #[case] transcribers: usize, #[case] zones: usize,
+) {
+    // The subset of a request after a few full rounds.
+    let size = SubsetSize::new(transcribers, proxies).widened_after(3);
+    let mut shared_by = vec![0; transcribers];
+    for proxy in 0..proxies {
+        let node = format!("edge-{proxy}");
+        let is_far = |transcriber: usize| transcriber % zones != proxy % zones;
+        let mut order: Vec<usize> = (0..transcribers).collect();
+        order.sort_by_key(|transcriber| {
+            (is_far(*transcriber), rendezvous_hash(&node, &format!("i-{transcriber}")))
+        });
+        retain_subset(&mut order, size, |transcriber| !is_far(*transcriber));
+        assert!(order.len() <= size.total);
+        order.iter().for_each(|transcriber| shared_by[*transcriber] += 1);
+    }
+    let mean = shared_by.iter().sum::<usize>() as f64 / transcribers as f64;
+    let worst = shared_by.iter().max().map_or(0.0, |worst| *worst as f64);
+    assert!(shared_by.iter().all(|count| *count > 0), "{shared_by:?}");
+    assert!(worst <= 3.0 * mean, "{worst} against {mean}");
+}
--- a/crates/pebblepost-batch-runner/tests/support/mod.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/support.rs
@@ -1,7 +1,5 @@
 //! Fake stores and transcribers over loopback, and a runner between them.
 
-#![allow(dead_code)]
-
 use bytes::Bytes;
 use pebblepost_batch_runner::BatchRunner;
 use pebblepost_batch_runner::random::Random;
@@ -30,9 +28,9 @@
   "target_latency_ms":500,"priority":1,"backend":"models","max_attempts":2,"queue_ttl_s":40.0,
   "run_deadline_ms":4500,"single_version":SINGLE},
  {"name":"r-score","hostname":"h.example","path_prefix":"/score/","kind":"idempotent","timeout_ms":1500,
-  "target_latency_ms":150,"priority":2,"backend":"desk","max_attempts":2}],
+  "target_latency_ms":150,"priority":2,"backend":"scorers","max_attempts":2}],
  "services":[{"name":"models","health_path":"/healthz","max_conns":150},
-  {"name":"desk","health_path":"/healthz","max_conns":96}]}"#;
+  {"name":"scorers","health_path":"/healthz","max_conns":96}]}"#;
 
 pub const LINK_LIMITS: LinkLimits = LinkLimits {
     max_frame_bytes: 1 << 24,
@@ -50,7 +48,7 @@
 pub fn run_within<F: Future<Output = ()>>(limit: Duration, test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(limit, test).await.expect("the test hangs");
+        tokio::time::timeout(limit, test).await.expect("the test awaits_close");
     });
 }
 
@@ -64,7 +62,7 @@
 pub struct StoreEnd {
     pub sender: Sender,
     /// Outcomes that came before the announcement of leases.
-    pub early: Vec<ToStore>,
+    pub outcomes_before_leases: Vec<ToStore>,
     messages: mpsc::UnboundedReceiver<ToStore>,
 }
 
@@ -76,7 +74,7 @@
         tokio::task::spawn_local(async move {
             while let Ok((sender, mut receiver)) = listener.accept().await {
                 let (read, messages) = mpsc::unbounded_channel();
-                if accepted.send(StoreEnd { sender, early: Vec::new(), messages }).is_err() {
+                if accepted.send(StoreEnd { sender, outcomes_before_leases: Vec::new(), messages }).is_err() {
                     return;
                 }
                 tokio::task::spawn_local(async move {
@@ -91,17 +89,17 @@
         FakeStore { address, links }
     }
 
-    /// Next link, after its greeting and its announcement of leases, which is returned.
+    /// The next link after its hello, with its announcement of leases.
     pub async fn accept(&mut self) -> (StoreEnd, ToStore) {
         let mut end = self.links.recv().await.unwrap();
         let hello = end.next().await;
         assert_eq!(hello, ToStore::ProxyHello { node: "edge-1".to_owned(), zone: "z".to_owned() });
-        let mut holding = end.next().await;
-        while matches!(holding, ToStore::Outcomes { .. }) {
-            end.early.push(holding);
-            holding = end.next().await;
+        let mut announced = end.next().await;
+        while matches!(announced, ToStore::Outcomes { .. }) {
+            end.outcomes_before_leases.push(announced);
+            announced = end.next().await;
         }
-        (end, holding)
+        (end, announced)
     }
 }
 
@@ -116,7 +114,7 @@
         }
     }
 
-    /// Answers so many keep-alives, which come each half second.
+    /// Answers this many keep-alives, which come every half second.
     pub async fn keep_alive(&mut self, count: usize) {
         let mut answered = 0;
         while answered < count {
@@ -129,7 +127,7 @@
     }
 
     /// All messages until the link is closed.
-    pub async fn rest(&mut self) -> Vec<ToStore> {
+    pub async fn remaining_messages(&mut self) -> Vec<ToStore> {
         let mut messages = Vec::new();
         while let Some(message) = self.messages.recv().await {
             messages.push(message);
@@ -160,12 +158,12 @@
 
 /// A request that a fake transcriber read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct SeenRequest {
     pub transcriber: String,
     pub text: String,
 }
 
-impl Seen {
+impl SeenRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
@@ -173,7 +171,7 @@
 
 /// What a fake transcriber does with a request.
 pub enum Reply {
-    /// Writes bytes and goes on with the connection.
+    /// Writes bytes and keeps the connection.
     Write(Vec<u8>),
     /// Writes bytes and closes.
     WriteAndClose(Vec<u8>),
@@ -181,39 +179,38 @@
     WriteAndHang(Vec<u8>),
 }
 
-type Handler = Rc<RefCell<dyn FnMut(&Seen) -> Reply>>;
+type Handler = Rc<RefCell<dyn FnMut(&SeenRequest) -> Reply>>;
 
-/// Transcribers that share a record of the requests they read; reports are left out of it.
+/// Transcribers that share a record of their requests, without those for reports.
 #[derive(Clone)]
-pub struct Fleet {
-    pub seen: Rc<RefCell<Vec<Seen>>>,
-    pub closed: Rc<RefCell<Vec<String>>>,
+pub struct Transcribers {
+    pub seen: Rc<RefCell<Vec<SeenRequest>>>,
     closings: mpsc::UnboundedSender<String>,
     records_reports: bool,
 }
 
-impl Fleet {
-    pub fn new() -> (Fleet, mpsc::UnboundedReceiver<String>) {
+impl Transcribers {
+    pub fn new() -> (Transcribers, mpsc::UnboundedReceiver<String>) {
         let (closings, closed) = mpsc::unbounded_channel();
-        let fleet = Fleet { seen: Rc::default(), closed: Rc::default(), closings, records_reports: false };
-        (fleet, closed)
+        let transcribers = Transcribers { seen: Rc::default(), closings, records_reports: false };
+        (transcribers, closed)
     }
 
-    /// One whose record has the reports, too.
-    pub fn recording_reports() -> (Fleet, mpsc::UnboundedReceiver<String>) {
-        let (fleet, closed) = Fleet::new();
-        (Fleet { records_reports: true, ..fleet }, closed)
+    /// A record with the requests for reports, too.
+    pub fn recording_reports() -> (Transcribers, mpsc::UnboundedReceiver<String>) {
+        let (transcribers, closed) = Transcribers::new();
+        (Transcribers { records_reports: true, ..transcribers }, closed)
     }
 
     /// Starts a transcriber.
-    pub async fn start(&self, id: &str, handler: impl FnMut(&Seen) -> Reply + 'static) -> SocketAddr {
+    pub async fn start(&self, id: &str, handler: impl FnMut(&SeenRequest) -> Reply + 'static) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let (fleet, id) = (self.clone(), id.to_owned());
+        let (transcribers, id) = (self.clone(), id.to_owned());
         let handler: Handler = Rc::new(RefCell::new(handler));
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::task::spawn_local(fleet.clone().serve(id.clone(), stream, handler.clone()));
+                tokio::task::spawn_local(transcribers.clone().serve(id.clone(), stream, handler.clone()));
             }
         });
         address
@@ -221,12 +218,12 @@
 
     async fn serve(self, id: String, mut stream: TcpStream, handler: Handler) {
         while let Some(text) = read_request(&mut stream).await {
-            let seen = Seen { transcriber: id.clone(), text };
+            let seen = SeenRequest { transcriber: id.clone(), text };
             if self.records_reports || !seen.text.starts_with("GET /report") {
                 self.seen.borrow_mut().push(seen.clone());
             }
             let reply = (handler.borrow_mut())(&seen);
-            let (bytes, goes_on, hangs) = match reply {
+            let (bytes, keeps_connection, awaits_close) = match reply {
                 Reply::Write(bytes) => (bytes, true, false),
                 Reply::WriteAndClose(bytes) => (bytes, false, false),
                 Reply::WriteAndHang(bytes) => (bytes, false, true),
@@ -234,12 +231,12 @@
             if stream.write_all(&bytes).await.is_err() {
                 return;
             }
-            if hangs {
+            if awaits_close {
                 let mut buffer = [0; 64];
                 while stream.read(&mut buffer).await.is_ok_and(|length| length > 0) {}
                 let _ = self.closings.send(id.clone());
             }
-            if !goes_on {
+            if !keeps_connection {
                 return;
             }
         }
@@ -276,12 +273,12 @@
     Some(lines.collect::<Vec<_>>().join("\n"))
 }
 
-/// An answer to `GET /report`.
+/// A response to `GET /report`.
 pub fn report(version: u64, running: u32) -> Vec<u8> {
     report_with_order(version, running, false)
 }
 
-/// An answer to `GET /report`, perhaps while an order is under way.
+/// A response to `GET /report`, with or without an order in progress.
 pub fn report_with_order(version: u64, running: u32, busy: bool) -> Vec<u8> {
     let body = format!(
         r#"{{"models":[{{"name":"daka","generation":{version}}}],"busy":{busy},"running":{running},"waiting":0}}"#
@@ -316,27 +313,27 @@
 
 pub const END: &[u8] = b"0\r\n\r\n";
 
-/// A whole answer without a body.
+/// A response without a body.
 pub fn plain(status: u16, request_id: &str, header: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} X\r\nrequest-id: {request_id}\r\n{header}content-length: 0\r\n\r\n")
         .into_bytes()
 }
 
 /// A runner with its feed.
-pub struct Bench {
+pub struct RunnerUnderTest {
     pub runner: BatchRunner,
     pub feed: Rc<RefCell<FeedState>>,
 }
 
-impl Bench {
-    /// A runner for a job route; a text of it is made under a single version if asked for.
-    pub fn start(single_version: bool) -> Bench {
+impl RunnerUnderTest {
+    /// A runner for a job route, with or without the requirement of a single version.
+    pub fn start(single_version: bool) -> RunnerUnderTest {
         let document = CONFIGURATION.replace("SINGLE", if single_version { "true" } else { "false" });
-        Bench::start_with(&document, Random::default())
+        RunnerUnderTest::start_with(&document, Random::default())
     }
 
     /// A runner with this configuration.
-    pub fn start_with(document: &str, random: Random) -> Bench {
+    pub fn start_with(document: &str, random: Random) -> RunnerUnderTest {
         let settings = Settings::parse(SETTINGS, "local.toml").unwrap();
         let client = Client::new(ClientLimits {
             connect_timeout: Duration::from_millis(500),
@@ -348,7 +345,7 @@
         let update = ConfigurationUpdate::Full { generation: 7, document: document.as_bytes().to_vec() };
         assert!(feed.borrow_mut().apply(&FeedUpdate::Configuration(update)).configuration);
         let runner = BatchRunner::start_with_random(&settings, client, feed.clone(), random);
-        Bench { runner, feed }
+        RunnerUnderTest { runner, feed }
     }
 
     pub fn apply(&self, update: FeedUpdate) {
@@ -356,7 +353,7 @@
         self.runner.feed_changed();
     }
 
-    /// All groups of jobs are served by this store.
+    /// Makes this store the primary of all groups.
     pub fn set_primary(&self, address: SocketAddr, epoch: u64) {
         let primary = Member {
             disk: DiskId(1),
@@ -416,7 +413,7 @@
     builder.body(Bytes::copy_from_slice(body.as_bytes())).unwrap()
 }
 
-/// An item `id`, scored if asked for.
+/// An item `id`, with or without a scorer.
 pub fn leased(id: &str, scored: bool) -> LeasedItem {
     let scorer = scored.then(|| Scorer {
         id: format!("s-{id}"),
