--- a/crates/pebblepost-batch-runner/src/capacity.rs
+++ b/crates/pebblepost-batch-runner/src/capacity.rs
@@ -95,7 +95,8 @@
 
     fn compute_text_limit(&self) -> u32 {
         let Some(configuration) = self.feed.configuration() else { return 0 };
-        let share = self.feed.share_of_slots(TEXTS_PERCENT, |service| runs_items(&configuration, service));
+        let share =
+            self.feed.fair_share_of_slots(TEXTS_PERCENT, |service| runs_items(&configuration, service));
         if share == 0 {
             return 0;
         }
--- a/crates/pebblepost-batch-runner/src/execution/attempt.rs
+++ b/crates/pebblepost-batch-runner/src/execution/attempt.rs
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Waits for the transcriber to send something, until the limit. While it is silent it is health-checked now and
-    /// then; `None` at the limit or as soon as a check fails.
+    /// Waits for the transcriber to send something, until the limit. While it is silent it is health-checked every
+    /// [`HEALTH_CHECK_AFTER`]; `None` at the limit or as soon as a check fails.
     async fn while_healthy<T>(
         &self, reservation: &Reservation, limit: Duration, operation: impl Future<Output = T>,
     ) -> Option<T> {
--- a/crates/pebblepost-batch-runner/src/execution/graceful_shutdown.rs
+++ b/crates/pebblepost-batch-runner/src/execution/graceful_shutdown.rs
@@ -30,10 +30,10 @@
     /// Takes no new work, waits for items to finish, returns the others and sends all outcomes. Returns when done,
     /// or after the limit.
     pub(crate) async fn run(&self, limit: Duration) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.flag.set();
         self.changes.notify();
-        let finish_until = begun + limit * FINISH_PERCENT / 100;
+        let finish_until = started_at + limit * FINISH_PERCENT / 100;
         while !self.leases.borrow().is_empty() && Instant::now() < finish_until {
             sleep(CHECK_INTERVAL).await;
         }
@@ -43,7 +43,7 @@
             self.outcomes.return_released(released);
         }
         self.outbox.flush(&self.links);
-        while !self.is_flushed() && begun.elapsed() < limit {
+        while !self.is_flushed() && started_at.elapsed() < limit {
             sleep(CHECK_INTERVAL).await;
             self.outbox.flush(&self.links);
         }
--- a/crates/pebblepost-batch-runner/src/execution/item.rs
+++ b/crates/pebblepost-batch-runner/src/execution/item.rs
@@ -41,14 +41,14 @@
 const MAX_UNEXPECTED_EVENTS: u32 = 2;
 
 /// An item in flight.
-pub(crate) struct LeasedTask {
+pub(crate) struct ItemTask {
     pub(crate) key: LeaseKey,
     pub(crate) terms: Rc<LeaseTerms>,
     pub(crate) item: Item,
     pub(crate) progress: SharedProgress,
 }
 
-impl LeasedTask {
+impl ItemTask {
     /// Counts a failed attempt; whether that was the last one that the route allows.
     fn count_failed_attempt(&self) -> bool {
         let mut progress = self.progress.borrow_mut();
@@ -106,7 +106,7 @@
 impl ItemExecutor {
     /// Executes an item and reports its outcome. The first attempt goes to the reservation, if there is one.
     pub(crate) async fn execute(
-        self: Rc<Self>, task: LeasedTask, reservation: Option<Reservation>, mut permit: CapacityPermit,
+        self: Rc<Self>, task: ItemTask, reservation: Option<Reservation>, mut permit: CapacityPermit,
     ) {
         match self.run(&task, reservation, &mut permit).await {
             Ok(score) => self.outcomes.finish(task.key, task.completed_result(score)),
@@ -121,7 +121,7 @@
 
     /// The score of the complete text; empty for an item without a scorer.
     async fn run(
-        &self, task: &LeasedTask, reservation: Option<Reservation>, permit: &mut CapacityPermit,
+        &self, task: &ItemTask, reservation: Option<Reservation>, permit: &mut CapacityPermit,
     ) -> Result<String, Unscored> {
         self.complete_text(task, reservation).await?;
         permit.release_text();
@@ -130,7 +130,7 @@
 
     /// Makes attempts until the text is complete.
     async fn complete_text(
-        &self, task: &LeasedTask, mut reservation: Option<Reservation>,
+        &self, task: &ItemTask, mut reservation: Option<Reservation>,
     ) -> Result<(), Unscored> {
         let requirements = Requirements::of_text(&task.terms, &task.item.path);
         let mut unexpected_events = 0;
@@ -160,7 +160,7 @@
                     unexpected_events = 0;
                 }
             }
-            self.note_retry(outcome, task, &current);
+            self.record_retry(outcome, task, &current);
             // The slot is free again before the back-off.
             drop(current);
             sleep(backoff_after(outcome)).await;
@@ -181,7 +181,7 @@
     }
 
     /// Records what an attempt that is to be retried says about its transcriber and about the text.
-    fn note_retry(&self, outcome: AttemptOutcome, task: &LeasedTask, reservation: &Reservation) {
+    fn record_retry(&self, outcome: AttemptOutcome, task: &ItemTask, reservation: &Reservation) {
         self.metrics.increment(match outcome {
             AttemptOutcome::Rejected => Metric::AttemptsRejected,
             AttemptOutcome::VersionMismatch => Metric::AttemptsVersionMismatch,
@@ -201,7 +201,7 @@
     }
 
     /// Calls the scorer until it returns a score.
-    async fn score(&self, task: &LeasedTask) -> Result<String, Unscored> {
+    async fn score(&self, task: &ItemTask) -> Result<String, Unscored> {
         let Some(scorer) = &task.item.scorer else { return Ok(String::new()) };
         let mut backoff = FIRST_SCORER_BACKOFF;
         loop {
@@ -243,7 +243,7 @@
 }
 
 /// Whether there is no other attempt. Counts a failed one.
-fn is_final(outcome: AttemptOutcome, task: &LeasedTask) -> bool {
+fn is_final(outcome: AttemptOutcome, task: &ItemTask) -> bool {
     match outcome {
         AttemptOutcome::Unprocessable => true,
         AttemptOutcome::Failed => task.count_failed_attempt(),
--- a/crates/pebblepost-batch-runner/src/execution/lease.rs
+++ b/crates/pebblepost-batch-runner/src/execution/lease.rs
@@ -3,7 +3,7 @@
 //! Owns no state; leases and permits are below, an item's attempts in [`super::item`].
 
 use crate::capacity::{Capacity, CapacityPermit};
-use crate::execution::item::{ItemExecutor, LeasedTask};
+use crate::execution::item::{ItemExecutor, ItemTask};
 use crate::execution::outcomes::OutcomeReporter;
 use crate::item_progress::ItemProgress;
 use crate::lease_table::{LeaseKey, LeaseTable};
@@ -80,7 +80,7 @@
             let placed = self.placer.place(&requirements, count).await.unwrap_or_default();
             let mut reservations = VecDeque::from(placed);
             let is_split = reservations.len() < pending.len();
-            self.metrics.increment(if is_split { Metric::GroupsSplit } else { Metric::GroupsPlacedWhole });
+            self.metrics.increment(if is_split { Metric::GroupsSplit } else { Metric::GroupsPlacedTogether });
             let batch =
                 if reservations.is_empty() { pending.len() } else { reservations.len().min(pending.len()) };
             let on_start = reservations.front().filter(|_| reservations.len() > 1).map(Reservation::on_start);
@@ -111,7 +111,7 @@
     ) {
         let id = leased.item.id.clone();
         let Some(progress) = self.leases.borrow().progress(key, &id) else { return };
-        let task = LeasedTask { key, terms: terms.clone(), item: leased.item, progress };
+        let task = ItemTask { key, terms: terms.clone(), item: leased.item, progress };
         let execution = self.items.clone().execute(task, reservation, permit);
         let task = tokio::task::spawn_local(execution);
         self.leases.borrow_mut().set_item_task(key, &id, task.abort_handle());
--- a/crates/pebblepost-batch-runner/src/execution/scorer.rs
+++ b/crates/pebblepost-batch-runner/src/execution/scorer.rs
@@ -139,7 +139,7 @@
     }
 
     fn call_limit(&self, service: &str) -> u32 {
-        self.feed.share_of_slots(CALLS_PERCENT, |name| name == service).max(MIN_CALL_LIMIT)
+        self.feed.fair_share_of_slots(CALLS_PERCENT, |name| name == service).max(MIN_CALL_LIMIT)
     }
 }
 
--- a/crates/pebblepost-batch-runner/src/execution/work_requests.rs
+++ b/crates/pebblepost-batch-runner/src/execution/work_requests.rs
@@ -6,7 +6,7 @@
 use pebblepost_messages::batch::ToStore;
 use std::rc::Rc;
 
-/// Less free capacity than this part of the limit is not worth a request.
+/// Work is requested from a free capacity of the limit divided by this.
 const MIN_REQUEST_DIVISOR: u32 = 8;
 
 /// Requests work.
--- a/crates/pebblepost-batch-runner/src/feed_view.rs
+++ b/crates/pebblepost-batch-runner/src/feed_view.rs
@@ -51,7 +51,7 @@
     }
 
     /// A percentage of this proxy's share of the ready slots of some services, rounded up.
-    pub(crate) fn share_of_slots(&self, percent: u64, is_service: impl Fn(&str) -> bool) -> u32 {
+    pub(crate) fn fair_share_of_slots(&self, percent: u64, is_service: impl Fn(&str) -> bool) -> u32 {
         let state = self.state();
         let slots: u64 = state
             .instances()
--- a/crates/pebblepost-batch-runner/src/job/api.rs
+++ b/crates/pebblepost-batch-runner/src/job/api.rs
@@ -84,9 +84,9 @@
             Ok(job) => job,
             Err(error) => return text(StatusCode::BAD_REQUEST, &error.to_string()),
         };
-        let (id, begun) = (job.id.clone(), Instant::now());
+        let (id, started_at) = (job.id.clone(), Instant::now());
         let response = self.offer(job, deadline).await;
-        let elapsed_ms = begun.elapsed().as_millis();
+        let elapsed_ms = started_at.elapsed().as_millis();
         log::info!("job submitted job={id} status={} elapsed_ms={elapsed_ms}", response.status().as_u16());
         response
     }
@@ -136,14 +136,14 @@
             .and_then(|value| value.parse().ok())
             .map_or(Duration::ZERO, Duration::from_millis)
             .min(MAX_READ_WAIT);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let store_group = store_group_of(job);
         let message = || {
-            let remaining = wait.saturating_sub(begun.elapsed());
+            let remaining = wait.saturating_sub(started_at.elapsed());
             let wait_ms = u64::try_from(remaining.as_millis()).unwrap_or(0);
             ToStore::Read { call: 0, store_group, job: job.to_owned(), start, wait_ms }
         };
-        let deadline = begun + wait + CALL_TIMEOUT;
+        let deadline = started_at + wait + CALL_TIMEOUT;
         let answer = self.call_until_certain(store_group, deadline, message, |reply| match reply {
             FromStore::Results { answer, .. } => answer,
             _ => JobAnswer::Uncertain,
--- a/crates/pebblepost-batch-runner/src/lease_table.rs
+++ b/crates/pebblepost-batch-runner/src/lease_table.rs
@@ -1,4 +1,4 @@
-//! The leases that this proxy holds: until when each is valid, and which of its items are in flight.
+//! The active leases of this proxy: until when each is valid, and which of its items are in flight.
 //!
 //! Owns the leases and the abort handles of their tasks. Sends nothing and reads no clock: the time is
 //! an argument.
@@ -95,7 +95,7 @@
     pub progress: SharedProgress,
 }
 
-/// All leases held.
+/// All active leases.
 #[derive(Debug, Default)]
 pub struct LeaseTable {
     leases: BTreeMap<LeaseKey, Lease>,
@@ -106,7 +106,7 @@
 
 impl LeaseTable {
     /// Adds a lease with the progress of its items, in their order. An item that is in flight already,
-    /// under an earlier lease, is aborted there; whichever progress is further is kept. `None` if the
+    /// under an earlier lease, is aborted there; whichever progress is further is retained. `None` if the
     /// job was cancelled.
     pub fn add(&mut self, lease: &WorkLease, progress: Vec<ItemProgress>, now: Instant) -> Option<LeaseKey> {
         self.cancelled_jobs.retain(|_, cancelled_at| now < *cancelled_at + CANCELLED_RETENTION);
@@ -159,13 +159,13 @@
     /// The leases of a store group, to be announced to its primary of this epoch. From now on that
     /// primary may renew them.
     pub fn announce(&mut self, store_group: u32, epoch: u64) -> Vec<ActiveLease> {
-        let mut held = Vec::new();
+        let mut announced = Vec::new();
         for lease in self.leases.values_mut().filter(|lease| lease.store_group == store_group) {
             lease.epoch = lease.epoch.max(epoch);
             let items = lease.items.keys().cloned().collect();
-            held.push(ActiveLease { store_group, job: lease.job.clone(), items });
+            announced.push(ActiveLease { store_group, job: lease.job.clone(), items });
         }
-        held
+        announced
     }
 
     /// Whether the renewal of a lease of this store group is overdue.
@@ -230,7 +230,7 @@
         before - self.leases.len()
     }
 
-    /// Whether no lease is held.
+    /// Whether no lease is active.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
--- a/crates/pebblepost-batch-runner/src/lib.rs
+++ b/crates/pebblepost-batch-runner/src/lib.rs
@@ -9,6 +9,7 @@
 //! * Links: `store` (connections to the stores, outcomes on their way).
 //! * Input and output: [`execution`] (attempts, retries, scorers, shutdown), [`job`] (the HTTP face), and
 //!   `store_events`, which acts on the messages of the stores.
+//! * `runner` builds the parts, connects them and starts their tasks.
 //!
 //! Owns the leases and the items in flight of one proxy, nothing on disk: jobs, items and results are the stores', the
 //! feed's state is the proxy's. Never changes a configuration and never gives a lease.
--- a/crates/pebblepost-batch-runner/src/load_table.rs
+++ b/crates/pebblepost-batch-runner/src/load_table.rs
@@ -1,8 +1,8 @@
 //! The known load of each transcriber: its reports, which lag, and this proxy's own requests, which are
 //! known at once.
 //!
-//! Owns reports, own requests in flight, ejections and signs of life. Sends nothing and draws nothing:
-//! the time is an argument (the removal of unreported services apart).
+//! Owns reports, own requests in flight, ejections and when each transcriber was last heard from. Sends nothing and reads
+//! no clock: the time is an argument.
 
 use pebblepost_transcriber::Load;
 use std::cell::Cell;
@@ -196,10 +196,10 @@
         self.transcribers.get(id).is_some_and(|transcriber| transcriber.is_executing_order)
     }
 
-    /// Removes transcribers that are gone and have none of our requests in flight.
-    pub fn retain(&mut self, is_present: impl Fn(&str) -> bool) {
+    /// Removes transcribers that are gone and have none of our requests in flight, and what is outdated about services.
+    pub fn retain(&mut self, is_present: impl Fn(&str) -> bool, now: Instant) {
         self.transcribers.retain(|id, entry| is_present(id) || !entry.own.in_flight.is_empty());
-        self.unreported_services.retain(|_, until| Instant::now() < *until);
+        self.unreported_services.retain(|_, until| now < *until);
     }
 
     fn entry(&mut self, id: &str) -> &mut TranscriberLoad {
--- a/crates/pebblepost-batch-runner/src/metrics.rs
+++ b/crates/pebblepost-batch-runner/src/metrics.rs
@@ -7,9 +7,9 @@
 
 /// A counter. Names in the operator's output are those of the table below.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Metric {
-    /// Groups of samples, or parts of them, that were placed as a whole.
-    GroupsPlacedWhole,
+pub(crate) enum Metric {
+    /// Groups of samples, or parts of them, that were placed together.
+    GroupsPlacedTogether,
     /// Groups of samples that were split over transcribers.
     GroupsSplit,
     /// Back-offs of a placement because every probed transcriber was full.
@@ -72,11 +72,6 @@
         let value = &self.values[metric as usize];
         value.set(value.get() + 1);
     }
-
-    /// The value of a counter.
-    pub fn get(&self, metric: Metric) -> u64 {
-        self.values[metric as usize].get()
-    }
 }
 
 impl fmt::Display for Metrics {
--- a/crates/pebblepost-batch-runner/src/placement/candidates.rs
+++ b/crates/pebblepost-batch-runner/src/placement/candidates.rs
@@ -36,6 +36,14 @@
     pub(crate) version: Option<u64>,
 }
 
+/// A service of a route.
+#[derive(Clone, Copy)]
+struct WeightedService<'a> {
+    name: &'a str,
+    /// Above 0.
+    weight: u64,
+}
+
 /// A candidate with what its position in the order depends on.
 struct RankedCandidate {
     candidate: Candidate,
@@ -63,15 +71,15 @@
     ) -> Result<Vec<Candidate>, NoRoute> {
         let Some(configuration) = self.feed.configuration() else { return Ok(Vec::new()) };
         let route = configuration.route(requirements.hostname, requirements.path).ok_or(NoRoute)?;
-        let mut backends: Vec<(&str, u64)> = route
+        let mut services: Vec<WeightedService<'_>> = route
             .backends
             .iter()
             .filter(|(_, weight)| *weight > 0)
-            .map(|(name, weight)| (name.as_str(), *weight))
+            .map(|(name, weight)| WeightedService { name, weight: *weight })
             .collect();
-        while let Some(index) = self.draw_by_weight(&backends) {
-            let (backend, _) = backends.swap_remove(index);
-            let candidates = self.candidates_of(backend, requirements, full_rounds);
+        while let Some(index) = self.draw_by_weight(&services) {
+            let service = services.swap_remove(index);
+            let candidates = self.candidates_of(service.name, requirements, full_rounds);
             if !candidates.is_empty() {
                 return Ok(candidates);
             }
@@ -79,15 +87,16 @@
         Ok(Vec::new())
     }
 
-    fn draw_by_weight(&self, backends: &[(&str, u64)]) -> Option<usize> {
-        let total: u64 = backends.iter().map(|(_, weight)| weight).sum();
+    /// Draws the index of a service; `None`, without a draw, if there is none.
+    fn draw_by_weight(&self, services: &[WeightedService<'_>]) -> Option<usize> {
+        let total: u64 = services.iter().map(|service| service.weight).sum();
         if total == 0 {
             return None;
         }
         let mut drawn = self.random.below(total);
-        backends.iter().position(|(_, weight)| {
-            let is_drawn = drawn < *weight;
-            drawn = drawn.saturating_sub(*weight);
+        services.iter().position(|service| {
+            let is_drawn = drawn < service.weight;
+            drawn = drawn.saturating_sub(service.weight);
             is_drawn
         })
     }
@@ -175,5 +184,5 @@
     if model.is_empty() {
         return Some(u64::MAX);
     }
-    instance.models.iter().find(|held| held.model == model).map(|held| held.generation)
+    instance.models.iter().find(|loaded| loaded.model == model).map(|loaded| loaded.generation)
 }
--- a/crates/pebblepost-batch-runner/src/placement/choice.rs
+++ b/crates/pebblepost-batch-runner/src/placement/choice.rs
@@ -18,7 +18,7 @@
 //! * Here candidates are the proxy's subset of a service ([`super::subset`]), those of its own zone first, and
 //!   the versions of their weights matter. There they are drawn among all eligible workers.
 //! * Here a short queue at a transcriber is allowed ([`QueueLimit`]), so that the next text starts as soon as a
-//!   slot opens. There a job is held unless its value outlasts the queue.
+//!   slot opens. There a job waits at the dispatcher unless its value outlasts the queue.
 //!
 //! Holds no state, and sends nothing.
 
--- a/crates/pebblepost-batch-runner/src/runner.rs
+++ b/crates/pebblepost-batch-runner/src/runner.rs
@@ -33,15 +33,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_local;
+use tokio::time::Instant;
 
 /// The runner of one proxy; cheap to clone.
 #[derive(Clone)]
 pub struct BatchRunner {
-    parts: Rc<Parts>,
+    components: Rc<Components>,
 }
 
 /// What the runner's public functions use.
-struct Parts {
+struct Components {
     feed: FeedView,
     loads: Rc<RefCell<LoadTable>>,
     capacity: Rc<Capacity>,
@@ -80,18 +81,18 @@
         };
         spawn_local(state.outbox.clone().run(state.links.clone()));
         spawn_local(work_requester.run());
-        let runner = BatchRunner { parts: Rc::new(state.into_parts(executor, outcomes)) };
+        let runner = BatchRunner { components: Rc::new(state.into_components(executor, outcomes)) };
         runner.feed_changed();
         runner
     }
 
     /// Acts on a change of the feed's state.
     pub fn feed_changed(&self) {
-        let parts = &self.parts;
-        parts.store_events.follow_feed(&parts.feed.state());
-        parts.loads.borrow_mut().retain(|id| parts.feed.is_present(id));
-        parts.capacity.feed_changed();
-        parts.changes.notify();
+        let components = &self.components;
+        components.store_events.follow_feed(&components.feed.state());
+        components.loads.borrow_mut().retain(|id| components.feed.is_present(id), Instant::now());
+        components.capacity.feed_changed();
+        components.changes.notify();
     }
 
     /// Whether a path is that of a call about a submitted job (`/lots/ID`, `/items/ID`).
@@ -104,18 +105,18 @@
     pub async fn answer(
         &self, route: Option<&Route>, request: http::Request<Bytes>,
     ) -> http::Response<Bytes> {
-        self.parts.job_api.answer(route, request).await
+        self.components.job_api.answer(route, request).await
     }
 
     /// The counters since the start.
     pub fn counts(&self) -> &Metrics {
-        &self.parts.metrics
+        &self.components.metrics
     }
 
     /// Graceful shutdown: takes no new work, and returns unfinished items with the text so far to their stores.
     /// Returns when done, or after the limit.
     pub async fn stop(&self, limit: Duration) {
-        self.parts.graceful_shutdown.run(limit).await;
+        self.components.graceful_shutdown.run(limit).await;
     }
 }
 
@@ -204,7 +205,7 @@
         })
     }
 
-    fn into_parts(self, executor: Rc<LeaseExecutor>, outcomes: Rc<OutcomeReporter>) -> Parts {
+    fn into_components(self, executor: Rc<LeaseExecutor>, outcomes: Rc<OutcomeReporter>) -> Components {
         let store_events = StoreEvents {
             links: self.links.clone(),
             leases: self.leases.clone(),
@@ -221,7 +222,7 @@
             outbox: self.outbox,
             links: self.links.clone(),
         };
-        Parts {
+        Components {
             feed: self.feed,
             loads: self.loads,
             capacity: self.capacity,
--- a/crates/pebblepost-batch-runner/src/store/links.rs
+++ b/crates/pebblepost-batch-runner/src/store/links.rs
@@ -104,8 +104,8 @@
     /// The groups that the machine at an address is primary of.
     pub(crate) fn groups_of(&self, address: SocketAddr) -> Vec<GroupEpoch> {
         let primaries = self.primaries.borrow();
-        let led = primaries.iter().filter(|(_, primary)| primary.address == address);
-        led.map(|(group, primary)| GroupEpoch { store_group: *group, epoch: primary.epoch }).collect()
+        let of_address = primaries.iter().filter(|(_, primary)| primary.address == address);
+        of_address.map(|(group, primary)| GroupEpoch { store_group: *group, epoch: primary.epoch }).collect()
     }
 
     /// Whether the machine at an address is primary of a group.
--- a/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
@@ -163,7 +163,7 @@
             _ => loads.record_unreported_service(&id, now),
         }
         if random.below(40) == 0 {
-            loads.retain(|known| known != id);
+            loads.retain(|known| known != id, now);
         }
         if random.below(10) == 0 {
             loads.last_heard(&id).record(now);
