--- a/crates/pebblepost-ring/src/error.rs
+++ b/crates/pebblepost-ring/src/error.rs
@@ -1,15 +1,15 @@
 //! Errors of the ring.
 
-use std::{error::Error, fmt, io};
+use std::{fmt, io, path::PathBuf};
 
 /// What the journal was doing when its storage failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Listing, reading or opening files when the ring is opened.
     Recovery,
-    /// Making the first files of a ring.
+    /// Creating the first files of a ring.
     Formatting,
-    /// Making or reopening a segment file.
+    /// Creating or reopening a segment file.
     Preparing,
     /// Writing frames.
     Writing,
@@ -18,8 +18,8 @@
 }
 
 impl fmt::Display for Step {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(match self {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
             Step::Recovery => "recovering the ring",
             Step::Formatting => "formatting the ring",
             Step::Preparing => "preparing a segment",
@@ -30,9 +30,10 @@
 }
 
 /// Why the journal could not do what it was asked for.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum RingError {
-    /// The storage failed; the same call may pass later.
+    /// The storage failed; the same call may succeed later.
+    #[error("{step}: {source}")]
     Storage {
         /// What was being done.
         step: Step,
@@ -40,18 +41,27 @@
         source: io::Error,
     },
     /// The records don't fit until a checkpoint frees older ones.
+    #[error("ring full: {needed} bytes needed, {available} available before a checkpoint")]
     Full {
         /// Bytes needed.
         needed: u64,
         /// Bytes that may still be written.
         available: u64,
     },
-    /// Segments exist, but no whole journal can be read from them.
+    /// Segments exist, but no complete journal can be read from them.
+    #[error("no whole journal found in the segments")]
     Damaged,
     /// The ring is too small to hold a journal and a checkpoint.
+    #[error("{max_bytes} bytes are too few for a ring")]
     TooSmall {
         /// The size asked for.
-        most_bytes: u64,
+        max_bytes: u64,
+    },
+    /// The thread that writes could not be started.
+    #[error("starting the disk's thread")]
+    Thread {
+        /// The system's error.
+        source: io::Error,
     },
 }
 
@@ -62,29 +72,23 @@
     }
 }
 
-impl fmt::Display for RingError {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            RingError::Storage { step, source } => write!(formatter, "{step}: {source}"),
-            RingError::Full { needed, available } => {
-                write!(
-                    formatter,
-                    "ring full: {needed} bytes needed, {available} available before a checkpoint"
-                )
-            }
-            RingError::Damaged => formatter.write_str("no whole journal found in the segments"),
-            RingError::TooSmall { most_bytes } => {
-                write!(formatter, "{most_bytes} bytes are too few for a ring")
-            }
-        }
-    }
-}
-
-impl Error for RingError {
-    fn source(&self) -> Option<&(dyn Error + 'static)> {
-        match self {
-            RingError::Storage { source, .. } => Some(source),
-            _ => None,
-        }
-    }
+/// Why a ring in a folder could not be opened.
+#[derive(Debug, thiserror::Error)]
+pub enum OpenError {
+    /// The folder could not be created or opened.
+    #[error("opening {}", folder.display())]
+    Folder {
+        /// The folder.
+        folder: PathBuf,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The ring in the folder could not be opened or formatted.
+    #[error("opening the ring in {}", folder.display())]
+    Ring {
+        /// The folder.
+        folder: PathBuf,
+        /// Why.
+        source: RingError,
+    },
 }
--- a/crates/pebblepost-ring/src/format.rs
+++ b/crates/pebblepost-ring/src/format.rs
@@ -13,7 +13,7 @@
 /// Bytes of the identity file.
 pub const IDENTITY_BYTES: usize = 24;
 /// Largest payload of one frame; longer records are split over several frames.
-pub const MOST_FRAME_PAYLOAD: usize = 128 * 1024;
+pub const MAX_FRAME_PAYLOAD: usize = 128 * 1024;
 
 const IDENTITY_MAGIC: u64 = 0x7062_5269_6e67_4944;
 const SEGMENT_MAGIC: u64 = 0x7062_5269_6e67_5347;
@@ -54,7 +54,7 @@
         bytes
     }
 
-    /// Decodes the file's content; `None` if it isn't whole.
+    /// Decodes the file's content; `None` if it is damaged.
     pub fn decode(bytes: &[u8], checksum: Checksum) -> Option<Identity> {
         if bytes.len() != IDENTITY_BYTES || read_u64(bytes, 0) != IDENTITY_MAGIC {
             return None;
@@ -66,7 +66,7 @@
     }
 }
 
-/// Header at the start of each segment file, written anew for each use of the file.
+/// Header at the start of each segment file, rewritten for each use of the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentHeader {
     /// Identity of the ring.
@@ -77,7 +77,7 @@
     /// Number of the segment that the journal continues from; 0 for the first one.
     pub previous: u64,
     /// Number of the segment where the newest checkpoint begins; 0 if there was none.
-    pub base: u64,
+    pub checkpoint_segment: u64,
     /// Sequence of the first frame. Frames from it onward in earlier segments are void.
     pub first_sequence: u64,
 }
@@ -86,8 +86,14 @@
     /// Encodes the header.
     pub fn encode(&self, checksum: Checksum) -> [u8; SEGMENT_HEADER_BYTES] {
         let mut bytes = [0; SEGMENT_HEADER_BYTES];
-        let fields =
-            [SEGMENT_MAGIC, self.identity, self.number, self.previous, self.base, self.first_sequence];
+        let fields = [
+            SEGMENT_MAGIC,
+            self.identity,
+            self.number,
+            self.previous,
+            self.checkpoint_segment,
+            self.first_sequence,
+        ];
         for (index, field) in fields.iter().enumerate() {
             bytes[index * 8..index * 8 + 8].copy_from_slice(&field.to_le_bytes());
         }
@@ -96,7 +102,8 @@
         bytes
     }
 
-    /// Decodes a header of the ring `identity`; `None` if it isn't whole or belongs elsewhere.
+    /// Decodes a header of the ring `identity`; `None` if it is damaged or belongs to
+    /// another ring.
     pub fn decode(bytes: &[u8], identity: u64, checksum: Checksum) -> Option<SegmentHeader> {
         if bytes.len() < SEGMENT_HEADER_BYTES || read_u64(bytes, 0) != SEGMENT_MAGIC {
             return None;
@@ -108,7 +115,7 @@
             identity,
             number: read_u64(bytes, 16),
             previous: read_u64(bytes, 24),
-            base: read_u64(bytes, 32),
+            checkpoint_segment: read_u64(bytes, 32),
             first_sequence: read_u64(bytes, 40),
         })
     }
@@ -124,9 +131,9 @@
 pub enum FrameKind {
     /// A record or a part of one.
     Record,
-    /// All that follows, up to the end mark, replaces what stands before.
+    /// All that follows, up to the end marker, replaces what comes before.
     CheckpointBegin,
-    /// The checkpoint is whole.
+    /// The checkpoint is complete.
     CheckpointEnd,
 }
 
@@ -155,16 +162,16 @@
     /// What the frame carries.
     pub kind: FrameKind,
     /// First frame of its record.
-    pub first: bool,
+    pub is_first: bool,
     /// Last frame of its record.
-    pub last: bool,
+    pub is_last: bool,
     /// Position in the journal: one above the previous frame's.
     pub sequence: u64,
 }
 
 /// Appends an encoded frame to `buffer`.
 pub fn encode_frame(buffer: &mut Vec<u8>, frame: Frame, payload: &[u8], seed: u32, checksum: Checksum) {
-    let flags = if frame.first { FLAG_FIRST } else { 0 } | if frame.last { FLAG_LAST } else { 0 };
+    let flags = if frame.is_first { FLAG_FIRST } else { 0 } | if frame.is_last { FLAG_LAST } else { 0 };
     let mut header = [0; FRAME_HEADER_BYTES];
     header[0..2].copy_from_slice(&FRAME_MAGIC.to_le_bytes());
     header[2] = frame.kind.code();
@@ -177,25 +184,25 @@
     buffer.extend_from_slice(payload);
 }
 
-/// Result of decoding the front of some bytes.
+/// Result of decoding the start of some bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decoded {
-    /// A whole frame, with its payload's place in the bytes.
+    /// A complete frame, with the range of its payload in the bytes.
     Frame(Frame, Range<usize>),
-    /// At least this many bytes are needed to tell.
+    /// At least this many bytes are needed to decode a frame.
     Incomplete(usize),
-    /// No frame stands here: the segment's journal ends.
+    /// There is no valid frame here: the segment's journal ends.
     End,
 }
 
-/// Decodes the frame at the front of `bytes`.
+/// Decodes the frame at the start of `bytes`.
 pub fn decode_frame(bytes: &[u8], seed: u32, checksum: Checksum) -> Decoded {
     if bytes.len() < FRAME_HEADER_BYTES {
         return Decoded::Incomplete(FRAME_HEADER_BYTES);
     }
     let length = read_u32(bytes, 4) as usize;
     let Some(kind) = FrameKind::from_code(bytes[2]) else { return Decoded::End };
-    if u16::from_le_bytes([bytes[0], bytes[1]]) != FRAME_MAGIC || length > MOST_FRAME_PAYLOAD {
+    if u16::from_le_bytes([bytes[0], bytes[1]]) != FRAME_MAGIC || length > MAX_FRAME_PAYLOAD {
         return Decoded::End;
     }
     let end = FRAME_HEADER_BYTES + length;
@@ -209,8 +216,8 @@
     let flags = bytes[3];
     let frame = Frame {
         kind,
-        first: flags & FLAG_FIRST != 0,
-        last: flags & FLAG_LAST != 0,
+        is_first: flags & FLAG_FIRST != 0,
+        is_last: flags & FLAG_LAST != 0,
         sequence: read_u64(bytes, 8),
     };
     Decoded::Frame(frame, payload)
@@ -218,7 +225,7 @@
 
 /// Upper bound of the bytes that a record of `length` bytes takes on disk.
 pub fn stored_bytes(length: usize) -> u64 {
-    (length + FRAME_HEADER_BYTES * (length / MOST_FRAME_PAYLOAD + 1)) as u64
+    (length + FRAME_HEADER_BYTES * (length / MAX_FRAME_PAYLOAD + 1)) as u64
 }
 
 fn read_u64(bytes: &[u8], offset: usize) -> u64 {
--- a/crates/pebblepost-ring/src/recovery.rs
+++ b/crates/pebblepost-ring/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Finding the newest whole journal among the segments on disk.
+//! Recovery: finds the newest complete journal among the segments on disk.
 
 use crate::{
     error::{RingError, Step},
@@ -11,8 +11,8 @@
 
 /// Bytes read from a segment at once: more than the longest frame.
 const READ_BYTES: usize = 256 * 1024;
-/// Chains longer than this are read twice, so that replaced records are never held in memory.
-const MOST_SEGMENTS_IN_ONE_PASS: usize = 16;
+/// Longer chains are read twice, so that replaced records are never held in memory.
+const MAX_SEGMENTS_IN_ONE_PASS: usize = 16;
 
 /// What the segments hold.
 #[derive(Debug)]
@@ -21,18 +21,18 @@
     pub(crate) slots: Vec<u32>,
     /// The live segments, in order.
     pub(crate) chain: Vec<Segment>,
-    /// Segments after them that hold nothing whole. Until a newer segment is durable, they still
-    /// tell the newest journal from what was left behind earlier.
-    pub(crate) void: Vec<Segment>,
+    /// Segments after them that hold no complete record or checkpoint. Until a newer segment is
+    /// durable, they still tell the newest journal from what was left behind earlier.
+    pub(crate) incomplete: Vec<Segment>,
     /// Highest number of any segment.
     pub(crate) highest_number: u64,
     /// Content of the live segments.
     pub(crate) replayed: Replayed,
 }
 
-/// A segment whose header is whole.
+/// A segment whose header is valid.
 #[derive(Clone, Copy, Debug)]
-struct Found {
+struct FoundSegment {
     slot: u32,
     header: SegmentHeader,
 }
@@ -47,14 +47,14 @@
         read_headers(storage, &slots, identity, checksum).map_err(RingError::storage(Step::Recovery))?;
     let highest_number = found.keys().next_back().copied().unwrap_or(0);
     let mut reader = ChainReader { storage, checksum, buffer: vec![0; READ_BYTES] };
-    // A base was durable when a header named it: nothing older than it can be the newest journal.
-    let newest_base = found.values().map(|found| found.header.base).max().unwrap_or(0);
-    for newest in found.range(newest_base..).rev().map(|(_, found)| found) {
+    // A checkpoint was durable when a header named it: nothing older can be the newest journal.
+    let newest_checkpoint = found.values().map(|found| found.header.checkpoint_segment).max().unwrap_or(0);
+    for newest in found.range(newest_checkpoint..).rev().map(|(_, found)| found) {
         let chain = chain_to(newest, &found);
         let read = reader.read_newest(&chain).map_err(RingError::storage(Step::Recovery))?;
         if let Some((chain, replayed)) = read {
-            let (chain, void) = split_void(chain, &replayed);
-            return Ok(Recovery { slots, chain, void, highest_number, replayed });
+            let (chain, incomplete) = split_incomplete(chain, &replayed);
+            return Ok(Recovery { slots, chain, incomplete, highest_number, replayed });
         }
     }
     if !found.is_empty() {
@@ -63,16 +63,16 @@
     Ok(Recovery {
         slots,
         chain: Vec::new(),
-        void: Vec::new(),
+        incomplete: Vec::new(),
         highest_number,
         replayed: Replay::new(1, 0).finish(),
     })
 }
 
-/// Tells the segments that hold anything whole from those after them, which hold parts of a record
-/// or checkpoint that never became whole: the journal goes on in front of these.
-fn split_void(chain: &[Found], replayed: &Replayed) -> (Vec<Segment>, Vec<Segment>) {
-    let segments = |found: &[Found]| {
+/// Tells the segments that hold anything complete from those after them, which hold parts of a record
+/// or checkpoint that was never completed: the journal continues before these.
+fn split_incomplete(chain: &[FoundSegment], replayed: &Replayed) -> (Vec<Segment>, Vec<Segment>) {
+    let segments = |found: &[FoundSegment]| {
         found.iter().map(|found| Segment { slot: found.slot, number: found.header.number }).collect()
     };
     let live = chain.partition_point(|found| found.header.first_sequence < replayed.next_sequence);
@@ -85,24 +85,26 @@
 
 fn read_headers<S: Storage>(
     storage: &mut S, slots: &[u32], identity: u64, checksum: Checksum,
-) -> io::Result<BTreeMap<u64, Found>> {
+) -> io::Result<BTreeMap<u64, FoundSegment>> {
     let mut found = BTreeMap::new();
     for &slot in slots {
         let mut file = storage.open(&slot_name(slot))?;
         let mut bytes = [0; SEGMENT_HEADER_BYTES];
         let count = storage.read_at(&mut file, 0, &mut bytes)?;
         if let Some(header) = SegmentHeader::decode(&bytes[..count], identity, checksum) {
-            found.insert(header.number, Found { slot, header });
+            found.insert(header.number, FoundSegment { slot, header });
         }
     }
     Ok(found)
 }
 
-/// The segments that lead to `newest`, as far back as its checkpoint or as they exist.
-fn chain_to(newest: &Found, found: &BTreeMap<u64, Found>) -> Vec<Found> {
+/// The segments that lead to `newest`, as far back as its checkpoint or as they were found.
+fn chain_to(newest: &FoundSegment, found: &BTreeMap<u64, FoundSegment>) -> Vec<FoundSegment> {
     let mut chain = vec![*newest];
     let mut oldest = newest;
-    while oldest.header.number != newest.header.base && oldest.header.previous < oldest.header.number {
+    while oldest.header.number != newest.header.checkpoint_segment
+        && oldest.header.previous < oldest.header.number
+    {
         let Some(previous) = found.get(&oldest.header.previous) else { break };
         chain.push(*previous);
         oldest = previous;
@@ -118,26 +120,28 @@
 }
 
 impl<S: Storage> ChainReader<'_, S> {
-    /// Reads the longest unbroken end of a chain; `None` if no whole journal stands in it.
-    fn read_newest<'b>(&mut self, chain: &'b [Found]) -> io::Result<Option<(&'b [Found], Replayed)>> {
+    /// Reads the longest unbroken end of a chain; `None` if it holds no complete journal.
+    fn read_newest<'b>(
+        &mut self, chain: &'b [FoundSegment],
+    ) -> io::Result<Option<(&'b [FoundSegment], Replayed)>> {
         let mut keep_from = 0;
-        if chain.len() > MOST_SEGMENTS_IN_ONE_PASS {
+        if chain.len() > MAX_SEGMENTS_IN_ONE_PASS {
             let (_, replayed) = self.read_unbroken(chain, u64::MAX)?;
-            keep_from = replayed.checkpoint.map_or(0, |place| place.sequence);
+            keep_from = replayed.checkpoint.map_or(0, |position| position.sequence);
         }
         let (chain, replayed) = self.read_unbroken(chain, keep_from)?;
         let from_the_start = chain[0].header.previous == 0;
         if !from_the_start && replayed.checkpoint.is_none() {
             return Ok(None);
         }
-        let base = replayed.checkpoint.map_or(0, |place| place.segment);
-        let live = chain.iter().position(|found| found.header.number >= base).unwrap_or(0);
+        let first_live = replayed.checkpoint.map_or(0, |position| position.segment);
+        let live = chain.iter().position(|found| found.header.number >= first_live).unwrap_or(0);
         Ok(Some((&chain[live..], replayed)))
     }
 
     fn read_unbroken<'b>(
-        &mut self, chain: &'b [Found], keep_from: u64,
-    ) -> io::Result<(&'b [Found], Replayed)> {
+        &mut self, chain: &'b [FoundSegment], keep_from: u64,
+    ) -> io::Result<(&'b [FoundSegment], Replayed)> {
         let mut start = 0;
         let mut replay = Replay::new(chain[0].header.first_sequence, keep_from);
         for (index, segment) in chain.iter().enumerate() {
@@ -153,7 +157,7 @@
     }
 
     /// Replays the frames of a segment up to the sequence `limit`.
-    fn read_segment(&mut self, segment: &Found, limit: u64, replay: &mut Replay) -> io::Result<()> {
+    fn read_segment(&mut self, segment: &FoundSegment, limit: u64, replay: &mut Replay) -> io::Result<()> {
         let seed = segment.header.seed(self.checksum);
         let mut file = self.storage.open(&slot_name(segment.slot))?;
         let mut window = Window { offset: SEGMENT_HEADER_BYTES as u64, start: 0, end: 0 };
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Moves what is left in the window to the front of the buffer and reads on behind it.
+    /// Moves what is left in the window to the start of the buffer and reads on after it.
     fn fill(&mut self, file: &mut S::File, window: &mut Window) -> io::Result<()> {
         self.buffer.copy_within(window.start..window.end, 0);
         window.offset += window.start as u64;
@@ -192,7 +196,7 @@
 
 /// The part of the buffer that holds bytes of a segment not yet replayed.
 struct Window {
-    /// Place in the file of the buffer's front.
+    /// Offset in the file of the buffer's start.
     offset: u64,
     start: usize,
     end: usize,
--- a/crates/pebblepost-ring/src/replay.rs
+++ b/crates/pebblepost-ring/src/replay.rs
@@ -2,12 +2,12 @@
 
 use crate::format::{FRAME_HEADER_BYTES, Frame, FrameKind};
 
-/// The newest whole checkpoint seen.
+/// Where the newest complete checkpoint begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CheckpointPlace {
-    /// Number of the segment that holds its begin mark.
+pub struct CheckpointPosition {
+    /// Number of the segment that holds its begin marker.
     pub segment: u64,
-    /// Sequence of its begin mark.
+    /// Sequence of its begin marker.
     pub sequence: u64,
 }
 
@@ -18,10 +18,10 @@
     bytes: Vec<u8>,
 }
 
-/// A checkpoint of which the end mark has not been seen yet.
+/// A checkpoint of which the end marker has not been seen yet.
 #[derive(Debug)]
 struct OpenCheckpoint {
-    place: CheckpointPlace,
+    position: CheckpointPosition,
     records_before: usize,
     bytes: u64,
 }
@@ -34,7 +34,7 @@
     records: Vec<Vec<u8>>,
     partial: Option<PartialRecord>,
     open_checkpoint: Option<OpenCheckpoint>,
-    checkpoint: Option<CheckpointPlace>,
+    checkpoint: Option<CheckpointPosition>,
     checkpoint_bytes: u64,
     journal_bytes: u64,
 }
@@ -44,13 +44,13 @@
 pub struct Replayed {
     /// The live records, in order.
     pub records: Vec<Vec<u8>>,
-    /// The newest whole checkpoint.
-    pub checkpoint: Option<CheckpointPlace>,
-    /// Bytes on disk of the newest whole checkpoint.
+    /// The newest complete checkpoint.
+    pub checkpoint: Option<CheckpointPosition>,
+    /// Bytes on disk of the newest complete checkpoint.
     pub checkpoint_bytes: u64,
     /// Bytes on disk of the records after it.
     pub journal_bytes: u64,
-    /// Sequence after the last whole record or checkpoint.
+    /// Sequence after the last complete record or checkpoint.
     pub next_sequence: u64,
 }
 
@@ -86,10 +86,10 @@
         }
     }
 
-    /// Ends the replay. What is not whole is dropped.
+    /// Ends the replay. What is not complete is dropped.
     pub fn finish(self) -> Replayed {
         let partial_start = self.partial.as_ref().map(|partial| partial.sequence);
-        let checkpoint_start = self.open_checkpoint.as_ref().map(|open| open.place.sequence);
+        let checkpoint_start = self.open_checkpoint.as_ref().map(|open| open.position.sequence);
         let next_sequence = checkpoint_start.or(partial_start).unwrap_or(self.next_sequence);
         let mut records = self.records;
         if let Some(open) = &self.open_checkpoint {
@@ -112,31 +112,31 @@
     }
 
     fn record(&mut self, frame: Frame, payload: &[u8]) {
-        if frame.first {
+        if frame.is_first {
             self.partial = Some(PartialRecord { sequence: frame.sequence, bytes: Vec::new() });
         }
         // Without its first frame the record began before the chain: a checkpoint replaces it.
         let Some(partial) = &mut self.partial else { return };
-        let keep = partial.sequence >= self.keep_from;
-        if keep && frame.first && frame.last {
+        let is_kept = partial.sequence >= self.keep_from;
+        if is_kept && frame.is_first && frame.is_last {
             partial.bytes = payload.to_vec();
-        } else if keep {
+        } else if is_kept {
             partial.bytes.extend_from_slice(payload);
         }
-        if !frame.last {
+        if !frame.is_last {
             return;
         }
-        if let Some(whole) = self.partial.take()
-            && keep
+        if let Some(complete) = self.partial.take()
+            && is_kept
         {
-            self.records.push(whole.bytes);
+            self.records.push(complete.bytes);
         }
     }
 
     fn begin_checkpoint(&mut self, segment: u64, sequence: u64) {
         self.partial = None;
         self.open_checkpoint = Some(OpenCheckpoint {
-            place: CheckpointPlace { segment, sequence },
+            position: CheckpointPosition { segment, sequence },
             records_before: self.records.len(),
             bytes: FRAME_HEADER_BYTES as u64,
         });
@@ -145,7 +145,7 @@
     fn end_checkpoint(&mut self) {
         let Some(open) = self.open_checkpoint.take() else { return };
         self.records.drain(..open.records_before);
-        self.checkpoint = Some(open.place);
+        self.checkpoint = Some(open.position);
         self.checkpoint_bytes = open.bytes;
         self.journal_bytes = 0;
     }
--- a/crates/pebblepost-ring/src/storage.rs
+++ b/crates/pebblepost-ring/src/storage.rs
@@ -6,34 +6,82 @@
     path::{Path, PathBuf},
 };
 
-/// A folder of files. All calls block.
+/// A folder of files. All calls block; all fail if the underlying system call does.
 pub trait Storage {
     /// An open file.
     type File;
 
     /// Names of all files in the folder.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system call fails.
     fn list(&mut self) -> io::Result<Vec<String>>;
     /// Opens an existing file for reading and writing.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file does not exist or can't be opened.
     fn open(&mut self, name: &str) -> io::Result<Self::File>;
-    /// Opens a file for reading and writing, making it if it doesn't exist.
+    /// Opens a file for reading and writing, creating it if it doesn't exist.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system call fails.
     fn create(&mut self, name: &str) -> io::Result<Self::File>;
     /// Length of a file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system call fails.
     fn length(&mut self, file: &mut Self::File) -> io::Result<u64>;
     /// Sets the length of a file; new bytes are zero.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system call fails.
     fn set_length(&mut self, file: &mut Self::File, length: u64) -> io::Result<()>;
     /// Reads up to `buffer.len()` bytes; fewer at the end of the file only.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system call fails.
     fn read_at(&mut self, file: &mut Self::File, offset: u64, buffer: &mut [u8]) -> io::Result<usize>;
     /// Writes all bytes.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system call fails.
     fn write_at(&mut self, file: &mut Self::File, offset: u64, bytes: &[u8]) -> io::Result<()>;
     /// Makes content and length durable.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system call fails.
     fn sync_data(&mut self, file: &mut Self::File) -> io::Result<()>;
     /// Makes content and all attributes durable.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system call fails.
     fn sync_all(&mut self, file: &mut Self::File) -> io::Result<()>;
     /// Renames a file, replacing one of the new name.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system call fails.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system call fails.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes all files made, renamed and removed durable as such.
+    /// Makes the creation, renaming and removal of files durable.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the system call fails.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
@@ -52,7 +100,11 @@
 }
 
 impl FileStorage {
-    /// Opens the folder, making it if it doesn't exist.
+    /// Opens the folder, creating it if it doesn't exist.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the folder can't be created or opened.
     pub fn open(folder: &Path) -> io::Result<FileStorage> {
         fs::create_dir_all(folder)?;
         let handle = File::open(folder)?;
--- a/crates/pebblepost-ring/src/writer.rs
+++ b/crates/pebblepost-ring/src/writer.rs
@@ -1,42 +1,50 @@
-//! Writing frames into segments. Nothing counts until [`Writer::finish`] has passed.
+//! Writing frames into segments. Nothing counts as written until [`Writer::finish`] has succeeded.
 
 use crate::{
     error::{RingError, Step},
     format::{
-        Checksum, FRAME_HEADER_BYTES, Frame, FrameKind, MOST_FRAME_PAYLOAD, SEGMENT_HEADER_BYTES,
+        Checksum, FRAME_HEADER_BYTES, Frame, FrameKind, MAX_FRAME_PAYLOAD, SEGMENT_HEADER_BYTES,
         SegmentHeader, encode_frame,
     },
-    segments::{Segment, Slots},
+    segments::{Segment, SlotPool},
     storage::Storage,
 };
 
-/// Buffered bytes are handed to the storage from this size on.
+/// Buffered bytes are written from this size on.
 const FLUSH_BYTES: usize = 256 * 1024;
-/// A record is not begun or continued in less room than this, unless it fits.
-pub(crate) const LEAST_FRAGMENT: usize = 64;
+/// A record is not begun or continued in fewer bytes than this, unless it fits.
+pub(crate) const MIN_FRAGMENT_BYTES: usize = 64;
 
-/// Tries to overwrite what a failed sync left behind.
-const VOID_TRIES: usize = 4;
+/// Number of attempts to overwrite what a failed sync left behind.
+const INVALIDATION_ATTEMPTS: usize = 4;
 
 /// The segment being written.
 pub(crate) struct Tail<F> {
     file: F,
     number: u64,
     seed: u32,
-    /// Where the next frame goes.
+    /// Offset at which the next frame starts.
     offset: u64,
 }
 
+/// Where a journal ends.
+#[derive(Clone, Copy)]
+pub(crate) struct TailEnd {
+    /// Number of the last segment.
+    pub(crate) number: u64,
+    /// Offset in it at which the next frame starts.
+    pub(crate) offset: u64,
+}
+
 impl<F> Tail<F> {
-    /// Number of the segment, and where its next frame goes.
-    pub(crate) fn end(&self) -> (u64, u64) {
-        (self.number, self.offset)
+    pub(crate) fn end(&self) -> TailEnd {
+        TailEnd { number: self.number, offset: self.offset }
     }
 }
 
 /// What all segment headers written by one opening have in common.
 #[derive(Clone, Copy)]
-pub(crate) struct Stamp {
+pub(crate) struct SegmentParameters {
     pub(crate) identity: u64,
     pub(crate) checksum: Checksum,
     pub(crate) segment_bytes: u32,
@@ -45,11 +53,11 @@
 /// One attempt to write some frames and to sync them.
 pub(crate) struct Writer<'a, S: Storage> {
     pub(crate) storage: &'a mut S,
-    pub(crate) slots: &'a mut Slots,
+    pub(crate) slots: &'a mut SlotPool,
     pub(crate) next_number: &'a mut u64,
-    pub(crate) stamp: Stamp,
-    pub(crate) base: u64,
-    /// Number of the last segment whose content is wanted by a reader of this attempt.
+    pub(crate) parameters: SegmentParameters,
+    pub(crate) checkpoint_segment: u64,
+    /// Number of the last segment whose content a reader of this attempt needs.
     pub(crate) previous: u64,
     pub(crate) tail: Option<Tail<S::File>>,
     pub(crate) buffer: Vec<u8>,
@@ -61,28 +69,28 @@
     /// Writes a record, split over as many frames as needed.
     pub(crate) fn record(&mut self, record: &[u8]) -> Result<(), RingError> {
         let mut rest = record;
-        let mut first = true;
+        let mut is_first = true;
         loop {
-            let room = self.make_room(rest.len().min(LEAST_FRAGMENT))?;
-            let (payload, after) = rest.split_at(rest.len().min(room).min(MOST_FRAME_PAYLOAD));
+            let available = self.reserve(rest.len().min(MIN_FRAGMENT_BYTES))?;
+            let (payload, after) = rest.split_at(rest.len().min(available).min(MAX_FRAME_PAYLOAD));
             rest = after;
-            let last = rest.is_empty();
-            self.frame(FrameKind::Record, first, last, payload)?;
-            first = false;
-            if last {
+            let is_last = rest.is_empty();
+            self.frame(FrameKind::Record, is_first, is_last, payload)?;
+            is_first = false;
+            if is_last {
                 return Ok(());
             }
         }
     }
 
-    /// Writes a mark; returns the number of its segment.
-    pub(crate) fn mark(&mut self, kind: FrameKind) -> Result<u64, RingError> {
-        self.make_room(0)?;
+    /// Writes a marker; returns the number of its segment.
+    pub(crate) fn marker(&mut self, kind: FrameKind) -> Result<u64, RingError> {
+        self.reserve(0)?;
         self.frame(kind, true, true, &[])?;
         Ok(self.tail.as_ref().map_or(0, |tail| tail.number))
     }
 
-    /// Hands over what is buffered and syncs it.
+    /// Writes what is buffered and syncs it.
     pub(crate) fn finish(&mut self) -> Result<(), RingError> {
         self.flush()?;
         if let Some(tail) = &mut self.tail {
@@ -91,38 +99,41 @@
         Ok(())
     }
 
-    /// Overwrites the front of what a failed sync may have left in the system's cache only: should
-    /// this process end now, the next one must not read it as if it were durable. `committed` is
-    /// where the journal ended before this attempt.
-    pub(crate) fn void(&mut self, committed: Option<(u64, u64)>) {
+    /// Overwrites the start of what a failed sync may have left in the page cache only: should this
+    /// process end now, the next one must not read it as if it were durable. `committed` is where
+    /// the journal ended before this attempt.
+    pub(crate) fn invalidate_unsynced(&mut self, committed: Option<TailEnd>) {
         let Some(tail) = &mut self.tail else { return };
-        let offset = committed.filter(|end| end.0 == tail.number).map_or(0, |end| end.1);
-        let end = u64::from(self.stamp.segment_bytes);
+        let offset = committed.filter(|end| end.number == tail.number).map_or(0, |end| end.offset);
+        let end = u64::from(self.parameters.segment_bytes);
         let zeros = [0; FRAME_HEADER_BYTES];
         let length = zeros.len().min((end - offset) as usize);
         let mut write = || self.storage.write_at(&mut tail.file, offset, &zeros[..length]);
-        if !(0..VOID_TRIES).any(|_| write().is_ok()) {
-            log::warn!("frames of a failed sync are left in the system's cache");
+        if !(0..INVALIDATION_ATTEMPTS).any(|_| write().is_ok()) {
+            log::warn!("unsynced frames could not be invalidated segment={}", tail.number);
         }
     }
 
-    /// Makes sure that a frame with `least` bytes of payload fits; returns the payload's room.
-    fn make_room(&mut self, least: usize) -> Result<usize, RingError> {
-        if self.room() < FRAME_HEADER_BYTES + least {
+    /// Makes sure that a frame with this many bytes of payload fits; returns how many fit.
+    fn reserve(&mut self, payload_bytes: usize) -> Result<usize, RingError> {
+        if self.remaining_bytes() < FRAME_HEADER_BYTES + payload_bytes {
             self.advance()?;
         }
-        Ok(self.room().saturating_sub(FRAME_HEADER_BYTES))
+        Ok(self.remaining_bytes().saturating_sub(FRAME_HEADER_BYTES))
     }
 
-    fn room(&self) -> usize {
-        let end = u64::from(self.stamp.segment_bytes);
+    /// Bytes left in the segment.
+    fn remaining_bytes(&self) -> usize {
+        let end = u64::from(self.parameters.segment_bytes);
         self.tail.as_ref().map_or(0, |tail| (end - tail.offset) as usize)
     }
 
-    fn frame(&mut self, kind: FrameKind, first: bool, last: bool, payload: &[u8]) -> Result<(), RingError> {
+    fn frame(
+        &mut self, kind: FrameKind, is_first: bool, is_last: bool, payload: &[u8],
+    ) -> Result<(), RingError> {
         let Some(tail) = &mut self.tail else { return Ok(()) };
-        let frame = Frame { kind, first, last, sequence: self.sequence };
-        encode_frame(&mut self.buffer, frame, payload, tail.seed, self.stamp.checksum);
+        let frame = Frame { kind, is_first, is_last, sequence: self.sequence };
+        encode_frame(&mut self.buffer, frame, payload, tail.seed, self.parameters.checksum);
         tail.offset += (FRAME_HEADER_BYTES + payload.len()) as u64;
         self.sequence += 1;
         if self.buffer.len() >= FLUSH_BYTES {
@@ -142,7 +153,7 @@
         written.map_err(RingError::storage(Step::Writing))
     }
 
-    /// Goes on to a new segment. The one left is synced first, so that after a restart only the
+    /// Continues in a new segment. The one left is synced first, so that after a restart only the
     /// last segment can hold frames that are not durable.
     pub(crate) fn advance(&mut self) -> Result<(), RingError> {
         self.finish()?;
@@ -152,15 +163,15 @@
         *self.next_number += 1;
         self.opened.push(Segment { slot, number });
         let header = SegmentHeader {
-            identity: self.stamp.identity,
+            identity: self.parameters.identity,
             number,
             previous: self.previous,
-            base: self.base,
+            checkpoint_segment: self.checkpoint_segment,
             first_sequence: self.sequence,
         };
         self.previous = number;
-        self.buffer.extend_from_slice(&header.encode(self.stamp.checksum));
-        let seed = header.seed(self.stamp.checksum);
+        self.buffer.extend_from_slice(&header.encode(self.parameters.checksum));
+        let seed = header.seed(self.parameters.checksum);
         self.tail = Some(Tail { file, number, seed, offset: SEGMENT_HEADER_BYTES as u64 });
         Ok(())
     }
--- a/crates/pebblepost-ring/tests/common/checked.rs
+++ b/crates/pebblepost-ring/tests/common/checked.rs
@@ -1,8 +1,8 @@
-//! A journal on a simulated disk, of which every recovery is compared with what it may hold.
+//! A journal on a simulated disk, whose recoveries are all checked.
 
 use super::{
     Random,
-    simulated_disk::{Omissions, SimulatedDisk, Trouble},
+    simulated_disk::{Faults, Omissions, SimulatedDisk},
 };
 use pebblepost_ring::{
     error::RingError,
@@ -11,10 +11,23 @@
 };
 
 pub const SEGMENT_BYTES: u32 = 1024;
-pub const MOST_BYTES: u64 = 24 * 1024;
+pub const MAX_BYTES: u64 = 24 * 1024;
 
 type Records = Vec<Vec<u8>>;
 
+/// What a schedule broke.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Violation {
+    /// The journal could not be opened.
+    Unopened(String),
+    /// The ring formatted itself anew, or took another identity.
+    IdentityChanged { from: u64, to: u64 },
+    /// The ring was full when a checkpoint was due.
+    CheckpointRejected,
+    /// What was recovered is neither what was confirmed nor that and an attempt.
+    Recovered { confirmed: usize, attempts: usize, recovered: Vec<u64> },
+}
+
 /// A write that was not reported as done.
 #[derive(Clone, Debug)]
 enum Attempt {
@@ -22,12 +35,12 @@
     Checkpoint(Records),
 }
 
-/// How a schedule is played.
+/// How a schedule is run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Schedule {
     pub seed: u64,
     pub steps: u64,
-    pub trouble: Trouble,
+    pub faults: Faults,
     pub omissions: Omissions,
     pub checksum: Option<Checksum>,
 }
@@ -60,33 +73,30 @@
         }
     }
 
-    /// Plays a random schedule of writes, kills and losses of power.
-    pub fn play(&mut self) -> Result<(), String> {
+    /// Runs a random schedule of writes, kills and losses of power.
+    pub fn run(&mut self) -> Result<(), Violation> {
         for _ in 0..self.schedule.steps {
             if self.random.one_in(6) {
                 let operations = 1 + self.random.below(30);
                 self.disk.lose_power_after(Some(operations));
             }
             self.step()?;
-            if self.disk.without_power() || self.random.one_in(25) {
+            if self.disk.is_powered_off() || self.random.one_in(25) {
                 self.journal = None;
                 self.disk.restore_power();
             } else if self.random.one_in(25) {
                 self.journal = None;
             }
         }
-        self.disk.set_trouble(Trouble::default());
+        self.disk.set_faults(Faults::default());
         self.disk.restore_power();
         self.journal = None;
         self.step()
     }
 
     /// Opens the journal if need be, or writes to it.
-    pub fn step(&mut self) -> Result<(), String> {
-        if self.journal.is_none() {
-            return self.open();
-        }
-        let journal = self.journal.as_mut().ok_or("no journal")?;
+    pub fn step(&mut self) -> Result<(), Violation> {
+        let Some(journal) = &mut self.journal else { return self.open() };
         if journal.journal_bytes() > journal.capacity() / 2 || self.random.one_in(12) {
             self.checkpoint()
         } else {
@@ -95,28 +105,28 @@
     }
 
     /// Opens the journal and checks what it holds.
-    pub fn open(&mut self) -> Result<(), String> {
-        let mut options = Options::new(MOST_BYTES, self.random.next());
+    pub fn open(&mut self) -> Result<(), Violation> {
+        let mut options = Options::new(MAX_BYTES, self.random.next());
         options.segment_bytes = Some(SEGMENT_BYTES);
         if let Some(checksum) = self.schedule.checksum {
             options.checksum = checksum;
         }
-        let trouble = if self.random.one_in(2) { self.schedule.trouble } else { Trouble::default() };
-        self.disk.set_trouble(trouble);
+        let faults = if self.random.one_in(2) { self.schedule.faults } else { Faults::default() };
+        self.disk.set_faults(faults);
         match Journal::open(self.disk.clone(), options) {
             Ok((journal, recovered)) => {
                 self.check(recovered)?;
                 self.journal = Some(journal);
-                self.disk.set_trouble(self.schedule.trouble);
+                self.disk.set_faults(self.schedule.faults);
                 Ok(())
             }
             Err(RingError::Storage { source, .. }) if source.kind() == std::io::ErrorKind::Other => Ok(()),
-            Err(error) => Err(format!("opening failed: {error}")),
+            Err(error) => Err(Violation::Unopened(error.to_string())),
         }
     }
 
-    /// Appends records, twice if the first try fails: the second time with one more.
-    fn append(&mut self) -> Result<(), String> {
+    /// Appends records, twice if the first attempt fails: the second time with one more.
+    fn append(&mut self) -> Result<(), Violation> {
         let mut records = self.new_records();
         for _ in 0..2 {
             let Some(journal) = &mut self.journal else { return Ok(()) };
@@ -124,7 +134,7 @@
                 Ok(()) => {
                     self.confirmed.append(&mut records);
                     self.attempts.clear();
-                    return journal.make_ahead().or(Ok(()));
+                    return journal.preallocate().or(Ok(()));
                 }
                 Err(RingError::Full { .. }) => return self.checkpoint(),
                 Err(_) => self.attempts.push(Attempt::Append(records.clone())),
@@ -134,7 +144,7 @@
         Ok(())
     }
 
-    fn checkpoint(&mut self) -> Result<(), String> {
+    fn checkpoint(&mut self) -> Result<(), Violation> {
         let kept = self.random.below(6).min(self.confirmed.len() as u64) as usize;
         let mut records = self.confirmed[self.confirmed.len() - kept..].to_vec();
         records.insert(0, self.new_record_of(8));
@@ -144,30 +154,28 @@
                 self.confirmed = records;
                 self.attempts.clear();
             }
-            Err(RingError::Full { .. }) => return Err("no room for a checkpoint".to_owned()),
+            Err(RingError::Full { .. }) => return Err(Violation::CheckpointRejected),
             Err(_) => self.attempts.push(Attempt::Checkpoint(records)),
         }
         Ok(())
     }
 
-    fn check(&mut self, recovered: Recovered) -> Result<(), String> {
+    fn check(&mut self, recovered: Recovered) -> Result<(), Violation> {
         if let Some(identity) = self.identity
             && (recovered.fresh || recovered.identity != identity)
         {
-            return Err(format!("identity {identity} became {}", recovered.identity));
+            return Err(Violation::IdentityChanged { from: identity, to: recovered.identity });
         }
         self.identity = Some(recovered.identity);
         let confirmed = &self.confirmed;
         let allowed = recovered.records == *confirmed
             || self.attempts.iter().any(|attempt| allows(confirmed, attempt, &recovered.records));
         if !allowed {
-            return Err(format!(
-                "confirmed {}, attempts {}, recovered {}: {:?}",
-                confirmed.len(),
-                self.attempts.len(),
-                recovered.records.len(),
-                recovered.records.iter().map(|record| label(record)).collect::<Vec<_>>(),
-            ));
+            return Err(Violation::Recovered {
+                confirmed: confirmed.len(),
+                attempts: self.attempts.len(),
+                recovered: recovered.records.iter().map(|record| label(record)).collect(),
+            });
         }
         self.confirmed = recovered.records;
         self.attempts.clear();
--- a/crates/pebblepost-ring/tests/common/mod.rs
+++ b/crates/pebblepost-ring/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A simulated disk with power loss, and a journal whose recoveries are checked.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test binary uses a part of it")]
 
 pub mod checked;
 pub mod simulated_disk;
--- a/crates/pebblepost-ring/tests/common/simulated_disk.rs
+++ b/crates/pebblepost-ring/tests/common/simulated_disk.rs
@@ -17,7 +17,7 @@
 
 /// Where and how the disk fails.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
+pub struct Faults {
     /// One write in so many fails; 0: none.
     pub write_errors: u64,
     /// One sync in so many fails; 0: none.
@@ -82,7 +82,7 @@
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
     unsynced_names: Vec<NameChange>,
-    trouble: Trouble,
+    faults: Faults,
     omissions: Omissions,
     /// Operations until power is lost.
     operations_left: Option<u64>,
@@ -102,7 +102,7 @@
             names: BTreeMap::new(),
             durable_names: BTreeMap::new(),
             unsynced_names: Vec::new(),
-            trouble: Trouble::default(),
+            faults: Faults::default(),
             omissions: Omissions::default(),
             operations_left: None,
             operations: 0,
@@ -110,8 +110,8 @@
         })))
     }
 
-    pub fn set_trouble(&self, trouble: Trouble) {
-        self.state().trouble = trouble;
+    pub fn set_faults(&self, faults: Faults) {
+        self.state().faults = faults;
     }
 
     pub fn set_omissions(&self, omissions: Omissions) {
@@ -123,7 +123,7 @@
         self.state().operations_left = operations;
     }
 
-    pub fn without_power(&self) -> bool {
+    pub fn is_powered_off(&self) -> bool {
         self.state().operations_left == Some(0)
     }
 
@@ -237,7 +237,7 @@
         if self.omissions.data_sync {
             return Ok(());
         }
-        let fails = self.fails(self.trouble.sync_errors);
+        let fails = self.fails(self.faults.sync_errors);
         let unsynced = std::mem::take(&mut self.contents[file].unsynced);
         for change in unsynced {
             // After a failed sync, no later sync makes up for what it left out.
@@ -300,7 +300,7 @@
                 return Err(error);
             }
         };
-        let one_in = state.trouble.write_errors;
+        let one_in = state.faults.write_errors;
         if state.fails(one_in) {
             let written = state.random.below(bytes.len() as u64 + 1) as usize;
             state.change(*file, Change::Write { offset: offset as usize, bytes: bytes[..written].to_vec() });
--- a/crates/pebblepost-ring/tests/disk.rs
+++ b/crates/pebblepost-ring/tests/disk.rs
@@ -1,8 +1,8 @@
-//! The disk's thread, on real files and on a simulated disk in trouble.
+//! The disk's thread, on real files and on a simulated disk in faults.
 
 mod common;
 
-use common::simulated_disk::{SimulatedDisk, Trouble};
+use common::simulated_disk::{Faults, SimulatedDisk};
 use pebblepost_ring::{Completion, Disk, Opened, journal::Options};
 use std::{
     fs,
@@ -11,8 +11,8 @@
     time::Duration,
 };
 
-const MOST_BYTES: u64 = 8 * 1024 * 1024;
-const MOST_WAIT: Duration = Duration::from_secs(20);
+const MAX_BYTES: u64 = 8 * 1024 * 1024;
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A folder that is removed at the end.
 struct Folder(PathBuf);
@@ -27,7 +27,7 @@
     fn open(&self, identity: Option<u64>) -> (Disk, Opened, Receiver<Completion>) {
         let (sender, receiver) = channel();
         let completed = Box::new(move |completion| sender.send(completion).unwrap_or(()));
-        let (disk, opened) = Disk::open(&self.0, MOST_BYTES, identity, completed).expect("opening");
+        let (disk, opened) = Disk::open(&self.0, MAX_BYTES, identity, completed).expect("opening");
         (disk, opened, receiver)
     }
 }
@@ -38,14 +38,14 @@
     }
 }
 
-/// Waits until a ticket is on disk; returns how often the disk refused before.
+/// Waits until a ticket is on disk; returns how many attempts failed before.
 fn wait_for(receiver: &Receiver<Completion>, ticket: u64) -> u32 {
-    let mut refusals = 0;
+    let mut failures = 0;
     loop {
-        match receiver.recv_timeout(MOST_WAIT).expect("a completion") {
-            Completion::Synced(synced) if synced >= ticket => return refusals,
+        match receiver.recv_timeout(TIMEOUT).expect("a completion") {
+            Completion::Synced(synced) if synced >= ticket => return failures,
             Completion::Synced(_) => {}
-            Completion::Refusing(_) => refusals += 1,
+            Completion::Refusing(_) => failures += 1,
         }
     }
 }
@@ -87,18 +87,18 @@
     let folder = Folder::new("largest");
     let (sender, receiver) = channel();
     let completed = Box::new(move |completion| sender.send(completion).unwrap_or(()));
-    let most_bytes = 256 * 1024 * 1024;
-    let (disk, _) = Disk::open(&folder.0, most_bytes, None, completed).expect("opening");
+    let max_bytes = 256 * 1024 * 1024;
+    let (disk, _) = Disk::open(&folder.0, max_bytes, None, completed).expect("opening");
     assert!(disk.capacity() > record.len() as u64);
     let ticket = disk.append(vec![record.clone()]);
     assert_eq!(wait_for(&receiver, ticket), 0);
     drop(disk);
-    let (_, opened) = Disk::open(&folder.0, most_bytes, None, Box::new(|_| {})).expect("opening again");
+    let (_, opened) = Disk::open(&folder.0, max_bytes, None, Box::new(|_| {})).expect("opening again");
     assert!(opened.records == vec![record]);
 }
 
 #[test]
-fn the_ring_stays_within_its_bytes_and_files_are_reused() {
+fn the_ring_stays_within_its_limit_and_files_are_reused() {
     let folder = Folder::new("bounded");
     let (disk, _, receiver) = folder.open(None);
     for round in 0..200_u8 {
@@ -111,17 +111,17 @@
     }
     let files = fs::read_dir(&folder.0).expect("the folder");
     let total: u64 = files.map(|entry| entry.expect("a file").metadata().expect("its length").len()).sum();
-    assert!(total <= MOST_BYTES, "{total}");
+    assert!(total <= MAX_BYTES, "{total}");
 }
 
 #[test]
-fn a_full_ring_refuses_until_a_checkpoint() {
+fn a_full_ring_rejects_writes_until_a_checkpoint() {
     let folder = Folder::new("full");
     let (disk, _, receiver) = folder.open(None);
     let too_much = disk.capacity() + 1;
     disk.append(vec![vec![1; too_much as usize]]);
-    let refusal = receiver.recv_timeout(MOST_WAIT).expect("a completion");
-    assert!(matches!(refusal, Completion::Refusing(_)), "{refusal:?}");
+    let failure = receiver.recv_timeout(TIMEOUT).expect("a completion");
+    assert!(matches!(failure, Completion::Refusing(_)), "{failure:?}");
     let ticket = disk.checkpoint(vec![vec![2]]);
     wait_for(&receiver, ticket);
     drop(disk);
@@ -129,17 +129,17 @@
 }
 
 #[test]
-fn refused_writes_are_retried_without_loss() {
+fn failed_writes_are_retried_without_loss() {
     let simulated = SimulatedDisk::new(3);
     let (sender, receiver) = channel();
     let completed = Box::new(move |completion| sender.send(completion).unwrap_or(()));
-    let options = Options::new(MOST_BYTES, 5);
+    let options = Options::new(MAX_BYTES, 5);
     let (disk, _) = Disk::open_storage(simulated.clone(), options, completed).expect("opening");
-    simulated.set_trouble(Trouble { write_errors: 1, sync_errors: 1 });
+    simulated.set_faults(Faults { write_errors: 1, sync_errors: 1 });
     disk.append(vec![vec![1]]);
-    assert!(matches!(receiver.recv_timeout(MOST_WAIT), Ok(Completion::Refusing(_))));
+    assert!(matches!(receiver.recv_timeout(TIMEOUT), Ok(Completion::Refusing(_))));
     let ticket = disk.append(vec![vec![2]]);
-    simulated.set_trouble(Trouble::default());
+    simulated.set_faults(Faults::default());
     wait_for(&receiver, ticket);
     drop(disk);
     simulated.restore_power();
@@ -152,14 +152,14 @@
     let simulated = SimulatedDisk::new(4);
     let (sender, receiver) = channel();
     let completed = Box::new(move |completion| sender.send(completion).unwrap_or(()));
-    let options = Options::new(MOST_BYTES, 5);
+    let options = Options::new(MAX_BYTES, 5);
     let (disk, _) = Disk::open_storage(simulated.clone(), options, completed).expect("opening");
-    simulated.set_trouble(Trouble { write_errors: 1, sync_errors: 0 });
+    simulated.set_faults(Faults { write_errors: 1, sync_errors: 0 });
     disk.append(vec![vec![0]]);
-    assert!(matches!(receiver.recv_timeout(MOST_WAIT), Ok(Completion::Refusing(_))));
+    assert!(matches!(receiver.recv_timeout(TIMEOUT), Ok(Completion::Refusing(_))));
     let tickets: Vec<u64> = (1..100).map(|number| disk.append(vec![vec![number]])).collect();
     let before = simulated.syncs();
-    simulated.set_trouble(Trouble::default());
+    simulated.set_faults(Faults::default());
     wait_for(&receiver, tickets[98]);
     // At most one for the retry under way, one for all that waited, and those of a new file.
     let syncs = simulated.syncs() - before;
@@ -169,7 +169,7 @@
 #[test]
 fn opening_needs_few_syncs() {
     let simulated = SimulatedDisk::new(6);
-    let options = Options::new(MOST_BYTES, 5);
+    let options = Options::new(MAX_BYTES, 5);
     let mut syncs = Vec::new();
     for _ in 0..4 {
         let before = simulated.syncs();
--- a/crates/pebblepost-ring/tests/pinned_bytes.rs
+++ b/crates/pebblepost-ring/tests/pinned_bytes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::checked::{CheckedJournal, Schedule};
-use common::simulated_disk::Trouble;
+use common::simulated_disk::Faults;
 use pebblepost_ring::{
     Disk,
     error::{RingError, Step},
@@ -11,13 +11,14 @@
     storage::FileStorage,
 };
 use std::{
+    error::Error,
     fmt::Write,
     fs, io,
     path::{Path, PathBuf},
 };
 
 const SEGMENT_BYTES: u32 = 1024;
-const MOST_BYTES: u64 = 16 * 1024;
+const MAX_BYTES: u64 = 16 * 1024;
 
 /// A folder that is removed at the end.
 struct Folder(PathBuf);
@@ -46,7 +47,7 @@
 }
 
 fn options() -> Options {
-    Options { segment_bytes: Some(SEGMENT_BYTES), ..Options::new(MOST_BYTES, 0x0102_0304_0506_0708) }
+    Options { segment_bytes: Some(SEGMENT_BYTES), ..Options::new(MAX_BYTES, 0x0102_0304_0506_0708) }
 }
 
 fn files(folder: &Path) -> Vec<(String, Vec<u8>)> {
@@ -65,7 +66,7 @@
     let storage = FileStorage::open(folder).expect("a folder");
     let (mut journal, _) = Journal::open(storage, options()).expect("opening");
     journal.append(&[vec![1; 300], vec![2; 900], Vec::new()]).expect("appending");
-    journal.make_ahead().expect("a segment");
+    journal.preallocate().expect("a segment");
     journal.checkpoint(&[vec![3; 100], vec![4; 700]]).expect("a checkpoint");
     journal.append(&[vec![5; 20]]).expect("appending");
     drop(journal);
@@ -106,13 +107,13 @@
 #[test]
 fn seeded_schedules_leave_the_same_disk() {
     let mut text = String::new();
-    let troubles = [(0, 0), (5, 0), (0, 4), (10, 8)];
-    for (write_errors, sync_errors) in troubles {
+    let fault_rates = [(0, 0), (5, 0), (0, 4), (10, 8)];
+    for (write_errors, sync_errors) in fault_rates {
         for seed in 0..6 {
-            let trouble = Trouble { write_errors, sync_errors };
+            let faults = Faults { write_errors, sync_errors };
             let mut checked =
-                CheckedJournal::new(Schedule { seed, steps: 200, trouble, ..Schedule::default() });
-            checked.play().expect("nothing lost");
+                CheckedJournal::new(Schedule { seed, steps: 200, faults, ..Schedule::default() });
+            checked.run().expect("nothing lost");
             let digest = checked.disk.digest();
             writeln!(text, "{write_errors} {sync_errors} {seed}: {digest:016x}").expect("a string takes it");
         }
@@ -120,10 +121,20 @@
     assert_eq!(text, include_str!("approved/schedules.txt"));
 }
 
-fn opening_error(folder: &Path, most_bytes: u64) -> String {
-    let error: eyre::Report =
-        Disk::open(folder, most_bytes, None, Box::new(|_| {})).expect_err("an error").into();
-    format!("{error:#}").replace(&folder.display().to_string(), "FOLDER")
+/// An error with all its causes, as programs print it.
+fn with_causes(error: &(dyn Error + 'static)) -> String {
+    let mut text = error.to_string();
+    let mut cause = error.source();
+    while let Some(error) = cause {
+        write!(text, ": {error}").expect("a string takes it");
+        cause = error.source();
+    }
+    text
+}
+
+fn opening_error(folder: &Path, max_bytes: u64) -> String {
+    let error = Disk::open(folder, max_bytes, None, Box::new(|_| {})).expect_err("an error");
+    with_causes(&error).replace(&folder.display().to_string(), "FOLDER")
 }
 
 #[test]
@@ -137,7 +148,7 @@
     for error in [
         RingError::Full { needed: 10, available: 3 },
         RingError::Damaged,
-        RingError::TooSmall { most_bytes: 9 },
+        RingError::TooSmall { max_bytes: 9 },
     ] {
         writeln!(text, "{error}").expect("a string takes it");
     }
--- a/crates/pebblepost-ring/tests/power_loss.rs
+++ b/crates/pebblepost-ring/tests/power_loss.rs
@@ -1,10 +1,10 @@
-//! Exact recovery after losses of power, kills and disk trouble, on a simulated disk.
+//! Exact recovery after power loss, kills and disk faults, on a simulated disk.
 
 mod common;
 
 use common::{
-    checked::{CheckedJournal, Schedule},
-    simulated_disk::{Omissions, Trouble},
+    checked::{CheckedJournal, Schedule, Violation},
+    simulated_disk::{Faults, Omissions},
 };
 use rstest::rstest;
 
@@ -13,10 +13,10 @@
 }
 
 /// First violation found by random schedules.
-fn first_violation(schedules: u64, with: impl Fn(u64) -> Schedule) -> Option<String> {
+fn first_violation(schedules: u64, with: impl Fn(u64) -> Schedule) -> Option<(u64, Violation)> {
     (0..schedules).find_map(|seed| {
-        let violation = CheckedJournal::new(with(seed)).play().err();
-        violation.map(|violation| format!("seed {seed}: {violation}"))
+        let violation = CheckedJournal::new(with(seed)).run().err();
+        violation.map(|violation| (seed, violation))
     })
 }
 
@@ -42,12 +42,12 @@
 }
 
 #[rstest]
-#[case::writes(Trouble { write_errors: 5, sync_errors: 0 })]
-#[case::syncs(Trouble { write_errors: 0, sync_errors: 4 })]
-#[case::both(Trouble { write_errors: 10, sync_errors: 8 })]
-fn everything_synced_survives_disk_trouble(#[case] trouble: Trouble) {
+#[case::writes(Faults { write_errors: 5, sync_errors: 0 })]
+#[case::syncs(Faults { write_errors: 0, sync_errors: 4 })]
+#[case::both(Faults { write_errors: 10, sync_errors: 8 })]
+fn everything_synced_survives_disk_faults(#[case] faults: Faults) {
     let violation =
-        first_violation(1_500, |seed| Schedule { seed, steps: 120, trouble, ..Schedule::default() });
+        first_violation(1_500, |seed| Schedule { seed, steps: 120, faults, ..Schedule::default() });
     assert_eq!(violation, None);
 }
 
