--- a/crates/pebblepost-membership/src/codec.rs
+++ b/crates/pebblepost-membership/src/codec.rs
@@ -1,9 +1,12 @@
 //! Bounded reading and writing of datagrams. Integers are little-endian.
 
-use crate::member::{MOST_NAME_BYTES, MOST_PAYLOAD_BYTES, Member, MemberState, Update};
+use crate::member::{MAX_NAME_BYTES, MAX_PAYLOAD_BYTES, Member, MemberState, Update};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Reads from the front of some bytes; `None` once they don't suffice.
+/// Bytes of an update without name and payload: state, incarnation, address, two lengths.
+const UPDATE_HEADER_BYTES: usize = 1 + 8 + 6 + 2;
+
+/// Reads from the start of some bytes; `None` once they don't suffice.
 pub(crate) struct Reader<'a>(pub(crate) &'a [u8]);
 
 impl<'a> Reader<'a> {
@@ -26,13 +29,13 @@
     }
 
     /// Bytes with a length of one byte in front.
-    fn short(&mut self, most: usize) -> Option<&'a [u8]> {
+    fn short(&mut self, max_bytes: usize) -> Option<&'a [u8]> {
         let length = usize::from(self.byte()?);
-        if length <= most { self.take(length) } else { None }
+        if length <= max_bytes { self.take(length) } else { None }
     }
 
     pub(crate) fn name(&mut self) -> Option<String> {
-        String::from_utf8(self.short(MOST_NAME_BYTES)?.to_vec()).ok()
+        String::from_utf8(self.short(MAX_NAME_BYTES)?.to_vec()).ok()
     }
 
     pub(crate) fn address(&mut self) -> Option<SocketAddrV4> {
@@ -46,7 +49,7 @@
         let incarnation = self.u64()?;
         let address = self.address()?;
         let name = self.name()?;
-        let payload = self.short(MOST_PAYLOAD_BYTES)?.to_vec();
+        let payload = self.short(MAX_PAYLOAD_BYTES)?.to_vec();
         Some(Update { member: Member { name, address, payload, incarnation }, state })
     }
 }
@@ -83,7 +86,7 @@
     write_short(buffer, &update.member.payload);
 }
 
-/// Bytes that an update takes.
+/// Bytes of an encoded update.
 pub(crate) fn update_bytes(update: &Update) -> usize {
-    17 + update.member.name.len() + update.member.payload.len()
+    UPDATE_HEADER_BYTES + update.member.name.len() + update.member.payload.len()
 }
--- a/crates/pebblepost-membership/src/gossip.rs
+++ b/crates/pebblepost-membership/src/gossip.rs
@@ -1,36 +1,36 @@
-//! News still to be passed on, each piece a bounded number of times.
+//! Updates still to be disseminated, each a bounded number of times.
 
 use crate::member::Update;
 
-struct Item {
+struct QueuedUpdate {
     update: Update,
-    sent: u32,
+    sent_count: u32,
 }
 
-/// The queue of news, the least often sent first.
+/// The queue of updates, the least often sent first.
 #[derive(Default)]
-pub(crate) struct Gossip {
-    items: Vec<Item>,
+pub(crate) struct GossipQueue {
+    queued: Vec<QueuedUpdate>,
 }
 
-impl Gossip {
-    /// Adds news in place of older news about the same member.
+impl GossipQueue {
+    /// Adds an update in place of an older one about the same member.
     pub(crate) fn push(&mut self, update: Update) {
-        self.items.retain(|item| item.update.member.name != update.member.name);
-        self.items.insert(0, Item { update, sent: 0 });
+        self.queued.retain(|queued| queued.update.member.name != update.member.name);
+        self.queued.insert(0, QueuedUpdate { update, sent_count: 0 });
     }
 
-    /// The news in the order in which it should be sent.
+    /// The updates in the order in which they should be sent.
     pub(crate) fn updates(&self) -> impl Iterator<Item = &Update> {
-        self.items.iter().map(|item| &item.update)
+        self.queued.iter().map(|queued| &queued.update)
     }
 
-    /// The first `count` updates have been sent; those sent `most` times are dropped.
-    pub(crate) fn sent(&mut self, count: usize, most: u32) {
-        for item in &mut self.items[..count] {
-            item.sent += 1;
+    /// The first `count` updates have been sent; those sent `limit` times are dropped.
+    pub(crate) fn on_sent(&mut self, count: usize, limit: u32) {
+        for queued in &mut self.queued[..count] {
+            queued.sent_count += 1;
         }
-        self.items.retain(|item| item.sent < most);
-        self.items.sort_by_key(|item| item.sent);
+        self.queued.retain(|queued| queued.sent_count < limit);
+        self.queued.sort_by_key(|queued| queued.sent_count);
     }
 }
--- a/crates/pebblepost-membership/src/member.rs
+++ b/crates/pebblepost-membership/src/member.rs
@@ -1,40 +1,40 @@
-//! Members and what is said about them.
+//! Members and updates about them.
 
 use std::net::SocketAddrV4;
 
-/// Longest name of a member.
-pub const MOST_NAME_BYTES: usize = 64;
-/// Longest payload of a member.
-pub const MOST_PAYLOAD_BYTES: usize = 64;
+/// Longest name of a member, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
+/// Longest payload of a member, in bytes.
+pub const MAX_PAYLOAD_BYTES: usize = 64;
 
 /// A process that takes part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Unique name, at most 64 bytes. A restarted process keeps it.
     pub name: String,
-    /// Where it receives datagrams.
+    /// Address at which it receives datagrams.
     pub address: SocketAddrV4,
-    /// Anything the caller wants others to know (role, zone), at most 64 bytes.
+    /// Anything that the caller wants others to know (role, zone), at most 64 bytes.
     pub payload: Vec<u8>,
-    /// Rises with each life of the process, and when it refutes its own death.
+    /// Rises with each start of the process, and when it refutes a suspicion.
     pub incarnation: u64,
 }
 
-/// What is believed of a member.
+/// The state of a member, as another one knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It answers, or is said to.
+    /// It answers, or an update says so.
     Alive,
-    /// It did not answer; it can still refute this.
+    /// It did not acknowledge a probe; it can still refute this.
     Suspect,
     /// It did not refute in time.
     Dead,
-    /// It said that it leaves.
+    /// It has left by itself.
     Left,
 }
 
 impl MemberState {
-    /// The member may take part: alive or only suspected.
+    /// Whether the member may take part: alive or only suspected.
     pub fn is_present(self) -> bool {
         self <= MemberState::Suspect
     }
@@ -59,7 +59,7 @@
     }
 }
 
-/// A piece of news: a member and its state.
+/// An update: a member and its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Update {
     pub(crate) member: Member,
@@ -67,7 +67,7 @@
 }
 
 impl Update {
-    /// The news replaces other news about the same member.
+    /// Whether it replaces another update about the same member.
     pub(crate) fn supersedes(&self, other: &Update) -> bool {
         (self.member.incarnation, self.state) > (other.member.incarnation, other.state)
     }
--- a/crates/pebblepost-membership/src/table.rs
+++ b/crates/pebblepost-membership/src/member_table.rs
@@ -1,23 +1,23 @@
-//! The members known, with the times at which what is believed of them ends.
+//! The members known, with the times at which their state expires.
 
 use crate::member::{Member, MemberState, Update};
 use std::{collections::BTreeMap, net::SocketAddrV4, ops::Bound, time::Duration};
 
-/// A member other than oneself.
+/// A member other than the local one.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) update: Update,
-    /// End of a suspicion, or of the memory of a dead or departed member.
+    /// End of a suspicion, or of the retention of a member that is dead or has left.
     pub(crate) deadline: Option<Duration>,
 }
 
 /// All other members, by name.
 #[derive(Default)]
-pub(crate) struct Table {
+pub(crate) struct MemberTable {
     entries: BTreeMap<String, Entry>,
 }
 
-impl Table {
+impl MemberTable {
     pub(crate) fn get(&self, name: &str) -> Option<&Entry> {
         self.entries.get(name)
     }
@@ -65,8 +65,8 @@
         self.entries().filter(expired).map(|entry| entry.update.clone()).collect()
     }
 
-    /// Puts all deadlines off.
-    pub(crate) fn delay(&mut self, by: Duration) {
+    /// Extends all deadlines.
+    pub(crate) fn extend_deadlines(&mut self, by: Duration) {
         for entry in self.entries.values_mut() {
             entry.deadline = entry.deadline.map(|deadline| deadline + by);
         }
--- a/crates/pebblepost-membership/src/message.rs
+++ b/crates/pebblepost-membership/src/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams: one message, followed by news.
+//! The datagrams: one message, followed by piggybacked updates.
 
 use crate::{
     codec::{Reader, update_bytes, write_address, write_name, write_u32, write_u64, write_update},
@@ -6,8 +6,8 @@
 };
 use std::net::SocketAddrV4;
 
-/// Most bytes of a datagram.
-pub(crate) const MOST_DATAGRAM_BYTES: usize = 1_200;
+/// Largest datagram, in bytes.
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 1_200;
 
 const MAGIC: u8 = 0xb7;
 const PING: u8 = 1;
@@ -15,34 +15,33 @@
 const PING_REQUEST: u8 = 3;
 const PAGE_REQUEST: u8 = 4;
 const PAGE: u8 = 5;
-const NEWS: u8 = 6;
+const GOSSIP: u8 = 6;
 
 /// What a datagram is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Message {
-    /// Asks for an [`Message::Ack`]. An empty `name` stands for whoever listens there.
+    /// Asks for a [`Message::Ack`]. An empty `name` stands for whoever listens there.
     Ping { sequence: u64, name: String },
-    /// Answers a ping; tells how many members its sender knows to be present.
+    /// Acknowledges a ping, with the number of members that its sender knows to be present.
     Ack { sequence: u64, members: u32 },
-    /// Asks the receiver to ping another member and to pass its answer on.
+    /// Asks the receiver to ping another member and to forward its acknowledgement.
     PingRequest { sequence: u64, name: String, address: SocketAddrV4 },
     /// Asks for the member list, from the first name after this one.
     PageRequest { after: String },
-    /// A page of the member list, as news. `last`: nothing comes after it.
+    /// A page of the member list, as updates. `last`: no page follows.
     Page { last: bool },
-    /// Nothing but news.
-    News,
+    /// Nothing but updates.
+    Gossip,
 }
 
 impl Message {
-    /// Encodes a datagram with as much of the news as fits; returns it with the number of updates
-    /// taken.
-    pub(crate) fn encode<'a>(&self, news: impl IntoIterator<Item = &'a Update>) -> (Vec<u8>, usize) {
+    /// Encodes a datagram with as many of the updates as fit; returns it with their number.
+    pub(crate) fn encode<'a>(&self, updates: impl IntoIterator<Item = &'a Update>) -> (Vec<u8>, usize) {
         let mut buffer = vec![MAGIC];
         self.write(&mut buffer);
         let mut count = 0;
-        for update in news {
-            if buffer.len() + update_bytes(update) > MOST_DATAGRAM_BYTES {
+        for update in updates {
+            if buffer.len() + update_bytes(update) > MAX_DATAGRAM_BYTES {
                 break;
             }
             write_update(&mut buffer, update);
@@ -51,18 +50,18 @@
         (buffer, count)
     }
 
-    /// Decodes a datagram; `None` if it isn't one.
+    /// Decodes a datagram; `None` if it can't be decoded.
     pub(crate) fn decode(datagram: &[u8]) -> Option<(Message, Vec<Update>)> {
         let mut reader = Reader(datagram);
-        if datagram.len() > MOST_DATAGRAM_BYTES || reader.byte()? != MAGIC {
+        if datagram.len() > MAX_DATAGRAM_BYTES || reader.byte()? != MAGIC {
             return None;
         }
         let message = Message::read(&mut reader)?;
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         while !reader.0.is_empty() {
-            news.push(reader.update()?);
+            updates.push(reader.update()?);
         }
-        Some((message, news))
+        Some((message, updates))
     }
 
     fn write(&self, buffer: &mut Vec<u8>) {
@@ -88,7 +87,7 @@
                 write_name(buffer, after);
             }
             Message::Page { last } => buffer.extend_from_slice(&[PAGE, u8::from(*last)]),
-            Message::News => buffer.push(NEWS),
+            Message::Gossip => buffer.push(GOSSIP),
         }
     }
 
@@ -103,7 +102,7 @@
             }),
             PAGE_REQUEST => Some(Message::PageRequest { after: reader.name()? }),
             PAGE => Some(Message::Page { last: reader.byte()? != 0 }),
-            NEWS => Some(Message::News),
+            GOSSIP => Some(Message::Gossip),
             _ => None,
         }
     }
--- a/crates/pebblepost-membership/src/output.rs
+++ b/crates/pebblepost-membership/src/output.rs
@@ -8,16 +8,16 @@
 pub enum Output {
     /// Send a datagram.
     Send {
-        /// To whom.
+        /// Receiver.
         to: SocketAddrV4,
         /// Its bytes, at most 1,200.
         datagram: Vec<u8>,
     },
-    /// The state, incarnation or address of a member has changed.
+    /// The state, incarnation or address of another member has changed.
     Changed {
         /// The member as it is now known.
         member: Member,
-        /// What is believed of it.
+        /// Its state.
         state: MemberState,
     },
 }
--- a/crates/pebblepost-membership/tests/common/mod.rs
+++ b/crates/pebblepost-membership/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated network of members: delays, loss, cuts, freezes, restarts.
-#![allow(dead_code)]
+//! A simulated network of members: delays, loss, partitions, freezes, restarts.
+#![allow(dead_code, reason = "each test binary uses a part of it")]
 
 use pebblepost_membership::{Member, MemberState, Membership, Output, Settings};
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -14,25 +14,25 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Tick { node: usize, life: u64 },
+    Tick { node: usize, incarnation: u64 },
     Deliver { to: usize, from: SocketAddrV4, datagram: Vec<u8> },
 }
 
 /// One machine.
 pub struct Node {
     pub membership: Membership,
-    pub life: u64,
+    pub incarnation: u64,
     pub running: bool,
     pub frozen: bool,
-    pub side: u32,
+    pub partition: u32,
     pub sent_datagrams: u64,
     pub sent_bytes: u64,
-    held: Vec<Event>,
+    inbox: Vec<Event>,
 }
 
 /// A change that one node saw of another.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct Observation {
     pub at: Duration,
     pub by: usize,
     pub of: usize,
@@ -102,7 +102,7 @@
 pub struct Network {
     pub now: Duration,
     pub nodes: Vec<Node>,
-    pub seen: Vec<Seen>,
+    pub seen: Vec<Observation>,
     pub loss: f64,
     pub transcript: Option<Transcript>,
     settings: Settings,
@@ -148,16 +148,16 @@
             let membership = network.make(node, 1);
             network.nodes.push(Node {
                 membership,
-                life: 1,
+                incarnation: 1,
                 running: true,
                 frozen: false,
-                side: 0,
+                partition: 0,
                 sent_datagrams: 0,
                 sent_bytes: 0,
-                held: Vec::new(),
+                inbox: Vec::new(),
             });
             let start = Duration::from_millis(network.random.random_range(0..300));
-            network.schedule(start, Event::Tick { node, life: 1 });
+            network.schedule(start, Event::Tick { node, incarnation: 1 });
         }
         network
     }
@@ -176,9 +176,9 @@
     }
 
     /// Runs until all running nodes see exactly the running nodes as alive; returns the time taken.
-    pub fn run_until_converged(&mut self, most: Duration) -> Option<Duration> {
+    pub fn run_until_converged(&mut self, timeout: Duration) -> Option<Duration> {
         let start = self.now;
-        while self.now - start < most {
+        while self.now - start < timeout {
             if self.converged() {
                 return Some(self.now - start);
             }
@@ -187,10 +187,10 @@
         None
     }
 
-    /// Runs until all running nodes believe `of` dead; returns the time taken.
-    pub fn run_until_dead(&mut self, of: usize, most: Duration) -> Option<Duration> {
+    /// Runs until all running nodes know `of` as dead; returns the time taken.
+    pub fn run_until_dead(&mut self, of: usize, timeout: Duration) -> Option<Duration> {
         let start = self.now;
-        while self.now - start < most {
+        while self.now - start < timeout {
             let dead = |by: &usize| matches!(self.state(*by, of), Some((MemberState::Dead, _)));
             if (0..self.nodes.len()).filter(|by| self.nodes[*by].running).all(|by| dead(&by)) {
                 return Some(self.now - start);
@@ -220,11 +220,11 @@
     }
 
     pub fn restart(&mut self, node: usize) {
-        let life = self.nodes[node].life + 1;
-        self.nodes[node].membership = self.make(node, life);
-        self.nodes[node].life = life;
+        let incarnation = self.nodes[node].incarnation + 1;
+        self.nodes[node].membership = self.make(node, incarnation);
+        self.nodes[node].incarnation = incarnation;
         self.nodes[node].running = true;
-        self.schedule(self.now, Event::Tick { node, life });
+        self.schedule(self.now, Event::Tick { node, incarnation });
     }
 
     pub fn leave(&mut self, node: usize) {
@@ -239,7 +239,7 @@
 
     pub fn thaw(&mut self, node: usize) {
         self.nodes[node].frozen = false;
-        for event in std::mem::take(&mut self.nodes[node].held) {
+        for event in std::mem::take(&mut self.nodes[node].inbox) {
             self.schedule(self.now, event);
         }
     }
@@ -252,7 +252,7 @@
     }
 
     /// Changes to dead of nodes that were running and not frozen all the while.
-    pub fn false_deaths(&self) -> Vec<&Seen> {
+    pub fn false_deaths(&self) -> Vec<&Observation> {
         self.seen
             .iter()
             .filter(|seen| seen.state == MemberState::Dead && self.nodes[seen.of].running)
@@ -265,10 +265,11 @@
         }
     }
 
-    fn make(&self, node: usize, life: u64) -> Membership {
+    fn make(&self, node: usize, incarnation: u64) -> Membership {
         let payload = b"store,celje-a".to_vec();
-        let member = Member { name: name(node), address: address(node), payload, incarnation: life * 1_000 };
-        Membership::new(member, self.settings.clone(), node as u64 * 1_000 + life)
+        let member =
+            Member { name: name(node), address: address(node), payload, incarnation: incarnation * 1_000 };
+        Membership::new(member, self.settings.clone(), node as u64 * 1_000 + incarnation)
     }
 
     fn schedule(&mut self, at: Duration, event: Event) {
@@ -285,17 +286,17 @@
             return;
         }
         if self.nodes[node].frozen {
-            self.nodes[node].held.push(event);
+            self.nodes[node].inbox.push(event);
             return;
         }
         match event {
-            Event::Tick { node, life } => {
-                if life != self.nodes[node].life {
+            Event::Tick { node, incarnation } => {
+                if incarnation != self.nodes[node].incarnation {
                     return;
                 }
                 self.nodes[node].membership.tick(self.now);
                 let next = self.nodes[node].membership.next_tick().max(self.now + Duration::from_millis(1));
-                self.schedule(next, Event::Tick { node, life });
+                self.schedule(next, Event::Tick { node, incarnation });
             }
             Event::Deliver { to, from, datagram } => {
                 self.nodes[to].membership.receive(self.now, from, &datagram);
@@ -312,7 +313,12 @@
             match output {
                 Output::Send { to, datagram } => self.send(node, to, datagram),
                 Output::Changed { member, state } => {
-                    self.seen.push(Seen { at: self.now, by: node, of: node_named(&member.name), state });
+                    self.seen.push(Observation {
+                        at: self.now,
+                        by: node,
+                        of: node_named(&member.name),
+                        state,
+                    });
                 }
             }
         }
@@ -324,7 +330,7 @@
         self.nodes[from].sent_bytes += datagram.len() as u64;
         let to = node_of(to);
         let lost = self.random.random_bool(self.loss);
-        if lost || to >= self.nodes.len() || self.nodes[from].side != self.nodes[to].side {
+        if lost || to >= self.nodes.len() || self.nodes[from].partition != self.nodes[to].partition {
             return;
         }
         let delay = Duration::from_micros(self.random.random_range(500..5_000));
--- a/crates/pebblepost-membership/tests/datagrams.rs
+++ b/crates/pebblepost-membership/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams of any content are borne.
+//! Datagrams of any content are survived.
 
 mod common;
 
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn random_and_altered_datagrams_are_borne() {
+fn random_and_altered_datagrams_are_survived() {
     let mut random = SmallRng::seed_from_u64(9);
     let mut receiver = member(0);
     let mut sender = member(1);
@@ -53,13 +53,13 @@
         }
         assert!(sent(&mut receiver).iter().all(|datagram| datagram.len() <= 1_200));
     }
-    assert!(receiver.members().count() <= Settings::default().most_members);
+    assert!(receiver.members().count() <= Settings::default().max_members);
 }
 
 #[test]
 fn members_beyond_the_bound_are_ignored() {
     let me = Member { name: common::name(0), address: address(0), payload: Vec::new(), incarnation: 1 };
-    let mut receiver = Membership::new(me, Settings { most_members: 10, ..Settings::default() }, 1);
+    let mut receiver = Membership::new(me, Settings { max_members: 10, ..Settings::default() }, 1);
     for node in 1..100 {
         let mut sender = member(node);
         sender.tick(Duration::ZERO);
--- a/crates/pebblepost-membership/tests/pinned_bytes.rs
+++ b/crates/pebblepost-membership/tests/pinned_bytes.rs
@@ -22,9 +22,9 @@
     network.freeze(1);
     network.run_for(PERIOD * 4);
     network.thaw(1);
-    network.nodes[..size / 3].iter_mut().for_each(|node| node.side = 1);
+    network.nodes[..size / 3].iter_mut().for_each(|node| node.partition = 1);
     network.run_for(PERIOD * 30);
-    network.nodes.iter_mut().for_each(|node| node.side = 0);
+    network.nodes.iter_mut().for_each(|node| node.partition = 0);
     network.run_for(PERIOD * 30);
     network.transcript.take().expect("a transcript")
 }
--- a/crates/pebblepost-membership/tests/simulation.rs
+++ b/crates/pebblepost-membership/tests/simulation.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 /// Longest that a member list takes to spread.
-const MOST_JOINING: Duration = Duration::from_secs(20);
+const JOIN_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn converged(size: usize, seed: u64) -> Network {
     let mut network = Network::new(size, seed, Settings::default());
-    let time = network.run_until_converged(MOST_JOINING);
+    let time = network.run_until_converged(JOIN_TIMEOUT);
     assert!(time.is_some(), "{size} members did not find one another");
     network
 }
@@ -21,7 +21,7 @@
 #[case(5)]
 #[case(30)]
 #[case(200)]
-fn all_find_one_another(#[case] size: usize) {
+fn all_members_find_one_another(#[case] size: usize) {
     for seed in 0..5 {
         let network = converged(size, seed);
         println!("{size} members: joined after {:?}", network.now);
@@ -61,14 +61,14 @@
 #[test]
 fn without_refutation_loss_kills_the_living() {
     let mut network = Network::new(40, 1, Settings { refute: false, ..Settings::default() });
-    network.run_until_converged(MOST_JOINING).expect("joining");
+    network.run_until_converged(JOIN_TIMEOUT).expect("joining");
     network.loss = 0.1;
     network.run_for(PERIOD * 200);
     assert!(!network.false_deaths().is_empty());
 }
 
 #[test]
-fn frozen_members_come_back_and_accuse_nobody() {
+fn frozen_members_come_back_and_suspect_nobody() {
     for seed in 0..5 {
         let mut network = converged(30, seed);
         network.freeze(4);
@@ -101,13 +101,13 @@
 #[rstest]
 #[case(6, 3)]
 #[case(40, 15)]
-fn sides_of_a_cut_find_one_another_again(#[case] size: usize, #[case] cut_off: usize) {
+fn sides_of_a_partition_find_one_another_again(#[case] size: usize, #[case] isolated: usize) {
     for seed in 0..5 {
         let mut network = converged(size, seed);
-        network.nodes[..cut_off].iter_mut().for_each(|node| node.side = 1);
+        network.nodes[..isolated].iter_mut().for_each(|node| node.partition = 1);
         network.run_for(PERIOD * 40);
         assert_eq!(network.state(0, size - 1).map(|known| known.0), Some(MemberState::Dead));
-        network.nodes.iter_mut().for_each(|node| node.side = 0);
+        network.nodes.iter_mut().for_each(|node| node.partition = 0);
         let time = network.run_until_converged(PERIOD * 40);
         println!("{size} members: joined again after {time:?}");
         assert!(time.is_some(), "seed {seed}");
@@ -115,12 +115,12 @@
 }
 
 #[test]
-fn sides_of_a_cut_that_forgot_one_another_meet_at_the_seeds() {
+fn sides_of_a_partition_that_forgot_one_another_meet_at_the_seeds() {
     let mut network = converged(12, 3);
-    network.nodes[..1].iter_mut().for_each(|node| node.side = 1);
+    network.nodes[..1].iter_mut().for_each(|node| node.partition = 1);
     network.run_for(PERIOD * 200);
     assert_eq!(network.state(5, 0), None);
-    network.nodes.iter_mut().for_each(|node| node.side = 0);
+    network.nodes.iter_mut().for_each(|node| node.partition = 0);
     assert!(network.run_until_converged(PERIOD * 60).is_some());
 }
 
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn one_that_died_long_ago_can_restart() {
+fn a_member_that_died_long_ago_can_restart() {
     let mut network = converged(20, 2);
     network.kill(1);
     network.run_for(PERIOD * 60);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn one_that_leaves_is_not_declared_dead() {
+fn a_member_that_leaves_is_not_declared_dead() {
     let mut network = converged(40, 5);
     network.leave(11);
     assert!(network.run_until_converged(PERIOD * 12).is_some());
@@ -172,7 +172,7 @@
 fn load_stays_flat_as_the_number_of_members_grows() {
     let load = |size| {
         let mut network = converged(size, 1);
-        // The news of all joins travels for minutes, in datagrams sent anyway.
+        // The updates of all joins travel for minutes, in datagrams sent anyway.
         network.run_for(PERIOD * 300);
         network.reset_counts();
         network.run_for(PERIOD * 100);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn news_of_many_joins_stays_within_the_probes_datagrams() {
+fn updates_of_many_joins_stay_within_the_probes_datagrams() {
     let mut network = converged(200, 1);
     network.reset_counts();
     network.run_for(PERIOD * 60);
