--- a/crates/pebblepost-replication/src/replica/api.rs
+++ b/crates/pebblepost-replication/src/replica/api.rs
@@ -124,6 +124,12 @@
     }
 
     /// Index of the newest committed entry.
+    pub fn commit_index(&self) -> u64 {
+        self.commit_index
+    }
+
+    /// The earlier name of [`Replica::commit_index`].
+    #[doc(hidden)]
     pub fn committed(&self) -> u64 {
         self.commit_index
     }
--- a/crates/pebblepost-replication/tests/replica.rs
+++ b/crates/pebblepost-replication/tests/replica.rs
@@ -12,10 +12,10 @@
     assert_eq!(group.became_primary, vec![1]);
     group.hanging = vec![3];
     assert_eq!(group.propose(1, b"one"), Ok(1));
-    assert_eq!(group.replica(1).committed(), 0);
+    assert_eq!(group.replica(1).commit_index(), 0);
     // The disk of 3 hangs for too long: it is dropped, and the others commit.
     group.advance(1_000);
-    assert_eq!(group.replica(1).committed(), 1);
+    assert_eq!(group.replica(1).commit_index(), 1);
     assert_eq!(group.current.in_sync, vec![member(1), member(2)]);
     assert!(group.is_acting(1));
 }
--- a/crates/pebblepost-replication/tests/simulation/report.rs
+++ b/crates/pebblepost-replication/tests/simulation/report.rs
@@ -18,7 +18,7 @@
                 disks(&record.in_sync),
                 disks(&record.witnesses),
                 disks(&record.former_witnesses),
-                process.replica.committed(),
+                process.replica.commit_index(),
                 process.replica.progress(),
             ))
         };
