--- a/crates/pebblepost-control/src/lib.rs
+++ b/crates/pebblepost-control/src/lib.rs
@@ -12,12 +12,12 @@
 //! * [`api`]: calls and answers of the HTTP interface.
 
 pub mod api;
-pub mod core;
 pub mod feed;
 pub mod hash;
 pub mod http;
+pub mod load_order;
 pub mod membership;
-pub mod orders;
+pub mod node;
 pub mod program;
 pub mod registry;
 mod shell;
--- a/crates/pebblepost-control/src/membership/peers.rs
+++ b/crates/pebblepost-control/src/membership/peers.rs
@@ -110,6 +110,11 @@
         statuses
     }
 
+    /// Time since the last message of another process; `None` if it is not known.
+    pub fn silent_for(&self, now: Duration, disk: DiskId) -> Option<Duration> {
+        self.known.get(&disk).map(|known| now.saturating_sub(known.last_message))
+    }
+
     /// Disks of the processes that sent something lately.
     pub fn reachable(&self, now: Duration) -> BTreeSet<DiskId> {
         let is_reachable = |known: &Peer| now.saturating_sub(known.last_message) < UNREACHABLE_TIMEOUT;
--- /dev/null
+++ b/crates/pebblepost-control/src/node/control_group.rs
@@ -0,0 +1,344 @@
+//! This process's part in the control group: the epoch register, the replica of the control state, and how both use
+//! links and disk.
+
+use super::events::Output;
+use super::settings::NodeSettings;
+use crate::membership::{PeerMessage, PeerPayload};
+use crate::state::ControlState;
+use crate::state::command::Command;
+use crate::state::disk_record::{ControlRecord, RecoveredState};
+use nanoserde::{DeBin, SerBin};
+use pebblepost_messages::Member;
+use pebblepost_messages::control::ToControl;
+use pebblepost_replication::record::EpochRecord;
+use pebblepost_replication::register::{Register, RegisterOutput, WitnessState};
+use pebblepost_replication::replica::{ProposeError, Replica, ReplicaOutput, ReplicaSettings};
+use std::collections::{BTreeSet, VecDeque};
+use std::time::Duration;
+
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
+const LEASE_DURATION: Duration = Duration::from_millis(700);
+/// Added to the lease before another replica takes over.
+const TAKEOVER_GRACE: Duration = Duration::from_millis(900);
+const MAX_REPLICA_LAG: Duration = Duration::from_millis(500);
+const MAX_WRITE_TIME: Duration = Duration::from_millis(500);
+/// Bytes of entries kept in memory, from which replicas catch up without a snapshot.
+const MAX_LOG_BYTES: usize = 4 * 1024 * 1024;
+
+/// Something that the rest of the process has to react to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum GroupEvent {
+    /// Entries up to this index are committed and applied.
+    Committed { index: u64 },
+    /// This process is primary of this epoch.
+    BecamePrimary { epoch: u64 },
+    /// This process is no longer primary.
+    SteppedDown,
+}
+
+/// Whose records a write holds, and the token to acknowledge it with.
+#[derive(Clone, Copy, Debug)]
+enum WriteOwner {
+    Bootstrap,
+    Register { token: u64 },
+    Replica { token: u64 },
+}
+
+#[derive(Clone, Copy, Debug)]
+struct PendingWrite {
+    number: u64,
+    owner: WriteOwner,
+}
+
+/// Who has proposed the change of the epoch that is in progress.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Proposer {
+    /// The replica: another in-sync set or primary.
+    Replica,
+    /// The primary: other witnesses.
+    Witnesses,
+}
+
+/// A change of the epoch that waits for the one in progress.
+#[derive(Clone, Debug)]
+struct QueuedChange {
+    expected_epoch: u64,
+    record: EpochRecord,
+}
+
+/// The epoch register and the replica of this process.
+#[derive(Debug)]
+pub(super) struct ControlGroup {
+    replica: Replica<ControlState>,
+    register: Register,
+    me: Member,
+    bootstrap: Option<EpochRecord>,
+    witness: Option<WitnessState>,
+    writes: VecDeque<PendingWrite>,
+    last_write: u64,
+    proposer: Option<Proposer>,
+    queued: Option<QueuedChange>,
+    /// Outputs taken from the replica and not processed yet.
+    replica_outputs: VecDeque<ReplicaOutput>,
+}
+
+impl ControlGroup {
+    /// A member with what its disk holds. `bootstrap` is the record that the group was bootstrapped with, where this
+    /// process knows it.
+    pub(super) fn new(
+        now: Duration, settings: &NodeSettings, recovered: RecoveredState, bootstrap: Option<EpochRecord>,
+    ) -> ControlGroup {
+        let me = settings.me.clone();
+        let replica_settings = ReplicaSettings {
+            tolerance: settings.tolerance,
+            beacon: HEARTBEAT_INTERVAL,
+            lease: LEASE_DURATION,
+            grace: TAKEOVER_GRACE,
+            most_lag: MAX_REPLICA_LAG,
+            most_own_write: MAX_WRITE_TIME,
+            kept_bytes: MAX_LOG_BYTES,
+        };
+        let state = ControlState::default();
+        let mut replica = Replica::new(me.clone(), replica_settings, state, recovered.replica, now);
+        let register =
+            Register::new(me.clone(), recovered.witness.clone(), bootstrap.clone(), settings.random_seed);
+        if let Some(record) = register.chosen() {
+            replica.configure(now, record);
+        }
+        ControlGroup {
+            replica,
+            register,
+            me,
+            bootstrap,
+            witness: recovered.witness,
+            writes: VecDeque::new(),
+            last_write: 0,
+            proposer: None,
+            queued: None,
+            replica_outputs: VecDeque::new(),
+        }
+    }
+
+    /// The replicated state, as far as it is committed here.
+    pub(super) fn state(&self) -> &ControlState {
+        self.replica.state()
+    }
+
+    /// The newest epoch record known here.
+    pub(super) fn record(&self) -> &EpochRecord {
+        self.replica.record()
+    }
+
+    /// Whether this process is primary and its lease is valid.
+    pub(super) fn is_acting(&self, now: Duration) -> bool {
+        self.replica.is_acting(now)
+    }
+
+    /// Index of the newest committed entry.
+    pub(super) fn committed(&self) -> u64 {
+        self.replica.committed()
+    }
+
+    /// Appends a command to the replicated log; the index of its entry.
+    pub(super) fn propose(&mut self, now: Duration, command: &Command) -> Result<u64, ProposeError> {
+        self.replica.propose(now, command.encode())
+    }
+
+    /// Persists the record that the group is bootstrapped with.
+    pub(super) fn persist_bootstrap(&mut self, record: EpochRecord, outputs: &mut Vec<Output>) {
+        self.append(WriteOwner::Bootstrap, vec![ControlRecord::Bootstrap(record)], outputs);
+    }
+
+    /// Disks of the processes that this one has heard from lately.
+    pub(super) fn set_reachable(&mut self, disks: BTreeSet<pebblepost_messages::DiskId>) {
+        self.replica.set_reachable(disks);
+    }
+
+    pub(super) fn tick(&mut self, now: Duration) {
+        self.register.tick(now);
+        self.replica.tick(now);
+    }
+
+    /// Writes up to this number are durable.
+    pub(super) fn persisted(&mut self, now: Duration, write: u64) {
+        while let Some(pending) = self.writes.pop_front_if(|pending| pending.number <= write) {
+            match pending.owner {
+                WriteOwner::Bootstrap => {}
+                WriteOwner::Register { token } => self.register.persisted(now, token),
+                WriteOwner::Replica { token } => self.replica.persisted(now, token),
+            }
+        }
+    }
+
+    /// An encoded [`PeerMessage`] arrived from another member.
+    pub(super) fn receive(&mut self, now: Duration, from: &Member, bytes: &[u8]) {
+        let Ok(message) = PeerMessage::deserialize_bin(bytes) else {
+            log::warn!("peer message can't be decoded peer={}", from.address);
+            return;
+        };
+        if message.to != self.me.disk {
+            return;
+        }
+        match message.payload {
+            PeerPayload::Register(message) => self.register.receive(now, from, &message),
+            PeerPayload::Replica(message) => self.replica.receive(now, from, &message),
+        }
+    }
+
+    /// Asks for another in-sync replica to become primary, if there is one.
+    pub(super) fn hand_over(&mut self, now: Duration) {
+        let mut others = self.replica.record().in_sync.clone();
+        others.retain(|member| member.disk != self.me.disk);
+        if !others.is_empty() {
+            self.replica.set_targets(now, others);
+            self.replica.tick(now);
+        }
+    }
+
+    /// Sends the newest epoch to a process that has just connected.
+    pub(super) fn introduce(&mut self, to: &Member) {
+        self.register.introduce(to);
+        self.replica.introduce(to);
+    }
+
+    /// Whether a change of the epoch is in progress.
+    pub(super) fn is_changing(&self) -> bool {
+        self.proposer.is_some() || self.queued.is_some()
+    }
+
+    /// Proposes a record with other witnesses, unless a change is in progress.
+    pub(super) fn propose_witnesses(&mut self, now: Duration, expected_epoch: u64, record: EpochRecord) {
+        if self.proposer.is_none() {
+            self.proposer = Some(Proposer::Witnesses);
+            self.register.propose(now, expected_epoch, record);
+        }
+    }
+
+    /// Everything that the disk has to hold; `None` while its log must not be replaced.
+    pub(super) fn checkpoint(&self) -> Option<Vec<ControlRecord>> {
+        let bootstrap = self.bootstrap.clone().map(ControlRecord::Bootstrap);
+        let witness = self.witness.clone().map(ControlRecord::Witness);
+        let replica = self.replica.checkpoint()?.into_iter().map(ControlRecord::Replica);
+        Some(bootstrap.into_iter().chain(witness).chain(replica).collect())
+    }
+
+    /// Processes what the register and the replica want, up to the next event. `None`: nothing is left.
+    pub(super) fn poll(&mut self, now: Duration, outputs: &mut Vec<Output>) -> Option<GroupEvent> {
+        loop {
+            while let Some(output) = self.replica_outputs.pop_front() {
+                if let Some(event) = self.process_replica_output(now, output, outputs) {
+                    return Some(event);
+                }
+            }
+            let register_outputs = self.register.take_outputs();
+            let is_register_idle = register_outputs.is_empty();
+            for output in register_outputs {
+                self.process_register_output(now, output, outputs);
+            }
+            self.replica_outputs = self.replica.take_outputs().into();
+            if is_register_idle && self.replica_outputs.is_empty() {
+                return None;
+            }
+        }
+    }
+
+    fn process_replica_output(
+        &mut self, now: Duration, output: ReplicaOutput, outputs: &mut Vec<Output>,
+    ) -> Option<GroupEvent> {
+        match output {
+            ReplicaOutput::Send { to, message } => {
+                outputs.push(send(&to, PeerPayload::Replica(message)));
+                None
+            }
+            ReplicaOutput::Persist { token, records } => {
+                let records = records.into_iter().map(ControlRecord::Replica).collect();
+                self.append(WriteOwner::Replica { token }, records, outputs);
+                None
+            }
+            ReplicaOutput::ChangeEpoch { expected, record } => {
+                self.propose_epoch(now, expected, record);
+                None
+            }
+            ReplicaOutput::Committed { index } => Some(GroupEvent::Committed { index }),
+            ReplicaOutput::BecamePrimary { epoch } => Some(GroupEvent::BecamePrimary { epoch }),
+            ReplicaOutput::Stopped => Some(GroupEvent::SteppedDown),
+        }
+    }
+
+    fn process_register_output(&mut self, now: Duration, output: RegisterOutput, outputs: &mut Vec<Output>) {
+        match output {
+            RegisterOutput::Send { to, message } if to.disk == self.me.disk => {
+                let me = self.me.clone();
+                self.register.receive(now, &me, &message);
+            }
+            RegisterOutput::Send { to, message } => {
+                outputs.push(send(&to, PeerPayload::Register(message)));
+            }
+            RegisterOutput::Persist { token, state } => {
+                self.witness = Some(state.clone());
+                let record = ControlRecord::Witness(state);
+                self.append(WriteOwner::Register { token }, vec![record], outputs);
+            }
+            RegisterOutput::Chosen(record) => self.epoch_chosen(now, &record),
+            // A later proposal may be in progress already.
+            RegisterOutput::Rejected { .. } if self.register.is_proposing() => {}
+            RegisterOutput::Rejected { .. } => {
+                if let Some(chosen) = self.register.chosen().cloned() {
+                    self.replica.configure(now, &chosen);
+                }
+                self.change_ended(now);
+            }
+        }
+    }
+
+    /// Proposes the replica's record, with the witnesses that are in force now.
+    fn propose_epoch(&mut self, now: Duration, expected_epoch: u64, mut record: EpochRecord) {
+        if self.proposer.is_some() {
+            self.queued = Some(QueuedChange { expected_epoch, record });
+            return;
+        }
+        if let Some(chosen) = self.register.chosen().filter(|chosen| chosen.epoch == expected_epoch) {
+            record.witnesses.clone_from(&chosen.witnesses);
+            record.former_witnesses.clone_from(&chosen.former_witnesses);
+        }
+        self.proposer = Some(Proposer::Replica);
+        self.register.propose(now, expected_epoch, record);
+    }
+
+    fn epoch_chosen(&mut self, now: Duration, record: &EpochRecord) {
+        log::info!(
+            "epoch chosen epoch={} primary={:016x} in_sync={} witnesses={}",
+            record.epoch,
+            record.primary.0,
+            record.in_sync.len(),
+            record.witnesses.len()
+        );
+        self.replica.configure(now, record);
+        if self.proposer.is_some() && !self.register.is_proposing() {
+            self.change_ended(now);
+        }
+    }
+
+    fn change_ended(&mut self, now: Duration) {
+        if self.proposer.take() == Some(Proposer::Replica) {
+            self.replica.change_ended(now);
+        }
+        if let Some(QueuedChange { expected_epoch, record }) = self.queued.take() {
+            self.propose_epoch(now, expected_epoch, record);
+        }
+    }
+
+    fn append(&mut self, owner: WriteOwner, records: Vec<ControlRecord>, outputs: &mut Vec<Output>) {
+        self.last_write += 1;
+        self.writes.push_back(PendingWrite { number: self.last_write, owner });
+        outputs.push(Output::Append { write: self.last_write, records });
+    }
+}
+
+fn send(to: &Member, payload: PeerPayload) -> Output {
+    let message = PeerMessage { to: to.disk, payload };
+    Output::SendPeer {
+        address: to.address.clone(),
+        message: ToControl::Replication(SerBin::serialize_bin(&message)),
+    }
+}
--- a/crates/pebblepost-control/src/core/status.rs
+++ b/crates/pebblepost-control/src/node/status.rs
@@ -1,15 +1,16 @@
-//! The state of a control process for operators, JSON.
+//! The operator's status of a control process, JSON. Keys and values are part of the operator's interface.
 
-use super::Core;
+use super::control_node::ControlNode;
 use crate::state::RetirementState;
+use pebblepost_messages::control::SubscriberRole;
 use pebblepost_messages::{DiskId, Member};
 use simd_json::OwnedValue;
 use std::time::Duration;
 
-impl Core {
-    /// The state of this process, JSON.
+impl ControlNode {
+    /// The status of this process, JSON.
     pub fn status(&self, now: Duration) -> String {
-        let record = self.group.replica.record();
+        let record = self.group.record();
         let status = simd_json::json!({
             "node": self.settings.me.node.as_str(),
             "disk": disk(self.settings.me.disk),
@@ -33,7 +34,7 @@
         let subscribers = primary.feed.subscribers().into_iter().map(|subscriber| {
             simd_json::json!({
                 "node": subscriber.node,
-                "role": format!("{:?}", subscriber.role),
+                "role": role_name(subscriber.role),
                 "generation": subscriber.generation,
                 "behind": subscriber.lag,
             })
@@ -74,6 +75,14 @@
     }
 }
 
+fn role_name(role: SubscriberRole) -> &'static str {
+    match role {
+        SubscriberRole::Agent => "Agent",
+        SubscriberRole::Store => "Store",
+        SubscriberRole::Standby => "Standby",
+    }
+}
+
 fn disk(disk: DiskId) -> String {
     format!("{:016x}", disk.0)
 }
--- a/crates/pebblepost-control/src/program.rs
+++ b/crates/pebblepost-control/src/program.rs
@@ -1,8 +1,8 @@
-//! The program: settings, disk, listeners, links, signals, and the loop around [`Core`].
+//! The program: settings, disk, listeners, links, signals, and the loop around [`ControlNode`].
 
-use crate::core::{Core, CoreSettings, Input};
 use crate::http;
 use crate::membership::bootstrap::{bootstrap_disk, identity_to_format};
+use crate::node::{ControlNode, Input, NodeSettings};
 use crate::shell::Shell;
 use crate::state::disk_record::RecoveredState;
 use crate::tasks;
@@ -67,7 +67,7 @@
         let links = listen_for_links(link_address).await?;
         let calls_listener = listen_for_calls(control).await?;
         let start = Instant::now();
-        let core = Core::new(Duration::ZERO, core_settings, recovered);
+        let core = ControlNode::new(Duration::ZERO, core_settings, recovered);
         let most_calls = most_connections_of_calls(settings.limits.max_fds);
         serve(Serving { start, core, disk, completions, links, calls_listener, most_calls }).await
     });
@@ -85,7 +85,7 @@
 
 fn open_disk(
     settings: &Settings, control: SocketAddr, completions: mpsc::UnboundedSender<pebblepost_ring::Completion>,
-) -> Result<(Disk, CoreSettings, RecoveredState)> {
+) -> Result<(Disk, NodeSettings, RecoveredState)> {
     let folder = settings.data_dir.as_ref().ok_or_else(|| eyre!("settings: data_dir is missing"))?;
     let most_bytes = settings.limits.disk_bytes / 4 * 3;
     let identity = identity_to_format(settings).map(|disk| disk.0);
@@ -108,7 +108,7 @@
         opened.records.len()
     );
     let random = disk_id.0 ^ u64::from(std::process::id());
-    Ok((disk, CoreSettings::new(settings, control, disk_id, founder, random), recovered))
+    Ok((disk, NodeSettings::new(settings, control, disk_id, founder, random), recovered))
 }
 
 async fn listen_for_links(address: SocketAddr) -> Result<Listener> {
@@ -135,7 +135,7 @@
 
 struct Serving {
     start: Instant,
-    core: Core,
+    core: ControlNode,
     disk: Disk,
     completions: Completions,
     links: Listener,
@@ -201,7 +201,7 @@
     match Settings::from_environment() {
         Ok(settings) => {
             log::debug!("settings read again: {} seeds", settings.seeds.len());
-            shell.handle(Input::Seeds(settings.seeds));
+            shell.handle(Input::SeedsChanged(settings.seeds));
         }
         Err(error) => log::warn!("reading the settings again: {error:#}"),
     }
--- a/crates/pebblepost-control/src/shell.rs
+++ b/crates/pebblepost-control/src/shell.rs
@@ -1,9 +1,9 @@
 //! Carries out what the core wants: answers, links, the disk, orders.
 
 use crate::api::HttpResponse;
-use crate::core::{Core, Input, Output, RequestId};
 use crate::feed::ConnectionId;
 use crate::http::IncomingRequest;
+use crate::node::{ControlNode, Input, Output, RequestId};
 use crate::state::disk_record::ControlRecord;
 use crate::tasks::{Event, EventSender, ask_report, keep_peer_link, send_order};
 use pebblepost_link::Sender;
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct Shell {
     start: Instant,
-    core: Core,
+    core: ControlNode,
     disk: Disk,
     events: EventSender,
     client: Client,
@@ -45,7 +45,7 @@
 
 impl Shell {
     /// A shell around a core. `start` is the zero of the core's clock.
-    pub fn new(start: Instant, core: Core, disk: Disk, events: EventSender) -> Shell {
+    pub fn new(start: Instant, core: ControlNode, disk: Disk, events: EventSender) -> Shell {
         Shell {
             start,
             core,
@@ -97,14 +97,14 @@
             }
             Event::PeerUp { address, sender } => {
                 self.peers.insert(address.clone(), sender);
-                self.handle(Input::PeerUp { address });
+                self.handle(Input::PeerConnected { address });
             }
             Event::Input(input) => {
                 match &input {
-                    Input::Closed { connection } => {
+                    Input::Disconnected { connection } => {
                         self.links.remove(connection);
                     }
-                    Input::PeerDown { address } => {
+                    Input::PeerDisconnected { address } => {
                         self.peers.remove(address);
                     }
                     _ => {}
@@ -123,7 +123,7 @@
                     newest = Some(write);
                 }
                 if let Some(write) = newest {
-                    self.handle(Input::Written { write });
+                    self.handle(Input::Persisted { write });
                 }
             }
             Completion::Refusing(reason) => log::warn!("the disk refuses writes: {reason}"),
@@ -145,7 +145,7 @@
                         sender.send(&message);
                     }
                 }
-                Output::Close { connection } => {
+                Output::Disconnect { connection } => {
                     if let Some(sender) = self.links.remove(&connection) {
                         sender.close();
                     }
@@ -155,14 +155,14 @@
                         sender.send(&message);
                     }
                 }
-                Output::Dial(addresses) => self.dial(&addresses),
-                Output::DialNow(address) => self.dial_now(&address),
+                Output::DialPeers(addresses) => self.dial(&addresses),
+                Output::DialPeerNow(address) => self.dial_now(&address),
                 Output::Append { write, records } => self.append(write, &records),
-                Output::SendOrder { order, body, decided } => {
+                Output::SendOrder { order, body, lease_checked_at } => {
                     let (client, events) = (self.client.clone(), self.events.clone());
-                    spawn_local(send_order(client, order, body, self.start + decided, events));
+                    spawn_local(send_order(client, order, body, self.start + lease_checked_at, events));
                 }
-                Output::AskReport { instance, address } => {
+                Output::FetchLoadReport { instance, address } => {
                     spawn_local(ask_report(self.client.clone(), instance, address, self.events.clone()));
                 }
             }
@@ -190,7 +190,7 @@
             }
             if let Some(sender) = self.peers.remove(&address) {
                 sender.close();
-                self.core.handle(self.start.elapsed(), Input::PeerDown { address });
+                self.core.handle(self.start.elapsed(), Input::PeerDisconnected { address });
             }
         }
         for address in wanted {
--- a/crates/pebblepost-control/src/tasks.rs
+++ b/crates/pebblepost-control/src/tasks.rs
@@ -1,8 +1,8 @@
 //! Tasks beside the loop: links that others open, links to other control processes, orders and
 //! reports.
 
-use crate::core::Input;
 use crate::feed::ConnectionId;
+use crate::node::Input;
 use crate::program::LINK_LIMITS;
 use bytes::Bytes;
 use pebblepost_link::{Listener, Receiver, Sender, connect};
@@ -74,7 +74,7 @@
             Ok(message) => Input::Message { connection, message },
             Err(error) => {
                 log::debug!("{error:#}");
-                events.send(Event::Input(Input::Closed { connection })).await.ok();
+                events.send(Event::Input(Input::Disconnected { connection })).await.ok();
                 return;
             }
         };
@@ -98,7 +98,8 @@
                 if read_peer_link(&name, receiver, &events).await {
                     pause = FIRST_PAUSE;
                 }
-                if events.send(Event::Input(Input::PeerDown { address: name.clone() })).await.is_err() {
+                if events.send(Event::Input(Input::PeerDisconnected { address: name.clone() })).await.is_err()
+                {
                     return;
                 }
             }
@@ -168,7 +169,7 @@
         models: load.models,
         running: load.running,
     });
-    events.send(Event::Input(Input::Reported { instance, report })).await.ok();
+    events.send(Event::Input(Input::LoadReported { instance, report })).await.ok();
 }
 
 fn target(instance: &str, address: &str) -> Option<Target> {
--- a/crates/pebblepost-control/tests/departures.rs
+++ b/crates/pebblepost-control/tests/departures.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pebblepost_control::core::Core;
+use pebblepost_control::node::ControlNode;
 use pebblepost_messages::feed::InstanceState;
 use rstest::rstest;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 }
 
 /// Identities and states of the transcribers that a process takes for alive.
-fn alive(core: &Core) -> Vec<(String, InstanceState)> {
+fn alive(core: &ControlNode) -> Vec<(String, InstanceState)> {
     core.registry().live().map(|known| (known.id.clone(), known.state)).collect()
 }
 
--- a/crates/pebblepost-control/tests/failover.rs
+++ b/crates/pebblepost-control/tests/failover.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use pebblepost_control::api::HttpResponse;
-use pebblepost_control::core::Input;
+use pebblepost_control::node::Input;
 use pebblepost_messages::control::ToControl;
 use pebblepost_messages::{DiskId, Member};
 use rstest::rstest;
--- a/crates/pebblepost-control/tests/late_orders.rs
+++ b/crates/pebblepost-control/tests/late_orders.rs
@@ -1,6 +1,6 @@
 //! Orders that can't be sent soon after the lease was looked at.
 
-use pebblepost_control::core::Input;
+use pebblepost_control::node::Input;
 use pebblepost_control::tasks::{Event, send_order};
 use pebblepost_rollout::{LoadMode, Order, OrderAnswer};
 use pebblepost_transcriber::{Client, ClientLimits};
--- a/crates/pebblepost-control/tests/orders.rs
+++ b/crates/pebblepost-control/tests/orders.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use pebblepost_control::api::HttpRequest;
-use pebblepost_control::orders;
+use pebblepost_control::load_order;
 use pebblepost_rollout::{LoadMode, Order, OrderAnswer};
 use rstest::rstest;
 use std::time::Duration;
@@ -153,7 +153,7 @@
         generation: 2,
         mode,
     };
-    let mut body = orders::body(&order, "node-7", 41);
+    let mut body = load_order::body(&order, "node-7", 41);
     let value = simd_json::to_owned_value(&mut body).expect("JSON");
     let expected = simd_json::json!({
         "op": "generation", "model": "m", "generation": 2, "mode": name, "holder": "node-7", "fence_token": 41
--- a/crates/pebblepost-control/tests/support/cluster.rs
+++ b/crates/pebblepost-control/tests/support/cluster.rs
@@ -2,8 +2,8 @@
 
 use super::trace::Trace;
 use pebblepost_control::api::{HttpRequest, HttpResponse};
-use pebblepost_control::core::{Core, CoreSettings, Input, Output};
 use pebblepost_control::membership::bootstrap::bootstrap_disk;
+use pebblepost_control::node::{ControlNode, Input, NodeSettings, Output};
 use pebblepost_control::state::disk_record::{ControlRecord, RecoveredState};
 use pebblepost_messages::control::{FromControl, ToControl};
 use pebblepost_messages::{DiskId, Member};
@@ -31,8 +31,8 @@
 }
 
 struct Node {
-    settings: CoreSettings,
-    core: Option<Core>,
+    settings: NodeSettings,
+    core: Option<ControlNode>,
     /// Rises with every start, so that events for a former life are dropped.
     life: u64,
     disk: Disk,
@@ -97,9 +97,9 @@
     SocketAddr::from(([10, 0, 0, u8::try_from(index).unwrap() + 1], CONTROL_PORT))
 }
 
-fn settings(index: usize, disk: DiskId, founder: bool, seeds: &[SocketAddr]) -> CoreSettings {
+fn settings(index: usize, disk: DiskId, founder: bool, seeds: &[SocketAddr]) -> NodeSettings {
     let control = control_address(index);
-    CoreSettings {
+    NodeSettings {
         me: Member {
             disk,
             node: format!("core-{index}"),
@@ -107,14 +107,14 @@
             zone: format!("zone-{}", index % 3),
             region: "region".into(),
         },
-        control,
+        control_address: control,
         link_port: LINK_PORT,
         seeds: seeds.to_vec(),
-        founder,
+        may_bootstrap: founder,
         tolerance: Tolerance { machines: 1, zones: 0, regions: 0 },
-        heartbeat: Duration::from_millis(1200),
+        heartbeat_interval: Duration::from_millis(1200),
         order_lease: Duration::from_millis(3000),
-        random: disk.0,
+        random_seed: disk.0,
     }
 }
 
@@ -154,7 +154,7 @@
         cluster
     }
 
-    fn add(&mut self, settings: CoreSettings) -> usize {
+    fn add(&mut self, settings: NodeSettings) -> usize {
         self.nodes.push(Node {
             settings,
             core: None,
@@ -182,7 +182,7 @@
         let node = &mut self.nodes[index];
         let recovered = RecoveredState::decode(&node.disk.records).expect("records can be read");
         node.life += 1;
-        node.core = Some(Core::new(now, node.settings.clone(), recovered));
+        node.core = Some(ControlNode::new(now, node.settings.clone(), recovered));
         self.carry_out(index);
         self.tick_later(index);
     }
@@ -201,7 +201,7 @@
         let node = &mut self.nodes[index];
         node.disk.records.clear();
         node.settings.me.disk = DiskId(node.settings.me.disk.0 ^ 0x5555_0000);
-        node.settings.founder = false;
+        node.settings.may_bootstrap = false;
     }
 
     /// Cuts a machine off from all others, or joins it again.
@@ -253,7 +253,7 @@
     }
 
     /// A process.
-    pub fn core(&self, index: usize) -> &Core {
+    pub fn core(&self, index: usize) -> &ControlNode {
         self.nodes[index].core.as_ref().expect("the process runs")
     }
 
@@ -356,7 +356,7 @@
     pub fn disconnect_program(&mut self, program: usize) {
         if let Some((node, connection)) = self.programs[program].link.take() {
             self.connections.remove(&(node, connection));
-            self.deliver(node, Input::Closed { connection });
+            self.deliver(node, Input::Disconnected { connection });
         }
     }
 
@@ -379,7 +379,7 @@
 
     /// A report comes.
     pub fn report(&mut self, index: usize, instance: &str, report: Reported) {
-        self.input(index, Input::Reported { instance: instance.into(), report: Some(report) });
+        self.input(index, Input::LoadReported { instance: instance.into(), report: Some(report) });
     }
 
     fn at(&mut self, at: Duration, happening: Happening) {
@@ -418,7 +418,7 @@
             Happening::Sync { node, life, write, records } => {
                 if self.nodes[node].life == life && self.is_up(node) {
                     self.nodes[node].disk.records.extend(records);
-                    self.input(node, Input::Written { write });
+                    self.input(node, Input::Persisted { write });
                 }
             }
             Happening::Due { node, life } => {
@@ -449,25 +449,25 @@
                     self.answers.insert(id, answer);
                 }
                 Output::Send { connection, message } => self.send_back(index, connection, message),
-                Output::Close { connection } => self.close(index, connection),
+                Output::Disconnect { connection } => self.close(index, connection),
                 Output::SendPeer { .. } if self.muted.contains(&index) => {}
                 Output::SendPeer { address, message } => {
                     if let Some((node, connection)) = self.nodes[index].opened.get(&address).copied() {
                         self.deliver(node, Input::Message { connection, message });
                     }
                 }
-                Output::Dial(addresses) => self.nodes[index].dialed = addresses,
-                Output::DialNow(address) => self.dialed_now.push((index, address)),
+                Output::DialPeers(addresses) => self.nodes[index].dialed = addresses,
+                Output::DialPeerNow(address) => self.dialed_now.push((index, address)),
                 Output::Append { write, records } => {
                     let records = records.iter().map(ControlRecord::encode).collect();
                     self.at(self.now + SYNC, Happening::Sync { node: index, life, write, records });
                 }
-                Output::SendOrder { order, body, decided } => {
-                    assert_eq!(decided, self.now, "the lease was looked at just now");
+                Output::SendOrder { order, body, lease_checked_at } => {
+                    assert_eq!(lease_checked_at, self.now, "the lease was checked just now");
                     let body = String::from_utf8(body).expect("the body is text");
                     self.orders.push((self.now, index, order, body));
                 }
-                Output::AskReport { instance, .. } => self.asked.push((self.now, instance)),
+                Output::FetchLoadReport { instance, .. } => self.asked.push((self.now, instance)),
             }
         }
         if let Some(due) = due.filter(|due| *due > self.now) {
@@ -497,7 +497,7 @@
         match self.connections.remove(&(index, connection)) {
             Some(OtherEnd::Node { node, address }) => {
                 self.nodes[node].opened.remove(&address);
-                self.deliver(node, Input::PeerDown { address });
+                self.deliver(node, Input::PeerDisconnected { address });
             }
             Some(OtherEnd::Program { program }) => {
                 self.at(self.now + DELAY, Happening::ToProgram { program, message: None });
@@ -522,7 +522,7 @@
                 self.nodes[index].opened.insert(address.clone(), (other, connection));
                 let end = OtherEnd::Node { node: index, address: address.clone() };
                 self.connections.insert((other, connection), end);
-                self.deliver(index, Input::PeerUp { address });
+                self.deliver(index, Input::PeerConnected { address });
             }
         }
     }
@@ -537,15 +537,15 @@
             self.connections.keys().filter(|(node, _)| *node == index).copied().collect();
         for (node, connection) in accepted {
             self.close(node, connection);
-            self.deliver(node, Input::Closed { connection });
+            self.deliver(node, Input::Disconnected { connection });
         }
     }
 
     fn disconnect_peers(&mut self, index: usize) {
         for (address, (node, connection)) in std::mem::take(&mut self.nodes[index].opened) {
             self.connections.remove(&(node, connection));
-            self.deliver(node, Input::Closed { connection });
-            self.deliver(index, Input::PeerDown { address });
+            self.deliver(node, Input::Disconnected { connection });
+            self.deliver(index, Input::PeerDisconnected { address });
         }
         let from_peer = |((node, _), end): &(&(usize, u64), &OtherEnd)| {
             *node == index && matches!(end, OtherEnd::Node { .. })
@@ -554,7 +554,7 @@
             self.connections.iter().filter(from_peer).map(|(key, _)| *key).collect();
         for (node, connection) in accepted {
             self.close(node, connection);
-            self.deliver(node, Input::Closed { connection });
+            self.deliver(node, Input::Disconnected { connection });
         }
     }
 }
--- a/crates/pebblepost-control/tests/support/trace.rs
+++ b/crates/pebblepost-control/tests/support/trace.rs
@@ -2,7 +2,7 @@
 //! names of the code.
 
 use nanoserde::SerBin;
-use pebblepost_control::core::Output;
+use pebblepost_control::node::Output;
 use pebblepost_control::state::disk_record::ControlRecord;
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
                 self.number(*connection);
                 self.bytes(&message.serialize_bin());
             }
-            Output::Close { connection } => {
+            Output::Disconnect { connection } => {
                 self.number(3);
                 self.number(*connection);
             }
@@ -70,11 +70,11 @@
                 self.bytes(address.as_bytes());
                 self.bytes(&message.serialize_bin());
             }
-            Output::Dial(addresses) => {
+            Output::DialPeers(addresses) => {
                 self.number(5);
                 addresses.iter().for_each(|address| self.bytes(address.as_bytes()));
             }
-            Output::DialNow(address) => {
+            Output::DialPeerNow(address) => {
                 self.number(6);
                 self.bytes(address.as_bytes());
             }
@@ -83,14 +83,14 @@
                 self.number(*write);
                 records.iter().map(ControlRecord::encode).for_each(|record| self.bytes(&record));
             }
-            Output::SendOrder { order, body, decided } => {
+            Output::SendOrder { order, body, lease_checked_at } => {
                 self.number(8);
                 self.bytes(order.instance.as_bytes());
                 self.bytes(order.address.as_bytes());
                 self.bytes(body);
-                self.number(decided.as_micros() as u64);
+                self.number(lease_checked_at.as_micros() as u64);
             }
-            Output::AskReport { instance, address } => {
+            Output::FetchLoadReport { instance, address } => {
                 self.number(9);
                 self.bytes(instance.as_bytes());
                 self.bytes(address.as_bytes());
