--- a/crates/pebblepost-control/src/lib.rs
+++ b/crates/pebblepost-control/src/lib.rs
@@ -1,28 +1,25 @@
-//! Program of the core machines.
+//! Control plane: a replicated group of processes that owns the configuration, the registry of transcribers, the
+//! assignment of batch storage and the roll-out of weight versions.
 //!
-//! Everything but [`program`], its tasks and [`http`] is without I/O: [`core`] takes what happened and says
-//! what has to be done.
+//! Each layer uses only those above it in this list, so state never depends on decisions nor decisions on I/O:
 //!
-//! * [`state`], [`command`], [`history`]: the replicated control state and its log's entries.
-//! * [`registry`], [`announcement`], [`departures`]: registrations of transcribers.
-//! * [`feed_server`]: the feed to agents, storage machines and standbys.
-//! * [`placement`], [`stores`]: groups of batch jobs on storage machines.
-//! * [`orders`]: orders to transcribers.
-//! * [`founding`], [`peers`], [`witnesses`]: the control group itself.
-//! * [`api`]: calls and answers of the HTTP interface.
+//! * [`hash`]: stable hashes.
+//! * [`state`]: the replicated state, its commands and stored forms.
+//! * [`membership`], [`registry`], [`feed`], [`storage`], [`load_order`], [`api`]: one concern each, without I/O.
+//! * [`node`]: a control process without I/O; routes between the concerns.
+//! * [`runtime`]: sockets, disk, clocks and the loop.
+//!
+//! It never serves inference requests: proxies act by the feed alone and continue without the control plane.
 
 pub mod api;
 pub mod feed;
 pub mod hash;
-pub mod http;
 pub mod load_order;
 pub mod membership;
 pub mod node;
-pub mod program;
 pub mod registry;
-mod shell;
+pub mod runtime;
 pub mod state;
 pub mod storage;
-pub mod tasks;
 
-pub use program::run;
+pub use runtime::{ControlError, run};
--- /dev/null
+++ b/crates/pebblepost-control/src/runtime.rs
@@ -0,0 +1,18 @@
+//! Everything that does I/O: listeners, links, the disk, HTTP, signals, clocks, and the loop around
+//! [`ControlNode`](crate::node::ControlNode).
+//!
+//! Owns sockets, tasks and timers, and decides nothing: it passes inputs in and carries outputs out. Everything runs on
+//! one thread, on a `LocalSet`.
+
+mod driver;
+mod error;
+mod event;
+pub mod http;
+mod link_tasks;
+mod listen;
+mod server;
+pub mod transcriber_tasks;
+
+pub use error::ControlError;
+pub use event::{Event, EventSender};
+pub use server::{max_request_connections, run};
--- /dev/null
+++ b/crates/pebblepost-control/src/runtime/driver.rs
@@ -0,0 +1,234 @@
+//! Passes inputs to the control node and carries out its outputs: responses, links, the disk, calls to transcribers.
+
+use super::event::{Event, EventSender};
+use super::http::IncomingRequest;
+use super::link_tasks::keep_peer_link;
+use super::transcriber_tasks::{fetch_load_report, send_order};
+use crate::api::HttpResponse;
+use crate::feed::ConnectionId;
+use crate::node::{ControlNode, Input, Output, RequestId};
+use crate::state::disk_record::ControlRecord;
+use pebblepost_link::Sender;
+use pebblepost_ring::{Completion, Disk};
+use pebblepost_transcriber::{Client, ClientLimits};
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::task::{AbortHandle, spawn_local};
+use tokio::time::Instant;
+
+/// Bytes written since the last checkpoint after which the next one is due, if a fraction of the capacity is not less.
+const MAX_BYTES_SINCE_CHECKPOINT: u64 = 8 * 1024 * 1024;
+/// The capacity is divided by this for that fraction.
+const CHECKPOINT_CAPACITY_DIVISOR: u64 = 4;
+
+/// Limits of the client for load orders and load reports.
+const CLIENT_LIMITS: ClientLimits = ClientLimits {
+    connect_timeout: Duration::from_millis(400),
+    max_connections_per_transcriber: 2,
+    idle_timeout: Duration::from_secs(2),
+    max_body_bytes: 256 * 1024,
+};
+
+/// A write of the node that is not durable yet.
+#[derive(Clone, Copy, Debug)]
+struct PendingWrite {
+    /// The disk's ticket.
+    ticket: u64,
+    /// The node's number.
+    write: u64,
+}
+
+/// The control node and everything that it acts on.
+#[derive(Debug)]
+pub(super) struct Driver {
+    /// Zero of the node's clock.
+    start: Instant,
+    node: ControlNode,
+    disk: Disk,
+    events: EventSender,
+    client: Client,
+    responders: BTreeMap<RequestId, oneshot::Sender<HttpResponse>>,
+    last_request: RequestId,
+    inbound: HashMap<ConnectionId, Sender>,
+    peers: HashMap<String, Sender>,
+    /// Tasks that keep links to other control processes, by address.
+    dials: HashMap<String, AbortHandle>,
+    writes: VecDeque<PendingWrite>,
+}
+
+impl Driver {
+    pub(super) fn new(start: Instant, node: ControlNode, disk: Disk, events: EventSender) -> Driver {
+        Driver {
+            start,
+            node,
+            disk,
+            events,
+            client: Client::new(CLIENT_LIMITS),
+            responders: BTreeMap::new(),
+            last_request: 0,
+            inbound: HashMap::new(),
+            peers: HashMap::new(),
+            dials: HashMap::new(),
+            writes: VecDeque::new(),
+        }
+    }
+
+    /// When a tick is needed earlier than usual.
+    pub(super) fn due_at(&self) -> Option<Instant> {
+        self.node.due_at().map(|due| self.start + due)
+    }
+
+    /// Whether this process is primary.
+    pub(super) fn is_primary(&self) -> bool {
+        self.node.is_primary()
+    }
+
+    /// Whether this process acts as primary, or another primary is known to be live.
+    pub(super) fn knows_primary(&self) -> bool {
+        self.node.knows_primary(self.start.elapsed())
+    }
+
+    pub(super) fn handle(&mut self, input: Input) {
+        self.node.handle(self.start.elapsed(), input);
+        self.carry_out();
+    }
+
+    pub(super) fn handle_request(&mut self, incoming: IncomingRequest) {
+        self.last_request += 1;
+        self.responders.insert(self.last_request, incoming.responder);
+        self.handle(Input::Request { id: self.last_request, request: incoming.request });
+    }
+
+    pub(super) fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::LinkOpened { connection, sender } => {
+                self.inbound.insert(connection, sender);
+            }
+            Event::PeerConnected { address, sender } => {
+                self.peers.insert(address.clone(), sender);
+                self.handle(Input::PeerConnected { address });
+            }
+            Event::Input(input) => {
+                self.forget_closed_link(&input);
+                self.handle(input);
+            }
+        }
+    }
+
+    pub(super) fn handle_completion(&mut self, completion: Completion) {
+        match completion {
+            Completion::Synced(ticket) => {
+                let mut newest = None;
+                while let Some(pending) = self.writes.pop_front_if(|pending| pending.ticket <= ticket) {
+                    newest = Some(pending.write);
+                }
+                if let Some(write) = newest {
+                    self.handle(Input::Persisted { write });
+                }
+            }
+            Completion::Refusing(reason) => log::warn!("disk rejects writes reason={reason}"),
+        }
+    }
+
+    /// Carries out the node's outputs.
+    pub(super) fn carry_out(&mut self) {
+        for output in self.node.take_outputs() {
+            match output {
+                Output::Respond { id, response } => {
+                    if let Some(responder) = self.responders.remove(&id) {
+                        // The client may have disconnected.
+                        responder.send(response).ok();
+                    }
+                }
+                Output::Send { connection, message } => {
+                    if let Some(sender) = self.inbound.get(&connection) {
+                        sender.send(&message);
+                    }
+                }
+                Output::Disconnect { connection } => {
+                    if let Some(sender) = self.inbound.remove(&connection) {
+                        sender.close();
+                    }
+                }
+                Output::SendPeer { address, message } => {
+                    if let Some(sender) = self.peers.get(&address) {
+                        sender.send(&message);
+                    }
+                }
+                Output::DialPeers(addresses) => self.dial(&addresses),
+                Output::DialPeerNow(address) => self.dial_now(&address),
+                Output::Append { write, records } => self.append(write, &records),
+                Output::SendOrder { order, body, lease_checked_at } => {
+                    let (client, events) = (self.client.clone(), self.events.clone());
+                    spawn_local(send_order(client, order, body, self.start + lease_checked_at, events));
+                }
+                Output::FetchLoadReport { instance, address } => {
+                    let (client, events) = (self.client.clone(), self.events.clone());
+                    spawn_local(fetch_load_report(client, instance, address, events));
+                }
+            }
+        }
+    }
+
+    fn forget_closed_link(&mut self, input: &Input) {
+        match input {
+            Input::Disconnected { connection } => {
+                self.inbound.remove(connection);
+            }
+            Input::PeerDisconnected { address } => {
+                self.peers.remove(address);
+            }
+            _ => {}
+        }
+    }
+
+    fn append(&mut self, write: u64, records: &[ControlRecord]) {
+        let records = records.iter().map(ControlRecord::encode).collect();
+        let ticket = self.disk.append(records);
+        self.writes.push_back(PendingWrite { ticket, write });
+        let limit = MAX_BYTES_SINCE_CHECKPOINT.min(self.disk.capacity() / CHECKPOINT_CAPACITY_DIVISOR);
+        if self.disk.bytes_since_checkpoint() > limit
+            && let Some(records) = self.node.checkpoint()
+        {
+            self.disk.checkpoint(records.iter().map(ControlRecord::encode).collect());
+        }
+    }
+
+    /// Keeps links to exactly these addresses.
+    fn dial(&mut self, addresses: &BTreeSet<String>) {
+        let dropped: Vec<String> =
+            self.dials.keys().filter(|address| !addresses.contains(*address)).cloned().collect();
+        for address in dropped {
+            if let Some(task) = self.dials.remove(&address) {
+                task.abort();
+            }
+            if let Some(sender) = self.peers.remove(&address) {
+                sender.close();
+                self.node.handle(self.start.elapsed(), Input::PeerDisconnected { address });
+            }
+        }
+        for address in addresses {
+            if !self.dials.contains_key(address) {
+                self.keep_link(address);
+            }
+        }
+    }
+
+    /// Skips the backoff of a link that is not up.
+    fn dial_now(&mut self, address: &str) {
+        if self.peers.contains_key(address) {
+            return;
+        }
+        if let Some(task) = self.dials.remove(address) {
+            task.abort();
+            self.keep_link(address);
+        }
+    }
+
+    fn keep_link(&mut self, address: &str) {
+        let Ok(parsed) = address.parse() else { return };
+        let task = spawn_local(keep_peer_link(parsed, self.events.clone()));
+        self.dials.insert(address.to_owned(), task.abort_handle());
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-control/src/runtime/http.rs
@@ -0,0 +1,156 @@
+//! HTTP server of the control plane: `xitca-web` on the process's own single-threaded runtime.
+//!
+//! `xitca-web`'s own server starts threads and listens for signals itself, so only its application and its HTTP/1
+//! service are used: the listener and its tasks live on the caller's `LocalSet`.
+
+use crate::api::{HttpRequest, HttpResponse, MAX_BODY_BYTES};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::spawn_local;
+use xitca_http::HttpServiceBuilder;
+use xitca_http::config::HttpServiceConfig;
+use xitca_io::net::TcpStream;
+use xitca_web::body::{BodyExt, RequestBody, ResponseBody};
+use xitca_web::http::header::{CONTENT_LENGTH, CONTENT_TYPE, HeaderValue, IF_MATCH, LOCATION};
+use xitca_web::http::{Request, RequestExt, StatusCode, WebResponse};
+use xitca_web::service::{Service, ServiceExt, fn_service};
+use xitca_web::{App, WebContext};
+
+/// Largest head of a request.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// Time for a request's head.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(3);
+/// A connection without a request for this long is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Delay after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// The HTTP service could not be built.
+#[derive(Debug, Error)]
+#[error("starting the HTTP service: {reason}")]
+pub struct StartError {
+    reason: String,
+}
+
+/// A request, and where its response goes.
+#[derive(Debug)]
+pub struct IncomingRequest {
+    /// The request.
+    pub request: HttpRequest,
+    /// Where its response goes.
+    pub responder: oneshot::Sender<HttpResponse>,
+}
+
+/// Queue of requests.
+pub type RequestSender = mpsc::Sender<IncomingRequest>;
+
+/// Serves requests without end. Connections beyond `max_connections` are closed at once. Runs on the caller's
+/// `LocalSet`.
+///
+/// # Errors
+/// If the service can't be built.
+pub async fn serve(
+    listener: TcpListener, requests: RequestSender, max_connections: usize,
+) -> Result<(), StartError> {
+    let config = HttpServiceConfig::new()
+        .request_head_timeout(HEAD_TIMEOUT)
+        .keep_alive_timeout(IDLE_TIMEOUT)
+        .max_read_buf_size::<MAX_HEAD_BYTES>();
+    let service = App::new()
+        .with_state(requests)
+        .at("/config", fn_service(handle))
+        .at("/version-put", fn_service(handle))
+        .at("/instances/{id}", fn_service(handle))
+        .at("/retire/{node}", fn_service(handle))
+        .finish()
+        .enclosed(HttpServiceBuilder::h1().config(config));
+    let service = service.call(()).await;
+    let service = Rc::new(service.map_err(|error| StartError { reason: format!("{error:?}") })?);
+    let open_connections = Rc::new(Cell::new(0));
+    loop {
+        let (stream, peer) = match listener.accept().await {
+            Ok(accepted) => accepted,
+            Err(error) => {
+                log::warn!("accepting an HTTP connection failed error={error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
+                continue;
+            }
+        };
+        if open_connections.get() >= max_connections {
+            continue;
+        }
+        // Without it responses are later, but right.
+        stream.set_nodelay(true).ok();
+        let service = Rc::clone(&service);
+        let open_connections = Rc::clone(&open_connections);
+        open_connections.set(open_connections.get() + 1);
+        spawn_local(async move {
+            if let Err(error) = service.call((TcpStream::from(stream), peer)).await {
+                log::debug!("HTTP connection failed peer={peer} error={error:?}");
+            }
+            open_connections.set(open_connections.get() - 1);
+        });
+    }
+}
+
+async fn handle(mut context: WebContext<'_, RequestSender>) -> Result<WebResponse, xitca_web::error::Error> {
+    let request = context.take_request();
+    let requests = context.state().clone();
+    let response = match read(request).await {
+        Ok(request) => submit(&requests, request).await,
+        Err(response) => response,
+    };
+    Ok(respond(context, response))
+}
+
+/// Reads a request with its body; the error is the response to it.
+async fn read(request: Request<RequestExt<RequestBody>>) -> Result<HttpRequest, HttpResponse> {
+    let too_large = || HttpResponse::error(413, "the body is too large");
+    let (head, body) = request.into_parts();
+    let length = head.headers.get(CONTENT_LENGTH).and_then(|length| length.to_str().ok()?.parse().ok());
+    if length.is_some_and(|length: usize| length > MAX_BODY_BYTES) {
+        return Err(too_large());
+    }
+    let if_match = head.headers.get(IF_MATCH).and_then(|version| version.to_str().ok());
+    let mut request = HttpRequest {
+        method: head.method.as_str().into(),
+        path: head.uri.path().into(),
+        if_match: if_match.map(String::from),
+        body: Vec::with_capacity(length.unwrap_or(0)),
+    };
+    let mut body = std::pin::pin!(body);
+    while let Some(chunk) = body.as_mut().data().await {
+        let chunk = chunk.map_err(|_| HttpResponse::bad_request("the body broke off"))?;
+        if request.body.len() + chunk.len() > MAX_BODY_BYTES {
+            return Err(too_large());
+        }
+        request.body.extend_from_slice(&chunk);
+    }
+    Ok(request)
+}
+
+/// Submits a request to the loop and waits for the response.
+async fn submit(requests: &RequestSender, request: HttpRequest) -> HttpResponse {
+    let shutting_down = || HttpResponse::unavailable("this process is ending");
+    let (responder, response) = oneshot::channel();
+    if requests.send(IncomingRequest { request, responder }).await.is_err() {
+        return shutting_down();
+    }
+    response.await.unwrap_or_else(|_| shutting_down())
+}
+
+fn respond(context: WebContext<'_, RequestSender>, response: HttpResponse) -> WebResponse {
+    let HttpResponse { status, location, body } = response;
+    let mut web_response = context.into_response(ResponseBody::bytes(body));
+    *web_response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
+    let headers = web_response.headers_mut();
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    if let Some(location) = location.and_then(|location| HeaderValue::from_str(&location).ok()) {
+        headers.insert(LOCATION, location);
+    }
+    web_response
+}
--- /dev/null
+++ b/crates/pebblepost-control/src/runtime/listen.rs
@@ -0,0 +1,38 @@
+//! Binding of the two listening addresses. A former process may still hold them, so binding is retried.
+
+use super::error::ControlError;
+use super::link_tasks::LINK_LIMITS;
+use pebblepost_link::Listener;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::time::sleep;
+
+/// Attempts to bind an address.
+const BIND_ATTEMPTS: u32 = 100;
+/// Delay between attempts.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// Binds the address for links.
+pub(super) async fn bind_links(address: SocketAddr) -> Result<Listener, ControlError> {
+    for _ in 1..BIND_ATTEMPTS {
+        match Listener::bind(address, LINK_LIMITS) {
+            Ok(listener) => return Ok(listener),
+            Err(error) => log::debug!("{error:#}"),
+        }
+        sleep(BIND_RETRY_DELAY).await;
+    }
+    Listener::bind(address, LINK_LIMITS).map_err(|error| ControlError::BindLinks(error.into()))
+}
+
+/// Binds the address of the HTTP interface.
+pub(super) async fn bind_http(address: SocketAddr) -> Result<TcpListener, ControlError> {
+    for _ in 1..BIND_ATTEMPTS {
+        match TcpListener::bind(address).await {
+            Ok(listener) => return Ok(listener),
+            Err(error) => log::debug!("bind failed address={address} error={error}"),
+        }
+        sleep(BIND_RETRY_DELAY).await;
+    }
+    TcpListener::bind(address).await.map_err(|source| ControlError::BindHttp { address, source })
+}
--- /dev/null
+++ b/crates/pebblepost-control/src/runtime/transcriber_tasks.rs
@@ -0,0 +1,63 @@
+//! Tasks that call transcribers: load orders and load reports.
+
+use super::event::{Event, EventSender};
+use crate::node::Input;
+use bytes::Bytes;
+use pebblepost_rollout::{Order, OrderAnswer, Reported};
+use pebblepost_transcriber::{Client, ClientError, Target};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Time for the whole exchange of a load order, from the check of the lease, or of a load report.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Sends a load order to a transcriber and reports the answer.
+///
+/// An order that can't be sent soon after `lease_checked_at` is not sent at all, as another process may hold the lease
+/// by then.
+pub async fn send_order(
+    client: Client, order: Order, body: Vec<u8>, lease_checked_at: Instant, events: EventSender,
+) {
+    let timeout = CALL_TIMEOUT.saturating_sub(lease_checked_at.elapsed());
+    let target = target(&order.instance, &order.address).filter(|_| !timeout.is_zero());
+    let answer = match target {
+        Some(target) => match client.order(&target, Bytes::from(body), timeout).await {
+            Ok(status) => order_answer(status.as_u16()),
+            Err(ClientError::NotSent) => OrderAnswer::Refused,
+            Err(_) => OrderAnswer::Unknown,
+        },
+        None => OrderAnswer::Refused,
+    };
+    log::debug!("load order answered instance={} answer={answer:?}", order.instance);
+    // The loop may have ended.
+    events.send(Event::Input(Input::OrderAnswered { order, answer })).await.ok();
+}
+
+/// Fetches a transcriber's load report and reports it.
+pub async fn fetch_load_report(client: Client, instance: String, address: String, events: EventSender) {
+    let report = match target(&instance, &address) {
+        Some(target) => client.load_report(&target, CALL_TIMEOUT).await.ok().flatten(),
+        None => None,
+    };
+    let report = report.map(|load| Reported {
+        busy: load.order_in_progress,
+        models: load.models,
+        running: load.running,
+    });
+    // The loop may have ended.
+    events.send(Event::Input(Input::LoadReported { instance, report })).await.ok();
+}
+
+fn order_answer(status: u16) -> OrderAnswer {
+    match status {
+        200 => OrderAnswer::AlreadyHolds,
+        202 => OrderAnswer::UnderWay,
+        409 => OrderAnswer::Conflict,
+        412 => OrderAnswer::Fenced,
+        _ => OrderAnswer::Refused,
+    }
+}
+
+fn target(instance: &str, address: &str) -> Option<Target> {
+    Some(Target { instance: instance.into(), address: address.parse().ok()? })
+}
--- a/crates/pebblepost-control/tests/http.rs
+++ b/crates/pebblepost-control/tests/http.rs
@@ -1,8 +1,8 @@
 //! The HTTP front with real connections: what it hands in and what it writes back.
 
 use pebblepost_control::api::{HttpRequest, HttpResponse, MAX_BODY_BYTES};
-use pebblepost_control::http::{IncomingRequest, serve};
-use pebblepost_control::program::most_connections_of_calls;
+use pebblepost_control::runtime::http::{IncomingRequest, serve};
+use pebblepost_control::runtime::max_request_connections;
 use rstest::rstest;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -36,8 +36,8 @@
     mut incoming: mpsc::Receiver<IncomingRequest>, answer: fn(&HttpRequest) -> HttpResponse,
     seen: Rc<RefCell<Vec<HttpRequest>>>,
 ) {
-    while let Some(IncomingRequest { request: call, reply }) = incoming.recv().await {
-        reply.send(answer(&call)).ok();
+    while let Some(IncomingRequest { request: call, responder }) = incoming.recv().await {
+        responder.send(answer(&call)).ok();
         seen.borrow_mut().push(call);
     }
 }
@@ -156,7 +156,7 @@
 /// connection.
 #[rstest]
 fn as_many_calls_as_descriptors_allow() {
-    assert!(most_connections_of_calls(4096) > 1_500);
-    assert!(most_connections_of_calls(4096) < 2_500, "orders and links need descriptors too");
-    assert_eq!(most_connections_of_calls(0), 1);
+    assert!(max_request_connections(4096) > 1_500);
+    assert!(max_request_connections(4096) < 2_500, "orders and links need descriptors too");
+    assert_eq!(max_request_connections(0), 1);
 }
--- a/crates/pebblepost-control/tests/late_orders.rs
+++ b/crates/pebblepost-control/tests/late_orders.rs
@@ -1,7 +1,7 @@
 //! Orders that can't be sent soon after the lease was looked at.
 
 use pebblepost_control::node::Input;
-use pebblepost_control::tasks::{Event, send_order};
+use pebblepost_control::runtime::{Event, transcriber_tasks::send_order};
 use pebblepost_rollout::{LoadMode, Order, OrderAnswer};
 use pebblepost_transcriber::{Client, ClientLimits};
 use std::future::poll_fn;
