--- a/crates/pebblepost-control/tests/support/trace.rs
+++ b/crates/pebblepost-control/tests/control/support/trace.rs
@@ -2,7 +2,7 @@
 //! names of the code.
 
 use nanoserde::SerBin;
-use pebblepost_control::core::Output;
+use pebblepost_control::node::Output;
 use pebblepost_control::state::disk_record::ControlRecord;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
         format!("{:016x} after {} outputs", self.hash, self.outputs)
     }
 
-    /// Takes in bytes and their length.
+    /// Hashes bytes and their length.
     pub fn bytes(&mut self, bytes: &[u8]) {
         self.number(bytes.len() as u64);
         for byte in bytes {
@@ -36,32 +36,32 @@
         }
     }
 
-    /// Takes in a number.
+    /// Hashes a number.
     pub fn number(&mut self, number: u64) {
         for byte in number.to_le_bytes() {
             self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(PRIME);
         }
     }
 
-    /// Takes in what a process does at some time.
+    /// Hashes an output of a process at some time.
     pub fn output(&mut self, now: Duration, node: usize, output: &Output) {
         self.outputs += 1;
         self.number(now.as_micros() as u64);
         self.number(node as u64);
         match output {
-            Output::Respond { id, response: answer } => {
+            Output::Respond { id, response } => {
                 self.number(1);
                 self.number(*id);
-                self.number(u64::from(answer.status));
-                self.bytes(answer.location.as_deref().unwrap_or_default().as_bytes());
-                self.bytes(&answer.body);
+                self.number(u64::from(response.status));
+                self.bytes(response.location.as_deref().unwrap_or_default().as_bytes());
+                self.bytes(&response.body);
             }
             Output::Send { connection, message } => {
                 self.number(2);
                 self.number(*connection);
                 self.bytes(&message.serialize_bin());
             }
-            Output::Close { connection } => {
+            Output::Disconnect { connection } => {
                 self.number(3);
                 self.number(*connection);
             }
@@ -70,11 +70,11 @@
                 self.bytes(address.as_bytes());
                 self.bytes(&message.serialize_bin());
             }
-            Output::Dial(addresses) => {
+            Output::DialPeers(addresses) => {
                 self.number(5);
                 addresses.iter().for_each(|address| self.bytes(address.as_bytes()));
             }
-            Output::DialNow(address) => {
+            Output::DialPeerNow(address) => {
                 self.number(6);
                 self.bytes(address.as_bytes());
             }
@@ -83,14 +83,14 @@
                 self.number(*write);
                 records.iter().map(ControlRecord::encode).for_each(|record| self.bytes(&record));
             }
-            Output::SendOrder { order, body, decided } => {
+            Output::SendOrder { order, body, lease_checked_at } => {
                 self.number(8);
                 self.bytes(order.instance.as_bytes());
                 self.bytes(order.address.as_bytes());
                 self.bytes(body);
-                self.number(decided.as_micros() as u64);
+                self.number(lease_checked_at.as_micros() as u64);
             }
-            Output::AskReport { instance, address } => {
+            Output::FetchLoadReport { instance, address } => {
                 self.number(9);
                 self.bytes(instance.as_bytes());
                 self.bytes(address.as_bytes());
