--- a/crates/pebblepost-batch/tests/decisions.rs
+++ b/crates/pebblepost-batch/tests/integration/decisions.rs
@@ -1,7 +1,6 @@
 //! What the scheduler decides over random sequences of events, as approved digests of whole runs.
 
-mod support;
-
+use crate::support::{Digest, append_results, apply, approve, job, ms, result};
 use pebblepost_batch::clock::GroupClock;
 use pebblepost_batch::command::Change;
 use pebblepost_batch::scheduler::{ItemProgress, ProxyId, ProxyLease, Scheduler};
@@ -11,7 +10,6 @@
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
 use std::time::Duration;
-use support::{Digest, apply, approve, job, listing, ms, result};
 
 const GROUPS: u32 = 2;
 const PROXIES: u64 = 3;
@@ -23,7 +21,7 @@
     now_ms: u64,
     states: Vec<BatchState>,
     scheduler: Scheduler,
-    given: Vec<(ProxyId, WorkLease)>,
+    granted: Vec<(ProxyId, WorkLease)>,
     jobs: u64,
     epoch: u64,
 }
@@ -36,7 +34,7 @@
             now_ms: 0,
             states: (0..GROUPS).map(|_| BatchState::default()).collect(),
             scheduler: Scheduler::default(),
-            given: Vec::new(),
+            granted: Vec::new(),
             jobs: 0,
             epoch: 0,
         }
@@ -103,17 +101,17 @@
                 self.digest.number(u64::from(leased.failed_scorer_attempts));
                 self.digest.bytes(&leased.partial.message);
             }
-            self.given.push((proxy, lease));
+            self.granted.push((proxy, lease));
         }
     }
 
-    /// A lease given before, one of its items and the index of the item if it is not listed.
-    fn given_item(&mut self) -> Option<(ProxyId, WorkLease, String, usize)> {
-        if self.given.is_empty() {
+    /// A lease granted before, one of its items, and the index of the item if it is pending.
+    fn granted_item(&mut self) -> Option<(ProxyId, WorkLease, String, usize)> {
+        if self.granted.is_empty() {
             return None;
         }
-        let number = self.random.random_range(0..self.given.len());
-        let (proxy, lease) = self.given[number].clone();
+        let number = self.random.random_range(0..self.granted.len());
+        let (proxy, lease) = self.granted[number].clone();
         let item = self.random.random_range(0..lease.items.len());
         let id = lease.items[item].item.id.clone();
         let state = &self.states[lease.store_group as usize];
@@ -122,17 +120,17 @@
     }
 
     fn finish(&mut self) {
-        let Some((_, lease, item, index)) = self.given_item() else { return };
+        let Some((_, lease, item, index)) = self.granted_item() else { return };
         let is_first = self.scheduler.finish_item(&lease.job, index);
         self.digest.number(u64::from(is_first));
         if is_first {
             let state = &mut self.states[lease.store_group as usize];
-            apply(state, self.now_ms, listing(&lease.job, vec![result(&item, "text")]));
+            apply(state, self.now_ms, append_results(&lease.job, vec![result(&item, "text")]));
         }
     }
 
-    fn hand_back(&mut self) {
-        let Some((proxy, lease, _, index)) = self.given_item() else { return };
+    fn return_item(&mut self) {
+        let Some((proxy, lease, _, index)) = self.granted_item() else { return };
         let progress = ItemProgress {
             failed_attempts: self.random.random_range(0..3),
             failed_scorer_attempts: self.random.random_range(0..3),
@@ -141,9 +139,9 @@
         self.scheduler.return_item(ProxyLease { proxy, number: lease.lease }, &lease.job, index, progress);
     }
 
-    fn announce(&mut self) {
+    fn report_leases(&mut self) {
         let (now, proxy) = (self.now(), self.proxy());
-        if let Some((_, lease, _, index)) = self.given_item() {
+        if let Some((_, lease, _, index)) = self.granted_item() {
             self.scheduler.restore_lease(now, proxy, &lease.job, &[index]);
         }
         self.scheduler.lease_report_received(now, proxy);
@@ -189,8 +187,8 @@
             0..4 => self.add_job(),
             4..14 => self.lease(),
             14..22 => self.finish(),
-            22..26 => self.hand_back(),
-            26..28 => self.announce(),
+            22..26 => self.return_item(),
+            26..28 => self.report_leases(),
             28..32 => self.renew(),
             32 => self.expire(),
             33 => self.wake_idle(),
@@ -208,7 +206,7 @@
                 self.start_group(group);
             }
             38 => {
-                if let Some((_, lease, _, index)) = self.given_item() {
+                if let Some((_, lease, _, index)) = self.granted_item() {
                     self.scheduler.reject_result(&lease.job, index);
                 }
             }
@@ -226,7 +224,7 @@
         (0..PROXIES).for_each(|proxy| run.scheduler.connect_proxy(ProxyId(proxy)));
         (0..GROUPS).for_each(|group| run.start_group(group));
         (0..4_000).for_each(|_| run.step());
-        format!("{seed} {} {} {}", run.digest.hex(), run.given.len(), run.jobs)
+        format!("{seed} {} {} {}", run.digest.hex(), run.granted.len(), run.jobs)
     });
     approve("decisions.txt", &lines.collect::<Vec<_>>());
 }
--- /dev/null
+++ b/crates/pebblepost-batch/tests/integration/main.rs
@@ -0,0 +1,7 @@
+//! Tests of the replicated state and of the scheduler of batch jobs.
+
+mod decisions;
+mod scheduler;
+mod state;
+mod stored_form;
+mod support;
--- a/crates/pebblepost-batch/tests/scheduler.rs
+++ b/crates/pebblepost-batch/tests/integration/scheduler.rs
@@ -1,14 +1,12 @@
 //! Which items the scheduler leases, in which order, and what becomes of leases.
 
-mod support;
-
+use crate::support::{append_results, apply, job, ms, result};
 use pebblepost_batch::clock::GroupClock;
 use pebblepost_batch::command::Change;
 use pebblepost_batch::scheduler::{ItemProgress, OVERSAMPLING_MARGIN, ProxyId, ProxyLease, Scheduler};
 use pebblepost_batch::state::BatchState;
 use pebblepost_messages::batch::{Job, PartialText, WorkLease};
 use rstest::rstest;
-use support::{apply, job, listing, ms, result};
 
 const GROUP: u32 = 3;
 const FIRST: ProxyId = ProxyId(1);
@@ -49,7 +47,7 @@
     }
 
     fn index(&self, job: &str, item: &str) -> usize {
-        self.state.job(job).and_then(|job| job.pending_index(item)).expect("the item is not listed")
+        self.state.job(job).and_then(|job| job.pending_index(item)).expect("the item is pending")
     }
 
     fn finish(&mut self, job: &str, item: &str) -> bool {
@@ -59,7 +57,7 @@
 }
 
 #[rstest]
-fn groups_of_samples_are_leased_whole_and_in_order() {
+fn leases_whole_sample_groups_in_order() {
     let mut primary = Primary::new(vec![job("j", 3, 2, 3)]);
     assert_eq!(primary.take(0, FIRST, 3), [["j-0", "j-1"], ["j-2", "j-3"]]);
     assert_eq!(primary.take(0, SECOND, 9), [["j-4", "j-5"]]);
@@ -67,14 +65,14 @@
 }
 
 #[rstest]
-fn a_large_group_is_split_by_room() {
+fn splits_a_sample_group_that_exceeds_the_capacity() {
     let mut primary = Primary::new(vec![job("j", 1, 30, 1)]);
     assert_eq!(primary.take(0, FIRST, 4)[0].len(), 12);
     assert_eq!(primary.take(0, SECOND, 100)[0].len(), 18);
 }
 
 #[rstest]
-fn a_lease_says_what_the_proxy_must_know() {
+fn lease_carries_terms_and_deadlines() {
     let mut primary = Primary::new(vec![]);
     let mut submitted = job("j", 1, 1, 1);
     submitted.model = "m".to_owned();
@@ -92,7 +90,7 @@
 #[case::by_due_time(5_000, 1, 4_000, 2, "b")]
 #[case::by_priority(5_000, 2, 5_000, 1, "b")]
 #[case::due_time_goes_first(4_000, 9, 5_000, 0, "a")]
-fn jobs_come_in_order(
+fn leases_jobs_by_deadline_then_priority(
     #[case] due_a: u64, #[case] priority_a: u32, #[case] due_b: u64, #[case] priority_b: u32,
     #[case] first: &str,
 ) {
@@ -107,13 +105,13 @@
 }
 
 #[rstest]
-fn items_handed_back_go_first_with_what_is_known() {
+fn leases_returned_items_first_with_their_progress() {
     let mut primary = Primary::new(vec![job("j", 3, 2, 3)]);
-    let given = primary.leases(0, FIRST, 2)[0].lease;
+    let lease = primary.leases(0, FIRST, 2)[0].lease;
     let partial = PartialText { last_event: 2, message: b"a\nb".to_vec(), versions: vec![7] };
     let progress = ItemProgress { failed_attempts: 1, failed_scorer_attempts: 2, partial: partial.clone() };
     let index = primary.index("j", "j-1");
-    primary.scheduler.return_item(ProxyLease { proxy: FIRST, number: given }, "j", index, progress);
+    primary.scheduler.return_item(ProxyLease { proxy: FIRST, number: lease }, "j", index, progress);
     let leases = primary.leases(0, SECOND, 1);
     let leased = &leases[0].items[0];
     assert_eq!(leases[0].items.len(), 1);
@@ -122,11 +120,11 @@
 }
 
 #[rstest]
-fn only_the_holder_hands_an_item_back() {
+fn ignores_a_return_by_another_proxy() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
-    let given = primary.leases(0, FIRST, 1)[0].lease;
+    let lease = primary.leases(0, FIRST, 1)[0].lease;
     primary.scheduler.return_item(
-        ProxyLease { proxy: SECOND, number: given },
+        ProxyLease { proxy: SECOND, number: lease },
         "j",
         0,
         ItemProgress::default(),
@@ -135,7 +133,7 @@
 }
 
 #[rstest]
-fn an_item_is_not_handed_back_under_an_earlier_lease() {
+fn ignores_a_return_under_an_earlier_lease() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
     let first = primary.leases(0, FIRST, 1)[0].lease;
     primary.scheduler.return_item(
@@ -162,7 +160,7 @@
 }
 
 #[rstest]
-fn surplus_groups_are_held_back_until_the_results_are_nearly_due() {
+fn oversamples_only_when_results_are_nearly_due() {
     let desired = 4;
     let mut primary = Primary::new(vec![job("j", 10, 1, desired)]);
     let begun = primary.take(0, FIRST, 100).len();
@@ -174,7 +172,7 @@
 }
 
 #[rstest]
-fn surplus_groups_come_after_the_groups_of_other_jobs() {
+fn oversamples_after_required_groups_of_other_jobs() {
     let mut early = job("early", 10, 1, 1);
     early.terms.run_deadline_ms = 1_000;
     let mut primary = Primary::new(vec![early, job("late", 2, 1, 2)]);
@@ -185,7 +183,7 @@
 }
 
 #[rstest]
-fn a_finished_item_is_not_leased_and_counts_once() {
+fn finishes_an_item_once() {
     let mut primary = Primary::new(vec![job("j", 1, 2, 1)]);
     assert!(primary.finish("j", "j-0"));
     assert!(!primary.finish("j", "j-0"));
@@ -193,7 +191,7 @@
 }
 
 #[rstest]
-fn an_item_whose_result_is_of_no_use_waits_again() {
+fn rejected_result_makes_the_item_pending() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
     primary.take(0, FIRST, 1);
     primary.scheduler.reject_result("j", 0);
@@ -202,7 +200,7 @@
 }
 
 #[rstest]
-fn the_leases_of_a_lost_proxy_end_when_their_last_renewal_does() {
+fn leases_of_a_disconnected_proxy_expire() {
     let mut primary = Primary::new(vec![job("j", 1, 2, 1)]);
     primary.take(0, FIRST, 2);
     let renewed = primary.scheduler.renew_leases(ms(400), |_| true);
@@ -217,7 +215,7 @@
 }
 
 #[rstest]
-fn a_primary_that_may_not_act_renews_nothing() {
+fn renews_nothing_while_not_acting() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
     primary.take(0, FIRST, 1);
     assert!(primary.scheduler.renew_leases(ms(400), |_| false).is_empty());
@@ -226,7 +224,7 @@
 }
 
 #[rstest]
-fn a_lease_renewed_for_ever_ends_nevertheless() {
+fn expires_a_lease_at_its_maximum_age() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
     primary.take(0, FIRST, 1);
     for step in 0..160 {
@@ -236,14 +234,14 @@
 }
 
 #[rstest]
-fn an_ended_job_is_not_leased() {
+fn does_not_lease_a_removed_job() {
     let mut primary = Primary::new(vec![job("j", 2, 1, 2)]);
-    let given = primary.leases(0, FIRST, 1)[0].lease;
+    let lease = primary.leases(0, FIRST, 1)[0].lease;
     primary.scheduler.remove_job("j");
     assert!(primary.take(0, FIRST, 9).is_empty());
     assert_eq!((primary.scheduler.job_count(), primary.scheduler.leased_item_count()), (0, 0));
     primary.scheduler.return_item(
-        ProxyLease { proxy: FIRST, number: given },
+        ProxyLease { proxy: FIRST, number: lease },
         "j",
         0,
         ItemProgress::default(),
@@ -252,7 +250,7 @@
 }
 
 #[rstest]
-fn an_idle_proxy_is_told_of_new_work_once() {
+fn notifies_an_idle_proxy_of_new_work_once() {
     let mut primary = Primary::new(vec![]);
     assert!(primary.take(0, FIRST, 1).is_empty());
     assert!(primary.scheduler.take_idle_proxies(ms(0), |_| true).is_empty());
@@ -262,7 +260,7 @@
 }
 
 #[rstest]
-fn an_idle_proxy_is_not_told_of_work_that_may_not_be_leased() {
+fn does_not_notify_an_idle_proxy_while_not_acting() {
     let mut primary = Primary::new(vec![]);
     primary.take(0, FIRST, 1);
     primary.add(10, job("j", 1, 1, 1));
@@ -271,7 +269,7 @@
 }
 
 #[rstest]
-fn bulky_items_are_leased_in_portions() {
+fn limits_the_bytes_of_one_answer() {
     let mut bulky = job("j", 4, 1, 4);
     bulky.items.iter_mut().for_each(|item| item.body = vec![0; 3 * 1024 * 1024]);
     let mut primary = Primary::new(vec![bulky]);
@@ -281,16 +279,16 @@
 }
 
 #[rstest]
-fn items_are_given_up_only_when_their_time_has_come_and_nobody_runs_them() {
+fn expires_only_pending_items_past_their_ttl() {
     let mut primary = Primary::new(vec![job("j", 3, 1, 3)]);
-    let given = primary.leases(0, FIRST, 1)[0].lease;
+    let lease = primary.leases(0, FIRST, 1)[0].lease;
     assert!(primary.scheduler.take_expired_items(ms(19_999)).is_empty());
     let expired = primary.scheduler.take_expired_items(ms(20_000));
     assert_eq!(expired.iter().map(|expired| expired.items.as_slice()).collect::<Vec<_>>(), [[1, 2]]);
     assert!(primary.scheduler.take_expired_items(ms(20_001)).is_empty());
     assert!(primary.take(20_001, SECOND, 9).is_empty());
     primary.scheduler.return_item(
-        ProxyLease { proxy: FIRST, number: given },
+        ProxyLease { proxy: FIRST, number: lease },
         "j",
         0,
         ItemProgress::default(),
@@ -298,11 +296,11 @@
     assert_eq!(primary.scheduler.take_expired_items(ms(20_002)).len(), 1);
 }
 
-/// A scheduler that takes over a job of four items, the first of them listed.
+/// A scheduler that takes over a job of four items, the first of which has a result.
 fn taken_over(proxies: &[ProxyId]) -> Primary {
     let mut state = BatchState::default();
     apply(&mut state, 0, Change::AddJob(job("j", 2, 2, 2)));
-    apply(&mut state, 100, listing("j", vec![result("j-0", "text")]));
+    apply(&mut state, 100, append_results("j", vec![result("j-0", "text")]));
     let mut scheduler = Scheduler::default();
     proxies.iter().for_each(|proxy| scheduler.connect_proxy(*proxy));
     scheduler.start_group(ms(1_000), GROUP, 6, &GroupClock::new(ms(1_000), 100), &state);
@@ -310,19 +308,19 @@
 }
 
 #[rstest]
-fn a_new_primary_waits_before_it_leases_what_it_took_over() {
+fn new_primary_waits_before_it_leases_jobs_taken_over() {
     let mut primary = taken_over(&[FIRST, SECOND]);
     assert!(primary.take(1_399, FIRST, 9).is_empty());
     assert_eq!(primary.take(1_400, FIRST, 9), [vec!["j-1"], vec!["j-2", "j-3"]]);
 }
 
 #[rstest]
-fn a_new_primary_waits_no_longer_than_for_the_proxies_announcements() {
+fn new_primary_stops_waiting_once_all_proxies_have_reported() {
     let mut primary = taken_over(&[FIRST, SECOND]);
     primary.scheduler.lease_report_received(ms(1_249), FIRST);
     primary.scheduler.restore_lease(ms(1_250), FIRST, "j", &[1, 2]);
     primary.scheduler.lease_report_received(ms(1_250), SECOND);
-    assert!(primary.take(1_250, SECOND, 9).is_empty(), "the first came too early to count");
+    assert!(primary.take(1_250, SECOND, 9).is_empty(), "the report of the first came too early to count");
     primary.scheduler.lease_report_received(ms(1_300), FIRST);
     assert_eq!(primary.take(1_300, SECOND, 9), [["j-3"]]);
     let renewed = primary.scheduler.renew_leases(ms(1_400), |_| true);
@@ -330,14 +328,14 @@
 }
 
 #[rstest]
-fn a_new_primary_leases_new_jobs_at_once() {
+fn new_primary_leases_new_jobs_at_once() {
     let mut primary = taken_over(&[FIRST]);
     primary.add(1_100, job("new", 1, 1, 1));
     assert_eq!(primary.take(1_100, FIRST, 9), [["new-0"]]);
 }
 
 #[rstest]
-fn an_announced_lease_is_handed_back_under_its_earlier_number() {
+fn restored_lease_is_returned_under_its_earlier_number() {
     let mut primary = taken_over(&[FIRST]);
     primary.scheduler.restore_lease(ms(1_100), FIRST, "j", &[1]);
     primary.scheduler.return_item(ProxyLease { proxy: FIRST, number: 77 }, "j", 1, ItemProgress::default());
@@ -345,7 +343,7 @@
 }
 
 #[rstest]
-fn a_proxy_that_connects_again_keeps_its_leases() {
+fn reconnected_proxy_restores_its_leases() {
     let mut primary = Primary::new(vec![job("j", 1, 2, 1)]);
     primary.take(0, FIRST, 2);
     primary.scheduler.disconnect_proxy(FIRST);
@@ -358,12 +356,12 @@
 }
 
 #[rstest]
-fn a_held_lease_of_another_connected_proxy_stays_with_it() {
+fn does_not_restore_a_lease_of_another_connected_proxy() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
-    let given = primary.leases(0, FIRST, 1)[0].lease;
+    let lease = primary.leases(0, FIRST, 1)[0].lease;
     primary.scheduler.restore_lease(ms(10), SECOND, "j", &[0]);
     primary.scheduler.return_item(
-        ProxyLease { proxy: FIRST, number: given },
+        ProxyLease { proxy: FIRST, number: lease },
         "j",
         0,
         ItemProgress::default(),
@@ -372,7 +370,7 @@
 }
 
 #[rstest]
-fn a_stopped_group_is_forgotten() {
+fn stopped_group_is_removed() {
     let mut primary = Primary::new(vec![job("j", 1, 2, 1)]);
     primary.take(0, FIRST, 1);
     primary.scheduler.stop_group(GROUP);
--- a/crates/pebblepost-batch/tests/state.rs
+++ b/crates/pebblepost-batch/tests/integration/state.rs
@@ -1,7 +1,6 @@
 //! The replicated state under random entries and under chosen ones.
 
-mod support;
-
+use crate::support::{append_results, apply, item_id, job, ms, result};
 use pebblepost_batch::admission::Budget;
 use pebblepost_batch::clock::GroupClock;
 use pebblepost_batch::command::Change;
@@ -13,7 +12,6 @@
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
-use support::{apply, item_id, job, listing, ms, result};
 
 const RETENTION: Retention = Retention { ended: Duration::from_secs(120), open: Duration::from_secs(120) };
 
@@ -42,7 +40,7 @@
                 let item = item_id(&id, random.random_range(0..14));
                 result(&item, &format!("text {}", random.random_range(0..1000)))
             });
-            listing(&id, results.collect())
+            append_results(&id, results.collect())
         }
         18 => Change::EndJob { job: id },
         _ => Change::DeleteJobs { jobs: vec![id] },
@@ -50,7 +48,7 @@
 }
 
 #[rstest]
-fn listed_results_never_change_and_snapshots_keep_all() {
+fn results_never_change_and_survive_snapshots() {
     for seed in 0..300 {
         let mut random = StdRng::seed_from_u64(seed);
         let mut state = BatchState::default();
@@ -79,7 +77,7 @@
 #[case::an_item_twice(&["a"], &["a", "b", "a"], "twice")]
 #[case::another_result_at_a_position(&["a", "b"], &["a", "c"], "changed")]
 #[case::a_result_is_gone(&["a", "b"], &["a"], "changed")]
-fn the_check_of_readers_catches(#[case] before: &[&str], #[case] after: &[&str], #[case] word: &str) {
+fn read_checker_detects(#[case] before: &[&str], #[case] after: &[&str], #[case] word: &str) {
     let list = |ids: &[&str]| ids.iter().map(|id| result(id, "text")).collect::<Vec<_>>();
     let seen = Seen::from([("j".to_owned(), list(before))]);
     let found = violation(&seen, "j", &list(after));
@@ -87,24 +85,24 @@
 }
 
 #[rstest]
-fn a_job_submitted_again_changes_nothing() {
+fn adding_a_job_is_idempotent() {
     let mut state = BatchState::default();
     apply(&mut state, 1, Change::AddJob(job("j", 2, 2, 1)));
-    apply(&mut state, 2, listing("j", vec![result("j-0", "text")]));
+    apply(&mut state, 2, append_results("j", vec![result("j-0", "text")]));
     let before = state.job("j").cloned();
     apply(&mut state, 3, Change::AddJob(job("j", 5, 5, 1)));
     assert_eq!(state.job("j").cloned(), before);
 }
 
 #[rstest]
-fn the_first_result_of_an_item_counts() {
+fn first_result_of_an_item_counts() {
     let mut state = BatchState::default();
     apply(&mut state, 1, Change::AddJob(job("j", 1, 2, 1)));
-    apply(&mut state, 2, listing("j", vec![result("j-1", "first"), result("j-1", "second")]));
+    apply(&mut state, 2, append_results("j", vec![result("j-1", "first"), result("j-1", "second")]));
     apply(
         &mut state,
         3,
-        listing("j", vec![result("j-1", "third"), result("other", "x"), result("j-0", "zero")]),
+        append_results("j", vec![result("j-1", "third"), result("other", "x"), result("j-0", "zero")]),
     );
     let stored = state.job("j").expect("the job is there");
     assert_eq!(stored.results(), [result("j-1", "first"), result("j-0", "zero")]);
@@ -112,24 +110,24 @@
 }
 
 #[rstest]
-fn a_listed_item_gives_no_body_and_the_others_do() {
+fn only_pending_items_have_a_body() {
     let mut state = BatchState::default();
     apply(&mut state, 1, Change::AddJob(job("j", 1, 2, 1)));
-    apply(&mut state, 2, listing("j", vec![result("j-0", "text")]));
+    apply(&mut state, 2, append_results("j", vec![result("j-0", "text")]));
     let stored = state.job("j").expect("the job is there");
     assert_eq!(stored.pending_index("j-0"), None);
-    let index = stored.pending_index("j-1").expect("not listed");
+    let index = stored.pending_index("j-1").expect("a pending item");
     assert_eq!(stored.pending_item(index).map(|item| item.body.clone()), Some(vec![1; 8]));
 }
 
 #[rstest]
-fn an_ended_job_keeps_its_results_and_takes_no_more() {
+fn ended_job_keeps_results_and_accepts_no_more() {
     let mut state = BatchState::default();
     apply(&mut state, 1, Change::AddJob(job("j", 1, 3, 1)));
-    apply(&mut state, 2, listing("j", vec![result("j-2", "text")]));
+    apply(&mut state, 2, append_results("j", vec![result("j-2", "text")]));
     apply(&mut state, 3, Change::EndJob { job: "j".to_owned() });
     apply(&mut state, 4, Change::EndJob { job: "j".to_owned() });
-    apply(&mut state, 5, listing("j", vec![result("j-0", "late")]));
+    apply(&mut state, 5, append_results("j", vec![result("j-0", "late")]));
     let stored = state.job("j").expect("the job is there");
     assert_eq!(stored.results(), [result("j-2", "text")]);
     assert_eq!(stored.item_count(), 3);
@@ -142,18 +140,18 @@
 #[case::at_least_one(1, 1, &["j-1"])]
 #[case::at_the_end(3, 25, &[])]
 #[case::beyond_the_end(9, 25, &[])]
-fn a_page_holds_what_fits(#[case] start: u64, #[case] most: usize, #[case] expected: &[&str]) {
+fn page_is_limited_by_bytes(#[case] start: u64, #[case] most: usize, #[case] expected: &[&str]) {
     let mut state = BatchState::default();
     apply(&mut state, 1, Change::AddJob(job("j", 1, 4, 1)));
     let results = (0..3).map(|index| result(&item_id("j", index), &"x".repeat(800)));
-    apply(&mut state, 2, listing("j", results.collect()));
+    apply(&mut state, 2, append_results("j", results.collect()));
     let page = state.job("j").expect("the job is there").page(start, most * 100);
     let ids: Vec<&str> = page.results.iter().map(|result| result.id.as_str()).collect();
     assert_eq!((page.total, page.start, ids.as_slice()), (4, start, expected));
 }
 
 #[rstest]
-fn jobs_are_kept_as_long_as_promised() {
+fn jobs_are_retained_as_configured() {
     let mut state = BatchState::default();
     apply(&mut state, 1_000, Change::AddJob(job("ended", 1, 1, 1)));
     apply(&mut state, 1_000, Change::AddJob(job("open", 1, 1, 1)));
@@ -166,20 +164,20 @@
 }
 
 #[rstest]
-fn held_bytes_shrink_as_items_are_listed_and_jobs_end() {
+fn estimated_bytes_shrink_with_results_and_ends() {
     let mut state = BatchState::default();
     let mut bulky = job("j", 1, 4, 1);
     bulky.items.iter_mut().for_each(|item| item.body = vec![7; 10_000]);
     apply(&mut state, 1, Change::AddJob(bulky));
     let open = state.estimated_bytes();
-    apply(&mut state, 2, listing("j", vec![result("j-0", "text")]));
-    let listed = state.estimated_bytes();
+    apply(&mut state, 2, append_results("j", vec![result("j-0", "text")]));
+    let with_result = state.estimated_bytes();
     apply(&mut state, 3, Change::EndJob { job: "j".to_owned() });
-    assert!(open > listed && listed > state.estimated_bytes() && state.estimated_bytes() > 0);
+    assert!(open > with_result && with_result > state.estimated_bytes() && state.estimated_bytes() > 0);
 }
 
 #[rstest]
-fn what_can_not_be_read_marks_the_state_damaged() {
+fn undecodable_bytes_mark_the_state_damaged() {
     let mut state = BatchState::default();
     state.apply(1, &[1, 2, 3]);
     assert!(state.is_damaged());
@@ -189,7 +187,7 @@
 }
 
 #[rstest]
-fn the_group_clock_only_rises() {
+fn group_clock_is_monotonic() {
     let mut clock = GroupClock::new(ms(500), 10_000);
     assert_eq!(clock.now_ms(ms(700)), 10_200);
     clock.observe(ms(700), 10_150);
@@ -200,7 +198,7 @@
 }
 
 #[rstest]
-fn a_budget_refuses_what_goes_beyond_it() {
+fn budget_rejects_jobs_beyond_it() {
     let budget = Budget::new(1_000_000, 2_000_000);
     assert_eq!(budget.max_bytes(), 600_000);
     let small = job("j", 1, 10, 1);
--- a/crates/pebblepost-batch/tests/stored_form.rs
+++ b/crates/pebblepost-batch/tests/integration/stored_form.rs
@@ -1,13 +1,11 @@
 //! Log entries and snapshots by their bytes: those of earlier versions are read, and the same are written.
 
-mod support;
-
+use crate::support::{apply, approve, approved, from_hex, hex};
 use pebblepost_batch::command::{Change, Command, JobResults};
 use pebblepost_batch::state::BatchState;
 use pebblepost_messages::batch::{Item, ItemResult, Job, JobTerms, ResultState, Scorer};
 use pebblepost_replication::replica::StateMachine;
 use rstest::rstest;
-use support::{approve, approved, from_hex, hex};
 
 /// A job with all fields set.
 fn full_job(id: &str) -> Job {
@@ -56,7 +54,7 @@
 }
 
 fn changes() -> Vec<(&'static str, Change)> {
-    let listed = vec![
+    let results = vec![
         JobResults {
             job: "a".to_owned(),
             results: vec![
@@ -68,7 +66,7 @@
     ];
     vec![
         ("add_job", Change::AddJob(full_job("a"))),
-        ("add_results", Change::AppendResults(listed)),
+        ("add_results", Change::AppendResults(results)),
         ("end_job", Change::EndJob { job: "b".to_owned() }),
         ("forget_jobs", Change::DeleteJobs { jobs: vec!["a".to_owned(), "b".to_owned()] }),
     ]
@@ -81,13 +79,13 @@
         vec![Change::AddJob(full_job("b")), Change::AddJob(full_job("a")), Change::AddJob(full_job("c"))];
     commands.extend(changes().into_iter().take(3).map(|(_, change)| change));
     for (now_ms, change) in (1_000..).step_by(10).zip(commands) {
-        support::apply(&mut state, now_ms, change);
+        apply(&mut state, now_ms, change);
     }
     state
 }
 
 #[rstest]
-fn entries_have_the_approved_bytes() {
+fn entries_encode_to_the_approved_bytes() {
     let lines = changes().into_iter().map(|(name, change)| {
         let command = Command { now_ms: 1_234_567_890_123, change };
         format!("{name} {}", hex(&command.encode()))
@@ -124,6 +122,6 @@
 #[rstest]
 #[case::entry(&[1, 2, 3])]
 #[case::unknown_change(&[0, 0, 0, 0, 0, 0, 0, 0, 9, 0])]
-fn what_is_no_entry_is_an_error(#[case] bytes: &[u8]) {
+fn rejects_undecodable_entries(#[case] bytes: &[u8]) {
     assert!(Command::decode(bytes).is_err());
 }
--- a/crates/pebblepost-batch/tests/support/mod.rs
+++ b/crates/pebblepost-batch/tests/integration/support.rs
@@ -1,7 +1,5 @@
 //! Jobs and entries for the tests.
 
-#![allow(dead_code)]
-
 use pebblepost_batch::command::{Change, Command, JobResults};
 use pebblepost_batch::state::BatchState;
 use pebblepost_messages::batch::{Item, ItemResult, Job, JobTerms, ResultState};
@@ -13,7 +11,7 @@
     format!("{job}-{index}")
 }
 
-/// A job of `groups` groups of `per_group` items each, due in 5 s and given up after 20 s.
+/// A job of `groups` groups of `per_group` items each, due in 5 s which expire after 20 s.
 pub fn job(id: &str, groups: usize, per_group: usize, desired: u32) -> Job {
     let items = (0..groups * per_group).map(|index| Item {
         id: item_id(id, index),
@@ -27,7 +25,7 @@
     Job { id: id.to_owned(), terms, desired_groups: desired, items: items.collect(), ..Job::default() }
 }
 
-/// A whole text of an item.
+/// A completed result of an item.
 pub fn result(id: &str, text: &str) -> ItemResult {
     ItemResult {
         id: id.to_owned(),
@@ -42,8 +40,8 @@
     state.apply(1, &Command { now_ms, change }.encode());
 }
 
-/// A change that lists results of one job.
-pub fn listing(job: &str, results: Vec<ItemResult>) -> Change {
+/// A change that appends results of one job.
+pub fn append_results(job: &str, results: Vec<ItemResult>) -> Change {
     Change::AppendResults(vec![JobResults { job: job.to_owned(), results }])
 }
 
