--- a/crates/pebblepost-batch-store/src/program/configuration.rs
+++ b/crates/pebblepost-batch-store/src/program/configuration.rs
@@ -43,7 +43,7 @@
             zone: settings.zone.clone(),
             region: settings.region.clone(),
         },
-        founding: settings.bootstrap && opened.records.is_empty(),
+        bootstrap: settings.bootstrap && opened.records.is_empty(),
         replica: replica_settings(settings),
         retention: Retention { ended: status + RETENTION_MARGIN, open: status + ABANDONED_MARGIN },
         budget: Budget::new(settings.limits.memory_bytes, ring_bytes(settings)),
--- a/crates/pebblepost-batch-store/src/program/event_loop.rs
+++ b/crates/pebblepost-batch-store/src/program/event_loop.rs
@@ -220,14 +220,14 @@
 
     fn tick_when_due(&mut self) {
         let now = Instant::now();
-        if self.store.is_busy() {
+        if self.store.has_replicas() {
             // It may have begun to hold something since the pause of an idle store began.
             self.next_tick = self.next_tick.min(now + BUSY_TICK);
         }
         if now >= self.next_tick {
             let time = self.now();
             self.store.tick(time);
-            self.next_tick = now + if self.store.is_busy() { BUSY_TICK } else { IDLE_TICK };
+            self.next_tick = now + if self.store.has_replicas() { BUSY_TICK } else { IDLE_TICK };
         }
         if now >= self.next_keep_alive {
             self.links.keep_alive();
@@ -271,11 +271,11 @@
         log::info!("stopping");
         let now = self.now();
         self.leaving_until.get_or_insert(Instant::now() + MOST_LEAVING);
-        self.store.leave(now);
+        self.store.start_shutdown(now);
     }
 
     fn has_left(&self) -> bool {
-        self.leaving_until.is_some_and(|until| Instant::now() >= until || !self.store.is_needed())
+        self.leaving_until.is_some_and(|until| Instant::now() >= until || !self.store.is_in_sync_replica())
     }
 
     fn read_settings(&mut self) {
--- a/crates/pebblepost-batch-store/src/store/epoch_changes.rs
+++ b/crates/pebblepost-batch-store/src/store/epoch_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of epochs that the control plane was asked for.
+//! Changes of epochs that were requested from the control plane and are not answered yet.
 
 use pebblepost_messages::control::{GroupEpoch, ToControl};
 use pebblepost_messages::{DiskId, Member};
@@ -6,97 +6,104 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a change may stay unanswered before it is given up.
-const MOST_WAIT: Duration = Duration::from_secs(3);
+/// Time after which an unanswered change is abandoned.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
+/// A change that is not answered.
 #[derive(Debug)]
-struct Change {
+struct EpochChange {
     request: u64,
-    expected: u64,
+    expected_epoch: u64,
     record: EpochRecord,
-    asked_at: Duration,
+    requested_at: Duration,
 }
 
-/// What became of a change.
+/// Result of a change.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Answer {
-    /// The record that was proposed holds now.
+pub(super) enum EpochChangeOutcome {
+    /// The proposed record is in force.
     Accepted(EpochRecord),
-    /// Another one holds.
-    Refused,
-    /// Nobody waits for the answer any more.
-    Unasked,
+    /// Another record is in force.
+    Rejected,
+    /// No change with this number is waiting for an answer.
+    NotRequested,
 }
 
-/// Changes that are not answered yet, at most one of each group.
+/// Unanswered changes, at most one of each group.
 #[derive(Debug, Default)]
 pub(super) struct EpochChanges {
     last_request: u64,
-    waiting: BTreeMap<u32, Change>,
+    pending: BTreeMap<u32, EpochChange>,
 }
 
 impl EpochChanges {
-    /// Notes a change; the message that asks for it.
-    pub(super) fn ask(&mut self, now: Duration, group: u32, expected: u64, record: EpochRecord) -> ToControl {
+    /// Adds a change in place of an earlier one of the group; the message that requests it.
+    pub(super) fn request(
+        &mut self, now: Duration, group_id: u32, expected_epoch: u64, record: EpochRecord,
+    ) -> ToControl {
         self.last_request += 1;
-        let change = Change { request: self.last_request, expected, record, asked_at: now };
-        let message = change.message(group);
-        self.waiting.insert(group, change);
+        let change = EpochChange { request: self.last_request, expected_epoch, record, requested_at: now };
+        let message = change.message(group_id);
+        self.pending.insert(group_id, change);
         message
     }
 
-    /// Messages that ask anew for all that is not answered, on a new connection.
-    pub(super) fn ask_again(&self) -> Vec<ToControl> {
-        self.waiting.iter().map(|(group, change)| change.message(*group)).collect()
+    /// Messages that request all unanswered changes again, on a new connection.
+    pub(super) fn repeated_messages(&self) -> Vec<ToControl> {
+        self.pending.iter().map(|(group_id, change)| change.message(*group_id)).collect()
     }
 
-    /// An answer came.
-    pub(super) fn answered(&mut self, request: u64, group: u32, current: &GroupEpoch) -> Answer {
-        if self.waiting.get(&group).is_none_or(|change| change.request != request) {
-            return Answer::Unasked;
+    /// Takes in an answer.
+    pub(super) fn answered(
+        &mut self, request: u64, group_id: u32, current: &GroupEpoch,
+    ) -> EpochChangeOutcome {
+        if self.pending.get(&group_id).is_none_or(|change| change.request != request) {
+            return EpochChangeOutcome::NotRequested;
         }
-        match self.waiting.remove(&group) {
-            Some(change) if group_epoch(&change.record) == *current => Answer::Accepted(change.record),
-            _ => Answer::Refused,
+        match self.pending.remove(&group_id) {
+            Some(change) if group_epoch(&change.record) == *current => {
+                EpochChangeOutcome::Accepted(change.record)
+            }
+            _ => EpochChangeOutcome::Rejected,
         }
     }
 
-    /// A group is not held here any more.
-    pub(super) fn forget(&mut self, group: u32) {
-        self.waiting.remove(&group);
+    /// Abandons the change of a group whose replica is dropped.
+    pub(super) fn remove(&mut self, group_id: u32) {
+        self.pending.remove(&group_id);
     }
 
-    /// Groups whose change is given up because no answer came.
-    pub(super) fn take_overdue(&mut self, now: Duration) -> Vec<u32> {
-        let is_overdue = |change: &Change| now.saturating_sub(change.asked_at) >= MOST_WAIT;
-        let overdue: Vec<u32> =
-            self.waiting.iter().filter(|(_, change)| is_overdue(change)).map(|(group, _)| *group).collect();
-        for group in &overdue {
-            self.waiting.remove(group);
+    /// Abandons the changes whose answer is overdue; their groups.
+    pub(super) fn take_timed_out(&mut self, now: Duration) -> Vec<u32> {
+        let is_timed_out = |change: &EpochChange| now.saturating_sub(change.requested_at) >= REQUEST_TIMEOUT;
+        let timed_out = self.pending.iter().filter(|(_, change)| is_timed_out(change));
+        let group_ids: Vec<u32> = timed_out.map(|(group_id, _)| *group_id).collect();
+        for group_id in &group_ids {
+            self.pending.remove(group_id);
         }
-        overdue
+        group_ids
     }
 }
 
-impl Change {
-    fn message(&self, group: u32) -> ToControl {
+impl EpochChange {
+    fn message(&self, group_id: u32) -> ToControl {
         ToControl::ChangeGroup {
             request: self.request,
-            group,
-            expected_epoch: self.expected,
+            group: group_id,
+            expected_epoch: self.expected_epoch,
             proposed: group_epoch(&self.record),
         }
     }
 }
 
-/// What the control plane keeps of an epoch record.
+/// The part of an epoch record that the control plane stores.
 fn group_epoch(record: &EpochRecord) -> GroupEpoch {
     let in_sync = record.in_sync.iter().map(|member| member.disk).collect();
     GroupEpoch { epoch: record.epoch, primary: record.primary, in_sync }
 }
 
-/// The record of an epoch whose members are all known.
-pub(super) fn record_of(epoch: &GroupEpoch, members: &BTreeMap<DiskId, Member>) -> Option<EpochRecord> {
+/// The record of an epoch; `None` unless all its members are known.
+pub(super) fn epoch_record_of(epoch: &GroupEpoch, members: &BTreeMap<DiskId, Member>) -> Option<EpochRecord> {
     let in_sync: Option<Vec<Member>> = epoch.in_sync.iter().map(|disk| members.get(disk).cloned()).collect();
     Some(EpochRecord {
         epoch: epoch.epoch,
--- /dev/null
+++ b/crates/pebblepost-batch-store/src/store/leases.rs
@@ -0,0 +1,168 @@
+//! Leases of items to proxies: requests for work, outcomes, reports of active leases, renewal.
+
+use super::Store;
+use super::deferred::DeferredResult;
+use super::group::Group;
+use super::outbox::LinkId;
+use pebblepost_batch::scheduler::{ItemProgress, ProxyId, ProxyLease};
+use pebblepost_messages::batch::{ActiveLease, FromStore, ItemOutcome, ItemResult, Job, ResultState};
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+/// Most epochs of one term for which leases are renewed.
+const MAX_RENEWED_EPOCHS: u64 = 8;
+/// Most items that one answer leases.
+const MAX_LEASED_ITEMS: u32 = 512;
+
+/// The outcomes of items of one lease, as a proxy sent them.
+#[derive(Debug)]
+pub(super) struct LeaseOutcomes {
+    pub(super) lease: ProxyLease,
+    pub(super) group_id: u32,
+    pub(super) job: String,
+    pub(super) outcomes: Vec<ItemOutcome>,
+}
+
+impl Store {
+    /// Answers a request for work.
+    pub(super) fn lease_work(&mut self, now: Duration, link: LinkId, max_items: u32) {
+        let max_items = usize::try_from(max_items.min(MAX_LEASED_ITEMS)).unwrap_or(0);
+        let groups = &self.groups;
+        let states = |group_id: u32| {
+            let group = groups.get(&group_id).filter(|group| group.is_acting(now));
+            group.map(Group::state)
+        };
+        let leases = self.scheduler.lease_items(now, ProxyId(link.0), max_items, states);
+        self.outbox.reply(link, FromStore::Work(leases));
+    }
+
+    /// Takes in the outcomes of items of one lease. Results for a group of which this machine is not yet
+    /// primary are deferred.
+    pub(super) fn process_outcomes(&mut self, now: Duration, outcomes: LeaseOutcomes) {
+        let LeaseOutcomes { lease, group_id, job, outcomes } = outcomes;
+        let is_primary = self.scheduler.has_group(group_id);
+        for outcome in outcomes {
+            match outcome {
+                ItemOutcome::Finished(result) if is_primary => self.item_finished(group_id, &job, result),
+                ItemOutcome::Finished(result) if self.groups.contains_key(&group_id) => {
+                    let result = DeferredResult { group_id, job: job.clone(), result };
+                    self.deferred.push_result(now, result);
+                }
+                ItemOutcome::Finished(_) => {}
+                ItemOutcome::Returned { id, failed_attempts, failed_scorer_attempts, partial } => {
+                    let progress = ItemProgress { failed_attempts, failed_scorer_attempts, partial };
+                    self.item_returned(lease, group_id, &job, &id, progress);
+                }
+            }
+        }
+    }
+
+    /// Takes in a report of all leases that a proxy holds. Those of groups of which this machine is not yet
+    /// primary are deferred.
+    pub(super) fn process_lease_report(&mut self, now: Duration, link: LinkId, leases: Vec<ActiveLease>) {
+        let is_scheduled = |lease: &ActiveLease| self.scheduler.has_group(lease.store_group);
+        let (current, deferred): (Vec<_>, Vec<_>) = leases.into_iter().partition(is_scheduled);
+        self.deferred.set_reported_leases(link, deferred);
+        self.restore_leases(now, link, current);
+        self.scheduler.lease_report_received(now, ProxyId(link.0));
+    }
+
+    /// Takes in what proxies sent before this machine became primary of a group.
+    pub(super) fn process_deferred_messages(&mut self, now: Duration, group_id: u32) {
+        for (link, leases) in self.deferred.take_reported_leases(group_id) {
+            self.restore_leases(now, link, leases);
+        }
+        for deferred in self.deferred.take_results(group_id) {
+            self.item_finished(group_id, &deferred.job, deferred.result);
+        }
+    }
+
+    /// Renews the leases of all groups of which this machine is acting primary.
+    pub(super) fn renew_leases(&mut self, now: Duration) {
+        let groups = &self.groups;
+        let is_acting = |group_id: u32| groups.get(&group_id).is_some_and(|group| group.is_acting(now));
+        for (proxy, group_ids) in self.scheduler.renew_leases(now, is_acting) {
+            self.send_renewal(LinkId(proxy.0), group_ids);
+        }
+    }
+
+    /// Notifies proxies whose last request for work was not met that there is work now.
+    pub(super) fn notify_idle_proxies(&mut self, now: Duration) {
+        let groups = &self.groups;
+        let is_shutting_down = self.is_shutting_down;
+        let is_acting = |group_id: u32| {
+            !is_shutting_down && groups.get(&group_id).is_some_and(|group| group.is_acting(now))
+        };
+        for proxy in self.scheduler.take_idle_proxies(now, is_acting) {
+            self.outbox.reply(LinkId(proxy.0), FromStore::WorkAvailable);
+        }
+    }
+
+    fn item_finished(&mut self, group_id: u32, job: &str, result: ItemResult) {
+        let Some(group) = self.groups.get_mut(&group_id) else { return };
+        let Some(stored) = group.state().job(job) else { return };
+        let Some(item) = stored.pending_index(&result.id) else { return };
+        if !has_allowed_versions(stored.job(), &result) {
+            log::error!("result has versions that the job does not allow job={job} item={}", result.id);
+            self.scheduler.reject_result(job, item);
+            return;
+        }
+        if self.scheduler.finish_item(job, item) {
+            group.buffer_result(job, result);
+        }
+    }
+
+    fn item_returned(
+        &mut self, lease: ProxyLease, group_id: u32, job: &str, item: &str, progress: ItemProgress,
+    ) {
+        let stored = self.groups.get(&group_id).and_then(|group| group.state().job(job));
+        if let Some(item) = stored.and_then(|stored| stored.pending_index(item)) {
+            self.scheduler.return_item(lease, job, item, progress);
+        }
+    }
+
+    /// Restores reported leases. Those of jobs that have ended are cancelled; the others are renewed at
+    /// once, as they may not have been renewed for a while.
+    fn restore_leases(&mut self, now: Duration, link: LinkId, leases: Vec<ActiveLease>) {
+        let mut ended_jobs = Vec::new();
+        let mut restored = BTreeSet::new();
+        for lease in leases {
+            let Some(group) = self.acting_group(now, lease.store_group) else { continue };
+            let open = group.state().job(&lease.job).filter(|job| !job.has_ended());
+            let Some(open) = open else {
+                ended_jobs.push(lease.job);
+                continue;
+            };
+            let items: Vec<usize> = lease.items.iter().filter_map(|id| open.pending_index(id)).collect();
+            restored.insert(lease.store_group);
+            self.scheduler.restore_lease(now, ProxyId(link.0), &lease.job, &items);
+        }
+        if !ended_jobs.is_empty() {
+            self.outbox.reply(link, FromStore::Cancel { jobs: ended_jobs });
+        }
+        if !restored.is_empty() {
+            self.send_renewal(link, restored);
+        }
+    }
+
+    fn send_renewal(&mut self, link: LinkId, group_ids: impl IntoIterator<Item = u32>) {
+        let groups = group_ids.into_iter().flat_map(|group_id| self.renewed_epochs(group_id)).collect();
+        self.outbox.reply(link, FromStore::Renew { groups });
+    }
+
+    /// A group with each epoch of this machine's current term as primary: proxies may have recorded their
+    /// leases under any of them.
+    fn renewed_epochs(&self, group_id: u32) -> Vec<(u32, u64)> {
+        let current = self.groups.get(&group_id).map_or(0, |group| group.replica.record().epoch);
+        let first = self.scheduler.epoch(group_id).unwrap_or(current);
+        let first = first.max(current.saturating_sub(MAX_RENEWED_EPOCHS - 1));
+        (first..=current).map(|epoch| (group_id, epoch)).collect()
+    }
+}
+
+/// Whether the versions that made a text are allowed by its job; a dead letter has no text.
+fn has_allowed_versions(job: &Job, result: &ItemResult) -> bool {
+    let are_new_enough = result.versions.iter().all(|version| *version >= job.min_version);
+    let is_single = !job.terms.single_version || result.versions.len() <= 1;
+    result.state == ResultState::DeadLetter || (are_new_enough && is_single)
+}
--- a/crates/pebblepost-batch-store/src/store/mod.rs
+++ b/crates/pebblepost-batch-store/src/store/mod.rs
@@ -1,38 +1,58 @@
-//! What a storage machine does, without I/O or clock.
+//! A storage machine without I/O or clock: it replicates groups of batch jobs and leases their items.
 //!
-//! The caller hands in messages, completed writes and the time since an arbitrary start of its
-//! steady clock, calls [`Store::take_outputs`] once per turn, and carries the outputs out.
+//! The caller passes messages, completed writes and the time since an arbitrary start of its monotonic
+//! clock, calls [`Store::take_outputs`] once per turn, and carries out the outputs in order.
+//!
+//! State lies in types of one concern each: `Group` (the replica of a group, its proposals and pending
+//! reads), `Membership` (assignments of groups to machines), `EpochChanges` (requests to the control
+//! plane), `Connections` (links), `DeferredMessages` (what arrived before a term as primary),
+//! `VersionLags`, `Maintenance` and `Outbox`; the [`Scheduler`] decides on leases. [`Store`] joins them: a
+//! file for each kind of input (`assignment`, `job_calls`, `leases`, `maintenance`, `replica_outputs`,
+//! `shutdown`, `status`) holds its handlers.
 
-mod calls;
-mod commits;
-mod configuration;
-mod early;
+mod assignment;
+mod connections;
+mod deferred;
 mod epoch_changes;
 mod group;
-mod leave;
+mod job_calls;
+mod leases;
+mod maintenance;
+mod membership;
 mod outbox;
+mod proposals;
+mod recovery;
+mod replica_outputs;
+mod shutdown;
 mod status;
-mod version_slack;
-mod work;
+mod version_lag;
 
 pub use outbox::{GroupRecord, LinkId, StoreOutput};
+pub use recovery::RecoveryError;
 
-use early::Early;
+use connections::{Connections, RemoteProgram};
+use deferred::DeferredMessages;
 use epoch_changes::EpochChanges;
-use group::Group;
-use nanoserde::{DeBin, DeBinErr, SerBin};
+use group::{Group, PendingRead};
+use leases::LeaseOutcomes;
+use maintenance::Maintenance;
+use membership::Membership;
+use nanoserde::SerBin;
 use outbox::Outbox;
 use pebblepost_batch::admission::Budget;
 use pebblepost_batch::scheduler::{ProxyId, ProxyLease, Scheduler};
 use pebblepost_batch::state::{BatchState, Retention};
-use pebblepost_messages::batch::{FromStore, STORE_GROUPS, ToStore};
+use pebblepost_messages::Member;
+use pebblepost_messages::batch::{STORE_GROUPS, ToStore};
 use pebblepost_messages::control::ToControl;
-use pebblepost_messages::feed::StoreGroup;
-use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::replica::{DiskRecord, Replica, ReplicaSettings};
-use std::collections::{BTreeMap, BTreeSet};
+use proposals::Caller;
+use std::collections::BTreeMap;
 use std::time::Duration;
-use version_slack::VersionSlack;
+use version_lag::VersionLags;
+
+/// Longest time that a read waits for a result, in milliseconds.
+const MAX_READ_WAIT_MS: u64 = 10_000;
 
 /// Settings of a store.
 #[derive(Clone, Debug)]
@@ -40,87 +60,57 @@
     /// This machine and its disk.
     pub me: Member,
     /// The disk was empty and this is the first start of the whole system.
-    pub founding: bool,
+    pub bootstrap: bool,
     /// Timing and limits of the replicas.
     pub replica: ReplicaSettings,
-    /// How long jobs are kept.
+    /// How long jobs are stored.
     pub retention: Retention,
-    /// Bytes that jobs may take.
+    /// Limit on the memory of jobs.
     pub budget: Budget,
 }
 
-/// What is at the other end of a link that was opened to this store.
-#[derive(Clone, Debug, PartialEq, Eq)]
-enum Caller {
-    /// It has not said yet.
-    Unknown,
-    /// A proxy, by the name of its machine.
-    Proxy(String),
-    /// Another storage machine.
-    Peer(Member),
-}
-
-/// Periodic work: when it was done last.
-#[derive(Debug, Default)]
-struct LastDone {
-    renewal: Duration,
-    forgetting: Duration,
-}
-
 /// A storage machine.
 #[derive(Debug)]
 pub struct Store {
     settings: StoreSettings,
     groups: BTreeMap<u32, Group>,
     scheduler: Scheduler,
-    /// Who serves each group, as last heard from the control plane.
-    assignments: BTreeMap<u32, StoreGroup>,
-    /// All machines heard of.
-    members: BTreeMap<DiskId, Member>,
-    callers: BTreeMap<LinkId, Caller>,
-    early: Early,
-    changes: EpochChanges,
-    versions: VersionSlack,
+    membership: Membership,
+    connections: Connections,
+    deferred: DeferredMessages,
+    epoch_changes: EpochChanges,
+    version_lags: VersionLags,
+    maintenance: Maintenance,
     outbox: Outbox,
-    last_done: LastDone,
-    /// Replicas made so far.
-    incarnations: u64,
-    /// This machine is about to stop.
-    is_leaving: bool,
-    /// Other storage machines that are about to stop.
-    leaving: BTreeSet<DiskId>,
+    /// Replicas created so far.
+    last_incarnation: u64,
+    is_shutting_down: bool,
 }
 
 impl Store {
-    /// A store with what its disk held, in the order written. An error: a record is not in this program's format,
-    /// and without it the store might lead with less than it acknowledged.
-    pub fn new(now: Duration, settings: StoreSettings, records: &[Vec<u8>]) -> Result<Store, DeBinErr> {
-        let mut recovered: BTreeMap<u32, Vec<DiskRecord>> = BTreeMap::new();
-        for bytes in records {
-            let GroupRecord { group, record } = GroupRecord::deserialize_bin(bytes)?;
-            match record {
-                Some(record) => recovered.entry(group).or_default().push(record),
-                None => drop(recovered.remove(&group)),
-            }
-        }
+    /// A store with the records that its disk held, in the order written.
+    ///
+    /// # Errors
+    ///
+    /// If a record is not in this program's format.
+    pub fn new(now: Duration, settings: StoreSettings, records: &[Vec<u8>]) -> Result<Store, RecoveryError> {
+        let recovered = recovery::read_records(records)?;
         let mut store = Store {
-            members: BTreeMap::from([(settings.me.disk, settings.me.clone())]),
+            membership: Membership::new(settings.me.clone()),
             settings,
             groups: BTreeMap::new(),
             scheduler: Scheduler::default(),
-            assignments: BTreeMap::new(),
-            callers: BTreeMap::new(),
-            early: Early::default(),
-            changes: EpochChanges::default(),
-            versions: VersionSlack::default(),
+            connections: Connections::default(),
+            deferred: DeferredMessages::default(),
+            epoch_changes: EpochChanges::default(),
+            version_lags: VersionLags::default(),
+            maintenance: Maintenance::default(),
             outbox: Outbox::default(),
-            last_done: LastDone::default(),
-            incarnations: 0,
-            is_leaving: false,
-            leaving: BTreeSet::new(),
+            last_incarnation: 0,
+            is_shutting_down: false,
         };
-        for (group, records) in recovered {
-            store.open_group(now, group, records);
+        for (group_id, records) in recovered {
+            store.open_group(now, group_id, records);
         }
         Ok(store)
     }
@@ -132,192 +122,174 @@
 
     /// First message on each new connection to the control plane, after the subscription.
     pub fn announcement(&self) -> ToControl {
-        ToControl::StoreHello { member: self.settings.me.clone(), bootstrap: self.settings.founding }
+        ToControl::StoreHello { member: self.settings.me.clone(), bootstrap: self.settings.bootstrap }
     }
 
-    /// A link was opened to this store.
+    /// Another program opened a link to this store.
     pub fn link_opened(&mut self, link: LinkId) {
-        self.callers.insert(link, Caller::Unknown);
+        self.connections.insert(link, RemoteProgram::Unidentified);
     }
 
     /// A link that was opened to this store is lost.
     pub fn link_closed(&mut self, link: LinkId) {
-        if let Some(Caller::Proxy(node)) = self.callers.remove(&link) {
-            log::info!("the link from proxy {node} is lost");
+        if let Some(RemoteProgram::Proxy(node)) = self.connections.remove(link) {
+            log::info!("proxy disconnected node={node}");
             self.scheduler.disconnect_proxy(ProxyId(link.0));
         }
-        self.early.forget(link);
+        self.deferred.remove_link(link);
         for group in self.groups.values_mut() {
-            group.readers.retain(|reader| reader.caller.link != link);
+            group.pending_reads.retain(|read| read.caller.link != link);
         }
     }
 
-    /// A message came over a link that was opened to this store.
+    /// A message arrived over a link that was opened to this store.
     pub fn receive(&mut self, now: Duration, link: LinkId, message: ToStore) {
-        match (message, self.callers.get(&link)) {
+        match (message, self.connections.get(link)) {
             (ToStore::KeepAlive, _) | (_, None) => {}
-            (ToStore::Status, _) => self.answer_status(now, link),
+            (ToStore::Status, _) => self.reply_status(now, link),
             (ToStore::ProxyHello { node, zone }, _) => self.proxy_connected(link, node, &zone),
             (ToStore::PeerHello { member }, _) => self.peer_connected(now, link, member),
-            (ToStore::Replication { to, store_group, message }, Some(Caller::Peer(peer))) => {
+            (ToStore::Replication { to, store_group, message }, Some(RemoteProgram::Peer(peer))) => {
                 let peer = peer.clone();
                 if to == self.settings.me.disk {
-                    self.replicate(now, store_group, &peer, &message);
+                    self.receive_replication(now, store_group, &peer, &message);
                 }
             }
-            (ToStore::ShuttingDown, Some(Caller::Peer(peer))) => {
+            (ToStore::ShuttingDown, Some(RemoteProgram::Peer(peer))) => {
                 let disk = peer.disk;
-                self.peer_leaves(now, disk);
+                self.peer_shutting_down(now, disk);
             }
-            (message, Some(Caller::Proxy(_))) => self.receive_from_proxy(now, link, message),
-            (_, Some(_)) => log::warn!("a message from a link that has not said what it is"),
-        }
-    }
-
-    fn receive_from_proxy(&mut self, now: Duration, link: LinkId, message: ToStore) {
-        let caller = |call: u64| group::Caller { link, call };
-        match message {
-            ToStore::Submit { call, store_group, job } => self.submit(now, caller(call), store_group, job),
-            ToStore::Read { call, store_group, job, start, wait_ms } => {
-                let reader =
-                    group::Reader { caller: caller(call), job, start, until: wait_until(now, wait_ms) };
-                self.read(now, store_group, reader);
-            }
-            ToStore::ItemBody { call, store_group, job, item } => {
-                self.item_body(now, caller(call), store_group, &job, &item);
-            }
-            ToStore::End { call, store_group, job } => self.end(now, caller(call), store_group, job),
-            ToStore::RequestWork { max_items } => self.take_work(now, link, max_items),
-            ToStore::Outcomes { store_group, job, lease, outcomes } => {
-                let lease = ProxyLease { proxy: ProxyId(link.0), number: lease };
-                self.outcomes(now, lease, store_group, &job, outcomes);
-            }
-            ToStore::ActiveLeases(leases) => self.holding(now, link, leases),
-            _ => log::warn!("a message from a proxy that is not one of a proxy"),
+            (message, Some(RemoteProgram::Proxy(_))) => self.receive_from_proxy(now, link, message),
+            (_, Some(_)) => log::warn!("message over a link without a matching hello link={}", link.0),
         }
     }
 
     /// All appends up to this ticket are on disk.
     pub fn synced(&mut self, now: Duration, ticket: u64) {
-        for write in self.outbox.synced(ticket) {
-            let group = self.groups.get_mut(&write.group);
+        for write in self.outbox.take_synced(ticket) {
+            let group = self.groups.get_mut(&write.group_id);
             if let Some(group) = group.filter(|group| group.incarnation == write.incarnation) {
                 group.replica.persisted(now, write.token);
             }
-            self.settle(now, write.group);
+            self.process_replica_outputs(now, write.group_id);
         }
     }
 
-    /// Time passed; to be called every 50 ms or so while [`Store::is_busy`], else now and then.
+    /// Time has passed; to be called every 50 ms or so while [`Store::has_replicas`], else now and then.
     pub fn tick(&mut self, now: Duration) {
-        let numbers: Vec<u32> = self.groups.keys().copied().collect();
-        for number in numbers {
-            if let Some(group) = self.groups.get_mut(&number) {
+        for group_id in self.group_ids() {
+            if let Some(group) = self.groups.get_mut(&group_id) {
                 group.replica.tick(now);
             }
-            self.settle(now, number);
-            self.answer_late_readers(now, number);
+            self.process_replica_outputs(now, group_id);
+            self.answer_overdue_reads(now, group_id);
         }
-        self.drop_groups_of_others(now);
-        self.give_up_overdue_changes(now);
-        self.renew_leases(now);
-        self.list_expired(now);
-        self.forget_jobs(now);
+        self.drop_unassigned_replicas(now);
+        self.time_out_epoch_changes(now);
+        self.run_maintenance(now);
     }
 
-    /// Whether the store holds anything, and needs ticks.
-    pub fn is_busy(&self) -> bool {
+    /// Whether the store has a replica of any group, and needs frequent ticks.
+    pub fn has_replicas(&self) -> bool {
         !self.groups.is_empty()
     }
 
-    /// Ends a turn: proposes what was gathered in it; the outputs.
+    /// Ends a turn: proposes the results that arrived in it; the outputs.
     pub fn take_outputs(&mut self, now: Duration) -> Vec<StoreOutput> {
-        let numbers: Vec<u32> = self.groups.keys().copied().collect();
-        for number in numbers {
-            if let Some(group) = self.groups.get_mut(&number) {
-                group.propose_gathered(now);
+        for group_id in self.group_ids() {
+            if let Some(group) = self.groups.get_mut(&group_id) {
+                group.propose_results(now);
             }
-            self.settle(now, number);
+            self.process_replica_outputs(now, group_id);
         }
-        self.tell_idle_proxies(now);
-        self.outbox.take()
+        self.notify_idle_proxies(now);
+        self.outbox.take_outputs()
     }
 
-    /// Puts out a checkpoint: all that the disk has to hold now. None while a group is damaged: what the disk holds
-    /// of it is to stay.
+    /// Puts out a checkpoint: all that the disk has to contain now. None while the state of a group is
+    /// damaged, as its records on disk must be preserved.
     pub fn checkpoint(&mut self) {
         let mut records = Vec::new();
-        for (number, group) in &self.groups {
+        for (group_id, group) in &self.groups {
             let Some(checkpoint) = group.replica.checkpoint() else { return };
             let encoded =
-                checkpoint.into_iter().map(|record| GroupRecord { group: *number, record: Some(record) });
+                checkpoint.into_iter().map(|record| GroupRecord { group: *group_id, record: Some(record) });
             records.extend(encoded.map(|record| record.serialize_bin()));
         }
         self.outbox.checkpoint(records);
     }
 
-    fn replicate(&mut self, now: Duration, number: u32, peer: &Member, message: &[u8]) {
-        if number >= STORE_GROUPS {
+    fn receive_from_proxy(&mut self, now: Duration, link: LinkId, message: ToStore) {
+        let caller = |call: u64| Caller { link, call };
+        match message {
+            ToStore::Submit { call, store_group, job } => self.submit(now, caller(call), store_group, job),
+            ToStore::Read { call, store_group, job, start, wait_ms } => {
+                let deadline = now + Duration::from_millis(wait_ms.min(MAX_READ_WAIT_MS));
+                let read = PendingRead { caller: caller(call), job, start, deadline };
+                self.read_results(now, store_group, read);
+            }
+            ToStore::ItemBody { call, store_group, job, item } => {
+                self.read_body(now, caller(call), store_group, &job, &item);
+            }
+            ToStore::End { call, store_group, job } => self.end_job(now, caller(call), store_group, job),
+            ToStore::RequestWork { max_items } => self.lease_work(now, link, max_items),
+            ToStore::Outcomes { store_group, job, lease, outcomes } => {
+                let lease = ProxyLease { proxy: ProxyId(link.0), number: lease };
+                self.process_outcomes(now, LeaseOutcomes { lease, group_id: store_group, job, outcomes });
+            }
+            ToStore::ActiveLeases(leases) => self.process_lease_report(now, link, leases),
+            _ => log::warn!("message that proxies do not send link={}", link.0),
+        }
+    }
+
+    fn receive_replication(&mut self, now: Duration, group_id: u32, peer: &Member, message: &[u8]) {
+        if group_id >= STORE_GROUPS {
             return;
         }
-        if !self.groups.contains_key(&number) {
-            self.open_group(now, number, Vec::new());
+        if !self.groups.contains_key(&group_id) {
+            self.open_group(now, group_id, Vec::new());
         }
-        let is_assigned = self.is_assigned(number);
-        if let Some(group) = self.groups.get_mut(&number) {
-            group.used_at = now;
+        let is_assigned = self.membership.is_assigned(group_id);
+        if let Some(group) = self.groups.get_mut(&group_id) {
+            group.last_message_at = now;
             if !is_assigned {
                 group.replica.set_targets(now, Vec::new());
             }
             group.replica.receive(now, peer, message);
         }
-        self.settle(now, number);
+        self.process_replica_outputs(now, group_id);
     }
 
-    /// Begins to hold a group, with what the disk held of it.
-    fn open_group(&mut self, now: Duration, number: u32, recovered: Vec<DiskRecord>) {
-        let me = self.settings.me.clone();
-        let replica = Replica::new(me, self.settings.replica, BatchState::default(), recovered, now);
-        self.incarnations += 1;
-        self.groups.insert(number, Group::new(now, replica, self.incarnations));
-        self.configure_group(now, number);
+    /// Creates the replica of a group, with the records that the disk held of it.
+    fn open_group(&mut self, now: Duration, group_id: u32, recovered: Vec<DiskRecord>) {
+        let local = self.settings.me.clone();
+        let replica = Replica::new(local, self.settings.replica, BatchState::default(), recovered, now);
+        self.last_incarnation += 1;
+        self.groups.insert(group_id, Group::new(now, replica, self.last_incarnation));
+        self.configure_group(now, group_id);
     }
 
     fn proxy_connected(&mut self, link: LinkId, node: String, zone: &str) {
-        log::info!("proxy {node} of zone {zone} is connected");
-        self.callers.insert(link, Caller::Proxy(node));
+        log::info!("proxy connected node={node} zone={zone}");
+        self.connections.insert(link, RemoteProgram::Proxy(node));
         self.scheduler.connect_proxy(ProxyId(link.0));
     }
 
     fn peer_connected(&mut self, now: Duration, link: LinkId, member: Member) {
-        log::info!("storage machine {} is connected", member.node);
-        if self.leaving.remove(&member.disk) {
-            self.set_targets_anew(now);
+        log::info!("storage machine connected node={}", member.node);
+        if self.membership.stop_draining(member.disk) {
+            self.reconfigure_groups(now);
         }
-        self.members.insert(member.disk, member.clone());
-        self.callers.insert(link, Caller::Peer(member));
+        self.membership.add_member(member.clone());
+        self.connections.insert(link, RemoteProgram::Peer(member));
     }
 
-    /// A group that this machine may answer for now.
-    fn acting_group(&mut self, now: Duration, number: u32) -> Option<&mut Group> {
-        self.groups.get_mut(&number).filter(|group| group.is_acting(now))
+    /// The group, if this machine is its acting primary.
+    fn acting_group(&mut self, now: Duration, group_id: u32) -> Option<&mut Group> {
+        self.groups.get_mut(&group_id).filter(|group| group.is_acting(now))
     }
 
-    /// Links of all proxies.
-    fn proxies(&self) -> Vec<LinkId> {
-        let is_proxy = |caller: &Caller| matches!(caller, Caller::Proxy(_));
-        self.callers.iter().filter(|(_, caller)| is_proxy(caller)).map(|(link, _)| *link).collect()
+    fn group_ids(&self) -> Vec<u32> {
+        self.groups.keys().copied().collect()
     }
-
-    fn cancel_everywhere(&mut self, job: &str) {
-        for link in self.proxies() {
-            self.outbox.reply(link, FromStore::Cancel { jobs: vec![job.to_owned()] });
-        }
-    }
-}
-
-/// The end of a wait, bounded.
-fn wait_until(now: Duration, wait_ms: u64) -> Duration {
-    const MOST_WAIT_MS: u64 = 10_000;
-    now + Duration::from_millis(wait_ms.min(MOST_WAIT_MS))
 }
--- a/crates/pebblepost-batch-store/src/store/outbox.rs
+++ b/crates/pebblepost-batch-store/src/store/outbox.rs
@@ -1,4 +1,4 @@
-//! What the caller of a store must do.
+//! What the caller of a store must do, in order, and the writes that are not on disk yet.
 
 use nanoserde::{DeBin, SerBin};
 use pebblepost_messages::Member;
@@ -11,21 +11,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// A record on the ring: of one group of batch jobs.
+/// A record on the ring: of one group of batch jobs. The binary form is stored: fields keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct GroupRecord {
     /// The group.
     pub group: u32,
-    /// The record. `None`: the group is not held here any more, and its records so far are void.
+    /// The record. `None`: this machine dropped its replica of the group, and earlier records are void.
     pub record: Option<DiskRecord>,
 }
 
 /// A write of one replica that is not on disk yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ReplicaWrite {
-    pub(super) group: u32,
-    /// Which of the replicas that this program has made; a group may be dropped and held again.
+    pub(super) group_id: u32,
+    /// Incarnation of the replica; a group may be dropped and opened again.
     pub(super) incarnation: u64,
+    /// Token of the replica for this write.
     pub(super) token: u64,
 }
 
@@ -50,7 +51,7 @@
     ToControl(ToControl),
     /// Append records to the ring, then call `Store::synced` with the ticket.
     Append {
-        /// Comes back; rises.
+        /// Number of the append, in ascending order.
         ticket: u64,
         /// Encoded records.
         records: Vec<Vec<u8>>,
@@ -62,13 +63,21 @@
     },
 }
 
-/// Outputs that wait to be taken, and the writes that are not on disk yet.
+/// An append whose writes are not on disk yet.
+#[derive(Debug)]
+struct PendingAppend {
+    ticket: u64,
+    writes: Vec<ReplicaWrite>,
+}
+
+/// Outputs that wait to be taken. The records of one turn are appended together.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
     outputs: Vec<StoreOutput>,
-    unwritten: Vec<Vec<u8>>,
-    writes: Vec<ReplicaWrite>,
-    written: VecDeque<(u64, Vec<ReplicaWrite>)>,
+    /// Records and writes of this turn.
+    turn_records: Vec<Vec<u8>>,
+    turn_writes: Vec<ReplicaWrite>,
+    pending_appends: VecDeque<PendingAppend>,
     last_ticket: u64,
 }
 
@@ -85,47 +94,49 @@
         self.outputs.push(StoreOutput::ToControl(message));
     }
 
-    /// Queues records of a group to be written with all others of this turn.
+    /// Adds the records of a write to the append of this turn.
     pub(super) fn persist(&mut self, write: ReplicaWrite, records: Vec<DiskRecord>) {
-        let group = write.group;
+        let group = write.group_id;
         let encoded =
             records.into_iter().map(|record| GroupRecord { group, record: Some(record) }.serialize_bin());
-        self.unwritten.extend(encoded);
-        self.writes.push(write);
+        self.turn_records.extend(encoded);
+        self.turn_writes.push(write);
     }
 
-    /// Voids the records of a group.
-    pub(super) fn drop_group(&mut self, group: u32) {
-        self.unwritten.push(GroupRecord { group, record: None }.serialize_bin());
+    /// Voids the records of a group whose replica is dropped.
+    pub(super) fn void_records(&mut self, group: u32) {
+        self.turn_records.push(GroupRecord { group, record: None }.serialize_bin());
     }
 
-    /// Replaces all that is on disk. Writes that wait go first: their tokens come back after them.
+    /// Replaces all that is on disk. The append of this turn goes first, so that its ticket comes back.
     pub(super) fn checkpoint(&mut self, records: Vec<Vec<u8>>) {
-        self.write();
+        self.append_turn();
         self.outputs.push(StoreOutput::Checkpoint { records });
     }
 
-    /// Writes that are on disk now.
-    pub(super) fn synced(&mut self, ticket: u64) -> Vec<ReplicaWrite> {
+    /// Removes the writes that are on disk: those of all appends up to this ticket.
+    pub(super) fn take_synced(&mut self, ticket: u64) -> Vec<ReplicaWrite> {
         let mut synced = Vec::new();
-        while let Some((_, writes)) = self.written.pop_front_if(|(written, _)| *written <= ticket) {
-            synced.extend(writes);
+        while let Some(append) = self.pending_appends.pop_front_if(|append| append.ticket <= ticket) {
+            synced.extend(append.writes);
         }
         synced
     }
 
-    pub(super) fn take(&mut self) -> Vec<StoreOutput> {
-        self.write();
+    /// Ends the turn; the outputs.
+    pub(super) fn take_outputs(&mut self) -> Vec<StoreOutput> {
+        self.append_turn();
         std::mem::take(&mut self.outputs)
     }
 
-    fn write(&mut self) {
-        if self.unwritten.is_empty() && self.writes.is_empty() {
+    fn append_turn(&mut self) {
+        if self.turn_records.is_empty() && self.turn_writes.is_empty() {
             return;
         }
         self.last_ticket += 1;
-        let records = std::mem::take(&mut self.unwritten);
-        self.written.push_back((self.last_ticket, std::mem::take(&mut self.writes)));
+        let records = std::mem::take(&mut self.turn_records);
+        let writes = std::mem::take(&mut self.turn_writes);
+        self.pending_appends.push_back(PendingAppend { ticket: self.last_ticket, writes });
         self.outputs.push(StoreOutput::Append { ticket: self.last_ticket, records });
     }
 }
--- /dev/null
+++ b/crates/pebblepost-batch-store/src/store/replica_outputs.rs
@@ -0,0 +1,115 @@
+//! Effects of the outputs of the replicas: messages, writes, changes of epochs, commits, terms as primary.
+
+use super::Store;
+use super::outbox::ReplicaWrite;
+use super::proposals::Proposal;
+use pebblepost_batch::clock::GroupClock;
+use pebblepost_messages::batch::{FromStore, JobAnswer, SubmitOutcome, ToStore};
+use pebblepost_replication::replica::ReplicaOutput;
+use std::time::Duration;
+
+impl Store {
+    /// Carries out the outputs of a group's replica, until there are no more.
+    pub(super) fn process_replica_outputs(&mut self, now: Duration, group_id: u32) {
+        loop {
+            let outputs = self.groups.get_mut(&group_id).map(|group| group.replica.take_outputs());
+            let outputs = outputs.unwrap_or_default();
+            if outputs.is_empty() {
+                return;
+            }
+            for output in outputs {
+                self.process_replica_output(now, group_id, output);
+            }
+        }
+    }
+
+    fn process_replica_output(&mut self, now: Duration, group_id: u32, output: ReplicaOutput) {
+        match output {
+            ReplicaOutput::Send { to, message } => {
+                let to_disk = to.disk;
+                let peer = self.membership.member(to_disk).cloned().unwrap_or(to);
+                let message = ToStore::Replication { to: to_disk, store_group: group_id, message };
+                self.outbox.send_to_peer(peer, message);
+            }
+            ReplicaOutput::Persist { token, records } => {
+                let incarnation = self.groups.get(&group_id).map_or(0, |group| group.incarnation);
+                self.outbox.persist(ReplicaWrite { group_id, incarnation, token }, records);
+            }
+            ReplicaOutput::ChangeEpoch { expected, record } => {
+                self.request_epoch_change(now, group_id, expected, record);
+            }
+            ReplicaOutput::Committed { index } => self.committed(now, group_id, index),
+            ReplicaOutput::BecamePrimary { epoch } => self.start_group(now, group_id, epoch),
+            ReplicaOutput::Stopped => self.stop_group(group_id),
+        }
+    }
+
+    /// Starts this machine's term as primary of a group.
+    fn start_group(&mut self, now: Duration, group_id: u32, epoch: u64) {
+        if self.scheduler.has_group(group_id) {
+            return;
+        }
+        let Some(group) = self.groups.get_mut(&group_id) else { return };
+        log::info!("became primary group={group_id} epoch={epoch} jobs={}", group.state().jobs().count());
+        let clock = group.clock(now);
+        self.scheduler.start_group(now, group_id, epoch, &clock, group.state());
+        self.process_deferred_messages(now, group_id);
+    }
+
+    /// Ends this machine's term as primary of a group: what it proposed is undecided.
+    pub(super) fn stop_group(&mut self, group_id: u32) {
+        if self.scheduler.has_group(group_id) {
+            log::info!("stopped being primary group={group_id}");
+        }
+        self.scheduler.stop_group(group_id);
+        let Some(group) = self.groups.get_mut(&group_id) else { return };
+        let uncommitted = group.take_uncommitted();
+        let reads = std::mem::take(&mut group.pending_reads);
+        for proposal in uncommitted {
+            match proposal {
+                Proposal::AddJob { callers, .. } => self.reply_submitted(&callers, SubmitOutcome::Unknown),
+                Proposal::EndJob { callers, .. } => self.reply_ended(&callers, &JobAnswer::Uncertain),
+                Proposal::AppendResults { .. } | Proposal::DeleteJobs { .. } => {}
+            }
+        }
+        for read in reads {
+            self.reply_results(read.caller, JobAnswer::Uncertain);
+        }
+    }
+
+    fn committed(&mut self, now: Duration, group_id: u32, index: u64) {
+        let Some(group) = self.groups.get_mut(&group_id) else { return };
+        let clock = group.clock(now);
+        for proposal in group.proposals.take_committed(index) {
+            match proposal {
+                Proposal::AddJob { job, callers, .. } => {
+                    self.schedule_job(now, group_id, &clock, &job);
+                    self.reply_submitted(&callers, SubmitOutcome::Accepted);
+                }
+                Proposal::AppendResults { jobs } => self.answer_reads_of(now, group_id, &jobs),
+                Proposal::EndJob { job, callers } => {
+                    self.scheduler.remove_job(&job);
+                    self.cancel_job(&job);
+                    self.reply_ended(&callers, &JobAnswer::Found(true));
+                    self.answer_reads_of(now, group_id, &[job]);
+                }
+                Proposal::DeleteJobs { jobs } => jobs.iter().for_each(|job| self.scheduler.remove_job(job)),
+            }
+        }
+    }
+
+    fn schedule_job(&mut self, now: Duration, group_id: u32, clock: &GroupClock, id: &str) {
+        let stored = self.groups.get(&group_id).and_then(|group| group.state().job(id));
+        let Some(stored) = stored else { return };
+        self.scheduler.add_job(now, group_id, clock, stored);
+        let (model, min_version) = (stored.job().model.clone(), stored.job().min_version);
+        self.report_version_lag(&model, min_version);
+    }
+
+    /// Has all proxies cancel what runs of a job.
+    fn cancel_job(&mut self, job: &str) {
+        for link in self.connections.proxies() {
+            self.outbox.reply(link, FromStore::Cancel { jobs: vec![job.to_owned()] });
+        }
+    }
+}
--- a/crates/pebblepost-batch-store/src/store/status.rs
+++ b/crates/pebblepost-batch-store/src/store/status.rs
@@ -1,55 +1,55 @@
-//! State of the store for displays, as JSON.
+//! State of the store for operators, as JSON. Its keys are part of the operators' interface.
 
+use super::Store;
+use super::group::Group;
 use super::outbox::LinkId;
-use super::{Caller, Store};
 use pebblepost_messages::batch::FromStore;
 use std::time::Duration;
 
 impl Store {
-    pub(super) fn answer_status(&mut self, now: Duration, link: LinkId) {
+    pub(super) fn reply_status(&mut self, now: Duration, link: LinkId) {
         let status = self.status(now).into_bytes();
         self.outbox.reply(link, FromStore::Status(status));
     }
 
     /// State of the store, a JSON object.
     pub fn status(&self, now: Duration) -> String {
-        let groups: Vec<String> = self.groups.keys().map(|number| self.group_status(now, *number)).collect();
-        let is_peer = |caller: &&Caller| matches!(caller, Caller::Peer(_));
-        let peers = self.callers.values().filter(is_peer).count();
+        let groups: Vec<String> =
+            self.groups.iter().map(|(group_id, group)| group_status(now, *group_id, group)).collect();
         format!(
-            "{{\"node\":{},\"disk\":\"{:016x}\",\"proxies\":{},\"peers\":{peers},\"held_bytes\":{},\
+            "{{\"node\":{},\"disk\":\"{:016x}\",\"proxies\":{},\"peers\":{},\"held_bytes\":{},\
              \"most_bytes\":{},\"scheduled_jobs\":{},\"leased_items\":{},\"groups\":[{}]}}",
             quoted(&self.settings.me.node),
             self.settings.me.disk.0,
-            self.proxies().len(),
-            self.held_bytes(),
+            self.connections.proxies().len(),
+            self.connections.peer_count(),
+            self.estimated_bytes(),
             self.settings.budget.max_bytes(),
             self.scheduler.job_count(),
             self.scheduler.leased_item_count(),
             groups.join(",")
         )
     }
+}
 
-    fn group_status(&self, now: Duration, number: u32) -> String {
-        let Some(group) = self.groups.get(&number) else { return String::new() };
-        let record = group.replica.record();
-        let in_sync: Vec<String> = record.in_sync.iter().map(|member| quoted(&member.node)).collect();
-        let progress = group.replica.progress();
-        let progress: Vec<String> =
-            progress.iter().map(|(disk, index)| format!("\"{:016x}\":{index}", disk.0)).collect();
-        let results: usize = group.state().jobs().map(|job| job.results().len()).sum();
-        format!(
-            "{{\"group\":{number},\"epoch\":{},\"primary\":\"{:016x}\",\"in_sync\":[{}],\"acting\":{},\
-             \"committed\":{},\"progress\":{{{}}},\"jobs\":{},\"results\":{results}}}",
-            record.epoch,
-            record.primary.0,
-            in_sync.join(","),
-            group.is_acting(now),
-            group.replica.committed(),
-            progress.join(","),
-            group.state().jobs().count(),
-        )
-    }
+fn group_status(now: Duration, group_id: u32, group: &Group) -> String {
+    let record = group.replica.record();
+    let in_sync: Vec<String> = record.in_sync.iter().map(|member| quoted(&member.node)).collect();
+    let progress = group.replica.progress();
+    let progress: Vec<String> =
+        progress.iter().map(|(disk, index)| format!("\"{:016x}\":{index}", disk.0)).collect();
+    let results: usize = group.state().jobs().map(|job| job.results().len()).sum();
+    format!(
+        "{{\"group\":{group_id},\"epoch\":{},\"primary\":\"{:016x}\",\"in_sync\":[{}],\"acting\":{},\
+         \"committed\":{},\"progress\":{{{}}},\"jobs\":{},\"results\":{results}}}",
+        record.epoch,
+        record.primary.0,
+        in_sync.join(","),
+        group.is_acting(now),
+        group.replica.committed(),
+        progress.join(","),
+        group.state().jobs().count(),
+    )
 }
 
 /// A JSON string.
--- a/crates/pebblepost-batch-store/tests/simulation/world.rs
+++ b/crates/pebblepost-batch-store/tests/simulation/world.rs
@@ -203,14 +203,14 @@
     pub fn leave(&mut self, machine: usize) {
         let now = self.time();
         if let Some(store) = &mut self.machines[machine].store {
-            store.leave(now);
+            store.start_shutdown(now);
         }
         self.carry_out(machine);
     }
 
     /// Whether others rely on a machine.
     pub fn is_needed(&self, machine: usize) -> bool {
-        self.machines[machine].store.as_ref().is_some_and(Store::is_needed)
+        self.machines[machine].store.as_ref().is_some_and(Store::is_in_sync_replica)
     }
 
     /// Has the control plane give some groups to other machines.
@@ -333,7 +333,7 @@
         let millis = Duration::from_millis;
         StoreSettings {
             me: self.machines[machine].member.clone(),
-            founding: self.now == 0,
+            bootstrap: self.now == 0,
             replica: ReplicaSettings {
                 tolerance: Tolerance { machines: self.plan.tolerate, zones: 0, regions: 0 },
                 beacon: millis(200),
--- a/crates/pebblepost-batch-store/tests/stored_form.rs
+++ b/crates/pebblepost-batch-store/tests/stored_form.rs
@@ -87,7 +87,7 @@
     let millis = Duration::from_millis;
     StoreSettings {
         me: member(1),
-        founding: false,
+        bootstrap: false,
         replica: ReplicaSettings {
             tolerance: Tolerance { machines: 0, zones: 0, regions: 0 },
             beacon: millis(200),
