--- a/crates/pebblepost-proxy/src/answer.rs
+++ b/crates/pebblepost-proxy/src/answer.rs
@@ -1,6 +1,6 @@
 //! Answers to clients: those of transcribers unchanged, and the proxy's own.
 
-use crate::dispatch::EventBody;
+use crate::dispatch::{BrokenStream, EventBody};
 use crate::request::Rejection;
 use crate::tracked_stream::Activity;
 use bytes::Bytes;
@@ -8,7 +8,6 @@
 use http::{HeaderMap, HeaderValue, Method, Response, StatusCode};
 use hyper::body::{Body, Frame, SizeHint};
 use pebblepost_transcriber::{BufferedResponse, ResponseHead};
-use std::fmt;
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use std::time::Duration;
@@ -20,18 +19,6 @@
 /// all, a new primary of the control plane takes about a second to stand.
 const RETRY_WHEN_CONFIGURED: Duration = Duration::from_millis(600);
 
-/// An answer that can't be completed: its connection is closed, so that it does not look whole.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct BrokenAnswer;
-
-impl fmt::Display for BrokenAnswer {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("the transcriber's stream broke off")
-    }
-}
-
-impl std::error::Error for BrokenAnswer {}
-
 /// Body of an answer.
 pub(crate) enum Payload {
     /// Whole.
@@ -61,11 +48,11 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokenAnswer;
+    type Error = BrokenStream;
 
     fn poll_frame(
         mut self: Pin<&mut Self>, context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenAnswer>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BrokenStream>>> {
         match &mut self.payload {
             Payload::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
             Payload::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
--- a/crates/pebblepost-proxy/src/context.rs
+++ b/crates/pebblepost-proxy/src/context.rs
@@ -1,9 +1,9 @@
 //! What the parts of the proxy share.
 
-use crate::counters::Counters;
-use crate::dispatch::Services;
+use crate::dispatch::Backends;
 use crate::lifecycle::Lifecycle;
 use crate::memory::MemoryBudget;
+use crate::metrics::{Metrics, metrics_line};
 use log::{debug, info};
 use pebblepost_batch_runner::BatchRunner;
 use pebblepost_configuration::{Configuration, Limits};
@@ -55,9 +55,9 @@
     feed_seen: Cell<bool>,
     feed_changed: Notify,
     pub(crate) client: Client,
-    pub(crate) services: Services,
+    pub(crate) backends: Backends,
     pub(crate) runner: BatchRunner,
-    pub(crate) counters: Counters,
+    pub(crate) metrics: Rc<Metrics>,
     pub(crate) memory: MemoryBudget,
     pub(crate) lifecycle: Lifecycle,
 }
@@ -69,7 +69,7 @@
         let client = Client::new(client_limits(&settings.limits, DEFAULT_CONNECTIONS));
         let runner = BatchRunner::start(&settings, client.clone(), feed.clone());
         Context {
-            services: Services::new(client.clone(), &settings.zone),
+            backends: Backends::new(client.clone(), &settings.zone),
             memory: MemoryBudget::new(body_bytes(&settings.limits)),
             settings,
             feed,
@@ -77,7 +77,7 @@
             feed_changed: Notify::new(),
             client,
             runner,
-            counters: Counters::default(),
+            metrics: Rc::default(),
             lifecycle: Lifecycle::new(),
         }
     }
@@ -122,7 +122,7 @@
             self.take_changes(&changes);
         }
         self.feed_seen.set(true);
-        self.services.set_nodes(self.feed.borrow().proxy_count());
+        self.backends.set_proxy_count(self.feed.borrow().proxy_count());
         self.client.set_limits(self.client_limits());
         self.runner.feed_changed();
         self.feed_changed.notify_waiters();
@@ -133,7 +133,7 @@
         let feed = self.feed.borrow();
         for id in &changes.instances {
             let Some(instance) = feed.instance(id) else { continue };
-            self.services.update(instance);
+            self.backends.update_instance(instance);
             if instance.state == InstanceState::Ready {
                 continue;
             }
@@ -144,7 +144,7 @@
         }
         if let Some(configuration) = feed.configuration().filter(|_| changes.configuration) {
             info!("configuration {} is in force", configuration.generation());
-            self.services.configure(&feed, configuration);
+            self.backends.configure(&feed, configuration);
         }
     }
 
@@ -159,20 +159,7 @@
 
     /// What this process has done, in one line of `name=value`.
     pub(crate) fn describe_counts(&self) -> String {
-        let (front, client) = (self.counters.get(), self.client.metrics());
-        format!(
-            "counts: requests={} answered={} refused={} failed={} connections={} first={} renewed={} sent={} reports={} {}",
-            front.requests,
-            front.answered,
-            front.refused,
-            front.failed,
-            client.connections,
-            client.initial_connections,
-            client.replaced_connections,
-            client.requests,
-            client.reports,
-            self.runner.counts(),
-        )
+        metrics_line(self.metrics.get(), self.client.metrics(), self.runner.counts())
     }
 
     /// SIGHUP: takes over the limits of settings that were read anew.
--- /dev/null
+++ b/crates/pebblepost-proxy/src/dispatch/attempt.rs
@@ -0,0 +1,80 @@
+//! One attempt at one transcriber, with health checks while the transcriber is silent.
+//!
+//! Decides nothing about retries; it only gives up a transcriber that seems to be down while
+//! another attempt is allowed.
+
+use super::route_policy::RoutePolicy;
+use pebblepost_transcriber::{
+    BufferedResponse, Client, ClientError, EventStream, OutgoingRequest, ResponseHead, StreamResponse, Target,
+};
+use std::pin::pin;
+use std::time::Duration;
+
+/// A transcriber is checked once it was silent for this many latency targets.
+const SILENCE_IN_TARGETS: u32 = 2;
+/// Shortest silence before the first health check.
+const MIN_SILENCE: Duration = Duration::from_millis(250);
+/// A silent transcriber that does not report its load within this time counts as down.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// What a transcriber returned.
+#[derive(Debug)]
+pub(super) enum AttemptResponse {
+    /// The whole response.
+    Buffered(BufferedResponse),
+    /// The head of a stream, and its events.
+    Stream(ResponseHead, EventStream),
+}
+
+/// Where and how an attempt is made.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Attempt<'a> {
+    /// Sends it.
+    pub(super) client: &'a Client,
+    /// Transcriber that gets it.
+    pub(super) target: &'a Target,
+    /// Policy of the request's route.
+    pub(super) policy: &'a RoutePolicy,
+    /// Another attempt is allowed if this one fails.
+    pub(super) can_retry: bool,
+}
+
+impl Attempt<'_> {
+    /// Sends an idempotent request with health checks of a silent transcriber, any other without:
+    /// it can't go elsewhere once it was sent.
+    pub(super) async fn send(&self, request: OutgoingRequest) -> Result<AttemptResponse, ClientError> {
+        let mut response = pin!(self.exchange(request));
+        if !self.policy.idempotent {
+            return response.await;
+        }
+        let mut silence = (self.policy.target_latency * SILENCE_IN_TARGETS).max(MIN_SILENCE);
+        loop {
+            if let Ok(response) = tokio::time::timeout(silence, response.as_mut()).await {
+                return response;
+            }
+            if !self.can_retry {
+                return response.await;
+            }
+            tokio::select! {
+                biased;
+                response = response.as_mut() => return response,
+                load = self.client.load_report(self.target, HEALTH_CHECK_TIMEOUT) => {
+                    if load.is_err() {
+                        return Err(ClientError::TimedOut);
+                    }
+                }
+            }
+            silence *= 2;
+        }
+    }
+
+    async fn exchange(&self, request: OutgoingRequest) -> Result<AttemptResponse, ClientError> {
+        if !self.policy.is_streaming() {
+            return self.client.send(self.target, request).await.map(AttemptResponse::Buffered);
+        }
+        match self.client.open_stream(self.target, request).await? {
+            StreamResponse::Stream(head, events) => Ok(AttemptResponse::Stream(head, events)),
+            StreamResponse::Whole(response) => Ok(AttemptResponse::Buffered(response)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-proxy/src/dispatch/command_queue.rs
@@ -0,0 +1,54 @@
+//! Commands of the dispatcher for one request, until the request's task carries them out.
+
+use pebblepost_dispatch::api::WorkerId;
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::future::poll_fn;
+use std::task::{Poll, Waker};
+use std::time::Duration;
+
+/// What the dispatcher orders for a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Command {
+    /// Send it to a worker.
+    Send(WorkerId),
+    /// Make no further attempt.
+    GiveUp {
+        /// When the client may retry, where the dispatcher advises it.
+        retry_after: Option<Duration>,
+    },
+}
+
+/// Commands for one request that were not carried out yet; one task waits for them.
+#[derive(Debug, Default)]
+pub(super) struct CommandQueue {
+    commands: RefCell<VecDeque<Command>>,
+    waker: RefCell<Option<Waker>>,
+}
+
+impl CommandQueue {
+    /// Adds a command and wakes the request's task.
+    pub(super) fn push(&self, command: Command) {
+        self.commands.borrow_mut().push_back(command);
+        if let Some(waker) = self.waker.borrow_mut().take() {
+            waker.wake();
+        }
+    }
+
+    /// Waits for the next command.
+    pub(super) async fn next(&self) -> Command {
+        poll_fn(|context| match self.commands.borrow_mut().pop_front() {
+            Some(command) => Poll::Ready(command),
+            None => {
+                *self.waker.borrow_mut() = Some(context.waker().clone());
+                Poll::Pending
+            }
+        })
+        .await
+    }
+
+    /// Takes all commands out.
+    pub(super) fn drain(&self) -> VecDeque<Command> {
+        std::mem::take(&mut *self.commands.borrow_mut())
+    }
+}
--- a/crates/pebblepost-proxy/src/dispatch/mod.rs
+++ b/crates/pebblepost-proxy/src/dispatch/mod.rs
@@ -1,149 +1,83 @@
-//! Decisions on requests, and the attempts that follow from them.
+//! Dispatch: chooses a backend for a request, forwards it by the orders of the backend's
+//! dispatcher, retries it and resumes its stream.
+//!
+//! State lies in `worker_table`, `request_table`, `request_class`, `timers`, `command_queue` and
+//! `retry`; `backend` drives the decision module with it; `admission` and `attempt` carry one
+//! attempt; `forwarding` and `stream_relay` go through the attempts of one request. It never builds
+//! responses for clients: it returns a [`DispatchOutcome`].
 
-mod attempts;
-mod call;
-mod events;
-mod policy;
-mod service;
-mod sticky;
-mod ticket;
-mod verdict;
-mod workers;
+mod admission;
+mod affinity;
+mod attempt;
+mod backend;
+mod backends;
+mod classification;
+mod command_queue;
+mod dispatcher_settings;
+mod event_body;
+mod forwarding;
+mod load_report;
+mod request_class;
+mod request_table;
+mod retry;
+mod route_policy;
+mod stream_relay;
+mod timers;
+mod worker_table;
 
-pub(crate) use events::EventBody;
-pub(crate) use policy::RoutePolicy;
+pub(crate) use backends::Backends;
+pub(crate) use event_body::EventBody;
+pub(crate) use forwarding::ClientRequest;
+pub(crate) use stream_relay::BrokenStream;
 
-use crate::answer;
-use crate::context::Context;
-use crate::request::{RequestHead, WholeBody};
-use attempts::Ending;
-use call::{Call, Settled};
-use http::Response;
-use pebblepost_configuration::{Configuration, Route, RouteKind};
-use pebblepost_feed::FeedState;
-use pebblepost_messages::feed::Instance;
-use pebblepost_transcriber::Client;
-use rand::RngExt;
-use service::Service;
-use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
+use crate::metrics::Metrics;
+use affinity::{NO_AFFINITY, affinity_key};
+use forwarding::{Forwarded, Forwarding};
+use http::StatusCode;
+use pebblepost_configuration::Route;
+use pebblepost_transcriber::{BufferedResponse, ResponseHead};
+use retry::Failure;
+use route_policy::RoutePolicy;
 use std::rc::Rc;
-use tokio::time::Instant;
+use std::time::Duration;
 
-/// The services that requests are sent to.
+/// What became of a dispatched request.
 #[derive(Debug)]
-pub(crate) struct Services {
-    client: Client,
-    zone: String,
-    nodes: Cell<u32>,
-    services: RefCell<HashMap<String, Rc<Service>>>,
+pub(crate) enum DispatchOutcome {
+    /// A transcriber's buffered response, a success or a failure.
+    Response(BufferedResponse),
+    /// A transcriber's stream has begun.
+    Stream(ResponseHead, EventBody),
+    /// The request has not run and never will.
+    NotExecuted {
+        /// When the client may retry.
+        retry_after: Duration,
+    },
+    /// The request may have run; the status for the client is 502 or 504.
+    Indeterminate(StatusCode),
 }
 
-impl Services {
-    /// None yet. `zone`: of this machine.
-    pub(crate) fn new(client: Client, zone: &str) -> Services {
-        Services { client, zone: zone.to_owned(), nodes: Cell::new(1), services: RefCell::default() }
-    }
-
-    /// A configuration came: services that its routes name and that are not known yet are started.
-    pub(crate) fn configure(&self, feed: &FeedState, configuration: &Configuration) {
-        for route in configuration.routes().iter().filter(|route| route.kind != RouteKind::Rollout) {
-            for (backend, _) in &route.backends {
-                self.start(feed, backend, &RoutePolicy::of(route));
-            }
-        }
-    }
-
-    fn start(&self, feed: &FeedState, backend: &str, policy: &RoutePolicy) {
-        if self.services.borrow().contains_key(backend) {
-            return;
-        }
-        let (client, seed) = (self.client.clone(), rand::rng().random());
-        let service = Service::start(backend, policy, &self.zone, self.nodes.get(), seed, client);
-        for instance in feed.instances().filter(|instance| instance.backend == backend) {
-            service.update(instance);
-        }
-        self.services.borrow_mut().insert(backend.to_owned(), service);
-    }
-
-    /// A transcriber was announced anew.
-    pub(crate) fn update(&self, instance: &Instance) {
-        let service = self.services.borrow().get(&instance.backend).cloned();
-        if let Some(service) = service {
-            service.update(instance);
-        }
-    }
-
-    /// The number of proxies has changed.
-    pub(crate) fn set_nodes(&self, nodes: u32) {
-        if self.nodes.replace(nodes) != nodes {
-            self.services.borrow().values().for_each(|service| service.set_nodes(nodes));
-        }
-    }
-
-    /// The service for a request: by weighted random choice, among those with transcribers if
-    /// there are any.
-    fn choose(&self, route: &Route) -> Option<Rc<Service>> {
-        let services = self.services.borrow();
-        if let [(only, _)] = route.backends.as_slice() {
-            return services.get(only).cloned();
-        }
-        let split = || route.backends.iter().filter(|(_, weight)| *weight > 0);
-        let known = |name: &String| services.get(name);
-        let ready = |name: &String| known(name).is_some_and(|service| service.any_ready());
-        let chosen = weighted(split().filter(|(name, _)| ready(name)));
-        let chosen = chosen.or_else(|| weighted(split()));
-        chosen.and_then(known).cloned()
-    }
-}
-
-/// A random name, by weight.
-fn weighted<'a>(split: impl Iterator<Item = &'a (String, u64)> + Clone) -> Option<&'a String> {
-    let total: u64 = split.clone().map(|(_, weight)| *weight).fold(0, u64::saturating_add);
-    if total == 0 {
-        return None;
-    }
-    let mut draw = rand::rng().random_range(0..total);
-    for (name, weight) in split {
-        if draw < *weight {
-            return Some(name);
-        }
-        draw -= weight;
-    }
-    None
-}
-
-/// Sends a request on and answers it. `deadline`: when its client must have the answer.
+/// Forwards a request of a route to one of the route's backends.
 pub(crate) async fn dispatch(
-    context: &Rc<Context>, route: &Route, head: RequestHead, body: WholeBody, deadline: Instant,
-) -> Response<answer::Payload> {
-    let policy = RoutePolicy::of(route);
-    let Some(service) = context.services.choose(route) else {
-        context.counters.count(|counts| counts.refused += 1);
-        return answer::refused(policy.target_latency);
+    backends: &Backends, metrics: &Rc<Metrics>, route: &Route, request: ClientRequest,
+) -> DispatchOutcome {
+    let policy = RoutePolicy::new(route);
+    let Some(backend) = backends.choose(route) else {
+        return DispatchOutcome::NotExecuted { retry_after: policy.target_latency };
     };
-    let key = if policy.sticky { sticky::key(&head.headers) } else { 0 };
-    let method = head.method.clone();
-    let mut call = Call::new(service, policy, head, body, key, deadline);
-    let settled = call.settle().await;
-    let counters = &context.counters;
-    match settled {
-        Settled::Answer(whole) | Settled::Ended(Ending::Failure(whole)) => {
-            counters.count(|counts| counts.answered += 1);
-            answer::of_transcriber(whole, &method)
+    let affinity = if policy.affinity { affinity_key(&request.head.headers) } else { NO_AFFINITY };
+    let mut forwarding = Forwarding::new(backend, policy, request, affinity);
+    match forwarding.run().await {
+        Forwarded::Response(response) | Forwarded::Failed(Failure::Response(response)) => {
+            DispatchOutcome::Response(response)
         }
-        Settled::Stream(stream) => {
-            counters.count(|counts| counts.answered += 1);
+        Forwarded::Stream(stream) => {
             let head = stream.head.clone();
-            answer::of_stream(head, EventBody::new(context.clone(), call, stream))
-        }
-        Settled::Ended(Ending::Refused(after)) => {
-            counters.count(|counts| counts.refused += 1);
-            answer::refused(after)
+            DispatchOutcome::Stream(head, EventBody::new(forwarding, stream, metrics.clone()))
         }
-        Settled::Ended(Ending::Unknown(status)) => {
-            counters.count(|counts| counts.failed += 1);
-            answer::own(status)
+        Forwarded::Failed(Failure::NotExecuted { retry_after }) => {
+            DispatchOutcome::NotExecuted { retry_after }
         }
+        Forwarded::Failed(Failure::Indeterminate(status)) => DispatchOutcome::Indeterminate(status),
     }
 }
--- /dev/null
+++ b/crates/pebblepost-proxy/src/dispatch/worker_table.rs
@@ -0,0 +1,158 @@
+//! Workers (transcribers) of one backend, numbered for the dispatcher.
+
+use log::warn;
+use pebblepost_dispatch::api::{CellId, Entry, KindId, Time, WorkerId, WorkerState, ZoneId};
+use pebblepost_messages::feed::{Instance, InstanceState};
+use pebblepost_transcriber::Target;
+use std::collections::HashMap;
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::time::Duration;
+
+/// The zone of this machine; other zones are numbered as they appear.
+pub(super) const HOME_ZONE: ZoneId = ZoneId(0);
+
+/// A transcriber.
+#[derive(Clone, Debug)]
+struct Worker {
+    target: Target,
+    slots: u32,
+    state: WorkerState,
+    zone: ZoneId,
+    in_flight: u32,
+}
+
+/// Workers of one backend; those that are gone keep their numbers.
+#[derive(Debug)]
+pub(super) struct WorkerTable {
+    zones: Vec<String>,
+    ids: HashMap<String, WorkerId>,
+    workers: Vec<Worker>,
+}
+
+/// What an update of an instance changed.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct WorkerChange {
+    /// The worker's entry for the dispatcher.
+    pub(super) entry: Entry,
+    /// Its slots, if it is new.
+    pub(super) new_with_slots: Option<u32>,
+}
+
+impl WorkerTable {
+    /// No workers, seen from `home_zone`.
+    pub(super) fn new(home_zone: &str) -> WorkerTable {
+        WorkerTable { zones: vec![home_zone.to_owned()], ids: HashMap::new(), workers: Vec::new() }
+    }
+
+    /// Takes over the state of an instance; `None` if nothing changes for the dispatcher.
+    /// `warm_up_time`: how long the dispatcher expects a worker to be warming up after its start.
+    pub(super) fn update(
+        &mut self, instance: &Instance, now: Time, warm_up_time: Duration,
+    ) -> Option<WorkerChange> {
+        let state = match instance.state {
+            InstanceState::Ready => WorkerState::Ready,
+            InstanceState::Draining => WorkerState::Draining,
+            InstanceState::Gone => WorkerState::Gone,
+        };
+        match self.ids.get(&instance.id) {
+            Some(&id) => self.update_known(id, instance, state),
+            None if state == WorkerState::Gone => None,
+            None => self.add(instance, state, now, warm_up_time),
+        }
+    }
+
+    fn update_known(
+        &mut self, id: WorkerId, instance: &Instance, state: WorkerState,
+    ) -> Option<WorkerChange> {
+        let worker = &mut self.workers[id.0 as usize];
+        worker.slots = instance.slots.max(1);
+        if worker.state == state {
+            return None;
+        }
+        worker.state = state;
+        let entry = self.entry(id, &instance.id, None);
+        Some(WorkerChange { entry, new_with_slots: None })
+    }
+
+    fn add(
+        &mut self, instance: &Instance, state: WorkerState, now: Time, warm_up_time: Duration,
+    ) -> Option<WorkerChange> {
+        let Ok(address) = instance.address.parse() else {
+            warn!(
+                "transcriber address is invalid transcriber={} address={:?}",
+                instance.id, instance.address
+            );
+            return None;
+        };
+        let id = WorkerId(u32::try_from(self.workers.len()).ok()?);
+        let slots = instance.slots.max(1);
+        let zone = self.zone_id(&instance.zone);
+        let target = Target { instance: instance.id.clone(), address };
+        self.workers.push(Worker { target, slots, state, zone, in_flight: 0 });
+        self.ids.insert(instance.id.clone(), id);
+        let warm_up_left = Duration::from_millis(instance.warm_up_remaining_ms.into());
+        let started = (!warm_up_left.is_zero()).then(|| now + warm_up_left - warm_up_time);
+        let entry = self.entry(id, &instance.id, started);
+        Some(WorkerChange { entry, new_with_slots: Some(slots) })
+    }
+
+    /// Attempts of this proxy in flight at a worker.
+    pub(super) fn in_flight(&self, id: WorkerId) -> u32 {
+        self.workers.get(id.0 as usize).map_or(0, |worker| worker.in_flight)
+    }
+
+    /// Counts an attempt that begins at a worker.
+    pub(super) fn attempt_begun(&mut self, id: WorkerId) {
+        if let Some(worker) = self.workers.get_mut(id.0 as usize) {
+            worker.in_flight = worker.in_flight.saturating_add(1);
+        }
+    }
+
+    /// Counts an attempt that ended at a worker.
+    pub(super) fn attempt_ended(&mut self, id: WorkerId) {
+        if let Some(worker) = self.workers.get_mut(id.0 as usize) {
+            worker.in_flight = worker.in_flight.saturating_sub(1);
+        }
+    }
+
+    fn zone_id(&mut self, name: &str) -> ZoneId {
+        let known = self.zones.iter().position(|zone| zone == name);
+        let index = known.unwrap_or_else(|| {
+            self.zones.push(name.to_owned());
+            self.zones.len() - 1
+        });
+        ZoneId(u16::try_from(index).unwrap_or(u16::MAX))
+    }
+
+    fn entry(&self, id: WorkerId, name: &str, started: Option<Time>) -> Entry {
+        let worker = &self.workers[id.0 as usize];
+        let mut hasher = DefaultHasher::new();
+        name.hash(&mut hasher);
+        Entry {
+            worker: id,
+            zone: worker.zone,
+            kind: KindId(0),
+            cell: CellId(0),
+            state: worker.state,
+            name: hasher.finish(),
+            started,
+        }
+    }
+
+    /// A worker, if it takes requests now.
+    pub(super) fn ready(&self, id: WorkerId) -> Option<&Target> {
+        let worker = self.workers.get(id.0 as usize)?;
+        (worker.state == WorkerState::Ready).then_some(&worker.target)
+    }
+
+    /// Slots of a worker.
+    pub(super) fn slots(&self, id: WorkerId) -> u32 {
+        self.workers.get(id.0 as usize).map_or(1, |worker| worker.slots)
+    }
+
+    /// Workers that take requests now.
+    pub(super) fn all_ready(&self) -> impl Iterator<Item = WorkerId> {
+        let ready = self.workers.iter().enumerate().filter(|(_, worker)| worker.state == WorkerState::Ready);
+        ready.map(|(index, _)| WorkerId(index as u32))
+    }
+}
--- a/crates/pebblepost-proxy/src/front.rs
+++ b/crates/pebblepost-proxy/src/front.rs
@@ -59,7 +59,7 @@
             };
             match accepted {
                 Ok((stream, permit)) => {
-                    context.counters.count(|counts| counts.connections += 1);
+                    context.metrics.update(|counts| counts.connections += 1);
                     tokio::task::spawn_local(serve(stream, context.clone(), permit));
                 }
                 Err(error) => {
--- a/crates/pebblepost-proxy/src/handler.rs
+++ b/crates/pebblepost-proxy/src/handler.rs
@@ -2,9 +2,9 @@
 
 use crate::answer::{self, AnswerBody, Payload};
 use crate::context::Context;
-use crate::dispatch;
+use crate::dispatch::{self, ClientRequest, DispatchOutcome};
 use crate::lifecycle::Phase;
-use crate::request::{Rejection, RequestHead, WholeBody, read_body};
+use crate::request::{BufferedBody, Rejection, RequestHead, read_body};
 use crate::tracked_stream::Activity;
 use http::header::CONNECTION;
 use http::{HeaderValue, Method, Request, Response};
@@ -32,7 +32,7 @@
     activity.request_started();
     let mut response = respond(&context, request).await.unwrap_or_else(|rejection| {
         debug!("rejected: {rejection:?}");
-        context.counters.count(|counts| counts.rejected += 1);
+        context.metrics.update(|counts| counts.rejected += 1);
         answer::rejected(rejection)
     });
     let headers = response.headers_mut();
@@ -50,7 +50,7 @@
     let (parts, body) = request.into_parts();
     let head = RequestHead::check(parts, &limits)?;
     let body = read_body(body, &limits, &context.memory).await?;
-    context.counters.count(|counts| counts.requests += 1);
+    context.metrics.update(|counts| counts.requests += 1);
     // Looked up when the request is whole: the newest configuration holds for it.
     let configuration = context.configuration_within(configuration_wait(&head)).await;
     let configuration = configuration.ok_or(Rejection::NotConfigured)?;
@@ -64,7 +64,7 @@
     let route = configuration.route(&head.host, head.path_only()).ok_or(Rejection::NoRoute)?;
     if route.kind != RouteKind::Rollout {
         let deadline = deadline(context, route, &head, arrived);
-        return Ok(dispatch::dispatch(context, route, head, body, deadline).await);
+        return Ok(forward(context, route, ClientRequest { head, body, deadline }).await);
     }
     if head.method != Method::POST {
         return Err(Rejection::NoRoute);
@@ -87,7 +87,7 @@
 }
 
 async fn ask_runner(
-    context: &Rc<Context>, route: Option<&Route>, head: RequestHead, body: WholeBody,
+    context: &Rc<Context>, route: Option<&Route>, head: RequestHead, body: BufferedBody,
 ) -> Result<Response<Payload>, Rejection> {
     let mut request = Request::new(body.bytes.clone());
     *request.method_mut() = head.method;
@@ -95,3 +95,26 @@
     *request.headers_mut() = head.headers;
     Ok(context.runner.answer(route, request).await.map(Payload::Whole))
 }
+
+async fn forward(context: &Context, route: &Route, request: ClientRequest) -> Response<Payload> {
+    let method = request.head.method.clone();
+    let outcome = dispatch::dispatch(&context.backends, &context.metrics, route, request).await;
+    match outcome {
+        DispatchOutcome::Response(buffered) => {
+            context.metrics.update(|counts| counts.answered += 1);
+            answer::of_transcriber(buffered, &method)
+        }
+        DispatchOutcome::Stream(head, events) => {
+            context.metrics.update(|counts| counts.answered += 1);
+            answer::of_stream(head, events)
+        }
+        DispatchOutcome::NotExecuted { retry_after } => {
+            context.metrics.update(|counts| counts.refused += 1);
+            answer::refused(retry_after)
+        }
+        DispatchOutcome::Indeterminate(status) => {
+            context.metrics.update(|counts| counts.failed += 1);
+            answer::own(status)
+        }
+    }
+}
--- a/crates/pebblepost-proxy/src/lib.rs
+++ b/crates/pebblepost-proxy/src/lib.rs
@@ -7,20 +7,20 @@
 
 mod answer;
 mod context;
-mod counters;
 mod dispatch;
 mod feed_client;
 mod front;
 mod handler;
 mod lifecycle;
 mod memory;
+mod metrics;
 mod proxy;
 mod ready;
 mod request;
 mod tracked_stream;
 
 pub use context::Applied;
-pub use counters::Counts;
+pub use metrics::ProxyMetrics;
 pub use proxy::{Proxy, Signals};
 
 use eyre::{Result, WrapErr};
--- a/crates/pebblepost-proxy/src/proxy.rs
+++ b/crates/pebblepost-proxy/src/proxy.rs
@@ -1,8 +1,8 @@
 //! The proxy: its listeners and tasks, and its end.
 
 use crate::context::{Applied, Context};
-use crate::counters::Counts;
 use crate::front::Front;
+use crate::metrics::ProxyMetrics;
 use crate::{feed_client, ready};
 use eyre::{OptionExt, Result, WrapErr};
 use log::{info, warn};
@@ -85,8 +85,8 @@
     }
 
     /// Counts since the start.
-    pub fn counts(&self) -> Counts {
-        self.context.counters.get()
+    pub fn metrics(&self) -> ProxyMetrics {
+        self.context.metrics.get()
     }
 
     /// Runs until SIGTERM and through the end that follows. SIGHUP: reads the settings anew.
--- a/crates/pebblepost-proxy/src/request.rs
+++ b/crates/pebblepost-proxy/src/request.rs
@@ -102,7 +102,7 @@
 
 /// A body, whole, with the memory that is reserved for it.
 #[derive(Debug)]
-pub(crate) struct WholeBody {
+pub(crate) struct BufferedBody {
     /// Its bytes.
     pub(crate) bytes: Bytes,
     _reservation: Reservation,
@@ -111,7 +111,7 @@
 /// Reads a body to its end.
 pub(crate) async fn read_body(
     mut body: Incoming, limits: &Limits, memory: &MemoryBudget,
-) -> Result<WholeBody, Rejection> {
+) -> Result<BufferedBody, Rejection> {
     let mut reservation = memory.reservation();
     let announced = body.size_hint().lower();
     if announced > limits.max_body_bytes as u64 {
@@ -145,5 +145,5 @@
         rest.extend_from_slice(&data);
     }
     let bytes = if rest.is_empty() { first } else { rest.freeze() };
-    Ok(WholeBody { bytes, _reservation: reservation })
+    Ok(BufferedBody { bytes, _reservation: reservation })
 }
--- a/crates/pebblepost-proxy/tests/streams.rs
+++ b/crates/pebblepost-proxy/tests/streams.rs
@@ -55,7 +55,7 @@
         let received = rig.exchange(&get("/live/1", "r1")).await;
         approve(&received, &format!("{HEAD}{}[closed]", chunked(&[ONE, TWO])));
         assert_eq!(rig.log().lines().count(), 1, "ran once");
-        assert_eq!(rig.proxy.counts().cut, 1);
+        assert_eq!(rig.proxy.metrics().cut, 1);
     });
 }
 
@@ -68,7 +68,7 @@
         let log = rig.log();
         let second = log.lines().nth(1).unwrap();
         assert!(second.contains(" request-id=r1 last-event-id=2 "), "{log}");
-        assert_eq!(rig.proxy.counts().resumed, 1);
+        assert_eq!(rig.proxy.metrics().resumed, 1);
     });
 }
 
