--- /dev/null
+++ b/crates/pebblepost-proxy/src/connections/connection.rs
@@ -0,0 +1,109 @@
+//! One connection of a client, until it ends, is idle for too long, or the process closes.
+
+use super::tracked_stream::TrackedStream;
+use crate::activity::ConnectionActivity;
+use crate::feed::FeedCache;
+use crate::handler::RequestHandler;
+use crate::metrics::Metrics;
+use crate::shutdown::Shutdown;
+use http::Request;
+use hyper::body::Incoming;
+use hyper::server::conn::http1::Builder;
+use hyper::service::service_fn;
+use hyper_util::rt::TokioIo;
+use log::debug;
+use pebblepost_configuration::Limits;
+use std::convert::Infallible;
+use std::future::{Future, poll_fn};
+use std::pin::{Pin, pin};
+use std::rc::Rc;
+use tokio::net::TcpStream;
+use tokio::sync::OwnedSemaphorePermit;
+use tokio::time::{Instant, Sleep};
+
+/// Smallest limit of a connection's read buffer.
+const MIN_BUFFER_BYTES: usize = 64 * 1024;
+
+/// What connections need.
+#[derive(Debug)]
+pub(crate) struct ConnectionContext {
+    /// Answers their requests.
+    pub(crate) handler: Rc<RequestHandler>,
+    /// Gives their limits.
+    pub(crate) feed: Rc<FeedCache>,
+    /// Ends them.
+    pub(crate) shutdown: Rc<Shutdown>,
+    /// Counts them.
+    pub(crate) metrics: Rc<Metrics>,
+}
+
+/// Serves one connection. `_permit` counts it until it is closed.
+pub(super) async fn serve(stream: TcpStream, context: Rc<ConnectionContext>, _permit: OwnedSemaphorePermit) {
+    if let Err(error) = stream.set_nodelay(true) {
+        debug!("client connection closed at once: {error}");
+        return;
+    }
+    let limits = context.feed.limits();
+    let activity = ConnectionActivity::new();
+    let io = TokioIo::new(TrackedStream::new(stream, activity.clone()));
+    let service = service_fn(|request: Request<Incoming>| {
+        let response = context.handler.clone().handle(activity.clone(), request);
+        async { Ok::<_, Infallible>(response.await) }
+    });
+    let mut connection = pin!(builder(&limits).serve_connection(io, service));
+    let mut closing = pin!(context.shutdown.closing());
+    let mut closed = false;
+    let mut check = pin!(tokio::time::sleep(limits.idle_timeout));
+    loop {
+        tokio::select! {
+            biased;
+            result = connection.as_mut() => {
+                if let Err(error) = result {
+                    debug!("client connection ended: {error}");
+                }
+                return;
+            }
+            () = closing.as_mut(), if !closed => {
+                closed = true;
+                connection.as_mut().graceful_shutdown();
+            }
+            () = check_due(check.as_mut(), &activity, &limits) => {
+                match next_check(&activity, &context.feed.limits()) {
+                    Some(at) => check.as_mut().reset(at),
+                    None => return,
+                }
+            }
+        }
+    }
+}
+
+/// Waits until the connection's deadlines are to be checked; sooner once a head has begun that is
+/// not complete. Polled after the connection, so that a head that came as a whole moves no timer.
+async fn check_due(mut check: Pin<&mut Sleep>, activity: &ConnectionActivity, limits: &Limits) {
+    poll_fn(|context| {
+        let head_deadline = activity.head_deadline(limits.header_timeout);
+        if let Some(at) = head_deadline.filter(|at| *at < check.deadline()) {
+            check.as_mut().reset(at);
+        }
+        check.as_mut().poll(context)
+    })
+    .await;
+}
+
+fn builder(limits: &Limits) -> Builder {
+    let mut builder = Builder::new();
+    builder
+        .auto_date_header(false)
+        .max_header_size(limits.max_header_bytes)
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES));
+    builder
+}
+
+/// When to check a connection again; `None` if a deadline of it has passed.
+fn next_check(activity: &ConnectionActivity, limits: &Limits) -> Option<Instant> {
+    let now = Instant::now();
+    match activity.deadline(limits.header_timeout, limits.idle_timeout) {
+        Some(deadline) => Some(deadline).filter(|at| *at > now),
+        None => Some(now + limits.idle_timeout),
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-proxy/src/connections/mod.rs
@@ -0,0 +1,8 @@
+//! Connections of clients: HTTP/1.1, one task each, within the limits of the configuration.
+
+mod connection;
+mod server;
+mod tracked_stream;
+
+pub(crate) use connection::ConnectionContext;
+pub(crate) use server::Server;
--- /dev/null
+++ b/crates/pebblepost-proxy/src/feed/agent_link.rs
@@ -0,0 +1,72 @@
+//! Link to the agent of this machine, which sends the feed.
+
+use super::updater::{Applied, FeedUpdater};
+use log::{debug, info};
+use pebblepost_link::{LinkLimits, connect};
+use pebblepost_messages::feed::{FeedBatch, FeedReply};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+const LINK_LIMITS: LinkLimits = LinkLimits {
+    max_frame_bytes: 64 << 20,
+    max_queued_bytes: 1 << 20,
+    connect_timeout: Duration::from_secs(1),
+    // The agent shares this machine: its end resets the connection.
+    read_timeout: Duration::from_secs(3600),
+};
+/// First backoff before the agent is connected to again; it doubles.
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+/// Longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
+
+/// Error of the link.
+type LinkError = Box<dyn std::error::Error + Send + Sync>;
+
+/// Why the feed over one link ended.
+#[derive(Debug, thiserror::Error)]
+enum FeedEnd {
+    #[error("connecting to the agent: {0:#}")]
+    Connect(LinkError),
+    #[error("reading the feed: {0:#}")]
+    Receive(LinkError),
+    #[error("a patch builds on a configuration that is not here")]
+    Gap,
+}
+
+/// Keeps the link to the agent at `address` for as long as the process runs.
+pub(crate) async fn run(updater: Rc<FeedUpdater>, address: SocketAddr) {
+    let mut backoff = MIN_BACKOFF;
+    loop {
+        let mut received = false;
+        let end = follow(&updater, address, &mut received).await;
+        debug!("feed ended agent={address}: {end}");
+        if received {
+            info!("agent link lost, configuration stays in force agent={address}");
+            backoff = MIN_BACKOFF;
+        }
+        tokio::time::sleep(backoff).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
+    }
+}
+
+/// Applies and acknowledges the feed until the link ends. `received` is set with the first batch.
+async fn follow(updater: &FeedUpdater, address: SocketAddr, received: &mut bool) -> FeedEnd {
+    let (sender, mut receiver) = match connect(address, LINK_LIMITS).await {
+        Ok(link) => link,
+        Err(error) => return FeedEnd::Connect(error.into()),
+    };
+    loop {
+        let batch: FeedBatch = match receiver.receive().await {
+            Ok(batch) => batch,
+            Err(error) => return FeedEnd::Receive(error.into()),
+        };
+        *received = true;
+        if updater.apply(&batch.updates) == Applied::Gap {
+            sender.close();
+            return FeedEnd::Gap;
+        }
+        let generation = updater.generation();
+        sender.send(&FeedReply::Acknowledge { sequence: batch.sequence, generation });
+    }
+}
--- a/crates/pebblepost-proxy/src/handler.rs
+++ b/crates/pebblepost-proxy/src/handler.rs
@@ -1,11 +1,15 @@
-//! One request from its head to its answer.
+//! Handling of one request: reads it, routes it, and responds.
+//!
+//! Reading lies in `request`, forwarding in `dispatch`, the form of responses in `response`; batch
+//! jobs go to the batch runner.
 
-use crate::answer::{self, AnswerBody, Payload};
-use crate::context::Context;
-use crate::dispatch::{self, ClientRequest, DispatchOutcome};
-use crate::lifecycle::Phase;
-use crate::request::{BufferedBody, Rejection, RequestHead, read_body};
-use crate::tracked_stream::Activity;
+use crate::activity::ConnectionActivity;
+use crate::dispatch::{Backends, ClientRequest, DispatchOutcome, dispatch};
+use crate::feed::FeedCache;
+use crate::metrics::Metrics;
+use crate::request::{BufferedBody, MemoryBudget, Rejection, RequestHead, read_body};
+use crate::response::{self, Payload, ResponseBody};
+use crate::shutdown::Shutdown;
 use http::header::CONNECTION;
 use http::{HeaderValue, Method, Request, Response};
 use hyper::body::Incoming;
@@ -16,105 +20,124 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request with a deadline that arrives before the first configuration waits for it so long: a refusal that
-/// comes early costs the client little.
-const CONFIGURATION_WAIT: Duration = Duration::from_millis(15);
-/// Batch jobs and calls about them wait so long. Their callers have tens of seconds and few tries, and after a restart of
-/// all machines the configuration is there again within about a second.
-const JOB_CONFIGURATION_WAIT: Duration = Duration::from_millis(2500);
-/// Answers are given this much ahead of a client's deadline.
+/// A request with a deadline that arrives before the first configuration waits for it this long: an
+/// early rejection costs the client little.
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(15);
+/// Batch jobs and calls about them wait this long. Their callers have tens of seconds and few
+/// attempts, and after a restart of all machines the configuration comes within about a second.
+const JOB_CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Responses are sent this long before a client's deadline.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
 
-/// Answers one request on a client's connection.
-pub(crate) async fn handle(
-    context: Rc<Context>, activity: Activity, request: Request<Incoming>,
-) -> Response<AnswerBody> {
-    activity.request_started();
-    let mut response = respond(&context, request).await.unwrap_or_else(|rejection| {
-        debug!("rejected: {rejection:?}");
-        context.metrics.update(|counts| counts.rejected += 1);
-        answer::rejected(rejection)
-    });
-    let headers = response.headers_mut();
-    if context.lifecycle.phase() == Phase::Serving {
-        answer::set_keep_alive(headers, context.limits().idle_timeout);
-    } else {
-        headers.insert(CONNECTION, HeaderValue::from_static("close"));
-    }
-    response.map(|payload| AnswerBody::new(payload, activity))
+/// Handles requests of all connections.
+#[derive(Debug)]
+pub(crate) struct RequestHandler {
+    /// Gives the configuration.
+    pub(crate) feed: Rc<FeedCache>,
+    /// Backends to which requests are forwarded.
+    pub(crate) backends: Rc<Backends>,
+    /// Handles batch jobs.
+    pub(crate) runner: BatchRunner,
+    /// Bounds the bodies of requests.
+    pub(crate) memory: MemoryBudget,
+    /// Counts what becomes of requests.
+    pub(crate) metrics: Rc<Metrics>,
+    /// Gives the last deadline during a shutdown.
+    pub(crate) shutdown: Rc<Shutdown>,
 }
 
-async fn respond(context: &Rc<Context>, request: Request<Incoming>) -> Result<Response<Payload>, Rejection> {
-    let arrived = Instant::now();
-    let limits = context.limits();
-    let (parts, body) = request.into_parts();
-    let head = RequestHead::check(parts, &limits)?;
-    let body = read_body(body, &limits, &context.memory).await?;
-    context.metrics.update(|counts| counts.requests += 1);
-    // Looked up when the request is whole: the newest configuration holds for it.
-    let configuration = context.configuration_within(configuration_wait(&head)).await;
-    let configuration = configuration.ok_or(Rejection::NotConfigured)?;
-    if BatchRunner::is_job_call(head.path_only()) {
-        // Whatever has become of its route: a job that was taken is kept, and read, all the same.
-        return ask_runner(context, None, head, body).await;
-    }
-    if head.request_id.is_empty() {
-        return Err(Rejection::Malformed);
-    }
-    let route = configuration.route(&head.host, head.path_only()).ok_or(Rejection::NoRoute)?;
-    if route.kind != RouteKind::Rollout {
-        let deadline = deadline(context, route, &head, arrived);
-        return Ok(forward(context, route, ClientRequest { head, body, deadline }).await);
-    }
-    if head.method != Method::POST {
-        return Err(Rejection::NoRoute);
+impl RequestHandler {
+    /// Responds to one request on a client's connection.
+    pub(crate) async fn handle(
+        self: Rc<Self>, activity: ConnectionActivity, request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
+        activity.request_started();
+        let mut response = self.respond(request).await.unwrap_or_else(|rejection| {
+            debug!("request rejected: {rejection}");
+            self.metrics.update(|counts| counts.rejected += 1);
+            response::rejected(rejection)
+        });
+        let headers = response.headers_mut();
+        if self.shutdown.is_serving() {
+            response::set_keep_alive(headers, self.feed.limits().idle_timeout);
+        } else {
+            headers.insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        response.map(|payload| ResponseBody::new(payload, activity))
     }
-    ask_runner(context, Some(route), head, body).await
-}
 
-/// How long a request may wait for the first configuration. Which route it takes is not known before; a submitted batch
-/// job is told by its having no deadline.
-fn configuration_wait(head: &RequestHead) -> Duration {
-    let is_of_a_job = head.deadline.is_none() || BatchRunner::is_job_call(head.path_only());
-    if is_of_a_job { JOB_CONFIGURATION_WAIT } else { CONFIGURATION_WAIT }
-}
-
-/// When the client must have its answer.
-fn deadline(context: &Context, route: &Route, head: &RequestHead, arrived: Instant) -> Instant {
-    let most = head.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
-    let deadline = arrived + most.saturating_sub(DEADLINE_MARGIN);
-    context.lifecycle.end().map_or(deadline, |end| deadline.min(end))
-}
-
-async fn ask_runner(
-    context: &Rc<Context>, route: Option<&Route>, head: RequestHead, body: BufferedBody,
-) -> Result<Response<Payload>, Rejection> {
-    let mut request = Request::new(body.bytes.clone());
-    *request.method_mut() = head.method;
-    *request.uri_mut() = head.path.parse().map_err(|_| Rejection::Malformed)?;
-    *request.headers_mut() = head.headers;
-    Ok(context.runner.answer(route, request).await.map(Payload::Whole))
-}
-
-async fn forward(context: &Context, route: &Route, request: ClientRequest) -> Response<Payload> {
-    let method = request.head.method.clone();
-    let outcome = dispatch::dispatch(&context.backends, &context.metrics, route, request).await;
-    match outcome {
-        DispatchOutcome::Response(buffered) => {
-            context.metrics.update(|counts| counts.answered += 1);
-            answer::of_transcriber(buffered, &method)
+    async fn respond(&self, request: Request<Incoming>) -> Result<Response<Payload>, Rejection> {
+        let arrived = Instant::now();
+        let limits = self.feed.limits();
+        let (parts, body) = request.into_parts();
+        let head = RequestHead::check(parts, &limits)?;
+        let body = read_body(body, &limits, &self.memory).await?;
+        self.metrics.update(|counts| counts.requests += 1);
+        // Looked up once the request is complete: the newest configuration applies to it.
+        let configuration = self.feed.wait_for_configuration(configuration_timeout(&head)).await;
+        let configuration = configuration.ok_or(Rejection::NotConfigured)?;
+        if BatchRunner::is_job_call(head.path_without_query()) {
+            // Whatever has become of its route: a job that was accepted is kept and can be read.
+            return self.run_job_call(None, head, body).await;
+        }
+        if head.request_id.is_empty() {
+            return Err(Rejection::Malformed);
         }
-        DispatchOutcome::Stream(head, events) => {
-            context.metrics.update(|counts| counts.answered += 1);
-            answer::of_stream(head, events)
+        let route = configuration.route(&head.host, head.path_without_query()).ok_or(Rejection::NoRoute)?;
+        if route.kind != RouteKind::Rollout {
+            let deadline = self.deadline(route, &head, arrived);
+            return Ok(self.forward(route, ClientRequest { head, body, deadline }).await);
         }
-        DispatchOutcome::NotExecuted { retry_after } => {
-            context.metrics.update(|counts| counts.refused += 1);
-            answer::refused(retry_after)
+        if head.method != Method::POST {
+            return Err(Rejection::NoRoute);
         }
-        DispatchOutcome::Indeterminate(status) => {
-            context.metrics.update(|counts| counts.failed += 1);
-            answer::own(status)
+        self.run_job_call(Some(route), head, body).await
+    }
+
+    /// When the client must have its response.
+    fn deadline(&self, route: &Route, head: &RequestHead, arrived: Instant) -> Instant {
+        let timeout = head.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
+        let deadline = arrived + timeout.saturating_sub(DEADLINE_MARGIN);
+        self.shutdown.response_deadline().map_or(deadline, |last| deadline.min(last))
+    }
+
+    async fn forward(&self, route: &Route, request: ClientRequest) -> Response<Payload> {
+        let method = request.head.method.clone();
+        let outcome = dispatch(&self.backends, &self.metrics, route, request).await;
+        match outcome {
+            DispatchOutcome::Response(buffered) => {
+                self.metrics.update(|counts| counts.answered += 1);
+                response::buffered(buffered, &method)
+            }
+            DispatchOutcome::Stream(head, events) => {
+                self.metrics.update(|counts| counts.answered += 1);
+                response::streamed(head, events)
+            }
+            DispatchOutcome::NotExecuted { retry_after } => {
+                self.metrics.update(|counts| counts.refused += 1);
+                response::not_executed(retry_after)
+            }
+            DispatchOutcome::Indeterminate(status) => {
+                self.metrics.update(|counts| counts.failed += 1);
+                response::empty(status)
+            }
         }
     }
+
+    async fn run_job_call(
+        &self, route: Option<&Route>, head: RequestHead, body: BufferedBody,
+    ) -> Result<Response<Payload>, Rejection> {
+        let mut request = Request::new(body.bytes.clone());
+        *request.method_mut() = head.method;
+        *request.uri_mut() = head.path.parse().map_err(|_| Rejection::Malformed)?;
+        *request.headers_mut() = head.headers;
+        Ok(self.runner.answer(route, request).await.map(Payload::Buffered))
+    }
+}
+
+/// How long a request may wait for the first configuration. Its route is not known before then; a
+/// submitted batch job is recognized by its having no deadline.
+fn configuration_timeout(head: &RequestHead) -> Duration {
+    let is_of_job = head.deadline.is_none() || BatchRunner::is_job_call(head.path_without_query());
+    if is_of_job { JOB_CONFIGURATION_TIMEOUT } else { CONFIGURATION_TIMEOUT }
 }
--- a/crates/pebblepost-proxy/src/proxy.rs
+++ b/crates/pebblepost-proxy/src/proxy.rs
@@ -1,166 +1,196 @@
-//! The proxy: its listeners and tasks, and its end.
+//! The proxy: builds its parts, starts their tasks, and shuts them down.
 
-use crate::context::{Applied, Context};
-use crate::front::Front;
-use crate::metrics::ProxyMetrics;
-use crate::{feed_client, ready};
-use eyre::{OptionExt, Result, WrapErr};
+use crate::connections::{ConnectionContext, Server};
+use crate::dispatch::Backends;
+use crate::error::ProxyError;
+use crate::feed::{Applied, FeedCache, FeedUpdater, run_agent_link};
+use crate::handler::RequestHandler;
+use crate::listener::listen;
+use crate::metrics::{Metrics, ProxyMetrics, metrics_line};
+use crate::readiness::Readiness;
+use crate::request::MemoryBudget;
+use crate::resource_limits::{DEFAULT_CONNECTIONS, client_limits, request_body_bytes};
+use crate::shutdown::Shutdown;
+use crate::signals::{ReceivedSignal, Signals};
 use log::{info, warn};
+use pebblepost_batch_runner::BatchRunner;
 use pebblepost_messages::feed::FeedUpdate;
 use pebblepost_settings::Settings;
-use socket2::{Domain, Socket, Type};
-use std::net::SocketAddr;
+use pebblepost_transcriber::Client;
+use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::TcpListener;
-use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::Instant;
 
-/// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1024;
-/// After SIGTERM the platform needs two misses of its question each second to notice.
-const NOTICE: Duration = Duration::from_millis(2800);
-/// The process ends this much ahead of SIGKILL.
+/// After SIGTERM the platform needs two failed readiness checks, one each second, to notice.
+const READINESS_PROPAGATION: Duration = Duration::from_millis(2800);
+/// The process ends this long before SIGKILL.
 const END_MARGIN: Duration = Duration::from_millis(500);
-/// How often the counts are written to the log.
-const COUNTS_EVERY: Duration = Duration::from_secs(15);
-/// Requests have their answer this much ahead of the process's end.
-const ANSWER_MARGIN: Duration = Duration::from_millis(400);
-
-/// The signals that the process acts by, none of which ends it by itself once this exists.
-#[derive(Debug)]
-pub struct Signals {
-    terminate: Signal,
-    hang_up: Signal,
-}
-
-impl Signals {
-    /// Listens for the signals.
-    pub fn listen() -> Result<Signals> {
-        let terminate = signal(SignalKind::terminate()).wrap_err("listening for SIGTERM")?;
-        let hang_up = signal(SignalKind::hangup()).wrap_err("listening for SIGHUP")?;
-        Ok(Signals { terminate, hang_up })
-    }
-}
+/// Requests have their responses this long before the process ends.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(400);
+/// How often the metrics are written to the log.
+const METRICS_PERIOD: Duration = Duration::from_secs(15);
 
 /// A proxy that runs on the caller's `LocalSet`.
 #[derive(Debug)]
 pub struct Proxy {
-    context: Rc<Context>,
-    front: Rc<Front>,
-    front_address: SocketAddr,
+    server: Rc<Server>,
+    updater: Rc<FeedUpdater>,
+    memory: MemoryBudget,
+    reporter: MetricsReporter,
+    runner: BatchRunner,
+    shutdown: Rc<Shutdown>,
+    shutdown_grace: Duration,
+    client_address: SocketAddr,
     ready_address: SocketAddr,
 }
 
 impl Proxy {
-    /// Listens, and starts all tasks (`spawn_local`).
-    pub fn start(settings: Settings) -> Result<Proxy> {
-        let ready = listen(settings.listen_ready, "listen.ready")?;
-        let front_listener = listen(settings.listen_front, "listen.front")?;
-        let (front_address, ready_address) = (front_listener.local_addr()?, ready.local_addr()?);
-        let front = Rc::new(Front::new(settings.limits.max_fds));
-        let context = Rc::new(Context::new(settings));
-        tokio::task::spawn_local(ready::serve(ready, context.clone()));
-        tokio::task::spawn_local(feed_client::run(context.clone()));
-        tokio::task::spawn_local(log_counts(context.clone()));
-        let (accepting, shared) = (front.clone(), context.clone());
-        tokio::task::spawn_local(async move { accepting.accept(front_listener, shared).await });
-        info!("serving clients at {front_address}, readiness at {ready_address}");
-        Ok(Proxy { context, front, front_address, ready_address })
+    /// Opens the listeners and starts all tasks (`spawn_local`).
+    ///
+    /// # Errors
+    /// If the settings lack an address, or a listener can't be opened.
+    pub fn start(settings: Settings) -> Result<Proxy, ProxyError> {
+        let ready_listener = listen(settings.listen_ready, "listen.ready")?;
+        let client_listener = listen(settings.listen_front, "listen.front")?;
+        let client_address = client_listener.local_addr().map_err(ProxyError::LocalAddress)?;
+        let ready_address = ready_listener.local_addr().map_err(ProxyError::LocalAddress)?;
+        let server = Rc::new(Server::new(settings.limits.max_fds));
+
+        let feed = Rc::new(FeedCache::default());
+        let client = Client::new(client_limits(&settings.limits, DEFAULT_CONNECTIONS));
+        let runner = BatchRunner::start(&settings, client.clone(), feed.shared_state());
+        let backends = Rc::new(Backends::new(client.clone(), &settings.zone));
+        let memory = MemoryBudget::new(request_body_bytes(&settings.limits));
+        let metrics = Rc::new(Metrics::default());
+        let shutdown = Rc::new(Shutdown::new());
+        let agent_address = SocketAddr::from((Ipv4Addr::LOCALHOST, settings.agent_link_port()));
+        let reporter =
+            MetricsReporter { metrics: metrics.clone(), client: client.clone(), runner: runner.clone() };
+        let updater = Rc::new(FeedUpdater::new(
+            feed.clone(),
+            backends.clone(),
+            client,
+            runner.clone(),
+            settings.limits.clone(),
+        ));
+        let handler = Rc::new(RequestHandler {
+            feed: feed.clone(),
+            backends,
+            runner: runner.clone(),
+            memory: memory.clone(),
+            metrics: metrics.clone(),
+            shutdown: shutdown.clone(),
+        });
+        let connections =
+            Rc::new(ConnectionContext { handler, feed: feed.clone(), shutdown: shutdown.clone(), metrics });
+
+        tokio::task::spawn_local(Readiness::new(feed, shutdown.clone()).serve(ready_listener));
+        tokio::task::spawn_local(run_agent_link(updater.clone(), agent_address));
+        tokio::task::spawn_local(reporter.clone().run());
+        let accepting = server.clone();
+        tokio::task::spawn_local(async move { accepting.accept(client_listener, connections).await });
+        info!("serving clients={client_address} readiness={ready_address}");
+        Ok(Proxy {
+            server,
+            updater,
+            memory,
+            reporter,
+            runner,
+            shutdown,
+            shutdown_grace: settings.bounds.shutdown_grace,
+            client_address,
+            ready_address,
+        })
     }
 
-    /// Where clients connect.
-    pub fn front_address(&self) -> SocketAddr {
-        self.front_address
+    /// Address for clients.
+    pub fn client_address(&self) -> SocketAddr {
+        self.client_address
     }
 
-    /// Where readiness is asked for.
+    /// Address for readiness checks.
     pub fn ready_address(&self) -> SocketAddr {
         self.ready_address
     }
 
-    /// Takes updates of the feed in, as those that come from the agent.
+    /// Applies updates of the feed, as those that come from the agent.
     pub fn apply(&self, updates: &[FeedUpdate]) -> Applied {
-        self.context.apply(updates)
+        self.updater.apply(updates)
     }
 
     /// Counts since the start.
     pub fn metrics(&self) -> ProxyMetrics {
-        self.context.metrics.get()
+        self.reporter.metrics.get()
     }
 
-    /// Runs until SIGTERM and through the end that follows. SIGHUP: reads the settings anew.
+    /// Runs until SIGTERM and through the graceful shutdown. SIGHUP reads the settings again.
     pub async fn run_until_terminated(&self, signals: &mut Signals) {
-        loop {
-            tokio::select! {
-                _ = signals.terminate.recv() => break,
-                _ = signals.hang_up.recv() => self.reload(),
-            }
+        while signals.next().await != ReceivedSignal::Terminate {
+            self.reload();
         }
-        let stop = self.stop();
-        let mut stop = std::pin::pin!(stop);
+        let mut shutdown = std::pin::pin!(self.shut_down());
         loop {
             tokio::select! {
-                () = stop.as_mut() => return,
-                _ = signals.hang_up.recv() => {}
+                () = shutdown.as_mut() => return,
+                () = signals.hang_up() => {}
             }
         }
     }
 
+    /// Takes over the memory limit of the settings file.
     fn reload(&self) {
         match Settings::from_environment() {
             Ok(settings) => {
-                self.context.reload(&settings.limits);
-                info!("settings read anew");
+                self.memory.set_limit(request_body_bytes(&settings.limits));
+                info!("settings reloaded");
             }
-            Err(error) => warn!("the settings stay as they were: {error:#}"),
+            Err(error) => warn!("settings not reloaded: {error:#}"),
         }
     }
 
-    /// Ends: not ready at once, still serving until the platform has noticed, then finishing what
-    /// is under way, all inside the grace of the settings.
-    pub async fn stop(&self) {
-        let started = Instant::now();
-        let grace = self.context.settings.bounds.shutdown_grace;
-        let end = started + grace.saturating_sub(END_MARGIN);
-        info!("ending: not ready, done within {:?}", grace.saturating_sub(END_MARGIN));
-        self.context.lifecycle.leave(end - ANSWER_MARGIN.min(grace / 4));
+    /// Shuts down gracefully: not ready at once, serving until the platform has noticed, then
+    /// finishing what is in flight, all within the grace period of the settings.
+    pub async fn shut_down(&self) {
+        let grace = self.shutdown_grace;
+        let end = Instant::now() + grace.saturating_sub(END_MARGIN);
+        info!("draining grace={:?}", grace.saturating_sub(END_MARGIN));
+        self.shutdown.begin_draining(end - RESPONSE_MARGIN.min(grace / 4));
         let runner = async {
-            let most = grace.saturating_sub(END_MARGIN + ANSWER_MARGIN);
-            self.context.runner.stop(most).await;
+            let timeout = grace.saturating_sub(END_MARGIN + RESPONSE_MARGIN);
+            self.runner.stop(timeout).await;
         };
-        let front = async {
-            tokio::time::sleep(NOTICE.min(grace / 2)).await;
-            self.context.lifecycle.close();
-            self.front.ended().await;
+        let connections = async {
+            tokio::time::sleep(READINESS_PROPAGATION.min(grace / 2)).await;
+            self.shutdown.begin_closing();
+            self.server.all_closed().await;
         };
-        let all = async { tokio::join!(runner, front) };
+        let all = async { tokio::join!(runner, connections) };
         if tokio::time::timeout_at(end, all).await.is_err() {
-            warn!("ended with requests under way");
+            warn!("grace period over with requests in flight");
         }
-        info!("{}", self.context.describe_counts());
+        info!("{}", self.reporter.line());
         info!("ended");
     }
 }
 
-/// Writes the counts to the log now and then.
-async fn log_counts(context: Rc<Context>) {
-    loop {
-        tokio::time::sleep(COUNTS_EVERY).await;
-        info!("{}", context.describe_counts());
-    }
+/// Writes the metrics to the log.
+#[derive(Clone, Debug)]
+struct MetricsReporter {
+    metrics: Rc<Metrics>,
+    client: Client,
+    runner: BatchRunner,
 }
 
-/// Listens with a long queue; the address may have been in use a moment ago.
-fn listen(address: Option<SocketAddr>, key: &str) -> Result<TcpListener> {
-    let address = address.ok_or_eyre(format!("the settings have no {key}"))?;
-    let bind = || -> std::io::Result<TcpListener> {
-        let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
-        socket.set_reuse_address(true)?;
-        socket.set_nonblocking(true)?;
-        socket.bind(&address.into())?;
-        socket.listen(BACKLOG)?;
-        TcpListener::from_std(socket.into())
-    };
-    bind().wrap_err_with(|| format!("listening at {address} ({key})"))
+impl MetricsReporter {
+    fn line(&self) -> String {
+        metrics_line(self.metrics.get(), self.client.metrics(), self.runner.counts())
+    }
+
+    async fn run(self) {
+        loop {
+            tokio::time::sleep(METRICS_PERIOD).await;
+            info!("{}", self.line());
+        }
+    }
 }
--- /dev/null
+++ b/crates/pebblepost-proxy/src/request/head.rs
@@ -0,0 +1,83 @@
+//! Heads of requests: checked, and without what concerns one connection only.
+
+use super::rejection::Rejection;
+use http::header::{CONTENT_LENGTH, EXPECT, HOST, HeaderName};
+use http::{HeaderMap, Method, request::Parts};
+use pebblepost_configuration::Limits;
+use pebblepost_transcriber::remove_connection_headers;
+use std::time::Duration;
+
+const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
+const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
+const TARGET_INSTANCE: HeaderName = HeaderName::from_static("target-instance");
+
+/// Head of a request, checked.
+#[derive(Debug)]
+pub(crate) struct RequestHead {
+    /// Method.
+    pub(crate) method: Method,
+    /// Path and query, as the client sent them.
+    pub(crate) path: String,
+    /// Host, as the client sent it.
+    pub(crate) host: String,
+    /// `Request-Id`; empty where there is none, as in calls of batch jobs.
+    pub(crate) request_id: String,
+    /// `Deadline-Ms`: how long the client waits, where it says so.
+    pub(crate) deadline: Option<Duration>,
+    /// Headers to forward, without those of one connection and those that the proxy sets itself.
+    pub(crate) headers: HeaderMap,
+}
+
+impl RequestHead {
+    /// Checks a head.
+    ///
+    /// # Errors
+    /// [`Rejection::HeadTooLarge`] above the limit, [`Rejection::Malformed`] without exactly one
+    /// `Host`, with an unusable path, `Request-Id` or `Deadline-Ms`.
+    pub(crate) fn check(parts: Parts, limits: &Limits) -> Result<RequestHead, Rejection> {
+        let Parts { method, uri, mut headers, .. } = parts;
+        if head_bytes(&headers) > limits.max_header_bytes {
+            return Err(Rejection::HeadTooLarge);
+        }
+        let host = single_value(&headers, HOST).ok_or(Rejection::Malformed)?.to_owned();
+        let request_id = match headers.contains_key(REQUEST_ID) {
+            true => single_value(&headers, REQUEST_ID).ok_or(Rejection::Malformed)?.to_owned(),
+            false => String::new(),
+        };
+        let path = uri.path_and_query().filter(|path| path.as_str().starts_with('/'));
+        let path = path.ok_or(Rejection::Malformed)?.as_str().to_owned();
+        let deadline = deadline(&headers)?;
+        remove_connection_headers(&mut headers);
+        for name in [CONTENT_LENGTH, EXPECT, DEADLINE_MS, TARGET_INSTANCE] {
+            headers.remove(name);
+        }
+        Ok(RequestHead { method, path, host, request_id, deadline, headers })
+    }
+
+    /// The path without the query.
+    pub(crate) fn path_without_query(&self) -> &str {
+        self.path.split('?').next().unwrap_or_default()
+    }
+}
+
+/// Approximate size of a head on the wire.
+fn head_bytes(headers: &HeaderMap) -> usize {
+    const SEPARATOR_BYTES: usize = 4;
+    headers.iter().map(|(name, value)| name.as_str().len() + value.len() + SEPARATOR_BYTES).sum()
+}
+
+/// The value of a header that must occur exactly once and not be empty.
+fn single_value(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
+    let mut values = headers.get_all(name).iter();
+    let value = values.next()?;
+    let is_single = values.next().is_none();
+    value.to_str().ok().filter(|text| is_single && !text.is_empty())
+}
+
+/// `Deadline-Ms`; a value that is no duration makes the request malformed.
+fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Rejection> {
+    let Some(value) = headers.get(DEADLINE_MS) else { return Ok(None) };
+    let text = value.to_str().map_err(|_| Rejection::Malformed)?;
+    let milliseconds: f64 = text.trim().parse().map_err(|_| Rejection::Malformed)?;
+    Duration::try_from_secs_f64(milliseconds / 1000.0).map(Some).map_err(|_| Rejection::Malformed)
+}
--- /dev/null
+++ b/crates/pebblepost-proxy/src/request/memory.rs
@@ -0,0 +1,61 @@
+//! Memory budget: bounds the bytes that bodies of requests take together.
+
+use std::cell::Cell;
+use std::rc::Rc;
+
+/// Bytes that bodies may take, and take; clones share the budget.
+#[derive(Clone, Debug)]
+pub(crate) struct MemoryBudget(Rc<Usage>);
+
+#[derive(Debug)]
+struct Usage {
+    limit_bytes: Cell<usize>,
+    reserved_bytes: Cell<usize>,
+}
+
+impl MemoryBudget {
+    /// A budget of which nothing is reserved.
+    pub(crate) fn new(limit_bytes: usize) -> MemoryBudget {
+        let usage = Usage { limit_bytes: Cell::new(limit_bytes), reserved_bytes: Cell::new(0) };
+        MemoryBudget(Rc::new(usage))
+    }
+
+    /// Changes the limit; what is reserved stays reserved.
+    pub(crate) fn set_limit(&self, limit_bytes: usize) {
+        self.0.limit_bytes.set(limit_bytes);
+    }
+
+    /// A reservation of no bytes, to be grown.
+    pub(crate) fn reservation(&self) -> MemoryReservation {
+        MemoryReservation { budget: self.clone(), bytes: 0 }
+    }
+}
+
+/// Bytes of one body; returned to the budget on drop.
+#[derive(Debug)]
+pub(crate) struct MemoryReservation {
+    budget: MemoryBudget,
+    bytes: usize,
+}
+
+impl MemoryReservation {
+    /// Grows to so many bytes in all; false if the budget does not allow it.
+    pub(crate) fn grow_to(&mut self, bytes: usize) -> bool {
+        let additional = bytes.saturating_sub(self.bytes);
+        let usage = &self.budget.0;
+        let reserved = usage.reserved_bytes.get().saturating_add(additional);
+        if reserved > usage.limit_bytes.get() {
+            return false;
+        }
+        usage.reserved_bytes.set(reserved);
+        self.bytes += additional;
+        true
+    }
+}
+
+impl Drop for MemoryReservation {
+    fn drop(&mut self) {
+        let usage = &self.budget.0;
+        usage.reserved_bytes.set(usage.reserved_bytes.get() - self.bytes);
+    }
+}
--- a/crates/pebblepost-proxy/tests/feed.rs
+++ b/crates/pebblepost-proxy/tests/feed.rs
@@ -36,7 +36,7 @@
 }
 
 async fn status(proxy: &Proxy, path: &str) -> String {
-    let mut client = Client::connect(proxy.front_address()).await;
+    let mut client = Client::connect(proxy.client_address()).await;
     client.write(&get(path, "r1")).await;
     client.answer().await[9..12].to_owned()
 }
--- a/crates/pebblepost-proxy/tests/front.rs
+++ b/crates/pebblepost-proxy/tests/front.rs
@@ -56,7 +56,7 @@
         let rig = Rig::bare(3.0);
         let mut unused = rig.connect().await;
         let started = Instant::now();
-        let (closed, ()) = tokio::join!(unused.is_closed(), rig.proxy.stop());
+        let (closed, ()) = tokio::join!(unused.is_closed(), rig.proxy.shut_down());
         assert!(closed && started.elapsed() < Duration::from_millis(2000), "{:?}", started.elapsed());
     });
 }
@@ -179,7 +179,7 @@
             tokio::time::sleep(Duration::from_millis(50)).await;
             rig.readyz().await
         };
-        let ((), status) = tokio::join!(rig.proxy.stop(), asked);
+        let ((), status) = tokio::join!(rig.proxy.shut_down(), asked);
         assert_eq!(status, "HTTP/1.1 503 Service Unavailable");
     });
 }
@@ -216,7 +216,7 @@
             resting.write(&get("/pages/1", "r4")).await;
             assert!(resting.answer().await.ends_with("by default"), "resting connections still serve");
         };
-        tokio::join!(rig.proxy.stop(), clients);
+        tokio::join!(rig.proxy.shut_down(), clients);
         assert!(started.elapsed() < Duration::from_millis(2500), "{:?}", started.elapsed());
     });
 }
--- a/crates/pebblepost-proxy/tests/support/mod.rs
+++ b/crates/pebblepost-proxy/tests/support/mod.rs
@@ -119,7 +119,7 @@
     }
 
     pub async fn connect(&self) -> Client {
-        Client::connect(self.proxy.front_address()).await
+        Client::connect(self.proxy.client_address()).await
     }
 
     /// One request on a connection of its own, and its answer.
