--- a/crates/pebblepost-proxy/src/dispatch/backend.rs
+++ b/crates/pebblepost-proxy/src/dispatch/backend.rs
@@ -211,12 +211,12 @@
         self.state.borrow().requests.push_command(id, command);
     }
 
-    /// The load report of a worker that told its load.
+    /// The load report of a worker that reported its load.
     pub(super) fn load_report(&self, worker: WorkerId, load: &Load) -> Report {
         load_report::from_load(load, || self.state.borrow().workers.slots(worker))
     }
 
-    /// The load report of a worker that tells no load.
+    /// The load report of a worker that reports no load.
     fn in_flight_report(&self, worker: WorkerId) -> Report {
         let workers = &self.state.borrow().workers;
         load_report::from_in_flight(workers.slots(worker), workers.in_flight(worker))
--- a/crates/pebblepost-proxy/src/dispatch/load_report.rs
+++ b/crates/pebblepost-proxy/src/dispatch/load_report.rs
@@ -3,7 +3,7 @@
 use pebblepost_dispatch::api::Report;
 use pebblepost_transcriber::Load;
 
-/// The report of a transcriber that told its load. `known_slots`: its slots, where the load does
+/// The report of a transcriber that reported its load. `known_slots`: its slots, where the load does
 /// not say them.
 pub(super) fn from_load(load: &Load, known_slots: impl FnOnce() -> u32) -> Report {
     let slots = load.slots.unwrap_or_else(known_slots).max(1);
@@ -14,7 +14,7 @@
     vec![slots.saturating_sub(load.running) as f32, load.waiting as f32]
 }
 
-/// The report of a transcriber that tells no load: what this proxy has in flight there.
+/// The report of a transcriber that reports no load: what this proxy has in flight there.
 pub(super) fn from_in_flight(slots: u32, in_flight: u32) -> Report {
     vec![slots.max(1).saturating_sub(in_flight) as f32, 0.0]
 }
--- a/crates/pebblepost-proxy/tests/feed.rs
+++ b/crates/pebblepost-proxy/tests/feed.rs
@@ -1,6 +1,6 @@
-//! The link to the agent: updates are in force before they are acknowledged, and hold when the
-//! agent goes away.
+//! Link to the agent: updates are in force before they are acknowledged, and outlive the link.
 
+#[expect(dead_code, reason = "each test program uses a part of the support")]
 mod support;
 
 use pebblepost_link::{LinkLimits, Listener, Receiver, Sender};
@@ -17,59 +17,62 @@
     read_timeout: Duration::from_secs(10),
 };
 
-/// A proxy whose agent is played by the test.
-struct Played {
+/// A proxy whose agent is simulated by the test.
+struct FakeAgent {
     proxy: Proxy,
     agent: Listener,
 }
 
-fn start() -> Played {
-    let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+fn start() -> FakeAgent {
+    let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("bound");
     let mut settings = settings(8.0);
     settings.port_range = (free.port() - 2, free.port());
-    Played { agent: Listener::bind(free, LIMITS).unwrap(), proxy: Proxy::start(settings).unwrap() }
+    FakeAgent {
+        agent: Listener::bind(free, LIMITS).expect("bound"),
+        proxy: Proxy::start(settings).expect("started"),
+    }
 }
 
 async fn send(link: &mut (Sender, Receiver), sequence: u64, updates: Vec<FeedUpdate>) -> FeedReply {
     assert!(link.0.send(&FeedBatch { sequence, updates }));
-    link.1.receive().await.unwrap()
+    link.1.receive().await.expect("a reply")
 }
 
 async fn status(proxy: &Proxy, path: &str) -> String {
     let mut client = Client::connect(proxy.client_address()).await;
     client.write(&get(path, "r1")).await;
-    client.answer().await[9..12].to_owned()
+    client.response().await[9..12].to_owned()
 }
 
 #[test]
-fn what_is_acknowledged_is_in_force_and_outlives_the_agent() {
+fn acknowledged_updates_are_in_force_and_outlive_the_agent() {
     run(async {
-        let mut played = start();
-        let mut link = played.agent.accept().await.unwrap();
+        let mut fake_agent = start();
+        let mut link = fake_agent.agent.accept().await.unwrap();
         let reply = send(&mut link, 1, vec![configuration(3, ROUTES)]).await;
         assert_eq!(reply, FeedReply::Acknowledge { sequence: 1, generation: 3 });
-        assert_eq!(status(&played.proxy, "/pages/1").await, "503", "known, and without transcribers");
+        assert_eq!(status(&fake_agent.proxy, "/pages/1").await, "503", "routed, and without transcribers");
         drop(link);
-        assert_eq!(status(&played.proxy, "/pages/1").await, "503");
-        let mut link = played.agent.accept().await.unwrap();
+        assert_eq!(status(&fake_agent.proxy, "/pages/1").await, "503");
+        let mut link = fake_agent.agent.accept().await.unwrap();
         let reply = send(&mut link, 1, vec![configuration(2, "")]).await;
-        assert_eq!(reply, FeedReply::Acknowledge { sequence: 1, generation: 3 }, "nothing goes back");
-        assert_eq!(status(&played.proxy, "/pages/1").await, "503");
-        assert_eq!(status(&played.proxy, "/none/1").await, "404");
+        assert_eq!(reply, FeedReply::Acknowledge { sequence: 1, generation: 3 }, "never an older generation");
+        assert_eq!(status(&fake_agent.proxy, "/pages/1").await, "503");
+        assert_eq!(status(&fake_agent.proxy, "/none/1").await, "404");
     });
 }
 
 #[test]
-fn a_patch_on_what_is_not_held_begins_the_feed_anew() {
+fn a_patch_on_an_unknown_configuration_restarts_the_feed() {
     run(async {
-        let mut played = start();
-        let mut link = played.agent.accept().await.unwrap();
+        let mut fake_agent = start();
+        let mut link = fake_agent.agent.accept().await.unwrap();
         send(&mut link, 1, vec![configuration(3, ROUTES)]).await;
         let patch = br#"{"generation":9,"remove":{"routes":["a"]}}"#.to_vec();
         let patch = FeedUpdate::Configuration(ConfigurationUpdate::Patch { base: 8, generation: 9, patch });
         assert!(link.0.send(&FeedBatch { sequence: 2, updates: vec![patch] }));
         assert!(link.1.receive::<FeedReply>().await.is_err(), "not acknowledged");
-        let mut link = played.agent.accept().await.unwrap();
+        let mut link = fake_agent.agent.accept().await.unwrap();
         let reply = send(&mut link, 1, vec![configuration(9, ROUTES)]).await;
         assert_eq!(reply, FeedReply::Acknowledge { sequence: 1, generation: 9 });
     });
--- /dev/null
+++ b/crates/pebblepost-proxy/tests/own_responses.rs
@@ -0,0 +1,103 @@
+//! The proxy's own responses, byte for byte, and the texts of errors at its start.
+
+#[expect(dead_code, reason = "each test program uses a part of the support")]
+mod support;
+
+use pebblepost_proxy::{Applied, Proxy};
+use std::fmt::Write;
+use support::client::Client;
+use support::{ProxyFixture, ROUTES, approve, configuration, get, post, run, settings};
+
+const ROLLOUT: &str = r#"{"name":"r","hostname":"h.example","path_prefix":"/lot/","kind":"rollout",
+    "timeout_ms":1500,"target_latency_ms":100,"backend":"pages","max_attempts":2}"#;
+
+async fn exchange(fixture: &ProxyFixture, transcript: &mut String, name: &str, request: &str) {
+    let received = fixture.exchange(request).await;
+    writeln!(transcript, "== {name}\n{}\n", received.trim_end()).expect("written");
+}
+
+async fn readiness(fixture: &ProxyFixture, transcript: &mut String, name: &str, request: &str) {
+    let mut client = Client::connect(fixture.proxy.ready_address()).await;
+    client.write(request).await;
+    let received = client.response().await;
+    writeln!(transcript, "== {name}\n{}\n", received.trim_end()).expect("written");
+}
+
+#[test]
+fn own_responses_match_the_approved_bytes() {
+    run(async {
+        let mut transcript = String::new();
+        let all = &mut transcript;
+        let fixture = ProxyFixture::bare(8.0);
+        readiness(&fixture, all, "not ready", "GET /readyz HTTP/1.1\nHost: edge\n\n").await;
+        readiness(&fixture, all, "no such path", "GET /ready HTTP/1.1\nHost: edge\n\n").await;
+        readiness(
+            &fixture,
+            all,
+            "no such method",
+            "POST /readyz HTTP/1.1\nHost: edge\nContent-Length: 0\n\n",
+        )
+        .await;
+        exchange(&fixture, all, "no configuration", &get("/pages/1", "r1")).await;
+        fixture.proxy.apply(&[configuration(1, ROUTES)]);
+        readiness(&fixture, all, "ready", "GET /readyz HTTP/1.1\nHost: edge\n\n").await;
+        exchange(&fixture, all, "no route", &get("/none/1", "r1")).await;
+        exchange(&fixture, all, "no id", "GET /pages/1 HTTP/1.1\nHost: h.example\n\n").await;
+        exchange(&fixture, all, "empty id", "GET /pages/1 HTTP/1.1\nHost: h.example\nRequest-Id: \n\n").await;
+        exchange(&fixture, all, "negative deadline", &get("/pages/1", "r1").replace("2000", "-1")).await;
+        exchange(&fixture, all, "no path", "OPTIONS * HTTP/1.1\nHost: h.example\nRequest-Id: r1\n\n").await;
+        exchange(&fixture, all, "body too large", &post("/pages/1", "r1", &"x".repeat(65))).await;
+        let head = format!("GET /pages/1 HTTP/1.1\nHost: h.example\nX: {}\n\n", "x".repeat(3000));
+        exchange(&fixture, all, "head too large", &head).await;
+        exchange(&fixture, all, "no transcriber", &get("/pages/1", "r1")).await;
+        exchange(&fixture, all, "deadline over on arrival", &get("/pages/1", "r1").replace("2000", "10"))
+            .await;
+        exchange(&fixture, all, "a job's call", &get("/lots/none", "r1")).await;
+        exchange(&fixture, all, "a job's call with a method of its own", &post("/items/1", "r1", "x")).await;
+        fixture.proxy.apply(&[configuration(2, ROLLOUT)]);
+        exchange(&fixture, all, "no job", &post("/lot/1", "r1", "no job")).await;
+        exchange(&fixture, all, "jobs are not read here", &get("/lot/1", "r1")).await;
+        let approved = std::fs::read_to_string(
+            std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/approved/own-responses.txt"),
+        );
+        approve(&transcript, &approved.unwrap_or_default());
+    });
+}
+
+#[test]
+fn updates_are_in_force_or_leave_a_gap() {
+    run(async {
+        let fixture = ProxyFixture::bare(8.0);
+        assert_eq!(fixture.proxy.apply(&[configuration(1, ROUTES)]), Applied::InForce);
+        let patch = br#"{"generation":9}"#.to_vec();
+        let patch = pebblepost_messages::feed::ConfigurationUpdate::Patch { base: 8, generation: 9, patch };
+        let patch = pebblepost_messages::feed::FeedUpdate::Configuration(patch);
+        assert_eq!(fixture.proxy.apply(&[patch]), Applied::Gap);
+    });
+}
+
+fn start_error(settings: pebblepost_settings::Settings) -> String {
+    // As the program prints it: the error with its causes.
+    format!("{:#}", eyre::Report::from(Proxy::start(settings).expect_err("no start")))
+}
+
+#[test]
+fn a_start_that_fails_names_the_key_and_the_address() {
+    run(async {
+        let mut without_front = settings(8.0);
+        without_front.listen_front = None;
+        assert_eq!(start_error(without_front), "the settings have no listen.front");
+        let mut without_ready = settings(8.0);
+        without_ready.listen_ready = None;
+        assert_eq!(start_error(without_ready), "the settings have no listen.ready");
+
+        let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = taken.local_addr().unwrap();
+        let mut in_use = settings(8.0);
+        in_use.listen_front = Some(address);
+        assert_eq!(
+            start_error(in_use),
+            format!("listening at {address} (listen.front): Address already in use (os error 98)")
+        );
+    });
+}
--- a/crates/pebblepost-proxy/tests/support/client.rs
+++ b/crates/pebblepost-proxy/tests/support/client.rs
@@ -1,12 +1,12 @@
-//! A client that writes bytes and notes the answers as they come.
+//! A client that writes bytes and reads responses byte for byte.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// No answer of a test takes longer.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest time for a response in a test.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One connection.
 pub struct Client {
@@ -16,28 +16,29 @@
 
 impl Client {
     pub async fn connect(address: SocketAddr) -> Client {
-        Client { stream: TcpStream::connect(address).await.unwrap(), buffer: Vec::new() }
+        Client { stream: TcpStream::connect(address).await.expect("connected"), buffer: Vec::new() }
     }
 
     /// Writes text whose lines end with a line feed, as on the wire.
     pub async fn write(&mut self, text: &str) {
-        self.stream.write_all(text.replace('\n', "\r\n").as_bytes()).await.unwrap();
+        self.stream.write_all(text.replace('\n', "\r\n").as_bytes()).await.expect("written");
     }
 
-    /// Reads until this text has come; what came, without it.
+    /// Reads until this text has come, or the connection is closed; returns what came, the text included.
     pub async fn read_until(&mut self, text: &str) -> String {
-        let end = tokio::time::timeout(PATIENCE, self.fill_until(text.as_bytes())).await.unwrap();
+        let filled = tokio::time::timeout(RESPONSE_TIMEOUT, self.fill_until(text.as_bytes())).await;
+        let end = filled.expect("the text in time");
         let end = end.unwrap_or(self.buffer.len());
         let taken: Vec<u8> = self.buffer.drain(..end).collect();
         String::from_utf8_lossy(&taken).replace("\r\n", "\n")
     }
 
-    /// The next answer, head and body; a note where the connection ended.
-    pub async fn answer(&mut self) -> String {
-        tokio::time::timeout(PATIENCE, self.read_answer()).await.expect("an answer in time")
+    /// The next response, head and body; `[closed]` where the connection ended.
+    pub async fn response(&mut self) -> String {
+        tokio::time::timeout(RESPONSE_TIMEOUT, self.read_response()).await.expect("a response in time")
     }
 
-    async fn read_answer(&mut self) -> String {
+    async fn read_response(&mut self) -> String {
         let Some(end) = self.fill_until(b"\r\n\r\n").await else {
             return format!("{}[closed]", self.take(self.buffer.len()));
         };
@@ -51,7 +52,7 @@
             return head + &body;
         }
         let length = lower.lines().find_map(|line| line.strip_prefix("content-length: "));
-        let length: usize = length.map_or(0, |value| value.parse().unwrap());
+        let length: usize = length.map_or(0, |value| value.parse().expect("a length"));
         while self.buffer.len() < length {
             if self.read().await == 0 {
                 return format!("{head}{}[closed]", self.take(self.buffer.len()));
@@ -62,7 +63,7 @@
 
     /// Whether the other end closes the connection.
     pub async fn is_closed(&mut self) -> bool {
-        tokio::time::timeout(PATIENCE, self.read()).await.expect("an end in time") == 0
+        tokio::time::timeout(RESPONSE_TIMEOUT, self.read()).await.expect("an end in time") == 0
     }
 
     fn take(&mut self, length: usize) -> String {
--- a/crates/pebblepost-proxy/tests/support/mod.rs
+++ b/crates/pebblepost-proxy/tests/support/mod.rs
@@ -1,5 +1,4 @@
-//! A proxy in this process between a client that writes bytes and scripted transcribers.
-#![allow(dead_code)]
+//! A proxy in this process between clients that write bytes and scripted transcribers.
 
 pub mod client;
 pub mod transcriber;
@@ -40,7 +39,7 @@
     FeedUpdate::Configuration(ConfigurationUpdate::Full { generation, document: document.into_bytes() })
 }
 
-/// Transcribers that changed.
+/// Update of these transcribers.
 pub fn instances(instances: Vec<Instance>) -> FeedUpdate {
     FeedUpdate::Instances { complete: false, instances }
 }
@@ -52,34 +51,34 @@
          [listen]\nfront='127.0.0.1:0'\nready='127.0.0.1:0'\n\
          [limits]\nmemory_mb=260\nmax_fds=4100\n[bounds]\ngrace_s={grace_s}\n"
     );
-    Settings::parse(&text, "test").unwrap()
+    Settings::parse(&text, "test").expect("valid settings")
 }
 
 /// A proxy with its transcribers.
-pub struct Rig {
+pub struct ProxyFixture {
     pub proxy: Proxy,
     pub script: SharedScript,
     instances: Vec<Instance>,
     sequence: u64,
 }
 
-impl Rig {
-    /// A proxy that knows [`ROUTES`] and so many transcribers, which play `replies` in turn.
-    pub async fn start(transcribers: usize, replies: Vec<Reply>) -> Rig {
-        let mut rig = Rig::bare(8.0);
-        rig.script.borrow_mut().replies = replies.into();
-        rig.proxy.apply(&[configuration(1, ROUTES)]);
+impl ProxyFixture {
+    /// A proxy with [`ROUTES`] and this many transcribers, which respond with `replies` in turn.
+    pub async fn start(transcribers: usize, replies: Vec<Reply>) -> ProxyFixture {
+        let mut fixture = ProxyFixture::bare(8.0);
+        fixture.script.borrow_mut().replies = replies.into();
+        fixture.proxy.apply(&[configuration(1, ROUTES)]);
         for index in 0..transcribers {
-            rig.add("pages", &format!("i-{index}")).await;
+            fixture.add("pages", &format!("i-{index}")).await;
         }
-        rig
+        fixture
     }
 
-    /// A proxy that knows nothing.
-    pub fn bare(grace_s: f64) -> Rig {
+    /// A proxy without configuration and transcribers.
+    pub fn bare(grace_s: f64) -> ProxyFixture {
         let script = Script { report: r#"{"waiting":0,"running":0}"#.to_owned(), ..Script::default() };
-        Rig {
-            proxy: Proxy::start(settings(grace_s)).unwrap(),
+        ProxyFixture {
+            proxy: Proxy::start(settings(grace_s)).expect("started"),
             script: Rc::new(RefCell::new(script)),
             instances: Vec::new(),
             sequence: 0,
@@ -109,10 +108,11 @@
         self.instances.push(instance);
     }
 
-    /// Announces another state of a transcriber.
+    /// Announces a new state of a transcriber.
     pub fn set_state(&mut self, id: &str, state: InstanceState) {
         self.sequence += 1;
-        let instance = self.instances.iter_mut().find(|instance| instance.id == id).unwrap();
+        let instance = self.instances.iter_mut().find(|instance| instance.id == id);
+        let instance = instance.expect("an announced transcriber");
         (instance.state, instance.sequence) = (state, self.sequence);
         let instance = instance.clone();
         self.proxy.apply(&[instances(vec![instance])]);
@@ -122,40 +122,40 @@
         Client::connect(self.proxy.client_address()).await
     }
 
-    /// One request on a connection of its own, and its answer.
+    /// Sends one request on a new connection and returns the response.
     pub async fn exchange(&self, request: &str) -> String {
         let mut client = self.connect().await;
         client.write(request).await;
-        client.answer().await
+        client.response().await
     }
 
     /// `GET /readyz`: its status line.
     pub async fn readyz(&self) -> String {
         let mut client = Client::connect(self.proxy.ready_address()).await;
         client.write("GET /readyz HTTP/1.1\nHost: edge\n\n").await;
-        client.answer().await.lines().next().unwrap().to_owned()
+        client.response().await.lines().next().expect("a status line").to_owned()
     }
 
-    /// What reached the transcribers since it was last asked.
+    /// Takes the log of requests that reached the transcribers.
     pub fn log(&self) -> String {
         let lines = std::mem::take(&mut self.script.borrow_mut().log);
         lines.join("\n")
     }
 
-    /// Waits until so much has reached the transcribers.
-    pub async fn reached_times(&self, times: usize) {
+    /// Waits until the log of the transcribers has this many lines.
+    pub async fn wait_for_requests(&self, times: usize) {
         while self.script.borrow().log.len() < times {
             tokio::task::yield_now().await;
         }
     }
 }
 
-/// A request of a client.
+/// A `GET` of a client.
 pub fn get(path: &str, id: &str) -> String {
     format!("GET {path} HTTP/1.1\nHost: h.example\nRequest-Id: {id}\nDeadline-Ms: 2000\n\n")
 }
 
-/// A request with a body.
+/// A `POST` of a client.
 pub fn post(path: &str, id: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -166,7 +166,7 @@
 
 /// Runs a test on one thread, as the program runs.
 pub fn run(test: impl Future<Output = ()>) {
-    let runtime = Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
 
--- a/crates/pebblepost-proxy/tests/support/transcriber.rs
+++ b/crates/pebblepost-proxy/tests/support/transcriber.rs
@@ -1,5 +1,5 @@
-//! Stand-in transcribers on loopback: they answer requests by one script that they share, tell
-//! their load, and note what reaches them.
+//! Fake transcribers on loopback: they respond by one shared script, report their load, and log the
+//! requests that reach them.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -9,9 +9,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A part of what a transcriber does with a request.
+/// One step of a response.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Step {
     /// Writes bytes; `{id}` stands for the request's id.
     Write(String),
     /// Waits.
@@ -20,65 +20,65 @@
     Reset,
     /// Closes the connection.
     Close,
-    /// Says nothing until the other end closes the connection, which is noted.
+    /// Sends nothing until the other end closes the connection, which is logged.
     Silence,
 }
 
-pub type Reply = Vec<Act>;
+pub type Reply = Vec<Step>;
 
-/// An answer with its length; `head`: further header lines.
-pub fn answer(status: &str, head: &[&str], body: &str) -> Reply {
+/// A response with its length; `head`: further header lines.
+pub fn response(status: &str, head: &[&str], body: &str) -> Reply {
     let head: String = head.iter().map(|line| format!("{line}\r\n")).collect();
     let length = body.len();
-    vec![Act::Write(format!(
+    vec![Step::Write(format!(
         "HTTP/1.1 {status}\r\nRequest-Id: {{id}}\r\n{head}Content-Length: {length}\r\n\r\n{body}"
     ))]
 }
 
-/// A proper success.
+/// A success with a seal.
 pub fn success(body: &str) -> Reply {
-    answer("200 OK", &["Response-Seal: seal.1"], body)
+    response("200 OK", &["Response-Seal: seal.1"], body)
 }
 
-/// The transcriber did not run the request.
+/// The request was not executed, with proof.
 pub fn not_executed(status: &str) -> Reply {
-    answer(status, &["Not-Executed: 1"], "")
+    response(status, &["Not-Executed: 1"], "")
 }
 
 /// Head of a stream and some of its events.
 pub fn stream(events: &[&str]) -> Reply {
-    let mut acts = vec![Act::Write(
+    let mut steps = vec![Step::Write(
         "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: seal.1\r\n\
          Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
             .to_owned(),
     )];
-    acts.extend(events.iter().map(|event| chunk(event)));
-    acts
+    steps.extend(events.iter().map(|event| chunk(event)));
+    steps
 }
 
 /// A chunk of a body.
-pub fn chunk(text: &str) -> Act {
-    Act::Write(format!("{:x}\r\n{text}\r\n", text.len()))
+pub fn chunk(text: &str) -> Step {
+    Step::Write(format!("{:x}\r\n{text}\r\n", text.len()))
 }
 
 /// The end of a chunked body.
-pub fn last_chunk() -> Act {
-    Act::Write("0\r\n\r\n".to_owned())
+pub fn last_chunk() -> Step {
+    Step::Write("0\r\n\r\n".to_owned())
 }
 
-/// What all transcribers of a test share.
+/// State that all transcribers of a test share.
 #[derive(Debug, Default)]
 pub struct Script {
     pub replies: VecDeque<Reply>,
-    /// What reached them, a line each.
+    /// Requests that reached them, a line each.
     pub log: Vec<String>,
-    /// In the order in which requests reached them.
+    /// Transcribers in the order in which requests first reached them.
     pub reached: Vec<String>,
     /// Body of `GET /report`.
     pub report: String,
     pub reports: usize,
-    /// Ids of those that say nothing at all.
-    pub dark: Vec<String>,
+    /// Ids of those that send nothing at all.
+    pub down: Vec<String>,
 }
 
 impl Script {
@@ -99,21 +99,21 @@
 
 pub type SharedScript = Rc<RefCell<Script>>;
 
-/// Starts a transcriber; its address.
+/// Starts a transcriber and returns its address.
 pub async fn start(id: &str, script: SharedScript) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = listener.local_addr().unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("bound");
     let id = id.to_owned();
     tokio::task::spawn_local(async move {
         loop {
-            let (stream, _) = listener.accept().await.unwrap();
+            let (stream, _) = listener.accept().await.expect("a connection");
             tokio::task::spawn_local(serve(stream, id.clone(), script.clone()));
         }
     });
     address
 }
 
-/// A request as it came.
+/// A request as received.
 struct Received {
     line: String,
     head: Vec<(String, String)>,
@@ -127,10 +127,10 @@
 }
 
 async fn serve(mut stream: TcpStream, id: String, script: SharedScript) {
-    stream.set_nodelay(true).unwrap();
+    stream.set_nodelay(true).expect("set");
     let mut buffer = Vec::new();
     while let Some(request) = read_request(&mut stream, &mut buffer).await {
-        if script.borrow().dark.contains(&id) {
+        if script.borrow().down.contains(&id) {
             let _ = stream.read(&mut [0; 1]).await;
             return;
         }
@@ -141,7 +141,7 @@
                 script.report.clone()
             };
             let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-            stream.write_all(text.as_bytes()).await.unwrap();
+            stream.write_all(text.as_bytes()).await.expect("written");
             continue;
         }
         let reply = note(&script, &id, &request);
@@ -152,7 +152,7 @@
     }
 }
 
-/// Notes a request and takes the next reply of the script; a success once it has ended.
+/// Logs a request and takes the next reply of the script; a success once the script is empty.
 fn note(script: &SharedScript, id: &str, request: &Received) -> Reply {
     let mut script = script.borrow_mut();
     let name = script.name(id);
@@ -172,25 +172,25 @@
     script.replies.pop_front().unwrap_or_else(|| success("by default"))
 }
 
-/// Plays a reply; false if the connection has ended.
+/// Sends a reply step by step; false if the connection has ended.
 async fn play(
     stream: &mut TcpStream, id: &str, script: &SharedScript, reply: Reply, request_id: &str,
 ) -> bool {
-    for act in reply {
-        match act {
-            Act::Write(text) => {
+    for step in reply {
+        match step {
+            Step::Write(text) => {
                 let text = text.replace("{id}", request_id);
                 if stream.write_all(text.as_bytes()).await.is_err() {
                     return false;
                 }
             }
-            Act::Pause(pause) => tokio::time::sleep(pause).await,
-            Act::Reset => {
-                stream.set_zero_linger().unwrap();
+            Step::Pause(pause) => tokio::time::sleep(pause).await,
+            Step::Reset => {
+                stream.set_zero_linger().expect("set");
                 return false;
             }
-            Act::Close => return false,
-            Act::Silence => {
+            Step::Close => return false,
+            Step::Silence => {
                 let _ = stream.read(&mut [0; 1]).await;
                 let name = script.borrow_mut().name(id);
                 script.borrow_mut().log.push(format!("{name} < connection closed"));
@@ -213,10 +213,11 @@
     let text = String::from_utf8_lossy(&buffer[..end]).into_owned();
     let mut lines = text.lines();
     let line = lines.next()?.to_owned();
-    let split = |line: &str| line.split_once(": ").map(|(n, v)| (n.to_lowercase(), v.to_owned()));
+    let split =
+        |line: &str| line.split_once(": ").map(|(name, value)| (name.to_lowercase(), value.to_owned()));
     let head: Vec<(String, String)> = lines.filter_map(split).collect();
     let length = head.iter().find(|(name, _)| name == "content-length");
-    let length: usize = length.map_or(0, |(_, value)| value.parse().unwrap());
+    let length: usize = length.map_or(0, |(_, value)| value.parse().expect("a length"));
     while buffer.len() < end + length {
         if stream.read_buf(buffer).await.ok()? == 0 {
             return None;
