--- a/crates/pebblepost-agent/src/acknowledgements.rs
+++ b/crates/pebblepost-agent/src/acknowledgements.rs
@@ -1,66 +1,78 @@
-//! Which batches of the control plane the proxy has in force.
+//! Acknowledgements: which batches of the control plane the proxy has in force.
+//!
+//! State only; the agent sends what this module says.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Without a proxy, batches are acknowledged after this time, so that nobody waits for a proxy that is down.
-const WITHOUT_PROXY: Duration = Duration::from_millis(100);
+/// Without a proxy, batches are acknowledged after this time, so that nobody waits for a proxy that
+/// is down.
+const DELAY_WITHOUT_PROXY: Duration = Duration::from_millis(100);
 
-/// Batches received on the present link to the control primary, and how far they are confirmed.
+/// A batch to the proxy that was not acknowledged yet.
+#[derive(Clone, Copy, Debug)]
+struct ForwardedBatch {
+    /// Its number on the link to the proxy.
+    proxy_sequence: u64,
+    /// Newest batch of the control plane that it covers.
+    control_sequence: u64,
+}
+
+/// Batches received over the present link to the control primary, and how far they are
+/// acknowledged.
 #[derive(Debug, Default)]
 pub(crate) struct Acknowledgements {
     received: u64,
     acknowledged: u64,
-    /// Numbers on the proxy's link, each with the number on the control link that it covers.
-    passed_on: VecDeque<(u64, u64)>,
-    due: Option<Instant>,
+    /// Oldest first.
+    in_flight: VecDeque<ForwardedBatch>,
+    due_without_proxy: Option<Instant>,
 }
 
 impl Acknowledgements {
-    /// A batch came from the control primary.
+    /// Notes a batch of the control primary.
     pub(crate) fn received(&mut self, control_sequence: u64) {
         self.received = control_sequence;
     }
 
-    /// All that was received is in a batch to the proxy.
-    pub(crate) fn passed_on(&mut self, proxy_sequence: u64) {
-        self.passed_on.push_back((proxy_sequence, self.received));
-        self.due = None;
+    /// Notes that all that was received is in this batch to the proxy.
+    pub(crate) fn forwarded(&mut self, proxy_sequence: u64) {
+        self.in_flight.push_back(ForwardedBatch { proxy_sequence, control_sequence: self.received });
+        self.due_without_proxy = None;
     }
 
-    /// There is no proxy that could confirm.
-    pub(crate) fn without_proxy(&mut self, now: Instant) {
-        self.passed_on.clear();
-        if self.received > self.acknowledged && self.due.is_none() {
-            self.due = Some(now + WITHOUT_PROXY);
+    /// Notes that there is no proxy to acknowledge what was received.
+    pub(crate) fn no_proxy(&mut self, now: Instant) {
+        self.in_flight.clear();
+        if self.received > self.acknowledged && self.due_without_proxy.is_none() {
+            self.due_without_proxy = Some(now + DELAY_WITHOUT_PROXY);
         }
     }
 
-    /// The proxy confirmed; the number to acknowledge, if it is new.
-    pub(crate) fn confirmed(&mut self, proxy_sequence: u64) -> Option<u64> {
+    /// Notes an acknowledgement of the proxy; returns the control sequence to acknowledge, if that
+    /// is new.
+    pub(crate) fn acknowledged_by_proxy(&mut self, proxy_sequence: u64) -> Option<u64> {
         let mut newest = 0;
-        while let Some((passed_on, control_sequence)) = self.passed_on.front() {
-            if *passed_on > proxy_sequence {
-                break;
-            }
-            newest = *control_sequence;
-            self.passed_on.pop_front();
+        while let Some(batch) = self.in_flight.front().filter(|batch| batch.proxy_sequence <= proxy_sequence)
+        {
+            newest = batch.control_sequence;
+            self.in_flight.pop_front();
         }
         self.acknowledge(newest)
     }
 
-    /// When something is to be acknowledged without a proxy.
-    pub(crate) fn due(&self) -> Option<Instant> {
-        self.due
+    /// When an acknowledgement without a proxy is due.
+    pub(crate) fn due_without_proxy(&self) -> Option<Instant> {
+        self.due_without_proxy
     }
 
-    /// The number to acknowledge without a proxy, if its time has come.
+    /// The control sequence to acknowledge without a proxy, if that is due.
     pub(crate) fn take_due(&mut self, now: Instant) -> Option<u64> {
-        if self.due.is_none_or(|due| now < due) {
+        if self.due_without_proxy.is_none_or(|due| now < due) {
             return None;
         }
-        self.due = None;
+        self.due_without_proxy = None;
         self.acknowledge(self.received)
     }
 
--- a/crates/pebblepost-agent/src/program.rs
+++ b/crates/pebblepost-agent/src/agent.rs
@@ -1,7 +1,8 @@
-//! The agent's loop.
+//! The agent's event loop: events of the control link, of the proxy's connection, and signals.
 
 use crate::acknowledgements::Acknowledgements;
-use crate::proxy_link::{ProxyEvent, ProxyLink, listen};
+use crate::proxy_connection::{ConnectionId, ProxyConnection, ProxyEvent, listen};
+use crate::settings_reload::SettingsReload;
 use crate::signals::Signal;
 use pebblepost_feed::FeedState;
 use pebblepost_link::Listener;
@@ -15,14 +16,13 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// How often a proxy is sent a sign of life. Both ends share a machine, so that it need not be often.
+/// Keep-alive interval of the connection to the proxy. Both ends share a machine, so that a long one
+/// is enough.
 const PROXY_KEEP_ALIVE: Duration = Duration::from_secs(60);
-/// How often the settings are read while the control plane is not found.
-const RELOAD_PERIOD: Duration = Duration::from_secs(2);
-/// How long before the platform's SIGKILL the agent ends by itself.
+/// The agent ends this long before the platform's SIGKILL.
 const GRACE_MARGIN: Duration = Duration::from_secs(1);
 
-/// What an agent is given.
+/// What an agent is started with.
 pub struct AgentOptions {
     /// Name of the machine.
     pub node: String,
@@ -30,14 +30,14 @@
     pub zone: String,
     /// Internal addresses of control processes.
     pub control: Vec<SocketAddr>,
-    /// From SIGTERM to SIGKILL.
+    /// Time between SIGTERM and SIGKILL.
     pub grace: Duration,
     /// Reads the addresses of the present settings; none if they can't be read.
     pub reload: Box<dyn Fn() -> Vec<SocketAddr>>,
 }
 
-/// Feeds the proxies that connect to `listener`, one after the other. Returns after [`Signal::Terminate`]: once no
-/// proxy is connected, or a second before the grace is over.
+/// Sends the feed to the proxies that connect to `listener`, one after the other. Returns after
+/// [`Signal::Terminate`]: once no proxy is connected, or a second before the grace period is over.
 pub async fn serve(options: AgentOptions, listener: Listener, signals: mpsc::Receiver<Signal>) {
     let subscribed_generation = Rc::new(Cell::new(0));
     let subscribe = subscription(&options, Rc::clone(&subscribed_generation));
@@ -51,10 +51,9 @@
         proxy: None,
         acknowledgements: Acknowledgements::default(),
         keep_alive_at: now + PROXY_KEEP_ALIVE,
-        reload_at: now + RELOAD_PERIOD,
-        end_at: None,
+        settings_reload: SettingsReload::new(options.reload, now),
+        shutdown_deadline: None,
         grace: options.grace,
-        reload: options.reload,
     };
     agent.run(control_events, listen(listener), signals).await;
 }
@@ -73,16 +72,16 @@
 
 struct Agent {
     control: ControlSender,
-    /// Version named by the next subscription; 0 asks for the whole configuration.
+    /// Generation of the configuration named by the next subscription; 0 asks for a full one.
     subscribed_generation: Rc<Cell<u64>>,
     feed: FeedState,
-    proxy: Option<ProxyLink>,
+    proxy: Option<ProxyConnection>,
     acknowledgements: Acknowledgements,
     keep_alive_at: Instant,
-    reload_at: Instant,
-    end_at: Option<Instant>,
+    settings_reload: SettingsReload,
+    /// Set by SIGTERM.
+    shutdown_deadline: Option<Instant>,
     grace: Duration,
-    reload: Box<dyn Fn() -> Vec<SocketAddr>>,
 }
 
 impl Agent {
@@ -100,21 +99,21 @@
                 () = sleep_until(self.next_timer()) => self.on_timer(Instant::now()),
             }
         }
-        log::info!("agent: ended");
+        log::info!("ended");
     }
 
     fn on_control(&mut self, event: ControlEvent) {
         match event {
             ControlEvent::Connected(address) => {
-                log::info!("control plane: fed by {address}");
+                log::info!("control plane connected primary={address}");
                 self.acknowledgements = Acknowledgements::default();
             }
             ControlEvent::Lost => {
-                log::info!("control plane: link lost, what is known stays in force");
-                self.reload_at = Instant::now() + RELOAD_PERIOD;
+                log::info!("control plane link lost, configuration stays in force");
+                self.settings_reload.postpone(Instant::now());
             }
             ControlEvent::Message(FromControl::Feed(batch)) => self.on_batch(batch),
-            ControlEvent::Message(other) => log::debug!("control plane: not for an agent: {other:?}"),
+            ControlEvent::Message(other) => log::debug!("unexpected message of the control plane: {other:?}"),
         }
     }
 
@@ -125,29 +124,29 @@
             self.subscribed_generation.set(self.feed.generation());
         }
         if changes.gap {
-            log::info!("control plane: a patch on another configuration; asking for the whole one");
+            log::info!("patch on an unknown configuration, asking for a full one");
             updates.retain(|update| !matches!(update, FeedUpdate::Configuration(_)));
             self.subscribed_generation.set(0);
             self.control.reconnect();
         }
         self.acknowledgements.received(sequence);
-        self.pass_on(updates);
+        self.forward(updates);
     }
 
     fn on_proxy(&mut self, event: ProxyEvent) {
         match event {
-            ProxyEvent::Connected(number, sender) => {
-                log::info!("proxy: connected");
-                if let Some(former) = self.proxy.replace(ProxyLink::new(number, sender)) {
+            ProxyEvent::Connected(id, sender) => {
+                log::info!("proxy connected");
+                if let Some(former) = self.proxy.replace(ProxyConnection::new(id, sender)) {
                     former.close();
                 }
-                self.pass_on(Vec::new());
+                self.forward(Vec::new());
             }
-            ProxyEvent::Reply(number, reply) if self.is_current(number) => self.on_reply(&reply),
-            ProxyEvent::Closed(number) if self.is_current(number) => {
-                log::info!("proxy: gone");
+            ProxyEvent::Reply(id, reply) if self.is_current(id) => self.on_reply(&reply),
+            ProxyEvent::Closed(id) if self.is_current(id) => {
+                log::info!("proxy disconnected");
                 self.proxy = None;
-                self.acknowledgements.without_proxy(Instant::now());
+                self.acknowledgements.no_proxy(Instant::now());
             }
             ProxyEvent::Reply(..) | ProxyEvent::Closed(_) => {}
         }
@@ -155,7 +154,7 @@
 
     fn on_reply(&mut self, reply: &FeedReply) {
         let FeedReply::Acknowledge { sequence, generation } = *reply;
-        if let Some(control_sequence) = self.acknowledgements.confirmed(sequence) {
+        if let Some(control_sequence) = self.acknowledgements.acknowledged_by_proxy(sequence) {
             self.acknowledge(control_sequence, generation);
         }
     }
@@ -163,9 +162,9 @@
     fn on_signal(&mut self, signal: Signal) {
         match signal {
             Signal::Terminate => {
-                log::info!("agent: ending with its proxy");
-                let left = self.grace.saturating_sub(GRACE_MARGIN);
-                self.end_at.get_or_insert(Instant::now() + left);
+                log::info!("draining until the proxy ends");
+                let grace = self.grace.saturating_sub(GRACE_MARGIN);
+                self.shutdown_deadline.get_or_insert(Instant::now() + grace);
             }
             Signal::Reload => self.reload_settings(),
         }
@@ -181,22 +180,22 @@
                 proxy.keep_alive();
             }
         }
-        if now >= self.reload_at && !self.control.is_connected() {
+        if now >= self.settings_reload.next_at() && !self.control.is_connected() {
             self.reload_settings();
         }
     }
 
-    /// Gives the proxy the updates; one that was given nothing yet gets all that is known, as soon as there is a
-    /// configuration.
-    fn pass_on(&mut self, updates: Vec<FeedUpdate>) {
-        let known = self.feed.configuration().is_some();
+    /// Sends updates to the proxy. One without a snapshot gets the whole state instead, as soon as
+    /// there is a configuration.
+    fn forward(&mut self, updates: Vec<FeedUpdate>) {
+        let is_configured = self.feed.configuration().is_some();
         match &mut self.proxy {
-            Some(proxy) if proxy.fed => self.acknowledgements.passed_on(proxy.send(updates)),
-            Some(proxy) if known => {
-                proxy.fed = true;
-                self.acknowledgements.passed_on(proxy.send(self.feed.snapshot()));
+            Some(proxy) if proxy.has_snapshot() => self.acknowledgements.forwarded(proxy.send(updates)),
+            Some(proxy) if is_configured => {
+                let sequence = proxy.send_snapshot(self.feed.snapshot());
+                self.acknowledgements.forwarded(sequence);
             }
-            _ => self.acknowledgements.without_proxy(Instant::now()),
+            _ => self.acknowledgements.no_proxy(Instant::now()),
         }
     }
 
@@ -205,23 +204,23 @@
     }
 
     fn reload_settings(&mut self) {
-        self.reload_at = Instant::now() + RELOAD_PERIOD;
-        self.control.add_candidates(&(self.reload)());
+        let addresses = self.settings_reload.read(Instant::now());
+        self.control.add_candidates(&addresses);
     }
 
-    fn is_current(&self, number: u64) -> bool {
-        self.proxy.as_ref().is_some_and(|proxy| proxy.number == number)
+    fn is_current(&self, id: ConnectionId) -> bool {
+        self.proxy.as_ref().is_some_and(|proxy| proxy.id() == id)
     }
 
     fn next_timer(&self) -> Instant {
-        let reload_at = (!self.control.is_connected()).then_some(self.reload_at);
-        [self.acknowledgements.due(), reload_at, self.end_at]
+        let reload_at = (!self.control.is_connected()).then_some(self.settings_reload.next_at());
+        [self.acknowledgements.due_without_proxy(), reload_at, self.shutdown_deadline]
             .into_iter()
             .flatten()
             .fold(self.keep_alive_at, Instant::min)
     }
 
     fn has_ended(&self) -> bool {
-        self.end_at.is_some_and(|end_at| self.proxy.is_none() || Instant::now() >= end_at)
+        self.shutdown_deadline.is_some_and(|deadline| self.proxy.is_none() || Instant::now() >= deadline)
     }
 }
--- a/crates/pebblepost-agent/src/lib.rs
+++ b/crates/pebblepost-agent/src/lib.rs
@@ -1,18 +1,24 @@
 //! Agent beside each proxy: keeps the link to the control plane.
 //!
-//! It subscribes to the feed of the control primary, folds it, passes it on to the proxy of its machine over
-//! loopback, and acknowledges it once the proxy has it in force. While the control plane is away the proxy keeps
-//! what it has, and a proxy that starts anew gets all that is known.
+//! It subscribes to the feed of the control primary, folds it, forwards it to the proxy of its machine
+//! over loopback, and acknowledges it once the proxy has it in force. Without a link to the control
+//! plane the proxy keeps what it has, and a proxy that was restarted gets a snapshot.
+//!
+//! `agent` is the event loop; `acknowledgements` and `proxy_connection` own the state of the two ends,
+//! `settings_reload` the addresses of control processes. The agent decides nothing about requests and
+//! keeps nothing on disk.
 
 mod acknowledgements;
-mod program;
-mod proxy_link;
+mod agent;
+mod error;
+mod proxy_connection;
+mod settings_reload;
 mod signals;
 
-pub use program::{AgentOptions, serve};
+pub use agent::{AgentOptions, serve};
+pub use error::AgentError;
 pub use signals::Signal;
 
-use eyre::{Result, WrapErr};
 use pebblepost_link::control_client::CONTROL_LINK_LIMITS;
 use pebblepost_link::{LinkLimits, Listener};
 use pebblepost_settings::Settings;
@@ -21,26 +27,28 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// Limits of the link to the proxy, which takes what comes over the link to the control plane. Both ends share a
-/// machine, so that an end is seen without a silence.
+/// Limits of the link to the proxy, which carries what comes over the link to the control plane. Both
+/// ends share a machine, so that a closed connection is seen without a read time-out.
 const PROXY_LINK_LIMITS: LinkLimits = LinkLimits {
     max_frame_bytes: CONTROL_LINK_LIMITS.max_frame_bytes,
     max_queued_bytes: CONTROL_LINK_LIMITS.max_queued_bytes,
     connect_timeout: Duration::from_secs(1),
     read_timeout: Duration::from_secs(3600),
 };
-const BIND_PAUSE: Duration = Duration::from_millis(200);
+/// Backoff after the port of the link could not be bound.
+const BIND_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Runs the program until SIGTERM.
-pub fn run(settings: Settings) -> Result<()> {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .wrap_err("starting the runtime of the agent")?;
+///
+/// # Errors
+/// If the agent can't start.
+pub fn run(settings: Settings) -> Result<(), AgentError> {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(AgentError::Runtime)?;
     runtime.block_on(LocalSet::new().run_until(run_until_terminated(settings)))
 }
 
-async fn run_until_terminated(settings: Settings) -> Result<()> {
+async fn run_until_terminated(settings: Settings) -> Result<(), AgentError> {
     let signals = signals::listen()?;
     let listener = bind(SocketAddr::from((Ipv4Addr::LOCALHOST, settings.agent_link_port()))).await;
     let options = AgentOptions {
@@ -54,14 +62,14 @@
     Ok(())
 }
 
-/// Listens for the proxy; tries again while the port is taken, as by an agent that is just ending.
+/// Listens for the proxy; retries while the port is in use, as by an agent that is shutting down.
 async fn bind(address: SocketAddr) -> Listener {
     loop {
         match Listener::bind(address, PROXY_LINK_LIMITS) {
             Ok(listener) => return listener,
-            Err(error) => log::warn!("{error:#}; trying again"),
+            Err(error) => log::warn!("proxy link not bound, retrying: {error:#}"),
         }
-        sleep(BIND_PAUSE).await;
+        sleep(BIND_BACKOFF).await;
     }
 }
 
@@ -69,7 +77,7 @@
     match Settings::from_environment() {
         Ok(settings) => settings.control_links(),
         Err(error) => {
-            log::warn!("settings are kept as they were: {error:#}");
+            log::warn!("settings not reloaded: {error:#}");
             Vec::new()
         }
     }
--- /dev/null
+++ b/crates/pebblepost-agent/src/settings_reload.rs
@@ -0,0 +1,40 @@
+//! Addresses of control processes from settings that are read again.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// How often the settings are read while there is no link to the control plane.
+const RELOAD_PERIOD: Duration = Duration::from_secs(2);
+
+/// Reads the addresses of the present settings; none if the settings can't be read.
+pub(crate) type ReadAddresses = Box<dyn Fn() -> Vec<SocketAddr>>;
+
+/// Reads the settings again.
+pub(crate) struct SettingsReload {
+    read_addresses: ReadAddresses,
+    next_at: Instant,
+}
+
+impl SettingsReload {
+    /// Settings that were read at `now`.
+    pub(crate) fn new(read_addresses: ReadAddresses, now: Instant) -> SettingsReload {
+        SettingsReload { read_addresses, next_at: now + RELOAD_PERIOD }
+    }
+
+    /// When the settings are to be read while there is no link to the control plane.
+    pub(crate) fn next_at(&self) -> Instant {
+        self.next_at
+    }
+
+    /// Puts the next reading off by a period.
+    pub(crate) fn postpone(&mut self, now: Instant) {
+        self.next_at = now + RELOAD_PERIOD;
+    }
+
+    /// Reads the addresses.
+    pub(crate) fn read(&mut self, now: Instant) -> Vec<SocketAddr> {
+        self.postpone(now);
+        (self.read_addresses)()
+    }
+}
--- a/crates/pebblepost-agent/src/signals.rs
+++ b/crates/pebblepost-agent/src/signals.rs
@@ -1,31 +1,34 @@
-//! Signals of the platform.
+//! Signals of the process.
 
-use eyre::{Result, WrapErr};
-use tokio::signal::unix::{SignalKind, signal};
+use crate::error::AgentError;
+use tokio::signal::unix::{self, SignalKind};
 use tokio::sync::mpsc;
 
 /// What the platform asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// End (SIGTERM).
+    /// SIGTERM: shut down.
     Terminate,
-    /// The settings file has changed (SIGHUP).
+    /// SIGHUP: the settings file has changed.
     Reload,
 }
 
-/// Signals that may wait; more of them say nothing new.
-const MOST_WAITING: usize = 4;
+/// Signals that may wait; further ones would ask for the same.
+const MAX_QUEUED_SIGNALS: usize = 4;
 
-/// Hands out the process's signals, on the caller's `LocalSet`.
-pub(crate) fn listen() -> Result<mpsc::Receiver<Signal>> {
-    let mut terminate = signal(SignalKind::terminate()).wrap_err("listening for SIGTERM")?;
-    let mut reload = signal(SignalKind::hangup()).wrap_err("listening for SIGHUP")?;
-    let (sender, receiver) = mpsc::channel(MOST_WAITING);
+/// Receives the signals of the process, on the caller's `LocalSet`.
+///
+/// # Errors
+/// [`AgentError::Signals`] if the handlers can't be installed.
+pub(crate) fn listen() -> Result<mpsc::Receiver<Signal>, AgentError> {
+    let mut terminate = install(SignalKind::terminate(), "SIGTERM")?;
+    let mut hang_up = install(SignalKind::hangup(), "SIGHUP")?;
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_SIGNALS);
     tokio::task::spawn_local(async move {
         loop {
             let received = tokio::select! {
                 _ = terminate.recv() => Signal::Terminate,
-                _ = reload.recv() => Signal::Reload,
+                _ = hang_up.recv() => Signal::Reload,
             };
             if sender.send(received).await.is_err() {
                 return;
@@ -34,3 +37,7 @@
     });
     Ok(receiver)
 }
+
+fn install(kind: SignalKind, name: &'static str) -> Result<unix::Signal, AgentError> {
+    unix::signal(kind).map_err(|source| AgentError::Signals { name, source })
+}
--- a/crates/pebblepost-agent/tests/agent/scene.rs
+++ b/crates/pebblepost-agent/tests/agent/harness.rs
@@ -1,4 +1,4 @@
-//! A control process and proxies played over loopback, and the transcript of what passes between them.
+//! A control process and proxies simulated over loopback, and the transcript of what passes between them.
 
 use pebblepost_agent::{AgentOptions, Signal, serve};
 use pebblepost_link::{LinkLimits, Listener, Receiver, Sender, connect};
@@ -21,21 +21,21 @@
 };
 
 pub fn listener() -> (Listener, SocketAddr) {
-    let listener = Listener::bind(SocketAddr::from(([127, 0, 0, 1], 0)), LIMITS).unwrap();
-    let address = listener.local_address().unwrap();
+    let listener = Listener::bind(SocketAddr::from(([127, 0, 0, 1], 0)), LIMITS).expect("bound");
+    let address = listener.local_address().expect("bound");
     (listener, address)
 }
 
-/// An agent at work, with what it is given, and the transcript.
-pub struct Scene {
+/// A running agent, its inputs, and the transcript.
+pub struct Harness {
     pub signals: mpsc::Sender<Signal>,
     pub agent: JoinHandle<()>,
     pub transcript: String,
     proxy_address: SocketAddr,
 }
 
-impl Scene {
-    pub fn start(control: Vec<SocketAddr>, reload: impl Fn() -> Vec<SocketAddr> + 'static) -> Scene {
+impl Harness {
+    pub fn start(control: Vec<SocketAddr>, reload: impl Fn() -> Vec<SocketAddr> + 'static) -> Harness {
         let (proxy_listener, proxy_address) = listener();
         let (signals, receiver) = mpsc::channel(4);
         let options = AgentOptions {
@@ -46,17 +46,17 @@
             reload: Box::new(reload),
         };
         let agent = spawn_local(serve(options, proxy_listener, receiver));
-        Scene { signals, agent, transcript: String::new(), proxy_address }
+        Harness { signals, agent, transcript: String::new(), proxy_address }
     }
 
-    /// Writes a heading or remark.
+    /// Writes a remark.
     pub fn note(&mut self, text: &str) {
-        writeln!(self.transcript, "-- {text}").unwrap();
+        writeln!(self.transcript, "-- {text}").expect("written");
     }
 
-    /// Takes the agent's next link to a control process, up to its subscription.
+    /// Accepts the next link of the agent and receives its subscription.
     pub async fn control(&mut self, listener: &mut Listener) -> Control {
-        let (sender, receiver) = listener.accept().await.unwrap();
+        let (sender, receiver) = listener.accept().await.expect("a link");
         let mut control = Control { sender, receiver };
         control.expect(self).await;
         control
@@ -64,55 +64,55 @@
 
     /// Connects a proxy.
     pub async fn proxy(&mut self, name: &'static str) -> Proxy {
-        let (sender, receiver) = connect(self.proxy_address, LIMITS).await.unwrap();
+        let (sender, receiver) = connect(self.proxy_address, LIMITS).await.expect("connected");
         Proxy { name, sender, receiver }
     }
 
-    /// Compares the transcript with the approved one. One that differs is left beside the test's build.
+    /// Compares the transcript with the approved one. One that differs is written to the target folder.
     pub fn assert_approved(&self, name: &str) {
         let approved = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/approved").join(name);
         let text = std::fs::read_to_string(&approved).unwrap_or_default();
         if text != self.transcript {
             let received = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-            std::fs::write(&received, &self.transcript).unwrap();
+            std::fs::write(&received, &self.transcript).expect("writable");
             panic!("{} is not approved:\n{}", received.display(), self.transcript);
         }
     }
 }
 
-/// A control process, seen from its side of the link.
+/// A control process, from its side of the link.
 pub struct Control {
     sender: Sender,
     receiver: Receiver,
 }
 
 impl Control {
-    pub fn send(&self, scene: &mut Scene, message: &FromControl) {
-        writeln!(scene.transcript, "control -> agent  {}", from_control(message)).unwrap();
+    pub fn send(&self, harness: &mut Harness, message: &FromControl) {
+        writeln!(harness.transcript, "control -> agent  {}", from_control(message)).expect("written");
         assert!(self.sender.send(message));
     }
 
-    pub fn feed(&self, scene: &mut Scene, sequence: u64, updates: Vec<FeedUpdate>) {
-        self.send(scene, &FromControl::Feed(FeedBatch { sequence, updates }));
+    pub fn feed(&self, harness: &mut Harness, sequence: u64, updates: Vec<FeedUpdate>) {
+        self.send(harness, &FromControl::Feed(FeedBatch { sequence, updates }));
     }
 
     /// The next message other than keep-alives.
-    pub async fn expect(&mut self, scene: &mut Scene) {
+    pub async fn expect(&mut self, harness: &mut Harness) {
         loop {
-            let message: ToControl = self.receiver.receive().await.unwrap();
+            let message: ToControl = self.receiver.receive().await.expect("a message");
             if message != ToControl::KeepAlive {
-                return writeln!(scene.transcript, "control <- agent  {message:?}").unwrap();
+                return writeln!(harness.transcript, "control <- agent  {message:?}").expect("written");
             }
         }
     }
 
-    pub async fn expect_end(&mut self, scene: &mut Scene) {
+    pub async fn expect_end(&mut self, harness: &mut Harness) {
         while self.receiver.receive::<ToControl>().await.is_ok() {}
-        writeln!(scene.transcript, "control <- agent  (closed)").unwrap();
+        writeln!(harness.transcript, "control <- agent  (closed)").expect("written");
     }
 }
 
-/// A proxy, seen from its side of the link.
+/// A proxy, from its side of the link.
 pub struct Proxy {
     name: &'static str,
     sender: Sender,
@@ -120,21 +120,21 @@
 }
 
 impl Proxy {
-    pub async fn expect(&mut self, scene: &mut Scene) {
-        let FeedBatch { sequence, updates } = self.receiver.receive().await.unwrap();
+    pub async fn expect(&mut self, harness: &mut Harness) {
+        let FeedBatch { sequence, updates } = self.receiver.receive().await.expect("a message");
         let text = batch(sequence, &updates);
-        writeln!(scene.transcript, "{} <- agent  {text}", self.name).unwrap();
+        writeln!(harness.transcript, "{} <- agent  {text}", self.name).expect("written");
     }
 
-    pub fn acknowledge(&self, scene: &mut Scene, sequence: u64, generation: u64) {
+    pub fn acknowledge(&self, harness: &mut Harness, sequence: u64, generation: u64) {
         let reply = FeedReply::Acknowledge { sequence, generation };
-        writeln!(scene.transcript, "{} -> agent  {reply:?}", self.name).unwrap();
+        writeln!(harness.transcript, "{} -> agent  {reply:?}", self.name).expect("written");
         assert!(self.sender.send(&reply));
     }
 
-    pub async fn expect_end(&mut self, scene: &mut Scene) {
+    pub async fn expect_end(&mut self, harness: &mut Harness) {
         while self.receiver.receive::<FeedBatch>().await.is_ok() {}
-        writeln!(scene.transcript, "{} <- agent  (closed)", self.name).unwrap();
+        writeln!(harness.transcript, "{} <- agent  (closed)", self.name).expect("written");
     }
 }
 
@@ -152,7 +152,7 @@
 fn batch(sequence: u64, updates: &[FeedUpdate]) -> String {
     let mut text = format!("batch {sequence}");
     for update in updates {
-        write!(text, "\n    {}", update_line(update)).unwrap();
+        write!(text, "\n    {}", update_line(update)).expect("written");
     }
     text
 }
@@ -165,18 +165,18 @@
         FeedUpdate::Configuration(ConfigurationUpdate::Patch { base, generation, patch }) => {
             format!("patch {base} to {generation}: {}", String::from_utf8_lossy(patch))
         }
-        FeedUpdate::Instances { complete: whole, instances } => {
+        FeedUpdate::Instances { complete, instances } => {
             let listed: Vec<String> = instances
                 .iter()
                 .map(|instance| format!("{} {:?} {}", instance.id, instance.state, instance.sequence))
                 .collect();
-            format!("{} [{}]", if *whole { "all transcribers" } else { "transcribers" }, listed.join(", "))
+            format!("{} [{}]", if *complete { "all transcribers" } else { "transcribers" }, listed.join(", "))
         }
         other => format!("{other:?}"),
     }
 }
 
-pub fn whole(generation: u64) -> FeedUpdate {
+pub fn full_configuration(generation: u64) -> FeedUpdate {
     let document = format!(r#"{{"generation":{generation},"routes":[],"services":[]}}"#).into_bytes();
     FeedUpdate::Configuration(ConfigurationUpdate::Full { generation, document })
 }
@@ -187,7 +187,7 @@
     FeedUpdate::Configuration(ConfigurationUpdate::Patch { base, generation, patch })
 }
 
-pub fn transcribers(whole: bool, listed: &[(&str, InstanceState, u64)]) -> FeedUpdate {
+pub fn transcribers(complete: bool, listed: &[(&str, InstanceState, u64)]) -> FeedUpdate {
     let instances = listed
         .iter()
         .map(|(id, state, sequence)| Instance {
@@ -197,9 +197,9 @@
             ..Instance::default()
         })
         .collect();
-    FeedUpdate::Instances { complete: whole, instances }
+    FeedUpdate::Instances { complete, instances }
 }
 
-pub fn named(model: &str, generation: u64) -> FeedUpdate {
+pub fn named_versions(model: &str, generation: u64) -> FeedUpdate {
     FeedUpdate::NamedVersions(vec![ModelVersion { model: model.to_owned(), generation }])
 }
--- a/crates/pebblepost-agent/tests/agent/main.rs
+++ b/crates/pebblepost-agent/tests/agent/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the agent against a control process and proxies played over loopback.
+//! Tests of the agent against a simulated control process and proxies over loopback.
 
 mod exchanges;
-mod life;
-mod scene;
+mod harness;
+mod shutdown_and_reload;
