--- a/crates/pebblepost-dispatch/src/lib.rs
+++ b/crates/pebblepost-dispatch/src/lib.rs
@@ -7,8 +7,8 @@
 //! * [`api`]: settings, events and actions.
 //! * [`classes`]: classes that become known while a node runs.
 //! * [`policy`]: every decision, in one module.
-//! * [`health`]: what is held against a worker.
-//! * [`keys`]: where to find what jobs of one key need.
+//! * [`outlier_detection`]: for how long a worker is ejected from the draws.
+//! * [`affinity`]: which workers jobs of one key go to.
 //! * [`estimators`]: running estimates of rates, durations, waits and shares.
 //! * [`room`]: what is held for large jobs.
 //! * [`wire`]: the byte protocol of the operators' bench, translated into [`api`] types.
@@ -16,11 +16,11 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod affinity;
 pub mod api;
 pub mod classes;
 pub mod estimators;
-pub mod health;
-pub mod keys;
+pub mod outlier_detection;
 pub mod policy;
 pub mod room;
 pub mod wire;
--- a/crates/pebblepost-dispatch/src/policy.rs
+++ b/crates/pebblepost-dispatch/src/policy.rs
@@ -6,13 +6,13 @@
 
 #![allow(clippy::too_many_arguments)] // The caller's out-list and the clock go everywhere.
 
+use crate::affinity::{self, KeyPopularity, RecentKeys};
 use crate::api::*;
 use crate::estimators::{
     DurationEstimate, EWMA_GAIN, EventRate, KindEstimate, QueueWait, TenantUsage, from_seconds, seconds,
     update_mean,
 };
-use crate::health::Health;
-use crate::keys::{self, Asked, Kept};
+use crate::outlier_detection::OutlierDetector;
 use crate::room::{Outlook, Room};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -72,10 +72,10 @@
     /// Own attempts that are out: when sent, slots, whether known to have started, when expected to end.
     own: Vec<(Time, f64, bool, Time)>,
     waits: QueueWait,
-    kept: Kept,
+    recent_keys: RecentKeys,
     idle: VecDeque<Time>,    // Since when its connections have been idle, oldest first.
     probes: VecDeque<Asker>, // Who waits for each probe that is out, oldest first.
-    health: Health,
+    outliers: OutlierDetector,
 }
 
 impl Worker {
@@ -204,7 +204,7 @@
     mean_meaning: f64,
     turned_away: f64, // Learned: share of own sends that were refused.
     shares: TenantUsage,
-    asked: Asked,
+    popularity: KeyPopularity,
     subscribed: bool,
     asks: u32,
 }
@@ -245,7 +245,7 @@
             turned_away: 0.0,
             subscribed: false,
             asks: 0,
-            asked: Asked::default(),
+            popularity: KeyPopularity::default(),
             shares: TenantUsage::new(settings.tenants.iter().map(|t| t.quota_share)),
             settings,
         }
@@ -287,7 +287,7 @@
         let ends = now + self.run(now, id, w);
         self.reservations.release(id);
         self.workers[w].waits.record_start(now, now.since(sent));
-        self.workers[w].health.started(sent, class);
+        self.workers[w].outliers.record_start(sent, class);
         self.workers[w].own.iter_mut().filter(|o| o.0 == sent).for_each(|o| (o.2, o.3) = (true, ends));
         if !queued {
             self.start_delay.record(seconds(now.since(sent)));
@@ -310,7 +310,12 @@
             out.push(Action::Cancel { id, attempt: no });
         }
         self.workers[a.worker].own.retain(|o| o.0 != a.sent); // It holds no slot there.
-        self.workers[a.worker].health.left_lying(now, r.class, a.sent, self.settings.overload_time / 2);
+        self.workers[a.worker].outliers.record_missed_start(
+            now,
+            r.class,
+            a.sent,
+            self.settings.overload_time / 2,
+        );
         let least = a.idle.map_or(self.idle_limit, |idle| idle / 2);
         self.idle_limit = self.idle_limit.min(least).max(self.settings.tick);
     }
@@ -350,7 +355,7 @@
         let life = seconds(now.since(self.started).max(self.settings.tick));
         self.arrivals.record(now, life.min(seconds(self.settings.keepalive)), self.settings.tick);
         self.shares.record(tenant);
-        self.asked.count(key);
+        self.popularity.record(key);
         let cost = self.cost(class, work);
         let slots = if slots > 0.0 { slots } else { 1.0 };
         let work = work.map(seconds).filter(|hint| *hint > 0.0);
@@ -594,14 +599,14 @@
 
     /// Two jobs' time if a worker must fetch what the job is about: its own, and that of others in the store.
     fn fetching(&self, id: RequestId, w: usize) -> f64 {
-        let kept = self.requests.get(&id).is_none_or(|r| self.workers[w].kept.has(r.key));
+        let kept = self.requests.get(&id).is_none_or(|r| self.workers[w].recent_keys.contains(r.key));
         if kept { 0.0 } else { 2.0 * self.mean_service }
     }
 
     /// Where in the fleet a job is expected to wait least.
     fn shortest(&self, now: Time, id: RequestId) -> Option<usize> {
         let r = self.requests.get(&id)?;
-        let sound = |w: &usize| self.workers[*w].health.sound(now, r.class) && !r.refused.contains(w);
+        let sound = |w: &usize| self.workers[*w].outliers.is_healthy(now, r.class) && !r.refused.contains(w);
         let open = self.pools.get(r.class)?.iter().flatten().copied().filter(sound);
         let open = open.filter(|w| self.eligible(now, id, *w));
         let cost = |w: &usize| self.queueing(now, *w) + self.fetching(id, *w);
@@ -661,7 +666,7 @@
         let worker = &mut self.workers[w];
         self.queued += usize::from(queued);
         worker.own.push((now, r.slots, false, ends));
-        worker.kept.sent(r.key);
+        worker.recent_keys.record(r.key);
         r.turn += 1;
         r.phase = Phase::Placed;
         let no = r.attempts.len() as u32;
@@ -702,7 +707,7 @@
     fn reserve(&mut self, now: Time, id: RequestId, only: Option<usize>) -> Option<Time> {
         let r = self.requests.get(&id).filter(|r| r.large && r.holds < MOST_HOLDS)?;
         let pool = self.pools.get(r.class)?.iter().flatten().copied();
-        let sound = |w: &usize| self.workers[*w].health.sound(now, r.class) && !r.refused.contains(w);
+        let sound = |w: &usize| self.workers[*w].outliers.is_healthy(now, r.class) && !r.refused.contains(w);
         let known = |w: &usize| self.warm(now, *w) && self.workers[*w].reports >= 2;
         let known = pool.filter(sound).filter(known);
         let mut outlooks: Vec<Outlook> = known.map(|w| self.outlook(now, id, w)).collect();
@@ -806,7 +811,7 @@
         }
         match status {
             Status::Ok => {
-                worker.health.served();
+                worker.outliers.record_served_job();
                 if let Some(class) = class {
                     let usual = self.service[class].max(f64::MIN_POSITIVE);
                     let kind = self.kinds.get_mut(&worker.kind);
@@ -916,7 +921,7 @@
         // One seen without room a moment ago has none now: a client that repeats at once goes on to others.
         let from = if self.by_waits(id) { now } else { now - from_seconds(0.03 * self.mean_service) };
         let full = |w: &usize| self.workers[*w].reported > from && !self.room(now, *w, r.slots, 0.0);
-        let well = |w: &usize| self.workers[*w].health.sound(now, r.class) && wide(w);
+        let well = |w: &usize| self.workers[*w].outliers.is_healthy(now, r.class) && wide(w);
         let sound = |w: &usize| well(w) && fresh(w) && !full(w);
         // Exception: a large job goes back to the worker held for it, then on to where it would end first.
         let held = self.reservations.of(id).map(|h| h.worker).filter(|w| r.drawn.is_empty() && fresh(w));
@@ -926,11 +931,11 @@
         // Exception: a job that is about something is drawn for in an order that its key gives all nodes.
         let weight =
             |w: usize| self.kinds.get(&self.workers[w].kind).map_or(1.0, |k| k.slots.round().max(1.0));
-        let place = |w: &usize| keys::place(r.key, self.workers[*w].name, weight(*w));
+        let place = |w: &usize| affinity::rank(r.key, self.workers[*w].name, weight(*w));
         let keyed = || {
             let all = self.pools[r.class].iter().flatten().copied().filter(|w| r.key != 0 && sound(w));
-            let near = self.asked.replicas(r.key, self.pools[r.class].iter().map(Vec::len).sum());
-            keys::first(all, near, place).into_iter().min_by_key(|w| (self.side(*w), place(w)))
+            let near = self.popularity.replicas(r.key, self.pools[r.class].iter().map(Vec::len).sum());
+            affinity::first_by_rank(all, near, place).into_iter().min_by_key(|w| (self.side(*w), place(w)))
         };
         if let Some(w) = first.or_else(keyed) {
             return Some(w);
@@ -940,7 +945,7 @@
                 let w = pool[self.rng.random_range(0..size)];
                 let taken = r.drawn.contains(&w) || r.refused.contains(&w);
                 let narrow = self.workers[w].reports >= 2 && self.k_of_kind(w) < r.slots;
-                if !taken && !narrow && (suspects || self.workers[w].health.sound(now, r.class)) {
+                if !taken && !narrow && (suspects || self.workers[w].outliers.is_healthy(now, r.class)) {
                     return Some(w);
                 }
             }
@@ -1069,12 +1074,12 @@
         let (waiting, ok) = (worker.probes.pop_front(), status == Status::Ok);
         worker.failed(now, status);
         if ok {
-            worker.health.probe_answered();
+            worker.outliers.record_answered_probe();
             self.report(now, w, report);
             self.round_trip.record(seconds(latency));
         } else if status != Status::Reset && worker.reported + latency <= now {
             // A broken connection says nothing, nor does a silent one of a worker heard since.
-            worker.health.probe_failed(now);
+            worker.outliers.record_failed_probe(now);
         }
         self.close_idle(w, out);
         match waiting {
@@ -1090,7 +1095,7 @@
         let pool = self.pools.last().map_or(0, |p| self.spread(p[0].len()));
         let revisit =
             from_seconds(2.0 * pool as f64 / self.arrivals.per_second.max(0.1)).min(self.settings.keepalive);
-        self.workers[w].health.struck(now, self.settings.overload_time.max(revisit));
+        self.workers[w].outliers.record_failed_job(now, self.settings.overload_time.max(revisit));
     }
 
     /// Probes the worker of an attempt that is out: to learn the age of reports, or if it has not started.
@@ -1289,7 +1294,7 @@
         if e.started > worker.started {
             // A new process: what was held against the old one is gone with it.
             worker.started = e.started;
-            (worker.health, worker.kept, worker.waits) = Default::default();
+            (worker.outliers, worker.recent_keys, worker.waits) = Default::default();
         }
         w
     }
--- a/crates/pebblepost-dispatch/tests/known.rs
+++ b/crates/pebblepost-dispatch/tests/known.rs
@@ -1,9 +1,9 @@
 //! What a node knows of keys, waits and shares, and what it holds against a worker.
 
+use pebblepost_dispatch::affinity::{KeyPopularity, RecentKeys, first_by_rank, rank};
 use pebblepost_dispatch::api::Time;
 use pebblepost_dispatch::estimators::{QueueWait, TenantUsage};
-use pebblepost_dispatch::health::Health;
-use pebblepost_dispatch::keys::{Asked, Kept, first, place};
+use pebblepost_dispatch::outlier_detection::OutlierDetector;
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -16,8 +16,9 @@
 #[test]
 fn a_worker_comes_first_for_as_much_as_it_weighs_and_takes_no_others_keys_when_it_leaves() {
     let weights = [3.0, 5.0, 1.0];
-    let first_of =
-        |key, left: &[usize]| first(left.iter().copied(), 1, |w| place(key, *w as u64 + 11, weights[*w]))[0];
+    let first_of = |key, left: &[usize]| {
+        first_by_rank(left.iter().copied(), 1, |w| rank(key, *w as u64 + 11, weights[*w]))[0]
+    };
     let mut got = [0.0; 3];
     for key in 1..=9000 {
         let before = first_of(key, &[0, 1, 2]);
@@ -29,10 +30,13 @@
 
 #[test]
 fn the_keys_of_a_worker_are_bounded_and_the_often_used_stay() {
-    let mut kept = Kept::default();
-    (1..=1000).for_each(|key| [key, 1].map(|key| kept.sent(key)).into_iter().collect());
-    assert!([0, 1, 994, 1000].iter().all(|key| kept.has(*key)), "a job about nothing, 0, needs nothing");
-    assert_eq!((1..=1000).filter(|key| kept.has(*key)).count(), 8);
+    let mut recent = RecentKeys::default();
+    (1..=1000).for_each(|key| [key, 1].map(|key| recent.record(key)).into_iter().collect());
+    assert!(
+        [0, 1, 994, 1000].iter().all(|key| recent.contains(*key)),
+        "a job about nothing, 0, needs nothing"
+    );
+    assert_eq!((1..=1000).filter(|key| recent.contains(*key)).count(), 8);
 }
 
 #[test]
@@ -64,41 +68,46 @@
 /// permits-main: with three workers for each key, one a zone, each fetched what another had.
 #[test]
 fn a_key_has_as_many_workers_as_its_part_of_the_jobs_needs() {
-    let mut asked = Asked::default();
-    (0..2560).for_each(|i| asked.count(if i % 5 == 0 { 7 } else { 100 + i % 160 }));
+    let mut popularity = KeyPopularity::default();
+    (0..2560).for_each(|i| popularity.record(if i % 5 == 0 { 7 } else { 100 + i % 160 }));
     let among = [(7, 13), (101, 13), (9999, 13), (7, 1), (7, 0)];
-    assert_eq!(among.map(|(key, workers)| asked.replicas(key, workers)), [4, 1, 1, 1, 1]);
-    (0..256).for_each(|i| asked.count(1000 + i));
-    assert_eq!(asked.replicas(7, 13), 1, "no longer asked for, it goes back to one");
-    assert_eq!(first(0..5, 2, |w| 10 - *w as u64), [4, 3]);
+    assert_eq!(among.map(|(key, workers)| popularity.replicas(key, workers)), [4, 1, 1, 1, 1]);
+    (0..256).for_each(|i| popularity.record(1000 + i));
+    assert_eq!(popularity.replicas(7, 13), 1, "no longer asked for, it goes back to one");
+    assert_eq!(first_by_rank(0..5, 2, |w| 10 - *w as u64), [4, 3]);
 }
 
 #[test]
 fn bad_work_counts_double_each_time_up_to_a_bound_and_good_work_takes_it_back() {
-    let mut h = Health::default();
-    assert!(h.sound(at(1.0), 0));
+    let mut detector = OutlierDetector::default();
+    assert!(detector.is_healthy(at(1.0), 0));
     for times in [1.0, 2.0, 4.0, 8.0, 8.0] {
-        h.struck(at(1.0), SECOND);
-        assert!(!h.sound(at(times + 0.5), 0) && h.sound(at(times + 1.0), 0));
+        detector.record_failed_job(at(1.0), SECOND);
+        assert!(!detector.is_healthy(at(times + 0.5), 0) && detector.is_healthy(at(times + 1.0), 0));
     }
-    (0..4).for_each(|_| h.served());
-    h.struck(at(1.0), SECOND);
-    assert!(h.sound(at(2.0), 0));
+    (0..4).for_each(|_| detector.record_served_job());
+    detector.record_failed_job(at(1.0), SECOND);
+    assert!(detector.is_healthy(at(2.0), 0));
 }
 
 /// permits-main, wide: four workers of nine went on with one class and left the other lying; the 33 jobs that were sent to
 /// them held their slots, by this node's books, until their clients gave up.
 #[test]
 fn a_class_left_lying_stays_away_and_no_other() {
-    let mut h = Health::default();
+    let mut detector = OutlierDetector::default();
     // Several that were sent before the first was missed count once.
-    (0..5).for_each(|_| h.left_lying(at(1.0), 1, at(1.0), SECOND));
-    assert!(h.sound(at(1.0), 0) && !h.sound(at(1.5), 1) && h.sound(at(2.0), 1), "then one is tried");
-    h.left_lying(at(2.0), 1, at(2.0), SECOND);
-    assert!(!h.sound(at(3.0), 1) && h.sound(at(4.0), 1));
-    h.started(at(5.0), 1);
-    h.left_lying(at(5.0), 1, at(4.0), SECOND);
-    assert!(h.sound(at(5.0), 1), "another, sent later, has started: the connection was lost");
-    h.left_lying(at(6.0), 1, at(6.0), SECOND);
-    assert!(h.sound(at(7.0), 1), "a start makes up for all before");
+    (0..5).for_each(|_| detector.record_missed_start(at(1.0), 1, at(1.0), SECOND));
+    assert!(
+        detector.is_healthy(at(1.0), 0)
+            && !detector.is_healthy(at(1.5), 1)
+            && detector.is_healthy(at(2.0), 1),
+        "then one is tried"
+    );
+    detector.record_missed_start(at(2.0), 1, at(2.0), SECOND);
+    assert!(!detector.is_healthy(at(3.0), 1) && detector.is_healthy(at(4.0), 1));
+    detector.record_start(at(5.0), 1);
+    detector.record_missed_start(at(5.0), 1, at(4.0), SECOND);
+    assert!(detector.is_healthy(at(5.0), 1), "another, sent later, has started: the connection was lost");
+    detector.record_missed_start(at(6.0), 1, at(6.0), SECOND);
+    assert!(detector.is_healthy(at(7.0), 1), "a start makes up for all before");
 }
