--- a/crates/pebblepost-dispatch/tests/simulation/mod.rs
+++ b/crates/pebblepost-dispatch/tests/simulation/mod.rs
@@ -66,6 +66,8 @@
     pub mean_work_ms: f64,
     /// Longest queue of a worker; who comes after is rejected.
     pub queue_limit: usize,
+    /// Memory units of a worker; each busy slot takes one.
+    pub memory_units: u32,
     /// Age that load reports may reach.
     pub report_every_ms: u64,
     pub hints: bool,
@@ -104,6 +106,7 @@
     seconds: 12,
     mean_work_ms: 120.0,
     queue_limit: 16,
+    memory_units: 8,
     report_every_ms: 0,
     hints: false,
     large_jobs: false,
@@ -537,12 +540,13 @@
     fn report(&mut self, worker: u32) -> Vec<u8> {
         let now = self.now;
         let age = self.scenario.report_every_ms * MILLISECOND;
+        let units = self.scenario.memory_units;
         let known = &mut self.workers[worker as usize];
         if known.snapshot.is_empty() || now >= known.snapshot_at + age {
             let busy = known.busy_slots();
             let value = |field: char| match field {
                 'f' => known.slots.saturating_sub(busy) as f32,
-                'm' => 8.0 - busy.min(8) as f32,
+                'm' => units.saturating_sub(busy) as f32,
                 'w' => known.waiting.len() as f32,
                 'a' => (known.running.len() + known.waiting.len()) as f32,
                 _ => busy as f32 / known.slots as f32,
--- a/crates/pebblepost-dispatch/tests/trace.rs
+++ b/crates/pebblepost-dispatch/tests/trace.rs
@@ -191,6 +191,7 @@
             seconds: 30,
             ..CALM
         },
+        Scenario { name: "memory_is_scarce", report: "fmw", memory_units: 3, rate: 220.0, ..CALM },
         Scenario { name: "no_workers", workers: 0, zones: 1, rate: 20.0, seconds: 3, ..CALM },
         Scenario { name: "no_reports", report: "", rate: 60.0, ..CALM },
     ]
