--- a/crates/pebblepost-dispatch/src/api.rs
+++ b/crates/pebblepost-dispatch/src/api.rs
@@ -3,7 +3,7 @@
 //!
 //! Classes, tenants, zones and kinds are indices: names never reach the decisions.
 
-use crate::room::ReservationSettings;
+use crate::reservation::ReservationSettings;
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
--- a/crates/pebblepost-dispatch/src/lib.rs
+++ b/crates/pebblepost-dispatch/src/lib.rs
@@ -10,7 +10,9 @@
 //! * [`outlier_detection`]: for how long a worker is ejected from the draws.
 //! * [`affinity`]: which workers jobs of one key go to.
 //! * [`estimators`]: running estimates of rates, durations, waits and shares.
-//! * [`room`]: what is held for large jobs.
+//! * [`forecast`]: when slots are expected to come free at a worker.
+//! * [`job_size`]: which jobs are large.
+//! * [`reservation`]: what is reserved for large jobs.
 //! * [`wire`]: the byte protocol of the operators' bench, translated into [`api`] types.
 
 #![forbid(unsafe_code)]
@@ -20,9 +22,13 @@
 pub mod api;
 pub mod classes;
 pub mod estimators;
+pub mod forecast;
+pub mod job_size;
 pub mod outlier_detection;
 pub mod policy;
-pub mod room;
+pub mod reservation;
+/// The former path of [`reservation`].
+pub use reservation as room;
 pub mod wire;
 
 #[doc = include_str!("../../../README.md")]
--- a/crates/pebblepost-dispatch/src/policy.rs
+++ b/crates/pebblepost-dispatch/src/policy.rs
@@ -12,8 +12,10 @@
     DurationEstimate, EWMA_GAIN, EventRate, KindEstimate, QueueWait, TenantUsage, from_seconds, seconds,
     update_mean,
 };
+use crate::forecast::{SlotRelease, WorkerForecast};
+use crate::job_size::{JobSizes, TypicalJob};
 use crate::outlier_detection::OutlierDetector;
-use crate::room::{Outlook, Room};
+use crate::reservation::{ReservationRequest, Reservations};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -87,8 +89,11 @@
     }
 
     /// Own jobs that hold slots: those that wait do as well, unless others may pass them (`in_order`).
-    fn holding(&self, in_order: bool) -> impl Iterator<Item = (Time, f64)> {
-        self.own.iter().filter(move |o| in_order || o.2 || o.1 <= 1.0).map(|o| (o.3, o.1))
+    fn holding(&self, in_order: bool) -> impl Iterator<Item = SlotRelease> {
+        self.own
+            .iter()
+            .filter(move |o| in_order || o.2 || o.1 <= 1.0)
+            .map(|o| SlotRelease { at: o.3, slots: o.1 })
     }
 
     fn failed(&mut self, now: Time, status: Status) {
@@ -181,7 +186,8 @@
     pools: Vec<[Vec<usize>; 2]>,
     fleet: [f64; 2], // Ready workers at home, and away.
     requests: HashMap<RequestId, Request>,
-    reservations: Room,
+    reservations: Reservations,
+    job_sizes: JobSizes,
     /// Learned: share of workers probed away that have room, busy count of workers, own requests a second.
     room_share: f64,
     mean_busy: f64,
@@ -224,7 +230,8 @@
             pools: Vec::new(),
             fleet: [0.0; 2],
             requests: HashMap::new(),
-            reservations: Room::new(settings.reservations),
+            reservations: Reservations::new(settings.reservations.max_reserved_fraction),
+            job_sizes: JobSizes::new(settings.reservations),
             room_share: 1.0,
             mean_busy: 0.0,
             arrivals: EventRate::new(now),
@@ -359,7 +366,9 @@
         let cost = self.cost(class, work);
         let slots = if slots > 0.0 { slots } else { 1.0 };
         let work = work.map(seconds).filter(|hint| *hint > 0.0);
-        let large = self.reservations.size_up(work, slots, self.best_pace(), self.mean_service);
+        let typical =
+            TypicalJob { service_seconds: self.mean_service, seconds_per_hinted_second: self.best_pace() };
+        let large = self.job_sizes.record(work, slots, typical);
         let deadline = now + time_left;
         let request = Request {
             class,
@@ -472,7 +481,7 @@
         match phase {
             Phase::First => {
                 let below = ok && self.below_threshold(now, w, slots, memory);
-                let held = ok && self.reservations.of(id).is_some();
+                let held = ok && self.reservations.get(id).is_some();
                 if (below || held) && self.eligible(now, id, w) && self.ends_in_time(now, id, w) {
                     return self.place(now, id, w, out);
                 } else if held {
@@ -509,7 +518,7 @@
     /// Free slots by the report, less what it cannot have counted; never more than own jobs leave.
     fn free(&self, w: usize) -> f64 {
         let worker = &self.workers[w];
-        let own: f64 = worker.holding(self.settings.queues_in_order).map(|(_, slots)| slots).sum();
+        let own: f64 = worker.holding(self.settings.queues_in_order).map(|held| held.slots).sum();
         (worker.free - worker.unseen(self.lag()).0).min(worker.k - own)
     }
 
@@ -710,10 +719,12 @@
         let sound = |w: &usize| self.workers[*w].outliers.is_healthy(now, r.class) && !r.refused.contains(w);
         let known = |w: &usize| self.warm(now, *w) && self.workers[*w].reports >= 2;
         let known = pool.filter(sound).filter(known);
-        let mut outlooks: Vec<Outlook> = known.map(|w| self.outlook(now, id, w)).collect();
+        let mut outlooks: Vec<WorkerForecast> = known.map(|w| self.outlook(now, id, w)).collect();
         let (slots, due, all) = (r.slots, self.due(id), outlooks.iter().map(|o| o.slots).sum());
         outlooks.retain(|o| only.is_none_or(|w| w == o.worker));
-        self.reservations.reserve(now, id, slots, all, &outlooks, |o| due - o.run).map(|held| held.from)
+        let job = ReservationRequest { request: id, slots, fleet_slots: all };
+        let held = self.reservations.reserve(now, job, &outlooks, |o| due - o.run_time);
+        held.map(|held| held.expected_start)
     }
 
     /// Jobs that held a part of a worker look afresh: a slot came free there, or it can no longer serve them.
@@ -725,7 +736,7 @@
         }
     }
 
-    fn outlook(&self, now: Time, id: RequestId, w: usize) -> Outlook {
+    fn outlook(&self, now: Time, id: RequestId, w: usize) -> WorkerForecast {
         let worker = &self.workers[w];
         let slots = self.usable(now, w);
         let free = self.free(w) - (self.k_of_kind(w) - slots).max(0.0);
@@ -741,7 +752,17 @@
         let first = worker.own.iter().find(|o| !passed(o)).filter(|_| self.settings.start_reported);
         let waited = first.map_or(Duration::ZERO, |o| now.since(o.0));
         let in_order = self.settings.queues_in_order;
-        Outlook { worker: w, slots, free, own, others, waiting, waited, in_order, run }
+        WorkerForecast {
+            worker: w,
+            slots,
+            free_slots: free,
+            own_jobs: own,
+            other_job_time: others,
+            queued_slots: waiting,
+            longest_wait: waited,
+            queue_in_order: in_order,
+            run_time: run,
+        }
     }
 
     fn outcome(
@@ -894,8 +915,8 @@
             && permits(class, worker)
             && self.may_send(now, id)
             && (self.warm(now, w) || worker.reports > 0 && self.room(now, w, r.slots, 0.0))
-            && (!self.reservations.holds(w)
-                || self.reservations.leaves_room(now, id, r.slots, &self.outlook(now, id, w)))
+            && (!self.reservations.any_at(w)
+                || self.reservations.allows(now, id, r.slots, &self.outlook(now, id, w)))
     }
 
     /// A random worker of the kind and zone wanted, suspects left out as long as there are others.
@@ -924,8 +945,8 @@
         let well = |w: &usize| self.workers[*w].outliers.is_healthy(now, r.class) && wide(w);
         let sound = |w: &usize| well(w) && fresh(w) && !full(w);
         // Exception: a large job goes back to the worker held for it, then on to where it would end first.
-        let held = self.reservations.of(id).map(|h| h.worker).filter(|w| r.drawn.is_empty() && fresh(w));
-        let end = |w: &usize| self.outlook(now, id, *w).end(now, r.slots);
+        let held = self.reservations.get(id).map(|h| h.worker).filter(|w| r.drawn.is_empty() && fresh(w));
+        let end = |w: &usize| self.outlook(now, id, *w).expected_end(now, r.slots);
         let more = r.large && !r.drawn.is_empty();
         let first = held.or_else(|| pool.iter().copied().filter(|w| more && sound(w)).min_by_key(end));
         // Exception: a job that is about something is drawn for in an order that its key gives all nodes.
@@ -987,7 +1008,7 @@
         match r.phase {
             Phase::First => {
                 // A worker that was held for it and says nothing is lost to it; the others come next.
-                r.refused.extend(self.reservations.of(id).map(|held| held.worker));
+                r.refused.extend(self.reservations.get(id).map(|held| held.worker));
                 self.reservations.release(id);
                 self.more(now, id, out);
             }
@@ -1191,7 +1212,9 @@
     /// How long a job would wait at a worker for its slots, in seconds.
     fn wait(&self, now: Time, id: RequestId, w: usize) -> f64 {
         let slots = self.requests.get(&id).map_or(1.0, |r| r.slots);
-        let wait = |o: Outlook| o.opening(now, slots).map_or(f64::INFINITY, |at| seconds(at.since(now)));
+        let wait = |o: WorkerForecast| {
+            o.expected_start(now, slots).map_or(f64::INFINITY, |at| seconds(at.since(now)))
+        };
         if self.room(now, w, slots, 0.0) { 0.0 } else { wait(self.outlook(now, id, w)) }
     }
 
--- a/crates/pebblepost-dispatch/src/wire.rs
+++ b/crates/pebblepost-dispatch/src/wire.rs
@@ -4,7 +4,7 @@
 //! fields. Unknown codes of sound length and unknown settings keys are skipped.
 
 use crate::api::*;
-use crate::room::ReservationSettings;
+use crate::reservation::ReservationSettings;
 use std::collections::HashMap;
 use std::time::Duration;
 use thiserror::Error;
--- a/crates/pebblepost-dispatch/tests/room.rs
+++ b/crates/pebblepost-dispatch/tests/room.rs
@@ -3,7 +3,9 @@
 mod common;
 use common::*;
 use pebblepost_dispatch::api::*;
-use pebblepost_dispatch::room::{Outlook, Reservation, ReservationSettings, Room};
+use pebblepost_dispatch::forecast::{SlotRelease, WorkerForecast};
+use pebblepost_dispatch::job_size::{JobSizes, TypicalJob};
+use pebblepost_dispatch::reservation::{Reservation, ReservationRequest, ReservationSettings, Reservations};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,49 +16,61 @@
     Duration::from_millis(n)
 }
 
-fn outlook(worker: usize, slots: f64, free: f64, own: &[(u64, f64)], run: u64) -> Outlook {
-    let own = own.iter().map(|(at, s)| (START + ms(*at), *s)).collect();
-    Outlook {
+fn forecast(worker: usize, slots: f64, free: f64, own: &[(u64, f64)], run: u64) -> WorkerForecast {
+    let own_jobs = own.iter().map(|(at, slots)| SlotRelease { at: START + ms(*at), slots: *slots }).collect();
+    WorkerForecast {
         worker,
         slots,
-        free,
-        own,
-        others: SEC,
-        waiting: 0.0,
-        waited: Duration::ZERO,
-        in_order: true,
-        run: ms(run),
+        free_slots: free,
+        own_jobs,
+        other_job_time: SEC,
+        queued_slots: 0.0,
+        longest_wait: Duration::ZERO,
+        queue_in_order: true,
+        run_time: ms(run),
     }
 }
 
-fn reserve(room: &mut Room, id: u32, slots: f64, outlooks: &[Outlook], latest: u64) -> Option<Reservation> {
-    let all = outlooks.iter().map(|o| o.slots).sum();
-    room.reserve(START, RequestId(id), slots, all, outlooks, |_| START + ms(latest))
+fn reserve(
+    reservations: &mut Reservations, id: u32, slots: f64, forecasts: &[WorkerForecast], latest: u64,
+) -> Option<Reservation> {
+    let fleet_slots = forecasts.iter().map(|o| o.slots).sum();
+    let job = ReservationRequest { request: RequestId(id), slots, fleet_slots };
+    reservations.reserve(START, job, forecasts, |_| START + ms(latest))
 }
 
-fn room() -> Room {
-    Room::new(ReservationSettings { max_reserved_fraction: 0.5, ..ReservationSettings::default() })
+fn half_reservable() -> ReservationSettings {
+    ReservationSettings { max_reserved_fraction: 0.5, ..ReservationSettings::default() }
 }
 
+fn reservations() -> Reservations {
+    Reservations::new(half_reservable().max_reserved_fraction)
+}
+
+/// Jobs of 0.4 s in the mean, on machines of speed 1.
+const TYPICAL: TypicalJob = TypicalJob { service_seconds: 0.4, seconds_per_hinted_second: 1.0 };
+
 #[test]
 fn slots_open_by_own_ends_and_by_those_of_others() {
-    let opens = |o: &Outlook, slots| o.opening(START, slots).map(|at| at.since(START).as_millis());
+    let opens =
+        |o: &WorkerForecast, slots| o.expected_start(START, slots).map(|at| at.since(START).as_millis());
     let own = [(400, 1.0), (900, 1.0)];
-    assert_eq!(opens(&outlook(0, 2.0, 1.0, &own[..1], 0), 1.0), Some(0));
-    assert_eq!(opens(&outlook(0, 2.0, 0.0, &own, 0), 1.0), Some(400));
-    assert_eq!(opens(&outlook(0, 2.0, 0.0, &own, 0), 2.0), Some(900));
-    assert_eq!(opens(&outlook(0, 2.0, 0.0, &own, 0), 3.0), None, "wider than the worker");
+    assert_eq!(opens(&forecast(0, 2.0, 1.0, &own[..1], 0), 1.0), Some(0));
+    assert_eq!(opens(&forecast(0, 2.0, 0.0, &own, 0), 1.0), Some(400));
+    assert_eq!(opens(&forecast(0, 2.0, 0.0, &own, 0), 2.0), Some(900));
+    assert_eq!(opens(&forecast(0, 2.0, 0.0, &own, 0), 3.0), None, "wider than the worker");
     // Two slots of others, a second each in the mean: the first is free after half of that, both after one more.
-    assert_eq!(opens(&outlook(0, 2.0, 0.0, &[], 0), 1.0), Some(500));
-    assert_eq!(opens(&outlook(0, 2.0, 0.0, &[], 0), 2.0), Some(1500));
-    let crowded = Outlook { waiting: 2.0, waited: ms(4000), ..outlook(0, 2.0, 0.0, &[], 0) };
+    assert_eq!(opens(&forecast(0, 2.0, 0.0, &[], 0), 1.0), Some(500));
+    assert_eq!(opens(&forecast(0, 2.0, 0.0, &[], 0), 2.0), Some(1500));
+    let crowded =
+        WorkerForecast { queued_slots: 2.0, longest_wait: ms(4000), ..forecast(0, 2.0, 0.0, &[], 0) };
     assert_eq!(opens(&crowded, 1.0), Some(4000), "no sooner than who came first has waited");
 }
 
 #[test]
 fn a_job_is_large_by_the_recent_sizes_and_never_without_a_hint() {
-    let mut room = room();
-    let mut size = |work| room.size_up(work, 1.0, 1.0, 0.4);
+    let mut sizes = JobSizes::new(half_reservable());
+    let mut size = |work| sizes.record(work, 1.0, TYPICAL);
     for n in 0..200 {
         assert!(!size(Some(if n % 2 == 0 { 0.3 } else { 0.5 })), "all alike");
     }
@@ -67,27 +81,29 @@
         size(Some(4.0));
     }
     assert!(!size(Some(4.0)));
-    let mut off = Room::new(ReservationSettings { enabled: false, ..ReservationSettings::default() });
-    assert!((0..300).all(|n| !off.size_up(Some(if n % 50 == 49 { 9.0 } else { 0.3 }), 1.0, 1.0, 0.4)));
+    let mut off = JobSizes::new(ReservationSettings { enabled: false, ..ReservationSettings::default() });
+    assert!((0..300).all(|n| !off.record(Some(if n % 50 == 49 { 9.0 } else { 0.3 }), 1.0, TYPICAL)));
 }
 
 #[test]
 fn a_job_of_more_slots_than_the_usual_is_large_however_short() {
-    let mut room = room();
+    let mut sizes = JobSizes::new(half_reservable());
     for _ in 0..100 {
-        assert!(!room.size_up(Some(0.3), 1.0, 1.0, 0.4));
+        assert!(!sizes.record(Some(0.3), 1.0, TYPICAL));
     }
-    assert!(room.size_up(Some(0.1), 2.0, 1.0, 0.4) && !room.size_up(None, 2.0, 1.0, 0.4));
+    assert!(sizes.record(Some(0.1), 2.0, TYPICAL) && !sizes.record(None, 2.0, TYPICAL));
     for _ in 0..600 {
-        room.size_up(Some(0.3), 2.0, 1.0, 0.4);
+        sizes.record(Some(0.3), 2.0, TYPICAL);
     }
-    assert!(!room.size_up(Some(0.3), 2.0, 1.0, 0.4), "where all take two, two are usual");
+    assert!(!sizes.record(Some(0.3), 2.0, TYPICAL), "where all take two, two are usual");
 }
 
 #[test]
 fn where_whatever_fits_may_start_nobody_waits_for_all_slots_of_a_worker() {
     let opens = |in_order, slots, free| {
-        Outlook { in_order, ..outlook(0, 2.0, free, &[], 0) }.opening(START, slots).is_some()
+        WorkerForecast { queue_in_order: in_order, ..forecast(0, 2.0, free, &[], 0) }
+            .expected_start(START, slots)
+            .is_some()
     };
     assert!(opens(true, 2.0, 0.0) && opens(false, 1.0, 0.0) && opens(false, 2.0, 2.0));
     assert!(!opens(false, 2.0, 1.0));
@@ -95,49 +111,59 @@
 
 #[test]
 fn small_jobs_fill_the_gap_and_no_more() {
-    let mut room = room();
+    let mut reservations = reservations();
     // One slot is free now, the other in a second; the large one wants both and may start after three.
-    let busy = outlook(0, 2.0, 1.0, &[(1000, 1.0)], 2000);
-    let held = reserve(&mut room, 1, 2.0, std::slice::from_ref(&busy), 3000).expect("a reservation");
-    assert_eq!((held.worker, held.from), (0, START + SEC));
-    let small = |run| outlook(0, 2.0, 1.0, &[(1000, 1.0)], run);
-    let may = |room: &Room, run| room.leaves_room(START, RequestId(9), 1.0, &small(run));
-    assert!(may(&room, 800) && may(&room, 1900), "ends before half of the slack is gone");
-    assert!(!may(&room, 2500));
-    assert!(room.leaves_room(START, RequestId(1), 2.0, &small(9000)), "its own job is not kept out");
+    let busy = forecast(0, 2.0, 1.0, &[(1000, 1.0)], 2000);
+    let held = reserve(&mut reservations, 1, 2.0, std::slice::from_ref(&busy), 3000).expect("a reservation");
+    assert_eq!((held.worker, held.expected_start), (0, START + SEC));
+    let small = |run| forecast(0, 2.0, 1.0, &[(1000, 1.0)], run);
+    let may = |reservations: &Reservations, run| reservations.allows(START, RequestId(9), 1.0, &small(run));
+    assert!(may(&reservations, 800) && may(&reservations, 1900), "ends before half of the slack is gone");
+    assert!(!may(&reservations, 2500));
+    assert!(reservations.allows(START, RequestId(1), 2.0, &small(9000)), "its own job is not kept out");
     // A wrong hint holds nothing for ever: past its latest start the reservation counts no more.
-    assert!(room.leaves_room(START + 4 * SEC, RequestId(9), 1.0, &small(2500)));
-    room.release(RequestId(1));
-    assert!(may(&room, 2500));
+    assert!(reservations.allows(START + 4 * SEC, RequestId(9), 1.0, &small(2500)));
+    reservations.release(RequestId(1));
+    assert!(may(&reservations, 2500));
 }
 
 #[test]
 fn a_job_beside_the_held_slots_is_welcome_however_long() {
-    let mut room = room();
-    let wide = outlook(0, 5.0, 2.0, &[(1000, 3.0)], 1000);
-    reserve(&mut room, 1, 2.0, &[wide.clone(), outlook(1, 5.0, 0.0, &[], 9000)], 2000).expect("held");
-    assert!(room.leaves_room(START, RequestId(2), 1.0, &Outlook { run: 60 * SEC, ..wide.clone() }));
-    assert!(!room.leaves_room(START, RequestId(2), 4.0, &Outlook { run: 60 * SEC, ..wide }));
+    let mut reservations = reservations();
+    let wide = forecast(0, 5.0, 2.0, &[(1000, 3.0)], 1000);
+    reserve(&mut reservations, 1, 2.0, &[wide.clone(), forecast(1, 5.0, 0.0, &[], 9000)], 2000)
+        .expect("held");
+    assert!(reservations.allows(
+        START,
+        RequestId(2),
+        1.0,
+        &WorkerForecast { run_time: 60 * SEC, ..wide.clone() }
+    ));
+    assert!(!reservations.allows(START, RequestId(2), 4.0, &WorkerForecast { run_time: 60 * SEC, ..wide }));
 }
 
 #[test]
 fn it_is_held_where_it_ends_first_and_only_where_it_starts_in_time() {
-    let fleet = [outlook(0, 2.0, 0.0, &[(300, 2.0)], 4000), outlook(1, 3.0, 0.0, &[(900, 3.0)], 1000)];
-    assert_eq!(reserve(&mut room(), 1, 1.0, &fleet, 1000).map(|r| r.worker), Some(1));
-    assert_eq!(reserve(&mut room(), 1, 1.0, &fleet, 500).map(|r| r.worker), Some(0));
-    assert_eq!(reserve(&mut room(), 1, 1.0, &fleet, 200), None);
-    assert_eq!(reserve(&mut room(), 1, 4.0, &fleet, 5000), None, "too large for any");
+    let fleet = [forecast(0, 2.0, 0.0, &[(300, 2.0)], 4000), forecast(1, 3.0, 0.0, &[(900, 3.0)], 1000)];
+    assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 1000).map(|r| r.worker), Some(1));
+    assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 500).map(|r| r.worker), Some(0));
+    assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 200), None);
+    assert_eq!(reserve(&mut reservations(), 1, 4.0, &fleet, 5000), None, "too large for any");
 }
 
 #[test]
 fn a_lost_worker_gives_up_what_it_held() {
-    let mut room = room();
-    let fleet = [outlook(0, 4.0, 0.0, &[], 100), outlook(1, 4.0, 0.0, &[], 900)];
-    reserve(&mut room, 1, 1.0, &fleet, 9000).expect("held");
-    reserve(&mut room, 2, 1.0, &fleet, 8000).expect("held");
-    assert_eq!(room.holders(0), [RequestId(2), RequestId(1)], "the one that must start first in front");
-    assert_eq!(room.release_where(|w| w == 0), [RequestId(1), RequestId(2)]);
-    assert!(!room.holds(0) && room.of(RequestId(1)).is_none());
+    let mut reservations = reservations();
+    let fleet = [forecast(0, 4.0, 0.0, &[], 100), forecast(1, 4.0, 0.0, &[], 900)];
+    reserve(&mut reservations, 1, 1.0, &fleet, 9000).expect("held");
+    reserve(&mut reservations, 2, 1.0, &fleet, 8000).expect("held");
+    assert_eq!(
+        reservations.holders(0),
+        [RequestId(2), RequestId(1)],
+        "the one that must start first in front"
+    );
+    assert_eq!(reservations.release_where(|w| w == 0), [RequestId(1), RequestId(2)]);
+    assert!(!reservations.any_at(0) && reservations.get(RequestId(1)).is_none());
 }
 
 #[test]
@@ -166,21 +192,22 @@
         jobs in prop::collection::vec((0_u32..80, 1_u8..5, 0_u64..4000, 0_u64..5000), 1..120),
         fleet in prop::collection::vec((1_u8..6, 0_u8..6, 50_u64..3000), 1..12),
     ) {
-        let outlooks: Vec<Outlook> = fleet.iter().enumerate().map(|(w, (slots, free, run))| {
-            outlook(w, f64::from(*slots), f64::from((*free).min(*slots)), &[(700, 1.0)], *run)
+        let forecasts: Vec<WorkerForecast> = fleet.iter().enumerate().map(|(w, (slots, free, run))| {
+            forecast(w, f64::from(*slots), f64::from((*free).min(*slots)), &[(700, 1.0)], *run)
         }).collect();
-        let all: f64 = outlooks.iter().map(|o| o.slots).sum();
+        let all: f64 = forecasts.iter().map(|o| o.slots).sum();
         let settings = ReservationSettings::default();
-        let mut room = Room::new(settings);
+        let mut reservations = Reservations::new(settings.max_reserved_fraction);
         let mut held: BTreeMap<u32, Reservation> = BTreeMap::new();
         for (id, slots, latest, at) in jobs {
             let now = START + ms(at);
             let slots = f64::from(slots);
             let latest = now + ms(latest);
-            held.retain(|_, r| r.latest >= now);
+            held.retain(|_, r| r.latest_start >= now);
             held.remove(&id);
-            if let Some(r) = room.reserve(now, RequestId(id), slots, all, &outlooks, |_| latest) {
-                prop_assert!(r.from <= r.latest && slots <= outlooks[r.worker].slots);
+            let job = ReservationRequest { request: RequestId(id), slots, fleet_slots: all };
+            if let Some(r) = reservations.reserve(now, job, &forecasts, |_| latest) {
+                prop_assert!(r.expected_start <= r.latest_start && slots <= forecasts[r.worker].slots);
                 held.insert(id, r);
             }
             let sum: f64 = held.values().map(|r| r.slots).sum();
