--- /dev/null
+++ b/crates/pebblepost-dispatch/src/reservation.rs
@@ -0,0 +1,196 @@
+//! Reservations for large jobs: which part of a worker is held free for one until it starts.
+//!
+//! Owns the reservations of one node. It never chooses the worker of a job, retries or rejects, and reads no
+//! clock.
+//!
+//! The method is EASY backfill (Lifka, "The ANL/IBM SP scheduling system", 1995) with one reservation for
+//! each large job: small jobs go on using a worker as long as they leave what is reserved free by the time
+//! the large one starts. Dispatchers share nothing, so a reservation binds only the jobs of its own node;
+//! what others do shows in reports.
+//!
+//! Units: slots as workers report them, times on the caller's clock.
+
+use crate::api::{RequestId, Time};
+use crate::forecast::WorkerForecast;
+use thiserror::Error;
+
+/// Reservations kept at once, whatever a flood of large jobs asks for.
+const MAX_RESERVATIONS: usize = 64;
+
+/// Settings of the reservations.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ReservationSettings {
+    /// If off, large jobs are placed as all others are.
+    pub enabled: bool,
+    /// A job is large from so many standard deviations above the recent mean of its logarithm on.
+    pub size_deviations: f64,
+    /// Fraction of all slots that may be reserved at once; the rest is left to small jobs.
+    pub max_reserved_fraction: f64,
+}
+
+impl Default for ReservationSettings {
+    fn default() -> Self {
+        Self { enabled: true, size_deviations: 2.0, max_reserved_fraction: 0.25 }
+    }
+}
+
+/// A setting outside its range.
+#[derive(Clone, Debug, Error, PartialEq)]
+#[error("{key} is {value}: {allowed} is allowed")]
+pub struct InvalidSetting {
+    /// The key of the setting, as the settings file names it.
+    pub key: &'static str,
+    /// Its value.
+    pub value: f64,
+    /// The allowed range.
+    pub allowed: &'static str,
+}
+
+impl ReservationSettings {
+    /// Checks the ranges.
+    ///
+    /// # Errors
+    /// Names the first setting that is out of its range.
+    pub fn check(&self) -> Result<(), InvalidSetting> {
+        let invalid = |key, value, allowed| Err(InvalidSetting { key, value, allowed });
+        if !(0.5..=6.0).contains(&self.size_deviations) {
+            return invalid("room.deviations", self.size_deviations, "0.5 to 6");
+        }
+        if !(0.0..=0.5).contains(&self.max_reserved_fraction) {
+            return invalid("room.mostHeld", self.max_reserved_fraction, "0 to 0.5");
+        }
+        Ok(())
+    }
+}
+
+/// A part of a worker that is reserved for a large job.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Reservation {
+    /// The job.
+    pub request: RequestId,
+    /// The worker, by its index.
+    pub worker: usize,
+    /// Reserved slots.
+    pub slots: f64,
+    /// When the job is expected to start.
+    pub expected_start: Time,
+    /// From when on the job would be late.
+    pub latest_start: Time,
+    /// When the job is expected to end.
+    pub expected_end: Time,
+}
+
+/// What a large job asks for.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ReservationRequest {
+    /// The job.
+    pub request: RequestId,
+    /// Slots that it takes.
+    pub slots: f64,
+    /// Slots of all workers that might serve it.
+    pub fleet_slots: f64,
+}
+
+/// The reservations of one node.
+#[derive(Clone, Debug)]
+pub struct Reservations {
+    max_reserved_fraction: f64,
+    reservations: Vec<Reservation>,
+}
+
+impl Reservations {
+    /// No reservation. `max_reserved_fraction`: see [`ReservationSettings`].
+    pub fn new(max_reserved_fraction: f64) -> Self {
+        Self { max_reserved_fraction, reservations: Vec::new() }
+    }
+
+    /// The reservation of a job.
+    pub fn get(&self, request: RequestId) -> Option<&Reservation> {
+        self.reservations.iter().find(|held| held.request == request)
+    }
+
+    /// Jobs that hold a part of a worker, the one that has to start first in front.
+    pub fn holders(&self, worker: usize) -> Vec<RequestId> {
+        let mut here: Vec<&Reservation> =
+            self.reservations.iter().filter(|held| held.worker == worker).collect();
+        here.sort_by_key(|held| (held.latest_start, held.request));
+        here.iter().map(|held| held.request).collect()
+    }
+
+    /// Whether anything is reserved at a worker.
+    pub fn any_at(&self, worker: usize) -> bool {
+        self.reservations.iter().any(|held| held.worker == worker)
+    }
+
+    /// Releases a job's reservation.
+    pub fn release(&mut self, request: RequestId) {
+        self.reservations.retain(|held| held.request != request);
+    }
+
+    /// Releases all reservations at workers that can no longer serve them; returns whose they were.
+    pub fn release_where(&mut self, lost: impl Fn(usize) -> bool) -> Vec<RequestId> {
+        let released =
+            self.reservations.iter().filter(|held| lost(held.worker)).map(|held| held.request).collect();
+        self.reservations.retain(|held| !lost(held.worker));
+        released
+    }
+
+    /// Reserves slots for a large job where it is expected to end first, among the workers where it starts no
+    /// later than `latest_start` says. `None`: there is no such worker, or too much is reserved already.
+    pub fn reserve(
+        &mut self, now: Time, job: ReservationRequest, forecasts: &[WorkerForecast],
+        latest_start: impl Fn(&WorkerForecast) -> Time,
+    ) -> Option<Reservation> {
+        let ReservationRequest { request, slots, fleet_slots } = job;
+        self.release(request);
+        self.reservations.retain(|held| held.latest_start >= now);
+        let reserved: f64 = self.reservations.iter().map(|held| held.slots).sum();
+        let limit = (self.max_reserved_fraction * fleet_slots).max(slots);
+        if self.reservations.len() >= MAX_RESERVATIONS || reserved + slots > limit {
+            return None;
+        }
+        let offers = forecasts.iter().filter_map(|forecast| {
+            let worker = forecast.worker;
+            // Behind those that hold a part of it already.
+            let expected_start = forecast.expected_start(now, slots + self.slots_at(worker, request))?;
+            let latest_start = latest_start(forecast);
+            let expected_end = expected_start + forecast.run_time;
+            (expected_start <= latest_start).then_some(Reservation {
+                request,
+                worker,
+                slots,
+                expected_start,
+                latest_start,
+                expected_end,
+            })
+        });
+        let best = offers.min_by_key(|offer| (offer.expected_end, offer.worker))?;
+        self.reservations.push(best);
+        Some(best)
+    }
+
+    /// Whether another job may take `slots` at a worker for `forecast.run_time`: it ends, or leaves what is
+    /// reserved free, early enough. Early enough is half of what a large job can wait beyond its expected
+    /// start, as reports, hints and other dispatchers may be wrong. A reservation past its latest start does
+    /// not count.
+    pub fn allows(&self, now: Time, request: RequestId, slots: f64, forecast: &WorkerForecast) -> bool {
+        let mut held: Vec<&Reservation> =
+            self.reservations.iter().filter(|held| held.worker == forecast.worker).collect();
+        held.retain(|held| held.request != request && held.latest_start >= now);
+        held.sort_by_key(|held| (held.expected_start, held.request));
+        let mut wanted = slots;
+        held.iter().all(|held| {
+            wanted += held.slots;
+            let from = held.expected_start.max(now);
+            let limit = from + held.latest_start.since(from) / 2;
+            now + forecast.run_time <= limit
+                || forecast.expected_start(now, wanted).is_some_and(|start| start <= limit)
+        })
+    }
+
+    /// Slots reserved at a worker, without those of `except`.
+    fn slots_at(&self, worker: usize, except: RequestId) -> f64 {
+        let others = self.reservations.iter().filter(|held| held.worker == worker && held.request != except);
+        others.map(|held| held.slots).sum()
+    }
+}
