--- a/crates/pebblepost-fleet-store/tests/watch.rs
+++ b/crates/pebblepost-fleet-store/tests/watch.rs
@@ -4,8 +4,8 @@
 
 use common::{begin, settings};
 use pebblepost_fleet::command::Worker;
-use pebblepost_fleet::{Name, Op};
-use pebblepost_fleet_store::client::Client;
+use pebblepost_fleet::{Act, Name, Op, Text};
+use pebblepost_fleet_store::client::{Client, command};
 use pebblepost_fleet_store::wire::{Ask, Say, Wire};
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -16,7 +16,9 @@
 const WATCHERS: usize = 1_000;
 
 async fn change(client: &mut Client, ops: Vec<Op>) -> u64 {
-    let answer = common::change(client, ops, LIMIT).await.expect("it answers");
+    let act = Act::Change { ops, expect: vec![], why: Text::default() };
+    let command = command("t".parse().expect("a name"), act);
+    let answer = client.command(&command, LIMIT).await.expect("it answers");
     answer.expect("nothing against it").revision
 }
 
@@ -48,7 +50,7 @@
     let folder = std::env::temp_dir().join(format!("pebblepost-watch-{}", std::process::id()));
     let settings = settings(2, folder.clone());
     let address = settings.listen.to_string();
-    let (keeper, mut client) = begin(&settings).await;
+    let (keeper, mut client) = begin(&settings, std::future::pending()).await;
     let worker = Worker { slots: 2, ..Worker::default() };
     let mut loaded = 0;
     for first in (0..WORKERS).step_by(1_000) {
--- /dev/null
+++ b/crates/pebblepost-fleet/tests/decisions.rs
@@ -0,0 +1,334 @@
+//! Decisions pinned by digests of whole seeded runs: random commands, heartbeats, followers, a release's driver and its
+//! simulation. A digest covers what is written (JSON, error texts, numbers) and its order, never the names of Rust items.
+
+use pebblepost_fleet::doing::Doing;
+use pebblepost_fleet::driver::{Driver, Next, Pace};
+use pebblepost_fleet::follow::Follower;
+use pebblepost_fleet::reckon::{off, settled, tallies};
+use pebblepost_fleet::rehearsal::{Play, rehearse};
+use pebblepost_fleet::session::{Beat, Sessions, Ttl};
+use pebblepost_fleet::state::{Presence, State};
+use pebblepost_fleet::{Act, Command, Kind, Limit, Name, RequestId};
+use serde::Serialize;
+use std::time::Duration;
+
+/// FNV-1a, 64 bits.
+struct Digest(u64);
+
+impl Digest {
+    fn new() -> Self {
+        Self(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn text(&mut self, text: &str) {
+        for byte in text.bytes().chain([0]) {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+
+    fn json<T: Serialize>(&mut self, value: &T) {
+        self.text(&serde_json::to_string(value).expect("plain data"));
+    }
+}
+
+/// `splitmix64`, so that the draws depend on no crate's version.
+struct Draws(u64);
+
+impl Draws {
+    fn below(&mut self, end: u64) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut mixed = self.0;
+        mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        (mixed ^ (mixed >> 31)) % end
+    }
+
+    fn coin(&mut self) -> bool {
+        self.below(2) == 0
+    }
+
+    fn worker(&mut self) -> String {
+        format!("w{}", self.below(6))
+    }
+
+    fn dispatcher(&mut self) -> String {
+        format!("d{}", self.below(5))
+    }
+
+    fn limit(&mut self) -> String {
+        match self.below(3) {
+            0 => format!(r#"{{"count":{}}}"#, self.below(4)),
+            1 => r#"{"share":0.5}"#.to_owned(),
+            _ => r#"{"share":1.0}"#.to_owned(),
+        }
+    }
+
+    fn operation(&mut self, state: &State) -> String {
+        let kind = if self.coin() { "dispatcher" } else { "worker" };
+        let (worker, dispatcher, revision) = (self.worker(), self.dispatcher(), state.revision());
+        let subject =
+            if kind == "worker" { format!("worker/{worker}") } else { format!("dispatcher/{dispatcher}") };
+        let granted = state.permit(&subject.parse().expect("sound")).and_then(|p| p.granted).unwrap_or(1);
+        match self.below(24) {
+            0 => format!(r#"{{"drain":"{worker}"}}"#),
+            1 => format!(r#"{{"undrain":"{worker}"}}"#),
+            2 => format!(r#"{{"set":["faktory.heartbeat_s",{}]}}"#, self.below(5)),
+            3 => r#"{"unset":"faktory.heartbeat_s"}"#.to_owned(),
+            4 | 5 => {
+                let zone = self.below(2);
+                format!(r#"{{"know":["{worker}",{{"zone":"z{zone}","kind":"k{zone}","slots":4}}]}}"#)
+            }
+            6 => format!(r#"{{"forget":"{worker}"}}"#),
+            7 => format!(r#"{{"dismiss":"{dispatcher}"}}"#),
+            8..=10 => {
+                let (most, zone, least) = (self.limit(), self.limit(), self.below(2));
+                format!(
+                    r#"{{"budget":["{kind}",{{"most":{most},"most_in_zone":{zone},"least_in_zone":{least}}}]}}"#
+                )
+            }
+            11 => format!(r#"{{"halt":"{kind}"}}"#),
+            12 => format!(r#"{{"resume":"{kind}"}}"#),
+            13..=15 => format!(r#"{{"ask":{{"subject":"{subject}","urgent":{}}}}}"#, self.coin()),
+            16 => format!(r#"{{"withdraw":"{subject}"}}"#),
+            17 => format!(r#"{{"back":["{subject}",{granted}]}}"#),
+            18 => format!(r#"{{"force":"{subject}"}}"#),
+            19 | 20 => {
+                let (version, wave) = (self.below(3), self.limit());
+                format!(
+                    r#"{{"release":{{"want":"v{version}","waves":[{wave},{{"share":1.0}}],"zones":["z1"]}}}}"#
+                )
+            }
+            21 => format!(r#"{{"go_back":"v{}"}}"#, self.below(3)),
+            22 => format!(r#"{{"advance":{}}}"#, self.below(2)),
+            _ if self.coin() => r#""end_release""#.to_owned(),
+            _ => format!(r#"{{"revoke":{{"task":"t0","fence":{revision},"to":"{dispatcher}"}}}}"#),
+        }
+    }
+
+    fn act(&mut self, state: &State) -> String {
+        let member = self.dispatcher();
+        let session = state.member(&member.parse().expect("sound")).map_or(1, |m| m.session);
+        let session = if self.below(8) == 0 { session + 1 } else { session };
+        match self.below(20) {
+            0..=3 => {
+                let (life, version, zone) = (self.below(4), self.below(3), self.below(2));
+                let ready = self.below(4) > 0;
+                format!(
+                    r#"{{"join":{{"member":"{member}","life":[1,{life}],"card":{{"role":"dispatcher","version":"v{version}","zone":"z{zone}","ready":{ready}}}}}}}"#
+                )
+            }
+            4 => format!(
+                r#"{{"report":{{"member":"{member}","session":{session},"number":{},"ready":{}}}}}"#,
+                self.below(5),
+                self.coin()
+            ),
+            5 => format!(r#"{{"leave":{{"member":"{member}","session":{session}}}}}"#),
+            6 | 7 => format!(
+                r#"{{"acquire":{{"member":"{member}","session":{session},"tasks":["t0","t{}"]}}}}"#,
+                self.below(3)
+            ),
+            8 => format!(
+                r#"{{"give_back":{{"member":"{member}","session":{session},"task":"t{}"}}}}"#,
+                self.below(3)
+            ),
+            9 => format!(r#"{{"lapse":{{"member":"{member}","session":{}}}}}"#, session.saturating_sub(3)),
+            10 => format!(
+                r#"{{"sighted":{{"workers":{{"{}":{{"zone":"z0","kind":"k0","sight":"ready"}},"{}":null}}}}}}"#,
+                self.worker(),
+                self.worker()
+            ),
+            11 => format!(r#"{{"expire":{{"member":"{member}","session":{session}}}}}"#),
+            12 => format!(r#"{{"admit":{{"keeper":{},"disk":{}}}}}"#, self.below(4), self.below(2)),
+            13 if self.below(10) == 0 => {
+                format!(r#"{{"restore":{}}}"#, serde_json::to_string(&state.snapshot()).expect("plain data"))
+            }
+            _ => {
+                let operations: Vec<String> = (0..1 + self.below(2)).map(|_| self.operation(state)).collect();
+                format!(r#"{{"change":{{"ops":[{}],"why":"because"}}}}"#, operations.join(","))
+            }
+        }
+    }
+
+    fn heartbeat(&mut self, state: &State) -> String {
+        let acts_by = state.revision().saturating_sub(self.below(6));
+        let busy = if self.coin() { format!(r#""{}""#, self.worker()) } else { String::new() };
+        let answered = self.below(50);
+        let served = answered - self.below(answered + 1) / 4;
+        let sight = ["ready", "cold", "out"][self.below(3) as usize];
+        format!(
+            r#"{{"acts_by":{acts_by},"busy":[{busy}],"counts":{{"answered":{answered},"served":{served}}},"differs":{{"w9":{{"zone":"z0","kind":"k0","sight":"{sight}"}}}}}}"#
+        )
+    }
+}
+
+/// A fleet, its leader, a follower and a driver, over so many steps.
+fn whole_run(seed: u64, steps: u64) -> u64 {
+    let (mut digest, mut draws, mut state) = (Digest::new(), Draws(seed), State::default());
+    let mut sessions = Sessions::begin(Ttl(Duration::from_secs(10)));
+    let mut follower = Follower::default();
+    let pace = Pace {
+        pause: Duration::from_secs(30),
+        patience: Duration::from_secs(120),
+        crashes: 2,
+        drop: 0.05,
+        sample: 10,
+    };
+    let mut driver = Driver::new(pace);
+    for step in 0..steps {
+        let now = Duration::from_millis(step * 700);
+        let act: Act = serde_json::from_str(&draws.act(&state)).expect("a command");
+        let mut acts = vec![act];
+        let members: Vec<(Name, u64)> =
+            state.members().filter(|_| draws.below(3) > 0).map(|(n, m)| (n.clone(), m.session)).collect();
+        for (member, session) in members {
+            let doing: Option<Doing> =
+                draws.coin().then(|| serde_json::from_str(&draws.heartbeat(&state)).expect("a heartbeat"));
+            let counted = sessions.beat(now, &state, &member, session, doing) == Beat::Counted;
+            digest.json(&counted);
+        }
+        acts.extend(sessions.overdue(now, &state));
+        acts.extend(settled(&state, &sessions));
+        digest.json(&acts);
+        let requests = tallies(&state, &sessions);
+        digest.json(&requests);
+        for worker in 0..6 {
+            digest.json(&off(&state, &sessions, &format!("w{worker}").parse().expect("sound")));
+        }
+        match driver.look(now, &state.snapshot(), &requests) {
+            Next::Wait => digest.text("wait"),
+            Next::Halted => digest.text("halted"),
+            Next::Over => digest.text("over"),
+            Next::Ask(operation, why) => {
+                digest.json(&operation);
+                digest.text(&why);
+                acts.push(Act::Change { ops: vec![operation], expect: Vec::new(), why: Default::default() });
+            }
+        }
+        for (n, act) in acts.into_iter().enumerate() {
+            let id = RequestId(step, n as u64);
+            let by = "someone".parse().expect("sound");
+            let answer = state.apply(&Command { id, by, at_ms: step, act });
+            digest.json(&answer);
+            if let Err(refusal) = &answer {
+                digest.text(&refusal.to_string());
+            }
+        }
+        follow(&mut follower, &state, &mut draws, &mut digest, now);
+        if step % 50 == 0 {
+            simulate(&state, &mut draws, &mut digest);
+        }
+    }
+    digest.json(&state);
+    digest.json(&follower);
+    let present = state.members().filter(|(_, m)| m.presence == Presence::Here).count();
+    digest.json(&present);
+    digest.0
+}
+
+fn follow(follower: &mut Follower, state: &State, draws: &mut Draws, digest: &mut Digest, now: Duration) {
+    let result = match draws.below(4) {
+        0 => follower.take_snapshot(now, state.snapshot()),
+        1 => follower.confirmed(now, state.revision()),
+        2 => match state.changes_after(follower.revision(), 64) {
+            Some(changes) => follower.take_changes(now, &changes),
+            None => follower.take_snapshot(now, state.snapshot()),
+        },
+        _ => Ok(()),
+    };
+    if let Err(error) = result {
+        digest.text(&error.to_string());
+    }
+    let worker: Name = draws.worker().parse().expect("sound");
+    let (id, by) = (RequestId(7, state.revision()), "op".parse().expect("sound"));
+    let local = match draws.below(6) {
+        0 => follower.drain(worker, id, by, 3, Default::default()),
+        1 => follower.undrain(&worker),
+        _ => Ok(()),
+    };
+    if let Err(error) = local {
+        digest.text(&error.to_string());
+    }
+    if let Some(offer) = follower.offer() {
+        digest.json(&offer);
+        let answer = state.clone().apply(&offer);
+        let _ = follower.offered(offer.id, &answer);
+    }
+    digest.json(&follower.drained());
+    digest.json(&follower.newest_mark());
+}
+
+fn simulate(state: &State, draws: &mut Draws, digest: &mut Digest) {
+    let waves = vec![Limit::Count(1 + draws.below(2) as u32), Limit::Share(1.0)];
+    let play = Play {
+        want: "v9".parse().expect("sound"),
+        waves,
+        zones: Vec::new(),
+        pause: Duration::from_secs(30),
+        restart: Duration::from_secs(10),
+    };
+    match rehearse(&state.snapshot(), &"op".parse().expect("sound"), &play) {
+        Ok(waves) => digest.json(&waves),
+        Err(never) => digest.text(&never.to_string()),
+    }
+    for kind in [Kind::Dispatcher, Kind::Worker] {
+        let roll = state.roll(kind);
+        digest.json(&(roll.out(), roll.reached(), roll.wave_is_back(), roll.queue(), roll.grants()));
+        for name in roll.all.keys() {
+            digest.text(&roll.fits(name).map_or_else(|waits| waits.to_string(), |()| "fits".to_owned()));
+            digest.json(&roll.never(name));
+        }
+    }
+}
+
+#[test]
+fn whole_runs_give_the_digests_of_earlier_builds() {
+    let digests: Vec<u64> = (1..=4).map(|seed| whole_run(seed, 600)).collect();
+    assert_eq!(
+        digests,
+        [10165176791083327862, 11867723574236821670, 16223771237942195996, 2745492736546804235]
+    );
+}
+
+/// What operators read in an error.
+#[test]
+fn texts_of_errors_stay_as_they_are() {
+    let path = std::path::PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/stored/error_texts.txt");
+    let mut texts = Vec::new();
+    for bad in ["", "x/y", "drain/", "drain/a\nb", &format!("drain/{}", "x".repeat(201)), "permit/x/y", "x"] {
+        texts.push(bad.parse::<pebblepost_fleet::Key>().expect_err("no key").to_string());
+    }
+    for bad in ["", "x", "101%", "-1%", "x%", "-1"] {
+        texts.push(bad.parse::<Limit>().expect_err("no limit").to_string());
+    }
+    for good in ["3", "10%", "100%"] {
+        texts.push(good.parse::<Limit>().expect("a limit").to_string());
+    }
+    texts.extend(error_texts());
+    assert_eq!(texts.join("\n"), std::fs::read_to_string(path).expect("it is there").trim_end());
+}
+
+fn error_texts() -> Vec<String> {
+    use pebblepost_fleet::follow::{NotHere, Unfit};
+    use pebblepost_fleet::lease::{Fence, NoAct};
+    use pebblepost_fleet::permit::Waits;
+    use pebblepost_fleet::reckon::Because;
+    let mut texts: Vec<String> =
+        [Because::Behind(3), Because::Busy, Because::Unheard, Because::CutOff].map(|b| b.to_string()).into();
+    let waits = [
+        Waits::NoBudget,
+        Waits::Halted,
+        Waits::Fleet(1),
+        Waits::Zone(2),
+        Waits::MachineKind(3),
+        Waits::Wave(4),
+        Waits::Turn,
+    ];
+    texts.extend(waits.map(|w| w.to_string()));
+    texts.extend([NoAct::NotOurs, NoAct::Ends, NoAct::TooLate].map(|e| e.to_string()));
+    texts.extend([NotHere::Full, NotHere::Agreed, NotHere::Unknown].map(|e| e.to_string()));
+    texts.extend([Unfit::Gap { found: 1, ours: 2 }, Unfit::Old { found: 1, ours: 2 }].map(|e| e.to_string()));
+    let (mut fence, task) = (Fence::default(), "t".parse().expect("sound"));
+    fence.pass(&task, 4).expect("the first");
+    texts.push(fence.pass(&task, 3).expect_err("an older one").to_string());
+    texts
+}
--- /dev/null
+++ b/crates/pebblepost-fleet/tests/stored_forms.rs
@@ -0,0 +1,113 @@
+//! Every form that is stored or sent, pinned by its bytes: what an earlier build wrote is read, and the same bytes are
+//! written again. The files under `tests/stored` are never edited to follow the code.
+
+use pebblepost_fleet::doing::Doing;
+use pebblepost_fleet::follow::Follower;
+use pebblepost_fleet::lease::Fence;
+use pebblepost_fleet::reckon::{Off, Tally};
+use pebblepost_fleet::rehearsal::Wave;
+use pebblepost_fleet::state::{Change, Snapshot, State, Value};
+use pebblepost_fleet::{Answer, Command, Key};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use std::path::PathBuf;
+
+fn path(file: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/stored").join(file)
+}
+
+fn stored(file: &str) -> String {
+    std::fs::read_to_string(path(file)).unwrap_or_else(|e| panic!("{file}: {e}"))
+}
+
+fn written<T: Serialize>(value: &T) -> String {
+    serde_json::to_string(value).expect("plain data")
+}
+
+fn read<T: DeserializeOwned>(line: &str) -> T {
+    serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"))
+}
+
+fn reads_and_writes_the_same<T: Serialize + DeserializeOwned>(file: &str, count: usize) {
+    let text = stored(file);
+    assert_eq!(text.lines().count(), count, "{file}");
+    for line in text.lines() {
+        assert_eq!(written(&read::<T>(line)), line, "{file}");
+    }
+}
+
+/// Lines in pairs: the form of an earlier version, and what is written for it now.
+fn reads_the_earlier_form<T: Serialize + DeserializeOwned>(file: &str) {
+    let text = stored(file);
+    let lines: Vec<&str> = text.lines().collect();
+    for pair in lines.chunks(2) {
+        assert_eq!(written(&read::<T>(pair[0])), pair[1], "{file}");
+    }
+}
+
+#[test]
+fn commands_and_answers_keep_their_bytes() {
+    reads_and_writes_the_same::<Command>("commands.jsonl", 15);
+    reads_and_writes_the_same::<Answer>("answers.jsonl", 7);
+    reads_the_earlier_form::<Command>("earlier_commands.jsonl");
+}
+
+#[test]
+fn values_and_changes_of_the_state_keep_their_bytes() {
+    reads_and_writes_the_same::<Value>("values.jsonl", 15);
+    reads_and_writes_the_same::<Change>("changes.jsonl", 1);
+    reads_and_writes_the_same::<Key>("keys.jsonl", 10);
+    reads_the_earlier_form::<Value>("earlier_values.jsonl");
+}
+
+#[test]
+fn heartbeats_and_what_the_leader_makes_of_them_keep_their_bytes() {
+    reads_and_writes_the_same::<Doing>("heartbeats.jsonl", 2);
+    reads_the_earlier_form::<Doing>("earlier_heartbeats.jsonl");
+    reads_and_writes_the_same::<Off>("drain_confirmations.jsonl", 2);
+    reads_and_writes_the_same::<Tally>("request_counts.jsonl", 1);
+}
+
+#[test]
+fn copies_fences_and_simulated_waves_keep_their_bytes() {
+    reads_and_writes_the_same::<Follower>("followers.jsonl", 1);
+    reads_and_writes_the_same::<Fence>("fences.jsonl", 1);
+    reads_and_writes_the_same::<Wave>("waves.jsonl", 1);
+}
+
+#[test]
+fn unknown_fields_are_refused_where_they_were() {
+    let refused = [
+        r#"{"id":[1,2],"by":"op","at_ms":17,"act":{"admit":{"keeper":4,"disk":77}},"more":1}"#,
+        r#"{"id":[1,2],"by":"op","at_ms":17,"act":{"admit":{"keeper":4,"disk":77,"more":1}}}"#,
+        r#"{"id":[1,2],"by":"op","at_ms":17,"act":{"change":{"ops":[{"ask":{"subject":"worker/w","more":1}}]}}}"#,
+        r#"{"id":[1,2],"by":"op","at_ms":17,"act":{"change":{"ops":[{"know":["w",{"more":1}]}]}}}"#,
+        r#"{"id":[1,2],"by":"op","at_ms":17,"act":{"change":{"ops":[{"budget":["worker",{"most":{"count":1},"more":1}]}]}}}"#,
+        r#"{"id":[1,2],"by":"op","at_ms":17,"act":{"change":{"ops":[],"expect":[{"key":"drain/w","revision":1,"more":1}]}}}"#,
+        r#"{"id":[1,2],"by":"d","at_ms":1,"act":{"join":{"member":"d","life":[3,4],"card":{"role":"keeper","more":1}}}}"#,
+    ];
+    for line in refused {
+        assert!(serde_json::from_str::<Command>(line).is_err(), "{line}");
+    }
+    let taken = r#"{"acts_by":1,"busy":[],"counts":{"answered":0,"served":0,"more":1},"more":1}"#;
+    assert!(serde_json::from_str::<Doing>(taken).is_ok(), "heartbeats of later versions are read");
+}
+
+/// A scripted run: the answers, the state in whole (as in a Raft snapshot) and the backup of it.
+#[test]
+fn a_run_gives_the_same_answers_state_and_backup() {
+    let mut state = State::default();
+    state.seat([(2, 5)]);
+    let mut answers = String::new();
+    for line in stored("run.jsonl").lines() {
+        answers.push_str(&written(&state.apply(&read::<Command>(line))));
+        answers.push('\n');
+    }
+    assert_eq!(answers, stored("run_answers.jsonl"));
+    let text = stored("run_state.json");
+    assert_eq!(written(&state), text.trim_end());
+    assert_eq!(written(&read::<State>(text.trim_end())), text.trim_end());
+    let backup = stored("run_backup.json");
+    assert_eq!(serde_json::to_string_pretty(&state.snapshot()).expect("plain data"), backup.trim_end());
+    assert_eq!(read::<Snapshot>(&backup), state.snapshot());
+}
