--- a/crates/pebblepost-fleet-store/src/client.rs
+++ b/crates/pebblepost-fleet-store/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::unix_ms;
 use crate::wire::{Ask, Say, Wire};
-use pebblepost_fleet::{Act, Answer, Command, Name, RequestId};
+use pebblepost_fleet::{Action, Command, CommandResult, IncarnationId, Name, RequestId};
 use std::collections::BTreeMap;
 use std::io;
 use std::time::Duration;
@@ -20,9 +20,14 @@
     RequestId(rand::random(), rand::random())
 }
 
+/// The id of a process that begins.
+pub fn incarnation_id() -> IncarnationId {
+    IncarnationId(rand::random(), rand::random())
+}
+
 /// A command that is asked for now, for the first time.
-pub fn command(by: Name, act: Act) -> Command {
-    Command { id: request_id(), by, at_ms: unix_ms(), act }
+pub fn command(by: Name, act: Action) -> Command {
+    Command { id: request_id(), issued_by: by, issued_at_ms: unix_ms(), action: act }
 }
 
 /// Why nothing was answered.
@@ -121,7 +126,9 @@
     }
 
     /// Has a command applied.
-    pub async fn command(&mut self, command: &Command, within: Duration) -> Result<Answer, Unreachable> {
+    pub async fn command(
+        &mut self, command: &Command, within: Duration,
+    ) -> Result<CommandResult, Unreachable> {
         match self.ask(&Ask::Command(command.clone()), within).await? {
             Say::Answer(answer) => Ok(answer),
             other => Err(Unreachable { within, last: format!("an answer out of place: {other:?}") }),
--- a/crates/pebblepost-fleet-store/src/group.rs
+++ b/crates/pebblepost-fleet-store/src/group.rs
@@ -1,6 +1,6 @@
 //! The types of the group.
 
-use pebblepost_fleet::{Answer, Command};
+use pebblepost_fleet::{Command, CommandResult};
 use serde::{Deserialize, Serialize};
 use std::io::Cursor;
 
@@ -15,7 +15,7 @@
 
 /// What applying an entry of the log gave; `None`: it held no command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Applied(pub Option<Answer>);
+pub struct Applied(pub Option<CommandResult>);
 
 /// A keeper as the group knows it.
 ///
--- a/crates/pebblepost-fleet-store/src/keeper.rs
+++ b/crates/pebblepost-fleet-store/src/keeper.rs
@@ -9,11 +9,10 @@
 use crate::wire::{Ask, Envelope, Message, Reply, Say, Status, Wire};
 use openraft::error::{ClientWriteError, RaftError};
 use openraft::{ChangeMembers, Config, SnapshotPolicy};
-use pebblepost_fleet::command::{Act, Command};
-use pebblepost_fleet::doing::Doing;
-use pebblepost_fleet::reckon::{off, settled, tallies};
-use pebblepost_fleet::session::{Beat, Sessions, Ttl};
-use pebblepost_fleet::{Key, Name};
+use pebblepost_fleet::heartbeat::HeartbeatReport;
+use pebblepost_fleet::leader::{HeartbeatOutcome, Sessions, drain_status, majority_update, request_totals};
+use pebblepost_fleet::session::SessionTtl;
+use pebblepost_fleet::{Action, Command, Key, Name};
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
 use std::io;
@@ -291,8 +290,8 @@
     }
 
     async fn command(&self, command: Command) -> Say {
-        let joins = match &command.act {
-            Act::Join { member, .. } => Some(member.clone()),
+        let joins = match &command.action {
+            Action::Join { member, .. } => Some(member.clone()),
             _ => None,
         };
         match self.raft.client_write(command).await {
@@ -322,7 +321,7 @@
 
     /// Whether the number may be had with this disk is agreed first.
     async fn learn(&self, id: u64, peer: crate::group::Peer) -> Say {
-        let act = Act::Admit { keeper: id, disk: peer.disk };
+        let act = Action::AdmitReplica { replica: id, disk: peer.disk };
         match self.command(command(self.name.clone(), act)).await {
             Say::Answer(Ok(_)) => self.done(self.raft.add_learner(id, peer, true).await),
             refused => refused,
@@ -344,18 +343,19 @@
         let term = self.leads()?;
         let mut held = self.sessions.lock().unwrap_or_else(PoisonError::into_inner);
         if held.as_ref().is_none_or(|(of, _)| *of != term) {
-            *held = Some((term, Sessions::begin(Ttl(self.settings.session))));
+            *held = Some((term, Sessions::new(SessionTtl(self.settings.session))));
         }
         held.as_mut().map(|(_, sessions)| work(sessions))
     }
 
     /// A beat counts at the leader only; a keeper that wrongly believes it leads can extend nothing, as only the real
     /// one can have a session ended.
-    fn beat(&self, member: &Name, session: u64, doing: Option<Doing>) -> Say {
+    fn beat(&self, member: &Name, session: u64, doing: Option<HeartbeatReport>) -> Say {
         let now = since(self.started);
-        let beat = self.with_sessions(|s| s.beat(now, &self.machine.read(), member, session, doing));
+        let beat =
+            self.with_sessions(|s| s.record_heartbeat(now, &self.machine.read(), member, session, doing));
         match beat {
-            Some(beat) => Say::Beat(beat == Beat::Counted),
+            Some(beat) => Say::Beat(beat == HeartbeatOutcome::Renewed),
             None => self.elsewhere(),
         }
     }
@@ -369,13 +369,13 @@
         if let Err(why) = self.up_to_date().await {
             return why;
         }
-        let off = self.with_sessions(|heard| off(&self.machine.read(), heard, worker));
+        let off = self.with_sessions(|heard| drain_status(&self.machine.read(), heard, worker));
         off.map_or_else(|| self.elsewhere(), Say::Off)
     }
 
     /// Signs and no proof: what this leader has heard is enough.
     fn tallies(&self) -> Say {
-        let tallies = self.with_sessions(|heard| tallies(&self.machine.read(), heard));
+        let tallies = self.with_sessions(|heard| request_totals(&self.machine.read(), heard));
         tallies.map_or_else(|| self.elsewhere(), Say::Tallies)
     }
 
@@ -386,8 +386,8 @@
             let now = since(self.started);
             let due = |s: &mut Sessions| {
                 let state = self.machine.read();
-                let mut due = s.overdue(now, &state);
-                due.extend(settled(&state, s));
+                let mut due = s.expired(now, &state);
+                due.extend(majority_update(&state, s));
                 due
             };
             for act in self.with_sessions(due).unwrap_or_default() {
--- a/crates/pebblepost-fleet-store/src/machine.rs
+++ b/crates/pebblepost-fleet-store/src/machine.rs
@@ -116,7 +116,7 @@
                 EntryPayload::Blank => Applied(None),
                 EntryPayload::Normal(command) => Applied(Some(inside.state.apply(&command))),
                 EntryPayload::Membership(members) => {
-                    inside.state.seat(members.nodes().map(|(id, peer)| (*id, peer.disk)));
+                    inside.state.register_replicas(members.nodes().map(|(id, peer)| (*id, peer.disk)));
                     inside.membership = Membership::new(Some(entry.log_id), members);
                     Applied(None)
                 }
--- a/crates/pebblepost-fleet-store/src/wire.rs
+++ b/crates/pebblepost-fleet-store/src/wire.rs
@@ -7,10 +7,10 @@
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
     VoteRequest, VoteResponse,
 };
-use pebblepost_fleet::doing::Doing;
-use pebblepost_fleet::reckon::{Off, Tally};
-use pebblepost_fleet::state::{Change, Entry, Snapshot};
-use pebblepost_fleet::{Answer, Command, Key, Name};
+use pebblepost_fleet::heartbeat::HeartbeatReport;
+use pebblepost_fleet::leader::{DrainStatus, IncarnationRequests};
+use pebblepost_fleet::value::Entry;
+use pebblepost_fleet::{Change, Command, CommandResult, Key, Name, Snapshot};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
         session: u64,
         /// What it does.
         #[serde(default)]
-        doing: Option<Doing>,
+        doing: Option<HeartbeatReport>,
     },
     /// Whether this worker may be switched off, as of now.
     Off(Name),
@@ -91,7 +91,7 @@
     /// To a message of Raft.
     Raft(Reply),
     /// To a command.
-    Answer(Answer),
+    Answer(CommandResult),
     /// To a beat: whether the session goes on.
     Beat(bool),
     /// To `Get`.
@@ -110,9 +110,9 @@
     /// To `Watch`: nothing has changed since this revision.
     Current(u64),
     /// To `Off`.
-    Off(Off),
+    Off(DrainStatus),
     /// To `Tallies`.
-    Tallies(BTreeMap<Name, Tally>),
+    Tallies(BTreeMap<Name, IncarnationRequests>),
     /// To `Status`.
     Status(Box<Status>),
     /// To a change of the group.
--- a/crates/pebblepost-fleet-store/tests/watch.rs
+++ b/crates/pebblepost-fleet-store/tests/watch.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{begin, settings};
-use pebblepost_fleet::command::Worker;
-use pebblepost_fleet::{Act, Name, Op, Text};
+use pebblepost_fleet::value::Worker;
+use pebblepost_fleet::{Action, Name, Operation, Text};
 use pebblepost_fleet_store::client::{Client, command};
 use pebblepost_fleet_store::wire::{Ask, Say, Wire};
 use std::time::Duration;
@@ -15,8 +15,8 @@
 const WORKERS: usize = 10_000;
 const WATCHERS: usize = 1_000;
 
-async fn change(client: &mut Client, ops: Vec<Op>) -> u64 {
-    let act = Act::Change { ops, expect: vec![], why: Text::default() };
+async fn change(client: &mut Client, ops: Vec<Operation>) -> u64 {
+    let act = Action::Change { operations: ops, preconditions: vec![], reason: Text::default() };
     let command = command("t".parse().expect("a name"), act);
     let answer = client.command(&command, LIMIT).await.expect("it answers");
     answer.expect("nothing against it").revision
@@ -55,7 +55,7 @@
     let mut loaded = 0;
     for first in (0..WORKERS).step_by(1_000) {
         let name = |n: usize| -> Name { format!("w-{n}").parse().expect("a name") };
-        let ops = (first..first + 1_000).map(|n| Op::Know(name(n), worker.clone())).collect();
+        let ops = (first..first + 1_000).map(|n| Operation::PutWorker(name(n), worker.clone())).collect();
         loaded = change(&mut client, ops).await;
     }
     let open = async |from: u64| {
@@ -72,7 +72,7 @@
     let ahead = tokio::spawn(reads_until(open(loaded + 1_000).await, 0, until));
     let _does_not_read = open(0).await;
     for n in 0..20 {
-        change(&mut client, vec![Op::Drain(format!("w-{n}").parse().expect("a name"))]).await;
+        change(&mut client, vec![Operation::Drain(format!("w-{n}").parse().expect("a name"))]).await;
     }
     for watcher in watchers {
         let (snapshots, items) = timeout(LIMIT, watcher).await.expect("in time").expect("no gap");
--- a/crates/pebblepost-fleet/examples/release_size.rs
+++ b/crates/pebblepost-fleet/examples/release_size.rs
@@ -5,10 +5,11 @@
 
 #![forbid(unsafe_code)]
 
-use pebblepost_fleet::command::{Act, Card, Command, RequestId, Role};
-use pebblepost_fleet::driver::{Driver, Next, Pace};
-use pebblepost_fleet::state::State;
-use pebblepost_fleet::{Budget, Kind, Limit, Name, Op, Text};
+use pebblepost_fleet::release_driver::{NextStep, ReleaseDriver, ReleasePolicy};
+use pebblepost_fleet::value::{MemberInfo, Role};
+use pebblepost_fleet::{
+    Action, Budget, Command, IncarnationId, Limit, Name, Operation, RequestId, State, SubjectKind, Text,
+};
 use plotters::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -24,31 +25,39 @@
 }
 
 impl Fleet {
-    fn act(&mut self, by: &str, act: Act) {
+    fn act(&mut self, by: &str, act: Action) {
         (self.commands, self.last) = (self.commands + 1, self.last + 1);
         let (id, by) = (RequestId(1, self.last), by.parse().expect("a sound name"));
         let before = self.state.revision();
-        self.state.apply(&Command { id, by, at_ms: 0, act }).expect("it makes sense");
+        self.state
+            .apply(&Command { id, issued_by: by, issued_at_ms: 0, action: act })
+            .expect("it makes sense");
         let changes = self.state.changes_after(before, 1).unwrap_or_default();
         self.bytes += serde_json::to_string(&changes).map_or(0, |text| text.len());
     }
 
-    fn op(&mut self, op: Op) {
-        self.act("operator", Act::Change { ops: vec![op], expect: Vec::new(), why: Text::default() });
+    fn op(&mut self, op: Operation) {
+        self.act(
+            "operator",
+            Action::Change { operations: vec![op], preconditions: Vec::new(), reason: Text::default() },
+        );
     }
 
     fn joins(&mut self, n: u64, life: u64, version: &str) {
         let text = |t: String| t.parse::<Text>().expect("a sound text");
         let (version, zone) = (text(version.to_owned()), text(format!("z{}", n % 3)));
-        let card = Card { role: Role::Dispatcher, version, address: None, zone, ready: true };
+        let card = MemberInfo { role: Role::Dispatcher, version, address: None, zone, ready: true };
         let member: Name = format!("d{n}").parse().expect("a sound name");
-        self.act(&format!("d{n}"), Act::Join { member, life: RequestId(n, life), card });
+        self.act(
+            &format!("d{n}"),
+            Action::Join { member, incarnation_id: IncarnationId(n, life), info: card },
+        );
     }
 
     /// Those whose first life is permitted to end.
     fn going(&self) -> BTreeSet<u64> {
-        let granted = self.state.permits().filter(|(_, p)| p.granted.is_some());
-        granted.filter_map(|(_, p)| p.life).filter(|l| l.1 == 1).map(|l| l.0).collect()
+        let granted = self.state.permits().filter(|(_, p)| p.granted_at_revision.is_some());
+        granted.filter_map(|(_, p)| p.incarnation_id).filter(|l| l.1 == 1).map(|l| l.0).collect()
     }
 }
 
@@ -96,20 +105,28 @@
     for dispatchers in [30, 100, 300, 1_000, 3_000] {
         let mut fleet = Fleet { state: State::default(), last: 0, commands: 0, bytes: 0 };
         (0..dispatchers).for_each(|n| fleet.joins(n, 1, "1"));
-        let budget =
-            Budget { most: Limit::Share(0.1), most_in_zone: None, most_in_kind: None, least_in_zone: 1 };
-        fleet.op(Op::Budget(Kind::Dispatcher, budget));
+        let budget = Budget {
+            max_unavailable: Limit::Fraction(0.1),
+            max_unavailable_per_zone: None,
+            max_unavailable_per_machine_type: None,
+            min_available_per_zone: 1,
+        };
+        fleet.op(Operation::SetBudget(SubjectKind::Dispatcher, budget));
         (fleet.commands, fleet.bytes) = (0, 0);
         let (began, mut draws) = (Instant::now(), Pcg64Mcg::seed_from_u64(7));
-        let waves = vec![Limit::Count(1), Limit::Share(0.05), Limit::Share(0.25), Limit::Share(1.0)];
-        fleet.op(Op::Release { want: "2".parse().expect("a sound text"), waves, zones: Vec::new() });
+        let waves = vec![Limit::Count(1), Limit::Fraction(0.05), Limit::Fraction(0.25), Limit::Fraction(1.0)];
+        fleet.op(Operation::BeginRelease {
+            version: "2".parse().expect("a sound text"),
+            waves,
+            zone_order: Vec::new(),
+        });
         let pause = Duration::from_secs(60);
-        let mut driver = Driver::new(Pace {
-            pause,
-            patience: Duration::from_secs(600),
-            crashes: 3,
-            drop: 0.05,
-            sample: 200,
+        let mut driver = ReleaseDriver::new(ReleasePolicy {
+            observation_time: pause,
+            wave_timeout: Duration::from_secs(600),
+            max_crashes: 3,
+            max_success_rate_drop: 0.05,
+            min_answers: 200,
         });
         // In tenths of a second: each hears of its permit, ends what it has, and is started again within 2 to 8 s.
         let (mut now, mut back): (u64, BTreeMap<u64, BTreeSet<u64>>) = (0, BTreeMap::new());
@@ -123,11 +140,14 @@
                 fleet.joins(n, 2, "2");
             }
             if now.is_multiple_of(10) {
-                match driver.look(Duration::from_millis(now * 100), &fleet.state.snapshot(), &BTreeMap::new())
-                {
-                    Next::Ask(op, _) => fleet.op(op),
-                    Next::Over => break,
-                    Next::Wait | Next::Halted => {}
+                match driver.next_step(
+                    Duration::from_millis(now * 100),
+                    &fleet.state.snapshot(),
+                    &BTreeMap::new(),
+                ) {
+                    NextStep::Propose { operation: op, reason: _ } => fleet.op(op),
+                    NextStep::Finished => break,
+                    NextStep::Wait | NextStep::Halted => {}
                 }
             }
             now += 1;
--- a/crates/pebblepost-fleet/src/command.rs
+++ b/crates/pebblepost-fleet/src/command.rs
@@ -1,348 +1,320 @@
-//! What may be asked of the agreed state, and what is answered.
+//! Commands: what may change the replicated state, and what is answered.
+//!
+//! This module only holds the messages. It owns no state and checks nothing but their form; the rules are in
+//! [`State::apply`](crate::State::apply).
 
-pub use crate::name::RequestId;
-use crate::name::{Key, Kind, Name, Subject, Text};
-use crate::permit::{Budget, Limit};
-use crate::sight::{Different, Seen, Sight};
-use crate::state::Snapshot;
-use schemars::JsonSchema;
+use crate::name::{IncarnationId, Key, Name, RequestId, Subject, SubjectKind, Text};
+use crate::value::{Budget, Limit, MemberInfo, Snapshot, Worker, WorkerDiff};
 use serde::{Deserialize, Serialize};
-use std::net::SocketAddr;
 use thiserror::Error;
 
-/// A request for a change of the agreed state.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
+/// A request for a change of the replicated state: one entry of the Raft log.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Command {
-    /// The same each time that this request is sent.
+    /// Identifies the request: a retry carries the same id and is applied once.
     pub id: RequestId,
-    /// Who asks: an operator or a member.
-    pub by: Name,
-    /// The asker's wall clock, in Unix time in milliseconds. It is shown to people and decides nothing.
-    pub at_ms: u64,
-    /// What is asked for.
-    pub act: Act,
+    /// The operator, member or replica that issued it.
+    #[serde(rename = "by")]
+    pub issued_by: Name,
+    /// The issuer's wall clock, in Unix time in milliseconds. Shown to operators; no decision depends on it.
+    #[serde(rename = "at_ms")]
+    pub issued_at_ms: u64,
+    /// The requested change.
+    #[serde(rename = "act")]
+    pub action: Action,
 }
 
-/// What is asked for.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
+/// What a [`Command`] asks for.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Act {
-    /// All of these changes or none of them.
+pub enum Action {
+    /// Applies all operations or none of them.
     Change {
-        /// The changes, each key at most once.
-        ops: Vec<Op>,
-        /// Nothing is changed unless all of this still holds.
-        #[serde(default)]
-        expect: Vec<Expect>,
-        /// Why, for the history.
-        #[serde(default)]
-        why: Text,
+        /// The operations; each key at most once.
+        #[serde(rename = "ops")]
+        operations: Vec<Operation>,
+        /// Nothing is changed unless all of these hold.
+        #[serde(rename = "expect", default)]
+        preconditions: Vec<Precondition>,
+        /// The reason, for the history.
+        #[serde(rename = "why", default)]
+        reason: Text,
     },
-    /// Drains, settings, budgets and workers become what a backup says. Members, permits and halts stay as they are; members
-    /// that only the backup knows count as lost. Revisions, sessions and incarnations do not go back.
+    /// Replaces drains, settings, budgets and workers by those of a backup. Members, permits and halts stay as they are; members
+    /// that only the backup has become lost. Revisions, sessions and incarnations never go back.
     Restore(Snapshot),
-    /// A keeper of this number and disk may be taken in.
-    Admit {
-        /// Its number.
-        keeper: u64,
-        /// Its disk.
+    /// Registers the disk of a replica's number, so that the replica may join the Raft group.
+    #[serde(rename = "admit")]
+    AdmitReplica {
+        /// The replica's number.
+        #[serde(rename = "keeper")]
+        replica: u64,
+        /// The id of its disk.
         disk: u64,
     },
-    /// A member begins a session; the one it had before ends.
+    /// Begins a session of a member; its previous session ends.
     Join {
-        /// Which.
+        /// The member.
         member: Name,
-        /// Drawn once by each process at its start: tells its life from those before it.
-        life: RequestId,
-        /// The rest.
-        card: Card,
+        /// The id of the member's process.
+        #[serde(rename = "life")]
+        incarnation_id: IncarnationId,
+        /// What the member says about itself.
+        #[serde(rename = "card")]
+        info: MemberInfo,
     },
-    /// A member takes new clients from now on, or none.
-    Report {
-        /// Which.
+    /// Reports whether a member accepts new clients.
+    #[serde(rename = "report")]
+    ReportReadiness {
+        /// The member.
         member: Name,
-        /// The session.
+        /// Its session.
         session: u64,
-        /// Counts its reports in this session, from 1: one that comes late changes nothing.
-        number: u64,
-        /// Whether it does.
+        /// Counts the reports of this session, from 1: a late one changes nothing.
+        #[serde(rename = "number")]
+        sequence: u64,
+        /// Whether it accepts new clients.
         ready: bool,
     },
-    /// A member ends its session of its own accord.
+    /// Ends a session at the member's own request.
     Leave {
-        /// Which.
+        /// The member.
         member: Name,
-        /// The session.
+        /// Its session.
         session: u64,
     },
-    /// A member wants tasks: each is granted as soon as it is free and the member is its next.
-    Acquire {
-        /// Which.
+    /// Queues a member for the leases of tasks. Each is granted as soon as it is free and the member is next.
+    #[serde(rename = "acquire")]
+    AcquireLeases {
+        /// The member.
         member: Name,
         /// Its session.
         session: u64,
         /// The tasks.
         tasks: Vec<Name>,
     },
-    /// A holder has stopped acting and gives a task back, or one that waits does so no more.
-    GiveBack {
-        /// Which.
+    /// Releases a lease whose holder has stopped acting on it, or removes a waiting member from its queue.
+    #[serde(rename = "give_back")]
+    ReleaseLease {
+        /// The member.
         member: Name,
-        /// Its session when it was granted.
+        /// Its session when the lease was granted.
         session: u64,
         /// The task.
         task: Name,
-        /// Who is to have it next.
-        #[serde(default)]
-        to: Option<Name>,
+        /// The member that gets the lease next.
+        #[serde(rename = "to", default)]
+        successor: Option<Name>,
     },
-    /// A session that was replaced has surely run out, so that its leases are free. Asked by the leader of the keepers.
-    Lapse {
-        /// Whose it was.
+    /// Frees the leases of a superseded session that has certainly expired. Issued by the Raft leader.
+    #[serde(rename = "lapse")]
+    ExpireSupersededSession {
+        /// The member.
         member: Name,
-        /// The session.
+        /// The superseded session.
         session: u64,
     },
-    /// These workers are seen so by most dispatchers. Asked by the leader of the keepers.
-    Sighted {
-        /// How each stands; `None`: it is no more.
-        workers: Different,
+    /// Takes in what a majority of the dispatchers observes of workers. Issued by the Raft leader.
+    #[serde(rename = "sighted")]
+    UpdateWorkers {
+        /// The observations by worker; `None`: the worker is gone.
+        workers: WorkerDiff,
     },
-    /// A member has not been heard for too long. Asked by the leader of the keepers.
-    Expire {
-        /// Which.
+    /// Ends a session without heartbeats. Issued by the Raft leader.
+    #[serde(rename = "expire")]
+    ExpireSession {
+        /// The member.
         member: Name,
-        /// The session that has not been heard.
+        /// The session.
         session: u64,
     },
 }
 
-/// One change.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
+/// One change of the value at one key (and of those that follow from it).
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Op {
-    /// Nothing new goes to this worker.
+pub enum Operation {
+    /// Sets a worker's drain mark: no new work goes to it.
     Drain(Name),
-    /// Takes the drain mark back.
+    /// Removes a worker's drain mark.
     Undrain(Name),
-    /// A setting gets this value.
-    Set(Name, f64),
-    /// A setting goes back to what the operator's file says.
-    Unset(Name),
-    /// A worker is known like this.
-    Know(Name, Worker),
-    /// A worker is known no more.
-    Forget(Name),
-    /// A member that is not there is known no more, nor are its former lives.
-    Dismiss(Name),
-    /// So many of a kind may be out at once.
-    Budget(Kind, Budget),
-    /// No budget any more: nothing of the kind may go out.
-    Unbudget(Kind),
-    /// Nothing more of the kind goes out until it is resumed. What is out already may come back.
-    Halt(Kind),
-    /// The end of a halt.
-    Resume(Kind),
-    /// One wants to go out. It is granted as soon as it fits; asked for again, it is the same permit.
-    Ask {
-        /// Which.
+    /// Sets a setting's value.
+    #[serde(rename = "set")]
+    SetSetting(Name, f64),
+    /// Removes a setting's value: the one of the operator's file applies again.
+    #[serde(rename = "unset")]
+    UnsetSetting(Name),
+    /// Adds or replaces a worker.
+    #[serde(rename = "know")]
+    PutWorker(Name, Worker),
+    /// Removes a worker.
+    #[serde(rename = "forget")]
+    RemoveWorker(Name),
+    /// Removes an absent member together with its incarnations.
+    #[serde(rename = "dismiss")]
+    RemoveMember(Name),
+    /// Sets the disruption budget of a kind.
+    #[serde(rename = "budget")]
+    SetBudget(SubjectKind, Budget),
+    /// Removes the budget of a kind: no permit is granted without one.
+    #[serde(rename = "unbudget")]
+    RemoveBudget(SubjectKind),
+    /// Stops granting permits of a kind. Granted permits stay.
+    Halt(SubjectKind),
+    /// Ends a halt.
+    Resume(SubjectKind),
+    /// Requests a permit. It is granted as soon as the budget allows it; requested again, it is the same permit.
+    #[serde(rename = "ask")]
+    RequestPermit {
+        /// The dispatcher or worker.
         subject: Subject,
-        /// Goes before those that are not.
+        /// Served before requests that are not urgent.
         #[serde(default)]
         urgent: bool,
-        /// The version that a dispatcher must have to count as back; empty: any.
-        #[serde(default)]
-        want: Text,
+        /// The version with which a dispatcher has to return; empty: any.
+        #[serde(rename = "want", default)]
+        version: Text,
     },
-    /// One that waits does not want to go any more. A granted permit is not taken back: its subject may be going already.
-    Withdraw(Subject),
-    /// A worker is back: the permit granted at that revision ends, and the drain mark with it.
-    Back(Subject, u64),
-    /// An operator answers for it that a subject counts as back.
-    Force(Subject),
-    /// All dispatchers are to have this version, so many of them in each wave. All that have another one are asked for with
-    /// it; begun again, it is the same release.
-    Release {
+    /// Withdraws a permit that was not granted yet. A granted one stays: its subject may have gone already.
+    #[serde(rename = "withdraw")]
+    WithdrawPermit(Subject),
+    /// A worker has returned: ends the permit granted at that revision and removes the drain mark.
+    #[serde(rename = "back")]
+    CompletePermit(Subject, u64),
+    /// Ends a permit on an operator's responsibility.
+    #[serde(rename = "force")]
+    ForceCompletePermit(Subject),
+    /// Begins a release: every dispatcher with another version gets a permit request. Begun again, it is the same release.
+    #[serde(rename = "release")]
+    BeginRelease {
         /// The version.
-        want: Text,
-        /// How many may have it in each wave, those of the waves before among them.
+        #[serde(rename = "want")]
+        version: Text,
+        /// How many dispatchers may have the version in each wave, those of earlier waves included.
         waves: Vec<Limit>,
-        /// Zones in the order in which they go; see [`Release`](crate::permit::Release).
-        #[serde(default)]
-        zones: Vec<Text>,
+        /// The order of zones; see [`Release`](crate::value::Release).
+        #[serde(rename = "zones", default)]
+        zone_order: Vec<Text>,
     },
-    /// The release is given up: all that have its version, or may be going over to it, go back to this one, those that are
-    /// out first, and without waves.
-    GoBack(Text),
-    /// The wave of this number, counted from 0, is all back and was watched: the next one begins.
-    Advance(u32),
-    /// The release is over: all have its version.
+    /// Rolls the release back to this version, in one wave; dispatchers that are unavailable go first.
+    #[serde(rename = "go_back")]
+    RollBack(Text),
+    /// Ends the wave of this number, counted from 0, and begins the next.
+    #[serde(rename = "advance")]
+    AdvanceWave(u32),
+    /// Ends a release that all dispatchers have completed.
     EndRelease,
-    /// The holder of a task, by the fence of its grant, is to give it back; somebody named has it next.
-    Revoke {
+    /// Asks the holder of a lease to release it.
+    #[serde(rename = "revoke")]
+    RevokeLease {
         /// The task.
         task: Name,
-        /// The fence.
-        fence: u64,
-        /// Who has it next.
-        #[serde(default)]
-        to: Option<Name>,
+        /// The fencing token of the grant that is meant.
+        #[serde(rename = "fence")]
+        fencing_token: u64,
+        /// The member that gets the lease next.
+        #[serde(rename = "to", default)]
+        successor: Option<Name>,
     },
 }
 
-impl Op {
-    /// The place that it changes.
+impl Operation {
+    /// The key that it changes.
     pub fn key(&self) -> Key {
         match self {
             Self::Drain(name) | Self::Undrain(name) => Key::Drain(name.clone()),
-            Self::Set(name, _) | Self::Unset(name) => Key::Setting(name.clone()),
-            Self::Know(name, _) | Self::Forget(name) => Key::Worker(name.clone()),
-            Self::Dismiss(name) => Key::Member(name.clone()),
-            Self::Budget(kind, _) | Self::Unbudget(kind) => Key::Budget(*kind),
+            Self::SetSetting(name, _) | Self::UnsetSetting(name) => Key::Setting(name.clone()),
+            Self::PutWorker(name, _) | Self::RemoveWorker(name) => Key::Worker(name.clone()),
+            Self::RemoveMember(name) => Key::Member(name.clone()),
+            Self::SetBudget(kind, _) | Self::RemoveBudget(kind) => Key::Budget(*kind),
             Self::Halt(kind) | Self::Resume(kind) => Key::Halt(*kind),
-            Self::Release { .. } | Self::GoBack(_) | Self::Advance(_) | Self::EndRelease => {
-                Key::Release(Kind::Dispatcher)
+            Self::BeginRelease { .. } | Self::RollBack(_) | Self::AdvanceWave(_) | Self::EndRelease => {
+                Key::Release(SubjectKind::Dispatcher)
             }
-            Self::Revoke { task, .. } => Key::Lease(task.clone()),
-            Self::Ask { subject, .. }
-            | Self::Withdraw(subject)
-            | Self::Back(subject, _)
-            | Self::Force(subject) => Key::Permit(subject.clone()),
+            Self::RevokeLease { task, .. } => Key::Lease(task.clone()),
+            Self::RequestPermit { subject, .. }
+            | Self::WithdrawPermit(subject)
+            | Self::CompletePermit(subject, _)
+            | Self::ForceCompletePermit(subject) => Key::Permit(subject.clone()),
         }
     }
 }
 
-/// A precondition: the key was changed last at this revision.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
+/// A precondition: the last change of a key.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Expect {
+pub struct Precondition {
     /// The key.
     pub key: Key,
-    /// Its revision; 0: it is not there.
+    /// The revision of its last change; 0: the key has no value.
     pub revision: u64,
 }
 
-/// A worker as it was last known.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Worker {
-    /// Where it is reached, if all reach it at one address.
-    #[serde(default)]
-    pub dial: Option<SocketAddr>,
-    /// Its zone.
-    #[serde(default)]
-    pub zone: Text,
-    /// Its kind of machine.
-    #[serde(default)]
-    pub kind: Text,
-    /// Its last start, in Unix time in milliseconds; 0: long ago.
-    #[serde(default)]
-    pub born_ms: u64,
-    /// Most slots seen free.
-    #[serde(default)]
-    pub slots: u32,
-    /// How most dispatchers see it; `None`: they have told nothing of it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub sight: Option<Sight>,
-}
-
-impl Worker {
-    /// It as most dispatchers see it.
-    pub fn seen(&self) -> Option<Seen> {
-        Some(Seen { zone: self.zone.clone(), kind: self.kind.clone(), sight: self.sight? })
-    }
-}
-
-/// What a member says of itself.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Card {
-    /// What it is.
-    pub role: Role,
-    /// Version of its program.
-    #[serde(default)]
-    pub version: Text,
-    /// Where it is reached.
-    #[serde(default)]
-    pub address: Option<SocketAddr>,
-    /// Its zone.
-    #[serde(default)]
-    pub zone: Text,
-    /// Whether it takes new clients; see [`Act::Report`].
-    #[serde(default)]
-    pub ready: bool,
-}
-
-/// What a member is.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-#[serde(rename_all = "snake_case")]
-pub enum Role {
-    /// It dispatches.
-    Dispatcher,
-    /// It keeps the agreed state.
-    Keeper,
-}
-
-/// What was done.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct Done {
-    /// The revision of the state after it. A command that changes nothing leaves it as it was.
+/// What an accepted command did.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Outcome {
+    /// The revision of the state after the command, which a command without effect leaves as it was.
     pub revision: u64,
-    /// The session, for a `Join`.
+    /// The new session, for [`Action::Join`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub session: Option<u64>,
 }
 
-/// Why nothing was done. The same command is refused again for as long as this holds.
-#[derive(Clone, Debug, Error, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
+/// Why a command was rejected without any effect.
+#[derive(Clone, Debug, Error, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Refusal {
+pub enum Rejection {
     /// A precondition does not hold.
     #[error("{key} was changed at revision {found}, not at {expected}")]
     Conflict {
-        /// Which key.
+        /// The key.
         key: Key,
-        /// The revision named.
+        /// The revision of the precondition.
         expected: u64,
-        /// The revision that it has; 0: it is not there.
+        /// The revision of the key's last change; 0: it has no value.
         found: u64,
-        /// The revision of the state that says so.
-        at: u64,
+        /// The revision of the state that rejects.
+        #[serde(rename = "at")]
+        state_revision: u64,
     },
-    /// The command makes no sense.
-    #[error("{what}")]
+    /// The command is not valid, or not in this state.
+    #[error("{reason}")]
     Invalid {
-        /// Why.
-        what: String,
+        /// The reason, for people.
+        #[serde(rename = "what")]
+        reason: String,
     },
-    /// There is no room for more of its kind.
-    #[error("no room for more: at most {most} {what}")]
+    /// A capacity limit is reached.
+    #[error("no room for more: at most {capacity} {resource}")]
     Full {
-        /// Of what.
-        what: String,
-        /// How many fit.
-        most: usize,
+        /// The limited resource, for people.
+        #[serde(rename = "what")]
+        resource: String,
+        /// The limit.
+        #[serde(rename = "most")]
+        capacity: usize,
     },
-    /// The member's name belongs to a later life.
+    /// A later incarnation has the member's name.
     #[error(
         "{member} has started anew since (life {incarnation}); this process must end or take another name"
     )]
     Superseded {
-        /// Which member.
+        /// The member.
         member: Name,
         /// The incarnation that has the name now.
         incarnation: u64,
     },
     /// The session has ended.
     #[error("session {session} of {member} has ended; join again")]
-    Ended {
-        /// Which member.
+    #[serde(rename = "ended")]
+    SessionEnded {
+        /// The member.
         member: Name,
         /// The session named.
         session: u64,
     },
 }
 
-/// What is answered to a command.
-pub type Answer = Result<Done, Refusal>;
+/// The answer to a command.
+pub type CommandResult = Result<Outcome, Rejection>;
--- /dev/null
+++ b/crates/pebblepost-fleet/src/leader/mod.rs
@@ -0,0 +1,12 @@
+//! What the Raft leader knows from heartbeats, and what it concludes from them and the state. Soft state: a new leader begins
+//! without any. No I/O; time is monotonic and comes as an argument.
+
+mod drain_status;
+mod request_totals;
+mod sessions;
+mod worker_majority;
+
+pub use drain_status::{DrainStatus, UnconfirmedReason, drain_status};
+pub use request_totals::{IncarnationRequests, request_totals};
+pub use sessions::{HeartbeatOutcome, Sessions};
+pub use worker_majority::majority_update;
--- a/crates/pebblepost-fleet/src/lib.rs
+++ b/crates/pebblepost-fleet/src/lib.rs
@@ -1,37 +1,39 @@
-//! The agreed state of a fleet: what the keepers hold in common and the dispatchers follow.
+//! The replicated state machine of a fleet of dispatchers: members with sessions and leases, drains and settings, permits
+//! under disruption budgets, and releases.
 //!
-//! Nothing here does I/O, reads a clock or draws a number: time comes as a field of a command or as an argument, so the
-//! same commands give the same state at every keeper. Whoever asks for a change may be late, doubled or dead; the rules
+//! Nothing here does I/O, reads a clock or draws a random number: time comes as a field of a command or as an argument, so
+//! the same commands give the same state at every replica. A command may be late, duplicated or from a dead process; the rules
 //! are checked in [`State::apply`] and nowhere else.
 //!
-//! * [`command`]: what may be asked for, and what is answered.
+//! Modules, each using only those before it:
+//!
+//! * [`name`], [`setting`], [`value`]: names and keys, and the values that the state holds.
+//! * [`heartbeat`], [`session`], [`fencing`]: what members send, how long sessions and leases are valid.
+//! * [`command`]: what may change the state, and what is answered.
+//! * [`availability`]: which permits a disruption budget and a release allow now.
 //! * [`state`]: the state, its revisions and its bounded log of changes.
-//! * [`permit`]: who may be out at once: budgets, permits and their queue.
-//! * [`doing`], [`sight`]: what a dispatcher tells with its beats; [`reckon`]: what the leader makes of it.
-//! * [`driver`]: when a release goes on to its next wave, and what halts it.
-//! * [`rehearsal`]: a release played through before it begins.
-//! * [`lease`]: who does a task for the whole fleet, and for how long it may rely on that.
-//! * [`session`]: which members are there, as the leader of the keepers reckons it from their beats.
-//! * [`follow`]: a dispatcher's copy, its age, and the drains asked for while it was cut off.
+//! * [`leader`]: what the Raft leader concludes from heartbeats.
+//! * [`follower`]: a dispatcher's copy, its age, and the drains requested at it while it was partitioned.
+//! * [`release_driver`], [`simulation`]: when a release advances or halts, and its dry run.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod availability;
 pub mod command;
-pub mod doing;
-pub mod driver;
-pub mod follow;
-pub mod lease;
+pub mod fencing;
+pub mod follower;
+pub mod heartbeat;
+pub mod leader;
 pub mod name;
-pub mod permit;
-pub mod reckon;
-pub mod rehearsal;
+pub mod release_driver;
 pub mod session;
 pub mod setting;
-pub mod sight;
+pub mod simulation;
 pub mod state;
+pub mod value;
 
-pub use command::{Act, Answer, Command, Done, Expect, Op, Refusal};
-pub use name::{Key, Kind, Name, RequestId, Subject, Text};
-pub use permit::{Budget, Limit, Permit};
-pub use state::{Change, Snapshot, State};
+pub use command::{Action, Command, CommandResult, Operation, Outcome, Precondition, Rejection};
+pub use name::{IncarnationId, Key, Name, RequestId, Subject, SubjectKind, Text};
+pub use state::State;
+pub use value::{Budget, Change, Limit, Permit, Snapshot};
--- a/crates/pebblepost-fleet/src/name.rs
+++ b/crates/pebblepost-fleet/src/name.rs
@@ -1,79 +1,79 @@
-//! Names, keys and ids: short, printable, checked where they are made, so that no later code has to.
+//! Names, keys and ids: short and printable. They are checked where they are made, so no later code has to.
 
-use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 use thiserror::Error;
 
 /// Longest name, in bytes.
-pub const MAX_NAME: usize = 200;
+pub const MAX_NAME_BYTES: usize = 200;
 /// Longest free text (a reason, a version), in bytes.
-pub const MAX_TEXT: usize = 400;
+pub const MAX_TEXT_BYTES: usize = 400;
 
-/// Why a text is no name or no key.
+/// Why a text is not a valid name, text or key.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum BadName {
-    /// Nothing in it.
+pub enum InvalidName {
+    /// It is empty.
     #[error("a name is missing")]
     Empty,
-    /// It has too many bytes.
+    /// It has more than this many bytes.
     #[error("longer than {0} bytes")]
-    Long(usize),
-    /// It has a control character in it.
+    TooLong(usize),
+    /// It has a control character.
     #[error("a control character in it")]
-    Control,
-    /// It names no part of the state.
+    ControlCharacter,
+    /// It has no known prefix.
     #[error(
         "{0:?} is none of drain/WORKER, worker/WORKER, setting/NAME, member/NAME, budget/KIND, halt/KIND, release/KIND, lease/TASK, permit/KIND/NAME \
          (KIND: dispatcher, worker)"
     )]
-    Kind(String),
+    UnknownKind(String),
 }
 
-fn sound(text: &str, longest: usize) -> Result<(), BadName> {
+fn validate(text: &str, max_bytes: usize) -> Result<(), InvalidName> {
     match text {
-        _ if text.len() > longest => Err(BadName::Long(longest)),
-        _ if text.chars().any(char::is_control) => Err(BadName::Control),
+        _ if text.len() > max_bytes => Err(InvalidName::TooLong(max_bytes)),
+        _ if text.chars().any(char::is_control) => Err(InvalidName::ControlCharacter),
         _ => Ok(()),
     }
 }
 
-/// The name of a worker, a member or a setting: 1 to [`MAX_NAME`] bytes, no control characters.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
+/// The name of a worker, a member or a setting: 1 to [`MAX_NAME_BYTES`] bytes, no control characters.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Name(#[schemars(length(min = 1, max = 200))] String);
+pub struct Name(String);
 
-/// A reason or the like: at most [`MAX_TEXT`] bytes, no control characters, may be empty.
-#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
+/// A reason or the like: at most [`MAX_TEXT_BYTES`] bytes, no control characters, may be empty.
+#[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Text(#[schemars(length(max = 400))] String);
+pub struct Text(String);
 
 impl Name {
-    /// Comes before all others in their order.
+    /// Comes before all valid names in their order.
     pub(crate) fn first() -> Self {
         Self(String::new())
     }
 }
 
 impl TryFrom<String> for Name {
-    type Error = BadName;
-    fn try_from(text: String) -> Result<Self, BadName> {
+    type Error = InvalidName;
+    fn try_from(text: String) -> Result<Self, InvalidName> {
         if text.is_empty() {
-            return Err(BadName::Empty);
+            return Err(InvalidName::Empty);
         }
-        sound(&text, MAX_NAME).map(|()| Self(text))
+        validate(&text, MAX_NAME_BYTES).map(|()| Self(text))
     }
 }
 
 impl TryFrom<String> for Text {
-    type Error = BadName;
-    fn try_from(text: String) -> Result<Self, BadName> {
-        sound(&text, MAX_TEXT).map(|()| Self(text))
+    type Error = InvalidName;
+    fn try_from(text: String) -> Result<Self, InvalidName> {
+        validate(&text, MAX_TEXT_BYTES).map(|()| Self(text))
     }
 }
 
-macro_rules! text_like {
+/// Conversions of a checked text.
+macro_rules! impl_checked_text {
     ($($kind:ident),*) => {$(
         impl From<$kind> for String {
             fn from(text: $kind) -> Self {
@@ -81,8 +81,8 @@
             }
         }
         impl FromStr for $kind {
-            type Err = BadName;
-            fn from_str(text: &str) -> Result<Self, BadName> {
+            type Err = InvalidName;
+            fn from_str(text: &str) -> Result<Self, InvalidName> {
                 text.to_owned().try_into()
             }
         }
@@ -99,24 +99,27 @@
         }
     )*};
 }
-text_like!(Name, Text);
+impl_checked_text!(Name, Text);
 
-/// Tells one request from another, so that one asked again (its answer was lost) is applied once. Drawn at random by
-/// whoever asks.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, JsonSchema)]
+/// Identifies a request, so that a retry (the answer was lost) is applied once. Drawn at random by the issuer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId(pub u64, pub u64);
 
-/// What is taken out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
+/// Identifies one process of a member: drawn at random when it starts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct IncarnationId(pub u64, pub u64);
+
+/// What a permit takes out of service.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
-    /// A dispatcher: it ends itself once it has its permit, and is back in a new life.
+pub enum SubjectKind {
+    /// A dispatcher: it exits once it has its permit, and returns in a new incarnation.
     Dispatcher,
-    /// A worker: it has a drain mark for as long as its permit lasts.
+    /// A worker: it has a drain mark for as long as its granted permit lasts.
     Worker,
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for SubjectKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Dispatcher => "dispatcher",
@@ -125,32 +128,31 @@
     }
 }
 
-impl FromStr for Kind {
-    type Err = BadName;
-    fn from_str(text: &str) -> Result<Self, BadName> {
+impl FromStr for SubjectKind {
+    type Err = InvalidName;
+    fn from_str(text: &str) -> Result<Self, InvalidName> {
         match text {
             "dispatcher" => Ok(Self::Dispatcher),
             "worker" => Ok(Self::Worker),
-            _ => Err(BadName::Kind(text.to_owned())),
+            _ => Err(InvalidName::UnknownKind(text.to_owned())),
         }
     }
 }
 
 /// One dispatcher or worker. As text: `dispatcher/NAME`, `worker/NAME`.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-#[schemars(with = "String")]
 pub struct Subject {
-    /// What it is.
-    pub kind: Kind,
+    /// Its kind.
+    pub kind: SubjectKind,
     /// Its name.
     pub name: Name,
 }
 
 impl FromStr for Subject {
-    type Err = BadName;
-    fn from_str(text: &str) -> Result<Self, BadName> {
-        let (kind, name) = text.split_once('/').ok_or_else(|| BadName::Kind(text.to_owned()))?;
+    type Err = InvalidName;
+    fn from_str(text: &str) -> Result<Self, InvalidName> {
+        let (kind, name) = text.split_once('/').ok_or_else(|| InvalidName::UnknownKind(text.to_owned()))?;
         Ok(Self { kind: kind.parse()?, name: name.parse()? })
     }
 }
@@ -161,36 +163,35 @@
     }
 }
 
-/// A place in the state. As text: `drain/WORKER`, `worker/WORKER`, `setting/NAME`, `member/NAME`, `budget/KIND`, `halt/KIND`,
-/// `release/KIND`, `lease/TASK`, `permit/KIND/NAME`. Permits come last in their order: see [`State`](crate::State).
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
+/// The key of a value in the state. As text: `drain/WORKER`, `worker/WORKER`, `setting/NAME`, `member/NAME`, `budget/KIND`, `halt/KIND`,
+/// `release/KIND`, `lease/TASK`, `permit/KIND/NAME`. Permits come last in their order, and drains first.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-#[schemars(with = "String")]
 pub enum Key {
     /// A worker's drain mark.
     Drain(Name),
     /// A worker as it was last known.
     Worker(Name),
-    /// A setting that may change while programs run.
+    /// A setting's value.
     Setting(Name),
-    /// A dispatcher or a keeper.
+    /// A dispatcher or a replica.
     Member(Name),
-    /// How many of a kind may be out at once.
-    Budget(Kind),
-    /// Whether nothing more of a kind may go out.
-    Halt(Kind),
-    /// The release that goes on.
-    Release(Kind),
-    /// Who does a task for the whole fleet.
+    /// The disruption budget of a kind.
+    Budget(SubjectKind),
+    /// A halt of a kind.
+    Halt(SubjectKind),
+    /// The release in progress.
+    Release(SubjectKind),
+    /// The lease of a task.
     Lease(Name),
-    /// Whether one may go out.
+    /// The permit of a dispatcher or worker.
     Permit(Subject),
 }
 
 impl FromStr for Key {
-    type Err = BadName;
-    fn from_str(text: &str) -> Result<Self, BadName> {
-        let (kind, name) = text.split_once('/').ok_or_else(|| BadName::Kind(text.to_owned()))?;
+    type Err = InvalidName;
+    fn from_str(text: &str) -> Result<Self, InvalidName> {
+        let (kind, name) = text.split_once('/').ok_or_else(|| InvalidName::UnknownKind(text.to_owned()))?;
         match kind {
             "drain" => Ok(Self::Drain(name.parse()?)),
             "worker" => Ok(Self::Worker(name.parse()?)),
@@ -201,17 +202,17 @@
             "release" => Ok(Self::Release(name.parse()?)),
             "lease" => Ok(Self::Lease(name.parse()?)),
             "permit" => Ok(Self::Permit(name.parse()?)),
-            _ => Err(BadName::Kind(text.to_owned())),
+            _ => Err(InvalidName::UnknownKind(text.to_owned())),
         }
     }
 }
 
-/// What has a text of its own is carried as that.
-macro_rules! by_text {
+/// The conversions by which serde stores a type as its text.
+macro_rules! impl_serde_by_text {
     ($($kind:ident),*) => {$(
         impl TryFrom<String> for $kind {
-            type Error = BadName;
-            fn try_from(text: String) -> Result<Self, BadName> {
+            type Error = InvalidName;
+            fn try_from(text: String) -> Result<Self, InvalidName> {
                 text.parse()
             }
         }
@@ -222,7 +223,7 @@
         }
     )*};
 }
-by_text!(Key, Subject);
+impl_serde_by_text!(Key, Subject);
 
 impl fmt::Display for Key {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/pebblepost-fleet/src/state/leases.rs
+++ b/crates/pebblepost-fleet/src/state/leases.rs
@@ -1,13 +1,12 @@
-//! Leases in the state: who asks, who gives back, and the one place that grants.
+//! Leases in the state: requests, releases, and the one place that grants them.
 
-use super::{Items, MAX_LEASES, MAX_OPS, State, Value};
-use crate::command::Refusal;
-use crate::lease::{Lease, MAX_WAITING};
-use crate::name::{Key, Kind, Name, Subject};
+use super::{KeyChanges, MAX_LEASES, MAX_OPERATIONS, Rejection, State, invalid};
+use crate::name::{Key, Name, Subject, SubjectKind};
+use crate::value::{Lease, MAX_WAITING, Value};
 use std::collections::BTreeSet;
 
 impl State {
-    /// A lease.
+    /// The lease of a task.
     pub fn lease(&self, task: &Name) -> Option<&Lease> {
         match &self.entries.get(&Key::Lease(task.clone()))?.value {
             Value::Lease(lease) => Some(lease),
@@ -24,63 +23,73 @@
         })
     }
 
-    pub(super) fn acquire(&self, member: &Name, session: u64, tasks: &[Name]) -> Result<Items, Refusal> {
+    pub(super) fn acquire_leases(
+        &self, member: &Name, session: u64, tasks: &[Name],
+    ) -> Result<KeyChanges, Rejection> {
         self.in_session(member, session)?;
-        if tasks.len() > MAX_OPS {
-            let what = format!("at most {MAX_OPS} tasks in one command, not {}", tasks.len());
-            return Err(Refusal::Invalid { what });
+        if tasks.len() > MAX_OPERATIONS {
+            let count = tasks.len();
+            return invalid(format!("at most {MAX_OPERATIONS} tasks in one command, not {count}"));
         }
-        let mut items = Items::new();
+        let mut changes = KeyChanges::new();
         for task in tasks.iter().collect::<BTreeSet<_>>() {
-            let now = self.lease(task);
-            let full = || Refusal::Full { what: format!("members wait for {task}"), most: MAX_WAITING };
-            let wanted = now.cloned().unwrap_or_default().wanted_by(member, session).ok_or_else(full)?;
-            if now != Some(&wanted) {
-                items.push((Key::Lease(task.clone()), Some(Value::Lease(wanted))));
+            let current = self.lease(task);
+            let full =
+                || Rejection::Full { resource: format!("members wait for {task}"), capacity: MAX_WAITING };
+            let requested =
+                current.cloned().unwrap_or_default().with_waiting(member, session).ok_or_else(full)?;
+            if current != Some(&requested) {
+                changes.push((Key::Lease(task.clone()), Some(Value::Lease(requested))));
             }
         }
-        self.fits(&items, |key| matches!(key, Key::Lease(_)), "tasks", MAX_LEASES)?;
-        Ok(items)
+        self.check_capacity(&changes, |key| matches!(key, Key::Lease(_)), "tasks", MAX_LEASES)?;
+        Ok(changes)
     }
 
-    /// Whoever has it no more, or waits no more; what another holder has is not touched.
-    pub(super) fn give_back(&self, member: &Name, session: u64, task: &Name, to: Option<&Name>) -> Items {
-        let Some(now) = self.lease(task) else { return Items::new() };
-        let lease = if now.is_held_by(member, session) {
-            Lease { next: to.or(now.next.as_ref()).cloned(), ..now.freed() }
+    /// Releases the lease of its holder, or ends a member's waiting. Another holder's lease is not touched.
+    pub(super) fn release_lease(
+        &self, member: &Name, session: u64, task: &Name, successor: Option<&Name>,
+    ) -> KeyChanges {
+        let Some(current) = self.lease(task) else { return KeyChanges::new() };
+        let lease = if current.is_held_by(member, session) {
+            Lease { successor: successor.or(current.successor.as_ref()).cloned(), ..current.released() }
         } else if self.in_session(member, session).is_ok() {
-            let queue = now.queue.iter().filter(|n| *n != member).cloned().collect();
-            Lease { queue, ..now.clone() }
+            let queue = current.queue.iter().filter(|waiting| *waiting != member).cloned().collect();
+            Lease { queue, ..current.clone() }
         } else {
-            // A process that was replaced does not withdraw what its successor waits for.
-            return Items::new();
+            // A superseded process does not withdraw what its successor waits for.
+            return KeyChanges::new();
         };
-        if lease == *now { Items::new() } else { vec![(Key::Lease(task.clone()), Some(Value::Lease(lease)))] }
+        if lease == *current {
+            return KeyChanges::new();
+        }
+        vec![(Key::Lease(task.clone()), Some(Value::Lease(lease)))]
     }
 
-    /// All leases of a session that nobody acts by any more.
-    pub(super) fn free(&self, member: &Name, session: u64) -> Items {
+    /// Frees all leases of a session on which no process relies any more.
+    pub(super) fn free_leases(&self, member: &Name, session: u64) -> KeyChanges {
         let held = self.leases().filter(|(_, lease)| lease.is_held_by(member, session));
-        held.map(|(task, lease)| (Key::Lease(task.clone()), Some(Value::Lease(lease.freed())))).collect()
+        held.map(|(task, lease)| (Key::Lease(task.clone()), Some(Value::Lease(lease.released())))).collect()
     }
 
-    /// Grants what is free to whoever waits and may have it: one that is there, ready, and has no permit to go. This is the
+    /// Grants free leases to members that wait and are eligible: present, ready, and without a granted permit. This is the
     /// only place that grants leases.
-    pub(super) fn settle_leases(&mut self, revision: u64) -> Items {
-        let session = |name: &Name| {
-            let subject = Subject { kind: Kind::Dispatcher, name: name.clone() };
-            let goes = self.permit(&subject).is_some_and(|p| p.granted.is_some());
-            let member = self.member(name).filter(|m| !goes && !m.is_out())?;
-            Some(member.session)
-        };
-        let mut items = Items::new();
+    pub(super) fn grant_leases(&mut self, revision: u64) -> KeyChanges {
+        let mut changes = KeyChanges::new();
         for (task, lease) in self.leases() {
-            let settled = lease.settled(revision, session);
-            if settled.is_some() || lease.is_idle() {
-                items.push((Key::Lease(task.clone()), settled.map(Value::Lease)));
+            let granted = lease.granted(revision, |name| self.eligible_session(name));
+            if granted.is_some() || lease.is_idle() {
+                changes.push((Key::Lease(task.clone()), granted.map(Value::Lease)));
             }
         }
-        self.put(revision, &items);
-        items
+        self.put(revision, &changes);
+        changes
+    }
+
+    fn eligible_session(&self, name: &Name) -> Option<u64> {
+        let subject = Subject { kind: SubjectKind::Dispatcher, name: name.clone() };
+        let is_leaving = self.permit(&subject).is_some_and(|permit| permit.is_granted());
+        let member = self.member(name).filter(|member| !is_leaving && !member.is_unavailable())?;
+        Some(member.session)
     }
 }
--- a/crates/pebblepost-fleet/src/state/members.rs
+++ b/crates/pebblepost-fleet/src/state/members.rs
@@ -1,55 +1,11 @@
-//! Members in the state: their lives and sessions.
+//! Members in the state: their incarnations, sessions and readiness.
 
-use super::{Items, MAX_LIVES, MAX_MEMBERS, Member, Presence, State, Value};
-use crate::command::{Card, Refusal, RequestId};
-use crate::name::{Key, Name};
+use super::{KeyChanges, MAX_INCARNATIONS, MAX_MEMBERS, Rejection, State, invalid};
+use crate::name::{IncarnationId, Key, Name};
+use crate::value::{Member, MemberInfo, Presence, Value};
 use std::collections::VecDeque;
 
 impl State {
-    pub(super) fn join(&self, name: &Name, life: RequestId, card: &Card) -> Result<Items, Refusal> {
-        let session = self.revision + 1;
-        let key = Key::Member(name.clone());
-        let member = match self.member(name) {
-            None => {
-                if self.count(|key| matches!(key, Key::Member(_))) >= MAX_MEMBERS {
-                    return Err(Refusal::Full { what: "members".to_owned(), most: MAX_MEMBERS });
-                }
-                let lives = VecDeque::from([life]);
-                let (card, presence) = (card.clone(), Presence::Here);
-                Member { card, incarnation: 1, session, presence, reports: 0, lives }
-            }
-            Some(old) => {
-                let mut member = Member { card: card.clone(), session, reports: 0, ..old.clone() };
-                member.presence = Presence::Here;
-                if member.lives.front() != Some(&life) {
-                    // A process that was replaced and has woken up must not take the name back.
-                    if member.lives.contains(&life) {
-                        return Err(Refusal::Superseded {
-                            member: name.clone(),
-                            incarnation: old.incarnation,
-                        });
-                    }
-                    member.lives.push_front(life);
-                    member.lives.truncate(MAX_LIVES);
-                    member.incarnation += 1;
-                }
-                member
-            }
-        };
-        Ok(vec![(key, Some(Value::Member(member)))])
-    }
-
-    /// The member of that session, if it goes on.
-    pub(super) fn in_session(&self, name: &Name, session: u64) -> Result<&Member, Refusal> {
-        let member = self.member(name).filter(|m| m.session == session && m.presence == Presence::Here);
-        member.ok_or_else(|| Refusal::Ended { member: name.clone(), session })
-    }
-
-    pub(super) fn end(&self, name: &Name, session: u64, presence: Presence) -> Result<Items, Refusal> {
-        let member = Member { presence, ..self.in_session(name, session)?.clone() };
-        Ok(vec![(Key::Member(name.clone()), Some(Value::Member(member)))])
-    }
-
     /// A member.
     pub fn member(&self, name: &Name) -> Option<&Member> {
         match &self.entries.get(&Key::Member(name.clone()))?.value {
@@ -65,4 +21,90 @@
             _ => None,
         })
     }
+
+    pub(super) fn join(
+        &self, name: &Name, incarnation_id: IncarnationId, info: &MemberInfo,
+    ) -> Result<KeyChanges, Rejection> {
+        let member = match self.member(name) {
+            None => self.new_member(incarnation_id, info)?,
+            Some(old) => self.rejoined(name, old, incarnation_id, info)?,
+        };
+        Ok(vec![(Key::Member(name.clone()), Some(Value::Member(member)))])
+    }
+
+    fn new_member(&self, incarnation_id: IncarnationId, info: &MemberInfo) -> Result<Member, Rejection> {
+        if self.count(|key| matches!(key, Key::Member(_))) >= MAX_MEMBERS {
+            return Err(Rejection::Full { resource: "members".to_owned(), capacity: MAX_MEMBERS });
+        }
+        Ok(Member {
+            info: info.clone(),
+            incarnation: 1,
+            session: self.revision + 1,
+            presence: Presence::Present,
+            last_report: 0,
+            incarnation_ids: VecDeque::from([incarnation_id]),
+        })
+    }
+
+    fn rejoined(
+        &self, name: &Name, old: &Member, incarnation_id: IncarnationId, info: &MemberInfo,
+    ) -> Result<Member, Rejection> {
+        let mut member = Member {
+            info: info.clone(),
+            session: self.revision + 1,
+            presence: Presence::Present,
+            last_report: 0,
+            ..old.clone()
+        };
+        if old.incarnation_id() == Some(incarnation_id) {
+            return Ok(member);
+        }
+        // A process that was superseded and has woken up must not take the name back.
+        if old.incarnation_ids.contains(&incarnation_id) {
+            return Err(Rejection::Superseded { member: name.clone(), incarnation: old.incarnation });
+        }
+        member.incarnation_ids.push_front(incarnation_id);
+        member.incarnation_ids.truncate(MAX_INCARNATIONS);
+        member.incarnation += 1;
+        Ok(member)
+    }
+
+    /// The member of that session, if it lasts.
+    pub(super) fn in_session(&self, name: &Name, session: u64) -> Result<&Member, Rejection> {
+        let member = self
+            .member(name)
+            .filter(|member| member.session == session && member.presence == Presence::Present);
+        member.ok_or_else(|| Rejection::SessionEnded { member: name.clone(), session })
+    }
+
+    pub(super) fn report_readiness(
+        &self, name: &Name, session: u64, sequence: u64, ready: bool,
+    ) -> Result<KeyChanges, Rejection> {
+        let current = self.in_session(name, session)?;
+        if sequence <= current.last_report {
+            return Ok(KeyChanges::new());
+        }
+        let info = MemberInfo { ready, ..current.info.clone() };
+        let member = Member { info, last_report: sequence, ..current.clone() };
+        Ok(vec![(Key::Member(name.clone()), Some(Value::Member(member)))])
+    }
+
+    /// Ends a session, and frees its leases.
+    pub(super) fn end_session(
+        &self, name: &Name, session: u64, presence: Presence,
+    ) -> Result<KeyChanges, Rejection> {
+        let member = Member { presence, ..self.in_session(name, session)?.clone() };
+        let mut changes = vec![(Key::Member(name.clone()), Some(Value::Member(member)))];
+        changes.extend(self.free_leases(name, session));
+        Ok(changes)
+    }
+
+    pub(super) fn expire_superseded_session(
+        &self, name: &Name, session: u64,
+    ) -> Result<KeyChanges, Rejection> {
+        if self.in_session(name, session).is_ok() {
+            return invalid(format!("session {session} of {name} goes on"));
+        }
+        Ok(self.free_leases(name, session))
+    }
 }
--- /dev/null
+++ b/crates/pebblepost-fleet/src/state/mod.rs
@@ -0,0 +1,189 @@
+//! The state, and the one place where it changes.
+//!
+//! Each command that changes something makes the next *revision*; each key carries the revision of its last change. The
+//! last changes stay in a bounded log, so that a follower goes on where it was; one that is further behind takes a
+//! [`Snapshot`]. All rules are checked in [`State::apply`] and nowhere else; it does no I/O and reads no clock, so the same
+//! commands give the same state at every replica.
+
+mod change;
+mod leases;
+mod log;
+mod members;
+mod permits;
+mod releases;
+mod replicas;
+mod restore;
+mod workers;
+
+use crate::command::{Action, Command, CommandResult, Operation, Outcome, Precondition, Rejection};
+use crate::name::{Key, RequestId, Text};
+use crate::value::{Change, Entry, Presence, Snapshot, Value};
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, VecDeque};
+
+/// Most workers.
+pub const MAX_WORKERS: usize = 20_000;
+/// Most drain marks.
+pub const MAX_DRAINS: usize = 20_000;
+/// Most members.
+pub const MAX_MEMBERS: usize = 5_000;
+/// Most permits.
+pub const MAX_PERMITS: usize = 5_000;
+/// Most leases.
+pub const MAX_LEASES: usize = 20_000;
+/// Most waves of a release, and most zones in its order.
+pub const MAX_WAVES: usize = 32;
+/// Most numbers of replicas, removed ones included.
+pub const MAX_REPLICAS: usize = 1_024;
+/// Most operations, tasks or workers in one command.
+pub const MAX_OPERATIONS: usize = 1_024;
+/// Most changed keys in the log of changes; the oldest changes are compacted first.
+pub const MAX_LOGGED_KEYS: usize = 16_384;
+/// Most results that are kept, so that a retry of a request gets the same one.
+pub const MAX_RESULTS: usize = 8_192;
+/// A restored state continues this far beyond the larger of its own revision and the backup's: followers may have seen
+/// revisions that the backup has not.
+pub const RESTORE_REVISION_GAP: u64 = 1 << 20;
+/// Most incarnations of a member that are remembered, so that an old process does not take its name back.
+const MAX_INCARNATIONS: usize = 8;
+
+/// The replicated state.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct State {
+    revision: u64,
+    entries: BTreeMap<Key, Entry>,
+    log: VecDeque<Change>,
+    #[serde(rename = "logged")]
+    logged_keys: usize,
+    /// Revision of the newest change that is no longer in the log.
+    #[serde(rename = "compacted")]
+    compacted_revision: u64,
+    #[serde(rename = "answers")]
+    results: VecDeque<(RequestId, CommandResult)>,
+    /// The disk of each replica that there ever was, by the replica's number.
+    #[serde(rename = "keepers", default)]
+    replica_disks: BTreeMap<u64, u64>,
+}
+
+/// The keys that a command changes, with their new values; `None`: removed.
+type KeyChanges = Vec<(Key, Option<Value>)>;
+
+fn invalid<T>(reason: impl Into<String>) -> Result<T, Rejection> {
+    Err(Rejection::Invalid { reason: reason.into() })
+}
+
+impl State {
+    /// The state at a snapshot, without the history before it.
+    pub fn from_snapshot(snapshot: Snapshot) -> Self {
+        let Snapshot { revision, entries } = snapshot;
+        Self { revision, entries, compacted_revision: revision, ..Self::default() }
+    }
+
+    /// Applies a command: all of it or nothing. A retry, known by its id, gets the first result again.
+    ///
+    /// # Errors
+    ///
+    /// The rule that rejects the command. Nothing has changed then.
+    pub fn apply(&mut self, command: &Command) -> CommandResult {
+        if let Some((_, result)) = self.results.iter().rev().find(|(id, _)| *id == command.id) {
+            return result.clone();
+        }
+        let result = self.execute(command);
+        self.remember_result(command.id, &result);
+        result
+    }
+
+    /// The revision of the last change.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// The value at a key.
+    pub fn get(&self, key: &Key) -> Option<&Entry> {
+        self.entries.get(key)
+    }
+
+    /// All entries, in the order of their keys.
+    pub fn entries(&self) -> impl Iterator<Item = (&Key, &Entry)> {
+        self.entries.iter()
+    }
+
+    /// All entries, for a follower or a backup.
+    pub fn snapshot(&self) -> Snapshot {
+        Snapshot { revision: self.revision, entries: self.entries.clone() }
+    }
+
+    fn execute(&mut self, command: &Command) -> CommandResult {
+        let changes = match &command.action {
+            Action::Change { operations, preconditions, reason } => {
+                preconditions.iter().try_for_each(|precondition| self.check_precondition(precondition))?;
+                let changes = self.change(command, operations, reason)?;
+                return Ok(self.commit(command, changes, reason.clone()));
+            }
+            Action::Restore(backup) => return self.restore(command, backup),
+            Action::Join { member, incarnation_id, info } => {
+                let changes = self.join(member, *incarnation_id, info)?;
+                let outcome = self.commit(command, changes, Text::default());
+                return Ok(Outcome { session: Some(outcome.revision), ..outcome });
+            }
+            Action::AdmitReplica { replica, disk } => return self.admit_replica(*replica, *disk),
+            Action::ReportReadiness { member, session, sequence, ready } => {
+                self.report_readiness(member, *session, *sequence, *ready)?
+            }
+            Action::Leave { member, session } => self.end_session(member, *session, Presence::Left)?,
+            // Both sides measure conservatively: no process relies on the session any more.
+            Action::ExpireSession { member, session } => {
+                self.end_session(member, *session, Presence::Lost)?
+            }
+            Action::AcquireLeases { member, session, tasks } => {
+                self.acquire_leases(member, *session, tasks)?
+            }
+            Action::ReleaseLease { member, session, task, successor } => {
+                self.release_lease(member, *session, task, successor.as_ref())
+            }
+            Action::ExpireSupersededSession { member, session } => {
+                self.expire_superseded_session(member, *session)?
+            }
+            Action::UpdateWorkers { workers } => self.update_workers(workers)?,
+        };
+        Ok(self.commit(command, changes, Text::default()))
+    }
+
+    fn remember_result(&mut self, id: RequestId, result: &CommandResult) {
+        self.results.push_back((id, result.clone()));
+        if self.results.len() > MAX_RESULTS {
+            self.results.pop_front();
+        }
+    }
+
+    fn check_precondition(&self, precondition: &Precondition) -> Result<(), Rejection> {
+        let found = self.entries.get(&precondition.key).map_or(0, |entry| entry.revision);
+        if found == precondition.revision {
+            return Ok(());
+        }
+        Err(Rejection::Conflict {
+            key: precondition.key.clone(),
+            expected: precondition.revision,
+            found,
+            state_revision: self.revision,
+        })
+    }
+
+    /// Checks that the keys of one kind stay within their capacity.
+    fn check_capacity(
+        &self, changes: &KeyChanges, is_kind: fn(&Key) -> bool, resource: &str, capacity: usize,
+    ) -> Result<(), Rejection> {
+        let is_added = |(key, value): &&(Key, Option<Value>)| {
+            value.is_some() && is_kind(key) && !self.entries.contains_key(key)
+        };
+        match changes.iter().filter(is_added).count() {
+            0 => Ok(()),
+            added if self.count(is_kind) + added <= capacity => Ok(()),
+            _ => Err(Rejection::Full { resource: resource.to_owned(), capacity }),
+        }
+    }
+
+    fn count(&self, is_kind: fn(&Key) -> bool) -> usize {
+        self.entries.keys().filter(|key| is_kind(key)).count()
+    }
+}
--- a/crates/pebblepost-fleet/src/state/permits.rs
+++ b/crates/pebblepost-fleet/src/state/permits.rs
@@ -1,18 +1,18 @@
-//! Permits in the state: what operations make of them, and the one place that grants.
+//! Permits in the state: what operations make of them, and the one place that grants them.
 
-use super::value::roll;
-use super::{Items, Member, State, Value};
-use crate::command::{Command, Op, Refusal};
-use crate::name::{Key, Kind, Subject, Text};
-use crate::permit::{Permit, Roll};
+use super::{KeyChanges, State, invalid};
+use crate::availability::Availability;
+use crate::command::{Command, Operation, Rejection};
+use crate::name::{Key, Subject, SubjectKind, Text};
+use crate::value::{Member, Permit, Value};
 
 impl State {
-    /// All of one kind, and how they stand.
-    pub fn roll(&self, kind: Kind) -> Roll<'_> {
-        roll(&self.entries, kind)
+    /// All dispatchers or workers, and the rules that apply to them.
+    pub fn availability(&self, kind: SubjectKind) -> Availability<'_> {
+        Availability::new(&self.entries, kind)
     }
 
-    /// A permit.
+    /// The permit of a dispatcher or worker.
     pub fn permit(&self, subject: &Subject) -> Option<&Permit> {
         match &self.entries.get(&Key::Permit(subject.clone()))?.value {
             Value::Permit(permit) => Some(permit),
@@ -20,132 +20,163 @@
         }
     }
 
-    /// All permits, and whose they are.
+    /// All permits with their subjects.
     pub fn permits(&self) -> impl Iterator<Item = (&Subject, &Permit)> {
-        // They are the last keys in their order.
+        // Their keys are the last in the order of keys.
         self.entries.iter().rev().map_while(|(key, entry)| match (key, &entry.value) {
             (Key::Permit(subject), Value::Permit(permit)) => Some((subject, permit)),
             _ => None,
         })
     }
 
-    /// Ends the permits of dispatchers that are back, and grants what waits and fits now. Whatever a command changed, this
-    /// is the only place that grants.
-    pub(super) fn settle_permits(&mut self, revision: u64) -> Items {
-        let mut items = Items::new();
-        let back = |subject: &Subject, permit: &Permit| {
-            subject.kind == Kind::Dispatcher
-                && permit.granted.is_some()
-                && self.member(&subject.name).is_some_and(|m| {
-                    let anew = m.life() != permit.life;
-                    let wanted = permit.want.as_str().is_empty() || permit.want == m.card.version;
-                    anew && wanted && !m.is_out()
-                })
-        };
-        for subject in self.permits().filter(|(s, p)| back(s, p)).map(|(s, _)| s.clone()).collect::<Vec<_>>()
-        {
-            items.push((Key::Permit(subject), None));
-        }
-        self.put(revision, &items);
-        let again = self.gone_the_wrong_way();
-        self.put(revision, &again);
-        items.extend(again);
-        for kind in [Kind::Dispatcher, Kind::Worker] {
-            if !self.permits().any(|(s, p)| s.kind == kind && p.granted.is_none()) {
-                continue;
+    /// Ends the permits of dispatchers that have returned, and grants those that fit now. Whatever a command changed, this is
+    /// the only place that grants permits.
+    pub(super) fn grant_permits(&mut self, revision: u64) -> KeyChanges {
+        let returned = self.permits().filter(|(subject, permit)| self.has_returned(subject, permit));
+        let mut changes: KeyChanges =
+            returned.map(|(subject, _)| (Key::Permit(subject.clone()), None)).collect();
+        self.put(revision, &changes);
+        let rebound = self.rebound_permits();
+        self.put(revision, &rebound);
+        changes.extend(rebound);
+        for kind in [SubjectKind::Dispatcher, SubjectKind::Worker] {
+            let waits = |(subject, permit): (&Subject, &Permit)| subject.kind == kind && !permit.is_granted();
+            if self.permits().any(waits) {
+                let granted = self.granted_permits(kind, revision);
+                self.put(revision, &granted);
+                changes.extend(granted);
             }
-            let mut granted = Items::new();
-            for name in self.roll(kind).grants() {
-                let life = self.member(&name).filter(|_| kind == Kind::Dispatcher).and_then(Member::life);
-                let subject = Subject { kind, name };
-                let Some(permit) = self.permit(&subject) else { continue };
-                let drain = Key::Drain(subject.name.clone());
-                if kind == Kind::Worker && !self.entries.contains_key(&drain) {
-                    let (by, at_ms, why) = (permit.by.clone(), permit.at_ms, permit.why.clone());
-                    granted.push((drain, Some(Value::Drain { by, at_ms, why })));
-                }
-                let permit = Permit { granted: Some(revision), life, ..permit.clone() };
-                granted.push((Key::Permit(subject), Some(Value::Permit(permit))));
-            }
-            self.put(revision, &granted);
-            items.extend(granted);
         }
-        items
+        changes
+    }
+
+    /// Whether a dispatcher with a granted permit is available in another incarnation, with the permit's version.
+    fn has_returned(&self, subject: &Subject, permit: &Permit) -> bool {
+        if subject.kind != SubjectKind::Dispatcher || !permit.is_granted() {
+            return false;
+        }
+        self.member(&subject.name).is_some_and(|member| {
+            let is_new = member.incarnation_id() != permit.incarnation_id;
+            let has_version = permit.version.as_str().is_empty() || permit.version == member.info.version;
+            is_new && has_version && !member.is_unavailable()
+        })
     }
 
-    /// Permits of those that came back as another version than wanted: started by whoever knew of no permit, or on a way back
-    /// by whoever did not know of that. They bind the new life, so that it ends itself as well; a halt stops that too.
-    pub(super) fn gone_the_wrong_way(&self) -> Items {
-        if self.entries.contains_key(&Key::Halt(Kind::Dispatcher)) {
-            return Items::new();
+    /// Permits of dispatchers that returned with another version than the permit's: started by someone who knew of no permit, or
+    /// of no rollback. The permit is bound to the new incarnation, so that it ends as well; a halt stops that too.
+    fn rebound_permits(&self) -> KeyChanges {
+        if self.entries.contains_key(&Key::Halt(SubjectKind::Dispatcher)) {
+            return KeyChanges::new();
         }
-        let again = |(subject, permit): (&Subject, &Permit)| {
-            permit.granted.filter(|_| subject.kind == Kind::Dispatcher)?;
+        let rebound = |(subject, permit): (&Subject, &Permit)| {
+            permit.granted_at_revision.filter(|_| subject.kind == SubjectKind::Dispatcher)?;
             let member = self.member(&subject.name)?;
-            let wrong = !permit.want.as_str().is_empty() && permit.want != member.card.version;
-            if !wrong || permit.life == member.life() {
+            let is_wrong = !permit.version.as_str().is_empty() && permit.version != member.info.version;
+            if !is_wrong || permit.incarnation_id == member.incarnation_id() {
                 return None;
             }
-            let permit = Permit { life: member.life(), ..permit.clone() };
+            let permit = Permit { incarnation_id: member.incarnation_id(), ..permit.clone() };
             Some((Key::Permit(subject.clone()), Some(Value::Permit(permit))))
         };
-        self.permits().filter_map(again).collect()
+        self.permits().filter_map(rebound).collect()
     }
 
-    /// What an operation on a permit makes of it, and of the drain mark that goes with it.
-    pub(super) fn change_permit(&self, command: &Command, op: &Op, why: &Text) -> Result<Items, Refusal> {
-        let invalid = |what: String| Err(Refusal::Invalid { what });
-        let Key::Permit(subject) = op.key() else { return Ok(Items::new()) };
-        let permit = self.permit(&subject);
-        let ended = |subject: Subject| {
-            let drain = (subject.kind == Kind::Worker).then(|| (Key::Drain(subject.name.clone()), None));
-            std::iter::once((Key::Permit(subject), None)).chain(drain).collect()
-        };
-        match (op, permit) {
-            // Asked for again: it is the same one.
-            (Op::Ask { .. }, Some(_)) => Ok(Items::new()),
-            (Op::Ask { urgent, want, .. }, None) => {
-                let roll = self.roll(subject.kind);
-                if subject.kind == Kind::Dispatcher && !roll.all.contains_key(&subject.name) {
-                    return invalid(format!("no dispatcher {} has ever joined", subject.name));
-                }
-                if subject.kind == Kind::Worker && !want.as_str().is_empty() {
-                    return invalid(
-                        "a worker is back when whoever asked says so, whatever its version".to_owned(),
-                    );
-                }
-                if let Some(never) = roll.never(&subject.name) {
-                    return invalid(format!("{subject} could never go: {never}"));
-                }
-                let permit = Permit {
-                    by: command.by.clone(),
-                    at_ms: command.at_ms,
-                    why: why.clone(),
-                    urgent: *urgent,
-                    want: want.clone(),
-                    asked: self.revision + 1,
-                    granted: None,
-                    life: None,
+    /// The grants of a kind that fit now, with the drain marks of workers.
+    fn granted_permits(&self, kind: SubjectKind, revision: u64) -> KeyChanges {
+        let mut changes = KeyChanges::new();
+        for name in self.availability(kind).grants() {
+            let member = self.member(&name).filter(|_| kind == SubjectKind::Dispatcher);
+            let incarnation_id = member.and_then(Member::incarnation_id);
+            let subject = Subject { kind, name };
+            let Some(permit) = self.permit(&subject) else { continue };
+            let drain = Key::Drain(subject.name.clone());
+            if kind == SubjectKind::Worker && !self.entries.contains_key(&drain) {
+                let mark = Value::Drain {
+                    set_by: permit.requested_by.clone(),
+                    set_at_ms: permit.requested_at_ms,
+                    reason: permit.reason.clone(),
                 };
-                Ok(vec![(Key::Permit(subject), Some(Value::Permit(permit)))])
+                changes.push((drain, Some(mark)));
+            }
+            let permit = Permit { granted_at_revision: Some(revision), incarnation_id, ..permit.clone() };
+            changes.push((Key::Permit(subject), Some(Value::Permit(permit))));
+        }
+        changes
+    }
+
+    /// What an operation makes of a permit, and of the drain mark that belongs to it.
+    pub(super) fn change_permit(
+        &self, command: &Command, operation: &Operation, reason: &Text,
+    ) -> Result<KeyChanges, Rejection> {
+        let Key::Permit(subject) = operation.key() else { return Ok(KeyChanges::new()) };
+        match (operation, self.permit(&subject)) {
+            // Requested again, it is the same permit.
+            (Operation::RequestPermit { .. }, Some(_)) | (Operation::WithdrawPermit(_), None) => {
+                Ok(KeyChanges::new())
+            }
+            (Operation::RequestPermit { urgent, version, .. }, None) => {
+                self.request_permit(command, subject, *urgent, version, reason)
             }
-            (Op::Withdraw(_), Some(permit)) if permit.granted.is_some() => invalid(format!(
+            (Operation::WithdrawPermit(_), Some(permit)) if permit.is_granted() => invalid(format!(
                 "{subject} may be going already: its permit ends when it is back, or by force"
             )),
-            (Op::Back(_, at), Some(permit)) if permit.granted != Some(*at) => invalid(format!(
-                "{subject} has another permit by now, granted at revision {}",
-                permit.granted.unwrap_or(0)
-            )),
-            (Op::Back(..), Some(_)) if subject.kind == Kind::Dispatcher => {
+            (Operation::WithdrawPermit(_), Some(_)) => Ok(vec![(Key::Permit(subject), None)]),
+            (Operation::CompletePermit(_, revision), Some(permit))
+                if permit.granted_at_revision != Some(*revision) =>
+            {
+                invalid(format!(
+                    "{subject} has another permit by now, granted at revision {}",
+                    permit.granted_at_revision.unwrap_or(0)
+                ))
+            }
+            (Operation::CompletePermit(..), Some(_)) if subject.kind == SubjectKind::Dispatcher => {
                 invalid(format!("{subject} is back when it is seen in a new life, ready"))
             }
-            (Op::Force(_), Some(_)) if why.as_str().is_empty() => {
-                invalid("a force needs a reason, for the history".to_owned())
+            (Operation::ForceCompletePermit(_), Some(_)) if reason.as_str().is_empty() => {
+                invalid("a force needs a reason, for the history")
             }
-            (Op::Withdraw(_), Some(_)) => Ok(vec![(Key::Permit(subject), None)]),
-            (Op::Back(..) | Op::Force(_), Some(_)) => Ok(ended(subject)),
-            (_, None) => Ok(Items::new()),
+            (Operation::CompletePermit(..) | Operation::ForceCompletePermit(_), Some(_)) => {
+                Ok(completed(subject))
+            }
+            (_, None) => Ok(KeyChanges::new()),
             (_, Some(_)) => invalid(format!("{subject} has a permit")),
         }
     }
+
+    fn request_permit(
+        &self, command: &Command, subject: Subject, urgent: bool, version: &Text, reason: &Text,
+    ) -> Result<KeyChanges, Rejection> {
+        let availability = self.availability(subject.kind);
+        if subject.kind == SubjectKind::Dispatcher && !availability.subjects.contains_key(&subject.name) {
+            return invalid(format!("no dispatcher {} has ever joined", subject.name));
+        }
+        if subject.kind == SubjectKind::Worker && !version.as_str().is_empty() {
+            return invalid("a worker is back when whoever asked says so, whatever its version");
+        }
+        if let Some(impossible) = availability.impossible_reason(&subject.name) {
+            return invalid(format!("{subject} could never go: {impossible}"));
+        }
+        let permit = Permit { urgent, ..self.new_permit(command, version, reason) };
+        Ok(vec![(Key::Permit(subject), Some(Value::Permit(permit)))])
+    }
+
+    /// A permit that is requested by this command and not urgent.
+    pub(super) fn new_permit(&self, command: &Command, version: &Text, reason: &Text) -> Permit {
+        Permit {
+            requested_by: command.issued_by.clone(),
+            requested_at_ms: command.issued_at_ms,
+            reason: reason.clone(),
+            urgent: false,
+            version: version.clone(),
+            requested_at_revision: self.revision + 1,
+            granted_at_revision: None,
+            incarnation_id: None,
+        }
+    }
+}
+
+/// Ends a permit, and a worker's drain mark with it.
+fn completed(subject: Subject) -> KeyChanges {
+    let drain = (subject.kind == SubjectKind::Worker).then(|| (Key::Drain(subject.name.clone()), None));
+    std::iter::once((Key::Permit(subject), None)).chain(drain).collect()
 }
--- a/crates/pebblepost-fleet/src/state/releases.rs
+++ b/crates/pebblepost-fleet/src/state/releases.rs
@@ -1,114 +1,154 @@
-//! The release in the state: its beginning, its waves, its way back and its end.
+//! The release in the state: its beginning, its waves, its rollback and its end.
 
-use super::{Items, MAX_WAVES, State, Value};
-use crate::command::{Command, Op, Refusal, Role};
-use crate::name::{Key, Kind, Subject, Text};
-use crate::permit::{Limit, Permit, Release};
+use super::{KeyChanges, MAX_WAVES, State, invalid};
+use crate::command::{Command, Operation, Rejection};
+use crate::name::{Key, Subject, SubjectKind, Text};
+use crate::value::{Limit, Member, Permit, Release, Role, Value};
+
+const RELEASE: Key = Key::Release(SubjectKind::Dispatcher);
 
 impl State {
-    /// The release that goes on.
+    /// The release in progress.
     pub fn release(&self) -> Option<&Release> {
-        match &self.entries.get(&Key::Release(Kind::Dispatcher))?.value {
+        match &self.entries.get(&RELEASE)?.value {
             Value::Release(release) => Some(release),
             _ => None,
         }
     }
 
-    /// What an operation on the release makes of it, and of the permits that go with it.
-    pub(super) fn change_release(&self, command: &Command, op: &Op, why: &Text) -> Result<Items, Refusal> {
-        let invalid = |what: &str| Err(Refusal::Invalid { what: what.to_owned() });
-        let key = || Key::Release(Kind::Dispatcher);
-        match (op, self.release()) {
-            (Op::Release { want, .. }, Some(now)) if now.want == *want => Ok(Items::new()),
-            (Op::Release { .. }, Some(now)) => {
-                invalid(&format!("the release of {} goes on: end it, or go back, first", now.want))
+    /// What an operation makes of the release, and of the permits that belong to it.
+    pub(super) fn change_release(
+        &self, command: &Command, operation: &Operation, reason: &Text,
+    ) -> Result<KeyChanges, Rejection> {
+        match (operation, self.release()) {
+            (Operation::BeginRelease { version, .. }, Some(current)) if current.version == *version => {
+                Ok(KeyChanges::new())
             }
-            (Op::Release { want, waves, zones }, None) => {
-                let sound =
-                    !waves.is_empty() && waves.len() <= MAX_WAVES && waves.iter().all(|w| w.is_sound());
-                if want.as_str().is_empty() || !sound || zones.len() > MAX_WAVES {
-                    return invalid(&format!(
-                        "a release wants a version, 1 to {MAX_WAVES} waves, and at most {MAX_WAVES} zones in order"
-                    ));
-                }
-                let roll = self.roll(Kind::Dispatcher);
-                if roll.all.is_empty() {
-                    return invalid("no dispatcher has ever joined");
-                }
-                if waves.last().map(|w| w.of(roll.all.len())) < Some(roll.all.len()) {
-                    return invalid("the last wave must reach all, or the release would never end");
-                }
-                let zones = zones.clone();
-                if let Some(zone) = zones.iter().find(|z| roll.all.values().all(|s| s.zone != z.as_str())) {
-                    return invalid(&format!("no dispatcher is in zone {zone}"));
-                }
-                if let Some(never) = roll.all.keys().find_map(|name| roll.never(name)) {
-                    return invalid(&format!("it would never end: {never}"));
-                }
-                let (by, at_ms) = (command.by.clone(), command.at_ms);
-                let (wanted, waves, from) = (want.clone(), waves.clone(), None);
-                let release = Release { want: wanted, from, waves, wave: 0, zones, by, at_ms };
-                Ok(self.all_to(command, release, why, |version| version != want))
-            }
-            (Op::GoBack(to), Some(now)) if now.from.is_some() && now.want == *to => Ok(Items::new()),
-            (Op::GoBack(to), Some(now)) if to.as_str().is_empty() || *to == now.want => {
-                invalid("a way back wants a version other than the release's")
+            (Operation::BeginRelease { .. }, Some(current)) => {
+                invalid(format!("the release of {} goes on: end it, or go back, first", current.version))
             }
-            (Op::GoBack(to), Some(now)) => {
-                let (by, at_ms) = (command.by.clone(), command.at_ms);
-                let (from, waves) = (Some(now.want.clone()), vec![Limit::Share(1.0)]);
-                let release =
-                    Release { want: to.clone(), from, waves, wave: 0, zones: Vec::new(), by, at_ms };
-                let given_up = now.want.clone();
-                Ok(self.all_to(command, release, why, |version| *version == given_up))
+            (Operation::BeginRelease { version, waves, zone_order }, None) => {
+                self.check_release(version, waves, zone_order)?;
+                let release = Release {
+                    version: version.clone(),
+                    rolled_back_version: None,
+                    waves: waves.clone(),
+                    current_wave: 0,
+                    zone_order: zone_order.clone(),
+                    begun_by: command.issued_by.clone(),
+                    begun_at_ms: command.issued_at_ms,
+                };
+                Ok(self.begin(command, release, reason, |current| current != version))
             }
-            (Op::Advance(wave), Some(now)) if now.wave != *wave => Ok(Items::new()),
-            (Op::Advance(_), Some(now)) if now.is_last() => invalid("this is the last wave"),
-            (Op::Advance(_), Some(now)) => {
-                if !self.roll(Kind::Dispatcher).wave_is_back() {
-                    return invalid("not all of the wave have the version and are ready");
-                }
-                let release = Release { wave: now.wave + 1, ..now.clone() };
-                Ok(vec![(key(), Some(Value::Release(release)))])
+            (Operation::RollBack(version), Some(current)) => {
+                self.roll_back(command, version, current, reason)
             }
-            (Op::EndRelease, Some(now)) => {
-                let left = self.permits().filter(|(_, p)| p.want == now.want).count();
-                match left {
-                    0 => Ok(vec![(key(), None)]),
-                    _ => invalid(&format!("{left} dispatchers have not come back as {}", now.want)),
-                }
-            }
-            (Op::EndRelease, None) => Ok(Items::new()),
+            (Operation::AdvanceWave(wave), Some(current)) => self.advance_wave(*wave, current),
+            (Operation::EndRelease, Some(current)) => self.end_release(current),
+            (Operation::EndRelease, None) => Ok(KeyChanges::new()),
             _ => invalid("no release goes on"),
         }
     }
 
-    /// A release, and permits with its version for all that are to go: those that have one keep their place, granted ones
-    /// stay granted, and those that are out go first. Others that wait for another version do so no more.
-    pub(super) fn all_to(
-        &self, command: &Command, release: Release, why: &Text, goes: impl Fn(&Text) -> bool,
-    ) -> Items {
-        let mut items = Items::new();
-        for (name, member) in self.members().filter(|(_, m)| m.card.role == Role::Dispatcher) {
-            let subject = Subject { kind: Kind::Dispatcher, name: name.clone() };
+    fn check_release(&self, version: &Text, waves: &[Limit], zone_order: &[Text]) -> Result<(), Rejection> {
+        let waves_are_valid =
+            !waves.is_empty() && waves.len() <= MAX_WAVES && waves.iter().all(|wave| wave.is_valid());
+        if version.as_str().is_empty() || !waves_are_valid || zone_order.len() > MAX_WAVES {
+            return invalid(format!(
+                "a release wants a version, 1 to {MAX_WAVES} waves, and at most {MAX_WAVES} zones in order"
+            ));
+        }
+        let availability = self.availability(SubjectKind::Dispatcher);
+        let total = availability.subjects.len();
+        if total == 0 {
+            return invalid("no dispatcher has ever joined");
+        }
+        if waves.last().map(|wave| wave.resolve(total)) < Some(total) {
+            return invalid("the last wave must reach all, or the release would never end");
+        }
+        let is_empty =
+            |zone: &&Text| availability.subjects.values().all(|status| status.zone != zone.as_str());
+        if let Some(zone) = zone_order.iter().find(is_empty) {
+            return invalid(format!("no dispatcher is in zone {zone}"));
+        }
+        let impossible = availability.subjects.keys().find_map(|name| availability.impossible_reason(name));
+        if let Some(impossible) = impossible {
+            return invalid(format!("it would never end: {impossible}"));
+        }
+        Ok(())
+    }
+
+    fn roll_back(
+        &self, command: &Command, version: &Text, current: &Release, reason: &Text,
+    ) -> Result<KeyChanges, Rejection> {
+        if current.is_rollback() && current.version == *version {
+            return Ok(KeyChanges::new());
+        }
+        if version.as_str().is_empty() || *version == current.version {
+            return invalid("a way back wants a version other than the release's");
+        }
+        let release = Release {
+            version: version.clone(),
+            rolled_back_version: Some(current.version.clone()),
+            waves: vec![Limit::Fraction(1.0)],
+            current_wave: 0,
+            zone_order: Vec::new(),
+            begun_by: command.issued_by.clone(),
+            begun_at_ms: command.issued_at_ms,
+        };
+        Ok(self.begin(command, release, reason, |version| *version == current.version))
+    }
+
+    fn advance_wave(&self, wave: u32, current: &Release) -> Result<KeyChanges, Rejection> {
+        if current.current_wave != wave {
+            return Ok(KeyChanges::new());
+        }
+        if current.is_last_wave() {
+            return invalid("this is the last wave");
+        }
+        if !self.availability(SubjectKind::Dispatcher).wave_is_complete() {
+            return invalid("not all of the wave have the version and are ready");
+        }
+        let release = Release { current_wave: current.current_wave + 1, ..current.clone() };
+        Ok(vec![(RELEASE, Some(Value::Release(release)))])
+    }
+
+    fn end_release(&self, current: &Release) -> Result<KeyChanges, Rejection> {
+        match self.permits().filter(|(_, permit)| permit.version == current.version).count() {
+            0 => Ok(vec![(RELEASE, None)]),
+            left => invalid(format!("{left} dispatchers have not come back as {}", current.version)),
+        }
+    }
+
+    /// A release, and requests for permits with its version for the dispatchers that `changes_from` selects by their
+    /// present version. Granted permits stay granted and get the version; other waiting permits are withdrawn.
+    fn begin(
+        &self, command: &Command, release: Release, reason: &Text, changes_from: impl Fn(&Text) -> bool,
+    ) -> KeyChanges {
+        let mut changes = KeyChanges::new();
+        for (name, member) in self.members().filter(|(_, member)| member.info.role == Role::Dispatcher) {
+            let subject = Subject { kind: SubjectKind::Dispatcher, name: name.clone() };
             let permit = match self.permit(&subject) {
-                // It may be going already, to whichever version was wanted: it is to come back as this one.
-                Some(p) if p.granted.is_some() => Some(Permit { want: release.want.clone(), ..p.clone() }),
-                _ if goes(&member.card.version) => Some(Permit {
-                    by: command.by.clone(),
-                    at_ms: command.at_ms,
-                    why: why.clone(),
-                    urgent: release.from.is_some() && member.is_out(),
-                    want: release.want.clone(),
-                    asked: self.revision + 1,
-                    granted: None,
-                    life: None,
-                }),
+                // It may have gone already, for whichever version: it has to return with this one.
+                Some(permit) if permit.is_granted() => {
+                    Some(Permit { version: release.version.clone(), ..permit.clone() })
+                }
+                _ if changes_from(&member.info.version) => {
+                    Some(self.release_permit(command, &release, member, reason))
+                }
                 _ => None,
             };
-            items.push((Key::Permit(subject), permit.map(Value::Permit)));
+            changes.push((Key::Permit(subject), permit.map(Value::Permit)));
+        }
+        changes.push((RELEASE, Some(Value::Release(release))));
+        changes
+    }
+
+    /// In a rollback dispatchers that are unavailable go first.
+    fn release_permit(&self, command: &Command, release: &Release, member: &Member, reason: &Text) -> Permit {
+        Permit {
+            urgent: release.is_rollback() && member.is_unavailable(),
+            ..self.new_permit(command, &release.version, reason)
         }
-        items.push((Key::Release(Kind::Dispatcher), Some(Value::Release(release))));
-        items
     }
 }
--- a/crates/pebblepost-fleet/src/state/restore.rs
+++ b/crates/pebblepost-fleet/src/state/restore.rs
@@ -1,72 +1,102 @@
-//! A backup taken back into the state.
+//! Restoring a backup.
 
 use super::{
-    Change, Entry, MAX_DRAINS, MAX_MEMBERS, MAX_WORKERS, Member, Presence, RESTORE_JUMP, Snapshot, State,
-    Value,
+    Command, CommandResult, KeyChanges, MAX_DRAINS, MAX_MEMBERS, MAX_WORKERS, Outcome, Presence,
+    RESTORE_REVISION_GAP, Rejection, Snapshot, State, invalid,
 };
-use crate::command::{Answer, Command, Done, Refusal};
-use crate::name::{Key, Kind, Name, Subject};
-use crate::permit::Permit;
+use crate::name::{Key, Name, SubjectKind};
 use crate::setting;
+use crate::value::{Change, Entry, Member, Value};
 use std::collections::BTreeSet;
 
 impl State {
-    pub(super) fn restore(&mut self, command: &Command, backup: &Snapshot) -> Answer {
+    pub(super) fn restore(&mut self, command: &Command, backup: &Snapshot) -> CommandResult {
+        check_values(backup)?;
+        check_counts(backup)?;
+        let revision = self.revision.max(backup.revision).saturating_add(RESTORE_REVISION_GAP);
+        self.remove_replaced_entries();
         for (key, entry) in &backup.entries {
-            let fits = match (key, &entry.value) {
-                (Key::Drain(_), Value::Drain { .. })
-                | (Key::Worker(_), Value::Worker(_))
-                | (Key::Member(_), Value::Member(_))
-                | (Key::Halt(_), Value::Halt { .. })
-                | (Key::Release(_), Value::Release(_))
-                | (Key::Lease(_), Value::Lease(_))
-                | (Key::Permit(_), Value::Permit(_)) => true,
-                (Key::Budget(_), Value::Budget(b)) => b.is_sound(),
-                (Key::Setting(name), Value::Setting(v)) => {
-                    setting::find(name.as_str()).is_some_and(|s| s.takes(*v))
-                }
-                _ => false,
-            };
-            if !fits {
-                return Err(Refusal::Invalid { what: format!("{key} in the backup holds no such value") });
+            if let Some(value) = self.restored_value(key, &entry.value) {
+                self.entries.insert(key.clone(), Entry { value, revision });
             }
         }
-        let fits = |kind: fn(&Key) -> bool, what: &str, most: usize| {
-            let count = backup.entries.keys().filter(|k| kind(k)).count();
-            if count > most { Err(Refusal::Full { what: what.to_owned(), most }) } else { Ok(()) }
-        };
-        fits(|k| matches!(k, Key::Worker(_)), "workers", MAX_WORKERS)?;
-        fits(|k| matches!(k, Key::Drain(_)), "drain marks", MAX_DRAINS)?;
-        fits(|k| matches!(k, Key::Member(_)), "members", MAX_MEMBERS / 2)?;
-        let revision = self.revision.max(backup.revision).saturating_add(RESTORE_JUMP);
-        // Who is out, and that nothing more may go, are facts of now.
-        let out = |(s, p): (&Subject, &Permit)| {
-            (s.kind == Kind::Worker && p.granted.is_some()).then(|| s.name.clone())
-        };
-        let out: BTreeSet<Name> = self.permits().filter_map(out).collect();
+        self.revision = revision;
+        self.restart_log(command, backup.revision);
+        Ok(Outcome { revision, session: None })
+    }
+
+    /// What is unavailable, and that nothing more may go, are facts of the present and stay.
+    fn remove_replaced_entries(&mut self) {
+        let out_by_permit: BTreeSet<Name> = self
+            .permits()
+            .filter(|(subject, permit)| subject.kind == SubjectKind::Worker && permit.is_granted())
+            .map(|(subject, _)| subject.name.clone())
+            .collect();
         self.entries.retain(|key, _| match key {
-            Key::Drain(worker) => out.contains(worker),
-            _ => matches!(
-                key,
-                Key::Member(_) | Key::Lease(_) | Key::Permit(_) | Key::Halt(_) | Key::Release(_)
-            ),
+            Key::Drain(worker) => out_by_permit.contains(worker),
+            Key::Member(_) | Key::Lease(_) | Key::Permit(_) | Key::Halt(_) | Key::Release(_) => true,
+            Key::Worker(_) | Key::Setting(_) | Key::Budget(_) => false,
         });
-        for (key, entry) in &backup.entries {
-            let value = match &entry.value {
-                Value::Permit(_) | Value::Lease(_) | Value::Release(_) => continue,
-                Value::Member(_) | Value::Halt { .. } if self.entries.contains_key(key) => continue,
-                Value::Member(m) => Value::Member(Member { presence: Presence::Lost, ..m.clone() }),
-                other => other.clone(),
-            };
-            self.entries.insert(key.clone(), Entry { value, revision });
+    }
+
+    /// What a value of the backup becomes; `None`: it is not taken over.
+    fn restored_value(&self, key: &Key, value: &Value) -> Option<Value> {
+        match value {
+            Value::Permit(_) | Value::Lease(_) | Value::Release(_) => None,
+            Value::Member(_) | Value::Halt { .. } if self.entries.contains_key(key) => None,
+            Value::Member(member) => {
+                Some(Value::Member(Member { presence: Presence::Lost, ..member.clone() }))
+            }
+            other => Some(other.clone()),
         }
-        self.revision = revision;
-        // Whoever follows takes the whole state; the history tells that there was a restore.
+    }
+
+    /// Followers take the whole state; the history says that there was a restore.
+    fn restart_log(&mut self, command: &Command, backup_revision: u64) {
         self.log.clear();
-        (self.logged, self.compacted) = (0, revision);
-        let why = format!("restored from revision {}", backup.revision).parse().unwrap_or_default();
-        let (by, at_ms, items) = (command.by.clone(), command.at_ms, Vec::new());
-        self.log.push_back(Change { revision, by, at_ms, why, items });
-        Ok(Done { revision, session: None })
+        (self.logged_keys, self.compacted_revision) = (0, self.revision);
+        self.log.push_back(Change {
+            revision: self.revision,
+            issued_by: command.issued_by.clone(),
+            issued_at_ms: command.issued_at_ms,
+            reason: format!("restored from revision {backup_revision}").parse().unwrap_or_default(),
+            items: KeyChanges::new(),
+        });
     }
 }
+
+/// Checks that each key has a value of its kind.
+fn check_values(backup: &Snapshot) -> Result<(), Rejection> {
+    for (key, entry) in &backup.entries {
+        let is_valid = match (key, &entry.value) {
+            (Key::Drain(_), Value::Drain { .. })
+            | (Key::Worker(_), Value::Worker(_))
+            | (Key::Member(_), Value::Member(_))
+            | (Key::Halt(_), Value::Halt { .. })
+            | (Key::Release(_), Value::Release(_))
+            | (Key::Lease(_), Value::Lease(_))
+            | (Key::Permit(_), Value::Permit(_)) => true,
+            (Key::Budget(_), Value::Budget(budget)) => budget.is_valid(),
+            (Key::Setting(name), Value::Setting(value)) => {
+                setting::find(name.as_str()).is_some_and(|setting| setting.accepts(*value))
+            }
+            _ => false,
+        };
+        if !is_valid {
+            return invalid(format!("{key} in the backup holds no such value"));
+        }
+    }
+    Ok(())
+}
+
+fn check_counts(backup: &Snapshot) -> Result<(), Rejection> {
+    let check = |is_kind: fn(&Key) -> bool, resource: &str, capacity: usize| {
+        if backup.entries.keys().filter(|key| is_kind(key)).count() > capacity {
+            return Err(Rejection::Full { resource: resource.to_owned(), capacity });
+        }
+        Ok(())
+    };
+    check(|key| matches!(key, Key::Worker(_)), "workers", MAX_WORKERS)?;
+    check(|key| matches!(key, Key::Drain(_)), "drain marks", MAX_DRAINS)?;
+    check(|key| matches!(key, Key::Member(_)), "members", MAX_MEMBERS / 2)
+}
--- a/crates/pebblepost-fleet/tests/decisions.rs
+++ b/crates/pebblepost-fleet/tests/decisions.rs
@@ -1,14 +1,14 @@
 //! Decisions pinned by digests of whole seeded runs: random commands, heartbeats, followers, a release's driver and its
 //! simulation. A digest covers what is written (JSON, error texts, numbers) and its order, never the names of Rust items.
 
-use pebblepost_fleet::doing::Doing;
-use pebblepost_fleet::driver::{Driver, Next, Pace};
-use pebblepost_fleet::follow::Follower;
-use pebblepost_fleet::reckon::{off, settled, tallies};
-use pebblepost_fleet::rehearsal::{Play, rehearse};
-use pebblepost_fleet::session::{Beat, Sessions, Ttl};
-use pebblepost_fleet::state::{Presence, State};
-use pebblepost_fleet::{Act, Command, Kind, Limit, Name, RequestId};
+use pebblepost_fleet::follower::Follower;
+use pebblepost_fleet::heartbeat::HeartbeatReport;
+use pebblepost_fleet::leader::{HeartbeatOutcome, Sessions, drain_status, majority_update, request_totals};
+use pebblepost_fleet::release_driver::{NextStep, ReleaseDriver, ReleasePolicy};
+use pebblepost_fleet::session::SessionTtl;
+use pebblepost_fleet::simulation::{ReleasePlan, simulate};
+use pebblepost_fleet::value::Presence;
+use pebblepost_fleet::{Action, Command, Limit, Name, RequestId, State, SubjectKind};
 use serde::Serialize;
 use std::time::Duration;
 
@@ -68,7 +68,8 @@
         let (worker, dispatcher, revision) = (self.worker(), self.dispatcher(), state.revision());
         let subject =
             if kind == "worker" { format!("worker/{worker}") } else { format!("dispatcher/{dispatcher}") };
-        let granted = state.permit(&subject.parse().expect("sound")).and_then(|p| p.granted).unwrap_or(1);
+        let granted =
+            state.permit(&subject.parse().expect("sound")).and_then(|p| p.granted_at_revision).unwrap_or(1);
         match self.below(24) {
             0 => format!(r#"{{"drain":"{worker}"}}"#),
             1 => format!(r#"{{"undrain":"{worker}"}}"#),
@@ -164,50 +165,55 @@
 /// A fleet, its leader, a follower and a driver, over so many steps.
 fn whole_run(seed: u64, steps: u64) -> u64 {
     let (mut digest, mut draws, mut state) = (Digest::new(), Draws(seed), State::default());
-    let mut sessions = Sessions::begin(Ttl(Duration::from_secs(10)));
+    let mut sessions = Sessions::new(SessionTtl(Duration::from_secs(10)));
     let mut follower = Follower::default();
-    let pace = Pace {
-        pause: Duration::from_secs(30),
-        patience: Duration::from_secs(120),
-        crashes: 2,
-        drop: 0.05,
-        sample: 10,
+    let pace = ReleasePolicy {
+        observation_time: Duration::from_secs(30),
+        wave_timeout: Duration::from_secs(120),
+        max_crashes: 2,
+        max_success_rate_drop: 0.05,
+        min_answers: 10,
     };
-    let mut driver = Driver::new(pace);
+    let mut driver = ReleaseDriver::new(pace);
     for step in 0..steps {
         let now = Duration::from_millis(step * 700);
-        let act: Act = serde_json::from_str(&draws.act(&state)).expect("a command");
+        let act: Action = serde_json::from_str(&draws.act(&state)).expect("a command");
         let mut acts = vec![act];
         let members: Vec<(Name, u64)> =
             state.members().filter(|_| draws.below(3) > 0).map(|(n, m)| (n.clone(), m.session)).collect();
         for (member, session) in members {
-            let doing: Option<Doing> =
+            let doing: Option<HeartbeatReport> =
                 draws.coin().then(|| serde_json::from_str(&draws.heartbeat(&state)).expect("a heartbeat"));
-            let counted = sessions.beat(now, &state, &member, session, doing) == Beat::Counted;
+            let counted =
+                sessions.record_heartbeat(now, &state, &member, session, doing) == HeartbeatOutcome::Renewed;
             digest.json(&counted);
         }
-        acts.extend(sessions.overdue(now, &state));
-        acts.extend(settled(&state, &sessions));
+        acts.extend(sessions.expired(now, &state));
+        acts.extend(majority_update(&state, &sessions));
         digest.json(&acts);
-        let requests = tallies(&state, &sessions);
+        let requests = request_totals(&state, &sessions);
         digest.json(&requests);
         for worker in 0..6 {
-            digest.json(&off(&state, &sessions, &format!("w{worker}").parse().expect("sound")));
+            digest.json(&drain_status(&state, &sessions, &format!("w{worker}").parse().expect("sound")));
         }
-        match driver.look(now, &state.snapshot(), &requests) {
-            Next::Wait => digest.text("wait"),
-            Next::Halted => digest.text("halted"),
-            Next::Over => digest.text("over"),
-            Next::Ask(operation, why) => {
+        match driver.next_step(now, &state.snapshot(), &requests) {
+            NextStep::Wait => digest.text("wait"),
+            NextStep::Halted => digest.text("halted"),
+            NextStep::Finished => digest.text("over"),
+            NextStep::Propose { operation, reason: why } => {
                 digest.json(&operation);
                 digest.text(&why);
-                acts.push(Act::Change { ops: vec![operation], expect: Vec::new(), why: Default::default() });
+                acts.push(Action::Change {
+                    operations: vec![operation],
+                    preconditions: Vec::new(),
+                    reason: Default::default(),
+                });
             }
         }
         for (n, act) in acts.into_iter().enumerate() {
             let id = RequestId(step, n as u64);
             let by = "someone".parse().expect("sound");
-            let answer = state.apply(&Command { id, by, at_ms: step, act });
+            let answer = state.apply(&Command { id, issued_by: by, issued_at_ms: step, action: act });
             digest.json(&answer);
             if let Err(refusal) = &answer {
                 digest.text(&refusal.to_string());
@@ -215,23 +221,23 @@
         }
         follow(&mut follower, &state, &mut draws, &mut digest, now);
         if step % 50 == 0 {
-            simulate(&state, &mut draws, &mut digest);
+            dry_run(&state, &mut draws, &mut digest);
         }
     }
     digest.json(&state);
     digest.json(&follower);
-    let present = state.members().filter(|(_, m)| m.presence == Presence::Here).count();
+    let present = state.members().filter(|(_, m)| m.presence == Presence::Present).count();
     digest.json(&present);
     digest.0
 }
 
 fn follow(follower: &mut Follower, state: &State, draws: &mut Draws, digest: &mut Digest, now: Duration) {
     let result = match draws.below(4) {
-        0 => follower.take_snapshot(now, state.snapshot()),
-        1 => follower.confirmed(now, state.revision()),
+        0 => follower.apply_snapshot(now, state.snapshot()),
+        1 => follower.confirm(now, state.revision()),
         2 => match state.changes_after(follower.revision(), 64) {
-            Some(changes) => follower.take_changes(now, &changes),
-            None => follower.take_snapshot(now, state.snapshot()),
+            Some(changes) => follower.apply_changes(now, &changes),
+            None => follower.apply_snapshot(now, state.snapshot()),
         },
         _ => Ok(()),
     };
@@ -248,34 +254,40 @@
     if let Err(error) = local {
         digest.text(&error.to_string());
     }
-    if let Some(offer) = follower.offer() {
+    if let Some(offer) = follower.next_proposal() {
         digest.json(&offer);
         let answer = state.clone().apply(&offer);
-        let _ = follower.offered(offer.id, &answer);
+        let _ = follower.record_result(offer.id, &answer);
     }
-    digest.json(&follower.drained());
-    digest.json(&follower.newest_mark());
+    digest.json(&follower.drained_workers());
+    digest.json(&follower.newest_drain_revision());
 }
 
-fn simulate(state: &State, draws: &mut Draws, digest: &mut Digest) {
-    let waves = vec![Limit::Count(1 + draws.below(2) as u32), Limit::Share(1.0)];
-    let play = Play {
-        want: "v9".parse().expect("sound"),
+fn dry_run(state: &State, draws: &mut Draws, digest: &mut Digest) {
+    let waves = vec![Limit::Count(1 + draws.below(2) as u32), Limit::Fraction(1.0)];
+    let play = ReleasePlan {
+        version: "v9".parse().expect("sound"),
         waves,
-        zones: Vec::new(),
-        pause: Duration::from_secs(30),
-        restart: Duration::from_secs(10),
+        zone_order: Vec::new(),
+        observation_time: Duration::from_secs(30),
+        restart_time: Duration::from_secs(10),
     };
-    match rehearse(&state.snapshot(), &"op".parse().expect("sound"), &play) {
+    match simulate(&state.snapshot(), &"op".parse().expect("sound"), &play) {
         Ok(waves) => digest.json(&waves),
         Err(never) => digest.text(&never.to_string()),
     }
-    for kind in [Kind::Dispatcher, Kind::Worker] {
-        let roll = state.roll(kind);
-        digest.json(&(roll.out(), roll.reached(), roll.wave_is_back(), roll.queue(), roll.grants()));
-        for name in roll.all.keys() {
-            digest.text(&roll.fits(name).map_or_else(|waits| waits.to_string(), |()| "fits".to_owned()));
-            digest.json(&roll.never(name));
+    for kind in [SubjectKind::Dispatcher, SubjectKind::Worker] {
+        let roll = state.availability(kind);
+        digest.json(&(
+            roll.unavailable(),
+            roll.reached(),
+            roll.wave_is_complete(),
+            roll.queue(),
+            roll.grants(),
+        ));
+        for name in roll.subjects.keys() {
+            digest.text(&roll.check(name).map_or_else(|waits| waits.to_string(), |()| "fits".to_owned()));
+            digest.json(&roll.impossible_reason(name));
         }
     }
 }
@@ -308,27 +320,40 @@
 }
 
 fn error_texts() -> Vec<String> {
-    use pebblepost_fleet::follow::{NotHere, Unfit};
-    use pebblepost_fleet::lease::{Fence, NoAct};
-    use pebblepost_fleet::permit::Waits;
-    use pebblepost_fleet::reckon::Because;
-    let mut texts: Vec<String> =
-        [Because::Behind(3), Because::Busy, Because::Unheard, Because::CutOff].map(|b| b.to_string()).into();
+    use pebblepost_fleet::availability::WaitReason;
+    use pebblepost_fleet::fencing::{FencingGuard, NotAuthorized};
+    use pebblepost_fleet::follower::{LocalDrainError, UpdateError};
+    use pebblepost_fleet::leader::UnconfirmedReason;
+    let mut texts: Vec<String> = [
+        UnconfirmedReason::StaleRevision(3),
+        UnconfirmedReason::Busy,
+        UnconfirmedReason::NoReport,
+        UnconfirmedReason::Absent,
+    ]
+    .map(|b| b.to_string())
+    .into();
     let waits = [
-        Waits::NoBudget,
-        Waits::Halted,
-        Waits::Fleet(1),
-        Waits::Zone(2),
-        Waits::MachineKind(3),
-        Waits::Wave(4),
-        Waits::Turn,
+        WaitReason::NoBudget,
+        WaitReason::Halted,
+        WaitReason::FleetLimit(1),
+        WaitReason::ZoneLimit(2),
+        WaitReason::MachineTypeLimit(3),
+        WaitReason::WaveLimit(4),
+        WaitReason::ZoneOrder,
     ];
     texts.extend(waits.map(|w| w.to_string()));
-    texts.extend([NoAct::NotOurs, NoAct::Ends, NoAct::TooLate].map(|e| e.to_string()));
-    texts.extend([NotHere::Full, NotHere::Agreed, NotHere::Unknown].map(|e| e.to_string()));
-    texts.extend([Unfit::Gap { found: 1, ours: 2 }, Unfit::Old { found: 1, ours: 2 }].map(|e| e.to_string()));
-    let (mut fence, task) = (Fence::default(), "t".parse().expect("sound"));
-    fence.pass(&task, 4).expect("the first");
-    texts.push(fence.pass(&task, 3).expect_err("an older one").to_string());
+    texts.extend(
+        [NotAuthorized::NotHolder, NotAuthorized::Revoked, NotAuthorized::WouldExpire].map(|e| e.to_string()),
+    );
+    texts.extend(
+        [LocalDrainError::Full, LocalDrainError::Replicated, LocalDrainError::Unknown].map(|e| e.to_string()),
+    );
+    texts.extend(
+        [UpdateError::Gap { found: 1, own: 2 }, UpdateError::Stale { found: 1, own: 2 }]
+            .map(|e| e.to_string()),
+    );
+    let (mut fence, task) = (FencingGuard::default(), "t".parse().expect("sound"));
+    fence.check(&task, 4).expect("the first");
+    texts.push(fence.check(&task, 3).expect_err("an older one").to_string());
     texts
 }
--- a/crates/pebblepost-fleet/tests/lease.rs
+++ b/crates/pebblepost-fleet/tests/lease.rs
@@ -1,10 +1,12 @@
 //! Leases: who has a task, and that no order of pauses, restarts, lost answers and new leaders has two act at once.
 
-use pebblepost_fleet::command::{Act, Card, Command, RequestId, Role};
-use pebblepost_fleet::lease::{Fence, Lease, NoAct, Stale, Tenure};
-use pebblepost_fleet::session::{Beat, Sessions, Ttl};
-use pebblepost_fleet::state::State;
-use pebblepost_fleet::{Answer, Key, Name, Op, Refusal, Text};
+use pebblepost_fleet::fencing::{FencingGuard, NotAuthorized, SessionValidity, StaleFencingToken};
+use pebblepost_fleet::leader::{HeartbeatOutcome, Sessions};
+use pebblepost_fleet::session::SessionTtl;
+use pebblepost_fleet::value::{Lease, MemberInfo, Role};
+use pebblepost_fleet::{
+    Action, Command, CommandResult, IncarnationId, Key, Name, Operation, Rejection, RequestId, State, Text,
+};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -13,7 +15,7 @@
     text.parse().expect("a sound name")
 }
 
-const TTL: Ttl = Ttl(Duration::from_secs(4));
+const TTL: SessionTtl = SessionTtl(Duration::from_secs(4));
 
 #[derive(Clone, Debug, Default)]
 struct Desk {
@@ -22,21 +24,30 @@
 }
 
 impl Desk {
-    fn act(&mut self, act: Act) -> Answer {
+    fn act(&mut self, act: Action) -> CommandResult {
         self.next += 1;
-        self.state.apply(&Command { id: RequestId(1, self.next), by: name("o"), at_ms: 0, act })
+        self.state.apply(&Command {
+            id: RequestId(1, self.next),
+            issued_by: name("o"),
+            issued_at_ms: 0,
+            action: act,
+        })
     }
 
-    fn op(&mut self, op: Op) -> Answer {
+    fn op(&mut self, op: Operation) -> CommandResult {
         let why = "a test".parse().expect("a sound text");
-        self.act(Act::Change { ops: vec![op], expect: Vec::new(), why })
+        self.act(Action::Change { operations: vec![op], preconditions: Vec::new(), reason: why })
     }
 
     /// The session; `None`: a later life has the name.
     fn tries_to_join(&mut self, member: &str, life: u64) -> Option<u64> {
         let (version, zone, address) = (Text::default(), Text::default(), None);
-        let card = Card { role: Role::Dispatcher, version, address, zone, ready: true };
-        let joined = self.act(Act::Join { member: name(member), life: RequestId(7, life), card });
+        let card = MemberInfo { role: Role::Dispatcher, version, address, zone, ready: true };
+        let joined = self.act(Action::Join {
+            member: name(member),
+            incarnation_id: IncarnationId(7, life),
+            info: card,
+        });
         joined.ok()?.session
     }
 
@@ -44,19 +55,19 @@
         self.tries_to_join(member, life).expect("it may join")
     }
 
-    fn wants(&mut self, member: &str, session: u64, task: &str) -> Answer {
-        self.act(Act::Acquire { member: name(member), session, tasks: vec![name(task)] })
+    fn wants(&mut self, member: &str, session: u64, task: &str) -> CommandResult {
+        self.act(Action::AcquireLeases { member: name(member), session, tasks: vec![name(task)] })
     }
 
     fn back(&mut self, member: &str, session: u64, to: Option<&str>) {
         let (member, task, to) = (name(member), name("t"), to.map(name));
-        self.act(Act::GiveBack { member, session, task, to }).expect("nothing against it");
+        self.act(Action::ReleaseLease { member, session, task, successor: to }).expect("nothing against it");
     }
 
     /// Who has it, and by which fence.
     fn holder(&self, task: &str) -> Option<(String, u64)> {
         let holder = self.state.lease(&name(task))?.holder.clone()?;
-        Some((holder.member.to_string(), holder.fence))
+        Some((holder.member.to_string(), holder.fencing_token))
     }
 }
 
@@ -76,62 +87,77 @@
     let (holder, second) = desk.holder("t").expect("handed over");
     assert!(holder == "c" && second > first);
     // An operator asks it back: it stays until it is, and another grant is not meant.
-    assert!(desk.op(Op::Revoke { task: name("t"), fence: first, to: None }).is_err());
-    desk.op(Op::Revoke { task: name("t"), fence: second, to: None }).expect("c has it");
+    assert!(
+        desk.op(Operation::RevokeLease { task: name("t"), fencing_token: first, successor: None }).is_err()
+    );
+    desk.op(Operation::RevokeLease { task: name("t"), fencing_token: second, successor: None })
+        .expect("c has it");
     assert_eq!(desk.holder("t"), Some(("c".to_owned(), second)));
     desk.back("c", c, None);
     let (holder, third) = desk.holder("t").expect("b waits");
     assert!(holder == "b" && third > second);
     // A restore takes nobody's lease, and fences do not go back.
     let backup = desk.state.snapshot();
-    desk.act(Act::Restore(backup)).expect("it fits");
+    desk.act(Action::Restore(backup)).expect("it fits");
     assert_eq!(desk.holder("t"), Some(("b".to_owned(), third)));
     desk.wants("a", a, "t").expect("room");
     let mut sessions = [a, b];
     for (n, member) in ["b", "a", "b", "a"].into_iter().enumerate() {
         let at = usize::from(member == "b");
         let before = desk.holder("t").expect("held").1;
-        desk.act(Act::Expire { member: name(member), session: sessions[at] }).expect("it was there");
+        desk.act(Action::ExpireSession { member: name(member), session: sessions[at] })
+            .expect("it was there");
         let other = desk.holder("t").expect("the other waits");
         assert!(other.0 != member && other.1 > before, "{other:?}");
         sessions[at] = desk.joins(member, 200 + n as u64);
         desk.wants(member, sessions[at], "t").expect("room");
     }
-    assert!(matches!(desk.wants("a", a, "t"), Err(Refusal::Ended { .. })), "an old session wants nothing");
+    assert!(
+        matches!(desk.wants("a", a, "t"), Err(Rejection::SessionEnded { .. })),
+        "an old session wants nothing"
+    );
 }
 
 #[test]
 fn one_that_is_to_go_or_not_ready_gets_no_task_and_a_replaced_process_keeps_its_own_until_it_has_lapsed() {
     let mut desk = Desk::default();
     let a = desk.joins("a", 1);
-    desk.act(Act::Report { member: name("a"), session: a, number: 1, ready: false }).expect("it is there");
+    desk.act(Action::ReportReadiness { member: name("a"), session: a, sequence: 1, ready: false })
+        .expect("it is there");
     desk.wants("a", a, "t").expect("room");
     assert_eq!(desk.holder("t"), None, "it takes no clients");
-    desk.act(Act::Report { member: name("a"), session: a, number: 2, ready: true }).expect("it is there");
+    desk.act(Action::ReportReadiness { member: name("a"), session: a, sequence: 2, ready: true })
+        .expect("it is there");
     let (_, fence) = desk.holder("t").expect("now it may");
     let again = desk.joins("a", 2);
     desk.wants("a", again, "t").expect("room");
     assert_eq!(desk.holder("t").map(|h| h.1), Some(fence), "the old process may only be paused");
     desk.back("a", a + 1_000, None);
     assert_eq!(desk.state.lease(&name("t")).map(|l| l.queue.len()), Some(1), "no such session withdraws");
-    assert!(desk.act(Act::Lapse { member: name("a"), session: again }).is_err(), "this one goes on");
+    assert!(
+        desk.act(Action::ExpireSupersededSession { member: name("a"), session: again }).is_err(),
+        "this one goes on"
+    );
     // The leader counts from when it saw that the session was replaced, by its own clock and with the margin.
-    let (mut leader, at) = (Sessions::begin(TTL), Duration::from_secs_f64);
-    assert_eq!(leader.overdue(at(10.0), &desk.state), []);
-    assert_eq!(leader.beat(at(13.0), &desk.state, &name("a"), again, None), Beat::Counted);
-    assert_eq!(leader.overdue(at(14.1), &desk.state), []);
-    let lapse = Act::Lapse { member: name("a"), session: a };
-    assert_eq!(leader.overdue(at(14.3), &desk.state), std::slice::from_ref(&lapse));
+    let (mut leader, at) = (Sessions::new(TTL), Duration::from_secs_f64);
+    assert_eq!(leader.expired(at(10.0), &desk.state), []);
+    assert_eq!(
+        leader.record_heartbeat(at(13.0), &desk.state, &name("a"), again, None),
+        HeartbeatOutcome::Renewed
+    );
+    assert_eq!(leader.expired(at(14.1), &desk.state), []);
+    let lapse = Action::ExpireSupersededSession { member: name("a"), session: a };
+    assert_eq!(leader.expired(at(14.3), &desk.state), std::slice::from_ref(&lapse));
     desk.act(lapse).expect("it was replaced");
     let (_, newer) = desk.holder("t").expect("the new life waits");
     assert!(newer > fence);
     assert!(desk.state.get(&Key::Lease(name("t"))).is_some_and(|e| e.revision == newer));
     // What is acted on takes the new one, and the old one no more.
-    let mut witness = Fence::default();
-    assert_eq!(witness.pass(&name("t"), fence), Ok(()));
-    assert_eq!(witness.pass(&name("t"), newer), Ok(()));
-    assert_eq!(witness.pass(&name("t"), fence), Err(Stale { found: fence, newest: newer }));
-    assert_eq!(witness.pass(&name("other"), fence), Ok(()));
+    let mut witness = FencingGuard::default();
+    assert_eq!(witness.check(&name("t"), fence), Ok(()));
+    assert_eq!(witness.check(&name("t"), newer), Ok(()));
+    assert_eq!(witness.check(&name("t"), fence), Err(StaleFencingToken { found: fence, newest: newer }));
+    assert_eq!(witness.check(&name("other"), fence), Ok(()));
 }
 
 #[test]
@@ -141,10 +167,16 @@
     desk.wants("a", a, "t").expect("room");
     let lease = desk.state.lease(&name("t")).cloned().expect("held");
     let (me, at) = (name("a"), Duration::from_secs_f64);
-    let tenure = Tenure::new(TTL, a, at(10.0));
-    let act = |tenure: Tenure, now, lease: &Lease| tenure.act(at(now), at(1.0), &me, lease).map(|_| ());
+    let tenure = SessionValidity::new(TTL, a, at(10.0));
+    let act = |tenure: SessionValidity, now, lease: &Lease| {
+        tenure.authorize(at(now), at(1.0), &me, lease).map(|_| ())
+    };
     assert_eq!(act(tenure, 12.7, &lease), Ok(()));
-    assert_eq!(act(tenure, 12.8, &lease), Err(NoAct::TooLate), "3.8 s by this clock, and a step of one");
+    assert_eq!(
+        act(tenure, 12.8, &lease),
+        Err(NotAuthorized::WouldExpire),
+        "3.8 s by this clock, and a step of one"
+    );
     let renewed = tenure.renewed(TTL, a, at(11.0));
     assert_eq!(act(renewed, 13.7, &lease), Ok(()));
     assert_eq!(
@@ -152,13 +184,13 @@
         Ok(()),
         "an old answer takes nothing away"
     );
-    assert_eq!(act(renewed.renewed(TTL, a + 1, at(12.0)), 12.1, &lease), Err(NoAct::NotOurs));
-    assert_eq!(act(tenure, 10.1, &Lease { ends: true, ..lease.clone() }), Err(NoAct::Ends));
-    assert_eq!(act(tenure, 10.1, &lease.freed()), Err(NoAct::NotOurs));
+    assert_eq!(act(renewed.renewed(TTL, a + 1, at(12.0)), 12.1, &lease), Err(NotAuthorized::NotHolder));
+    assert_eq!(act(tenure, 10.1, &Lease { revoked: true, ..lease.clone() }), Err(NotAuthorized::Revoked));
+    assert_eq!(act(tenure, 10.1, &lease.released()), Err(NotAuthorized::NotHolder));
 }
 
 /// In the model fewer steps of time are enough.
-const SHORT: Ttl = Ttl(Duration::from_secs(2));
+const SHORT: SessionTtl = SessionTtl(Duration::from_secs(2));
 
 // ---- Every order: two members, one of which is replaced while its old process is paused; beats and answers that are late or lost;
 // leaders that come and go; clocks at the two ends of what is allowed ----
@@ -180,13 +212,13 @@
 struct Process {
     member: usize,
     life: u64,
-    tenure: Option<(u64, Tenure)>,
+    tenure: Option<(u64, SessionValidity)>,
     /// The lease as its copy has it.
     copy: Lease,
     /// The session that the next beat is for, and when it was sent, by this process's clock.
     beat: Option<(u64, Duration)>,
     /// The answer to it, on its way: whether it was counted.
-    answer: Option<(u64, Duration, Beat)>,
+    answer: Option<(u64, Duration, HeartbeatOutcome)>,
 }
 
 #[derive(Clone, Debug)]
@@ -218,8 +250,9 @@
     fn acting(&self) -> usize {
         let may = |p: &&Process| {
             let member = name(&format!("m{}", p.member));
-            p.tenure
-                .is_some_and(|(_, t)| t.act(member_clock(self.now), Duration::ZERO, &member, &p.copy).is_ok())
+            p.tenure.is_some_and(|(_, t)| {
+                t.authorize(member_clock(self.now), Duration::ZERO, &member, &p.copy).is_ok()
+            })
         };
         self.processes.iter().filter(may).count()
     }
@@ -283,7 +316,7 @@
             beat: None,
             answer: None,
         };
-        let (leader, processes) = (Sessions::begin(SHORT), vec![process(0), process(1)]);
+        let (leader, processes) = (Sessions::new(SHORT), vec![process(0), process(1)]);
         let mut world = World { desk: Desk::default(), leader, now: 0, processes, elections: 0 };
         // Both are there, and the first has the task and knows it.
         for step in [Step::Join(0), Step::Join(1), Step::See(0), Step::Look] {
@@ -331,11 +364,12 @@
                 let old = world.desk.state.member(&name(&called)).map(|m| m.session);
                 let session = world.desk.tries_to_join(&called, member as u64 * 100 + life)?;
                 if let (Without::Lapse, Some(session)) = (self.without, old) {
-                    let _ = world.desk.act(Act::Lapse { member: name(&called), session });
+                    let _ =
+                        world.desk.act(Action::ExpireSupersededSession { member: name(&called), session });
                 }
                 let _ = world.desk.wants(&called, session, "t");
-                world.leader.beat(there, &world.desk.state, &name(&called), session, None);
-                world.processes[i].tenure = Some((session, Tenure::new(SHORT, session, here)));
+                world.leader.record_heartbeat(there, &world.desk.state, &name(&called), session, None);
+                world.processes[i].tenure = Some((session, SessionValidity::new(SHORT, session, here)));
             }
             Step::See(i) => {
                 world.processes[i].copy = world.desk.state.lease(&name("t")).cloned().unwrap_or_default();
@@ -347,7 +381,7 @@
             Step::Arrives(i) => {
                 let (session, sent) = world.processes[i].beat.take()?;
                 let member = name(&format!("m{}", world.processes[i].member));
-                let beat = world.leader.beat(there, &world.desk.state, &member, session, None);
+                let beat = world.leader.record_heartbeat(there, &world.desk.state, &member, session, None);
                 world.processes[i].answer = Some((session, sent, beat));
             }
             Step::Beats(i) => {
@@ -360,10 +394,12 @@
                 let sent = if self.without == Without::SendTime { here } else { sent };
                 let tenure = &mut world.processes[i].tenure;
                 *tenure = match (beat, *tenure) {
-                    (Beat::Counted, Some((_, now))) => Some((session, now.renewed(SHORT, session, sent))),
-                    (Beat::Counted, None) => None,
+                    (HeartbeatOutcome::Renewed, Some((_, now))) => {
+                        Some((session, now.renewed(SHORT, session, sent)))
+                    }
+                    (HeartbeatOutcome::Renewed, None) => None,
                     // A process that was replaced ends; another one joins again.
-                    (Beat::Ended, _) => None,
+                    (HeartbeatOutcome::SessionEnded, _) => None,
                 };
             }
             Step::Back(i) => {
@@ -380,13 +416,13 @@
             }
             Step::Elect => {
                 world.elections += 1;
-                world.leader = Sessions::begin(SHORT);
+                world.leader = Sessions::new(SHORT);
                 if self.without == Without::Extension {
-                    world.leader.overdue(Duration::ZERO, &world.desk.state);
+                    world.leader.expired(Duration::ZERO, &world.desk.state);
                 }
             }
             Step::Look => {
-                for act in world.leader.overdue(there, &world.desk.state) {
+                for act in world.leader.expired(there, &world.desk.state) {
                     let _ = world.desk.act(act);
                 }
             }
--- a/crates/pebblepost-fleet/tests/model.rs
+++ b/crates/pebblepost-fleet/tests/model.rs
@@ -1,11 +1,13 @@
 //! Model checking of what is ours in the agreed store: every order in which messages can be lost, doubled and delayed and
 //! processes can restart, up to stated bounds.
 
-use pebblepost_fleet::command::{Act, Card, Command, RequestId, Role};
-use pebblepost_fleet::follow::{Follower, Offered};
-use pebblepost_fleet::session::{Sessions, Ttl};
-use pebblepost_fleet::state::{Presence, Snapshot, State};
-use pebblepost_fleet::{Answer, Key, Name, Op, Text};
+use pebblepost_fleet::follower::{Follower, ProposalOutcome};
+use pebblepost_fleet::leader::Sessions;
+use pebblepost_fleet::session::SessionTtl;
+use pebblepost_fleet::value::{MemberInfo, Presence, Role};
+use pebblepost_fleet::{
+    Action, Command, CommandResult, IncarnationId, Key, Name, Operation, RequestId, Snapshot, State, Text,
+};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -21,7 +23,7 @@
 
 // ---- Sessions: a member that is paused, restarted and cut off, and leaders that change ----
 
-const TTL: Ttl = Ttl(Duration::from_secs(4));
+const TTL: SessionTtl = SessionTtl(Duration::from_secs(4));
 /// One step of time. Clocks of member and leader may differ by the rate that is allowed for.
 const STEP: Duration = Duration::from_secs(1);
 
@@ -88,9 +90,10 @@
 struct MemberModel;
 
 impl World {
-    fn command(&mut self, act: Act) -> Answer {
+    fn command(&mut self, act: Action) -> CommandResult {
         self.next += 1;
-        let command = Command { id: RequestId(1, self.next), by: name("m"), at_ms: 0, act };
+        let command =
+            Command { id: RequestId(1, self.next), issued_by: name("m"), issued_at_ms: 0, action: act };
         self.state.apply(&command)
     }
 
@@ -99,14 +102,14 @@
     }
 
     /// The sessions that the present leader would have ended now.
-    fn overdue(&self) -> Vec<Act> {
-        let mut leader = Sessions::begin(TTL);
+    fn overdue(&self) -> Vec<Action> {
+        let mut leader = Sessions::new(TTL);
         // What it has seen since it began, in that order.
-        leader.overdue(self.secs(self.began), &self.state);
+        leader.expired(self.secs(self.began), &self.state);
         if let Some((session, at)) = self.heard {
-            leader.beat(self.secs(at), &self.state, &name("m"), session, None);
+            leader.record_heartbeat(self.secs(at), &self.state, &name("m"), session, None);
         }
-        leader.overdue(self.secs(self.now), &self.state)
+        leader.expired(self.secs(self.now), &self.state)
     }
 
     /// Whether a life may rely on its session, by its own clock.
@@ -153,15 +156,16 @@
         match step {
             Step::Time => world.now += 1,
             Step::Join(i) => {
-                let card = Card {
+                let card = MemberInfo {
                     role: Role::Dispatcher,
                     version: Text::default(),
                     address: None,
                     zone: Text::default(),
                     ready: true,
                 };
-                let (sent, life) = (world.now, RequestId(0, world.lives[i].number));
-                let answer = world.command(Act::Join { member: name("m"), life, card });
+                let (sent, life) = (world.now, IncarnationId(0, world.lives[i].number));
+                let answer =
+                    world.command(Action::Join { member: name("m"), incarnation_id: life, info: card });
                 match answer {
                     Ok(done) => {
                         world.lives[i].session = done.session;
@@ -178,9 +182,10 @@
             }
             Step::Arrives(i) => {
                 let (session, number, sent) = world.beats.remove(i);
-                let mut leader = Sessions::begin(TTL);
-                let goes_on = leader.beat(world.secs(world.now), &world.state, &name("m"), session, None)
-                    == pebblepost_fleet::session::Beat::Counted;
+                let mut leader = Sessions::new(TTL);
+                let goes_on =
+                    leader.record_heartbeat(world.secs(world.now), &world.state, &name("m"), session, None)
+                        == pebblepost_fleet::leader::HeartbeatOutcome::Renewed;
                 if goes_on {
                     world.heard = Some((session, world.now));
                 }
@@ -226,7 +231,7 @@
                     w.lives.iter().filter(|l| w.relies(l)).all(|life| {
                         let session = life.session.unwrap_or(0);
                         member.is_some_and(|m| {
-                            m.session > session || m.session == session && m.presence == Presence::Here
+                            m.session > session || m.session == session && m.presence == Presence::Present
                         })
                     })
                 },
@@ -264,7 +269,7 @@
     /// The group has taken a decision on this worker since the dispatcher was cut off.
     decided: bool,
     offers: Vec<Command>,
-    answers: Vec<(RequestId, Answer)>,
+    answers: Vec<(RequestId, CommandResult)>,
     /// Snapshots on their way, perhaps late and out of order.
     news: Vec<Snapshot>,
     steps: u8,
@@ -314,15 +319,15 @@
     }
 
     fn honoured(&self) -> bool {
-        self.follower.drained().contains(&name(WORKER))
+        self.follower.drained_workers().contains(&name(WORKER))
     }
 
-    fn decide(&mut self, op: Op) {
+    fn decide(&mut self, op: Operation) {
         self.steps += 1;
-        let act = Act::Change { ops: vec![op], expect: vec![], why: Text::default() };
+        let act = Action::Change { operations: vec![op], preconditions: vec![], reason: Text::default() };
         let id = RequestId(2, u64::from(self.steps));
         let revision = self.group.revision();
-        let done = self.group.apply(&Command { id, by: name("op"), at_ms: 0, act });
+        let done = self.group.apply(&Command { id, issued_by: name("op"), issued_at_ms: 0, action: act });
         assert!(done.is_ok());
         self.decided |= self.asked && self.group.revision() > revision;
     }
@@ -354,7 +359,7 @@
         if cut.steps < 2 {
             actions.extend([Move::Drain, Move::Undrain]);
         }
-        if cut.offers.len() < 2 && cut.follower.offer().is_some() {
+        if cut.offers.len() < 2 && cut.follower.next_proposal().is_some() {
             actions.push(Move::Offer);
         }
         for i in 0..cut.offers.len() {
@@ -382,9 +387,9 @@
                 let asked = cut.follower.drain(name(WORKER), RequestId(9, 9), name("op"), 0, Text::default());
                 asked.expect("room");
             }
-            Move::Drain => cut.decide(Op::Drain(name(WORKER))),
-            Move::Undrain => cut.decide(Op::Undrain(name(WORKER))),
-            Move::Offer => cut.offers.extend(cut.follower.offer()),
+            Move::Drain => cut.decide(Operation::Drain(name(WORKER))),
+            Move::Undrain => cut.decide(Operation::Undrain(name(WORKER))),
+            Move::Offer => cut.offers.extend(cut.follower.next_proposal()),
             Move::Arrives(i, doubled) => {
                 let offer = if doubled { cut.offers[i].clone() } else { cut.offers.remove(i) };
                 let answer = cut.group.apply(&offer);
@@ -392,13 +397,13 @@
             }
             Move::Answered(i) => {
                 let (id, answer) = cut.answers.remove(i);
-                cut.overruled |= cut.follower.offered(id, &answer) == Offered::Overruled;
+                cut.overruled |= cut.follower.record_result(id, &answer) == ProposalOutcome::Overruled;
             }
             Move::Unanswered(i) => drop(cut.answers.remove(i)),
             Move::Tell => cut.news.push(cut.group.snapshot()),
             Move::Told(i) => {
                 let news = cut.news.remove(i);
-                let _ = cut.follower.take_snapshot(Duration::ZERO, news);
+                let _ = cut.follower.apply_snapshot(Duration::ZERO, news);
             }
             Move::Restart => {
                 let text = serde_json::to_string(&cut.follower).expect("plain data");
@@ -474,9 +479,14 @@
 }
 
 fn asked(number: usize) -> Command {
-    let op = if number == 1 { Op::Undrain(name("w")) } else { Op::Drain(name("w")) };
-    let act = Act::Change { ops: vec![op], expect: Vec::new(), why: Text::default() };
-    Command { id: RequestId(9, number as u64), by: name(&format!("o{number}")), at_ms: 0, act }
+    let op = if number == 1 { Operation::Undrain(name("w")) } else { Operation::Drain(name("w")) };
+    let act = Action::Change { operations: vec![op], preconditions: Vec::new(), reason: Text::default() };
+    Command {
+        id: RequestId(9, number as u64),
+        issued_by: name(&format!("o{number}")),
+        issued_at_ms: 0,
+        action: act,
+    }
 }
 
 impl Model for KeptModel {
--- a/crates/pebblepost-fleet/tests/permits.rs
+++ b/crates/pebblepost-fleet/tests/permits.rs
@@ -1,10 +1,12 @@
 //! Budgets and permits: who may be out at once, and what every order of commands makes of it.
 
-use pebblepost_fleet::command::{Act, Card, Command, RequestId, Role, Worker};
-use pebblepost_fleet::follow::Follower;
-use pebblepost_fleet::permit::Waits;
-use pebblepost_fleet::state::State;
-use pebblepost_fleet::{Answer, Budget, Key, Kind, Limit, Name, Op, Refusal, Subject, Text};
+use pebblepost_fleet::availability::WaitReason;
+use pebblepost_fleet::follower::Follower;
+use pebblepost_fleet::value::{MemberInfo, Role, Worker};
+use pebblepost_fleet::{
+    Action, Budget, Command, CommandResult, IncarnationId, Key, Limit, Name, Operation, Rejection, RequestId,
+    State, Subject, SubjectKind, Text,
+};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -34,45 +36,59 @@
         fleet
     }
 
-    fn act(&mut self, act: Act) -> Answer {
+    fn act(&mut self, act: Action) -> CommandResult {
         self.next += 1;
         let (id, by) = (RequestId(1, self.next), name("o"));
-        self.state.apply(&Command { id, by, at_ms: 0, act })
+        self.state.apply(&Command { id, issued_by: by, issued_at_ms: 0, action: act })
     }
 
-    fn op(&mut self, op: Op) -> Answer {
+    fn op(&mut self, op: Operation) -> CommandResult {
         let why = "a test".parse().expect("a sound text");
-        self.act(Act::Change { ops: vec![op], expect: Vec::new(), why })
+        self.act(Action::Change { operations: vec![op], preconditions: Vec::new(), reason: why })
     }
 
     fn joins(&mut self, member: &str, zone: &str, life: u64, version: &str, ready: bool) -> u64 {
         let text = |t: &str| t.parse::<Text>().expect("a sound text");
-        let card =
-            Card { role: Role::Dispatcher, version: text(version), address: None, zone: text(zone), ready };
-        let act = Act::Join { member: name(member), life: RequestId(7, life), card };
+        let card = MemberInfo {
+            role: Role::Dispatcher,
+            version: text(version),
+            address: None,
+            zone: text(zone),
+            ready,
+        };
+        let act = Action::Join { member: name(member), incarnation_id: IncarnationId(7, life), info: card };
         self.act(act).expect("it may join").session.expect("a session")
     }
 
-    fn budget(&mut self, kind: Kind, most: Limit, most_in_zone: Option<Limit>, least_in_zone: u32) {
-        let budget = Budget { most, most_in_zone, most_in_kind: None, least_in_zone };
-        self.op(Op::Budget(kind, budget)).expect("a sound budget");
+    fn budget(&mut self, kind: SubjectKind, most: Limit, most_in_zone: Option<Limit>, least_in_zone: u32) {
+        let budget = Budget {
+            max_unavailable: most,
+            max_unavailable_per_zone: most_in_zone,
+            max_unavailable_per_machine_type: None,
+            min_available_per_zone: least_in_zone,
+        };
+        self.op(Operation::SetBudget(kind, budget)).expect("a sound budget");
     }
 
-    fn ask(&mut self, who: &str, urgent: bool, want: &str) -> Answer {
+    fn ask(&mut self, who: &str, urgent: bool, want: &str) -> CommandResult {
         let want = want.parse().expect("a sound text");
-        self.op(Op::Ask { subject: subject(who), urgent, want })
+        self.op(Operation::RequestPermit { subject: subject(who), urgent, version: want })
     }
 
     /// Those with a granted permit.
     fn granted(&self) -> Vec<String> {
-        let mut granted: Vec<String> =
-            self.state.permits().filter(|(_, p)| p.granted.is_some()).map(|(s, _)| s.to_string()).collect();
+        let mut granted: Vec<String> = self
+            .state
+            .permits()
+            .filter(|(_, p)| p.granted_at_revision.is_some())
+            .map(|(s, _)| s.to_string())
+            .collect();
         granted.sort();
         granted
     }
 
-    fn waits(&self, kind: Kind, who: &str) -> Option<Waits> {
-        self.state.roll(kind).fits(&name(who)).err()
+    fn waits(&self, kind: SubjectKind, who: &str) -> Option<WaitReason> {
+        self.state.availability(kind).check(&name(who)).err()
     }
 }
 
@@ -83,13 +99,13 @@
     let mut fleet = Fleet::of(&FOUR);
     // Without a budget nothing goes.
     fleet.ask("dispatcher/a", false, "2").expect("it waits");
-    assert_eq!(fleet.waits(Kind::Dispatcher, "a"), Some(Waits::NoBudget));
+    assert_eq!(fleet.waits(SubjectKind::Dispatcher, "a"), Some(WaitReason::NoBudget));
     assert!(fleet.granted().is_empty());
-    fleet.budget(Kind::Dispatcher, Limit::Count(1), None, 0);
+    fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
     assert_eq!(fleet.granted(), ["dispatcher/a"]);
     fleet.ask("dispatcher/b", false, "2").expect("it waits");
     fleet.ask("dispatcher/c", true, "2").expect("it waits, before b");
-    assert_eq!(fleet.waits(Kind::Dispatcher, "b"), Some(Waits::Fleet(1)));
+    assert_eq!(fleet.waits(SubjectKind::Dispatcher, "b"), Some(WaitReason::FleetLimit(1)));
     // Asked again by a second driver: the same permit.
     let before = fleet.state.permit(&subject("dispatcher/a")).cloned();
     fleet.ask("dispatcher/a", true, "").expect("it has one");
@@ -101,45 +117,53 @@
     assert_eq!(fleet.granted(), ["dispatcher/a"]);
     let session = fleet.joins("a", "x", 2, "2", false);
     assert_eq!(fleet.granted(), ["dispatcher/a"]);
-    let report = |number, ready| Act::Report { member: name("a"), session, number, ready };
+    let report =
+        |number, ready| Action::ReportReadiness { member: name("a"), session, sequence: number, ready };
     fleet.act(report(2, true)).expect("its session goes on");
     assert_eq!(fleet.granted(), ["dispatcher/c"], "a is back, and the urgent one goes");
     // A report that comes late changes nothing.
     fleet.act(report(1, false)).expect("its session goes on");
-    assert!(fleet.state.member(&name("a")).expect("it joined").card.ready);
+    assert!(fleet.state.member(&name("a")).expect("it joined").info.ready);
     // One whose grant is out cannot be taken back by a driver, only by an operator with a reason.
-    assert!(matches!(fleet.op(Op::Withdraw(subject("dispatcher/c"))), Err(Refusal::Invalid { .. })));
-    let silent = Act::Change {
-        ops: vec![Op::Force(subject("dispatcher/c"))],
-        expect: Vec::new(),
-        why: Text::default(),
+    assert!(matches!(
+        fleet.op(Operation::WithdrawPermit(subject("dispatcher/c"))),
+        Err(Rejection::Invalid { .. })
+    ));
+    let silent = Action::Change {
+        operations: vec![Operation::ForceCompletePermit(subject("dispatcher/c"))],
+        preconditions: Vec::new(),
+        reason: Text::default(),
     };
-    assert!(matches!(fleet.act(silent), Err(Refusal::Invalid { .. })));
-    assert!(fleet.op(Op::Dismiss(name("c"))).is_err());
-    fleet.op(Op::Force(subject("dispatcher/c"))).expect("with a reason");
+    assert!(matches!(fleet.act(silent), Err(Rejection::Invalid { .. })));
+    assert!(fleet.op(Operation::RemoveMember(name("c"))).is_err());
+    fleet.op(Operation::ForceCompletePermit(subject("dispatcher/c"))).expect("with a reason");
     assert_eq!(fleet.granted(), ["dispatcher/b"]);
 }
 
 #[test]
 fn whoever_is_lost_or_not_ready_uses_the_budget_up_and_may_go_itself() {
     let mut fleet = Fleet::of(&FOUR);
-    fleet.budget(Kind::Dispatcher, Limit::Share(0.5), Some(Limit::Count(1)), 0);
+    fleet.budget(SubjectKind::Dispatcher, Limit::Fraction(0.5), Some(Limit::Count(1)), 0);
     let session = fleet.state.member(&name("a")).expect("it joined").session;
-    fleet.act(Act::Expire { member: name("a"), session }).expect("its session goes on");
+    fleet.act(Action::ExpireSession { member: name("a"), session }).expect("its session goes on");
     fleet.ask("dispatcher/b", false, "").expect("it waits");
-    assert_eq!(fleet.waits(Kind::Dispatcher, "b"), Some(Waits::Zone(1)), "a is out in its zone");
+    assert_eq!(
+        fleet.waits(SubjectKind::Dispatcher, "b"),
+        Some(WaitReason::ZoneLimit(1)),
+        "a is out in its zone"
+    );
     // Of another zone: it passes b.
     fleet.ask("dispatcher/c", false, "").expect("it goes");
     assert_eq!(fleet.granted(), ["dispatcher/c"]);
     fleet.ask("dispatcher/d", false, "").expect("it waits");
-    assert_eq!(fleet.waits(Kind::Dispatcher, "d"), Some(Waits::Fleet(2)));
+    assert_eq!(fleet.waits(SubjectKind::Dispatcher, "d"), Some(WaitReason::FleetLimit(2)));
     // The lost one is out already: its own place is all that it takes.
     fleet.ask("dispatcher/a", false, "").expect("it goes");
     assert_eq!(fleet.granted(), ["dispatcher/a", "dispatcher/c"]);
     fleet.joins("a", "x", 1, "", true);
     assert_eq!(fleet.granted(), ["dispatcher/b", "dispatcher/c"]);
     // Lowered below what is out: nothing more goes, and nobody is called back.
-    fleet.budget(Kind::Dispatcher, Limit::Count(1), None, 0);
+    fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
     fleet.joins("b", "x", 101, "", true);
     assert_eq!(fleet.granted(), ["dispatcher/c"]);
     fleet.joins("c", "y", 201, "", true);
@@ -149,35 +173,40 @@
 #[test]
 fn a_halt_lets_nothing_more_out_until_it_is_resumed_and_outlasts_a_restore() {
     let mut fleet = Fleet::of(&FOUR);
-    fleet.budget(Kind::Dispatcher, Limit::Count(1), None, 0);
+    fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
     let backup = fleet.state.snapshot();
-    fleet.op(Op::Halt(Kind::Dispatcher)).expect("a halt");
+    fleet.op(Operation::Halt(SubjectKind::Dispatcher)).expect("a halt");
     fleet.ask("dispatcher/a", true, "").expect("it waits");
-    assert_eq!(fleet.waits(Kind::Dispatcher, "a"), Some(Waits::Halted));
-    fleet.act(Act::Restore(backup)).expect("a sound backup");
+    assert_eq!(fleet.waits(SubjectKind::Dispatcher, "a"), Some(WaitReason::Halted));
+    fleet.act(Action::Restore(backup)).expect("a sound backup");
     fleet.ask("dispatcher/b", true, "").expect("it waits");
     assert!(fleet.granted().is_empty());
-    fleet.op(Op::Resume(Kind::Dispatcher)).expect("the end of it");
+    fleet.op(Operation::Resume(SubjectKind::Dispatcher)).expect("the end of it");
     assert_eq!(fleet.granted(), ["dispatcher/a"]);
     // A backup of a time when it was not out does not call it back.
     let earlier = Fleet::of(&FOUR).state.snapshot();
-    fleet.act(Act::Restore(earlier)).expect("a sound backup");
+    fleet.act(Action::Restore(earlier)).expect("a sound backup");
     assert_eq!(fleet.granted(), ["dispatcher/a"]);
 }
 
 #[test]
 fn what_can_never_go_is_refused_at_once_with_its_cause() {
     let mut fleet = Fleet::of(&[("a", "x"), ("b", "y"), ("c", "y")]);
-    fleet.budget(Kind::Dispatcher, Limit::Share(0.3), None, 0);
+    fleet.budget(SubjectKind::Dispatcher, Limit::Fraction(0.3), None, 0);
     let none = fleet.ask("dispatcher/a", false, "").expect_err("30% of three are none");
     assert!(none.to_string().contains("lets none of 3 out"), "{none}");
-    fleet.budget(Kind::Dispatcher, Limit::Count(2), None, 1);
+    fleet.budget(SubjectKind::Dispatcher, Limit::Count(2), None, 1);
     let last = fleet.ask("dispatcher/a", false, "").expect_err("the last of its zone");
     assert!(last.to_string().contains("none of the 1 in zone \"x\""), "{last}");
     fleet.ask("dispatcher/b", false, "").expect("one of two may");
     assert!(fleet.ask("dispatcher/e", false, "").is_err(), "it has never joined");
-    let bad = Budget { most: Limit::Share(1.5), most_in_zone: None, most_in_kind: None, least_in_zone: 0 };
-    assert!(fleet.op(Op::Budget(Kind::Dispatcher, bad)).is_err());
+    let bad = Budget {
+        max_unavailable: Limit::Fraction(1.5),
+        max_unavailable_per_zone: None,
+        max_unavailable_per_machine_type: None,
+        min_available_per_zone: 0,
+    };
+    assert!(fleet.op(Operation::SetBudget(SubjectKind::Dispatcher, bad)).is_err());
 }
 
 #[test]
@@ -186,73 +215,78 @@
     for (worker, zone) in [("w-1", "x"), ("w-2", "x"), ("w-3", "y")] {
         let zone = zone.parse().expect("a sound text");
         let known = Worker { zone, slots: 4, ..Worker::default() };
-        fleet.op(Op::Know(name(worker), known)).expect("room");
+        fleet.op(Operation::PutWorker(name(worker), known)).expect("room");
     }
-    fleet.budget(Kind::Worker, Limit::Count(2), Some(Limit::Count(1)), 0);
+    fleet.budget(SubjectKind::Worker, Limit::Count(2), Some(Limit::Count(1)), 0);
     let drained = |fleet: &Fleet, w: &str| fleet.state.get(&Key::Drain(name(w))).is_some();
     fleet.ask("worker/w-1", false, "").expect("it goes");
     assert!(drained(&fleet, "w-1"));
-    let at = fleet.state.permit(&subject("worker/w-1")).and_then(|p| p.granted).expect("granted");
+    let at = fleet.state.permit(&subject("worker/w-1")).and_then(|p| p.granted_at_revision).expect("granted");
     // Out by hand, without a permit: it uses the budget up as well.
-    fleet.op(Op::Drain(name("w-3"))).expect("room");
+    fleet.op(Operation::Drain(name("w-3"))).expect("room");
     fleet.ask("worker/w-2", false, "").expect("it waits");
-    assert_eq!(fleet.waits(Kind::Worker, "w-2"), Some(Waits::Fleet(2)));
+    assert_eq!(fleet.waits(SubjectKind::Worker, "w-2"), Some(WaitReason::FleetLimit(2)));
     assert!(!drained(&fleet, "w-2"));
-    assert!(fleet.op(Op::Undrain(name("w-1"))).is_err(), "its permit ends that");
-    assert!(fleet.op(Op::Back(subject("worker/w-1"), at + 1)).is_err(), "another permit");
-    fleet.op(Op::Back(subject("worker/w-1"), at)).expect("it is back");
+    assert!(fleet.op(Operation::Undrain(name("w-1"))).is_err(), "its permit ends that");
+    assert!(fleet.op(Operation::CompletePermit(subject("worker/w-1"), at + 1)).is_err(), "another permit");
+    fleet.op(Operation::CompletePermit(subject("worker/w-1"), at)).expect("it is back");
     assert!(!drained(&fleet, "w-1") && drained(&fleet, "w-2"), "and the next one goes in the same change");
     // A restore from before keeps the mark of the one that is out.
     let before = Fleet::default().state.snapshot();
-    fleet.act(Act::Restore(before)).expect("a sound backup");
+    fleet.act(Action::Restore(before)).expect("a sound backup");
     assert!(drained(&fleet, "w-2") && !drained(&fleet, "w-3"));
 }
 
 #[test]
 fn a_copy_permits_only_the_life_that_was_granted() {
     let mut fleet = Fleet::of(&FOUR);
-    fleet.budget(Kind::Dispatcher, Limit::Count(1), None, 0);
+    fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
     fleet.ask("dispatcher/a", false, "").expect("it goes");
-    let at = fleet.state.permit(&subject("dispatcher/a")).and_then(|p| p.granted);
+    let at = fleet.state.permit(&subject("dispatcher/a")).and_then(|p| p.granted_at_revision);
     let mut copy = Follower::default();
-    copy.take_snapshot(Duration::ZERO, fleet.state.snapshot()).expect("newer than nothing");
-    assert_eq!((at.is_some(), copy.permitted(&name("a"), RequestId(7, 0))), (true, at));
+    copy.apply_snapshot(Duration::ZERO, fleet.state.snapshot()).expect("newer than nothing");
+    assert_eq!((at.is_some(), copy.permit_granted_at(&name("a"), IncarnationId(7, 0))), (true, at));
     // The next life reads the same copy, kept over its restart; another dispatcher reads it as well.
-    assert_eq!(copy.permitted(&name("a"), RequestId(7, 1)), None);
-    assert_eq!(copy.permitted(&name("b"), RequestId(7, 100)), None);
+    assert_eq!(copy.permit_granted_at(&name("a"), IncarnationId(7, 1)), None);
+    assert_eq!(copy.permit_granted_at(&name("b"), IncarnationId(7, 100)), None);
 }
 
 #[test]
 fn whoever_comes_back_as_another_version_goes_again_but_not_under_a_halt() {
     let mut fleet = Fleet::of(&FOUR);
-    fleet.budget(Kind::Dispatcher, Limit::Count(1), None, 0);
+    fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
     fleet.ask("dispatcher/a", false, "2").expect("it goes");
-    let bound = |fleet: &Fleet| fleet.state.permit(&subject("dispatcher/a")).and_then(|p| p.life);
-    fleet.op(Op::Halt(Kind::Dispatcher)).expect("a halt");
+    let bound = |fleet: &Fleet| fleet.state.permit(&subject("dispatcher/a")).and_then(|p| p.incarnation_id);
+    fleet.op(Operation::Halt(SubjectKind::Dispatcher)).expect("a halt");
     fleet.joins("a", "x", 1, "1", true);
-    assert_eq!(bound(&fleet), Some(RequestId(7, 0)), "its new life stays");
-    fleet.op(Op::Resume(Kind::Dispatcher)).expect("the end of it");
-    assert_eq!(bound(&fleet), Some(RequestId(7, 1)));
+    assert_eq!(bound(&fleet), Some(IncarnationId(7, 0)), "its new life stays");
+    fleet.op(Operation::Resume(SubjectKind::Dispatcher)).expect("the end of it");
+    assert_eq!(bound(&fleet), Some(IncarnationId(7, 1)));
 }
 
 #[test]
 fn no_more_of_a_kind_of_machine_go_than_its_budget_allows() {
     let mut fleet = Fleet::default();
     for (worker, kind) in [("w-1", "wide"), ("w-2", "wide"), ("w-3", "small"), ("w-4", "small")] {
-        let known = Worker { kind: kind.parse().expect("a sound text"), ..Worker::default() };
-        fleet.op(Op::Know(name(worker), known)).expect("room");
+        let known = Worker { machine_type: kind.parse().expect("a sound text"), ..Worker::default() };
+        fleet.op(Operation::PutWorker(name(worker), known)).expect("room");
     }
-    let (most, half) = (Limit::Count(3), Limit::Share(0.5));
-    let budget = Budget { most, most_in_zone: None, most_in_kind: Some(half), least_in_zone: 0 };
-    fleet.op(Op::Budget(Kind::Worker, budget)).expect("a sound budget");
+    let (most, half) = (Limit::Count(3), Limit::Fraction(0.5));
+    let budget = Budget {
+        max_unavailable: most,
+        max_unavailable_per_zone: None,
+        max_unavailable_per_machine_type: Some(half),
+        min_available_per_zone: 0,
+    };
+    fleet.op(Operation::SetBudget(SubjectKind::Worker, budget)).expect("a sound budget");
     for worker in ["w-1", "w-2", "w-3"] {
         fleet.ask(&format!("worker/{worker}"), false, "").expect("it waits");
     }
     assert_eq!(fleet.granted(), ["worker/w-1", "worker/w-3"], "a wide one waits, a small one passes it");
-    assert_eq!(fleet.waits(Kind::Worker, "w-2"), Some(Waits::MachineKind(1)));
+    assert_eq!(fleet.waits(SubjectKind::Worker, "w-2"), Some(WaitReason::MachineTypeLimit(1)));
     // What could never be is refused: half of one is none.
-    let known = Worker { kind: "odd".parse().expect("a sound text"), ..Worker::default() };
-    fleet.op(Op::Know(name("w-9"), known)).expect("room");
+    let known = Worker { machine_type: "odd".parse().expect("a sound text"), ..Worker::default() };
+    fleet.op(Operation::PutWorker(name("w-9"), known)).expect("room");
     assert!(fleet.ask("worker/w-9", false, "").is_err());
 }
 
@@ -267,7 +301,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    /// Counts its lives, from 1.
+    /// RequestCounts its lives, from 1.
     life: u64,
     runs: bool,
     joined: bool,
@@ -298,11 +332,13 @@
     /// All that decides what may happen from here on, without the numbers of revisions.
     fn text(&self) -> String {
         let members: Vec<_> =
-            self.state.members().map(|(_, m)| (m.presence, m.card.ready, m.life())).collect();
+            self.state.members().map(|(_, m)| (m.presence, m.info.ready, m.incarnation_id())).collect();
         let mut permits: Vec<_> = self
             .state
             .permits()
-            .map(|(s, p)| (p.asked, s.to_string(), p.granted.is_some(), p.life))
+            .map(|(s, p)| {
+                (p.requested_at_revision, s.to_string(), p.granted_at_revision.is_some(), p.incarnation_id)
+            })
             .collect();
         permits.sort();
         let permits: Vec<_> =
@@ -313,15 +349,15 @@
     }
 
     /// Whether it was taken.
-    fn apply(&mut self, id: RequestId, act: Act) -> bool {
+    fn apply(&mut self, id: RequestId, act: Action) -> bool {
         let granted = |state: &State| {
-            let granted = state.permits().filter(|(_, p)| p.granted.is_some());
+            let granted = state.permits().filter(|(_, p)| p.granted_at_revision.is_some());
             granted.map(|(s, _)| s.name.clone()).collect::<Vec<Name>>()
         };
         let before = granted(&self.state);
-        let answer = self.state.apply(&Command { id, by: name("o"), at_ms: 0, act });
+        let answer = self.state.apply(&Command { id, issued_by: name("o"), issued_at_ms: 0, action: act });
         let newly = granted(&self.state).into_iter().any(|n| !before.contains(&n));
-        self.over |= newly && self.state.roll(Kind::Dispatcher).out() > self.most;
+        self.over |= newly && self.state.availability(SubjectKind::Dispatcher).unavailable() > self.most;
         answer.is_ok()
     }
 }
@@ -368,7 +404,7 @@
     fn init_states(&self) -> Vec<World> {
         let names: Vec<String> = (0..self.processes).map(|i| format!("d{i}")).collect();
         let mut fleet = Fleet::of(&names.iter().map(|n| (n.as_str(), "x")).collect::<Vec<_>>());
-        fleet.budget(Kind::Dispatcher, Limit::Count(1), None, 0);
+        fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
         let process = Process { life: 1, runs: true, joined: true, asked: false, seen: None };
         let (all, wanted) = (vec![process; self.processes], vec![None; self.processes]);
         let (delivered, crashes, cuts) = (Vec::new(), 0, 0);
@@ -408,9 +444,14 @@
         if step == Step::Budget {
             (world.most, world.changes) = (MOST - world.most, world.changes + 1);
             let most = Limit::Count(world.most as u32);
-            let budget = Budget { most, most_in_zone: None, most_in_kind: None, least_in_zone: 0 };
-            let ops = vec![Op::Budget(Kind::Dispatcher, budget)];
-            let act = Act::Change { ops, expect: Vec::new(), why: Text::default() };
+            let budget = Budget {
+                max_unavailable: most,
+                max_unavailable_per_zone: None,
+                max_unavailable_per_machine_type: None,
+                min_available_per_zone: 0,
+            };
+            let ops = vec![Operation::SetBudget(SubjectKind::Dispatcher, budget)];
+            let act = Action::Change { operations: ops, preconditions: Vec::new(), reason: Text::default() };
             world.apply(RequestId(9, u64::from(world.changes)), act);
             return Some(world);
         }
@@ -425,13 +466,17 @@
             return None;
         };
         let member = name(&format!("d{i}"));
-        let who = Subject { kind: Kind::Dispatcher, name: member.clone() };
+        let who = Subject { kind: SubjectKind::Dispatcher, name: member.clone() };
         // A life as the state knows it: the first ones joined in `Fleet::of`.
-        let known = |life: u64| RequestId(7, i as u64 * 100 + life - 1);
+        let known = |life: u64| IncarnationId(7, i as u64 * 100 + life - 1);
         match step {
             Step::Ask(driver, _) => {
-                let op = Op::Ask { subject: who, urgent: false, want: Text::default() };
-                let act = Act::Change { ops: vec![op], expect: Vec::new(), why: Text::default() };
+                let op = Operation::RequestPermit { subject: who, urgent: false, version: Text::default() };
+                let act = Action::Change {
+                    operations: vec![op],
+                    preconditions: Vec::new(),
+                    reason: Text::default(),
+                };
                 let id = RequestId(2 + driver as u64, 1_000 + i as u64);
                 let life = world.state.member(&member)?.incarnation;
                 if !world.delivered.contains(&(driver, i)) {
@@ -444,9 +489,9 @@
                 }
             }
             Step::See(_) => {
-                let permit = world.state.permit(&who).filter(|p| p.granted.is_some());
-                let life = permit.and_then(|p| p.life);
-                world.all[i].seen = life.map(|RequestId(_, number)| number - i as u64 * 100 + 1);
+                let permit = world.state.permit(&who).filter(|p| p.granted_at_revision.is_some());
+                let life = permit.and_then(|p| p.incarnation_id);
+                world.all[i].seen = life.map(|IncarnationId(_, number)| number - i as u64 * 100 + 1);
             }
             Step::End(_) => {
                 world.all[i].runs = false;
@@ -463,7 +508,7 @@
                 world.all[i] = Process { life, runs: true, joined: false, asked: world.all[i].asked, seen };
             }
             Step::Join(_) => {
-                let card = Card {
+                let card = MemberInfo {
                     role: Role::Dispatcher,
                     version: Text::default(),
                     address: None,
@@ -474,7 +519,7 @@
                 world.all[i].joined = true;
                 world.all[i].asked = false;
                 let id = RequestId(5, world.state.revision() * 10 + i as u64);
-                world.apply(id, Act::Join { member, life, card });
+                world.apply(id, Action::Join { member, incarnation_id: life, info: card });
             }
             Step::Budget => {}
             Step::Lose(_) => {
@@ -483,7 +528,7 @@
                 // It hears so, and joins again.
                 world.all[i].joined = false;
                 let id = RequestId(6, world.state.revision() * 10 + i as u64);
-                world.apply(id, Act::Expire { member, session });
+                world.apply(id, Action::ExpireSession { member, session });
             }
         }
         Some(world)
--- a/crates/pebblepost-fleet/tests/stored_forms.rs
+++ b/crates/pebblepost-fleet/tests/stored_forms.rs
@@ -1,13 +1,13 @@
 //! Every form that is stored or sent, pinned by its bytes: what an earlier build wrote is read, and the same bytes are
 //! written again. The files under `tests/stored` are never edited to follow the code.
 
-use pebblepost_fleet::doing::Doing;
-use pebblepost_fleet::follow::Follower;
-use pebblepost_fleet::lease::Fence;
-use pebblepost_fleet::reckon::{Off, Tally};
-use pebblepost_fleet::rehearsal::Wave;
-use pebblepost_fleet::state::{Change, Snapshot, State, Value};
-use pebblepost_fleet::{Answer, Command, Key};
+use pebblepost_fleet::fencing::FencingGuard;
+use pebblepost_fleet::follower::Follower;
+use pebblepost_fleet::heartbeat::HeartbeatReport;
+use pebblepost_fleet::leader::{DrainStatus, IncarnationRequests};
+use pebblepost_fleet::simulation::SimulatedWave;
+use pebblepost_fleet::value::Value;
+use pebblepost_fleet::{Change, Command, CommandResult, Key, Snapshot, State};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::path::PathBuf;
@@ -48,7 +48,7 @@
 #[test]
 fn commands_and_answers_keep_their_bytes() {
     reads_and_writes_the_same::<Command>("commands.jsonl", 15);
-    reads_and_writes_the_same::<Answer>("answers.jsonl", 7);
+    reads_and_writes_the_same::<CommandResult>("answers.jsonl", 7);
     reads_the_earlier_form::<Command>("earlier_commands.jsonl");
 }
 
@@ -62,17 +62,17 @@
 
 #[test]
 fn heartbeats_and_what_the_leader_makes_of_them_keep_their_bytes() {
-    reads_and_writes_the_same::<Doing>("heartbeats.jsonl", 2);
-    reads_the_earlier_form::<Doing>("earlier_heartbeats.jsonl");
-    reads_and_writes_the_same::<Off>("drain_confirmations.jsonl", 2);
-    reads_and_writes_the_same::<Tally>("request_counts.jsonl", 1);
+    reads_and_writes_the_same::<HeartbeatReport>("heartbeats.jsonl", 2);
+    reads_the_earlier_form::<HeartbeatReport>("earlier_heartbeats.jsonl");
+    reads_and_writes_the_same::<DrainStatus>("drain_confirmations.jsonl", 2);
+    reads_and_writes_the_same::<IncarnationRequests>("request_counts.jsonl", 1);
 }
 
 #[test]
 fn copies_fences_and_simulated_waves_keep_their_bytes() {
     reads_and_writes_the_same::<Follower>("followers.jsonl", 1);
-    reads_and_writes_the_same::<Fence>("fences.jsonl", 1);
-    reads_and_writes_the_same::<Wave>("waves.jsonl", 1);
+    reads_and_writes_the_same::<FencingGuard>("fences.jsonl", 1);
+    reads_and_writes_the_same::<SimulatedWave>("waves.jsonl", 1);
 }
 
 #[test]
@@ -90,14 +90,14 @@
         assert!(serde_json::from_str::<Command>(line).is_err(), "{line}");
     }
     let taken = r#"{"acts_by":1,"busy":[],"counts":{"answered":0,"served":0,"more":1},"more":1}"#;
-    assert!(serde_json::from_str::<Doing>(taken).is_ok(), "heartbeats of later versions are read");
+    assert!(serde_json::from_str::<HeartbeatReport>(taken).is_ok(), "heartbeats of later versions are read");
 }
 
 /// A scripted run: the answers, the state in whole (as in a Raft snapshot) and the backup of it.
 #[test]
 fn a_run_gives_the_same_answers_state_and_backup() {
     let mut state = State::default();
-    state.seat([(2, 5)]);
+    state.register_replicas([(2, 5)]);
     let mut answers = String::new();
     for line in stored("run.jsonl").lines() {
         answers.push_str(&written(&state.apply(&read::<Command>(line))));
--- a/crates/pebblepost/src/agent.rs
+++ b/crates/pebblepost/src/agent.rs
@@ -11,13 +11,12 @@
 
 use crate::config::Fleet;
 use crate::kept;
-use pebblepost_fleet::command::{Act, Card, Role};
-use pebblepost_fleet::doing::{Counts, Doing};
-use pebblepost_fleet::follow::{Follower, Offered};
+use pebblepost_fleet::follower::{Follower, ProposalOutcome};
+use pebblepost_fleet::heartbeat::{HeartbeatReport, RequestCounts};
 use pebblepost_fleet::setting::SETTINGS;
-use pebblepost_fleet::sight::Seen;
-use pebblepost_fleet::{Name, Refusal, RequestId, Text};
-use pebblepost_fleet_store::client::{Client, command, request_id};
+use pebblepost_fleet::value::{MemberInfo, Role, WorkerObservation};
+use pebblepost_fleet::{Action, IncarnationId, Name, Rejection, RequestId, Text};
+use pebblepost_fleet_store::client::{Client, command, incarnation_id, request_id};
 use pebblepost_fleet_store::clock::{since, unix_ms};
 use pebblepost_fleet_store::wire::{Ask, Say};
 use rand::RngExt;
@@ -68,15 +67,15 @@
 }
 
 impl Knowledge {
-    fn of(follower: &Follower, (name, life): &(Name, RequestId)) -> Self {
+    fn of(follower: &Follower, (name, life): &(Name, IncarnationId)) -> Self {
         let settings = SETTINGS.iter().filter_map(|s| Some((s.name, follower.setting(s.name)?))).collect();
         Self {
             revision: follower.revision(),
-            drained: follower.drained().into_iter().map(|name| name.to_string()).collect(),
-            newest_mark: follower.newest_mark(),
-            local: follower.local().count(),
+            drained: follower.drained_workers().into_iter().map(|name| name.to_string()).collect(),
+            newest_mark: follower.newest_drain_revision(),
+            local: follower.local_drains().count(),
             settings,
-            permitted: follower.permitted(name, *life),
+            permitted: follower.permit_granted_at(name, *life),
         }
     }
 
@@ -89,7 +88,7 @@
 /// What both threads hold.
 struct Shared {
     /// Its name, and its life: drawn once, it tells this process from those before and after it.
-    me: (Name, RequestId),
+    me: (Name, IncarnationId),
     /// Whether the loop takes new clients.
     ready: AtomicBool,
     /// The newest, whether or not the loop has taken it.
@@ -101,9 +100,9 @@
     /// Something was asked for here that the group should have.
     offers: Notify,
     /// What the loop does, by its last word.
-    doing: Mutex<Doing>,
+    doing: Mutex<HeartbeatReport>,
     /// How it sees the workers; `None`: it knows too little.
-    seen: Mutex<Option<BTreeMap<Name, Seen>>>,
+    seen: Mutex<Option<BTreeMap<Name, WorkerObservation>>>,
     /// The revision that is in the kept copy; without a copy any.
     kept: AtomicU64,
     changed: Notify,
@@ -129,15 +128,15 @@
     }
 
     /// What the keepers are told of it: what a restart would forget is not confirmed.
-    fn doing(&self) -> Doing {
+    fn doing(&self) -> HeartbeatReport {
         let doing = lock(&self.doing).clone();
         #[cfg(feature = "faults")]
         if std::env::var_os("PEBBLEPOST_FAULT_CONFIRM").is_some() {
-            return Doing { acts_by: u64::MAX, busy: BTreeSet::new(), ..doing };
+            return HeartbeatReport { applied_revision: u64::MAX, busy_workers: BTreeSet::new(), ..doing };
         }
-        let acts_by = doing.acts_by.min(self.kept.load(Ordering::Relaxed));
-        let differs = lock(&self.seen).as_ref().map(|seen| lock(&self.follower).differs(seen));
-        Doing { acts_by, differs: differs.unwrap_or_default(), ..doing }
+        let acts_by = doing.applied_revision.min(self.kept.load(Ordering::Relaxed));
+        let differs = lock(&self.seen).as_ref().map(|seen| lock(&self.follower).diff_observations(seen));
+        HeartbeatReport { applied_revision: acts_by, worker_diff: differs.unwrap_or_default(), ..doing }
     }
 
     /// Changes the copy, and tells the loop if that changes what it goes by.
@@ -195,7 +194,7 @@
         let (woken, wake) = UnixStream::pair()?;
         wake.set_nonblocking(true)?;
         let kept = if fleet.copy.is_some() { follower.revision() } else { u64::MAX };
-        let me = (member, request_id());
+        let me = (member, incarnation_id());
         let shared = Arc::new(Shared {
             knowledge: Mutex::new(Arc::new(Knowledge::of(&follower, &me))),
             me,
@@ -214,7 +213,7 @@
         let (stop, stopped) = oneshot::channel();
         let at = control.as_ref().map(TcpListener::local_addr).transpose()?;
         let (inside, fleet) = (shared.clone(), fleet.clone());
-        let card = Card {
+        let card = MemberInfo {
             role: Role::Dispatcher,
             version: fleet.version.parse().unwrap_or_default(),
             address,
@@ -249,23 +248,24 @@
     }
 
     /// How the loop's requests went.
-    pub fn counts(&self, counts: Counts) {
-        lock(&self.shared.doing).counts = counts;
+    pub fn counts(&self, counts: RequestCounts) {
+        lock(&self.shared.doing).requests = counts;
     }
 
     /// All that is agreed up to this revision is in force in the loop, which still has attempts out at these drained
     /// workers.
     pub fn confirms(&self, revision: u64, busy: BTreeSet<Name>) {
         let mut doing = lock(&self.shared.doing);
-        let news = doing.busy != busy || lock(&self.shared.knowledge).newest_mark > doing.acts_by;
-        (doing.acts_by, doing.busy) = (doing.acts_by.max(revision), busy);
+        let news =
+            doing.busy_workers != busy || lock(&self.shared.knowledge).newest_mark > doing.applied_revision;
+        (doing.applied_revision, doing.busy_workers) = (doing.applied_revision.max(revision), busy);
         if news {
             self.shared.offers.notify_one();
         }
     }
 
     /// How the loop sees the workers.
-    pub fn sees(&self, seen: BTreeMap<Name, Seen>) {
+    pub fn sees(&self, seen: BTreeMap<Name, WorkerObservation>) {
         *lock(&self.shared.seen) = Some(seen);
     }
 
@@ -312,9 +312,9 @@
             while let Ok(Ok(Some(say))) = timeout(QUIET, wire.next::<Say>()).await {
                 let now = shared.now();
                 let fits = shared.with(|follower| match say {
-                    Say::Snapshot(snapshot) => follower.take_snapshot(now, snapshot),
-                    Say::Changes(changes) => follower.take_changes(now, &changes),
-                    Say::Current(revision) => follower.confirmed(now, revision),
+                    Say::Snapshot(snapshot) => follower.apply_snapshot(now, snapshot),
+                    Say::Changes(changes) => follower.apply_changes(now, &changes),
+                    Say::Current(revision) => follower.confirm(now, revision),
                     _ => Ok(()),
                 });
                 // A keeper that is behind, or has lost its place: another one is asked.
@@ -331,7 +331,7 @@
 }
 
 /// Keeps a session, and offers what was asked for here.
-async fn member_of(shared: &Shared, fleet: &Fleet, mut card: Card) {
+async fn member_of(shared: &Shared, fleet: &Fleet, mut card: MemberInfo) {
     if fleet.keepers.is_empty() {
         return std::future::pending().await;
     }
@@ -342,12 +342,12 @@
         match session {
             None => {
                 card.ready = shared.ready.load(Ordering::Relaxed);
-                let act = Act::Join { member: member.clone(), life, card: card.clone() };
+                let act = Action::Join { member: member.clone(), incarnation_id: life, info: card.clone() };
                 match client.command(&command(member.clone(), act), PATIENCE).await {
                     Ok(Ok(done)) => {
                         (session, tries, reports, told) = (done.session, 0, 0, Some(card.ready));
                     }
-                    Ok(Err(refused @ Refusal::Superseded { .. })) => {
+                    Ok(Err(refused @ Rejection::Superseded { .. })) => {
                         // Another process has the name. This one goes on serving by what it hears.
                         (shared.log)(&format!("fleet: {refused}"));
                         return std::future::pending().await;
@@ -363,7 +363,12 @@
                 let ready = shared.ready.load(Ordering::Relaxed);
                 reports += 1;
                 let (member, number) = (member.clone(), reports);
-                let act = Act::Report { member: member.clone(), session: session_now, number, ready };
+                let act = Action::ReportReadiness {
+                    member: member.clone(),
+                    session: session_now,
+                    sequence: number,
+                    ready,
+                };
                 told = None;
                 match client.command(&command(member, act), PATIENCE).await {
                     Ok(Ok(_)) => told = Some(ready),
@@ -392,13 +397,13 @@
 /// Offers every local drain to the group, until one gets no answer or cannot be taken now.
 async fn offer(shared: &Shared, client: &mut Client) {
     loop {
-        let Some(command) = lock(&shared.follower).offer() else { return };
+        let Some(command) = lock(&shared.follower).next_proposal() else { return };
         let Ok(answer) = client.command(&command, PATIENCE).await else { return };
-        match (shared.with(|follower| follower.offered(command.id, &answer)), answer) {
-            (Offered::Overruled, Err(why)) => {
+        match (shared.with(|follower| follower.record_result(command.id, &answer)), answer) {
+            (ProposalOutcome::Overruled, Err(why)) => {
                 (shared.log)(&format!("fleet: a local drain gives way to the group's decision: {why}"));
             }
-            (Offered::Refused, Err(why)) => {
+            (ProposalOutcome::Deferred, Err(why)) => {
                 // It stays local, and is offered again with the next beat.
                 return (shared.log)(&format!("fleet: a drain stays local: {why}"));
             }
@@ -414,7 +419,7 @@
         shared.changed.notified().await;
         let (path, copy) = (path.to_owned(), lock(&shared.follower).clone());
         let shown = path.display().to_string();
-        let (revision, mark) = (copy.revision(), copy.newest_mark());
+        let (revision, mark) = (copy.revision(), copy.newest_drain_revision());
         let save = move || kept::replace(&path, &serde_json::to_string(&copy)?);
         match tokio::task::spawn_blocking(save).await {
             Ok(Ok(())) if shared.kept.swap(revision, Ordering::Relaxed) < mark => shared.offers.notify_one(),
@@ -474,8 +479,8 @@
         (None, Some(Ok(worker)), _) => shared.with(|f| f.undrain(&worker)).map_err(|e| e.to_string()),
         (None, None, _) if ask.get("show").is_some() => {
             let follower = lock(&shared.follower);
-            let local: Vec<&str> = follower.local().map(|(name, _)| name.as_str()).collect();
-            let drained: Vec<&str> = follower.drained().into_iter().map(Name::as_str).collect();
+            let local: Vec<&str> = follower.local_drains().map(|(name, _)| name.as_str()).collect();
+            let drained: Vec<&str> = follower.drained_workers().into_iter().map(Name::as_str).collect();
             let age = follower.age(shared.now()).map(|age| age.as_secs_f64());
             return json!({"revision": follower.revision(), "confirmed_s_ago": age, "drained": drained, "local": local});
         }
--- a/crates/pebblepost/src/discovery.rs
+++ b/crates/pebblepost/src/discovery.rs
@@ -9,7 +9,7 @@
 use pebblepost_dispatch::api::{
     CellId, Entry, KindId, ListKind, Settings, Time, WorkerId, WorkerState, ZoneId,
 };
-use pebblepost_fleet::sight::{Seen, Sight};
+use pebblepost_fleet::value::{WorkerObservation, WorkerStatus};
 use pebblepost_fleet::{Name, Text};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -183,7 +183,9 @@
     }
 
     /// The workers on discovery's list as this dispatcher sees them; `None`: it has no list yet.
-    pub fn seen(&self, now: Time, warm_up: Duration, mute: &Mute) -> Option<BTreeMap<Name, Seen>> {
+    pub fn seen(
+        &self, now: Time, warm_up: Duration, mute: &Mute,
+    ) -> Option<BTreeMap<Name, WorkerObservation>> {
         let name = |names: &[String], at: u16| -> Text {
             let name = names.get(usize::from(at)).cloned().unwrap_or_else(|| at.to_string());
             name.parse().unwrap_or_default()
@@ -192,14 +194,14 @@
         let seen = listed.filter_map(|t| {
             let cold = t.entry.started.is_some_and(|start| now < start + warm_up);
             let sight = match t.entry.state {
-                WorkerState::Ready if mute.is_mute(now, t.entry.worker) => Sight::Out,
-                WorkerState::Ready if cold => Sight::Cold,
-                WorkerState::Ready => Sight::Ready,
-                _ => Sight::Out,
+                WorkerState::Ready if mute.is_mute(now, t.entry.worker) => WorkerStatus::Unavailable,
+                WorkerState::Ready if cold => WorkerStatus::WarmingUp,
+                WorkerState::Ready => WorkerStatus::Ready,
+                _ => WorkerStatus::Unavailable,
             };
             let zone = name(&self.zones, t.entry.zone.0);
             let kind = name(&self.kinds, t.entry.kind.0);
-            Some((t.host.parse().ok()?, Seen { zone, kind, sight }))
+            Some((t.host.parse().ok()?, WorkerObservation { zone, machine_type: kind, status: sight }))
         });
         self.endpoints.iter().any(|t| t.heard && t.dial.is_some()).then(|| seen.collect())
     }
--- a/crates/pebblepost/src/engine.rs
+++ b/crates/pebblepost/src/engine.rs
@@ -9,7 +9,7 @@
 
 use pebblepost_dispatch::api::*;
 use pebblepost_dispatch::{Action, Dispatcher, Event};
-use pebblepost_fleet::doing::Counts;
+use pebblepost_fleet::heartbeat::RequestCounts;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
@@ -144,7 +144,7 @@
     requests: HashMap<RequestId, Tracked>,
     workers: HashMap<WorkerId, Entry>,
     unanswered: usize,
-    counts: Counts,
+    counts: RequestCounts,
     actions: Vec<Action>,
     /// Outcomes that the core itself makes, told to the decisions after what is in hand.
     own: Vec<Event>,
@@ -161,7 +161,7 @@
             requests: HashMap::new(),
             workers: HashMap::new(),
             unanswered: 0,
-            counts: Counts::default(),
+            counts: RequestCounts::default(),
             actions: Vec::new(),
             own: Vec::new(),
             trace: None,
@@ -196,7 +196,7 @@
     }
 
     /// How its requests went.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> RequestCounts {
         self.counts
     }
 
@@ -360,7 +360,7 @@
         r.answered = true;
         self.unanswered -= 1;
         self.counts.answered += 1;
-        self.counts.served += u64::from(matches!(answer, Answer::Served(_)));
+        self.counts.succeeded += u64::from(matches!(answer, Answer::Served(_)));
         out.push(Output::Answer(id, answer));
         self.forget(id);
     }
