--- a/crates/pebblepost/src/fleet.rs
+++ b/crates/pebblepost/src/fleet.rs
@@ -16,11 +16,9 @@
 use arguments::{Here, Reason, ReleaseWhat, What};
 use error::{Result, misplaced};
 use files::{old_store, read_backup};
-use pebblepost_fleet::command::{Act, Op};
-use pebblepost_fleet::driver::Pace;
-use pebblepost_fleet::rehearsal::Play;
-use pebblepost_fleet::state::Snapshot;
-use pebblepost_fleet::{Budget, Expect, Key, Name, Text};
+use pebblepost_fleet::release_driver::ReleasePolicy;
+use pebblepost_fleet::simulation::ReleasePlan;
+use pebblepost_fleet::{Action, Budget, Key, Name, Operation, Precondition, Snapshot, Text};
 use pebblepost_fleet_store::client::{Client, command};
 use pebblepost_fleet_store::wire::{Ask, Say};
 use serde_json::{Value as Json, json};
@@ -122,20 +120,32 @@
                 other => Err(misplaced(&other)),
             },
             What::Watch { from } => self.watch(from).await,
-            What::Drain(w) => self.change_all(w.workers.into_iter().map(Op::Drain), w.reason).await,
-            What::Undrain(w) => self.change_all(w.workers.into_iter().map(Op::Undrain), w.reason).await,
+            What::Drain(w) => self.change_all(w.workers.into_iter().map(Operation::Drain), w.reason).await,
+            What::Undrain(w) => {
+                self.change_all(w.workers.into_iter().map(Operation::Undrain), w.reason).await
+            }
             What::Set { name, value, reason } => {
-                let op = value.map_or_else(|| Op::Unset(name.clone()), |v| Op::Set(name.clone(), v));
+                let op = value.map_or_else(
+                    || Operation::UnsetSetting(name.clone()),
+                    |v| Operation::SetSetting(name.clone(), v),
+                );
                 self.change_all([op], reason).await
             }
-            What::Dismiss { member } => self.change_all([Op::Dismiss(member)], Reason::none()).await,
+            What::Dismiss { member } => {
+                self.change_all([Operation::RemoveMember(member)], Reason::none()).await
+            }
             What::Budget { kind: Some(kind), most: Some(most), zone, machine_kind, least, .. } => {
                 let (most_in_zone, most_in_kind) = (zone, machine_kind);
-                let budget = Budget { most, most_in_zone, most_in_kind, least_in_zone: least };
-                self.change_all([Op::Budget(kind, budget)], Reason::none()).await
+                let budget = Budget {
+                    max_unavailable: most,
+                    max_unavailable_per_zone: most_in_zone,
+                    max_unavailable_per_machine_type: most_in_kind,
+                    min_available_per_zone: least,
+                };
+                self.change_all([Operation::SetBudget(kind, budget)], Reason::none()).await
             }
             What::Budget { kind: Some(kind), none: true, .. } => {
-                self.change_all([Op::Unbudget(kind)], Reason::none()).await
+                self.change_all([Operation::RemoveBudget(kind)], Reason::none()).await
             }
             What::Budget { kind, .. } => self.budgets(kind).await,
             What::Permit { what, subjects, urgent, want, why } => {
@@ -143,10 +153,14 @@
             }
             What::Off { worker } => self.off(&worker).await,
             What::Release(ReleaseWhat::Start { want, waves, zones, why }) => {
-                self.change_all([Op::Release { want, waves, zones }], Reason { why, expect: None }).await
+                self.change_all(
+                    [Operation::BeginRelease { version: want, waves, zone_order: zones }],
+                    Reason { why, expect: None },
+                )
+                .await
             }
             What::Release(ReleaseWhat::Back { to, why }) => {
-                self.change_all([Op::GoBack(to)], Reason { why, expect: None }).await
+                self.change_all([Operation::RollBack(to)], Reason { why, expect: None }).await
             }
             What::Release(ReleaseWhat::Status) => {
                 let snapshot = self.all().await?;
@@ -155,22 +169,38 @@
             }
             What::Release(ReleaseWhat::Plan { want, waves, zones, pause_s, restart_s }) => {
                 let (pause, restart) = (seconds("pause-s", pause_s)?, seconds("restart-s", restart_s)?);
-                self.plan(&Play { want, waves, zones, pause, restart }).await
+                self.plan(&ReleasePlan {
+                    version: want,
+                    waves,
+                    zone_order: zones,
+                    observation_time: pause,
+                    restart_time: restart,
+                })
+                .await
             }
             What::Release(ReleaseWhat::Drive { pause_s, patience_s, crashes, drop, sample }) => {
                 let (pause, patience) = (seconds("pause-s", pause_s)?, seconds("patience-s", patience_s)?);
                 if !(0.0..=1.0).contains(&drop) {
                     return Err(FleetError::Usage(format!("--drop: {drop} is not within 0 and 1")));
                 }
-                self.drive(Pace { pause, patience, crashes, drop, sample }).await
+                self.drive(ReleasePolicy {
+                    observation_time: pause,
+                    wave_timeout: patience,
+                    max_crashes: crashes,
+                    max_success_rate_drop: drop,
+                    min_answers: sample,
+                })
+                .await
+            }
+            What::Halt { kind, why } => {
+                self.change_all([Operation::Halt(kind)], Reason { why, expect: None }).await
             }
-            What::Halt { kind, why } => self.change_all([Op::Halt(kind)], Reason { why, expect: None }).await,
-            What::Resume { kind } => self.change_all([Op::Resume(kind)], Reason::none()).await,
+            What::Resume { kind } => self.change_all([Operation::Resume(kind)], Reason::none()).await,
             What::Here { .. } => Ok(()), // Carried out before: it needs no keeper.
             What::Backup { file } => self.backup(&file).await,
             What::Restore { file } => {
                 let backup = read_backup(&file)?;
-                self.command(Act::Restore(backup)).await
+                self.command(Action::Restore(backup)).await
             }
             What::Import { file } => {
                 let ops = old_store(&file)?;
@@ -201,11 +231,12 @@
         }
     }
 
-    async fn change_all(&mut self, ops: impl IntoIterator<Item = Op>, reason: Reason) -> Result<()> {
-        let ops: Vec<Op> = ops.into_iter().collect();
-        let expect = ops.iter().map(Op::key).zip(std::iter::repeat(reason.expect));
-        let expect = expect.filter_map(|(key, revision)| Some(Expect { key, revision: revision? })).collect();
-        self.command(Act::Change { ops, expect, why: reason.why }).await
+    async fn change_all(&mut self, ops: impl IntoIterator<Item = Operation>, reason: Reason) -> Result<()> {
+        let ops: Vec<Operation> = ops.into_iter().collect();
+        let expect = ops.iter().map(Operation::key).zip(std::iter::repeat(reason.expect));
+        let expect =
+            expect.filter_map(|(key, revision)| Some(Precondition { key, revision: revision? })).collect();
+        self.command(Action::Change { operations: ops, preconditions: expect, reason: reason.why }).await
     }
 
     async fn backup(&mut self, file: &Path) -> Result<()> {
@@ -217,7 +248,7 @@
         Ok(())
     }
 
-    async fn command(&mut self, act: Act) -> Result<()> {
+    async fn command(&mut self, act: Action) -> Result<()> {
         let command = command(self.by.clone(), act);
         let done = self.client.command(&command, self.within).await??;
         self.say(json!({"revision": done.revision}), &|| format!("agreed at revision {}", done.revision));
--- a/crates/pebblepost/src/fleet/arguments.rs
+++ b/crates/pebblepost/src/fleet/arguments.rs
@@ -1,7 +1,7 @@
 //! What an operator may ask for, as the command line has it.
 
 use clap::{Args, Subcommand, ValueEnum};
-use pebblepost_fleet::{Key, Kind, Limit, Name, Subject, Text};
+use pebblepost_fleet::{Key, Limit, Name, Subject, SubjectKind, Text};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -112,7 +112,7 @@
     /// Says how many dispatchers or workers may be out at once, or shows what is out and what waits.
     Budget {
         /// Of what: dispatcher or worker; both are shown, if none is named.
-        kind: Option<Kind>,
+        kind: Option<SubjectKind>,
         /// Most in the fleet: a count, or a percentage such as 10%. Without it the budget is shown.
         #[arg(long, requires = "kind")]
         most: Option<Limit>,
@@ -158,7 +158,7 @@
     /// Nothing more of a kind goes out until it is resumed.
     Halt {
         /// Of what: dispatcher or worker.
-        kind: Kind,
+        kind: SubjectKind,
         /// Why, for the history.
         #[arg(long, default_value = "")]
         why: Text,
@@ -166,7 +166,7 @@
     /// Ends a halt.
     Resume {
         /// Of what: dispatcher or worker.
-        kind: Kind,
+        kind: SubjectKind,
     },
     /// Forgets a member that has left or is lost.
     Dismiss {
--- a/crates/pebblepost/src/fleet/error.rs
+++ b/crates/pebblepost/src/fleet/error.rs
@@ -1,6 +1,6 @@
 //! Why a command came to nothing.
 
-use pebblepost_fleet::Refusal;
+use pebblepost_fleet::Rejection;
 use pebblepost_fleet_store::client::Unreachable;
 use pebblepost_fleet_store::wire::Say;
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
 pub enum FleetError {
     /// Exit code 1: the group has refused it.
     #[error("refused: {0}")]
-    Refused(#[from] Refusal),
+    Refused(#[from] Rejection),
     /// Exit code 2: it makes no sense.
     #[error("{0}")]
     Usage(String),
--- a/crates/pebblepost/src/fleet/files.rs
+++ b/crates/pebblepost/src/fleet/files.rs
@@ -2,8 +2,7 @@
 
 use super::error::{FleetError, Result};
 use crate::kept;
-use pebblepost_fleet::command::Op;
-use pebblepost_fleet::state::Snapshot;
+use pebblepost_fleet::{Operation, Snapshot};
 use serde_json::Value as Json;
 use std::path::Path;
 
@@ -14,7 +13,7 @@
 }
 
 /// The drains and settings in a file of the old store: a checksum, then registers as JSON.
-pub(super) fn old_store(path: &Path) -> Result<Vec<Op>> {
+pub(super) fn old_store(path: &Path) -> Result<Vec<Operation>> {
     let wrong = |what: &dyn std::fmt::Display| FleetError::Usage(format!("{}: {what}", path.display()));
     let body = kept::read(path).map_err(|e| wrong(&e))?;
     let json: Json = serde_json::from_str(&body).map_err(|e| wrong(&e))?;
@@ -25,11 +24,11 @@
         let value = register.get(0).unwrap_or(&Json::Null);
         match key.split_once('/') {
             Some(("drain", worker)) if value == true => {
-                ops.push(Op::Drain(worker.parse().map_err(|e| wrong(&e))?));
+                ops.push(Operation::Drain(worker.parse().map_err(|e| wrong(&e))?));
             }
             Some(("setting", name)) if value.is_number() => {
                 let name = name.parse().map_err(|e| wrong(&e))?;
-                ops.push(Op::Set(name, value.as_f64().unwrap_or(f64::NAN)));
+                ops.push(Operation::SetSetting(name, value.as_f64().unwrap_or(f64::NAN)));
             }
             _ => {}
         }
--- a/crates/pebblepost/src/fleet/permits.rs
+++ b/crates/pebblepost/src/fleet/permits.rs
@@ -4,38 +4,44 @@
 use super::arguments::{PermitWhat, Reason};
 use super::error::{FleetError, Result, misplaced};
 use super::text::told_budget;
-use pebblepost_fleet::command::Op;
-use pebblepost_fleet::state::{Snapshot, Value};
-use pebblepost_fleet::{Key, Kind, Name, Subject, Text};
+use pebblepost_fleet::value::Value;
+use pebblepost_fleet::{Key, Name, Operation, Snapshot, Subject, SubjectKind, Text};
 use pebblepost_fleet_store::wire::{Ask, Say};
 use serde_json::{Value as Json, json};
 use std::time::{Duration, Instant};
 
 impl Desk {
     /// What is out and what waits, and why.
-    pub(super) async fn budgets(&mut self, only: Option<Kind>) -> Result<()> {
+    pub(super) async fn budgets(&mut self, only: Option<SubjectKind>) -> Result<()> {
         let snapshot = self.all().await?;
-        for kind in [Kind::Dispatcher, Kind::Worker].into_iter().filter(|k| only.is_none_or(|o| o == *k)) {
-            let roll = snapshot.roll(kind);
-            let waits = |name: &Name| roll.fits(name).err().map_or_else(String::new, |w| w.to_string());
+        for kind in [SubjectKind::Dispatcher, SubjectKind::Worker]
+            .into_iter()
+            .filter(|k| only.is_none_or(|o| o == *k))
+        {
+            let roll = snapshot.availability(kind);
+            let waits = |name: &Name| roll.check(name).err().map_or_else(String::new, |w| w.to_string());
             let queue: Vec<Json> =
                 roll.queue().into_iter().map(|n| json!({"name": n, "waits": waits(n)})).collect();
             let out: Vec<Json> = roll
-                .all
+                .subjects
                 .iter()
-                .filter(|(_, s)| s.out)
-                .map(|(n, s)| json!({"name": n, "permit": s.permit.and_then(|p| p.granted)}))
+                .filter(|(_, s)| s.unavailable)
+                .map(|(n, s)| json!({"name": n, "permit": s.permit.and_then(|p| p.granted_at_revision)}))
                 .collect();
             let told = json!({
-                "kind": kind, "all": roll.all.len(), "out": out, "queue": queue,
+                "kind": kind, "all": roll.subjects.len(), "out": out, "queue": queue,
                 "budget": roll.budget, "halted": roll.halted,
             });
             self.say(told, &|| {
                 let budget = roll.budget.map_or("no budget".to_owned(), |b| told_budget(&b));
                 let halted = if roll.halted { ", halted" } else { "" };
-                let mut text = format!("{kind}: {} of {} out; {budget}{halted}", roll.out(), roll.all.len());
-                for (name, standing) in roll.all.iter().filter(|(_, s)| s.out) {
-                    let why = match standing.permit.and_then(|p| p.granted) {
+                let mut text = format!(
+                    "{kind}: {} of {} out; {budget}{halted}",
+                    roll.unavailable(),
+                    roll.subjects.len()
+                );
+                for (name, standing) in roll.subjects.iter().filter(|(_, s)| s.unavailable) {
+                    let why = match standing.permit.and_then(|p| p.granted_at_revision) {
                         Some(at) => format!("by a permit of revision {at}"),
                         None => "without a permit".to_owned(),
                     };
@@ -58,11 +64,13 @@
         let now = if what == PermitWhat::Back { self.all().await? } else { Snapshot::default() };
         for subject in subjects {
             ops.push(match what {
-                PermitWhat::Ask => Op::Ask { subject, urgent, want: want.clone() },
-                PermitWhat::Withdraw => Op::Withdraw(subject),
-                PermitWhat::Force => Op::Force(subject),
+                PermitWhat::Ask => Operation::RequestPermit { subject, urgent, version: want.clone() },
+                PermitWhat::Withdraw => Operation::WithdrawPermit(subject),
+                PermitWhat::Force => Operation::ForceCompletePermit(subject),
                 PermitWhat::Back => match now.entries.get(&Key::Permit(subject.clone())).map(|e| &e.value) {
-                    Some(Value::Permit(permit)) => Op::Back(subject, permit.granted.unwrap_or(0)),
+                    Some(Value::Permit(permit)) => {
+                        Operation::CompletePermit(subject, permit.granted_at_revision.unwrap_or(0))
+                    }
                     _ => return Err(FleetError::Usage(format!("{subject} has no permit"))),
                 },
             });
@@ -77,12 +85,12 @@
                 Say::Off(off) => off,
                 other => return Err(misplaced(&other)),
             };
-            let may = off.may_be_switched_off();
+            let may = off.is_complete();
             if shown.as_ref() != Some(&off) {
                 self.say(json!({"worker": worker, "may_be_switched_off": may, "off": off}), &|| {
-                    let Some(at) = off.granted else { return format!("{worker}: no permit is granted") };
-                    let confirmed = off.clear.len();
-                    let missing = off.waits_for.iter().map(|(name, why)| format!("\n  {name}\t{why}"));
+                    let Some(at) = off.granted_at_revision else { return format!("{worker}: no permit is granted") };
+                    let confirmed = off.confirmed.len();
+                    let missing = off.unconfirmed.iter().map(|(name, why)| format!("\n  {name}\t{why}"));
                     let verdict = if may { "may be switched off" } else { "may not be switched off yet" };
                     let missing: String = missing.collect();
                     format!(
--- a/crates/pebblepost/src/fleet/view.rs
+++ b/crates/pebblepost/src/fleet/view.rs
@@ -3,8 +3,8 @@
 use super::Desk;
 use super::error::{Result, misplaced};
 use super::text::told;
-use pebblepost_fleet::Key;
-use pebblepost_fleet::state::{Change, Entry, Snapshot};
+use pebblepost_fleet::value::Entry;
+use pebblepost_fleet::{Change, Key, Snapshot};
 use pebblepost_fleet_store::wire::{Ask, Say};
 use serde_json::json;
 use std::time::Duration;
@@ -23,7 +23,13 @@
                 None => format!("{key} is gone"),
             });
             let items: Vec<String> = items.collect();
-            format!("{}\t{} by {}: {}", change.revision, change.at_ms, change.by, items.join(", "))
+            format!(
+                "{}\t{} by {}: {}",
+                change.revision,
+                change.issued_at_ms,
+                change.issued_by,
+                items.join(", ")
+            )
         });
     }
 
