--- a/crates/pebblepost-fleet-store/src/client.rs
+++ b/crates/pebblepost-fleet-store/src/client.rs
@@ -1,151 +1,189 @@
-//! How members and operators reach the keepers: any of them is asked, the one that leads answers.
+//! How members and operators reach the group: any replica is asked, the leader answers.
 
 use crate::clock::unix_ms;
-use crate::wire::{Ask, Say, Wire};
+use crate::connection::Connection;
+use crate::protocol::{Request, Response};
 use pebblepost_fleet::{Action, Command, CommandResult, IncarnationId, Name, RequestId};
 use std::collections::BTreeMap;
 use std::io;
 use std::time::Duration;
 use thiserror::Error;
-use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// One keeper is waited for so long before the next is asked.
-const EACH: Duration = Duration::from_secs(2);
-/// Between two rounds over all keepers: the first pause, doubled with each round, and the longest.
-const PAUSES: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(400));
+/// How long one replica is waited for before the next is asked.
+const REPLICA_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a request on a connection of its own may take.
+const SINGLE_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// The first backoff after all replicas were asked in vain; it doubles with each round.
+const FIRST_BACKOFF: Duration = Duration::from_millis(50);
+/// The longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
+/// After this many doublings the backoff stays as it is.
+const MAX_BACKOFF_DOUBLINGS: usize = 4;
 
-/// A request id that nobody else draws.
+/// A new request id, drawn at random.
 pub fn request_id() -> RequestId {
     RequestId(rand::random(), rand::random())
 }
 
-/// The id of a process that begins.
+/// A new incarnation id, drawn at random.
 pub fn incarnation_id() -> IncarnationId {
     IncarnationId(rand::random(), rand::random())
 }
 
-/// A command that is asked for now, for the first time.
-pub fn command(by: Name, act: Action) -> Command {
-    Command { id: request_id(), issued_by: by, issued_at_ms: unix_ms(), action: act }
+/// A new command, issued now.
+pub fn command(issued_by: Name, action: Action) -> Command {
+    Command { id: request_id(), issued_by, issued_at_ms: unix_ms(), action }
 }
 
-/// Why nothing was answered.
+/// No replica gave an answer.
 #[derive(Debug, Error)]
 #[error("no keeper answered within {within:?}: {last}")]
 pub struct Unreachable {
     /// How long was tried.
     pub within: Duration,
-    /// What the last one tried said.
+    /// Why the last attempt failed.
     pub last: String,
 }
 
-/// A client of the group.
+/// A client of the group. It holds one connection, to the replica that answered last.
 #[derive(Debug)]
 pub struct Client {
-    keepers: BTreeMap<u64, String>,
-    /// Who is asked first: whoever answered last, or is said to lead.
-    at: u64,
-    wire: Option<(u64, Wire)>,
+    replicas: BTreeMap<u64, String>,
+    /// The replica that is asked first: the one that answered last, or is said to lead.
+    preferred: u64,
+    connection: Option<(u64, Connection)>,
 }
 
 impl Client {
-    /// A client of these keepers, by number.
-    pub fn new(keepers: BTreeMap<u64, String>) -> Self {
-        let at = keepers.keys().next().copied().unwrap_or(0);
-        Self { keepers, at, wire: None }
+    /// A client of these replicas, with their addresses by number.
+    pub fn new(replicas: BTreeMap<u64, String>) -> Self {
+        let preferred = replicas.keys().next().copied().unwrap_or(0);
+        Self { replicas, preferred, connection: None }
     }
 
-    /// The keepers.
-    pub fn keepers(&self) -> &BTreeMap<u64, String> {
-        &self.keepers
+    /// The replicas with their addresses by number.
+    pub fn replicas(&self) -> &BTreeMap<u64, String> {
+        &self.replicas
     }
 
-    async fn try_one(&mut self, id: u64, ask: &Ask) -> io::Result<Say> {
-        let mut wire = match self.wire.take() {
-            Some((to, wire)) if to == id => wire,
-            _ => {
-                let address = self.keepers.get(&id).ok_or(io::ErrorKind::NotFound)?;
-                Wire::new(TcpStream::connect(address).await?)
-            }
-        };
-        wire.send(ask).await?;
-        let say = wire.next().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
-        self.wire = Some((id, wire));
-        Ok(say)
-    }
-
-    fn next(&self, after: u64) -> u64 {
-        let after = self.keepers.range(after + 1..).next().or_else(|| self.keepers.iter().next());
-        after.map_or(0, |(id, _)| *id)
-    }
-
-    /// Asks until somebody answers who may, at most for so long. A command that is asked again goes by its id, so it is
-    /// applied once.
-    pub async fn ask(&mut self, ask: &Ask, within: Duration) -> Result<Say, Unreachable> {
-        let end = Instant::now() + within;
+    /// Sends a request to one replica after the other until one answers it. A command that is sent again carries its id, so it
+    /// is applied once.
+    ///
+    /// # Errors
+    ///
+    /// No replica has answered within that time.
+    pub async fn request(&mut self, request: &Request, within: Duration) -> Result<Response, Unreachable> {
+        let deadline = Instant::now() + within;
         let mut last = "none was tried".to_owned();
-        let mut tried = 0;
-        while Instant::now() < end {
-            let id = self.at;
-            let limit = end.min(Instant::now() + EACH);
-            match timeout_at(limit, self.try_one(id, ask)).await {
-                Ok(Ok(Say::Elsewhere(Some(leader))))
-                    if self.keepers.contains_key(&leader) && leader != id =>
-                {
-                    last = format!("keeper {id}: keeper {leader} leads");
-                    self.at = leader;
-                }
-                Ok(Ok(Say::Elsewhere(_))) => {
-                    last = format!("keeper {id}: nobody leads");
-                    self.at = self.next(id);
-                }
-                Ok(Ok(Say::Failed(why))) => {
-                    last = format!("keeper {id}: {why}");
-                    self.at = self.next(id);
-                }
-                Ok(Ok(say)) => return Ok(say),
-                Ok(Err(error)) => {
-                    last = format!("keeper {id}: {error}");
-                    self.at = self.next(id);
-                }
-                Err(_) => {
-                    last = format!("keeper {id}: no answer");
-                    self.wire = None;
-                    self.at = self.next(id);
-                }
-            }
-            tried += 1;
-            let (rounds, rest) = (tried / self.keepers.len().max(1), tried % self.keepers.len().max(1));
-            if rest == 0 {
-                let (first, longest) = PAUSES;
-                sleep((first * (1 << (rounds - 1).min(4))).min(longest)).await;
+        let mut attempts = 0;
+        while Instant::now() < deadline {
+            match self.attempt(request, deadline).await {
+                Ok(response) => return Ok(response),
+                Err(why) => last = why,
             }
+            attempts += 1;
+            self.back_off(attempts).await;
         }
         Err(Unreachable { within, last })
     }
 
-    /// Has a command applied.
-    pub async fn command(
+    /// Sends a command.
+    ///
+    /// # Errors
+    ///
+    /// No replica has answered within that time. Whether the command was or will be applied is unknown.
+    pub async fn submit(
         &mut self, command: &Command, within: Duration,
     ) -> Result<CommandResult, Unreachable> {
-        match self.ask(&Ask::Command(command.clone()), within).await? {
-            Say::Answer(answer) => Ok(answer),
+        match self.request(&Request::Command(command.clone()), within).await? {
+            Response::Command(result) => Ok(result),
             other => Err(Unreachable { within, last: format!("an answer out of place: {other:?}") }),
         }
     }
 
-    /// Opens a watch at one keeper, from a revision on: the last that answered, or the next if `other`.
-    pub async fn watch(&mut self, from: u64, other: bool) -> io::Result<Wire> {
-        if other {
-            self.at = self.next(self.at);
+    /// Opens a watch from a revision on, at the preferred replica, or at the next one if `next_replica`.
+    ///
+    /// # Errors
+    ///
+    /// The replica cannot be reached.
+    pub async fn watch(&mut self, from_revision: u64, next_replica: bool) -> io::Result<Connection> {
+        if next_replica {
+            self.preferred = self.next_after(self.preferred);
         }
-        let address = self.keepers.get(&self.at).ok_or(io::ErrorKind::NotFound)?;
+        let address = self.replicas.get(&self.preferred).ok_or(io::ErrorKind::NotFound)?;
         let open = async {
-            let mut wire = Wire::new(TcpStream::connect(address).await?);
-            wire.send(&Ask::Watch(from)).await?;
-            Ok(wire)
+            let mut connection = Connection::connect(address).await?;
+            connection.send(&Request::Watch(from_revision)).await?;
+            Ok(connection)
+        };
+        timeout(REPLICA_TIMEOUT, open).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
+    }
+
+    /// Asks the preferred replica. If it does not answer the request, another one becomes preferred.
+    async fn attempt(&mut self, request: &Request, deadline: Instant) -> Result<Response, String> {
+        let id = self.preferred;
+        let limit = deadline.min(Instant::now() + REPLICA_TIMEOUT);
+        let why = match timeout_at(limit, self.exchange(id, request)).await {
+            Ok(Ok(Response::NotLeader(Some(leader))))
+                if self.replicas.contains_key(&leader) && leader != id =>
+            {
+                self.preferred = leader;
+                return Err(format!("keeper {id}: keeper {leader} leads"));
+            }
+            Ok(Ok(Response::NotLeader(_))) => "nobody leads".to_owned(),
+            Ok(Ok(Response::Failed(why))) => why,
+            Ok(Ok(response)) => return Ok(response),
+            Ok(Err(error)) => error.to_string(),
+            Err(_) => {
+                self.connection = None;
+                "no answer".to_owned()
+            }
         };
-        timeout(EACH, open).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
+        self.preferred = self.next_after(id);
+        Err(format!("keeper {id}: {why}"))
     }
+
+    async fn exchange(&mut self, id: u64, request: &Request) -> io::Result<Response> {
+        let mut connection = match self.connection.take() {
+            Some((to, connection)) if to == id => connection,
+            _ => {
+                let address = self.replicas.get(&id).ok_or(io::ErrorKind::NotFound)?;
+                Connection::connect(address).await?
+            }
+        };
+        connection.send(request).await?;
+        let response = connection.next().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
+        self.connection = Some((id, connection));
+        Ok(response)
+    }
+
+    fn next_after(&self, id: u64) -> u64 {
+        let next = self.replicas.range(id + 1..).next().or_else(|| self.replicas.iter().next());
+        next.map_or(0, |(id, _)| *id)
+    }
+
+    /// Waits once all replicas were asked in vain.
+    async fn back_off(&self, attempts: usize) {
+        let replicas = self.replicas.len().max(1);
+        let rounds = attempts / replicas;
+        if attempts.is_multiple_of(replicas) {
+            let doublings = (rounds - 1).min(MAX_BACKOFF_DOUBLINGS);
+            sleep((FIRST_BACKOFF * (1 << doublings)).min(MAX_BACKOFF)).await;
+        }
+    }
+}
+
+/// One request on a connection of its own.
+///
+/// # Errors
+///
+/// The replica cannot be reached, or does not answer in time.
+pub async fn request_once(address: &str, request: &Request) -> io::Result<Response> {
+    let exchange = async {
+        let mut connection = Connection::connect(address).await?;
+        connection.send(request).await?;
+        connection.next().await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+    };
+    timeout(SINGLE_REQUEST_TIMEOUT, exchange).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
 }
--- a/crates/pebblepost-fleet-store/src/lib.rs
+++ b/crates/pebblepost-fleet-store/src/lib.rs
@@ -1,17 +1,27 @@
-//! The agreed store: a group of *keepers* that hold one [`pebblepost_fleet::State`] by Raft (`openraft`) over durable
-//! storage (`redb`), and the client by which dispatchers and operators reach them.
+//! The replicated store of a fleet: a group of *replicas* (the operator's *keepers*) that hold one
+//! [`pebblepost_fleet::State`] by Raft (`openraft`) over durable storage (`redb`), and the client by which dispatchers and
+//! operators reach them.
 //!
-//! The rules are in `pebblepost-fleet`; this package only carries commands to where they are applied in one order, and
-//! keeps them. Frames are JSON behind a length of four bytes, on loopback only.
+//! The rules are in `pebblepost-fleet`: this package decides nothing about the fleet. It brings commands into one order, applies
+//! them, stores them, and answers reads and heartbeats. Messages are JSON in frames, on loopback only.
+//!
+//! Modules, each using only those before it:
+//!
+//! * [`clock`], [`raft_types`]: clocks, and the types of the Raft group.
+//! * [`protocol`], [`connection`], [`client`]: messages, their frames, and how a replica is reached.
+//! * [`storage`]: the log, the vote and the last snapshot on disk.
+//! * [`state_machine`]: the state in memory, and its snapshots.
+//! * [`replica`]: a running replica.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod client;
 pub mod clock;
-pub mod disk;
-pub mod group;
-pub mod keeper;
-pub mod machine;
+pub mod connection;
 mod network;
-pub mod wire;
+pub mod protocol;
+pub mod raft_types;
+pub mod replica;
+pub mod state_machine;
+pub mod storage;
--- a/crates/pebblepost-fleet-store/src/network.rs
+++ b/crates/pebblepost-fleet-store/src/network.rs
@@ -1,7 +1,8 @@
-//! Messages between keepers: one connection to each, opened anew after any fault.
+//! Raft messages to other replicas: one connection to each, opened anew after any fault.
 
-use crate::group::{Group, Peer};
-use crate::wire::{Ask, Envelope, Message, Reply, Say, Wire};
+use crate::connection::Connection;
+use crate::protocol::{RaftEnvelope, RaftMessage, RaftReply, Request, Response};
+use crate::raft_types::{Peer, TypeConfig};
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, Unreachable};
 use openraft::network::{RPCOption, RaftNetwork, RaftNetworkFactory};
 use openraft::raft::{
@@ -11,100 +12,99 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Makes the connections.
+/// Makes the connections to other replicas.
 #[derive(Clone, Debug)]
-pub struct Network {
+pub(crate) struct Network {
     pub(crate) group: String,
-    /// Where others are reached from here, if not at the address that the group knows.
+    /// Addresses from here, by replica, where they differ from those of the group's membership.
     pub(crate) dial: BTreeMap<u64, String>,
 }
 
-/// The connection to one keeper.
-pub struct Link {
+/// The connection to one replica.
+pub(crate) struct PeerConnection {
     group: String,
-    to: u64,
+    target: u64,
     disk: u64,
     address: String,
-    wire: Option<Wire>,
+    connection: Option<Connection>,
 }
 
-impl RaftNetworkFactory<Group> for Network {
-    type Network = Link;
+impl RaftNetworkFactory<TypeConfig> for Network {
+    type Network = PeerConnection;
 
-    async fn new_client(&mut self, target: u64, node: &Peer) -> Link {
+    async fn new_client(&mut self, target: u64, node: &Peer) -> PeerConnection {
         let address = self.dial.get(&target).unwrap_or(&node.address).clone();
-        Link { group: self.group.clone(), to: target, disk: node.disk, address, wire: None }
+        PeerConnection { group: self.group.clone(), target, disk: node.disk, address, connection: None }
     }
 }
 
-type Failed<E> = RPCError<u64, Peer, RaftError<u64, E>>;
+type RaftRpcError<E> = RPCError<u64, Peer, RaftError<u64, E>>;
 
-impl Link {
-    async fn talk(&mut self, message: Message, limit: Duration) -> io::Result<Reply> {
-        let work = async {
-            let mut wire = match self.wire.take() {
-                Some(wire) => wire,
-                None => Wire::new(TcpStream::connect(&self.address).await?),
+impl PeerConnection {
+    async fn exchange(&mut self, message: RaftMessage, limit: Duration) -> io::Result<RaftReply> {
+        let exchange = async {
+            let mut connection = match self.connection.take() {
+                Some(connection) => connection,
+                None => Connection::connect(&self.address).await?,
             };
-            let envelope = Envelope { group: self.group.clone(), to: self.to, disk: self.disk, message };
-            wire.send(&Ask::Raft(envelope)).await?;
-            match wire.next().await?.ok_or(io::ErrorKind::UnexpectedEof)? {
-                Say::Raft(reply) => {
-                    // Kept only after a whole answer: one that was cut short must not be taken for the next.
-                    self.wire = Some(wire);
+            let (group, target, disk) = (self.group.clone(), self.target, self.disk);
+            connection.send(&Request::Raft(RaftEnvelope { group, target, disk, message })).await?;
+            match connection.next().await?.ok_or(io::ErrorKind::UnexpectedEof)? {
+                Response::Raft(reply) => {
+                    // Kept only after a complete answer: one that was cut short must not be taken for the next.
+                    self.connection = Some(connection);
                     Ok(reply)
                 }
-                Say::Failed(why) => Err(io::Error::other(why)),
+                Response::Failed(why) => Err(io::Error::other(why)),
                 other => Err(io::Error::other(format!("an answer out of place: {other:?}"))),
             }
         };
-        timeout(limit, work).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
+        timeout(limit, exchange).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
     }
 
-    async fn ask<E: std::error::Error>(
-        &mut self, message: Message, option: RPCOption,
-    ) -> Result<Reply, Failed<E>> {
-        self.talk(message, option.hard_ttl()).await.map_err(|e| match e.kind() {
+    async fn call<E: std::error::Error>(
+        &mut self, message: RaftMessage, option: RPCOption,
+    ) -> Result<RaftReply, RaftRpcError<E>> {
+        self.exchange(message, option.hard_ttl()).await.map_err(|error| match error.kind() {
             io::ErrorKind::ConnectionRefused | io::ErrorKind::TimedOut => {
-                RPCError::Unreachable(Unreachable::new(&e))
+                RPCError::Unreachable(Unreachable::new(&error))
             }
-            _ => RPCError::Network(NetworkError::new(&e)),
+            _ => RPCError::Network(NetworkError::new(&error)),
         })
     }
 }
 
-fn misplaced<E: std::error::Error>() -> Failed<E> {
+fn unexpected_reply<E: std::error::Error>() -> RaftRpcError<E> {
     RPCError::Network(NetworkError::new(&io::Error::other("an answer of another kind")))
 }
 
-impl RaftNetwork<Group> for Link {
+impl RaftNetwork<TypeConfig> for PeerConnection {
     async fn append_entries(
-        &mut self, rpc: AppendEntriesRequest<Group>, option: RPCOption,
+        &mut self, rpc: AppendEntriesRequest<TypeConfig>, option: RPCOption,
     ) -> Result<AppendEntriesResponse<u64>, RPCError<u64, Peer, RaftError<u64>>> {
-        match self.ask(Message::Append(rpc), option).await? {
-            Reply::Append(reply) => Ok(reply),
-            _ => Err(misplaced()),
+        match self.call(RaftMessage::AppendEntries(rpc), option).await? {
+            RaftReply::AppendEntries(reply) => Ok(reply),
+            _ => Err(unexpected_reply()),
         }
     }
 
     async fn install_snapshot(
-        &mut self, rpc: InstallSnapshotRequest<Group>, option: RPCOption,
-    ) -> Result<InstallSnapshotResponse<u64>, Failed<InstallSnapshotError>> {
-        match self.ask(Message::Snapshot(rpc), option).await? {
-            Reply::Snapshot(reply) => Ok(reply),
-            _ => Err(misplaced()),
+        &mut self, rpc: InstallSnapshotRequest<TypeConfig>, option: RPCOption,
+    ) -> Result<InstallSnapshotResponse<u64>, RaftRpcError<InstallSnapshotError>> {
+        match self.call(RaftMessage::InstallSnapshot(rpc), option).await? {
+            RaftReply::InstallSnapshot(reply) => Ok(reply),
+            _ => Err(unexpected_reply()),
         }
     }
 
     async fn vote(
         &mut self, rpc: VoteRequest<u64>, option: RPCOption,
     ) -> Result<VoteResponse<u64>, RPCError<u64, Peer, RaftError<u64>>> {
-        match self.ask(Message::Vote(rpc), option).await? {
-            Reply::Vote(reply) => Ok(reply),
-            _ => Err(misplaced()),
+        match self.call(RaftMessage::Vote(rpc), option).await? {
+            RaftReply::Vote(reply) => Ok(reply),
+            _ => Err(unexpected_reply()),
         }
     }
 }
--- /dev/null
+++ b/crates/pebblepost-fleet-store/src/replica/commands.rs
@@ -0,0 +1,68 @@
+//! Commands and Raft messages: what goes into the log.
+
+use super::Replica;
+use crate::protocol::{RaftEnvelope, RaftMessage, RaftReply, Response};
+use crate::raft_types::Peer;
+use openraft::error::{ClientWriteError, RaftError};
+use pebblepost_fleet::{Action, Command};
+
+/// Why openraft has not written an entry.
+pub(super) type WriteError = RaftError<u64, ClientWriteError<u64, Peer>>;
+
+impl Replica {
+    /// Applies a command through the log, and answers with its result.
+    pub(super) async fn command(&self, command: Command) -> Response {
+        let joining = match &command.action {
+            Action::Join { member, .. } => Some(member.clone()),
+            _ => None,
+        };
+        let written = match self.raft.client_write(command).await {
+            Ok(written) => written,
+            Err(error) => return write_failed(error),
+        };
+        let Some(result) = written.data.0 else {
+            return Response::Failed("the entry held no command".to_owned());
+        };
+        if let (Some(member), Ok(outcome)) = (joining, &result) {
+            // A join counts as the first heartbeat of its session.
+            self.heartbeat(&member, outcome.session.unwrap_or(0), None);
+        }
+        Response::Command(result)
+    }
+
+    /// Hands a message of another replica to the Raft node, if it is for this replica with this disk.
+    pub(super) async fn raft_message(&self, envelope: RaftEnvelope) -> Response {
+        let own = self.disk.identity();
+        let RaftEnvelope { group, target, disk, message } = envelope;
+        if (&group, target, disk) != (&own.group, own.id, own.disk) {
+            // A replica that lost its disk has forgotten its votes and must not cast them again.
+            return Response::Failed(format!(
+                "this is keeper {} of group {:?} with disk {:016x}, not {} of {:?} with disk {:016x}",
+                own.id, own.group, own.disk, target, group, disk
+            ));
+        }
+        let failed = |error: &dyn std::fmt::Display| Response::Failed(error.to_string());
+        match message {
+            RaftMessage::AppendEntries(rpc) => match self.raft.append_entries(rpc).await {
+                Ok(reply) => Response::Raft(RaftReply::AppendEntries(reply)),
+                Err(error) => failed(&error),
+            },
+            RaftMessage::Vote(rpc) => match self.raft.vote(rpc).await {
+                Ok(reply) => Response::Raft(RaftReply::Vote(reply)),
+                Err(error) => failed(&error),
+            },
+            RaftMessage::InstallSnapshot(rpc) => match self.raft.install_snapshot(rpc).await {
+                Ok(reply) => Response::Raft(RaftReply::InstallSnapshot(reply)),
+                Err(error) => failed(&error),
+            },
+        }
+    }
+}
+
+/// The answer to a request whose entry was not written.
+pub(super) fn write_failed(error: WriteError) -> Response {
+    match error {
+        RaftError::APIError(ClientWriteError::ForwardToLeader(to)) => Response::NotLeader(to.leader_id),
+        other => Response::Failed(other.to_string()),
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-fleet-store/src/replica/membership.rs
@@ -0,0 +1,59 @@
+//! Changes of the group's membership.
+
+use super::Replica;
+use super::commands::{WriteError, write_failed};
+use crate::client::{command, request_once};
+use crate::protocol::{Request, Response};
+use crate::raft_types::Peer;
+use openraft::ChangeMembers;
+use pebblepost_fleet::Action;
+use std::collections::BTreeMap;
+
+impl Replica {
+    /// Initializes the group once all of its replicas say that they are new, with the disks named: one that has been part
+    /// of the group before must not initialize it again.
+    pub(super) async fn initialize(&self, replicas: BTreeMap<u64, Peer>) -> Response {
+        let own_id = self.config.id;
+        if replicas.get(&own_id).map(|peer| peer.disk) != Some(self.disk.identity().disk) {
+            return Response::Failed(format!("keeper {own_id} with its disk is not among those named"));
+        }
+        for (id, peer) in replicas.iter().filter(|(id, _)| **id != own_id) {
+            if let Err(why) = self.check_is_new(*id, peer).await {
+                return Response::Failed(why);
+            }
+        }
+        match self.raft.initialize(replicas).await {
+            Ok(()) => Response::Done,
+            Err(error) => Response::Failed(error.to_string()),
+        }
+    }
+
+    async fn check_is_new(&self, id: u64, peer: &Peer) -> Result<(), String> {
+        let address = self.config.dial.get(&id).unwrap_or(&peer.address);
+        match request_once(address, &Request::Status).await {
+            Ok(Response::Status(status)) if status.initialized => {
+                Err(format!("keeper {id} is part of a group already"))
+            }
+            Ok(Response::Status(status)) if (status.id, status.disk) == (id, peer.disk) => Ok(()),
+            Ok(_) => Err(format!("at {address} there is another than keeper {id}")),
+            Err(error) => Err(format!("keeper {id} at {address}: {error}")),
+        }
+    }
+
+    /// Adds a learner. That its number belongs to that disk is committed first.
+    pub(super) async fn add_learner(&self, id: u64, peer: Peer) -> Response {
+        let action = Action::AdmitReplica { replica: id, disk: peer.disk };
+        match self.command(command(self.name.clone(), action)).await {
+            Response::Command(Ok(_)) => done(self.raft.add_learner(id, peer, true).await),
+            rejected => rejected,
+        }
+    }
+
+    pub(super) async fn change_membership(&self, change: ChangeMembers<u64, Peer>) -> Response {
+        done(self.raft.change_membership(change, false).await)
+    }
+}
+
+fn done<T>(result: Result<T, WriteError>) -> Response {
+    result.map_or_else(write_failed, |_| Response::Done)
+}
--- /dev/null
+++ b/crates/pebblepost-fleet-store/src/replica/watch.rs
@@ -0,0 +1,51 @@
+//! The streams of changes that followers read.
+
+use super::Replica;
+use super::server::SLOW_READER_TIMEOUT;
+use crate::connection::Connection;
+use crate::protocol::Response;
+use std::io;
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// Without a change a watch is sent [`Response::UpToDate`] at this interval.
+const UP_TO_DATE_INTERVAL: Duration = Duration::from_millis(500);
+/// Most changes in one message.
+const MAX_CHANGES_PER_MESSAGE: usize = 64;
+
+impl Replica {
+    /// Sends all changes after a revision. There is no queue: each watch has its position in the bounded log, and one
+    /// that is too far behind gets the whole state.
+    pub(super) async fn watch(&self, mut connection: Connection, from_revision: u64) -> io::Result<()> {
+        let mut revision = from_revision;
+        let mut revisions = self.state_machine.subscribe();
+        loop {
+            revisions.mark_unchanged();
+            let update = self.next_update(revision);
+            let is_up_to_date = matches!(update, Response::UpToDate(_));
+            match &update {
+                Response::Changes(changes) => {
+                    revision = changes.last().map_or(revision, |change| change.revision);
+                }
+                Response::Snapshot(snapshot) => revision = snapshot.revision,
+                _ => {}
+            }
+            timeout(SLOW_READER_TIMEOUT, connection.send(&update))
+                .await
+                .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
+            if is_up_to_date {
+                // Whether there was a change or not, the next update says so.
+                let _ = timeout(UP_TO_DATE_INTERVAL, revisions.changed()).await;
+            }
+        }
+    }
+
+    fn next_update(&self, revision: u64) -> Response {
+        let state = self.state_machine.read();
+        match state.changes_after(revision, MAX_CHANGES_PER_MESSAGE) {
+            Some(changes) if changes.is_empty() => Response::UpToDate(revision),
+            Some(changes) => Response::Changes(changes),
+            None => Response::Snapshot(state.snapshot()),
+        }
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-fleet-store/src/state_machine.rs
@@ -0,0 +1,184 @@
+//! The replicated state at one replica: entries of the log are applied in their order, and snapshots are taken.
+//!
+//! The state lives in memory; on disk are the last snapshot and the log after it.
+
+use crate::raft_types::{EntryResult, LogId, Membership, Peer, TypeConfig};
+use crate::storage::{AccessError, Disk, raft_cause};
+use openraft::storage::{RaftSnapshotBuilder, RaftStateMachine, Snapshot};
+use openraft::{Entry, EntryPayload, OptionalSend, SnapshotMeta, StorageError, StorageIOError};
+use pebblepost_fleet::State;
+use serde::{Deserialize, Serialize};
+use std::io::Cursor;
+use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard};
+use tokio::sync::watch;
+
+const SNAPSHOT: &str = "snapshot";
+
+type Meta = SnapshotMeta<u64, Peer>;
+type RaftResult<T> = Result<T, StorageError<u64>>;
+
+/// A snapshot as it is stored on disk.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub(crate) struct StoredSnapshot {
+    pub(crate) meta: Meta,
+    /// The state as JSON, which is also what other replicas are sent.
+    data: String,
+}
+
+/// The state, and the entry of the log up to which it is applied.
+#[derive(Debug, Default)]
+struct AppliedState {
+    state: State,
+    last_applied: Option<LogId>,
+    membership: Membership,
+}
+
+impl AppliedState {
+    fn apply(&mut self, entry: Entry<TypeConfig>) -> EntryResult {
+        self.last_applied = Some(entry.log_id);
+        match entry.payload {
+            EntryPayload::Blank => EntryResult(None),
+            EntryPayload::Normal(command) => EntryResult(Some(self.state.apply(&command))),
+            EntryPayload::Membership(membership) => {
+                self.state.register_replicas(membership.nodes().map(|(id, peer)| (*id, peer.disk)));
+                self.membership = Membership::new(Some(entry.log_id), membership);
+                EntryResult(None)
+            }
+        }
+    }
+}
+
+/// The state machine.
+#[derive(Clone, Debug)]
+pub struct StateMachine {
+    applied: Arc<RwLock<AppliedState>>,
+    /// The newest revision, for those who wait for a change.
+    revision: Arc<watch::Sender<u64>>,
+    disk: Disk,
+}
+
+/// The state, locked for reading: to be held for moments only.
+pub struct StateGuard<'a>(RwLockReadGuard<'a, AppliedState>);
+
+impl std::ops::Deref for StateGuard<'_> {
+    type Target = State;
+
+    fn deref(&self) -> &State {
+        &self.0.state
+    }
+}
+
+impl StateMachine {
+    /// The state machine at the last snapshot on the disk.
+    ///
+    /// # Errors
+    ///
+    /// The snapshot cannot be read.
+    pub fn open(disk: Disk) -> Result<Self, AccessError> {
+        let applied = match disk.get::<StoredSnapshot>(SNAPSHOT)? {
+            Some(snapshot) => AppliedState {
+                state: serde_json::from_str(&snapshot.data)?,
+                last_applied: snapshot.meta.last_log_id,
+                membership: snapshot.meta.last_membership,
+            },
+            None => AppliedState::default(),
+        };
+        let revision = Arc::new(watch::Sender::new(applied.state.revision()));
+        Ok(Self { applied: Arc::new(RwLock::new(applied)), revision, disk })
+    }
+
+    /// The state now.
+    pub fn read(&self) -> StateGuard<'_> {
+        StateGuard(self.read_applied())
+    }
+
+    /// Is notified of each new revision.
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
+        self.revision.subscribe()
+    }
+
+    fn read_applied(&self) -> RwLockReadGuard<'_, AppliedState> {
+        self.applied.read().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn write_applied<T>(&self, work: impl FnOnce(&mut AppliedState) -> T) -> T {
+        let mut applied = self.applied.write().unwrap_or_else(PoisonError::into_inner);
+        let result = work(&mut applied);
+        self.revision.send_replace(applied.state.revision());
+        result
+    }
+}
+
+impl RaftSnapshotBuilder<TypeConfig> for StateMachine {
+    async fn build_snapshot(&mut self) -> RaftResult<Snapshot<TypeConfig>> {
+        // A copy, so that commands go on being applied while it is written.
+        let (state, last_applied, membership) = {
+            let applied = self.read_applied();
+            (applied.state.clone(), applied.last_applied, applied.membership.clone())
+        };
+        let failed = |error: &dyn std::fmt::Display| {
+            StorageIOError::write_snapshot(None, raft_cause(&self.disk, error))
+        };
+        let text = tokio::task::spawn_blocking(move || serde_json::to_string(&state)).await;
+        let data = text.map_err(|error| failed(&error))?.map_err(|error| failed(&error))?;
+        let snapshot_id =
+            last_applied.map_or_else(|| "0".to_owned(), |id| format!("{}-{}", id.leader_id, id.index));
+        let meta = Meta { last_log_id: last_applied, last_membership: membership, snapshot_id };
+        let stored = StoredSnapshot { meta: meta.clone(), data: data.clone() };
+        self.disk.put(SNAPSHOT, stored).await.map_err(|error| failed(&error))?;
+        Ok(Snapshot { meta, snapshot: Box::new(Cursor::new(data.into_bytes())) })
+    }
+}
+
+impl RaftStateMachine<TypeConfig> for StateMachine {
+    type SnapshotBuilder = Self;
+
+    async fn applied_state(&mut self) -> RaftResult<(Option<LogId>, Membership)> {
+        let applied = self.read_applied();
+        Ok((applied.last_applied, applied.membership.clone()))
+    }
+
+    async fn apply<I>(&mut self, entries: I) -> RaftResult<Vec<EntryResult>>
+    where
+        I: IntoIterator<Item = Entry<TypeConfig>> + OptionalSend,
+        I::IntoIter: OptionalSend,
+    {
+        Ok(self.write_applied(|applied| entries.into_iter().map(|entry| applied.apply(entry)).collect()))
+    }
+
+    async fn get_snapshot_builder(&mut self) -> Self {
+        self.clone()
+    }
+
+    async fn begin_receiving_snapshot(&mut self) -> RaftResult<Box<Cursor<Vec<u8>>>> {
+        Ok(Box::default())
+    }
+
+    async fn install_snapshot(&mut self, meta: &Meta, snapshot: Box<Cursor<Vec<u8>>>) -> RaftResult<()> {
+        let failed = |error: &dyn std::fmt::Display| {
+            StorageIOError::write_snapshot(Some(meta.signature()), raft_cause(&self.disk, error))
+        };
+        let data = String::from_utf8(snapshot.into_inner()).map_err(|error| failed(&error))?;
+        let state: State = serde_json::from_str(&data).map_err(|error| failed(&error))?;
+        let stored = StoredSnapshot { meta: meta.clone(), data };
+        self.disk.put(SNAPSHOT, stored).await.map_err(|error| failed(&error))?;
+        self.write_applied(|applied| {
+            *applied = AppliedState {
+                state,
+                last_applied: meta.last_log_id,
+                membership: meta.last_membership.clone(),
+            };
+        });
+        Ok(())
+    }
+
+    async fn get_current_snapshot(&mut self) -> RaftResult<Option<Snapshot<TypeConfig>>> {
+        let stored = self.disk.get::<StoredSnapshot>(SNAPSHOT);
+        let stored =
+            stored.map_err(|error| StorageIOError::read_snapshot(None, raft_cause(&self.disk, &error)))?;
+        Ok(stored.map(|stored| {
+            let snapshot = Box::new(Cursor::new(stored.data.into_bytes()));
+            Snapshot { meta: stored.meta, snapshot }
+        }))
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-fleet-store/src/storage/disk.rs
@@ -0,0 +1,230 @@
+//! The open file: its check at the start, its identity, and values by name.
+
+use super::{AccessError, DiskError, faults};
+use crate::raft_types::{LogId, TypeConfig};
+use openraft::{Entry, RaftLogId};
+use redb::{
+    Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, TableDefinition, WriteTransaction,
+};
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use std::io::ErrorKind;
+use std::ops::{Bound, RangeBounds};
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+
+/// Entries of the log, by index.
+pub(super) const LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("log");
+/// Single values, by name.
+const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
+const IDENTITY: &str = "identity";
+/// The file's name in the replica's folder.
+pub const FILE_NAME: &str = "keeper.redb";
+const CACHE_BYTES: usize = 16 * 1024 * 1024;
+
+/// The replica that a disk belongs to.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct DiskIdentity {
+    /// Name of the group.
+    pub group: String,
+    /// The replica's number.
+    pub id: u64,
+    /// The disk's id, drawn at random when it was set up.
+    pub disk: u64,
+}
+
+impl DiskIdentity {
+    /// Whether both disks belong to the same replica.
+    fn is_same_replica(&self, other: &Self) -> bool {
+        self.group == other.group && self.id == other.id
+    }
+
+    fn replica_name(&self) -> String {
+        format!("{} of group {:?}", self.id, self.group)
+    }
+}
+
+/// An open disk.
+#[derive(Clone, Debug)]
+pub struct Disk {
+    database: Arc<Database>,
+    path: PathBuf,
+    identity: DiskIdentity,
+}
+
+impl Disk {
+    /// Opens and checks the disk in a folder, or sets it up if there is none. A new disk gets the id `new_disk`.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read or written, is damaged, or belongs to another replica.
+    pub fn open(folder: &Path, group: &str, id: u64, new_disk: u64) -> Result<Self, DiskError> {
+        let path = folder.join(FILE_NAME);
+        let io_error =
+            |cause: &dyn std::fmt::Display| DiskError::Io { path: path.clone(), cause: cause.to_string() };
+        let damaged =
+            |error: AccessError| DiskError::Damaged { path: path.clone(), cause: error.to_string() };
+        std::fs::create_dir_all(folder).map_err(|error| io_error(&error))?;
+        let database = open_database(&path)?;
+        let expected = DiskIdentity { group: group.to_owned(), id, disk: new_disk };
+        let identity = match get::<DiskIdentity>(&database, IDENTITY).map_err(damaged)? {
+            Some(found) if found.is_same_replica(&expected) => found,
+            Some(found) => {
+                let (found, expected) = (found.replica_name(), expected.replica_name());
+                return Err(DiskError::Foreign { path, found, expected });
+            }
+            None => {
+                set_up(&database, &expected).map_err(|error| io_error(&error))?;
+                expected
+            }
+        };
+        let disk = Self { database: Arc::new(database), path: path.clone(), identity };
+        disk.check_entries().map_err(damaged)?;
+        Ok(disk)
+    }
+
+    /// The replica that the disk belongs to.
+    pub fn identity(&self) -> &DiskIdentity {
+        &self.identity
+    }
+
+    /// The file.
+    pub fn path(&self) -> &Path {
+        &self.path
+    }
+
+    /// The value of that name.
+    ///
+    /// # Errors
+    ///
+    /// The disk cannot be read, or the value is of another type.
+    pub fn get<T: DeserializeOwned>(&self, name: &str) -> Result<Option<T>, AccessError> {
+        get(&self.database, name)
+    }
+
+    /// Stores a value under a name, synced, off the threads that serve.
+    ///
+    /// # Errors
+    ///
+    /// The disk cannot be written.
+    pub async fn put<T: Serialize + Send + 'static>(
+        &self, name: &'static str, value: T,
+    ) -> Result<(), AccessError> {
+        self.write(move |transaction| put(transaction, name, &value)).await
+    }
+
+    /// Runs a write transaction, synced, off the threads that serve.
+    pub(super) async fn write<T: Send + 'static>(
+        &self, work: impl FnOnce(&WriteTransaction) -> Result<T, AccessError> + Send + 'static,
+    ) -> Result<T, AccessError> {
+        let database = self.database.clone();
+        tokio::task::spawn_blocking(move || {
+            let mut transaction = begin_write(&database)?;
+            faults::inject_into_write(&mut transaction)?;
+            let result = work(&transaction)?;
+            transaction.commit()?;
+            Ok(result)
+        })
+        .await?
+    }
+
+    pub(super) fn entries(
+        &self, range: impl RangeBounds<u64>,
+    ) -> Result<Vec<Entry<TypeConfig>>, AccessError> {
+        let owned = |bound: Bound<&u64>| bound.cloned();
+        let range = (owned(range.start_bound()), owned(range.end_bound()));
+        let transaction = self.database.begin_read()?;
+        let mut entries = Vec::new();
+        for item in transaction.open_table(LOG)?.range(range)? {
+            entries.push(serde_json::from_slice(item?.1.value())?);
+        }
+        Ok(entries)
+    }
+
+    pub(super) fn last_entry(&self) -> Result<Option<LogId>, AccessError> {
+        let transaction = self.database.begin_read()?;
+        let table = transaction.open_table(LOG)?;
+        let Some((_, bytes)) = table.last()? else { return Ok(None) };
+        let entry: Entry<TypeConfig> = serde_json::from_slice(bytes.value())?;
+        Ok(Some(*entry.get_log_id()))
+    }
+
+    /// Reads every entry once, so that what cannot be read is found at the start and not in the middle.
+    fn check_entries(&self) -> Result<(), AccessError> {
+        let transaction = self.database.begin_read()?;
+        let table = transaction.open_table(LOG)?;
+        let mut expected_index = None;
+        for item in table.iter()? {
+            let (index, bytes) = item?;
+            let index = index.value();
+            serde_json::from_slice::<Entry<TypeConfig>>(bytes.value())?;
+            if expected_index.is_some_and(|expected| expected != index) {
+                return Err(AccessError::Gap { index });
+            }
+            expected_index = Some(index + 1);
+        }
+        Ok(())
+    }
+}
+
+/// Opens or creates the database and checks all of it.
+fn open_database(path: &Path) -> Result<Database, DiskError> {
+    let io_error =
+        |cause: &dyn std::fmt::Display| DiskError::Io { path: path.to_owned(), cause: cause.to_string() };
+    let damaged = |cause: String| DiskError::Damaged { path: path.to_owned(), cause };
+    // redb panics on some kinds of damage where it should return an error (seen with a flipped bit in the state of
+    // its allocator); that is a damaged file like any other.
+    let opened = std::panic::catch_unwind(|| {
+        // The set-up of a file of no bytes was cut short: nothing was ever acknowledged from it.
+        let exists = std::fs::metadata(path).is_ok_and(|metadata| metadata.len() > 0);
+        let mut builder = Builder::new();
+        builder.set_cache_size(CACHE_BYTES);
+        let mut database = faults::open(&builder, path, exists)?;
+        let is_intact = database.check_integrity()?;
+        Ok((database, is_intact))
+    });
+    let opened = opened.map_err(|_| damaged("what manages its pages makes no sense".to_owned()))?;
+    match opened {
+        Ok((database, true)) => Ok(database),
+        Ok((_, false)) => Err(damaged("its check sums do not agree".to_owned())),
+        Err(DatabaseError::DatabaseAlreadyOpen) => Err(io_error(&"another process has it open")),
+        Err(DatabaseError::Storage(redb::StorageError::Io(error)))
+            if !matches!(error.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) =>
+        {
+            Err(io_error(&error))
+        }
+        Err(error) => Err(damaged(error.to_string())),
+    }
+}
+
+fn set_up(database: &Database, identity: &DiskIdentity) -> Result<(), AccessError> {
+    let transaction = begin_write(database)?;
+    transaction.open_table(LOG)?;
+    put(&transaction, IDENTITY, identity)?;
+    transaction.commit()?;
+    Ok(())
+}
+
+fn begin_write(database: &Database) -> Result<WriteTransaction, AccessError> {
+    let mut transaction = database.begin_write()?;
+    transaction.set_two_phase_commit(true);
+    Ok(transaction)
+}
+
+pub(super) fn put<T: Serialize>(
+    transaction: &WriteTransaction, name: &str, value: &T,
+) -> Result<(), AccessError> {
+    transaction.open_table(META)?.insert(name, serde_json::to_vec(value)?.as_slice())?;
+    Ok(())
+}
+
+fn get<T: DeserializeOwned>(database: &Database, name: &str) -> Result<Option<T>, AccessError> {
+    let transaction = database.begin_read()?;
+    let table = match transaction.open_table(META) {
+        Ok(table) => table,
+        Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
+        Err(error) => return Err(error.into()),
+    };
+    let value = table.get(name)?;
+    Ok(value.map(|bytes| serde_json::from_slice(bytes.value())).transpose()?)
+}
--- /dev/null
+++ b/crates/pebblepost-fleet-store/src/storage/last_known.rs
@@ -0,0 +1,43 @@
+//! What a disk says about its group, before the replica takes part in it.
+
+use super::{AccessError, Disk};
+use crate::raft_types::{LogId, Peer};
+use crate::state_machine::StoredSnapshot;
+use openraft::{EntryPayload, Vote};
+use std::collections::BTreeMap;
+
+/// What a disk says about its group.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct LastKnown {
+    /// Last index of the log.
+    pub last_index: u64,
+    /// Term of the vote.
+    pub term: u64,
+    /// The replicas of the newest membership.
+    pub replicas: BTreeMap<u64, Peer>,
+}
+
+impl Disk {
+    /// What the disk says about its group.
+    ///
+    /// # Errors
+    ///
+    /// The disk cannot be read.
+    pub fn last_known(&self) -> Result<LastKnown, AccessError> {
+        let snapshot: Option<StoredSnapshot> = self.get("snapshot")?;
+        let purged: Option<LogId> = self.get("purged")?;
+        let vote: Option<Vote<u64>> = self.get("vote")?;
+        let in_snapshot = snapshot.as_ref().and_then(|snapshot| snapshot.meta.last_log_id);
+        let last = [self.last_entry()?, purged, in_snapshot].into_iter().flatten().map(|id| id.index).max();
+        let in_log = self.entries(..)?.into_iter().rev().find_map(|entry| match entry.payload {
+            EntryPayload::Membership(membership) => Some(membership),
+            _ => None,
+        });
+        let membership =
+            in_log.or(snapshot.map(|snapshot| snapshot.meta.last_membership.membership().clone()));
+        let nodes = membership.iter().flat_map(|membership| membership.nodes());
+        let replicas = nodes.map(|(id, peer)| (*id, peer.clone())).collect();
+        let term = vote.map_or(0, |vote| vote.leader_id.term);
+        Ok(LastKnown { last_index: last.unwrap_or(0), term, replicas })
+    }
+}
--- a/crates/pebblepost-fleet-store/tests/common/mod.rs
+++ b/crates/pebblepost-fleet-store/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! A group of one replica in this process.
 
-use pebblepost_fleet_store::client::Client;
-use pebblepost_fleet_store::group::Peer;
-use pebblepost_fleet_store::keeper::{KeeperError, Settings, ask_once, run};
-use pebblepost_fleet_store::wire::{Ask, Say};
+use pebblepost_fleet_store::client::{Client, request_once};
+use pebblepost_fleet_store::protocol::{Request, Response};
+use pebblepost_fleet_store::raft_types::Peer;
+use pebblepost_fleet_store::replica::{ReplicaConfig, ReplicaError, run};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, TcpListener};
 use std::path::PathBuf;
@@ -11,32 +11,32 @@
 use tokio::task::JoinHandle;
 
 /// A replica's settings, at an address of the test's own, so that a port that was free a moment ago still is.
-pub fn settings(test: u8, folder: PathBuf) -> Settings {
+pub fn settings(test: u8, folder: PathBuf) -> ReplicaConfig {
     let listen = TcpListener::bind((Ipv4Addr::new(127, 79, test, 1), 0)).and_then(|l| l.local_addr());
-    Settings {
+    ReplicaConfig {
         group: "g".to_owned(),
         id: 1,
         listen: listen.expect("a free port"),
         folder,
         dial: BTreeMap::new(),
-        session: Duration::from_secs(10),
-        heartbeat: Duration::from_millis(100),
+        session_ttl: Duration::from_secs(10),
+        heartbeat_interval: Duration::from_millis(100),
     }
 }
 
 /// Starts one that runs until `stop`, and has it begin a group of itself.
 pub async fn begin(
-    settings: &Settings, stop: impl Future<Output = ()> + Send + 'static,
-) -> (JoinHandle<Result<(), KeeperError>>, Client) {
+    settings: &ReplicaConfig, stop: impl Future<Output = ()> + Send + 'static,
+) -> (JoinHandle<Result<(), ReplicaError>>, Client) {
     let replica = tokio::spawn(run(settings.clone(), |_| {}, stop));
     let address = settings.listen.to_string();
     let status = loop {
-        match ask_once(&address, &Ask::Status).await {
-            Ok(Say::Status(status)) => break status,
+        match request_once(&address, &Request::Status).await {
+            Ok(Response::Status(status)) => break status,
             _ => tokio::time::sleep(Duration::from_millis(20)).await,
         }
     };
     let peers = BTreeMap::from([(1, Peer { address: address.clone(), disk: status.disk })]);
-    assert!(matches!(ask_once(&address, &Ask::Begin(peers)).await, Ok(Say::Done)));
+    assert!(matches!(request_once(&address, &Request::Initialize(peers)).await, Ok(Response::Done)));
     (replica, Client::new(BTreeMap::from([(1, address)])))
 }
--- a/crates/pebblepost-fleet-store/tests/disk.rs
+++ b/crates/pebblepost-fleet-store/tests/disk.rs
@@ -1,6 +1,6 @@
 //! A keeper's disk: what was acknowledged comes back, and what was damaged is refused by name.
 
-use pebblepost_fleet_store::disk::{Disk, DiskError, FILE};
+use pebblepost_fleet_store::storage::{Disk, DiskError, FILE_NAME};
 use std::os::unix::fs::FileExt;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -17,7 +17,7 @@
     }
 
     fn file(&self) -> PathBuf {
-        self.0.join(FILE)
+        self.0.join(FILE_NAME)
     }
 }
 
@@ -69,7 +69,7 @@
         std::fs::write(folder.file(), &bytes[..cut]).expect("room");
         let error = open(&folder).expect_err("cut");
         assert!(matches!(error, DiskError::Damaged { .. }), "cut at {cut}: {error}");
-        assert!(error.to_string().contains(FILE), "{error}");
+        assert!(error.to_string().contains(FILE_NAME), "{error}");
     }
     let folder = Folder::new();
     std::fs::create_dir_all(&folder.0).expect("room");
@@ -101,7 +101,7 @@
             }
             Err(error) => {
                 refused += 1;
-                assert!(error.to_string().contains(FILE), "{error}");
+                assert!(error.to_string().contains(FILE_NAME), "{error}");
             }
         }
     }
--- a/crates/pebblepost-fleet-store/tests/stored_forms.rs
+++ b/crates/pebblepost-fleet-store/tests/stored_forms.rs
@@ -6,11 +6,12 @@
 use openraft::storage::{RaftLogReader, RaftLogStorage, RaftSnapshotBuilder, RaftStateMachine};
 use openraft::{Entry, EntryPayload, Vote};
 use pebblepost_fleet_store::client::Unreachable;
-use pebblepost_fleet_store::disk::{Disk, DiskError, FILE, Identity};
-use pebblepost_fleet_store::group::{Applied, Group};
-use pebblepost_fleet_store::keeper::KeeperError;
-use pebblepost_fleet_store::machine::Machine;
-use pebblepost_fleet_store::wire::{Ask, MAX_FRAME, Say, Wire};
+use pebblepost_fleet_store::connection::{Connection, MAX_FRAME_BYTES};
+use pebblepost_fleet_store::protocol::{Request, Response};
+use pebblepost_fleet_store::raft_types::{EntryResult, TypeConfig};
+use pebblepost_fleet_store::replica::ReplicaError;
+use pebblepost_fleet_store::state_machine::StateMachine;
+use pebblepost_fleet_store::storage::{Disk, DiskError, DiskIdentity, FILE_NAME};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -61,29 +62,29 @@
 
 #[test]
 fn requests_replies_and_log_entries_keep_their_bytes() {
-    reads_and_writes_the_same::<Ask>("requests.jsonl", 16);
-    reads_and_writes_the_same::<Say>("replies.jsonl", 19);
-    reads_and_writes_the_same::<Entry<Group>>("log_entries.jsonl", 4);
+    reads_and_writes_the_same::<Request>("requests.jsonl", 16);
+    reads_and_writes_the_same::<Response>("replies.jsonl", 19);
+    reads_and_writes_the_same::<Entry<TypeConfig>>("log_entries.jsonl", 4);
     for text in ["null", r#"{"Ok":{"revision":3}}"#] {
-        assert_eq!(written(&read::<Applied>(text)), text);
+        assert_eq!(written(&read::<EntryResult>(text)), text);
     }
-    let earlier: Ask = read(r#"{"beat":{"member":"d1","session":7}}"#);
+    let earlier: Request = read(r#"{"beat":{"member":"d1","session":7}}"#);
     assert_eq!(written(&earlier), r#"{"beat":{"member":"d1","session":7,"doing":null}}"#);
 }
 
 #[tokio::test]
 async fn a_frame_is_its_length_in_four_bytes_and_json() {
-    assert_eq!(MAX_FRAME, 8 * 1024 * 1024);
+    assert_eq!(MAX_FRAME_BYTES, 8 * 1024 * 1024);
     let listener = tokio::net::TcpListener::bind("127.79.9.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     let mut plain = tokio::net::TcpStream::connect(address).await.expect("a listener");
-    let mut wire = Wire::new(listener.accept().await.expect("a connection").0);
-    wire.send(&Ask::Status).await.expect("open");
+    let mut wire = Connection::new(listener.accept().await.expect("a connection").0);
+    wire.send(&Request::Status).await.expect("open");
     let mut frame = [0; 12];
     plain.read_exact(&mut frame).await.expect("a frame");
     assert_eq!(&frame, b"\0\0\0\x08\"status\"");
     plain.write_all(b"\0\0\0\x06\"done\"").await.expect("open");
-    assert!(matches!(wire.next::<Say>().await, Ok(Some(Say::Done))));
+    assert!(matches!(wire.next::<Response>().await, Ok(Some(Response::Done))));
 }
 
 fn rows(path: &std::path::Path) -> (Vec<(u64, String)>, Vec<(String, String)>) {
@@ -111,11 +112,13 @@
     let (replica, mut client) = common::begin(&settings, async { drop(stopped.await) }).await;
     let within = Duration::from_secs(10);
     for line in stored("log_entries.jsonl").lines() {
-        if let EntryPayload::Normal(command) = read::<Entry<Group>>(line).payload {
-            client.command(&command, within).await.expect("it answers").expect("nothing against it");
+        if let EntryPayload::Normal(command) = read::<Entry<TypeConfig>>(line).payload {
+            client.submit(&command, within).await.expect("it answers").expect("nothing against it");
         }
     }
-    let Ok(Say::Status(status)) = client.ask(&Ask::Status, within).await else { panic!("no status") };
+    let Ok(Response::Status(status)) = client.request(&Request::Status, within).await else {
+        panic!("no status")
+    };
     drop(stop);
     replica.await.expect("no panic").expect("it ends as asked");
     (settings.listen.to_string(), status.disk)
@@ -129,7 +132,7 @@
     let normal = |text: String| {
         text.replace(&address, "127.0.0.1:1").replace(&format!("\"disk\":{number}"), "\"disk\":77")
     };
-    let (log, mut meta) = rows(&folder.0.join(FILE));
+    let (log, mut meta) = rows(&folder.0.join(FILE_NAME));
     let entries: Vec<String> = stored("log_entries.jsonl").lines().map(str::to_owned).collect();
     assert_eq!(log.iter().map(|(index, _)| *index).collect::<Vec<_>>(), [0, 1, 2, 3]);
     assert_eq!(log.into_iter().map(|(_, text)| normal(text)).collect::<Vec<_>>(), entries);
@@ -138,12 +141,12 @@
     assert_eq!(meta, expected.iter().filter(|(key, _)| key != "purged").cloned().collect::<Vec<_>>());
     {
         let mut disk = Disk::open(&folder.0, "g", 1, 0).expect("a sound disk");
-        let mut machine = Machine::open(disk.clone()).expect("a sound disk");
+        let mut machine = StateMachine::open(disk.clone()).expect("a sound disk");
         machine.apply(disk.try_get_log_entries(..).await.expect("readable")).await.expect("sound");
         machine.build_snapshot().await.expect("space");
         disk.purge(read(r#"{"leader_id":{"term":0,"node_id":0},"index":0}"#)).await.expect("space");
     }
-    let (log, meta) = rows(&folder.0.join(FILE));
+    let (log, meta) = rows(&folder.0.join(FILE_NAME));
     assert_eq!(log.iter().map(|(index, _)| *index).collect::<Vec<_>>(), [1, 2, 3]);
     expected.push(("snapshot".to_owned(), stored("snapshot.json").trim_end().to_owned()));
     expected.sort();
@@ -166,7 +169,7 @@
     let folder = Folder::new("read");
     let lines = stored("log_entries.jsonl");
     {
-        let database = Database::create(folder.0.join(FILE)).expect("space");
+        let database = Database::create(folder.0.join(FILE_NAME)).expect("space");
         let transaction = database.begin_write().expect("open");
         {
             let mut log = transaction.open_table(LOG).expect("new");
@@ -183,16 +186,16 @@
         transaction.commit().expect("space");
     }
     let mut disk = Disk::open(&folder.0, "g", 1, 78).expect("an earlier build's disk");
-    assert_eq!(disk.identity(), &Identity { group: "g".to_owned(), id: 1, disk: 77 });
+    assert_eq!(disk.identity(), &DiskIdentity { group: "g".to_owned(), id: 1, disk: 77 });
     let entries = disk.try_get_log_entries(..).await.expect("readable");
     assert_eq!(entries.iter().map(written).collect::<Vec<_>>(), lines.lines().skip(1).collect::<Vec<_>>());
     let vote: Vote<u64> = disk.read_vote().await.expect("readable").expect("there");
     // A vote for itself counts as not committed after a restart.
     assert_eq!(written(&vote), r#"{"leader_id":{"term":1,"node_id":1},"committed":false}"#);
     let known = disk.last_known().expect("readable");
-    assert_eq!((known.last, known.term), (3, 1));
-    assert_eq!(known.keepers[&1].address, "127.0.0.1:1");
-    let mut machine = Machine::open(disk).expect("readable");
+    assert_eq!((known.last_index, known.term), (3, 1));
+    assert_eq!(known.replicas[&1].address, "127.0.0.1:1");
+    let mut machine = StateMachine::open(disk).expect("readable");
     let (last, membership) = machine.applied_state().await.expect("readable");
     assert_eq!(written(&last), r#"{"leader_id":{"term":1,"node_id":1},"index":3}"#);
     assert_eq!(membership.nodes().count(), 1);
@@ -206,17 +209,17 @@
 fn texts_of_errors_stay_as_they_are() {
     let path = || PathBuf::from("/f/keeper.redb");
     let disk = [
-        DiskError::Io { path: path(), why: "w".to_owned() },
-        DiskError::Damaged { path: path(), why: "w".to_owned() },
-        DiskError::Older { path: path(), ours: 1, theirs: 2, leader: 3, term: 4 },
-        DiskError::Foreign { path: path(), found: "f".to_owned(), wanted: "w".to_owned() },
+        DiskError::Io { path: path(), cause: "w".to_owned() },
+        DiskError::Damaged { path: path(), cause: "w".to_owned() },
+        DiskError::Outdated { path: path(), last_index: 1, acknowledged_index: 2, leader: 3, term: 4 },
+        DiskError::Foreign { path: path(), found: "f".to_owned(), expected: "w".to_owned() },
     ];
     let mut texts: Vec<String> = disk.iter().map(ToString::to_string).collect();
-    texts.extend(disk.into_iter().map(|e| KeeperError::from(e).to_string()));
+    texts.extend(disk.into_iter().map(|e| ReplicaError::from(e).to_string()));
     let listen = std::io::Error::other("o");
-    texts.push(KeeperError::Listen("127.0.0.1:1".parse().expect("sound"), listen).to_string());
-    texts.push(KeeperError::Stopped("s".to_owned()).to_string());
+    texts.push(ReplicaError::Listen("127.0.0.1:1".parse().expect("sound"), listen).to_string());
+    texts.push(ReplicaError::Stopped("s".to_owned()).to_string());
     texts.push(Unreachable { within: Duration::from_secs(2), last: "l".to_owned() }.to_string());
     assert_eq!(texts.join("\n"), stored("error_texts.txt").trim_end());
-    assert_eq!(FILE, "keeper.redb");
+    assert_eq!(FILE_NAME, "keeper.redb");
 }
--- a/crates/pebblepost-fleet-store/tests/watch.rs
+++ b/crates/pebblepost-fleet-store/tests/watch.rs
@@ -6,9 +6,9 @@
 use pebblepost_fleet::value::Worker;
 use pebblepost_fleet::{Action, Name, Operation, Text};
 use pebblepost_fleet_store::client::{Client, command};
-use pebblepost_fleet_store::wire::{Ask, Say, Wire};
+use pebblepost_fleet_store::connection::Connection;
+use pebblepost_fleet_store::protocol::{Request, Response};
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::time::timeout;
 
 const LIMIT: Duration = Duration::from_secs(60);
@@ -18,27 +18,27 @@
 async fn change(client: &mut Client, ops: Vec<Operation>) -> u64 {
     let act = Action::Change { operations: ops, preconditions: vec![], reason: Text::default() };
     let command = command("t".parse().expect("a name"), act);
-    let answer = client.command(&command, LIMIT).await.expect("it answers");
+    let answer = client.submit(&command, LIMIT).await.expect("it answers");
     answer.expect("nothing against it").revision
 }
 
 /// Reads a watch until it has that revision. Changes must come without a gap, each once.
-async fn reads_until(mut wire: Wire, from: u64, until: u64) -> (usize, usize) {
+async fn reads_until(mut wire: Connection, from: u64, until: u64) -> (usize, usize) {
     let (mut at, mut snapshots, mut items) = (from, 0, 0);
     while at < until {
-        match wire.next::<Say>().await.expect("no garbage").expect("open") {
-            Say::Changes(changes) => {
+        match wire.next::<Response>().await.expect("no garbage").expect("open") {
+            Response::Changes(changes) => {
                 for change in changes {
                     assert_eq!(change.revision, at + 1);
                     at = change.revision;
                     items += change.items.len();
                 }
             }
-            Say::Snapshot(snapshot) => {
+            Response::Snapshot(snapshot) => {
                 assert!(snapshot.revision > at);
                 (at, snapshots, items) = (snapshot.revision, snapshots + 1, snapshot.entries.len());
             }
-            Say::Current(revision) => assert_eq!(revision, at),
+            Response::UpToDate(revision) => assert_eq!(revision, at),
             other => panic!("{other:?}"),
         }
     }
@@ -59,8 +59,8 @@
         loaded = change(&mut client, ops).await;
     }
     let open = async |from: u64| {
-        let mut wire = Wire::new(TcpStream::connect(&address).await.expect("a listener"));
-        wire.send(&Ask::Watch(from)).await.expect("open");
+        let mut wire = Connection::connect(&address).await.expect("a listener");
+        wire.send(&Request::Watch(from)).await.expect("open");
         wire
     };
     let until = loaded + 20;
--- a/crates/pebblepost/src/agent.rs
+++ b/crates/pebblepost/src/agent.rs
@@ -18,7 +18,7 @@
 use pebblepost_fleet::{Action, IncarnationId, Name, Rejection, RequestId, Text};
 use pebblepost_fleet_store::client::{Client, command, incarnation_id, request_id};
 use pebblepost_fleet_store::clock::{since, unix_ms};
-use pebblepost_fleet_store::wire::{Ask, Say};
+use pebblepost_fleet_store::protocol::{Request, Response};
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -309,12 +309,12 @@
     loop {
         let from = lock(&shared.follower).revision();
         if let Ok(mut wire) = client.watch(from, tries > 0).await {
-            while let Ok(Ok(Some(say))) = timeout(QUIET, wire.next::<Say>()).await {
+            while let Ok(Ok(Some(say))) = timeout(QUIET, wire.next::<Response>()).await {
                 let now = shared.now();
                 let fits = shared.with(|follower| match say {
-                    Say::Snapshot(snapshot) => follower.apply_snapshot(now, snapshot),
-                    Say::Changes(changes) => follower.apply_changes(now, &changes),
-                    Say::Current(revision) => follower.confirm(now, revision),
+                    Response::Snapshot(snapshot) => follower.apply_snapshot(now, snapshot),
+                    Response::Changes(changes) => follower.apply_changes(now, &changes),
+                    Response::UpToDate(revision) => follower.confirm(now, revision),
                     _ => Ok(()),
                 });
                 // A keeper that is behind, or has lost its place: another one is asked.
@@ -343,7 +343,7 @@
             None => {
                 card.ready = shared.ready.load(Ordering::Relaxed);
                 let act = Action::Join { member: member.clone(), incarnation_id: life, info: card.clone() };
-                match client.command(&command(member.clone(), act), PATIENCE).await {
+                match client.submit(&command(member.clone(), act), PATIENCE).await {
                     Ok(Ok(done)) => {
                         (session, tries, reports, told) = (done.session, 0, 0, Some(card.ready));
                     }
@@ -370,7 +370,7 @@
                     ready,
                 };
                 told = None;
-                match client.command(&command(member, act), PATIENCE).await {
+                match client.submit(&command(member, act), PATIENCE).await {
                     Ok(Ok(_)) => told = Some(ready),
                     Ok(Err(_)) => session = None,
                     // It may have been taken or not: it is said again.
@@ -379,8 +379,8 @@
             }
             Some(number) => {
                 let doing = Some(shared.doing());
-                let beat = Ask::Beat { member: member.clone(), session: number, doing };
-                if let Ok(Say::Beat(false)) = client.ask(&beat, PATIENCE).await {
+                let beat = Request::Heartbeat { member: member.clone(), session: number, report: doing };
+                if let Ok(Response::Heartbeat(false)) = client.request(&beat, PATIENCE).await {
                     (shared.log)("fleet: the session has ended, joining again");
                     session = None;
                 }
@@ -398,7 +398,7 @@
 async fn offer(shared: &Shared, client: &mut Client) {
     loop {
         let Some(command) = lock(&shared.follower).next_proposal() else { return };
-        let Ok(answer) = client.command(&command, PATIENCE).await else { return };
+        let Ok(answer) = client.submit(&command, PATIENCE).await else { return };
         match (shared.with(|follower| follower.record_result(command.id, &answer)), answer) {
             (ProposalOutcome::Overruled, Err(why)) => {
                 (shared.log)(&format!("fleet: a local drain gives way to the group's decision: {why}"));
--- a/crates/pebblepost/src/fleet.rs
+++ b/crates/pebblepost/src/fleet.rs
@@ -20,7 +20,7 @@
 use pebblepost_fleet::simulation::ReleasePlan;
 use pebblepost_fleet::{Action, Budget, Key, Name, Operation, Precondition, Snapshot, Text};
 use pebblepost_fleet_store::client::{Client, command};
-use pebblepost_fleet_store::wire::{Ask, Say};
+use pebblepost_fleet_store::protocol::{Request, Response};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -102,8 +102,8 @@
         }
     }
 
-    async fn ask(&mut self, ask: &Ask) -> Result<Say> {
-        Ok(self.client.ask(ask, self.within).await?)
+    async fn ask(&mut self, ask: &Request) -> Result<Response> {
+        Ok(self.client.request(ask, self.within).await?)
     }
 
     async fn carry_out(&mut self, what: What) -> Result<()> {
@@ -112,8 +112,8 @@
             What::Status => self.status().await,
             What::Show { keys } => self.show(keys, |_| true).await,
             What::Members => self.show(Vec::new(), |key| matches!(key, Key::Member(_))).await,
-            What::History { last } => match self.ask(&Ask::History(last)).await? {
-                Say::History(changes) => {
+            What::History { last } => match self.ask(&Request::History(last)).await? {
+                Response::History(changes) => {
                     changes.iter().for_each(|c| self.change(c));
                     Ok(())
                 }
@@ -209,13 +209,13 @@
                 self.change_all(ops, Reason { why, expect: None }).await
             }
             What::Add { id, address } => self.add(id, address).await,
-            What::Remove { id } => self.done(&Ask::Remove(id)).await,
+            What::Remove { id } => self.done(&Request::Remove(id)).await,
         }
     }
 
-    async fn done(&mut self, ask: &Ask) -> Result<()> {
+    async fn done(&mut self, ask: &Request) -> Result<()> {
         match self.ask(ask).await? {
-            Say::Done => {
+            Response::Done => {
                 self.say(json!({"done": true}), &|| "done".to_owned());
                 Ok(())
             }
@@ -225,8 +225,8 @@
 
     /// The whole state as of now.
     async fn all(&mut self) -> Result<Snapshot> {
-        match self.ask(&Ask::Get(Vec::new())).await? {
-            Say::Found { revision, entries } => Ok(Snapshot { revision, entries }),
+        match self.ask(&Request::Get(Vec::new())).await? {
+            Response::Entries { revision, entries } => Ok(Snapshot { revision, entries }),
             other => Err(misplaced(&other)),
         }
     }
@@ -250,7 +250,7 @@
 
     async fn command(&mut self, act: Action) -> Result<()> {
         let command = command(self.by.clone(), act);
-        let done = self.client.command(&command, self.within).await??;
+        let done = self.client.submit(&command, self.within).await??;
         self.say(json!({"revision": done.revision}), &|| format!("agreed at revision {}", done.revision));
         Ok(())
     }
--- a/crates/pebblepost/src/fleet/error.rs
+++ b/crates/pebblepost/src/fleet/error.rs
@@ -2,7 +2,7 @@
 
 use pebblepost_fleet::Rejection;
 use pebblepost_fleet_store::client::Unreachable;
-use pebblepost_fleet_store::wire::Say;
+use pebblepost_fleet_store::protocol::Response;
 use std::process::ExitCode;
 use thiserror::Error;
 
@@ -36,6 +36,6 @@
 
 pub(super) type Result<T> = std::result::Result<T, FleetError>;
 
-pub(super) fn misplaced(say: &Say) -> FleetError {
+pub(super) fn misplaced(say: &Response) -> FleetError {
     FleetError::Failed(format!("an answer out of place: {say:?}"))
 }
--- a/crates/pebblepost/src/fleet/keepers.rs
+++ b/crates/pebblepost/src/fleet/keepers.rs
@@ -2,19 +2,19 @@
 
 use super::Desk;
 use super::error::{FleetError, Result, misplaced};
-use pebblepost_fleet_store::group::Peer;
-use pebblepost_fleet_store::keeper::ask_once;
-use pebblepost_fleet_store::wire::{Ask, Say, Status};
+use pebblepost_fleet_store::client::request_once;
+use pebblepost_fleet_store::protocol::{ReplicaStatus, Request, Response};
+use pebblepost_fleet_store::raft_types::Peer;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 impl Desk {
-    pub(super) async fn statuses(&self) -> Vec<(u64, std::result::Result<Status, String>)> {
+    pub(super) async fn statuses(&self) -> Vec<(u64, std::result::Result<ReplicaStatus, String>)> {
         let mut all = Vec::new();
         for (id, address) in &self.keepers {
-            let status = match ask_once(address, &Ask::Status).await {
-                Ok(Say::Status(status)) => Ok(*status),
+            let status = match request_once(address, &Request::Status).await {
+                Ok(Response::Status(status)) => Ok(*status),
                 Ok(other) => Err(format!("{other:?}")),
                 Err(error) => Err(error.to_string()),
             };
@@ -36,12 +36,17 @@
                 Err(why) => return Err(FleetError::Failed(format!("keeper {id}: {why}"))),
             }
         }
-        match ask_once(self.keepers.values().next().map_or("", String::as_str), &Ask::Begin(group)).await {
-            Ok(Say::Done) => {
+        match request_once(
+            self.keepers.values().next().map_or("", String::as_str),
+            &Request::Initialize(group),
+        )
+        .await
+        {
+            Ok(Response::Done) => {
                 self.say(json!({"done": true}), &|| "the group has begun".to_owned());
                 Ok(())
             }
-            Ok(Say::Failed(why)) => Err(FleetError::Failed(why)),
+            Ok(Response::Failed(why)) => Err(FleetError::Failed(why)),
             Ok(other) => Err(misplaced(&other)),
             Err(error) => Err(FleetError::Failed(error.to_string())),
         }
@@ -55,7 +60,7 @@
                     let leader = s.leader.map_or_else(|| "nobody".to_owned(), |l| l.to_string());
                     format!(
                         "keeper {id}: group {:?}, led by {leader} in term {}, revision {}, log {} (applied {}), voters {:?}",
-                        s.group, s.term, s.revision, s.last_log, s.applied, s.voters
+                        s.group, s.term, s.revision, s.last_log_index, s.applied_index, s.voters
                     )
                 }),
                 Err(why) => self.say(json!({"id": id, "error": why}), &|| format!("keeper {id}: {why}")),
@@ -69,17 +74,17 @@
 
     pub(super) async fn add(&mut self, id: u64, address: SocketAddr) -> Result<()> {
         let address = address.to_string();
-        let status = match ask_once(&address, &Ask::Status).await {
-            Ok(Say::Status(status)) if status.id == id => *status,
-            Ok(Say::Status(s)) => {
+        let status = match request_once(&address, &Request::Status).await {
+            Ok(Response::Status(status)) if status.id == id => *status,
+            Ok(Response::Status(s)) => {
                 return Err(FleetError::Usage(format!("keeper {} listens at {address}, not {id}", s.id)));
             }
             Ok(other) => return Err(misplaced(&other)),
             Err(error) => return Err(FleetError::Failed(format!("{address}: {error}"))),
         };
-        match self.ask(&Ask::Learn(id, Peer { address, disk: status.disk })).await? {
-            Say::Done => self.done(&Ask::Promote(id)).await,
-            Say::Answer(Err(refused)) => Err(refused.into()),
+        match self.ask(&Request::AddLearner(id, Peer { address, disk: status.disk })).await? {
+            Response::Done => self.done(&Request::Promote(id)).await,
+            Response::Command(Err(refused)) => Err(refused.into()),
             other => Err(misplaced(&other)),
         }
     }
--- a/crates/pebblepost/src/fleet/permits.rs
+++ b/crates/pebblepost/src/fleet/permits.rs
@@ -6,7 +6,7 @@
 use super::text::told_budget;
 use pebblepost_fleet::value::Value;
 use pebblepost_fleet::{Key, Name, Operation, Snapshot, Subject, SubjectKind, Text};
-use pebblepost_fleet_store::wire::{Ask, Say};
+use pebblepost_fleet_store::protocol::{Request, Response};
 use serde_json::{Value as Json, json};
 use std::time::{Duration, Instant};
 
@@ -81,8 +81,8 @@
     pub(super) async fn off(&mut self, worker: &Name) -> Result<()> {
         let (end, mut shown) = (Instant::now() + self.within, None);
         loop {
-            let off = match self.ask(&Ask::Off(worker.clone())).await? {
-                Say::Off(off) => off,
+            let off = match self.ask(&Request::DrainStatus(worker.clone())).await? {
+                Response::DrainStatus(off) => off,
                 other => return Err(misplaced(&other)),
             };
             let may = off.is_complete();
--- a/crates/pebblepost/src/fleet/releases.rs
+++ b/crates/pebblepost/src/fleet/releases.rs
@@ -6,7 +6,7 @@
 use pebblepost_fleet::simulation::{ReleasePlan, SimulationError, simulate};
 use pebblepost_fleet::{Action, Name, Snapshot, SubjectKind};
 use pebblepost_fleet_store::client::command;
-use pebblepost_fleet_store::wire::{Ask, Say};
+use pebblepost_fleet_store::protocol::{Request, Response};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -71,8 +71,8 @@
             // Without keepers nothing goes on, and nothing can be done about that here.
             if let Ok(snapshot) = self.all().await {
                 // Without word of how requests go it is driven by the rest of the signs.
-                let tallies = match self.ask(&Ask::Tallies).await {
-                    Ok(Say::Tallies(tallies)) => tallies,
+                let tallies = match self.ask(&Request::RequestTotals).await {
+                    Ok(Response::RequestTotals(tallies)) => tallies,
                     _ => BTreeMap::new(),
                 };
                 let next = driver.next_step(began.elapsed(), &snapshot, &tallies);
@@ -87,7 +87,7 @@
                         let why = why.parse().unwrap_or_default();
                         let act =
                             Action::Change { operations: vec![op], preconditions: Vec::new(), reason: why };
-                        let asked = self.client.command(&command(self.by.clone(), act), self.within).await;
+                        let asked = self.client.submit(&command(self.by.clone(), act), self.within).await;
                         if let Ok(Err(refused)) = asked {
                             tracing::info!(%refused, "not by now");
                         }
--- a/crates/pebblepost/src/fleet/view.rs
+++ b/crates/pebblepost/src/fleet/view.rs
@@ -5,7 +5,7 @@
 use super::text::told;
 use pebblepost_fleet::value::Entry;
 use pebblepost_fleet::{Change, Key, Snapshot};
-use pebblepost_fleet_store::wire::{Ask, Say};
+use pebblepost_fleet_store::protocol::{Request, Response};
 use serde_json::json;
 use std::time::Duration;
 
@@ -34,8 +34,8 @@
     }
 
     pub(super) async fn show(&mut self, keys: Vec<Key>, hit: fn(&Key) -> bool) -> Result<()> {
-        match self.ask(&Ask::Get(keys)).await? {
-            Say::Found { revision, entries } => {
+        match self.ask(&Request::Get(keys)).await? {
+            Response::Entries { revision, entries } => {
                 entries.iter().filter(|(key, _)| hit(key)).for_each(|(key, entry)| self.entry(key, entry));
                 self.say(json!({"revision": revision}), &|| format!("revision {revision}"));
                 Ok(())
@@ -51,14 +51,14 @@
                 tokio::time::sleep(Duration::from_millis(200)).await;
                 continue;
             };
-            while let Ok(Ok(Some(say))) = tokio::time::timeout(self.within, wire.next::<Say>()).await {
+            while let Ok(Ok(Some(say))) = tokio::time::timeout(self.within, wire.next::<Response>()).await {
                 match say {
                     // Another keeper may be behind what was shown already.
-                    Say::Snapshot(Snapshot { revision, entries }) if revision > at => {
+                    Response::Snapshot(Snapshot { revision, entries }) if revision > at => {
                         entries.iter().for_each(|(key, entry)| self.entry(key, entry));
                         at = revision;
                     }
-                    Say::Changes(changes) => {
+                    Response::Changes(changes) => {
                         for change in changes.iter().filter(|c| c.revision > at) {
                             self.change(change);
                         }
--- a/crates/pebblepost/src/keep.rs
+++ b/crates/pebblepost/src/keep.rs
@@ -1,7 +1,7 @@
 //! `pebblepost keep`: one keeper of the agreed store.
 
 use crate::config::{ConfigError, check};
-use pebblepost_fleet_store::keeper::{self, KeeperError, Settings};
+use pebblepost_fleet_store::replica::{self, ReplicaConfig, ReplicaError};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -49,14 +49,14 @@
     Config(#[from] ConfigError),
     /// It could not start, or ended.
     #[error(transparent)]
-    Keeper(#[from] KeeperError),
+    Keeper(#[from] ReplicaError),
     /// No threads or signals are to be had.
     #[error("cannot start: {0}")]
     Io(#[from] std::io::Error),
 }
 
 /// Reads a keeper's file.
-pub fn read(path: &Path) -> Result<Settings, ConfigError> {
+pub fn read(path: &Path) -> Result<ReplicaConfig, ConfigError> {
     let file: File = check::read(path)?;
     let wrong = |key: &str, what: &str| Err(check::wrong(path, key, what));
     if file.group.is_empty() || file.group.len() > 100 {
@@ -75,14 +75,14 @@
     if !(20..=5_000).contains(&file.heartbeat_ms) {
         return wrong("heartbeat_ms", "20 to 5000 milliseconds");
     }
-    Ok(Settings {
+    Ok(ReplicaConfig {
         group: file.group,
         id: file.id,
         listen: file.listen,
         folder: file.folder,
         dial: file.dial.into_iter().map(|(id, address)| (id, address.to_string())).collect(),
-        session: Duration::from_secs_f64(file.session_s),
-        heartbeat: Duration::from_millis(file.heartbeat_ms),
+        session_ttl: Duration::from_secs_f64(file.session_s),
+        heartbeat_interval: Duration::from_millis(file.heartbeat_ms),
     })
 }
 
@@ -102,6 +102,6 @@
             }
         };
         let ready = |address| tracing::info!(%address, "ready");
-        Ok(keeper::run(settings, ready, stop).await?)
+        Ok(replica::run(settings, ready, stop).await?)
     })
 }
