--- a/crates/pebblepost-fleet-store/tests/watch.rs
+++ b/crates/pebblepost-fleet-store/tests/watch.rs
@@ -3,40 +3,42 @@
 mod common;
 
 use common::{begin, settings};
-use pebblepost_fleet::command::Worker;
-use pebblepost_fleet::{Name, Op};
-use pebblepost_fleet_store::client::Client;
-use pebblepost_fleet_store::wire::{Ask, Say, Wire};
+use pebblepost_fleet::value::Worker;
+use pebblepost_fleet::{Action, Name, Operation, Text};
+use pebblepost_fleet_store::client::{Client, command};
+use pebblepost_fleet_store::connection::Connection;
+use pebblepost_fleet_store::protocol::{Request, Response};
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::time::timeout;
 
 const LIMIT: Duration = Duration::from_secs(60);
 const WORKERS: usize = 10_000;
 const WATCHERS: usize = 1_000;
 
-async fn change(client: &mut Client, ops: Vec<Op>) -> u64 {
-    let answer = common::change(client, ops, LIMIT).await.expect("it answers");
+async fn change(client: &mut Client, ops: Vec<Operation>) -> u64 {
+    let act = Action::Change { operations: ops, preconditions: vec![], reason: Text::default() };
+    let command = command("t".parse().expect("a name"), act);
+    let answer = client.submit(&command, LIMIT).await.expect("it answers");
     answer.expect("nothing against it").revision
 }
 
 /// Reads a watch until it has that revision. Changes must come without a gap, each once.
-async fn reads_until(mut wire: Wire, from: u64, until: u64) -> (usize, usize) {
+async fn reads_until(mut wire: Connection, from: u64, until: u64) -> (usize, usize) {
     let (mut at, mut snapshots, mut items) = (from, 0, 0);
     while at < until {
-        match wire.next::<Say>().await.expect("no garbage").expect("open") {
-            Say::Changes(changes) => {
+        match wire.next::<Response>().await.expect("no garbage").expect("open") {
+            Response::Changes(changes) => {
                 for change in changes {
                     assert_eq!(change.revision, at + 1);
                     at = change.revision;
                     items += change.items.len();
                 }
             }
-            Say::Snapshot(snapshot) => {
+            Response::Snapshot(snapshot) => {
                 assert!(snapshot.revision > at);
                 (at, snapshots, items) = (snapshot.revision, snapshots + 1, snapshot.entries.len());
             }
-            Say::Current(revision) => assert_eq!(revision, at),
+            Response::UpToDate(revision) => assert_eq!(revision, at),
             other => panic!("{other:?}"),
         }
     }
@@ -48,17 +50,17 @@
     let folder = std::env::temp_dir().join(format!("pebblepost-watch-{}", std::process::id()));
     let settings = settings(2, folder.clone());
     let address = settings.listen.to_string();
-    let (keeper, mut client) = begin(&settings).await;
+    let (keeper, mut client) = begin(&settings, std::future::pending()).await;
     let worker = Worker { slots: 2, ..Worker::default() };
     let mut loaded = 0;
     for first in (0..WORKERS).step_by(1_000) {
         let name = |n: usize| -> Name { format!("w-{n}").parse().expect("a name") };
-        let ops = (first..first + 1_000).map(|n| Op::Know(name(n), worker.clone())).collect();
+        let ops = (first..first + 1_000).map(|n| Operation::PutWorker(name(n), worker.clone())).collect();
         loaded = change(&mut client, ops).await;
     }
     let open = async |from: u64| {
-        let mut wire = Wire::new(TcpStream::connect(&address).await.expect("a listener"));
-        wire.send(&Ask::Watch(from)).await.expect("open");
+        let mut wire = Connection::connect(&address).await.expect("a listener");
+        wire.send(&Request::Watch(from)).await.expect("open");
         wire
     };
     let until = loaded + 20;
@@ -70,7 +72,7 @@
     let ahead = tokio::spawn(reads_until(open(loaded + 1_000).await, 0, until));
     let _does_not_read = open(0).await;
     for n in 0..20 {
-        change(&mut client, vec![Op::Drain(format!("w-{n}").parse().expect("a name"))]).await;
+        change(&mut client, vec![Operation::Drain(format!("w-{n}").parse().expect("a name"))]).await;
     }
     for watcher in watchers {
         let (snapshots, items) = timeout(LIMIT, watcher).await.expect("in time").expect("no gap");
--- a/crates/pebblepost/src/fleet/error.rs
+++ b/crates/pebblepost/src/fleet/error.rs
@@ -1,8 +1,8 @@
 //! Why a command came to nothing.
 
-use pebblepost_fleet::Refusal;
+use pebblepost_fleet::Rejection;
 use pebblepost_fleet_store::client::Unreachable;
-use pebblepost_fleet_store::wire::Say;
+use pebblepost_fleet_store::protocol::Response;
 use std::process::ExitCode;
 use thiserror::Error;
 
@@ -11,7 +11,7 @@
 pub enum FleetError {
     /// Exit code 1: the group has refused it.
     #[error("refused: {0}")]
-    Refused(#[from] Refusal),
+    Refused(#[from] Rejection),
     /// Exit code 2: it makes no sense.
     #[error("{0}")]
     Usage(String),
@@ -36,6 +36,6 @@
 
 pub(super) type Result<T> = std::result::Result<T, FleetError>;
 
-pub(super) fn misplaced(say: &Say) -> FleetError {
+pub(super) fn misplaced(say: &Response) -> FleetError {
     FleetError::Failed(format!("an answer out of place: {say:?}"))
 }
