--- a/crates/pebblepost-replication/src/register.rs
+++ b/crates/pebblepost-replication/src/register.rs
@@ -9,7 +9,7 @@
 //! * `proposer`: drives an operation through attempts; `operation` and `attempt` are its state.
 //! * `message`, `output`, `witness_state`, `proposal_number`: the types that cross the border.
 //!
-//! The register never reads a clock and does no I/O: times are those of the caller's steady clock.
+//! The register never reads a clock and does no I/O: times are those of the caller's monotonic clock.
 
 mod acceptor;
 mod attempt;
--- a/crates/pebblepost-replication/src/register/operation.rs
+++ b/crates/pebblepost-replication/src/register/operation.rs
@@ -13,7 +13,7 @@
 /// How long after the start of an operation the next refresh may follow.
 pub(super) const REFRESH_INTERVAL: Duration = OPERATION_TIMEOUT.saturating_add(Duration::from_millis(500));
 
-/// The aim of an operation.
+/// The goal of an operation.
 #[derive(Clone, Debug)]
 pub(super) enum Goal {
     /// To know the newest chosen record.
--- a/crates/pebblepost-replication/src/replica.rs
+++ b/crates/pebblepost-replication/src/replica.rs
@@ -4,7 +4,7 @@
 //! has it on disk; the primary acts while all of them acknowledge its heartbeats. A replica that has
 //! not heard from the primary for the election timeout asks the configuration manager for the next
 //! epoch with itself as primary. The replica never decides about epochs itself, never reads a clock
-//! and does no I/O: times are those of the caller's steady clock, and what it wants done is taken by
+//! and does no I/O: times are those of the caller's monotonic clock, and what it wants done is taken by
 //! [`Replica::take_outputs`].
 //!
 //! State, each type with the rules that need nothing else: `log`, `write_queue`, `progress`,
--- a/crates/pebblepost-replication/src/replica/election.rs
+++ b/crates/pebblepost-replication/src/replica/election.rs
@@ -63,7 +63,7 @@
         let in_sync = &self.record.in_sync;
         let present: Vec<Member> = in_sync.iter().filter(|member| self.is_present(member)).cloned().collect();
         // A primary that was never heard from may have been restarted like this replica.
-        let may_be_back = !self.election.heard_primary && self.election.reachable.is_some();
+        let may_be_back = !self.election.had_primary_contact && self.election.reachable.is_some();
         let preferred = if may_be_back { present } else { others(&present) };
         let choices = [preferred, others(in_sync)];
         let is_enough = |choice: &Vec<Member>| self.settings.tolerance.is_met_by(choice);
--- a/crates/pebblepost-replication/src/replica/election_state.rs
+++ b/crates/pebblepost-replication/src/replica/election_state.rs
@@ -15,7 +15,7 @@
     /// The primary of this epoch stopped for good.
     pub(super) stepped_down_epoch: Option<u64>,
     /// A primary was heard from since the start of the process.
-    pub(super) heard_primary: bool,
+    pub(super) had_primary_contact: bool,
     /// The epoch in which this replica was the acting primary before its process was restarted.
     pub(super) resumed_epoch: Option<u64>,
     /// The replicas that the caller has heard from lately, if it says so.
@@ -30,7 +30,7 @@
             stand_not_before: now + election_timeout,
             act_not_before,
             stepped_down_epoch: None,
-            heard_primary: false,
+            had_primary_contact: false,
             resumed_epoch: None,
             reachable: None,
         }
--- a/crates/pebblepost-replication/src/replica/heartbeat.rs
+++ b/crates/pebblepost-replication/src/replica/heartbeat.rs
@@ -61,7 +61,7 @@
     /// The primary was heard from.
     pub(super) fn on_primary_contact(&mut self) {
         let now = self.now;
-        self.election.heard_primary = true;
+        self.election.had_primary_contact = true;
         if let Some(follower) = self.follower_mut() {
             follower.last_contact_at = Some(now);
         }
--- a/crates/pebblepost-replication/tests/simulation/mod.rs
+++ b/crates/pebblepost-replication/tests/simulation/mod.rs
@@ -5,7 +5,10 @@
 pub mod checker;
 pub mod disk;
 pub mod faults;
-pub mod machine;
+pub mod list_machine;
+pub mod machines;
+pub mod network;
+pub mod outputs;
 pub mod process;
 pub mod random;
 pub mod repeated_loss;
--- a/crates/pebblepost-replication/tests/simulation/process.rs
+++ b/crates/pebblepost-replication/tests/simulation/process.rs
@@ -1,6 +1,6 @@
 //! A process: a register and a replica, and what a control program does around them.
 
-use super::machine::ListMachine;
+use super::list_machine::ListMachine;
 use super::witness_change::next_witness_change;
 use super::{Options, settings};
 use pebblepost_messages::{DiskId, Member};
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The process's own steady clock.
+    /// The process's own monotonic clock.
     pub fn local(&self, now: u64) -> Duration {
         Duration::from_micros(now + self.clock_offset)
     }
--- a/crates/pebblepost-replication/tests/simulation/world.rs
+++ b/crates/pebblepost-replication/tests/simulation/world.rs
@@ -1,26 +1,23 @@
-//! The world: machines, links, time, clients.
+//! The world: its machines, its queue of events, clients.
 
+use super::Options;
 use super::checker::Checker;
-use super::disk::{SimulatedDisk, Stored, Waiter};
+use super::disk::SimulatedDisk;
 use super::faults::{self, Fault};
 use super::process::Process;
 use super::random::Random;
-use super::repeated_loss;
 use super::transcript::Transcript;
 use super::violation::Violation;
-use super::{Options, Plan};
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
-use pebblepost_replication::register::RegisterOutput;
-use pebblepost_replication::replica::ReplicaOutput;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::rc::Rc;
 
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
-const TICK: u64 = 50 * MILLISECOND;
-const HELLO_INTERVAL: u64 = 300 * MILLISECOND;
+pub const TICK: u64 = 50 * MILLISECOND;
+pub const HELLO_INTERVAL: u64 = 300 * MILLISECOND;
 const CLIENT_PERIOD: u64 = 50 * MILLISECOND;
 /// Clients ask so many times less often once the faults are over.
 const CALM_CLIENTS: u64 = 4;
@@ -28,7 +25,7 @@
 const RECOVERY: u64 = 3 * SECOND;
 const CALM: u64 = RECOVERY + 600 * MILLISECOND;
 /// A replica writes a checkpoint when its disk holds more records.
-const CHECKPOINT_RECORDS: usize = 60;
+pub const CHECKPOINT_RECORDS: usize = 60;
 
 #[derive(Clone)]
 pub enum Payload {
@@ -62,7 +59,7 @@
     pub extra_delay: u64,
     pub drops_inbound: bool,
     /// What arrived while the machine was frozen.
-    inbox: Vec<Event>,
+    pub(super) inbox: Vec<Event>,
 }
 
 pub struct Summary {
@@ -80,15 +77,15 @@
     pub checker: Checker,
     /// What the processes put out, where that is asked for.
     pub transcript: Option<Transcript>,
-    queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    events: Vec<Option<Event>>,
-    free: Vec<usize>,
-    sequence: u64,
-    last_delivery: Vec<Vec<u64>>,
-    founding: EpochRecord,
-    next_value: u64,
-    faults_end: u64,
-    acknowledged_at_end: u64,
+    pub(super) queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
+    pub(super) events: Vec<Option<Event>>,
+    pub(super) free: Vec<usize>,
+    pub(super) sequence: u64,
+    pub(super) last_delivery: Vec<Vec<u64>>,
+    pub(super) founding: EpochRecord,
+    pub(super) next_value: u64,
+    pub(super) faults_end: u64,
+    pub(super) acknowledged_at_end: u64,
 }
 
 /// Most machines of one schedule, spares included.
@@ -158,7 +155,7 @@
         slot
     }
 
-    fn new_disk(&mut self) -> DiskId {
+    pub(super) fn new_disk(&mut self) -> DiskId {
         DiskId(1000 + self.random.next() % 1_000_000_000)
     }
 
@@ -196,7 +193,7 @@
         Ok(Summary { acknowledged: self.checker.acknowledged })
     }
 
-    fn handle(&mut self, event: Event) {
+    pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::Deliver { to, from, payload } => self.deliver(to, from, payload),
             Event::Synced { slot, incarnation } => self.synced(slot, incarnation),
@@ -226,170 +223,6 @@
         }
     }
 
-    /// Starts the process of a machine that is down.
-    pub fn start(&mut self, slot: usize) {
-        if self.slots[slot].is_removed || self.slots[slot].process.is_some() {
-            return;
-        }
-        let seed = self.random.next();
-        let machine = &mut self.slots[slot];
-        machine.incarnation += 1;
-        machine.is_frozen = false;
-        machine.inbox.clear();
-        let founding = machine.is_founder.then(|| self.founding.clone());
-        let me = (*machine.member).clone();
-        let recovered = machine.disk.recovered();
-        machine.process = Some(Process::new(&self.options, me, recovered, founding, self.now, seed));
-        let incarnation = machine.incarnation;
-        self.schedule(seed % TICK, Event::Tick { slot, incarnation });
-        self.drain(slot);
-    }
-
-    /// Stops the process; the disk keeps what was durable and some of the rest.
-    pub fn stop(&mut self, slot: usize) {
-        let machine = &mut self.slots[slot];
-        machine.process = None;
-        machine.is_frozen = false;
-        machine.incarnation += 1;
-        machine.inbox.clear();
-        machine.disk.lose_pending(&mut self.random);
-    }
-
-    /// Stops the machine and empties its disk: what comes back is a new replica.
-    pub fn wipe(&mut self, slot: usize) {
-        self.stop(slot);
-        self.slots[slot].disk.wipe();
-        if self.options.wiped_disk_keeps_identity {
-            return;
-        }
-        let disk = self.new_disk();
-        let machine = &mut self.slots[slot];
-        machine.is_founder = false;
-        machine.member = Rc::new(member(slot, disk));
-    }
-
-    pub fn thaw(&mut self, slot: usize) {
-        if !std::mem::take(&mut self.slots[slot].is_frozen) {
-            return;
-        }
-        let incarnation = self.slots[slot].incarnation;
-        let ticks_first = self.random.permille(500);
-        if ticks_first {
-            self.tick_process(slot);
-        }
-        for event in std::mem::take(&mut self.slots[slot].inbox) {
-            self.handle(event);
-        }
-        self.schedule(0, Event::Tick { slot, incarnation });
-    }
-
-    fn deliver(&mut self, to: usize, from: Rc<Member>, payload: Payload) {
-        let machine = &mut self.slots[to];
-        if machine.is_frozen {
-            machine.inbox.push(Event::Deliver { to, from, payload });
-            return;
-        }
-        let now = self.now;
-        let Some(process) = &mut machine.process else { return };
-        let local = process.local(now);
-        match payload {
-            Payload::Register(message) => process.register.receive(local, &from, &message),
-            Payload::Replica(message) => process.replica.receive(local, &from, &message),
-            Payload::Hello => process.on_hello(now, &from),
-        }
-        self.drain(to);
-    }
-
-    fn synced(&mut self, slot: usize, incarnation: u64) {
-        let now = self.now;
-        let machine = &mut self.slots[slot];
-        if machine.incarnation != incarnation {
-            return;
-        }
-        if now < machine.disk.hangs_until {
-            let until = machine.disk.hangs_until;
-            self.schedule_at(until, Event::Synced { slot, incarnation });
-            return;
-        }
-        if machine.is_frozen {
-            machine.inbox.push(Event::Synced { slot, incarnation });
-            return;
-        }
-        let Some(waiter) = machine.disk.complete_one() else { return };
-        let Some(process) = &mut machine.process else { return };
-        let local = process.local(now);
-        match waiter {
-            Waiter::Register(token) => process.register.persisted(local, token),
-            Waiter::Replica(token) => process.replica.persisted(local, token),
-            Waiter::Checkpoint => {}
-        }
-        self.drain(slot);
-    }
-
-    fn tick(&mut self, slot: usize, incarnation: u64) {
-        if self.slots[slot].incarnation != incarnation || self.slots[slot].is_frozen {
-            return;
-        }
-        self.tick_process(slot);
-        self.check_acting();
-        self.schedule(TICK, Event::Tick { slot, incarnation });
-    }
-
-    fn tick_process(&mut self, slot: usize) {
-        let now = self.now;
-        let holders = repeated_loss::holders(self);
-        let machine = &mut self.slots[slot];
-        let Some(process) = &mut machine.process else { return };
-        let local = process.local(now);
-        process.register.tick(local);
-        if let Some(holders) = holders {
-            process.replica.set_targets(local, holders);
-        }
-        process.replica.tick(local);
-        let new_witness = process.drive_witnesses(now);
-        if machine.disk.replica_records() > CHECKPOINT_RECORDS {
-            let records = process.replica.checkpoint().expect("a sound state");
-            self.write(slot, Waiter::Checkpoint, Stored::Replica(records));
-        }
-        if let Some(new_witness) = new_witness {
-            faults::inject_at_witness_change(self, slot, slot_of(&new_witness));
-        }
-        self.drain(slot);
-    }
-
-    /// Machines that act now; a frozen one can't do anything.
-    pub fn acting(&self) -> Vec<usize> {
-        let is_acting = |slot: &Slot| {
-            let process = slot.process.as_ref().filter(|_| !slot.is_frozen);
-            process.is_some_and(|process| process.replica.is_acting(process.local(self.now)))
-        };
-        (0..self.slots.len()).filter(|slot| is_acting(&self.slots[*slot])).collect()
-    }
-
-    fn check_acting(&mut self) {
-        let acting = self.acting();
-        if acting.len() > 1 {
-            let found = format!("two primaries act: {acting:?}: {}", self.describe());
-            self.checker.fail_safety(found);
-        }
-        for slot in acting {
-            let machine = &self.slots[slot];
-            if let Some(process) = &machine.process {
-                self.checker.acting(&machine.member.node, process.replica.state().values.len());
-            }
-        }
-    }
-
-    fn send_hellos(&mut self) {
-        for from in 0..self.slots.len() {
-            let is_up = self.slots[from].process.is_some() && !self.slots[from].is_frozen;
-            for to in (0..self.slots.len()).filter(|to| is_up && *to != from) {
-                self.transmit(from, to, Payload::Hello);
-            }
-        }
-        self.schedule(HELLO_INTERVAL, Event::Hello);
-    }
-
     /// Clients propose through whoever acts.
     fn client(&mut self) {
         self.check_acting();
@@ -414,170 +247,9 @@
             self.next_value += 1;
         }
     }
-
-    fn write(&mut self, slot: usize, waiter: Waiter, stored: Stored) {
-        let latency = self.random.range(300, 4 * MILLISECOND);
-        let machine = &mut self.slots[slot];
-        let due = machine.disk.write(self.now, latency, waiter, stored);
-        let incarnation = machine.incarnation;
-        self.schedule_at(due, Event::Synced { slot, incarnation });
-    }
-
-    fn transmit(&mut self, from: usize, to: usize, payload: Payload) {
-        if from != to && (self.partitions[from][to] > 0 || self.random.permille(self.loss_permille)) {
-            return;
-        }
-        if matches!(payload, Payload::Replica(_)) && self.slots[to].drops_inbound {
-            return;
-        }
-        let extra = self.slots[from].extra_delay;
-        let delay = if from == to { 10 } else { self.random.range(500, 3 * MILLISECOND) + extra };
-        let at = (self.now + delay).max(self.last_delivery[from][to] + 1);
-        self.last_delivery[from][to] = at;
-        let from = self.slots[from].member.clone();
-        self.schedule_at(at, Event::Deliver { to, from, payload });
-    }
-
-    /// Sends to a disk: a machine that lost it takes nothing that was meant for its predecessor.
-    fn send(&mut self, from: usize, to: &Member, payload: Payload) {
-        let slot = slot_of(to);
-        if self.slots[slot].member.disk == to.disk {
-            self.transmit(from, slot, payload);
-        }
-    }
-
-    /// Carries out what a process asks for.
-    fn drain(&mut self, slot: usize) {
-        loop {
-            let Some(process) = &mut self.slots[slot].process else { return };
-            let from_register = process.register.take_outputs();
-            let from_replica = process.replica.take_outputs();
-            if from_register.is_empty() && from_replica.is_empty() {
-                break;
-            }
-            for output in from_register {
-                self.carry_out_register(slot, output);
-            }
-            self.end_change(slot);
-            for output in from_replica {
-                self.carry_out_replica(slot, output);
-            }
-        }
-        self.check_applied(slot);
-    }
-
-    fn carry_out_register(&mut self, slot: usize, output: RegisterOutput) {
-        if let Some(transcript) = &mut self.transcript {
-            transcript.register(self.now, slot, &output);
-        }
-        match output {
-            RegisterOutput::Send { to, message } => {
-                self.send(slot, &to, Payload::Register(message));
-            }
-            RegisterOutput::Persist { token, state } => {
-                self.write(slot, Waiter::Register(token), Stored::Witness(state));
-            }
-            RegisterOutput::Chosen(record) => {
-                self.checker.chosen(&self.slots[slot].member.node, &record);
-                let now = self.now;
-                if let Some(process) = &mut self.slots[slot].process {
-                    let local = process.local(now);
-                    process.replica.configure(local, &record);
-                }
-                faults::inject_at_choice(self);
-            }
-            RegisterOutput::Rejected { .. } => {}
-        }
-    }
-
-    /// Tells the replica that the change it asked for has ended.
-    fn end_change(&mut self, slot: usize) {
-        let now = self.now;
-        let Some(process) = &mut self.slots[slot].process else { return };
-        if process.change_in_flight && !process.register.is_proposing() {
-            process.change_in_flight = false;
-            let local = process.local(now);
-            process.replica.epoch_change_ended(local);
-        }
-    }
-
-    fn carry_out_replica(&mut self, slot: usize, output: ReplicaOutput) {
-        if let Some(transcript) = &mut self.transcript {
-            transcript.replica(self.now, slot, &output);
-        }
-        match output {
-            ReplicaOutput::Send { to, message } => {
-                self.send(slot, &to, Payload::Replica(message));
-            }
-            ReplicaOutput::Persist { token, records } => {
-                self.write(slot, Waiter::Replica(token), Stored::Replica(records));
-            }
-            ReplicaOutput::ChangeEpoch { expected, record } => self.ask_register(slot, expected, record),
-            ReplicaOutput::Committed { index } => self.acknowledge(slot, index),
-            ReplicaOutput::BecamePrimary { .. } => self.check_acting(),
-            ReplicaOutput::Stopped => {
-                if let Some(process) = &mut self.slots[slot].process {
-                    process.proposals.clear();
-                }
-            }
-        }
-    }
-
-    fn ask_register(&mut self, slot: usize, expected: u64, record: EpochRecord) {
-        let now = self.now;
-        let Some(process) = &mut self.slots[slot].process else { return };
-        let local = process.local(now);
-        if process.register.is_proposing() {
-            process.replica.epoch_change_ended(local);
-            return;
-        }
-        process.change_in_flight = true;
-        let joiner = record.in_sync.iter().find(|member| !process.replica.record().is_in_sync(member.disk));
-        let joiner = joiner.filter(|_| expected > 0).map(slot_of);
-        process.register.propose(local, expected, record);
-        faults::inject_at_proposal(self);
-        if let Some(joiner) = joiner {
-            faults::inject_at_join(self, slot, joiner);
-        }
-    }
-
-    fn acknowledge(&mut self, slot: usize, index: u64) {
-        self.check_applied(slot);
-        let Some(process) = &mut self.slots[slot].process else { return };
-        while let Some(first) = process.proposals.first_entry().filter(|first| *first.key() <= index) {
-            let (index, value) = first.remove_entry();
-            self.checker.acknowledged(&process.me.node, index, value);
-        }
-    }
-
-    fn check_applied(&mut self, slot: usize) {
-        let Some(process) = &mut self.slots[slot].process else { return };
-        let state = process.replica.state();
-        if state.values.len() < process.checked {
-            self.checker.fail_safety(format!("{} lost applied entries", process.me.node));
-        }
-        self.checker.applied(&process.me.node, process.checked, &state.values);
-        process.checked = state.values.len();
-        if let Some(violation) = &state.violation {
-            self.checker.fail_safety(violation.clone());
-        }
-    }
-
-    /// The machines that should hold the group.
-    pub fn set_targets(&mut self, targets: &[usize]) {
-        debug_assert_eq!(self.options.plan, Plan::Targets);
-        let members: Vec<Member> = targets.iter().map(|slot| (*self.slots[*slot].member).clone()).collect();
-        for slot in 0..self.slots.len() {
-            let now = self.now;
-            if let Some(process) = &mut self.slots[slot].process {
-                let local = process.local(now);
-                process.replica.set_targets(local, members.clone());
-            }
-        }
-    }
 }
 
-fn member(slot: usize, disk: DiskId) -> Member {
+pub(super) fn member(slot: usize, disk: DiskId) -> Member {
     Member {
         disk,
         node: format!("n{slot}"),
@@ -587,6 +259,6 @@
     }
 }
 
-fn slot_of(member: &Member) -> usize {
+pub(super) fn slot_of(member: &Member) -> usize {
     member.address.parse().expect("an address of the simulation")
 }
