--- a/crates/pebblepost-ring/src/disk.rs
+++ b/crates/pebblepost-ring/src/disk.rs
@@ -3,6 +3,7 @@
 //! [`Disk`] is the caller's handle and never blocks on the storage, but when it is opened and
 //! dropped. `queue` holds what the two sides share, `worker` is the thread.
 
+mod completion;
 mod queue;
 mod worker;
 
@@ -24,18 +25,11 @@
 };
 use worker::Worker;
 
+pub use completion::Completion;
+
 /// Longest that dropping a disk waits for its thread; a hanging disk is left behind.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the disk's thread reports.
-#[derive(Clone, Debug)]
-pub enum Completion {
-    /// All records appended up to this ticket are on disk.
-    Synced(u64),
-    /// A write failed (disk full, I/O error); it is retried until it succeeds.
-    Refusing(Arc<RingError>),
-}
-
 /// A disk with a thread of its own. Dropping it ends the thread, once what is queued has been
 /// attempted.
 pub struct Disk {
--- a/crates/pebblepost-ring/src/disk/worker.rs
+++ b/crates/pebblepost-ring/src/disk/worker.rs
@@ -1,7 +1,7 @@
 //! The disk's thread: takes queued writes, retries what fails, reports what is durable.
 
 use super::{
-    Completion,
+    completion::Completion,
     queue::{Next, PendingWrites, Shared},
 };
 use crate::{error::RingError, journal::Journal, storage::Storage};
