--- a/crates/pebblepost-replication/tests/simulation/faults.rs
+++ b/crates/pebblepost-replication/tests/simulation/faults.rs
@@ -5,14 +5,14 @@
 use super::repeated_loss;
 use super::world::{Event, MILLISECOND, SECOND, World};
 
-/// Something that goes wrong, or ends.
+/// A fault, or the end of one.
 #[derive(Clone, Debug)]
 pub enum Fault {
     Start(usize),
     Kill(usize),
     KillAll,
     Wipe(usize),
-    /// The machine is gone; another with an empty disk comes at a new address.
+    /// The machine is removed; another one with an empty disk is added at a new address.
     Replace(usize),
     Freeze(usize),
     Thaw(usize),
@@ -26,7 +26,7 @@
     },
     Loss(u64),
     DiskHangs(usize, u64),
-    /// What the machine sends takes so much longer.
+    /// What the machine sends takes this much longer.
     Slow(usize, u64),
     /// Messages of the replicas to the machine are lost.
     DropInbound(usize, bool),
@@ -62,7 +62,7 @@
     }
 }
 
-/// A span between two faults: sometimes long enough to deliver_all, sometimes not.
+/// Time between two faults: sometimes long enough for the group to recover, sometimes not.
 fn pause(random: &mut Random) -> u64 {
     if random.permille(300) {
         random.range(0, 60) * MILLISECOND
@@ -156,7 +156,7 @@
     world.schedule_at(at + length, Event::Fault(Fault::Heal { from, to }));
 }
 
-/// Cuts a machine off from all others, in one direction or both.
+/// Partitions a machine from all others, in one direction or both.
 fn plan_isolation(world: &mut World, at: u64, slot: usize, length: u64) {
     let directions = world.random.range(0, 4);
     for other in (0..world.options.machines).filter(|other| *other != slot) {
@@ -199,7 +199,7 @@
     at + CATCH_UP
 }
 
-/// The wanted holders change a few times.
+/// The targets change a few times.
 fn plan_targets(world: &mut World, end: u64) {
     let machines = world.options.machines;
     for _ in 0..3 {
@@ -211,8 +211,8 @@
     }
 }
 
-/// Machines are stopped or cut off one at a time, long enough to be dropped, and come back; the
-/// ambushes do the rest.
+/// Machines are stopped or partitioned one at a time, long enough to be dropped, and return; the
+/// injected faults do the rest.
 fn plan_transitions(world: &mut World) -> u64 {
     let spare = world.add_slot(false);
     world.schedule(SECOND, Event::Fault(Fault::Start(spare)));
@@ -230,7 +230,7 @@
     at
 }
 
-/// Strikes in so many of a thousand cases.
+/// Probability of an injected fault, in thousandths.
 const INJECTION_PERMILLE: u64 = 250;
 
 fn injects_fault(world: &mut World) -> bool {
@@ -262,8 +262,8 @@
     }
 }
 
-/// A joiner is proposed: it hears no more entries, an entry is proposed at once, and soon all
-/// the others die for a while.
+/// A joiner is proposed: it receives no more entries, an entry is proposed at once, and soon all
+/// the others are down for a while.
 pub fn inject_at_join(world: &mut World, primary: usize, joiner: usize) {
     if !injects_fault(world) {
         return;
@@ -272,16 +272,16 @@
     apply(world, Fault::DropInbound(joiner, true));
     world.schedule(drop_time, Event::Fault(Fault::DropInbound(joiner, false)));
     world.propose(primary);
-    let dies_in = world.random.range(5, 40) * MILLISECOND;
+    let stop_delay = world.random.range(5, 40) * MILLISECOND;
     for slot in (0..world.slots.len()).filter(|slot| *slot != joiner) {
-        let at = world.now + dies_in;
+        let at = world.now + stop_delay;
         let length = world.random.range(200, 500) * MILLISECOND;
         plan_stop(world, at, Fault::Kill(slot), slot, length);
     }
 }
 
-/// A change of the witnesses starts: the primary and the new witness are parted from the others,
-/// among them the witness that was taken to be gone.
+/// A change of the witnesses starts: the primary and the new witness are partitioned from the
+/// others, among them the witness that counted as gone.
 pub fn inject_at_witness_change(world: &mut World, primary: usize, new_witness: usize) {
     if !injects_fault(world) {
         return;
@@ -312,7 +312,7 @@
     }
 }
 
-/// Carries a fault out.
+/// Applies a fault.
 pub fn apply(world: &mut World, fault: Fault) {
     match fault {
         Fault::Start(slot) => world.start(slot),
--- a/crates/pebblepost-replication/tests/simulation/repeated_loss.rs
+++ b/crates/pebblepost-replication/tests/simulation/repeated_loss.rs
@@ -85,7 +85,7 @@
         && record.witnesses.iter().chain(&record.in_sync).all(is_there)
 }
 
-/// A minority is cut off and misses everything; one of the others loses its disk, the rest go dark, and the cut heals:
+/// A minority is partitioned and misses everything; one of the others loses its disk, the rest stop, and the partition heals:
 /// those who missed it must not lead.
 pub fn plan_stale_minority(world: &mut World) -> u64 {
     let machines = world.options.machines;
--- a/crates/pebblepost-replication/tests/simulation/world.rs
+++ b/crates/pebblepost-replication/tests/simulation/world.rs
@@ -46,8 +46,8 @@
     End,
 }
 
-#[expect(clippy::struct_excessive_bools, reason = "independent conditions of a simulated machine")]
 /// A machine: address, disk, process.
+#[expect(clippy::struct_excessive_bools, reason = "independent conditions of a simulated machine")]
 pub struct Slot {
     pub member: Rc<Member>,
     pub disk: SimulatedDisk,
