--- a/crates/pebblepost-batch-store/src/lib.rs
+++ b/crates/pebblepost-batch-store/src/lib.rs
@@ -1,8 +1,7 @@
-//! Program of the storage machines: custody of batch jobs.
+//! Program of the storage machines, which replicate batch jobs and lease their items to proxies.
 //!
-//! * [`store`]: what the program does, without I/O or clock: replicas of the groups of jobs, the
-//!   calls of proxies, leases of work.
-//! * `program`: links, disk, signals; carries out what [`store`] returns.
+//! * [`store`]: what the program does, without I/O or clock.
+//! * `program`: links, disk, timers and signals; it carries out the outputs of [`store`].
 
 mod program;
 pub mod store;
--- a/crates/pebblepost-batch-store/src/program/event.rs
+++ b/crates/pebblepost-batch-store/src/program/event.rs
@@ -1,16 +1,16 @@
-//! What the tasks of the links tell the event loop.
+//! What the tasks that serve inbound links send to the event loop.
 
 use crate::store::LinkId;
 use pebblepost_link::Sender;
 use pebblepost_messages::batch::ToStore;
 
-/// What the tasks of the links tell the event loop.
+/// An event of an inbound link.
 #[derive(Debug)]
 pub(super) enum Event {
     /// Another program opened a link.
     Opened(LinkId, Sender),
-    /// A message came over such a link.
+    /// A message arrived over a link.
     Received(LinkId, ToStore),
-    /// Such a link is lost.
+    /// A link is lost.
     Closed(LinkId),
 }
--- a/crates/pebblepost-batch-store/src/program/links.rs
+++ b/crates/pebblepost-batch-store/src/program/inbound_links.rs
@@ -1,4 +1,4 @@
-//! Links that other programs open to this one.
+//! Links that other programs open to this one: listening, reading and sending.
 
 use super::event::Event;
 use crate::store::LinkId;
@@ -12,32 +12,33 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Largest message: a whole batch job.
-pub(super) const MOST_FRAME_BYTES: usize = 48 * 1024 * 1024;
-/// Bytes that may wait for one program that opened a link.
-const MOST_QUEUED_BYTES: usize = 16 * 1024 * 1024;
-/// A link that is silent for so long is closed.
-pub(super) const SILENCE: Duration = Duration::from_millis(2_000);
-/// Time for a connection to come up.
-pub(super) const CONNECT: Duration = Duration::from_millis(500);
-/// Tries to listen while the port is still taken, and the pause between them.
-const LISTEN_TRIES: u32 = 50;
-const LISTEN_PAUSE: Duration = Duration::from_millis(100);
+/// Limit on the size of a message, which may be a whole batch job, in bytes.
+pub(super) const MAX_FRAME_BYTES: usize = 48 * 1024 * 1024;
+/// Limit on the bytes queued for one inbound link.
+const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
+/// A link over which nothing arrives for this time is closed.
+pub(super) const READ_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Time limit of connecting.
+pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Attempts to listen while the port is still in use.
+const MAX_LISTEN_ATTEMPTS: u32 = 50;
+/// Time between attempts to listen.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
 struct Link {
     sender: Sender,
-    /// Something was sent since the last keep-alive was due.
+    /// Something was sent since keep-alives were due last.
     is_used: bool,
 }
 
-/// Links that other programs opened.
+/// The sending sides of inbound links.
 #[derive(Debug, Default)]
-pub(super) struct Links {
+pub(super) struct InboundLinks {
     links: BTreeMap<LinkId, Link>,
 }
 
-impl Links {
+impl InboundLinks {
     pub(super) fn opened(&mut self, id: LinkId, sender: Sender) {
         self.links.insert(id, Link { sender, is_used: false });
     }
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Sends a sign of life over links that were not used lately.
+    /// Sends a keep-alive over each link that was not used since the last call.
     pub(super) fn keep_alive(&mut self) {
         for link in self.links.values_mut() {
             if !std::mem::take(&mut link.is_used) {
@@ -63,39 +64,39 @@
     }
 }
 
-/// Starts to listen; tries again while the port is taken.
+/// Starts to listen; retries while the port is in use.
 pub(super) async fn listen(address: SocketAddr) -> Result<Listener> {
     let limits = LinkLimits {
-        max_frame_bytes: MOST_FRAME_BYTES,
-        max_queued_bytes: MOST_QUEUED_BYTES,
-        connect_timeout: CONNECT,
-        read_timeout: SILENCE,
+        max_frame_bytes: MAX_FRAME_BYTES,
+        max_queued_bytes: MAX_QUEUED_BYTES,
+        connect_timeout: CONNECT_TIMEOUT,
+        read_timeout: READ_TIMEOUT,
     };
-    let mut tries = 1;
+    let mut attempts = 1;
     loop {
         match Listener::bind(address, limits) {
             Ok(listener) => return Ok(listener),
-            Err(error) if tries == LISTEN_TRIES => return Err(error),
-            Err(error) => log::warn!("{error:#}"),
+            Err(error) if attempts == MAX_LISTEN_ATTEMPTS => return Err(error),
+            Err(error) => log::warn!("not listening yet error={error:#}"),
         }
-        tries += 1;
-        sleep(LISTEN_PAUSE).await;
+        attempts += 1;
+        sleep(LISTEN_RETRY_INTERVAL).await;
     }
 }
 
 /// Accepts links and reads from them, each in a task of its own.
 pub(super) async fn accept(mut listener: Listener, events: mpsc::Sender<Event>) {
-    let mut last = 0;
+    let mut last_link = 0;
     loop {
         let (sender, receiver) = match listener.accept().await {
             Ok(link) => link,
             Err(error) => {
-                log::warn!("{error:#}");
+                log::warn!("link not accepted error={error:#}");
                 continue;
             }
         };
-        last += 1;
-        spawn_local(serve(LinkId(last), sender, receiver, events.clone()));
+        last_link += 1;
+        spawn_local(serve(LinkId(last_link), sender, receiver, events.clone()));
     }
 }
 
@@ -107,7 +108,7 @@
         let event = match receiver.receive::<ToStore>().await {
             Ok(message) => Event::Received(id, message),
             Err(error) => {
-                log::debug!("{error:#}");
+                log::debug!("inbound link lost error={error:#}");
                 Event::Closed(id)
             }
         };
--- a/crates/pebblepost-batch-store/src/program/mod.rs
+++ b/crates/pebblepost-batch-store/src/program/mod.rs
@@ -1,11 +1,17 @@
-//! Links, disk and signals of a storage machine.
+//! The process of a storage machine: links, disk, timers and signals round the [`Store`].
+//!
+//! Everything runs on one thread. Tasks read the links and send [`event::Event`]s to the
+//! [`event_loop::EventLoop`], which passes them to the store and carries out its outputs. No decision
+//! about jobs or groups is made here.
 
-mod configuration;
 mod event;
 mod event_loop;
-mod feed;
-mod links;
-mod peers;
+mod inbound_links;
+mod journal;
+mod peer_links;
+mod settings;
+mod subscription;
+mod timers;
 
 use crate::store::Store;
 use event_loop::EventLoop;
@@ -18,17 +24,22 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// Runs the program until SIGTERM.
+/// Runs the storage machine until SIGTERM.
+///
+/// # Errors
+///
+/// If the runtime, the disk, the listener or the signal handlers can't be set up, or a record on the disk
+/// is not in this program's format.
 pub fn run(settings: Settings) -> Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build().wrap_err("starting the runtime")?;
     let (completed, completions) = mpsc::unbounded_channel();
     let (disk, opened) = open_disk(&settings, completed)?;
-    let store_settings = configuration::store_settings(&settings, &opened);
+    let store_settings = settings::store_settings(&settings, &opened);
     log::info!(
-        "store {} with disk {:x}{} and {} records",
+        "storage machine started node={} disk={:x} fresh={} records={}",
         settings.node_name,
         DiskId(opened.identity).0,
-        if opened.fresh { " (fresh)" } else { "" },
+        opened.fresh,
         opened.records.len()
     );
     let store = Store::new(Duration::ZERO, store_settings, &opened.records)
@@ -37,7 +48,8 @@
     let local = LocalSet::new();
     local.block_on(&runtime, async move {
         let event_loop = EventLoop::start(&settings, store, disk, completions).await?;
-        event_loop.run().await
+        event_loop.run().await;
+        Ok(())
     })
 }
 
@@ -47,6 +59,6 @@
         // The receiver is gone only at the end of the program.
         completed.send(completion).ok();
     };
-    Disk::open(folder, configuration::ring_bytes(settings), None, Box::new(on_completion))
+    Disk::open(folder, settings::ring_bytes(settings), None, Box::new(on_completion))
         .wrap_err_with(|| format!("opening the disk in {}", folder.display()))
 }
--- a/crates/pebblepost-batch-store/src/program/peers.rs
+++ b/crates/pebblepost-batch-store/src/program/peer_links.rs
@@ -1,6 +1,6 @@
 //! Links that this machine opens to other storage machines, one to each.
 
-use super::links::{CONNECT, MOST_FRAME_BYTES, SILENCE};
+use super::inbound_links::{CONNECT_TIMEOUT, MAX_FRAME_BYTES, READ_TIMEOUT};
 use eyre::{Result, WrapErr};
 use pebblepost_link::{LinkLimits, Receiver, Sender, connect};
 use pebblepost_messages::batch::{FromStore, ToStore};
@@ -15,20 +15,20 @@
 
 /// Limits of links to other storage machines.
 const LIMITS: LinkLimits = LinkLimits {
-    max_frame_bytes: MOST_FRAME_BYTES,
+    max_frame_bytes: MAX_FRAME_BYTES,
     max_queued_bytes: 64 * 1024 * 1024,
-    connect_timeout: CONNECT,
-    read_timeout: SILENCE,
+    connect_timeout: CONNECT_TIMEOUT,
+    read_timeout: READ_TIMEOUT,
 };
-/// Pause after a failure before the next connection is opened.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay after a failure before the next connection is opened.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
-/// Messages that wait for a link that is being opened; later ones are dropped.
-const MOST_WAITING: usize = 32;
+/// Most messages queued for a link that is being opened; later ones are dropped.
+const MAX_QUEUED_MESSAGES: usize = 32;
 
 #[derive(Debug)]
 enum State {
-    /// Messages wait for the link.
+    /// Messages are queued until the link is up.
     Connecting(Vec<ToStore>),
     Up(Sender),
     Down {
@@ -40,34 +40,34 @@
 struct Peer {
     address: String,
     state: State,
-    /// Something was sent since the last keep-alive was due.
+    /// Something was sent since keep-alives were due last.
     is_used: bool,
 }
 
-type SharedPeers = Rc<RefCell<BTreeMap<DiskId, Peer>>>;
+type SharedPeerLinks = Rc<RefCell<BTreeMap<DiskId, Peer>>>;
 
 /// Links to other storage machines.
 #[derive(Debug)]
-pub(super) struct Peers {
-    me: Member,
-    peers: SharedPeers,
+pub(super) struct PeerLinks {
+    local: Member,
+    peers: SharedPeerLinks,
 }
 
-impl Peers {
-    pub(super) fn new(me: Member) -> Peers {
-        Peers { me, peers: SharedPeers::default() }
+impl PeerLinks {
+    pub(super) fn new(local: Member) -> PeerLinks {
+        PeerLinks { local, peers: SharedPeerLinks::default() }
     }
 
-    /// Sends a message, or opens a link if there is none: the first messages wait for it, others are
-    /// dropped, as senders try again.
+    /// Sends a message, or opens a link if there is none: the first messages are queued until it is up,
+    /// others are dropped, as senders retry.
     pub(super) fn send(&self, member: &Member, message: &ToStore) {
         let mut peers = self.peers.borrow_mut();
-        let new = || Peer {
+        let disconnected = || Peer {
             address: member.address.clone(),
             state: State::Down { retry_at: Instant::now() },
             is_used: false,
         };
-        let peer = peers.entry(member.disk).or_insert_with(new);
+        let peer = peers.entry(member.disk).or_insert_with(disconnected);
         if let State::Up(sender) = &peer.state
             && peer.address == member.address
             && sender.send(message)
@@ -76,9 +76,9 @@
             return;
         }
         let may_connect = match &mut peer.state {
-            State::Connecting(waiting) => {
-                if waiting.len() < MOST_WAITING && peer.address == member.address {
-                    waiting.push(message.clone());
+            State::Connecting(queued) => {
+                if queued.len() < MAX_QUEUED_MESSAGES && peer.address == member.address {
+                    queued.push(message.clone());
                 }
                 false
             }
@@ -88,11 +88,11 @@
         if may_connect {
             peer.address.clone_from(&member.address);
             peer.state = State::Connecting(vec![message.clone()]);
-            spawn_local(run(Rc::clone(&self.peers), self.me.clone(), member.clone()));
+            spawn_local(run(Rc::clone(&self.peers), self.local.clone(), member.clone()));
         }
     }
 
-    /// Sends a sign of life over links that were not used lately.
+    /// Sends a keep-alive over each link that was not used since the last call.
     pub(super) fn keep_alive(&self) {
         for peer in self.peers.borrow_mut().values_mut() {
             let is_used = std::mem::take(&mut peer.is_used);
@@ -105,28 +105,28 @@
     }
 }
 
-/// Opens a link and keeps it until it ends.
-async fn run(peers: SharedPeers, me: Member, member: Member) {
-    let ended = match open(&me, &member).await {
+/// Opens a link and serves it until it is lost.
+async fn run(peers: SharedPeerLinks, local: Member, member: Member) {
+    let reason = match open(&local, &member).await {
         Ok((sender, receiver)) => {
             set_state(&peers, &member, State::Up(sender));
             read(receiver).await
         }
         Err(error) => error,
     };
-    log::debug!("storage machine {}: {ended:#}", member.node);
-    set_state(&peers, &member, State::Down { retry_at: Instant::now() + PAUSE });
+    log::debug!("link to storage machine lost node={} reason={reason:#}", member.node);
+    set_state(&peers, &member, State::Down { retry_at: Instant::now() + RECONNECT_DELAY });
 }
 
-async fn open(me: &Member, member: &Member) -> Result<(Sender, Receiver)> {
+async fn open(local: &Member, member: &Member) -> Result<(Sender, Receiver)> {
     let address: SocketAddr =
         member.address.parse().wrap_err_with(|| format!("reading the address {:?}", member.address))?;
     let (sender, receiver) = connect(address, LIMITS).await?;
-    sender.send(&ToStore::PeerHello { member: me.clone() });
+    sender.send(&ToStore::PeerHello { member: local.clone() });
     Ok((sender, receiver))
 }
 
-/// Reads the signs of life until the link ends; why it did.
+/// Reads keep-alives until the link is lost; the reason.
 async fn read(mut receiver: Receiver) -> eyre::Report {
     loop {
         if let Err(error) = receiver.receive::<FromStore>().await {
@@ -135,14 +135,14 @@
     }
 }
 
-/// Notes the state of a link, unless the machine has moved to another address meanwhile.
-fn set_state(peers: &SharedPeers, member: &Member, state: State) {
+/// Sets the state of a link, unless the machine has moved to another address meanwhile.
+fn set_state(peers: &SharedPeerLinks, member: &Member, state: State) {
     if let Some(peer) = peers.borrow_mut().get_mut(&member.disk)
         && peer.address == member.address
     {
         let former = std::mem::replace(&mut peer.state, state);
-        if let (State::Connecting(waiting), State::Up(sender)) = (former, &peer.state) {
-            for message in &waiting {
+        if let (State::Connecting(queued), State::Up(sender)) = (former, &peer.state) {
+            for message in &queued {
                 sender.send(message);
             }
         }
--- a/crates/pebblepost-batch-store/src/program/feed.rs
+++ b/crates/pebblepost-batch-store/src/program/subscription.rs
@@ -1,4 +1,4 @@
-//! The feed of the control plane, as far as a store needs it.
+//! The store's subscription to the feed of the control plane.
 
 use crate::store::Store;
 use pebblepost_messages::control::{SubscriberRole, ToControl};
@@ -8,21 +8,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a store keeps of the feed: the version of the configuration, which it acknowledges.
+/// The subscriber and the version of the configuration that it acknowledges; clones share the version.
 #[derive(Clone, Debug)]
-pub(super) struct Feed {
+pub(super) struct Subscription {
     node: String,
     zone: String,
     generation: Rc<Cell<u64>>,
 }
 
-impl Feed {
-    pub(super) fn new(settings: &Settings) -> Feed {
-        Feed { node: settings.node_name.clone(), zone: settings.zone.clone(), generation: Rc::default() }
+impl Subscription {
+    pub(super) fn new(settings: &Settings) -> Subscription {
+        Subscription {
+            node: settings.node_name.clone(),
+            zone: settings.zone.clone(),
+            generation: Rc::default(),
+        }
     }
 
     /// First message on each new connection to the control plane.
-    pub(super) fn subscription(&self) -> ToControl {
+    pub(super) fn message(&self) -> ToControl {
         ToControl::Subscribe {
             node: self.node.clone(),
             zone: self.zone.clone(),
@@ -31,12 +35,12 @@
         }
     }
 
-    /// Takes a batch in; its acknowledgement.
-    pub(super) fn take(&self, now: Duration, batch: &FeedBatch, store: &mut Store) -> ToControl {
+    /// Applies a batch of updates; its acknowledgement.
+    pub(super) fn apply(&self, now: Duration, batch: &FeedBatch, store: &mut Store) -> ToControl {
         for update in &batch.updates {
             match update {
                 FeedUpdate::StoreGroups(groups) => store.assign(now, groups),
-                FeedUpdate::Configuration(update) => self.note_generation(update),
+                FeedUpdate::Configuration(update) => self.raise_generation(update),
                 FeedUpdate::NamedVersions(versions) => store.name_versions(versions),
                 FeedUpdate::Instances { .. } | FeedUpdate::ProxyCount(_) => {}
             }
@@ -45,7 +49,7 @@
         ToControl::Reply(FeedReply::Acknowledge { sequence: batch.sequence, generation })
     }
 
-    fn note_generation(&self, update: &ConfigurationUpdate) {
+    fn raise_generation(&self, update: &ConfigurationUpdate) {
         let (ConfigurationUpdate::Full { generation, .. }
         | ConfigurationUpdate::Compressed { generation, .. }
         | ConfigurationUpdate::Patch { generation, .. }) = update;
