--- /dev/null
+++ b/crates/pebblepost-batch-store/tests/integration/main.rs
@@ -0,0 +1,6 @@
+//! Tests of the store in a simulated deployment, and of its stored and approved forms.
+
+mod exchanges;
+mod schedules;
+mod simulation;
+mod stored_form;
--- a/crates/pebblepost-batch-store/tests/schedules.rs
+++ b/crates/pebblepost-batch-store/tests/integration/schedules.rs
@@ -1,16 +1,14 @@
 //! Random days of a simulated deployment: what was acknowledged or read stays, whatever is lost
-//! within what must be borne.
-
-mod simulation;
+//! within what must be tolerated.
 
+use crate::simulation::client::{Request, job};
+use crate::simulation::digest::Digest;
+use crate::simulation::transcript::approve;
+use crate::simulation::world::{Plan, World};
 use rand::RngExt;
 use rstest::rstest;
-use simulation::client::{What, job};
-use simulation::digest::Digest;
-use simulation::transcript::approve;
-use simulation::world::{Plan, World};
 
-const PLAN: Plan = Plan { seed: 0, machines: 3, proxies: 2, tolerate: 1, most_bytes: u64::MAX };
+const PLAN: Plan = Plan { seed: 0, machines: 3, proxies: 2, tolerate: 1, max_bytes: u64::MAX };
 /// Time in which a machine that was lost catches up, in milliseconds.
 const CATCH_UP_MS: u64 = 4_500;
 
@@ -22,11 +20,11 @@
         0 => world.kill(machine, away),
         1 => world.wipe(machine, away),
         2 => world.freeze(machine, away),
-        3 => world.cut(machine, away),
+        3 => world.partition(machine, away),
         4 => world.shift_groups(),
         _ => {
             let takes = world.random.random_range(0..1_400);
-            world.leave(machine);
+            world.shut_down(machine);
             world.run(takes);
             world.kill(machine, 500);
         }
@@ -43,12 +41,12 @@
             0 => {
                 let (groups, per_group) = (world.random.random_range(1..6), world.random.random_range(1..4));
                 let id = format!("job-{}-{}", world.now, groups);
-                world.call(proxy, What::Submit(Box::new(job(&id, groups, per_group))));
+                world.call(proxy, Request::Submit(Box::new(job(&id, groups, per_group))));
             }
             1 => {
                 let jobs = world.checker.jobs();
                 if let Some(id) = jobs.get(world.random.random_range(0..jobs.len().max(1) * 3)) {
-                    world.call(proxy, What::End { job: id.clone() });
+                    world.call(proxy, Request::End { job: id.clone() });
                 }
             }
             2 => {
@@ -62,7 +60,7 @@
                     let seen = world.checker.seen(&id);
                     let start = world.random.random_range(0..=seen) as u64;
                     let wait_ms = world.random.random_range(0..300);
-                    world.call(proxy, What::Read { job: id, start, wait_ms });
+                    world.call(proxy, Request::Read { job: id, start, wait_ms });
                 }
             }
         }
@@ -77,7 +75,7 @@
     for _ in 0..40 {
         for id in world.checker.jobs() {
             for start in [0, world.checker.seen(&id) as u64] {
-                world.call(0, What::Read { job: id.clone(), start, wait_ms: 0 });
+                world.call(0, Request::Read { job: id.clone(), start, wait_ms: 0 });
             }
         }
         world.run(1_500);
@@ -100,15 +98,15 @@
     for id in world.checker.jobs() {
         let listed: Vec<String> = world.checker.listed(&id).into_iter().map(str::to_owned).collect();
         let job = world.checker.job(&id).expect("acknowledged").clone();
-        let ended = world.checker.is_end_asked(&id);
+        let ended = world.checker.is_end_requested(&id);
         for item in job.items.iter().filter(|item| !ended && !listed.contains(&item.id)) {
-            world.call(1, What::Body { job: id.clone(), item: item.id.clone() });
+            world.call(1, Request::Body { job: id.clone(), item: item.id.clone() });
         }
     }
     world.run(100);
 }
 
-/// Days played for each kind of trouble; more with `SCHEDULES=N` in the environment.
+/// Days played for each kind of fault; more with `SCHEDULES=N` in the environment.
 fn schedules() -> u64 {
     const USUAL: u64 = 8;
     std::env::var("SCHEDULES").ok().and_then(|number| number.parse().ok()).unwrap_or(USUAL)
@@ -118,11 +116,11 @@
 #[case::killed(&[0], 100_000)]
 #[case::wiped(&[1], 200_000)]
 #[case::frozen(&[2], 300_000)]
-#[case::cut_off(&[3], 400_000)]
+#[case::partitioned(&[3], 400_000)]
 #[case::stopped(&[5], 500_000)]
 #[case::shifted(&[4], 550_000)]
 #[case::of_all_kinds(&[0, 1, 2, 3, 4, 5], 600_000)]
-fn what_was_acknowledged_stays(#[case] kinds: &[u32], #[case] first_seed: u64) {
+fn acknowledged_data_survives(#[case] kinds: &[u32], #[case] first_seed: u64) {
     for seed in first_seed..first_seed + schedules() {
         let mut world = World::new(Plan { seed, ..PLAN });
         work(&mut world, 3_000);
@@ -139,7 +137,7 @@
 }
 
 #[rstest]
-fn a_whole_loss_of_power_loses_nothing() {
+fn survives_a_power_loss_of_all_machines() {
     for seed in 700_000..700_000 + schedules() {
         let mut world = World::new(Plan { seed, ..PLAN });
         work(&mut world, 3_000);
@@ -154,7 +152,7 @@
 }
 
 #[rstest]
-fn a_loss_beyond_what_is_borne_is_caught() {
+fn checker_detects_a_loss_beyond_the_tolerance() {
     let found = (700..720).any(|seed| {
         let mut world = World::new(Plan { seed, tolerate: 0, ..PLAN });
         work(&mut world, 3_000);
@@ -166,18 +164,18 @@
     assert!(found, "the checker finds no loss where there must be one");
 }
 
-/// Whether a job can't be read although nothing is in trouble.
+/// Whether a job can't be read although there is no fault.
 fn stays_unread(world: &mut World, id: &str) -> bool {
-    world.call(0, What::Read { job: id.to_owned(), start: 0, wait_ms: 0 });
+    world.call(0, Request::Read { job: id.to_owned(), start: 0, wait_ms: 0 });
     world.run(3_000);
     !world.is_quiet()
 }
 
 #[rstest]
-fn a_proxy_that_heeds_no_cancel_is_caught() {
+fn checker_detects_a_proxy_that_ignores_cancels() {
     let found = (800..810).any(|seed| {
         let mut world = World::new(Plan { seed, ..PLAN });
-        world.proxies.iter_mut().for_each(|proxy| proxy.is_careless = true);
+        world.proxies.iter_mut().for_each(|proxy| proxy.ignores_leases = true);
         work(&mut world, 15_000);
         world.checker.violations.iter().any(|violation| violation.contains("has ended"))
     });
@@ -185,7 +183,7 @@
 }
 
 #[rstest]
-fn groups_are_shifted_back_and_forth() {
+fn survives_frequent_reassignment() {
     for seed in 850_000..850_000 + schedules() {
         let mut world = World::new(Plan { seed, machines: 4, ..PLAN });
         work(&mut world, 2_000);
@@ -195,11 +193,11 @@
             work(&mut world, pause);
         }
         work(&mut world, 3_000);
-        assert!(world.is_settled(), "seed {seed}");
+        assert!(world.is_converged(), "seed {seed}");
         read_all(&mut world);
         world.run(15_000);
-        let held: usize = (0..4).map(|machine| world.held_groups(machine)).sum();
-        assert_eq!(held, 16, "seed {seed}: what others hold is dropped");
+        let replicas: usize = (0..4).map(|machine| world.replica_count(machine)).sum();
+        assert_eq!(replicas, 16, "seed {seed}: replicas of other machines are dropped");
         read_all(&mut world);
         assert_eq!(world.checker.violations, [""; 0], "seed {seed}");
     }
@@ -209,7 +207,7 @@
 const FOR_GOOD_MS: u64 = 1_000_000_000;
 
 #[rstest]
-fn what_a_machine_held_that_was_emptied_outlives_the_next_loss() {
+fn data_of_a_retired_machine_survives_the_next_loss() {
     for seed in 870_000..870_000 + 2 * schedules() {
         let mut world = World::new(Plan { seed, machines: 4, ..PLAN });
         work(&mut world, 3_000);
@@ -239,7 +237,7 @@
 }
 
 #[rstest]
-fn the_next_disk_may_go_as_soon_as_every_group_is_held_as_it_should_be() {
+fn tolerates_the_next_loss_once_converged() {
     for seed in 880_000..880_000 + schedules() {
         let mut world = World::new(Plan { seed, ..PLAN });
         work(&mut world, 3_000);
@@ -249,7 +247,7 @@
             world.wipe(lost, away);
             let until = world.now + away + CATCH_UP_MS;
             work(&mut world, away + 1);
-            while !world.is_settled() || (0..3).any(|machine| world.held_groups(machine) == 0) {
+            while !world.is_converged() || (0..3).any(|machine| world.replica_count(machine) == 0) {
                 assert!(world.now < until, "seed {seed}, round {round}: not repaired in time");
                 work(&mut world, 1);
             }
@@ -260,19 +258,19 @@
     }
 }
 
-/// Time in which a machine that stops is relieved of all that it holds, in milliseconds.
-const RELIEVED_WITHIN_MS: u64 = 1_000;
+/// Time in which others take over from a machine that shuts down, in milliseconds.
+const HANDOVER_MS: u64 = 1_000;
 
 #[rstest]
-fn a_machine_that_stops_is_relieved_first() {
+fn graceful_shutdown_hands_groups_over() {
     for seed in 900..900 + schedules() {
         let mut world = World::new(Plan { seed, ..PLAN });
         work(&mut world, 3_000);
         let machine = world.random.random_range(0..3);
-        assert!(world.is_needed(machine));
-        world.leave(machine);
-        work(&mut world, RELIEVED_WITHIN_MS);
-        assert!(!world.is_needed(machine), "seed {seed}: {}", world.status(machine));
+        assert!(world.is_in_sync_replica(machine));
+        world.shut_down(machine);
+        work(&mut world, HANDOVER_MS);
+        assert!(!world.is_in_sync_replica(machine), "seed {seed}: {}", world.status(machine));
         world.kill(machine, 500);
         work(&mut world, 3_000);
         read_all(&mut world);
@@ -281,18 +279,18 @@
 }
 
 #[rstest]
-fn a_job_beyond_the_budget_is_refused_and_never_runs() {
-    let mut world = World::new(Plan { seed: 1, most_bytes: 200_000, ..PLAN });
+fn rejects_a_job_beyond_the_budget() {
+    let mut world = World::new(Plan { seed: 1, max_bytes: 200_000, ..PLAN });
     world.run(2_000);
-    world.call(0, What::Submit(Box::new(job("small", 2, 2))));
-    world.call(0, What::Submit(Box::new(job("large", 50, 2))));
+    world.call(0, Request::Submit(Box::new(job("small", 2, 2))));
+    world.call(0, Request::Submit(Box::new(job("large", 50, 2))));
     world.run(500);
     assert_eq!(world.checker.jobs(), ["small"]);
     assert_eq!(world.clients.refused, ["large"]);
     assert!(!world.proxies.iter().flat_map(|proxy| proxy.running()).any(|running| running.job == "large"));
 }
 
-/// A day with all kinds of trouble: a digest of all that the stores put out, and numbers that say what happened.
+/// A day with all kinds of fault: a digest of all that the stores put out, and numbers that say what happened.
 fn day(seed: u64) -> String {
     let mut world = World::new(Plan { seed, machines: 4, ..PLAN });
     world.digest = Some(Digest::default());
@@ -312,7 +310,7 @@
 }
 
 #[rstest]
-fn days_are_the_approved_ones() {
+fn runs_match_the_approved_digests() {
     let lines: Vec<String> = (950..956).map(day).collect();
     approve("days.txt", &lines);
 }
--- a/crates/pebblepost-batch-store/tests/simulation/checker.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/checker.rs
@@ -14,7 +14,7 @@
     /// When each position was first read.
     seen_at: BTreeMap<String, Vec<u64>>,
     ended: BTreeMap<String, u64>,
-    end_asked: BTreeSet<String>,
+    end_requested: BTreeSet<String>,
     /// Items that had no body: their time, job and id. They must be listed by then.
     without_body: Vec<(u64, String, String)>,
     /// What was wrong.
@@ -42,14 +42,14 @@
         self.seen.get(id).map_or(0, Vec::len)
     }
 
-    /// Somebody wants a job to end.
-    pub fn end_asked(&mut self, id: &str) {
-        self.end_asked.insert(id.to_owned());
+    /// A client requested the end of a job.
+    pub fn end_requested(&mut self, id: &str) {
+        self.end_requested.insert(id.to_owned());
     }
 
-    /// Whether the end of a job was asked for.
-    pub fn is_end_asked(&self, id: &str) -> bool {
-        self.end_asked.contains(id)
+    /// Whether the end of a job was requested.
+    pub fn is_end_requested(&self, id: &str) -> bool {
+        self.end_requested.contains(id)
     }
 
     /// Whether the end of a job was acknowledged.
@@ -115,7 +115,7 @@
     /// An item that had no body before this read was sent must be listed now.
     fn explain_missing_bodies(&mut self, sent_at: u64, id: &str) {
         let is_concerned = |(at, job, _): &mut (u64, String, String)| {
-            *at <= sent_at && job == id && !self.end_asked.contains(id)
+            *at <= sent_at && job == id && !self.end_requested.contains(id)
         };
         let concerned: Vec<_> = self.without_body.extract_if(.., is_concerned).collect();
         for (at, _, item) in concerned {
--- a/crates/pebblepost-batch-store/tests/simulation/client.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/client.rs
@@ -1,4 +1,4 @@
-//! Clients of the proxies: they submit jobs, read and end them, and try again until they have an
+//! Clients of the proxies: they submit jobs, read and end them, and retry until they have an
 //! answer.
 
 use super::world::World;
@@ -16,12 +16,12 @@
 struct Call {
     proxy: usize,
     sent_at: u64,
-    what: What,
+    request: Request,
 }
 
-/// What a call is about.
+/// The request of a call.
 #[derive(Clone, Debug)]
-pub enum What {
+pub enum Request {
     /// Submits a job.
     Submit(Box<Job>),
     /// Reads results from a position on.
@@ -37,8 +37,8 @@
 pub struct Clients {
     calls: BTreeMap<u64, Call>,
     last_call: u64,
-    /// Calls that wait for a link to a primary, with the time of the next try.
-    waiting: Vec<(u64, usize, What)>,
+    /// Calls that wait for a link to a primary, with the time of the next attempt.
+    waiting: Vec<(u64, usize, Request)>,
     /// Jobs that were refused.
     pub refused: Vec<String>,
     /// Results that a read found last, by job.
@@ -47,21 +47,21 @@
     pub is_recorded: bool,
 }
 
-impl What {
+impl Request {
     fn job(&self) -> &str {
         match self {
-            What::Submit(job) => &job.id,
-            What::Read { job, .. } | What::Body { job, .. } | What::End { job } => job,
+            Request::Submit(job) => &job.id,
+            Request::Read { job, .. } | Request::Body { job, .. } | Request::End { job } => job,
         }
     }
 
     fn message(&self, call: u64) -> ToStore {
         let store_group = store_group_of(self.job());
         match self.clone() {
-            What::Submit(job) => ToStore::Submit { call, store_group, job: *job },
-            What::Read { job, start, wait_ms } => ToStore::Read { call, store_group, job, start, wait_ms },
-            What::Body { job, item } => ToStore::ItemBody { call, store_group, job, item },
-            What::End { job } => ToStore::End { call, store_group, job },
+            Request::Submit(job) => ToStore::Submit { call, store_group, job: *job },
+            Request::Read { job, start, wait_ms } => ToStore::Read { call, store_group, job, start, wait_ms },
+            Request::Body { job, item } => ToStore::ItemBody { call, store_group, job, item },
+            Request::End { job } => ToStore::End { call, store_group, job },
         }
     }
 }
@@ -81,13 +81,13 @@
 }
 
 impl World {
-    /// Makes a call at a proxy, again and again until it is answered.
-    pub fn call(&mut self, proxy: usize, what: What) {
+    /// Makes a call at a proxy and repeats it until it is answered.
+    pub fn call(&mut self, proxy: usize, request: Request) {
         let now = self.now;
-        if let What::End { job } = &what {
-            self.checker.end_asked(job);
+        if let Request::End { job } = &request {
+            self.checker.end_requested(job);
         }
-        self.clients.waiting.push((now, proxy, what));
+        self.clients.waiting.push((now, proxy, request));
         self.send_calls(proxy);
     }
 
@@ -104,32 +104,32 @@
             self.clients.calls.iter().filter(|(_, call)| is_late(call)).map(|(number, _)| *number).collect();
         for number in late {
             if let Some(call) = self.clients.calls.remove(&number) {
-                self.try_elsewhere(call.what);
+                self.retry_elsewhere(call.request);
             }
         }
         self.send_calls(proxy);
     }
 
     /// A client without an answer goes to any proxy.
-    fn try_elsewhere(&mut self, what: What) {
+    fn retry_elsewhere(&mut self, request: Request) {
         let proxy = self.random.random_range(0..self.proxies.len());
-        self.clients.waiting.push((self.now + 60, proxy, what));
+        self.clients.waiting.push((self.now + 60, proxy, request));
     }
 
     fn send_calls(&mut self, proxy: usize) {
         let now = self.now;
-        let is_due = |(at, at_proxy, what): &mut (u64, usize, What)| {
+        let is_due = |(at, at_proxy, request): &mut (u64, usize, Request)| {
             *at <= now
                 && *at_proxy == proxy
-                && self.proxies[proxy].link_of(store_group_of(what.job())).is_some()
+                && self.proxies[proxy].link_of(store_group_of(request.job())).is_some()
         };
-        let due: Vec<(u64, usize, What)> = self.clients.waiting.extract_if(.., is_due).collect();
-        for (_, _, what) in due {
-            let Some(link) = self.proxies[proxy].link_of(store_group_of(what.job())) else { continue };
+        let due: Vec<(u64, usize, Request)> = self.clients.waiting.extract_if(.., is_due).collect();
+        for (_, _, request) in due {
+            let Some(link) = self.proxies[proxy].link_of(store_group_of(request.job())) else { continue };
             self.clients.last_call += 1;
             let number = self.clients.last_call;
-            let message = what.message(number);
-            self.clients.calls.insert(number, Call { proxy, sent_at: now, what });
+            let message = request.message(number);
+            self.clients.calls.insert(number, Call { proxy, sent_at: now, request });
             self.send(proxy, vec![(link, message)]);
         }
     }
@@ -148,15 +148,15 @@
         }
         let Some(call) = self.clients.calls.remove(&number) else { return };
         if !self.take_answer(&call, message) {
-            self.try_elsewhere(call.what);
+            self.retry_elsewhere(call.request);
         }
     }
 
-    /// Takes an answer in; whether it settles the call.
+    /// Takes an answer in; whether it ends the call.
     fn take_answer(&mut self, call: &Call, message: &FromStore) -> bool {
         let now = self.now;
-        match (&call.what, message) {
-            (What::Submit(job), FromStore::Submitted { outcome, .. }) => match outcome {
+        match (&call.request, message) {
+            (Request::Submit(job), FromStore::Submitted { outcome, .. }) => match outcome {
                 SubmitOutcome::Accepted => {
                     self.checker.accepted(job);
                     true
@@ -167,7 +167,7 @@
                 }
                 SubmitOutcome::NotPrimary | SubmitOutcome::Unknown => false,
             },
-            (What::Read { job, .. }, FromStore::Results { answer, .. }) => {
+            (Request::Read { job, .. }, FromStore::Results { answer, .. }) => {
                 self.checker.read(now, call.sent_at, job, answer);
                 if let JobAnswer::Found(page) = answer {
                     let complete = self.checker.seen(job) as u64 == page.total;
@@ -175,15 +175,15 @@
                 }
                 *answer != JobAnswer::Uncertain
             }
-            (What::Body { job, item }, FromStore::Body { answer, .. }) => {
+            (Request::Body { job, item }, FromStore::Body { answer, .. }) => {
                 self.checker.body(now, job, item, answer);
                 if *answer == JobAnswer::NotFound {
                     let start = self.checker.seen(job) as u64;
-                    self.call(call.proxy, What::Read { job: job.clone(), start, wait_ms: 0 });
+                    self.call(call.proxy, Request::Read { job: job.clone(), start, wait_ms: 0 });
                 }
                 *answer != JobAnswer::Uncertain
             }
-            (What::End { job }, FromStore::Ended { answer, .. }) => {
+            (Request::End { job }, FromStore::Ended { answer, .. }) => {
                 self.checker.ended(now, job, answer);
                 *answer != JobAnswer::Uncertain
             }
--- a/crates/pebblepost-batch-store/tests/simulation/disk.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/disk.rs
@@ -17,9 +17,9 @@
 }
 
 impl Disk {
-    /// What it holds after the loss of all that was not synced but the first `kept` writes.
-    pub fn recover(&mut self, kept: usize) -> Vec<Vec<u8>> {
-        for _ in 0..kept {
+    /// The records after the loss of all writes but the synced ones and the next `synced_writes`.
+    pub fn recover(&mut self, synced_writes: usize) -> Vec<Vec<u8>> {
+        for _ in 0..synced_writes {
             if let Some((_, write)) = self.waiting.pop_front() {
                 self.make_durable(write);
             }
--- a/crates/pebblepost-batch-store/tests/simulation/mod.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/mod.rs
@@ -1,8 +1,6 @@
 //! A simulated deployment: storage machines with disks that lose what was not synced, a control
 //! plane, proxies that run items, and clients.
 
-#![allow(dead_code)]
-
 pub mod checker;
 pub mod client;
 pub mod control;
--- a/crates/pebblepost-batch-store/tests/simulation/proxy.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/proxy.rs
@@ -9,11 +9,11 @@
 use std::collections::BTreeMap;
 
 /// Items at work at once.
-const ROOM: usize = 12;
-/// An item whose lease is not renewed for so long is given up.
+const CAPACITY: usize = 12;
+/// An item whose lease is not renewed for this time is abandoned.
 const ABANDON_AFTER_MS: u64 = 10_000;
-/// Finished items are sent again after a change of primary for so long.
-const KEEP_MS: u64 = 6_000;
+/// Results are sent again for this time if the primary changes.
+const RESEND_MS: u64 = 6_000;
 
 /// An item at work.
 #[derive(Debug)]
@@ -48,13 +48,13 @@
 pub struct Proxy {
     /// Links by address of the machine.
     pub links: BTreeMap<String, u64>,
-    /// Who serves which group, as the feed told last.
+    /// Who serves which group, by the newest feed.
     pub groups: BTreeMap<u32, StoreGroup>,
     running: Vec<Running>,
     sent: Vec<Sent>,
     has_work: BTreeMap<u64, bool>,
-    /// Leases and cancels are not heeded: for a test of the checker.
-    pub is_careless: bool,
+    /// Leases and cancels are ignored, to test the checker.
+    pub ignores_leases: bool,
 }
 
 /// A message to a store over a link.
@@ -72,7 +72,7 @@
         self.has_work.insert(link, true);
         let hello = ToStore::ProxyHello { node: format!("proxy-{node}"), zone: "zone".to_owned() };
         let mut messages = vec![(link, hello)];
-        messages.extend(self.announce());
+        messages.extend(self.report_leases());
         messages
     }
 
@@ -97,18 +97,18 @@
         if changed.is_empty() {
             return Vec::new();
         }
-        self.sent.retain(|sent| now < sent.at + KEEP_MS);
+        self.sent.retain(|sent| now < sent.at + RESEND_MS);
         let concerned = self.sent.iter().filter(|sent| changed.contains(&sent.store_group));
         let again =
             concerned.filter_map(|sent| Some((self.link_of(sent.store_group)?, sent.message.clone())));
         let mut messages: Vec<Outgoing> = again.collect();
-        messages.extend(self.announce());
+        messages.extend(self.report_leases());
         messages
     }
 
-    /// Announces all leases to the primaries of their groups.
-    pub fn announce(&mut self) -> Vec<Outgoing> {
-        let mut held: BTreeMap<u64, Vec<ActiveLease>> =
+    /// Reports all leases to the primaries of their groups.
+    pub fn report_leases(&mut self) -> Vec<Outgoing> {
+        let mut active: BTreeMap<u64, Vec<ActiveLease>> =
             self.links.values().map(|link| (*link, Vec::new())).collect();
         let groups = &self.groups;
         for running in &mut self.running {
@@ -117,9 +117,9 @@
             let Some(link) = self.links.get(&group.primary.address) else { continue };
             let items = vec![running.item.clone()];
             let lease = ActiveLease { store_group: running.store_group, job: running.job.clone(), items };
-            held.entry(*link).or_default().push(lease);
+            active.entry(*link).or_default().push(lease);
         }
-        held.into_iter().map(|(link, leases)| (link, ToStore::ActiveLeases(leases))).collect()
+        active.into_iter().map(|(link, leases)| (link, ToStore::ActiveLeases(leases))).collect()
     }
 
     /// A message about work came.
@@ -132,7 +132,7 @@
                     self.take(now, random, lease);
                 }
             }
-            FromStore::Cancel { jobs } if !self.is_careless => {
+            FromStore::Cancel { jobs } if !self.ignores_leases => {
                 self.running.retain(|running| !jobs.contains(&running.job));
             }
             FromStore::Renew { groups } => {
@@ -170,18 +170,18 @@
 
     /// Time passed: ends runs, asks for work.
     pub fn tick(&mut self, now: u64, node: usize, random: &mut StdRng) -> Vec<Outgoing> {
-        if !self.is_careless {
+        if !self.ignores_leases {
             self.running.retain(|running| now < running.valid_until + ABANDON_AFTER_MS);
         }
         let mut messages = Vec::new();
-        let is_careless = self.is_careless;
+        let ignores_leases = self.ignores_leases;
         let has_ended =
-            |running: &mut Running| now >= running.ends_at && (is_careless || running.is_valid(now));
+            |running: &mut Running| now >= running.ends_at && (ignores_leases || running.is_valid(now));
         for running in self.running.extract_if(.., has_ended).collect::<Vec<_>>() {
             messages.extend(self.finish(now, node, random, running));
         }
-        if let Some(room) = ROOM.checked_sub(self.running.len()).filter(|room| *room > 0) {
-            let max_items = u32::try_from(room).expect("a small number");
+        if let Some(capacity) = CAPACITY.checked_sub(self.running.len()).filter(|capacity| *capacity > 0) {
+            let max_items = u32::try_from(capacity).expect("a small number");
             for (link, has_work) in self.has_work.iter_mut().filter(|(_, has_work)| **has_work) {
                 *has_work = false;
                 messages.push((*link, ToStore::RequestWork { max_items }));
--- a/crates/pebblepost-batch-store/tests/simulation/transcript.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/transcript.rs
@@ -26,8 +26,8 @@
             )
         }
         ToStore::ActiveLeases(leases) => {
-            let held = |lease: &ActiveLease| format!("{:?} of {}", lease.items, lease.job);
-            format!("Holding [{}]", leases.iter().map(held).collect::<Vec<_>>().join(", "))
+            let active = |lease: &ActiveLease| format!("{:?} of {}", lease.items, lease.job);
+            format!("Holding [{}]", leases.iter().map(active).collect::<Vec<_>>().join(", "))
         }
         ToStore::Read { call, store_group, job, start, wait_ms } => format!(
             "Read {{ call: {call}, store_group: {store_group}, job: {job:?}, start: {start}, wait_ms: {wait_ms} }}"
--- a/crates/pebblepost-batch-store/tests/simulation/world.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/world.rs
@@ -26,7 +26,7 @@
 const PROXY_TICK_MS: u64 = 20;
 const RECONNECT_MS: u64 = 100;
 
-/// A place that sends and receives.
+/// A node that sends and receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Node {
     /// A storage machine.
@@ -40,20 +40,20 @@
 /// Something that happens at a time.
 #[derive(Debug)]
 enum Event {
-    StoreTick { machine: usize, life: u64 },
+    StoreTick { machine: usize, incarnation: u64 },
     ProxyTick { proxy: usize },
     ControlTick,
-    Synced { machine: usize, life: u64, number: u64 },
+    Synced { machine: usize, incarnation: u64, number: u64 },
     FromProxy { machine: usize, link: u64, message: ToStore },
-    FromPeer { machine: usize, from: Member, from_life: (usize, u64), message: ToStore },
+    FromPeer { machine: usize, from: Member, from_incarnation: (usize, u64), message: ToStore },
     ToProxy { proxy: usize, link: u64, message: FromStore },
-    ToControl { machine: usize, life: u64, message: ToControl },
-    GroupChanged { machine: usize, life: u64, request: u64, group: u32, current: GroupEpoch },
+    ToControl { machine: usize, incarnation: u64, message: ToControl },
+    GroupChanged { machine: usize, incarnation: u64, request: u64, group: u32, current: GroupEpoch },
     Feed { to: Node, groups: Vec<StoreGroup> },
     ConnectProxy { proxy: usize, machine: usize },
-    ConnectControl { machine: usize, life: u64 },
+    ConnectControl { machine: usize, incarnation: u64 },
     LinkLost { proxy: usize, link: u64 },
-    LinkClosed { machine: usize, life: u64, link: u64 },
+    LinkClosed { machine: usize, incarnation: u64, link: u64 },
     Start { machine: usize },
     Heal { machine: usize },
 }
@@ -64,10 +64,10 @@
     pub member: Member,
     disk: Disk,
     store: Option<Store>,
-    life: u64,
+    incarnation: u64,
     frozen_until: u64,
-    is_cut: bool,
-    is_known_to_control: bool,
+    is_partitioned: bool,
+    is_connected_to_control: bool,
     /// Links that proxies and peers opened to it, and who they are.
     proxies: BTreeMap<u64, usize>,
     peers: BTreeMap<(usize, u64), u64>,
@@ -82,10 +82,10 @@
     pub machines: usize,
     /// Proxies.
     pub proxies: usize,
-    /// Losses that must be borne.
+    /// Losses that must be tolerated.
     pub tolerate: usize,
     /// Bytes that jobs may take on a machine.
-    pub most_bytes: u64,
+    pub max_bytes: u64,
 }
 
 /// A simulated deployment.
@@ -182,8 +182,8 @@
     pub fn wipe(&mut self, machine: usize, away_ms: u64) {
         self.stop(machine);
         let disk = DiskId(self.random.random_range(1_000..u64::MAX));
-        let life = self.machines[machine].life;
-        self.machines[machine] = Machine { life, ..Machine::new(machine, disk) };
+        let incarnation = self.machines[machine].incarnation;
+        self.machines[machine] = Machine { incarnation, ..Machine::new(machine, disk) };
         self.after(away_ms, Event::Start { machine });
     }
 
@@ -192,15 +192,15 @@
         self.machines[machine].frozen_until = self.now + millis;
     }
 
-    /// Cuts a machine off from all others.
-    pub fn cut(&mut self, machine: usize, millis: u64) {
-        self.machines[machine].is_cut = true;
+    /// Partitions a machine from all others.
+    pub fn partition(&mut self, machine: usize, millis: u64) {
+        self.machines[machine].is_partitioned = true;
         self.control.lost(self.now, self.machines[machine].member.disk);
         self.after(millis, Event::Heal { machine });
     }
 
-    /// Asks a machine to stop, as SIGTERM does.
-    pub fn leave(&mut self, machine: usize) {
+    /// Starts a graceful shutdown of a machine, as SIGTERM does.
+    pub fn shut_down(&mut self, machine: usize) {
         let now = self.time();
         if let Some(store) = &mut self.machines[machine].store {
             store.start_shutdown(now);
@@ -208,8 +208,8 @@
         self.carry_out(machine);
     }
 
-    /// Whether others rely on a machine.
-    pub fn is_needed(&self, machine: usize) -> bool {
+    /// Whether a machine is an in-sync replica of a group.
+    pub fn is_in_sync_replica(&self, machine: usize) -> bool {
         self.machines[machine].store.as_ref().is_some_and(Store::is_in_sync_replica)
     }
 
@@ -224,13 +224,13 @@
         self.publish();
     }
 
-    /// Whether every group is held by those who should hold it.
-    pub fn is_settled(&self) -> bool {
-        self.control.is_settled()
+    /// Whether every group is replicated by its targets.
+    pub fn is_converged(&self) -> bool {
+        self.control.is_converged()
     }
 
-    /// Groups that a machine holds.
-    pub fn held_groups(&self, machine: usize) -> usize {
+    /// Number of groups that a machine replicates.
+    pub fn replica_count(&self, machine: usize) -> usize {
         self.status(machine).matches("\"group\":").count()
     }
 
@@ -281,7 +281,7 @@
         self.events.insert((self.now + millis, self.last_event), event);
     }
 
-    /// Time that a message takes; messages between two places keep their order.
+    /// Time that a message takes; messages between two nodes keep their order.
     fn delay(&mut self, from: Node, to: Node) -> u64 {
         let earliest = self.now + self.random.random_range(1..5);
         let last = self.channels.entry((from, to)).or_default();
@@ -297,7 +297,7 @@
         let kept = self.random.random_range(0..=stopped.disk.waiting());
         stopped.disk.recover(kept);
         stopped.frozen_until = 0;
-        let life = (machine, stopped.life);
+        let incarnation = (machine, stopped.incarnation);
         stopped.peers.clear();
         let proxies = std::mem::take(&mut stopped.proxies);
         let disk = stopped.member.disk;
@@ -306,9 +306,9 @@
             self.after(2, Event::LinkLost { proxy, link });
         }
         for other in 0..self.machines.len() {
-            if let Some(link) = self.machines[other].peers.remove(&life) {
-                let life = self.machines[other].life;
-                self.after(2, Event::LinkClosed { machine: other, life, link });
+            if let Some(link) = self.machines[other].peers.remove(&incarnation) {
+                let incarnation = self.machines[other].incarnation;
+                self.after(2, Event::LinkClosed { machine: other, incarnation, link });
             }
         }
     }
@@ -321,12 +321,12 @@
             return;
         }
         let records = started.disk.recover(0);
-        started.life += 1;
-        started.is_known_to_control = false;
+        started.incarnation += 1;
+        started.is_connected_to_control = false;
         started.store = Some(Store::new(now, settings, &records).expect("records can be read"));
-        let life = started.life;
-        self.after(5, Event::ConnectControl { machine, life });
-        self.after(0, Event::StoreTick { machine, life });
+        let incarnation = started.incarnation;
+        self.after(5, Event::ConnectControl { machine, incarnation });
+        self.after(0, Event::StoreTick { machine, incarnation });
     }
 
     fn settings(&self, machine: usize) -> StoreSettings {
@@ -344,7 +344,7 @@
                 kept_bytes: 20_000,
             },
             retention: Retention { ended: Duration::from_secs(130), open: Duration::from_secs(720) },
-            budget: Budget::new(self.plan.most_bytes, u64::MAX),
+            budget: Budget::new(self.plan.max_bytes, u64::MAX),
         }
     }
 
@@ -380,22 +380,22 @@
         let machine = &mut self.machines[number];
         let Some(store) = &mut machine.store else { return };
         match event {
-            Event::StoreTick { machine: _, life } if life == machine.life => {
+            Event::StoreTick { machine: _, incarnation } if incarnation == machine.incarnation => {
                 store.tick(now);
-                self.after(TICK_MS, Event::StoreTick { machine: number, life });
+                self.after(TICK_MS, Event::StoreTick { machine: number, incarnation });
             }
-            Event::Synced { life, number, .. } if life == machine.life => {
+            Event::Synced { incarnation, number, .. } if incarnation == machine.incarnation => {
                 if let Some(ticket) = machine.disk.sync(number) {
                     store.synced(now, ticket);
                 }
             }
             Event::FromProxy { link, message, .. }
-                if machine.proxies.contains_key(&link) && !machine.is_cut =>
+                if machine.proxies.contains_key(&link) && !machine.is_partitioned =>
             {
                 store.receive(now, LinkId(link), message);
             }
-            Event::FromPeer { from, from_life, message, .. } if !machine.is_cut => {
-                let link = *machine.peers.entry(from_life).or_insert_with(|| {
+            Event::FromPeer { from, from_incarnation, message, .. } if !machine.is_partitioned => {
+                let link = *machine.peers.entry(from_incarnation).or_insert_with(|| {
                     self.last_link += 1;
                     store.link_opened(LinkId(self.last_link));
                     store.receive(now, LinkId(self.last_link), ToStore::PeerHello { member: from });
@@ -403,11 +403,15 @@
                 });
                 store.receive(now, LinkId(link), message);
             }
-            Event::GroupChanged { life, request, group, current, .. } if life == machine.life => {
+            Event::GroupChanged { incarnation, request, group, current, .. }
+                if incarnation == machine.incarnation =>
+            {
                 store.group_changed(now, request, group, &current);
             }
-            Event::LinkClosed { life, link, .. } if life == machine.life => store.link_closed(LinkId(link)),
-            Event::Feed { groups, .. } if machine.is_known_to_control && !machine.is_cut => {
+            Event::LinkClosed { incarnation, link, .. } if incarnation == machine.incarnation => {
+                store.link_closed(LinkId(link))
+            }
+            Event::Feed { groups, .. } if machine.is_connected_to_control && !machine.is_partitioned => {
                 store.assign(now, &groups);
             }
             _ => {}
@@ -424,13 +428,15 @@
                 self.after(CONTROL_TICK_MS, Event::ControlTick);
             }
             Event::ToProxy { proxy, link, message } => self.receive_at_proxy(proxy, link, &message),
-            Event::ToControl { machine, life, message } => self.receive_at_control(machine, life, message),
+            Event::ToControl { machine, incarnation, message } => {
+                self.receive_at_control(machine, incarnation, message)
+            }
             Event::Feed { to: Node::Proxy(proxy), groups } => {
                 let messages = self.proxies[proxy].follow(self.now, &groups);
                 self.send(proxy, messages);
             }
             Event::ConnectProxy { proxy, machine } => self.connect_proxy(proxy, machine),
-            Event::ConnectControl { machine, life } => self.connect_control(machine, life),
+            Event::ConnectControl { machine, incarnation } => self.connect_control(machine, incarnation),
             Event::LinkLost { proxy, link } => self.lose_link(proxy, link),
             Event::Start { machine } => self.start(machine),
             Event::Heal { machine } => self.heal(machine),
@@ -441,9 +447,9 @@
     fn tick_proxy(&mut self, proxy: usize) {
         let messages = self.proxies[proxy].tick(self.now, proxy, &mut self.random);
         self.send(proxy, messages);
-        let is_careless = self.proxies[proxy].is_careless;
+        let ignores_leases = self.proxies[proxy].ignores_leases;
         for running in
-            self.proxies[proxy].running().filter(|running| is_careless || running.is_valid(self.now))
+            self.proxies[proxy].running().filter(|running| ignores_leases || running.is_valid(self.now))
         {
             self.checker.runs(self.now, &running.job);
         }
@@ -459,9 +465,9 @@
         self.answer_client(proxy, message);
     }
 
-    fn receive_at_control(&mut self, machine: usize, life: u64, message: ToControl) {
+    fn receive_at_control(&mut self, machine: usize, incarnation: u64, message: ToControl) {
         let ToControl::ChangeGroup { request, group, expected_epoch, proposed } = message else { return };
-        if self.machines[machine].is_cut {
+        if self.machines[machine].is_partitioned {
             return;
         }
         let (is_accepted, current) = self.control.change(group, expected_epoch, &proposed);
@@ -469,7 +475,7 @@
             self.publish();
         }
         let delay = self.delay(Node::Control, Node::Store(machine));
-        self.after(delay, Event::GroupChanged { machine, life, request, group, current });
+        self.after(delay, Event::GroupChanged { machine, incarnation, request, group, current });
     }
 
     fn publish(&mut self) {
@@ -483,7 +489,7 @@
 
     fn connect_proxy(&mut self, proxy: usize, machine: usize) {
         let address = self.machines[machine].member.address.clone();
-        let is_up = self.machines[machine].store.is_some() && !self.machines[machine].is_cut;
+        let is_up = self.machines[machine].store.is_some() && !self.machines[machine].is_partitioned;
         if !is_up || self.now < self.machines[machine].frozen_until {
             return self.after(RECONNECT_MS, Event::ConnectProxy { proxy, machine });
         }
@@ -506,16 +512,16 @@
         }
     }
 
-    fn connect_control(&mut self, machine: usize, life: u64) {
+    fn connect_control(&mut self, machine: usize, incarnation: u64) {
         let connected = &mut self.machines[machine];
-        if connected.life != life || connected.store.is_none() {
+        if connected.incarnation != incarnation || connected.store.is_none() {
             return;
         }
-        if connected.is_cut || self.now < connected.frozen_until {
-            return self.after(RECONNECT_MS, Event::ConnectControl { machine, life });
+        if connected.is_partitioned || self.now < connected.frozen_until {
+            return self.after(RECONNECT_MS, Event::ConnectControl { machine, incarnation });
         }
-        connected.is_known_to_control = true;
-        self.control.hello(&connected.member);
+        connected.is_connected_to_control = true;
+        self.control.announce(&connected.member);
         if let Some(store) = &mut connected.store {
             store.control_connected();
         }
@@ -524,18 +530,19 @@
     }
 
     fn heal(&mut self, machine: usize) {
-        self.machines[machine].is_cut = false;
-        let life = self.machines[machine].life;
+        self.machines[machine].is_partitioned = false;
+        let incarnation = self.machines[machine].incarnation;
         for (link, proxy) in std::mem::take(&mut self.machines[machine].proxies) {
             self.after(1, Event::LinkLost { proxy, link });
-            self.after(1, Event::LinkClosed { machine, life, link });
+            self.after(1, Event::LinkClosed { machine, incarnation, link });
         }
-        self.after(5, Event::ConnectControl { machine, life });
+        self.after(5, Event::ConnectControl { machine, incarnation });
     }
 
     fn carry_out(&mut self, machine: usize) {
         let now = self.time();
-        let (is_cut, life) = (self.machines[machine].is_cut, self.machines[machine].life);
+        let (is_partitioned, incarnation) =
+            (self.machines[machine].is_partitioned, self.machines[machine].incarnation);
         let Some(store) = &mut self.machines[machine].store else { return };
         for output in store.take_outputs(now) {
             if let Some(digest) = &mut self.digest {
@@ -544,27 +551,29 @@
             match output {
                 StoreOutput::Append { ticket, records } => {
                     let number = self.machines[machine].disk.append(ticket, records);
-                    self.sync_later(machine, life, number);
+                    self.sync_later(machine, incarnation, number);
                 }
                 StoreOutput::Checkpoint { records } => {
                     let number = self.machines[machine].disk.checkpoint(records);
-                    self.sync_later(machine, life, number);
+                    self.sync_later(machine, incarnation, number);
                 }
-                _ if is_cut => {}
+                _ if is_partitioned => {}
                 StoreOutput::Reply { link, message } => self.reply(machine, link.0, message),
-                StoreOutput::ToPeer { peer, message } => self.send_to_peer(machine, life, &peer, message),
-                StoreOutput::ToControl(message) if self.machines[machine].is_known_to_control => {
+                StoreOutput::ToPeer { peer, message } => {
+                    self.send_to_peer(machine, incarnation, &peer, message)
+                }
+                StoreOutput::ToControl(message) if self.machines[machine].is_connected_to_control => {
                     let delay = self.delay(Node::Store(machine), Node::Control);
-                    self.after(delay, Event::ToControl { machine, life, message });
+                    self.after(delay, Event::ToControl { machine, incarnation, message });
                 }
                 StoreOutput::ToControl(_) => {}
             }
         }
     }
 
-    fn sync_later(&mut self, machine: usize, life: u64, number: u64) {
+    fn sync_later(&mut self, machine: usize, incarnation: u64, number: u64) {
         let delay = self.random.random_range(2..8);
-        self.after(delay, Event::Synced { machine, life, number });
+        self.after(delay, Event::Synced { machine, incarnation, number });
     }
 
     fn reply(&mut self, machine: usize, link: u64, message: FromStore) {
@@ -574,13 +583,16 @@
         self.after(delay, Event::ToProxy { proxy, link, message });
     }
 
-    fn send_to_peer(&mut self, from: usize, life: u64, peer: &Member, message: ToStore) {
+    fn send_to_peer(&mut self, from: usize, incarnation: u64, peer: &Member, message: ToStore) {
         // A machine that comes back with another disk has the address of its predecessor.
         let target = self.machines.iter().position(|machine| machine.member.address == peer.address);
-        let Some(machine) = target.filter(|machine| !self.machines[*machine].is_cut) else { return };
+        let Some(machine) = target.filter(|machine| !self.machines[*machine].is_partitioned) else { return };
         let delay = self.delay(Node::Store(from), Node::Store(machine));
         let member = self.machines[from].member.clone();
-        self.after(delay, Event::FromPeer { machine, from: member, from_life: (from, life), message });
+        self.after(
+            delay,
+            Event::FromPeer { machine, from: member, from_incarnation: (from, incarnation), message },
+        );
     }
 }
 
@@ -596,10 +608,10 @@
             },
             disk: Disk::default(),
             store: None,
-            life: 0,
+            incarnation: 0,
             frozen_until: 0,
-            is_cut: false,
-            is_known_to_control: false,
+            is_partitioned: false,
+            is_connected_to_control: false,
             proxies: BTreeMap::new(),
             peers: BTreeMap::new(),
         }
--- a/crates/pebblepost-batch-store/tests/stored_form.rs
+++ b/crates/pebblepost-batch-store/tests/integration/stored_form.rs
@@ -103,7 +103,7 @@
 }
 
 #[rstest]
-fn records_have_the_approved_bytes() {
+fn records_encode_to_the_approved_bytes() {
     let lines =
         records().into_iter().map(|(name, record)| format!("{name} {}", hex(&record.serialize_bin())));
     approve("records.txt", &lines.collect::<Vec<_>>());
@@ -118,7 +118,7 @@
 }
 
 #[rstest]
-fn a_store_goes_on_with_the_records_of_earlier_versions() {
+fn resumes_from_records_of_earlier_versions() {
     let bytes = approved("records.txt");
     let records: Vec<Vec<u8>> =
         bytes.lines().filter_map(|line| line.split_once(' ')).map(|(_, bytes)| from_hex(bytes)).collect();
@@ -165,7 +165,7 @@
 }
 
 #[rstest]
-fn a_record_that_can_not_be_read_is_an_error() {
+fn rejects_an_undecodable_record() {
     let error = Store::new(Duration::ZERO, settings(), &[vec![1, 2, 3]]).expect_err("no record");
     assert_eq!(error.to_string(), "Bin deserialize error at:0 wanted:4 bytes but max size is 3");
 }
