--- /dev/null
+++ b/crates/pebblepost-rollout/src/placement.rs
@@ -0,0 +1,186 @@
+//! Which transcriber loads which model next.
+//!
+//! Decides only, by the state that it is passed: it counts, for each service, the concurrent loads and the
+//! transcribers that serve each model, and ranks the possible loads.
+
+use crate::named_versions::NamedVersions;
+use crate::transcriber::Transcriber;
+use crate::version_lag::VersionLags;
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// One in this many transcribers of a service loads at a time: more of them slow each other down.
+const CONCURRENT_LOADS_DIVISOR: usize = 3;
+
+/// Models whose jobs a transcriber is to serve with its loaded version, on average.
+const MODELS_PER_TRANSCRIBER: usize = 2;
+
+/// A load to order.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) struct Placement {
+    /// Instance id of the transcriber.
+    pub(crate) instance: String,
+    pub(crate) model: String,
+}
+
+/// The state by which loads are placed.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PlacementState<'a> {
+    pub(crate) now: Duration,
+    pub(crate) versions: &'a NamedVersions,
+    pub(crate) lags: &'a VersionLags,
+    /// Transcribers by instance id.
+    pub(crate) transcribers: &'a BTreeMap<String, Transcriber>,
+}
+
+/// Counts over the transcribers of one service.
+#[derive(Default)]
+struct ServiceCounts<'a> {
+    /// Transcribers that are ready and count towards the limit on concurrent loads.
+    counted: usize,
+    loading: usize,
+    loading_by_zone: BTreeMap<&'a str, usize>,
+    by_model: BTreeMap<&'a str, ModelCounts>,
+}
+
+/// Counts over the ready transcribers of one service that have a model loaded.
+#[derive(Clone, Copy, Default)]
+struct ModelCounts {
+    transcribers: usize,
+    /// Those that have loaded the newest version, or are loading it.
+    current: usize,
+    /// Those whose version serves the jobs of the model, or will once it is loaded.
+    serving: usize,
+}
+
+/// Rank of a possible load: the lowest is ordered first. The order of the fields is the order of their
+/// weight.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Rank<'a> {
+    /// Transcribers whose version no longer serves the jobs of the model come first.
+    still_serves: bool,
+    /// Then models whose jobs the fewest transcribers serve.
+    serving: usize,
+    /// Then the version that was named earliest.
+    named_at: Duration,
+    /// Of the transcribers of a model: the one that lags most,
+    lag: Reverse<u64>,
+    /// then one in the zone with the fewest loads,
+    loading_in_zone: usize,
+    /// then the one with the fewest running requests.
+    running_requests: u32,
+    instance: &'a str,
+    model: &'a str,
+}
+
+impl ServiceCounts<'_> {
+    fn has_free_slot(&self) -> bool {
+        self.loading < self.counted.div_ceil(CONCURRENT_LOADS_DIVISOR).max(1)
+    }
+
+    fn model(&self, model: &str) -> ModelCounts {
+        self.by_model.get(model).copied().unwrap_or_default()
+    }
+
+    /// Transcribers that are to serve the jobs of a model. Where several models share the transcribers, no
+    /// model needs all of them: loads would keep them busy.
+    fn target_serving(&self, model: &str) -> usize {
+        let transcribers = self.model(model).transcribers;
+        let models = self.by_model.len().max(1);
+        (transcribers * MODELS_PER_TRANSCRIBER).div_ceil(models).min(transcribers)
+    }
+
+    /// Transcribers that are to load the newest version of a model whose jobs allow this lag: they take
+    /// turns, unless it is the only model, whose loads disturb no other.
+    fn target_current(&self, model: &str, allowed_lag: u64) -> usize {
+        let turns = match self.by_model.len() {
+            0 | 1 => 1,
+            _ => usize::try_from(allowed_lag + 1).unwrap_or(usize::MAX),
+        };
+        self.target_serving(model).div_ceil(turns)
+    }
+}
+
+impl<'a> PlacementState<'a> {
+    /// The load to order next, if there is a free slot for one.
+    pub(crate) fn next_placement(&self) -> Option<Placement> {
+        let services = self.count_services();
+        let mut best: Option<Rank<'_>> = None;
+        for (instance, transcriber) in self.transcribers {
+            if !transcriber.accepts_order(self.now) {
+                continue;
+            }
+            let service = services.get(transcriber.backend.as_str());
+            let Some(service) = service.filter(|service| service.has_free_slot()) else { continue };
+            for (model, loaded) in &transcriber.loaded {
+                let rank = self.rank(service, instance, transcriber, model, *loaded);
+                let Some(rank) = rank else { continue };
+                if best.as_ref().is_none_or(|best| rank < *best) {
+                    best = Some(rank);
+                }
+            }
+        }
+        best.map(|best| Placement { instance: best.instance.to_owned(), model: best.model.to_owned() })
+    }
+
+    /// Rank of a load of a model; `None` if it is not behind, or enough transcribers serve it.
+    fn rank(
+        &self, service: &ServiceCounts<'_>, instance: &'a str, transcriber: &Transcriber, model: &'a str,
+        loaded: u64,
+    ) -> Option<Rank<'a>> {
+        let newest = self.versions.newer_than(model, loaded)?;
+        let counts = service.model(model);
+        let lag = newest.generation - loaded;
+        let allowed_lag = self.lags.allowed(model);
+        let still_serves = lag <= allowed_lag;
+        let is_enough = match still_serves {
+            true => counts.current >= service.target_current(model, allowed_lag),
+            false => counts.serving >= service.target_serving(model),
+        };
+        if is_enough {
+            return None;
+        }
+        Some(Rank {
+            still_serves,
+            serving: counts.serving,
+            named_at: newest.named_at,
+            lag: Reverse(lag),
+            loading_in_zone: service.loading_by_zone.get(transcriber.zone.as_str()).copied().unwrap_or(0),
+            running_requests: transcriber.running_requests,
+            instance,
+            model,
+        })
+    }
+
+    fn count_services(&self) -> BTreeMap<&'a str, ServiceCounts<'a>> {
+        let mut services: BTreeMap<&str, ServiceCounts<'_>> = BTreeMap::new();
+        for transcriber in self.transcribers.values() {
+            let service = services.entry(&transcriber.backend).or_default();
+            let is_counted = transcriber.is_ready && self.now >= transcriber.counted_from;
+            service.counted += usize::from(is_counted);
+            let loading =
+                transcriber.pending_order.as_ref().filter(|pending| pending.occupies_slot(self.now));
+            if loading.is_some() {
+                service.loading += 1;
+                *service.loading_by_zone.entry(&transcriber.zone).or_default() += 1;
+            }
+            if !transcriber.is_ready {
+                // A draining transcriber accepts no new requests, whatever it has loaded.
+                continue;
+            }
+            for (model, loaded) in &transcriber.loaded {
+                let Some(newest) = self.versions.get(model) else { continue };
+                let is_loading = loading.is_some_and(|pending| {
+                    pending.model == *model && pending.generation == newest.generation
+                });
+                let serves = loaded + self.lags.allowed(model) >= newest.generation;
+                let counts = service.by_model.entry(model).or_default();
+                counts.transcribers += 1;
+                counts.current += usize::from(*loaded >= newest.generation || is_loading);
+                counts.serving += usize::from(serves || is_loading);
+            }
+        }
+        services
+    }
+}
--- a/crates/pebblepost-rollout/src/transcriber.rs
+++ b/crates/pebblepost-rollout/src/transcriber.rs
@@ -1,139 +1,52 @@
-//! What the planner knows about one transcriber, and the order that is under way there.
+//! State of one transcriber: what it announced, what it has loaded, and the order that is pending.
 
+use crate::backoff::{Backoff, BackoffBounds};
+use crate::message::{Order, OrderAnswer, Reported};
+use crate::pending_order::PendingOrder;
 use pebblepost_messages::feed::{Instance, InstanceState};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time after which a transcriber without any answer no longer takes up a place among the loads.
-pub(crate) const SILENCE: Duration = Duration::from_secs(2);
-/// First report after an order was taken.
-pub(crate) const FIRST_ASK: Duration = Duration::from_millis(350);
-/// Pause between reports while an order is under way or in doubt.
-pub(crate) const ASK_EVERY: Duration = Duration::from_millis(150);
-/// Pause between reports of a silent transcriber.
-pub(crate) const ASK_SILENT_EVERY: Duration = Duration::from_secs(1);
-/// A report that was asked for less than this after an order may show the state before it.
-pub(crate) const REPORT_LAG: Duration = Duration::from_millis(700);
-/// An order that was taken is given up if reports still don't show it after this time.
-pub(crate) const LOST_ORDER: Duration = Duration::from_secs(3);
-/// First pause after an order was refused; doubled from there.
-pub(crate) const REFUSED_PAUSE: Duration = Duration::from_millis(300);
-/// Longest pause after a refusal.
-pub(crate) const LONGEST_REFUSED_PAUSE: Duration = Duration::from_secs(3);
-/// First pause after a higher fence token was seen; doubled from there.
-pub(crate) const FENCED_PAUSE: Duration = Duration::from_secs(1);
-/// Longest pause after a higher fence token was seen.
-pub(crate) const LONGEST_FENCED_PAUSE: Duration = Duration::from_secs(5);
+/// Backoff after an order was rejected.
+const REJECTED_BACKOFF: BackoffBounds =
+    BackoffBounds { first: Duration::from_millis(300), max: Duration::from_secs(3) };
+/// Backoff after a higher fencing token was seen.
+const FENCED_BACKOFF: BackoffBounds =
+    BackoffBounds { first: Duration::from_secs(1), max: Duration::from_secs(5) };
 
-/// A newcomer counts towards the number of loads at once after this time: the incarnation that it
-/// replaces may have crashed, and still be known.
-pub(crate) const NEWCOMER: Duration = Duration::from_secs(3);
-
-/// How far an order has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
-    /// Sent, not answered yet.
-    Sending,
-    /// Taken.
-    UnderWay,
-    /// Perhaps taken.
-    Unclear,
-    /// Not taken, as another order is under way.
-    Conflicting,
-    /// Not taken, as a higher fence token was seen.
-    Fenced,
-}
-
-/// An order and what is known of it.
-#[derive(Clone, Debug)]
-pub(crate) struct Work {
-    /// The model.
-    pub(crate) model: String,
-    /// The version.
-    pub(crate) generation: u64,
-    /// How far it has come.
-    pub(crate) stage: Stage,
-    /// When it was sent.
-    pub(crate) sent_at: Duration,
-    /// When the transcriber last answered anything; at first, when the order was sent.
-    pub(crate) last_heard: Duration,
-    /// When a report is to be asked for.
-    pub(crate) next_ask: Duration,
-    /// When the report that is awaited was asked for.
-    pub(crate) asked_at: Option<Duration>,
-}
-
-impl Work {
-    /// An order that is being sent.
-    pub(crate) fn sending(now: Duration, model: &str, generation: u64) -> Work {
-        Work {
-            model: model.to_owned(),
-            generation,
-            stage: Stage::Sending,
-            sent_at: now,
-            last_heard: now,
-            next_ask: now + SILENCE,
-            asked_at: None,
-        }
-    }
-
-    /// Whether the transcriber has not answered for so long that its place is free.
-    pub(crate) fn silent(&self, now: Duration) -> bool {
-        now >= self.last_heard + SILENCE
-    }
-
-    /// Whether it takes up a place among the loads of its service.
-    pub(crate) fn takes_place(&self, now: Duration) -> bool {
-        self.stage != Stage::Fenced && !self.silent(now)
-    }
-
-    /// Pause before the next report.
-    pub(crate) fn ask_pause(&self, now: Duration) -> Duration {
-        if self.silent(now) { ASK_SILENT_EVERY } else { ASK_EVERY }
-    }
-
-    /// When something has to be done about it: a report asked for, or its place freed.
-    pub(crate) fn wake_at(&self, now: Duration) -> Duration {
-        let ask = match self.asked_at {
-            Some(asked_at) => asked_at + SILENCE,
-            None => self.next_ask,
-        };
-        if self.silent(now) { ask } else { ask.min(self.last_heard + SILENCE) }
-    }
-}
-
-/// A transcriber that has not ended.
+/// A transcriber whose incarnation has not ended.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Transcriber {
-    /// Service.
+    /// Service that it belongs to.
     pub(crate) backend: String,
-    /// Address.
     pub(crate) address: String,
-    /// Zone.
     pub(crate) zone: String,
-    /// It takes orders.
-    pub(crate) ready: bool,
-    /// Number of its newest announcement.
-    pub(crate) sequence: u64,
-    /// Versions that it surely holds; they never fall within one life.
-    pub(crate) held: BTreeMap<String, u64>,
-    /// Requests that ran, as last told.
-    pub(crate) running: u32,
-    /// From when on it counts towards the number of loads at once.
-    pub(crate) counts_from: Duration,
-    /// The order that is under way or in doubt.
-    pub(crate) work: Option<Work>,
-    /// No order before this time.
-    pub(crate) not_until: Duration,
-    /// Length of the last pause; zero after a success.
-    pub(crate) pause: Duration,
+    /// Whether it accepts orders.
+    pub(crate) is_ready: bool,
+    /// Sequence number of its newest announcement.
+    sequence: u64,
+    /// Versions that it has surely loaded, by model; they never go back within one incarnation.
+    pub(crate) loaded: BTreeMap<String, u64>,
+    /// Running requests by its newest report.
+    pub(crate) running_requests: u32,
+    /// From when on it counts towards the limit on concurrent loads.
+    pub(crate) counted_from: Duration,
+    pub(crate) pending_order: Option<PendingOrder>,
+    /// Time before which it gets no order.
+    pub(crate) not_before: Duration,
+    backoff: Backoff,
 }
 
 impl Transcriber {
-    /// Takes over what an announcement says, unless a later one has come already.
+    /// A transcriber that counts towards the limit on concurrent loads from `counted_from` on.
+    pub(crate) fn new(counted_from: Duration) -> Transcriber {
+        Transcriber { counted_from, ..Transcriber::default() }
+    }
+
+    /// Takes over an announcement; of one older than the newest, its loaded versions only.
     pub(crate) fn announced(&mut self, instance: &Instance) {
-        for held in &instance.models {
-            self.raise(&held.model, held.generation);
+        for loaded in &instance.models {
+            self.set_loaded(&loaded.model, loaded.generation);
         }
         if instance.sequence < self.sequence {
             return;
@@ -142,27 +55,83 @@
         self.backend.clone_from(&instance.backend);
         self.address.clone_from(&instance.address);
         self.zone.clone_from(&instance.zone);
-        self.ready = instance.state == InstanceState::Ready;
+        self.is_ready = instance.state == InstanceState::Ready;
+    }
+
+    /// Whether it may get an order now.
+    pub(crate) fn accepts_order(&self, now: Duration) -> bool {
+        self.is_ready && self.pending_order.is_none() && now >= self.not_before
+    }
+
+    /// Takes in the answer to an order, unless the order is not pending any more; whether it says that the
+    /// version is loaded.
+    pub(crate) fn order_answered(&mut self, now: Duration, order: &Order, answer: OrderAnswer) -> bool {
+        let Some(pending) = self.pending_order.as_mut().filter(|pending| pending.is(order)) else {
+            return false;
+        };
+        match answer {
+            OrderAnswer::Unknown => pending.unanswered(now),
+            OrderAnswer::UnderWay => {
+                pending.accepted(now);
+                self.backoff.reset();
+            }
+            OrderAnswer::AlreadyHolds => {
+                self.pending_order = None;
+                self.set_loaded(&order.model, order.generation);
+                self.backoff.reset();
+                return true;
+            }
+            OrderAnswer::Conflict => pending.conflicting(now),
+            OrderAnswer::Fenced => pending.fenced(now, self.backoff.next_delay(FENCED_BACKOFF)),
+            OrderAnswer::Refused => {
+                self.pending_order = None;
+                self.not_before = now + self.backoff.next_delay(REJECTED_BACKOFF);
+            }
+        }
+        false
+    }
+
+    /// Takes in a report, `None` if it could not be fetched, while an order is pending; the versions that
+    /// were not known to be loaded.
+    pub(crate) fn reported(&mut self, now: Duration, report: Option<Reported>) -> Vec<(String, u64)> {
+        let Some(pending) = &mut self.pending_order else { return Vec::new() };
+        let polled_at = pending.end_poll();
+        let Some(report) = report else {
+            pending.poll_failed(now);
+            return Vec::new();
+        };
+        pending.report_received(now);
+        self.running_requests = report.running;
+        if report.busy {
+            return Vec::new();
+        }
+        let is_new = |(model, generation): &(String, u64)| self.set_loaded(model, *generation);
+        let newly_loaded = report.models.into_iter().filter(is_new).collect();
+        self.resolve_order(polled_at);
+        newly_loaded
     }
 
-    /// Notes that a version is held; whether that is news.
-    pub(crate) fn raise(&mut self, model: &str, generation: u64) -> bool {
-        match self.held.get_mut(model) {
-            Some(held) if *held >= generation => false,
-            Some(held) => {
-                *held = generation;
+    /// Ends the pending order if a report that was requested at `polled_at` shows its outcome.
+    fn resolve_order(&mut self, polled_at: Duration) {
+        let loaded = &self.loaded;
+        self.pending_order.take_if(|pending| {
+            let loaded = loaded.get(&pending.model).copied().unwrap_or(0);
+            pending.is_resolved(loaded, polled_at)
+        });
+    }
+
+    /// Raises the loaded version of a model; whether it was older.
+    fn set_loaded(&mut self, model: &str, generation: u64) -> bool {
+        match self.loaded.get_mut(model) {
+            Some(loaded) if *loaded >= generation => false,
+            Some(loaded) => {
+                *loaded = generation;
                 true
             }
             None => {
-                self.held.insert(model.to_owned(), generation);
+                self.loaded.insert(model.to_owned(), generation);
                 true
             }
         }
     }
-
-    /// Makes the next pause longer, within bounds.
-    pub(crate) fn lengthen_pause(&mut self, first: Duration, longest: Duration) -> Duration {
-        self.pause = (self.pause * 2).clamp(first, longest);
-        self.pause
-    }
 }
