--- a/crates/pebblepost-rollout/tests/fleet.rs
+++ b/crates/pebblepost-rollout/tests/integration/fleet.rs
@@ -1,11 +1,9 @@
 //! Properties of the planner over a simulated fleet: the limit of loads holds, no version is
 //! loaded twice or after a newer one was named, and all transcribers become current in time.
 
-mod simulation;
-
+use crate::simulation::digest::approve;
+use crate::simulation::{Faults, FleetShape, Random, Simulation, model_name};
 use rstest::rstest;
-use simulation::digest::approve;
-use simulation::{Faults, FleetShape, Random, Simulation, model_name};
 use std::time::Duration;
 
 const SMALL: FleetShape = FleetShape { transcribers: 9, models: 1, load: Duration::from_millis(400) };
@@ -30,28 +28,28 @@
 #[case::small("small", SMALL, Duration::from_millis(3000))]
 #[case::three_models("three models", THREE_MODELS, Duration::from_millis(6500))]
 #[case::large("large", LARGE, Duration::from_millis(2500))]
-fn a_calm_fleet_is_current_soon(#[case] name: &str, #[case] shape: FleetShape, #[case] most: Duration) {
+fn faultless_fleet_converges_in_time(#[case] name: &str, #[case] shape: FleetShape, #[case] most: Duration) {
     let mut simulation = Simulation::new(shape, Faults::default(), 7);
     simulation.run_for(Duration::from_secs(3));
     let named_at = simulation.now;
     for number in 0..shape.models {
         simulation.name_version(&model_name(number), 2, true);
     }
-    let all = simulation.run_until_current(most);
+    let all = simulation.run_until_converged(most);
     simulation.run_for(Duration::from_secs(3));
     for number in 0..shape.models {
-        let (first, last) = simulation.held_times[&(model_name(number), 2)];
+        let (first, last) = simulation.load_times[&(model_name(number), 2)];
         println!("{name}: model {number}: first {:?}, last {:?}", first - named_at, last - named_at);
     }
-    let (orders, asks, loads) = (simulation.orders, simulation.asks, simulation.loads);
-    println!("{name}: all after {all:?}; {loads} loads, {orders} orders, {asks} reports");
-    assert_eq!(loads, simulation.wanted_each() * shape.models, "as many as are to load, and no more");
+    let (orders, polls, loads) = (simulation.orders, simulation.polls, simulation.loads);
+    println!("{name}: all after {all:?}; {loads} loads, {orders} orders, {polls} reports");
+    assert_eq!(loads, simulation.target_per_model() * shape.models, "as many as are to load, and no more");
     assert_eq!(orders, loads);
     assert_eq!(simulation.most_loading, shape.transcribers.div_ceil(3));
 }
 
 #[rstest]
-#[case::calm(Faults::default())]
+#[case::no_faults(Faults::default())]
 #[case::lost_answers(Faults { lost_answers: 4, ..Faults::default() })]
 #[case::crashes(Faults { crash_every: Some(Duration::from_secs(2)), ..Faults::default() })]
 #[case::hangs(Faults { hang_every: Some(Duration::from_secs(2)), ..Faults::default() })]
@@ -60,7 +58,7 @@
     crash_every: Some(Duration::from_secs(4)),
     hang_every: Some(Duration::from_secs(3)),
 })]
-fn every_transcriber_becomes_current_whatever_happens(
+fn fleet_converges_after_faults(
     #[case] faults: Faults, #[values(SMALL, THREE_MODELS, LARGE)] shape: FleetShape,
 ) {
     let mut longest = Duration::ZERO;
@@ -70,9 +68,9 @@
         simulation.faults = faults;
         name_versions(&mut simulation, shape, &mut Random(seed + 1000));
         simulation.faults = Faults::default();
-        longest = longest.max(simulation.run_until_current(Duration::from_secs(20)));
+        longest = longest.max(simulation.run_until_converged(Duration::from_secs(20)));
     }
-    println!("{faults:?} {shape:?}: {longest:?} at the most after the last trouble");
+    println!("{faults:?} {shape:?}: {longest:?} at the most after the last fault");
 }
 
 /// A run in which everything goes wrong for a while, and jobs allow older versions.
@@ -97,9 +95,9 @@
     }
     simulation.faults = Faults::default();
     simulation.run_for(Duration::from_secs(10));
-    let (orders, asks, loads) = (simulation.orders, simulation.asks, simulation.loads);
+    let (orders, polls, loads) = (simulation.orders, simulation.polls, simulation.loads);
     let digest = simulation.digest.hex();
-    format!("{} {} {seed} {digest} {orders} {asks} {loads}", shape.transcribers, shape.models)
+    format!("{} {} {seed} {digest} {orders} {polls} {loads}", shape.transcribers, shape.models)
 }
 
 #[rstest]
--- a/crates/pebblepost-rollout/tests/planner.rs
+++ b/crates/pebblepost-rollout/tests/integration/planner.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use std::time::Duration;
 
-const MODEL: &str = "daka510000";
+const MODEL: &str = "model-a";
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -14,9 +14,9 @@
 fn instance(id: &str, generation: u64, sequence: u64) -> Instance {
     Instance {
         id: id.to_owned(),
-        backend: "huvo11a".to_owned(),
+        backend: "service".to_owned(),
         address: format!("{id}:8080"),
-        zone: "celje-a".to_owned(),
+        zone: "zone-a".to_owned(),
         slots: 12,
         models: vec![ModelVersion { model: MODEL.to_owned(), generation }],
         sequence,
@@ -48,31 +48,31 @@
     (planner, order)
 }
 
-fn asks(outputs: &[PlanOutput]) -> usize {
+fn polls(outputs: &[PlanOutput]) -> usize {
     outputs.iter().filter(|output| matches!(output, PlanOutput::Ask { .. })).count()
 }
 
 #[test]
-fn an_order_is_followed_until_the_version_is_held() {
+fn polls_an_order_until_the_version_is_loaded() {
     let (mut planner, order) = one_order();
     planner.order_answered(ms(5), &order, OrderAnswer::UnderWay);
     planner.tick(ms(300));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(355));
-    assert_eq!(asks(&planner.take_outputs()), 1);
+    assert_eq!(polls(&planner.take_outputs()), 1);
     planner.reported(ms(360), "i-1", report(true, 1));
     planner.tick(ms(500));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(510));
-    assert_eq!(asks(&planner.take_outputs()), 1);
+    assert_eq!(polls(&planner.take_outputs()), 1);
     planner.reported(ms(515), "i-1", report(false, 2));
-    let held = PlanOutput::Holds { instance: "i-1".to_owned(), model: MODEL.to_owned(), generation: 2 };
-    assert_eq!(planner.take_outputs(), [held]);
+    let loaded = PlanOutput::Holds { instance: "i-1".to_owned(), model: MODEL.to_owned(), generation: 2 };
+    assert_eq!(planner.take_outputs(), [loaded]);
     assert_eq!(planner.next_wake(ms(515)), None);
 }
 
 #[test]
-fn a_busy_transcriber_does_not_count_as_done() {
+fn load_in_progress_is_not_loaded() {
     let (mut planner, order) = one_order();
     planner.order_answered(ms(5), &order, OrderAnswer::UnderWay);
     planner.tick(ms(355));
@@ -84,7 +84,7 @@
 #[rstest]
 #[case::single_version(true, LoadMode::Wait)]
 #[case::several_versions(false, LoadMode::Retain)]
-fn the_mode_follows_the_texts(#[case] single_version: bool, #[case] mode: LoadMode) {
+fn load_mode_depends_on_single_version(#[case] single_version: bool, #[case] mode: LoadMode) {
     let mut planner = Planner::new(Duration::ZERO);
     planner.instance(ms(0), &instance("i-1", 1, 1));
     planner.name_version(ms(0), MODEL, 2, single_version);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn nothing_is_ordered_before_a_former_holder_is_out() {
+fn sends_no_order_before_the_former_lease_is_over() {
     let mut planner = Planner::new(ms(3000));
     planner.instance(ms(0), &instance("i-1", 1, 1));
     planner.name_version(ms(0), MODEL, 2, false);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn versions_that_were_passed_over_are_not_loaded() {
+fn skips_versions_that_are_not_the_newest() {
     let mut planner = Planner::new(ms(1000));
     planner.instance(ms(0), &instance("i-1", 1, 1));
     planner.name_version(ms(0), MODEL, 2, false);
@@ -116,21 +116,21 @@
 }
 
 #[test]
-fn an_unanswered_order_is_looked_into_before_another_is_sent() {
+fn polls_an_unanswered_order_before_it_sends_another() {
     let (mut planner, order) = one_order();
     planner.order_answered(ms(100), &order, OrderAnswer::Unknown);
     planner.tick(ms(250));
-    assert_eq!(asks(&planner.take_outputs()), 1);
+    assert_eq!(polls(&planner.take_outputs()), 1);
     planner.reported(ms(255), "i-1", report(false, 1));
     assert_eq!(planner.take_outputs(), [], "the report may be older than the order");
     planner.tick(ms(800));
-    assert_eq!(asks(&planner.take_outputs()), 1);
+    assert_eq!(polls(&planner.take_outputs()), 1);
     planner.reported(ms(805), "i-1", report(false, 1));
     assert_eq!(orders(&mut planner).len(), 1);
 }
 
 #[test]
-fn an_unanswered_order_that_was_taken_is_not_repeated() {
+fn does_not_repeat_an_unanswered_order_that_was_accepted() {
     let (mut planner, order) = one_order();
     planner.order_answered(ms(100), &order, OrderAnswer::Unknown);
     planner.tick(ms(250));
@@ -143,17 +143,17 @@
 }
 
 #[test]
-fn a_conflict_is_asked_about_soon() {
+fn polls_soon_after_a_conflict() {
     let (mut planner, order) = one_order();
     planner.order_answered(ms(5), &order, OrderAnswer::Conflict);
     planner.tick(ms(100));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(205));
-    assert_eq!(asks(&planner.take_outputs()), 1);
+    assert_eq!(polls(&planner.take_outputs()), 1);
 }
 
 #[test]
-fn a_refused_order_is_repeated_after_growing_pauses() {
+fn repeats_a_rejected_order_with_exponential_backoff() {
     let (mut planner, mut order) = one_order();
     let mut now = ms(5);
     for pause in [300, 600, 1200, 2400, 3000, 3000] {
@@ -167,19 +167,19 @@
 }
 
 #[test]
-fn a_fenced_transcriber_is_asked_later_and_not_ordered_until_then() {
+fn polls_a_fenced_transcriber_after_a_backoff() {
     let (mut planner, order) = one_order();
     planner.order_answered(ms(5), &order, OrderAnswer::Fenced);
     planner.tick(ms(1004));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(1005));
-    assert_eq!(asks(&planner.take_outputs()), 1);
+    assert_eq!(polls(&planner.take_outputs()), 1);
     planner.reported(ms(1010), "i-1", report(false, 1));
     assert_eq!(orders(&mut planner).len(), 1);
 }
 
 #[test]
-fn an_older_announcement_does_not_undo_what_is_held() {
+fn older_announcement_does_not_revert_loaded_versions() {
     let (mut planner, order) = one_order();
     planner.order_answered(ms(5), &order, OrderAnswer::AlreadyHolds);
     planner.take_outputs();
@@ -191,7 +191,7 @@
 #[rstest]
 #[case::draining(InstanceState::Draining)]
 #[case::gone(InstanceState::Gone)]
-fn transcribers_that_leave_get_no_orders(#[case] state: InstanceState) {
+fn sends_no_order_to_a_draining_or_ended_transcriber(#[case] state: InstanceState) {
     let mut planner = Planner::new(Duration::ZERO);
     planner.instance(ms(0), &instance("i-1", 1, 1));
     planner.instance(ms(1), &Instance { state, ..instance("i-1", 1, 2) });
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_restarted_transcriber_is_ordered_under_its_new_identity() {
+fn orders_a_restarted_transcriber_under_its_new_instance_id() {
     let (mut planner, order) = one_order();
     planner.order_answered(ms(5), &order, OrderAnswer::UnderWay);
     planner.instance(ms(50), &Instance { state: InstanceState::Gone, ..instance("i-1", 1, 1) });
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_third_of_the_transcribers_loads_at_once_spread_over_zones_least_busy_first() {
+fn loads_a_third_at_a_time_spread_over_zones_least_busy_first() {
     let mut planner = Planner::new(ms(100));
     for number in 0..7u32 {
         let zone = format!("zone-{}", number % 2);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_silent_transcriber_gives_its_place_up_and_is_asked_now_and_then() {
+fn unresponsive_transcriber_frees_its_slot_and_is_polled_slowly() {
     let mut planner = Planner::new(Duration::ZERO);
     for id in ["i-1", "i-2"] {
         planner.instance(ms(0), &instance(id, 1, 1));
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn models_of_one_transcriber_take_turns() {
+fn models_of_one_transcriber_alternate() {
     let mut planner = Planner::new(ms(10));
     let two = |id: &str| Instance {
         models: ["a", "b"].map(|model| ModelVersion { model: model.to_owned(), generation: 1 }).to_vec(),
--- a/crates/pebblepost-rollout/tests/simulation/digest.rs
+++ b/crates/pebblepost-rollout/tests/integration/simulation/digest.rs
@@ -1,4 +1,4 @@
-//! A digest of what the planner puts out in a whole run: times, orders, requests for reports and held versions.
+//! A digest of what the planner puts out in a whole run: times, orders, requests for reports and loaded versions.
 
 use pebblepost_rollout::{LoadMode, Order, PlanOutput};
 use std::path::Path;
--- a/crates/pebblepost-rollout/tests/simulation/mod.rs
+++ b/crates/pebblepost-rollout/tests/integration/simulation/mod.rs
@@ -10,18 +10,18 @@
 
 /// Step of the simulated clock.
 const STEP: Duration = Duration::from_millis(5);
-/// Pause between the planner's ticks.
+/// Time between the planner's ticks.
 const TICK: Duration = Duration::from_millis(50);
-/// Reports show the state this long ago.
+/// Age of the state that reports show.
 const REPORT_LAG: Duration = Duration::from_millis(300);
 /// Time between announcements.
 const HEARTBEAT: Duration = Duration::from_millis(1200);
-/// The caller gives an answer up after this time.
+/// Time limit of a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// For so long after trouble at a transcriber, its load doesn't count towards the limit.
-const TROUBLE_COUNTS: Duration = Duration::from_secs(3);
+/// A load does not count towards the limit for this time after a fault of its transcriber.
+const FAULT_GRACE: Duration = Duration::from_secs(3);
 
-/// What goes wrong.
+/// Rates of faults.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     /// One answer in so many is lost, after the transcriber acted; 0 for none.
@@ -66,15 +66,15 @@
 }
 
 #[derive(Debug)]
-struct Engine {
+struct SimulatedTranscriber {
     id: String,
     zone: String,
     versions: BTreeMap<String, u64>,
     load: Option<Load>,
     sequence: u64,
-    next_beat: Duration,
+    next_heartbeat: Duration,
     hangs_until: Duration,
-    last_trouble: Duration,
+    last_fault: Duration,
     /// Past states, for lagging reports.
     past: VecDeque<(Duration, bool, BTreeMap<String, u64>)>,
 }
@@ -84,7 +84,7 @@
     Announce(Instance),
     OrderArrives(Order),
     OrderAnswered(Order, OrderAnswer),
-    AskArrives(String),
+    PollArrives(String),
     Reported(String, Option<Reported>),
 }
 
@@ -94,17 +94,17 @@
     pub now: Duration,
     pub planner: Planner,
     pub orders: usize,
-    pub asks: usize,
+    pub polls: usize,
     pub loads: usize,
     pub most_loading: usize,
-    /// When each version first and last came to be held.
-    pub held_times: BTreeMap<(String, u64), (Duration, Duration)>,
+    /// When each version was first and last loaded.
+    pub load_times: BTreeMap<(String, u64), (Duration, Duration)>,
     pub faults: Faults,
     /// All that the planner puts out, and when it wants to be called next.
     pub digest: Digest,
     shape: FleetShape,
     random: Random,
-    engines: Vec<Engine>,
+    transcribers: Vec<SimulatedTranscriber>,
     events: BTreeMap<(Duration, u64), Event>,
     event_number: u64,
     named: BTreeMap<String, u64>,
@@ -120,15 +120,15 @@
             now: Duration::ZERO,
             planner: Planner::new(Duration::ZERO),
             orders: 0,
-            asks: 0,
+            polls: 0,
             loads: 0,
             most_loading: 0,
-            held_times: BTreeMap::new(),
+            load_times: BTreeMap::new(),
             faults,
             digest: Digest::default(),
             shape,
             random: Random(seed),
-            engines: Vec::new(),
+            transcribers: Vec::new(),
             events: BTreeMap::new(),
             event_number: 0,
             named: BTreeMap::new(),
@@ -140,8 +140,8 @@
         let versions: BTreeMap<String, u64> =
             (0..shape.models).map(|number| (model_name(number), 1)).collect();
         for number in 0..shape.transcribers {
-            let engine = simulation.start(format!("zone-{}", number % 3), versions.clone());
-            simulation.engines.push(engine);
+            let transcriber = simulation.start(format!("zone-{}", number % 3), versions.clone());
+            simulation.transcribers.push(transcriber);
         }
         simulation
     }
@@ -162,10 +162,10 @@
     }
 
     /// Runs until every transcriber holds the newest versions; panics after `most`.
-    pub fn run_until_current(&mut self, most: Duration) -> Duration {
+    pub fn run_until_converged(&mut self, most: Duration) -> Duration {
         let start = self.now;
-        while !self.is_current() {
-            assert!(self.now < start + most, "not current after {most:?}: {:?}", self.engines);
+        while !self.has_converged() {
+            assert!(self.now < start + most, "not current after {most:?}: {:?}", self.transcribers);
             self.step();
         }
         self.now - start
@@ -173,25 +173,26 @@
 
     /// Transcribers that are to hold the newest version of each model: all of them, unless more than two models share
     /// them.
-    pub fn wanted_each(&self) -> usize {
-        let count = self.engines.len();
+    pub fn target_per_model(&self) -> usize {
+        let count = self.transcribers.len();
         count.min((2 * count).div_ceil(self.named.len().max(1)))
     }
 
     /// Whether as many transcribers hold the newest version of each model as are to.
-    pub fn is_current(&self) -> bool {
-        let wanted = self.wanted_each();
+    pub fn has_converged(&self) -> bool {
+        let target = self.target_per_model();
         self.named.iter().all(|(model, generation)| {
-            let holds = |engine: &&Engine| engine.versions.get(model) == Some(generation);
-            self.engines.iter().filter(holds).count() >= wanted
+            let holds =
+                |transcriber: &&SimulatedTranscriber| transcriber.versions.get(model) == Some(generation);
+            self.transcribers.iter().filter(holds).count() >= target
         })
     }
 
     fn step(&mut self) {
         self.now += STEP;
-        self.make_trouble();
+        self.inject_faults();
         self.advance_loads();
-        self.beat();
+        self.send_heartbeats();
         self.deliver();
         if self.now >= self.next_tick {
             self.next_tick = self.now + TICK;
@@ -201,20 +202,20 @@
                 .number(wake_in.map_or(u64::MAX, |millis| u64::try_from(millis).expect("a short run")));
         }
         self.carry_out();
-        self.remember();
+        self.record_states();
     }
 
-    fn start(&mut self, zone: String, versions: BTreeMap<String, u64>) -> Engine {
+    fn start(&mut self, zone: String, versions: BTreeMap<String, u64>) -> SimulatedTranscriber {
         self.starts += 1;
-        Engine {
+        SimulatedTranscriber {
             id: format!("i-{}", self.starts),
             zone,
             versions,
             load: None,
             sequence: 0,
-            next_beat: self.now,
+            next_heartbeat: self.now,
             hangs_until: Duration::ZERO,
-            last_trouble: Duration::ZERO,
+            last_fault: Duration::ZERO,
             past: VecDeque::new(),
         }
     }
@@ -225,89 +226,93 @@
         self.random.below(steps) == 0
     }
 
-    fn make_trouble(&mut self) {
+    fn inject_faults(&mut self) {
         if self.happens(self.faults.crash_every) {
-            let index = self.random.below(self.engines.len() as u64) as usize;
+            let index = self.random.below(self.transcribers.len() as u64) as usize;
             let gone = self.announcement(index, InstanceState::Gone);
-            let (zone, versions) = (self.engines[index].zone.clone(), self.engines[index].versions.clone());
+            let (zone, versions) =
+                (self.transcribers[index].zone.clone(), self.transcribers[index].versions.clone());
             self.unanswered.remove(&gone.id);
             let delay = Duration::from_millis(self.random.below(2000));
             self.schedule(delay, Event::Announce(gone));
-            self.engines[index] = self.start(zone, versions);
+            self.transcribers[index] = self.start(zone, versions);
         }
         if self.happens(self.faults.hang_every) {
-            let index = self.random.below(self.engines.len() as u64) as usize;
+            let index = self.random.below(self.transcribers.len() as u64) as usize;
             let length = Duration::from_millis(500 + self.random.below(5000));
-            self.engines[index].hangs_until = self.now + length;
+            self.transcribers[index].hangs_until = self.now + length;
         }
-        for engine in &mut self.engines {
-            if engine.hangs_until > self.now {
-                engine.last_trouble = self.now;
+        for transcriber in &mut self.transcribers {
+            if transcriber.hangs_until > self.now {
+                transcriber.last_fault = self.now;
             }
         }
     }
 
     fn advance_loads(&mut self) {
-        let loading = self.engines.iter().filter(|engine| engine.load.is_some()).count();
-        let cheap = self.shape.transcribers.div_ceil(3);
-        let slowdown = if loading > cheap { (loading - cheap + 1) as u32 } else { 1 };
-        let mut judged = 0;
-        for engine in &mut self.engines {
-            let Some(load) = &mut engine.load else { continue };
-            let calm = engine.last_trouble.is_zero() || self.now > engine.last_trouble + TROUBLE_COUNTS;
-            judged += usize::from(calm);
+        let loading = self.transcribers.iter().filter(|transcriber| transcriber.load.is_some()).count();
+        let free_loads = self.shape.transcribers.div_ceil(3);
+        let slowdown = if loading > free_loads { (loading - free_loads + 1) as u32 } else { 1 };
+        let mut counted = 0;
+        for transcriber in &mut self.transcribers {
+            let Some(load) = &mut transcriber.load else { continue };
+            let is_faultless =
+                transcriber.last_fault.is_zero() || self.now > transcriber.last_fault + FAULT_GRACE;
+            counted += usize::from(is_faultless);
             load.left = load.left.saturating_sub(STEP / slowdown);
             if load.left.is_zero() {
                 let times = self
-                    .held_times
+                    .load_times
                     .entry((load.model.clone(), load.generation))
                     .or_insert((self.now, self.now));
                 times.1 = self.now;
-                engine.versions.insert(load.model.clone(), load.generation);
-                engine.load = None;
+                transcriber.versions.insert(load.model.clone(), load.generation);
+                transcriber.load = None;
             }
         }
-        self.most_loading = self.most_loading.max(judged);
-        assert!(judged <= cheap, "{judged} loads at once at {:?}", self.now);
+        self.most_loading = self.most_loading.max(counted);
+        assert!(counted <= free_loads, "{counted} loads at once at {:?}", self.now);
     }
 
     fn announcement(&self, index: usize, state: InstanceState) -> Instance {
-        let engine = &self.engines[index];
-        let models = engine
+        let transcriber = &self.transcribers[index];
+        let models = transcriber
             .versions
             .iter()
             .map(|(model, generation)| ModelVersion { model: model.clone(), generation: *generation });
         Instance {
-            id: engine.id.clone(),
+            id: transcriber.id.clone(),
             backend: "service".to_owned(),
-            address: format!("{}:1", engine.id),
-            zone: engine.zone.clone(),
+            address: format!("{}:1", transcriber.id),
+            zone: transcriber.zone.clone(),
             slots: 12,
             state,
             models: models.collect(),
-            sequence: engine.sequence,
+            sequence: transcriber.sequence,
             ..Instance::default()
         }
     }
 
-    fn beat(&mut self) {
-        for index in 0..self.engines.len() {
-            if self.now < self.engines[index].next_beat || self.now < self.engines[index].hangs_until {
+    fn send_heartbeats(&mut self) {
+        for index in 0..self.transcribers.len() {
+            if self.now < self.transcribers[index].next_heartbeat
+                || self.now < self.transcribers[index].hangs_until
+            {
                 continue;
             }
-            self.engines[index].next_beat = self.now + HEARTBEAT;
-            self.engines[index].sequence += 1;
+            self.transcribers[index].next_heartbeat = self.now + HEARTBEAT;
+            self.transcribers[index].sequence += 1;
             let announcement = self.announcement(index, InstanceState::Ready);
             let delay = Duration::from_millis(self.random.below(600));
             self.schedule(delay, Event::Announce(announcement));
         }
     }
 
-    fn remember(&mut self) {
-        for engine in &mut self.engines {
-            engine.past.push_back((self.now, engine.load.is_some(), engine.versions.clone()));
-            while engine.past.front().is_some_and(|(at, ..)| *at + REPORT_LAG < self.now) {
-                engine.past.pop_front();
+    fn record_states(&mut self) {
+        for transcriber in &mut self.transcribers {
+            transcriber.past.push_back((self.now, transcriber.load.is_some(), transcriber.versions.clone()));
+            while transcriber.past.front().is_some_and(|(at, ..)| *at + REPORT_LAG < self.now) {
+                transcriber.past.pop_front();
             }
         }
     }
@@ -329,7 +334,7 @@
                     self.unanswered.remove(&order.instance);
                     self.planner.order_answered(self.now, &order, answer);
                 }
-                Event::AskArrives(instance) => self.ask_arrives(instance),
+                Event::PollArrives(instance) => self.poll_arrives(instance),
                 Event::Reported(instance, report) => self.planner.reported(self.now, &instance, report),
             }
             self.carry_out();
@@ -338,7 +343,7 @@
 
     /// Hands an announcement on as the registry does: never one of an incarnation that has ended.
     fn announce(&mut self, instance: &Instance) {
-        let lives = self.engines.iter().any(|engine| engine.id == instance.id);
+        let lives = self.transcribers.iter().any(|transcriber| transcriber.id == instance.id);
         if lives || instance.state == InstanceState::Gone {
             self.planner.instance(self.now, instance);
         }
@@ -357,14 +362,18 @@
                     self.schedule(delay, Event::OrderArrives(order));
                 }
                 PlanOutput::Ask { instance, .. } => {
-                    self.asks += 1;
+                    self.polls += 1;
                     let delay = self.network_delay();
-                    self.schedule(delay, Event::AskArrives(instance));
+                    self.schedule(delay, Event::PollArrives(instance));
                 }
                 PlanOutput::Holds { instance, model, generation } => {
-                    let engine = self.engines.iter().find(|engine| engine.id == instance);
-                    let held = engine.and_then(|engine| engine.versions.get(&model)).copied();
-                    assert!(held.is_none_or(|held| held >= generation), "{instance} holds {held:?}");
+                    let transcriber = self.transcribers.iter().find(|transcriber| transcriber.id == instance);
+                    let loaded =
+                        transcriber.and_then(|transcriber| transcriber.versions.get(&model)).copied();
+                    assert!(
+                        loaded.is_none_or(|loaded| loaded >= generation),
+                        "{instance} has loaded {loaded:?}"
+                    );
                 }
             }
         }
@@ -374,8 +383,8 @@
         Duration::from_millis(1 + self.random.below(10))
     }
 
-    fn engine_index(&self, instance: &str) -> Option<usize> {
-        self.engines.iter().position(|engine| engine.id == instance)
+    fn transcriber_index(&self, instance: &str) -> Option<usize> {
+        self.transcribers.iter().position(|transcriber| transcriber.id == instance)
     }
 
     fn is_lost(&mut self) -> bool {
@@ -383,26 +392,26 @@
     }
 
     fn order_arrives(&mut self, order: Order) {
-        let index = self.engine_index(&order.instance);
-        let hangs = index.is_none_or(|index| self.engines[index].hangs_until > self.now);
+        let index = self.transcriber_index(&order.instance);
+        let hangs = index.is_none_or(|index| self.transcribers[index].hangs_until > self.now);
         let Some(index) = index.filter(|_| !hangs) else {
             return self.schedule(CALL_TIMEOUT, Event::OrderAnswered(order, OrderAnswer::Unknown));
         };
-        let engine = &mut self.engines[index];
-        let answer = if engine.versions.get(&order.model) == Some(&order.generation) {
+        let transcriber = &mut self.transcribers[index];
+        let answer = if transcriber.versions.get(&order.model) == Some(&order.generation) {
             OrderAnswer::AlreadyHolds
-        } else if engine.load.is_some() {
+        } else if transcriber.load.is_some() {
             OrderAnswer::Conflict
         } else {
-            let first = self.loaded.insert((engine.id.clone(), order.model.clone(), order.generation));
+            let first = self.loaded.insert((transcriber.id.clone(), order.model.clone(), order.generation));
             assert!(first, "a second load: {order:?}");
             self.loads += 1;
             let left = self.shape.load;
-            engine.load = Some(Load { model: order.model.clone(), generation: order.generation, left });
+            transcriber.load = Some(Load { model: order.model.clone(), generation: order.generation, left });
             OrderAnswer::UnderWay
         };
         if self.is_lost() {
-            engine_trouble(&mut self.engines[index], self.now);
+            record_fault(&mut self.transcribers[index], self.now);
             self.schedule(CALL_TIMEOUT, Event::OrderAnswered(order, OrderAnswer::Unknown));
         } else {
             let delay = self.network_delay();
@@ -410,13 +419,13 @@
         }
     }
 
-    fn ask_arrives(&mut self, instance: String) {
-        let index = self.engine_index(&instance);
-        let hangs = index.is_none_or(|index| self.engines[index].hangs_until > self.now);
+    fn poll_arrives(&mut self, instance: String) {
+        let index = self.transcriber_index(&instance);
+        let hangs = index.is_none_or(|index| self.transcribers[index].hangs_until > self.now);
         let Some(index) = index.filter(|_| !hangs && !self.is_lost()) else {
             return self.schedule(CALL_TIMEOUT, Event::Reported(instance, None));
         };
-        let report = self.engines[index].past.front().map(|(_, busy, versions)| Reported {
+        let report = self.transcribers[index].past.front().map(|(_, busy, versions)| Reported {
             busy: *busy,
             models: versions.clone().into_iter().collect(),
             running: 0,
@@ -426,8 +435,8 @@
     }
 }
 
-fn engine_trouble(engine: &mut Engine, now: Duration) {
-    engine.last_trouble = now;
+fn record_fault(transcriber: &mut SimulatedTranscriber, now: Duration) {
+    transcriber.last_fault = now;
 }
 
 /// Name of a simulated model.
--- a/crates/pebblepost-rollout/tests/slack.rs
+++ b/crates/pebblepost-rollout/tests/integration/version_lag.rs
@@ -6,15 +6,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const MODEL: &str = "daka510000";
+const MODEL: &str = "model-a";
 /// Another model on the same transcribers, which stays at its first version.
-const OTHER: &str = "rada7437b5";
+const OTHER: &str = "model-b";
 const TRANSCRIBERS: usize = 9;
 
 fn instance(number: usize, generation: u64) -> Instance {
     Instance {
         id: format!("i-{number}"),
-        backend: "huvo11a".to_owned(),
+        backend: "service".to_owned(),
         address: format!("i-{number}:8080"),
         zone: format!("zone-{}", number % 3),
         slots: 12,
@@ -31,7 +31,7 @@
 struct Scene {
     planner: Planner,
     now: Duration,
-    held: BTreeMap<String, u64>,
+    loaded: BTreeMap<String, u64>,
 }
 
 impl Scene {
@@ -41,12 +41,12 @@
             planner.instance(Duration::ZERO, &instance(number, 1));
         }
         planner.name_version(Duration::ZERO, OTHER, 1, false);
-        let held = (0..TRANSCRIBERS).map(|number| (format!("i-{number}"), 1)).collect();
-        Scene { planner, now: Duration::ZERO, held }
+        let loaded = (0..TRANSCRIBERS).map(|number| (format!("i-{number}"), 1)).collect();
+        Scene { planner, now: Duration::ZERO, loaded }
     }
 
-    fn observe(&mut self, slacks: &[u64]) {
-        slacks.iter().for_each(|slack| self.planner.observe_slack(self.now, MODEL, *slack));
+    fn observe(&mut self, lags: &[u64]) {
+        lags.iter().for_each(|allowed_lag| self.planner.observe_slack(self.now, MODEL, *allowed_lag));
     }
 
     /// Names a version and lets every load end at once: who loaded it, and from which version, in this order.
@@ -74,16 +74,16 @@
             assert!(orders.len() <= TRANSCRIBERS.div_ceil(3));
             for order in orders {
                 let former =
-                    self.held.insert(order.instance.clone(), generation).expect("a known transcriber");
+                    self.loaded.insert(order.instance.clone(), generation).expect("a known transcriber");
                 loaded_from.push(former);
                 self.planner.order_answered(self.now, &order, OrderAnswer::AlreadyHolds);
             }
         }
     }
 
-    /// The oldest version held anywhere.
+    /// The oldest loaded version.
     fn oldest(&self) -> u64 {
-        self.held.values().copied().min().expect("transcribers")
+        self.loaded.values().copied().min().expect("transcribers")
     }
 }
 
@@ -92,25 +92,25 @@
 #[case::none_allowed(&[0, 0], 0)]
 #[case::one(&[1, 1], 1)]
 #[case::two(&[2], 2)]
-#[case::more_than_is_used(&[7], 2)]
-#[case::the_strictest_of_the_last_jobs_counts(&[2, 0, 1, 2], 0)]
-#[case::older_jobs_count_no_more(&[0, 1, 1, 2, 1], 1)]
-fn versions_are_passed_over_as_far_as_jobs_allow(#[case] observed: &[u64], #[case] slack: u64) {
+#[case::more_than_the_limit(&[7], 2)]
+#[case::strictest_of_the_newest_jobs(&[2, 0, 1, 2], 0)]
+#[case::older_jobs_do_not_count(&[0, 1, 1, 2, 1], 1)]
+fn skips_versions_within_the_allowed_lag(#[case] observed: &[u64], #[case] allowed_lag: u64) {
     let mut scene = Scene::new();
     scene.observe(observed);
     let mut loads = 0;
     for generation in 2..=13 {
         loads += scene.name(generation).len();
-        assert!(scene.oldest() + slack >= generation, "{:?} at version {generation}", scene.held);
+        assert!(scene.oldest() + allowed_lag >= generation, "{:?} at version {generation}", scene.loaded);
     }
     let all = 12 * TRANSCRIBERS;
-    let turns = usize::try_from(slack).expect("a few") + 1;
+    let turns = usize::try_from(allowed_lag).expect("a few") + 1;
     assert!(loads >= all / turns - TRANSCRIBERS && loads <= all / turns + TRANSCRIBERS + 3, "{loads} loads");
-    assert_eq!(loads < all, slack > 0);
+    assert_eq!(loads < all, allowed_lag > 0);
 }
 
 #[rstest]
-fn where_there_is_one_model_only_all_load_it() {
+fn all_load_the_only_model() {
     let mut planner = Planner::new(Duration::ZERO);
     for number in 0..3 {
         planner.instance(Duration::ZERO, &instance(number, 1));
@@ -131,7 +131,7 @@
 }
 
 #[rstest]
-fn those_that_no_longer_serve_come_first() {
+fn loads_first_where_the_version_no_longer_serves() {
     let mut scene = Scene::new();
     scene.observe(&[1]);
     assert_eq!(scene.name(2), [1, 1, 1, 1, 1], "half of them, as all serve on");
@@ -140,7 +140,7 @@
 }
 
 #[rstest]
-fn a_stricter_job_has_all_of_them_load() {
+fn stricter_job_makes_all_load() {
     let mut scene = Scene::new();
     scene.observe(&[1]);
     scene.name(2);
@@ -153,7 +153,7 @@
 
 /// Two models on each of six transcribers: the jobs of one allow the version before the newest, those of the other none.
 #[rstest]
-fn a_model_that_nobody_serves_goes_before_one_that_is_served_by_an_older_version() {
+fn prefers_a_model_without_serving_transcribers() {
     const STRICT: &str = "strict";
     let start = Duration::from_secs(1);
     let mut planner = Planner::new(start);
@@ -180,12 +180,12 @@
 
 /// Three models on six transcribers: four of them are to serve each, and one that leaves is none of these.
 #[rstest]
-fn a_transcriber_that_leaves_does_not_count_as_serving() {
+fn draining_transcriber_does_not_count_as_serving() {
     let mut planner = Planner::new(Duration::ZERO);
-    let models = [MODEL, OTHER, "ravo486f6a"];
+    let models = [MODEL, OTHER, "model-c"];
     let announce = |planner: &mut Planner, number: usize, generation: u64, state: InstanceState| {
-        let held = |model: &&str| ModelVersion { model: (*model).to_owned(), generation };
-        let models = models.iter().map(held).collect();
+        let loaded = |model: &&str| ModelVersion { model: (*model).to_owned(), generation };
+        let models = models.iter().map(loaded).collect();
         let announced = Instance { models, state, sequence: 1, ..instance(number, generation) };
         planner.instance(Duration::ZERO, &announced);
     };
