--- a/crates/pebblepost-batch-store/src/program/settings.rs
+++ b/crates/pebblepost-batch-store/src/program/settings.rs
@@ -42,7 +42,7 @@
 pub(super) fn store_settings(settings: &Settings, opened: &Opened) -> StoreSettings {
     let job_retention = settings.bounds.job_retention;
     StoreSettings {
-        me: Member {
+        member: Member {
             disk: DiskId(opened.identity),
             node: settings.node_name.clone(),
             address: listen_address(settings).to_string(),
--- a/crates/pebblepost-batch-store/src/store/assignment.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/assignment.rs
@@ -1,8 +1,8 @@
 //! Effects of assignments of groups and of answers to changes of epochs on the replicas of this machine.
 
-use super::Store;
-use super::epoch_changes::{EpochChangeOutcome, epoch_record_of};
-use super::group::Group;
+use crate::store::Store;
+use crate::store::state::epoch_changes::{EpochChangeOutcome, epoch_record_of};
+use crate::store::state::group::Group;
 use pebblepost_messages::batch::STORE_GROUPS;
 use pebblepost_messages::control::GroupEpoch;
 use pebblepost_messages::feed::StoreGroup;
@@ -57,7 +57,7 @@
     }
 
     /// Requests a change of a group's epoch from the control plane.
-    pub(super) fn request_epoch_change(
+    pub(crate) fn request_epoch_change(
         &mut self, now: Duration, group_id: u32, expected: u64, record: EpochRecord,
     ) {
         log::info!(
@@ -70,7 +70,7 @@
     }
 
     /// Lets replicas request changes of their epoch again whose answer timed out.
-    pub(super) fn time_out_epoch_changes(&mut self, now: Duration) {
+    pub(crate) fn time_out_epoch_changes(&mut self, now: Duration) {
         for group_id in self.epoch_changes.take_timed_out(now) {
             if let Some(group) = self.groups.get_mut(&group_id) {
                 group.replica.change_ended(now);
@@ -80,7 +80,7 @@
     }
 
     /// Hands the newest assignment of a group on to its replica.
-    pub(super) fn configure_group(&mut self, now: Duration, group_id: u32) {
+    pub(crate) fn configure_group(&mut self, now: Duration, group_id: u32) {
         let Some(assignment) = self.membership.assignment(group_id) else { return };
         let record = epoch_record(assignment);
         let targets = self.membership.targets(assignment);
@@ -90,7 +90,7 @@
     }
 
     /// Hands the targets of all groups on to their replicas again: a machine drains, or does no longer.
-    pub(super) fn reconfigure_groups(&mut self, now: Duration) {
+    pub(crate) fn reconfigure_groups(&mut self, now: Duration) {
         for group_id in self.group_ids() {
             self.configure_group(now, group_id);
             self.process_replica_outputs(now, group_id);
@@ -104,7 +104,7 @@
     /// confirmed something. The replica is therefore kept until the control plane has gone beyond that epoch,
     /// or the primary of that epoch answers that it requested no such change; and until no machine has sent
     /// it anything for [`UNUSED_REPLICA_TIMEOUT`].
-    pub(super) fn drop_unassigned_replicas(&mut self, now: Duration) {
+    pub(crate) fn drop_unassigned_replicas(&mut self, now: Duration) {
         let is_unused = |group: &Group| now.saturating_sub(group.last_message_at) >= UNUSED_REPLICA_TIMEOUT;
         let unused = self.groups.iter().filter(|(_, group)| is_unused(group));
         let group_ids: Vec<u32> = unused.map(|(group_id, _)| *group_id).collect();
--- a/crates/pebblepost-batch-store/src/store/job_calls.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/job_calls.rs
@@ -1,8 +1,8 @@
 //! Calls of proxies about jobs: submit, end, read results, read the body of an item.
 
-use super::Store;
-use super::group::PendingRead;
-use super::proposals::{Caller, Proposal};
+use crate::store::Store;
+use crate::store::state::group::{Group, PendingRead};
+use crate::store::state::proposals::{Caller, Proposal};
 use pebblepost_batch::command::Change;
 use pebblepost_batch::job::{StoredJob, estimated_job_bytes};
 use pebblepost_messages::batch::{FromStore, Job, JobAnswer, ResultPage, SubmitOutcome, store_group_of};
@@ -15,7 +15,7 @@
 
 impl Store {
     /// Stores a job. Idempotent: calls with the id of a stored or proposed job are accepted with it.
-    pub(super) fn submit(&mut self, now: Duration, caller: Caller, group_id: u32, job: Job) {
+    pub(crate) fn submit(&mut self, now: Duration, caller: Caller, group_id: u32, job: Job) {
         if store_group_of(&job.id) != group_id {
             log::error!("submitted job is not of its group job={} group={group_id}", job.id);
             return self.reply_submitted(&[caller], SubmitOutcome::NotPrimary);
@@ -49,7 +49,7 @@
     }
 
     /// Ends a job. Idempotent.
-    pub(super) fn end_job(&mut self, now: Duration, caller: Caller, group_id: u32, job: String) {
+    pub(crate) fn end_job(&mut self, now: Duration, caller: Caller, group_id: u32, job: String) {
         let Some(group) = self.acting_group(now, group_id) else {
             return self.reply_ended(&[caller], &JobAnswer::Uncertain);
         };
@@ -73,7 +73,7 @@
     }
 
     /// Answers with the body of a pending item.
-    pub(super) fn read_body(&mut self, now: Duration, caller: Caller, group_id: u32, job: &str, item: &str) {
+    pub(crate) fn read_body(&mut self, now: Duration, caller: Caller, group_id: u32, job: &str, item: &str) {
         let answer = match self.acting_group(now, group_id) {
             None => JobAnswer::Uncertain,
             Some(group) => body_of(group.state().job(job), item),
@@ -82,7 +82,7 @@
     }
 
     /// Answers a read, or keeps it until there is a result.
-    pub(super) fn read_results(&mut self, now: Duration, group_id: u32, read: PendingRead) {
+    pub(crate) fn read_results(&mut self, now: Duration, group_id: u32, read: PendingRead) {
         let Some(group) = self.acting_group(now, group_id) else {
             return self.reply_results(read.caller, JobAnswer::Uncertain);
         };
@@ -100,35 +100,35 @@
     }
 
     /// Answers the reads of some jobs, which got results or have ended.
-    pub(super) fn answer_reads_of(&mut self, now: Duration, group_id: u32, jobs: &[String]) {
+    pub(crate) fn answer_reads_of(&mut self, now: Duration, group_id: u32, jobs: &[String]) {
         self.answer_reads(now, group_id, |read| jobs.contains(&read.job));
     }
 
     /// Answers the reads whose deadline has passed.
-    pub(super) fn answer_overdue_reads(&mut self, now: Duration, group_id: u32) {
+    pub(crate) fn answer_overdue_reads(&mut self, now: Duration, group_id: u32) {
         self.answer_reads(now, group_id, |read| now >= read.deadline);
     }
 
-    pub(super) fn reply_submitted(&mut self, callers: &[Caller], outcome: SubmitOutcome) {
+    pub(crate) fn reply_submitted(&mut self, callers: &[Caller], outcome: SubmitOutcome) {
         for caller in callers {
             self.outbox.reply(caller.link, FromStore::Submitted { call: caller.call, outcome });
         }
     }
 
-    pub(super) fn reply_ended(&mut self, callers: &[Caller], answer: &JobAnswer<bool>) {
+    pub(crate) fn reply_ended(&mut self, callers: &[Caller], answer: &JobAnswer<bool>) {
         for caller in callers {
             let message = FromStore::Ended { call: caller.call, answer: answer.clone() };
             self.outbox.reply(caller.link, message);
         }
     }
 
-    pub(super) fn reply_results(&mut self, caller: Caller, answer: JobAnswer<ResultPage>) {
+    pub(crate) fn reply_results(&mut self, caller: Caller, answer: JobAnswer<ResultPage>) {
         self.outbox.reply(caller.link, FromStore::Results { call: caller.call, answer });
     }
 
     /// Estimated memory of the jobs on this machine in bytes, proposed ones among them.
-    pub(super) fn estimated_bytes(&self) -> u64 {
-        self.groups.values().map(super::group::Group::estimated_bytes).sum()
+    pub(crate) fn estimated_bytes(&self) -> u64 {
+        self.groups.values().map(Group::estimated_bytes).sum()
     }
 
     fn answer_reads(&mut self, now: Duration, group_id: u32, is_due: impl Fn(&PendingRead) -> bool) {
--- a/crates/pebblepost-batch-store/src/store/leases.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/leases.rs
@@ -1,9 +1,10 @@
 //! Leases of items to proxies: requests for work, outcomes, reports of active leases, renewal.
 
-use super::Store;
-use super::deferred::DeferredResult;
-use super::group::Group;
-use super::outbox::LinkId;
+use crate::store::Store;
+use crate::store::state::deferred::DeferredResult;
+use crate::store::state::group::Group;
+use crate::store::state::lease_outcomes::LeaseOutcomes;
+use crate::store::state::outbox::LinkId;
 use pebblepost_batch::scheduler::{ItemProgress, ProxyId, ProxyLease};
 use pebblepost_messages::batch::{ActiveLease, FromStore, ItemOutcome, ItemResult, Job, ResultState};
 use std::collections::BTreeSet;
@@ -14,18 +15,9 @@
 /// Most items that one answer leases.
 const MAX_LEASED_ITEMS: u32 = 512;
 
-/// The outcomes of items of one lease, as a proxy sent them.
-#[derive(Debug)]
-pub(super) struct LeaseOutcomes {
-    pub(super) lease: ProxyLease,
-    pub(super) group_id: u32,
-    pub(super) job: String,
-    pub(super) outcomes: Vec<ItemOutcome>,
-}
-
 impl Store {
     /// Answers a request for work.
-    pub(super) fn lease_work(&mut self, now: Duration, link: LinkId, max_items: u32) {
+    pub(crate) fn lease_work(&mut self, now: Duration, link: LinkId, max_items: u32) {
         let max_items = usize::try_from(max_items.min(MAX_LEASED_ITEMS)).unwrap_or(0);
         let groups = &self.groups;
         let states = |group_id: u32| {
@@ -38,7 +30,7 @@
 
     /// Takes in the outcomes of items of one lease. Results for a group of which this machine is not yet
     /// primary are deferred.
-    pub(super) fn process_outcomes(&mut self, now: Duration, outcomes: LeaseOutcomes) {
+    pub(crate) fn process_outcomes(&mut self, now: Duration, outcomes: LeaseOutcomes) {
         let LeaseOutcomes { lease, group_id, job, outcomes } = outcomes;
         let is_primary = self.scheduler.has_group(group_id);
         for outcome in outcomes {
@@ -59,7 +51,7 @@
 
     /// Takes in a report of all leases that a proxy holds. Those of groups of which this machine is not yet
     /// primary are deferred.
-    pub(super) fn process_lease_report(&mut self, now: Duration, link: LinkId, leases: Vec<ActiveLease>) {
+    pub(crate) fn process_lease_report(&mut self, now: Duration, link: LinkId, leases: Vec<ActiveLease>) {
         let is_scheduled = |lease: &ActiveLease| self.scheduler.has_group(lease.store_group);
         let (current, deferred): (Vec<_>, Vec<_>) = leases.into_iter().partition(is_scheduled);
         self.deferred.set_reported_leases(link, deferred);
@@ -68,7 +60,7 @@
     }
 
     /// Takes in what proxies sent before this machine became primary of a group.
-    pub(super) fn process_deferred_messages(&mut self, now: Duration, group_id: u32) {
+    pub(crate) fn process_deferred_messages(&mut self, now: Duration, group_id: u32) {
         for (link, leases) in self.deferred.take_reported_leases(group_id) {
             self.restore_leases(now, link, leases);
         }
@@ -78,7 +70,7 @@
     }
 
     /// Renews the leases of all groups of which this machine is acting primary.
-    pub(super) fn renew_leases(&mut self, now: Duration) {
+    pub(crate) fn renew_leases(&mut self, now: Duration) {
         let groups = &self.groups;
         let is_acting = |group_id: u32| groups.get(&group_id).is_some_and(|group| group.is_acting(now));
         for (proxy, group_ids) in self.scheduler.renew_leases(now, is_acting) {
@@ -87,7 +79,7 @@
     }
 
     /// Notifies proxies whose last request for work was not met that there is work now.
-    pub(super) fn notify_idle_proxies(&mut self, now: Duration) {
+    pub(crate) fn notify_idle_proxies(&mut self, now: Duration) {
         let groups = &self.groups;
         let is_shutting_down = self.is_shutting_down;
         let is_acting = |group_id: u32| {
--- a/crates/pebblepost-batch-store/src/store/maintenance.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/maintenance.rs
@@ -1,59 +1,16 @@
 //! Periodic work: renewal of leases, dead-lettering of expired items, deletion of jobs past retention.
 
-use super::Store;
-use super::group::Group;
-use super::proposals::Proposal;
+use crate::store::Store;
+use crate::store::state::group::Group;
+use crate::store::state::proposals::Proposal;
 use pebblepost_batch::command::Change;
 use pebblepost_batch::scheduler::ExpiredItems;
-use pebblepost_messages::batch::{ItemResult, RENEW_MS, ResultState};
+use pebblepost_messages::batch::{ItemResult, ResultState};
 use std::time::Duration;
 
-/// How often leases are renewed.
-const RENEWAL_PERIOD: Duration = Duration::from_millis(RENEW_MS);
-/// How often jobs past their retention are looked for.
-const RETENTION_PERIOD: Duration = Duration::from_secs(5);
-
-/// Work that is done at most once in a period.
-#[derive(Debug)]
-struct PeriodicTask {
-    period: Duration,
-    last_run: Duration,
-}
-
-impl PeriodicTask {
-    fn new(period: Duration) -> PeriodicTask {
-        PeriodicTask { period, last_run: Duration::ZERO }
-    }
-
-    /// Whether the work is due; the next period starts now if it is.
-    fn start_if_due(&mut self, now: Duration) -> bool {
-        let is_due = now.saturating_sub(self.last_run) >= self.period;
-        if is_due {
-            self.last_run = now;
-        }
-        is_due
-    }
-}
-
-/// When the periodic work was done last.
-#[derive(Debug)]
-pub(super) struct Maintenance {
-    renewal: PeriodicTask,
-    retention: PeriodicTask,
-}
-
-impl Default for Maintenance {
-    fn default() -> Maintenance {
-        Maintenance {
-            renewal: PeriodicTask::new(RENEWAL_PERIOD),
-            retention: PeriodicTask::new(RETENTION_PERIOD),
-        }
-    }
-}
-
 impl Store {
     /// Does the periodic work that is due.
-    pub(super) fn run_maintenance(&mut self, now: Duration) {
+    pub(crate) fn run_maintenance(&mut self, now: Duration) {
         if self.maintenance.renewal.start_if_due(now) {
             self.renew_leases(now);
         }
--- /dev/null
+++ b/crates/pebblepost-batch-store/src/store/handlers/mod.rs
@@ -0,0 +1,10 @@
+//! Handlers of the store: methods of [`Store`](super::Store), a file for each kind of input.
+
+mod assignment;
+mod job_calls;
+mod leases;
+mod maintenance;
+mod replica_outputs;
+mod shutdown;
+mod status;
+mod version_lag;
--- a/crates/pebblepost-batch-store/src/store/replica_outputs.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/replica_outputs.rs
@@ -1,8 +1,8 @@
 //! Effects of the outputs of the replicas: messages, writes, changes of epochs, commits, terms as primary.
 
-use super::Store;
-use super::outbox::ReplicaWrite;
-use super::proposals::Proposal;
+use crate::store::Store;
+use crate::store::state::outbox::ReplicaWrite;
+use crate::store::state::proposals::Proposal;
 use pebblepost_batch::clock::GroupClock;
 use pebblepost_messages::batch::{FromStore, JobAnswer, SubmitOutcome, ToStore};
 use pebblepost_replication::replica::ReplicaOutput;
@@ -10,7 +10,7 @@
 
 impl Store {
     /// Carries out the outputs of a group's replica, until there are no more.
-    pub(super) fn process_replica_outputs(&mut self, now: Duration, group_id: u32) {
+    pub(crate) fn process_replica_outputs(&mut self, now: Duration, group_id: u32) {
         loop {
             let outputs = self.groups.get_mut(&group_id).map(|group| group.replica.take_outputs());
             let outputs = outputs.unwrap_or_default();
@@ -57,7 +57,7 @@
     }
 
     /// Ends this machine's term as primary of a group: what it proposed is undecided.
-    pub(super) fn stop_group(&mut self, group_id: u32) {
+    pub(crate) fn stop_group(&mut self, group_id: u32) {
         if self.scheduler.has_group(group_id) {
             log::info!("stopped being primary group={group_id}");
         }
--- a/crates/pebblepost-batch-store/src/store/shutdown.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/shutdown.rs
@@ -1,6 +1,6 @@
 //! Graceful shutdown: other machines take over the groups of a machine before it stops.
 
-use super::Store;
+use crate::store::Store;
 use pebblepost_messages::batch::ToStore;
 use pebblepost_messages::{DiskId, Member};
 use std::time::Duration;
@@ -10,7 +10,7 @@
     /// primary in its place. It stops being needed once [`Store::is_in_sync_replica`] is false.
     pub fn start_shutdown(&mut self, now: Duration) {
         self.is_shutting_down = true;
-        self.membership.start_draining(self.settings.me.disk);
+        self.membership.start_draining(self.settings.member.disk);
         for peer in self.membership.peers() {
             self.outbox.send_to_peer(peer, ToStore::ShuttingDown);
         }
@@ -19,13 +19,13 @@
 
     /// Whether this machine is an in-sync replica of a group: others rely on it.
     pub fn is_in_sync_replica(&self) -> bool {
-        let local = self.settings.me.disk;
+        let local = self.settings.member.disk;
         let is_local = |member: &Member| member.disk == local;
         self.groups.values().any(|group| group.replica.record().in_sync.iter().any(is_local))
     }
 
     /// Another storage machine has started a graceful shutdown.
-    pub(super) fn peer_shutting_down(&mut self, now: Duration, disk: DiskId) {
+    pub(crate) fn peer_shutting_down(&mut self, now: Duration, disk: DiskId) {
         log::info!("storage machine shutting down disk={:x}", disk.0);
         self.membership.start_draining(disk);
         self.reconfigure_groups(now);
--- a/crates/pebblepost-batch-store/src/store/status.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/status.rs
@@ -1,13 +1,13 @@
 //! State of the store for operators, as JSON. Its keys are part of the operators' interface.
 
-use super::Store;
-use super::group::Group;
-use super::outbox::LinkId;
+use crate::store::Store;
+use crate::store::state::group::Group;
+use crate::store::state::outbox::LinkId;
 use pebblepost_messages::batch::FromStore;
 use std::time::Duration;
 
 impl Store {
-    pub(super) fn reply_status(&mut self, now: Duration, link: LinkId) {
+    pub(crate) fn reply_status(&mut self, now: Duration, link: LinkId) {
         let status = self.status(now).into_bytes();
         self.outbox.reply(link, FromStore::Status(status));
     }
@@ -19,8 +19,8 @@
         format!(
             "{{\"node\":{},\"disk\":\"{:016x}\",\"proxies\":{},\"peers\":{},\"held_bytes\":{},\
              \"most_bytes\":{},\"scheduled_jobs\":{},\"leased_items\":{},\"groups\":[{}]}}",
-            quoted(&self.settings.me.node),
-            self.settings.me.disk.0,
+            quoted(&self.settings.member.node),
+            self.settings.member.disk.0,
             self.connections.proxies().len(),
             self.connections.peer_count(),
             self.estimated_bytes(),
--- a/crates/pebblepost-batch-store/src/store/mod.rs
+++ b/crates/pebblepost-batch-store/src/store/mod.rs
@@ -3,42 +3,20 @@
 //! The caller passes messages, completed writes and the time since an arbitrary start of its monotonic
 //! clock, calls [`Store::take_outputs`] once per turn, and carries out the outputs in order.
 //!
-//! State lies in types of one concern each: `Group` (the replica of a group, its proposals and pending
-//! reads), `Membership` (assignments of groups to machines), `EpochChanges` (requests to the control
-//! plane), `Connections` (links), `DeferredMessages` (what arrived before a term as primary),
-//! `VersionLags`, `Maintenance` and `Outbox`; the [`Scheduler`] decides on leases. [`Store`] joins them: a
-//! file for each kind of input (`assignment`, `job_calls`, `leases`, `maintenance`, `replica_outputs`,
-//! `shutdown`, `status`) holds its handlers.
+//! * `state`: types of one concern each: `Group` (the replica of a group, its proposals and pending reads),
+//!   `Membership` (assignments of groups to machines), `EpochChanges` (requests to the control plane),
+//!   `Connections` (links), `DeferredMessages` (what arrived before a term as primary), `VersionLags`,
+//!   `Maintenance` and `Outbox`. The [`Scheduler`] decides on leases.
+//! * `handlers`: methods of [`Store`], a file for each kind of input.
+//! * This file: [`Store`] itself, which joins the state and passes messages to the handlers.
 
-mod assignment;
-mod connections;
-mod deferred;
-mod epoch_changes;
-mod group;
-mod job_calls;
-mod leases;
-mod maintenance;
-mod membership;
-mod outbox;
-mod proposals;
-mod recovery;
-mod replica_outputs;
-mod shutdown;
-mod status;
-mod version_lag;
+mod handlers;
+mod state;
 
-pub use outbox::{GroupRecord, LinkId, StoreOutput};
-pub use recovery::RecoveryError;
+pub use state::outbox::{GroupRecord, LinkId, StoreOutput};
+pub use state::recovery::RecoveryError;
 
-use connections::{Connections, RemoteProgram};
-use deferred::DeferredMessages;
-use epoch_changes::EpochChanges;
-use group::{Group, PendingRead};
-use leases::LeaseOutcomes;
-use maintenance::Maintenance;
-use membership::Membership;
 use nanoserde::SerBin;
-use outbox::Outbox;
 use pebblepost_batch::admission::Budget;
 use pebblepost_batch::scheduler::{ProxyId, ProxyLease, Scheduler};
 use pebblepost_batch::state::{BatchState, Retention};
@@ -46,10 +24,19 @@
 use pebblepost_messages::batch::{STORE_GROUPS, ToStore};
 use pebblepost_messages::control::ToControl;
 use pebblepost_replication::replica::{DiskRecord, Replica, ReplicaSettings};
-use proposals::Caller;
+use state::connections::{Connections, RemoteProgram};
+use state::deferred::DeferredMessages;
+use state::epoch_changes::EpochChanges;
+use state::group::{Group, PendingRead};
+use state::lease_outcomes::LeaseOutcomes;
+use state::membership::Membership;
+use state::outbox::Outbox;
+use state::periodic::Maintenance;
+use state::proposals::Caller;
+use state::recovery;
+use state::version_lags::VersionLags;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use version_lag::VersionLags;
 
 /// Longest time that a read waits for a result, in milliseconds.
 const MAX_READ_WAIT_MS: u64 = 10_000;
@@ -58,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
     /// This machine and its disk.
-    pub me: Member,
+    pub member: Member,
     /// The disk was empty and this is the first start of the whole system.
     pub bootstrap: bool,
     /// Timing and limits of the replicas.
@@ -96,7 +83,7 @@
     pub fn new(now: Duration, settings: StoreSettings, records: &[Vec<u8>]) -> Result<Store, RecoveryError> {
         let recovered = recovery::read_records(records)?;
         let mut store = Store {
-            membership: Membership::new(settings.me.clone()),
+            membership: Membership::new(settings.member.clone()),
             settings,
             groups: BTreeMap::new(),
             scheduler: Scheduler::default(),
@@ -117,12 +104,12 @@
 
     /// This machine and its disk.
     pub fn member(&self) -> &Member {
-        &self.settings.me
+        &self.settings.member
     }
 
     /// First message on each new connection to the control plane, after the subscription.
     pub fn announcement(&self) -> ToControl {
-        ToControl::StoreHello { member: self.settings.me.clone(), bootstrap: self.settings.bootstrap }
+        ToControl::StoreHello { member: self.settings.member.clone(), bootstrap: self.settings.bootstrap }
     }
 
     /// Another program opened a link to this store.
@@ -151,7 +138,7 @@
             (ToStore::PeerHello { member }, _) => self.peer_connected(now, link, member),
             (ToStore::Replication { to, store_group, message }, Some(RemoteProgram::Peer(peer))) => {
                 let peer = peer.clone();
-                if to == self.settings.me.disk {
+                if to == self.settings.member.disk {
                     self.receive_replication(now, store_group, &peer, &message);
                 }
             }
@@ -262,7 +249,7 @@
 
     /// Creates the replica of a group, with the records that the disk held of it.
     fn open_group(&mut self, now: Duration, group_id: u32, recovered: Vec<DiskRecord>) {
-        let local = self.settings.me.clone();
+        let local = self.settings.member.clone();
         let replica = Replica::new(local, self.settings.replica, BatchState::default(), recovered, now);
         self.last_incarnation += 1;
         self.groups.insert(group_id, Group::new(now, replica, self.last_incarnation));
--- a/crates/pebblepost-batch-store/src/store/connections.rs
+++ b/crates/pebblepost-batch-store/src/store/state/connections.rs
@@ -6,7 +6,7 @@
 
 /// The program at the other end of a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum RemoteProgram {
+pub(crate) enum RemoteProgram {
     /// It has not sent a hello message.
     Unidentified,
     /// A proxy, by the name of its machine.
@@ -17,33 +17,33 @@
 
 /// Open links.
 #[derive(Debug, Default)]
-pub(super) struct Connections {
+pub(crate) struct Connections {
     links: BTreeMap<LinkId, RemoteProgram>,
 }
 
 impl Connections {
     /// Adds a link, or notes who is at its other end.
-    pub(super) fn insert(&mut self, link: LinkId, remote: RemoteProgram) {
+    pub(crate) fn insert(&mut self, link: LinkId, remote: RemoteProgram) {
         self.links.insert(link, remote);
     }
 
-    pub(super) fn remove(&mut self, link: LinkId) -> Option<RemoteProgram> {
+    pub(crate) fn remove(&mut self, link: LinkId) -> Option<RemoteProgram> {
         self.links.remove(&link)
     }
 
     /// Who is at the other end of an open link.
-    pub(super) fn get(&self, link: LinkId) -> Option<&RemoteProgram> {
+    pub(crate) fn get(&self, link: LinkId) -> Option<&RemoteProgram> {
         self.links.get(&link)
     }
 
     /// Links of all proxies.
-    pub(super) fn proxies(&self) -> Vec<LinkId> {
+    pub(crate) fn proxies(&self) -> Vec<LinkId> {
         let is_proxy = |remote: &RemoteProgram| matches!(remote, RemoteProgram::Proxy(_));
         self.links.iter().filter(|(_, remote)| is_proxy(remote)).map(|(link, _)| *link).collect()
     }
 
     /// Number of links that other storage machines opened.
-    pub(super) fn peer_count(&self) -> usize {
+    pub(crate) fn peer_count(&self) -> usize {
         self.links.values().filter(|remote| matches!(remote, RemoteProgram::Peer(_))).count()
     }
 }
--- a/crates/pebblepost-batch-store/src/store/deferred.rs
+++ b/crates/pebblepost-batch-store/src/store/state/deferred.rs
@@ -17,10 +17,10 @@
 
 /// A result of an item.
 #[derive(Debug)]
-pub(super) struct DeferredResult {
-    pub(super) group_id: u32,
-    pub(super) job: String,
-    pub(super) result: ItemResult,
+pub(crate) struct DeferredResult {
+    pub(crate) group_id: u32,
+    pub(crate) job: String,
+    pub(crate) result: ItemResult,
 }
 
 impl DeferredResult {
@@ -31,7 +31,7 @@
 
 /// Lease reports and results that arrived too early.
 #[derive(Debug, Default)]
-pub(super) struct DeferredMessages {
+pub(crate) struct DeferredMessages {
     reported_leases: BTreeMap<LinkId, Vec<ActiveLease>>,
     /// Results with the time of their arrival.
     results: VecDeque<(Duration, DeferredResult)>,
@@ -40,24 +40,24 @@
 
 impl DeferredMessages {
     /// Keeps the leases of the newest report of a proxy.
-    pub(super) fn set_reported_leases(&mut self, link: LinkId, leases: Vec<ActiveLease>) {
+    pub(crate) fn set_reported_leases(&mut self, link: LinkId, leases: Vec<ActiveLease>) {
         self.reported_leases.insert(link, leases);
     }
 
     /// The link of a proxy is lost: its report is void.
-    pub(super) fn remove_link(&mut self, link: LinkId) {
+    pub(crate) fn remove_link(&mut self, link: LinkId) {
         self.reported_leases.remove(&link);
     }
 
     /// Removes the reported leases of a group, by proxy.
-    pub(super) fn take_reported_leases(&mut self, group_id: u32) -> Vec<(LinkId, Vec<ActiveLease>)> {
+    pub(crate) fn take_reported_leases(&mut self, group_id: u32) -> Vec<(LinkId, Vec<ActiveLease>)> {
         let is_of_group = |lease: &mut ActiveLease| lease.store_group == group_id;
         let reports = self.reported_leases.iter_mut();
         reports.map(|(link, leases)| (*link, leases.extract_if(.., is_of_group).collect())).collect()
     }
 
     /// Keeps a result; the oldest are dropped by age and size.
-    pub(super) fn push_result(&mut self, now: Duration, result: DeferredResult) {
+    pub(crate) fn push_result(&mut self, now: Duration, result: DeferredResult) {
         self.result_bytes += result.estimated_bytes();
         self.results.push_back((now, result));
         while self.results.front().is_some_and(|(at, _)| now.saturating_sub(*at) > MAX_RESULT_AGE)
@@ -69,7 +69,7 @@
     }
 
     /// Removes the results of a group, oldest first.
-    pub(super) fn take_results(&mut self, group_id: u32) -> Vec<DeferredResult> {
+    pub(crate) fn take_results(&mut self, group_id: u32) -> Vec<DeferredResult> {
         let (taken, kept): (VecDeque<_>, VecDeque<_>) = std::mem::take(&mut self.results)
             .into_iter()
             .partition(|(_, result)| result.group_id == group_id);
--- a/crates/pebblepost-batch-store/src/store/epoch_changes.rs
+++ b/crates/pebblepost-batch-store/src/store/state/epoch_changes.rs
@@ -20,7 +20,7 @@
 
 /// Result of a change.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum EpochChangeOutcome {
+pub(crate) enum EpochChangeOutcome {
     /// The proposed record is in force.
     Accepted(EpochRecord),
     /// Another record is in force.
@@ -31,14 +31,14 @@
 
 /// Unanswered changes, at most one of each group.
 #[derive(Debug, Default)]
-pub(super) struct EpochChanges {
+pub(crate) struct EpochChanges {
     last_request: u64,
     pending: BTreeMap<u32, EpochChange>,
 }
 
 impl EpochChanges {
     /// Adds a change in place of an earlier one of the group; the message that requests it.
-    pub(super) fn request(
+    pub(crate) fn request(
         &mut self, now: Duration, group_id: u32, expected_epoch: u64, record: EpochRecord,
     ) -> ToControl {
         self.last_request += 1;
@@ -49,12 +49,12 @@
     }
 
     /// Messages that request all unanswered changes again, on a new connection.
-    pub(super) fn repeated_messages(&self) -> Vec<ToControl> {
+    pub(crate) fn repeated_messages(&self) -> Vec<ToControl> {
         self.pending.iter().map(|(group_id, change)| change.message(*group_id)).collect()
     }
 
     /// Takes in an answer.
-    pub(super) fn answered(
+    pub(crate) fn answered(
         &mut self, request: u64, group_id: u32, current: &GroupEpoch,
     ) -> EpochChangeOutcome {
         if self.pending.get(&group_id).is_none_or(|change| change.request != request) {
@@ -69,12 +69,12 @@
     }
 
     /// Abandons the change of a group whose replica is dropped.
-    pub(super) fn remove(&mut self, group_id: u32) {
+    pub(crate) fn remove(&mut self, group_id: u32) {
         self.pending.remove(&group_id);
     }
 
     /// Abandons the changes whose answer is overdue; their groups.
-    pub(super) fn take_timed_out(&mut self, now: Duration) -> Vec<u32> {
+    pub(crate) fn take_timed_out(&mut self, now: Duration) -> Vec<u32> {
         let is_timed_out = |change: &EpochChange| now.saturating_sub(change.requested_at) >= REQUEST_TIMEOUT;
         let timed_out = self.pending.iter().filter(|(_, change)| is_timed_out(change));
         let group_ids: Vec<u32> = timed_out.map(|(group_id, _)| *group_id).collect();
@@ -103,7 +103,7 @@
 }
 
 /// The record of an epoch; `None` unless all its members are known.
-pub(super) fn epoch_record_of(epoch: &GroupEpoch, members: &BTreeMap<DiskId, Member>) -> Option<EpochRecord> {
+pub(crate) fn epoch_record_of(epoch: &GroupEpoch, members: &BTreeMap<DiskId, Member>) -> Option<EpochRecord> {
     let in_sync: Option<Vec<Member>> = epoch.in_sync.iter().map(|disk| members.get(disk).cloned()).collect();
     Some(EpochRecord {
         epoch: epoch.epoch,
--- a/crates/pebblepost-batch-store/src/store/group.rs
+++ b/crates/pebblepost-batch-store/src/store/state/group.rs
@@ -11,33 +11,33 @@
 
 /// A read that waits for a result.
 #[derive(Debug)]
-pub(super) struct PendingRead {
-    pub(super) caller: Caller,
-    pub(super) job: String,
+pub(crate) struct PendingRead {
+    pub(crate) caller: Caller,
+    pub(crate) job: String,
     /// Position of the first result to return.
-    pub(super) start: u64,
+    pub(crate) start: u64,
     /// When it is answered without a result.
-    pub(super) deadline: Duration,
+    pub(crate) deadline: Duration,
 }
 
 /// One group of batch jobs on this machine.
 #[derive(Debug)]
-pub(super) struct Group {
-    pub(super) replica: Replica<BatchState>,
+pub(crate) struct Group {
+    pub(crate) replica: Replica<BatchState>,
     /// Number of this replica among all that this process has created; a group may be dropped and opened
     /// again.
-    pub(super) incarnation: u64,
+    pub(crate) incarnation: u64,
     /// When another machine last sent a message for the group, or it was opened.
-    pub(super) last_message_at: Duration,
-    pub(super) proposals: Proposals,
-    pub(super) pending_reads: Vec<PendingRead>,
+    pub(crate) last_message_at: Duration,
+    pub(crate) proposals: Proposals,
+    pub(crate) pending_reads: Vec<PendingRead>,
     clock: GroupClock,
     /// Results that are not proposed yet, by job.
     buffered_results: BTreeMap<String, Vec<ItemResult>>,
 }
 
 impl Group {
-    pub(super) fn new(now: Duration, replica: Replica<BatchState>, incarnation: u64) -> Group {
+    pub(crate) fn new(now: Duration, replica: Replica<BatchState>, incarnation: u64) -> Group {
         let clock = GroupClock::new(now, replica.state().clock_ms());
         Group {
             replica,
@@ -51,22 +51,22 @@
     }
 
     /// Whether this machine is acting primary of the group: its lease lets it answer.
-    pub(super) fn is_acting(&self, now: Duration) -> bool {
+    pub(crate) fn is_acting(&self, now: Duration) -> bool {
         self.replica.is_acting(now)
     }
 
-    pub(super) fn state(&self) -> &BatchState {
+    pub(crate) fn state(&self) -> &BatchState {
         self.replica.state()
     }
 
     /// The group's time, brought up to date with the committed entries.
-    pub(super) fn clock(&mut self, now: Duration) -> GroupClock {
+    pub(crate) fn clock(&mut self, now: Duration) -> GroupClock {
         self.clock.observe(now, self.replica.state().clock_ms());
         self.clock
     }
 
     /// Proposes a change.
-    pub(super) fn propose(
+    pub(crate) fn propose(
         &mut self, now: Duration, change: Change, proposal: Proposal,
     ) -> Result<(), ProposeError> {
         let now_ms = self.clock(now).now_ms(now);
@@ -76,24 +76,24 @@
     }
 
     /// Removes all that is not committed, results not proposed yet among it: it is undecided.
-    pub(super) fn take_uncommitted(&mut self) -> Vec<Proposal> {
+    pub(crate) fn take_uncommitted(&mut self) -> Vec<Proposal> {
         self.buffered_results.clear();
         self.proposals.take_all()
     }
 
     /// Estimated memory of the stored and the proposed jobs in bytes.
-    pub(super) fn estimated_bytes(&self) -> u64 {
+    pub(crate) fn estimated_bytes(&self) -> u64 {
         self.state().estimated_bytes() + self.proposals.estimated_bytes()
     }
 
     /// Buffers a result until it is proposed.
-    pub(super) fn buffer_result(&mut self, job: &str, result: ItemResult) {
+    pub(crate) fn buffer_result(&mut self, job: &str, result: ItemResult) {
         self.buffered_results.entry(job.to_owned()).or_default().push(result);
     }
 
     /// Proposes the buffered results as one entry, unless earlier ones are in flight: those that arrive
     /// meanwhile are proposed together.
-    pub(super) fn propose_results(&mut self, now: Duration) {
+    pub(crate) fn propose_results(&mut self, now: Duration) {
         if self.buffered_results.is_empty() || self.proposals.has_results() || !self.is_acting(now) {
             return;
         }
--- /dev/null
+++ b/crates/pebblepost-batch-store/src/store/state/mod.rs
@@ -0,0 +1,13 @@
+//! State of the store: types of one concern each, which do not know the store.
+
+pub(crate) mod connections;
+pub(crate) mod deferred;
+pub(crate) mod epoch_changes;
+pub(crate) mod group;
+pub(crate) mod lease_outcomes;
+pub(crate) mod membership;
+pub(crate) mod outbox;
+pub(crate) mod periodic;
+pub(crate) mod proposals;
+pub(crate) mod recovery;
+pub(crate) mod version_lags;
--- a/crates/pebblepost-batch-store/src/store/outbox.rs
+++ b/crates/pebblepost-batch-store/src/store/state/outbox.rs
@@ -22,12 +22,12 @@
 
 /// A write of one replica that is not on disk yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct ReplicaWrite {
-    pub(super) group_id: u32,
+pub(crate) struct ReplicaWrite {
+    pub(crate) group_id: u32,
     /// Incarnation of the replica; a group may be dropped and opened again.
-    pub(super) incarnation: u64,
+    pub(crate) incarnation: u64,
     /// Token of the replica for this write.
-    pub(super) token: u64,
+    pub(crate) token: u64,
 }
 
 /// Something the caller must do, in order.
@@ -72,7 +72,7 @@
 
 /// Outputs that wait to be taken. The records of one turn are appended together.
 #[derive(Debug, Default)]
-pub(super) struct Outbox {
+pub(crate) struct Outbox {
     outputs: Vec<StoreOutput>,
     /// Records and writes of this turn.
     turn_records: Vec<Vec<u8>>,
@@ -82,20 +82,20 @@
 }
 
 impl Outbox {
-    pub(super) fn reply(&mut self, link: LinkId, message: FromStore) {
+    pub(crate) fn reply(&mut self, link: LinkId, message: FromStore) {
         self.outputs.push(StoreOutput::Reply { link, message });
     }
 
-    pub(super) fn send_to_peer(&mut self, peer: Member, message: ToStore) {
+    pub(crate) fn send_to_peer(&mut self, peer: Member, message: ToStore) {
         self.outputs.push(StoreOutput::ToPeer { peer, message });
     }
 
-    pub(super) fn send_to_control(&mut self, message: ToControl) {
+    pub(crate) fn send_to_control(&mut self, message: ToControl) {
         self.outputs.push(StoreOutput::ToControl(message));
     }
 
     /// Adds the records of a write to the append of this turn.
-    pub(super) fn persist(&mut self, write: ReplicaWrite, records: Vec<DiskRecord>) {
+    pub(crate) fn persist(&mut self, write: ReplicaWrite, records: Vec<DiskRecord>) {
         let group = write.group_id;
         let encoded =
             records.into_iter().map(|record| GroupRecord { group, record: Some(record) }.serialize_bin());
@@ -104,18 +104,18 @@
     }
 
     /// Voids the records of a group whose replica is dropped.
-    pub(super) fn void_records(&mut self, group: u32) {
+    pub(crate) fn void_records(&mut self, group: u32) {
         self.turn_records.push(GroupRecord { group, record: None }.serialize_bin());
     }
 
     /// Replaces all that is on disk. The append of this turn goes first, so that its ticket comes back.
-    pub(super) fn checkpoint(&mut self, records: Vec<Vec<u8>>) {
+    pub(crate) fn checkpoint(&mut self, records: Vec<Vec<u8>>) {
         self.append_turn();
         self.outputs.push(StoreOutput::Checkpoint { records });
     }
 
     /// Removes the writes that are on disk: those of all appends up to this ticket.
-    pub(super) fn take_synced(&mut self, ticket: u64) -> Vec<ReplicaWrite> {
+    pub(crate) fn take_synced(&mut self, ticket: u64) -> Vec<ReplicaWrite> {
         let mut synced = Vec::new();
         while let Some(append) = self.pending_appends.pop_front_if(|append| append.ticket <= ticket) {
             synced.extend(append.writes);
@@ -124,7 +124,7 @@
     }
 
     /// Ends the turn; the outputs.
-    pub(super) fn take_outputs(&mut self) -> Vec<StoreOutput> {
+    pub(crate) fn take_outputs(&mut self) -> Vec<StoreOutput> {
         self.append_turn();
         std::mem::take(&mut self.outputs)
     }
--- a/crates/pebblepost-batch-store/src/store/recovery.rs
+++ b/crates/pebblepost-batch-store/src/store/state/recovery.rs
@@ -12,7 +12,7 @@
 pub struct RecoveryError(#[from] DeBinErr);
 
 /// The records of each group, in the order written, without those that were voided.
-pub(super) fn read_records(records: &[Vec<u8>]) -> Result<BTreeMap<u32, Vec<DiskRecord>>, RecoveryError> {
+pub(crate) fn read_records(records: &[Vec<u8>]) -> Result<BTreeMap<u32, Vec<DiskRecord>>, RecoveryError> {
     let mut groups: BTreeMap<u32, Vec<DiskRecord>> = BTreeMap::new();
     for bytes in records {
         let GroupRecord { group, record } = GroupRecord::deserialize_bin(bytes)?;
--- a/crates/pebblepost-batch-store/tests/integration/simulation/world.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/world.rs
@@ -332,7 +332,7 @@
     fn settings(&self, machine: usize) -> StoreSettings {
         let millis = Duration::from_millis;
         StoreSettings {
-            me: self.machines[machine].member.clone(),
+            member: self.machines[machine].member.clone(),
             bootstrap: self.now == 0,
             replica: ReplicaSettings {
                 tolerance: Tolerance { machines: self.plan.tolerate, zones: 0, regions: 0 },
--- a/crates/pebblepost-batch-store/tests/integration/stored_form.rs
+++ b/crates/pebblepost-batch-store/tests/integration/stored_form.rs
@@ -86,7 +86,7 @@
 fn settings() -> StoreSettings {
     let millis = Duration::from_millis;
     StoreSettings {
-        me: member(1),
+        member: member(1),
         bootstrap: false,
         replica: ReplicaSettings {
             tolerance: Tolerance { machines: 0, zones: 0, regions: 0 },
