--- a/crates/pebblepost-batch-store/tests/integration/exchanges.rs
+++ b/crates/pebblepost-batch-store/tests/integration/exchanges.rs
@@ -1,8 +1,8 @@
 //! Whole exchanges between proxies and stores, compared with approved texts; `APPROVE=1` in the
 //! environment writes them anew.
 
+use crate::approval::approve;
 use crate::simulation::client::{Request, job};
-use crate::simulation::transcript::approve;
 use crate::simulation::world::{Plan, World};
 use rstest::rstest;
 
@@ -32,7 +32,7 @@
     world.call(0, Request::End { job: "permits-1".to_owned() });
     world.call(0, read("permits-1", 0, 1_000));
     world.run(30);
-    approve("job.txt", &world.transcript);
+    approve("transcripts/job.txt", &world.transcript);
 }
 
 #[rstest]
@@ -45,7 +45,7 @@
     world.call(0, Request::End { job: "unknown".to_owned() });
     world.call(0, Request::Body { job: "minutes".to_owned(), item: "unknown".to_owned() });
     world.run(50);
-    approve("custody.txt", &world.transcript);
+    approve("transcripts/custody.txt", &world.transcript);
 }
 
 #[rstest]
@@ -59,5 +59,5 @@
     world.run(2_400);
     world.call(0, read(id, 0, 500));
     world.run(100);
-    approve("takeover.txt", &world.transcript);
+    approve("transcripts/takeover.txt", &world.transcript);
 }
--- a/crates/pebblepost-batch-store/tests/integration/schedules.rs
+++ b/crates/pebblepost-batch-store/tests/integration/schedules.rs
@@ -1,9 +1,9 @@
 //! Random days of a simulated deployment: what was acknowledged or read stays, whatever is lost
 //! within what must be tolerated.
 
+use crate::approval::approve;
 use crate::simulation::client::{Request, job};
 use crate::simulation::digest::Digest;
-use crate::simulation::transcript::approve;
 use crate::simulation::world::{Plan, World};
 use rand::RngExt;
 use rstest::rstest;
@@ -312,5 +312,5 @@
 #[rstest]
 fn runs_match_the_approved_digests() {
     let lines: Vec<String> = (950..956).map(day).collect();
-    approve("days.txt", &lines);
+    approve("transcripts/days.txt", &lines);
 }
--- a/crates/pebblepost-batch-store/tests/integration/simulation/transcript.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/transcript.rs
@@ -1,4 +1,4 @@
-//! Messages between proxies and stores as lines, and their comparison with an approved text.
+//! Messages between proxies and stores as lines.
 //!
 //! The words of the lines are fixed here: they do not follow the names of types and fields in the code.
 
@@ -6,10 +6,6 @@
     ActiveLease, FromStore, ItemOutcome, ItemResult, JobAnswer, ResultPage, SubmitOutcome, ToStore, WorkLease,
 };
 use std::fmt::Debug;
-use std::path::Path;
-
-/// Set to write the approved texts anew.
-const APPROVE_VARIABLE: &str = "APPROVE";
 
 /// A message to a store.
 pub fn to_store(message: &ToStore) -> String {
@@ -74,17 +70,6 @@
     }
 }
 
-/// Compares lines with the approved ones of `tests/transcripts`.
-pub fn approve(name: &str, lines: &[String]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/transcripts").join(name);
-    let text = lines.join("\n") + "\n";
-    if std::env::var_os(APPROVE_VARIABLE).is_some() {
-        std::fs::write(&path, &text).expect("writing the approved text");
-    }
-    let approved = std::fs::read_to_string(&path).unwrap_or_default();
-    assert!(approved == text, "{} differs; received:\n{text}", path.display());
-}
-
 fn submit_outcome(outcome: SubmitOutcome) -> String {
     match outcome {
         SubmitOutcome::Accepted => "Accepted".to_owned(),
--- a/crates/pebblepost-batch-store/tests/integration/stored_form.rs
+++ b/crates/pebblepost-batch-store/tests/integration/stored_form.rs
@@ -1,6 +1,7 @@
 //! Records on the disk and the status of a store by their bytes: those of earlier versions are read,
 //! and the same are written.
 
+use crate::approval::{approve, approved};
 use nanoserde::{DeBin, SerBin};
 use pebblepost_batch::admission::Budget;
 use pebblepost_batch::command::{Change, Command};
@@ -13,26 +14,8 @@
 use pebblepost_replication::record::{EpochRecord, Tolerance};
 use pebblepost_replication::replica::{DiskRecord, ReplicaSettings, StateMachine};
 use rstest::rstest;
-use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-fn path(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/approved").join(name)
-}
-
-fn approved(name: &str) -> String {
-    std::fs::read_to_string(path(name)).unwrap_or_default()
-}
-
-/// Compares lines with the approved ones of `tests/approved`; `APPROVE=1` writes them anew.
-fn approve(name: &str, lines: &[String]) {
-    let text = lines.join("\n") + "\n";
-    if std::env::var_os("APPROVE").is_some() {
-        std::fs::write(path(name), &text).expect("writing the approved text");
-    }
-    assert!(approved(name) == text, "{name} differs; received:\n{text}");
-}
-
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
@@ -106,12 +89,12 @@
 fn records_encode_to_the_approved_bytes() {
     let lines =
         records().into_iter().map(|(name, record)| format!("{name} {}", hex(&record.serialize_bin())));
-    approve("records.txt", &lines.collect::<Vec<_>>());
+    approve("approved/records.txt", &lines.collect::<Vec<_>>());
 }
 
 #[rstest]
 fn records_of_earlier_versions_are_read() {
-    for (line, (name, record)) in approved("records.txt").lines().zip(records()) {
+    for (line, (name, record)) in approved("approved/records.txt").lines().zip(records()) {
         let bytes = line.split_once(' ').map(|(_, bytes)| from_hex(bytes)).expect("a name and bytes");
         assert_eq!(GroupRecord::deserialize_bin(&bytes).expect("can be read"), record, "{name}");
     }
@@ -119,7 +102,7 @@
 
 #[rstest]
 fn resumes_from_records_of_earlier_versions() {
-    let bytes = approved("records.txt");
+    let bytes = approved("approved/records.txt");
     let records: Vec<Vec<u8>> =
         bytes.lines().filter_map(|line| line.split_once(' ')).map(|(_, bytes)| from_hex(bytes)).collect();
     let now = Duration::ZERO;
@@ -161,7 +144,7 @@
             statuses.extend(records.iter().map(|record| hex(record)));
         }
     }
-    approve("resumed.txt", &statuses);
+    approve("approved/resumed.txt", &statuses);
 }
 
 #[rstest]
