--- a/crates/pebblepost-control/src/api/request.rs
+++ b/crates/pebblepost-control/src/api/request.rs
@@ -1,6 +1,7 @@
 //! Requests and the operations that they ask for.
 
-use super::{HttpResponse, registration};
+use super::registration;
+use super::response::HttpResponse;
 use crate::state::command::{ChangeMethod, ConfigurationChange};
 use pebblepost_messages::feed::Instance;
 use simd_json::prelude::{ValueAsScalar, ValueObjectAccess, ValueObjectAccessAsScalar};
--- a/crates/pebblepost-control/src/feed/pending.rs
+++ b/crates/pebblepost-control/src/feed/pending.rs
@@ -21,8 +21,8 @@
 pub(super) struct PendingUpdates {
     pub(super) configuration: bool,
     pub(super) proxy_count: bool,
-    /// The complete list of transcribers is to be sent.
-    pub(super) complete_list: bool,
+    /// All transcribers are to be sent, as a complete list.
+    pub(super) all_instances: bool,
     instances: BTreeMap<String, Instance>,
     groups: BTreeMap<u32, StoreGroup>,
     named_versions: BTreeMap<String, u64>,
--- a/crates/pebblepost-control/src/feed/publisher.rs
+++ b/crates/pebblepost-control/src/feed/publisher.rs
@@ -18,6 +18,15 @@
 /// Sequence number of a subscription's first batch.
 const FIRST_SEQUENCE: u64 = 1;
 
+/// A patch in the form in which it is sent.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PublishedPatch {
+    /// Version that it is based on.
+    pub base: u64,
+    /// The patch, JSON.
+    pub patch: Vec<u8>,
+}
+
 /// A configuration in the forms in which it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PublishedConfiguration {
@@ -25,17 +34,25 @@
     pub generation: u64,
     /// The complete document.
     pub document: Vec<u8>,
-    /// The patch that produced it, with the version that the patch is based on.
-    pub patch: Option<(u64, Vec<u8>)>,
+    /// The patch that produced it, if it was produced by one.
+    pub patch: Option<PublishedPatch>,
 }
 
 /// What the caller has to do for the publisher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedAction {
-    /// Send a message.
-    Send(ConnectionId, FromControl),
+    /// Send a message to a subscriber.
+    Send {
+        /// Its connection.
+        connection: ConnectionId,
+        /// The message.
+        message: FromControl,
+    },
     /// Disconnect a subscriber that has timed out.
-    Disconnect(ConnectionId),
+    Disconnect {
+        /// Its connection.
+        connection: ConnectionId,
+    },
 }
 
 /// The feed of a primary.
@@ -58,8 +75,8 @@
 }
 
 impl FeedPublisher {
-    /// A publisher that continues from the `state` replicated as a standby. The list of transcribers counts as
-    /// incomplete until [`Self::complete_list`].
+    /// A publisher that continues from the `state` replicated as a standby. The transcribers count as
+    /// incomplete until [`Self::complete_instances`].
     pub fn new(now: Duration, state: FeedState) -> FeedPublisher {
         FeedPublisher {
             inherited_count: state.proxy_count(),
@@ -139,10 +156,10 @@
         self.pending.schedule(now, urgency);
     }
 
-    /// Declares the list of transcribers complete: one that is not in it has terminated.
-    pub fn complete_list(&mut self, now: Duration) {
+    /// Declares the published transcribers complete: one that is not among them has terminated.
+    pub fn complete_instances(&mut self, now: Duration) {
         self.state.set_instances_complete();
-        self.pending.complete_list = true;
+        self.pending.all_instances = true;
         self.pending.schedule(now, Urgency::Coalesced);
     }
 
@@ -212,12 +229,12 @@
         }
         self.flush_due(now);
         for connection in self.subscriptions.timed_out(now) {
-            self.actions.push(FeedAction::Disconnect(connection));
+            self.actions.push(FeedAction::Disconnect { connection });
             self.unsubscribe(now, connection);
         }
         for connection in self.subscriptions.idle(now) {
             self.subscriptions.keep_alive_sent(now, connection);
-            self.actions.push(FeedAction::Send(connection, FromControl::KeepAlive));
+            self.actions.push(FeedAction::Send { connection, message: FromControl::KeepAlive });
         }
     }
 
@@ -255,7 +272,7 @@
     /// The updates that all subscribers get.
     fn common_updates(&mut self, pending: &PendingUpdates) -> Vec<FeedUpdate> {
         let mut updates = Vec::new();
-        if pending.complete_list {
+        if pending.all_instances {
             let instances = self.state.instances().cloned().collect();
             updates.push(FeedUpdate::Instances { complete: true, instances });
         }
@@ -276,7 +293,7 @@
         let PublishedConfiguration { generation, document, .. } = &self.configuration;
         let generation = *generation;
         let update = match &self.configuration.patch {
-            Some((base, patch)) if *base == known => {
+            Some(PublishedPatch { base, patch }) if *base == known => {
                 ConfigurationUpdate::Patch { base: *base, generation, patch: patch.clone() }
             }
             _ => self.compressed.get_or_init(|| compression::compress(generation, document)).clone(),
@@ -299,7 +316,7 @@
 
     fn send(&mut self, now: Duration, connection: ConnectionId, sequence: u64, updates: Vec<FeedUpdate>) {
         self.subscriptions.batch_sent(now, connection, self.configuration.generation);
-        let batch = FeedBatch { sequence, updates };
-        self.actions.push(FeedAction::Send(connection, FromControl::Feed(batch)));
+        let message = FromControl::Feed(FeedBatch { sequence, updates });
+        self.actions.push(FeedAction::Send { connection, message });
     }
 }
--- a/crates/pebblepost-control/src/membership/peers.rs
+++ b/crates/pebblepost-control/src/membership/peers.rs
@@ -81,8 +81,8 @@
     pub fn add_candidates(&mut self, addresses: &[String]) {
         for address in addresses {
             let is_own = *address == self.me.address;
-            let has_room = self.candidates.len() < MAX_CANDIDATES;
-            if !is_own && has_room && address.parse::<SocketAddr>().is_ok() {
+            let has_capacity = self.candidates.len() < MAX_CANDIDATES;
+            if !is_own && has_capacity && address.parse::<SocketAddr>().is_ok() {
                 self.candidates.insert(address.clone());
             }
         }
--- a/crates/pebblepost-control/src/membership/witnesses.rs
+++ b/crates/pebblepost-control/src/membership/witnesses.rs
@@ -1,6 +1,6 @@
 //! The witness set of the epoch register: the primary replaces failed witnesses and extends the set to its size.
 
-use super::PeerStatus;
+use super::peers::PeerStatus;
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
 use std::time::Duration;
--- a/crates/pebblepost-control/src/node/control_group.rs
+++ b/crates/pebblepost-control/src/node/control_group.rs
@@ -8,8 +8,8 @@
 use crate::state::command::Command;
 use crate::state::disk_record::{ControlRecord, RecoveredState};
 use nanoserde::{DeBin, SerBin};
-use pebblepost_messages::Member;
 use pebblepost_messages::control::ToControl;
+use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
 use pebblepost_replication::register::{Register, RegisterOutput, WitnessState};
 use pebblepost_replication::replica::{ProposeError, Replica, ReplicaOutput, ReplicaSettings};
@@ -150,7 +150,7 @@
     }
 
     /// Disks of the processes that this one has heard from lately.
-    pub(super) fn set_reachable(&mut self, disks: BTreeSet<pebblepost_messages::DiskId>) {
+    pub(super) fn set_reachable(&mut self, disks: BTreeSet<DiskId>) {
         self.replica.set_reachable(disks);
     }
 
--- a/crates/pebblepost-control/src/node/inbound_links.rs
+++ b/crates/pebblepost-control/src/node/inbound_links.rs
@@ -20,6 +20,13 @@
     last_sent: Duration,
 }
 
+/// A link that was removed.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ClosedLink {
+    /// Disk of the storage node that was at its other end.
+    pub(super) store: Option<DiskId>,
+}
+
 /// All inbound links.
 #[derive(Debug, Default)]
 pub(super) struct InboundLinks {
@@ -32,7 +39,7 @@
         self.links.entry(connection).or_default();
     }
 
-    /// Removes a link. Whether it was known, and the disk of the storage node at its other end.
+    /// Removes a link, if it is known.
     pub(super) fn close(&mut self, connection: ConnectionId) -> Option<ClosedLink> {
         self.links.remove(&connection).map(|link| ClosedLink { store: link.store })
     }
@@ -89,10 +96,3 @@
         }
     }
 }
-
-/// A link that was removed.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct ClosedLink {
-    /// Disk of the storage node that was at its other end.
-    pub(super) store: Option<DiskId>,
-}
--- a/crates/pebblepost-control/src/node/leadership.rs
+++ b/crates/pebblepost-control/src/node/leadership.rs
@@ -76,7 +76,7 @@
         let change = self.registry.expire(now);
         if let Some(primary) = &mut self.primary {
             primary.publish_registry_change(now, &change);
-            primary.complete_list_if_due(now);
+            primary.complete_instances_if_due(now);
         }
         self.maintain_witnesses(now);
     }
@@ -89,8 +89,8 @@
         primary.feed.flush_due(now);
         for action in primary.feed.take_actions() {
             match action {
-                FeedAction::Send(connection, message) => self.send(now, connection, message),
-                FeedAction::Disconnect(connection) => self.redirect(now, connection),
+                FeedAction::Send { connection, message } => self.send(now, connection, message),
+                FeedAction::Disconnect { connection } => self.redirect(now, connection),
             }
         }
     }
--- a/crates/pebblepost-control/src/node/links.rs
+++ b/crates/pebblepost-control/src/node/links.rs
@@ -91,6 +91,12 @@
         self.inbound.send(now, connection, message, &mut self.outputs);
     }
 
+    /// Sends one program the link addresses of the control processes.
+    pub(super) fn send_members(&mut self, now: Duration, connection: ConnectionId) {
+        let members = FromControl::Members(self.peers.advertised(now, self.group.record()));
+        self.send(now, connection, members);
+    }
+
     /// Sends all programs the link addresses of the control processes when they have changed, so that no program is
     /// left with addresses of replaced processes only.
     pub(super) fn advertise_members(&mut self, now: Duration) {
@@ -148,11 +154,6 @@
         self.send_members(now, connection);
     }
 
-    pub(super) fn send_members(&mut self, now: Duration, connection: ConnectionId) {
-        let members = FromControl::Members(self.peers.advertised(now, self.group.record()));
-        self.send(now, connection, members);
-    }
-
     fn connect_store(&mut self, now: Duration, connection: ConnectionId, member: Member, bootstrap: bool) {
         let Some(primary) = &mut self.primary else { return };
         if let Some(former) = self.inbound.set_store(connection, member.disk) {
--- a/crates/pebblepost-control/src/node/primary.rs
+++ b/crates/pebblepost-control/src/node/primary.rs
@@ -6,7 +6,7 @@
 use super::order_lease::OrderLease;
 use super::settings::NodeSettings;
 use super::storage_plan::StoragePlan;
-use crate::feed::{FeedPublisher, PublishedConfiguration, Urgency};
+use crate::feed::{FeedPublisher, PublishedConfiguration, PublishedPatch, Urgency};
 use crate::load_order;
 use crate::registry::{Registry, RegistryChange};
 use crate::state::ControlState;
@@ -39,8 +39,8 @@
     published_groups: BTreeMap<u32, StoreGroup>,
     /// Version of the configuration that the planner has.
     planned_generation: u64,
-    /// When the list of transcribers becomes complete; `None` if it is.
-    complete_list_at: Option<Duration>,
+    /// When the published transcribers become complete; `None` if they are.
+    instances_complete_at: Option<Duration>,
 }
 
 impl Primary {
@@ -62,7 +62,7 @@
             lapsed_since: None,
             published_groups: BTreeMap::new(),
             planned_generation: 0,
-            complete_list_at: Some(registry.grace_until()),
+            instances_complete_at: Some(registry.grace_until()),
         };
         primary.publish(now, state);
         for instance in registry.live() {
@@ -90,11 +90,11 @@
         }
     }
 
-    /// Declares the list of transcribers complete once the registry's grace period has passed.
-    pub(super) fn complete_list_if_due(&mut self, now: Duration) {
-        if self.complete_list_at.is_some_and(|due| now >= due) {
-            self.complete_list_at = None;
-            self.feed.complete_list(now);
+    /// Declares the published transcribers complete once the registry's grace period has passed.
+    pub(super) fn complete_instances_if_due(&mut self, now: Duration) {
+        if self.instances_complete_at.is_some_and(|due| now >= due) {
+            self.instances_complete_at = None;
+            self.feed.complete_instances(now);
         }
     }
 
@@ -186,7 +186,7 @@
     PublishedConfiguration {
         generation: state.generation(),
         document: document.unwrap_or_default(),
-        patch: patch.map(|patch| (patch.base, patch.patch.clone())),
+        patch: patch.map(|last| PublishedPatch { base: last.base, patch: last.patch.clone() }),
     }
 }
 
--- a/crates/pebblepost-control/src/state/snapshot.rs
+++ b/crates/pebblepost-control/src/state/snapshot.rs
@@ -2,12 +2,12 @@
 
 use super::change_history::ChangeHistory;
 use super::configuration::ConfigurationState;
+use super::control_state::ControlState;
 use super::shutdowns::Shutdowns;
 use super::storage::{GroupAssignment, RetirementState, StorageState};
-use super::{ControlState, DiskId};
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use pebblepost_configuration::{Configuration, ConfigurationError};
-use pebblepost_messages::Member;
+use pebblepost_messages::{DiskId, Member};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
@@ -58,12 +58,11 @@
         if bytes.len() > offset { Shutdowns::de_bin(&mut offset, bytes)? } else { Shutdowns::default() };
     let configuration = snapshot.document.map(|document| Configuration::parse(&document)).transpose()?;
     let stores = snapshot.stores.into_iter().map(|(disk, member)| (DiskId(disk), member)).collect();
-    Ok(ControlState {
-        configuration: ConfigurationState::new(configuration, snapshot.history),
-        named_versions: snapshot.named_versions,
-        storage: StorageState { groups: snapshot.groups, stores, retirements: snapshot.retirements },
-        order_lease_holder: snapshot.order_lease_holder,
-        shutdowns,
-        ..ControlState::default()
-    })
+    let mut state = ControlState::default();
+    state.configuration = ConfigurationState::new(configuration, snapshot.history);
+    state.named_versions = snapshot.named_versions;
+    state.storage = StorageState { groups: snapshot.groups, stores, retirements: snapshot.retirements };
+    state.order_lease_holder = snapshot.order_lease_holder;
+    state.shutdowns = shutdowns;
+    Ok(state)
 }
