--- a/crates/pebblepost-control/src/feed/publisher.rs
+++ b/crates/pebblepost-control/src/feed/publisher.rs
@@ -38,7 +38,7 @@
     pub patch: Option<PublishedPatch>,
 }
 
-/// What the caller has to do for the publisher.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedAction {
     /// Send a message to a subscriber.
@@ -253,7 +253,7 @@
         self.subscriptions.statuses(self.newest_flush)
     }
 
-    /// Takes what the caller has to do, in order.
+    /// Takes the pending actions, in order.
     pub fn take_actions(&mut self) -> Vec<FeedAction> {
         std::mem::take(&mut self.actions)
     }
--- a/crates/pebblepost-control/src/membership/peers.rs
+++ b/crates/pebblepost-control/src/membership/peers.rs
@@ -141,7 +141,7 @@
     }
 }
 
-/// All machines that an epoch record names; one with several roles comes several times.
+/// All members that an epoch record names; one with several roles is repeated.
 pub fn members_of(record: &EpochRecord) -> impl Iterator<Item = &Member> {
     record.in_sync.iter().chain(&record.witnesses).chain(&record.former_witnesses)
 }
--- a/crates/pebblepost-control/src/node/control_group.rs
+++ b/crates/pebblepost-control/src/node/control_group.rs
@@ -36,7 +36,7 @@
     SteppedDown,
 }
 
-/// Whose records a write holds, and the token to acknowledge it with.
+/// Whose records a write contains, and the token to acknowledge it with.
 #[derive(Clone, Copy, Debug)]
 enum WriteOwner {
     Bootstrap,
@@ -83,7 +83,7 @@
 }
 
 impl ControlGroup {
-    /// A member with what its disk holds. `bootstrap` is the record that the group was bootstrapped with, where this
+    /// A member with the records recovered from its disk. `bootstrap` is the record that the group was bootstrapped with, where this
     /// process knows it.
     pub(super) fn new(
         now: Duration, settings: &NodeSettings, recovered: RecoveredState, bootstrap: Option<EpochRecord>,
@@ -149,7 +149,7 @@
         self.append(WriteOwner::Bootstrap, vec![ControlRecord::Bootstrap(record)], outputs);
     }
 
-    /// Disks of the processes that this one has heard from lately.
+    /// Sets the disks of the processes that have sent something lately.
     pub(super) fn set_reachable(&mut self, disks: BTreeSet<DiskId>) {
         self.replica.set_reachable(disks);
     }
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Everything that the disk has to hold; `None` while its log must not be replaced.
+    /// The records that replace the disk's log; `None` while it must not be replaced.
     pub(super) fn checkpoint(&self) -> Option<Vec<ControlRecord>> {
         let bootstrap = self.bootstrap.clone().map(ControlRecord::Bootstrap);
         let witness = self.witness.clone().map(ControlRecord::Witness);
@@ -222,7 +222,7 @@
         Some(bootstrap.into_iter().chain(witness).chain(replica).collect())
     }
 
-    /// Processes what the register and the replica want, up to the next event. `None`: nothing is left.
+    /// Processes the outputs of the register and the replica up to the next event; `None` once there are no more.
     pub(super) fn poll(&mut self, now: Duration, outputs: &mut Vec<Output>) -> Option<GroupEvent> {
         loop {
             while let Some(output) = self.replica_outputs.pop_front() {
--- a/crates/pebblepost-control/src/node/control_node.rs
+++ b/crates/pebblepost-control/src/node/control_node.rs
@@ -42,7 +42,7 @@
 }
 
 impl ControlNode {
-    /// A process with what its disk holds.
+    /// A process with the records recovered from its disk.
     pub fn new(now: Duration, settings: NodeSettings, recovered: RecoveredState) -> ControlNode {
         let is_first_start = settings.may_bootstrap && recovered.bootstrap.is_none();
         let derived =
@@ -69,7 +69,7 @@
         node
     }
 
-    /// Takes what has to be done, in order.
+    /// Takes the pending outputs, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
@@ -109,7 +109,7 @@
         &self.registry
     }
 
-    /// Everything that the disk has to hold; `None` while its log must not be replaced.
+    /// The records that replace the disk's log; `None` while it must not be replaced.
     pub fn checkpoint(&self) -> Option<Vec<ControlRecord>> {
         self.group.checkpoint()
     }
--- a/crates/pebblepost-control/src/node/deferred.rs
+++ b/crates/pebblepost-control/src/node/deferred.rs
@@ -47,7 +47,7 @@
         self.links.remove(&connection);
     }
 
-    /// Whether a link waits. Nothing may be sent on it meanwhile: it would be taken for the primary's answer.
+    /// Whether a link waits. Nothing may be sent on it meanwhile: it would pass for the primary's response.
     pub(super) fn contains_link(&self, connection: ConnectionId) -> bool {
         self.links.contains_key(&connection)
     }
--- a/crates/pebblepost-control/src/node/dispatch.rs
+++ b/crates/pebblepost-control/src/node/dispatch.rs
@@ -45,7 +45,7 @@
         self.group.tick(now);
     }
 
-    /// Processes everything that the register and the replica want.
+    /// Processes all outputs of the register and the replica.
     pub(super) fn advance_group(&mut self, now: Duration) {
         while let Some(event) = self.group.poll(now, &mut self.outputs) {
             match event {
--- a/crates/pebblepost-control/src/node/events.rs
+++ b/crates/pebblepost-control/src/node/events.rs
@@ -1,4 +1,4 @@
-//! What a control process reacts to, and what it wants done.
+//! Inputs and outputs of a control process.
 
 use crate::api::{HttpRequest, HttpResponse};
 use crate::feed::ConnectionId;
@@ -12,7 +12,7 @@
 /// Number of an HTTP request of this process.
 pub type RequestId = u64;
 
-/// Something that happened.
+/// An event that a control process reacts to.
 #[derive(Debug)]
 pub enum Input {
     /// An HTTP request arrived.
@@ -78,7 +78,7 @@
     Tick,
 }
 
-/// Something that has to be done.
+/// An action that the caller has to carry out.
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Respond to an HTTP request.
@@ -109,7 +109,7 @@
     },
     /// Keep links to exactly these addresses.
     DialPeers(BTreeSet<String>),
-    /// Dial this address without waiting for the backoff, if it is to be dialed and not up: its process was heard of.
+    /// Dial this address without waiting for the backoff, if a link to it is kept and not up: its process is running.
     DialPeerNow(String),
     /// Append records to the disk; answered by [`Input::Persisted`].
     Append {
--- a/crates/pebblepost-control/src/node/leadership.rs
+++ b/crates/pebblepost-control/src/node/leadership.rs
@@ -81,7 +81,7 @@
         self.maintain_witnesses(now);
     }
 
-    /// Processes what the primary's parts want.
+    /// Processes the outputs of the primary's parts.
     pub(super) fn advance_primary(&mut self, now: Duration) {
         self.plan_storage(now);
         self.advance_rollout(now);
@@ -156,7 +156,7 @@
         let tolerance = &self.settings.tolerance;
         let planner = GroupPlanner { now, state: self.group.state(), nodes: &primary.storage, tolerance };
         for command in planner.plan() {
-            log::info!("proposing: {command}");
+            log::info!("proposing command: {command}");
             if let Ok(index) = self.group.propose(now, &command) {
                 primary.storage_plan.proposed(index);
             }
--- a/crates/pebblepost-control/src/node/peer_links.rs
+++ b/crates/pebblepost-control/src/node/peer_links.rs
@@ -8,7 +8,7 @@
 
 /// A link on which nothing was sent for this long gets a keep-alive.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(700);
-/// Backoff after a process that was taken for the primary rejected the subscription.
+/// Backoff after a process that seemed to be the primary rejected the subscription.
 const SUBSCRIBE_BACKOFF: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Default)]
--- a/crates/pebblepost-control/src/node/primary.rs
+++ b/crates/pebblepost-control/src/node/primary.rs
@@ -108,7 +108,7 @@
         now.saturating_sub(since) >= LAPSED_LEASE_TIMEOUT
     }
 
-    /// Processes what the planner of roll-outs wants. Orders are only sent if `may_order`.
+    /// Processes the outputs of the roll-out planner. Load orders are only sent if `may_order`.
     pub(super) fn advance_rollout(
         &mut self, now: Duration, may_order: bool, node: &str, registry: &mut Registry,
         outputs: &mut Vec<Output>,
--- a/crates/pebblepost-control/src/node/settings.rs
+++ b/crates/pebblepost-control/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! What a control process has to know of its machine and its deployment.
+//! Settings of a control process: its machine and its deployment.
 
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::Tolerance;
@@ -17,7 +17,7 @@
     pub link_port: u16,
     /// Control addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this disk bootstraps the group if it holds nothing.
+    /// Whether this disk bootstraps the group if it is empty.
     pub may_bootstrap: bool,
     /// Failures that the deployment has to survive.
     pub tolerance: Tolerance,
--- a/crates/pebblepost-control/src/storage/nodes.rs
+++ b/crates/pebblepost-control/src/storage/nodes.rs
@@ -100,7 +100,7 @@
         self.announced.values().any(|known| known.is_connected() && is_other(known) && is_later(known))
     }
 
-    /// Whether a disk was not heard of for so long that it may be removed.
+    /// Whether a disk has been disconnected for so long that it may be removed.
     pub(super) fn is_removable(&self, now: Duration, disk: DiskId) -> bool {
         match self.announced.get(&disk) {
             Some(announced) => {
--- a/crates/pebblepost-control/src/storage/planner.rs
+++ b/crates/pebblepost-control/src/storage/planner.rs
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Disks that no group references and that were replaced, or not heard of for long.
+    /// Disks that no group references and that were replaced, or disconnected for long.
     fn removals(&self) -> Vec<Command> {
         let assignments = self.state.groups().values();
         let referenced: BTreeSet<DiskId> = assignments
--- a/crates/pebblepost-control/tests/control/concurrent_changes.rs
+++ b/crates/pebblepost-control/tests/control/concurrent_changes.rs
@@ -129,9 +129,9 @@
             for status in &statuses {
                 assert!([200, 307, 412, 503].contains(status), "a proper change was answered {status}");
             }
-            let taken = statuses.contains(&200);
-            assert!(!(taken && statuses.contains(&412)), "one change was both taken and refused");
-            self.sent[index].acknowledged |= taken;
+            let accepted = statuses.contains(&200);
+            assert!(!(accepted && statuses.contains(&412)), "one change was both accepted and refused");
+            self.sent[index].acknowledged |= accepted;
         }
     }
 
--- a/crates/pebblepost-control/tests/control/deferred_requests.rs
+++ b/crates/pebblepost-control/tests/control/deferred_requests.rs
@@ -40,7 +40,7 @@
     cluster
 }
 
-fn announce() -> HttpRequest {
+fn register() -> HttpRequest {
     let body = registration("10.9.0.1:8080", "ready", 1, 1);
     HttpRequest { method: "PUT".into(), path: "/instances/i-1".into(), if_match: None, body }
 }
@@ -81,7 +81,7 @@
 #[rstest]
 fn deferred_request_is_served_by_the_primary_and_redirected_elsewhere() {
     let mut cluster = about_to_elect();
-    let ids: Vec<u64> = (0..3).map(|node| cluster.send_request(node, announce())).collect();
+    let ids: Vec<u64> = (0..3).map(|node| cluster.send_request(node, register())).collect();
     assert!(ids.iter().all(|id| cluster.response(*id).is_none()), "nobody knows a primary yet");
     cluster.run_until_acting();
     cluster.run(SOON);
@@ -100,7 +100,7 @@
     cluster.isolate(standby);
     cluster.run(Duration::from_secs(2));
     let program = subscribe(&mut cluster, standby);
-    let id = cluster.send_request(standby, announce());
+    let id = cluster.send_request(standby, register());
     cluster.run(Duration::from_millis(300));
     assert_eq!(cluster.received(program), [], "nothing may be taken for a primary's word");
     cluster.run(Duration::from_millis(300));
--- a/crates/pebblepost-control/tests/control/failover.rs
+++ b/crates/pebblepost-control/tests/control/failover.rs
@@ -23,8 +23,8 @@
     response.body
 }
 
-fn run_until_acting_again(cluster: &mut Cluster, most: Duration) {
-    let until = cluster.now + most;
+fn run_until_acting_again(cluster: &mut Cluster, limit: Duration) {
+    let until = cluster.now + limit;
     while cluster.acting_nodes().is_empty() {
         assert!(cluster.now < until, "nobody acts in time");
         cluster.run(Duration::from_millis(10));
--- a/crates/pebblepost-control/tests/control/fault_injection.rs
+++ b/crates/pebblepost-control/tests/control/fault_injection.rs
@@ -28,7 +28,7 @@
 /// A read, and the newest version that was acknowledged or read when it was sent.
 struct Read {
     request: u64,
-    least: u64,
+    min_generation: u64,
 }
 
 /// A transcriber's request to shut down.
@@ -130,10 +130,10 @@
 
     /// Reads the configuration everywhere.
     fn read(&mut self) {
-        let least = self.newest().max(self.newest_read);
+        let min_generation = self.newest().max(self.newest_read);
         for node in 0..MACHINES {
             let id = self.cluster.send_request(node, http_request("GET", "/config", None, Vec::new()));
-            self.reads.push(Read { request: id, least });
+            self.reads.push(Read { request: id, min_generation });
         }
     }
 
@@ -209,8 +209,8 @@
         }
     }
 
-    fn pause(&mut self, most_ms: u64) {
-        let pause = 1 + self.random.below(most_ms);
+    fn pause(&mut self, max_ms: u64) {
+        let pause = 1 + self.random.below(max_ms);
         self.cluster.run(Duration::from_millis(pause));
     }
 
@@ -251,7 +251,11 @@
             let generation: u64 =
                 text.split([':', ',']).nth(1).and_then(|number| number.parse().ok()).expect("a generation");
             self.newest_read = self.newest_read.max(generation);
-            assert!(generation >= read.least, "a read brought {generation} after {}", read.least);
+            assert!(
+                generation >= read.min_generation,
+                "a read brought {generation} after {}",
+                read.min_generation
+            );
         }
         self.reads.retain(|read| self.cluster.response(read.request).is_none());
     }
--- a/crates/pebblepost-control/tests/control/feed.rs
+++ b/crates/pebblepost-control/tests/control/feed.rs
@@ -79,7 +79,7 @@
     }
 
     /// Applies and acknowledges for some time.
-    fn live(&mut self, cluster: &mut Cluster, time: Duration) {
+    fn run(&mut self, cluster: &mut Cluster, time: Duration) {
         let until = cluster.now + time;
         while cluster.now < until {
             cluster.run(Duration::from_millis(5));
@@ -112,7 +112,7 @@
         http_request("POST", "/version-put", None, b"{\"model\":\"m\",\"generation\":2}".to_vec()),
     );
     let mut agent = Agent::subscribe(&mut cluster, primary);
-    agent.live(&mut cluster, Duration::from_millis(50));
+    agent.run(&mut cluster, Duration::from_millis(50));
     assert_eq!(agent.compressed, 1, "a whole configuration is compressed");
     assert_eq!(agent.state.generation(), 3);
     assert_eq!(agent.state.named_version("m"), 2);
@@ -122,7 +122,7 @@
         primary,
         http_request("PUT", "/instances/i-2", None, registration("10.9.0.2:8080", "ready", 1, 1)),
     );
-    agent.live(&mut cluster, Duration::from_millis(50));
+    agent.run(&mut cluster, Duration::from_millis(50));
     assert_eq!(agent.state.generation(), 5);
     assert_eq!(agent.patches, 1, "the change came in its short form");
     assert!(agent.state.instance("i-2").is_some());
@@ -135,13 +135,13 @@
     let primary = cluster.primary();
     cluster.request(primary, http_request("PUT", "/config", Some(0), configuration(3, 1000)));
     let mut agent = Agent::subscribe(&mut cluster, primary);
-    agent.live(&mut cluster, Duration::from_millis(50));
+    agent.run(&mut cluster, Duration::from_millis(50));
     cluster.disconnect_program(agent.program);
     cluster.request(primary, http_request("PATCH", "/config", Some(3), patch(5, 700)));
     cluster.request(primary, http_request("PATCH", "/config", Some(5), patch(6, 800)));
     cluster.reconnect(agent.program, primary);
     agent.introduce(&mut cluster);
-    agent.live(&mut cluster, Duration::from_millis(50));
+    agent.run(&mut cluster, Duration::from_millis(50));
     assert_eq!(agent.state.generation(), 6);
     assert_eq!(agent.patches, 0);
 }
@@ -156,7 +156,7 @@
     );
     cluster.run(Duration::from_secs(1));
     let mut agent = Agent::subscribe(&mut cluster, primary);
-    agent.live(&mut cluster, Duration::from_millis(50));
+    agent.run(&mut cluster, Duration::from_millis(50));
     let drain = http_request("PUT", "/instances/i-1", None, registration("10.9.0.1:8080", "draining", 1, 2));
     let id = cluster.send_request(primary, drain);
     cluster.run(Duration::from_millis(100));
@@ -198,10 +198,10 @@
     let mut cluster = Cluster::acting();
     let primary = cluster.primary();
     let mut agent = Agent::subscribe(&mut cluster, primary);
-    agent.live(&mut cluster, Duration::from_millis(500));
+    agent.run(&mut cluster, Duration::from_millis(500));
     assert_eq!(agent.redirects, 0);
     cluster.isolate(primary);
-    agent.live(&mut cluster, Duration::from_millis(1500));
+    agent.run(&mut cluster, Duration::from_millis(1500));
     assert_eq!(agent.redirects, 1, "it would not hear of what the next primary takes");
     assert_eq!(cluster.programs[agent.program].link, None);
 }
@@ -230,7 +230,7 @@
         http_request("PUT", "/instances/i-2", None, registration("10.9.0.2:8080", "ready", 1, 1)),
     );
     let mut agent = Agent::subscribe(&mut cluster, primary);
-    agent.live(&mut cluster, Duration::from_millis(100));
+    agent.run(&mut cluster, Duration::from_millis(100));
     for node in 0..3 {
         cluster.kill(node);
     }
@@ -241,14 +241,14 @@
     let primary = cluster.primary();
     cluster.reconnect(agent.program, primary);
     agent.introduce(&mut cluster);
-    agent.live(&mut cluster, Duration::from_secs(1));
+    agent.run(&mut cluster, Duration::from_secs(1));
     assert_eq!(agent.state.instances().count(), 2);
     // One of them sends heartbeats, the other one has terminated meanwhile.
     for sequence in 2..22 {
         let heartbeat =
             http_request("PUT", "/instances/i-1", None, registration("10.9.0.1:8080", "ready", 1, sequence));
         assert_eq!(cluster.request(primary, heartbeat).map(|response| response.status), Some(200));
-        agent.live(&mut cluster, Duration::from_secs(1));
+        agent.run(&mut cluster, Duration::from_secs(1));
     }
     let live: Vec<&str> = agent.state.instances().map(|instance| instance.id.as_str()).collect();
     assert_eq!(live, ["i-1"]);
@@ -261,7 +261,7 @@
     cluster.run(Duration::from_secs(1));
     let primary = cluster.primary();
     let mut agent = Agent::subscribe(&mut cluster, primary);
-    agent.live(&mut cluster, Duration::from_millis(100));
+    agent.run(&mut cluster, Duration::from_millis(100));
     cluster.add_empty(&[0, 1, 2]);
     let mut advertised = Vec::new();
     for _ in 0..20 {
--- a/crates/pebblepost-control/tests/control/graceful_shutdown.rs
+++ b/crates/pebblepost-control/tests/control/graceful_shutdown.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use std::time::Duration;
 
-fn announce(cluster: &mut Cluster, node: usize, instance: u8, state: &str, sequence: u64) -> u16 {
+fn register(cluster: &mut Cluster, node: usize, instance: u8, state: &str, sequence: u64) -> u16 {
     let body = registration(&format!("10.9.0.{instance}:8080"), state, 1, sequence);
     status(cluster.request(node, http_request("PUT", &format!("/instances/i-{instance}"), None, body)))
 }
@@ -30,17 +30,17 @@
     cluster.run(Duration::from_secs(1));
     let former = cluster.primary();
     for instance in 1..=3 {
-        assert_eq!(announce(&mut cluster, former, instance, "ready", 1), 200);
+        assert_eq!(register(&mut cluster, former, instance, "ready", 1), 200);
     }
     assert_eq!(remove(&mut cluster, former, 1), 200);
-    assert_eq!(announce(&mut cluster, former, 2, "draining", 2), 200);
+    assert_eq!(register(&mut cluster, former, 2, "draining", 2), 200);
     (0..3).for_each(|node| cluster.kill(node));
     (0..3).for_each(|node| cluster.start(node));
     cluster.run_until_acting();
     let primary = cluster.primary();
     // Heartbeats delayed by seconds.
     for instance in 1..=3 {
-        assert_eq!(announce(&mut cluster, primary, instance, "ready", 1), 200);
+        assert_eq!(register(&mut cluster, primary, instance, "ready", 1), 200);
     }
     let expected = [("i-2".to_owned(), InstanceState::Draining), ("i-3".to_owned(), InstanceState::Ready)];
     assert_eq!(alive(cluster.node(primary)), expected);
@@ -51,7 +51,7 @@
     let mut cluster = Cluster::acting();
     cluster.run(Duration::from_secs(1));
     let former = cluster.primary();
-    assert_eq!(announce(&mut cluster, former, 1, "ready", 1), 200);
+    assert_eq!(register(&mut cluster, former, 1, "ready", 1), 200);
     cluster.isolate(former);
     assert!(cluster.node(former).is_acting(cluster.now), "its lease runs on for a while");
     let leaving = cluster.send_request(former, http_request("DELETE", "/instances/i-1", None, Vec::new()));
@@ -64,12 +64,12 @@
     let mut cluster = Cluster::acting();
     cluster.run(Duration::from_secs(1));
     let former = cluster.primary();
-    assert_eq!(announce(&mut cluster, former, 1, "ready", 1), 200);
-    assert_eq!(announce(&mut cluster, former, 1, "draining", 2), 200);
+    assert_eq!(register(&mut cluster, former, 1, "ready", 1), 200);
+    assert_eq!(register(&mut cluster, former, 1, "draining", 2), 200);
     cluster.kill(former);
     cluster.run_until_acting();
     let primary = cluster.primary();
-    assert_eq!(announce(&mut cluster, primary, 1, "draining", 3), 200);
+    assert_eq!(register(&mut cluster, primary, 1, "draining", 3), 200);
     assert_eq!(alive(cluster.node(primary)), [("i-1".to_owned(), InstanceState::Draining)]);
     assert_eq!(remove(&mut cluster, primary, 1), 200);
     assert!(alive(cluster.node(primary)).is_empty());
--- a/crates/pebblepost-control/tests/control/load_orders.rs
+++ b/crates/pebblepost-control/tests/control/load_orders.rs
@@ -22,7 +22,7 @@
 }
 
 /// Heartbeats of a transcriber with version 1 loaded, for some time.
-fn live(cluster: &mut Cluster, sequence: &mut u64, time: Duration) {
+fn run(cluster: &mut Cluster, sequence: &mut u64, time: Duration) {
     let until = cluster.now + time;
     while cluster.now < until {
         *sequence += 1;
@@ -37,9 +37,9 @@
 fn cluster_with_orders() -> (Cluster, u64) {
     let mut cluster = Cluster::acting();
     let mut sequence = 0;
-    live(&mut cluster, &mut sequence, Duration::from_secs(6));
+    run(&mut cluster, &mut sequence, Duration::from_secs(6));
     name_version(&mut cluster, 2);
-    live(&mut cluster, &mut sequence, Duration::from_secs(1));
+    run(&mut cluster, &mut sequence, Duration::from_secs(1));
     assert!(!cluster.orders.is_empty());
     (cluster, sequence)
 }
@@ -48,9 +48,9 @@
 fn primary_orders_a_named_version() {
     let mut cluster = Cluster::acting();
     let mut sequence = 0;
-    live(&mut cluster, &mut sequence, Duration::from_millis(600));
+    run(&mut cluster, &mut sequence, Duration::from_millis(600));
     name_version(&mut cluster, 2);
-    live(&mut cluster, &mut sequence, Duration::from_secs(6));
+    run(&mut cluster, &mut sequence, Duration::from_secs(6));
     let (_, node, order, body) = cluster.orders.first().cloned().expect("an order");
     assert_eq!(node, cluster.primary());
     assert_eq!((order.instance.as_str(), order.generation), ("i-1", 2));
@@ -58,8 +58,8 @@
     assert!(body.contains(&format!("\"fence_token\":{epoch}")), "{body}");
     assert!(body.contains(&format!("\"holder\":\"core-{node}\"")), "{body}");
     cluster.answer_order(node, order, OrderAnswer::AlreadyHolds);
-    let held = cluster.node(node).registry().instance("i-1").map(|known| known.models[0].generation);
-    assert_eq!(held, Some(2));
+    let loaded = cluster.node(node).registry().instance("i-1").map(|known| known.models[0].generation);
+    assert_eq!(loaded, Some(2));
 }
 
 #[rstest]
@@ -69,7 +69,7 @@
     cluster.kill(former);
     let killed_at = cluster.now;
     cluster.run_until_acting();
-    live(&mut cluster, &mut sequence, Duration::from_secs(12));
+    run(&mut cluster, &mut sequence, Duration::from_secs(12));
     let (former_orders, new_orders): (Vec<_>, Vec<_>) =
         cluster.orders.iter().partition(|(_, node, _, _)| *node == former);
     assert!(!former_orders.is_empty(), "the former holder had ordered");
@@ -100,7 +100,7 @@
     cluster.run_until_acting();
     assert_eq!(cluster.primary(), waiting, "it goes on at once");
     assert!(cluster.now < killed_at + Duration::from_millis(2500), "while the other's orders are new");
-    live(&mut cluster, &mut sequence, Duration::from_secs(12));
+    run(&mut cluster, &mut sequence, Duration::from_secs(12));
     let new_orders = cluster.orders.iter().filter(|(at, ..)| *at > killed_at);
     let first = new_orders.map(|(at, ..)| *at).next().expect("it orders in the end");
     assert!(first >= killed_at + Duration::from_millis(3000), "{:?} after the kill", first - killed_at);
@@ -115,7 +115,7 @@
     cluster.start(holder);
     cluster.run_until_acting();
     assert_eq!(cluster.primary(), holder);
-    live(&mut cluster, &mut sequence, Duration::from_secs(2));
+    run(&mut cluster, &mut sequence, Duration::from_secs(2));
     let new_orders = cluster.orders.iter().filter(|(at, ..)| *at > killed_at);
     let first = new_orders.map(|(at, ..)| *at).next().expect("an order");
     assert!(first < killed_at + Duration::from_millis(1500), "{:?} after the kill", first - killed_at);
@@ -133,7 +133,7 @@
     let took = cluster.now - killed_at;
     assert!(took < Duration::from_millis(700), "no lease has to be waited for, but it took {took:?}");
     assert_ne!(cluster.primary(), former);
-    live(&mut cluster, &mut sequence, Duration::from_secs(12));
+    run(&mut cluster, &mut sequence, Duration::from_secs(12));
     let new_orders = cluster.orders.iter().filter(|(at, ..)| *at > killed_at);
     let first = new_orders.map(|(at, ..)| *at).next().expect("the new holder orders");
     assert!(first >= killed_at + Duration::from_millis(3000), "{:?} after the kill", first - killed_at);
--- a/crates/pebblepost-control/tests/control/membership.rs
+++ b/crates/pebblepost-control/tests/control/membership.rs
@@ -115,7 +115,7 @@
 #[case(6, Tolerance { machines: 2, zones: 1, regions: 0 }, 3)]
 #[case(9, Tolerance { machines: 1, zones: 2, regions: 0 }, 3)]
 fn first_assignment_is_spread_and_even(
-    #[case] machines: u64, #[case] tolerance: Tolerance, #[case] copies: usize,
+    #[case] machines: u64, #[case] tolerance: Tolerance, #[case] replication_factor: usize,
 ) {
     let usable: BTreeMap<DiskId, Member> = (1..=machines)
         .map(|disk| {
@@ -123,13 +123,13 @@
             (DiskId(disk), Member { node: format!("s{disk}"), zone, ..member(disk) })
         })
         .collect();
-    let founded = placement::assign_all(&usable, &tolerance);
+    let assignments = placement::assign_all(&usable, &tolerance);
     let mut load: BTreeMap<DiskId, usize> = usable.keys().map(|disk| (*disk, 0)).collect();
-    for group in &founded {
-        assert_eq!(group.replicas.len(), copies);
+    for group in &assignments {
+        assert_eq!(group.replicas.len(), replication_factor);
         assert!(group.replicas.contains(&group.primary));
         let zones: BTreeSet<&String> = group.replicas.iter().map(|disk| &usable[disk].zone).collect();
-        assert_eq!(zones.len(), copies.min(3), "spread over zones");
+        assert_eq!(zones.len(), replication_factor.min(3), "spread over zones");
         for disk in &group.replicas {
             *load.get_mut(disk).unwrap() += 1;
         }
--- a/crates/pebblepost-control/tests/control/registry.rs
+++ b/crates/pebblepost-control/tests/control/registry.rs
@@ -96,8 +96,8 @@
     assert!(registry.version_loaded("i", "m", 2).instances.is_empty());
     assert!(registry.version_loaded("i", "other", 2).instances.is_empty());
     registry.register(second(2), instance("i", "10.0.0.1:1", 2));
-    let held = registry.instance("i").map(|known| known.models[0].generation);
-    assert_eq!(held, Some(3), "a report from before the change");
+    let loaded = registry.instance("i").map(|known| known.models[0].generation);
+    assert_eq!(loaded, Some(3), "a report from before the change");
 }
 
 #[rstest]
--- a/crates/pebblepost-control/tests/control/storage_groups.rs
+++ b/crates/pebblepost-control/tests/control/storage_groups.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn live(cluster: &mut Cluster, stores: &mut [Store], time: Duration) {
+fn run(cluster: &mut Cluster, stores: &mut [Store], time: Duration) {
     let until = cluster.now + time;
     while cluster.now < until {
         cluster.run(Duration::from_millis(25));
@@ -25,20 +25,20 @@
 fn bootstrapped() -> (Cluster, Vec<Store>) {
     let mut cluster = Cluster::acting();
     let mut stores: Vec<Store> = (1..=3).map(|number| Store::start(&mut cluster, number, true)).collect();
-    live(&mut cluster, &mut stores, Duration::from_secs(1));
+    run(&mut cluster, &mut stores, Duration::from_secs(1));
     (cluster, stores)
 }
 
 /// Number of groups of which each disk has a replica, and of which it is primary.
 fn load(cluster: &Cluster) -> (BTreeMap<u64, usize>, BTreeMap<u64, usize>) {
-    let (mut held, mut led) = (BTreeMap::new(), BTreeMap::new());
+    let (mut replicas, mut primaries) = (BTreeMap::new(), BTreeMap::new());
     for assignment in cluster.node(cluster.primary()).state().groups().values() {
         for disk in &assignment.epoch.in_sync {
-            *held.entry(disk.0).or_default() += 1;
+            *replicas.entry(disk.0).or_default() += 1;
         }
-        *led.entry(assignment.epoch.primary.0).or_default() += 1;
+        *primaries.entry(assignment.epoch.primary.0).or_default() += 1;
     }
-    (held, led)
+    (replicas, primaries)
 }
 
 fn call(cluster: &mut Cluster, method: &str, path: &str) -> HttpResponse {
@@ -53,9 +53,9 @@
     let groups = cluster.node(cluster.primary()).state().groups().clone();
     assert_eq!(groups.len(), STORE_GROUPS as usize);
     assert!(groups.values().all(|assignment| assignment.epoch.in_sync.len() == 2));
-    let (held, led) = load(&cluster);
-    assert!(held.values().all(|count| (5..=6).contains(count)), "{held:?}");
-    assert!(led.values().all(|count| (2..=3).contains(count)), "{led:?}");
+    let (replicas, primaries) = load(&cluster);
+    assert!(replicas.values().all(|count| (5..=6).contains(count)), "{replicas:?}");
+    assert!(primaries.values().all(|count| (2..=3).contains(count)), "{primaries:?}");
     assert!(stores.iter().all(|store| store.groups.len() == STORE_GROUPS as usize));
 }
 
@@ -63,7 +63,7 @@
 fn too_few_nodes_bootstrap_nothing() {
     let mut cluster = Cluster::acting();
     let mut stores = vec![Store::start(&mut cluster, 1, true)];
-    live(&mut cluster, &mut stores, Duration::from_secs(7));
+    run(&mut cluster, &mut stores, Duration::from_secs(7));
     assert!(cluster.node(cluster.primary()).state().groups().is_empty());
 }
 
@@ -71,15 +71,15 @@
 fn failed_node_is_replaced_and_gets_groups_back_by_rebalancing() {
     let (mut cluster, mut stores) = bootstrapped();
     cluster.disconnect_program(stores[2].program);
-    live(&mut cluster, &mut stores, Duration::from_secs(4));
+    run(&mut cluster, &mut stores, Duration::from_secs(4));
     let lost = stores[2].member.disk;
     let state = cluster.node(cluster.primary()).state();
     assert!(state.groups().values().all(|assignment| !assignment.targets.contains(&lost)));
     stores[2].reconnect(&mut cluster);
-    live(&mut cluster, &mut stores, Duration::from_secs(10));
+    run(&mut cluster, &mut stores, Duration::from_secs(10));
     let state = cluster.node(cluster.primary()).state();
-    let wanted = state.groups().values().filter(|assignment| assignment.targets.contains(&lost)).count();
-    assert!(wanted >= 4, "the machine has {wanted} groups again");
+    let targeted = state.groups().values().filter(|assignment| assignment.targets.contains(&lost)).count();
+    assert!(targeted >= 4, "the machine has {targeted} groups again");
 }
 
 #[rstest]
@@ -88,20 +88,20 @@
     let wiped = stores.pop().expect("a third machine");
     cluster.disconnect_program(wiped.program);
     stores.push(wiped.start_wiped(&mut cluster));
-    live(&mut cluster, &mut stores, Duration::from_millis(300));
+    run(&mut cluster, &mut stores, Duration::from_millis(300));
     let state = cluster.node(cluster.primary()).state();
-    let wants = |disk| state.groups().values().filter(|group| group.targets.contains(&disk)).count();
-    assert_eq!(wants(wiped.member.disk), 0, "the old disk is wanted no more");
-    assert!(wants(stores[2].member.disk) >= 4, "the new one takes its place");
+    let target_count = |disk| state.groups().values().filter(|group| group.targets.contains(&disk)).count();
+    assert_eq!(target_count(wiped.member.disk), 0, "the old disk is wanted no more");
+    assert!(target_count(stores[2].member.disk) >= 4, "the new one takes its place");
 }
 
 #[rstest]
 fn unresponsive_node_on_an_open_link_is_replaced() {
     let (mut cluster, mut stores) = bootstrapped();
-    let silent = stores.pop().expect("a third machine");
-    live(&mut cluster, &mut stores, Duration::from_secs(6));
-    assert_eq!(cluster.programs[silent.program].link, None, "the feed drops it");
-    let lost = silent.member.disk;
+    let unresponsive = stores.pop().expect("a third machine");
+    run(&mut cluster, &mut stores, Duration::from_secs(6));
+    assert_eq!(cluster.programs[unresponsive.program].link, None, "the feed drops it");
+    let lost = unresponsive.member.disk;
     let state = cluster.node(cluster.primary()).state();
     assert!(state.groups().values().all(|assignment| !assignment.targets.contains(&lost)));
 }
@@ -109,10 +109,12 @@
 #[rstest]
 fn failure_timeout_runs_from_the_last_message() {
     let (mut cluster, mut stores) = bootstrapped();
-    let silent = stores.pop().expect("a third machine");
-    live(&mut cluster, &mut stores, Duration::from_millis(2_500));
+    let unresponsive = stores.pop().expect("a third machine");
+    run(&mut cluster, &mut stores, Duration::from_millis(2_500));
     let state = cluster.node(cluster.primary()).state();
-    assert!(state.groups().values().all(|assignment| !assignment.targets.contains(&silent.member.disk)));
+    assert!(
+        state.groups().values().all(|assignment| !assignment.targets.contains(&unresponsive.member.disk))
+    );
 }
 
 #[rstest]
@@ -120,7 +122,7 @@
     let (mut cluster, mut stores) = bootstrapped();
     let before = cluster.node(cluster.primary()).state().groups().clone();
     stores.push(Store::start(&mut cluster, 4, false));
-    live(&mut cluster, &mut stores, Duration::from_secs(15));
+    run(&mut cluster, &mut stores, Duration::from_secs(15));
     let state = cluster.node(cluster.primary()).state();
     let added = stores[3].member.disk;
     let moved: Vec<u32> = state
@@ -143,7 +145,7 @@
     assert_eq!(call(&mut cluster, "POST", "/retire/storage-2").status, 409);
     let running = call(&mut cluster, "GET", "/retire/storage-1");
     assert_eq!(running.body, b"{\"state\":\"running\"}");
-    live(&mut cluster, &mut stores, Duration::from_secs(10));
+    run(&mut cluster, &mut stores, Duration::from_secs(10));
     let completed = call(&mut cluster, "GET", "/retire/storage-1");
     assert_eq!(completed.body, b"{\"state\":\"completed\"}");
     let disk = stores[0].member.disk;
@@ -191,7 +193,7 @@
     let (mut cluster, stores) = bootstrapped();
     let assignment = cluster.node(cluster.primary()).state().groups()[&0].clone();
     let (primary, other) = (assignment.epoch.in_sync[0], assignment.epoch.in_sync[1]);
-    let stranger =
+    let not_in_sync =
         stores.iter().map(|store| store.member.disk).find(|disk| *disk != primary && *disk != other);
     let change = |request, expected_epoch, primary, in_sync| ToControl::ChangeGroup {
         request,
@@ -199,22 +201,22 @@
         expected_epoch,
         proposed: GroupEpoch { epoch: expected_epoch + 1, primary, in_sync },
     };
-    let stranger = stranger.expect("a third machine");
+    let not_in_sync = not_in_sync.expect("a third machine");
     let program = |disk| {
         let store = stores.iter().find(|store| store.member.disk == disk);
         store.expect("a machine with the disk").program
     };
-    let (by_primary, by_stranger) = (program(primary), program(stranger));
-    cluster.send(by_stranger, change(1, 1, stranger, vec![stranger, other]));
+    let (by_primary, by_not_in_sync) = (program(primary), program(not_in_sync));
+    cluster.send(by_not_in_sync, change(1, 1, not_in_sync, vec![not_in_sync, other]));
     cluster.run(Duration::from_millis(200));
-    assert_eq!(answers(&mut cluster, by_stranger), [(1, false, 1)], "it is not in sync");
+    assert_eq!(answers(&mut cluster, by_not_in_sync), [(1, false, 1)], "it is not in sync");
     cluster.received(by_primary);
     cluster.send(by_primary, change(2, 7, primary, vec![primary, other]));
-    cluster.send(by_primary, change(3, 1, stranger, vec![primary, other]));
+    cluster.send(by_primary, change(3, 1, not_in_sync, vec![primary, other]));
     cluster.send(by_primary, change(4, 1, other, vec![other, primary]));
     cluster.send(by_primary, change(5, 1, other, vec![other, primary]));
     cluster.send(by_primary, change(6, 1, primary, vec![primary]));
-    cluster.send(by_primary, change(7, 2, stranger, vec![stranger, other]));
+    cluster.send(by_primary, change(7, 2, not_in_sync, vec![not_in_sync, other]));
     cluster.run(Duration::from_millis(200));
     let expected = [(2, false, 1), (3, false, 1), (4, true, 2), (5, true, 2), (6, false, 2), (7, true, 3)];
     assert_eq!(answers(&mut cluster, by_primary), expected);
@@ -231,6 +233,6 @@
     for store in &stores {
         store.reconnect(&mut cluster);
     }
-    live(&mut cluster, &mut stores, Duration::from_secs(6));
+    run(&mut cluster, &mut stores, Duration::from_secs(6));
     assert_eq!(*cluster.node(cluster.primary()).state().groups(), before);
 }
--- a/crates/pebblepost-control/tests/control/support/cluster.rs
+++ b/crates/pebblepost-control/tests/control/support/cluster.rs
@@ -508,8 +508,8 @@
 
     fn redial(&mut self) {
         for index in 0..self.nodes.len() {
-            let wanted: Vec<String> = self.nodes[index].dialed.iter().cloned().collect();
-            for address in wanted {
+            let addresses: Vec<String> = self.nodes[index].dialed.iter().cloned().collect();
+            for address in addresses {
                 let Some(other) = self.node_at(&address) else { continue };
                 let linked = self.nodes[index].opened.contains_key(&address);
                 let is_apart = |node| self.partitioned.contains(node) || self.isolated.contains(node);
--- a/crates/pebblepost-control/tests/control/support/store.rs
+++ b/crates/pebblepost-control/tests/control/support/store.rs
@@ -89,16 +89,16 @@
     }
 
     fn change(&self, group: &StoreGroup) -> ToControl {
-        let wanted = disks(&group.targets);
+        let targets = disks(&group.targets);
         // A primary that is no target hands over to a replica that was added before.
-        let mut in_sync = wanted.clone();
-        let stays = wanted.contains(&self.member.disk);
-        let added = wanted.iter().all(|disk| disks(&group.in_sync).contains(disk));
+        let mut in_sync = targets.clone();
+        let stays = targets.contains(&self.member.disk);
+        let added = targets.iter().all(|disk| disks(&group.in_sync).contains(disk));
         let mut primary = self.member.disk;
         if !stays && !added {
             in_sync.push(primary);
         } else if !stays {
-            primary = wanted[0];
+            primary = targets[0];
         }
         ToControl::ChangeGroup {
             request: self.requests,
--- a/crates/pebblepost-control/tests/control/whole_system_run.rs
+++ b/crates/pebblepost-control/tests/control/whole_system_run.rs
@@ -67,13 +67,13 @@
             }
             self.cluster.send(agent, ToControl::KeepAlive);
         }
-        self.announce();
+        self.register();
         self.answer_orders();
         let pause = 100 + self.random.below(200);
         self.cluster.run(Duration::from_millis(pause));
     }
 
-    fn announce(&mut self) {
+    fn register(&mut self) {
         self.sequence += 1;
         let Some(primary) = self.cluster.acting_nodes().first().copied() else { return };
         for number in 1..=5 {
