--- a/crates/pebblepost-control/src/membership/peers.rs
+++ b/crates/pebblepost-control/src/membership/peers.rs
@@ -81,8 +81,8 @@
     pub fn add_candidates(&mut self, addresses: &[String]) {
         for address in addresses {
             let is_own = *address == self.me.address;
-            let has_room = self.candidates.len() < MAX_CANDIDATES;
-            if !is_own && has_room && address.parse::<SocketAddr>().is_ok() {
+            let has_capacity = self.candidates.len() < MAX_CANDIDATES;
+            if !is_own && has_capacity && address.parse::<SocketAddr>().is_ok() {
                 self.candidates.insert(address.clone());
             }
         }
@@ -141,7 +141,7 @@
     }
 }
 
-/// All machines that an epoch record names; one with several roles comes several times.
+/// All members that an epoch record names; one with several roles is repeated.
 pub fn members_of(record: &EpochRecord) -> impl Iterator<Item = &Member> {
     record.in_sync.iter().chain(&record.witnesses).chain(&record.former_witnesses)
 }
--- a/crates/pebblepost-control/src/node/leadership.rs
+++ b/crates/pebblepost-control/src/node/leadership.rs
@@ -76,12 +76,12 @@
         let change = self.registry.expire(now);
         if let Some(primary) = &mut self.primary {
             primary.publish_registry_change(now, &change);
-            primary.complete_list_if_due(now);
+            primary.complete_instances_if_due(now);
         }
         self.maintain_witnesses(now);
     }
 
-    /// Processes what the primary's parts want.
+    /// Processes the outputs of the primary's parts.
     pub(super) fn advance_primary(&mut self, now: Duration) {
         self.plan_storage(now);
         self.advance_rollout(now);
@@ -89,8 +89,8 @@
         primary.feed.flush_due(now);
         for action in primary.feed.take_actions() {
             match action {
-                FeedAction::Send(connection, message) => self.send(now, connection, message),
-                FeedAction::Disconnect(connection) => self.redirect(now, connection),
+                FeedAction::Send { connection, message } => self.send(now, connection, message),
+                FeedAction::Disconnect { connection } => self.redirect(now, connection),
             }
         }
     }
@@ -156,7 +156,7 @@
         let tolerance = &self.settings.tolerance;
         let planner = GroupPlanner { now, state: self.group.state(), nodes: &primary.storage, tolerance };
         for command in planner.plan() {
-            log::info!("proposing: {command}");
+            log::info!("proposing command: {command}");
             if let Ok(index) = self.group.propose(now, &command) {
                 primary.storage_plan.proposed(index);
             }
