--- a/crates/pebblepost-fleet-store/src/lib.rs
+++ b/crates/pebblepost-fleet-store/src/lib.rs
@@ -13,9 +13,6 @@
 //! * [`state_machine`]: the state in memory, and its snapshots.
 //! * [`replica`]: a running replica.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
 pub mod client;
 pub mod clock;
 pub mod connection;
--- a/crates/pebblepost-fleet-store/src/replica/config.rs
+++ b/crates/pebblepost-fleet-store/src/replica/config.rs
@@ -47,7 +47,7 @@
 
 impl ReplicaConfig {
     /// The configuration of the Raft node.
-    pub(super) fn raft_config(&self) -> Result<Arc<Config>, ConfigError> {
+    pub(super) fn raft_config(&self) -> Result<Arc<Config>, Box<ConfigError>> {
         let heartbeat_ms =
             u64::try_from(self.heartbeat_interval.as_millis()).unwrap_or(FALLBACK_HEARTBEAT_MS).max(1);
         let config = Config {
@@ -63,6 +63,6 @@
             max_in_snapshot_log_to_keep: ENTRIES_KEPT_AFTER_SNAPSHOT,
             ..Config::default()
         };
-        config.validate().map(Arc::new)
+        config.validate().map(Arc::new).map_err(Box::new)
     }
 }
--- a/crates/pebblepost-fleet-store/src/replica/mod.rs
+++ b/crates/pebblepost-fleet-store/src/replica/mod.rs
@@ -35,6 +35,8 @@
 
 /// How long a command or read may take before it is answered with [`Response::Failed`].
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// A peer that does not read a message within this time is disconnected.
+const SLOW_READER_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long other replicas are waited for at the start.
 const START_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
--- a/crates/pebblepost-fleet-store/src/replica/server.rs
+++ b/crates/pebblepost-fleet-store/src/replica/server.rs
@@ -1,6 +1,6 @@
 //! Connections, and the dispatch of requests.
 
-use super::{REQUEST_TIMEOUT, Replica};
+use super::{REQUEST_TIMEOUT, Replica, SLOW_READER_TIMEOUT};
 use crate::connection::Connection;
 use crate::protocol::{Request, Response};
 use openraft::ChangeMembers;
@@ -15,8 +15,6 @@
 pub const MAX_CONNECTIONS: usize = 2_048;
 /// A connection without a request for this long is closed.
 const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// A peer that does not read a message within this time is disconnected.
-pub(super) const SLOW_READER_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
--- a/crates/pebblepost-fleet-store/src/replica/watch.rs
+++ b/crates/pebblepost-fleet-store/src/replica/watch.rs
@@ -1,7 +1,6 @@
 //! The streams of changes that followers read.
 
-use super::Replica;
-use super::server::SLOW_READER_TIMEOUT;
+use super::{Replica, SLOW_READER_TIMEOUT};
 use crate::connection::Connection;
 use crate::protocol::Response;
 use std::io;
--- a/crates/pebblepost-fleet-store/src/state_machine.rs
+++ b/crates/pebblepost-fleet-store/src/state_machine.rs
@@ -2,29 +2,17 @@
 //!
 //! The state lives in memory; on disk are the last snapshot and the log after it.
 
-use crate::raft_types::{EntryResult, LogId, Membership, Peer, TypeConfig};
-use crate::storage::{AccessError, Disk, raft_cause};
+use crate::raft_types::{EntryResult, LogId, Membership, TypeConfig};
+use crate::storage::{AccessError, Disk, SnapshotMeta, StoredSnapshot, raft_cause};
 use openraft::storage::{RaftSnapshotBuilder, RaftStateMachine, Snapshot};
-use openraft::{Entry, EntryPayload, OptionalSend, SnapshotMeta, StorageError, StorageIOError};
+use openraft::{Entry, EntryPayload, OptionalSend, StorageError, StorageIOError};
 use pebblepost_fleet::State;
-use serde::{Deserialize, Serialize};
 use std::io::Cursor;
 use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard};
 use tokio::sync::watch;
 
-const SNAPSHOT: &str = "snapshot";
-
-type Meta = SnapshotMeta<u64, Peer>;
 type RaftResult<T> = Result<T, StorageError<u64>>;
 
-/// A snapshot as it is stored on disk.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct StoredSnapshot {
-    pub(crate) meta: Meta,
-    /// The state as JSON, which is also what other replicas are sent.
-    data: String,
-}
-
 /// The state, and the entry of the log up to which it is applied.
 #[derive(Debug, Default)]
 struct AppliedState {
@@ -75,7 +63,7 @@
     ///
     /// The snapshot cannot be read.
     pub fn open(disk: Disk) -> Result<Self, AccessError> {
-        let applied = match disk.get::<StoredSnapshot>(SNAPSHOT)? {
+        let applied = match disk.snapshot()? {
             Some(snapshot) => AppliedState {
                 state: serde_json::from_str(&snapshot.data)?,
                 last_applied: snapshot.meta.last_log_id,
@@ -123,9 +111,9 @@
         let data = text.map_err(|error| failed(&error))?.map_err(|error| failed(&error))?;
         let snapshot_id =
             last_applied.map_or_else(|| "0".to_owned(), |id| format!("{}-{}", id.leader_id, id.index));
-        let meta = Meta { last_log_id: last_applied, last_membership: membership, snapshot_id };
+        let meta = SnapshotMeta { last_log_id: last_applied, last_membership: membership, snapshot_id };
         let stored = StoredSnapshot { meta: meta.clone(), data: data.clone() };
-        self.disk.put(SNAPSHOT, stored).await.map_err(|error| failed(&error))?;
+        self.disk.save_snapshot(stored).await.map_err(|error| failed(&error))?;
         Ok(Snapshot { meta, snapshot: Box::new(Cursor::new(data.into_bytes())) })
     }
 }
@@ -154,14 +142,16 @@
         Ok(Box::default())
     }
 
-    async fn install_snapshot(&mut self, meta: &Meta, snapshot: Box<Cursor<Vec<u8>>>) -> RaftResult<()> {
+    async fn install_snapshot(
+        &mut self, meta: &SnapshotMeta, snapshot: Box<Cursor<Vec<u8>>>,
+    ) -> RaftResult<()> {
         let failed = |error: &dyn std::fmt::Display| {
             StorageIOError::write_snapshot(Some(meta.signature()), raft_cause(&self.disk, error))
         };
         let data = String::from_utf8(snapshot.into_inner()).map_err(|error| failed(&error))?;
         let state: State = serde_json::from_str(&data).map_err(|error| failed(&error))?;
         let stored = StoredSnapshot { meta: meta.clone(), data };
-        self.disk.put(SNAPSHOT, stored).await.map_err(|error| failed(&error))?;
+        self.disk.save_snapshot(stored).await.map_err(|error| failed(&error))?;
         self.write_applied(|applied| {
             *applied = AppliedState {
                 state,
@@ -173,7 +163,7 @@
     }
 
     async fn get_current_snapshot(&mut self) -> RaftResult<Option<Snapshot<TypeConfig>>> {
-        let stored = self.disk.get::<StoredSnapshot>(SNAPSHOT);
+        let stored = self.disk.snapshot();
         let stored =
             stored.map_err(|error| StorageIOError::read_snapshot(None, raft_cause(&self.disk, &error)))?;
         Ok(stored.map(|stored| {
--- a/crates/pebblepost-fleet-store/src/storage/disk.rs
+++ b/crates/pebblepost-fleet-store/src/storage/disk.rs
@@ -18,6 +18,10 @@
 /// Single values, by name.
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const IDENTITY: &str = "identity";
+/// The name of the Raft vote.
+pub(super) const VOTE: &str = "vote";
+/// The name of the position up to which the log was purged.
+pub(super) const PURGED: &str = "purged";
 /// The file's name in the replica's folder.
 pub const FILE_NAME: &str = "keeper.redb";
 const CACHE_BYTES: usize = 16 * 1024 * 1024;
--- a/crates/pebblepost-fleet-store/src/storage/last_known.rs
+++ b/crates/pebblepost-fleet-store/src/storage/last_known.rs
@@ -1,8 +1,8 @@
 //! What a disk says about its group, before the replica takes part in it.
 
+use super::disk::{PURGED, VOTE};
 use super::{AccessError, Disk};
 use crate::raft_types::{LogId, Peer};
-use crate::state_machine::StoredSnapshot;
 use openraft::{EntryPayload, Vote};
 use std::collections::BTreeMap;
 
@@ -24,9 +24,9 @@
     ///
     /// The disk cannot be read.
     pub fn last_known(&self) -> Result<LastKnown, AccessError> {
-        let snapshot: Option<StoredSnapshot> = self.get("snapshot")?;
-        let purged: Option<LogId> = self.get("purged")?;
-        let vote: Option<Vote<u64>> = self.get("vote")?;
+        let snapshot = self.snapshot()?;
+        let purged: Option<LogId> = self.get(PURGED)?;
+        let vote: Option<Vote<u64>> = self.get(VOTE)?;
         let in_snapshot = snapshot.as_ref().and_then(|snapshot| snapshot.meta.last_log_id);
         let last = [self.last_entry()?, purged, in_snapshot].into_iter().flatten().map(|id| id.index).max();
         let in_log = self.entries(..)?.into_iter().rev().find_map(|entry| match entry.payload {
--- a/crates/pebblepost-fleet-store/src/storage/log_store.rs
+++ b/crates/pebblepost-fleet-store/src/storage/log_store.rs
@@ -1,6 +1,6 @@
 //! The disk as openraft's storage of the log and the vote.
 
-use super::disk::{Disk, LOG, put};
+use super::disk::{Disk, LOG, PURGED, VOTE, put};
 use super::{AccessError, raft_cause};
 use crate::raft_types::{LogId, TypeConfig};
 use openraft::storage::{LogFlushed, LogState, RaftLogReader, RaftLogStorage};
@@ -31,7 +31,7 @@
     }
 
     async fn save_vote(&mut self, vote: &Vote<u64>) -> RaftResult<()> {
-        let saved = self.put("vote", *vote).await;
+        let saved = self.put(VOTE, *vote).await;
         saved.map_err(|error| StorageIOError::write_vote(raft_cause(self, &error)).into())
     }
 
@@ -41,7 +41,7 @@
     /// the entry with which a new leader begins tells it how far the log is committed before it answers.
     async fn read_vote(&mut self) -> RaftResult<Option<Vote<u64>>> {
         let vote: Option<Vote<u64>> =
-            self.get("vote").map_err(|error| StorageIOError::read_vote(raft_cause(self, &error)))?;
+            self.get(VOTE).map_err(|error| StorageIOError::read_vote(raft_cause(self, &error)))?;
         let resumes = cfg!(feature = "faults") && std::env::var_os("PEBBLEPOST_FAULT_RESUME").is_some();
         Ok(vote.map(|vote| match vote.leader_id.voted_for() {
             Some(candidate) if candidate == self.identity().id && !resumes => {
@@ -92,7 +92,7 @@
 
     async fn purge(&mut self, log_id: LogId) -> RaftResult<()> {
         let remove = move |transaction: &WriteTransaction| {
-            put(transaction, "purged", &log_id)?;
+            put(transaction, PURGED, &log_id)?;
             transaction.open_table(LOG)?.retain_in(..=log_id.index, |_, _| false)?;
             Ok(())
         };
@@ -103,7 +103,7 @@
 
 impl Disk {
     fn log_state(&self) -> Result<LogState<TypeConfig>, AccessError> {
-        let purged: Option<LogId> = self.get("purged")?;
+        let purged: Option<LogId> = self.get(PURGED)?;
         Ok(LogState { last_purged_log_id: purged, last_log_id: self.last_entry()?.or(purged) })
     }
 }
--- a/crates/pebblepost-fleet-store/src/storage/mod.rs
+++ b/crates/pebblepost-fleet-store/src/storage/mod.rs
@@ -9,10 +9,12 @@
 mod faults;
 mod last_known;
 mod log_store;
+mod snapshot;
 
 pub use disk::{Disk, DiskIdentity, FILE_NAME};
 pub use error::{AccessError, DiskError};
 pub use last_known::LastKnown;
+pub(crate) use snapshot::{SnapshotMeta, StoredSnapshot};
 
 use openraft::AnyError;
 
--- a/crates/pebblepost-fleet-store/tests/common/mod.rs
+++ b/crates/pebblepost-fleet-store/tests/common/mod.rs
@@ -12,7 +12,8 @@
 
 /// A replica's settings, at an address of the test's own, so that a port that was free a moment ago still is.
 pub fn settings(test: u8, folder: PathBuf) -> ReplicaConfig {
-    let listen = TcpListener::bind((Ipv4Addr::new(127, 79, test, 1), 0)).and_then(|l| l.local_addr());
+    let listen =
+        TcpListener::bind((Ipv4Addr::new(127, 79, test, 1), 0)).and_then(|listener| listener.local_addr());
     ReplicaConfig {
         group: "g".to_owned(),
         id: 1,
--- a/crates/pebblepost-fleet-store/tests/disk.rs
+++ b/crates/pebblepost-fleet-store/tests/disk.rs
@@ -1,4 +1,4 @@
-//! A keeper's disk: what was acknowledged comes back, and what was damaged is refused by name.
+//! A replica's disk: what was acknowledged is read again, and a damaged file is refused by name.
 
 use pebblepost_fleet_store::storage::{Disk, DiskError, FILE_NAME};
 use std::os::unix::fs::FileExt;
@@ -31,7 +31,7 @@
     Disk::open(&folder.0, "g", 1, 77)
 }
 
-async fn filled() -> Folder {
+async fn filled_disk() -> Folder {
     let folder = Folder::new();
     let disk = open(&folder).expect("a new disk");
     for n in 0..40_u64 {
@@ -41,17 +41,17 @@
 }
 
 #[tokio::test]
-async fn what_was_kept_comes_back_with_the_disks_own_number() {
-    let folder = filled().await;
-    let disk = Disk::open(&folder.0, "g", 1, 78).expect("whole");
-    assert_eq!(disk.identity().disk, 77, "the number is the disk's, not the start's");
-    assert_eq!(disk.get::<Vec<u64>>("vote").expect("whole"), Some(vec![39; 50]));
-    assert!(matches!(open(&folder), Err(DiskError::Io { .. })), "open in another place");
+async fn reads_what_was_stored_under_the_disks_own_id() {
+    let folder = filled_disk().await;
+    let disk = Disk::open(&folder.0, "g", 1, 78).expect("intact");
+    assert_eq!(disk.identity().disk, 77, "the id of the disk, not of this start");
+    assert_eq!(disk.get::<Vec<u64>>("vote").expect("intact"), Some(vec![39; 50]));
+    assert!(matches!(open(&folder), Err(DiskError::Io { .. })), "already open");
 }
 
 #[tokio::test]
-async fn the_disk_of_another_keeper_or_group_is_refused() {
-    let folder = filled().await;
+async fn refuses_the_disk_of_another_replica_or_group() {
+    let folder = filled_disk().await;
     for (group, id) in [("g", 2), ("h", 1)] {
         let error = Disk::open(&folder.0, group, id, 77).expect_err("another's");
         assert!(matches!(error, DiskError::Foreign { .. }));
@@ -60,9 +60,9 @@
 }
 
 #[tokio::test]
-async fn a_truncated_or_overwritten_file_is_refused_by_name_and_never_served() {
-    let whole = filled().await;
-    let bytes = std::fs::read(whole.file()).expect("it is there");
+async fn refuses_a_truncated_file_by_name() {
+    let intact = filled_disk().await;
+    let bytes = std::fs::read(intact.file()).expect("it is there");
     for cut in [1, 500, bytes.len() / 2, bytes.len() - 4_096] {
         let folder = Folder::new();
         std::fs::create_dir_all(&folder.0).expect("room");
@@ -74,15 +74,14 @@
     let folder = Folder::new();
     std::fs::create_dir_all(&folder.0).expect("room");
     std::fs::write(folder.file(), b"").expect("room");
-    assert!(open(&folder).is_ok(), "cut short while it was set up: nothing was ever acknowledged from it");
+    assert!(open(&folder).is_ok(), "the set-up was cut short: nothing was ever acknowledged from it");
 }
 
-/// Any single bit: either the file is refused, or what comes back is what was kept (the bit is in a part that is not in
-/// use). Nothing else may come back.
+/// For any single bit either the file is refused, or it reads as it was written (the bit is in a part that is not in use).
 #[tokio::test]
-async fn a_flipped_bit_is_found_or_does_not_matter() {
-    let whole = filled().await;
-    let bytes = std::fs::read(whole.file()).expect("it is there");
+async fn a_flipped_bit_is_found_or_has_no_effect() {
+    let intact = filled_disk().await;
+    let bytes = std::fs::read(intact.file()).expect("it is there");
     let used: Vec<usize> = (0..bytes.len()).filter(|i| bytes[*i] != 0).collect();
     let (mut refused, folder) = (0, Folder::new());
     std::fs::create_dir_all(&folder.0).expect("room");
@@ -95,8 +94,8 @@
         drop(file);
         match open(&folder) {
             Ok(disk) => {
-                let kept = disk.get::<Vec<u64>>("vote").expect("checked at the start");
-                assert_eq!(kept, Some(vec![39; 50]), "a flipped bit at {at} was served");
+                let stored = disk.get::<Vec<u64>>("vote").expect("checked at the start");
+                assert_eq!(stored, Some(vec![39; 50]), "a flipped bit at {at} was served");
                 assert_eq!(disk.identity().disk, 77, "a flipped bit at {at} was served");
             }
             Err(error) => {
--- a/crates/pebblepost-fleet-store/tests/stored_forms.rs
+++ b/crates/pebblepost-fleet-store/tests/stored_forms.rs
@@ -1,4 +1,4 @@
-//! What a keeper stores and sends, pinned by bytes: an earlier build's frames, log entries and disk are read, and the same
+//! What a replica stores and sends, pinned by bytes: an earlier build's frames, log entries and disk are read, and the same
 //! bytes are written. The files under `tests/stored` are never edited to follow the code.
 
 mod common;
@@ -24,7 +24,7 @@
 
 fn stored(file: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/stored").join(file);
-    std::fs::read_to_string(path).unwrap_or_else(|e| panic!("{file}: {e}"))
+    std::fs::read_to_string(path).unwrap_or_else(|error| panic!("{file}: {error}"))
 }
 
 fn written<T: Serialize>(value: &T) -> String {
@@ -32,7 +32,7 @@
 }
 
 fn read<T: DeserializeOwned>(line: &str) -> T {
-    serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"))
+    serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"))
 }
 
 fn reads_and_writes_the_same<T: Serialize + DeserializeOwned>(file: &str, count: usize) {
@@ -78,16 +78,19 @@
     let listener = tokio::net::TcpListener::bind("127.79.9.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     let mut plain = tokio::net::TcpStream::connect(address).await.expect("a listener");
-    let mut wire = Connection::new(listener.accept().await.expect("a connection").0);
-    wire.send(&Request::Status).await.expect("open");
+    let mut connection = Connection::new(listener.accept().await.expect("a connection").0);
+    connection.send(&Request::Status).await.expect("open");
     let mut frame = [0; 12];
     plain.read_exact(&mut frame).await.expect("a frame");
     assert_eq!(&frame, b"\0\0\0\x08\"status\"");
     plain.write_all(b"\0\0\0\x06\"done\"").await.expect("open");
-    assert!(matches!(wire.next::<Response>().await, Ok(Some(Response::Done))));
+    assert!(matches!(connection.next::<Response>().await, Ok(Some(Response::Done))));
 }
 
-fn rows(path: &std::path::Path) -> (Vec<(u64, String)>, Vec<(String, String)>) {
+/// The rows of a table, with their values as text.
+type Rows<K> = Vec<(K, String)>;
+
+fn rows(path: &std::path::Path) -> (Rows<u64>, Rows<String>) {
     let database = Database::open(path).expect("a sound file");
     let transaction = database.begin_read().expect("open");
     let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("JSON");
@@ -215,7 +218,7 @@
         DiskError::Foreign { path: path(), found: "f".to_owned(), expected: "w".to_owned() },
     ];
     let mut texts: Vec<String> = disk.iter().map(ToString::to_string).collect();
-    texts.extend(disk.into_iter().map(|e| ReplicaError::from(e).to_string()));
+    texts.extend(disk.into_iter().map(|error| ReplicaError::from(error).to_string()));
     let listen = std::io::Error::other("o");
     texts.push(ReplicaError::Listen("127.0.0.1:1".parse().expect("sound"), listen).to_string());
     texts.push(ReplicaError::Stopped("s".to_owned()).to_string());
--- a/crates/pebblepost-fleet-store/tests/watch.rs
+++ b/crates/pebblepost-fleet-store/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Many workers and many watchers at one keeper; one that does not read holds up nobody.
+//! Many workers and many watches at one replica; a watcher that does not read delays nobody.
 
 mod common;
 
@@ -23,10 +23,10 @@
 }
 
 /// Reads a watch until it has that revision. Changes must come without a gap, each once.
-async fn reads_until(mut wire: Connection, from: u64, until: u64) -> (usize, usize) {
+async fn reads_until(mut connection: Connection, from: u64, until: u64) -> (usize, usize) {
     let (mut at, mut snapshots, mut items) = (from, 0, 0);
     while at < until {
-        match wire.next::<Response>().await.expect("no garbage").expect("open") {
+        match connection.next::<Response>().await.expect("no garbage").expect("open") {
             Response::Changes(changes) => {
                 for change in changes {
                     assert_eq!(change.revision, at + 1);
@@ -46,11 +46,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn ten_thousand_workers_and_a_thousand_watchers_and_one_that_does_not_read() {
+async fn serves_a_thousand_watches_of_ten_thousand_workers_beside_one_that_does_not_read() {
     let folder = std::env::temp_dir().join(format!("pebblepost-watch-{}", std::process::id()));
     let settings = settings(2, folder.clone());
     let address = settings.listen.to_string();
-    let (keeper, mut client) = begin(&settings, std::future::pending()).await;
+    let (replica, mut client) = begin(&settings, std::future::pending()).await;
     let worker = Worker { slots: 2, ..Worker::default() };
     let mut loaded = 0;
     for first in (0..WORKERS).step_by(1_000) {
@@ -59,9 +59,9 @@
         loaded = change(&mut client, ops).await;
     }
     let open = async |from: u64| {
-        let mut wire = Connection::connect(&address).await.expect("a listener");
-        wire.send(&Request::Watch(from)).await.expect("open");
-        wire
+        let mut connection = Connection::connect(&address).await.expect("a listener");
+        connection.send(&Request::Watch(from)).await.expect("open");
+        connection
     };
     let until = loaded + 20;
     let mut watchers = Vec::new();
@@ -70,7 +70,7 @@
     }
     let late = tokio::spawn(reads_until(open(0).await, 0, until));
     let ahead = tokio::spawn(reads_until(open(loaded + 1_000).await, 0, until));
-    let _does_not_read = open(0).await;
+    let _never_read = open(0).await;
     for n in 0..20 {
         change(&mut client, vec![Operation::Drain(format!("w-{n}").parse().expect("a name"))]).await;
     }
@@ -79,9 +79,9 @@
         assert_eq!((snapshots, items), (0, 20));
     }
     let (snapshots, items) = timeout(LIMIT, late).await.expect("in time").expect("no gap");
-    assert_eq!((snapshots, items), (0, WORKERS + 20), "the log reaches back so far");
+    assert_eq!((snapshots, items), (0, WORKERS + 20), "the log reaches back to the beginning");
     let (snapshots, _) = timeout(LIMIT, ahead).await.expect("in time").expect("no gap");
-    assert_eq!(snapshots, 1, "a revision that the group never had: the whole state");
-    keeper.abort();
+    assert_eq!(snapshots, 1, "a revision that the group never had: a snapshot");
+    replica.abort();
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/pebblepost-fleet/examples/release_size.rs
+++ b/crates/pebblepost-fleet/examples/release_size.rs
@@ -1,10 +1,8 @@
-//! A release at size, without sockets: the state machine with N dispatchers that end and come back after times drawn from a
-//! seed. Prints a table: how long it takes, and how many commands and bytes of changes for each dispatcher.
+//! The cost of a release by the size of the fleet, without sockets: the state machine with N dispatchers that restart in times
+//! drawn from a seed. Prints a table: the duration, and the commands and bytes of changes for each dispatcher.
 //!
 //! `cargo run --release -p pebblepost-fleet --example release_size [PLOT.svg]`
 
-#![forbid(unsafe_code)]
-
 use pebblepost_fleet::release_driver::{NextStep, ReleaseDriver, ReleasePolicy};
 use pebblepost_fleet::value::{MemberInfo, Role};
 use pebblepost_fleet::{
@@ -19,49 +17,55 @@
 struct Fleet {
     state: State,
     /// The number of the last request.
-    last: u64,
+    last_request: u64,
     commands: u64,
     bytes: usize,
 }
 
 impl Fleet {
-    fn act(&mut self, by: &str, act: Action) {
-        (self.commands, self.last) = (self.commands + 1, self.last + 1);
-        let (id, by) = (RequestId(1, self.last), by.parse().expect("a sound name"));
+    fn apply(&mut self, issued_by: &str, action: Action) {
+        (self.commands, self.last_request) = (self.commands + 1, self.last_request + 1);
+        let (id, issued_by) = (RequestId(1, self.last_request), issued_by.parse().expect("a sound name"));
         let before = self.state.revision();
-        self.state
-            .apply(&Command { id, issued_by: by, issued_at_ms: 0, action: act })
-            .expect("it makes sense");
+        self.state.apply(&Command { id, issued_by, issued_at_ms: 0, action }).expect("a valid command");
         let changes = self.state.changes_after(before, 1).unwrap_or_default();
         self.bytes += serde_json::to_string(&changes).map_or(0, |text| text.len());
     }
 
-    fn op(&mut self, op: Operation) {
-        self.act(
+    fn change(&mut self, operation: Operation) {
+        self.apply(
             "operator",
-            Action::Change { operations: vec![op], preconditions: Vec::new(), reason: Text::default() },
+            Action::Change {
+                operations: vec![operation],
+                preconditions: Vec::new(),
+                reason: Text::default(),
+            },
         );
     }
 
-    fn joins(&mut self, n: u64, life: u64, version: &str) {
-        let text = |t: String| t.parse::<Text>().expect("a sound text");
+    fn join(&mut self, n: u64, incarnation: u64, version: &str) {
+        let text = |text: String| text.parse::<Text>().expect("a sound text");
         let (version, zone) = (text(version.to_owned()), text(format!("z{}", n % 3)));
-        let card = MemberInfo { role: Role::Dispatcher, version, address: None, zone, ready: true };
+        let info = MemberInfo { role: Role::Dispatcher, version, address: None, zone, ready: true };
         let member: Name = format!("d{n}").parse().expect("a sound name");
-        self.act(
+        self.apply(
             &format!("d{n}"),
-            Action::Join { member, incarnation_id: IncarnationId(n, life), info: card },
+            Action::Join { member, incarnation_id: IncarnationId(n, incarnation), info },
         );
     }
 
-    /// Those whose first life is permitted to end.
-    fn going(&self) -> BTreeSet<u64> {
-        let granted = self.state.permits().filter(|(_, p)| p.granted_at_revision.is_some());
-        granted.filter_map(|(_, p)| p.incarnation_id).filter(|l| l.1 == 1).map(|l| l.0).collect()
+    /// The dispatchers whose first incarnation is permitted to end.
+    fn leaving(&self) -> BTreeSet<u64> {
+        let granted = self.state.permits().filter(|(_, permit)| permit.granted_at_revision.is_some());
+        granted
+            .filter_map(|(_, permit)| permit.incarnation_id)
+            .filter(|incarnation| incarnation.1 == 1)
+            .map(|incarnation| incarnation.0)
+            .collect()
     }
 }
 
-/// One size: how long the release took, in seconds, and for each dispatcher how many commands and bytes of changes.
+/// The result for one size: the duration in seconds, and the commands and bytes of changes for each dispatcher.
 struct Point {
     dispatchers: u64,
     seconds: u64,
@@ -73,14 +77,14 @@
 fn plot(path: &str, points: &[Point]) -> Result<(), Box<dyn std::error::Error>> {
     type Row = (&'static str, fn(&Point) -> f64, f64);
     let rows: [Row; 3] = [
-        ("length of the release, s", |p| p.seconds as f64, 300.0),
-        ("commands for each dispatcher", |p| p.commands, 1.5),
-        ("bytes of changes for each dispatcher", |p| p.bytes, 750.0),
+        ("length of the release, s", |point| point.seconds as f64, 300.0),
+        ("commands for each dispatcher", |point| point.commands, 1.5),
+        ("bytes of changes for each dispatcher", |point| point.bytes, 750.0),
     ];
-    let whole = SVGBackend::new(path, (640, 720)).into_drawing_area();
-    whole.fill(&WHITE)?;
+    let drawing = SVGBackend::new(path, (640, 720)).into_drawing_area();
+    drawing.fill(&WHITE)?;
     let sizes = 20.0..4_000.0;
-    for (area, (name, value, most)) in whole.split_evenly((3, 1)).iter().zip(rows) {
+    for (area, (name, value, most)) in drawing.split_evenly((3, 1)).iter().zip(rows) {
         let mut chart = ChartBuilder::on(area)
             .caption(name, ("sans-serif", 15))
             .margin(8)
@@ -88,11 +92,11 @@
             .y_label_area_size(48)
             .build_cartesian_2d(sizes.clone().log_scale(), 0.0..most)?;
         chart.configure_mesh().x_desc("dispatchers").draw()?;
-        let line = points.iter().map(|p| (p.dispatchers as f64, value(p)));
+        let line = points.iter().map(|point| (point.dispatchers as f64, value(point)));
         chart.draw_series(LineSeries::new(line.clone(), &BLUE))?;
         chart.draw_series(line.map(|at| Circle::new(at, 3, BLUE.filled())))?;
     }
-    whole.present()?;
+    drawing.present()?;
     Ok(())
 }
 
@@ -103,41 +107,40 @@
     );
     println!("| --- | --- | --- | --- | --- |");
     for dispatchers in [30, 100, 300, 1_000, 3_000] {
-        let mut fleet = Fleet { state: State::default(), last: 0, commands: 0, bytes: 0 };
-        (0..dispatchers).for_each(|n| fleet.joins(n, 1, "1"));
+        let mut fleet = Fleet { state: State::default(), last_request: 0, commands: 0, bytes: 0 };
+        (0..dispatchers).for_each(|n| fleet.join(n, 1, "1"));
         let budget = Budget {
             max_unavailable: Limit::Fraction(0.1),
             max_unavailable_per_zone: None,
             max_unavailable_per_machine_type: None,
             min_available_per_zone: 1,
         };
-        fleet.op(Operation::SetBudget(SubjectKind::Dispatcher, budget));
+        fleet.change(Operation::SetBudget(SubjectKind::Dispatcher, budget));
         (fleet.commands, fleet.bytes) = (0, 0);
         let (began, mut draws) = (Instant::now(), Pcg64Mcg::seed_from_u64(7));
         let waves = vec![Limit::Count(1), Limit::Fraction(0.05), Limit::Fraction(0.25), Limit::Fraction(1.0)];
-        fleet.op(Operation::BeginRelease {
+        fleet.change(Operation::BeginRelease {
             version: "2".parse().expect("a sound text"),
             waves,
             zone_order: Vec::new(),
         });
-        let pause = Duration::from_secs(60);
         let mut driver = ReleaseDriver::new(ReleasePolicy {
-            observation_time: pause,
+            observation_time: Duration::from_secs(60),
             wave_timeout: Duration::from_secs(600),
             max_crashes: 3,
             max_success_rate_drop: 0.05,
             min_answers: 200,
         });
-        // In tenths of a second: each hears of its permit, ends what it has, and is started again within 2 to 8 s.
-        let (mut now, mut back): (u64, BTreeMap<u64, BTreeSet<u64>>) = (0, BTreeMap::new());
-        let mut out = BTreeSet::new();
+        // In tenths of a second: each learns of its permit, ends its requests, and is restarted within 2 to 8 s.
+        let (mut now, mut returning): (u64, BTreeMap<u64, BTreeSet<u64>>) = (0, BTreeMap::new());
+        let mut restarted = BTreeSet::new();
         loop {
-            for n in fleet.going().difference(&out.clone()) {
-                back.entry(now + draws.random_range(20..80)).or_default().insert(*n);
-                out.insert(*n);
+            for n in fleet.leaving().difference(&restarted.clone()) {
+                returning.entry(now + draws.random_range(20..80)).or_default().insert(*n);
+                restarted.insert(*n);
             }
-            for n in back.remove(&now).unwrap_or_default() {
-                fleet.joins(n, 2, "2");
+            for n in returning.remove(&now).unwrap_or_default() {
+                fleet.join(n, 2, "2");
             }
             if now.is_multiple_of(10) {
                 match driver.next_step(
@@ -145,7 +148,7 @@
                     &fleet.state.snapshot(),
                     &BTreeMap::new(),
                 ) {
-                    NextStep::Propose { operation: op, reason: _ } => fleet.op(op),
+                    NextStep::Propose { operation, .. } => fleet.change(operation),
                     NextStep::Finished => break,
                     NextStep::Wait | NextStep::Halted => {}
                 }
--- a/crates/pebblepost-fleet/src/leader/sessions.rs
+++ b/crates/pebblepost-fleet/src/leader/sessions.rs
@@ -77,7 +77,8 @@
             }
         }
         expired.extend(self.expired_superseded(now, state));
-        self.heartbeats.retain(|name, _| state.member(name).is_some_and(|m| m.presence == Presence::Present));
+        self.heartbeats
+            .retain(|name, _| state.member(name).is_some_and(|member| member.presence == Presence::Present));
         expired
     }
 
--- a/crates/pebblepost-fleet/src/lib.rs
+++ b/crates/pebblepost-fleet/src/lib.rs
@@ -16,9 +16,6 @@
 //! * [`follower`]: a dispatcher's copy, its age, and the drains requested at it while it was partitioned.
 //! * [`release_driver`], [`simulation`]: when a release advances or halts, and its dry run.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
 pub mod availability;
 pub mod command;
 pub mod fencing;
--- a/crates/pebblepost-fleet/src/value/release.rs
+++ b/crates/pebblepost-fleet/src/value/release.rs
@@ -1,7 +1,7 @@
 //! A release: all dispatchers change to a version, wave by wave.
 
+use super::permit::Limit;
 use crate::name::{Name, Text};
-use crate::value::Limit;
 use serde::{Deserialize, Serialize};
 
 /// A release in progress. How many dispatchers have reached its version is a rule of the state as well: a faulty version never
--- a/crates/pebblepost-fleet/tests/decisions.rs
+++ b/crates/pebblepost-fleet/tests/decisions.rs
@@ -68,8 +68,10 @@
         let (worker, dispatcher, revision) = (self.worker(), self.dispatcher(), state.revision());
         let subject =
             if kind == "worker" { format!("worker/{worker}") } else { format!("dispatcher/{dispatcher}") };
-        let granted =
-            state.permit(&subject.parse().expect("sound")).and_then(|p| p.granted_at_revision).unwrap_or(1);
+        let granted = state
+            .permit(&subject.parse().expect("sound"))
+            .and_then(|permit| permit.granted_at_revision)
+            .unwrap_or(1);
         match self.below(24) {
             0 => format!(r#"{{"drain":"{worker}"}}"#),
             1 => format!(r#"{{"undrain":"{worker}"}}"#),
@@ -108,7 +110,7 @@
 
     fn act(&mut self, state: &State) -> String {
         let member = self.dispatcher();
-        let session = state.member(&member.parse().expect("sound")).map_or(1, |m| m.session);
+        let session = state.member(&member.parse().expect("sound")).map_or(1, |member| member.session);
         let session = if self.below(8) == 0 { session + 1 } else { session };
         match self.below(20) {
             0..=3 => {
@@ -179,8 +181,11 @@
         let now = Duration::from_millis(step * 700);
         let act: Action = serde_json::from_str(&draws.act(&state)).expect("a command");
         let mut acts = vec![act];
-        let members: Vec<(Name, u64)> =
-            state.members().filter(|_| draws.below(3) > 0).map(|(n, m)| (n.clone(), m.session)).collect();
+        let members: Vec<(Name, u64)> = state
+            .members()
+            .filter(|_| draws.below(3) > 0)
+            .map(|(n, member)| (n.clone(), member.session))
+            .collect();
         for (member, session) in members {
             let doing: Option<HeartbeatReport> =
                 draws.coin().then(|| serde_json::from_str(&draws.heartbeat(&state)).expect("a heartbeat"));
@@ -226,7 +231,7 @@
     }
     digest.json(&state);
     digest.json(&follower);
-    let present = state.members().filter(|(_, m)| m.presence == Presence::Present).count();
+    let present = state.members().filter(|(_, member)| member.presence == Presence::Present).count();
     digest.json(&present);
     digest.0
 }
@@ -330,7 +335,7 @@
         UnconfirmedReason::NoReport,
         UnconfirmedReason::Absent,
     ]
-    .map(|b| b.to_string())
+    .map(|reason| reason.to_string())
     .into();
     let waits = [
         WaitReason::NoBudget,
@@ -341,16 +346,18 @@
         WaitReason::WaveLimit(4),
         WaitReason::ZoneOrder,
     ];
-    texts.extend(waits.map(|w| w.to_string()));
+    texts.extend(waits.map(|reason| reason.to_string()));
     texts.extend(
-        [NotAuthorized::NotHolder, NotAuthorized::Revoked, NotAuthorized::WouldExpire].map(|e| e.to_string()),
+        [NotAuthorized::NotHolder, NotAuthorized::Revoked, NotAuthorized::WouldExpire]
+            .map(|error| error.to_string()),
     );
     texts.extend(
-        [LocalDrainError::Full, LocalDrainError::Replicated, LocalDrainError::Unknown].map(|e| e.to_string()),
+        [LocalDrainError::Full, LocalDrainError::Replicated, LocalDrainError::Unknown]
+            .map(|error| error.to_string()),
     );
     texts.extend(
         [UpdateError::Gap { found: 1, own: 2 }, UpdateError::Stale { found: 1, own: 2 }]
-            .map(|e| e.to_string()),
+            .map(|error| error.to_string()),
     );
     let (mut fence, task) = (FencingGuard::default(), "t".parse().expect("sound"));
     fence.check(&task, 4).expect("the first");
--- a/crates/pebblepost-fleet/tests/model.rs
+++ b/crates/pebblepost-fleet/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking of what is ours in the agreed store: every order in which messages can be lost, doubled and delayed and
-//! processes can restart, up to stated bounds.
+//! Model checking of the state machine: every order in which messages can be lost, duplicated and delayed and processes can
+//! restart, up to stated bounds.
 
 use pebblepost_fleet::follower::{Follower, ProposalOutcome};
 use pebblepost_fleet::leader::Sessions;
@@ -16,39 +16,39 @@
     text.parse().expect("a sound name")
 }
 
-/// Hashes by what is written down: the checker only needs equal states to be equal.
+/// Hashes the written form: the checker only needs equal states to be equal.
 fn hash_text<H: Hasher>(value: &impl serde::Serialize, hasher: &mut H) {
     serde_json::to_string(value).expect("plain data").hash(hasher);
 }
 
-// ---- Sessions: a member that is paused, restarted and cut off, and leaders that change ----
+// ---- Sessions: a member that is paused, restarted and partitioned, and leaders that change ----
 
 const TTL: SessionTtl = SessionTtl(Duration::from_secs(4));
 /// One step of time. Clocks of member and leader may differ by the rate that is allowed for.
 const STEP: Duration = Duration::from_secs(1);
 
-/// One life of the member.
+/// One incarnation of the member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Life {
+struct Incarnation {
     number: u64,
     session: Option<u64>,
-    /// When it sent the last beat, or its join, that was answered.
-    sure_from: u64,
+    /// When it sent the last heartbeat, or its join, that was answered.
+    valid_from: u64,
 }
 
 #[derive(Clone, Debug)]
 struct World {
     state: State,
     now: u64,
-    /// The present life first; one before it may be paused and wake up.
-    lives: Vec<Life>,
+    /// The present incarnation first; one before it may be paused and wake up.
+    incarnations: Vec<Incarnation>,
     started: u64,
     next: u64,
     leader: u64,
-    /// Beats that the leader of this term heard, rebuilt each time it is asked: member's session and when.
+    /// The last heartbeat that the leader of this term received: its session and when. Its sessions are rebuilt from that.
     heard: Option<(u64, u64)>,
-    /// Beats on their way: the session, the life, when they were sent.
-    beats: Vec<(u64, u64, u64)>,
+    /// Heartbeats on their way: the session, the incarnation, when they were sent.
+    heartbeats: Vec<(u64, u64, u64)>,
     began: u64,
 }
 
@@ -63,8 +63,8 @@
 impl Hash for World {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         hash_text(&self.state, hasher);
-        (self.now, &self.lives, self.started, self.next, self.leader).hash(hasher);
-        (self.heard, &self.beats, self.began).hash(hasher);
+        (self.now, &self.incarnations, self.started, self.next, self.leader).hash(hasher);
+        (self.heard, &self.heartbeats, self.began).hash(hasher);
     }
 }
 
@@ -72,32 +72,31 @@
 enum Step {
     /// A second passes.
     Time,
-    /// A life joins; the answer comes.
+    /// An incarnation joins; the answer comes.
     Join(usize),
-    /// A life sends a beat.
-    Beat(usize),
-    /// A beat arrives and is answered, or is lost.
+    /// An incarnation sends a heartbeat.
+    Heartbeat(usize),
+    /// A heartbeat arrives and is answered, or is lost.
     Arrives(usize),
     Lost(usize),
-    /// The process starts anew; the old one may only be paused.
+    /// The process is restarted; the old one may only be paused.
     Restart,
-    /// Another keeper leads.
+    /// The leader changes.
     Elect,
-    /// The leader has overdue sessions ended.
-    Look,
+    /// The leader ends expired sessions.
+    Check,
 }
 
 struct MemberModel;
 
 impl World {
-    fn command(&mut self, act: Action) -> CommandResult {
+    fn command(&mut self, action: Action) -> CommandResult {
         self.next += 1;
-        let command =
-            Command { id: RequestId(1, self.next), issued_by: name("m"), issued_at_ms: 0, action: act };
+        let command = Command { id: RequestId(1, self.next), issued_by: name("m"), issued_at_ms: 0, action };
         self.state.apply(&command)
     }
 
-    fn secs(&self, at: u64) -> Duration {
+    fn elapsed(&self, at: u64) -> Duration {
         STEP * u32::try_from(at).unwrap_or(u32::MAX)
     }
 
@@ -105,16 +104,16 @@
     fn overdue(&self) -> Vec<Action> {
         let mut leader = Sessions::new(TTL);
         // What it has seen since it began, in that order.
-        leader.expired(self.secs(self.began), &self.state);
+        leader.expired(self.elapsed(self.began), &self.state);
         if let Some((session, at)) = self.heard {
-            leader.record_heartbeat(self.secs(at), &self.state, &name("m"), session, None);
+            leader.record_heartbeat(self.elapsed(at), &self.state, &name("m"), session, None);
         }
-        leader.expired(self.secs(self.now), &self.state)
+        leader.expired(self.elapsed(self.now), &self.state)
     }
 
-    /// Whether a life may rely on its session, by its own clock.
-    fn relies(&self, life: &Life) -> bool {
-        life.session.is_some() && self.secs(self.now - life.sure_from) <= TTL.for_member()
+    /// Whether an incarnation may rely on its session, by its own clock.
+    fn relies(&self, incarnation: &Incarnation) -> bool {
+        incarnation.session.is_some() && self.elapsed(self.now - incarnation.valid_from) <= TTL.for_member()
     }
 }
 
@@ -123,23 +122,33 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let first = Life { number: 1, session: None, sure_from: 0 };
-        let (lives, state, beats) = (vec![first], State::default(), Vec::new());
-        vec![World { state, now: 0, lives, started: 1, next: 0, leader: 0, heard: None, beats, began: 0 }]
+        let first = Incarnation { number: 1, session: None, valid_from: 0 };
+        let (incarnations, state, heartbeats) = (vec![first], State::default(), Vec::new());
+        vec![World {
+            state,
+            now: 0,
+            incarnations,
+            started: 1,
+            next: 0,
+            leader: 0,
+            heard: None,
+            heartbeats,
+            began: 0,
+        }]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Step>) {
         if world.now < 9 {
             actions.push(Step::Time);
         }
-        for (i, life) in world.lives.iter().enumerate() {
-            if life.session.is_none() {
+        for (i, incarnation) in world.incarnations.iter().enumerate() {
+            if incarnation.session.is_none() {
                 actions.push(Step::Join(i));
-            } else if world.beats.len() < 2 {
-                actions.push(Step::Beat(i));
+            } else if world.heartbeats.len() < 2 {
+                actions.push(Step::Heartbeat(i));
             }
         }
-        for i in 0..world.beats.len() {
+        for i in 0..world.heartbeats.len() {
             actions.extend([Step::Arrives(i), Step::Lost(i)]);
         }
         if world.started < 2 {
@@ -148,7 +157,7 @@
         if world.leader < 1 {
             actions.push(Step::Elect);
         }
-        actions.push(Step::Look);
+        actions.push(Step::Check);
     }
 
     fn next_state(&self, world: &World, step: Step) -> Option<World> {
@@ -156,64 +165,69 @@
         match step {
             Step::Time => world.now += 1,
             Step::Join(i) => {
-                let card = MemberInfo {
+                let info = MemberInfo {
                     role: Role::Dispatcher,
                     version: Text::default(),
                     address: None,
                     zone: Text::default(),
                     ready: true,
                 };
-                let (sent, life) = (world.now, IncarnationId(0, world.lives[i].number));
+                let (sent, incarnation) = (world.now, IncarnationId(0, world.incarnations[i].number));
                 let answer =
-                    world.command(Action::Join { member: name("m"), incarnation_id: life, info: card });
+                    world.command(Action::Join { member: name("m"), incarnation_id: incarnation, info });
                 match answer {
                     Ok(done) => {
-                        world.lives[i].session = done.session;
-                        world.lives[i].sure_from = sent;
-                        world.heard = done.session.map(|s| (s, sent));
+                        world.incarnations[i].session = done.session;
+                        world.incarnations[i].valid_from = sent;
+                        world.heard = done.session.map(|session| (session, sent));
                     }
-                    // Its name belongs to a later life: it ends.
-                    Err(_) => drop(world.lives.remove(i)),
+                    // Its name belongs to a later incarnation: it ends.
+                    Err(_) => drop(world.incarnations.remove(i)),
                 }
             }
-            Step::Beat(i) => {
-                let life = &world.lives[i];
-                world.beats.push((life.session?, life.number, world.now));
+            Step::Heartbeat(i) => {
+                let incarnation = &world.incarnations[i];
+                world.heartbeats.push((incarnation.session?, incarnation.number, world.now));
             }
             Step::Arrives(i) => {
-                let (session, number, sent) = world.beats.remove(i);
+                let (session, number, sent) = world.heartbeats.remove(i);
                 let mut leader = Sessions::new(TTL);
-                let goes_on =
-                    leader.record_heartbeat(world.secs(world.now), &world.state, &name("m"), session, None)
-                        == pebblepost_fleet::leader::HeartbeatOutcome::Renewed;
+                let goes_on = leader.record_heartbeat(
+                    world.elapsed(world.now),
+                    &world.state,
+                    &name("m"),
+                    session,
+                    None,
+                ) == pebblepost_fleet::leader::HeartbeatOutcome::Renewed;
                 if goes_on {
                     world.heard = Some((session, world.now));
                 }
-                let life =
-                    world.lives.iter_mut().find(|l| l.number == number && l.session == Some(session))?;
+                let incarnation = world.incarnations.iter_mut().find(|incarnation| {
+                    incarnation.number == number && incarnation.session == Some(session)
+                })?;
                 if goes_on {
-                    life.sure_from = life.sure_from.max(sent);
+                    incarnation.valid_from = incarnation.valid_from.max(sent);
                 } else {
-                    life.session = None;
+                    incarnation.session = None;
                 }
             }
-            Step::Lost(i) => drop(world.beats.remove(i)),
+            Step::Lost(i) => drop(world.heartbeats.remove(i)),
             Step::Restart => {
                 world.started += 1;
-                let fresh = Life { number: world.started, session: None, sure_from: world.now };
-                world.lives.insert(0, fresh);
+                let fresh = Incarnation { number: world.started, session: None, valid_from: world.now };
+                world.incarnations.insert(0, fresh);
             }
             Step::Elect => {
                 world.leader += 1;
                 (world.heard, world.began) = (None, world.now);
             }
-            Step::Look => {
+            Step::Check => {
                 let overdue = world.overdue();
                 if overdue.is_empty() {
                     return None;
                 }
-                for act in overdue {
-                    let _ = world.command(act);
+                for action in overdue {
+                    let _ = world.command(action);
                 }
             }
         }
@@ -222,29 +236,36 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            // A life may rely on a session that a join of the same name has ended since: fencing by the session's
-            // number is for that. It must never rely on one that was ended for want of beats.
+            // An incarnation may rely on a session that a join of the same name has ended since: fencing tokens are for that. It must never rely on one that was expired without heartbeats.
             Property::always(
-                "a life that relies on its session has it, unless another joined",
-                |_, w: &World| {
-                    let member = w.state.member(&name("m"));
-                    w.lives.iter().filter(|l| w.relies(l)).all(|life| {
-                        let session = life.session.unwrap_or(0);
-                        member.is_some_and(|m| {
-                            m.session > session || m.session == session && m.presence == Presence::Present
-                        })
-                    })
+                "an incarnation that relies on its session has it, unless another joined",
+                |_, world: &World| {
+                    let member = world.state.member(&name("m"));
+                    world.incarnations.iter().filter(|incarnation| world.relies(incarnation)).all(
+                        |incarnation| {
+                            let session = incarnation.session.unwrap_or(0);
+                            member.is_some_and(|member| {
+                                member.session > session
+                                    || member.session == session && member.presence == Presence::Present
+                            })
+                        },
+                    )
                 },
             ),
-            Property::always("never two lives with the session of the name", |_, w: &World| {
-                let session = w.state.member(&name("m")).map(|m| m.session);
-                w.lives.iter().filter(|l| l.session.is_some() && l.session == session).count() <= 1
+            Property::always("never two incarnations with the session of the name", |_, world: &World| {
+                let session = world.state.member(&name("m")).map(|member| member.session);
+                world
+                    .incarnations
+                    .iter()
+                    .filter(|incarnation| incarnation.session.is_some() && incarnation.session == session)
+                    .count()
+                    <= 1
             }),
-            Property::sometimes("a session ends for want of beats", |_, w: &World| {
-                w.state.member(&name("m")).is_some_and(|m| m.presence == Presence::Lost)
+            Property::sometimes("a session expires without heartbeats", |_, world: &World| {
+                world.state.member(&name("m")).is_some_and(|member| member.presence == Presence::Lost)
             }),
-            Property::sometimes("a second life has the name", |_, w: &World| {
-                w.state.member(&name("m")).is_some_and(|m| m.incarnation == 2)
+            Property::sometimes("a second incarnation has the name", |_, world: &World| {
+                world.state.member(&name("m")).is_some_and(|member| member.incarnation == 2)
             }),
         ]
     }
@@ -258,53 +279,59 @@
     assert!(checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
 }
 
-// ---- A drain asked for at a dispatcher that is cut off ----
+// ---- A drain requested at a partitioned dispatcher ----
+
+/// A drain of the worker at the dispatcher.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+enum LocalDrainRequest {
+    NotMade,
+    Made,
+    /// The group has changed the worker's drain since it was requested here.
+    DecidedMeanwhile,
+}
 
 #[derive(Clone, Debug, PartialEq)]
-struct Cut {
+struct Partition {
     group: State,
     follower: Follower,
-    /// What the file would hold: written after each change here.
-    asked: bool,
-    /// The group has taken a decision on this worker since the dispatcher was cut off.
-    decided: bool,
-    offers: Vec<Command>,
+    drain: LocalDrainRequest,
+    proposals: Vec<Command>,
     answers: Vec<(RequestId, CommandResult)>,
     /// Snapshots on their way, perhaps late and out of order.
-    news: Vec<Snapshot>,
+    snapshots: Vec<Snapshot>,
     steps: u8,
     overruled: bool,
-    unmarked: bool,
+    lost_mark: bool,
 }
 
-impl Eq for Cut {}
+impl Eq for Partition {}
 
-impl Hash for Cut {
+impl Hash for Partition {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         hash_text(&self.group, hasher);
         hash_text(&self.follower, hasher);
-        hash_text(&self.offers, hasher);
+        hash_text(&self.proposals, hasher);
         hash_text(&self.answers, hasher);
-        hash_text(&self.news, hasher);
-        (self.asked, self.decided, self.steps, self.overruled, self.unmarked).hash(hasher);
+        hash_text(&self.snapshots, hasher);
+        (self.drain, self.steps, self.overruled, self.lost_mark).hash(hasher);
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Move {
-    /// An operator asks for the drain here.
-    Ask,
-    /// The group drains or undrains the worker by another way.
+enum DrainStep {
+    /// An operator requests the drain at the dispatcher.
+    Request,
+    /// The group drains or undrains the worker by another command.
     Drain,
     Undrain,
-    /// An offer is sent (again), arrives (perhaps doubled), is lost; its answer arrives or is lost.
-    Offer,
+    /// A proposal is sent (again), arrives (perhaps duplicated), is lost; its answer arrives or is lost.
+    Propose,
     Arrives(usize, bool),
     Answered(usize),
     Unanswered(usize),
-    /// News are sent, and arrive.
-    Tell,
-    Told(usize),
+    /// A snapshot is sent, and arrives.
+    SendSnapshot,
+    SnapshotArrives(usize),
     /// The dispatcher restarts from its file.
     Restart,
 }
@@ -313,234 +340,243 @@
 
 const WORKER: &str = "w";
 
-impl Cut {
-    fn agreed(&self) -> bool {
+impl Partition {
+    fn is_replicated(&self) -> bool {
         self.group.get(&Key::Drain(name(WORKER))).is_some()
     }
 
-    fn honoured(&self) -> bool {
+    fn is_drained(&self) -> bool {
         self.follower.drained_workers().contains(&name(WORKER))
     }
 
     fn decide(&mut self, op: Operation) {
         self.steps += 1;
-        let act = Action::Change { operations: vec![op], preconditions: vec![], reason: Text::default() };
+        let action = Action::Change { operations: vec![op], preconditions: vec![], reason: Text::default() };
         let id = RequestId(2, u64::from(self.steps));
         let revision = self.group.revision();
-        let done = self.group.apply(&Command { id, issued_by: name("op"), issued_at_ms: 0, action: act });
+        let done = self.group.apply(&Command { id, issued_by: name("op"), issued_at_ms: 0, action });
         assert!(done.is_ok());
-        self.decided |= self.asked && self.group.revision() > revision;
+        if self.drain == LocalDrainRequest::Made && self.group.revision() > revision {
+            self.drain = LocalDrainRequest::DecidedMeanwhile;
+        }
     }
 }
 
 impl Model for DrainModel {
-    type State = Cut;
-    type Action = Move;
+    type State = Partition;
+    type Action = DrainStep;
 
-    fn init_states(&self) -> Vec<Cut> {
-        vec![Cut {
+    fn init_states(&self) -> Vec<Partition> {
+        vec![Partition {
             group: State::default(),
             follower: Follower::default(),
-            asked: false,
-            decided: false,
-            offers: Vec::new(),
+            drain: LocalDrainRequest::NotMade,
+            proposals: Vec::new(),
             answers: Vec::new(),
-            news: Vec::new(),
+            snapshots: Vec::new(),
             steps: 0,
             overruled: false,
-            unmarked: false,
+            lost_mark: false,
         }]
     }
 
-    fn actions(&self, cut: &Cut, actions: &mut Vec<Move>) {
-        if !cut.asked {
-            actions.push(Move::Ask);
+    fn actions(&self, world: &Partition, actions: &mut Vec<DrainStep>) {
+        if world.drain == LocalDrainRequest::NotMade {
+            actions.push(DrainStep::Request);
         }
-        if cut.steps < 2 {
-            actions.extend([Move::Drain, Move::Undrain]);
+        if world.steps < 2 {
+            actions.extend([DrainStep::Drain, DrainStep::Undrain]);
         }
-        if cut.offers.len() < 2 && cut.follower.next_proposal().is_some() {
-            actions.push(Move::Offer);
+        if world.proposals.len() < 2 && world.follower.next_proposal().is_some() {
+            actions.push(DrainStep::Propose);
         }
-        for i in 0..cut.offers.len() {
-            actions.push(Move::Arrives(i, false));
-            if cut.answers.len() < 2 {
-                actions.push(Move::Arrives(i, true));
+        for i in 0..world.proposals.len() {
+            actions.push(DrainStep::Arrives(i, false));
+            if world.answers.len() < 2 {
+                actions.push(DrainStep::Arrives(i, true));
             }
         }
-        for i in 0..cut.answers.len() {
-            actions.extend([Move::Answered(i), Move::Unanswered(i)]);
+        for i in 0..world.answers.len() {
+            actions.extend([DrainStep::Answered(i), DrainStep::Unanswered(i)]);
         }
-        if cut.news.len() < 2 && !cut.news.iter().any(|n| n.revision == cut.group.revision()) {
-            actions.push(Move::Tell);
+        if world.snapshots.len() < 2 && !world.snapshots.iter().any(|n| n.revision == world.group.revision())
+        {
+            actions.push(DrainStep::SendSnapshot);
         }
-        (0..cut.news.len()).for_each(|i| actions.push(Move::Told(i)));
-        actions.push(Move::Restart);
+        (0..world.snapshots.len()).for_each(|i| actions.push(DrainStep::SnapshotArrives(i)));
+        actions.push(DrainStep::Restart);
     }
 
-    fn next_state(&self, cut: &Cut, step: Move) -> Option<Cut> {
-        let mut cut = cut.clone();
-        let held = cut.honoured();
+    fn next_state(&self, world: &Partition, step: DrainStep) -> Option<Partition> {
+        let mut world = world.clone();
+        let was_drained = world.is_drained();
         match step {
-            Move::Ask => {
-                cut.asked = true;
-                let asked = cut.follower.drain(name(WORKER), RequestId(9, 9), name("op"), 0, Text::default());
-                asked.expect("room");
+            DrainStep::Request => {
+                world.drain = LocalDrainRequest::Made;
+                let drained =
+                    world.follower.drain(name(WORKER), RequestId(9, 9), name("op"), 0, Text::default());
+                drained.expect("room");
             }
-            Move::Drain => cut.decide(Operation::Drain(name(WORKER))),
-            Move::Undrain => cut.decide(Operation::Undrain(name(WORKER))),
-            Move::Offer => cut.offers.extend(cut.follower.next_proposal()),
-            Move::Arrives(i, doubled) => {
-                let offer = if doubled { cut.offers[i].clone() } else { cut.offers.remove(i) };
-                let answer = cut.group.apply(&offer);
-                cut.answers.push((offer.id, answer));
+            DrainStep::Drain => world.decide(Operation::Drain(name(WORKER))),
+            DrainStep::Undrain => world.decide(Operation::Undrain(name(WORKER))),
+            DrainStep::Propose => world.proposals.extend(world.follower.next_proposal()),
+            DrainStep::Arrives(i, doubled) => {
+                let proposal = if doubled { world.proposals[i].clone() } else { world.proposals.remove(i) };
+                let answer = world.group.apply(&proposal);
+                world.answers.push((proposal.id, answer));
             }
-            Move::Answered(i) => {
-                let (id, answer) = cut.answers.remove(i);
-                cut.overruled |= cut.follower.record_result(id, &answer) == ProposalOutcome::Overruled;
+            DrainStep::Answered(i) => {
+                let (id, answer) = world.answers.remove(i);
+                world.overruled |= world.follower.record_result(id, &answer) == ProposalOutcome::Overruled;
             }
-            Move::Unanswered(i) => drop(cut.answers.remove(i)),
-            Move::Tell => cut.news.push(cut.group.snapshot()),
-            Move::Told(i) => {
-                let news = cut.news.remove(i);
-                let _ = cut.follower.apply_snapshot(Duration::ZERO, news);
+            DrainStep::Unanswered(i) => drop(world.answers.remove(i)),
+            DrainStep::SendSnapshot => world.snapshots.push(world.group.snapshot()),
+            DrainStep::SnapshotArrives(i) => {
+                let snapshot = world.snapshots.remove(i);
+                let _ = world.follower.apply_snapshot(Duration::ZERO, snapshot);
             }
-            Move::Restart => {
-                let text = serde_json::to_string(&cut.follower).expect("plain data");
-                let kept: Follower = serde_json::from_str(&text).expect("the same");
-                if kept == cut.follower {
+            DrainStep::Restart => {
+                let text = serde_json::to_string(&world.follower).expect("plain data");
+                let stored: Follower = serde_json::from_str(&text).expect("the same");
+                if stored == world.follower {
                     return None;
                 }
-                cut.follower = kept;
+                world.follower = stored;
             }
         }
-        cut.unmarked |= held && !cut.honoured();
-        Some(cut)
+        world.lost_mark |= was_drained && !world.is_drained();
+        Some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a local drain holds until a decision of the group is here", |_, cut: &Cut| {
-                !cut.asked || cut.honoured() || cut.steps > 0 && cut.follower.revision() > 0
-            }),
-            Property::always("a mark goes only by a decision that is here", |_, cut: &Cut| {
-                !cut.unmarked || cut.steps > 0 && cut.follower.revision() > 0
+            Property::always(
+                "a local drain holds until a decision of the group is here",
+                |_, world: &Partition| {
+                    world.drain == LocalDrainRequest::NotMade
+                        || world.is_drained()
+                        || world.steps > 0 && world.follower.revision() > 0
+                },
+            ),
+            Property::always("a mark goes only by a decision that is here", |_, world: &Partition| {
+                !world.lost_mark || world.steps > 0 && world.follower.revision() > 0
             }),
-            Property::always("it is overruled only by a decision on this worker", |_, cut: &Cut| {
-                !cut.overruled || cut.steps > 0
+            Property::always("it is overruled only by a decision on this worker", |_, world: &Partition| {
+                !world.overruled || world.steps > 0
             }),
-            Property::sometimes("it becomes agreed", |_, cut: &Cut| {
-                cut.asked && !cut.decided && cut.agreed() && cut.steps == 0
+            Property::sometimes("it becomes replicated", |_, world: &Partition| {
+                world.drain == LocalDrainRequest::Made && world.is_replicated() && world.steps == 0
             }),
-            Property::sometimes("it is overruled", |_, cut: &Cut| cut.overruled),
+            Property::sometimes("it is overruled", |_, world: &Partition| world.overruled),
         ]
     }
 }
 
 #[test]
-fn a_local_drain_is_never_forgotten_and_never_outvotes_the_group() {
+fn a_local_drain_is_never_lost_and_never_overrules_the_group() {
     let checker = DrainModel.checker().target_max_depth(10).spawn_bfs().join();
     checker.assert_properties();
     println!("local drains: {} states, {} unique", checker.state_count(), checker.unique_state_count());
     assert!(checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
 }
 
-// ---- A keeper that restarts between apply and snapshot ----
+// ---- A replica that restarts between apply and snapshot ----
 
-/// What clients may ask for, over and over: two of them touch one mark.
-const ASKED: usize = 3;
+/// Requests that clients send again and again: two of them change one mark.
+const REQUESTS: usize = 3;
 
-/// One keeper's log, how far it has applied it, its state, and the snapshot on its disk.
+/// A replica's log, how far it has applied it, its state, and the snapshot on its disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Kept {
+struct Replica {
     log: Vec<usize>,
     applied: usize,
     /// As text, as it lies on the disk.
     state: String,
     snapshot: (usize, String),
-    /// What was answered to each request first.
-    answers: [Option<String>; ASKED],
-    /// A request asked again was answered otherwise, or the log applied anew gave another state.
+    /// The first answer to each request.
+    answers: [Option<String>; REQUESTS],
+    /// A retry was answered otherwise, or the log applied again gave another state.
     differs: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Turn {
-    Ask(usize),
+enum ReplicaStep {
+    Request(usize),
     Apply,
     Snapshot,
     Restart,
 }
 
-struct KeptModel;
+struct RestartModel;
 
 fn written(state: &State) -> String {
     serde_json::to_string(state).expect("plain data")
 }
 
-fn asked(number: usize) -> Command {
+fn command(number: usize) -> Command {
     let op = if number == 1 { Operation::Undrain(name("w")) } else { Operation::Drain(name("w")) };
-    let act = Action::Change { operations: vec![op], preconditions: Vec::new(), reason: Text::default() };
+    let action = Action::Change { operations: vec![op], preconditions: Vec::new(), reason: Text::default() };
     Command {
         id: RequestId(9, number as u64),
         issued_by: name(&format!("o{number}")),
         issued_at_ms: 0,
-        action: act,
+        action,
     }
 }
 
-impl Model for KeptModel {
-    type State = Kept;
-    type Action = Turn;
+impl Model for RestartModel {
+    type State = Replica;
+    type Action = ReplicaStep;
 
-    fn init_states(&self) -> Vec<Kept> {
+    fn init_states(&self) -> Vec<Replica> {
         let state = written(&State::default());
         let (snapshot, answers) = ((0, state.clone()), Default::default());
-        vec![Kept { log: Vec::new(), applied: 0, state, snapshot, answers, differs: false }]
+        vec![Replica { log: Vec::new(), applied: 0, state, snapshot, answers, differs: false }]
     }
 
-    fn actions(&self, kept: &Kept, actions: &mut Vec<Turn>) {
-        if kept.log.len() < 5 {
-            actions.extend((0..ASKED).map(Turn::Ask));
+    fn actions(&self, replica: &Replica, actions: &mut Vec<ReplicaStep>) {
+        if replica.log.len() < 5 {
+            actions.extend((0..REQUESTS).map(ReplicaStep::Request));
         }
-        if kept.applied < kept.log.len() {
-            actions.push(Turn::Apply);
+        if replica.applied < replica.log.len() {
+            actions.push(ReplicaStep::Apply);
         }
-        actions.extend([Turn::Snapshot, Turn::Restart]);
+        actions.extend([ReplicaStep::Snapshot, ReplicaStep::Restart]);
     }
 
-    fn next_state(&self, kept: &Kept, turn: Turn) -> Option<Kept> {
-        let mut kept = kept.clone();
+    fn next_state(&self, replica: &Replica, step: ReplicaStep) -> Option<Replica> {
+        let mut replica = replica.clone();
         let read = |text: &str| serde_json::from_str::<State>(text).expect("as it was written");
-        match turn {
-            Turn::Ask(number) => kept.log.push(number),
-            Turn::Apply => {
-                let (number, mut state) = (kept.log[kept.applied], read(&kept.state));
-                let answer = format!("{:?}", state.apply(&asked(number)));
-                let first = kept.answers[number].get_or_insert_with(|| answer.clone());
-                kept.differs |= *first != answer;
-                (kept.applied, kept.state) = (kept.applied + 1, written(&state));
+        match step {
+            ReplicaStep::Request(number) => replica.log.push(number),
+            ReplicaStep::Apply => {
+                let (number, mut state) = (replica.log[replica.applied], read(&replica.state));
+                let answer = format!("{:?}", state.apply(&command(number)));
+                let first = replica.answers[number].get_or_insert_with(|| answer.clone());
+                replica.differs |= *first != answer;
+                (replica.applied, replica.state) = (replica.applied + 1, written(&state));
             }
-            Turn::Snapshot => kept.snapshot = (kept.applied, kept.state.clone()),
-            Turn::Restart => {
-                let mut state = read(&kept.snapshot.1);
-                for number in &kept.log[kept.snapshot.0..kept.applied] {
-                    let _ = state.apply(&asked(*number));
+            ReplicaStep::Snapshot => replica.snapshot = (replica.applied, replica.state.clone()),
+            ReplicaStep::Restart => {
+                let mut state = read(&replica.snapshot.1);
+                for number in &replica.log[replica.snapshot.0..replica.applied] {
+                    let _ = state.apply(&command(*number));
                 }
-                kept.differs |= written(&state) != kept.state;
-                kept.state = written(&state);
+                replica.differs |= written(&state) != replica.state;
+                replica.state = written(&state);
             }
         }
-        Some(kept)
+        Some(replica)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a request has one answer, and a restart changes nothing", |_, k: &Kept| {
-                !k.differs
-            }),
-            Property::sometimes("a request is asked again after it was undone", |_, k: &Kept| {
-                k.applied >= 3 && k.log.starts_with(&[0, 1, 0])
+            Property::always(
+                "a request has one answer, and a restart changes nothing",
+                |_, replica: &Replica| !replica.differs,
+            ),
+            Property::sometimes("a request is retried after it was undone", |_, replica: &Replica| {
+                replica.applied >= 3 && replica.log.starts_with(&[0, 1, 0])
             }),
         ]
     }
@@ -548,7 +584,7 @@
 
 #[test]
 fn a_restart_between_apply_and_snapshot_applies_nothing_twice() {
-    let checker = KeptModel.checker().spawn_bfs().join();
+    let checker = RestartModel.checker().spawn_bfs().join();
     checker.assert_properties();
     println!("restarts: {} states, {} unique", checker.state_count(), checker.unique_state_count());
     assert!(checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
--- a/crates/pebblepost-fleet/tests/release.rs
+++ b/crates/pebblepost-fleet/tests/release.rs
@@ -1,4 +1,4 @@
-//! Releases: how far a version gets, what halts it, and the way back.
+//! Releases: how far a version gets, what halts it, and rollbacks.
 
 use pebblepost_fleet::availability::WaitReason;
 use pebblepost_fleet::heartbeat::RequestCounts;
@@ -21,90 +21,94 @@
     text.parse().expect("a sound text")
 }
 
-/// Ten dispatchers, of which three may be out.
+/// Ten dispatchers, of which three may be unavailable.
 struct Fleet {
     state: State,
-    next: u64,
-    /// The life of each.
-    lives: Vec<u64>,
+    last_request: u64,
+    /// The present incarnation of each.
+    incarnations: Vec<u64>,
 }
 
 impl Fleet {
     fn new() -> Self {
-        let mut fleet = Self { state: State::default(), next: 0, lives: vec![0; 10] };
-        (0..10).for_each(|n| fleet.comes_back(n, "1", true));
+        let mut fleet = Self { state: State::default(), last_request: 0, incarnations: vec![0; 10] };
+        (0..10).for_each(|n| fleet.rejoin(n, "1", true));
         let budget = Budget {
             max_unavailable: Limit::Count(3),
             max_unavailable_per_zone: None,
             max_unavailable_per_machine_type: None,
             min_available_per_zone: 0,
         };
-        fleet.op(Operation::SetBudget(SubjectKind::Dispatcher, budget)).expect("a sound budget");
+        fleet.change(Operation::SetBudget(SubjectKind::Dispatcher, budget)).expect("a sound budget");
         fleet
     }
 
-    fn act(&mut self, act: Action) -> CommandResult {
-        self.next += 1;
+    fn apply(&mut self, action: Action) -> CommandResult {
+        self.last_request += 1;
         self.state.apply(&Command {
-            id: RequestId(1, self.next),
+            id: RequestId(1, self.last_request),
             issued_by: name("o"),
             issued_at_ms: 0,
-            action: act,
+            action,
         })
     }
 
-    fn op(&mut self, op: Operation) -> CommandResult {
-        self.act(Action::Change { operations: vec![op], preconditions: Vec::new(), reason: text("a test") })
+    fn change(&mut self, operation: Operation) -> CommandResult {
+        self.apply(Action::Change {
+            operations: vec![operation],
+            preconditions: Vec::new(),
+            reason: text("a test"),
+        })
     }
 
-    fn start(&mut self, want: &str, waves: &[Limit]) -> CommandResult {
-        self.op(Operation::BeginRelease {
-            version: text(want),
+    fn start(&mut self, version: &str, waves: &[Limit]) -> CommandResult {
+        self.change(Operation::BeginRelease {
+            version: text(version),
             waves: waves.to_vec(),
             zone_order: Vec::new(),
         })
     }
 
-    /// A new life, with a version.
-    fn comes_back(&mut self, n: usize, version: &str, ready: bool) {
-        self.lives[n] += 1;
+    /// Joins as a new incarnation, with a version.
+    fn rejoin(&mut self, n: usize, version: &str, ready: bool) {
+        self.incarnations[n] += 1;
         let (version, zone) = (text(version), Text::default());
-        let card = MemberInfo { role: Role::Dispatcher, version, address: None, zone, ready };
-        let (member, life) = (name(&format!("d{n}")), IncarnationId(n as u64, self.lives[n]));
-        self.act(Action::Join { member, incarnation_id: life, info: card }).expect("it may join");
+        let info = MemberInfo { role: Role::Dispatcher, version, address: None, zone, ready };
+        let (member, incarnation) = (name(&format!("d{n}")), IncarnationId(n as u64, self.incarnations[n]));
+        self.apply(Action::Join { member, incarnation_id: incarnation, info }).expect("it may join");
     }
 
-    /// Those whose present life is permitted to end.
-    fn going(&self) -> Vec<usize> {
+    /// The dispatchers whose present incarnation is permitted to end.
+    fn leaving(&self) -> Vec<usize> {
         let bound = |n: &usize| {
             let subject = Subject { kind: SubjectKind::Dispatcher, name: name(&format!("d{n}")) };
             let permit = self.state.permit(&subject);
-            permit.is_some_and(|p| {
-                p.granted_at_revision.is_some()
-                    && p.incarnation_id == Some(IncarnationId(*n as u64, self.lives[*n]))
+            permit.is_some_and(|permit| {
+                permit.granted_at_revision.is_some()
+                    && permit.incarnation_id == Some(IncarnationId(*n as u64, self.incarnations[*n]))
             })
         };
         (0..10).filter(bound).collect()
     }
 
-    /// All that may go do so, and come back as this version, until nobody goes any more.
-    fn all_go(&mut self, version: &str, ready: bool) -> usize {
+    /// All dispatchers with a permit return with this version, until none has one. Returns how many.
+    fn run_wave(&mut self, version: &str, ready: bool) -> usize {
         let mut gone = 0;
-        while let [first, ..] = self.going()[..] {
-            assert!(self.going().len() <= 3, "over the budget: {:?}", self.going());
-            self.comes_back(first, version, ready);
+        while let [first, ..] = self.leaving()[..] {
+            assert!(self.leaving().len() <= 3, "over the budget: {:?}", self.leaving());
+            self.rejoin(first, version, ready);
             gone += 1;
         }
         gone
     }
 
-    fn of(&self, version: &str) -> usize {
-        self.state.members().filter(|(_, m)| m.info.version.as_str() == version).count()
+    fn count_with(&self, version: &str) -> usize {
+        self.state.members().filter(|(_, member)| member.info.version.as_str() == version).count()
     }
 }
 
 const WAVES: [Limit; 3] = [Limit::Count(1), Limit::Fraction(0.25), Limit::Fraction(1.0)];
-const PACE: ReleasePolicy = ReleasePolicy {
+const POLICY: ReleasePolicy = ReleasePolicy {
     observation_time: Duration::from_secs(10),
     wave_timeout: Duration::from_secs(60),
     max_crashes: 3,
@@ -112,50 +116,51 @@
     min_answers: 100,
 };
 
-/// All are heard, and nobody asks for anything.
-fn look(driver: &mut ReleaseDriver, at: Duration, fleet: &Fleet) -> NextStep {
-    let tallies = fleet.state.members().map(|(name, member)| {
-        let (life, version) = (member.incarnation_id().expect("joined"), member.info.version.clone());
+/// The next step when all have reported and there are no requests.
+fn next_step(driver: &mut ReleaseDriver, at: Duration, fleet: &Fleet) -> NextStep {
+    let requests = fleet.state.members().map(|(name, member)| {
+        let (incarnation, version) = (member.incarnation_id().expect("joined"), member.info.version.clone());
         (
             name.clone(),
-            IncarnationRequests { incarnation_id: life, version, requests: RequestCounts::default() },
+            IncarnationRequests { incarnation_id: incarnation, version, requests: RequestCounts::default() },
         )
     });
-    driver.next_step(at, &fleet.state.snapshot(), &tallies.collect())
+    driver.next_step(at, &fleet.state.snapshot(), &requests.collect())
 }
 
 #[test]
-fn no_wave_begins_before_the_last_one_is_back_was_watched_and_the_driver_says_so() {
+fn a_wave_begins_only_after_the_last_one_is_complete_and_was_observed() {
     let mut fleet = Fleet::new();
     assert!(fleet.start("2", &[Limit::Fraction(0.5)]).is_err(), "it would never end");
     fleet.start("2", &WAVES).expect("sound waves");
     let before = fleet.state.clone();
     fleet.start("2", &WAVES).expect("the same release");
-    assert_eq!(fleet.state.revision(), before.revision(), "started twice it is one");
+    assert_eq!(fleet.state.revision(), before.revision(), "begun twice, it is one release");
     assert!(fleet.start("3", &WAVES).is_err(), "one at a time");
-    let mut driver = ReleaseDriver::new(PACE);
+    let mut driver = ReleaseDriver::new(POLICY);
     let second = Duration::from_secs(1);
-    // A tenth of the fleet goes, and no more, whoever asks and however often.
-    assert_eq!(look(&mut driver, second, &fleet), NextStep::Wait);
-    assert!(fleet.op(Operation::AdvanceWave(0)).is_err(), "the wave is not back");
-    assert_eq!(fleet.all_go("2", true), 1);
-    assert_eq!(look(&mut driver, 2 * second, &fleet), NextStep::Wait, "it is watched");
-    let NextStep::Propose { operation: advance, reason: _ } = look(&mut driver, 13 * second, &fleet) else {
-        panic!("it was watched")
+    // The first wave has a permit for one dispatcher, however often it is requested.
+    assert_eq!(next_step(&mut driver, second, &fleet), NextStep::Wait);
+    assert!(fleet.change(Operation::AdvanceWave(0)).is_err(), "the wave is not complete");
+    assert_eq!(fleet.run_wave("2", true), 1);
+    assert_eq!(next_step(&mut driver, 2 * second, &fleet), NextStep::Wait, "it is observed");
+    let NextStep::Propose { operation: advance, reason: _ } = next_step(&mut driver, 13 * second, &fleet)
+    else {
+        panic!("it was observed")
     };
-    fleet.op(advance.clone()).expect("the next wave");
-    assert_eq!(fleet.all_go("2", true), 1, "a quarter of ten is two");
-    // A second driver that comes late with the same says nothing new.
-    fleet.op(advance).expect("it is so already");
-    assert_eq!((fleet.of("2"), fleet.going().len()), (2, 0));
-    fleet.op(Operation::AdvanceWave(1)).expect("the last wave");
-    assert_eq!(fleet.all_go("2", true), 8);
+    fleet.change(advance.clone()).expect("the next wave");
+    assert_eq!(fleet.run_wave("2", true), 1, "a quarter of ten is two");
+    // The same proposal of a late second driver changes nothing.
+    fleet.change(advance).expect("it is so already");
+    assert_eq!((fleet.count_with("2"), fleet.leaving().len()), (2, 0));
+    fleet.change(Operation::AdvanceWave(1)).expect("the last wave");
+    assert_eq!(fleet.run_wave("2", true), 8);
     assert_eq!(
-        look(&mut driver, 20 * second, &fleet),
+        next_step(&mut driver, 20 * second, &fleet),
         NextStep::Propose { operation: Operation::EndRelease, reason: "all have it".into() }
     );
-    fleet.op(Operation::EndRelease).expect("all have it");
-    assert_eq!(look(&mut driver, 21 * second, &fleet), NextStep::Finished);
+    fleet.change(Operation::EndRelease).expect("all have it");
+    assert_eq!(next_step(&mut driver, 21 * second, &fleet), NextStep::Finished);
 }
 
 #[test]
@@ -163,74 +168,74 @@
     let second = Duration::from_secs(1);
     let mut fleet = Fleet::new();
     fleet.start("bad", &WAVES).expect("sound waves");
-    let mut driver = ReleaseDriver::new(PACE);
-    assert_eq!(fleet.all_go("bad", false), 1);
-    assert_eq!(look(&mut driver, second, &fleet), NextStep::Wait);
-    let NextStep::Propose { operation: halt, reason: why } = look(&mut driver, 62 * second, &fleet) else {
+    let mut driver = ReleaseDriver::new(POLICY);
+    assert_eq!(fleet.run_wave("bad", false), 1);
+    assert_eq!(next_step(&mut driver, second, &fleet), NextStep::Wait);
+    let NextStep::Propose { operation: halt, reason } = next_step(&mut driver, 62 * second, &fleet) else {
         panic!("it waits")
     };
-    assert!(why.contains("wave 0 is not back"), "{why}");
-    fleet.op(halt).expect("a halt");
-    assert_eq!(look(&mut driver, 63 * second, &fleet), NextStep::Halted);
-    assert_eq!((fleet.of("bad"), fleet.going().len()), (1, 0));
-    // One that is ready and crashes again and again: three lives that nobody asked for.
+    assert!(reason.contains("wave 0 is not back"), "{reason}");
+    fleet.change(halt).expect("a halt");
+    assert_eq!(next_step(&mut driver, 63 * second, &fleet), NextStep::Halted);
+    assert_eq!((fleet.count_with("bad"), fleet.leaving().len()), (1, 0));
+    // A version that is ready and crashes again and again: three incarnations without a permit.
     let mut fleet = Fleet::new();
     fleet.start("bad", &WAVES).expect("sound waves");
-    let mut driver = ReleaseDriver::new(PACE);
-    fleet.all_go("bad", true);
-    let bad = (0..10).find(|n| fleet.lives[*n] == 2).expect("one went");
-    assert_eq!(look(&mut driver, second, &fleet), NextStep::Wait);
-    // After each it is back at once: that does not count as watched.
+    let mut driver = ReleaseDriver::new(POLICY);
+    fleet.run_wave("bad", true);
+    let bad = (0..10).find(|n| fleet.incarnations[*n] == 2).expect("one went");
+    assert_eq!(next_step(&mut driver, second, &fleet), NextStep::Wait);
+    // It returns at once after each crash: that does not count as observed.
     for crash in 1..3 {
-        fleet.comes_back(bad, "bad", true);
-        assert_eq!(look(&mut driver, 9 * crash * second, &fleet), NextStep::Wait);
+        fleet.rejoin(bad, "bad", true);
+        assert_eq!(next_step(&mut driver, 9 * crash * second, &fleet), NextStep::Wait);
     }
-    fleet.comes_back(bad, "bad", true);
-    let NextStep::Propose { operation: Operation::Halt(_), reason: why } =
-        look(&mut driver, 20 * second, &fleet)
+    fleet.rejoin(bad, "bad", true);
+    let NextStep::Propose { operation: Operation::Halt(_), reason } =
+        next_step(&mut driver, 20 * second, &fleet)
     else {
         panic!("it goes on")
     };
-    assert!(why.contains("3 crashes"), "{why}");
+    assert!(reason.contains("3 crashes"), "{reason}");
 }
 
 #[test]
-fn the_way_back_takes_those_that_have_the_bad_version_and_those_that_are_out_first() {
+fn a_rollback_covers_dispatchers_with_the_bad_version_and_unavailable_ones_go_first() {
     let mut fleet = Fleet::new();
     fleet.start("bad", &[Limit::Count(4), Limit::Fraction(1.0)]).expect("sound waves");
-    // One is back and looks well, one is not ready, one is out, and one of the wave still waits.
-    let going = fleet.going();
-    assert_eq!(going.len(), 3);
-    fleet.comes_back(going[0], "bad", true);
-    fleet.comes_back(going[1], "bad", false);
-    assert_eq!(fleet.going().len(), 2, "the one that was out, and the last of the wave");
-    fleet.op(Operation::RollBack(text("1"))).expect("a release goes on");
-    fleet.op(Operation::RollBack(text("1"))).expect("it is so already");
-    // The one that came back as the bad version, not ready, is bound anew and goes again.
-    assert!(fleet.going().contains(&going[1]), "{:?}", fleet.going());
-    // The one that was out is started with the bad version all the same: it goes again as well.
-    fleet.comes_back(going[2], "bad", true);
-    assert!(fleet.going().contains(&going[2]), "{:?}", fleet.going());
-    fleet.all_go("1", true);
-    assert_eq!((fleet.of("1"), fleet.state.permits().count()), (10, 0));
-    let untouched = (0..10).filter(|n| fleet.lives[*n] == 1).count();
-    assert_eq!(untouched, 6, "those that never went are left alone");
-    fleet.op(Operation::EndRelease).expect("all are back");
+    // One has returned ready, one is not ready, one is away, and one of the wave still waits.
+    let leaving = fleet.leaving();
+    assert_eq!(leaving.len(), 3);
+    fleet.rejoin(leaving[0], "bad", true);
+    fleet.rejoin(leaving[1], "bad", false);
+    assert_eq!(fleet.leaving().len(), 2, "the one that is away, and the last of the wave");
+    fleet.change(Operation::RollBack(text("1"))).expect("a release goes on");
+    fleet.change(Operation::RollBack(text("1"))).expect("it is so already");
+    // The one that returned with the bad version, not ready, is bound again and leaves again.
+    assert!(fleet.leaving().contains(&leaving[1]), "{:?}", fleet.leaving());
+    // The one that was away returns with the bad version all the same: it leaves again as well.
+    fleet.rejoin(leaving[2], "bad", true);
+    assert!(fleet.leaving().contains(&leaving[2]), "{:?}", fleet.leaving());
+    fleet.run_wave("1", true);
+    assert_eq!((fleet.count_with("1"), fleet.state.permits().count()), (10, 0));
+    let untouched = (0..10).filter(|n| fleet.incarnations[*n] == 1).count();
+    assert_eq!(untouched, 6, "dispatchers that never left stay");
+    fleet.change(Operation::EndRelease).expect("all are back");
 }
 
 #[test]
-fn a_version_that_serves_less_than_the_old_one_or_nothing_halts_the_release_and_a_slow_day_does_not() {
-    // By each second of a watch of ten: how many of ten requests those with the new version answer and serve, and the others.
-    let watch = |new: (u64, u64), old: (u64, u64)| {
+fn a_lower_success_rate_than_the_old_versions_halts_the_release() {
+    // Observes for ten seconds: answered and succeeded requests of each second, with the new version and the old one.
+    let observe = |new: (u64, u64), old: (u64, u64)| {
         let mut fleet = Fleet::new();
         fleet.start("2", &[Limit::Count(2), Limit::Fraction(1.0)]).expect("sound waves");
-        fleet.all_go("2", true);
-        let (mut driver, mut last) = (ReleaseDriver::new(PACE), NextStep::Wait);
+        fleet.run_wave("2", true);
+        let (mut driver, mut last) = (ReleaseDriver::new(POLICY), NextStep::Wait);
         for second in 0..=31_u64 {
-            let tallies = fleet.state.members().map(|(name, member)| {
+            let requests = fleet.state.members().map(|(name, member)| {
                 let version = member.info.version.clone();
                 let (answered, served) = if version.as_str() == "2" { new } else { old };
-                // What was before the watch does not count: all had refused everything.
+                // What was before the observation does not count: all requests had failed.
                 let counts =
                     RequestCounts { answered: 1_000 + second * answered, succeeded: second * served };
                 (
@@ -242,96 +247,98 @@
                     },
                 )
             });
-            let tallies: BTreeMap<Name, IncarnationRequests> = tallies.collect();
-            last = driver.next_step(Duration::from_secs(second), &fleet.state.snapshot(), &tallies);
+            let requests: BTreeMap<Name, IncarnationRequests> = requests.collect();
+            last = driver.next_step(Duration::from_secs(second), &fleet.state.snapshot(), &requests);
             if last != NextStep::Wait {
                 break;
             }
         }
         match last {
-            NextStep::Propose { operation: Operation::Halt(_), reason: why } => why,
+            NextStep::Propose { operation: Operation::Halt(_), reason } => reason,
             NextStep::Propose { operation: Operation::AdvanceWave(0), reason: _ } => "goes on".to_owned(),
             other => panic!("{other:?}"),
         }
     };
     assert_eq!(
-        watch((100, 80), (100, 98)),
+        observe((100, 80), (100, 98)),
         "the new version serves 0.800 of its requests, the old one 0.980"
     );
-    assert_eq!(watch((100, 95), (100, 98)), "goes on");
-    assert_eq!(watch((100, 60), (100, 62)), "goes on", "a day that is bad for all is no sign");
-    assert_eq!(watch((1, 0), (100, 98)), "goes on", "60 answers tell nothing");
-    assert!(watch((2, 1), (100, 98)).contains("serves 0.500"), "they are waited for");
-    assert!(watch((0, 0), (100, 98)).contains("answers nothing"));
-    assert_eq!(watch((0, 0), (1, 1)), "goes on", "nobody asks for anything");
-    // Of whom nothing is heard nothing is known: that is waited for, as the leader of the keepers may be new, and halts then.
+    assert_eq!(observe((100, 95), (100, 98)), "goes on");
+    assert_eq!(observe((100, 60), (100, 62)), "goes on", "a failure of both versions is no sign");
+    assert_eq!(observe((1, 0), (100, 98)), "goes on", "60 answers are too few");
+    assert!(observe((2, 1), (100, 98)).contains("serves 0.500"), "more answers are waited for");
+    assert!(observe((0, 0), (100, 98)).contains("answers nothing"));
+    assert_eq!(observe((0, 0), (1, 1)), "goes on", "there are no requests");
+    // Missing reports are waited for, as the Raft leader may be new, and halt the release then.
     let mut fleet = Fleet::new();
     fleet.start("2", &[Limit::Count(2), Limit::Fraction(1.0)]).expect("sound waves");
-    fleet.all_go("2", true);
-    let (mut driver, none, state) = (ReleaseDriver::new(PACE), BTreeMap::new(), fleet.state.snapshot());
-    let mut at = |second| driver.next_step(Duration::from_secs(second), &state, &none);
+    fleet.run_wave("2", true);
+    let (mut driver, no_reports, state) =
+        (ReleaseDriver::new(POLICY), BTreeMap::new(), fleet.state.snapshot());
+    let mut at = |second| driver.next_step(Duration::from_secs(second), &state, &no_reports);
     assert_eq!((at(0), at(12), at(29)), (NextStep::Wait, NextStep::Wait, NextStep::Wait));
-    let NextStep::Propose { operation: Operation::Halt(_), reason: why } = at(30) else {
-        panic!("it goes on")
-    };
-    assert!(why.contains("not all dispatchers"), "{why}");
+    let NextStep::Propose { operation: Operation::Halt(_), reason } = at(30) else { panic!("it goes on") };
+    assert!(reason.contains("not all dispatchers"), "{reason}");
 }
 
 #[test]
-fn a_release_is_played_through_before_it_begins_and_what_stands_still_is_said() {
+fn a_simulation_gives_the_waves_of_a_release_or_why_it_stalls() {
     let mut fleet = Fleet::new();
-    let play = |want: &str| ReleasePlan {
-        version: text(want),
+    let plan = |version: &str| ReleasePlan {
+        version: text(version),
         waves: WAVES.to_vec(),
         zone_order: Vec::new(),
         observation_time: Duration::from_secs(30),
         restart_time: Duration::from_secs(10),
     };
     let before = fleet.state.snapshot();
-    let waves = simulate(&before, &name("o"), &play("2")).expect("it ends");
+    let waves = simulate(&before, &name("o"), &plan("2")).expect("it ends");
     // One; two of ten less that one; the other eight, three at a time.
-    let told: Vec<(f64, f64, usize, usize)> = waves
+    let summary: Vec<(f64, f64, usize, usize)> = waves
         .iter()
-        .map(|w| (w.started_at_s, w.completed_at_s, w.dispatchers.len(), w.max_unavailable))
+        .map(|wave| (wave.started_at_s, wave.completed_at_s, wave.dispatchers.len(), wave.max_unavailable))
         .collect();
-    assert_eq!(told, [(0.0, 10.0, 1, 1), (40.0, 50.0, 1, 1), (80.0, 110.0, 8, 3)]);
+    assert_eq!(summary, [(0.0, 10.0, 1, 1), (40.0, 50.0, 1, 1), (80.0, 110.0, 8, 3)]);
     assert_eq!(fleet.state.snapshot(), before, "nothing has begun");
-    // One that is lost does not come back by itself: with it the last wave stands still, and it is named.
+    // A lost dispatcher does not return by itself: the last wave stalls, and the reason names it.
     let session = fleet.state.member(&name("d9")).expect("a member").session;
-    fleet.act(Action::ExpireSession { member: name("d9"), session }).expect("it is there");
-    let Err(SimulationError::Stalled { wave, reason: why, .. }) =
-        simulate(&fleet.state.snapshot(), &name("o"), &play("2"))
+    fleet.apply(Action::ExpireSession { member: name("d9"), session }).expect("it is there");
+    let Err(SimulationError::Stalled { wave, reason, .. }) =
+        simulate(&fleet.state.snapshot(), &name("o"), &plan("2"))
     else {
         panic!("it ends")
     };
-    assert!(wave == 3 && why.contains("d9"), "wave {wave}: {why}");
-    // What would be refused is refused here.
-    fleet.op(Operation::RemoveBudget(SubjectKind::Dispatcher)).expect("a budget");
-    let Err(SimulationError::Stalled { reason: why, .. }) =
-        simulate(&fleet.state.snapshot(), &name("o"), &play("2"))
+    assert!(wave == 3 && reason.contains("d9"), "wave {wave}: {reason}");
+    // A release without a budget stalls at once.
+    fleet.change(Operation::RemoveBudget(SubjectKind::Dispatcher)).expect("a budget");
+    let Err(SimulationError::Stalled { reason, .. }) =
+        simulate(&fleet.state.snapshot(), &name("o"), &plan("2"))
     else {
         panic!("it ends")
     };
-    assert!(why.contains("no budget"), "{why}");
-    let none = State::default().snapshot();
-    assert!(matches!(simulate(&none, &name("o"), &play("2")), Err(SimulationError::Rejected(_))));
+    assert!(reason.contains("no budget"), "{reason}");
+    let empty = State::default().snapshot();
+    assert!(matches!(simulate(&empty, &name("o"), &plan("2")), Err(SimulationError::Rejected(_))));
 }
 
 #[test]
-fn zones_go_in_the_order_named_and_none_begins_before_the_one_before_it_is_done() {
+fn zones_go_in_the_given_order_one_after_the_other() {
     let mut state = State::default();
     let mut number = 0;
-    let mut act = |state: &mut State, act: Action| {
+    let mut act = |state: &mut State, action: Action| {
         number += 1;
-        state.apply(&Command { id: RequestId(1, number), issued_by: name("o"), issued_at_ms: 0, action: act })
+        state.apply(&Command { id: RequestId(1, number), issued_by: name("o"), issued_at_ms: 0, action })
+    };
+    let change = |operation| Action::Change {
+        operations: vec![operation],
+        preconditions: Vec::new(),
+        reason: Text::default(),
     };
-    let change =
-        |op| Action::Change { operations: vec![op], preconditions: Vec::new(), reason: Text::default() };
-    let joins = |n: u64, life, version: &str| {
+    let joins = |n: u64, incarnation, version: &str| {
         let zone = text(["x", "y", "z"][n as usize % 3]);
-        let card =
+        let info =
             MemberInfo { role: Role::Dispatcher, version: text(version), address: None, zone, ready: true };
-        Action::Join { member: name(&format!("d{n}")), incarnation_id: IncarnationId(n, life), info: card }
+        Action::Join { member: name(&format!("d{n}")), incarnation_id: IncarnationId(n, incarnation), info }
     };
     for n in 0..6 {
         act(&mut state, joins(n, 1, "1")).expect("it may join");
@@ -344,7 +351,7 @@
     };
     act(&mut state, change(Operation::SetBudget(SubjectKind::Dispatcher, budget))).expect("a sound budget");
     let release = |zones: &[&str]| {
-        let zones = zones.iter().map(|z| text(z)).collect();
+        let zones = zones.iter().map(|zone| text(zone)).collect();
         change(Operation::BeginRelease {
             version: text("2"),
             waves: vec![Limit::Fraction(1.0)],
@@ -353,19 +360,22 @@
     };
     assert!(act(&mut state, release(&["nowhere"])).is_err(), "no dispatcher is there");
     act(&mut state, release(&["z", "x"])).expect("a sound release");
-    let going = |state: &State| -> Vec<u64> {
-        let granted = state.permits().filter(|(_, p)| p.granted_at_revision.is_some());
-        let mut all: Vec<u64> = granted.filter_map(|(_, p)| p.incarnation_id).map(|life| life.0).collect();
+    let leaving = |state: &State| -> Vec<u64> {
+        let granted = state.permits().filter(|(_, permit)| permit.granted_at_revision.is_some());
+        let mut all: Vec<u64> = granted
+            .filter_map(|(_, permit)| permit.incarnation_id)
+            .map(|incarnation| incarnation.0)
+            .collect();
         all.sort_unstable();
         all
     };
-    // z has d2 and d5, then comes x, whatever room the budget has; y was not named and is last.
-    assert_eq!(going(&state), [0, 2, 5], "once all of z go, x begins");
+    // z has d2 and d5, then comes x, whatever the budget allows; y is not listed and goes last.
+    assert_eq!(leaving(&state), [0, 2, 5], "once all of z have permits, x begins");
     act(&mut state, joins(2, 2, "2")).expect("it may join");
-    assert_eq!(going(&state), [0, 3, 5]);
+    assert_eq!(leaving(&state), [0, 3, 5]);
     act(&mut state, joins(0, 2, "2")).expect("it may join");
-    assert_eq!(going(&state), [1, 3, 5], "then y");
-    // One of z that waits holds all others up, and these are told so.
+    assert_eq!(leaving(&state), [1, 3, 5], "then y");
+    // A waiting dispatcher of z delays all other zones, with that reason.
     let mut state = State::default();
     for n in 0..6 {
         act(&mut state, joins(n, 11, "1")).expect("it may join");
@@ -373,6 +383,6 @@
     let tight = Budget { max_unavailable_per_zone: Some(Limit::Count(1)), ..budget };
     act(&mut state, change(Operation::SetBudget(SubjectKind::Dispatcher, tight))).expect("a sound budget");
     act(&mut state, release(&["z"])).expect("a sound release");
-    assert_eq!(going(&state), [2]);
+    assert_eq!(leaving(&state), [2]);
     assert_eq!(state.availability(SubjectKind::Dispatcher).check(&name("d0")), Err(WaitReason::ZoneOrder));
 }
--- a/crates/pebblepost-fleet/tests/stored_forms.rs
+++ b/crates/pebblepost-fleet/tests/stored_forms.rs
@@ -17,7 +17,7 @@
 }
 
 fn stored(file: &str) -> String {
-    std::fs::read_to_string(path(file)).unwrap_or_else(|e| panic!("{file}: {e}"))
+    std::fs::read_to_string(path(file)).unwrap_or_else(|error| panic!("{file}: {error}"))
 }
 
 fn written<T: Serialize>(value: &T) -> String {
@@ -25,7 +25,7 @@
 }
 
 fn read<T: DeserializeOwned>(line: &str) -> T {
-    serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"))
+    serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"))
 }
 
 fn reads_and_writes_the_same<T: Serialize + DeserializeOwned>(file: &str, count: usize) {
