--- /dev/null
+++ b/crates/pebblepost-dispatch/src/connections.rs
@@ -0,0 +1,73 @@
+//! Idle connections: which of them are safe to use.
+//!
+//! Owns the idle connections to a worker, as far as a node can know of them, and the learned limit on their
+//! idle time. It opens and closes nothing: the caller does.
+
+use crate::api::Time;
+use crate::estimators::EWMA_GAIN;
+use std::collections::VecDeque;
+use std::time::Duration;
+
+/// Idle connections to one worker.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct IdleConnections {
+    /// Since when each has been idle, the oldest in front.
+    since: VecDeque<Time>,
+}
+
+/// What a send uses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Connection {
+    /// A new connection, as there is no idle one.
+    New,
+    /// A new connection; the idle ones must be closed, as they may have been lost.
+    NewAfterClosing,
+    /// A connection that has been idle for no longer than this.
+    Reused(Duration),
+}
+
+impl IdleConnections {
+    /// A connection has become idle.
+    pub(crate) fn record(&mut self, now: Time) {
+        self.since.push_back(now);
+    }
+
+    /// Takes a connection for a send. `keepalive`: idle connections close after it.
+    pub(crate) fn take(&mut self, now: Time, keepalive: Duration, limit: IdleLimit) -> Connection {
+        while self.since.front().is_some_and(|since| *since + keepalive <= now) {
+            self.since.pop_front();
+        }
+        let Some(oldest) = self.since.front() else { return Connection::New };
+        let idle = now.since(*oldest);
+        if idle > limit.0 {
+            self.since.clear();
+            return Connection::NewAfterClosing;
+        }
+        self.since.pop_back();
+        Connection::Reused(idle)
+    }
+}
+
+/// How long connections may have been idle and be used; learned from jobs that started and from those that
+/// never did.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct IdleLimit(Duration);
+
+impl IdleLimit {
+    pub(crate) fn new(keepalive: Duration) -> Self {
+        Self(keepalive)
+    }
+
+    /// A job started on a connection that had been idle for so long: a bit longer is safe, too.
+    pub(crate) fn record_start(&mut self, idle: Duration, keepalive: Duration) {
+        if idle > self.0 / 2 {
+            self.0 = self.0.mul_f64(1.0 + EWMA_GAIN).min(keepalive);
+        }
+    }
+
+    /// A job was lost on a connection that had been idle for so long, or on a new one.
+    pub(crate) fn record_loss(&mut self, idle: Option<Duration>, tick: Duration) {
+        let safe = idle.map_or(self.0, |idle| idle / 2);
+        self.0 = self.0.min(safe).max(tick);
+    }
+}
--- a/crates/pebblepost-dispatch/src/lib.rs
+++ b/crates/pebblepost-dispatch/src/lib.rs
@@ -4,36 +4,58 @@
 //! [`Dispatcher`] together with the time, and carries out the [`Action`]s it returns. The same
 //! events and seed always give the same actions.
 //!
-//! * [`api`]: settings, events and actions.
-//! * [`classes`]: classes that become known while a node runs.
-//! * [`policy`]: every decision, in one module.
+//! Interface: [`api`] has the settings, events and actions, [`wire`] translates the byte protocol of the
+//! operators' simulator into them, [`Dispatcher`] takes a request from its arrival to its answer.
+//!
+//! Decisions, each by what it is given:
+//!
+//! * `probing`: which worker is drawn next.
+//! * `placement`: which of the probed workers gets a job, by the design's rule.
+//! * `admission`: until when a request is worth starting, and whether it is worth queueing.
+//! * `retry`: whether and where a request may be sent again.
+//! * `slow_start`: what a worker that warms up may get.
+//! * [`reservation`]: what is reserved for large jobs; [`job_size`]: which jobs are large.
 //! * [`outlier_detection`]: for how long a worker is ejected from the draws.
 //! * [`affinity`]: which workers jobs of one key go to.
-//! * [`estimators`]: running estimates of rates, durations, waits and shares.
-//! * [`forecast`]: when slots are expected to come free at a worker.
-//! * [`job_size`]: which jobs are large.
-//! * [`reservation`]: what is reserved for large jobs.
-//! * [`wire`]: the byte protocol of the operators' bench, translated into [`api`] types.
+//! * `discovery`: when the membership is polled for.
+//!
+//! State, and what is learned: `node_state` holds it all, `worker_table` and `request_table` the workers and
+//! requests, `load` and [`forecast`] what to expect of a worker, `report_quality` how far load reports can
+//! be believed, `service_times` and [`estimators`] times and rates, `connections` which idle connections are
+//! safe, `timers` the layout of timer tokens.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod admission;
 pub mod affinity;
 pub mod api;
-pub mod classes;
+mod connections;
+mod discovery;
+mod dispatcher;
 pub mod estimators;
 pub mod forecast;
 pub mod job_size;
+mod load;
+mod node_state;
 pub mod outlier_detection;
-pub mod policy;
+mod placement;
+mod probing;
+mod report_quality;
+mod request_table;
 pub mod reservation;
+mod retry;
+mod service_times;
+mod slow_start;
+mod timers;
+pub mod wire;
+mod worker_table;
 /// The former path of [`reservation`].
 pub use reservation as room;
-pub mod wire;
 
 #[doc = include_str!("../../../README.md")]
 #[cfg(doctest)]
 struct Readme;
 
 pub use api::{Action, Event, Settings};
-pub use policy::Dispatcher;
+pub use dispatcher::Dispatcher;
--- /dev/null
+++ b/crates/pebblepost-dispatch/src/placement.rs
@@ -0,0 +1,179 @@
+//! Placement: which of the probed workers gets a job, by the rule of the design.
+//!
+//! Owns no state. The mechanism is Van Houdt's preventive probing ("Load balancing with power of d choices
+//! and preventive probing"): a random first probe precedes each job; a worker with fewer than L busy slots
+//! and capacity for the job gets it; otherwise d-1 more random workers are probed and the least busy of all
+//! d gets it, ties broken at random. What departs from that is marked `Exception` and listed with its
+//! condition in `docs/design.md`.
+
+use crate::admission::Admission;
+use crate::api::{Time, WorkerState};
+use crate::forecast::WorkerForecast;
+use crate::load::LoadModel;
+use crate::request_table::Request;
+use crate::reservation::{ReservationRequest, Reservations};
+use crate::retry;
+
+/// d: two choices bring most of the gain, and probes are priced.
+pub(crate) const CHOICES: usize = 2;
+/// Rounds of probes for a large job in which it may hold a reservation.
+const MAX_RESERVED_ROUNDS: u32 = 16;
+/// Slots from which on L is one less than the slots, and two less: the optimum at load 0.8 (figure 3 of the
+/// paper).
+const THRESHOLD_STEPS: [f64; 2] = [8.0, 34.0];
+
+/// L for a worker of so many slots.
+fn threshold(slots: f64) -> f64 {
+    slots - THRESHOLD_STEPS.iter().filter(|step| slots >= **step).count() as f64
+}
+
+/// Cost of a placement; the least is best.
+#[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
+struct Cost {
+    is_late: bool,
+    load: f64,
+}
+
+/// Decides where requests go.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Placement<'a> {
+    pub(crate) admission: Admission<'a>,
+    pub(crate) reservations: &'a Reservations,
+}
+
+impl<'a> Placement<'a> {
+    /// The load that it looks at.
+    pub(crate) fn load(&self) -> &LoadModel<'a> {
+        &self.admission.load
+    }
+
+    /// Whether a worker may get a request at this moment, by every rule. Held before every send.
+    pub(crate) fn is_eligible(&self, request: &Request, index: usize) -> bool {
+        let load = self.load();
+        let worker = &load.workers[index];
+        worker.state == WorkerState::Ready
+            && retry::is_in_scope(load.settings, load.workers, request, index)
+            && worker.is_permitted(&load.settings.classes[request.class])
+            && retry::may_send(load.settings, load.now, request)
+            && (load.is_warm(index) || worker.reports > 0 && load.has_capacity(index, request.slots, 0.0))
+            && (!self.reservations.any_at(index) || self.leaves_reservations(request, index))
+    }
+
+    fn leaves_reservations(&self, request: &Request, worker: usize) -> bool {
+        let load = self.load();
+        let forecast = load.forecast(request, worker);
+        self.reservations.allows(load.now, request.id, request.slots, &forecast)
+    }
+
+    /// Fewer than L busy, and capacity for the job. Exception: misleading reports are read by what they
+    /// turned out to mean (all nodes send to what looks idle); no worse than the mean will do.
+    pub(crate) fn is_below_threshold(&self, request: &Request, index: usize) -> bool {
+        let load = self.load();
+        if load.is_misleading(index) {
+            return load.report_reliability.is_no_worse_than_mean(load.level(index));
+        }
+        let worker = &load.workers[index];
+        load.has_capacity(index, request.slots, request.memory)
+            && (!worker.is_known() || load.busy(index) < threshold(worker.slots))
+    }
+
+    /// Whether the worker of the first probe gets a request. One that holds a reservation there needs no
+    /// more.
+    pub(crate) fn accepts_first(&self, request: &Request, worker: usize, is_reserved: bool) -> bool {
+        (is_reserved || self.is_below_threshold(request, worker))
+            && self.is_eligible(request, worker)
+            && self.admission.ends_in_time(request, worker)
+    }
+
+    /// The least busy of all that were probed; several if they tie.
+    pub(crate) fn least_busy(&self, request: &Request) -> Vec<usize> {
+        let eligible = request.answered.iter().copied().filter(|worker| self.is_eligible(request, *worker));
+        let costs: Vec<(usize, Cost)> = eligible.map(|worker| (worker, self.cost(request, worker))).collect();
+        let least = costs.iter().map(|(_, cost)| *cost).reduce(|a, b| if b < a { b } else { a });
+        costs.iter().filter(|(_, cost)| Some(*cost) == least).map(|(worker, _)| *worker).collect()
+    }
+
+    /// Busy count as a part of the slots, below 0; among full workers the expected wait.
+    fn cost(&self, request: &Request, index: usize) -> Cost {
+        let load = self.load();
+        let is_late = !self.admission.ends_in_time(request, index);
+        let slots = load.workers[index].slots.max(1.0);
+        if load.is_misleading(index) {
+            return Cost { is_late, load: load.report_reliability.bad_fraction(load.level(index)) };
+        }
+        let busy = load.busy(index);
+        let load = if busy < slots {
+            busy.round() / slots - 1.0
+        } else {
+            load.slot_wait(request, index) + load.fetch_time(request, index)
+        };
+        Cost { is_late, load }
+    }
+
+    /// Whether the least busy worker gets a request at once. One that warms up must end it in time.
+    pub(crate) fn accepts_least_busy(&self, request: &Request, worker: usize) -> bool {
+        let load = self.load();
+        let has_capacity = || {
+            !load.settings.probing_enabled
+                || load.has_capacity(worker, request.slots, request.memory) && !load.is_misleading(worker)
+        };
+        (self.is_below_threshold(request, worker) || has_capacity())
+            && (load.is_warm(worker) || self.admission.ends_in_time(request, worker))
+    }
+
+    /// Where in the fleet a request is expected to wait least.
+    pub(crate) fn shortest_queue(&self, request: &Request) -> Option<usize> {
+        let load = self.load();
+        let eligible = load.workers.pool(request.class)?.iter().filter(|worker| {
+            self.is_healthy(request, *worker)
+                && !request.excluded.contains(worker)
+                && self.is_eligible(request, *worker)
+        });
+        let wait = |worker: &usize| load.queue_wait(*worker) + load.fetch_time(request, *worker);
+        eligible.min_by(|a, b| wait(a).total_cmp(&wait(b)))
+    }
+
+    /// Whether nothing is held against a worker for jobs of the request's class.
+    pub(crate) fn is_healthy(&self, request: &Request, worker: usize) -> bool {
+        let load = self.load();
+        load.workers[worker].outliers.is_healthy(load.now, request.class)
+    }
+
+    /// Exception: a large job that none of the probed workers can take holds a part of one that will.
+    /// `None`: it is no such job, or has held one for long enough. `only`: the worker where it queues.
+    pub(crate) fn reservable(&self, request: &Request, only: Option<usize>) -> Option<Reservable> {
+        if !request.is_large || request.backoffs >= MAX_RESERVED_ROUNDS {
+            return None;
+        }
+        let load = self.load();
+        let candidates = load.workers.pool(request.class)?.iter().filter(|worker| {
+            self.is_healthy(request, *worker)
+                && !request.excluded.contains(worker)
+                && load.is_warm(*worker)
+                && load.workers[*worker].is_known()
+        });
+        let mut forecasts: Vec<WorkerForecast> =
+            candidates.map(|worker| load.forecast(request, worker)).collect();
+        let fleet_slots = forecasts.iter().map(|forecast| forecast.slots).sum();
+        forecasts.retain(|forecast| only.is_none_or(|worker| worker == forecast.worker));
+        let job = ReservationRequest { request: request.id, slots: request.slots, fleet_slots };
+        Some(Reservable { job, forecasts, full_value_until: self.admission.full_value_until(request) })
+    }
+}
+
+/// A large job and the workers that might serve it.
+#[derive(Clone, Debug)]
+pub(crate) struct Reservable {
+    pub(crate) job: ReservationRequest,
+    pub(crate) forecasts: Vec<WorkerForecast>,
+    pub(crate) full_value_until: Time,
+}
+
+impl Reservable {
+    /// Reserves a part of one of these workers; returns when the job is expected to start.
+    pub(crate) fn reserve(&self, now: Time, reservations: &mut Reservations) -> Option<Time> {
+        let latest_start = |forecast: &WorkerForecast| self.full_value_until - forecast.run_time;
+        let reservation = reservations.reserve(now, self.job, &self.forecasts, latest_start);
+        reservation.map(|reservation| reservation.expected_start)
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-dispatch/src/timers.rs
@@ -0,0 +1,81 @@
+//! Timers of a node and their tokens.
+//!
+//! Owns the layout of a [`TimerToken`]: the kind in the highest 8 bits, a number of 24 bits (the step of a
+//! request or the number of an attempt), and the request in the lowest 32.
+
+use crate::api::{AttemptNo, RequestId, TimerToken};
+
+const KIND_SHIFT: u32 = 56;
+const NUMBER_SHIFT: u32 = 32;
+const NUMBER_MASK: u32 = 0xff_ffff;
+
+const REQUEST_DEADLINE: u64 = 0;
+const STEP_TIMEOUT: u64 = 1;
+const DISCOVERY_POLL: u64 = 2;
+const REPORT_AGE_CHECK: u64 = 3;
+const START_CHECK: u64 = 4;
+
+/// What a timer is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Timer {
+    /// The client of a request is about to give up.
+    RequestDeadline(RequestId),
+    /// The probes or the backoff of a request are over.
+    StepTimeout {
+        /// The request.
+        request: RequestId,
+        /// The step that it was in; see [`Timer::is_step`].
+        step: u32,
+    },
+    /// Discovery is to be asked.
+    DiscoveryPoll,
+    /// Time to look whether reports show an attempt.
+    ReportAgeCheck {
+        /// The request.
+        request: RequestId,
+        /// Its attempt.
+        attempt: AttemptNo,
+    },
+    /// Time to look why an attempt has not started.
+    StartCheck {
+        /// The request.
+        request: RequestId,
+        /// Its attempt.
+        attempt: AttemptNo,
+    },
+}
+
+impl Timer {
+    /// The token that comes back when the timer is due.
+    pub(crate) fn token(self) -> TimerToken {
+        let (kind, number, request) = match self {
+            Self::RequestDeadline(request) => (REQUEST_DEADLINE, 0, request.0),
+            Self::StepTimeout { request, step } => (STEP_TIMEOUT, step, request.0),
+            Self::DiscoveryPoll => (DISCOVERY_POLL, 0, 0),
+            Self::ReportAgeCheck { request, attempt } => (REPORT_AGE_CHECK, attempt.0.into(), request.0),
+            Self::StartCheck { request, attempt } => (START_CHECK, attempt.0.into(), request.0),
+        };
+        let number = u64::from(number & NUMBER_MASK);
+        TimerToken(kind << KIND_SHIFT | number << NUMBER_SHIFT | u64::from(request))
+    }
+
+    /// The timer of a token; `None` if it is none of this module's.
+    pub(crate) fn from_token(token: TimerToken) -> Option<Self> {
+        let request = RequestId(token.0 as u32);
+        let number = (token.0 >> NUMBER_SHIFT) as u32 & NUMBER_MASK;
+        let attempt = AttemptNo(number as u8);
+        match token.0 >> KIND_SHIFT {
+            REQUEST_DEADLINE => Some(Self::RequestDeadline(request)),
+            STEP_TIMEOUT => Some(Self::StepTimeout { request, step: number }),
+            DISCOVERY_POLL => Some(Self::DiscoveryPoll),
+            REPORT_AGE_CHECK => Some(Self::ReportAgeCheck { request, attempt }),
+            START_CHECK => Some(Self::StartCheck { request, attempt }),
+            _ => None,
+        }
+    }
+
+    /// Whether the step of a timer that came back is this one; tokens hold its lowest 24 bits.
+    pub(crate) fn is_step(from_token: u32, step: u32) -> bool {
+        step & NUMBER_MASK == from_token
+    }
+}
