--- a/crates/pebblepost-dispatch/src/api.rs
+++ b/crates/pebblepost-dispatch/src/api.rs
@@ -1,11 +1,13 @@
-//! The interface of the decision module: what a node is told at start ([`Settings`]), what
-//! happens to it ([`Event`]) and what it asks for ([`Action`]).
+//! The interface of the decision module: the configuration of a node ([`Settings`]), what happens to it
+//! ([`Event`]) and what it asks for ([`Action`]).
+//!
+//! Owns no state and decides nothing.
 //!
 //! Classes, tenants, zones and kinds are indices: names never reach the decisions.
 
-use crate::reservation::ReservationSettings;
 use std::ops::{Add, Sub};
 use std::time::Duration;
+use thiserror::Error;
 
 /// A point on the caller's monotonic clock, in nanoseconds from an arbitrary start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -98,17 +100,17 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Answers within this time (plus `stretch` times the job's own work) have full worth.
+    /// Answers within this time (plus `latency_stretch` times the job's own work) have full value.
     pub latency_target: Duration,
     /// Total time a client waits.
     pub deadline: Duration,
-    /// How far it may be repeated.
+    /// How far it may be repeated without harm.
     pub idempotency: Idempotency,
-    /// Worth of a request answered within the aim.
+    /// Value of a request answered within the latency target.
     pub value: f64,
-    /// Fraction of the worth left after the aim.
+    /// Fraction of the value left after the latency target.
     pub late_value: f64,
-    /// Multiple of the job's own work that is added to the aim.
+    /// Multiple of the job's own work that is added to the latency target.
     pub latency_stretch: f64,
     /// The machine kind it needs; `None`: any.
     pub kind: Option<KindId>,
@@ -140,7 +142,7 @@
     FreeMemory,
     /// Requests waiting.
     Queue,
-    /// Requests held, running or waiting.
+    /// Requests at the worker, running or waiting.
     InFlight,
     /// Busy fraction of the cores.
     Utilization,
@@ -162,13 +164,59 @@
 /// How the node learns of workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come unasked.
+    /// Changes are pushed.
     Push,
     /// Only after [`Action::Watch`] or [`Action::Fetch`].
     Poll,
 }
 
-/// Points taken off the result, by unit (see the operators' pages).
+/// Settings of the reservations.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ReservationSettings {
+    /// If off, large jobs are placed as all others are.
+    pub enabled: bool,
+    /// A job is large from so many standard deviations above the recent mean of its logarithm on.
+    pub size_deviations: f64,
+    /// Fraction of all slots that may be reserved at once; the rest is left to small jobs.
+    pub max_reserved_fraction: f64,
+}
+
+impl Default for ReservationSettings {
+    fn default() -> Self {
+        Self { enabled: true, size_deviations: 2.0, max_reserved_fraction: 0.25 }
+    }
+}
+
+/// A setting outside its range.
+#[derive(Clone, Debug, Error, PartialEq)]
+#[error("{key} is {value}: {allowed} is allowed")]
+pub struct InvalidSetting {
+    /// The key of the setting, as the settings file names it.
+    pub key: &'static str,
+    /// Its value.
+    pub value: f64,
+    /// The allowed range.
+    pub allowed: &'static str,
+}
+
+impl ReservationSettings {
+    /// Checks the ranges.
+    ///
+    /// # Errors
+    /// Names the first setting that is out of its range.
+    pub fn check(&self) -> Result<(), InvalidSetting> {
+        let invalid = |key, value, allowed| Err(InvalidSetting { key, value, allowed });
+        if !(0.5..=6.0).contains(&self.size_deviations) {
+            return invalid("room.deviations", self.size_deviations, "0.5 to 6");
+        }
+        if !(0.0..=0.5).contains(&self.max_reserved_fraction) {
+            return invalid("room.mostHeld", self.max_reserved_fraction, "0 to 0.5");
+        }
+        Ok(())
+    }
+}
+
+/// Prices of what a node does, in points of the operators' objective, by unit.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prices {
     /// A new connection for each request.
@@ -177,7 +225,7 @@
     pub connection: f64,
     /// Each request crossing zones once.
     pub cross_zone: f64,
-    /// All worth ending unserved after its aim.
+    /// All value ending unserved after its latency target.
     pub late_fail: f64,
     /// Work wasted, as much as was asked for.
     pub waste: f64,
@@ -185,8 +233,9 @@
     pub probe: f64,
 }
 
-/// What a node is told at its start.
+/// Configuration of a node at its start.
 #[derive(Clone, Debug)]
+#[expect(clippy::struct_excessive_bools, reason = "each is a key of the operators' settings")]
 pub struct Settings {
     /// Number of nodes.
     pub nodes: u32,
@@ -196,19 +245,19 @@
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a fraction.
+    /// Value of a request beyond its tenant's share, as a fraction.
     pub over_quota_value: f64,
-    /// How the list of workers is learned.
+    /// How the membership is learned.
     pub discovery: Discovery,
     /// [`Action::Probe`] is allowed.
     pub probing_enabled: bool,
     /// [`Action::Cancel`] is allowed.
     pub cancelling_enabled: bool,
-    /// Two attempts of one request may be out at once.
+    /// Two attempts of one request may be in flight at once.
     pub hedging_enabled: bool,
-    /// Clients receive the advice of [`Action::Refuse`].
+    /// Clients receive the `retry_after` of [`Action::Refuse`].
     pub retry_after_enabled: bool,
-    /// Longest advice a client honours.
+    /// Longest `retry_after` that a client honours.
     pub max_retry_after: Duration,
     /// Most attempts for a request.
     pub max_attempts: u32,
@@ -218,36 +267,36 @@
     pub report_fields: Vec<ReportField>,
     /// When load reports come.
     pub report_source: ReportSource,
-    /// Interval of progress notes; `None`: workers send none.
+    /// Interval of progress reports; `None`: workers send none.
     pub progress: Option<Duration>,
-    /// Workers tell when a job starts.
+    /// Workers report when a job starts ([`Event::Started`]).
     pub start_reported: bool,
-    /// Sends to a worker must cease this long after its drain or end was told.
+    /// Sends to a worker must cease this long after its drain or removal was announced.
     pub drain_grace: Duration,
     /// Idle connections to a draining worker must be closed within this time; `None`: no such rule.
     pub close_idle_within: Option<Duration>,
-    /// A worker may say [`Status::Full`] of work that it had begun.
+    /// A worker may answer [`Status::Full`] to work that it had begun.
     pub full_may_have_run: bool,
     /// A final answer is valid this long after the deadline.
     pub answer_slack: Duration,
     /// Longest time without asking discovery ([`Discovery::Poll`]).
     pub max_discovery_interval: Duration,
-    /// A worker starts with at least this fraction of its capacity.
+    /// A worker that has just started has at least this fraction of its capacity.
     pub cold_capacity: f64,
-    /// A worker is warm after this time.
+    /// A worker has its full capacity after this time (slow start).
     pub warm_up_time: Duration,
-    /// A cold worker falls over at this multiple of its present capacity.
+    /// A worker that warms up falls over under this multiple of its present capacity,
     pub overload_multiple: f64,
-    /// Sustained for this time.
+    /// sustained for this time.
     pub overload_time: Duration,
     /// Prices of the operators.
     pub prices: Prices,
-    /// Shortest time between two calls of the dispatcher.
+    /// Resolution of the caller's timers: shortest time between two calls.
     pub tick: Duration,
     /// Workers serve their queues in order: what waits there keeps its turn. Otherwise whatever fits may
     /// start.
     pub queues_in_order: bool,
-    /// Room for large jobs.
+    /// Reservations for large jobs.
     pub reservations: ReservationSettings,
 }
 
@@ -262,7 +311,7 @@
     }
 }
 
-/// State of a worker on the list.
+/// State of a worker in the membership.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
     /// Takes work.
@@ -274,7 +323,7 @@
     Gone,
 }
 
-/// One entry of the list of workers.
+/// One entry of the membership.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
     /// The worker.
@@ -300,7 +349,7 @@
     Delta,
     /// The complete list.
     Full,
-    /// The complete list as this node last held it, perhaps stale.
+    /// The complete list as this node last stored it, perhaps stale.
     Cached,
     /// A call to discovery failed or the subscription broke; no entries.
     Failed,
@@ -313,7 +362,7 @@
     Ok,
     /// The worker returned an error; may have run.
     Error,
-    /// Turned away; never ran, unless [`Settings::full_may_have_run`].
+    /// Rejected; never ran, unless [`Settings::full_may_have_run`].
     Full,
     /// No answer in time; may have run, or may yet.
     Timeout,
@@ -333,7 +382,7 @@
 /// Something that happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The list of workers, or changes to it.
+    /// The membership, or changes to it.
     Members {
         /// What it carries.
         kind: ListKind,
@@ -350,7 +399,7 @@
         tenant: TenantId,
         /// Time left before the client gives up.
         time_left: Duration,
-        /// A client's repeat, where clients say so.
+        /// A client's retry, where clients say so.
         repeat: bool,
         /// Slots the job takes.
         slots: f32,
@@ -358,7 +407,7 @@
         memory: f32,
         /// Hint of its work, as time on a worker of speed 1.
         work: Option<Duration>,
-        /// What it is about: workers keep for a while what jobs of one key need. 0: nothing.
+        /// Key of what it is about: workers keep for a while what jobs of one key need. 0: nothing.
         key: u64,
     },
     /// An attempt's job has started to run.
@@ -396,7 +445,7 @@
         status: Status,
         /// Time since the send.
         latency: Duration,
-        /// The request is finished; nothing more is owed.
+        /// The request is over; no answer is due.
         closed: bool,
         /// Load report, where attached.
         report: Report,
@@ -412,7 +461,7 @@
         /// Load report, where attached.
         report: Report,
     },
-    /// The client is gone; nothing more is owed.
+    /// The client is gone; no answer is due.
     ClientGone {
         /// The request.
         id: RequestId,
@@ -436,14 +485,14 @@
         /// Attempt time-out; `None`: until the client gives up.
         timeout: Option<Duration>,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: rejected; a retry is harmless.
     Refuse {
         /// The request.
         id: RequestId,
         /// How long the client should stay away.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed; nothing is promised.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         id: RequestId,
--- a/crates/pebblepost-dispatch/src/job_size.rs
+++ b/crates/pebblepost-dispatch/src/job_size.rs
@@ -4,7 +4,7 @@
 //!
 //! Units: slots as workers report them, work in seconds on a worker of speed 1.
 
-use crate::reservation::ReservationSettings;
+use crate::api::ReservationSettings;
 
 /// Weight of a new job: about the last 100 count, as large ones are rare.
 const GAIN: f64 = 0.01;
--- a/crates/pebblepost-dispatch/src/lib.rs
+++ b/crates/pebblepost-dispatch/src/lib.rs
@@ -24,9 +24,6 @@
 //! be believed, `service_times` and [`estimators`] times and rates, `connections` which idle connections are
 //! safe, `timers` the layout of timer tokens.
 
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-
 mod admission;
 pub mod affinity;
 pub mod api;
--- a/crates/pebblepost-dispatch/src/placement.rs
+++ b/crates/pebblepost-dispatch/src/placement.rs
@@ -89,7 +89,8 @@
     pub(crate) fn least_busy(&self, request: &Request) -> Vec<usize> {
         let eligible = request.answered.iter().copied().filter(|worker| self.is_eligible(request, *worker));
         let costs: Vec<(usize, Cost)> = eligible.map(|worker| (worker, self.cost(request, worker))).collect();
-        let least = costs.iter().map(|(_, cost)| *cost).reduce(|a, b| if b < a { b } else { a });
+        let least =
+            costs.iter().map(|(_, cost)| *cost).reduce(|least, cost| if cost < least { cost } else { least });
         costs.iter().filter(|(_, cost)| Some(*cost) == least).map(|(worker, _)| *worker).collect()
     }
 
@@ -130,7 +131,7 @@
                 && self.is_eligible(request, *worker)
         });
         let wait = |worker: &usize| load.queue_wait(*worker) + load.fetch_time(request, *worker);
-        eligible.min_by(|a, b| wait(a).total_cmp(&wait(b)))
+        eligible.min_by(|one, other| wait(one).total_cmp(&wait(other)))
     }
 
     /// Whether nothing is held against a worker for jobs of the request's class.
--- a/crates/pebblepost-dispatch/src/reservation.rs
+++ b/crates/pebblepost-dispatch/src/reservation.rs
@@ -10,59 +10,13 @@
 //!
 //! Units: slots as workers report them, times on the caller's clock.
 
+pub use crate::api::{InvalidSetting, ReservationSettings};
 use crate::api::{RequestId, Time};
 use crate::forecast::WorkerForecast;
-use thiserror::Error;
 
 /// Reservations kept at once, whatever a flood of large jobs asks for.
 const MAX_RESERVATIONS: usize = 64;
 
-/// Settings of the reservations.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReservationSettings {
-    /// If off, large jobs are placed as all others are.
-    pub enabled: bool,
-    /// A job is large from so many standard deviations above the recent mean of its logarithm on.
-    pub size_deviations: f64,
-    /// Fraction of all slots that may be reserved at once; the rest is left to small jobs.
-    pub max_reserved_fraction: f64,
-}
-
-impl Default for ReservationSettings {
-    fn default() -> Self {
-        Self { enabled: true, size_deviations: 2.0, max_reserved_fraction: 0.25 }
-    }
-}
-
-/// A setting outside its range.
-#[derive(Clone, Debug, Error, PartialEq)]
-#[error("{key} is {value}: {allowed} is allowed")]
-pub struct InvalidSetting {
-    /// The key of the setting, as the settings file names it.
-    pub key: &'static str,
-    /// Its value.
-    pub value: f64,
-    /// The allowed range.
-    pub allowed: &'static str,
-}
-
-impl ReservationSettings {
-    /// Checks the ranges.
-    ///
-    /// # Errors
-    /// Names the first setting that is out of its range.
-    pub fn check(&self) -> Result<(), InvalidSetting> {
-        let invalid = |key, value, allowed| Err(InvalidSetting { key, value, allowed });
-        if !(0.5..=6.0).contains(&self.size_deviations) {
-            return invalid("room.deviations", self.size_deviations, "0.5 to 6");
-        }
-        if !(0.0..=0.5).contains(&self.max_reserved_fraction) {
-            return invalid("room.mostHeld", self.max_reserved_fraction, "0 to 0.5");
-        }
-        Ok(())
-    }
-}
-
 /// A part of a worker that is reserved for a large job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
--- /dev/null
+++ b/crates/pebblepost-dispatch/src/wire/records.rs
@@ -0,0 +1,200 @@
+//! Records that come in: events for the instances of a batch.
+
+use super::reader::Reader;
+use super::settings::parse_settings;
+use super::{Result, WireError};
+use crate::api::{
+    CellId, ClassId, Entry, Event, KindId, ListKind, Settings, TenantId, Time, TimerToken, WorkerState,
+    ZoneId,
+};
+
+const TICK_DUE: u8 = 10;
+const DEMAND: u8 = 20;
+const SHUTDOWN: u8 = 30;
+const LEFT: u8 = 40;
+const DIRECTORY_UPDATE: u8 = 50;
+const SAMPLED: u8 = 60;
+const FROM_PEER: u8 = 70;
+const RESPONSE: u8 = 80;
+const LAUNCH: u8 = 90;
+const INTERIM: u8 = 100;
+const OPENED: u8 = 110;
+
+/// What an INTERIM record says.
+const NOTE_STARTED: u8 = 1;
+const NOTE_PROGRESS: u8 = 2;
+
+/// Bits of a DEMAND record.
+const HINT_VALID: u8 = 1;
+const CLIENT_RETRY: u8 = 2;
+
+/// Size of an entry of a DIRECTORY_UPDATE record.
+const ENTRY_BYTES: usize = 23;
+
+/// Bytes before the records of a batch: clock, size, count.
+pub const BATCH_HEADER: usize = 16;
+
+/// Header of a batch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct BatchHeader {
+    /// The clock.
+    pub now: Time,
+    /// Bytes that follow.
+    pub size: usize,
+    /// Records that follow.
+    pub count: usize,
+}
+
+impl BatchHeader {
+    /// Reads the header.
+    pub fn parse(bytes: &[u8; BATCH_HEADER]) -> Self {
+        let mut reader = Reader { bytes, what: "header" };
+        let now = Time(reader.u64().unwrap_or_default());
+        let size = reader.u32().unwrap_or_default() as usize;
+        let count = reader.u32().unwrap_or_default() as usize;
+        Self { now, size, count }
+    }
+}
+
+/// What a record says to an instance.
+#[derive(Clone, Debug)]
+pub enum Message {
+    /// The instance starts, with its seed and settings.
+    Launch(u64, Box<Settings>),
+    /// The instance is stopped.
+    Shutdown,
+    /// Something happened.
+    Event(Event),
+}
+
+/// Reads the records of a batch: the instance each is for and what it says.
+///
+/// # Errors
+/// If a record is truncated, of the wrong length or holds a value out of its range.
+pub fn parse_batch(header: &BatchHeader, body: &[u8]) -> Result<Vec<(u32, Message)>> {
+    let mut batch = Reader { bytes: body, what: "batch" };
+    let mut messages = Vec::new();
+    for _ in 0..header.count {
+        let code = batch.u8()?;
+        let size = batch.u32()? as usize;
+        let fields = batch.take(size)?;
+        if let Some(message) = parse_record(code, fields)? {
+            messages.push(message);
+        }
+    }
+    batch.finish()?;
+    Ok(messages)
+}
+
+fn parse_record(code: u8, fields: &[u8]) -> Result<Option<(u32, Message)>> {
+    let what = match code {
+        TICK_DUE => "TICK_DUE",
+        DEMAND => "DEMAND",
+        SHUTDOWN => "SHUTDOWN",
+        LEFT => "LEFT",
+        DIRECTORY_UPDATE => "DIRECTORY_UPDATE",
+        SAMPLED => "SAMPLED",
+        FROM_PEER => "FROM_PEER",
+        RESPONSE => "RESPONSE",
+        LAUNCH => "LAUNCH",
+        INTERIM => "INTERIM",
+        OPENED => "OPENED",
+        _ => return Ok(None),
+    };
+    let mut reader = Reader { bytes: fields, what };
+    let instance = reader.u32()?;
+    let message = match code {
+        TICK_DUE => Message::Event(Event::TimerDue { token: TimerToken(reader.u64()?) }),
+        DEMAND => Message::Event(demand(&mut reader)?),
+        SHUTDOWN => Message::Shutdown,
+        LEFT => Message::Event(Event::ClientGone { id: reader.request()? }),
+        DIRECTORY_UPDATE => Message::Event(directory(&mut reader)?),
+        SAMPLED => {
+            let (worker, status, latency) = (reader.worker()?, reader.status()?, reader.duration()?);
+            Message::Event(Event::Probed { worker, status, latency, report: reader.report()? })
+        }
+        FROM_PEER => return Ok(None), // Instances share nothing: messages of peers are dropped.
+        RESPONSE => Message::Event(response(&mut reader)?),
+        LAUNCH => {
+            let seed = reader.u64()?;
+            let size = reader.u32()? as usize;
+            let text = std::str::from_utf8(reader.take(size)?).map_err(|_| WireError::WrongLength(what))?;
+            Message::Launch(seed, Box::new(parse_settings(text)?))
+        }
+        INTERIM => {
+            let (id, attempt, _worker) = (reader.request()?, reader.attempt()?, reader.worker()?);
+            let (note, done) = (reader.u8()?, reader.f32()?);
+            match note {
+                NOTE_STARTED => Message::Event(Event::Started { id, attempt }),
+                NOTE_PROGRESS => Message::Event(Event::Progress { id, attempt, done }),
+                _ => return Ok(None),
+            }
+        }
+        _ => {
+            let (id, attempt, _worker, _latency) =
+                (reader.request()?, reader.attempt()?, reader.worker()?, reader.u64()?);
+            Message::Event(Event::StreamOpened { id, attempt })
+        }
+    };
+    reader.finish()?;
+    Ok(Some((instance, message)))
+}
+
+fn demand(reader: &mut Reader) -> Result<Event> {
+    let id = reader.request()?;
+    let class = ClassId(reader.u16()?);
+    let (hint, key) = (reader.duration()?, reader.u64()?);
+    let tenant = TenantId(reader.u16()?);
+    let time_left = reader.duration()?;
+    let flags = reader.u8()?;
+    let (slots, memory) = (reader.f32()?, reader.f32()?);
+    let work = (flags & HINT_VALID != 0).then_some(hint);
+    Ok(Event::Request {
+        id,
+        class,
+        tenant,
+        time_left,
+        repeat: flags & CLIENT_RETRY != 0,
+        slots,
+        memory,
+        work,
+        key,
+    })
+}
+
+fn response(reader: &mut Reader) -> Result<Event> {
+    let (id, attempt, latency) = (reader.request()?, reader.attempt()?, reader.duration()?);
+    let closed = reader.u8()? != 0;
+    let (worker, status, _remark) = (reader.worker()?, reader.status()?, reader.u32()?);
+    Ok(Event::Outcome { id, attempt, worker, status, latency, closed, report: reader.report()? })
+}
+
+fn directory(reader: &mut Reader) -> Result<Event> {
+    let kind = match reader.u8()? {
+        0 => ListKind::Delta,
+        1 => ListKind::Full,
+        2 => ListKind::Cached,
+        3 => ListKind::Failed,
+        other => return Err(WireError::BadValue(reader.what, other.into())),
+    };
+    let _version = reader.u32()?;
+    let count = reader.u32()? as usize;
+    if count.checked_mul(ENTRY_BYTES) != Some(reader.bytes.len()) {
+        return Err(WireError::WrongLength(reader.what));
+    }
+    let mut entries = Vec::with_capacity(count);
+    for _ in 0..count {
+        let worker = reader.worker()?;
+        let (zone, kind, cell) = (ZoneId(reader.u16()?), KindId(reader.u16()?), CellId(reader.u16()?));
+        let state = match reader.u8()? {
+            0 => WorkerState::Gone,
+            1 => WorkerState::Ready,
+            2 => WorkerState::Draining,
+            other => return Err(WireError::BadValue(reader.what, other.into())),
+        };
+        let _size = reader.f32()?;
+        let started = Some(Time(reader.u64()?)).filter(|started| started.0 != 0);
+        entries.push(Entry { worker, zone, kind, cell, state, name: worker.0.into(), started });
+    }
+    Ok(Event::Members { kind, entries })
+}
--- /dev/null
+++ b/crates/pebblepost-dispatch/src/wire/reply.rs
@@ -0,0 +1,76 @@
+//! Actions that go out: the reply to a batch.
+
+use crate::api::Action;
+use std::time::Duration;
+
+const SEND: u8 = 10;
+const REFUSE: u8 = 20;
+const FAIL: u8 = 30;
+const CANCEL: u8 = 40;
+const SET_TIMER: u8 = 50;
+const PROBE: u8 = 60;
+const CLOSE_IDLE: u8 = 70;
+const WATCH: u8 = 110;
+const FETCH: u8 = 120;
+
+/// A reply under construction.
+#[derive(Debug, Default)]
+pub struct Reply {
+    count: u32,
+    body: Vec<u8>,
+}
+
+impl Reply {
+    /// Adds an action of an instance.
+    pub fn push(&mut self, instance: u32, action: &Action) {
+        let (code, fields) = encode(action);
+        self.body.push(code);
+        self.body.extend((4 + fields.len() as u32).to_le_bytes());
+        self.body.extend(instance.to_le_bytes());
+        self.body.extend(fields);
+        self.count += 1;
+    }
+
+    /// The reply's bytes, header first; leaves an empty reply.
+    pub fn take(&mut self) -> Vec<u8> {
+        let mut bytes = Vec::with_capacity(8 + self.body.len());
+        bytes.extend(self.count.to_le_bytes());
+        bytes.extend((self.body.len() as u32).to_le_bytes());
+        bytes.append(&mut self.body);
+        self.count = 0;
+        bytes
+    }
+}
+
+fn nanos(duration: Option<Duration>) -> [u8; 8] {
+    // Zero means absent, so an immediate time-out is the shortest that can be said.
+    let nanos =
+        duration.map_or(0, |duration| u64::try_from(duration.as_nanos()).unwrap_or(i64::MAX as u64).max(1));
+    nanos.to_le_bytes()
+}
+
+fn encode(action: &Action) -> (u8, Vec<u8>) {
+    match *action {
+        Action::Send { id, worker, timeout } => {
+            let parts: [&[u8]; 3] = [&id.0.to_le_bytes(), &nanos(timeout), &worker.0.to_le_bytes()];
+            (SEND, parts.concat())
+        }
+        Action::Refuse { id, retry_after } => {
+            let parts: [&[u8]; 2] = [&id.0.to_le_bytes(), &nanos(retry_after)];
+            (REFUSE, parts.concat())
+        }
+        Action::Fail { id } => (FAIL, id.0.to_le_bytes().to_vec()),
+        Action::Cancel { id, attempt } => {
+            let parts: [&[u8]; 2] = [&id.0.to_le_bytes(), &[attempt.0]];
+            (CANCEL, parts.concat())
+        }
+        Action::SetTimer { at, token } => {
+            let parts: [&[u8]; 2] = [&at.0.to_le_bytes(), &token.0.to_le_bytes()];
+            (SET_TIMER, parts.concat())
+        }
+        Action::Probe { worker } => (PROBE, worker.0.to_le_bytes().to_vec()),
+        Action::CloseIdle { worker } => (CLOSE_IDLE, worker.0.to_le_bytes().to_vec()),
+        Action::Watch => (WATCH, vec![1]),
+        Action::Fetch => (FETCH, Vec::new()),
+    }
+}
