--- a/crates/pebblepost-dispatch/src/lib.rs
+++ b/crates/pebblepost-dispatch/src/lib.rs
@@ -5,7 +5,8 @@
 //! events and seed always give the same actions.
 //!
 //! Interface: [`api`] has the settings, events and actions, [`wire`] translates the byte protocol of the
-//! operators' simulator into them, [`Dispatcher`] takes a request from its arrival to its answer.
+//! operators' simulator into them, [`Dispatcher`] takes events in and puts actions out. `request_flow` is
+//! the way of a request from its arrival to its answer.
 //!
 //! Decisions, each by what it is given:
 //!
@@ -39,6 +40,7 @@
 mod placement;
 mod probing;
 mod report_quality;
+mod request_flow;
 mod request_table;
 pub mod reservation;
 mod retry;
--- a/crates/pebblepost-dispatch/src/node_state.rs
+++ b/crates/pebblepost-dispatch/src/node_state.rs
@@ -6,7 +6,7 @@
 
 use crate::admission::Admission;
 use crate::affinity::KeyPopularity;
-use crate::api::{AttemptNo, ReportField, RequestId, Settings, Status, Time};
+use crate::api::{AttemptNo, Entry, ReportField, RequestId, Settings, Status, Time, WorkerState};
 use crate::connections::IdleLimit;
 use crate::estimators::{
     DurationEstimate, EWMA_GAIN, EventRate, TenantUsage, from_seconds, seconds, update_mean,
@@ -19,7 +19,7 @@
 use crate::request_table::{Arrival, Attempt, Request, RequestTable};
 use crate::reservation::Reservations;
 use crate::service_times::ServiceTimes;
-use crate::slow_start::WarmingWorker;
+use crate::slow_start::{self, WarmingWorker};
 use crate::worker_table::{Locality, PerLocality, WorkerTable};
 use std::time::Duration;
 
@@ -158,8 +158,18 @@
         self.workers.rebuild_pools(&self.settings);
     }
 
+    /// Releases the reservations at workers that can no longer serve them; returns whose they were.
+    pub(crate) fn release_lost_reservations(&mut self, now: Time) -> Vec<RequestId> {
+        let (workers, settings) = (&self.workers, &self.settings);
+        self.reservations.release_where(|index| {
+            let worker = &workers[index];
+            worker.state != WorkerState::Ready
+                || slow_start::capacity_fraction(worker.started, now, settings) < 1.0
+        })
+    }
+
     /// Takes in an entry of the membership; returns the worker's index.
-    pub(crate) fn update_worker(&mut self, entry: &crate::api::Entry) -> usize {
+    pub(crate) fn update_worker(&mut self, entry: &Entry) -> usize {
         self.workers.update(entry, self.seed)
     }
 
@@ -286,10 +296,10 @@
         self.idle_limit.record_loss(attempt.connection_idle, self.settings.tick);
     }
 
-    /// An attempt of a request of this class and hinted work has ended.
-    pub(crate) fn record_attempt_end(
-        &mut self, now: Time, attempt: &Attempt, (class, work): (usize, Option<f64>), end: &AttemptEnd,
-    ) {
+    /// An attempt of a request in the table has ended.
+    pub(crate) fn record_attempt_end(&mut self, now: Time, attempt: &Attempt, end: &AttemptEnd) {
+        let Some(request) = self.requests.get(end.request) else { return };
+        let (class, work) = (request.class, request.work);
         let index = attempt.worker;
         let (is_ok, is_rejected) = (end.status == Status::Ok, end.status == Status::Full);
         self.workers.queued_attempts -= usize::from(attempt.queued);
