--- a/crates/pebblepost-system/src/command_line.rs
+++ b/crates/pebblepost-system/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition of the command line; its texts are part of the interface for operators.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
   SIGTERM  finish what is open within bounds.grace_s, then end
   SIGHUP   read the settings file again";
 
-/// The whole command line.
+/// All commands and arguments.
 pub fn command_line() -> Command {
     Command::new("pebblepost-system")
         .about("Rollout scheduler for trainers: proxies, control plane and store machines in one program")
@@ -45,7 +45,7 @@
 fn status() -> Command {
     Command::new("status")
         .about("Prints the state of the control plane, or of a store machine")
-        .arg(links())
+        .arg(link_arg())
         .arg(
             Arg::new("store")
                 .long("store")
@@ -53,11 +53,14 @@
                 .value_parser(value_parser!(SocketAddr))
                 .help("Ask the store machine with this internal address (port_range[0] + 1) instead"),
         )
-        .arg(json())
+        .arg(json_arg())
 }
 
 fn versions() -> Command {
-    Command::new("versions").about("Prints the newest named version of each model").arg(links()).arg(json())
+    Command::new("versions")
+        .about("Prints the newest named version of each model")
+        .arg(link_arg())
+        .arg(json_arg())
 }
 
 fn config() -> Command {
@@ -79,16 +82,20 @@
         .about("Reads, changes or checks the operator's configuration")
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .subcommand(Command::new("get").about("Prints the configuration in force").arg(controls()))
+        .subcommand(Command::new("get").about("Prints the configuration in force").arg(control_arg()))
         .subcommand(
-            Command::new("put").about("Sends a whole configuration").arg(file()).arg(base()).arg(controls()),
+            Command::new("put")
+                .about("Sends a whole configuration")
+                .arg(file())
+                .arg(base())
+                .arg(control_arg()),
         )
         .subcommand(
             Command::new("patch")
                 .about("Sends a change of named items")
                 .arg(file())
                 .arg(base())
-                .arg(controls()),
+                .arg(control_arg()),
         )
         .subcommand(
             Command::new("check").about("Checks a whole configuration without sending it").arg(file()),
@@ -113,14 +120,14 @@
                 .action(ArgAction::SetTrue)
                 .help("Wait until it is empty; fails after ten times the duration"),
         )
-        .arg(controls())
+        .arg(control_arg())
 }
 
-fn json() -> Arg {
+fn json_arg() -> Arg {
     Arg::new("json").long("json").action(ArgAction::SetTrue).help("Print JSON")
 }
 
-fn controls() -> Arg {
+fn control_arg() -> Arg {
     Arg::new("control")
         .long("control")
         .value_name("IP:PORT")
@@ -129,7 +136,7 @@
         .help("Control address (listen.control) to call; may be given several times; by default the seeds")
 }
 
-fn links() -> Arg {
+fn link_arg() -> Arg {
     Arg::new("link")
         .long("link")
         .value_name("IP:PORT")
--- a/crates/pebblepost-system/src/main.rs
+++ b/crates/pebblepost-system/src/main.rs
@@ -1,4 +1,7 @@
 //! One binary with a subcommand for each role and for operators.
+//!
+//! `command_line` defines the commands, `logging` the logs, `operator` the commands for operators. Each
+//! role is a crate of its own; this one holds no state.
 
 mod command_line;
 mod logging;
@@ -9,21 +12,21 @@
 use pebblepost_settings::Settings;
 use std::process::ExitCode;
 
-/// Exit code of a command that could not do its work.
-const FAILED: u8 = 1;
-/// Exit code of wrong settings or arguments, the same that `clap` uses.
-const BAD_USAGE: u8 = 2;
+/// Exit code of a command that failed.
+const FAILURE_EXIT_CODE: u8 = 1;
+/// Exit code of wrong settings or arguments, as that of `clap`.
+const USAGE_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
-    logging::end_at_panic(pebblepost_link::is_decoding);
+    logging::exit_on_panic(pebblepost_link::is_decoding);
     logging::start();
     let matches = command_line::command_line().get_matches();
-    let Some((name, arguments)) = matches.subcommand() else { return ExitCode::from(BAD_USAGE) };
+    let Some((name, arguments)) = matches.subcommand() else { return ExitCode::from(USAGE_EXIT_CODE) };
     match run(name, arguments) {
         Ok(code) => ExitCode::from(code),
         Err(error) => {
             eprintln!("error: {}", one_line(&error));
-            ExitCode::from(operator::exit_code_of(&error).unwrap_or(FAILED))
+            ExitCode::from(operator::exit_code_of(&error).unwrap_or(FAILURE_EXIT_CODE))
         }
     }
 }
@@ -40,7 +43,7 @@
     Ok(0)
 }
 
-/// Checks the settings file, and says "ok" or what is wrong.
+/// Checks the settings file and prints "ok" or the error.
 fn check() -> u8 {
     match Settings::from_environment() {
         Ok(_) => {
@@ -49,12 +52,12 @@
         }
         Err(error) => {
             eprintln!("error: {}", one_line(&error));
-            BAD_USAGE
+            USAGE_EXIT_CODE
         }
     }
 }
 
-/// An error with all its causes, in one line.
+/// An error with its causes, as one line.
 fn one_line(error: &eyre::Report) -> String {
     format!("{error:#}").split_whitespace().collect::<Vec<_>>().join(" ")
 }
--- a/crates/pebblepost-system/src/operator/error.rs
+++ b/crates/pebblepost-system/src/operator/error.rs
@@ -1,52 +1,41 @@
-//! Errors of the operators' commands that have exit codes of their own.
-
-use std::fmt;
-
-const BAD_USAGE: u8 = 2;
-const REFUSED: u8 = 3;
-
-/// The arguments, the settings or a file are wrong.
-#[derive(Debug)]
-struct BadUsage(String);
-
-/// The system refused the order.
-#[derive(Debug)]
-struct Refused(String);
-
-impl fmt::Display for BadUsage {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(&self.0)
-    }
+//! Errors of operators' commands that have exit codes of their own.
+
+use eyre::Report;
+
+const USAGE_EXIT_CODE: u8 = 2;
+const REJECTED_EXIT_CODE: u8 = 3;
+
+/// Why a command failed, where that has an exit code of its own.
+#[derive(Debug, thiserror::Error)]
+pub enum CommandError {
+    /// The arguments, the settings or a file are wrong.
+    #[error("{0}")]
+    Usage(String),
+    /// The control plane rejected the request.
+    #[error("{0}")]
+    Rejected(String),
 }
 
-impl fmt::Display for Refused {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(&self.0)
+impl CommandError {
+    fn exit_code(&self) -> u8 {
+        match self {
+            CommandError::Usage(_) => USAGE_EXIT_CODE,
+            CommandError::Rejected(_) => REJECTED_EXIT_CODE,
+        }
     }
 }
 
-impl std::error::Error for BadUsage {}
-impl std::error::Error for Refused {}
-
-/// An error about the arguments, the settings or a file.
-pub fn bad_usage(reason: String) -> eyre::Report {
-    BadUsage(reason).into()
+/// A [`CommandError::Usage`].
+pub fn usage_error(reason: impl Into<String>) -> Report {
+    CommandError::Usage(reason.into()).into()
 }
 
-/// An error about an order that was refused.
-pub fn refused(reason: String) -> eyre::Report {
-    Refused(reason).into()
+/// A [`CommandError::Rejected`].
+pub fn rejected(reason: impl Into<String>) -> Report {
+    CommandError::Rejected(reason.into()).into()
 }
 
 /// The exit code of an error, if it has one of its own.
-pub fn exit_code_of(error: &eyre::Report) -> Option<u8> {
-    error.chain().find_map(|cause| {
-        if cause.is::<BadUsage>() {
-            Some(BAD_USAGE)
-        } else if cause.is::<Refused>() {
-            Some(REFUSED)
-        } else {
-            None
-        }
-    })
+pub fn exit_code_of(error: &Report) -> Option<u8> {
+    error.chain().find_map(|cause| cause.downcast_ref()).map(CommandError::exit_code)
 }
--- a/crates/pebblepost-system/src/operator/table.rs
+++ b/crates/pebblepost-system/src/operator/text_table.rs
@@ -1,10 +1,12 @@
-//! Turns a JSON state into text tables: scalars as `name value` lines, lists of objects as rows.
+//! Renders JSON as text tables: scalars as `name value` lines, lists of objects as rows.
 
 use simd_json::OwnedValue;
 use simd_json::prelude::{ValueAsArray, ValueAsObject, ValueAsScalar, Writable};
 
-const GAP: &str = "  ";
-const NOTHING: &str = "-";
+/// Between two columns.
+const COLUMN_GAP: &str = "  ";
+/// Cell of a field that an object lacks.
+const EMPTY_CELL: &str = "-";
 
 /// Renders a value.
 pub fn render(value: &OwnedValue) -> String {
@@ -19,15 +21,15 @@
     } else if let Some(list) = value.as_array() {
         render_list(text, name, list);
     } else {
-        text.push_str(&format!("{name}{GAP}{}\n", cell(value)));
+        text.push_str(&format!("{name}{COLUMN_GAP}{}\n", cell(value)));
     }
 }
 
 fn render_object(text: &mut String, name: &str, object: &simd_json::owned::Object) {
     let mut fields: Vec<(&String, &OwnedValue)> = object.iter().collect();
     fields.sort_by_key(|(field, _)| *field);
-    let (plain, nested): (Vec<_>, Vec<_>) = fields.into_iter().partition(|(_, value)| is_plain(value));
-    let rows = plain.iter().map(|(field, value)| vec![(*field).clone(), cell(value)]).collect::<Vec<_>>();
+    let (scalars, nested): (Vec<_>, Vec<_>) = fields.into_iter().partition(|(_, value)| is_scalar(value));
+    let rows = scalars.iter().map(|(field, value)| vec![(*field).clone(), cell(value)]).collect::<Vec<_>>();
     if !rows.is_empty() {
         title(text, name);
         write_rows(text, &rows);
@@ -51,7 +53,7 @@
     for entry in list {
         rows.push(match entry.as_object() {
             Some(object) => {
-                columns.iter().map(|column| object.get(column).map_or(NOTHING.into(), cell)).collect()
+                columns.iter().map(|column| object.get(column).map_or(EMPTY_CELL.into(), cell)).collect()
             }
             None => vec![cell(entry)],
         });
@@ -72,12 +74,12 @@
     for row in rows {
         let cells: Vec<String> =
             row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
-        text.push_str(cells.join(GAP).trim_end());
+        text.push_str(cells.join(COLUMN_GAP).trim_end());
         text.push('\n');
     }
 }
 
-fn is_plain(value: &OwnedValue) -> bool {
+fn is_scalar(value: &OwnedValue) -> bool {
     value.as_object().is_none() && value.as_array().is_none()
 }
 
--- a/crates/pebblepost-system/tests/panics.rs
+++ b/crates/pebblepost-system/tests/panics.rs
@@ -20,7 +20,7 @@
 #[test]
 fn a_panic_of_a_task_ends_the_process() {
     if std::env::var_os(CHILD).is_some() {
-        logging::end_at_panic(pebblepost_link::is_decoding);
+        logging::exit_on_panic(pebblepost_link::is_decoding);
         logging::start();
         let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
         let tasks = tokio::task::LocalSet::new();
@@ -41,7 +41,7 @@
 #[test]
 fn a_panic_of_a_thread_ends_the_process() {
     if std::env::var_os(CHILD).is_some() {
-        logging::end_at_panic(pebblepost_link::is_decoding);
+        logging::exit_on_panic(pebblepost_link::is_decoding);
         let _ = std::thread::spawn(|| panic!("on a thread")).join();
         std::process::exit(WENT_ON);
     }
@@ -52,7 +52,7 @@
 #[test]
 fn a_damaged_message_does_not_end_the_process() {
     if std::env::var_os(CHILD).is_some() {
-        logging::end_at_panic(pebblepost_link::is_decoding);
+        logging::exit_on_panic(pebblepost_link::is_decoding);
         let impossible_length = [0xff; 8];
         let message = pebblepost_link::decode::<Vec<u64>>(&impossible_length);
         std::process::exit(if message.is_err() { WENT_ON } else { 0 });
