--- a/crates/pebblepost-system/tests/command_line.rs
+++ b/crates/pebblepost-system/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: exit codes, one-line errors, calls to the control plane.
+//! The command line: exit codes, one-line errors, requests to the control plane.
 
 use rstest::rstest;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -35,7 +35,7 @@
     path
 }
 
-/// A control process that gives the answers one after the other, and hands back what it was sent.
+/// A control process that responds with the given answers in turn, and returns the requests that it received.
 fn control(answers: Vec<String>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn help_names_the_roles_the_variables_and_the_exit_codes() {
+fn help_lists_roles_variables_and_exit_codes() {
     let output = program().arg("--help").output().expect("run");
     assert_eq!(code(&output), 0);
     let text = String::from_utf8(output.stdout).expect("text");
@@ -98,7 +98,7 @@
 #[case::no_addresses(&["status"])]
 #[case::no_control(&["config", "get"])]
 #[case::bad_node(&["retire", "a/b", "--duration-s", "1", "--control", "127.0.0.1:1"])]
-fn wrong_usage_ends_with_2(#[case] arguments: &[&str]) {
+fn wrong_usage_exits_with_2(#[case] arguments: &[&str]) {
     let output = program().args(arguments).output().expect("run");
     assert_eq!(code(&output), 2, "{}", error_of(&output));
 }
@@ -108,7 +108,7 @@
 #[case::agent("agent")]
 #[case::control("control")]
 #[case::store("store")]
-fn a_role_without_settings_says_so_in_one_line_and_ends_with_1(#[case] role: &str) {
+fn a_role_without_settings_exits_with_1_and_one_line(#[case] role: &str) {
     let output = program().arg(role).output().expect("run");
     assert_eq!(code(&output), 1);
     let error = error_of(&output);
@@ -117,14 +117,14 @@
 }
 
 #[test]
-fn check_says_ok() {
+fn check_prints_ok() {
     let path = temporary_file("good.toml", SETTINGS);
     let output = program().arg("check").env(SETTINGS_VARIABLE, &path).output().expect("run");
     assert_eq!((code(&output), output.stdout.as_slice()), (0, b"ok\n".as_slice()), "{}", error_of(&output));
 }
 
 #[test]
-fn check_names_file_and_key_in_one_line() {
+fn check_prints_file_and_key_in_one_line() {
     let path = temporary_file("bad.toml", &SETTINGS.replace("[7300, 7315]", "\"many\""));
     let output = program().arg("check").env(SETTINGS_VARIABLE, &path).output().expect("run");
     let error = error_of(&output);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_document_is_put_on_top_of_the_version_in_force_and_redirects_are_followed() {
+fn put_builds_on_the_generation_in_force_and_follows_redirects() {
     let document = r#"{"generation":7}"#;
     let path = temporary_file("put.json", document);
     let (primary, at_primary) =
@@ -156,7 +156,7 @@
 #[case::other_version("412 Precondition Failed")]
 #[case::conflict("409 Conflict")]
 #[case::invalid("400 Bad Request")]
-fn refusals_end_with_3_and_say_why(#[case] status: &str) {
+fn rejections_exit_with_3_and_the_reason(#[case] status: &str) {
     let path = temporary_file(&format!("refused-{}.json", &status[..3]), r#"{"generation":7}"#);
     let (address, server) = control(vec![answer(status, "", r#"{"error":"another version"}"#)]);
     let output = program()
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn an_unclear_answer_is_followed_by_the_same_call_elsewhere() {
+fn retries_elsewhere_after_an_inconclusive_response() {
     let body = r#"{"generation":9}"#;
     let (first, at_first) = control(vec![answer("503 Service Unavailable", "", "")]);
     let (second, at_second) = control(vec![answer("200 OK", "", body)]);
--- a/crates/pebblepost-system/tests/common/client.rs
+++ b/crates/pebblepost-system/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 call on a new connection.
+//! HTTP/1.1 requests, each on a new connection.
 
 use bytes::Bytes;
 use http::{HeaderMap, Request};
@@ -9,43 +9,43 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time for one call.
-const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time for one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A call.
+/// A request.
 #[derive(Clone, Debug, Default)]
-pub struct Call {
+pub struct ApiRequest {
     pub method: &'static str,
     pub path: String,
     pub headers: Vec<(&'static str, String)>,
     pub body: Vec<u8>,
 }
 
-impl Call {
-    pub fn new(method: &'static str, path: impl Into<String>) -> Call {
-        Call { method, path: path.into(), ..Call::default() }
+impl ApiRequest {
+    pub fn new(method: &'static str, path: impl Into<String>) -> ApiRequest {
+        ApiRequest { method, path: path.into(), ..ApiRequest::default() }
     }
 
-    pub fn header(mut self, name: &'static str, value: impl Into<String>) -> Call {
+    pub fn header(mut self, name: &'static str, value: impl Into<String>) -> ApiRequest {
         self.headers.push((name, value.into()));
         self
     }
 
-    pub fn body(mut self, body: impl Into<Vec<u8>>) -> Call {
+    pub fn body(mut self, body: impl Into<Vec<u8>>) -> ApiRequest {
         self.body = body.into();
         self
     }
 }
 
-/// An answer.
+/// A response.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct ApiResponse {
     pub status: u16,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
-impl Answer {
+impl ApiResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
@@ -59,17 +59,30 @@
     }
 }
 
-/// Sends a call; an error says why there is no whole answer.
-pub async fn send(address: SocketAddr, call: &Call) -> Result<Answer, String> {
-    let exchanged = timeout(CALL_TIMEOUT, exchange(address, call)).await;
-    exchanged.map_err(|_| format!("{address}: no answer in {CALL_TIMEOUT:?}"))?
+/// Why there is no complete response.
+#[derive(Debug, thiserror::Error)]
+pub enum RequestError {
+    #[error("{0}: no answer in {REQUEST_TIMEOUT:?}")]
+    TimedOut(SocketAddr),
+    #[error("{address}: {cause}")]
+    Failed { address: SocketAddr, cause: Box<dyn std::error::Error + Send + Sync> },
+    #[error("{address}: Location {location:?}")]
+    BadRedirect { address: SocketAddr, location: String },
+    #[error("{0}: too many redirects")]
+    TooManyRedirects(SocketAddr),
 }
 
-async fn exchange(address: SocketAddr, call: &Call) -> Result<Answer, String> {
-    let describe = |error: &dyn std::fmt::Display| format!("{address}: {error}");
-    let stream = TcpStream::connect(address).await.map_err(|error| describe(&error))?;
+/// Sends a request.
+pub async fn send(address: SocketAddr, call: &ApiRequest) -> Result<ApiResponse, RequestError> {
+    let exchanged = timeout(REQUEST_TIMEOUT, exchange(address, call)).await;
+    exchanged.map_err(|_| RequestError::TimedOut(address))?
+}
+
+async fn exchange(address: SocketAddr, call: &ApiRequest) -> Result<ApiResponse, RequestError> {
+    let failed = |cause: Box<dyn std::error::Error + Send + Sync>| RequestError::Failed { address, cause };
+    let stream = TcpStream::connect(address).await.map_err(|error| failed(error.into()))?;
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
-    let (mut sender, connection) = handshake.map_err(|error| describe(&error))?;
+    let (mut sender, connection) = handshake.map_err(|error| failed(error.into()))?;
     let driver = tokio::task::spawn_local(connection);
     let mut request = Request::builder().method(call.method).uri(&call.path);
     for (name, value) in &call.headers {
@@ -79,16 +92,18 @@
         request = request.header("Host", address.to_string());
     }
     let request =
-        request.body(Full::new(Bytes::from(call.body.clone()))).map_err(|error| describe(&error))?;
-    let response = sender.send_request(request).await.map_err(|error| describe(&error))?;
+        request.body(Full::new(Bytes::from(call.body.clone()))).map_err(|error| failed(error.into()))?;
+    let response = sender.send_request(request).await.map_err(|error| failed(error.into()))?;
     let (head, body) = response.into_parts();
-    let body = body.collect().await.map_err(|error| describe(&error))?.to_bytes();
+    let body = body.collect().await.map_err(|error| failed(error.into()))?.to_bytes();
     driver.abort();
-    Ok(Answer { status: head.status.as_u16(), headers: head.headers, body })
+    Ok(ApiResponse { status: head.status.as_u16(), headers: head.headers, body })
 }
 
-/// Sends a call to the control plane: follows redirects twice.
-pub async fn send_following(address: SocketAddr, call: &Call) -> Result<Answer, String> {
+/// Sends a request to the control plane and follows up to two redirects.
+pub async fn send_with_redirects(
+    address: SocketAddr, call: &ApiRequest,
+) -> Result<ApiResponse, RequestError> {
     let mut next = address;
     for _ in 0..3 {
         let answer = send(next, call).await?;
@@ -97,7 +112,9 @@
         }
         let location = answer.header("Location").unwrap_or_default().to_owned();
         let authority = location.trim_start_matches("http://").split('/').next().unwrap_or_default();
-        next = authority.parse().map_err(|_| format!("{next}: Location {location:?}"))?;
+        next = authority
+            .parse()
+            .map_err(|_| RequestError::BadRedirect { address: next, location: location.clone() })?;
     }
-    Err(format!("{address}: too many redirects"))
+    Err(RequestError::TooManyRedirects(address))
 }
--- a/crates/pebblepost-system/tests/common/cluster.rs
+++ b/crates/pebblepost-system/tests/common/cluster.rs
@@ -1,6 +1,6 @@
 //! A small system of real processes, each machine on a loopback address of its own.
 
-use super::client::{Call, send};
+use super::client::{ApiRequest, send};
 use super::relay;
 use super::settings::{CONTROL_PORT, FRONT_PORT, Machine, READY_PORT, ZONES};
 use std::fs::File;
@@ -16,12 +16,12 @@
 const RANGES: u16 = 1_200;
 /// Lines of each log that a failed test prints.
 const LOG_LINES: usize = 25;
-const READY_WITHIN: Duration = Duration::from_secs(20);
-const END_WITHIN: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How many machines of each class.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
+pub struct ClusterSize {
     pub controls: u8,
     pub stores: u8,
     pub edges: u8,
@@ -55,28 +55,28 @@
 
 impl Cluster {
     /// Starts all machines; `number` tells the clusters of one test process apart.
-    pub async fn start(number: u8, shape: Shape) -> Cluster {
+    pub async fn start(number: u8, size: ClusterSize) -> Cluster {
         let process = std::process::id();
-        let folder = std::env::temp_dir().join(format!("pebblepost-whole-path-{process}-{number}"));
+        let folder = std::env::temp_dir().join(format!("pebblepost-end-to-end-{process}-{number}"));
         std::fs::create_dir_all(&folder).expect("a folder");
         let network = Network { number, third: u8::try_from(process % 250).expect("small") };
         let mut ranges = free_ranges(process);
         let common = ranges.next().expect("a free range");
         let mut cluster = Cluster { folder, hosts: Vec::new(), processes: Vec::new() };
         let seeds: Vec<SocketAddr> =
-            (0..shape.controls.min(3)).map(|index| network.address(10 + index, CONTROL_PORT)).collect();
-        for index in 0..shape.controls {
+            (0..size.controls.min(3)).map(|index| network.address(10 + index, CONTROL_PORT)).collect();
+        for index in 0..size.controls {
             cluster.add_host("core", index, network.ip(10 + index), common, seeds.clone());
         }
-        for index in 0..shape.stores {
+        for index in 0..size.stores {
             cluster.add_host("storage", index, network.ip(30 + index), common, seeds.clone());
         }
-        for index in 0..shape.edges {
+        for index in 0..size.edges {
             let (first_port, seeds) = if index == 0 {
                 (common, seeds.clone())
             } else {
                 let range = ranges.next().expect("a free range");
-                (range, relayed_seeds(network, index, shape, common, range).await)
+                (range, relayed_seeds(network, index, size, common, range).await)
             };
             cluster.add_host("edge", index, network.ip(50 + index), first_port, seeds);
         }
@@ -169,11 +169,11 @@
     /// Waits until every edge machine is ready.
     pub async fn wait_until_ready(&mut self) {
         for address in self.addresses("edge", READY_PORT) {
-            let deadline = Instant::now() + READY_WITHIN;
-            while send(address, &Call::new("GET", "/readyz")).await.map(|answer| answer.status) != Ok(200) {
+            let deadline = Instant::now() + READY_TIMEOUT;
+            while !is_ready(address).await {
                 self.assert_running();
-                assert!(Instant::now() < deadline, "{address} is not ready within {READY_WITHIN:?}");
-                tokio::time::sleep(super::LOOK_EVERY).await;
+                assert!(Instant::now() < deadline, "{address} is not ready within {READY_TIMEOUT:?}");
+                tokio::time::sleep(super::POLL_PERIOD).await;
             }
         }
     }
@@ -201,7 +201,7 @@
         index
     }
 
-    /// Starts a process again that was killed; its disk is as it was.
+    /// Restarts a process that was killed, on its disk.
     pub fn restart(&mut self, index: usize) {
         self.start_process(index, false);
     }
@@ -224,7 +224,7 @@
             let sent = Command::new("kill").args(["-TERM", &process.id().to_string()]).status();
             assert!(sent.is_ok_and(|status| status.success()), "SIGTERM was not sent");
         }
-        let deadline = Instant::now() + END_WITHIN;
+        let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
         for index in 0..self.processes.len() {
             let Some(mut child) = self.processes[index].child.take() else { continue };
             let status = loop {
@@ -233,9 +233,9 @@
                 }
                 if Instant::now() >= deadline {
                     self.processes[index].child = Some(child);
-                    panic!("{:?} did not end within {END_WITHIN:?}", self.log_path(index));
+                    panic!("{:?} did not end within {SHUTDOWN_TIMEOUT:?}", self.log_path(index));
                 }
-                tokio::time::sleep(super::LOOK_EVERY).await;
+                tokio::time::sleep(super::POLL_PERIOD).await;
             };
             assert!(status.success(), "{:?}: ended with {status}", self.log_path(index));
         }
@@ -261,6 +261,10 @@
     }
 }
 
+async fn is_ready(address: SocketAddr) -> bool {
+    send(address, &ApiRequest::new("GET", "/readyz")).await.is_ok_and(|response| response.status == 200)
+}
+
 fn print_end(log: &Path) {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     let lines: Vec<&str> = text.lines().collect();
@@ -297,9 +301,11 @@
 
 /// Seeds for an edge machine with a range of its own: relays to the control processes, both for
 /// calls from outside and for links.
-async fn relayed_seeds(network: Network, edge: u8, shape: Shape, common: u16, range: u16) -> Vec<SocketAddr> {
+async fn relayed_seeds(
+    network: Network, edge: u8, size: ClusterSize, common: u16, range: u16,
+) -> Vec<SocketAddr> {
     let mut seeds = Vec::new();
-    for control in 0..shape.controls.min(3) {
+    for control in 0..size.controls.min(3) {
         let relay_host = 100 + edge * 10 + control;
         let seed = network.address(relay_host, CONTROL_PORT);
         relay::start(seed, network.address(10 + control, CONTROL_PORT)).await;
--- a/crates/pebblepost-system/tests/common/mod.rs
+++ b/crates/pebblepost-system/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Real processes of the binary on loopback addresses, and stand-ins for everyone around them.
+//! Real processes of the binary on loopback addresses, and fakes of everything around them.
 
 pub mod client;
 pub mod cluster;
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 use tokio::task::LocalSet;
 
-/// Pause between two looks at a condition.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+/// Interval of checks of a condition.
+const POLL_PERIOD: Duration = Duration::from_millis(25);
 
 /// Runs a test's future on a current-thread runtime.
 pub fn run(test: impl Future<Output = ()>) {
@@ -22,11 +22,11 @@
     runtime.block_on(LocalSet::new().run_until(test));
 }
 
-/// Waits until a condition holds; fails the test after `most`.
-pub async fn wait_for(what: &str, most: Duration, mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + most;
+/// Waits until a condition holds; fails the test after `timeout`.
+pub async fn wait_for(what: &str, timeout: Duration, mut holds: impl FnMut() -> bool) {
+    let deadline = Instant::now() + timeout;
     while !holds() {
-        assert!(Instant::now() < deadline, "{what}: not within {most:?}");
-        tokio::time::sleep(LOOK_EVERY).await;
+        assert!(Instant::now() < deadline, "{what}: not within {timeout:?}");
+        tokio::time::sleep(POLL_PERIOD).await;
     }
 }
--- a/crates/pebblepost-system/tests/common/relay.rs
+++ b/crates/pebblepost-system/tests/common/relay.rs
@@ -1,4 +1,4 @@
-//! Passes TCP connections on, so that a machine with a port range of its own reaches others.
+//! Relays TCP connections, so that a machine with a port range of its own reaches others.
 //!
 //! All machines of a deployment have the same ports; here they share one loopback, on which only
 //! one agent can listen at each port. Edge machines after the first have ranges of their own, and
@@ -12,10 +12,10 @@
     let listener =
         TcpListener::bind(listen).await.unwrap_or_else(|error| panic!("relay at {listen}: {error}"));
     tokio::task::spawn_local(async move {
-        while let Ok((mut near, _)) = listener.accept().await {
+        while let Ok((mut client, _)) = listener.accept().await {
             tokio::task::spawn_local(async move {
-                if let Ok(mut far) = TcpStream::connect(target).await {
-                    let _ = tokio::io::copy_bidirectional(&mut near, &mut far).await;
+                if let Ok(mut server) = TcpStream::connect(target).await {
+                    let _ = tokio::io::copy_bidirectional(&mut client, &mut server).await;
                 }
             });
         }
--- a/crates/pebblepost-system/tests/common/transcriber.rs
+++ b/crates/pebblepost-system/tests/common/transcriber.rs
@@ -1,8 +1,8 @@
-//! A stand-in transcriber: registers itself, serves pages, scores and streams, takes orders.
+//! A fake transcriber: registers itself, serves pages, scores and streams, takes orders.
 
-use super::client::{Call, send_following};
+use super::client::{ApiRequest, send_with_redirects};
 use super::operator::MODEL;
-use super::transcriber_state::{Run, SeenOrder, State};
+use super::transcriber_state::{ReceivedOrder, Run, State};
 use bytes::Bytes;
 use http::{HeaderMap, Request, Response};
 use http_body::{Body, Frame};
@@ -24,12 +24,12 @@
 
 /// Events of each text.
 pub const EVENTS: u64 = 5;
-const EVENT_EVERY: Duration = Duration::from_millis(20);
+const EVENT_PERIOD: Duration = Duration::from_millis(20);
 const LOAD_TIME: Duration = Duration::from_millis(200);
-const HEARTBEAT: Duration = Duration::from_millis(400);
-const RETRY: Duration = Duration::from_millis(100);
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-type Answer = Response<Either<Full<Bytes>, Events>>;
+type TranscriberResponse = Response<Either<Full<Bytes>, Events>>;
 
 /// Body of a stream.
 #[derive(Debug)]
@@ -46,14 +46,14 @@
     }
 }
 
-/// A running stand-in.
+/// A running fake transcriber.
 #[derive(Clone, Debug)]
 pub struct Transcriber {
     pub address: SocketAddr,
     pub state: Rc<RefCell<State>>,
 }
 
-/// The text that a whole stream of an item carries, as a result's `message` shows it.
+/// The text that a complete stream of an item carries, as a result's `message` shows it.
 pub fn text_of(item: &str) -> String {
     (1..=EVENTS).map(|event| event_data(item, event)).collect::<Vec<_>>().join("\n")
 }
@@ -63,7 +63,7 @@
 }
 
 impl Transcriber {
-    /// Starts a stand-in that announces itself to the control processes.
+    /// Starts a fake transcriber that announces itself to the control processes.
     pub async fn start(
         id: String, service: &'static str, zone: &'static str, models: &[&str], controls: Vec<SocketAddr>,
     ) -> Transcriber {
@@ -76,7 +76,7 @@
         transcriber
     }
 
-    /// Version of the model that it holds.
+    /// Version of the model that is loaded.
     pub fn generation(&self) -> u64 {
         self.state.borrow().models.get(MODEL).copied().unwrap_or(0)
     }
@@ -87,18 +87,19 @@
         let mut preferred: Option<SocketAddr> = None;
         loop {
             let body = self.state.borrow_mut().announcement(&self.address.to_string());
-            let call = Call::new("PUT", path.clone()).header("Content-Type", "application/json").body(body);
+            let call =
+                ApiRequest::new("PUT", path.clone()).header("Content-Type", "application/json").body(body);
             let control = preferred.unwrap_or(controls[next % controls.len()]);
-            match send_following(control, &call).await {
+            match send_with_redirects(control, &call).await {
                 Ok(answer) if (200..300).contains(&answer.status) => {
                     self.state.borrow_mut().acknowledged += 1;
                     preferred = heartbeat_url(&answer.text());
-                    sleep(HEARTBEAT).await;
+                    sleep(HEARTBEAT_PERIOD).await;
                 }
                 _ => {
                     preferred = None;
                     next += 1;
-                    sleep(RETRY).await;
+                    sleep(RETRY_DELAY).await;
                 }
             }
         }
@@ -116,15 +117,17 @@
         }
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Result<Answer, hyper::Error> {
+    async fn answer(self, request: Request<Incoming>) -> Result<TranscriberResponse, hyper::Error> {
         let (head, body) = request.into_parts();
         let body = body.collect().await?.to_bytes();
         let path = head.uri.path().to_owned();
         let answer = match path.as_str() {
-            "/healthz" => self.whole(200, &[("instance-id", self.id())], "ok"),
-            "/report" => {
-                self.whole(200, &[("content-type", "application/json".into())], self.state.borrow().report())
-            }
+            "/healthz" => self.respond(200, &[("instance-id", self.id())], "ok"),
+            "/report" => self.respond(
+                200,
+                &[("content-type", "application/json".into())],
+                self.state.borrow().report(),
+            ),
             "/order" => self.order(&body),
             _ => self.run(&head.headers, path, body),
         };
@@ -135,7 +138,9 @@
         self.state.borrow().id.clone()
     }
 
-    fn whole(&self, status: u16, headers: &[(&str, String)], body: impl Into<Bytes>) -> Answer {
+    fn respond(
+        &self, status: u16, headers: &[(&str, String)], body: impl Into<Bytes>,
+    ) -> TranscriberResponse {
         let mut answer = Response::builder().status(status);
         for (name, value) in headers {
             answer = answer.header(*name, value);
@@ -143,16 +148,16 @@
         answer.body(Either::Left(Full::new(body.into()))).expect("an answer")
     }
 
-    fn not_executed(&self, status: u16, request_id: &str) -> Answer {
+    fn not_executed(&self, status: u16, request_id: &str) -> TranscriberResponse {
         let headers = [
             ("not-executed", "1".to_owned()),
             ("request-id", request_id.to_owned()),
             ("instance-id", self.id()),
         ];
-        self.whole(status, &headers, "")
+        self.respond(status, &headers, "")
     }
 
-    fn order(&self, body: &[u8]) -> Answer {
+    fn order(&self, body: &[u8]) -> TranscriberResponse {
         let order = read_order(body);
         let status = match &order {
             Some(order) => self.take_order(order),
@@ -163,12 +168,12 @@
             self.state.borrow_mut().orders.push(order);
         } else {
             let text = String::from_utf8_lossy(body).into_owned();
-            self.state.borrow_mut().complaints.push(format!("an order that can't be read: {text}"));
+            self.state.borrow_mut().violations.push(format!("an order that can't be read: {text}"));
         }
-        self.whole(status, &[], "")
+        self.respond(status, &[], "")
     }
 
-    fn take_order(&self, order: &SeenOrder) -> u16 {
+    fn take_order(&self, order: &ReceivedOrder) -> u16 {
         let mut state = self.state.borrow_mut();
         if state.models.get(MODEL) == Some(&order.generation) {
             return 200;
@@ -182,7 +187,7 @@
         202
     }
 
-    /// Loads a version once what runs has finished, as in mode `wait`.
+    /// Loads a version once all runs have finished, as in mode `wait`.
     async fn load(self, generation: u64) {
         while self.state.borrow().running > 0 {
             sleep(Duration::from_millis(5)).await;
@@ -193,7 +198,7 @@
         state.loading = false;
     }
 
-    fn run(&self, headers: &HeaderMap, path: String, body: Bytes) -> Answer {
+    fn run(&self, headers: &HeaderMap, path: String, body: Bytes) -> TranscriberResponse {
         let header = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
         let Some(request_id) = header("request-id") else { return self.not_executed(400, "") };
         if header("target-instance").is_some_and(|target| target != self.id()) {
@@ -226,14 +231,16 @@
         let mut answer_headers = vec![("request-id", request_id.clone()), ("response-seal", seal)];
         let Some(version) = version else {
             self.state.borrow_mut().runs[number].finished_at = Some(Instant::now());
-            return self.whole(200, &answer_headers, format!("answer to {path}"));
+            return self.respond(200, &answer_headers, format!("answer to {path}"));
         };
         answer_headers.push(("content-type", "text/event-stream".to_owned()));
         answer_headers.push(("weight-versions", version.to_string()));
         self.stream(number, request_id, last_event_id, &answer_headers)
     }
 
-    fn stream(&self, number: usize, item: String, after: u64, headers: &[(&str, String)]) -> Answer {
+    fn stream(
+        &self, number: usize, item: String, after: u64, headers: &[(&str, String)],
+    ) -> TranscriberResponse {
         let (sender, receiver) = mpsc::channel(1);
         self.state.borrow_mut().running += 1;
         tokio::task::spawn_local(self.clone().write_events(number, item, after, sender));
@@ -247,7 +254,7 @@
     async fn write_events(self, number: usize, item: String, after: u64, sender: mpsc::Sender<Bytes>) {
         let mut version = None;
         for event in after + 1..=EVENTS {
-            sleep(EVENT_EVERY).await;
+            sleep(EVENT_PERIOD).await;
             let now = Some(self.generation());
             let mut text = String::new();
             if version != now {
@@ -272,13 +279,13 @@
     url.trim_start_matches("http://").split('/').next()?.parse().ok()
 }
 
-fn read_order(body: &[u8]) -> Option<SeenOrder> {
+fn read_order(body: &[u8]) -> Option<ReceivedOrder> {
     let value = simd_json::to_owned_value(&mut body.to_vec()).ok()?;
     let is_known = value.get("op")?.as_str()? == "generation"
         && value.get("model")?.as_str()? == MODEL
         && ["wait", "retain", "truncate"].contains(&value.get("mode")?.as_str()?);
     is_known.then_some(())?;
-    Some(SeenOrder {
+    Some(ReceivedOrder {
         holder: value.get("holder")?.as_str()?.to_owned(),
         fence_token: value.get("fence_token")?.as_u64()?,
         generation: value.get("generation")?.as_u64()?,
--- a/crates/pebblepost-system/tests/common/transcriber_state.rs
+++ b/crates/pebblepost-system/tests/common/transcriber_state.rs
@@ -1,4 +1,4 @@
-//! What a stand-in transcriber holds, and what it has seen.
+//! State of a fake transcriber, and what it has received.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -9,17 +9,17 @@
     pub request_id: String,
     pub path: String,
     pub body: Vec<u8>,
-    /// The event after which it was asked to go on.
+    /// `Last-Event-ID`: the stream resumes after this event.
     pub last_event_id: u64,
     pub at: Instant,
-    /// When its last event was made, if it came to that.
+    /// When its last event was sent.
     pub finished_at: Option<Instant>,
     pub seal: String,
 }
 
-/// An order that was taken or refused.
+/// An order that was accepted or rejected.
 #[derive(Clone, Debug)]
-pub struct SeenOrder {
+pub struct ReceivedOrder {
     pub holder: String,
     pub fence_token: u64,
     pub generation: u64,
@@ -27,7 +27,7 @@
     pub at: Instant,
 }
 
-/// State of one stand-in.
+/// State of one fake transcriber.
 #[derive(Debug)]
 pub struct State {
     pub id: String,
@@ -39,14 +39,14 @@
     /// An order is under way.
     pub loading: bool,
     pub orders_taken: u64,
-    pub orders: Vec<SeenOrder>,
+    pub orders: Vec<ReceivedOrder>,
     pub running: u32,
     pub runs: Vec<Run>,
     pub announcements: u64,
     pub acknowledged: u64,
     pub seals: u64,
-    /// What broke a rule, as far as a transcriber can see it.
-    pub complaints: Vec<String>,
+    /// Violations of the rules, as far as a transcriber can see them.
+    pub violations: Vec<String>,
 }
 
 impl State {
@@ -65,32 +65,32 @@
             announcements: 0,
             acknowledged: 0,
             seals: 0,
-            complaints: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    /// What a failed test prints.
+    /// Summary that a failed test prints.
     pub fn summary(&self) -> String {
-        let whole = self.runs.iter().filter(|run| run.finished_at.is_some()).count();
+        let complete = self.runs.iter().filter(|run| run.finished_at.is_some()).count();
         let orders: Vec<_> = self
             .orders
             .iter()
             .map(|order| (order.generation, order.answer, order.holder.as_str(), order.fence_token))
             .collect();
         format!(
-            "{}: models {:?}, {} runs ({whole} whole), {} running, {} of {} announcements acknowledged, \
-             orders {orders:?}, complaints {:?}",
+            "{}: models {:?}, {} runs ({complete} complete), {} running, {} of {} announcements acknowledged, \
+             orders {orders:?}, violations {:?}",
             self.id,
             self.models,
             self.runs.len(),
             self.running,
             self.acknowledged,
             self.announcements,
-            self.complaints
+            self.violations
         )
     }
 
-    /// A seal that no other answer carries.
+    /// A seal that no other response carries.
     pub fn seal(&mut self) -> String {
         self.seals += 1;
         format!("{}.{}", self.id, self.seals)
--- a/crates/pebblepost-system/tests/whole_path.rs
+++ b/crates/pebblepost-system/tests/end_to_end.rs
@@ -1,10 +1,10 @@
-//! The whole path with real processes: a configuration, a request, a batch job and a version.
+//! End-to-end tests with real processes: a configuration, a request, a batch job and a version.
 
 mod common;
 
-use common::client::{Call, send};
-use common::cluster::{Cluster, Shape};
-use common::operator::{self, DESK_SERVICE, HOST, MODEL, MODEL_SERVICE, MORE_PAGES, PAGES};
+use common::client::{ApiRequest, send};
+use common::cluster::{Cluster, ClusterSize};
+use common::operator::{self, HOST, MODEL, MODEL_SERVICE, MORE_PAGES, PAGE_SERVICE, PAGES};
 use common::settings::ZONES;
 use common::trainer::{Job, item_body};
 use common::transcriber::Transcriber;
@@ -13,28 +13,28 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Longest wait for anything in calm times.
-const CALM: Duration = Duration::from_secs(15);
+/// Longest wait for anything without faults.
+const CALM_TIMEOUT: Duration = Duration::from_secs(15);
 /// Longest wait for anything while processes are down.
-const TROUBLED: Duration = Duration::from_secs(25);
+const FAULT_TIMEOUT: Duration = Duration::from_secs(25);
 /// `bounds.lease_ms` of the settings.
 const LEASE: Duration = Duration::from_secs(1);
 const MODEL_TRANSCRIBERS: usize = 3;
-const DESK_TRANSCRIBERS: usize = 2;
+const PAGE_TRANSCRIBERS: usize = 2;
 
-static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
+static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
 /// The tests share the machine's processors: one cluster at a time.
-fn one_at_a_time() -> MutexGuard<'static, ()> {
-    ONE_AT_A_TIME.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+fn exclusive() -> MutexGuard<'static, ()> {
+    EXCLUSIVE.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
-/// Prints how long the steps of a test took.
-struct Steps(Instant);
+/// Prints how long the timer of a test took.
+struct StepTimer(Instant);
 
-impl Steps {
-    fn begin() -> Steps {
-        Steps(Instant::now())
+impl StepTimer {
+    fn start() -> StepTimer {
+        StepTimer(Instant::now())
     }
 
     fn done(&mut self, what: &str) {
@@ -45,48 +45,48 @@
 
 struct Fleet {
     model: Vec<Transcriber>,
-    desk: Vec<Transcriber>,
+    page: Vec<Transcriber>,
 }
 
 impl Fleet {
     async fn start(controls: &[SocketAddr]) -> Fleet {
-        let mut fleet = Fleet { model: Vec::new(), desk: Vec::new() };
+        let mut fleet = Fleet { model: Vec::new(), page: Vec::new() };
         for number in 0..MODEL_TRANSCRIBERS {
             let (id, zone) = (format!("i-lm-{number}"), ZONES[number % ZONES.len()]);
             let started = Transcriber::start(id, MODEL_SERVICE, zone, &[MODEL], controls.to_vec()).await;
             fleet.model.push(started);
         }
-        for number in 0..DESK_TRANSCRIBERS {
-            let (id, zone) = (format!("i-desk-{number}"), ZONES[number % ZONES.len()]);
-            let started = Transcriber::start(id, DESK_SERVICE, zone, &[], controls.to_vec()).await;
-            fleet.desk.push(started);
+        for number in 0..PAGE_TRANSCRIBERS {
+            let (id, zone) = (format!("i-page-{number}"), ZONES[number % ZONES.len()]);
+            let started = Transcriber::start(id, PAGE_SERVICE, zone, &[], controls.to_vec()).await;
+            fleet.page.push(started);
         }
         fleet
     }
 
-    async fn wait_until_known(&self, most: Duration) {
-        let all: Vec<&Transcriber> = self.model.iter().chain(&self.desk).collect();
-        wait_for("transcribers become known", most, || {
+    async fn wait_until_known(&self, timeout: Duration) {
+        let all: Vec<&Transcriber> = self.model.iter().chain(&self.page).collect();
+        wait_for("transcribers become known", timeout, || {
             all.iter().all(|transcriber| transcriber.state.borrow().acknowledged > 0)
         })
         .await;
     }
 
-    async fn wait_until_version(&self, generation: u64, most: Duration) {
+    async fn wait_until_version(&self, generation: u64, timeout: Duration) {
         let what = format!("all transcribers hold version {generation}");
-        wait_for(&what, most, || self.model.iter().all(|held| held.generation() == generation)).await;
+        wait_for(&what, timeout, || self.model.iter().all(|held| held.generation() == generation)).await;
     }
 
-    fn assert_no_complaints(&self) {
-        for transcriber in self.model.iter().chain(&self.desk) {
+    fn assert_no_violations(&self) {
+        for transcriber in self.model.iter().chain(&self.page) {
             let state = transcriber.state.borrow();
-            assert!(state.complaints.is_empty(), "{}: {:?}", state.id, state.complaints);
+            assert!(state.violations.is_empty(), "{}: {:?}", state.id, state.violations);
         }
     }
 
-    /// Fence tokens never fall, one token has one holder, holders are `lease_ms` apart, and no version is
-    /// loaded twice.
-    fn assert_orders_in_order(&self) {
+    /// Fencing tokens never fall, one token has one holder, holders are `lease_ms` apart, and no version
+    /// is loaded twice.
+    fn assert_orders_are_fenced(&self) {
         for transcriber in &self.model {
             let state = transcriber.state.borrow();
             for pair in state.orders.windows(2) {
@@ -110,10 +110,10 @@
 }
 
 impl Drop for Fleet {
-    /// Prints what the transcribers saw if the test failed.
+    /// Prints what the transcribers received if the test failed.
     fn drop(&mut self) {
         if std::thread::panicking() {
-            for transcriber in self.model.iter().chain(&self.desk) {
+            for transcriber in self.model.iter().chain(&self.page) {
                 println!("{}", transcriber.state.borrow().summary());
             }
         }
@@ -121,13 +121,13 @@
 }
 
 /// Sends a page request until it is served, as a client that retries does; checks the answer.
-async fn fetch_page(fronts: &[SocketAddr], fleet: &Fleet, prefix: &str, name: &str, most: Duration) {
-    let deadline = Instant::now() + most;
+async fn fetch_page(fronts: &[SocketAddr], fleet: &Fleet, prefix: &str, name: &str, timeout: Duration) {
+    let deadline = Instant::now() + timeout;
     let mut last = String::new();
     for attempt in 0.. {
-        assert!(Instant::now() < deadline, "{prefix}{name}: not served within {most:?}; {last}");
+        assert!(Instant::now() < deadline, "{prefix}{name}: not served within {timeout:?}; {last}");
         let request_id = format!("{name}{attempt:04x}");
-        let call = Call::new("POST", format!("{prefix}{name}"))
+        let call = ApiRequest::new("POST", format!("{prefix}{name}"))
             .header("Host", HOST)
             .header("Request-Id", request_id.clone())
             .header("Deadline-Ms", "2000")
@@ -139,15 +139,15 @@
                 return assert_ran(fleet, &request_id, &call, answer.header("response-seal"));
             }
             Ok(answer) => last = format!("{} {}", answer.status, answer.text()),
-            Err(error) => last = error,
+            Err(error) => last = error.to_string(),
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// A transcriber of the desk ran the request, with its path and body, and gave this seal.
-fn assert_ran(fleet: &Fleet, request_id: &str, call: &Call, seal: Option<&str>) {
-    let ran = fleet.desk.iter().any(|transcriber| {
+/// A transcriber of the page service ran the request, with its path and body, and gave this seal.
+fn assert_ran(fleet: &Fleet, request_id: &str, call: &ApiRequest, seal: Option<&str>) {
+    let ran = fleet.page.iter().any(|transcriber| {
         let state = transcriber.state.borrow();
         state.runs.iter().any(|run| {
             let is_unchanged = run.path == call.path && run.body == call.body;
@@ -157,8 +157,8 @@
     assert!(ran, "no transcriber ran {request_id} and gave the seal {seal:?}");
 }
 
-/// What an operator's command prints as JSON.
-fn ask(cluster: &Cluster, command: &str) -> String {
+/// JSON that an operator's command prints.
+fn operator_output(cluster: &Cluster, command: &str) -> String {
     let mut program = std::process::Command::new(env!("CARGO_BIN_EXE_pebblepost-system"));
     program.args([command, "--json"]);
     for link in cluster.links() {
@@ -171,126 +171,129 @@
 
 /// Starts a system with its first configuration and known transcribers.
 async fn start(number: u8) -> (Cluster, Fleet) {
-    let mut cluster = Cluster::start(number, Shape { controls: 3, stores: 3, edges: 2 }).await;
+    let mut cluster = Cluster::start(number, ClusterSize { controls: 3, stores: 3, edges: 2 }).await;
     let controls = cluster.controls();
     let fleet = Fleet::start(&controls).await;
     let first = operator::configuration(1, false);
-    let answer = operator::put(&controls, 0, &first, CALM).await;
+    let answer = operator::put(&controls, 0, &first, CALM_TIMEOUT).await;
     assert_eq!(answer.status, 200, "the first configuration: {}", answer.text());
-    fleet.wait_until_known(CALM).await;
+    fleet.wait_until_known(CALM_TIMEOUT).await;
     cluster.wait_until_ready().await;
     (cluster, fleet)
 }
 
 #[test]
-fn a_configuration_a_request_a_batch_job_and_a_version_go_all_the_way() {
-    let _alone = one_at_a_time();
+fn configuration_request_batch_job_and_version_end_to_end() {
+    let _exclusive = exclusive();
     common::run(async {
-        let mut steps = Steps::begin();
+        let mut timer = StepTimer::start();
         let (mut cluster, fleet) = start(0).await;
-        steps.done("started, with a first configuration and known transcribers");
+        timer.done("started, with a first configuration and known transcribers");
         let (controls, fronts) = (cluster.controls(), cluster.fronts());
-        let read = operator::read(&controls, CALM).await;
+        let read = operator::read(&controls, CALM_TIMEOUT).await;
         let sent =
             simd_json::to_owned_value(&mut operator::configuration(1, false).into_bytes()).expect("JSON");
         assert_eq!(read.json(), sent);
         for (number, front) in fronts.iter().enumerate() {
-            fetch_page(&[*front], &fleet, PAGES, &format!("a{number}"), CALM).await;
+            fetch_page(&[*front], &fleet, PAGES, &format!("a{number}"), CALM_TIMEOUT).await;
         }
-        steps.done("configuration read back, a page served by each edge machine");
+        timer.done("configuration read back, a page served by each edge machine");
 
         let mut job = Job::new("0a0b0c0d", 0, 1, 4, 4);
-        job.submit(&fronts, CALM).await;
-        job.submit(&fronts, CALM).await;
+        job.submit(&fronts, CALM_TIMEOUT).await;
+        job.submit(&fronts, CALM_TIMEOUT).await;
         let all = job.items.len();
-        job.read_until(&fronts, all, CALM).await;
-        job.assert_correct(&fleet.model, &fleet.desk);
-        job.assert_unchanged(&fronts, CALM).await;
-        job.end(&fronts, CALM).await;
-        job.end(&fronts, CALM).await;
-        steps.done("a batch job of 16 items done and ended");
+        job.read_until(&fronts, all, CALM_TIMEOUT).await;
+        job.assert_correct(&fleet.model, &fleet.page);
+        job.assert_unchanged(&fronts, CALM_TIMEOUT).await;
+        job.end(&fronts, CALM_TIMEOUT).await;
+        job.end(&fronts, CALM_TIMEOUT).await;
+        timer.done("a batch job of 16 items done and ended");
 
-        operator::name_version(&controls, 2, CALM).await;
-        steps.done("version 2 noted");
-        fleet.wait_until_version(2, CALM).await;
-        steps.done("version 2 held by all");
-        assert_eq!(ask(&cluster, "versions"), format!(r#"[{{"model":"{MODEL}","generation":2}}]"#));
-        assert!(ask(&cluster, "status").contains(r#""role":"primary""#));
+        operator::name_version(&controls, 2, CALM_TIMEOUT).await;
+        timer.done("version 2 noted");
+        fleet.wait_until_version(2, CALM_TIMEOUT).await;
+        timer.done("version 2 held by all");
+        assert_eq!(
+            operator_output(&cluster, "versions"),
+            format!(r#"[{{"model":"{MODEL}","generation":2}}]"#)
+        );
+        assert!(operator_output(&cluster, "status").contains(r#""role":"primary""#));
         let mut next = Job::new("1a1b1c1d", 1, 2, 2, 4);
-        next.submit(&fronts, CALM).await;
+        next.submit(&fronts, CALM_TIMEOUT).await;
         let all = next.items.len();
-        next.read_until(&fronts, all, CALM).await;
-        next.assert_correct(&fleet.model, &fleet.desk);
-        next.end(&fronts, CALM).await;
-        steps.done("a batch job of 8 items under version 2 done and ended");
+        next.read_until(&fronts, all, CALM_TIMEOUT).await;
+        next.assert_correct(&fleet.model, &fleet.page);
+        next.end(&fronts, CALM_TIMEOUT).await;
+        timer.done("a batch job of 8 items under version 2 done and ended");
 
-        fleet.assert_orders_in_order();
-        fleet.assert_no_complaints();
+        fleet.assert_orders_are_fenced();
+        fleet.assert_no_violations();
         cluster.assert_running();
         cluster.end().await;
-        steps.done("all processes ended");
+        timer.done("all processes ended");
     });
 }
 
 #[test]
-fn the_path_holds_when_the_control_primary_and_a_store_are_killed() {
-    let _alone = one_at_a_time();
+fn end_to_end_with_the_control_primary_and_a_store_killed() {
+    let _exclusive = exclusive();
     common::run(async {
-        let mut steps = Steps::begin();
+        let mut timer = StepTimer::start();
         let (mut cluster, fleet) = start(1).await;
-        steps.done("started, with a first configuration and known transcribers");
+        timer.done("started, with a first configuration and known transcribers");
         let (controls, fronts) = (cluster.controls(), cluster.fronts());
         let mut job = Job::new("2a2b2c2d", 0, 1, 24, 4);
-        job.submit(&fronts, CALM).await;
-        job.read_until(&fronts, 8, CALM).await;
-        steps.done("8 of 96 results read");
+        job.submit(&fronts, CALM_TIMEOUT).await;
+        job.read_until(&fronts, 8, CALM_TIMEOUT).await;
+        timer.done("8 of 96 results read");
 
-        let primary = operator::primary(&controls, CALM).await;
+        let primary = operator::primary(&controls, CALM_TIMEOUT).await;
         let control = cluster.kill_control_at(primary);
         let store = cluster.kill_store(0);
         let all = job.items.len();
-        job.read_until(&fronts, all, TROUBLED).await;
-        steps.done("all results read, after the control primary and a store were killed");
-        job.assert_correct(&fleet.model, &fleet.desk);
-        job.assert_unchanged(&fronts, TROUBLED).await;
-        fetch_page(&fronts, &fleet, PAGES, "b0", CALM).await;
-        steps.done("results read again, a page served");
+        job.read_until(&fronts, all, FAULT_TIMEOUT).await;
+        timer.done("all results read, after the control primary and a store were killed");
+        job.assert_correct(&fleet.model, &fleet.page);
+        job.assert_unchanged(&fronts, FAULT_TIMEOUT).await;
+        fetch_page(&fronts, &fleet, PAGES, "b0", CALM_TIMEOUT).await;
+        timer.done("results read again, a page served");
 
         let second = operator::configuration(2, true);
-        let answer = operator::put(&controls, 1, &second, TROUBLED).await;
+        let answer = operator::put(&controls, 1, &second, FAULT_TIMEOUT).await;
         assert_eq!(answer.status, 200, "a configuration after the failover: {}", answer.text());
-        steps.done("configuration 2 taken");
+        timer.done("configuration 2 taken");
         for (number, front) in fronts.iter().enumerate() {
-            fetch_page(&[*front], &fleet, MORE_PAGES, &format!("c{number}"), CALM).await;
+            fetch_page(&[*front], &fleet, MORE_PAGES, &format!("c{number}"), CALM_TIMEOUT).await;
         }
-        steps.done("its new route served by each edge machine");
-        operator::name_version(&controls, 2, TROUBLED).await;
-        steps.done("version 2 noted");
-        fleet.wait_until_version(2, TROUBLED).await;
-        steps.done("version 2 held by all");
+        timer.done("its new route served by each edge machine");
+        operator::name_version(&controls, 2, FAULT_TIMEOUT).await;
+        timer.done("version 2 noted");
+        fleet.wait_until_version(2, FAULT_TIMEOUT).await;
+        timer.done("version 2 held by all");
 
         cluster.restart(control);
         cluster.restart(store);
         let mut next = Job::new("3a3b3c3d", 1, 2, 2, 4);
-        next.submit(&fronts, TROUBLED).await;
+        next.submit(&fronts, FAULT_TIMEOUT).await;
         let item = next.items[0].clone();
         if let Ok(body) = next.item_body(fronts[0], &item).await.map(|answer| (answer.status, answer.body)) {
             let listed_or_unsure = [404, 503].contains(&body.0);
             assert!(listed_or_unsure || body == (200, item_body(&item).into()), "body of {item}: {body:?}");
         }
         let all = next.items.len();
-        next.read_until(&fronts, all, TROUBLED).await;
-        next.assert_correct(&fleet.model, &fleet.desk);
-        steps.done("killed processes started again, a batch job of 8 items done");
-        job.assert_unchanged(&fronts, TROUBLED).await;
+        next.read_until(&fronts, all, FAULT_TIMEOUT).await;
+        next.assert_correct(&fleet.model, &fleet.page);
+        timer.done("killed processes started again, a batch job of 8 items done");
+        job.assert_unchanged(&fronts, FAULT_TIMEOUT).await;
 
-        let read = operator::read(&controls, TROUBLED).await;
+        let read = operator::read(&controls, FAULT_TIMEOUT).await;
         let sent = simd_json::to_owned_value(&mut second.into_bytes()).expect("JSON");
         assert_eq!(read.json(), sent);
-        fleet.assert_orders_in_order();
-        fleet.assert_no_complaints();
+        fleet.assert_orders_are_fenced();
+        fleet.assert_no_violations();
         cluster.assert_running();
         cluster.end().await;
-        steps.done("everything read again, all processes ended");
+        timer.done("everything read again, all processes ended");
     });
 }
--- a/crates/pebblepost-system/tests/operator_texts.rs
+++ b/crates/pebblepost-system/tests/operator_texts.rs
@@ -18,7 +18,7 @@
 
 const DOCUMENT: &str = r#"{"generation":7,"routes":[],"services":[]}"#;
 
-/// A folder of this test process; its path is replaced in the transcripts.
+/// A folder of this test; transcripts show it as FOLDER.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -41,8 +41,8 @@
     }
 }
 
-/// Runs the program and writes down what it printed and its exit code.
-fn note(transcript: &mut String, replaced: &[(&str, &str)], settings: Option<&str>, arguments: &[&str]) {
+/// Runs the program and adds its output and exit code to the transcript.
+fn record(transcript: &mut String, replaced: &[(&str, &str)], settings: Option<&str>, arguments: &[&str]) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pebblepost-system"));
     command
         .args(arguments)
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn help_of_every_command_is_this() {
+fn help_texts_match_the_approved_ones() {
     let mut transcript = String::new();
     let commands: [&[&str]; 13] = [
         &["--help"],
@@ -144,15 +144,15 @@
         &["retire", "--help"],
     ];
     for arguments in commands {
-        note(&mut transcript, &[], None, arguments);
+        record(&mut transcript, &[], None, arguments);
     }
-    note(&mut transcript, &[], None, &["config", "patch", "--help"]);
-    note(&mut transcript, &[], None, &["config", "check", "--help"]);
+    record(&mut transcript, &[], None, &["config", "patch", "--help"]);
+    record(&mut transcript, &[], None, &["config", "check", "--help"]);
     approve("help.txt", &transcript);
 }
 
 #[test]
-fn errors_of_wrong_usage_are_these() {
+fn usage_errors_match_the_approved_ones() {
     let mut transcript = String::new();
     let folder = Folder::new("usage");
     let (path, settings) = (folder.0.display().to_string(), folder.file("settings.toml", SETTINGS));
@@ -177,21 +177,21 @@
         &["serve"],
         &["status", "--store", "nowhere"],
     ] {
-        note(&mut transcript, &replaced, None, arguments);
+        record(&mut transcript, &replaced, None, arguments);
     }
     transcript.push_str("== with settings that name no seeds\n\n");
     for arguments in [&["check"][..], &["status"], &["config", "get"], &["proxy"]] {
-        note(&mut transcript, &replaced, Some(&settings), arguments);
+        record(&mut transcript, &replaced, Some(&settings), arguments);
     }
     transcript.push_str("== with settings that can't be read\n\n");
     for arguments in [&["check"][..], &["agent"], &["config", "get"]] {
-        note(&mut transcript, &replaced, Some(&bad), arguments);
+        record(&mut transcript, &replaced, Some(&bad), arguments);
     }
     approve("usage.txt", &transcript);
 }
 
 #[test]
-fn outputs_of_calls_to_the_control_plane_are_these() {
+fn outputs_of_requests_match_the_approved_ones() {
     let mut transcript = String::new();
     let folder = Folder::new("calls");
     let valid = folder.file("valid.json", DOCUMENT);
@@ -221,13 +221,13 @@
         &["config", "put", &valid, "--control", &empty],
         &["config", "get", "--control", &failing],
     ] {
-        note(&mut transcript, &replaced, None, arguments);
+        record(&mut transcript, &replaced, None, arguments);
     }
     approve("calls.txt", &transcript);
 }
 
 #[test]
-fn states_are_printed_like_this() {
+fn state_tables_match_the_approved_ones() {
     let mut transcript = String::new();
     let primary = control_link(STATE).to_string();
     let standby = control_link(r#"{"role":"standby"}"#).to_string();
@@ -242,7 +242,7 @@
         &["status", "--link", "127.0.0.1:1"],
         &["status", "--store", "127.0.0.1:1"],
     ] {
-        note(&mut transcript, &replaced, None, arguments);
+        record(&mut transcript, &replaced, None, arguments);
     }
     approve("states.txt", &transcript);
 }
