--- a/crates/pebblepost-proxy/src/dispatch/attempt.rs
+++ b/crates/pebblepost-proxy/src/dispatch/attempt.rs
@@ -10,17 +10,17 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// A transcriber is checked once it was silent for this many latency targets.
-const SILENCE_IN_TARGETS: u32 = 2;
-/// Shortest silence before the first health check.
-const MIN_SILENCE: Duration = Duration::from_millis(250);
+/// The first health check of a silent transcriber comes after this many latency targets.
+const HEALTH_CHECK_AFTER_TARGETS: u32 = 2;
+/// Shortest delay of the first health check; it doubles with each.
+const MIN_HEALTH_CHECK_DELAY: Duration = Duration::from_millis(250);
 /// A silent transcriber that does not report its load within this time counts as down.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// What a transcriber returned.
 #[derive(Debug)]
 pub(super) enum AttemptResponse {
-    /// The whole response.
+    /// The complete response.
     Buffered(BufferedResponse),
     /// The head of a stream, and its events.
     Stream(ResponseHead, EventStream),
@@ -47,9 +47,10 @@
         if !self.policy.idempotent {
             return response.await;
         }
-        let mut silence = (self.policy.target_latency * SILENCE_IN_TARGETS).max(MIN_SILENCE);
+        let mut check_delay =
+            (self.policy.target_latency * HEALTH_CHECK_AFTER_TARGETS).max(MIN_HEALTH_CHECK_DELAY);
         loop {
-            if let Ok(response) = tokio::time::timeout(silence, response.as_mut()).await {
+            if let Ok(response) = tokio::time::timeout(check_delay, response.as_mut()).await {
                 return response;
             }
             if !self.can_retry {
@@ -64,7 +65,7 @@
                     }
                 }
             }
-            silence *= 2;
+            check_delay *= 2;
         }
     }
 
--- a/crates/pebblepost-proxy/src/dispatch/forwarding.rs
+++ b/crates/pebblepost-proxy/src/dispatch/forwarding.rs
@@ -13,7 +13,7 @@
 use log::debug;
 use pebblepost_dispatch::api::{Report, Status, WorkerId};
 use pebblepost_transcriber::{
-    BufferedResponse, ClientError, EventStream, Load, OutgoingRequest, ResponseHead,
+    BufferedResponse, ClientError, EventStream, Load, OutgoingRequest, ResponseHead, Target,
 };
 use std::rc::Rc;
 use std::time::Duration;
@@ -58,6 +58,17 @@
     pub(super) admission: Admission,
 }
 
+/// How one attempt ended.
+#[derive(Debug)]
+enum AttemptOutcome {
+    /// With a final response.
+    Response(BufferedResponse),
+    /// With the head of a final stream.
+    Stream(ResponseHead, EventStream),
+    /// Without a final response.
+    Failed,
+}
+
 /// A request on its way, with the state of its attempts.
 #[derive(Debug)]
 pub(super) struct Forwarding {
@@ -93,54 +104,71 @@
                 Command::Send(worker) => worker,
                 Command::GiveUp { retry_after } => return Forwarded::Failed(self.failure(retry_after)),
             };
-            if self.attempts.includes(worker) && self.backend.has_untried_worker(&self.attempts) {
-                // As rejected by the worker again: the dispatcher then excludes it for this request.
-                admission.end_attempt(Status::Full, Report::new(), AfterAttempt::MayRetry);
-                continue;
-            }
-            // Checked at the last moment: the worker may be draining since it was chosen.
-            let target = self.backend.ready(worker).filter(|_| self.attempts.can_retry());
-            let Some(target) = target else {
-                admission.end_attempt(Status::Moot, Report::new(), AfterAttempt::MayRetry);
-                continue;
-            };
-            self.attempts.begin(worker);
-            let attempt = Attempt {
-                client: self.backend.client(),
-                target: &target,
-                policy: &self.policy,
-                can_retry: self.attempts.can_retry(),
-            };
-            match attempt.send(self.outgoing()).await {
-                Ok(AttemptResponse::Stream(head, events)) if classify(&head) == ResponseClass::Final => {
-                    admission.stream_opened();
+            let Some(target) = self.usable_target(&mut admission, worker) else { continue };
+            match self.make_attempt(&mut admission, worker, &target).await {
+                AttemptOutcome::Response(response) => return Forwarded::Response(response),
+                AttemptOutcome::Stream(head, events) => {
                     return Forwarded::Stream(OpenStream { head, events, admission });
                 }
-                Ok(AttemptResponse::Stream(..)) => {
-                    self.attempts.failed();
-                    self.end_attempt(&mut admission, Status::Error, Report::new());
-                }
-                Ok(AttemptResponse::Buffered(response)) => {
-                    if let Some(response) = self.take_response(&mut admission, worker, response) {
-                        return Forwarded::Response(response);
-                    }
-                }
-                Err(error) => {
-                    debug!(
-                        "attempt failed request={} transcriber={} error={error:?}",
-                        self.request.head.request_id, target.address
-                    );
-                    self.take_error(&mut admission, error);
-                }
+                AttemptOutcome::Failed if self.attempts.can_retry() => {}
+                AttemptOutcome::Failed => return Forwarded::Failed(self.failure(None)),
+            }
+        }
+    }
+
+    /// The target of a worker that was ordered, unless the attempt must not be made there; then it is
+    /// reported as ended.
+    fn usable_target(&self, admission: &mut Admission, worker: WorkerId) -> Option<Target> {
+        if self.attempts.includes(worker) && self.backend.has_untried_worker(&self.attempts) {
+            // As rejected by the worker again: the dispatcher then excludes it for this request.
+            admission.end_attempt(Status::Full, Report::new(), AfterAttempt::MayRetry);
+            return None;
+        }
+        // Checked at the last moment: the worker may be draining since it was chosen.
+        let target = self.backend.ready(worker).filter(|_| self.attempts.can_retry());
+        if target.is_none() {
+            admission.end_attempt(Status::Moot, Report::new(), AfterAttempt::MayRetry);
+        }
+        target
+    }
+
+    /// Makes one attempt and reports how it ended, or that its stream has begun.
+    async fn make_attempt(
+        &mut self, admission: &mut Admission, worker: WorkerId, target: &Target,
+    ) -> AttemptOutcome {
+        self.attempts.begin(worker);
+        let attempt = Attempt {
+            client: self.backend.client(),
+            target,
+            policy: &self.policy,
+            can_retry: self.attempts.can_retry(),
+        };
+        match attempt.send(self.outgoing()).await {
+            Ok(AttemptResponse::Stream(head, events)) if classify(&head) == ResponseClass::Final => {
+                admission.stream_opened();
+                AttemptOutcome::Stream(head, events)
+            }
+            Ok(AttemptResponse::Stream(..)) => {
+                self.attempts.failed();
+                self.end_attempt(admission, Status::Error, Report::new());
+                AttemptOutcome::Failed
             }
-            if !self.attempts.can_retry() {
-                return Forwarded::Failed(self.failure(None));
+            Ok(AttemptResponse::Buffered(response)) => self
+                .process_response(admission, worker, response)
+                .map_or(AttemptOutcome::Failed, AttemptOutcome::Response),
+            Err(error) => {
+                debug!(
+                    "attempt failed request={} transcriber={} error={error:?}",
+                    self.request.head.request_id, target.address
+                );
+                self.process_error(admission, error);
+                AttemptOutcome::Failed
             }
         }
     }
 
-    /// Takes a buffered response into the state of the attempts; returns it if it is final.
-    fn take_response(
+    /// Updates the attempts with a buffered response; returns the response if it is final.
+    fn process_response(
         &mut self, admission: &mut Admission, worker: WorkerId, response: BufferedResponse,
     ) -> Option<BufferedResponse> {
         let report = self.load_report(worker, response.head.load.as_ref());
@@ -162,7 +190,7 @@
         None
     }
 
-    fn take_error(&mut self, admission: &mut Admission, error: ClientError) {
+    fn process_error(&mut self, admission: &mut Admission, error: ClientError) {
         match error {
             ClientError::NotSent => self.attempts.undo_last(),
             ClientError::MayHaveRun => self.attempts.failed(),
--- a/crates/pebblepost-proxy/src/dispatch/request_class.rs
+++ b/crates/pebblepost-proxy/src/dispatch/request_class.rs
@@ -14,7 +14,7 @@
     pub(super) idempotent: bool,
     /// The response is a stream.
     pub(super) streaming: bool,
-    /// Longest time that a request is held.
+    /// Longest time until the response.
     pub(super) timeout: Duration,
     /// Time within which a response has its full value.
     pub(super) target_latency: Duration,
--- a/crates/pebblepost-proxy/src/dispatch/retry.rs
+++ b/crates/pebblepost-proxy/src/dispatch/retry.rs
@@ -8,7 +8,7 @@
 use pebblepost_transcriber::BufferedResponse;
 use std::time::Duration;
 
-/// Attempts of one request, over all legs of a resumed stream.
+/// Attempts of one request, those that resume its stream included.
 #[derive(Debug)]
 pub(super) struct Attempts {
     max_attempts: usize,
--- a/crates/pebblepost-proxy/src/dispatch/route_policy.rs
+++ b/crates/pebblepost-proxy/src/dispatch/route_policy.rs
@@ -26,7 +26,7 @@
     pub(super) affinity: bool,
     /// Most transcribers to which a request may be sent.
     pub(super) max_attempts: usize,
-    /// Longest time that a request is held.
+    /// Longest time until the response.
     pub(super) timeout: Duration,
     /// Time within which a response has its full value.
     pub(super) target_latency: Duration,
--- a/crates/pebblepost-proxy/src/dispatch/stream_relay.rs
+++ b/crates/pebblepost-proxy/src/dispatch/stream_relay.rs
@@ -11,11 +11,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Clients abandon a stream after a silence of at least two seconds or four latency targets; it is
-/// resumed elsewhere after half of that.
-const MIN_SILENCE: Duration = Duration::from_secs(1);
-/// See [`MIN_SILENCE`].
-const SILENCE_IN_TARGETS: u32 = 2;
+/// Clients abandon a stream that is idle for two seconds or four latency targets, whichever is longer;
+/// it is resumed elsewhere after half of that.
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
+/// See [`MIN_IDLE_TIMEOUT`].
+const IDLE_TIMEOUT_IN_TARGETS: u32 = 2;
 
 /// A stream that can't be completed: the client's connection is closed, so that the response does
 /// not look complete.
@@ -41,7 +41,7 @@
     pub(super) async fn into_next_event(mut self) -> (StreamRelay, Result<Option<Bytes>, BrokenStream>) {
         let event = self.next_event().await;
         if event.is_err() {
-            self.metrics.update(|counts| counts.cut += 1);
+            self.metrics.update(|counts| counts.streams_aborted += 1);
         }
         (self, event)
     }
@@ -53,7 +53,7 @@
                 Ok(Some(event)) if self.is_out_of_order(&event) => {
                     let request_id = &self.forwarding.request.head.request_id;
                     debug!("stream event out of order request={request_id} event={}", event.id);
-                    self.end_leg(ClientError::MayHaveRun);
+                    self.end_broken_attempt(ClientError::MayHaveRun);
                 }
                 Ok(Some(event)) => {
                     self.forwarding.last_event_id = Some(event.id);
@@ -63,7 +63,7 @@
                     self.stream.admission.end_attempt(Status::Ok, Report::new(), AfterAttempt::Closed);
                     return Ok(None);
                 }
-                Err(error) => self.end_leg(error),
+                Err(error) => self.end_broken_attempt(error),
             }
             self.resume().await?;
         }
@@ -72,11 +72,11 @@
     async fn receive(&mut self) -> Result<Option<StreamEvent>, ClientError> {
         let time_left = self.forwarding.time_left();
         let policy = &self.forwarding.policy;
-        let max_silence = match policy.is_resumable() {
-            true => (policy.target_latency * SILENCE_IN_TARGETS).max(MIN_SILENCE),
+        let idle_timeout = match policy.is_resumable() {
+            true => (policy.target_latency * IDLE_TIMEOUT_IN_TARGETS).max(MIN_IDLE_TIMEOUT),
             false => time_left,
         };
-        self.stream.events.next(max_silence.min(time_left)).await
+        self.stream.events.next(idle_timeout.min(time_left)).await
     }
 
     /// Whether the client has the event: a resumed stream may begin with it.
@@ -89,8 +89,8 @@
         self.forwarding.last_event_id.is_some_and(|last| event.id != last + 1)
     }
 
-    /// Ends the stream's present attempt, which broke off.
-    fn end_leg(&mut self, error: ClientError) {
+    /// Ends the attempt that carried the stream, which broke off.
+    fn end_broken_attempt(&mut self, error: ClientError) {
         let status = match error {
             ClientError::TimedOut => {
                 self.forwarding.attempts.timed_out();
@@ -111,7 +111,7 @@
         }
         match self.forwarding.run().await {
             Forwarded::Stream(stream) => {
-                self.metrics.update(|counts| counts.resumed += 1);
+                self.metrics.update(|counts| counts.streams_resumed += 1);
                 self.stream = stream;
                 Ok(())
             }
--- a/crates/pebblepost-proxy/src/handler.rs
+++ b/crates/pebblepost-proxy/src/handler.rs
@@ -106,19 +106,19 @@
         let outcome = dispatch(&self.backends, &self.metrics, route, request).await;
         match outcome {
             DispatchOutcome::Response(buffered) => {
-                self.metrics.update(|counts| counts.answered += 1);
+                self.metrics.update(|counts| counts.responses_forwarded += 1);
                 response::buffered(buffered, &method)
             }
             DispatchOutcome::Stream(head, events) => {
-                self.metrics.update(|counts| counts.answered += 1);
+                self.metrics.update(|counts| counts.responses_forwarded += 1);
                 response::streamed(head, events)
             }
             DispatchOutcome::NotExecuted { retry_after } => {
-                self.metrics.update(|counts| counts.refused += 1);
+                self.metrics.update(|counts| counts.not_executed += 1);
                 response::not_executed(retry_after)
             }
             DispatchOutcome::Indeterminate(status) => {
-                self.metrics.update(|counts| counts.failed += 1);
+                self.metrics.update(|counts| counts.indeterminate += 1);
                 response::empty(status)
             }
         }
--- a/crates/pebblepost-proxy/src/metrics.rs
+++ b/crates/pebblepost-proxy/src/metrics.rs
@@ -12,17 +12,17 @@
     /// Requests read.
     pub requests: u64,
     /// Responses of transcribers forwarded, failures included.
-    pub answered: u64,
+    pub responses_forwarded: u64,
     /// Requests that got a 503 of this proxy: they have not run and never will.
-    pub refused: u64,
+    pub not_executed: u64,
     /// Requests that ended in a 502 or 504 of this proxy.
-    pub failed: u64,
+    pub indeterminate: u64,
     /// Requests rejected before they were forwarded: 400, 404, 413, 431.
     pub rejected: u64,
     /// Streams resumed at another transcriber.
-    pub resumed: u64,
-    /// Streams cut before their end.
-    pub cut: u64,
+    pub streams_resumed: u64,
+    /// Streams aborted before their end.
+    pub streams_aborted: u64,
 }
 
 /// The metrics of one thread.
@@ -48,9 +48,9 @@
     format!(
         "counts: requests={} answered={} refused={} failed={} connections={} first={} renewed={} sent={} reports={} {}",
         proxy.requests,
-        proxy.answered,
-        proxy.refused,
-        proxy.failed,
+        proxy.responses_forwarded,
+        proxy.not_executed,
+        proxy.indeterminate,
         client.connections,
         client.initial_connections,
         client.replaced_connections,
--- a/crates/pebblepost-proxy/tests/streams.rs
+++ b/crates/pebblepost-proxy/tests/streams.rs
@@ -56,7 +56,7 @@
         let received = fixture.exchange(&get("/live/1", "r1")).await;
         approve(&received, &format!("{HEAD}{}[closed]", chunked(&[ONE, TWO])));
         assert_eq!(fixture.log().lines().count(), 1, "ran once");
-        assert_eq!(fixture.proxy.metrics().cut, 1);
+        assert_eq!(fixture.proxy.metrics().streams_aborted, 1);
     });
 }
 
@@ -69,7 +69,7 @@
         let log = fixture.log();
         let second = log.lines().nth(1).unwrap();
         assert!(second.contains(" request-id=r1 last-event-id=2 "), "{log}");
-        assert_eq!(fixture.proxy.metrics().resumed, 1);
+        assert_eq!(fixture.proxy.metrics().streams_resumed, 1);
     });
 }
 
