--- a/crates/pebblepost-configuration/tests/patches.rs
+++ b/crates/pebblepost-configuration/tests/patches.rs
@@ -122,3 +122,19 @@
 fn a_patch_that_cannot_be_read_is_refused() {
     assert!(refusal(r#"{"generation":8,"remove""#).starts_with("the document is not valid JSON"));
 }
+
+#[test]
+fn the_bytes_of_a_patched_document_are_as_approved() {
+    let configuration = patched(
+        r#"{"generation":9,"upsert":{"routes":[{"name":"b","hostname":"h","path_prefix":"/b2/","kind":"rollout",
+         "backend":"t","queue_ttl_s":40.0}],"services":[{"name":"u","max_conns":3}],"limits":{"x":[1e3,"\u00e9\n"]}},
+         "remove":{"routes":["a"]}}"#,
+    );
+    let approved = concat!(
+        r#"{"generation":9,"note":{"kept":[1.5,null]},"routes":[{"name":"b","hostname":"h","path_prefix":"/b2/","#,
+        r#""kind":"rollout","backend":"t","queue_ttl_s":40.0},{"name":"c","hostname":"h","path_prefix":"/c/","#,
+        r#""kind":"idempotent","backend":"t"}],"services":[{"name":"s","tls":false},{"name":"t"},"#,
+        r#"{"name":"u","max_conns":3}],"limits":{"x":[1000.0,"é\n"]}}"#,
+    );
+    assert_eq!(String::from_utf8_lossy(configuration.document()), approved);
+}
