--- a/crates/pebblepost-feed/src/compression.rs
+++ b/crates/pebblepost-feed/src/compression.rs
@@ -1,40 +1,59 @@
-//! Compression of whole configurations on their way: hundreds of routes for each of a fleet's agents would fill the link
-//! of the control primary for most of a second after a restart of all.
+//! Compression of full configurations: with hundreds of routes for each agent of a fleet, uncompressed ones would
+//! occupy the control primary's link for most of a second after a restart of all programs.
 
 use pebblepost_messages::feed::ConfigurationUpdate;
-use std::fmt;
 
-/// Compression level: on configurations, higher ones cost several times the processor time for a few bytes in a hundred.
-const LEVEL: u8 = 3;
-/// Largest document that is unpacked.
-const MOST_BYTES: usize = 256 * 1024 * 1024;
+/// On configurations, higher levels cost several times the processor time and save a few percent.
+const COMPRESSION_LEVEL: u8 = 3;
+/// Limit on decompressed documents, against a damaged or hostile length.
+const MAX_DOCUMENT_BYTES: usize = 256 * 1024 * 1024;
 
-/// A packed document that can't be unpacked to the length that it tells.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DecompressError;
-
-impl fmt::Display for DecompressError {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str("its packed document is damaged")
-    }
+/// A compressed document cannot be decompressed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum DecompressError {
+    /// The announced length is over the limit.
+    #[error("a document of {uncompressed_bytes} bytes is over the limit")]
+    TooLarge {
+        /// Announced length of the document, in bytes.
+        uncompressed_bytes: u64,
+    },
+    /// The bytes are not a complete deflate stream, or hold more than the announced length.
+    #[error("the compressed document is damaged")]
+    Corrupted,
+    /// The document is shorter than announced.
+    #[error("a document of {actual_bytes} bytes was announced with {expected_bytes}")]
+    LengthMismatch {
+        /// Announced length, in bytes.
+        expected_bytes: usize,
+        /// Length once decompressed, in bytes.
+        actual_bytes: usize,
+    },
 }
 
-impl std::error::Error for DecompressError {}
-
-/// A whole configuration, compressed.
+/// A full configuration as a compressed update.
 pub fn compress(generation: u64, document: &[u8]) -> ConfigurationUpdate {
-    let packed = miniz_oxide::deflate::compress_to_vec(document, LEVEL);
     ConfigurationUpdate::Compressed {
         generation,
         uncompressed_bytes: document.len() as u64,
-        compressed: packed,
+        compressed: miniz_oxide::deflate::compress_to_vec(document, COMPRESSION_LEVEL),
     }
 }
 
-/// The document of a packed configuration.
-pub fn decompress(bytes: u64, packed: &[u8]) -> Result<Vec<u8>, DecompressError> {
-    let expected = usize::try_from(bytes).ok().filter(|bytes| *bytes <= MOST_BYTES).ok_or(DecompressError)?;
-    let document =
-        miniz_oxide::inflate::decompress_to_vec_with_limit(packed, expected).map_err(|_| DecompressError)?;
-    if document.len() == expected { Ok(document) } else { Err(DecompressError) }
+/// The document of a compressed update.
+///
+/// # Errors
+///
+/// The announced length is too large or wrong, or the bytes are damaged.
+pub fn decompress(uncompressed_bytes: u64, compressed: &[u8]) -> Result<Vec<u8>, DecompressError> {
+    let expected_bytes = usize::try_from(uncompressed_bytes)
+        .ok()
+        .filter(|bytes| *bytes <= MAX_DOCUMENT_BYTES)
+        .ok_or(DecompressError::TooLarge { uncompressed_bytes })?;
+    let document = miniz_oxide::inflate::decompress_to_vec_with_limit(compressed, expected_bytes)
+        .map_err(|_| DecompressError::Corrupted)?;
+    if document.len() == expected_bytes {
+        Ok(document)
+    } else {
+        Err(DecompressError::LengthMismatch { expected_bytes, actual_bytes: document.len() })
+    }
 }
--- a/crates/pebblepost-feed/tests/compression.rs
+++ b/crates/pebblepost-feed/tests/compression.rs
@@ -1,4 +1,4 @@
-//! Packed configurations: small, whole when they arrive, and never in force when damaged.
+//! Compressed configurations: small, restored unchanged, and never applied when damaged.
 
 use pebblepost_feed::FeedState;
 use pebblepost_feed::compression::compress;
@@ -23,33 +23,31 @@
 fn a_packed_configuration_is_in_force_as_it_was() {
     let document = document(6);
     let update = compress(6, &document);
-    let ConfigurationUpdate::Compressed { compressed: packed, .. } = &update else { panic!("not packed") };
-    assert!(packed.len() * 3 < document.len(), "{} of {} bytes", packed.len(), document.len());
+    let ConfigurationUpdate::Compressed { compressed, .. } = &update else { panic!("not compressed") };
+    assert!(compressed.len() * 3 < document.len(), "{} of {} bytes", compressed.len(), document.len());
     let mut state = FeedState::default();
     assert!(state.apply(&FeedUpdate::Configuration(update)).configuration);
     assert_eq!(state.configuration().unwrap().document(), &document[..]);
 }
 
 #[test]
-fn a_damaged_one_is_not_and_has_the_feed_begun_anew() {
-    let ConfigurationUpdate::Compressed { uncompressed_bytes: bytes, compressed: packed, .. } =
-        compress(6, &document(6))
+fn a_damaged_configuration_is_rejected_and_asks_for_the_full_one() {
+    let ConfigurationUpdate::Compressed { uncompressed_bytes, compressed, .. } = compress(6, &document(6))
     else {
-        panic!("not packed")
+        panic!("not compressed")
     };
-    let mut flipped = packed.clone();
+    let mut flipped = compressed.clone();
     flipped[100] ^= 0x55;
     let damaged = [
-        (bytes, packed[..packed.len() / 2].to_vec()),
-        (bytes - 1, packed.clone()),
-        (bytes + 1, packed.clone()),
-        (u64::MAX, packed),
-        (bytes, flipped),
+        (uncompressed_bytes, compressed[..compressed.len() / 2].to_vec()),
+        (uncompressed_bytes - 1, compressed.clone()),
+        (uncompressed_bytes + 1, compressed.clone()),
+        (u64::MAX, compressed),
+        (uncompressed_bytes, flipped),
     ];
-    for (bytes, packed) in damaged {
+    for (uncompressed_bytes, compressed) in damaged {
         let mut state = FeedState::default();
-        let update =
-            ConfigurationUpdate::Compressed { generation: 6, uncompressed_bytes: bytes, compressed: packed };
+        let update = ConfigurationUpdate::Compressed { generation: 6, uncompressed_bytes, compressed };
         let changes = state.apply(&FeedUpdate::Configuration(update));
         assert!(changes.gap && state.configuration().is_none());
     }
--- a/crates/pebblepost-feed/tests/feed.rs
+++ b/crates/pebblepost-feed/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Folding of the feed: nothing in it goes back.
+//! Folding of the feed: the state is monotonic.
 
 use pebblepost_feed::{FeedChanges, FeedState};
 use pebblepost_messages::feed::{
@@ -10,7 +10,7 @@
     format!(r#"{{"generation":{generation},"routes":[{routes}],"services":[{{"name":"s"}}]}}"#).into_bytes()
 }
 
-fn whole(generation: u64) -> FeedUpdate {
+fn full(generation: u64) -> FeedUpdate {
     let document = document(generation, "");
     FeedUpdate::Configuration(ConfigurationUpdate::Full { generation, document })
 }
@@ -25,7 +25,7 @@
     Instance { id: id.to_owned(), backend: "s".to_owned(), sequence, state, ..Instance::default() }
 }
 
-fn announced(instance: Instance) -> FeedUpdate {
+fn announcement(instance: Instance) -> FeedUpdate {
     FeedUpdate::Instances { complete: false, instances: vec![instance] }
 }
 
@@ -52,31 +52,31 @@
 fn a_newer_configuration_replaces_an_older_one_and_never_the_other_way_round() {
     let mut state = FeedState::default();
     assert_eq!(state.generation(), 0);
-    assert!(state.apply(&whole(5)).configuration);
-    assert!(!state.apply(&whole(4)).any());
-    assert!(!state.apply(&whole(5)).any());
+    assert!(state.apply(&full(5)).configuration);
+    assert!(!state.apply(&full(4)).any());
+    assert!(!state.apply(&full(5)).any());
     assert_eq!(state.generation(), 5);
-    assert!(state.apply(&whole(9)).configuration);
+    assert!(state.apply(&full(9)).configuration);
     assert_eq!(state.configuration().unwrap().generation(), 9);
 }
 
 #[test]
-fn a_patch_applies_on_the_held_base_only() {
+fn a_patch_applies_to_its_base_only() {
     let mut state = FeedState::default();
     let gap = FeedChanges { gap: true, ..FeedChanges::default() };
     assert_eq!(state.apply(&patch(5, 7)), gap);
-    state.apply(&whole(5));
+    state.apply(&full(5));
     assert_eq!(state.apply(&patch(4, 7)), gap);
     assert_eq!(state.generation(), 5);
     assert!(state.apply(&patch(5, 7)).configuration);
     assert_eq!(state.configuration().unwrap().route("h", "/p/x").unwrap().name, "r");
-    // Seen already: no gap, though its base is not the one held.
+    // Applied already: no gap, although its base is not the current generation.
     assert!(!state.apply(&patch(5, 7)).any());
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_changes_nothing() {
-    let mut state = state_of(&[whole(5)]);
+fn an_invalid_configuration_changes_nothing() {
+    let mut state = state_of(&[full(5)]);
     let document = b"{".to_vec();
     let update = FeedUpdate::Configuration(ConfigurationUpdate::Full { generation: 6, document });
     assert!(!state.apply(&update).any());
@@ -87,31 +87,38 @@
 #[case::higher_sequence_replaces(InstanceState::Ready, 2, InstanceState::Ready, 3, InstanceState::Ready, 3)]
 #[case::lower_is_ignored(InstanceState::Ready, 3, InstanceState::Ready, 2, InstanceState::Ready, 3)]
 #[case::drains(InstanceState::Ready, 2, InstanceState::Draining, 3, InstanceState::Draining, 3)]
-#[case::drains_by_late_news(InstanceState::Ready, 3, InstanceState::Draining, 2, InstanceState::Draining, 3)]
+#[case::drains_by_an_older_announcement(
+    InstanceState::Ready,
+    3,
+    InstanceState::Draining,
+    2,
+    InstanceState::Draining,
+    3
+)]
 #[case::stays_draining(InstanceState::Draining, 2, InstanceState::Ready, 9, InstanceState::Draining, 9)]
 #[case::gone_at_any_sequence(InstanceState::Ready, 9, InstanceState::Gone, 0, InstanceState::Gone, 9)]
 #[case::stays_gone(InstanceState::Gone, 2, InstanceState::Ready, 9, InstanceState::Gone, 2)]
 #[case::stays_gone_after_drain(InstanceState::Gone, 2, InstanceState::Draining, 9, InstanceState::Gone, 2)]
-fn an_incarnation_only_goes_forward(
+fn the_state_of_an_incarnation_is_monotonic(
     #[case] first: InstanceState, #[case] first_sequence: u64, #[case] second: InstanceState,
     #[case] second_sequence: u64, #[case] state: InstanceState, #[case] sequence: u64,
 ) {
     let folded = state_of(&[
-        announced(instance("i", first_sequence, first)),
-        announced(instance("i", second_sequence, second)),
+        announcement(instance("i", first_sequence, first)),
+        announcement(instance("i", second_sequence, second)),
     ]);
-    let held = folded.instance("i").unwrap();
-    assert_eq!((held.state, held.sequence), (state, sequence));
+    let current = folded.instance("i").unwrap();
+    assert_eq!((current.state, current.sequence), (state, sequence));
     assert_eq!(ids(&folded).is_empty(), state == InstanceState::Gone);
 }
 
 #[test]
 fn changes_name_the_transcribers_that_changed() {
     let mut state = FeedState::default();
-    let first = announced(instance("i", 1, InstanceState::Ready));
+    let first = announcement(instance("i", 1, InstanceState::Ready));
     assert_eq!(state.apply(&first).instances, ["i"]);
     assert!(!state.apply(&first).any());
-    assert_eq!(state.apply(&announced(instance("i", 2, InstanceState::Ready))).instances, ["i"]);
+    assert_eq!(state.apply(&announcement(instance("i", 2, InstanceState::Ready))).instances, ["i"]);
 }
 
 #[rstest]
@@ -119,24 +126,24 @@
 #[case::equal_sequence_does_not_go_back(3, 2, 3, 1, 2)]
 #[case::older_sequence_does_not_go_back(3, 2, 2, 1, 2)]
 #[case::older_sequence_does_not_rise(3, 2, 2, 9, 2)]
-#[case::a_newer_announcement_is_believed(3, 2, 4, 1, 1)]
+#[case::a_newer_announcement_replaces(3, 2, 4, 1, 1)]
 fn versions_of_models_follow_the_sequence(
     #[case] first_sequence: u64, #[case] first: u64, #[case] second_sequence: u64, #[case] second: u64,
     #[case] expected: u64,
 ) {
     let state = state_of(&[
-        announced(holding("i", first_sequence, first)),
-        announced(holding("i", second_sequence, second)),
+        announcement(holding("i", first_sequence, first)),
+        announcement(holding("i", second_sequence, second)),
     ]);
     assert_eq!(state.instance("i").unwrap().models, [version("m", expected)]);
 }
 
 #[test]
-fn a_whole_list_makes_all_others_gone() {
+fn a_complete_list_ends_all_other_transcribers() {
     let mut state = state_of(&[
-        announced(instance("a", 1, InstanceState::Ready)),
-        announced(instance("b", 1, InstanceState::Draining)),
-        announced(instance("c", 1, InstanceState::Ready)),
+        announcement(instance("a", 1, InstanceState::Ready)),
+        announcement(instance("b", 1, InstanceState::Draining)),
+        announcement(instance("c", 1, InstanceState::Ready)),
     ]);
     assert!(!state.instances_are_complete());
     let instances = vec![instance("c", 1, InstanceState::Ready), instance("d", 1, InstanceState::Ready)];
@@ -144,16 +151,16 @@
     assert_eq!(changes.instances, ["d", "a", "b"]);
     assert!(state.instances_are_complete());
     assert_eq!(ids(&state), ["c", "d"]);
-    assert!(!state.apply(&announced(instance("a", 9, InstanceState::Ready))).any());
+    assert!(!state.apply(&announcement(instance("a", 9, InstanceState::Ready))).any());
 }
 
 #[test]
-fn ended_transcribers_are_remembered_up_to_a_bound() {
+fn tombstones_are_kept_up_to_a_limit() {
     let mut state = FeedState::default();
     for number in 0..5000 {
         let id = format!("i{number}");
-        state.apply(&announced(instance(&id, 1, InstanceState::Ready)));
-        state.apply(&announced(instance(&id, 1, InstanceState::Gone)));
+        state.apply(&announcement(instance(&id, 1, InstanceState::Ready)));
+        state.apply(&announcement(instance(&id, 1, InstanceState::Gone)));
     }
     assert!(state.instance("i0").is_none());
     assert!(state.instance("i903").is_none());
@@ -162,7 +169,7 @@
 }
 
 #[test]
-fn groups_of_batch_jobs_follow_their_epoch() {
+fn store_groups_follow_their_epoch() {
     let group = |epoch, targets: usize| StoreGroup {
         group: 3,
         epoch,
@@ -190,7 +197,7 @@
 }
 
 #[test]
-fn the_count_of_proxies_is_never_0() {
+fn the_proxy_count_is_at_least_one() {
     let mut state = FeedState::default();
     assert_eq!(state.proxy_count(), 1);
     state.apply(&FeedUpdate::ProxyCount(7));
@@ -199,13 +206,13 @@
 
 #[rstest]
 #[case::complete(true)]
-#[case::not_known_to_be_complete(false)]
-fn a_snapshot_gives_a_newcomer_all(#[case] complete: bool) {
+#[case::incomplete(false)]
+fn a_snapshot_brings_a_new_subscriber_to_the_same_state(#[case] complete: bool) {
     let mut state = state_of(&[
-        whole(5),
+        full(5),
         patch(5, 7),
-        announced(holding("a", 4, 2)),
-        announced(instance("b", 1, InstanceState::Gone)),
+        announcement(holding("a", 4, 2)),
+        announcement(instance("b", 1, InstanceState::Gone)),
         FeedUpdate::StoreGroups(vec![StoreGroup { group: 1, epoch: 4, ..StoreGroup::default() }]),
         FeedUpdate::NamedVersions(vec![version("m", 3)]),
         FeedUpdate::ProxyCount(2),
@@ -213,18 +220,18 @@
     if complete {
         state.set_instances_complete();
     }
-    let mut newcomer = state_of(&[
-        announced(instance("b", 1, InstanceState::Ready)),
-        announced(instance("x", 1, InstanceState::Ready)),
+    let mut subscriber = state_of(&[
+        announcement(instance("b", 1, InstanceState::Ready)),
+        announcement(instance("x", 1, InstanceState::Ready)),
     ]);
-    newcomer.apply_all(&state.snapshot());
-    assert_eq!(newcomer.generation(), 7);
-    assert!(newcomer.configuration().unwrap().route("h", "/p/x").is_some());
-    assert_eq!(newcomer.instance("a"), state.instance("a"));
-    assert_eq!(newcomer.instance("b").unwrap().state, InstanceState::Gone);
-    // A list that may lack some says nothing about others.
+    subscriber.apply_all(&state.snapshot());
+    assert_eq!(subscriber.generation(), 7);
+    assert!(subscriber.configuration().unwrap().route("h", "/p/x").is_some());
+    assert_eq!(subscriber.instance("a"), state.instance("a"));
+    assert_eq!(subscriber.instance("b").unwrap().state, InstanceState::Gone);
+    // An incomplete list says nothing about other transcribers.
     let expected = if complete { vec!["a"] } else { vec!["a", "x"] };
-    assert_eq!(ids(&newcomer), expected);
-    assert_eq!(newcomer.store_group(1).unwrap().epoch, 4);
-    assert_eq!((newcomer.named_version("m"), newcomer.proxy_count()), (3, 2));
+    assert_eq!(ids(&subscriber), expected);
+    assert_eq!(subscriber.store_group(1).unwrap().epoch, 4);
+    assert_eq!((subscriber.named_version("m"), subscriber.proxy_count()), (3, 2));
 }
--- a/crates/pebblepost-messages/src/feed.rs
+++ b/crates/pebblepost-messages/src/feed.rs
@@ -78,6 +78,17 @@
     },
 }
 
+impl ConfigurationUpdate {
+    /// Version of the configuration that the update makes.
+    pub fn generation(&self) -> u64 {
+        match self {
+            ConfigurationUpdate::Full { generation, .. }
+            | ConfigurationUpdate::Compressed { generation, .. }
+            | ConfigurationUpdate::Patch { generation, .. } => *generation,
+        }
+    }
+}
+
 /// Who serves a group of batch jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct StoreGroup {
