--- a/crates/pebblepost-messages/src/control.rs
+++ b/crates/pebblepost-messages/src/control.rs
@@ -4,18 +4,18 @@
 use crate::{DiskId, Member};
 use nanoserde::{DeBin, SerBin};
 
-/// What a subscriber of the feed is.
+/// Kind of a subscriber of the feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum SubscriberRole {
     /// An agent beside a proxy.
     Agent,
     /// A storage machine.
     Store,
-    /// Another control process, which keeps a copy of the registrations.
+    /// Another control process, which keeps a replica of the registrations.
     Standby,
 }
 
-/// Who holds a group of batch jobs, in one epoch.
+/// Assignment of a group of batch jobs in one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct GroupEpoch {
     /// Number of the epoch.
@@ -29,53 +29,53 @@
 /// To a control process.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum ToControl {
-    /// First message of a subscriber of the feed. Only the primary feeds; others answer with
+    /// First message of a subscriber of the feed. Only the primary serves the feed; others respond with
     /// [`FromControl::Redirect`] and close.
     Subscribe {
         /// Name of the machine.
         node: String,
         /// Its zone.
         zone: String,
-        /// What it is.
+        /// Kind of the subscriber.
         role: SubscriberRole,
-        /// Version of the configuration that it has; 0 for none.
+        /// Generation of its configuration; 0 for none.
         generation: u64,
     },
     /// A subscriber's acknowledgement.
     Reply(FeedReply),
-    /// A storage machine announces itself, first and whenever it connects again.
+    /// A storage machine registers, on each connection first.
     StoreHello {
         /// The machine and its disk.
         member: Member,
         /// First start of the system with an empty disk.
         bootstrap: bool,
     },
-    /// A storage machine asks for a new epoch of a group.
+    /// A storage machine proposes a new epoch of a group (compare and swap).
     ChangeGroup {
-        /// Number of the request on this connection.
+        /// Request number, unique on this connection.
         request: u64,
         /// The group.
         group: u32,
-        /// The epoch that the change builds on.
+        /// Epoch on which the proposal is based.
         expected_epoch: u64,
-        /// The wanted epoch; its number is `expected_epoch + 1`.
+        /// The proposed epoch; its number is `expected_epoch + 1`.
         proposed: GroupEpoch,
     },
-    /// Between control processes: who is speaking, first on a connection.
+    /// Between control processes: identity of the sender, first on a connection.
     PeerHello {
         /// The machine and its disk.
         member: Member,
     },
     /// Between control processes: a message of the replication library.
     Replication(Vec<u8>),
-    /// Between control processes: a standby passes on a call that it acknowledged. Not used by
-    /// callers from outside.
+    /// Between control processes: a standby forwards registrations that it acknowledged. Not used by
+    /// external clients.
     Announce(Vec<Instance>),
-    /// Nothing to say; keeps the connection alive.
+    /// Heartbeat: keeps the connection alive.
     KeepAlive,
-    /// An operator's command asks for the state of the control plane.
+    /// Asks for the state of the control plane, for an operator's command.
     Status,
-    /// From a storage machine: how many versions behind the newest named one the last batch job of a model allows.
+    /// From a storage machine: by how many versions the last batch job of a model may lag behind the newest named one.
     VersionSlack {
         /// The model.
         model: String,
@@ -96,21 +96,21 @@
     },
     /// Updates.
     Feed(FeedBatch),
-    /// Internal addresses of all known control processes, to find them again.
+    /// Internal addresses of all known control processes, for reconnecting.
     Members(Vec<String>),
-    /// Answer to [`ToControl::ChangeGroup`].
+    /// Response to [`ToControl::ChangeGroup`].
     GroupChanged {
-        /// Number of the request.
+        /// Request number.
         request: u64,
         /// The group.
         group: u32,
-        /// Whether the proposed epoch holds now.
+        /// Whether the proposed epoch is the current one.
         accepted: bool,
-        /// The epoch that holds now.
+        /// The current epoch.
         current: GroupEpoch,
     },
-    /// Nothing to say; keeps the connection alive.
+    /// Heartbeat: keeps the connection alive.
     KeepAlive,
-    /// Answer to [`ToControl::Status`], JSON.
+    /// Response to [`ToControl::Status`], JSON.
     Status(Vec<u8>),
 }
--- a/crates/pebblepost-messages/src/feed.rs
+++ b/crates/pebblepost-messages/src/feed.rs
@@ -1,22 +1,22 @@
 //! The feed: versioned updates that the control plane streams to agents, stores and standby
-//! control processes, and that an agent passes on to its proxy.
+//! control processes, and that an agent forwards to its proxy.
 
 use crate::Member;
 use nanoserde::{DeBin, SerBin};
 
-/// Whether a transcriber takes new requests.
+/// Whether a transcriber accepts new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
 pub enum InstanceState {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes what it has.
+    /// Draining: finishes its requests and accepts no new ones.
     Draining,
-    /// Ended, or not heard for so long that it is taken to have ended.
+    /// Ended, or declared dead after missed heartbeats.
     Gone,
 }
 
-/// A model that a transcriber holds, with the version of its weights.
+/// A model that a transcriber has loaded, with the version of its weights.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct ModelVersion {
     /// Name of the model.
@@ -25,24 +25,24 @@
     pub generation: u64,
 }
 
-/// One incarnation of a transcriber, as last announced.
+/// An incarnation of a transcriber, as last announced.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Instance {
-    /// Identity of the incarnation; never used again.
+    /// Identity of the incarnation; never reused.
     pub id: String,
     /// Service that it belongs to.
     pub backend: String,
-    /// `ip:port` at which it takes requests.
+    /// `ip:port` at which it accepts requests.
     pub address: String,
     /// Its zone.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub state: InstanceState,
-    /// Remaining slow-start time, as of the announcement.
+    /// Remaining slow-start time as of the announcement, in milliseconds.
     pub warm_up_remaining_ms: u32,
-    /// Models and versions that it holds.
+    /// Loaded models and their versions.
     pub models: Vec<ModelVersion>,
     /// Sequence number of the announcement: a higher one replaces a lower one.
     pub sequence: u64,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Who serves a group of batch jobs.
+/// Assignment of a group of batch jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct StoreGroup {
     /// Number of the group.
@@ -100,11 +100,11 @@
     pub primary: Member,
     /// The in-sync replicas, the primary among them.
     pub in_sync: Vec<Member>,
-    /// The machines that the control plane wants to hold the group.
+    /// Machines that the control plane has chosen to replicate the group.
     pub targets: Vec<Member>,
 }
 
-/// One change of what the data plane acts by.
+/// One change of the state of the data plane.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum FeedUpdate {
     /// The configuration. A receiver ignores one that is not newer than what it has.
@@ -120,27 +120,27 @@
     StoreGroups(Vec<StoreGroup>),
     /// The newest named version of each model.
     NamedVersions(Vec<ModelVersion>),
-    /// How many proxies are connected, for shares of limits.
+    /// Number of connected proxies, for their shares of limits.
     ProxyCount(u32),
 }
 
-/// Updates that are sent together.
+/// Updates that are sent in one message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct FeedBatch {
-    /// Number of the batch on its connection, from 1; acknowledged by the receiver.
+    /// Sequence number of the batch on its connection, from 1; acknowledged by the receiver.
     pub sequence: u64,
     /// The updates, in their order.
     pub updates: Vec<FeedUpdate>,
 }
 
-/// From an agent or proxy back to its feeder.
+/// From a subscriber to the publisher of its feed.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum FeedReply {
-    /// All batches up to this one are in force.
+    /// All batches up to this one are applied.
     Acknowledge {
-        /// Number of the newest batch in force.
+        /// Sequence number of the newest applied batch.
         sequence: u64,
-        /// Version of the configuration in force.
+        /// Generation of the current configuration.
         generation: u64,
     },
 }
--- a/crates/pebblepost-messages/src/identity.rs
+++ b/crates/pebblepost-messages/src/identity.rs
@@ -2,19 +2,19 @@
 
 use nanoserde::{DeBin, SerBin};
 
-/// Identity of a data disk, drawn when the disk is first used. A machine that comes back with an
+/// Identity of a data disk, drawn at random when the disk is first used. A machine that restarts with an
 /// empty disk has a new one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct DiskId(pub u64);
 
-/// A machine that holds a disk.
+/// A machine with a data disk: a member of the control plane or of the batch store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Member {
     /// Identity of its disk.
     pub disk: DiskId,
     /// Name of the machine.
     pub node: String,
-    /// `ip:port` at which its program listens for other programs.
+    /// `ip:port` of its internal links.
     pub address: String,
     /// Its zone.
     pub zone: String,
--- a/crates/pebblepost-messages/tests/encodings.rs
+++ b/crates/pebblepost-messages/tests/encodings.rs
@@ -1,6 +1,8 @@
 //! Every message that crosses a process border, byte for byte: programs of different builds speak to each other, and
 //! batch jobs on disk hold some of these types.
 
+#![expect(clippy::unwrap_used, reason = "a panic fails the test")]
+
 use nanoserde::{DeBin, SerBin};
 use pebblepost_messages::batch::{
     ActiveLease, FromStore, Item, ItemOutcome, ItemResult, Job, JobAnswer, JobTerms, LeasedItem, PartialText,
