--- a/crates/pebblepost-agent/src/proxy_link.rs
+++ b/crates/pebblepost-agent/src/proxy_link.rs
@@ -1,7 +1,7 @@
 //! The link to the proxy of this machine.
 
 use eyre::Result;
-use pebblepost_link::{Listener, Receiver, Sender};
+use pebblepost_link::{LinkError, Listener, Receiver, Sender};
 use pebblepost_messages::feed::{FeedBatch, FeedReply, FeedUpdate};
 use tokio::sync::mpsc;
 
@@ -76,7 +76,7 @@
         return;
     }
     let error = loop {
-        let reply: Result<FeedReply> = receiver.receive().await;
+        let reply: Result<FeedReply, LinkError> = receiver.receive().await;
         match reply {
             Ok(reply) => {
                 if events.send(ProxyEvent::Reply(number, reply)).await.is_err() {
--- a/crates/pebblepost-batch-store/src/program/links.rs
+++ b/crates/pebblepost-batch-store/src/program/links.rs
@@ -75,7 +75,7 @@
     loop {
         match Listener::bind(address, limits) {
             Ok(listener) => return Ok(listener),
-            Err(error) if tries == LISTEN_TRIES => return Err(error),
+            Err(error) if tries == LISTEN_TRIES => return Err(error.into()),
             Err(error) => log::warn!("{error:#}"),
         }
         tries += 1;
--- a/crates/pebblepost-batch-store/src/program/peers.rs
+++ b/crates/pebblepost-batch-store/src/program/peers.rs
@@ -130,7 +130,7 @@
 async fn read(mut receiver: Receiver) -> eyre::Report {
     loop {
         if let Err(error) = receiver.receive::<FromStore>().await {
-            return error;
+            return error.into();
         }
     }
 }
--- a/crates/pebblepost-control/src/program.rs
+++ b/crates/pebblepost-control/src/program.rs
@@ -119,7 +119,7 @@
         }
         tokio::time::sleep(BIND_PAUSE).await;
     }
-    Listener::bind(address, LINK_LIMITS)
+    Ok(Listener::bind(address, LINK_LIMITS)?)
 }
 
 async fn listen_for_calls(address: SocketAddr) -> Result<TcpListener> {
--- a/crates/pebblepost-link/src/frame.rs
+++ b/crates/pebblepost-link/src/frame.rs
@@ -1,29 +1,30 @@
-//! Encoding of frames, and cutting frames out of the bytes received.
+//! Encoding of frames, and reassembly of frames from the bytes received.
 
-use eyre::{Result, ensure, eyre};
+use crate::FrameError;
+use crate::decode::decode;
 use nanoserde::{DeBin, SerBin};
-use std::cell::Cell;
-use std::panic::{AssertUnwindSafe, catch_unwind};
 
 /// First bytes on each side of a link: protocol and version of its messages.
 pub(crate) const PREAMBLE: [u8; 8] = *b"pbplink1";
 
+/// Size of the length in front of each frame.
 const LENGTH_BYTES: usize = 4;
-/// Smallest spare room offered to a read.
-const LEAST_READ_BYTES: usize = 4 * 1024;
-/// Largest spare room made ahead of the data, however long a frame says it is.
-const MOST_READ_AHEAD_BYTES: usize = 64 * 1024;
-/// An empty buffer larger than this is given back.
-const MOST_KEPT_BYTES: usize = 64 * 1024;
-
-/// Appends a frame to the buffer. False, and the buffer as it was, if the message has more than `most_bytes`.
-pub(crate) fn append<M: SerBin>(message: &M, buffer: &mut Vec<u8>, most_bytes: usize) -> bool {
+/// Smallest spare capacity offered to a read.
+const MIN_READ_BYTES: usize = 4 * 1024;
+/// Largest spare capacity reserved ahead of the data, however long a frame announces to be.
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
+/// An empty buffer with more capacity is released.
+const MAX_RETAINED_BYTES: usize = 64 * 1024;
+
+/// Appends a frame to the buffer. Returns false, with the buffer unchanged, if the message has more than
+/// `max_bytes`.
+pub(crate) fn append<M: SerBin>(message: &M, buffer: &mut Vec<u8>, max_bytes: usize) -> bool {
     let start = buffer.len();
     buffer.extend_from_slice(&[0; LENGTH_BYTES]);
     message.ser_bin(buffer);
     let length = buffer.len() - start - LENGTH_BYTES;
     match u32::try_from(length) {
-        Ok(encoded) if length <= most_bytes => {
+        Ok(encoded) if length <= max_bytes => {
             buffer[start..start + LENGTH_BYTES].copy_from_slice(&encoded.to_le_bytes());
             true
         }
@@ -34,24 +35,25 @@
     }
 }
 
-/// Bytes received and not yet taken as messages.
+/// Bytes received and not yet decoded.
 #[derive(Debug)]
-pub(crate) struct Decoder {
+pub(crate) struct FrameDecoder {
     buffer: Vec<u8>,
+    /// Bytes at the start of the buffer that are decoded already.
     consumed: usize,
     preamble_seen: bool,
     max_frame_bytes: usize,
 }
 
-impl Decoder {
+impl FrameDecoder {
     /// A decoder at the start of a link.
-    pub(crate) fn new(max_frame_bytes: usize) -> Decoder {
-        Decoder { buffer: Vec::new(), consumed: 0, preamble_seen: false, max_frame_bytes }
+    pub(crate) fn new(max_frame_bytes: usize) -> FrameDecoder {
+        FrameDecoder { buffer: Vec::new(), consumed: 0, preamble_seen: false, max_frame_bytes }
     }
 
-    /// Next message, if all of it has been received.
-    pub(crate) fn next<M: DeBin>(&mut self) -> Result<Option<M>> {
-        if !self.take_preamble()? {
+    /// Next message, if its frame is complete.
+    pub(crate) fn next<M: DeBin>(&mut self) -> Result<Option<M>, FrameError> {
+        if !self.skip_preamble()? {
             return Ok(None);
         }
         let Some(length) = self.frame_length()? else { return Ok(None) };
@@ -62,25 +64,28 @@
         Ok(Some(message))
     }
 
-    /// Whether bytes are left that make no whole frame.
+    /// Whether bytes of an incomplete frame are left.
     pub(crate) fn is_inside_frame(&self) -> bool {
         self.consumed < self.buffer.len()
     }
 
-    /// The buffer, with room for a read.
-    pub(crate) fn buffer_to_fill(&mut self) -> &mut Vec<u8> {
+    /// The buffer with spare capacity, for a read to append to.
+    pub(crate) fn read_buffer(&mut self) -> &mut Vec<u8> {
         self.discard_consumed();
         let missing = self.missing_bytes();
-        self.buffer.reserve(missing.clamp(LEAST_READ_BYTES, MOST_READ_AHEAD_BYTES));
+        self.buffer.reserve(missing.clamp(MIN_READ_BYTES, MAX_READ_AHEAD_BYTES));
         &mut self.buffer
     }
 
-    fn take_preamble(&mut self) -> Result<bool> {
+    /// Consumes the preamble. Returns false while it is incomplete.
+    fn skip_preamble(&mut self) -> Result<bool, FrameError> {
         if self.preamble_seen {
             return Ok(true);
         }
         let received = self.buffer.len().min(PREAMBLE.len());
-        ensure!(self.buffer[..received] == PREAMBLE[..received], "the other end speaks another protocol");
+        if self.buffer[..received] != PREAMBLE[..received] {
+            return Err(FrameError::WrongPreamble);
+        }
         if received < PREAMBLE.len() {
             return Ok(false);
         }
@@ -89,23 +94,21 @@
         Ok(true)
     }
 
-    fn frame_length(&self) -> Result<Option<usize>> {
+    fn frame_length(&self) -> Result<Option<usize>, FrameError> {
         let Some(prefix) = self.buffer[self.consumed..].first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
-        let length = usize::try_from(u32::from_le_bytes(*prefix))?;
-        ensure!(
-            length <= self.max_frame_bytes,
-            "a frame of {length} bytes is over the {} allowed",
-            self.max_frame_bytes
-        );
-        Ok(Some(length))
+        let length_bytes = usize::try_from(u32::from_le_bytes(*prefix)).unwrap_or(usize::MAX);
+        if length_bytes > self.max_frame_bytes {
+            return Err(FrameError::TooLarge { length_bytes, max_frame_bytes: self.max_frame_bytes });
+        }
+        Ok(Some(length_bytes))
     }
 
     fn discard_consumed(&mut self) {
         if self.consumed == self.buffer.len() {
             self.buffer.clear();
-            if self.buffer.capacity() > MOST_KEPT_BYTES {
+            if self.buffer.capacity() > MAX_RETAINED_BYTES {
                 self.buffer = Vec::new();
             }
         } else if self.consumed > 0 {
@@ -114,6 +117,7 @@
         self.consumed = 0;
     }
 
+    /// Bytes missing from the frame whose length is known.
     fn missing_bytes(&self) -> usize {
         match self.frame_length() {
             Ok(Some(length)) if self.preamble_seen => {
@@ -123,27 +127,3 @@
         }
     }
 }
-
-thread_local! {
-    static DECODING: Cell<bool> = const { Cell::new(false) };
-}
-
-/// Whether this thread is reading a message, where a panic is caught and ends the link only. A program whose panic
-/// hook ends the process asks for it.
-pub fn is_decoding() -> bool {
-    DECODING.get()
-}
-
-/// Reads one message that takes up the whole frame. `nanoserde` trusts the lengths in what it reads and may
-/// panic on a damaged one, which must not end the process.
-pub fn decode<M: DeBin>(frame: &[u8]) -> Result<M> {
-    let mut offset = 0;
-    DECODING.set(true);
-    let outcome = catch_unwind(AssertUnwindSafe(|| M::de_bin(&mut offset, frame)));
-    DECODING.set(false);
-    let message = outcome
-        .map_err(|_| eyre!("a frame of {} bytes names an impossible length", frame.len()))?
-        .map_err(|error| eyre!("a frame of {} bytes can't be read: {error}", frame.len()))?;
-    ensure!(offset == frame.len(), "a frame of {} bytes has {} too many", frame.len(), frame.len() - offset);
-    Ok(message)
-}
--- a/crates/pebblepost-link/src/lib.rs
+++ b/crates/pebblepost-link/src/lib.rs
@@ -1,20 +1,24 @@
-//! Framed TCP links between processes: bounded queues, silence detected.
+//! Framed TCP links between processes, with bounded send queues and a read timeout.
 //!
-//! Each side starts with a preamble that names the protocol and its version. A frame is its length (4 bytes,
-//! little endian) and a `nanoserde` message. Everything runs on the caller's current-thread `tokio` runtime
-//! inside a `LocalSet` (`spawn_local`), so nothing here is `Send`. The link sends nothing by itself:
-//! keep-alives are messages of the programs.
+//! Each side starts with a preamble that names the protocol and its version. A frame is its length (4 bytes, little
+//! endian) followed by one `nanoserde` message. The crate owns the sockets, the queues and the reasons why links
+//! close. It knows nothing of the messages, except for [`control_client`], which keeps a link to the control primary.
+//! It sends nothing by itself: heartbeats are messages of the programs.
+//!
+//! Everything runs on the caller's current-thread `tokio` runtime inside a `LocalSet`, so nothing here is `Send`.
 
-mod candidates;
 pub mod control_client;
+mod decode;
+mod error;
 mod frame;
 mod receiver;
 mod sender;
-mod shared;
 mod socket;
+mod state;
 mod writer;
 
-pub use frame::{decode, is_decoding};
+pub use decode::{decode, is_decoding};
+pub use error::{CloseReason, FrameError, LinkError};
 pub use receiver::Receiver;
 pub use sender::Sender;
 pub use socket::{Listener, connect};
@@ -28,7 +32,7 @@
     pub max_frame_bytes: usize,
     /// Most bytes queued for writing; a link that would exceed it is closed.
     pub max_queued_bytes: usize,
-    /// Time limit for establishing a connection.
+    /// Time limit for establishing a connection, and for flushing a closed one.
     pub connect_timeout: Duration,
     /// A link on which nothing is received for this long is closed.
     pub read_timeout: Duration,
--- a/crates/pebblepost-link/src/receiver.rs
+++ b/crates/pebblepost-link/src/receiver.rs
@@ -1,107 +1,112 @@
-//! The reading half of a link.
+//! The receiving half of a link.
 
-use crate::frame::Decoder;
-use crate::shared::{Phase, Shared};
-use eyre::{Result, eyre};
+use crate::error::{CloseReason, LinkError};
+use crate::frame::FrameDecoder;
+use crate::state::{LinkState, Phase};
 use nanoserde::DeBin;
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
+use std::sync::Arc;
 use tokio::io::AsyncReadExt;
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// The reading half of a link. Dropping it closes the link.
+/// The receiving half of a link. Dropping it closes the link.
 #[derive(Debug)]
 pub struct Receiver {
-    shared: Rc<Shared>,
+    state: Rc<LinkState>,
     half: OwnedReadHalf,
-    decoder: Decoder,
+    decoder: FrameDecoder,
     last_read: Instant,
-    silence_check: Pin<Box<Sleep>>,
+    read_timer: Pin<Box<Sleep>>,
 }
 
-enum Event {
+/// What ended the wait for more bytes.
+enum ReadEvent {
     Read(io::Result<usize>),
-    Closed,
-    SilenceCheck,
+    LinkClosed,
+    TimerFired,
 }
 
 impl Receiver {
-    pub(crate) fn new(shared: Rc<Shared>, half: OwnedReadHalf) -> Receiver {
+    pub(crate) fn new(state: Rc<LinkState>, half: OwnedReadHalf) -> Receiver {
         let now = Instant::now();
-        let silence_check = Box::pin(sleep_until(now + shared.limits.read_timeout));
-        let decoder = Decoder::new(shared.limits.max_frame_bytes);
-        Receiver { shared, half, decoder, last_read: now, silence_check }
+        let read_timer = Box::pin(sleep_until(now + state.limits.read_timeout));
+        let decoder = FrameDecoder::new(state.limits.max_frame_bytes);
+        Receiver { state, half, decoder, last_read: now, read_timer }
     }
 
-    /// Next message. An error says why the link ended (closed, silent, a frame that can't be read), with the
-    /// peer's address. A call that is dropped before its end loses nothing.
-    pub async fn receive<M: DeBin>(&mut self) -> Result<M> {
+    /// Next message. Cancel safe: dropping the future loses no message.
+    ///
+    /// # Errors
+    ///
+    /// The link is closed ([`LinkError::Closed`]); every later call returns the same error.
+    pub async fn receive<M: DeBin>(&mut self) -> Result<M, LinkError> {
         loop {
-            if self.shared.phase() == Phase::Flushing {
-                return Err(self.ended());
+            if self.state.phase() == Phase::Flushing {
+                return Err(self.closed_error());
             }
             match self.decoder.next() {
                 Ok(Some(message)) => return Ok(message),
                 Ok(None) => self.read_more().await?,
-                Err(error) => return Err(self.fail(error.to_string())),
+                Err(error) => return Err(self.abort(error.into())),
             }
         }
     }
 
-    async fn read_more(&mut self) -> Result<()> {
+    async fn read_more(&mut self) -> Result<(), LinkError> {
         match self.next_event().await {
-            Event::Read(Ok(0)) if self.decoder.is_inside_frame() => {
-                Err(self.fail("closed by the other end in the middle of a frame".to_owned()))
+            ReadEvent::Read(Ok(0)) if self.decoder.is_inside_frame() => {
+                Err(self.abort(CloseReason::IncompleteFrame))
             }
-            Event::Read(Ok(0)) => Err(self.fail("closed by the other end".to_owned())),
-            Event::Read(Ok(_)) => {
+            ReadEvent::Read(Ok(0)) => Err(self.abort(CloseReason::ClosedByPeer)),
+            ReadEvent::Read(Ok(_)) => {
                 self.last_read = Instant::now();
                 Ok(())
             }
-            Event::Read(Err(error)) => Err(self.fail(format!("reading failed: {error}"))),
-            Event::Closed => Err(self.ended()),
-            Event::SilenceCheck => self.check_silence(),
+            ReadEvent::Read(Err(error)) => Err(self.abort(CloseReason::ReadFailed(Arc::new(error)))),
+            ReadEvent::LinkClosed => Err(self.closed_error()),
+            ReadEvent::TimerFired => self.check_read_timeout(),
         }
     }
 
-    /// Reading goes first: what arrived before the link ended is still handed out.
-    async fn next_event(&mut self) -> Event {
-        let buffer = self.decoder.buffer_to_fill();
+    /// Reading has precedence: what arrived before the link was closed is still delivered.
+    async fn next_event(&mut self) -> ReadEvent {
+        let buffer = self.decoder.read_buffer();
         tokio::select! {
             biased;
-            read = self.half.read_buf(buffer) => Event::Read(read),
-            () = self.shared.receiver_wake.notified() => Event::Closed,
-            () = &mut self.silence_check => Event::SilenceCheck,
+            read = self.half.read_buf(buffer) => ReadEvent::Read(read),
+            () = self.state.receiver_wake.notified() => ReadEvent::LinkClosed,
+            () = &mut self.read_timer => ReadEvent::TimerFired,
         }
     }
 
-    /// Sets the timer anew only when it fires, not with every read.
-    fn check_silence(&mut self) -> Result<()> {
-        let silence = self.shared.limits.read_timeout;
-        let deadline = self.last_read + silence;
+    /// The timer is reset only here, when it fires, because resetting it on every read would cost more.
+    fn check_read_timeout(&mut self) -> Result<(), LinkError> {
+        let read_timeout = self.state.limits.read_timeout;
+        let deadline = self.last_read + read_timeout;
         if Instant::now() >= deadline {
-            return Err(self.fail(format!("nothing was read for {} ms", silence.as_millis())));
+            return Err(self.abort(CloseReason::ReadTimeout(read_timeout)));
         }
-        self.silence_check.as_mut().reset(deadline);
+        self.read_timer.as_mut().reset(deadline);
         Ok(())
     }
 
-    fn fail(&self, reason: String) -> eyre::Report {
-        self.shared.abort(reason);
-        self.ended()
+    fn abort(&self, reason: CloseReason) -> LinkError {
+        self.state.abort(reason);
+        self.closed_error()
     }
 
-    fn ended(&self) -> eyre::Report {
-        // A later call of `receive` finds the same end.
-        self.shared.receiver_wake.notify_one();
-        eyre!("link with {}: {}", self.shared.peer, self.shared.reason())
+    fn closed_error(&self) -> LinkError {
+        // A later call of `receive` must wake up as well.
+        self.state.receiver_wake.notify_one();
+        self.state.closed_error()
     }
 }
 
 impl Drop for Receiver {
     fn drop(&mut self) {
-        self.shared.close("no longer read by this end");
+        self.state.close(CloseReason::ReceiverDropped);
     }
 }
--- a/crates/pebblepost-link/src/sender.rs
+++ b/crates/pebblepost-link/src/sender.rs
@@ -1,44 +1,45 @@
-//! The writing half of a link.
+//! The sending half of a link.
 
-use crate::shared::{Phase, Shared};
+use crate::error::CloseReason;
+use crate::state::{LinkState, Phase};
 use nanoserde::SerBin;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The writing half of a link; cheap to clone. Never blocks: what can't be queued closes the link.
+/// The sending half of a link; cheap to clone. It never blocks: a message that does not fit the queue closes the
+/// link.
 #[derive(Clone, Debug)]
 pub struct Sender {
-    shared: Rc<Shared>,
+    state: Rc<LinkState>,
 }
 
 impl Sender {
-    pub(crate) fn new(shared: Rc<Shared>) -> Sender {
-        Sender { shared }
+    pub(crate) fn new(state: Rc<LinkState>) -> Sender {
+        Sender { state }
     }
 
-    /// Queues a message. False if the link is closed or was closed by this.
+    /// Queues a message. Returns false if the link is closed, or was closed because the message does not fit.
     pub fn send<M: SerBin>(&self, message: &M) -> bool {
-        self.shared.queue(message)
+        self.state.enqueue(message)
     }
 
-    /// Closes the link, both halves. What is queued is still written, within the time that a connection has
-    /// to come up.
+    /// Closes both halves of the link. The queue is still written, within [`crate::LinkLimits::connect_timeout`].
     pub fn close(&self) {
-        self.shared.close("closed by this end");
+        self.state.close(CloseReason::ClosedLocally);
     }
 
     /// Whether the link is closed.
     pub fn is_closed(&self) -> bool {
-        self.shared.phase() != Phase::Open
+        self.state.phase() != Phase::Open
     }
 
-    /// Bytes that wait to be written.
+    /// Bytes queued or being written.
     pub fn queued_bytes(&self) -> usize {
-        self.shared.queued_bytes()
+        self.state.queued_bytes()
     }
 
     /// Address of the other end.
     pub fn peer(&self) -> SocketAddr {
-        self.shared.peer
+        self.state.peer
     }
 }
--- a/crates/pebblepost-link/src/socket.rs
+++ b/crates/pebblepost-link/src/socket.rs
@@ -1,10 +1,10 @@
 //! Opening and accepting links.
 
+use crate::error::LinkError;
 use crate::receiver::Receiver;
 use crate::sender::Sender;
-use crate::shared::Shared;
+use crate::state::LinkState;
 use crate::{LinkLimits, writer};
-use eyre::{Result, WrapErr};
 use socket2::SockRef;
 use std::io;
 use std::net::SocketAddr;
@@ -13,17 +13,21 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{sleep, timeout};
 
-const BACKLOG: u32 = 256;
-/// Pause after a failure to accept, so that a lack of descriptors doesn't make the caller spin.
-const ACCEPT_FAILURE_PAUSE: Duration = Duration::from_millis(50);
+const LISTEN_BACKLOG: u32 = 256;
+/// Delay after a failure to accept: without it, a lack of file descriptors would make the caller spin.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Opens a link.
-pub async fn connect(address: SocketAddr, limits: LinkLimits) -> Result<(Sender, Receiver)> {
+///
+/// # Errors
+///
+/// The connection is refused or not established in time, or its socket options cannot be set.
+pub async fn connect(address: SocketAddr, limits: LinkLimits) -> Result<(Sender, Receiver), LinkError> {
     let stream = timeout(limits.connect_timeout, TcpStream::connect(address))
         .await
-        .wrap_err_with(|| format!("connecting to {address}: no answer"))?
-        .wrap_err_with(|| format!("connecting to {address}"))?;
-    prepare(&stream, limits).wrap_err_with(|| format!("setting up the link with {address}"))?;
+        .map_err(|source| LinkError::ConnectTimeout { address, source })?
+        .map_err(|source| LinkError::Connect { address, source })?;
+    set_options(&stream, limits).map_err(|source| LinkError::SocketOptions { address, source })?;
     Ok(start(stream, address, limits))
 }
 
@@ -35,30 +39,43 @@
 }
 
 impl Listener {
-    /// Listens at an address (with address reuse; retried by the caller if the port is taken).
-    pub fn bind(address: SocketAddr, limits: LinkLimits) -> Result<Listener> {
-        let listener = listen(address).wrap_err_with(|| format!("listening at {address}"))?;
+    /// Listens at an address, with address reuse.
+    ///
+    /// # Errors
+    ///
+    /// The address is in use or cannot be bound. The caller may retry.
+    pub fn bind(address: SocketAddr, limits: LinkLimits) -> Result<Listener, LinkError> {
+        let listener = listen(address).map_err(|source| LinkError::Listen { address, source })?;
         Ok(Listener { listener, limits })
     }
 
-    /// Address at which it listens.
-    pub fn local_address(&self) -> Result<SocketAddr> {
-        self.listener.local_addr().wrap_err("asking for the address of a listener")
+    /// Local address.
+    ///
+    /// # Errors
+    ///
+    /// The operating system does not know the address of the socket.
+    pub fn local_address(&self) -> Result<SocketAddr, LinkError> {
+        self.listener.local_addr().map_err(LinkError::LocalAddress)
     }
 
     /// Next link.
-    pub async fn accept(&mut self) -> Result<(Sender, Receiver)> {
+    ///
+    /// # Errors
+    ///
+    /// The operating system cannot accept a connection, such as for lack of file descriptors. The error is returned
+    /// after a short delay, so that the caller may retry at once.
+    pub async fn accept(&mut self) -> Result<(Sender, Receiver), LinkError> {
         loop {
             let (stream, peer) = match self.listener.accept().await {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    sleep(ACCEPT_FAILURE_PAUSE).await;
-                    return Err(error).wrap_err("accepting a link");
+                    sleep(ACCEPT_RETRY_DELAY).await;
+                    return Err(LinkError::Accept(error));
                 }
             };
-            match prepare(&stream, self.limits) {
+            match set_options(&stream, self.limits) {
                 Ok(()) => return Ok(start(stream, peer, self.limits)),
-                Err(error) => log::debug!("link with {peer}: gone before it was set up: {error}"),
+                Err(error) => log::debug!("link closed before its setup peer={peer}: {error}"),
             }
         }
     }
@@ -68,18 +85,18 @@
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// Frames go out at once, and a connection whose bytes stay unacknowledged ends after the time of silence.
-fn prepare(stream: &TcpStream, limits: LinkLimits) -> io::Result<()> {
+/// Frames are sent without delay, and a connection whose bytes stay unacknowledged for the read timeout is closed.
+fn set_options(stream: &TcpStream, limits: LinkLimits) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(limits.read_timeout))
 }
 
 fn start(stream: TcpStream, peer: SocketAddr, limits: LinkLimits) -> (Sender, Receiver) {
-    let shared = Rc::new(Shared::new(peer, limits));
+    let state = Rc::new(LinkState::new(peer, limits));
     let (read_half, write_half) = stream.into_split();
-    tokio::task::spawn_local(writer::run(Rc::clone(&shared), write_half));
-    (Sender::new(Rc::clone(&shared)), Receiver::new(shared, read_half))
+    tokio::task::spawn_local(writer::run(Rc::clone(&state), write_half));
+    (Sender::new(Rc::clone(&state)), Receiver::new(state, read_half))
 }
--- a/crates/pebblepost-link/src/shared.rs
+++ b/crates/pebblepost-link/src/state.rs
@@ -1,18 +1,18 @@
-//! What the halves of a link and its writing task share.
+//! State that the halves of a link and its writing task share.
 
-use crate::LinkLimits;
-use crate::frame;
+use crate::error::{CloseReason, LinkError};
+use crate::{LinkLimits, frame};
 use nanoserde::SerBin;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use tokio::sync::Notify;
 
-/// How far a link is.
+/// Phase in the life of a link; it only goes forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Both halves work.
     Open,
-    /// Closed; what is queued is still written.
+    /// Closed; the send queue is still written.
     Flushing,
     /// Closed; nothing more is written.
     Aborted,
@@ -20,29 +20,30 @@
 
 /// State of one link.
 #[derive(Debug)]
-pub(crate) struct Shared {
-    /// The other end.
+pub(crate) struct LinkState {
+    /// Address of the other end.
     pub(crate) peer: SocketAddr,
     /// Limits of the link.
     pub(crate) limits: LinkLimits,
     /// Wakes the writing task: something is queued, or the link is to be flushed.
     pub(crate) writer_wake: Notify,
-    /// Bounds the rest of the writing task's time: the link is closed.
+    /// The link is flushing: the writing task has a bounded time left.
     pub(crate) writer_closing: Notify,
-    /// Ends the writing task, also in the middle of a write.
+    /// Ends the writing task, also inside a write.
     pub(crate) writer_abort: Notify,
     /// Wakes the receiver: the link is closed.
     pub(crate) receiver_wake: Notify,
     phase: Cell<Phase>,
-    reason: RefCell<Option<String>>,
+    close_reason: RefCell<Option<CloseReason>>,
     queue: RefCell<Vec<u8>>,
+    /// Bytes taken from the queue and not yet written.
     bytes_in_write: Cell<usize>,
 }
 
-impl Shared {
-    /// A link that is open; the preamble waits to go out with the first message.
-    pub(crate) fn new(peer: SocketAddr, limits: LinkLimits) -> Shared {
-        Shared {
+impl LinkState {
+    /// An open link. The preamble is queued and goes out with the first message.
+    pub(crate) fn new(peer: SocketAddr, limits: LinkLimits) -> LinkState {
+        LinkState {
             peer,
             limits,
             writer_wake: Notify::new(),
@@ -50,54 +51,56 @@
             writer_abort: Notify::new(),
             receiver_wake: Notify::new(),
             phase: Cell::new(Phase::Open),
-            reason: RefCell::new(None),
+            close_reason: RefCell::new(None),
             queue: RefCell::new(frame::PREAMBLE.to_vec()),
             bytes_in_write: Cell::new(0),
         }
     }
 
-    /// How far the link is.
+    /// Current phase.
     pub(crate) fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Why the link was closed.
-    pub(crate) fn reason(&self) -> String {
-        self.reason.borrow().clone().unwrap_or_else(|| "closed".to_owned())
+    /// The error of a closed link, with the first reason for which it was closed.
+    pub(crate) fn closed_error(&self) -> LinkError {
+        let reason = self.close_reason.borrow().clone().unwrap_or(CloseReason::ClosedLocally);
+        LinkError::Closed { peer: self.peer, reason }
     }
 
-    /// Bytes that wait to be written.
+    /// Bytes queued or being written.
     pub(crate) fn queued_bytes(&self) -> usize {
         self.queue.borrow().len() + self.bytes_in_write.get()
     }
 
-    /// Queues a message; closes the link if it can't be.
-    pub(crate) fn queue<M: SerBin>(&self, message: &M) -> bool {
+    /// Queues a message. Returns false if the link is closed, and closes it if the message does not fit.
+    pub(crate) fn enqueue<M: SerBin>(&self, message: &M) -> bool {
         if self.phase() != Phase::Open {
             return false;
         }
-        if !frame::append(message, &mut self.queue.borrow_mut(), self.limits.max_frame_bytes) {
-            self.abort(format!("a message is over {} bytes", self.limits.max_frame_bytes));
+        let max_frame_bytes = self.limits.max_frame_bytes;
+        if !frame::append(message, &mut self.queue.borrow_mut(), max_frame_bytes) {
+            self.abort(CloseReason::MessageTooLarge { max_frame_bytes });
             return false;
         }
-        let queued = self.queued_bytes();
-        if queued > self.limits.max_queued_bytes {
-            self.abort(format!("{queued} bytes wait to be written, more than allowed"));
+        let queued_bytes = self.queued_bytes();
+        if queued_bytes > self.limits.max_queued_bytes {
+            self.abort(CloseReason::QueueFull { queued_bytes });
             return false;
         }
         self.writer_wake.notify_one();
         true
     }
 
-    /// Takes all that is queued.
+    /// Takes the whole queue for writing.
     pub(crate) fn take_queue(&self) -> Vec<u8> {
         let taken = std::mem::take(&mut *self.queue.borrow_mut());
         self.bytes_in_write.set(taken.len());
         taken
     }
 
-    /// Gives a written buffer back for use as the next queue.
-    pub(crate) fn give_back(&self, mut buffer: Vec<u8>) {
+    /// Returns a written buffer for reuse as the next queue.
+    pub(crate) fn recycle(&self, mut buffer: Vec<u8>) {
         let mut queue = self.queue.borrow_mut();
         if queue.capacity() == 0 {
             buffer.clear();
@@ -105,16 +108,16 @@
         }
     }
 
-    /// Notes how much of a taken queue is still to be written.
+    /// Sets how much of a taken queue is still to be written.
     pub(crate) fn set_bytes_in_write(&self, bytes: usize) {
         self.bytes_in_write.set(bytes);
     }
 
-    /// Closes the link after what is queued has been written.
-    pub(crate) fn close(&self, reason: &str) {
+    /// Closes the link once the queue is written.
+    pub(crate) fn close(&self, reason: CloseReason) {
         if self.phase() == Phase::Open {
             self.phase.set(Phase::Flushing);
-            self.note(reason.to_owned());
+            self.set_close_reason(reason);
             self.writer_wake.notify_one();
             self.writer_closing.notify_one();
             self.receiver_wake.notify_one();
@@ -122,16 +125,17 @@
     }
 
     /// Closes the link at once.
-    pub(crate) fn abort(&self, reason: String) {
+    pub(crate) fn abort(&self, reason: CloseReason) {
         if self.phase() != Phase::Aborted {
             self.phase.set(Phase::Aborted);
-            self.note(reason);
+            self.set_close_reason(reason);
             self.writer_abort.notify_one();
             self.receiver_wake.notify_one();
         }
     }
 
-    fn note(&self, reason: String) {
-        self.reason.borrow_mut().get_or_insert(reason);
+    /// The first reason stays.
+    fn set_close_reason(&self, reason: CloseReason) {
+        self.close_reason.borrow_mut().get_or_insert(reason);
     }
 }
--- a/crates/pebblepost-link/src/writer.rs
+++ b/crates/pebblepost-link/src/writer.rs
@@ -1,59 +1,61 @@
-//! The writing task of a link: all that is queued goes out in one write.
+//! The writing task of a link: the whole queue goes out in one write.
 
-use crate::shared::{Phase, Shared};
+use crate::error::CloseReason;
+use crate::state::{LinkState, Phase};
 use std::io;
 use std::pin::pin;
 use std::rc::Rc;
+use std::sync::Arc;
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::timeout;
 
-/// A written buffer larger than this is given back to the allocator.
-const MOST_KEPT_BYTES: usize = 64 * 1024;
+/// A written buffer with more capacity is released, not reused.
+const MAX_RETAINED_BYTES: usize = 64 * 1024;
 
-/// Writes until the link is closed, and then for a bounded time what is left. Dropping the half ends the
-/// connection's outgoing direction.
-pub(crate) async fn run(shared: Rc<Shared>, mut half: OwnedWriteHalf) {
-    let mut writing = pin!(write_until_closed(&shared, &mut half));
+/// Writes until the link is closed, then flushes the queue within a bounded time. Dropping the half closes the
+/// outgoing direction of the connection.
+pub(crate) async fn run(state: Rc<LinkState>, mut half: OwnedWriteHalf) {
+    let mut writing = pin!(write_until_closed(&state, &mut half));
     tokio::select! {
         biased;
-        () = shared.writer_abort.notified() => return,
-        result = &mut writing => return report(&shared, result),
-        () = shared.writer_closing.notified() => {}
+        () = state.writer_abort.notified() => return,
+        result = &mut writing => return abort_on_error(&state, result),
+        () = state.writer_closing.notified() => {}
     }
-    match timeout(shared.limits.connect_timeout, writing).await {
-        Ok(result) => report(&shared, result),
-        Err(_) => log::debug!("link with {}: not all was written before its end", shared.peer),
+    match timeout(state.limits.connect_timeout, writing).await {
+        Ok(result) => abort_on_error(&state, result),
+        Err(_) => log::debug!("link flush timed out peer={}", state.peer),
     }
 }
 
-fn report(shared: &Shared, result: io::Result<()>) {
+fn abort_on_error(state: &LinkState, result: io::Result<()>) {
     if let Err(error) = result {
-        shared.abort(format!("writing failed: {error}"));
+        state.abort(CloseReason::WriteFailed(Arc::new(error)));
     }
 }
 
-async fn write_until_closed(shared: &Shared, half: &mut OwnedWriteHalf) -> io::Result<()> {
-    while shared.phase() == Phase::Open {
-        shared.writer_wake.notified().await;
-        write_queue(shared, half).await?;
+async fn write_until_closed(state: &LinkState, half: &mut OwnedWriteHalf) -> io::Result<()> {
+    while state.phase() == Phase::Open {
+        state.writer_wake.notified().await;
+        write_queue(state, half).await?;
     }
-    write_queue(shared, half).await
+    write_queue(state, half).await
 }
 
-async fn write_queue(shared: &Shared, half: &mut OwnedWriteHalf) -> io::Result<()> {
-    let buffer = shared.take_queue();
-    let mut rest = buffer.as_slice();
-    while !rest.is_empty() {
-        let written = half.write(rest).await?;
+async fn write_queue(state: &LinkState, half: &mut OwnedWriteHalf) -> io::Result<()> {
+    let buffer = state.take_queue();
+    let mut remaining = buffer.as_slice();
+    while !remaining.is_empty() {
+        let written = half.write(remaining).await?;
         if written == 0 {
             return Err(io::ErrorKind::WriteZero.into());
         }
-        rest = &rest[written..];
-        shared.set_bytes_in_write(rest.len());
+        remaining = &remaining[written..];
+        state.set_bytes_in_write(remaining.len());
     }
-    if buffer.capacity() <= MOST_KEPT_BYTES {
-        shared.give_back(buffer);
+    if buffer.capacity() <= MAX_RETAINED_BYTES {
+        state.recycle(buffer);
     }
     Ok(())
 }
--- a/crates/pebblepost-link/tests/control_client.rs
+++ b/crates/pebblepost-link/tests/control_client.rs
@@ -1,4 +1,6 @@
-//! Finding and keeping the control primary, against processes played over loopback.
+//! Finding and keeping the control primary, against scripted processes over loopback.
+
+#![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use pebblepost_link::control_client::{CONTROL_LINK_LIMITS, ControlClient, ControlEvent, ControlSender};
 use pebblepost_link::{LinkLimits, Listener, Receiver, Sender};
@@ -28,7 +30,7 @@
     ToControl::Subscribe { node, zone, role: SubscriberRole::Agent, generation }
 }
 
-/// A client that names one generation more with every connection.
+/// A client that subscribes with a higher generation on every connection.
 fn start(candidates: Vec<SocketAddr>) -> (ControlSender, mpsc::Receiver<ControlEvent>) {
     let connections = Rc::new(Cell::new(0));
     ControlClient::start(candidates, LIMITS, move || {
@@ -48,23 +50,23 @@
 }
 
 #[tokio::test]
-async fn a_redirect_is_followed_and_messages_are_handed_out() {
+async fn follows_a_redirect_and_delivers_messages() {
     let exchange = async {
         let (mut standby, standby_address) = listener();
         let (mut primary, primary_address) = listener();
         let (control, mut events) = start(vec![standby_address]);
 
-        let (redirecting, _reading) = accept(&mut standby, 1).await;
+        let (redirecting, _receiver) = accept(&mut standby, 1).await;
         let members = vec![standby_address.to_string(), primary_address.to_string()];
         redirecting.send(&FromControl::Redirect { primary: Some(primary_address.to_string()), members });
         redirecting.close();
         assert!(!control.is_connected());
         assert!(!control.send(&ToControl::Status));
 
-        let (feeding, mut replies) = accept(&mut primary, 2).await;
-        feeding.send(&FromControl::KeepAlive);
+        let (sender, mut replies) = accept(&mut primary, 2).await;
+        sender.send(&FromControl::KeepAlive);
         assert_eq!(events.recv().await, Some(ControlEvent::Connected(primary_address)));
-        feeding.send(&batch(1));
+        sender.send(&batch(1));
         assert_eq!(events.recv().await, Some(ControlEvent::Message(batch(1))));
         let reply = ToControl::Reply(FeedReply::Acknowledge { sequence: 1, generation: 0 });
         assert!(control.send(&reply));
@@ -74,36 +76,36 @@
 }
 
 #[tokio::test]
-async fn a_lost_primary_is_told_and_a_member_learnt_from_it_is_tried() {
+async fn reports_a_lost_primary_and_tries_the_members_it_named() {
     let exchange = async {
         let (mut first, first_address) = listener();
         let (mut second, second_address) = listener();
         let (_control, mut events) = start(vec![first_address]);
 
-        let (feeding, reading) = accept(&mut first, 1).await;
-        feeding.send(&FromControl::Members(vec![second_address.to_string(), "nonsense".to_owned()]));
+        let (sender, receiver) = accept(&mut first, 1).await;
+        sender.send(&FromControl::Members(vec![second_address.to_string(), "nonsense".to_owned()]));
         assert_eq!(events.recv().await, Some(ControlEvent::Connected(first_address)));
         drop(first);
-        drop((feeding, reading));
+        drop((sender, receiver));
         assert_eq!(events.recv().await, Some(ControlEvent::Lost));
 
-        let (feeding, _reading) = second.accept().await.unwrap();
-        feeding.send(&FromControl::KeepAlive);
+        let (sender, _receiver) = second.accept().await.unwrap();
+        sender.send(&FromControl::KeepAlive);
         assert_eq!(events.recv().await, Some(ControlEvent::Connected(second_address)));
     };
     LocalSet::new().run_until(exchange).await;
 }
 
 #[tokio::test]
-async fn a_reconnect_that_is_asked_for_subscribes_anew() {
+async fn a_reconnect_subscribes_again() {
     let exchange = async {
         let (mut primary, address) = listener();
         let (control, mut events) = start(vec![address]);
-        let (feeding, mut reading) = accept(&mut primary, 1).await;
-        feeding.send(&FromControl::KeepAlive);
+        let (sender, mut receiver) = accept(&mut primary, 1).await;
+        sender.send(&FromControl::KeepAlive);
         assert_eq!(events.recv().await, Some(ControlEvent::Connected(address)));
         control.reconnect();
-        assert!(reading.receive::<ToControl>().await.is_err());
+        assert!(receiver.receive::<ToControl>().await.is_err());
         assert_eq!(events.recv().await, Some(ControlEvent::Lost));
         accept(&mut primary, 2).await;
     };
@@ -111,30 +113,30 @@
 }
 
 #[tokio::test]
-async fn added_candidates_are_tried() {
+async fn added_seeds_are_tried() {
     let exchange = async {
         let (mut primary, address) = listener();
         let (control, mut events) = start(Vec::new());
         control.add_candidates(&[address]);
-        let (feeding, _reading) = accept(&mut primary, 1).await;
-        feeding.send(&FromControl::KeepAlive);
+        let (sender, _receiver) = accept(&mut primary, 1).await;
+        sender.send(&FromControl::KeepAlive);
         assert_eq!(events.recv().await, Some(ControlEvent::Connected(address)));
     };
     LocalSet::new().run_until(exchange).await;
 }
 
 #[tokio::test]
-async fn keep_alives_are_sent_while_there_is_nothing_to_say() {
+async fn sends_heartbeats_while_idle() {
     let exchange = async {
         let (mut primary, address) = listener();
         let (_control, mut events) = start(vec![address]);
-        let (feeding, mut reading) = accept(&mut primary, 1).await;
-        feeding.send(&FromControl::KeepAlive);
+        let (sender, mut receiver) = accept(&mut primary, 1).await;
+        sender.send(&FromControl::KeepAlive);
         events.recv().await;
         tokio::time::pause();
         let start = tokio::time::Instant::now();
         for _ in 0..3 {
-            assert_eq!(reading.receive::<ToControl>().await.unwrap(), ToControl::KeepAlive);
+            assert_eq!(receiver.receive::<ToControl>().await.unwrap(), ToControl::KeepAlive);
         }
         assert!(start.elapsed() <= Duration::from_millis(1501), "{:?}", start.elapsed());
     };
@@ -142,14 +144,14 @@
 }
 
 #[tokio::test]
-async fn dropping_the_events_ends_the_link() {
+async fn dropping_the_event_receiver_closes_the_link() {
     let exchange = async {
         let (mut primary, address) = listener();
         let (control, events) = start(vec![address]);
-        let (feeding, mut reading) = accept(&mut primary, 1).await;
-        feeding.send(&FromControl::KeepAlive);
+        let (sender, mut receiver) = accept(&mut primary, 1).await;
+        sender.send(&FromControl::KeepAlive);
         drop(events);
-        assert!(reading.receive::<ToControl>().await.is_err());
+        assert!(receiver.receive::<ToControl>().await.is_err());
         assert!(!control.is_connected());
     };
     LocalSet::new().run_until(exchange).await;
--- a/crates/pebblepost-link/tests/error_texts.rs
+++ b/crates/pebblepost-link/tests/error_texts.rs
@@ -1,5 +1,7 @@
 //! Texts of link errors, causes included: programs print them in their logs and answers.
 
+#![expect(clippy::unwrap_used, reason = "a panic fails the test")]
+
 use eyre::Report;
 use nanoserde::SerBin;
 use pebblepost_link::{LinkLimits, Listener, Receiver, Sender, connect, decode};
@@ -35,7 +37,9 @@
 #[tokio::test]
 async fn a_refused_connection_names_address_and_cause() {
     let address = Listener::bind(loopback(), LIMITS).unwrap().local_address().unwrap();
-    let error = Report::from(connect(address, LIMITS).await.unwrap_err());
+    let error = connect(address, LIMITS).await.unwrap_err();
+    assert_eq!(format!("{error:#}"), format!("connecting to {address}: Connection refused (os error 111)"));
+    let error = Report::from(error);
     assert_eq!(format!("{error:#}"), format!("connecting to {address}: Connection refused (os error 111)"));
 }
 
--- a/crates/pebblepost-link/tests/link.rs
+++ b/crates/pebblepost-link/tests/link.rs
@@ -1,6 +1,7 @@
 //! Links over real loopback sockets.
 
-use eyre::Result;
+#![expect(clippy::unwrap_used, reason = "a panic fails the test")]
+
 use nanoserde::{DeBin, SerBin};
 use pebblepost_link::{LinkLimits, Listener, Receiver, Sender, connect};
 use rstest::rstest;
@@ -19,13 +20,13 @@
 const PREAMBLE: &[u8] = b"pbplink1";
 
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
-struct Note {
+struct Message {
     number: u64,
     body: Vec<u8>,
 }
 
-fn note(number: u64, length: usize) -> Note {
-    Note { number, body: (0..length).map(|index| (index % 251) as u8).collect() }
+fn message(number: u64, length: usize) -> Message {
+    Message { number, body: (0..length).map(|index| (index % 251) as u8).collect() }
 }
 
 fn loopback() -> SocketAddr {
@@ -44,7 +45,7 @@
     Ends { left: left.unwrap(), right: right.unwrap() }
 }
 
-/// A link whose other end writes bytes of its own.
+/// A link whose other end is a plain socket.
 async fn raw_end(limits: LinkLimits) -> (TcpStream, Sender, Receiver) {
     let mut listener = Listener::bind(loopback(), limits).unwrap();
     let address = listener.local_address().unwrap();
@@ -54,7 +55,7 @@
 }
 
 async fn error_of(receiver: &mut Receiver) -> String {
-    receiver.receive::<Note>().await.unwrap_err().to_string()
+    receiver.receive::<Message>().await.unwrap_err().to_string()
 }
 
 fn frame(body: &[u8]) -> Vec<u8> {
@@ -65,19 +66,19 @@
 }
 
 #[tokio::test]
-async fn messages_of_all_sizes_arrive_whole_and_in_order_both_ways() {
+async fn messages_of_all_sizes_arrive_complete_and_in_order_both_ways() {
     let exchange = async {
         let mut ends = ends(LIMITS).await;
         let sizes = [0, 1, 3, 4096, 65_536, 100_000, 1_500_000, 2, 0];
         for (number, size) in sizes.into_iter().enumerate() {
-            assert!(ends.left.0.send(&note(number as u64, size)));
-            assert!(ends.right.0.send(&note(100 + number as u64, size)));
+            assert!(ends.left.0.send(&message(number as u64, size)));
+            assert!(ends.right.0.send(&message(100 + number as u64, size)));
         }
         for (number, size) in sizes.into_iter().enumerate() {
-            assert_eq!(ends.right.1.receive::<Note>().await.unwrap(), note(number as u64, size));
+            assert_eq!(ends.right.1.receive::<Message>().await.unwrap(), message(number as u64, size));
         }
         for (number, size) in sizes.into_iter().enumerate() {
-            assert_eq!(ends.left.1.receive::<Note>().await.unwrap(), note(100 + number as u64, size));
+            assert_eq!(ends.left.1.receive::<Message>().await.unwrap(), message(100 + number as u64, size));
         }
         assert_eq!((ends.left.0.queued_bytes(), ends.right.0.queued_bytes()), (0, 0));
     };
@@ -85,18 +86,18 @@
 }
 
 #[tokio::test]
-async fn a_call_that_is_dropped_loses_no_message() {
+async fn receiving_is_cancel_safe() {
     let exchange = async {
         let mut ends = ends(LIMITS).await;
         for number in 0..200 {
-            ends.left.0.send(&note(number, 5000));
+            ends.left.0.send(&message(number, 5000));
         }
         let mut expected = 0;
         while expected < 200 {
             tokio::select! {
                 biased;
-                received = ends.right.1.receive::<Note>() => {
-                    assert_eq!(received.unwrap(), note(expected, 5000));
+                received = ends.right.1.receive::<Message>() => {
+                    assert_eq!(received.unwrap(), message(expected, 5000));
                     expected += 1;
                 }
                 () = yield_now() => {}
@@ -107,24 +108,24 @@
 }
 
 #[tokio::test]
-async fn what_was_queued_before_the_close_still_arrives() {
+async fn closing_flushes_the_queue() {
     let exchange = async {
         let mut ends = ends(LIMITS).await;
-        ends.left.0.send(&note(1, 300_000));
+        ends.left.0.send(&message(1, 300_000));
         ends.left.0.close();
-        assert!(!ends.left.0.send(&note(2, 1)));
+        assert!(!ends.left.0.send(&message(2, 1)));
         assert!(ends.left.0.is_closed());
         assert!(error_of(&mut ends.left.1).await.ends_with("closed by this end"));
-        assert_eq!(ends.right.1.receive::<Note>().await.unwrap(), note(1, 300_000));
+        assert_eq!(ends.right.1.receive::<Message>().await.unwrap(), message(1, 300_000));
         assert!(error_of(&mut ends.right.1).await.ends_with(": closed by the other end"));
         assert!(ends.right.0.is_closed());
-        assert!(!ends.right.0.send(&note(3, 1)));
+        assert!(!ends.right.0.send(&message(3, 1)));
     };
     LocalSet::new().run_until(exchange).await;
 }
 
 #[tokio::test]
-async fn closing_wakes_a_receiver_that_waits() {
+async fn closing_wakes_a_waiting_receiver() {
     let exchange = async {
         let ends = ends(LIMITS).await;
         let (sender, mut receiver) = ends.left;
@@ -163,9 +164,9 @@
 async fn a_half_closed_link_ends_after_its_last_message() {
     let exchange = async {
         let (mut stream, sender, mut receiver) = raw_end(LIMITS).await;
-        stream.write_all(&frame(&note(7, 3).serialize_bin())).await.unwrap();
+        stream.write_all(&frame(&message(7, 3).serialize_bin())).await.unwrap();
         stream.shutdown().await.unwrap();
-        assert_eq!(receiver.receive::<Note>().await.unwrap(), note(7, 3));
+        assert_eq!(receiver.receive::<Message>().await.unwrap(), message(7, 3));
         assert!(error_of(&mut receiver).await.ends_with("closed by the other end"));
         assert!(sender.is_closed());
         let mut rest = Vec::new();
@@ -175,10 +176,10 @@
 }
 
 #[tokio::test]
-async fn an_end_in_the_middle_of_a_frame_is_told() {
+async fn an_end_inside_a_frame_is_reported() {
     let exchange = async {
         let (mut stream, _sender, mut receiver) = raw_end(LIMITS).await;
-        let bytes = frame(&note(7, 30).serialize_bin());
+        let bytes = frame(&message(7, 30).serialize_bin());
         stream.write_all(&bytes[..bytes.len() - 1]).await.unwrap();
         stream.shutdown().await.unwrap();
         assert!(error_of(&mut receiver).await.ends_with("in the middle of a frame"));
@@ -186,8 +187,8 @@
     LocalSet::new().run_until(exchange).await;
 }
 
-/// The body of a [`Note`] whose list says that it has `length` bytes.
-fn note_of_announced_length(length: u64) -> Vec<u8> {
+/// The body of a [`Message`] whose list announces `length` bytes.
+fn message_of_announced_length(length: u64) -> Vec<u8> {
     let mut body = 1u64.to_le_bytes().to_vec();
     body.extend_from_slice(&length.to_le_bytes());
     body
@@ -204,9 +205,9 @@
     frame(&[1, 2, 3]),
     "a frame of 3 bytes can't be read: Bin deserialize error at:0 wanted:8 bytes but max size is 3"
 )]
-#[case::long_body(frame(&[note(1, 1).serialize_bin(), vec![0, 0]].concat()), "a frame of 19 bytes has 2 too many")]
+#[case::long_body(frame(&[message(1, 1).serialize_bin(), vec![0, 0]].concat()), "a frame of 19 bytes has 2 too many")]
 #[case::impossible_length(
-    frame(&note_of_announced_length(u64::MAX)),
+    frame(&message_of_announced_length(u64::MAX)),
     "a frame of 16 bytes names an impossible length"
 )]
 #[case::empty_body(
@@ -214,7 +215,7 @@
     "a frame of 0 bytes can't be read: Bin deserialize error at:0 wanted:8 bytes but max size is 0"
 )]
 #[tokio::test]
-async fn garbage_closes_the_link(#[case] bytes: Vec<u8>, #[case] reason: &str) {
+async fn invalid_bytes_close_the_link(#[case] bytes: Vec<u8>, #[case] reason: &str) {
     let exchange = async {
         let (mut stream, sender, mut receiver) = raw_end(LIMITS).await;
         stream.write_all(&bytes).await.unwrap();
@@ -226,22 +227,22 @@
 }
 
 #[tokio::test]
-async fn a_message_that_the_other_end_would_refuse_is_not_sent() {
+async fn a_message_over_the_frame_limit_closes_the_link() {
     let exchange = async {
         let mut ends = ends(LinkLimits { max_frame_bytes: 1000, ..LIMITS }).await;
-        assert!(!ends.left.0.send(&note(1, 1000)));
+        assert!(!ends.left.0.send(&message(1, 1000)));
         assert!(error_of(&mut ends.left.1).await.ends_with("a message is over 1000 bytes"));
     };
     LocalSet::new().run_until(exchange).await;
 }
 
 #[tokio::test]
-async fn a_peer_that_does_not_read_gets_its_link_closed() {
+async fn a_full_send_queue_closes_the_link() {
     let exchange = async {
         let limits = LinkLimits { max_queued_bytes: 300_000, ..LIMITS };
         let mut ends = ends(limits).await;
         let mut sent = 0u64;
-        while ends.left.0.send(&note(sent, 50_000)) {
+        while ends.left.0.send(&message(sent, 50_000)) {
             assert!(ends.left.0.queued_bytes() <= limits.max_queued_bytes);
             sent += 1;
             yield_now().await;
@@ -255,18 +256,17 @@
 }
 
 #[tokio::test]
-async fn silence_closes_the_link_and_every_read_puts_it_off() {
+async fn the_read_timeout_restarts_with_every_read() {
     let exchange = async {
-        let silence = Duration::from_millis(1500);
-        let (mut stream, sender, mut receiver) =
-            raw_end(LinkLimits { read_timeout: silence, ..LIMITS }).await;
+        let read_timeout = Duration::from_millis(1500);
+        let (mut stream, sender, mut receiver) = raw_end(LinkLimits { read_timeout, ..LIMITS }).await;
         tokio::time::pause();
         stream.write_all(PREAMBLE).await.unwrap();
-        let bytes = frame(&note(7, 3).serialize_bin());
+        let bytes = frame(&message(7, 3).serialize_bin());
         for _ in 0..5 {
             tokio::time::advance(Duration::from_millis(1400)).await;
             stream.write_all(&bytes[PREAMBLE.len()..]).await.unwrap();
-            assert_eq!(receiver.receive::<Note>().await.unwrap(), note(7, 3));
+            assert_eq!(receiver.receive::<Message>().await.unwrap(), message(7, 3));
         }
         let last = tokio::time::Instant::now();
         assert!(error_of(&mut receiver).await.ends_with("nothing was read for 1500 ms"));
@@ -281,7 +281,7 @@
 async fn a_port_without_listener_is_an_error_with_the_address() {
     let refused = async {
         let address = Listener::bind(loopback(), LIMITS).unwrap().local_address().unwrap();
-        let result: Result<_> = connect(address, LIMITS).await;
+        let result = connect(address, LIMITS).await;
         assert_eq!(result.unwrap_err().to_string(), format!("connecting to {address}"));
     };
     LocalSet::new().run_until(refused).await;
