--- /dev/null
+++ b/crates/pebblepost-settings/src/model.rs
@@ -0,0 +1,73 @@
+//! Groups of settings.
+
+use std::time::Duration;
+
+/// Resource limits of a machine.
+#[derive(Clone, Debug)]
+pub struct MachineLimits {
+    /// Share of one processor core.
+    pub cpu_share: f64,
+    /// Memory of one process, in bytes.
+    pub memory_bytes: u64,
+    /// File descriptors of one process.
+    pub max_fds: usize,
+    /// Size of the data disk, in bytes; 0 for none.
+    pub disk_bytes: u64,
+}
+
+/// Failures that the system tolerates at the same time.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct FaultTolerance {
+    /// Number of machines.
+    pub machines: usize,
+    /// Number of zones.
+    pub zones: usize,
+    /// Number of regions.
+    pub regions: usize,
+}
+
+/// Time bounds set by the operators, as far as the programs use them.
+#[derive(Clone, Copy, Debug)]
+pub struct Bounds {
+    /// An acknowledgement is due within this time.
+    pub ack_timeout: Duration,
+    /// A draining transcriber keeps serving for this time.
+    pub drain_period: Duration,
+    /// Time from SIGTERM to SIGKILL: a graceful shutdown takes no longer.
+    pub shutdown_grace: Duration,
+    /// A new configuration is applied by every program within this time.
+    pub config_apply: Duration,
+    /// A restarted machine counts as failed until this time has passed: its replicas catch up.
+    pub catch_up: Duration,
+    /// An address may be reused after this time.
+    pub addr_reuse: Duration,
+    /// Batch jobs are retained for this time after their submission.
+    pub job_retention: Duration,
+    /// No request of a job runs later than this after its end was acknowledged.
+    pub cancel_timeout: Duration,
+    /// Lease duration: orders of two lease holders are at least this far apart.
+    pub lease: Duration,
+    /// Transcribers check fencing tokens.
+    pub fencing: bool,
+    /// An event of a stream is forwarded within this time after its creation.
+    pub forward_delay: Duration,
+}
+
+impl Default for Bounds {
+    /// The values of the example in the deployment guide.
+    fn default() -> Bounds {
+        Bounds {
+            ack_timeout: Duration::from_millis(4000),
+            drain_period: Duration::from_millis(2000),
+            shutdown_grace: Duration::from_secs(8),
+            config_apply: Duration::from_millis(2000),
+            catch_up: Duration::from_millis(4500),
+            addr_reuse: Duration::from_secs(2),
+            job_retention: Duration::from_secs(120),
+            cancel_timeout: Duration::from_millis(3000),
+            lease: Duration::from_millis(3000),
+            fencing: false,
+            forward_delay: Duration::from_millis(120),
+        }
+    }
+}
--- /dev/null
+++ b/crates/pebblepost-settings/src/parse.rs
@@ -0,0 +1,117 @@
+//! Parsing and validation of a settings file.
+
+use crate::error::{SettingsError, ValueError};
+use crate::section::Section;
+use crate::{Bounds, FaultTolerance, MachineLimits, Settings};
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// Ports of the range that the programs use: control, store and agent links, and membership.
+const PORTS_NEEDED: u16 = 4;
+const DEFAULT_HEARTBEAT: Duration = Duration::from_millis(1200);
+const DEFAULT_CPU_SHARE: f64 = 1.0;
+const DEFAULT_MEMORY_MB: f64 = 256.0;
+const DEFAULT_MAX_FDS: u64 = 1024;
+const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
+
+/// The settings of a TOML text; errors name it `file`.
+pub(crate) fn parse(text: &str, file: &str) -> Result<Settings, SettingsError> {
+    let table: toml::Table = text.parse().map_err(|error: toml::de::Error| SettingsError::InvalidToml {
+        file: file.to_owned(),
+        message: error.to_string(),
+    })?;
+    let root = Section::root(&table, file);
+    let listen = root.section("listen")?;
+    let zones = read_zones(&root.section("zones")?)?;
+    let zone = root.required_string("zone")?;
+    let region = match root.string("region")? {
+        Some(region) => region,
+        None => zones.get(&zone).cloned().unwrap_or_default(),
+    };
+    Ok(Settings {
+        node_name: root.required_string("node_name")?,
+        ip: root.required_ip("ip")?,
+        zone,
+        region,
+        port_range: read_port_range(&root)?,
+        seeds: root.addresses("seeds")?,
+        bootstrap: root.flag("bootstrap", false)?,
+        data_dir: root.string("data_dir")?.map(PathBuf::from),
+        heartbeat: read_heartbeat(&root)?,
+        zones,
+        listen_front: listen.address("front")?,
+        listen_ready: listen.address("ready")?,
+        listen_control: listen.address("control")?,
+        limits: read_limits(&root.section("limits")?)?,
+        tolerance: read_tolerance(&root.section("tolerate")?)?,
+        bounds: read_bounds(&root.section("bounds")?)?,
+    })
+}
+
+fn read_zones(section: &Section<'_>) -> Result<BTreeMap<String, String>, SettingsError> {
+    let mut zones = BTreeMap::new();
+    for zone in section.keys() {
+        zones.insert(zone.to_owned(), section.string(zone)?.unwrap_or_default());
+    }
+    Ok(zones)
+}
+
+fn read_port_range(root: &Section<'_>) -> Result<(u16, u16), SettingsError> {
+    let key = "port_range";
+    let (first, last) = root.port_pair(key)?;
+    if first > last {
+        return Err(root.invalid(key, ValueError::ReversedRange { first, last }));
+    }
+    if last - first < PORTS_NEEDED - 1 {
+        return Err(root.invalid(key, ValueError::RangeTooSmall { first, last, needed: PORTS_NEEDED }));
+    }
+    Ok((first, last))
+}
+
+fn read_heartbeat(root: &Section<'_>) -> Result<Duration, SettingsError> {
+    let key = "heartbeat_ms";
+    let heartbeat = root.milliseconds(key, DEFAULT_HEARTBEAT)?;
+    if heartbeat.is_zero() {
+        return Err(root.invalid(key, ValueError::Zero));
+    }
+    Ok(heartbeat)
+}
+
+fn read_limits(section: &Section<'_>) -> Result<MachineLimits, SettingsError> {
+    Ok(MachineLimits {
+        cpu_share: section.number("cpu_share", DEFAULT_CPU_SHARE)?,
+        memory_bytes: to_bytes(section.number("memory_mb", DEFAULT_MEMORY_MB)?),
+        max_fds: section.count("max_fds", DEFAULT_MAX_FDS)?,
+        disk_bytes: to_bytes(section.number("disk_mb", 0.0)?),
+    })
+}
+
+fn to_bytes(megabytes: f64) -> u64 {
+    (megabytes * BYTES_PER_MB) as u64
+}
+
+fn read_tolerance(section: &Section<'_>) -> Result<FaultTolerance, SettingsError> {
+    Ok(FaultTolerance {
+        machines: section.count("machines", 0)?,
+        zones: section.count("zones", 0)?,
+        regions: section.count("regions", 0)?,
+    })
+}
+
+fn read_bounds(section: &Section<'_>) -> Result<Bounds, SettingsError> {
+    let default = Bounds::default();
+    Ok(Bounds {
+        ack_timeout: section.milliseconds("ack_timeout_ms", default.ack_timeout)?,
+        drain_period: section.milliseconds("drain_ms", default.drain_period)?,
+        shutdown_grace: section.seconds("grace_s", default.shutdown_grace)?,
+        config_apply: section.milliseconds("config_apply_ms", default.config_apply)?,
+        catch_up: section.seconds("catch_up_s", default.catch_up)?,
+        addr_reuse: section.seconds("addr_reuse_s", default.addr_reuse)?,
+        job_retention: section.seconds("status_s", default.job_retention)?,
+        cancel_timeout: section.milliseconds("cancel_ms", default.cancel_timeout)?,
+        lease: section.milliseconds("lease_ms", default.lease)?,
+        fencing: section.flag("fencing", default.fencing)?,
+        forward_delay: section.milliseconds("pass_ms", default.forward_delay)?,
+    })
+}
--- a/crates/pebblepost-settings/tests/error_texts.rs
+++ b/crates/pebblepost-settings/tests/error_texts.rs
@@ -1,5 +1,7 @@
 //! Texts of rejected settings files, causes included, that `settings.rs` does not pin.
 
+#![expect(clippy::unwrap_used, reason = "a panic fails the test")]
+
 use eyre::Report;
 use pebblepost_settings::Settings;
 use rstest::rstest;
--- a/crates/pebblepost-settings/tests/settings.rs
+++ b/crates/pebblepost-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Reading and checking of the settings file.
+//! Parsing and validation of the settings file.
 
 use pebblepost_settings::Settings;
 use rstest::rstest;
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn numbers_may_be_whole_or_fractions() {
+fn accepts_integers_and_fractions() {
     let bounds = Settings::parse(EDGE, "local.toml").unwrap().bounds;
     assert_eq!(bounds.catch_up, Duration::from_millis(4700));
     assert_eq!(bounds.job_retention, Duration::from_secs(60));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn the_disk_folder_is_read_where_there_is_one() {
+fn reads_the_data_directory() {
     let text = format!("data_dir='/data/store'\n{SMALLEST}");
     let settings = Settings::parse(&text, "local.toml").unwrap();
     assert_eq!(settings.data_dir, Some(PathBuf::from("/data/store")));
@@ -123,7 +123,7 @@
     "heartbeat_ms='x'",
     "f.toml: `heartbeat_ms`: must be a number, is of type string"
 )]
-#[case::no_pause_between_heartbeats("heartbeat_ms=0", "f.toml: `heartbeat_ms`: must be above 0")]
+#[case::zero_heartbeat("heartbeat_ms=0", "f.toml: `heartbeat_ms`: must be above 0")]
 #[case::wrong_type_of_flag("bootstrap=1", "f.toml: `bootstrap`: must be true or false, is of type integer")]
 #[case::bad_ip("ip='10.1.0'", "f.toml: `ip`: '10.1.0' is not an IP address")]
 #[case::bad_seed("seeds=['10.0.0.1']", "f.toml: `seeds`: '10.0.0.1' is not an address with a port")]
@@ -134,7 +134,7 @@
     "f.toml: `port_range`: the range 7300 to 7302 has fewer than the 4 ports needed"
 )]
 #[case::one_port("port_range=[7300]", "f.toml: `port_range`: must be a list of two ports, has 1")]
-#[case::no_port("port_range=[7300,70000]", "f.toml: `port_range`: 70000 is not a port")]
+#[case::port_out_of_range("port_range=[7300,70000]", "f.toml: `port_range`: 70000 is not a port")]
 #[case::section_of_wrong_type("bounds=3", "f.toml: `bounds`: must be a table, is of type integer")]
 #[case::bad_listen("listen={front='x'}", "f.toml: `listen.front`: 'x' is not an address with a port")]
 #[case::negative("bounds={drain_ms=-1}", "f.toml: `bounds.drain_ms`: must not be negative, is -1")]
@@ -142,14 +142,15 @@
 #[case::not_a_number("limits={cpu_share=nan}", "f.toml: `limits.cpu_share`: must be finite, is NaN")]
 #[case::too_long("bounds={grace_s=1e300}", "f.toml: `bounds.grace_s`: is too long a time")]
 #[case::negative_count("tolerate={machines=-1}", "f.toml: `tolerate.machines`: must not be negative, is -1")]
-#[case::half_a_machine(
+#[case::fractional_count(
     "tolerate={machines=0.5}",
     "f.toml: `tolerate.machines`: must be a whole number, is of type float"
 )]
-fn an_error_names_file_and_key(#[case] line: &str, #[case] error: &str) {
+fn an_error_names_the_file_and_the_key(#[case] line: &str, #[case] error: &str) {
     let key = line.split('=').next().unwrap();
-    let others: Vec<&str> = SMALLEST.lines().filter(|other| !other.starts_with(&format!("{key}="))).collect();
-    let text = format!("{}\n{line}\n", others.join("\n"));
+    let other_lines: Vec<&str> =
+        SMALLEST.lines().filter(|other| !other.starts_with(&format!("{key}="))).collect();
+    let text = format!("{}\n{line}\n", other_lines.join("\n"));
     assert_eq!(Settings::parse(&text, "f.toml").unwrap_err().to_string(), error);
 }
 
@@ -159,13 +160,14 @@
 #[case("zone")]
 #[case("port_range")]
 fn a_missing_key_is_named(#[case] key: &str) {
-    let others: Vec<&str> = SMALLEST.lines().filter(|other| !other.starts_with(&format!("{key}="))).collect();
-    let error = Settings::parse(&others.join("\n"), "f.toml").unwrap_err();
+    let other_lines: Vec<&str> =
+        SMALLEST.lines().filter(|other| !other.starts_with(&format!("{key}="))).collect();
+    let error = Settings::parse(&other_lines.join("\n"), "f.toml").unwrap_err();
     assert_eq!(error.to_string(), format!("f.toml: `{key}`: is missing"));
 }
 
 #[test]
-fn a_text_that_is_no_toml_is_refused_with_the_file() {
+fn rejects_invalid_toml_with_the_name_of_the_file() {
     let error = Settings::parse("node_name = ", "f.toml").unwrap_err();
     assert!(error.to_string().starts_with("f.toml: not valid TOML:"), "{error}");
 }
--- a/crates/pebblepost-system/src/main.rs
+++ b/crates/pebblepost-system/src/main.rs
@@ -48,7 +48,7 @@
             0
         }
         Err(error) => {
-            eprintln!("error: {}", one_line(&error));
+            eprintln!("error: {}", one_line(&error.into()));
             BAD_USAGE
         }
     }
