--- a/crates/pebblepost-link/src/state.rs
+++ b/crates/pebblepost-link/src/state.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use tokio::sync::Notify;
 
-/// Phase in the life of a link; it only goes forward.
+/// Phase of a link; it only goes forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Both halves work.
--- a/crates/pebblepost-messages/tests/encodings.rs
+++ b/crates/pebblepost-messages/tests/encodings.rs
@@ -192,8 +192,8 @@
     ];
     encodings
         .add("to_store.outcomes", &ToStore::Outcomes { store_group, job: job_id(), lease: 12, outcomes });
-    let held = ActiveLease { store_group, job: job_id(), items: vec!["i1".into(), "i2".into()] };
-    encodings.add("to_store.holding", &ToStore::ActiveLeases(vec![held]));
+    let active_lease = ActiveLease { store_group, job: job_id(), items: vec!["i1".into(), "i2".into()] };
+    encodings.add("to_store.holding", &ToStore::ActiveLeases(vec![active_lease]));
     encodings.add("to_store.keep_alive", &ToStore::KeepAlive);
     encodings.add("to_store.peer_hello", &ToStore::PeerHello { member: member() });
     let replication = ToStore::Replication { to: DiskId(2), store_group, message: vec![5, 6] };
--- a/crates/pebblepost-transcriber/src/connection.rs
+++ b/crates/pebblepost-transcriber/src/connection.rs
@@ -1,8 +1,7 @@
-//! One connection to a transcriber, driven by whoever uses it.
+//! One connection to a transcriber, driven by its user.
 //!
-//! There is no task for a connection: the future that waits for an answer polls the connection as
-//! well. Dropping that future closes the connection, and one turn of the loop carries a request
-//! out or an answer in.
+//! A connection has no task: the future that waits for a response polls the connection as well. Dropping that future
+//! closes the connection, and no message is passed between tasks for a request or response.
 
 use crate::request::WireRequest;
 use bytes::Bytes;
@@ -19,21 +18,22 @@
 use std::time::Duration;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// A machine that acknowledges nothing for so long is taken for dead.
-const USER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Most bytes of an answer that wait to be read.
-const MOST_BUFFERED_BYTES: usize = 64 * 1024;
+/// A connection whose bytes stay unacknowledged for this long is closed (`TCP_USER_TIMEOUT`).
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Read buffer of a connection.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// A connection on which one exchange at a time takes place.
+/// A connection for one exchange at a time.
 pub(crate) struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     driver: http1::Connection<TokioIo<TcpStream>, Full<Bytes>>,
-    finished: bool,
+    /// The driver has ended: it must not be polled again.
+    is_closed: bool,
 }
 
-/// Why an exchange brought no head of an answer.
+/// Why an exchange returned no head of a response.
 pub(crate) enum ExchangeError {
-    /// Not a byte was written; the request is handed back.
+    /// No byte was written; the request is returned.
     NotWritten(Box<WireRequest>),
     /// Bytes may have been written.
     Broken,
@@ -47,49 +47,49 @@
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
         socket.set_nodelay(true)?;
-        SockRef::from(&socket).set_tcp_user_timeout(Some(USER_TIMEOUT))?;
+        SockRef::from(&socket).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
         let stream = socket.connect(address).await?;
         let (sender, driver) = http1::Builder::new()
-            .max_buf_size(MOST_BUFFERED_BYTES)
+            .max_buf_size(MAX_BUFFERED_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
-        Ok(Connection { sender, driver, finished: false })
+        Ok(Connection { sender, driver, is_closed: false })
     }
 
-    /// Reads and writes what can be read and written.
+    /// Does the pending input and output.
     fn drive(&mut self, context: &mut Context<'_>) {
-        if self.finished {
+        if self.is_closed {
             return;
         }
         if let Poll::Ready(end) = Pin::new(&mut self.driver).poll(context) {
-            self.finished = true;
+            self.is_closed = true;
             if let Err(error) = end {
-                log::debug!("connection to a transcriber ended: {error}");
+                log::debug!("connection to transcriber ended: {error}");
             }
         }
     }
 
-    /// Whether another request may be sent: the last answer came whole, the peer has not closed,
-    /// and nothing lies unread.
+    /// Whether another request may be sent: the last response is complete, the peer has not closed the connection,
+    /// and there are no unread bytes.
     pub(crate) async fn is_reusable(&mut self) -> bool {
         poll_fn(|context| {
             self.drive(context);
-            Poll::Ready(!self.finished && self.sender.is_ready())
+            Poll::Ready(!self.is_closed && self.sender.is_ready())
         })
         .await
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     pub(crate) async fn exchange(
         &mut self, request: WireRequest,
     ) -> Result<http::Response<Incoming>, ExchangeError> {
         let mut response = pin!(self.sender.try_send_request(request));
         let driver = &mut self.driver;
-        let finished = &mut self.finished;
+        let is_closed = &mut self.is_closed;
         let outcome = poll_fn(|context| {
-            if !*finished && Pin::new(&mut *driver).poll(context).is_ready() {
-                *finished = true;
+            if !*is_closed && Pin::new(&mut *driver).poll(context).is_ready() {
+                *is_closed = true;
             }
             response.as_mut().poll(context)
         })
@@ -100,7 +100,7 @@
         })
     }
 
-    /// Next frame of a body that comes on this connection; `None` at its complete end.
+    /// Next frame of a body on this connection; `None` at its end.
     pub(crate) fn poll_frame(
         &mut self, body: &mut Incoming, context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
--- a/crates/pebblepost-transcriber/src/events.rs
+++ b/crates/pebblepost-transcriber/src/event_parser.rs
@@ -1,9 +1,9 @@
-//! Incremental parser of `text/event-stream`.
+//! Incremental parser of `text/event-stream` (WHATWG HTML, section 9.2).
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event that is taken.
-const MOST_EVENT_BYTES: usize = 1024 * 1024;
+/// Largest event accepted.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// One event of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -12,52 +12,57 @@
     pub id: u64,
     /// Its data lines, joined by line feeds.
     pub data: Vec<u8>,
-    /// Version named in it, if it changes there.
+    /// Version of the weights from this event on, if it names one (`weight-versions`).
     pub weight_version: Option<u64>,
-    /// Its bytes as they came, the empty line at its end included.
+    /// Its bytes as received, with the empty line at its end.
     pub raw: Bytes,
 }
 
-/// Bytes that are no event of a transcriber's: no id, an id or a version that is no number, or
-/// too many bytes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// The bytes are not a valid event of a transcriber: the id is missing, the id or version is not a number, or the event
+/// is too large.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("invalid event")]
 pub struct InvalidEvent;
 
-/// Splits bytes into events. Lines end with LF or CRLF. What has neither an id nor data, such as
-/// comments, is no event by itself; it belongs to the raw bytes of the event that follows.
+/// Splits bytes into events. Lines end with LF or CRLF. Lines without an id or data, such as comments, are not an event
+/// by themselves; they belong to the raw bytes of the next one.
 #[derive(Debug, Default)]
 pub struct EventParser {
-    /// Bytes that came in one piece and were not yet looked at whole.
-    piece: Bytes,
-    /// The beginning of an event whose rest has not come yet.
-    beginning: BytesMut,
-    /// How much of `beginning` was searched; it ends at the start of a line.
+    /// Bytes received in one chunk, parsed without a copy while they contain complete events.
+    chunk: Bytes,
+    /// An event of which the end is not received yet.
+    partial: BytesMut,
+    /// Length of the part of `partial` that is searched for the end; it ends at the start of a line.
     searched: usize,
-    /// An id or data were seen in the searched part.
+    /// The searched part contains an id or data.
     has_field: bool,
 }
 
 impl EventParser {
-    /// Takes in more bytes.
+    /// Adds received bytes.
     pub fn feed(&mut self, bytes: Bytes) {
-        if self.piece.is_empty() && self.beginning.is_empty() {
-            self.piece = bytes;
+        if self.chunk.is_empty() && self.partial.is_empty() {
+            self.chunk = bytes;
             return;
         }
-        self.beginning.extend_from_slice(&std::mem::take(&mut self.piece));
-        self.beginning.extend_from_slice(&bytes);
+        self.partial.extend_from_slice(&std::mem::take(&mut self.chunk));
+        self.partial.extend_from_slice(&bytes);
     }
 
-    /// Next event, if all of it has come.
+    /// Next event, if it is complete.
+    ///
+    /// # Errors
+    ///
+    /// The bytes are not a valid event. The parser cannot be used any more.
     pub fn next_event(&mut self) -> Result<Option<StreamEvent>, InvalidEvent> {
-        if !self.beginning.is_empty() {
-            return self.next_in_beginning();
+        if !self.partial.is_empty() {
+            return self.next_in_partial();
         }
         let mut has_field = false;
-        match find_end(&self.piece, 0, &mut has_field) {
-            Search::End(end) => parse(self.piece.split_to(end)).map(Some),
+        match find_end(&self.chunk, 0, &mut has_field) {
+            Search::End(end) => parse(self.chunk.split_to(end)).map(Some),
             Search::Incomplete(searched) => {
-                self.beginning.extend_from_slice(&std::mem::take(&mut self.piece));
+                self.partial.extend_from_slice(&std::mem::take(&mut self.chunk));
                 self.searched = searched;
                 self.has_field = has_field;
                 self.check_size()
@@ -65,18 +70,18 @@
         }
     }
 
-    /// Whether a part of an event lies here: an id, data, or a line that was cut.
+    /// Whether an incomplete event is left: an id, data, or an incomplete line.
     pub fn is_inside_event(&self) -> bool {
-        let unread = self.beginning[self.searched..].iter().chain(&self.piece);
-        self.has_field || unread.clone().next().is_some_and(|first| *first != b':')
+        let unsearched = self.partial[self.searched..].iter().chain(&self.chunk);
+        self.has_field || unsearched.clone().next().is_some_and(|first| *first != b':')
     }
 
-    fn next_in_beginning(&mut self) -> Result<Option<StreamEvent>, InvalidEvent> {
-        match find_end(&self.beginning, self.searched, &mut self.has_field) {
+    fn next_in_partial(&mut self) -> Result<Option<StreamEvent>, InvalidEvent> {
+        match find_end(&self.partial, self.searched, &mut self.has_field) {
             Search::End(end) => {
-                let mut whole = std::mem::take(&mut self.beginning).freeze();
-                let event = whole.split_to(end);
-                self.piece = whole;
+                let mut bytes = std::mem::take(&mut self.partial).freeze();
+                let event = bytes.split_to(end);
+                self.chunk = bytes;
                 self.searched = 0;
                 self.has_field = false;
                 parse(event).map(Some)
@@ -89,18 +94,18 @@
     }
 
     fn check_size(&self) -> Result<Option<StreamEvent>, InvalidEvent> {
-        if self.beginning.len() > MOST_EVENT_BYTES { Err(InvalidEvent) } else { Ok(None) }
+        if self.partial.len() > MAX_EVENT_BYTES { Err(InvalidEvent) } else { Ok(None) }
     }
 }
 
 enum Search {
     /// The event ends before this offset.
     End(usize),
-    /// It does not end here; whole lines up to this offset were searched.
+    /// The event does not end here; complete lines up to this offset are searched.
     Incomplete(usize),
 }
 
-/// Looks for the empty line that ends an event.
+/// Searches for the empty line that ends an event, from the start of a line on.
 fn find_end(bytes: &[u8], from: usize, has_field: &mut bool) -> Search {
     let mut start = from;
     while let Some(length) = bytes[start..].iter().position(|byte| *byte == b'\n') {
@@ -118,7 +123,7 @@
     line.strip_suffix(b"\r").unwrap_or(line)
 }
 
-/// Reads the fields of a whole event.
+/// Parses the fields of a complete event.
 fn parse(raw: Bytes) -> Result<StreamEvent, InvalidEvent> {
     let mut id = None;
     let mut data: Option<Vec<u8>> = None;
--- a/crates/pebblepost-transcriber/src/stream.rs
+++ b/crates/pebblepost-transcriber/src/event_stream.rs
@@ -1,40 +1,44 @@
-//! Streams of events as they arrive from a transcriber.
+//! Event streams, as they arrive from a transcriber.
 
-use crate::events::{EventParser, StreamEvent};
+use crate::error::ClientError;
+use crate::event_parser::{EventParser, StreamEvent};
+use crate::model::{BufferedResponse, ResponseHead};
 use crate::pool::PooledConnection;
-use crate::{BufferedResponse, ClientError, ResponseHead};
+use crate::response::Framing;
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
 use hyper::body::Incoming;
 use std::fmt;
-use std::future::{Future, poll_fn};
+use std::future::poll_fn;
 use std::pin::Pin;
 use std::task::Poll;
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep};
 
-/// Answer to a request for a stream.
+const EVENT_STREAM: &str = "text/event-stream";
+
+/// Response to a request for a stream.
 #[derive(Debug)]
 pub enum StreamResponse {
-    /// A stream begins (a 2xx with `text/event-stream`).
+    /// A stream begins: the status is 2xx and the content type `text/event-stream`.
     Stream(ResponseHead, EventStream),
-    /// Any other answer, whole.
+    /// Any other response, complete.
     Whole(BufferedResponse),
 }
 
-/// A stream whose head has arrived. Dropping it closes the connection, and with that the run.
+/// A stream whose head has arrived. Dropping it closes the connection, which cancels the request.
 pub struct EventStream {
+    /// `None` once the stream has ended.
     source: Option<Source>,
     parser: EventParser,
-    silence: Option<Pin<Box<Sleep>>>,
+    read_timer: Option<Pin<Box<Sleep>>>,
 }
 
-/// Where the bytes of a stream come from.
+/// The connection and body of a stream.
 struct Source {
-    pooled: PooledConnection,
+    connection: PooledConnection,
     body: Incoming,
-    delimited: bool,
-    allowance: Option<Duration>,
+    framing: Framing,
 }
 
 impl fmt::Debug for EventStream {
@@ -43,68 +47,69 @@
     }
 }
 
-/// Whether an answer is a stream of events: a 2xx that says so.
+/// Whether a response is an event stream.
 pub(crate) fn is_event_stream(head: &ResponseHead) -> bool {
-    const EVENT_STREAM: &str = "text/event-stream";
     let content_type = head.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or("");
     let essence = content_type.split(';').next().unwrap_or("").trim();
     head.status.is_success() && essence.eq_ignore_ascii_case(EVENT_STREAM)
 }
 
 impl EventStream {
-    pub(crate) fn new(
-        pooled: PooledConnection, body: Incoming, delimited: bool, allowance: Option<Duration>,
-    ) -> EventStream {
-        let source = Source { pooled, body, delimited, allowance };
-        EventStream { source: Some(source), parser: EventParser::default(), silence: None }
+    pub(crate) fn new(connection: PooledConnection, body: Incoming, framing: Framing) -> EventStream {
+        let source = Source { connection, body, framing };
+        EventStream { source: Some(source), parser: EventParser::default(), read_timer: None }
     }
 
-    /// Next event; `None` at the complete end of the body. An error if the connection broke, fell
-    /// silent for `silence`, or brought bytes that are no event; the stream is over then.
-    pub async fn next(&mut self, silence: Duration) -> Result<Option<StreamEvent>, ClientError> {
-        let mut waiting = false;
+    /// Next event; `None` at the end of the stream.
+    ///
+    /// # Errors
+    ///
+    /// [`ClientError::MayHaveRun`] if the connection broke or the bytes are not a valid event,
+    /// [`ClientError::TimedOut`] if no event was complete within `read_timeout`. The stream has ended then.
+    pub async fn next(&mut self, read_timeout: Duration) -> Result<Option<StreamEvent>, ClientError> {
+        let mut timer_started = false;
         loop {
             match self.parser.next_event() {
                 Ok(Some(event)) => return Ok(Some(event)),
                 Ok(None) => {}
-                Err(_) => return Err(self.fail(ClientError::MayHaveRun)),
+                Err(_) => return Err(self.abort(ClientError::MayHaveRun)),
             }
             if self.source.is_none() {
                 return Ok(None);
             }
-            if !waiting {
-                self.start_timer(silence);
-                waiting = true;
+            if !timer_started {
+                self.start_timer(read_timeout);
+                timer_started = true;
             }
             match self.next_bytes().await {
                 Ok(Some(bytes)) => self.parser.feed(bytes),
-                Ok(None) => self.end().await?,
-                Err(failure) => return Err(self.fail(failure)),
+                Ok(None) => self.finish().await?,
+                Err(error) => return Err(self.abort(error)),
             }
         }
     }
 
     /// Closes the connection.
-    fn fail(&mut self, failure: ClientError) -> ClientError {
+    fn abort(&mut self, error: ClientError) -> ClientError {
         self.source = None;
         self.parser = EventParser::default();
-        failure
+        error
     }
 
-    fn start_timer(&mut self, silence: Duration) {
-        match &mut self.silence {
-            Some(timer) => timer.as_mut().reset(Instant::now() + silence),
-            None => self.silence = Some(Box::pin(sleep(silence))),
+    fn start_timer(&mut self, read_timeout: Duration) {
+        match &mut self.read_timer {
+            Some(timer) => timer.as_mut().reset(Instant::now() + read_timeout),
+            None => self.read_timer = Some(Box::pin(sleep(read_timeout))),
         }
     }
 
     /// Next bytes of the body; `None` at its end.
     async fn next_bytes(&mut self) -> Result<Option<Bytes>, ClientError> {
         let Some(source) = &mut self.source else { return Ok(None) };
-        let timer = &mut self.silence;
+        let timer = &mut self.read_timer;
         poll_fn(|context| {
             loop {
-                match source.pooled.connection.poll_frame(&mut source.body, context) {
+                match source.connection.connection.poll_frame(&mut source.body, context) {
                     Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
                         Ok(data) if !data.is_empty() => return Poll::Ready(Ok(Some(data))),
                         _ => continue,
@@ -122,13 +127,14 @@
         .await
     }
 
-    /// The body has ended: the connection may be used again if no event was cut.
-    async fn end(&mut self) -> Result<(), ClientError> {
+    /// At the end of the body, returns the connection to the pool. Fails if the end cannot be distinguished from a
+    /// broken connection, or is inside an event.
+    async fn finish(&mut self) -> Result<(), ClientError> {
         let Some(source) = self.source.take() else { return Ok(()) };
-        if !source.delimited || self.parser.is_inside_event() {
-            return Err(self.fail(ClientError::MayHaveRun));
+        if !source.framing.is_delimited || self.parser.is_inside_event() {
+            return Err(self.abort(ClientError::MayHaveRun));
         }
-        source.pooled.keep(source.allowance).await;
+        source.connection.release(source.framing.idle_limit).await;
         Ok(())
     }
 }
--- a/crates/pebblepost-transcriber/src/headers.rs
+++ b/crates/pebblepost-transcriber/src/headers.rs
@@ -1,14 +1,15 @@
-//! Headers that concern one connection only, and what a connection's reuse depends on.
+//! Hop-by-hop headers, and what they say about the reuse of a connection.
 
 use http::header::{CONNECTION, CONTENT_LENGTH, TE, TRAILER, TRANSFER_ENCODING, UPGRADE};
 use http::{HeaderMap, HeaderName, StatusCode};
 use std::time::Duration;
 
-/// `Keep-Alive` is told in whole seconds; the connection is given up this much earlier.
+const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
+/// `Keep-Alive` counts whole seconds; the connection is closed this much earlier, before the peer closes it.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Removes the headers that concern one connection only: `Connection` and those that it names,
-/// `Keep-Alive`, `TE`, `Trailer`, `Transfer-Encoding`, `Upgrade` and `Proxy-*`.
+/// Removes the hop-by-hop headers (RFC 9110, section 7.6.1): `Connection` and those that it names, `Keep-Alive`,
+/// `TE`, `Trailer`, `Transfer-Encoding`, `Upgrade` and `Proxy-*`.
 pub fn remove_connection_headers(headers: &mut HeaderMap) {
     if headers.contains_key(CONNECTION) {
         let named: Vec<HeaderName> = connection_options(headers)
@@ -22,7 +23,7 @@
     for name in [TE, TRAILER, TRANSFER_ENCODING, UPGRADE] {
         headers.remove(name);
     }
-    headers.remove("keep-alive");
+    headers.remove(KEEP_ALIVE);
     let proxy: Vec<HeaderName> =
         headers.keys().filter(|name| name.as_str().starts_with("proxy-")).cloned().collect();
     for name in proxy {
@@ -41,24 +42,24 @@
         .filter(|option| !option.is_empty())
 }
 
-/// Whether the peer closes the connection after this answer.
+/// Whether the peer closes the connection after this message.
 pub(crate) fn closes_connection(headers: &HeaderMap) -> bool {
     connection_options(headers).any(|option| option.eq_ignore_ascii_case("close"))
 }
 
-/// How long the connection may rest, by the peer's `Keep-Alive: timeout=N` and our own limit.
-/// `None` if it must not be used again.
-pub(crate) fn idle_allowance(headers: &HeaderMap, most: Duration) -> Option<Duration> {
+/// Longest time for which the connection may be idle, by the peer's `Keep-Alive: timeout=N` and our own limit. `None`
+/// if it must not be reused.
+pub(crate) fn idle_limit(headers: &HeaderMap, max_idle: Duration) -> Option<Duration> {
     if closes_connection(headers) {
         return None;
     }
-    let Some(seconds) = keep_alive_seconds(headers) else { return Some(most) };
-    Duration::from_secs(seconds).checked_sub(KEEP_ALIVE_MARGIN).map(|allowance| allowance.min(most))
+    let Some(seconds) = keep_alive_seconds(headers) else { return Some(max_idle) };
+    Duration::from_secs(seconds).checked_sub(KEEP_ALIVE_MARGIN).map(|limit| limit.min(max_idle))
 }
 
 /// The `timeout` parameter of `Keep-Alive`.
 fn keep_alive_seconds(headers: &HeaderMap) -> Option<u64> {
-    let value = headers.get("keep-alive")?.to_str().ok()?;
+    let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     value.split(',').find_map(|parameter| {
         let (name, seconds) = parameter.split_once('=')?;
         if !name.trim().eq_ignore_ascii_case("timeout") {
@@ -68,10 +69,10 @@
     })
 }
 
-/// Whether the end of the body can be told from a broken connection: it has a length or chunks,
-/// or there is no body by definition.
-pub(crate) fn is_delimited(status: StatusCode, headers: &HeaderMap, head_request: bool) -> bool {
-    head_request
+/// Whether the end of the body can be distinguished from a broken connection (RFC 9112, section 6.3): it has a length
+/// or chunks, or there is no body by definition.
+pub(crate) fn is_delimited(status: StatusCode, headers: &HeaderMap, is_head_request: bool) -> bool {
+    is_head_request
         || status == StatusCode::NO_CONTENT
         || status == StatusCode::NOT_MODIFIED
         || headers.contains_key(CONTENT_LENGTH)
--- a/crates/pebblepost-transcriber/src/pool.rs
+++ b/crates/pebblepost-transcriber/src/pool.rs
@@ -1,7 +1,7 @@
-//! Idle connections, by transcriber, and the bound on all connections to one transcriber.
+//! The connection pool: idle connections by transcriber, and the limit on all connections to one transcriber.
 
 use crate::connection::Connection;
-use crate::{ClientLimits, Target};
+use crate::model::Target;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -9,195 +9,207 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Expired connections of all transcribers are looked for this often, when the pool is used.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which expired connections of all transcribers are closed, while the pool is used.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// All connections to one transcriber.
+/// The connections to all transcribers.
+pub(crate) struct ConnectionPool {
+    targets: RefCell<HashMap<Target, Rc<TargetPool>>>,
+    last_sweep: Cell<Instant>,
+}
+
+/// The connections to one transcriber.
 #[derive(Default)]
-pub(crate) struct Host {
+struct TargetPool {
+    /// Idle connections, the last used at the end.
     idle: RefCell<Vec<IdleConnection>>,
-    open: Cell<usize>,
-    freed: Notify,
-    forgotten: Cell<bool>,
+    /// Slots in use: connections that are idle, in use or being established.
+    open_connections: Cell<usize>,
+    /// Wakes a waiting checkout: a connection is idle again, or a slot is free.
+    available: Notify,
+    /// The transcriber was removed from the pool: no further request is sent to it.
+    is_removed: Cell<bool>,
 }
 
 struct IdleConnection {
-    pooled: PooledConnection,
-    expires: Instant,
+    connection: PooledConnection,
+    expires_at: Instant,
 }
 
-/// A connection, counted among those of its transcriber until it is dropped.
-pub(crate) struct PooledConnection {
-    pub(crate) connection: Box<Connection>,
-    place: Place,
+/// One of the connections that a transcriber may have from this client; freed on drop.
+pub(crate) struct ConnectionSlot {
+    target: Rc<TargetPool>,
 }
 
-/// A place among the connections that a transcriber may have from us.
-pub(crate) struct Place {
-    host: Rc<Host>,
-}
-
-impl Drop for Place {
-    fn drop(&mut self) {
-        self.host.open.set(self.host.open.get().saturating_sub(1));
-        self.host.freed.notify_one();
-    }
+/// A connection in its slot.
+pub(crate) struct PooledConnection {
+    pub(crate) connection: Box<Connection>,
+    slot: ConnectionSlot,
 }
 
-/// What the pool gives to someone who wants a connection.
-pub(crate) enum Lot {
-    /// A connection that was used before.
+/// Outcome of a checkout.
+pub(crate) enum Checkout {
+    /// An idle connection.
     Reused(PooledConnection),
-    /// A place for a new one.
-    Free(Place, NewConnection),
-    /// The transcriber was forgotten while the caller waited.
-    Forgotten,
+    /// A slot for a new connection.
+    Connect(ConnectionSlot, ConnectReason),
+    /// The transcriber was removed while the caller waited.
+    TargetRemoved,
 }
 
 /// Why a new connection is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NewConnection {
-    /// There is none to this transcriber.
-    First,
-    /// All that there are carry a request.
-    Further,
-    /// Those that rested can't be used any more.
-    Renewed,
+pub(crate) enum ConnectReason {
+    /// There is no connection to this transcriber.
+    Initial,
+    /// All connections are in use.
+    Additional,
+    /// The idle connections are expired or closed.
+    Replacement,
 }
 
-impl Place {
-    /// Puts a connection into this place.
-    pub(crate) fn hold(self, connection: Connection) -> PooledConnection {
-        PooledConnection { connection: Box::new(connection), place: self }
+impl Drop for ConnectionSlot {
+    fn drop(&mut self) {
+        let open_connections = &self.target.open_connections;
+        open_connections.set(open_connections.get().saturating_sub(1));
+        self.target.available.notify_one();
+    }
+}
+
+impl ConnectionSlot {
+    /// Puts a new connection into this slot.
+    pub(crate) fn fill(self, connection: Connection) -> PooledConnection {
+        PooledConnection { connection: Box::new(connection), slot: self }
     }
 }
 
 impl PooledConnection {
-    /// Whether the transcriber was forgotten since the place was taken: nothing more goes there.
-    pub(crate) fn is_forgotten(&self) -> bool {
-        self.place.host.forgotten.get()
+    /// Whether the transcriber was removed since the slot was acquired.
+    pub(crate) fn is_target_removed(&self) -> bool {
+        self.slot.target.is_removed.get()
     }
 
-    /// Gives the connection up, for a new one in its place.
-    pub(crate) fn into_place(self) -> Place {
-        self.place
+    /// Closes the connection and keeps its slot for a new one.
+    pub(crate) fn into_slot(self) -> ConnectionSlot {
+        self.slot
     }
 
-    /// Keeps the connection for the next request, unless it can't be used again.
-    pub(crate) async fn keep(mut self, allowance: Option<Duration>) {
-        let Some(allowance) = allowance else { return };
+    /// Returns the connection to the pool, where it stays for at most `idle_limit`; closes it if there is no limit or
+    /// it cannot be reused.
+    pub(crate) async fn release(mut self, idle_limit: Option<Duration>) {
+        let Some(idle_limit) = idle_limit else { return };
         if !self.connection.is_reusable().await {
             return;
         }
-        let host = self.place.host.clone();
-        if host.forgotten.get() {
+        let target = self.slot.target.clone();
+        if target.is_removed.get() {
             return;
         }
-        let expires = Instant::now() + allowance;
-        host.idle.borrow_mut().push(IdleConnection { pooled: self, expires });
-        host.freed.notify_one();
+        let expires_at = Instant::now() + idle_limit;
+        target.idle.borrow_mut().push(IdleConnection { connection: self, expires_at });
+        target.available.notify_one();
     }
 }
 
-impl Host {
-    /// The connection used last, if it still may be used.
-    async fn take_idle(&self) -> Result<PooledConnection, NewConnection> {
-        let mut reason = if self.open.get() == 0 { NewConnection::First } else { NewConnection::Further };
+impl TargetPool {
+    /// The last used idle connection that is still usable, else the reason for a new one.
+    async fn take_idle(&self) -> Result<PooledConnection, ConnectReason> {
+        let mut reason = match self.open_connections.get() {
+            0 => ConnectReason::Initial,
+            _ => ConnectReason::Additional,
+        };
         loop {
             let Some(mut idle) = self.idle.borrow_mut().pop() else { return Err(reason) };
-            if idle.expires > Instant::now() && idle.pooled.connection.is_reusable().await {
-                return Ok(idle.pooled);
+            if idle.expires_at > Instant::now() && idle.connection.connection.is_reusable().await {
+                return Ok(idle.connection);
             }
-            reason = NewConnection::Renewed;
+            reason = ConnectReason::Replacement;
         }
     }
 
-    /// Drops the connections that have rested too long.
-    fn expire(&self, now: Instant) {
+    fn close_expired(&self, now: Instant) {
+        // Dropped after the borrow ends: the drop frees slots.
         let expired: Vec<IdleConnection> =
-            self.idle.borrow_mut().extract_if(.., |idle| idle.expires <= now).collect();
+            self.idle.borrow_mut().extract_if(.., |idle| idle.expires_at <= now).collect();
         drop(expired);
     }
 
-    /// Drops all idle connections.
-    fn clear(&self) {
+    fn close_idle(&self) {
         let idle = std::mem::take(&mut *self.idle.borrow_mut());
         drop(idle);
     }
 }
 
-/// The connections to all transcribers.
-pub(crate) struct Pool {
-    hosts: RefCell<HashMap<Target, Rc<Host>>>,
-    swept: Cell<Instant>,
-}
-
-impl Pool {
-    pub(crate) fn new() -> Pool {
-        Pool { hosts: RefCell::default(), swept: Cell::new(Instant::now()) }
+impl ConnectionPool {
+    /// An empty pool.
+    pub(crate) fn new() -> ConnectionPool {
+        ConnectionPool { targets: RefCell::default(), last_sweep: Cell::new(Instant::now()) }
     }
 
-    /// An idle connection, or a place for a new one; waits while all places are taken.
-    pub(crate) async fn checkout(&self, target: &Target, limits: ClientLimits) -> Lot {
+    /// An idle connection, or a slot for a new one. Waits while all slots are in use.
+    pub(crate) async fn checkout(&self, target: &Target, max_connections: usize) -> Checkout {
         self.sweep();
-        let host = self.host(target);
+        let pool = self.target_pool(target);
         loop {
-            let reason = match host.take_idle().await {
-                Ok(pooled) => return Lot::Reused(pooled),
+            let reason = match pool.take_idle().await {
+                Ok(connection) => return Checkout::Reused(connection),
                 Err(reason) => reason,
             };
-            if host.open.get() < limits.max_connections_per_transcriber.max(1) {
-                host.open.set(host.open.get() + 1);
-                return Lot::Free(Place { host }, reason);
+            if pool.open_connections.get() < max_connections.max(1) {
+                pool.open_connections.set(pool.open_connections.get() + 1);
+                return Checkout::Connect(ConnectionSlot { target: pool }, reason);
             }
-            host.freed.notified().await;
-            if host.forgotten.get() {
-                // The next in line is told as well.
-                host.freed.notify_one();
-                return Lot::Forgotten;
+            pool.available.notified().await;
+            if pool.is_removed.get() {
+                // Wakes the next waiting checkout.
+                pool.available.notify_one();
+                return Checkout::TargetRemoved;
             }
         }
     }
 
-    /// Closes the idle connections to a transcriber; those in use are closed after their answer.
-    /// Calls that wait for a connection, or for it to come up, are not sent any more.
-    pub(crate) fn forget(&self, target: &Target) {
-        let host = self.hosts.borrow_mut().remove(target);
-        if let Some(host) = host {
-            host.forgotten.set(true);
-            host.clear();
-            host.freed.notify_one();
+    /// Removes a transcriber: closes its idle connections, and those in use after their response. Calls that wait for
+    /// a connection to it, or for its establishment, are not sent.
+    pub(crate) fn remove(&self, target: &Target) {
+        let pool = self.targets.borrow_mut().remove(target);
+        if let Some(pool) = pool {
+            pool.is_removed.set(true);
+            pool.close_idle();
+            pool.available.notify_one();
         }
     }
 
-    fn host(&self, target: &Target) -> Rc<Host> {
-        if let Some(host) = self.hosts.borrow().get(target) {
-            return host.clone();
+    fn target_pool(&self, target: &Target) -> Rc<TargetPool> {
+        if let Some(pool) = self.targets.borrow().get(target) {
+            return pool.clone();
         }
-        let host = Rc::new(Host::default());
-        self.hosts.borrow_mut().insert(target.clone(), host.clone());
-        host
+        let pool = Rc::new(TargetPool::default());
+        self.targets.borrow_mut().insert(target.clone(), pool.clone());
+        pool
     }
 
+    /// Closes expired connections and drops the pools of transcribers without connections or callers.
     fn sweep(&self) {
         let now = Instant::now();
-        if now < self.swept.get() + SWEEP_EVERY {
+        if now < self.last_sweep.get() + SWEEP_INTERVAL {
             return;
         }
-        self.swept.set(now);
-        let hosts: Vec<Rc<Host>> = self.hosts.borrow().values().cloned().collect();
-        for host in hosts {
-            host.expire(now);
+        self.last_sweep.set(now);
+        let pools: Vec<Rc<TargetPool>> = self.targets.borrow().values().cloned().collect();
+        for pool in pools {
+            pool.close_expired(now);
         }
-        self.hosts.borrow_mut().retain(|_, host| Rc::strong_count(host) > 1 || host.open.get() > 0);
+        self.targets
+            .borrow_mut()
+            .retain(|_, pool| Rc::strong_count(pool) > 1 || pool.open_connections.get() > 0);
     }
 }
 
-impl Drop for Pool {
+impl Drop for ConnectionPool {
     fn drop(&mut self) {
-        for host in self.hosts.get_mut().values() {
-            host.forgotten.set(true);
-            host.clear();
+        for pool in self.targets.get_mut().values() {
+            pool.is_removed.set(true);
+            pool.close_idle();
         }
     }
 }
--- a/crates/pebblepost-transcriber/src/request.rs
+++ b/crates/pebblepost-transcriber/src/request.rs
@@ -1,6 +1,7 @@
-//! Building of the request that goes out on a connection.
+//! Building of the request that is written to a connection.
 
-use crate::{ClientError, OutgoingRequest, Target};
+use crate::error::ClientError;
+use crate::model::{OutgoingRequest, Target};
 use bytes::Bytes;
 use http::header::{CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Request, Uri};
@@ -10,10 +11,14 @@
 const TARGET_INSTANCE: HeaderName = HeaderName::from_static("target-instance");
 const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
 
-/// A request in the type that `hyper` sends.
+/// Capacity for the headers of a request without an id, those that [`build`] adds included.
+const HEADERS_WITHOUT_ID: usize = 6;
+
+/// A request in the type of `hyper`.
 pub(crate) type WireRequest = Request<Full<Bytes>>;
 
-/// Builds the request; all but its deadline, which [`set_deadline`] adds when it is written.
+/// Builds the request without its deadline, which [`set_deadline`] adds at the time of writing. Fails with
+/// [`ClientError::NotSent`] if the path or the instance cannot be sent.
 pub(crate) fn build(target: &Target, outgoing: OutgoingRequest) -> Result<WireRequest, ClientError> {
     let OutgoingRequest { method, path, mut headers, body, .. } = outgoing;
     let uri = Uri::try_from(path).map_err(|_| ClientError::NotSent)?;
@@ -21,7 +26,7 @@
     headers.insert(TARGET_INSTANCE, instance);
     headers.remove(TRANSFER_ENCODING);
     headers.remove(CONTENT_LENGTH);
-    if has_length(&method, &body) {
+    if has_content_length(&method, &body) {
         headers.insert(CONTENT_LENGTH, HeaderValue::from(body.len()));
     }
     let mut request = Request::new(Full::new(body));
@@ -31,22 +36,22 @@
     Ok(request)
 }
 
-/// Whether a request tells the length of its body, also where that is 0.
-fn has_length(method: &Method, body: &Bytes) -> bool {
+/// Whether the request carries `Content-Length`: it has a body, or its method anticipates one (RFC 9110, section 8.6).
+fn has_content_length(method: &Method, body: &Bytes) -> bool {
     !body.is_empty() || matches!(*method, Method::POST | Method::PUT | Method::PATCH)
 }
 
-/// Sets `Deadline-Ms` to the time that is left.
-pub(crate) fn set_deadline(request: &mut WireRequest, left: Duration) {
-    let milliseconds = u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1);
+/// Sets `Deadline-Ms` to the time left, at least 1 ms.
+pub(crate) fn set_deadline(request: &mut WireRequest, time_left: Duration) {
+    let milliseconds = u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX).max(1);
     request.headers_mut().insert(DEADLINE_MS, HeaderValue::from(milliseconds));
 }
 
-/// A request of our own, such as one for a report; it carries no `Request-Id`.
-pub(crate) fn own(
+/// A request of the client's own, such as one for a load report: it carries no `Request-Id`.
+pub(crate) fn without_id(
     target: &Target, method: Method, path: &str, body: Bytes, deadline: Duration,
 ) -> OutgoingRequest {
-    let mut headers = HeaderMap::with_capacity(6);
+    let mut headers = HeaderMap::with_capacity(HEADERS_WITHOUT_ID);
     if let Ok(host) = HeaderValue::from_str(&target.address.to_string()) {
         headers.insert(HOST, host);
     }
--- a/crates/pebblepost-transcriber/tests/exchanges.rs
+++ b/crates/pebblepost-transcriber/tests/client/exchanges.rs
@@ -1,26 +1,24 @@
-//! Whole exchanges with scripted transcribers.
-
-mod support;
+//! Exchanges with scripted transcribers.
 
+use crate::support::{Scripted, Step, client, limits, outgoing, run};
 use http::StatusCode;
 use pebblepost_transcriber::{Client, ClientError, StreamResponse, Target};
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
-use support::{Scripted, Step, client, limits, outgoing, run};
 use tokio::sync::oneshot;
 
 const OK_A: &[u8] = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\nresponse-seal: s\r\ncontent-length: 2\r\n\r\nhi";
 const OK_B: &[u8] = b"HTTP/1.1 200 OK\r\nrequest-id: b\r\ncontent-length: 2\r\n\r\nho";
 
 #[test]
-fn a_request_goes_out_as_given_with_instance_deadline_and_length() {
+fn sends_a_request_unchanged_with_instance_deadline_and_length() {
     run(async {
         let server = Scripted::start(vec![vec![Step::Read, Step::Write(OK_A)]]).await;
-        let answer = client().send(&server.target(), outgoing("a")).await.unwrap();
-        assert_eq!(answer.head.status, StatusCode::OK);
-        assert_eq!(answer.head.headers["response-seal"], "s");
-        assert_eq!(&answer.body[..], b"hi");
+        let response = client().send(&server.target(), outgoing("a")).await.unwrap();
+        assert_eq!(response.head.status, StatusCode::OK);
+        assert_eq!(response.head.headers["response-seal"], "s");
+        assert_eq!(&response.body[..], b"hi");
         let approved = "POST /lohu930/2f?x=1 HTTP/1.1\nhost: ficu95.example\nrequest-id: a\n\
                         model: daka\ntarget-instance: i-1\ncontent-length: 3\n\
                         deadline-ms: (left)\n\nabc";
@@ -29,7 +27,7 @@
 }
 
 #[test]
-fn a_connection_is_used_again_after_a_whole_answer() {
+fn reuses_a_connection_after_a_complete_response() {
     run(async {
         let script = vec![Step::Read, Step::Write(OK_A), Step::Read, Step::Write(OK_B)];
         let server = Scripted::start(vec![script]).await;
@@ -42,13 +40,17 @@
 
 #[rstest]
 #[case::closing(b"HTTP/1.1 200 OK\r\nrequest-id: a\r\nconnection: close\r\ncontent-length: 0\r\n\r\n")]
-#[case::no_rest(b"HTTP/1.1 200 OK\r\nrequest-id: a\r\nkeep-alive: timeout=0\r\ncontent-length: 0\r\n\r\n")]
+#[case::keep_alive_of_zero(
+    b"HTTP/1.1 200 OK\r\nrequest-id: a\r\nkeep-alive: timeout=0\r\ncontent-length: 0\r\n\r\n"
+)]
 #[case::surplus_bytes(b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ncontent-length: 0\r\n\r\nHTTP/1.1 200 OK\r\n")]
-fn a_connection_is_not_used_again(#[case] answer: &'static [u8]) {
+fn does_not_reuse_a_connection(#[case] response: &'static [u8]) {
     run(async move {
-        let server =
-            Scripted::start(vec![vec![Step::Read, Step::Write(answer)], vec![Step::Read, Step::Write(OK_B)]])
-                .await;
+        let server = Scripted::start(vec![
+            vec![Step::Read, Step::Write(response)],
+            vec![Step::Read, Step::Write(OK_B)],
+        ])
+        .await;
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
         client.send(&server.target(), outgoing("b")).await.unwrap();
@@ -57,7 +59,7 @@
 }
 
 #[test]
-fn a_connection_on_which_something_lies_unread_is_not_used_again() {
+fn does_not_reuse_a_connection_with_unread_bytes() {
     run(async {
         let (late, wait_late) = oneshot::channel();
         let (written, wait_written) = oneshot::channel();
@@ -66,23 +68,23 @@
             Step::Write(OK_A),
             Step::Await(wait_late),
             Step::Write(OK_A),
-            Step::Tell(written),
+            Step::Notify(written),
         ];
         let server = Scripted::start(vec![first, vec![Step::Read, Step::Write(OK_B)]]).await;
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
         late.send(()).unwrap();
         wait_written.await.unwrap();
-        let answer = client.send(&server.target(), outgoing("b")).await.unwrap();
-        assert_eq!((&answer.body[..], client.metrics().connections), (&b"ho"[..], 2));
+        let response = client.send(&server.target(), outgoing("b")).await.unwrap();
+        assert_eq!((&response.body[..], client.metrics().connections), (&b"ho"[..], 2));
     });
 }
 
 #[test]
-fn a_connection_closed_while_idle_is_replaced_before_anything_is_sent() {
+fn replaces_a_connection_closed_while_idle_before_sending() {
     run(async {
-        let (told, closed) = oneshot::channel();
-        let first = vec![Step::Read, Step::Write(OK_A), Step::Tell(told), Step::Close];
+        let (notify, closed) = oneshot::channel();
+        let first = vec![Step::Read, Step::Write(OK_A), Step::Notify(notify), Step::Close];
         let server = Scripted::start(vec![first, vec![Step::Read, Step::Write(OK_B)]]).await;
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
@@ -96,16 +98,18 @@
 #[case::another_id(b"HTTP/1.1 200 OK\r\nrequest-id: z\r\ncontent-length: 0\r\n\r\n")]
 #[case::no_id(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")]
 #[case::encoded(b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ncontent-encoding: gzip\r\ncontent-length: 0\r\n\r\n")]
-#[case::cut_body(b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ncontent-length: 9\r\n\r\nhi")]
-#[case::cut_chunks(b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\n")]
+#[case::truncated_body(b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ncontent-length: 9\r\n\r\nhi")]
+#[case::truncated_chunks(
+    b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\n"
+)]
 #[case::no_length(b"HTTP/1.1 200 OK\r\nrequest-id: a\r\n\r\nhi")]
-#[case::no_answer(b"")]
+#[case::no_response(b"")]
 #[case::garbage(b"\x00\x01 no answer at all\r\n\r\n")]
 #[case::too_large(b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ncontent-length: 1001\r\n\r\n")]
-fn an_answer_that_is_not_whole_or_not_ours_may_have_run(#[case] answer: &'static [u8]) {
+fn an_incomplete_or_foreign_response_may_have_run(#[case] response: &'static [u8]) {
     run(async move {
         let server = Scripted::start(vec![
-            vec![Step::Read, Step::Write(answer), Step::Close],
+            vec![Step::Read, Step::Write(response), Step::Close],
             vec![Step::Read, Step::Write(OK_B)],
         ])
         .await;
@@ -118,31 +122,31 @@
 }
 
 #[test]
-fn a_body_in_chunks_is_read_whole() {
+fn reads_a_chunked_body() {
     run(async {
-        let answer = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ntransfer-encoding: chunked\r\n\r\n\
+        let response = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ntransfer-encoding: chunked\r\n\r\n\
                        2\r\nhi\r\n3\r\n you\r\n0\r\n\r\n";
-        let answer: &'static [u8] = Box::leak(answer.to_vec().into_boxed_slice());
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(answer)]]).await;
+        let response: &'static [u8] = Box::leak(response.to_vec().into_boxed_slice());
+        let server = Scripted::start(vec![vec![Step::Read, Step::Write(response)]]).await;
         let failure = client().send(&server.target(), outgoing("a")).await;
         assert_eq!(failure.unwrap_err(), ClientError::MayHaveRun, "a chunk longer than its length");
-        let answer = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ntransfer-encoding: chunked\r\n\r\n\
+        let response = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ntransfer-encoding: chunked\r\n\r\n\
                        2\r\nhi\r\n4\r\n you\r\n0\r\n\r\n";
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(answer)]]).await;
-        let answer = client().send(&server.target(), outgoing("a")).await.unwrap();
-        assert_eq!(&answer.body[..], b"hi you");
-        assert!(!answer.head.headers.contains_key("transfer-encoding"));
+        let server = Scripted::start(vec![vec![Step::Read, Step::Write(response)]]).await;
+        let response = client().send(&server.target(), outgoing("a")).await.unwrap();
+        assert_eq!(&response.body[..], b"hi you");
+        assert!(!response.head.headers.contains_key("transfer-encoding"));
     });
 }
 
 #[test]
-fn headers_of_the_connection_stay_here() {
+fn removes_hop_by_hop_headers_of_a_response() {
     run(async {
-        let answer = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\nconnection: keep-alive, x-hop\r\nx-hop: 1\r\n\
+        let response = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\nconnection: keep-alive, x-hop\r\nx-hop: 1\r\n\
                        keep-alive: timeout=5\r\nproxy-x: 1\r\nx-end: 2\r\ncontent-length: 0\r\n\r\n";
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(answer)]]).await;
-        let answer = client().send(&server.target(), outgoing("a")).await.unwrap();
-        let mut names: Vec<&str> = answer.head.headers.keys().map(|name| name.as_str()).collect();
+        let server = Scripted::start(vec![vec![Step::Read, Step::Write(response)]]).await;
+        let response = client().send(&server.target(), outgoing("a")).await.unwrap();
+        let mut names: Vec<&str> = response.head.headers.keys().map(|name| name.as_str()).collect();
         names.sort_unstable();
         assert_eq!(names, ["content-length", "request-id", "x-end"]);
     });
@@ -152,18 +156,18 @@
 #[case(b"HTTP/1.1 503 X\r\nrequest-id: a\r\nnot-executed: 1\r\ncontent-length: 0\r\n\r\n", true)]
 #[case(b"HTTP/1.1 421 X\r\nrequest-id: a\r\ncontent-length: 0\r\n\r\n", true)]
 #[case(b"HTTP/1.1 503 X\r\nrequest-id: a\r\ncontent-length: 0\r\n\r\n", false)]
-fn only_not_executed_and_421_say_that_it_did_not_run(
-    #[case] answer: &'static [u8], #[case] not_executed: bool,
+fn not_executed_and_421_state_that_the_request_did_not_run(
+    #[case] response: &'static [u8], #[case] not_executed: bool,
 ) {
     run(async move {
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(answer)]]).await;
-        let answer = client().send(&server.target(), outgoing("a")).await.unwrap();
-        assert_eq!(answer.head.not_executed, not_executed);
+        let server = Scripted::start(vec![vec![Step::Read, Step::Write(response)]]).await;
+        let response = client().send(&server.target(), outgoing("a")).await.unwrap();
+        assert_eq!(response.head.not_executed, not_executed);
     });
 }
 
 #[test]
-fn a_port_that_nobody_listens_on_was_not_sent_to() {
+fn a_refused_connection_means_not_sent() {
     run(async {
         let address: SocketAddr = {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -176,7 +180,7 @@
 }
 
 #[test]
-fn a_reset_after_the_request_may_have_run() {
+fn a_reset_after_the_request_means_may_have_run() {
     run(async {
         let server = Scripted::start(vec![vec![Step::Read, Step::Reset]]).await;
         let failure = client().send(&server.target(), outgoing("a")).await.unwrap_err();
@@ -185,10 +189,10 @@
 }
 
 #[test]
-fn silence_until_the_deadline_closes_the_connection() {
+fn the_deadline_closes_the_connection() {
     run(async {
-        let (told, closed) = oneshot::channel();
-        let server = Scripted::start(vec![vec![Step::Read, Step::AwaitClose(told)]]).await;
+        let (notify, closed) = oneshot::channel();
+        let server = Scripted::start(vec![vec![Step::Read, Step::AwaitClose(notify)]]).await;
         let request =
             pebblepost_transcriber::OutgoingRequest { deadline: Duration::from_millis(30), ..outgoing("a") };
         let failure = client().send(&server.target(), request).await.unwrap_err();
@@ -200,24 +204,26 @@
 #[test]
 fn dropping_a_call_closes_its_connection() {
     run(async {
-        let (told, closed) = oneshot::channel();
-        let (begun, wait_begun) = oneshot::channel();
-        let server = Scripted::start(vec![vec![Step::Read, Step::Tell(begun), Step::AwaitClose(told)]]).await;
+        let (notify, closed) = oneshot::channel();
+        let (started, wait_started) = oneshot::channel();
+        let server =
+            Scripted::start(vec![vec![Step::Read, Step::Notify(started), Step::AwaitClose(notify)]]).await;
         let client = client();
         let target = server.target();
         tokio::select! {
-            _ = client.send(&target, outgoing("a")) => panic!("no answer was sent"),
-            _ = wait_begun => {}
+            _ = client.send(&target, outgoing("a")) => panic!("no response was sent"),
+            _ = wait_started => {}
         }
         closed.await.unwrap();
     });
 }
 
 #[test]
-fn a_call_beyond_the_most_connections_waits_for_one() {
+fn a_call_over_the_connection_limit_waits_for_a_connection() {
     run(async {
-        let (go, wait_go) = oneshot::channel();
-        let script = vec![Step::Read, Step::Await(wait_go), Step::Write(OK_A), Step::Read, Step::Write(OK_B)];
+        let (release, wait_release) = oneshot::channel();
+        let script =
+            vec![Step::Read, Step::Await(wait_release), Step::Write(OK_A), Step::Read, Step::Write(OK_B)];
         let server = Scripted::start(vec![script]).await;
         let client = Client::new(pebblepost_transcriber::ClientLimits {
             max_connections_per_transcriber: 1,
@@ -231,7 +237,7 @@
                     ..outgoing("c")
                 };
                 let failure = client.send(&target, request).await.unwrap_err();
-                go.send(()).unwrap();
+                release.send(()).unwrap();
                 failure
             });
         assert_eq!(third, ClientError::NotSent);
@@ -241,10 +247,10 @@
 }
 
 #[test]
-fn a_report_is_asked_for_beside_connections_that_all_carry_requests() {
+fn a_load_report_exceeds_the_connection_limit_by_one() {
     run(async {
-        let (go, wait_go) = oneshot::channel();
-        let busy = vec![Step::Read, Step::Await(wait_go), Step::Write(OK_A)];
+        let (release, wait_release) = oneshot::channel();
+        let busy = vec![Step::Read, Step::Await(wait_release), Step::Write(OK_A)];
         let report = b"HTTP/1.1 200 OK\r\ncontent-length: 25\r\n\r\n{\"waiting\":0,\"running\":1}";
         let server = Scripted::start(vec![busy, vec![Step::Read, Step::Write(report)]]).await;
         let client = Client::new(pebblepost_transcriber::ClientLimits {
@@ -252,23 +258,27 @@
             ..limits()
         });
         let target = server.target();
-        let (answer, load) = tokio::join!(client.send(&target, outgoing("a")), async {
+        let (response, load) = tokio::join!(client.send(&target, outgoing("a")), async {
             let load = client.load_report(&target, Duration::from_secs(5)).await;
-            go.send(()).unwrap();
+            release.send(()).unwrap();
             load
         });
         assert_eq!(load.unwrap().unwrap().running, 1);
-        assert!(answer.is_ok());
-        let counts = client.metrics();
-        assert_eq!((counts.connections, counts.initial_connections, counts.replaced_connections), (2, 1, 0));
+        assert!(response.is_ok());
+        let metrics = client.metrics();
+        assert_eq!(
+            (metrics.connections, metrics.initial_connections, metrics.replaced_connections),
+            (2, 1, 0)
+        );
     });
 }
 
 #[test]
-fn a_forgotten_transcriber_has_its_idle_connections_closed() {
+fn removing_a_transcriber_closes_its_idle_connections() {
     run(async {
-        let (told, closed) = oneshot::channel();
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(OK_A), Step::AwaitClose(told)]]).await;
+        let (notify, closed) = oneshot::channel();
+        let server =
+            Scripted::start(vec![vec![Step::Read, Step::Write(OK_A), Step::AwaitClose(notify)]]).await;
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
         client.close_idle(&server.target());
@@ -277,11 +287,11 @@
 }
 
 #[test]
-fn calls_that_wait_for_a_connection_to_a_forgotten_transcriber_are_not_sent() {
+fn calls_waiting_for_a_connection_to_a_removed_transcriber_are_not_sent() {
     run(async {
-        let (begun, wait_begun) = oneshot::channel();
-        let (go, wait_go) = oneshot::channel();
-        let script = vec![Step::Read, Step::Tell(begun), Step::Await(wait_go), Step::Write(OK_A)];
+        let (started, wait_started) = oneshot::channel();
+        let (release, wait_release) = oneshot::channel();
+        let script = vec![Step::Read, Step::Notify(started), Step::Await(wait_release), Step::Write(OK_A)];
         let server = Scripted::start(vec![script]).await;
         let client = Client::new(pebblepost_transcriber::ClientLimits {
             max_connections_per_transcriber: 1,
@@ -293,9 +303,9 @@
             client.send(&target, outgoing("b")),
             client.send(&target, outgoing("c")),
             async {
-                wait_begun.await.unwrap();
+                wait_started.await.unwrap();
                 client.close_idle(&target);
-                go.send(()).unwrap();
+                release.send(()).unwrap();
             }
         );
         assert_eq!(&first.unwrap().body[..], b"hi", "what was sent is finished");
@@ -305,26 +315,26 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_to_a_forgotten_transcriber_carries_nothing() {
+fn a_connection_established_to_a_removed_transcriber_carries_nothing() {
     run(async {
         let server = Scripted::start(vec![vec![Step::Read, Step::Write(OK_A)]]).await;
         let client = client();
         let target = server.target();
-        let (answer, ()) = tokio::join!(client.send(&target, outgoing("a")), async {
+        let (response, ()) = tokio::join!(client.send(&target, outgoing("a")), async {
             client.close_idle(&target);
         });
-        assert_eq!(answer.unwrap_err(), ClientError::NotSent);
+        assert_eq!(response.unwrap_err(), ClientError::NotSent);
         assert!(server.requests().is_empty());
     });
 }
 
 #[test]
-fn an_idle_connection_is_given_up_before_the_transcriber_does() {
+fn an_idle_connection_expires_before_the_keep_alive_of_the_transcriber() {
     run(async {
-        let answer =
+        let response =
             b"HTTP/1.1 200 OK\r\nrequest-id: a\r\nkeep-alive: timeout=2\r\ncontent-length: 0\r\n\r\n";
-        let again = vec![Step::Read, Step::Write(answer), Step::Read, Step::Write(answer)];
-        let server = Scripted::start(vec![again, vec![Step::Read, Step::Write(answer)]]).await;
+        let again = vec![Step::Read, Step::Write(response), Step::Read, Step::Write(response)];
+        let server = Scripted::start(vec![again, vec![Step::Read, Step::Write(response)]]).await;
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
         tokio::time::pause();
@@ -341,7 +351,7 @@
 }
 
 #[test]
-fn a_report_and_an_order_carry_no_request_id() {
+fn load_reports_and_orders_carry_no_request_id() {
     run(async {
         let report = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 26\r\n\r\n\
                        {\"running\":12,\"waiting\":1}";
@@ -368,7 +378,7 @@
 }
 
 #[test]
-fn a_rejected_report_tells_the_load_that_stands_beside_it_or_none() {
+fn a_rejected_load_report_returns_the_load_of_its_header_or_none() {
     run(async {
         let with_load = b"HTTP/1.1 400 Bad Request\r\nnot-executed: 1\r\ninstance-load: 2,1,6\r\n\
                           content-length: 0\r\n\r\n";
@@ -383,7 +393,7 @@
 }
 
 #[test]
-fn a_surplus_answer_is_not_taken_for_a_report() {
+fn a_surplus_response_is_not_a_load_report() {
     run(async {
         let surplus = b"HTTP/1.1 200 OK\r\nrequest-id: old\r\ncontent-length: 2\r\n\r\n{}";
         let server = Scripted::start(vec![vec![Step::Read, Step::Write(surplus)]]).await;
@@ -393,7 +403,7 @@
 }
 
 #[test]
-fn a_surplus_report_is_not_taken_for_the_answer_to_an_order() {
+fn a_surplus_load_report_is_not_the_response_to_an_order() {
     run(async {
         let report = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 26\r\n\r\n\
                        {\"running\":12,\"waiting\":1}";
@@ -402,17 +412,17 @@
         let server = Scripted::start(vec![script]).await;
         let (client, target) = (client(), server.target());
         assert!(client.load_report(&target, Duration::from_secs(1)).await.is_ok());
-        let answer = client.order(&target, "{}".into(), Duration::from_secs(1)).await;
-        assert_eq!(answer, Err(ClientError::MayHaveRun), "whether the order was taken is not known");
+        let response = client.order(&target, "{}".into(), Duration::from_secs(1)).await;
+        assert_eq!(response, Err(ClientError::MayHaveRun), "whether the order was taken is not known");
     });
 }
 
 #[test]
-fn an_answer_that_is_no_stream_comes_whole() {
+fn a_response_that_is_not_a_stream_is_buffered() {
     run(async {
         let server = Scripted::start(vec![vec![Step::Read, Step::Write(OK_A)]]).await;
         match client().open_stream(&server.target(), outgoing("a")).await.unwrap() {
-            StreamResponse::Whole(answer) => assert_eq!(&answer.body[..], b"hi"),
+            StreamResponse::Whole(response) => assert_eq!(&response.body[..], b"hi"),
             StreamResponse::Stream(..) => panic!("no stream"),
         }
     });
--- /dev/null
+++ b/crates/pebblepost-transcriber/tests/client/main.rs
@@ -0,0 +1,7 @@
+//! The client against scripted transcribers over loopback.
+
+#![expect(clippy::unwrap_used, reason = "a panic fails the test")]
+
+mod exchanges;
+mod streams;
+mod support;
--- a/crates/pebblepost-transcriber/tests/support/mod.rs
+++ b/crates/pebblepost-transcriber/tests/client/support.rs
@@ -1,6 +1,4 @@
-//! Scripted transcribers over loopback.
-
-#![allow(dead_code)]
+//! Scripted transcribers over loopback, and requests to them.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
@@ -15,23 +13,23 @@
 
 /// What a scripted transcriber does on one connection, in order.
 pub enum Step {
-    /// Reads a whole request and keeps its text.
+    /// Reads a complete request and records its text.
     Read,
     /// Writes these bytes.
     Write(&'static [u8]),
-    /// Closes the connection in order.
+    /// Closes the connection.
     Close,
     /// Resets the connection.
     Reset,
-    /// Says nothing until the client closes, and tells that it did.
+    /// Writes nothing until the client closes the connection, then notifies the test.
     AwaitClose(oneshot::Sender<()>),
-    /// Waits until the test says so.
+    /// Waits for the test.
     Await(oneshot::Receiver<()>),
-    /// Tells the test that all before was done.
-    Tell(oneshot::Sender<()>),
+    /// Notifies the test that the steps before are done.
+    Notify(oneshot::Sender<()>),
 }
 
-/// A transcriber that plays one script for each connection that it accepts.
+/// A transcriber that runs one script for each connection that it accepts.
 pub struct Scripted {
     pub address: SocketAddr,
     requests: Rc<RefCell<Vec<String>>>,
@@ -47,7 +45,7 @@
         tokio::task::spawn_local(async move {
             for script in scripts {
                 let (stream, _) = listener.accept().await.unwrap();
-                tokio::task::spawn_local(play(stream, script, record.clone()));
+                tokio::task::spawn_local(run_script(stream, script, record.clone()));
             }
         });
         Scripted { address, requests }
@@ -57,13 +55,13 @@
         Target { instance: "i-1".to_owned(), address: self.address }
     }
 
-    /// The requests read so far, with `Deadline-Ms` left out of account.
+    /// The requests read so far, with the value of `Deadline-Ms` replaced.
     pub fn requests(&self) -> Vec<String> {
         self.requests.borrow().clone()
     }
 }
 
-async fn play(mut stream: TcpStream, script: Vec<Step>, record: Rc<RefCell<Vec<String>>>) {
+async fn run_script(mut stream: TcpStream, script: Vec<Step>, record: Rc<RefCell<Vec<String>>>) {
     for step in script {
         match step {
             Step::Read => match read_request(&mut stream).await {
@@ -80,17 +78,17 @@
                 stream.set_zero_linger().unwrap();
                 return;
             }
-            Step::AwaitClose(told) => {
+            Step::AwaitClose(notify) => {
                 let mut buffer = [0; 64];
                 while stream.read(&mut buffer).await.is_ok_and(|length| length > 0) {}
-                let _ = told.send(());
+                let _ = notify.send(());
                 return;
             }
             Step::Await(signal) => {
                 let _ = signal.await;
             }
-            Step::Tell(told) => {
-                let _ = told.send(());
+            Step::Notify(notify) => {
+                let _ = notify.send(());
             }
         }
     }
@@ -99,7 +97,7 @@
     while stream.read(&mut buffer).await.is_ok_and(|length| length > 0) {}
 }
 
-/// Reads a head and a body with a length; hides the digits of `deadline-ms`.
+/// Reads a head and a body with a length; replaces the value of `deadline-ms`.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     let head_end = loop {
--- a/crates/pebblepost-transcriber/tests/parsing.rs
+++ b/crates/pebblepost-transcriber/tests/parsing.rs
@@ -1,5 +1,7 @@
 //! Parsing of events, load and headers, without connections.
 
+#![expect(clippy::unwrap_used, reason = "a panic fails the test")]
+
 use bytes::Bytes;
 use http::{HeaderMap, HeaderValue};
 use pebblepost_transcriber::{EventParser, InvalidEvent, Load, StreamEvent};
@@ -18,11 +20,11 @@
 }
 
 #[test]
-fn events_are_the_same_however_the_bytes_are_cut() {
-    let mut whole = EventParser::default();
-    whole.feed(Bytes::from_static(STREAM.as_bytes()));
-    let expected = events(&mut whole);
-    assert!(!whole.is_inside_event());
+fn events_do_not_depend_on_the_chunks_of_bytes() {
+    let mut parser = EventParser::default();
+    parser.feed(Bytes::from_static(STREAM.as_bytes()));
+    let expected = events(&mut parser);
+    assert!(!parser.is_inside_event());
     let summary: Vec<_> =
         expected.iter().map(|event| (event.id, event.data.clone(), event.weight_version)).collect();
     assert_eq!(summary, [(4, b"a\nb".to_vec(), Some(3)), (5, b" c".to_vec(), None)]);
@@ -31,20 +33,20 @@
     for size in 1..STREAM.len() {
         let mut parser = EventParser::default();
         let mut found = Vec::new();
-        for piece in STREAM.as_bytes().chunks(size) {
-            parser.feed(Bytes::copy_from_slice(piece));
+        for chunk in STREAM.as_bytes().chunks(size) {
+            parser.feed(Bytes::copy_from_slice(chunk));
             found.extend(events(&mut parser));
         }
-        assert_eq!(found, expected, "in pieces of {size}");
+        assert_eq!(found, expected, "in chunks of {size}");
         assert!(!parser.is_inside_event());
     }
 }
 
 #[rstest]
 #[case::id_line("id: 1\n")]
-#[case::cut_line("id: 1\ndata: x\n\nda")]
+#[case::incomplete_line("id: 1\ndata: x\n\nda")]
 #[case::data("data: x\n")]
-fn a_part_of_an_event_is_seen(#[case] bytes: &'static str) {
+fn detects_an_incomplete_event(#[case] bytes: &'static str) {
     let mut parser = EventParser::default();
     parser.feed(Bytes::from_static(bytes.as_bytes()));
     events(&mut parser);
@@ -53,22 +55,22 @@
 
 #[rstest]
 #[case::no_id("data: x\n\n")]
-#[case::id_no_number("id: one\n\n")]
-#[case::version_no_number("weight-versions: x\nid: 1\n\n")]
-fn what_is_no_event_is_an_error(#[case] bytes: &'static str) {
+#[case::id_not_a_number("id: one\n\n")]
+#[case::version_not_a_number("weight-versions: x\nid: 1\n\n")]
+fn rejects_an_invalid_event(#[case] bytes: &'static str) {
     let mut parser = EventParser::default();
     parser.feed(Bytes::from_static(bytes.as_bytes()));
     assert_eq!(parser.next_event(), Err(InvalidEvent));
 }
 
 #[test]
-fn an_event_without_end_is_given_up() {
+fn rejects_an_event_over_the_size_limit() {
     let mut parser = EventParser::default();
-    let piece = Bytes::from(vec![b'x'; 64 * 1024]);
+    let chunk = Bytes::from(vec![b'x'; 64 * 1024]);
     let mut fed = 0;
     loop {
-        parser.feed(piece.clone());
-        fed += piece.len();
+        parser.feed(chunk.clone());
+        fed += chunk.len();
         match parser.next_event() {
             Ok(None) => assert!(fed <= 1024 * 1024),
             other => break assert_eq!(other, Err(InvalidEvent)),
@@ -81,13 +83,13 @@
 #[case(" 3 , 1 ", Some((3, 1, None)))]
 #[case("3", None)]
 #[case("x,1,2", None)]
-fn instance_load(#[case] value: &str, #[case] expected: Option<(u32, u32, Option<u32>)>) {
+fn parses_instance_load(#[case] value: &str, #[case] expected: Option<(u32, u32, Option<u32>)>) {
     let load = parse_instance_load(value).map(|load| (load.running, load.waiting, load.slots));
     assert_eq!(load, expected);
 }
 
 #[test]
-fn a_report_is_read_with_and_without_its_fields() {
+fn parses_a_load_report_with_and_without_its_fields() {
     let report =
         br#"{"stage":"both","models":[{"name":"daka","generation":2,"lora_adapters":[]},{"name":"x"}],
         "busy":true,"sequence":2,"waiting":1,"running":12,"kv_used":41000,"kv_total":90000,"handles":0}"#;
@@ -107,7 +109,7 @@
 }
 
 #[test]
-fn headers_of_one_connection_are_removed() {
+fn removes_hop_by_hop_headers() {
     let mut headers = HeaderMap::new();
     for name in
         ["te", "trailer", "transfer-encoding", "upgrade", "proxy-authorization", "keep-alive", "x", "y"]
