--- a/crates/pebblepost-configuration/src/lib.rs
+++ b/crates/pebblepost-configuration/src/lib.rs
@@ -1,5 +1,7 @@
 //! The operator's configuration: validation, patches and the routing table.
 //!
+//! The format of documents and patches is that of the protocol, section "The operator's API".
+//!
 //! The crate owns the JSON document of one generation and everything derived from it. A document is parsed and
 //! validated as `simd-json` values; fields that are not known are kept in the document and otherwise ignored.
 //! The crate never does I/O, holds no clock, and never distributes a configuration: `pebblepost-feed` does.
--- a/crates/pebblepost-configuration/src/model.rs
+++ b/crates/pebblepost-configuration/src/model.rs
@@ -13,7 +13,8 @@
     Rollout,
 }
 
-/// A route: which requests it matches, and the terms under which they are forwarded.
+/// A route: which requests it matches, and the terms under which they are forwarded (protocol, sections "Requests" and
+/// "Batch jobs").
 ///
 /// Defaults of absent fields: `timeout` 30 s, `target_latency` 1 s, `priority` 5, `max_attempts` 1,
 /// `run_deadline` 60 s, `queue_ttl` 1 h, flags false.
@@ -42,11 +43,11 @@
     pub priority: u32,
     /// Names of services with their weights; never empty, and the weights sum to more than 0.
     pub backends: Vec<(String, u64)>,
-    /// Most transcribers that one request may be sent to; at least 1.
+    /// Most transcribers that one request of a client may be sent to; at least 1. A client's retry is a new request.
     pub max_attempts: u32,
-    /// Batch jobs: time after submission by which results are due.
+    /// Batch jobs: time after the first submission by which results are due.
     pub run_deadline: Duration,
-    /// Batch jobs: time after submission from which on an item may be dead-lettered.
+    /// Batch jobs: time after the first submission from which on an item may be dead-lettered.
     pub queue_ttl: Duration,
     /// Batch jobs: the whole text of an item is made under one version of the weights.
     pub single_version: bool,
--- a/crates/pebblepost-messages/src/batch/job.rs
+++ b/crates/pebblepost-messages/src/batch/job.rs
@@ -41,9 +41,9 @@
     pub route: String,
     /// Host of the route.
     pub hostname: String,
-    /// Time after submission by which all results are due, in milliseconds.
+    /// Time after the first submission by which all results are due, in milliseconds.
     pub run_deadline_ms: u64,
-    /// Time after submission from which on an item may be dead-lettered, in milliseconds.
+    /// Time after the first submission from which on an item may be dead-lettered, in milliseconds.
     pub queue_ttl_ms: u64,
     /// Failed attempts after which an item may be dead-lettered.
     pub max_attempts: u32,
--- a/crates/pebblepost-messages/src/batch/result.rs
+++ b/crates/pebblepost-messages/src/batch/result.rs
@@ -23,7 +23,7 @@
     pub message: Vec<u8>,
     /// Every version of the weights that generated an event of the text, in the order of their first events.
     pub versions: Vec<u64>,
-    /// Seal of the scorer's response; empty if the item has no scorer.
+    /// `Response-Seal` of the scorer's response; empty if the item has no scorer.
     pub score: String,
 }
 
--- a/crates/pebblepost-transcriber/src/event_parser.rs
+++ b/crates/pebblepost-transcriber/src/event_parser.rs
@@ -8,7 +8,7 @@
 /// One event of a stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its id.
+    /// Its id, a number that rises within a stream.
     pub id: u64,
     /// Its data lines, joined by line feeds.
     pub data: Vec<u8>,
--- a/crates/pebblepost-transcriber/src/lib.rs
+++ b/crates/pebblepost-transcriber/src/lib.rs
@@ -1,5 +1,7 @@
 //! HTTP/1.1 client for transcribers: a connection pool, buffered responses, event streams and load reports.
 //!
+//! The exchanges are those of the protocol, section "Transcribers".
+//!
 //! The crate owns the connections to transcribers and decides what a failed exchange means: whether the request
 //! certainly did not run, or may have. It never retries, routes or chooses a transcriber; its callers do. Everything
 //! runs on a current-thread `tokio` runtime.
