--- a/crates/pebblepost-batch-store/src/program/inbound_links.rs
+++ b/crates/pebblepost-batch-store/src/program/inbound_links.rs
@@ -76,7 +76,7 @@
     loop {
         match Listener::bind(address, limits) {
             Ok(listener) => return Ok(listener),
-            Err(error) if attempts == MAX_LISTEN_ATTEMPTS => return Err(error),
+            Err(error) if attempts == MAX_LISTEN_ATTEMPTS => return Err(error.into()),
             Err(error) => log::warn!("not listening yet error={error:#}"),
         }
         attempts += 1;
--- a/crates/pebblepost-system/src/main.rs
+++ b/crates/pebblepost-system/src/main.rs
@@ -51,7 +51,7 @@
             0
         }
         Err(error) => {
-            eprintln!("error: {}", one_line(&error));
+            eprintln!("error: {}", one_line(&error.into()));
             USAGE_EXIT_CODE
         }
     }
