--- a/crates/pebblepost-control/src/runtime.rs
+++ b/crates/pebblepost-control/src/runtime.rs
@@ -4,6 +4,7 @@
 //! Owns sockets, tasks and timers, and decides nothing: it passes inputs in and carries outputs out. Everything runs on
 //! one thread, on a `LocalSet`.
 
+mod disk;
 mod driver;
 mod error;
 mod event;
@@ -11,6 +12,7 @@
 mod link_tasks;
 mod listen;
 mod server;
+mod timers;
 pub mod transcriber_tasks;
 
 pub use error::ControlError;
--- a/crates/pebblepost-control/src/runtime/server.rs
+++ b/crates/pebblepost-control/src/runtime/server.rs
@@ -1,14 +1,13 @@
-//! The program: opens the disk, listens, and runs the loop until SIGTERM.
+//! The program: joins disk, listeners and control node, and runs the loop until SIGTERM.
 
+use super::disk::{OpenedDisk, open_disk};
 use super::driver::Driver;
 use super::error::ControlError;
 use super::listen::{bind_http, bind_links};
+use super::timers::Timers;
 use super::{http, link_tasks};
-use crate::membership::bootstrap::{bootstrap_disk, identity_to_format};
-use crate::node::{ControlNode, Input, NodeSettings};
-use crate::state::disk_record::RecoveredState;
+use crate::node::{ControlNode, Input};
 use pebblepost_link::Listener;
-use pebblepost_messages::DiskId;
 use pebblepost_ring::{Completion, Disk};
 use pebblepost_settings::Settings;
 use std::net::SocketAddr;
@@ -19,23 +18,10 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep_until};
 
-/// Tick interval of a primary, and while none is known.
-const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Tick interval of a standby, whose timers are coarser.
-const STANDBY_TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time that a primary takes to hand over after SIGTERM.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time to write the last messages after a hand-over.
-const FLUSH_TIME: Duration = Duration::from_millis(30);
 /// Capacity of the queue of HTTP requests.
 const MAX_QUEUED_REQUESTS: usize = 256;
 /// Capacity of the queue of events of links and calls.
 const MAX_QUEUED_EVENTS: usize = 1024;
-/// How often the settings are reloaded while no primary is known: the file may change without a signal.
-const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
-
-/// Numerator and denominator of the fraction of the configured disk space that the log may take.
-const DISK_FRACTION: (u64, u64) = (3, 4);
 
 /// File descriptors for the disk and the process itself.
 const RESERVED_DESCRIPTORS: usize = 200;
@@ -74,38 +60,6 @@
     (max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) * REQUEST_DESCRIPTORS_PERCENT / 100).max(1)
 }
 
-struct OpenedDisk {
-    disk: Disk,
-    node_settings: NodeSettings,
-    recovered: RecoveredState,
-}
-
-fn open_disk(
-    settings: &Settings, control_address: SocketAddr, completions: mpsc::UnboundedSender<Completion>,
-) -> Result<OpenedDisk, ControlError> {
-    let path = settings.data_dir.as_ref().ok_or(ControlError::MissingSetting { setting: "data_dir" })?;
-    let (numerator, denominator) = DISK_FRACTION;
-    let max_bytes = settings.limits.disk_bytes / denominator * numerator;
-    let identity = identity_to_format(settings).map(|disk| disk.0);
-    let completed = Box::new(move |completion| {
-        // The loop may have ended.
-        completions.send(completion).ok();
-    });
-    let (disk, opened) = Disk::open(path, max_bytes, identity, completed)
-        .map_err(|error| ControlError::OpenDisk { path: path.clone(), source: error.into() })?;
-    let recovered = RecoveredState::decode(&opened.records)
-        .map_err(|source| ControlError::DecodeRecords { path: path.clone(), source })?;
-    let disk_id = DiskId(opened.identity);
-    // Only a disk that was formatted at the first start of the whole system has this identity. If nothing was written
-    // to it since, it still bootstraps, also after a restart.
-    let may_bootstrap =
-        settings.seeds.contains(&control_address) && disk_id == bootstrap_disk(control_address);
-    log::info!("disk opened disk={:016x} new={} records={}", disk_id.0, opened.fresh, opened.records.len());
-    let random_seed = disk_id.0 ^ u64::from(std::process::id());
-    let node_settings = NodeSettings::new(settings, control_address, disk_id, may_bootstrap, random_seed);
-    Ok(OpenedDisk { disk, node_settings, recovered })
-}
-
 struct Server {
     start: Instant,
     node: ControlNode,
@@ -158,62 +112,6 @@
     }
 }
 
-/// Timers of the loop.
-struct Timers {
-    next_tick: Instant,
-    reload_at: Instant,
-    /// When the process ends, once it shuts down.
-    shutdown_at: Option<Instant>,
-}
-
-impl Timers {
-    fn new() -> Timers {
-        Timers {
-            next_tick: Instant::now() + TICK_INTERVAL,
-            reload_at: Instant::now() + RELOAD_INTERVAL,
-            shutdown_at: None,
-        }
-    }
-
-    fn start_shutdown(&mut self) {
-        self.shutdown_at = Some(Instant::now() + HAND_OVER_TIMEOUT);
-    }
-
-    fn is_shutting_down(&self) -> bool {
-        self.shutdown_at.is_some()
-    }
-
-    /// After the hand-over only the last messages have to be written.
-    fn shorten_shutdown(&mut self, driver: &Driver) {
-        if self.is_shutting_down() && !driver.is_primary() {
-            self.shutdown_at = self.shutdown_at.map(|at| at.min(Instant::now() + FLUSH_TIME));
-        }
-    }
-
-    fn shutdown_or_tick(&self) -> Instant {
-        self.shutdown_at.unwrap_or(self.next_tick)
-    }
-
-    fn wake_at(&self, driver: &Driver) -> Instant {
-        driver.due_at().map_or(self.next_tick, |due| due.min(self.next_tick))
-    }
-
-    /// Schedules the next tick; whether the settings should be reloaded.
-    fn ticked(&mut self, driver: &Driver) -> bool {
-        if Instant::now() >= self.next_tick {
-            let is_standby = !driver.is_primary() && driver.knows_primary();
-            let interval = if is_standby { STANDBY_TICK_INTERVAL } else { TICK_INTERVAL };
-            self.next_tick = Instant::now() + interval;
-        }
-        let knows_primary = driver.knows_primary();
-        let is_reload_due = !knows_primary && Instant::now() >= self.reload_at;
-        if knows_primary || is_reload_due {
-            self.reload_at = Instant::now() + RELOAD_INTERVAL;
-        }
-        is_reload_due
-    }
-}
-
 fn listen_for(kind: SignalKind, name: &'static str) -> Result<Signal, ControlError> {
     signal(kind).map_err(|source| ControlError::ListenForSignal { signal: name, source })
 }
