--- a/crates/pebblepost-fleet-store/src/client.rs
+++ b/crates/pebblepost-fleet-store/src/client.rs
@@ -46,6 +46,21 @@
     pub last: String,
 }
 
+/// Why an attempt at one replica gave no answer.
+#[derive(Debug, Error)]
+enum AttemptError {
+    #[error("keeper {id}: keeper {leader} leads")]
+    OtherLeader { id: u64, leader: u64 },
+    #[error("keeper {id}: nobody leads")]
+    NoLeader { id: u64 },
+    #[error("keeper {id}: {why}")]
+    Failed { id: u64, why: String },
+    #[error("keeper {id}: {error}")]
+    Connection { id: u64, error: io::Error },
+    #[error("keeper {id}: no answer")]
+    Timeout { id: u64 },
+}
+
 /// A client of the group. It holds one connection, to the replica that answered last.
 #[derive(Debug)]
 pub struct Client {
@@ -80,7 +95,7 @@
         while Instant::now() < deadline {
             match self.attempt(request, deadline).await {
                 Ok(response) => return Ok(response),
-                Err(why) => last = why,
+                Err(error) => last = error.to_string(),
             }
             attempts += 1;
             self.back_off(attempts).await;
@@ -121,27 +136,27 @@
     }
 
     /// Asks the preferred replica. If it does not answer the request, another one becomes preferred.
-    async fn attempt(&mut self, request: &Request, deadline: Instant) -> Result<Response, String> {
+    async fn attempt(&mut self, request: &Request, deadline: Instant) -> Result<Response, AttemptError> {
         let id = self.preferred;
         let limit = deadline.min(Instant::now() + REPLICA_TIMEOUT);
-        let why = match timeout_at(limit, self.exchange(id, request)).await {
+        let error = match timeout_at(limit, self.exchange(id, request)).await {
             Ok(Ok(Response::NotLeader(Some(leader))))
                 if self.replicas.contains_key(&leader) && leader != id =>
             {
                 self.preferred = leader;
-                return Err(format!("keeper {id}: keeper {leader} leads"));
+                return Err(AttemptError::OtherLeader { id, leader });
             }
-            Ok(Ok(Response::NotLeader(_))) => "nobody leads".to_owned(),
-            Ok(Ok(Response::Failed(why))) => why,
+            Ok(Ok(Response::NotLeader(_))) => AttemptError::NoLeader { id },
+            Ok(Ok(Response::Failed(why))) => AttemptError::Failed { id, why },
             Ok(Ok(response)) => return Ok(response),
-            Ok(Err(error)) => error.to_string(),
+            Ok(Err(error)) => AttemptError::Connection { id, error },
             Err(_) => {
                 self.connection = None;
-                "no answer".to_owned()
+                AttemptError::Timeout { id }
             }
         };
         self.preferred = self.next_after(id);
-        Err(format!("keeper {id}: {why}"))
+        Err(error)
     }
 
     async fn exchange(&mut self, id: u64, request: &Request) -> io::Result<Response> {
--- a/crates/pebblepost-fleet-store/src/replica/membership.rs
+++ b/crates/pebblepost-fleet-store/src/replica/membership.rs
@@ -8,6 +8,19 @@
 use openraft::ChangeMembers;
 use pebblepost_fleet::Action;
 use std::collections::BTreeMap;
+use std::io;
+use thiserror::Error;
+
+/// Why a group cannot be initialized with a replica.
+#[derive(Debug, Error)]
+enum NotNewError {
+    #[error("keeper {id} is part of a group already")]
+    AlreadyInGroup { id: u64 },
+    #[error("at {address} there is another than keeper {id}")]
+    OtherReplica { id: u64, address: String },
+    #[error("keeper {id} at {address}: {error}")]
+    Unreachable { id: u64, address: String, error: io::Error },
+}
 
 impl Replica {
     /// Initializes the group once all of its replicas say that they are new, with the disks named: one that has been part
@@ -18,8 +31,8 @@
             return Response::Failed(format!("keeper {own_id} with its disk is not among those named"));
         }
         for (id, peer) in replicas.iter().filter(|(id, _)| **id != own_id) {
-            if let Err(why) = self.check_is_new(*id, peer).await {
-                return Response::Failed(why);
+            if let Err(error) = self.check_is_new(*id, peer).await {
+                return Response::Failed(error.to_string());
             }
         }
         match self.raft.initialize(replicas).await {
@@ -28,15 +41,13 @@
         }
     }
 
-    async fn check_is_new(&self, id: u64, peer: &Peer) -> Result<(), String> {
+    async fn check_is_new(&self, id: u64, peer: &Peer) -> Result<(), NotNewError> {
         let address = self.config.dial.get(&id).unwrap_or(&peer.address);
         match request_once(address, &Request::Status).await {
-            Ok(Response::Status(status)) if status.initialized => {
-                Err(format!("keeper {id} is part of a group already"))
-            }
+            Ok(Response::Status(status)) if status.initialized => Err(NotNewError::AlreadyInGroup { id }),
             Ok(Response::Status(status)) if (status.id, status.disk) == (id, peer.disk) => Ok(()),
-            Ok(_) => Err(format!("at {address} there is another than keeper {id}")),
-            Err(error) => Err(format!("keeper {id} at {address}: {error}")),
+            Ok(_) => Err(NotNewError::OtherReplica { id, address: address.clone() }),
+            Err(error) => Err(NotNewError::Unreachable { id, address: address.clone(), error }),
         }
     }
 
--- a/crates/pebblepost-fleet/src/availability.rs
+++ b/crates/pebblepost-fleet/src/availability.rs
@@ -6,9 +6,10 @@
 //! up as well.
 
 use crate::name::{Key, Name, SubjectKind};
-use crate::value::{Budget, Entry, Permit, Release, Role, Snapshot, Value, WorkerStatus};
+use crate::value::{Budget, Entry, Limit, Permit, Release, Role, Snapshot, Value, WorkerStatus};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
+use thiserror::Error;
 
 /// How one dispatcher or worker stands.
 #[derive(Clone, Copy, Debug, Default)]
@@ -84,6 +85,35 @@
     }
 }
 
+/// Why a permit could never be granted under the present budget.
+#[derive(Clone, Debug, Error, PartialEq)]
+pub enum ImpossibleReason {
+    /// The fleet's limit is none of its total.
+    #[error("the budget of {limit} lets none of {total} out")]
+    Fleet {
+        /// The limit.
+        limit: Limit,
+        /// How many there are.
+        total: usize,
+    },
+    /// The zone's limit is none of its total.
+    #[error("the budget lets none of the {total} in zone {zone:?} out")]
+    Zone {
+        /// The zone.
+        zone: String,
+        /// How many there are.
+        total: usize,
+    },
+    /// The limit of the type of machine is none of its total.
+    #[error("the budget lets none of the {total} of kind {machine_type:?} out")]
+    MachineType {
+        /// The type of machine.
+        machine_type: String,
+        /// How many there are.
+        total: usize,
+    },
+}
+
 /// How many there are, and how many of them are unavailable.
 #[derive(Clone, Copy, Debug, Default)]
 struct GroupCounts {
@@ -214,24 +244,24 @@
     }
 
     /// Why one of them could never be granted a permit, even if all others were available; `None`: it could.
-    pub fn impossible_reason(&self, name: &Name) -> Option<String> {
+    pub fn impossible_reason(&self, name: &Name) -> Option<ImpossibleReason> {
         let budget = self.budget?;
         let (counts, status) = (self.counts(), self.subjects.get(name));
         // An unknown one would be one more.
         let itself = usize::from(status.is_none());
         let total = counts.fleet.total + itself;
         if budget.max_unavailable.resolve(total) == 0 {
-            return Some(format!("the budget of {} lets none of {total} out", budget.max_unavailable));
+            return Some(ImpossibleReason::Fleet { limit: budget.max_unavailable, total });
         }
         let zone = status.map_or("", |status| status.zone);
         let total = counts.zone(status).total + itself;
         if budget.zone_limit(total) == 0 {
-            return Some(format!("the budget lets none of the {total} in zone {zone:?} out"));
+            return Some(ImpossibleReason::Zone { zone: zone.to_owned(), total });
         }
         let machine_type = status.map_or("", |status| status.machine_type);
         let total = counts.machine_type(status).total + itself;
         (budget.machine_type_limit(total) == 0)
-            .then(|| format!("the budget lets none of the {total} of kind {machine_type:?} out"))
+            .then(|| ImpossibleReason::MachineType { machine_type: machine_type.to_owned(), total })
     }
 
     /// The subjects whose permits wait: urgent ones first, then by the release's order of zones, then by the revision of the request.
--- a/crates/pebblepost-fleet/src/release_driver/mod.rs
+++ b/crates/pebblepost-fleet/src/release_driver/mod.rs
@@ -3,12 +3,14 @@
 //! It never decides who goes (see [`crate::availability`]): a driver that is dead, late or duplicated delays a release and
 //! breaks nothing. Time is monotonic and comes as an argument.
 
+mod halt;
 mod success_rates;
 
 use crate::command::Operation;
 use crate::leader::IncarnationRequests;
 use crate::name::{Key, Name, SubjectKind};
 use crate::value::{Presence, Release, Snapshot, Value};
+use halt::HaltReason;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use success_rates::SuccessRates;
@@ -50,8 +52,9 @@
 }
 
 impl NextStep {
-    fn halt(reason: String) -> Self {
-        Self::Propose { operation: Operation::Halt(SubjectKind::Dispatcher), reason }
+    fn halt(reason: &HaltReason) -> Self {
+        let operation = Operation::Halt(SubjectKind::Dispatcher);
+        Self::Propose { operation, reason: reason.to_string() }
     }
 }
 
@@ -104,17 +107,15 @@
         }
         if crashes >= self.policy.max_crashes {
             (self.crashes, self.first_incarnations) = (0, BTreeMap::new());
-            return NextStep::halt(format!(
-                "{crashes} crashes of dispatchers with version {}",
-                release.version
-            ));
+            let version = release.version.clone();
+            return NextStep::halt(&HaltReason::Crashes { crashes, version });
         }
         if !availability.wave_is_complete() {
             return self.incomplete_wave(now, release);
         }
         let observed = match self.observe(now, release, state, requests) {
             Ok(observed) => observed,
-            Err(reason) => return NextStep::halt(reason),
+            Err(reason) => return NextStep::halt(&reason),
         };
         let has_permits = availability.subjects.values().any(|status| status.permit.is_some());
         match release.is_last_wave() {
@@ -149,14 +150,14 @@
         if now.saturating_sub(self.wave_began_at) <= timeout {
             return NextStep::Wait;
         }
-        NextStep::halt(format!("wave {} is not back within {timeout:?}", release.current_wave))
+        NextStep::halt(&HaltReason::WaveTimeout { wave: release.current_wave, timeout })
     }
 
     /// Observes a complete wave: whether that has lasted long enough, or why the release has to halt.
     fn observe(
         &mut self, now: Duration, release: &Release, state: &Snapshot,
         requests: &BTreeMap<Name, IncarnationRequests>,
-    ) -> Result<bool, String> {
+    ) -> Result<bool, HaltReason> {
         if self.complete_since.is_none() {
             self.success_rates.restart();
         }
@@ -172,8 +173,8 @@
         if !release.is_rollback() {
             let max_drop = self.policy.max_success_rate_drop;
             let worse = self.success_rates.why_new_is_worse(min_answers, max_drop, observed);
-            let unreported = (observed && !all_reported && min_answers > 0)
-                .then(|| "not all dispatchers that are there are heard by the keepers".to_owned());
+            let unreported =
+                (observed && !all_reported && min_answers > 0).then_some(HaltReason::MissingReports);
             if let Some(reason) = worse.or(unreported) {
                 self.complete_since = None;
                 return Err(reason);
--- a/crates/pebblepost-fleet/src/release_driver/success_rates.rs
+++ b/crates/pebblepost-fleet/src/release_driver/success_rates.rs
@@ -1,5 +1,6 @@
 //! The success rates of a release's old and new version, while a wave is observed.
 
+use super::halt::HaltReason;
 use crate::heartbeat::RequestCounts;
 use crate::leader::IncarnationRequests;
 use crate::name::{IncarnationId, Name, Text};
@@ -48,7 +49,7 @@
     /// Why the new version must not go on, by its success rate beside that of the old one.
     pub(super) fn why_new_is_worse(
         &mut self, min_answers: u64, max_drop: f64, observed: bool,
-    ) -> Option<String> {
+    ) -> Option<HaltReason> {
         if min_answers == 0 {
             return None;
         }
@@ -58,11 +59,9 @@
         };
         self.old_rate = rate(old).or(self.old_rate);
         match (rate(new), self.old_rate) {
-            (Some(new), Some(old)) if new < old - max_drop => {
-                Some(format!("the new version serves {new:.3} of its requests, the old one {old:.3}"))
-            }
+            (Some(new), Some(old)) if new < old - max_drop => Some(HaltReason::LowerSuccessRate { new, old }),
             (None, _) if observed && new.answered == 0 && rate(old).is_some() => {
-                Some(format!("the new version answers nothing, the old one {} requests", old.answered))
+                Some(HaltReason::NoAnswers { old_answers: old.answered })
             }
             _ => None,
         }
--- a/crates/pebblepost-fleet/tests/decisions.rs
+++ b/crates/pebblepost-fleet/tests/decisions.rs
@@ -279,20 +279,22 @@
     };
     match simulate(&state.snapshot(), &"op".parse().expect("sound"), &play) {
         Ok(waves) => digest.json(&waves),
-        Err(never) => digest.text(&never.to_string()),
+        Err(error) => digest.text(&error.to_string()),
     }
     for kind in [SubjectKind::Dispatcher, SubjectKind::Worker] {
-        let roll = state.availability(kind);
+        let availability = state.availability(kind);
         digest.json(&(
-            roll.unavailable(),
-            roll.reached(),
-            roll.wave_is_complete(),
-            roll.queue(),
-            roll.grants(),
+            availability.unavailable(),
+            availability.reached(),
+            availability.wave_is_complete(),
+            availability.queue(),
+            availability.grants(),
         ));
-        for name in roll.subjects.keys() {
-            digest.text(&roll.check(name).map_or_else(|waits| waits.to_string(), |()| "fits".to_owned()));
-            digest.json(&roll.impossible_reason(name));
+        for name in availability.subjects.keys() {
+            digest.text(
+                &availability.check(name).map_or_else(|waits| waits.to_string(), |()| "fits".to_owned()),
+            );
+            digest.json(&availability.impossible_reason(name).map(|reason| reason.to_string()));
         }
     }
 }
