--- a/crates/pebblepost-dispatch/examples/embed.rs
+++ b/crates/pebblepost-dispatch/examples/embed.rs
@@ -1,6 +1,9 @@
 //! A dispatcher inside a program: events in, actions out. The "workers" here are three counters.
 
-use pebblepost_dispatch::api::*;
+use pebblepost_dispatch::api::{
+    Action, CellId, ClassId, Entry, KindId, ListKind, RequestId, Status, TenantId, Time, WorkerId,
+    WorkerState, ZoneId,
+};
 use pebblepost_dispatch::wire::parse_settings;
 use pebblepost_dispatch::{Dispatcher, Event};
 use std::time::Duration;
@@ -11,11 +14,11 @@
          classes.0.onTime=250000000\nclasses.0.deadline=5000000000\nreport.names=x0\n\
          domain.reportX0=free_slots\ntick=1000000",
     )
-    .expect("sound settings");
+    .expect("valid settings");
     let mut now = Time(0);
     let mut dispatcher = Dispatcher::new(settings, 42, now);
-    let entry = |w| Entry {
-        worker: WorkerId(w),
+    let entry = |worker| Entry {
+        worker: WorkerId(worker),
         zone: ZoneId(0),
         kind: KindId(0),
         cell: CellId(0),
--- a/crates/pebblepost-dispatch/src/request_flow.rs
+++ b/crates/pebblepost-dispatch/src/request_flow.rs
@@ -252,8 +252,8 @@
             return self.send(id, worker);
         }
         let judges_by_waits = placement.admission.judges_by_waits(request);
-        let is_misled = best.is_some_and(|worker| placement.load().is_misleading(worker));
-        let may_spill = !is_misled && !judges_by_waits && request.phase != Phase::SpilloverProbes;
+        let is_misleading = best.is_some_and(|worker| placement.load().is_misleading(worker));
+        let may_spill = !is_misleading && !judges_by_waits && request.phase != Phase::SpilloverProbes;
         if may_spill && self.spill_over(id) {
             return;
         }
--- a/crates/pebblepost-dispatch/tests/classes.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/classes.rs
@@ -1,8 +1,6 @@
 //! Classes that are added while a node runs.
 
-mod common;
-
-use common::*;
+use crate::node::*;
 use pebblepost_dispatch::api::*;
 use std::time::Duration;
 
--- a/crates/pebblepost-dispatch/tests/fleet.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/fleet.rs
@@ -1,9 +1,7 @@
 //! Many dispatchers' decisions in one process, which share nothing but the workers: what is harmless when one does
 //! it and hurts when a hundred do.
 
-mod common;
-
-use common::*;
+use crate::node::*;
 use pebblepost_dispatch::Dispatcher;
 use pebblepost_dispatch::api::*;
 use rand::{RngExt, SeedableRng};
@@ -68,18 +66,19 @@
     fn submit(&mut self, fleet: Fleet, at: f64, work: f64, node: usize, id: u32) {
         self.jobs.push(Job { left: work, node, id });
         self.sent.push((at, work));
-        let lately: f64 = self.sent.iter().filter(|(when, _)| *when > at - fleet.fall).map(|(_, w)| w).sum();
+        let lately: f64 =
+            self.sent.iter().filter(|(when, _)| *when > at - fleet.fall).map(|(_, worker)| worker).sum();
         self.worst = self.worst.max(lately / (fleet.fall * Self::capacity(at)));
         // In requests of mean work: N that are allowed, and 2 x root of N + 2 put down to chance.
-        let n = fleet.tip * fleet.fall * Self::capacity(at) / MEAN_WORK;
-        self.fullest = self.fullest.max(lately / MEAN_WORK / (n + 2.0 * n.sqrt() + 2.0));
+        let allowed = fleet.tip * fleet.fall * Self::capacity(at) / MEAN_WORK;
+        self.fullest = self.fullest.max(lately / MEAN_WORK / (allowed + 2.0 * allowed.sqrt() + 2.0));
     }
 }
 
 /// Plays ten seconds of arrivals, `rate` a second over all nodes; returns the worst multiple of its capacity that the
 /// cold worker was sent within the time of its fall, the fullest it was, and how many jobs it got.
 fn play(fleet: Fleet, seed: u64, rate: f64, age: f64) -> (f64, f64, usize) {
-    let mut s = Settings {
+    let mut settings = Settings {
         nodes: fleet.nodes,
         cold_capacity: COLD_FROM,
         warm_up_time: Duration::from_secs_f64(WARM_UP),
@@ -89,14 +88,15 @@
         report_fields: vec![ReportField::FreeSlots],
         ..settings()
     };
-    (s.classes[SAFE].latency_target, s.classes[SAFE].latency_stretch) = (Duration::from_millis(600), 2.0);
+    (settings.classes[SAFE].latency_target, settings.classes[SAFE].latency_stretch) =
+        (Duration::from_millis(600), 2.0);
     let mut nodes: Vec<Node> =
-        (0..fleet.nodes).map(|i| Node::seeded(s.clone(), 6, seed + u64::from(i))).collect();
-    for n in &mut nodes {
+        (0..fleet.nodes).map(|i| Node::seeded(settings.clone(), 6, seed + u64::from(i))).collect();
+    for node in &mut nodes {
         if !fleet.fresh {
-            (0..6).for_each(|w| (0..3).for_each(|_| n.report_free(w, SLOTS as f32)));
+            (0..6).for_each(|worker| (0..3).for_each(|_| node.report_free(worker, SLOTS as f32)));
         }
-        n.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
+        node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
     }
     let mut cold = ColdWorker { jobs: vec![], reports: vec![], sent: vec![], worst: 0.0, fullest: 0.0 };
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -104,7 +104,7 @@
     let (step, mut id, mut next) = (0.002, 0, 0.0);
     for tick in 1..5000 {
         let at = f64::from(tick) * step;
-        nodes.iter_mut().for_each(|n| n.now = START + Duration::from_secs_f64(at));
+        nodes.iter_mut().for_each(|node| node.now = START + Duration::from_secs_f64(at));
         for job in cold.advance(at, step) {
             nodes[job.node].outcome(job.id, 0, 0, Status::Ok, true);
         }
@@ -113,18 +113,18 @@
             let work = draw(MEAN_WORK);
             let place = f64::from(id * 37 % 1009) / 1009.0;
             let place = if fleet.uneven { place.powi(3) } else { place };
-            let node = (place * f64::from(fleet.nodes)) as usize;
-            let n = &mut nodes[node];
-            n.hinted(id, (work * 1e3) as u64, 1.0);
+            let index = (place * f64::from(fleet.nodes)) as usize;
+            let node = &mut nodes[index];
+            node.hinted(id, (work * 1e3) as u64, 1.0);
             for _ in 0..4 {
-                for w in n.probes() {
-                    n.report_free(w, if w == 0 { cold.report(at, age) as f32 } else { 0.0 });
+                for worker in node.probes() {
+                    node.report_free(worker, if worker == 0 { cold.report(at, age) as f32 } else { 0.0 });
                 }
             }
-            if n.sends().contains(&(id, 0)) {
-                cold.submit(fleet, at, work, node, id);
+            if node.sends().contains(&(id, 0)) {
+                cold.submit(fleet, at, work, index, id);
             } else {
-                n.event(Event::ClientGone { id: RequestId(id) });
+                node.event(Event::ClientGone { id: RequestId(id) });
             }
         }
     }
@@ -162,53 +162,56 @@
 /// order that had just been seen full, to be refused again.
 #[test]
 fn a_repeat_at_once_probes_others_than_those_just_seen_full() {
-    let mut n = Node::seeded(settings(), 8, 3);
-    n.learn_all(2.0);
+    let mut node = Node::seeded(settings(), 8, 3);
+    node.learn_all(2.0);
     let mut seen = Vec::new();
-    n.request_about(1, SAFE, 77);
+    node.request_about(1, SAFE, 77);
     for _ in 0..8 {
-        let probed = n.probes();
+        let probed = node.probes();
         if probed.is_empty() {
             break;
         }
-        for w in probed {
-            seen.push(w);
-            n.report(w, 0.0, 4.0);
+        for worker in probed {
+            seen.push(worker);
+            node.report(worker, 0.0, 4.0);
         }
     }
-    assert_eq!(n.finals(), vec![(1, "refuse")], "all full: refused at once");
-    n.request_about(2, SAFE, 77);
-    let again = n.probes();
-    assert!(!again.is_empty() && again.iter().all(|w| !seen.contains(w)), "{again:?} after {seen:?}");
+    assert_eq!(node.finals(), vec![(1, "refuse")], "all full: refused at once");
+    node.request_about(2, SAFE, 77);
+    let again = node.probes();
+    assert!(
+        !again.is_empty() && again.iter().all(|worker| !seen.contains(worker)),
+        "{again:?} after {seen:?}"
+    );
 }
 
 /// herd+vast-2: 6,251 probes over the fleet found room at a cold worker that its lot then refused; each cost a probe
 /// and another in its place. The lot is drawn before the probe, so a cold worker is probed when it may take the job.
 #[test]
 fn a_cold_worker_is_probed_only_where_its_lot_admits_the_job() {
-    let s = Settings {
+    let settings = Settings {
         nodes: NODES,
         cold_capacity: COLD_FROM,
         warm_up_time: Duration::from_secs_f64(WARM_UP),
         ..settings()
     };
-    let mut n = Node::seeded(s, 6, 11);
-    (0..6).for_each(|w| (0..3).for_each(|_| n.report_free(w, SLOTS as f32)));
-    n.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
+    let mut node = Node::seeded(settings, 6, 11);
+    (0..6).for_each(|worker| (0..3).for_each(|_| node.report_free(worker, SLOTS as f32)));
+    node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
     let (mut probed, mut sent) = (0, 0);
     for id in 1..400 {
-        n.hinted(id, 20, 1.0);
+        node.hinted(id, 20, 1.0);
         for _ in 0..4 {
-            for w in n.probes() {
-                probed += usize::from(w == 0);
-                n.report_free(w, if w == 0 { SLOTS as f32 } else { 0.0 });
+            for worker in node.probes() {
+                probed += usize::from(worker == 0);
+                node.report_free(worker, if worker == 0 { SLOTS as f32 } else { 0.0 });
             }
         }
-        let to_cold = n.sends().iter().filter(|(_, w)| *w == 0).count();
-        n.advance(Duration::from_millis(200));
+        let to_cold = node.sends().iter().filter(|(_, worker)| *worker == 0).count();
+        node.advance(Duration::from_millis(200));
         match to_cold {
-            0 => n.event(Event::ClientGone { id: RequestId(id) }),
-            _ => n.outcome(id, 0, 0, Status::Ok, true),
+            0 => node.event(Event::ClientGone { id: RequestId(id) }),
+            _ => node.outcome(id, 0, 0, Status::Ok, true),
         }
         sent += to_cold;
     }
@@ -218,11 +221,12 @@
 /// All of so many dispatchers start at once, each with an old list. Discovery answers four calls a second in turn and
 /// fails those that would wait for longer than 2 s. Returns the calls, and when the last one had its list.
 fn discovery_calls(nodes: u32, seed: u64) -> (usize, f64) {
-    let mut s = settings();
-    (s.discovery, s.nodes, s.max_discovery_interval) = (Discovery::Poll, nodes, Duration::from_secs(10));
+    let mut settings = settings();
+    (settings.discovery, settings.nodes, settings.max_discovery_interval) =
+        (Discovery::Poll, nodes, Duration::from_secs(10));
     let at = |secs: f64| Time((secs * 1e9) as u64);
     let mut all: Vec<Dispatcher> =
-        (0..nodes).map(|n| Dispatcher::new(s.clone(), seed * 1_000 + u64::from(n), at(0.0))).collect();
+        (0..nodes).map(|n| Dispatcher::new(settings.clone(), seed * 1_000 + u64::from(n), at(0.0))).collect();
     // What comes next: when, at which node, and what (a timer, or how a call ended).
     let mut coming: Vec<(u64, usize, Event)> = Vec::new();
     for node in 0..all.len() {
@@ -263,8 +267,8 @@
 fn calls_to_discovery_after_a_restart_of_all_grow_no_faster_than_the_nodes() {
     for nodes in [10, 20, 30, 40] {
         let played: Vec<(usize, f64)> = (1..=5).map(|seed| discovery_calls(nodes, seed)).collect();
-        let calls = played.iter().map(|p| p.0).sum::<usize>() as f64 / 5.0 / f64::from(nodes);
-        let last = played.iter().map(|p| p.1).fold(0.0, f64::max);
+        let calls = played.iter().map(|run| run.0).sum::<usize>() as f64 / 5.0 / f64::from(nodes);
+        let last = played.iter().map(|run| run.1).fold(0.0, f64::max);
         assert!(calls < 1.25, "{nodes} nodes: {calls} calls each");
         assert!(last < 12.0 + f64::from(nodes) / 4.0, "{nodes} nodes: the last has its list after {last} s");
     }
--- a/crates/pebblepost-dispatch/tests/common/mod.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/node.rs
@@ -1,5 +1,4 @@
 //! A hand-driven node: a [`Dispatcher`] with its clock, timers and actions.
-#![allow(dead_code)]
 
 use pebblepost_dispatch::Dispatcher;
 use pebblepost_dispatch::api::*;
@@ -92,7 +91,7 @@
             last_final_at: Time(0),
             timers: vec![],
         };
-        let all: Vec<_> = (0..workers).map(|w| (w, WorkerState::Ready, None)).collect();
+        let all: Vec<_> = (0..workers).map(|worker| (worker, WorkerState::Ready, None)).collect();
         node.list(ListKind::Cached, &all);
         node
     }
@@ -112,13 +111,13 @@
     }
 
     pub fn list(&mut self, kind: ListKind, workers: &[(u32, WorkerState, Option<Time>)]) {
-        let entry = |&(w, state, started): &(u32, WorkerState, Option<Time>)| Entry {
-            worker: WorkerId(w),
-            zone: ZoneId((w % 2) as u16),
+        let entry = |&(worker, state, started): &(u32, WorkerState, Option<Time>)| Entry {
+            worker: WorkerId(worker),
+            zone: ZoneId((worker % 2) as u16),
             kind: KindId(0),
-            cell: CellId((w % 4) as u16),
+            cell: CellId((worker % 4) as u16),
             state,
-            name: w.into(),
+            name: worker.into(),
             started,
         };
         self.event(Event::Members { kind, entries: workers.iter().map(entry).collect() });
@@ -204,19 +203,19 @@
     pub fn place(&mut self, id: u32, class: usize) -> u32 {
         self.actions.clear();
         self.request(id, class);
-        let w = self.probes()[0];
-        self.report(w, 2.0, 0.0);
-        assert_eq!(self.sends(), vec![(id, w)]);
+        let worker = self.probes()[0];
+        self.report(worker, 2.0, 0.0);
+        assert_eq!(self.sends(), vec![(id, worker)]);
         self.actions.clear();
-        w
+        worker
     }
 
     /// Lets the node see all workers twice, so that it knows their K.
     pub fn learn_all(&mut self, free: f32) {
         let workers: Vec<u32> = (0..64).collect();
         for _ in 0..3 {
-            for w in &workers {
-                self.report(*w, free, 0.0);
+            for worker in &workers {
+                self.report(*worker, free, 0.0);
             }
         }
         self.actions.clear();
@@ -262,14 +261,15 @@
 
     /// Probes asked for since the last call that cleared the actions.
     pub fn probes(&mut self) -> Vec<u32> {
-        let probe = |a: &Action| if let Action::Probe { worker } = a { Some(worker.0) } else { None };
+        let probe =
+            |action: &Action| if let Action::Probe { worker } = action { Some(worker.0) } else { None };
         let found = self.actions.iter().filter_map(probe).collect();
-        self.actions.retain(|a| !matches!(a, Action::Probe { .. }));
+        self.actions.retain(|action| !matches!(action, Action::Probe { .. }));
         found
     }
 
     pub fn sends(&self) -> Vec<(u32, u32)> {
-        let send = |a: &Action| match a {
+        let send = |action: &Action| match action {
             Action::Send { id, worker, .. } => Some((id.0, worker.0)),
             _ => None,
         };
@@ -277,7 +277,7 @@
     }
 
     pub fn finals(&self) -> Vec<(u32, &'static str)> {
-        let answer = |a: &Action| match a {
+        let answer = |action: &Action| match action {
             Action::Refuse { id, .. } => Some((id.0, "refuse")),
             Action::Fail { id } => Some((id.0, "fail")),
             _ => None,
@@ -287,16 +287,16 @@
 }
 
 /// How many idle connections the module closed.
-pub fn closes(n: &Node) -> usize {
-    n.actions.iter().filter(|a| matches!(a, Action::CloseIdle { .. })).count()
+pub fn closes(node: &Node) -> usize {
+    node.actions.iter().filter(|action| matches!(action, Action::CloseIdle { .. })).count()
 }
 
 /// Plays a job of 100 ms by its hint at the first worker probed, where it runs for `ms`.
-pub fn run_hinted(n: &mut Node, id: u32, ms: impl Fn(u32) -> u64) {
-    n.hinted(id, 100, 1.0);
-    let w = n.probes()[0];
-    n.report(w, 2.0, 0.0);
-    n.event(Event::Started { id: RequestId(id), attempt: AttemptNo(0) });
-    n.advance(Duration::from_millis(ms(w)));
-    n.outcome(id, 0, w, Status::Ok, true);
+pub fn run_hinted(node: &mut Node, id: u32, ms: impl Fn(u32) -> u64) {
+    node.hinted(id, 100, 1.0);
+    let worker = node.probes()[0];
+    node.report(worker, 2.0, 0.0);
+    node.event(Event::Started { id: RequestId(id), attempt: AttemptNo(0) });
+    node.advance(Duration::from_millis(ms(worker)));
+    node.outcome(id, 0, worker, Status::Ok, true);
 }
--- a/crates/pebblepost-dispatch/tests/room.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/reservations.rs
@@ -1,7 +1,6 @@
 //! Room for large jobs: the reservations by themselves, and the node that keeps them.
 
-mod common;
-use common::*;
+use crate::node::*;
 use pebblepost_dispatch::api::*;
 use pebblepost_dispatch::forecast::{SlotRelease, WorkerForecast};
 use pebblepost_dispatch::job_size::{JobSizes, TypicalJob};
@@ -34,7 +33,7 @@
 fn reserve(
     reservations: &mut Reservations, id: u32, slots: f64, forecasts: &[WorkerForecast], latest: u64,
 ) -> Option<Reservation> {
-    let fleet_slots = forecasts.iter().map(|o| o.slots).sum();
+    let fleet_slots = forecasts.iter().map(|forecast| forecast.slots).sum();
     let job = ReservationRequest { request: RequestId(id), slots, fleet_slots };
     reservations.reserve(START, job, forecasts, |_| START + ms(latest))
 }
@@ -52,8 +51,9 @@
 
 #[test]
 fn slots_open_by_own_ends_and_by_those_of_others() {
-    let opens =
-        |o: &WorkerForecast, slots| o.expected_start(START, slots).map(|at| at.since(START).as_millis());
+    let opens = |forecast: &WorkerForecast, slots| {
+        forecast.expected_start(START, slots).map(|at| at.since(START).as_millis())
+    };
     let own = [(400, 1.0), (900, 1.0)];
     assert_eq!(opens(&forecast(0, 2.0, 1.0, &own[..1], 0), 1.0), Some(0));
     assert_eq!(opens(&forecast(0, 2.0, 0.0, &own, 0), 1.0), Some(400));
@@ -145,8 +145,8 @@
 #[test]
 fn it_is_held_where_it_ends_first_and_only_where_it_starts_in_time() {
     let fleet = [forecast(0, 2.0, 0.0, &[(300, 2.0)], 4000), forecast(1, 3.0, 0.0, &[(900, 3.0)], 1000)];
-    assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 1000).map(|r| r.worker), Some(1));
-    assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 500).map(|r| r.worker), Some(0));
+    assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 1000).map(|held| held.worker), Some(1));
+    assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 500).map(|held| held.worker), Some(0));
     assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 200), None);
     assert_eq!(reserve(&mut reservations(), 1, 4.0, &fleet, 5000), None, "too large for any");
 }
@@ -162,20 +162,21 @@
         [RequestId(2), RequestId(1)],
         "the one that must start first in front"
     );
-    assert_eq!(reservations.release_where(|w| w == 0), [RequestId(1), RequestId(2)]);
+    assert_eq!(reservations.release_where(|worker| worker == 0), [RequestId(1), RequestId(2)]);
     assert!(!reservations.any_at(0) && reservations.get(RequestId(1)).is_none());
 }
 
 #[test]
 fn settings_out_of_range_are_named() {
-    let text = |s: ReservationSettings| s.check().map_err(|e| e.to_string());
+    let text = |settings: ReservationSettings| settings.check().map_err(|error| error.to_string());
     let usual = ReservationSettings::default();
     assert_eq!(text(usual), Ok(()));
     let wrong = text(ReservationSettings { max_reserved_fraction: 0.9, ..usual });
     assert_eq!(wrong, Err("room.mostHeld is 0.9: 0 to 0.5 is allowed".to_owned()));
     assert!(text(ReservationSettings { size_deviations: f64::NAN, ..usual }).is_err());
-    let parsed =
-        pebblepost_dispatch::wire::parse_settings("room.mostHeld=0.9").map(|_| ()).map_err(|e| e.to_string());
+    let parsed = pebblepost_dispatch::wire::parse_settings("room.mostHeld=0.9")
+        .map(|_| ())
+        .map_err(|error| error.to_string());
     assert_eq!(parsed, wrong);
     assert!(
         !pebblepost_dispatch::wire::parse_settings("room.enabled=false").expect("sound").reservations.enabled
@@ -192,10 +193,10 @@
         jobs in prop::collection::vec((0_u32..80, 1_u8..5, 0_u64..4000, 0_u64..5000), 1..120),
         fleet in prop::collection::vec((1_u8..6, 0_u8..6, 50_u64..3000), 1..12),
     ) {
-        let forecasts: Vec<WorkerForecast> = fleet.iter().enumerate().map(|(w, (slots, free, run))| {
-            forecast(w, f64::from(*slots), f64::from((*free).min(*slots)), &[(700, 1.0)], *run)
+        let forecasts: Vec<WorkerForecast> = fleet.iter().enumerate().map(|(worker, (slots, free, run))| {
+            forecast(worker, f64::from(*slots), f64::from((*free).min(*slots)), &[(700, 1.0)], *run)
         }).collect();
-        let all: f64 = forecasts.iter().map(|o| o.slots).sum();
+        let all: f64 = forecasts.iter().map(|forecast| forecast.slots).sum();
         let settings = ReservationSettings::default();
         let mut reservations = Reservations::new(settings.max_reserved_fraction);
         let mut held: BTreeMap<u32, Reservation> = BTreeMap::new();
@@ -203,15 +204,15 @@
             let now = START + ms(at);
             let slots = f64::from(slots);
             let latest = now + ms(latest);
-            held.retain(|_, r| r.latest_start >= now);
+            held.retain(|_, held| held.latest_start >= now);
             held.remove(&id);
             let job = ReservationRequest { request: RequestId(id), slots, fleet_slots: all };
-            if let Some(r) = reservations.reserve(now, job, &forecasts, |_| latest) {
-                prop_assert!(r.expected_start <= r.latest_start && slots <= forecasts[r.worker].slots);
-                held.insert(id, r);
+            if let Some(made) = reservations.reserve(now, job, &forecasts, |_| latest) {
+                prop_assert!(made.expected_start <= made.latest_start && slots <= forecasts[made.worker].slots);
+                held.insert(id, made);
             }
-            let sum: f64 = held.values().map(|r| r.slots).sum();
-            let widest = held.values().map(|r| r.slots).fold(0.0, f64::max);
+            let sum: f64 = held.values().map(|held| held.slots).sum();
+            let widest = held.values().map(|held| held.slots).fold(0.0, f64::max);
             prop_assert!(sum <= (settings.max_reserved_fraction * all).max(widest));
         }
     }
@@ -226,111 +227,112 @@
     seasoned_of(2.0, true, workers, seed)
 }
 
-fn seasoned_of(k: f32, in_order: bool, workers: u32, seed: u64) -> Node {
-    let mut s = settings();
-    s.queues_in_order = in_order;
-    (s.start_reported, s.nodes, s.report_fields) = (true, 1, vec![ReportField::FreeSlots]);
-    (s.classes[SAFE].latency_target, s.classes[SAFE].latency_stretch) = (ms(600), 2.0);
-    let mut n = Node::seeded(s, workers, seed);
+fn seasoned_of(slots: f32, in_order: bool, workers: u32, seed: u64) -> Node {
+    let mut settings = settings();
+    settings.queues_in_order = in_order;
+    (settings.start_reported, settings.nodes, settings.report_fields) =
+        (true, 1, vec![ReportField::FreeSlots]);
+    (settings.classes[SAFE].latency_target, settings.classes[SAFE].latency_stretch) = (ms(600), 2.0);
+    let mut node = Node::seeded(settings, workers, seed);
     for id in 0..120 {
-        n.hinted(id, 200, 1.0);
-        answer(&mut n, &|_| k);
-        let (_, w) = n.sends()[0];
-        started(&mut n, id);
-        n.advance(ms(200));
-        n.outcome(id, 0, w, Status::Ok, true);
+        node.hinted(id, 200, 1.0);
+        answer(&mut node, &|_| slots);
+        let (_, worker) = node.sends()[0];
+        started(&mut node, id);
+        node.advance(ms(200));
+        node.outcome(id, 0, worker, Status::Ok, true);
     }
-    n.actions.clear();
-    n
+    node.actions.clear();
+    node
 }
 
-fn started(n: &mut Node, id: u32) {
-    n.event(Event::Started { id: RequestId(id), attempt: AttemptNo(0) });
+fn started(node: &mut Node, id: u32) {
+    node.event(Event::Started { id: RequestId(id), attempt: AttemptNo(0) });
 }
 
 /// Answers all probes with the free slots that each worker has.
-fn answer(n: &mut Node, free: &dyn Fn(u32) -> f32) -> Vec<u32> {
+fn answer(node: &mut Node, free: &dyn Fn(u32) -> f32) -> Vec<u32> {
     let mut asked = vec![];
     loop {
-        let probes = n.probes();
+        let probes = node.probes();
         if probes.is_empty() {
             return asked;
         }
-        for w in probes {
-            asked.push(w);
+        for worker in probes {
+            asked.push(worker);
             let latency = ms(1);
-            let report = vec![free(w)];
-            n.event(Event::Probed { worker: WorkerId(w), status: Status::Ok, latency, report });
+            let report = vec![free(worker)];
+            node.event(Event::Probed { worker: WorkerId(worker), status: Status::Ok, latency, report });
         }
     }
 }
 
 /// Lets time pass, with every probe answered.
-fn pass(n: &mut Node, span: u64, free: &dyn Fn(u32) -> f32) {
+fn pass(node: &mut Node, span: u64, free: &dyn Fn(u32) -> f32) {
     for _ in 0..span / 2 {
-        n.wait(ms(2));
-        answer(n, free);
+        node.wait(ms(2));
+        answer(node, free);
     }
 }
 
-fn send_of(n: &Node, id: u32) -> Option<u32> {
-    n.sends().into_iter().find(|(i, _)| *i == id).map(|(_, w)| w)
+fn send_of(node: &Node, id: u32) -> Option<u32> {
+    node.sends().into_iter().find(|(i, _)| *i == id).map(|(_, worker)| worker)
 }
 
-fn answer_of(n: &Node, id: u32) -> Option<&'static str> {
-    n.finals().into_iter().find(|(i, _)| *i == id).map(|(_, what)| what)
+fn answer_of(node: &Node, id: u32) -> Option<&'static str> {
+    node.finals().into_iter().find(|(i, _)| *i == id).map(|(_, what)| what)
 }
 
 #[test]
 fn a_large_job_that_finds_all_busy_is_not_refused_but_gets_its_place_in_time() {
     for seed in 0..8 {
-        let mut n = seasoned(4, seed);
-        n.hinted(LARGE, 2000, 1.0);
-        answer(&mut n, &|_| 0.0);
-        pass(&mut n, 600, &|_| 0.0);
-        assert_eq!(answer_of(&n, LARGE), None, "seed {seed}");
-        pass(&mut n, 600, &|w| if w == 1 { 1.0 } else { 0.0 });
-        assert!(send_of(&n, LARGE).is_some(), "seed {seed}");
+        let mut node = seasoned(4, seed);
+        node.hinted(LARGE, 2000, 1.0);
+        answer(&mut node, &|_| 0.0);
+        pass(&mut node, 600, &|_| 0.0);
+        assert_eq!(answer_of(&node, LARGE), None, "seed {seed}");
+        pass(&mut node, 600, &|worker| if worker == 1 { 1.0 } else { 0.0 });
+        assert!(send_of(&node, LARGE).is_some(), "seed {seed}");
     }
 }
 
 #[test]
 fn a_job_too_large_for_any_worker_is_refused_at_once_and_probes_nobody() {
     for (work, slots) in [(2000, 4.0), (9000, 1.0)] {
-        let mut n = seasoned(4, 1);
-        n.hinted(LARGE, work, slots);
-        assert_eq!((n.finals(), n.probes()), (vec![(LARGE, "refuse")], vec![]));
+        let mut node = seasoned(4, 1);
+        node.hinted(LARGE, work, slots);
+        assert_eq!((node.finals(), node.probes()), (vec![(LARGE, "refuse")], vec![]));
         assert!(
-            n.actions.iter().any(|a| matches!(a, Action::Refuse { retry_after: Some(_), .. })),
+            node.actions.iter().any(|action| matches!(action, Action::Refuse { retry_after: Some(_), .. })),
             "with advice"
         );
     }
 }
 
 /// A wide job of two slots that waits at a worker, and which worker that is.
-fn waiting(n: &mut Node) -> u32 {
-    n.hinted(LARGE, 1500, 2.0);
-    answer(n, &|_| 1.0);
-    pass(n, 40, &|_| 1.0);
-    send_of(n, LARGE).expect("queued where it will be served in time")
+fn waiting(node: &mut Node) -> u32 {
+    node.hinted(LARGE, 1500, 2.0);
+    answer(node, &|_| 1.0);
+    pass(node, 40, &|_| 1.0);
+    send_of(node, LARGE).expect("queued where it will be served in time")
 }
 
 #[test]
 fn small_jobs_go_by_the_worker_where_a_large_one_waits() {
     let place = |with_large: bool| {
-        let mut n = seasoned(4, 3);
-        let held = waiting(&mut n);
+        let mut node = seasoned(4, 3);
+        let held = waiting(&mut node);
         if !with_large {
-            n.outcome(LARGE, 0, held, Status::Ok, true);
+            node.outcome(LARGE, 0, held, Status::Ok, true);
         }
         let mut there = 0;
         for id in 1000..1100 {
             // As long as a job may be that is not large: it would hold its slot beyond the large one's start.
-            n.hinted(id, 900, 1.0);
-            answer(&mut n, &|_| 1.0);
-            there += usize::from(send_of(&n, id) == Some(held));
-            if let Some(w) = send_of(&n, id) {
-                n.outcome(id, 0, w, Status::Cancelled, true);
+            node.hinted(id, 900, 1.0);
+            answer(&mut node, &|_| 1.0);
+            there += usize::from(send_of(&node, id) == Some(held));
+            if let Some(worker) = send_of(&node, id) {
+                node.outcome(id, 0, worker, Status::Cancelled, true);
             }
         }
         there
@@ -342,27 +344,27 @@
 #[test]
 fn the_place_is_given_up_when_the_client_leaves_or_the_worker_does() {
     for what in 0..4 {
-        let mut n = seasoned(4, 3);
-        let held = waiting(&mut n);
-        n.actions.clear();
+        let mut node = seasoned(4, 3);
+        let held = waiting(&mut node);
+        node.actions.clear();
         match what {
-            0 => n.event(Event::ClientGone { id: RequestId(LARGE) }),
-            1 => n.outcome(LARGE, 0, held, Status::Full, false),
-            2 => n.outcome(LARGE, 0, held, Status::ConnectFailed, false),
+            0 => node.event(Event::ClientGone { id: RequestId(LARGE) }),
+            1 => node.outcome(LARGE, 0, held, Status::Full, false),
+            2 => node.outcome(LARGE, 0, held, Status::ConnectFailed, false),
             _ => {
-                n.list(ListKind::Delta, &[(held, WorkerState::Draining, None)]);
-                n.outcome(LARGE, 0, held, Status::Full, false);
+                node.list(ListKind::Delta, &[(held, WorkerState::Draining, None)]);
+                node.outcome(LARGE, 0, held, Status::Full, false);
             }
         }
         if what == 0 {
-            n.actions.clear();
-            n.outcome(LARGE, 0, held, Status::Cancelled, true);
-            assert!(n.probes().is_empty() && n.sends().is_empty(), "nothing for a departed client");
+            node.actions.clear();
+            node.outcome(LARGE, 0, held, Status::Cancelled, true);
+            assert!(node.probes().is_empty() && node.sends().is_empty(), "nothing for a departed client");
             continue;
         }
-        answer(&mut n, &|w| if w == held { 0.0 } else { 2.0 });
-        pass(&mut n, 1000, &|w| if w == held { 0.0 } else { 2.0 });
-        let next = send_of(&n, LARGE).expect("moved within the time left");
+        answer(&mut node, &|worker| if worker == held { 0.0 } else { 2.0 });
+        pass(&mut node, 1000, &|worker| if worker == held { 0.0 } else { 2.0 });
+        let next = send_of(&node, LARGE).expect("moved within the time left");
         assert_ne!(next, held);
     }
 }
@@ -370,142 +372,147 @@
 #[test]
 fn a_worker_that_restarts_cold_or_says_nothing_loses_the_job_that_only_looks_at_it() {
     for silent in [false, true] {
-        let mut n = seasoned(3, 5);
+        let mut node = seasoned(3, 5);
         // Large for one slot, and a queue everywhere that is too long: it looks at one worker again and again.
-        n.hinted(LARGE, 2000, 1.0);
+        node.hinted(LARGE, 2000, 1.0);
         let mut last = 0;
         for _ in 0..40 {
-            if let Some(w) = answer(&mut n, &|_| 0.0).last() {
-                last = *w;
+            if let Some(worker) = answer(&mut node, &|_| 0.0).last() {
+                last = *worker;
             }
-            if send_of(&n, LARGE).is_some() {
+            if send_of(&node, LARGE).is_some() {
                 break;
             }
-            n.wait(ms(2));
+            node.wait(ms(2));
         }
-        if let Some(w) = send_of(&n, LARGE) {
-            last = w;
-            n.outcome(LARGE, 0, w, Status::Timeout, false);
+        if let Some(worker) = send_of(&node, LARGE) {
+            last = worker;
+            node.outcome(LARGE, 0, worker, Status::Timeout, false);
         }
         if !silent {
-            n.list(ListKind::Delta, &[(last, WorkerState::Ready, Some(n.now))]);
+            node.list(ListKind::Delta, &[(last, WorkerState::Ready, Some(node.now))]);
         }
-        n.actions.clear();
+        node.actions.clear();
         for _ in 0..1500 {
-            for w in n.probes() {
-                if silent && w == last {
-                    n.probe_failed(w);
+            for worker in node.probes() {
+                if silent && worker == last {
+                    node.probe_failed(worker);
                 } else {
-                    n.event(Event::Probed {
-                        worker: WorkerId(w),
+                    node.event(Event::Probed {
+                        worker: WorkerId(worker),
                         status: Status::Ok,
                         latency: ms(1),
                         report: vec![1.0],
                     });
                 }
             }
-            n.wait(ms(2));
+            node.wait(ms(2));
         }
-        let ended = send_of(&n, LARGE).is_some_and(|w| w != last) || answer_of(&n, LARGE).is_some();
+        let ended =
+            send_of(&node, LARGE).is_some_and(|worker| worker != last) || answer_of(&node, LARGE).is_some();
         assert!(ended, "silent: {silent}");
     }
 }
 
 #[test]
 fn two_nodes_that_hold_the_same_worker_both_get_an_answer() {
-    let (mut a, mut b) = (seasoned(1, 1), seasoned(1, 2));
-    for n in [&mut a, &mut b] {
-        n.hinted(LARGE, 2000, 2.0);
-        answer(n, &|_| 0.0);
+    let (mut resumed, mut lost) = (seasoned(1, 1), seasoned(1, 2));
+    for node in [&mut resumed, &mut lost] {
+        node.hinted(LARGE, 2000, 2.0);
+        answer(node, &|_| 0.0);
     }
     // The worker frees up; the first to see it takes it, and the other sees it full until its time is over.
-    pass(&mut a, 1000, &|_| 2.0);
-    assert!(send_of(&a, LARGE).is_some());
-    pass(&mut b, 5000, &|_| 0.0);
-    assert!(send_of(&b, LARGE).is_some() || answer_of(&b, LARGE).is_some());
+    pass(&mut resumed, 1000, &|_| 2.0);
+    assert!(send_of(&resumed, LARGE).is_some());
+    pass(&mut lost, 5000, &|_| 0.0);
+    assert!(send_of(&lost, LARGE).is_some() || answer_of(&lost, LARGE).is_some());
     // Nothing is left behind: small ones have the worker.
-    if let Some(w) = send_of(&b, LARGE) {
-        b.outcome(LARGE, 0, w, Status::Cancelled, true);
+    if let Some(worker) = send_of(&lost, LARGE) {
+        lost.outcome(LARGE, 0, worker, Status::Cancelled, true);
     }
-    b.hinted(2000, 200, 1.0);
-    answer(&mut b, &|_| 2.0);
-    assert!(send_of(&b, 2000).is_some());
+    lost.hinted(2000, 200, 1.0);
+    answer(&mut lost, &|_| 2.0);
+    assert!(send_of(&lost, 2000).is_some());
 }
 
 #[test]
 fn what_is_held_too_long_is_refused_when_it_can_no_longer_be_in_time() {
-    let mut n = seasoned(2, 4);
-    n.hinted(LARGE, 2000, 2.0);
-    let from = n.now;
+    let mut node = seasoned(2, 4);
+    node.hinted(LARGE, 2000, 2.0);
+    let from = node.now;
     for _ in 0..2500 {
-        n.probes().into_iter().for_each(|w| n.probe_failed(w));
-        n.wait(ms(2));
-        if answer_of(&n, LARGE).is_some() {
+        node.probes().into_iter().for_each(|worker| node.probe_failed(worker));
+        node.wait(ms(2));
+        if answer_of(&node, LARGE).is_some() {
             break;
         }
     }
-    assert_eq!(answer_of(&n, LARGE), Some("refuse"));
-    assert!(n.last_final_at.since(from) < ms(2700), "not kept until the client gives up");
+    assert_eq!(answer_of(&node, LARGE), Some("refuse"));
+    assert!(node.last_final_at.since(from) < ms(2700), "not kept until the client gives up");
 }
 
 /// Where whatever fits may start, a wide job that finds one slot at each probed looks at a worker it believes free.
 fn looking() -> (Node, u32) {
-    let mut n = seasoned_of(2.0, false, 4, 3);
-    n.hinted(LARGE, 1500, 2.0);
-    answer(&mut n, &|_| 1.0);
-    assert_eq!(answer_of(&n, LARGE), None, "not refused while a worker may have room");
-    let mut later =
-        n.wait_for(|a| matches!(a, Action::Probe { .. }), ms(500)).map(|_| n.probes()).expect("a look");
-    (n, later.remove(0))
+    let mut node = seasoned_of(2.0, false, 4, 3);
+    node.hinted(LARGE, 1500, 2.0);
+    answer(&mut node, &|_| 1.0);
+    assert_eq!(answer_of(&node, LARGE), None, "not refused while a worker may have room");
+    let mut later = node
+        .wait_for(|action| matches!(action, Action::Probe { .. }), ms(500))
+        .map(|_| node.probes())
+        .expect("a look");
+    (node, later.remove(0))
 }
 
 #[test]
 fn a_wide_job_goes_to_the_worker_that_is_held_for_it() {
-    let (mut n, held) = looking();
+    let (mut node, held) = looking();
     let latency = ms(1);
-    n.event(Event::Probed { worker: WorkerId(held), status: Status::Ok, latency, report: vec![2.0] });
-    assert_eq!(send_of(&n, LARGE), Some(held));
+    node.event(Event::Probed { worker: WorkerId(held), status: Status::Ok, latency, report: vec![2.0] });
+    assert_eq!(send_of(&node, LARGE), Some(held));
 }
 
 #[test]
 fn small_jobs_pass_by_where_a_wide_one_would_be_late() {
-    let mut n = seasoned_of(3.0, false, 1, 3);
-    n.hinted(LARGE, 4600, 2.0);
-    answer(&mut n, &|_| 1.0);
-    assert_eq!(send_of(&n, LARGE), Some(0));
-    n.wait(ms(50));
-    n.hinted(1000, 900, 1.0);
-    answer(&mut n, &|_| 1.0);
-    assert_eq!(send_of(&n, 1000), None);
+    let mut node = seasoned_of(3.0, false, 1, 3);
+    node.hinted(LARGE, 4600, 2.0);
+    answer(&mut node, &|_| 1.0);
+    assert_eq!(send_of(&node, LARGE), Some(0));
+    node.wait(ms(50));
+    node.hinted(1000, 900, 1.0);
+    answer(&mut node, &|_| 1.0);
+    assert_eq!(send_of(&node, 1000), None);
 }
 
 #[test]
 fn a_held_worker_that_says_nothing_is_not_looked_at_again() {
-    let (mut n, held) = looking();
+    let (mut node, held) = looking();
     for _ in 0..1000 {
-        for w in n.probes() {
-            assert_ne!(w, held, "it said nothing");
-            n.event(Event::Probed {
-                worker: WorkerId(w),
+        for worker in node.probes() {
+            assert_ne!(worker, held, "it said nothing");
+            node.event(Event::Probed {
+                worker: WorkerId(worker),
                 status: Status::Ok,
                 latency: ms(1),
                 report: vec![1.0],
             });
         }
-        n.wait(ms(2));
+        node.wait(ms(2));
     }
-    assert_eq!(answer_of(&n, LARGE), Some("refuse"));
+    assert_eq!(answer_of(&node, LARGE), Some("refuse"));
 }
 
 #[test]
 fn a_held_worker_that_drains_sends_the_job_on_at_once() {
-    let mut n = seasoned_of(2.0, false, 4, 3);
-    let probed = |n: &mut Node| answer(n, &|_| 1.0);
-    n.hinted(LARGE, 1500, 2.0);
-    let seen = probed(&mut n);
-    let lost: Vec<_> =
-        (0..4).filter(|w| !seen.contains(w)).map(|w| (w, WorkerState::Draining, None)).collect();
+    let mut node = seasoned_of(2.0, false, 4, 3);
+    let probed = |node: &mut Node| answer(node, &|_| 1.0);
+    node.hinted(LARGE, 1500, 2.0);
+    let seen = probed(&mut node);
+    let lost: Vec<_> = (0..4)
+        .filter(|worker| !seen.contains(worker))
+        .map(|worker| (worker, WorkerState::Draining, None))
+        .collect();
     assert_eq!(lost.len(), 2, "the held one is among those not probed");
-    n.list(ListKind::Delta, &lost);
-    assert!(!n.probes().is_empty(), "no time has passed");
+    node.list(ListKind::Delta, &lost);
+    assert!(!node.probes().is_empty(), "no time has passed");
 }
--- a/crates/pebblepost-dispatch/tests/rules.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/rules.rs
@@ -1,8 +1,7 @@
 //! Random event orders under varied settings: rules 1 to 3 and the cold part of rule 4, judged
 //! from the actions alone.
 
-mod common;
-use common::{START, settings};
+use crate::node::{START, settings};
 use pebblepost_dispatch::Dispatcher;
 use pebblepost_dispatch::api::*;
 use proptest::prelude::*;
@@ -40,8 +39,19 @@
     ]
 }
 
+const STATUSES: [Status; 8] = [
+    Status::Error,
+    Status::Ok,
+    Status::Full,
+    Status::Timeout,
+    Status::ConnectFailed,
+    Status::Reset,
+    Status::Cancelled,
+    Status::Moot,
+];
+
 #[derive(Debug)]
-struct Held {
+struct PendingRequest {
     class: usize,
     deadline: Time,
     ended: bool,
@@ -55,7 +65,7 @@
     settings: Settings,
     now: Time,
     timers: Vec<(Time, TimerToken)>,
-    held: BTreeMap<u32, Held>,
+    pending: BTreeMap<u32, PendingRequest>,
     states: HashMap<u32, (WorkerState, Option<Time>)>,
     probes: Vec<u32>,
     /// Draining workers to which connections may have become idle.
@@ -80,20 +90,20 @@
     fn new(settings: Settings, seed: u64) -> Self {
         let node = Dispatcher::new(settings.clone(), seed, START);
         let workers = if seed.is_multiple_of(2) { 2 } else { 6 };
-        let states = (0..workers).map(|w| (w, (WorkerState::Ready, None))).collect();
+        let states = (0..workers).map(|worker| (worker, (WorkerState::Ready, None))).collect();
         let mut world = World {
             node,
             settings,
             now: START,
             timers: vec![],
-            held: BTreeMap::new(),
+            pending: BTreeMap::new(),
             states,
             probes: vec![],
             to_close: vec![],
             next_id: 0,
             log: vec![],
         };
-        let entries = (0..workers).map(|w| world.entry(w)).collect();
+        let entries = (0..workers).map(|worker| world.entry(worker)).collect();
         world.event(Event::Members { kind: ListKind::Cached, entries });
         world
     }
@@ -116,10 +126,10 @@
         self.node.handle(self.now, event.clone(), &mut out);
         let touched = match event {
             Event::Outcome { worker, .. } | Event::Probed { worker, .. } => vec![worker.0],
-            Event::Members { entries, .. } => entries.iter().map(|e| e.worker.0).collect(),
+            Event::Members { entries, .. } => entries.iter().map(|entry| entry.worker.0).collect(),
             _ => vec![],
         };
-        let draining = |w: &u32| self.states[w].0 == WorkerState::Draining;
+        let draining = |worker: &u32| self.states[worker].0 == WorkerState::Draining;
         self.to_close = touched.into_iter().filter(draining).collect();
         for action in &out {
             self.judge(action);
@@ -134,68 +144,78 @@
             Action::Send { id, worker, .. } => self.judge_send(id.0, worker.0),
             Action::Refuse { id, retry_after } => {
                 assert_eq!(retry_after.is_some(), self.settings.retry_after_enabled, "when to come back");
-                let effect = self.settings.classes[self.held[&id.0].class].idempotency;
-                let r = self.held.get_mut(&id.0).expect("refused a request it does not have");
-                let never = |o: &Option<Status>| o.is_some_and(|o| self.settings.never_ran(o));
+                let effect = self.settings.classes[self.pending[&id.0].class].idempotency;
+                let request = self.pending.get_mut(&id.0).expect("refused a request it does not have");
+                let never =
+                    |outcome: &Option<Status>| outcome.is_some_and(|status| self.settings.never_ran(status));
                 let harmless = match effect {
                     Idempotency::Idempotent
                     | Idempotency::Deduplicated { scope: DeduplicationScope::All, .. } => true,
-                    _ => r.attempts.iter().all(|(.., o)| never(o)),
+                    _ => request.attempts.iter().all(|(.., outcome)| never(outcome)),
                 };
-                assert!(harmless, "rule 2: refused {id:?} though it may have run: {:?}", r.attempts);
-                assert!(!r.ended, "rule 1: two answers for {id:?}");
-                r.ended = true;
+                assert!(harmless, "rule 2: refused {id:?} though it may have run: {:?}", request.attempts);
+                assert!(!request.ended, "rule 1: two answers for {id:?}");
+                request.ended = true;
             }
             Action::Fail { id } => {
-                let r = self.held.get_mut(&id.0).expect("failed a request it does not have");
-                assert!(!r.ended, "rule 1: two answers for {id:?}");
-                r.ended = true;
+                let request = self.pending.get_mut(&id.0).expect("failed a request it does not have");
+                assert!(!request.ended, "rule 1: two answers for {id:?}");
+                request.ended = true;
             }
             Action::Cancel { id, attempt } => {
-                assert!(usize::from(attempt.0) < self.held[&id.0].attempts.len());
+                assert!(usize::from(attempt.0) < self.pending[&id.0].attempts.len());
             }
             Action::SetTimer { at, token } => self.timers.push((at, token)),
             Action::Probe { worker } => {
                 assert_eq!(self.states[&worker.0].0, WorkerState::Ready, "probe opens a connection");
                 self.probes.push(worker.0);
             }
-            Action::CloseIdle { worker } => self.to_close.retain(|w| *w != worker.0),
+            Action::CloseIdle { worker } => self.to_close.retain(|closing| *closing != worker.0),
             Action::Watch | Action::Fetch => {}
         }
     }
 
     /// A request for which no attempt can be made any more is answered in the same step.
     fn judge_promptness(&self, id: u32) {
-        let r = &self.held[&id];
-        let open = r.attempts.iter().any(|(.., o)| o.is_none());
-        let ran = |(.., o): &&(u32, Time, Option<Status>)| o.is_some_and(|o| !self.settings.never_ran(o));
-        let barred = match (self.settings.classes[r.class].idempotency, r.attempts.iter().find(ran)) {
-            (Idempotency::Idempotent, _) | (_, None) => false,
-            (Idempotency::NonIdempotent, Some(_)) => true,
-            (Idempotency::Deduplicated { window, .. }, Some((_, at, _))) => self.now >= *at + window,
+        let request = &self.pending[&id];
+        let open = request.attempts.iter().any(|(.., outcome)| outcome.is_none());
+        let ran = |(.., outcome): &&(u32, Time, Option<Status>)| {
+            outcome.is_some_and(|status| !self.settings.never_ran(status))
         };
-        let used_up = r.attempts.len() as u32 >= self.settings.max_attempts;
-        assert!(r.ended || open || !(barred || used_up), "held back: {id} after {:?}", r.attempts);
+        let barred =
+            match (self.settings.classes[request.class].idempotency, request.attempts.iter().find(ran)) {
+                (Idempotency::Idempotent, _) | (_, None) => false,
+                (Idempotency::NonIdempotent, Some(_)) => true,
+                (Idempotency::Deduplicated { window, .. }, Some((_, at, _))) => self.now >= *at + window,
+            };
+        let used_up = request.attempts.len() as u32 >= self.settings.max_attempts;
+        assert!(
+            request.ended || open || !(barred || used_up),
+            "not answered: {id} after {:?}",
+            request.attempts
+        );
     }
 
     fn judge_send(&mut self, id: u32, worker: u32) {
         let now = self.now;
         let (state, _) = self.states[&worker];
         assert_eq!(state, WorkerState::Ready, "rule 3: sent to {worker}");
-        let class = &self.settings.classes[self.held[&id].class];
+        let class = &self.settings.classes[self.pending[&id].class];
         let open = |zones: &Vec<ZoneId>| zones.contains(&ZoneId(zone(worker) as u16));
         assert!(class.only_zones.as_ref().is_none_or(open), "placement: zone of {worker}");
         let open = |kinds: &Vec<KindId>| kinds.contains(&KindId(kind(worker) as u16));
         assert!(class.only_kinds.as_ref().is_none_or(open), "placement: kind of {worker}");
-        let r = self.held.get_mut(&id).expect("sent a request it does not have");
-        assert!(!r.ended, "rule 1: sent after the end");
-        let open = r.attempts.iter().any(|(.., o)| o.is_none());
+        let request = self.pending.get_mut(&id).expect("sent a request it does not have");
+        assert!(!request.ended, "rule 1: sent after the end");
+        let open = request.attempts.iter().any(|(.., outcome)| outcome.is_none());
         assert!(self.settings.hedging_enabled || !open, "rule 2: overlapping attempts");
-        assert!((r.attempts.len() as u32) < self.settings.max_attempts);
+        assert!((request.attempts.len() as u32) < self.settings.max_attempts);
         let settings = &self.settings;
-        let may_have_run = |(.., o): &&(u32, Time, Option<Status>)| o.is_none_or(|s| !settings.never_ran(s));
-        if let Some((first, at, _)) = r.attempts.iter().find(may_have_run) {
-            match self.settings.classes[r.class].idempotency {
+        let may_have_run = |(.., outcome): &&(u32, Time, Option<Status>)| {
+            outcome.is_none_or(|status| !settings.never_ran(status))
+        };
+        if let Some((first, at, _)) = request.attempts.iter().find(may_have_run) {
+            match self.settings.classes[request.class].idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => panic!("rule 2: an unsafe job sent twice"),
                 Idempotency::Deduplicated { scope: group, window } => {
@@ -212,23 +232,26 @@
                 }
             }
         }
-        r.attempts.push((worker, now, None));
+        request.attempts.push((worker, now, None));
         // Rule 4: a cold worker never holds more of this node's jobs than three times its part of its slots,
         // which are three at the most here, or one.
         let (_, started) = self.states[&worker];
-        if started.is_some_and(|s| now < s + self.settings.warm_up_time) {
-            let here = |r: &Held| {
-                let recent = |(w, at, o): &&(u32, Time, Option<Status>)| {
-                    *w == worker && o.is_none() && started.is_some_and(|s| *at >= s)
+        if started.is_some_and(|start| now < start + self.settings.warm_up_time) {
+            let here = |request: &PendingRequest| {
+                let recent = |(at_worker, at, outcome): &&(u32, Time, Option<Status>)| {
+                    *at_worker == worker && outcome.is_none() && started.is_some_and(|start| *at >= start)
                 };
-                r.attempts.iter().filter(recent).count()
+                request.attempts.iter().filter(recent).count()
             };
-            let out: usize = self.held.values().map(here).sum();
-            let age = started.map_or(0.0, |s| now.since(s).as_secs_f64());
+            let out: usize = self.pending.values().map(here).sum();
+            let age = started.map_or(0.0, |start| now.since(start).as_secs_f64());
             let cold_from = self.settings.cold_capacity;
-            let warmth = cold_from + (1.0 - cold_from) * age / self.settings.warm_up_time.as_secs_f64();
-            let share = (3.0 * (3.0 * warmth).min(1.0)).ceil().max(1.0);
-            assert!(out as f64 <= share, "rule 4: {out} jobs out at a worker of three slots, {warmth} warm");
+            let capacity = cold_from + (1.0 - cold_from) * age / self.settings.warm_up_time.as_secs_f64();
+            let share = (3.0 * (3.0 * capacity).min(1.0)).ceil().max(1.0);
+            assert!(
+                out as f64 <= share,
+                "rule 4: {out} jobs out at a worker of three slots, {capacity} warm"
+            );
         }
     }
 
@@ -250,81 +273,84 @@
         while self.now < end {
             self.now = self.now + self.settings.tick;
             self.fire();
-            let late = |r: &Held| !r.ended && self.now > r.deadline + self.settings.answer_slack;
-            let overdue = self.held.iter().find(|(_, r)| late(r));
+            let late = |request: &PendingRequest| {
+                !request.ended && self.now > request.deadline + self.settings.answer_slack
+            };
+            let overdue = self.pending.iter().find(|(_, request)| late(request));
             assert!(overdue.is_none(), "rule 1: no answer in time: {overdue:?}");
         }
     }
 
     fn open_attempts(&self) -> Vec<(u32, usize)> {
-        let open = |(id, r): (&u32, &Held)| {
+        let open = |(id, request): (&u32, &PendingRequest)| {
             let id = *id;
-            let numbered = r.attempts.iter().enumerate();
-            numbered.filter(|(_, (.., o))| o.is_none()).map(move |(no, _)| (id, no)).collect::<Vec<_>>()
+            let numbered = request.attempts.iter().enumerate();
+            numbered
+                .filter(|(_, (.., outcome))| outcome.is_none())
+                .map(move |(no, _)| (id, no))
+                .collect::<Vec<_>>()
         };
-        self.held.iter().flat_map(open).collect()
+        self.pending.iter().flat_map(open).collect()
+    }
+
+    fn request(&mut self, class: usize, left_ms: u16, repeat: bool) {
+        let (id, class) = (self.next_id, class % self.settings.classes.len());
+        self.next_id += 1;
+        let time_left = Duration::from_millis(left_ms.into());
+        let deadline = self.now + time_left;
+        self.pending.insert(id, PendingRequest { class, deadline, ended: false, attempts: vec![] });
+        self.event(Event::Request {
+            id: RequestId(id),
+            class: ClassId(class as u16),
+            tenant: TenantId(0),
+            time_left,
+            repeat,
+            slots: 1.0,
+            memory: 0.0,
+            work: None,
+            key: 0,
+        });
+    }
+
+    fn answer_probe(&mut self, pick: usize, status: Status, report: Report) {
+        if self.probes.is_empty() {
+            return;
+        }
+        let worker = self.probes.remove(pick % self.probes.len());
+        let report = if status == Status::Ok { report } else { Report::new() };
+        let latency = Duration::from_millis(1);
+        self.event(Event::Probed { worker: WorkerId(worker), status, latency, report });
+    }
+
+    fn answer_attempt(&mut self, pick: usize, status: Status) {
+        let open = self.open_attempts();
+        if open.is_empty() {
+            return;
+        }
+        let (id, no) = open[pick % open.len()];
+        let request = self.pending.get_mut(&id).expect("pending");
+        let (worker, sent, outcome) = &mut request.attempts[no];
+        *outcome = Some(status);
+        let (worker, latency) = (WorkerId(*worker), self.now.since(*sent));
+        request.ended |= status == Status::Ok;
+        let closed = request.ended;
+        let attempt = AttemptNo(no as u8);
+        let id = RequestId(id);
+        let report = Report::new();
+        self.event(Event::Outcome { id, attempt, worker, status, latency, closed, report });
+        self.judge_promptness(id.0);
     }
 
     fn step(&mut self, step: &Step) {
-        let statuses = [
-            Status::Error,
-            Status::Ok,
-            Status::Full,
-            Status::Timeout,
-            Status::ConnectFailed,
-            Status::Reset,
-            Status::Cancelled,
-            Status::Moot,
-        ];
         match *step {
-            Step::Request { class, left_ms, repeat } => {
-                let (id, class) = (self.next_id, usize::from(class) % self.settings.classes.len());
-                self.next_id += 1;
-                let time_left = Duration::from_millis(left_ms.into());
-                let deadline = self.now + time_left;
-                self.held.insert(id, Held { class, deadline, ended: false, attempts: vec![] });
-                self.event(Event::Request {
-                    id: RequestId(id),
-                    class: ClassId(class as u16),
-                    tenant: TenantId(0),
-                    time_left,
-                    repeat,
-                    slots: 1.0,
-                    memory: 0.0,
-                    work: None,
-                    key: 0,
-                });
-            }
+            Step::Request { class, left_ms, repeat } => self.request(class.into(), left_ms, repeat),
             Step::AnswerProbe { pick, status, free, queue } => {
-                if self.probes.is_empty() {
-                    return;
-                }
-                let worker = self.probes.remove(usize::from(pick) % self.probes.len());
                 // Most probes are answered well.
-                let status = if pick % 4 == 0 { statuses[usize::from(status)] } else { Status::Ok };
-                let report =
-                    if status == Status::Ok { vec![free.into(), queue.into()] } else { Report::new() };
-                let latency = Duration::from_millis(1);
-                self.event(Event::Probed { worker: WorkerId(worker), status, latency, report });
+                let status = if pick % 4 == 0 { STATUSES[usize::from(status)] } else { Status::Ok };
+                self.answer_probe(pick.into(), status, vec![free.into(), queue.into()]);
             }
             Step::AnswerAttempt { pick, status } => {
-                let open = self.open_attempts();
-                if open.is_empty() {
-                    return;
-                }
-                let (id, no) = open[usize::from(pick) % open.len()];
-                let status = statuses[usize::from(status)];
-                let r = self.held.get_mut(&id).expect("held");
-                let (worker, sent, outcome) = &mut r.attempts[no];
-                *outcome = Some(status);
-                let (worker, latency) = (WorkerId(*worker), self.now.since(*sent));
-                r.ended |= status == Status::Ok;
-                let closed = r.ended;
-                let attempt = AttemptNo(no as u8);
-                let id = RequestId(id);
-                let report = Report::new();
-                self.event(Event::Outcome { id, attempt, worker, status, latency, closed, report });
-                self.judge_promptness(id.0);
+                self.answer_attempt(pick.into(), STATUSES[usize::from(status)]);
             }
             Step::Note { pick, done } => {
                 let open = self.open_attempts();
@@ -346,9 +372,10 @@
             }
             Step::FailedCall => self.event(Event::Members { kind: ListKind::Failed, entries: vec![] }),
             Step::Leave { pick } => {
-                let ids: Vec<u32> = self.held.iter().filter(|(_, r)| !r.ended).map(|(id, _)| *id).collect();
+                let ids: Vec<u32> =
+                    self.pending.iter().filter(|(_, request)| !request.ended).map(|(id, _)| *id).collect();
                 if let Some(id) = ids.get(usize::from(pick) % ids.len().max(1)) {
-                    self.held.get_mut(id).expect("held").ended = true;
+                    self.pending.get_mut(id).expect("pending").ended = true;
                     self.event(Event::ClientGone { id: RequestId(*id) });
                 }
             }
@@ -369,27 +396,27 @@
         Just(DeduplicationScope::Cell)
     ];
     (any::<[bool; 12]>(), group, 1..6u32, 50..1500u64).prop_map(|(flags, group, max_attempts, window)| {
-        let mut s = settings();
-        s.hedging_enabled = flags[0];
-        s.start_reported = flags[1];
-        s.progress = flags[2].then_some(Duration::from_millis(300));
-        s.discovery = if flags[3] { Discovery::Poll } else { Discovery::Push };
-        s.prices.handshake = f64::from(u8::from(flags[4])) * 0.1;
-        s.prices.cross_zone = f64::from(u8::from(flags[5])) * 0.1;
-        s.max_attempts = max_attempts;
+        let mut settings = settings();
+        settings.hedging_enabled = flags[0];
+        settings.start_reported = flags[1];
+        settings.progress = flags[2].then_some(Duration::from_millis(300));
+        settings.discovery = if flags[3] { Discovery::Poll } else { Discovery::Push };
+        settings.prices.handshake = f64::from(u8::from(flags[4])) * 0.1;
+        settings.prices.cross_zone = f64::from(u8::from(flags[5])) * 0.1;
+        settings.max_attempts = max_attempts;
         // Long aims leave time for several rounds.
-        for class in s.classes.iter_mut().filter(|_| flags[6]) {
+        for class in settings.classes.iter_mut().filter(|_| flags[6]) {
             class.latency_target = Duration::from_secs(2);
         }
-        s.classes[1].idempotency =
+        settings.classes[1].idempotency =
             Idempotency::Deduplicated { scope: group, window: Duration::from_millis(window) };
-        s.classes[0].late_value = 0.5;
-        s.full_may_have_run = flags[9];
-        s.retry_after_enabled = flags[11];
-        s.close_idle_within = flags[10].then_some(Duration::from_secs(1));
-        s.classes[0].only_zones = flags[7].then(|| vec![ZoneId(1)]);
-        s.classes[1].only_kinds = flags[8].then(|| vec![KindId(0), KindId(7)]);
-        s
+        settings.classes[0].late_value = 0.5;
+        settings.full_may_have_run = flags[9];
+        settings.retry_after_enabled = flags[11];
+        settings.close_idle_within = flags[10].then_some(Duration::from_secs(1));
+        settings.classes[0].only_zones = flags[7].then(|| vec![ZoneId(1)]);
+        settings.classes[1].only_kinds = flags[8].then(|| vec![KindId(0), KindId(7)]);
+        settings
     })
 }
 
@@ -426,7 +453,8 @@
             ]
         })
         .collect();
-    let sends = play(settings(), 1, &steps).iter().filter(|a| matches!(a, Action::Send { .. })).count();
+    let sends =
+        play(settings(), 1, &steps).iter().filter(|action| matches!(action, Action::Send { .. })).count();
     assert!(sends > 100, "{sends} sends");
 }
 
@@ -443,9 +471,9 @@
 /// Errors come at any time around the end of the window; repeats follow inside it only.
 #[test]
 fn keyed_repeats_stay_in_their_window() {
-    let mut s = settings();
-    s.classes[1].latency_target = Duration::from_secs(2);
-    s.classes[1].idempotency =
+    let mut settings = settings();
+    settings.classes[1].latency_target = Duration::from_secs(2);
+    settings.classes[1].idempotency =
         Idempotency::Deduplicated { scope: DeduplicationScope::All, window: Duration::from_millis(300) };
     let orders = (any::<u64>(), prop::collection::vec((0..600u16, any::<u16>()), 1..30));
     let mut repeats = 0;
@@ -456,7 +484,7 @@
             let error = Step::AnswerAttempt { pick, status: 0 };
             vec![request, probe.clone(), Step::Pass { ms }, error, probe.clone(), probe]
         };
-        play(s.clone(), seed, &times.iter().flat_map(step).collect::<Vec<_>>());
+        play(settings.clone(), seed, &times.iter().flat_map(step).collect::<Vec<_>>());
         Ok(())
     });
     kept.unwrap_or_else(|broken| panic!("{broken}"));
@@ -467,8 +495,9 @@
             let request = Step::Request { class: 1, left_ms: 5000, repeat: false };
             [request, probe.clone(), Step::Pass { ms }, Step::AnswerAttempt { pick, status: 0 }, probe]
         });
-        let actions = play(s.clone(), seed, &steps.collect::<Vec<_>>());
-        repeats += actions.iter().filter(|a| matches!(a, Action::Send { .. })).count().saturating_sub(3);
+        let actions = play(settings.clone(), seed, &steps.collect::<Vec<_>>());
+        repeats +=
+            actions.iter().filter(|action| matches!(action, Action::Send { .. })).count().saturating_sub(3);
     }
     assert!(repeats > 0, "repeats are made at all");
 }
--- /dev/null
+++ b/crates/pebblepost-dispatch/tests/estimators.rs
@@ -0,0 +1,36 @@
+//! Estimates of waits and of tenants' use of their shares.
+
+use pebblepost_dispatch::api::Time;
+use pebblepost_dispatch::estimators::{QueueWait, TenantUsage};
+use std::time::Duration;
+
+const SECOND: Duration = Duration::from_secs(1);
+
+fn at(seconds: f64) -> Time {
+    Time(0) + SECOND.mul_f64(seconds)
+}
+
+#[test]
+fn a_wait_seen_counts_for_less_as_it_ages_and_one_that_lasts_for_all_of_it() {
+    let mut waits = QueueWait::default();
+    assert_eq!(waits.expected(at(1.0), Duration::ZERO), 0.0);
+    waits.record_start(at(1.0), SECOND / 2);
+    assert!((waits.expected(at(1.0), Duration::ZERO) - 0.5).abs() < 1e-9);
+    assert!((0.1..0.3).contains(&waits.expected(at(2.0), Duration::ZERO)));
+    assert_eq!(waits.expected(at(9.0), SECOND), 1.0);
+}
+
+#[test]
+fn who_sends_twice_its_share_is_over_it_twice() {
+    let mut shares = TenantUsage::new([0.25, 0.75].into_iter());
+    assert_eq!((shares.relative_usage(0), shares.relative_usage(1)), (1.0, 1.0));
+    (0..4000).for_each(|i| shares.record(i % 2));
+    assert!(
+        (1.8..2.2).contains(&shares.relative_usage(0)) && (0.6..0.75).contains(&shares.relative_usage(1))
+    );
+    assert_eq!(
+        (shares.relative_usage(7), TenantUsage::new(std::iter::empty()).relative_usage(0)),
+        (1.0, 1.0),
+        "none was agreed"
+    );
+}
--- a/crates/pebblepost-dispatch/tests/simulation/mod.rs
+++ b/crates/pebblepost-dispatch/tests/simulation/mod.rs
@@ -45,6 +45,7 @@
 
 /// What one simulated run is made of.
 #[derive(Clone, Copy, Debug)]
+#[expect(clippy::struct_excessive_bools, reason = "each turns one feature of a scenario on")]
 pub struct Scenario {
     pub name: &'static str,
     /// Lines of the launch message, added to the usual ones.
--- a/crates/pebblepost-dispatch/tests/wire.rs
+++ b/crates/pebblepost-dispatch/tests/wire.rs
@@ -37,7 +37,7 @@
 }
 
 fn probed(instance: u32, worker: u32, report: &[f32]) -> Vec<u8> {
-    let values: Vec<u8> = report.iter().flat_map(|v| v.to_le_bytes()).collect();
+    let values: Vec<u8> = report.iter().flat_map(|value| value.to_le_bytes()).collect();
     let head = [&worker.to_le_bytes()[..], &[1], &1_000_000u64.to_le_bytes(), &[report.len() as u8]].concat();
     record(60, &[&instance.to_le_bytes(), &head, &values])
 }
@@ -62,7 +62,7 @@
         280800000005000000192b6f0e";
     let bytes: Vec<u8> =
         (0..hex.len() / 2).map(|i| u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).expect("hex")).collect();
-    let messages = parse(&bytes).expect("sound");
+    let messages = parse(&bytes).expect("valid");
     assert_eq!(messages.iter().map(|(i, _)| *i).collect::<Vec<_>>(), [3, 3, 5]);
     let Message::Event(Event::Request { id, time_left, repeat, slots, .. }) = &messages[0].1 else {
         panic!("{messages:?}")
@@ -107,16 +107,19 @@
 
 #[test]
 fn settings_are_translated_and_unknown_keys_skipped() {
-    let s = parse_settings(SETTINGS).expect("sound");
-    assert_eq!((s.nodes, s.zone, s.max_attempts), (4, ZoneId(1), 3));
+    let settings = parse_settings(SETTINGS).expect("valid");
+    assert_eq!((settings.nodes, settings.zone, settings.max_attempts), (4, ZoneId(1), 3));
     let group = DeduplicationScope::Zone;
     assert_eq!(
-        s.classes[0].idempotency,
+        settings.classes[0].idempotency,
         Idempotency::Deduplicated { scope: group, window: Duration::from_millis(7500) }
     );
-    assert_eq!((s.classes[0].latency_stretch, s.classes[0].value, s.classes[0].kind), (1.25, 2.5, None));
-    assert_eq!(s.report_fields, [ReportField::FreeSlots, ReportField::Queue, ReportField::InFlight]);
-    assert_eq!(s.warm_up_time, Duration::from_secs(22));
+    assert_eq!(
+        (settings.classes[0].latency_stretch, settings.classes[0].value, settings.classes[0].kind),
+        (1.25, 2.5, None)
+    );
+    assert_eq!(settings.report_fields, [ReportField::FreeSlots, ReportField::Queue, ReportField::InFlight]);
+    assert_eq!(settings.warm_up_time, Duration::from_secs(22));
     for bad in ["tick=fast", "caps.probing=perhaps", "no value", "classes.count=1\nclasses.0.effect=odd"] {
         assert!(matches!(parse_settings(bad), Err(WireError::Setting(_))), "{bad}");
     }
@@ -219,19 +222,26 @@
 
 #[test]
 fn further_rules_are_translated_and_absent_keys_bind_nothing() {
-    let s = parse_settings(SETTINGS).expect("sound");
-    assert_eq!((&s.classes[0].only_kinds, &s.classes[0].only_zones), (&None, &None));
-    assert_eq!((s.close_idle_within, s.full_may_have_run), (None, false));
+    let settings = parse_settings(SETTINGS).expect("valid");
+    assert_eq!((&settings.classes[0].only_kinds, &settings.classes[0].only_zones), (&None, &None));
+    assert_eq!((settings.close_idle_within, settings.full_may_have_run), (None, false));
 
     let more = "classes.0.kindsOnly=0,2\nclasses.0.failureDomainsAllowed=9\n\
         invariants.letGoIn=1000000000\ninvariants.mayShedBegun=true\n";
-    let s = parse_settings(&format!("{SETTINGS}{more}")).expect("sound");
-    assert_eq!(s.classes[0].only_kinds, Some(vec![KindId(0), KindId(2)]));
-    assert_eq!(s.classes[0].only_zones, Some(vec![ZoneId(9)]), "an unknown index is kept: it permits nobody");
-    assert_eq!((s.close_idle_within, s.full_may_have_run), (Some(Duration::from_secs(1)), true));
+    let settings = parse_settings(&format!("{SETTINGS}{more}")).expect("valid");
+    assert_eq!(settings.classes[0].only_kinds, Some(vec![KindId(0), KindId(2)]));
+    assert_eq!(
+        settings.classes[0].only_zones,
+        Some(vec![ZoneId(9)]),
+        "an unknown index is kept: it permits nobody"
+    );
+    assert_eq!(
+        (settings.close_idle_within, settings.full_may_have_run),
+        (Some(Duration::from_secs(1)), true)
+    );
 
-    let s = parse_settings(&format!("{SETTINGS}classes.0.kindsOnly=\n")).expect("sound");
-    assert_eq!(s.classes[0].only_kinds, Some(vec![]), "an empty set permits nobody");
+    let settings = parse_settings(&format!("{SETTINGS}classes.0.kindsOnly=\n")).expect("valid");
+    assert_eq!(settings.classes[0].only_kinds, Some(vec![]), "an empty set permits nobody");
 
     for bad in [
         "classes.0.kindsOnly=0,big",
