--- a/crates/pebblepost-dispatch/tests/affinity.rs
+++ b/crates/pebblepost-dispatch/tests/affinity.rs
@@ -2,9 +2,9 @@
 
 use pebblepost_dispatch::affinity::{KeyPopularity, RecentKeys, first_by_rank, rank};
 
-/// permits-main: machines of 3 and of 5 cores came first for as many keys each, and the small ones filled up.
+/// Machines of 3 and of 5 cores came first for as many keys each, and the small ones filled up.
 #[test]
-fn a_worker_comes_first_for_as_much_as_it_weighs_and_takes_no_others_keys_when_it_leaves() {
+fn ranks_workers_by_weight_and_moves_only_the_keys_of_one_that_leaves() {
     let weights = [3.0, 5.0, 1.0];
     let first_of = |key, left: &[usize]| {
         first_by_rank(left.iter().copied(), 1, |worker| rank(key, *worker as u64 + 11, weights[*worker]))[0]
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_keys_of_a_worker_are_bounded_and_the_often_used_stay() {
+fn keeps_a_bounded_number_of_keys_and_the_most_used_ones() {
     let mut recent = RecentKeys::default();
     (1..=1000).for_each(|key| [key, 1].map(|key| recent.record(key)).into_iter().collect());
     assert!(
@@ -29,10 +29,10 @@
     assert_eq!((1..=1000).filter(|key| recent.contains(*key)).count(), 8);
 }
 
-/// kumamoto-main: a key that drew a fifth of all jobs went to one worker of thirteen, and its jobs were refused.
-/// permits-main: with three workers for each key, one a zone, each fetched what another had.
+/// A key that drew a fifth of all jobs went to one worker of thirteen, and its jobs were refused.
+/// With three workers for each key, one a zone, each fetched what another had.
 #[test]
-fn a_key_has_as_many_workers_as_its_part_of_the_jobs_needs() {
+fn replicates_a_key_by_its_fraction_of_the_jobs() {
     let mut popularity = KeyPopularity::default();
     (0..2560).for_each(|i| popularity.record(if i % 5 == 0 { 7 } else { 100 + i % 160 }));
     let among = [(7, 13), (101, 13), (9999, 13), (7, 1), (7, 0)];
--- a/crates/pebblepost-dispatch/tests/dispatcher/classes.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/classes.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn an_added_class_follows_those_before_it() {
+fn appends_an_added_class() {
     let mut node = Node::new(settings(), 4);
     let added = node.dispatcher.add_class(unsafe_class());
     assert_eq!(added, Some(ClassId(3)));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn requests_of_an_added_class_are_probed_for_and_sent() {
+fn serves_requests_of_an_added_class() {
     let mut node = Node::new(settings(), 4);
     node.request(1, 3);
     assert!(node.actions.contains(&Action::Fail { id: RequestId(1) }), "the class is not known yet");
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_was_learned_stays_when_a_class_is_added() {
+fn keeps_estimates_when_a_class_is_added() {
     let (mut with, mut without) = (Node::new(settings(), 4), Node::new(settings(), 4));
     with.dispatcher.add_class(unsafe_class());
     with.dispatcher.set_nodes(4);
--- a/crates/pebblepost-dispatch/tests/dispatcher/fleet.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/fleet.rs
@@ -134,7 +134,7 @@
 /// The sum of all stays within the budget that the settings give, and what is chance beyond it, whatever the number of
 /// processes, also if all have just started and have forgotten what they sent, and if few have most of the traffic.
 #[test]
-fn the_sum_of_all_stays_within_a_cold_workers_budget_for_any_number_of_processes() {
+fn keeps_a_warming_worker_within_its_budget_for_any_number_of_nodes() {
     for nodes in [1, 5, 20, 30, 300] {
         for (seed, fresh, uneven) in [(1, false, false), (2, true, false), (3, true, true), (4, false, true)]
         {
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_hundred_dispatchers_push_no_cold_worker_over_and_do_not_leave_it_idle() {
+fn hundred_nodes_neither_overload_nor_idle_a_warming_worker() {
     for (seed, rate, age) in [(1, 100.0, 0.03), (2, 300.0, 0.07), (4, 1500.0, 0.05), (5, 1500.0, 0.1)] {
         let (worst, _, jobs) = play(FLEET, seed, rate, age);
         println!("seed {seed}: {rate} a second, reports {age} s old: worst multiple {worst:.2}, {jobs} jobs");
@@ -158,10 +158,10 @@
     }
 }
 
-/// herd+vast: clients repeat a refused job within milliseconds, and each repeat probed the same workers in the key's
+/// Clients repeat a refused job within milliseconds, and each repeat probed the same workers in the key's
 /// order that had just been seen full, to be refused again.
 #[test]
-fn a_repeat_at_once_probes_others_than_those_just_seen_full() {
+fn probes_others_than_those_just_reported_full() {
     let mut node = Node::seeded(settings(), 8, 3);
     node.learn_all(2.0);
     let mut seen = Vec::new();
@@ -185,10 +185,10 @@
     );
 }
 
-/// herd+vast-2: 6,251 probes over the fleet found room at a cold worker that its lot then refused; each cost a probe
+/// 6,251 probes over the fleet found room at a cold worker that its lot then refused; each cost a probe
 /// and another in its place. The lot is drawn before the probe, so a cold worker is probed when it may take the job.
 #[test]
-fn a_cold_worker_is_probed_only_where_its_lot_admits_the_job() {
+fn probes_a_warming_worker_only_after_admission() {
     let settings = Settings {
         nodes: NODES,
         cold_capacity: COLD_FROM,
@@ -264,7 +264,7 @@
 /// Without the spread by number, forty nodes make twice the calls each that ten make, and gain nothing by it: discovery
 /// is as fast as it is.
 #[test]
-fn calls_to_discovery_after_a_restart_of_all_grow_no_faster_than_the_nodes() {
+fn spreads_discovery_polls_after_a_restart_of_all_nodes() {
     for nodes in [10, 20, 30, 40] {
         let played: Vec<(usize, f64)> = (1..=5).map(|seed| discovery_calls(nodes, seed)).collect();
         let calls = played.iter().map(|run| run.0).sum::<usize>() as f64 / 5.0 / f64::from(nodes);
--- a/crates/pebblepost-dispatch/tests/dispatcher/probing.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/probing.rs
@@ -7,7 +7,7 @@
 const MS: u64 = 1_000_000;
 
 #[test]
-fn one_random_probe_precedes_the_job_and_a_free_worker_gets_it() {
+fn sends_to_the_first_probed_worker_with_capacity() {
     let mut node = Node::new(settings(), 6);
     node.request(1, 0);
     let probed = node.probes();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_full_first_worker_leads_to_more_probes_and_the_fewest_busy_wins() {
+fn probes_further_if_the_first_is_full_and_picks_the_least_busy() {
     let mut node = Node::new(settings(), 6);
     node.learn_all(2.0);
     node.request(1, 0);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn first_probes_are_spread_over_all_workers() {
+fn spreads_first_probes_over_all_workers() {
     let mut node = Node::new(settings(), 6);
     let mut seen = std::collections::BTreeSet::new();
     for id in 0..200 {
@@ -47,10 +47,10 @@
     assert_eq!(seen.len(), 6);
 }
 
-/// kumamoto-main: in a crowd each job was probed for afresh four times, which cost a quarter of the result, and
+/// In a crowd each job was probed for afresh four times, which cost a quarter of the result, and
 /// what was sent at last was late.
 #[test]
-fn who_finds_all_too_full_is_refused_at_once() {
+fn rejects_at_once_if_all_probed_are_full() {
     let mut node = Node::new(settings(), 16);
     node.learn_all(2.0);
     node.request(1, SAFE);
@@ -77,9 +77,9 @@
     assert_eq!(node.sends(), vec![(2, again)]);
 }
 
-/// kumamoto-main, reset: probes that broke, or found cold workers, ended rounds that had seen one worker.
+/// Probes that broke, or found cold workers, ended rounds that had seen one worker.
 #[test]
-fn another_is_probed_in_place_of_one_that_takes_no_part() {
+fn replaces_a_failed_probe_by_another() {
     let mut node = Node::new(settings(), 6);
     node.learn_all(2.0);
     node.request(1, SAFE);
@@ -93,9 +93,9 @@
     assert_eq!(node.sends(), vec![(1, third[0])]);
 }
 
-/// kumamoto-main: on calm days a free worker is worth a few more probes, in a crowd these only cost.
+/// On calm days a free worker is worth a few more probes, in a crowd these only cost.
 #[test]
-fn more_are_probed_away_where_most_workers_have_room() {
+fn probes_more_remote_workers_where_most_have_capacity() {
     let mut settings = settings();
     settings.prices.cross_zone = 0.1;
     let away = |free: f32| {
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_request_is_answered_before_its_deadline_and_its_attempt_called_back() {
+fn answers_before_the_deadline_and_cancels_the_attempt() {
     let mut node = Node::new(settings(), 2);
     let worker = node.place(1, SAFE);
     node.wait(Duration::from_secs(5));
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn with_no_workers_a_request_is_still_answered() {
+fn answers_without_any_worker() {
     let mut node = Node::new(settings(), 0);
     node.request(1, UNSAFE);
     node.wait(Duration::from_secs(30));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn where_discovery_is_asked_calls_are_spread_out_and_backed_off() {
+fn spreads_and_backs_off_discovery_polls() {
     let mut settings = settings();
     settings.discovery = Discovery::Poll;
     let mut at = Vec::new();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn without_probes_own_load_decides() {
+fn places_by_own_load_without_probes() {
     let mut settings = settings();
     settings.probing_enabled = false;
     let mut node = Node::new(settings, 4);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn unknown_requests_workers_and_timers_are_ignored() {
+fn ignores_unknown_requests_workers_and_timers() {
     let mut node = Node::new(settings(), 2);
     node.actions.clear();
     node.outcome(77, 3, 99, Status::Ok, true);
--- a/crates/pebblepost-dispatch/tests/dispatcher/requests.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/requests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[test]
-fn an_unsafe_job_that_may_have_run_fails_and_is_not_sent_again() {
+fn fails_a_non_idempotent_job_that_may_have_run() {
     let mut node = Node::new(settings(), 4);
     let worker = node.place(1, UNSAFE);
     node.outcome(1, 0, worker, Status::Reset, false);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn an_unsafe_job_that_never_ran_is_probed_afresh_and_sent_elsewhere() {
+fn retries_a_non_idempotent_job_that_never_ran() {
     let mut node = Node::new(settings(), 4);
     let worker = node.place(1, UNSAFE);
     node.outcome(1, 0, worker, Status::Full, false);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_keyed_job_that_may_have_run_stays_in_its_zone_and_window() {
+fn retries_a_deduplicated_job_in_its_zone_and_window() {
     let mut node = Node::new(settings(), 8);
     let worker = node.place(1, KEYED);
     node.outcome(1, 0, worker, Status::Error, false);
@@ -51,7 +51,7 @@
 
 /// hamilton-signing kept 110 connections open at each server, which it pays for, to save handshakes.
 #[test]
-fn connections_that_cost_while_open_are_kept_to_few_workers() {
+fn draws_from_a_subset_where_connections_are_priced() {
     let used = |connection: f64| {
         let mut settings = settings();
         settings.prices.handshake = 0.1;
@@ -79,7 +79,7 @@
 /// Incident i76a86a of pusat-shah-alam: reports tell jobs held but no queue, and workers with twenty
 /// waiting were taken to have one ahead.
 #[test]
-fn jobs_held_beyond_busy_slots_are_waiting() {
+fn counts_jobs_beyond_the_busy_slots_as_queued() {
     let sent = |held: f32| {
         let mut settings = settings();
         settings.report_fields = vec![ReportField::InFlight, ReportField::FreeSlots];
@@ -100,10 +100,10 @@
     assert_eq!((sent(4.0), sent(24.0)), (1, 0), "one ahead is fine, twenty are not");
 }
 
-/// kyushu-games: four jobs in ten waited though the report had shown room; their waits were taken for
+/// Four jobs in ten waited though the report had shown room; their waits were taken for
 /// service, which made the node patient beyond reason.
 #[test]
-fn waiting_is_no_service_where_starts_are_told() {
+fn excludes_waiting_from_service_time_where_starts_are_reported() {
     let patient = |started_after: u64| {
         let mut settings = settings();
         settings.start_reported = true;
@@ -136,10 +136,10 @@
     assert_eq!((patient(2950), patient(0)), (1, 0), "jobs of 0.05 s and of 3 s");
 }
 
-/// kumamoto-main: one patience for all sent heavy jobs to workers too slow for them, and gave up others that
+/// One patience for all sent heavy jobs to workers too slow for them, and gave up others that
 /// had seconds left.
 #[test]
-fn a_job_goes_where_it_ends_in_time_by_its_own_hint() {
+fn places_a_job_where_it_ends_in_time_by_its_hint() {
     let mut settings = settings();
     (settings.start_reported, settings.classes[SAFE].latency_stretch) = (true, 2.0);
     let mut node = Node::new(settings, 2);
@@ -161,9 +161,9 @@
     assert_eq!((goes(&mut node, 1002, 2000, 9.0), goes(&mut node, 1003, 100, 9.0)), (1, 0));
 }
 
-/// kumamoto-main: reports tell no queue, so a worker with a long one looked like any other that is full.
+/// Reports tell no queue, so a worker with a long one looked like any other that is full.
 #[test]
-fn a_job_that_has_not_started_tells_how_long_one_waits_there() {
+fn expects_the_wait_of_a_job_that_has_not_started() {
     let sent_after = |ms: u64| {
         let mut settings = settings();
         (settings.start_reported, settings.report_fields) = (true, vec![ReportField::FreeSlots]);
@@ -188,9 +188,9 @@
     assert_eq!((sent_after(20), sent_after(900)), (1, 0));
 }
 
-/// kumamoto-main: jobs ran up to a second longer than by their hint, as what they needed had to be fetched.
+/// Jobs ran up to a second longer than by their hint, as what they needed had to be fetched.
 #[test]
-fn jobs_of_one_key_are_drawn_for_alike_at_every_node() {
+fn draws_alike_for_a_key_at_every_node() {
     let first = |seed: u64, key: u64, failed: Option<u32>| {
         let mut node = Node::seeded(settings(), 8, seed);
         if let Some(worker) = failed {
@@ -212,7 +212,7 @@
 
 /// An unsafe job may be running: it is neither called back nor sent again.
 #[test]
-fn a_silent_unsafe_job_is_left_alone() {
+fn does_not_cancel_a_non_idempotent_job_that_has_not_started() {
     let mut settings = settings();
     settings.start_reported = true;
     let mut node = Node::new(settings, 1);
@@ -230,7 +230,7 @@
 
 /// pusat-shah-alam: view-refills went to floors that are not open to it, on every day.
 #[test]
-fn a_bound_class_goes_to_permitted_workers_only_at_every_attempt() {
+fn sends_a_restricted_class_to_permitted_workers_only() {
     for probing in [true, false] {
         for crossing in [0.0, 0.1] {
             let mut settings = settings();
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn kinds_and_zones_of_a_bound_class_hold_together_and_nobody_permitted_ends_in_a_refusal() {
+fn rejects_a_restricted_class_without_a_permitted_worker() {
     let cases = [
         (Some(vec![KindId(1)]), Some(vec![ZoneId(0)])), // All are of kind 0.
         (Some(vec![]), None),
@@ -281,7 +281,7 @@
 
 /// The list may say otherwise by the time the probe comes back.
 #[test]
-fn a_worker_that_moved_out_of_the_permitted_zone_since_its_probe_gets_nothing() {
+fn sends_nothing_to_a_worker_that_left_the_permitted_zone() {
     let mut settings = settings();
     settings.classes[SAFE].only_zones = Some(vec![ZoneId(1)]);
     let mut node = Node::new(settings, 2);
@@ -307,7 +307,7 @@
 
 /// hamilton-signing: sign-submit was sent again after 'full', on every day.
 #[test]
-fn where_full_is_no_proof_it_counts_as_an_attempt_that_may_have_run() {
+fn counts_full_as_a_possible_run_where_it_is_no_proof() {
     let mut settings = settings();
     settings.full_may_have_run = true;
     let mut node = Node::new(settings.clone(), 8);
@@ -344,11 +344,11 @@
     assert_eq!((node.sends().len(), node.finals()), (0, vec![(4, "refuse")]), "its window is over");
 }
 
-/// kyushu-games, overload: twelve servers that had restarted at once fell within a second, seconds before
-/// the list told of it, and stayed down. kumamoto-main, reset: workers whose connections now and then broke were
+/// Twelve servers that had restarted at once fell within a second, seconds before
+/// the list told of it, and stayed down. Workers whose connections now and then broke were
 /// all taken to have just started, and nearly every job was refused; one failure is no sign of a restart.
 #[test]
-fn a_worker_seen_down_counts_as_just_started_when_heard_again() {
+fn starts_slowly_with_a_worker_heard_again_after_an_outage() {
     let reset = Status::Reset;
     for (ended, failures, most) in
         [(reset, 2, 2), (Status::ConnectFailed, 2, 2), (Status::Timeout, 2, 300), (reset, 1, 300)]
@@ -382,7 +382,7 @@
 
 /// Refused clients came back with their time used up and took the places of others.
 #[test]
-fn a_repeat_whose_time_for_a_good_answer_is_over_is_refused_at_once() {
+fn rejects_a_client_retry_whose_time_is_over() {
     let mut node = Node::new(settings(), 4);
     let event = |id, left, repeat| Event::Request {
         id: RequestId(id),
@@ -405,7 +405,7 @@
 /// Fleet days: a node that sees a hundredth of the traffic took a full worker's queue to be empty when it had sent
 /// nothing there itself; of the jobs queued so a fifth ended late, and two in five while a zone was away.
 #[test]
-fn the_less_of_the_traffic_a_node_sees_the_longer_it_expects_to_wait() {
+fn expects_longer_waits_the_less_traffic_a_node_sees() {
     let queues = |nodes| {
         let mut settings = Settings {
             nodes,
@@ -426,7 +426,7 @@
 
 /// Where no queue is told, an own job that waits speaks for others of other nodes, in the mean and at its worker.
 #[test]
-fn own_jobs_that_wait_tell_of_those_of_others() {
+fn expects_jobs_of_others_where_own_jobs_wait() {
     let second = |ms: u64| {
         let fields = vec![ReportField::FreeSlots];
         let mut settings = Settings { nodes: 7, start_reported: true, report_fields: fields, ..settings() };
--- a/crates/pebblepost-dispatch/tests/dispatcher/reservations.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/reservations.rs
@@ -50,7 +50,7 @@
 const TYPICAL: TypicalJob = TypicalJob { service_seconds: 0.4, seconds_per_hinted_second: 1.0 };
 
 #[test]
-fn slots_open_by_own_ends_and_by_those_of_others() {
+fn forecasts_slots_by_own_and_other_jobs() {
     let opens = |forecast: &WorkerForecast, slots| {
         forecast.expected_start(START, slots).map(|at| at.since(START).as_millis())
     };
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_job_is_large_by_the_recent_sizes_and_never_without_a_hint() {
+fn classifies_large_jobs_by_recent_sizes_and_hints_only() {
     let mut sizes = JobSizes::new(half_reservable());
     let mut size = |work| sizes.record(work, 1.0, TYPICAL);
     for n in 0..200 {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_job_of_more_slots_than_the_usual_is_large_however_short() {
+fn classifies_jobs_of_many_slots_as_large() {
     let mut sizes = JobSizes::new(half_reservable());
     for _ in 0..100 {
         assert!(!sizes.record(Some(0.3), 1.0, TYPICAL));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn where_whatever_fits_may_start_nobody_waits_for_all_slots_of_a_worker() {
+fn forecasts_no_start_of_a_job_of_all_slots_in_an_unordered_queue() {
     let opens = |in_order, slots, free| {
         WorkerForecast { queue_in_order: in_order, ..forecast(0, 2.0, free, &[], 0) }
             .expected_start(START, slots)
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn small_jobs_fill_the_gap_and_no_more() {
+fn backfills_small_jobs_that_end_before_the_reservation() {
     let mut reservations = reservations();
     // One slot is free now, the other in a second; the large one wants both and may start after three.
     let busy = forecast(0, 2.0, 1.0, &[(1000, 1.0)], 2000);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_job_beside_the_held_slots_is_welcome_however_long() {
+fn allows_long_jobs_beside_the_reserved_slots() {
     let mut reservations = reservations();
     let wide = forecast(0, 5.0, 2.0, &[(1000, 3.0)], 1000);
     reserve(&mut reservations, 1, 2.0, &[wide.clone(), forecast(1, 5.0, 0.0, &[], 9000)], 2000)
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn it_is_held_where_it_ends_first_and_only_where_it_starts_in_time() {
+fn reserves_where_the_job_ends_first_and_starts_in_time() {
     let fleet = [forecast(0, 2.0, 0.0, &[(300, 2.0)], 4000), forecast(1, 3.0, 0.0, &[(900, 3.0)], 1000)];
     assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 1000).map(|held| held.worker), Some(1));
     assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 500).map(|held| held.worker), Some(0));
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_lost_worker_gives_up_what_it_held() {
+fn releases_the_reservations_of_a_lost_worker() {
     let mut reservations = reservations();
     let fleet = [forecast(0, 4.0, 0.0, &[], 100), forecast(1, 4.0, 0.0, &[], 900)];
     reserve(&mut reservations, 1, 1.0, &fleet, 9000).expect("held");
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn settings_out_of_range_are_named() {
+fn names_settings_out_of_range() {
     let text = |settings: ReservationSettings| settings.check().map_err(|error| error.to_string());
     let usual = ReservationSettings::default();
     assert_eq!(text(usual), Ok(()));
@@ -189,7 +189,7 @@
 
     /// Whatever comes: the small ones' floor stands, each job holds one part at most, and none that it cannot use.
     #[test]
-    fn a_flood_of_large_jobs_leaves_the_small_ones_their_floor(
+    fn limits_reservations_whatever_large_jobs_arrive(
         jobs in prop::collection::vec((0_u32..80, 1_u8..5, 0_u64..4000, 0_u64..5000), 1..120),
         fleet in prop::collection::vec((1_u8..6, 0_u8..6, 50_u64..3000), 1..12),
     ) {
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn a_large_job_that_finds_all_busy_is_not_refused_but_gets_its_place_in_time() {
+fn reserves_for_a_large_job_that_finds_all_busy() {
     for seed in 0..8 {
         let mut node = seasoned(4, seed);
         node.hinted(LARGE, 2000, 1.0);
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn a_job_too_large_for_any_worker_is_refused_at_once_and_probes_nobody() {
+fn rejects_a_job_too_large_for_any_worker_without_probes() {
     for (work, slots) in [(2000, 4.0), (9000, 1.0)] {
         let mut node = seasoned(4, 1);
         node.hinted(LARGE, work, slots);
@@ -318,7 +318,7 @@
 }
 
 #[test]
-fn small_jobs_go_by_the_worker_where_a_large_one_waits() {
+fn small_jobs_skip_a_worker_reserved_for_a_large_one() {
     let place = |with_large: bool| {
         let mut node = seasoned(4, 3);
         let held = waiting(&mut node);
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn the_place_is_given_up_when_the_client_leaves_or_the_worker_does() {
+fn releases_the_reservation_when_client_or_worker_is_gone() {
     for what in 0..4 {
         let mut node = seasoned(4, 3);
         let held = waiting(&mut node);
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn a_worker_that_restarts_cold_or_says_nothing_loses_the_job_that_only_looks_at_it() {
+fn releases_the_reservation_at_a_worker_that_restarts_or_is_silent() {
     for silent in [false, true] {
         let mut node = seasoned(3, 5);
         // Large for one slot, and a queue everywhere that is too long: it looks at one worker again and again.
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn two_nodes_that_hold_the_same_worker_both_get_an_answer() {
+fn answers_both_nodes_that_reserved_the_same_worker() {
     let (mut resumed, mut lost) = (seasoned(1, 1), seasoned(1, 2));
     for node in [&mut resumed, &mut lost] {
         node.hinted(LARGE, 2000, 2.0);
@@ -436,7 +436,7 @@
 }
 
 #[test]
-fn what_is_held_too_long_is_refused_when_it_can_no_longer_be_in_time() {
+fn rejects_a_reserved_job_that_can_no_longer_be_in_time() {
     let mut node = seasoned(2, 4);
     node.hinted(LARGE, 2000, 2.0);
     let from = node.now;
@@ -465,7 +465,7 @@
 }
 
 #[test]
-fn a_wide_job_goes_to_the_worker_that_is_held_for_it() {
+fn sends_a_wide_job_to_its_reserved_worker() {
     let (mut node, held) = looking();
     let latency = ms(1);
     node.event(Event::Probed { worker: WorkerId(held), status: Status::Ok, latency, report: vec![2.0] });
@@ -473,7 +473,7 @@
 }
 
 #[test]
-fn small_jobs_pass_by_where_a_wide_one_would_be_late() {
+fn small_jobs_skip_a_worker_where_they_would_delay_a_wide_one() {
     let mut node = seasoned_of(3.0, false, 1, 3);
     node.hinted(LARGE, 4600, 2.0);
     answer(&mut node, &|_| 1.0);
@@ -485,7 +485,7 @@
 }
 
 #[test]
-fn a_held_worker_that_says_nothing_is_not_looked_at_again() {
+fn drops_a_reserved_worker_that_does_not_answer_its_probe() {
     let (mut node, held) = looking();
     for _ in 0..1000 {
         for worker in node.probes() {
@@ -503,7 +503,7 @@
 }
 
 #[test]
-fn a_held_worker_that_drains_sends_the_job_on_at_once() {
+fn starts_a_new_round_when_the_reserved_worker_drains() {
     let mut node = seasoned_of(2.0, false, 4, 3);
     let probed = |node: &mut Node| answer(node, &|_| 1.0);
     node.hinted(LARGE, 1500, 2.0);
--- a/crates/pebblepost-dispatch/tests/dispatcher/rules.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/rules.rs
@@ -435,7 +435,7 @@
 }
 
 #[test]
-fn random_event_orders_keep_the_rules() {
+fn keeps_the_rules_under_random_event_orders() {
     let orders = (varied(), any::<u64>(), prop::collection::vec(step(), 1..200));
     let kept = runner(300).run(&orders, |(settings, seed, steps)| {
         play(settings, seed, &steps);
@@ -459,7 +459,7 @@
 }
 
 #[test]
-fn identical_events_give_identical_actions() {
+fn gives_identical_actions_for_identical_events() {
     let orders = (varied(), any::<u64>(), prop::collection::vec(step(), 1..120));
     let same = runner(60).run(&orders, |(settings, seed, steps)| {
         prop_assert_eq!(play(settings.clone(), seed, &steps), play(settings, seed, &steps));
@@ -470,7 +470,7 @@
 
 /// Errors come at any time around the end of the window; repeats follow inside it only.
 #[test]
-fn keyed_repeats_stay_in_their_window() {
+fn retries_deduplicated_jobs_in_their_window_only() {
     let mut settings = settings();
     settings.classes[1].latency_target = Duration::from_secs(2);
     settings.classes[1].idempotency =
--- a/crates/pebblepost-dispatch/tests/dispatcher/workers.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/workers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 #[test]
-fn a_drained_or_gone_worker_gets_nothing_even_if_its_probe_was_out() {
+fn sends_nothing_to_a_worker_that_drained_during_its_probe() {
     for state in [WorkerState::Draining, WorkerState::Gone] {
         let mut node = Node::new(settings(), 2);
         node.request(1, 0);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_worker_missing_from_a_full_list_is_gone() {
+fn treats_a_worker_missing_from_a_full_list_as_gone() {
     let mut node = Node::new(settings(), 2);
     node.list(ListKind::Full, &[(0, WorkerState::Ready, None)]);
     for id in 0..20 {
@@ -29,7 +29,7 @@
 /// pusat-shah-alam big-1: connections idle for over a second were dropped unseen; what was sent on one got
 /// no answer until the client gave up.
 #[test]
-fn a_send_that_does_not_start_though_there_is_room_blames_the_idle_connection() {
+fn lowers_the_idle_limit_when_a_send_does_not_start_despite_capacity() {
     let mut settings = settings();
     settings.start_reported = true;
     settings.classes[SAFE].latency_target = Duration::from_secs(2);
@@ -73,9 +73,9 @@
     assert_eq!(closes(&node), 0, "a younger one is used again");
 }
 
-/// kyushu-games, rough-1: an idle connection to a draining server was still open after 1.02 s.
+/// An idle connection to a draining server was still open after 1.02 s.
 #[test]
-fn idle_connections_to_a_draining_worker_are_closed_at_the_notice_and_after_each_end_there() {
+fn closes_idle_connections_to_a_draining_worker() {
     let closes = |node: &mut Node| {
         let close = |action: &&Action| matches!(action, Action::CloseIdle { worker: WorkerId(0) });
         let count = node.actions.iter().filter(close).count();
@@ -121,7 +121,7 @@
 
 /// The second look at a report is no reason to open a connection to a worker that drains.
 #[test]
-fn a_draining_worker_is_not_looked_at_again() {
+fn sends_no_probe_to_a_draining_worker() {
     let mut node = Node::new(settings(), 1);
     node.place(1, SAFE);
     node.list(ListKind::Delta, &[(0, WorkerState::Draining, None)]);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_cold_worker_is_never_queued_on_and_gets_only_its_share_of_slots() {
+fn limits_a_warming_worker_to_its_usable_slots_without_queueing() {
     let mut node = Node::new(Settings { cold_capacity: 0.1, ..settings() }, 1);
     node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
     node.request(1, SAFE);
@@ -146,7 +146,7 @@
 
 /// A report that calls a cold worker free although this node's own job fills its part is old.
 #[test]
-fn own_jobs_fill_slots_whatever_a_report_says() {
+fn counts_own_jobs_as_busy_slots_whatever_a_report_says() {
     let mut node =
         Node::new(Settings { cold_capacity: 0.1, warm_up_time: Duration::from_secs(200), ..settings() }, 1);
     node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
@@ -168,7 +168,7 @@
 /// Incident ia46aaf, and h64ffa1 of pusat-shah-alam with fresh reports: all nodes saw the same free
 /// slot of a cold worker.
 #[test]
-fn a_cold_worker_gets_an_even_part_from_each_node_however_fresh_reports_are() {
+fn admits_an_even_share_of_each_node_to_a_warming_worker() {
     for (nodes, fair) in [(1000, 0..=2), (50, 1..=6), (1, 30..=300)] {
         let mut settings = settings();
         settings.nodes = nodes;
@@ -189,10 +189,10 @@
     }
 }
 
-/// hf0f613 of kyushu-games: a cold server filled by others, never seen free by this node, was taken
+/// A cold server filled by others, never seen free by this node, was taken
 /// to have one slot, and that one free.
 #[test]
-fn a_cold_worker_never_seen_free_has_the_slots_of_its_kind() {
+fn takes_the_slots_of_its_kind_for_a_worker_never_seen_free() {
     for (free, kind_known, sends) in [(0.0, false, false), (1.0, true, false), (3.0, true, true)] {
         let mut settings = Settings { cold_capacity: 0.1, ..settings() };
         settings.nodes = 1;
@@ -220,9 +220,9 @@
     sent.len()
 }
 
-/// hddf3fe of kyushu-games: twelve light jobs within a second pushed a cold server over.
+/// Twelve light jobs within a second pushed a cold server over.
 #[test]
-fn light_jobs_count_in_full_at_a_cold_worker() {
+fn counts_light_jobs_in_full_at_a_warming_worker() {
     let mut settings = settings();
     settings.nodes = 1000;
     let mut node = Node::new(settings, 1);
@@ -239,7 +239,7 @@
 
 /// A job that alone is half of what pushes a cold worker over is kept from it.
 #[test]
-fn a_cold_worker_gets_no_job_that_would_push_it_over_alone() {
+fn sends_no_job_that_alone_overloads_a_warming_worker() {
     let mut settings = Settings { nodes: 1, warm_up_time: Duration::from_secs(200), ..settings() };
     settings.overload_time = Duration::from_millis(500);
     settings.classes[SAFE].latency_stretch = 3.0; // Both end in time there.
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn a_worker_that_fails_is_avoided_for_a_while_then_tried_again() {
+fn ejects_a_failing_worker_then_tries_it_again() {
     let mut node = Node::new(settings(), 2);
     let worker = node.place(1, UNSAFE);
     node.outcome(1, 0, worker, Status::Error, false);
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_lost_probe_does_not_hold_up_the_job() {
+fn goes_on_without_a_lost_probe() {
     let mut node = Node::new(settings(), 4);
     node.request(1, SAFE);
     let lost = node.probes()[0];
@@ -292,7 +292,7 @@
 }
 
 #[test]
-fn when_all_are_suspect_they_are_used_all_the_same() {
+fn uses_ejected_workers_if_all_are_ejected() {
     let mut node = Node::new(settings(), 2);
     for id in 0..4 {
         node.request(id, UNSAFE);
@@ -307,7 +307,7 @@
 
 /// Harbor: workers that stale reports called free refused more sends than those called busy.
 #[test]
-fn stale_reports_are_read_by_what_they_turned_out_to_mean() {
+fn reads_stale_reports_by_their_reliability() {
     let mut settings = settings();
     settings.overload_time = Duration::from_secs(2000);
     settings.start_reported = true;
@@ -351,7 +351,7 @@
 /// Fleet days: a node that had just started went on probing workers that drained or were gone, as an overbooked
 /// discovery told it of that seconds later; one probe in four found nobody.
 #[test]
-fn a_worker_that_fails_a_probe_is_left_out_of_the_next_draws() {
+fn ejects_a_worker_that_fails_a_probe() {
     let mut node = Node::new(settings(), 8);
     node.learn_all(2.0);
     node.request(0, SAFE);
@@ -377,7 +377,7 @@
 
 /// Fleet days: a node saw forty jobs in all, and believed 1.09 times their hint where they ran for 1.49.
 #[test]
-fn twenty_jobs_tell_the_pace_of_a_kind() {
+fn learns_the_speed_of_a_kind_from_twenty_jobs() {
     let mut settings = settings();
     (settings.start_reported, settings.classes[SAFE].latency_stretch) = (true, 2.0);
     let mut node = Node::new(settings, 2);
@@ -391,7 +391,7 @@
 
 /// Fleet days: jobs sent to a cold worker by the pace of a warm one ended late, half of them at a tenth to a fifth of it.
 #[test]
-fn a_cold_worker_gets_the_jobs_that_end_in_time_at_its_speed() {
+fn sends_a_warming_worker_jobs_that_end_in_time_at_its_speed() {
     let mut settings = Settings { cold_capacity: 0.12, nodes: 1, start_reported: true, ..settings() };
     (settings.classes[SAFE].latency_stretch, settings.classes[SAFE].latency_target) =
         (2.0, Duration::from_millis(600));
@@ -408,7 +408,7 @@
 
 /// Fleet days: a cold worker that was expected to take one job at a time stood idle while warm ones turned jobs away.
 #[test]
-fn a_cold_worker_fills_all_its_slots_once_a_third_warm() {
+fn fills_all_slots_of_a_worker_with_a_third_of_its_capacity() {
     let settings = Settings { cold_capacity: 0.35, nodes: 1, overload_multiple: 3.0, ..settings() };
     let mut node = Node::new(settings, 1);
     node.learn_all(4.0);
@@ -425,7 +425,7 @@
 
 /// A free worker that is warm is not passed over for being slow: hints are rough, and its slots would stand idle.
 #[test]
-fn a_warm_worker_takes_a_job_that_may_end_late() {
+fn sends_a_warm_worker_a_job_that_may_end_late() {
     let mut settings = settings();
     (settings.start_reported, settings.classes[SAFE].latency_stretch) = (true, 2.0);
     let mut node = Node::new(settings, 0);
@@ -451,7 +451,7 @@
     assert_eq!(node.sends(), vec![(200, 1)]);
 }
 
-/// As at permits-main: reports tell no queue, starts are told, late answers keep half their worth. All workers are known.
+/// Reports tell no queue, starts are told, late answers keep half their worth. All workers are known.
 fn late_counts(workers: u32, tenants: &[f64]) -> Node {
     let mut settings = Settings {
         start_reported: true,
@@ -483,9 +483,9 @@
     (probed, node.sends())
 }
 
-/// permits-main: what found no room was held and probed for again, eleven probes a request; workers meanwhile ran dry.
+/// What found no room was held and probed for again, eleven probes a request; workers meanwhile ran dry.
 #[test]
-fn where_late_answers_count_a_job_waits_in_the_shortest_queue_of_the_fleet() {
+fn queues_in_the_shortest_queue_where_late_answers_have_value() {
     let (mut node, mut got) = (late_counts(8, &[]), [0; 8]);
     for id in 0..16 {
         let (probed, sent) = tried(&mut node, id, SAFE, 0, 0.0);
@@ -495,9 +495,9 @@
     assert_eq!(got, [2; 8], "at home and away");
 }
 
-/// permits-main: a job that queued beyond its time was answered late, and so was all that came after it.
+/// A job that queued beyond its time was answered late, and so was all that came after it.
 #[test]
-fn beyond_the_waits_seen_a_job_is_refused_at_once() {
+fn rejects_a_job_at_once_beyond_the_observed_waits() {
     let mut node = late_counts(4, &[]);
     (0..4).for_each(|id| drop(tried(&mut node, id, SAFE, 0, 0.0)));
     node.advance(Duration::from_secs(1));
@@ -507,9 +507,9 @@
     assert_eq!(tried(&mut node, 11, SAFE, 0, 0.0).1.len(), 1, "those waits are long past");
 }
 
-/// permits-main: traffic beyond a tenant's share, which is worth little, took the place of all others alike.
+/// Traffic beyond a tenant's share, which is worth little, took the place of all others alike.
 #[test]
-fn who_is_over_its_share_queues_for_less() {
+fn queues_tenants_over_their_share_for_less() {
     let mut node = late_counts(1, &[0.2, 0.8]);
     for id in 0..400 {
         tried(&mut node, id, SAFE, u16::from(id % 2 == 0), 0.0);
@@ -522,9 +522,9 @@
     assert!(over < within, "{over} of who is over its share and then {within} of who is not");
 }
 
-/// permits-main, wide: see `tests/known.rs`. All slots of a worker were held by jobs that it had never begun.
+/// All slots of a worker were held by jobs that it had never begun.
 #[test]
-fn a_class_that_a_worker_leaves_lying_goes_elsewhere_and_holds_no_slot() {
+fn ejects_a_class_whose_jobs_do_not_start_at_a_worker() {
     let mut node = late_counts(8, &[]);
     let worker = tried(&mut node, 1, UNSAFE, 0, 2.0).1[0].1;
     assert_eq!(tried(&mut node, 2, UNSAFE, 0, 2.0).1, [(2, worker)]);
@@ -540,10 +540,10 @@
     assert!(!tried(&mut node, 4, UNSAFE, 0, 2.0).0.contains(&worker), "this class goes elsewhere");
 }
 
-/// permits-main, resets and silent connections: each broken probe kept a worker out of the draws for a second and more, and
+/// Resets and silent connections: each broken probe kept a worker out of the draws for a second and more, and
 /// five of nine got no work though they were idle.
 #[test]
-fn a_broken_connection_keeps_no_worker_out() {
+fn does_not_eject_for_a_broken_connection() {
     let kept_out = |status, heard: bool| {
         let mut node = Node::new(settings(), 8);
         node.learn_all(2.0);
--- a/crates/pebblepost-dispatch/tests/estimators.rs
+++ b/crates/pebblepost-dispatch/tests/estimators.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_wait_seen_counts_for_less_as_it_ages_and_one_that_lasts_for_all_of_it() {
+fn decays_an_observed_wait_but_not_a_lasting_one() {
     let mut waits = QueueWait::default();
     assert_eq!(waits.expected(at(1.0), Duration::ZERO), 0.0);
     waits.record_start(at(1.0), SECOND / 2);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn who_sends_twice_its_share_is_over_it_twice() {
+fn reports_use_as_a_multiple_of_the_share() {
     let mut shares = TenantUsage::new([0.25, 0.75].into_iter());
     assert_eq!((shares.relative_usage(0), shares.relative_usage(1)), (1.0, 1.0));
     (0..4000).for_each(|i| shares.record(i % 2));
--- a/crates/pebblepost-dispatch/tests/outlier_detection.rs
+++ b/crates/pebblepost-dispatch/tests/outlier_detection.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn bad_work_counts_double_each_time_up_to_a_bound_and_good_work_takes_it_back() {
+fn doubles_the_ejection_up_to_a_bound_and_forgives_by_served_jobs() {
     let mut detector = OutlierDetector::default();
     assert!(detector.is_healthy(at(1.0), 0));
     for times in [1.0, 2.0, 4.0, 8.0, 8.0] {
@@ -23,10 +23,10 @@
     assert!(detector.is_healthy(at(2.0), 0));
 }
 
-/// permits-main, wide: four workers of nine went on with one class and left the other lying; the 33 jobs that were sent to
+/// Four workers of nine went on with one class and left the other lying; the 33 jobs that were sent to
 /// them held their slots, by this node's books, until their clients gave up.
 #[test]
-fn a_class_left_lying_stays_away_and_no_other() {
+fn ejects_only_the_class_whose_jobs_do_not_start() {
     let mut detector = OutlierDetector::default();
     // Several that were sent before the first was missed count once.
     (0..5).for_each(|_| detector.record_missed_start(at(1.0), 1, at(1.0), SECOND));
--- a/crates/pebblepost-dispatch/tests/wire.rs
+++ b/crates/pebblepost-dispatch/tests/wire.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_protocol_notes_examples_are_understood() {
+fn reads_the_examples_of_the_protocol() {
     let hex = "90bf68f5010000005000000003000000\
         142d00000003000000c4913a5d0000001bb70000000000640ad2557c3bf0910000001c4e0e0000000001\
         0000004000000000\
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn actions_are_written_as_the_protocol_notes_examples() {
+fn writes_actions_as_the_examples_of_the_protocol() {
     let mut reply = Reply::default();
     let (id, worker) = (RequestId(0x5d3a_91c4), WorkerId(0x0312_4a07));
     reply.push(3, &Action::Send { id, worker, timeout: Some(Duration::from_millis(80)) });
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn settings_are_translated_and_unknown_keys_skipped() {
+fn translates_settings_and_skips_unknown_keys() {
     let settings = parse_settings(SETTINGS).expect("valid");
     assert_eq!((settings.nodes, settings.zone, settings.max_attempts), (4, ZoneId(1), 3));
     let group = DeduplicationScope::Zone;
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn malformed_batches_are_refused_and_unknown_records_skipped() {
+fn rejects_malformed_batches_and_skips_unknown_records() {
     assert!(parse(&batch(1, &[record(200, &[&[1, 2, 3]])])).expect("skipped").is_empty());
     let sound = demand(1, 2);
     let short = record(20, &[&sound[5..sound.len() - 1]]);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn the_adapter_probes_then_sends_and_ends_cleanly() {
+fn adapter_probes_then_sends_and_exits_cleanly() {
     let input = [
         batch(1_000, &[]),
         batch(2_000, &[launch(3, SETTINGS), list(3, 77), demand(3, 1)]),
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_kill_and_relaunch_in_one_batch_starts_from_nothing() {
+fn relaunch_in_one_batch_starts_without_state() {
     let kill = record(30, &[&3u32.to_le_bytes()]);
     let input = [
         batch(2_000, &[launch(3, SETTINGS), list(3, 77), demand(3, 1)]),
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn bad_input_ends_the_adapter_with_one_plain_message() {
+fn adapter_exits_with_one_message_on_bad_input() {
     let cases: [(&str, Vec<u8>, &str); 6] = [
         ("a header cut short", vec![1, 2, 3], "truncated header"),
         ("a batch cut short", batch(1, &[demand(1, 1)])[..30].to_vec(), "truncated batch"),
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn further_rules_are_translated_and_absent_keys_bind_nothing() {
+fn translates_rules_and_absent_keys_restrict_nothing() {
     let settings = parse_settings(SETTINGS).expect("valid");
     assert_eq!((&settings.classes[0].only_kinds, &settings.classes[0].only_zones), (&None, &None));
     assert_eq!((settings.close_idle_within, settings.full_may_have_run), (None, false));
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn closing_idle_connections_is_written_as_stated() {
+fn writes_the_close_of_idle_connections() {
     let mut reply = Reply::default();
     reply.push(3, &Action::CloseIdle { worker: WorkerId(0x2c90_11f2) });
     let expected = record(70, &[&3u32.to_le_bytes(), &0x2c90_11f2u32.to_le_bytes()]);
