--- a/crates/pebblepost-dispatch/src/admission.rs
+++ b/crates/pebblepost-dispatch/src/admission.rs
@@ -76,15 +76,11 @@
 
     /// Whether a request would end in time at a worker, by its hint; yes without one.
     pub(crate) fn ends_in_time(&self, request: &Request, worker: usize) -> bool {
-        if request.work.is_none() {
-            return true;
-        }
-        let start = self.load.now + from_seconds(self.load.slot_wait(request, worker));
-        start + self.load.run_time(request, worker) <= self.full_value_until(request)
+        request.work.is_none() || self.load.expected_end(request, worker) <= self.full_value_until(request)
     }
 
     /// Whether a request is worth queueing at a worker without free slots.
-    pub(crate) fn is_worth_queueing(&self, request: &Request, worker: usize) -> bool {
+    pub(crate) fn should_queue(&self, request: &Request, worker: usize) -> bool {
         if request.work.is_some() {
             return self.ends_in_time(request, worker);
         }
--- a/crates/pebblepost-dispatch/src/load.rs
+++ b/crates/pebblepost-dispatch/src/load.rs
@@ -45,7 +45,7 @@
     /// Free slots by the report, less what it cannot have counted; never more than own jobs leave.
     pub(crate) fn free_slots(&self, worker: usize) -> f64 {
         let worker = &self.workers[worker];
-        let own: f64 = worker.slot_holders(self.settings.queues_in_order).map(|held| held.slots).sum();
+        let own: f64 = worker.slot_holders(self.settings.queues_in_order).map(|holder| holder.slots).sum();
         let unreported = worker.unreported_load(self.report_age.lag());
         (worker.free_slots - unreported.slots).min(worker.slots - own)
     }
@@ -172,6 +172,11 @@
         start.map_or(f64::INFINITY, |start| seconds(start.since(self.now)))
     }
 
+    /// When a request is expected to end at a worker.
+    pub(crate) fn expected_end(&self, request: &Request, worker: usize) -> Time {
+        self.now + from_seconds(self.slot_wait(request, worker)) + self.run_time(request, worker)
+    }
+
     /// How long a job would wait at a worker whose queue is not reported, in seconds: as those that started
     /// of late, and for own ones.
     pub(crate) fn queue_wait(&self, index: usize) -> f64 {
--- a/crates/pebblepost-dispatch/src/placement.rs
+++ b/crates/pebblepost-dispatch/src/placement.rs
@@ -10,7 +10,7 @@
 use crate::api::{Time, WorkerState};
 use crate::forecast::WorkerForecast;
 use crate::load::LoadModel;
-use crate::request_table::Request;
+use crate::request_table::{Attempt, Request};
 use crate::reservation::{ReservationRequest, Reservations};
 use crate::retry;
 
@@ -134,6 +134,22 @@
         eligible.min_by(|one, other| wait(one).total_cmp(&wait(other)))
     }
 
+    /// An attempt of a request at a worker, on a new connection.
+    pub(crate) fn attempt(&self, request: &Request, worker: usize) -> Attempt {
+        let load = self.load();
+        Attempt {
+            worker,
+            sent: load.now,
+            slots: request.slots,
+            in_flight: true,
+            started: None,
+            connection_idle: None,
+            queued: !load.has_capacity(worker, request.slots, request.memory),
+            load_level: load.level(worker),
+            reported_jobs: load.reported_jobs(worker),
+        }
+    }
+
     /// Whether nothing is held against a worker for jobs of the request's class.
     pub(crate) fn is_healthy(&self, request: &Request, worker: usize) -> bool {
         let load = self.load();
--- a/crates/pebblepost-dispatch/src/probing.rs
+++ b/crates/pebblepost-dispatch/src/probing.rs
@@ -147,7 +147,7 @@
         let connection_price =
             prices.connection * f64::from(settings.nodes) / (CONNECTIONS_PER_PRICE * workers.max(1) as f64);
         // Infinite where connections cost nothing.
-        let worth_opening = prices.handshake / USES_PER_CONNECTION / connection_price;
-        (reused.min(worth_opening).max(MIN_SUBSET) as usize).min(workers)
+        let affordable = prices.handshake / USES_PER_CONNECTION / connection_price;
+        (reused.min(affordable).max(MIN_SUBSET) as usize).min(workers)
     }
 }
--- a/crates/pebblepost-dispatch/src/request_flow.rs
+++ b/crates/pebblepost-dispatch/src/request_flow.rs
@@ -15,6 +15,7 @@
 use crate::worker_table::{Locality, OwnJob, ProbePurpose};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
+use std::ops::Range;
 use std::time::Duration;
 
 /// Workers excluded from a round before those that take no part are replaced no more.
@@ -27,9 +28,16 @@
 const CROWD_CAPACITY: f64 = 0.5;
 /// A backoff doubles up to this often.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
+/// The first backoff, as a part of the time that a request may wait.
+const BACKOFF_PART: Range<f64> = 0.1..0.2;
 /// A backoff that waits for a reservation is this part of the usual one at least.
 const MIN_BACKOFF_PART: u32 = 8;
 
+/// Clients are advised to come back after so many mean jobs.
+const RETRY_AFTER_JOBS: Range<f64> = 0.5..1.5;
+/// An attempt that has not started is looked at after this part of the time that its request may wait.
+const START_CHECK_PART: u32 = 4;
+
 /// What happens to requests at one time.
 #[derive(Debug)]
 pub(crate) struct RequestFlow<'a> {
@@ -283,7 +291,7 @@
         let judges_by_waits = placement.admission.judges_by_waits(request);
         let best = if judges_by_waits { placement.shortest_queue(request).or(best) } else { best };
         let queues = |worker: &usize| {
-            placement.admission.is_worth_queueing(request, *worker) || placement.load().is_misleading(*worker)
+            placement.admission.should_queue(request, *worker) || placement.load().is_misleading(*worker)
         };
         match best.filter(queues) {
             Some(worker) => self.send(id, worker),
@@ -300,10 +308,10 @@
         let budget = placement.admission.wait_budget(request);
         let late_counts = placement.admission.late_value(request) >= 1.0;
         let reservable = placement.reservable(request, None);
-        let base = budget.mul_f64(self.random.random_range(0.1..0.2));
+        let base = budget.mul_f64(self.random.random_range(BACKOFF_PART));
         let reserved = reservable.and_then(|job| job.reserve(self.now, &mut self.state.reservations));
         let Some(request) = self.state.requests.get_mut(id) else { return };
-        let pause = match reserved {
+        let backoff = match reserved {
             Some(start) => start.since(self.now).clamp(base / MIN_BACKOFF_PART, base),
             None => base * (1 << request.backoffs.min(MAX_BACKOFF_DOUBLINGS)),
         };
@@ -311,38 +319,24 @@
         let is_over = !late_counts && reserved.is_none() && is_repeated;
         request.enter(Phase::Backoff);
         request.backoffs += 1;
-        if is_over || self.now + pause >= latest_start {
+        if is_over || self.now + backoff >= latest_start {
             return self.reject(id);
         }
-        self.set_step_timer(id, pause);
+        self.set_step_timer(id, backoff);
     }
 
     // Attempts.
 
+    /// Sends a request to a worker.
     fn send(&mut self, id: RequestId, index: usize) {
         let state = &mut *self.state;
         let Some(request) = state.requests.get(id) else { return };
         let placement = state.placement(self.now);
-        let load = placement.load();
-        let queued = !load.has_capacity(index, request.slots, request.memory);
-        let mut attempt = Attempt {
-            worker: index,
-            sent: self.now,
-            slots: request.slots,
-            in_flight: true,
-            started: None,
-            connection_idle: None,
-            queued,
-            load_level: load.level(index),
-            reported_jobs: load.reported_jobs(index),
-        };
-        let start = self.now + from_seconds(load.slot_wait(request, index));
-        let expected_end = start + load.run_time(request, index);
-        let probing = state.settings.probing_enabled;
-        let start_check = (probing && state.settings.start_reported)
-            .then(|| self.now + Self::start_check_delay(state, self.now, request, &attempt));
+        let mut attempt = placement.attempt(request, index);
+        let start_check_delay = Self::start_check_delay(state, self.now, request, &attempt);
         // What it waits for is not given away meanwhile.
-        let reservable = if queued { placement.reservable(request, Some(index)) } else { None };
+        let reservable = if attempt.queued { placement.reservable(request, Some(index)) } else { None };
+        let expected_end = placement.load().expected_end(request, index);
         state.reservations.release(id);
         if let Some(job) = reservable {
             job.reserve(self.now, &mut state.reservations);
@@ -361,14 +355,22 @@
         request.enter(Phase::InFlight);
         request.attempts.push(attempt);
         self.actions.push(Action::Send { id, worker: worker.id, timeout: None });
-        state.workers.queued_attempts += usize::from(queued);
-        if let Some(at) = start_check {
+        state.workers.queued_attempts += usize::from(attempt.queued);
+        self.set_attempt_timers(id, no, start_check_delay, attempt.queued);
+    }
+
+    fn set_attempt_timers(
+        &mut self, id: RequestId, no: AttemptNo, start_check_delay: Duration, queued: bool,
+    ) {
+        let settings = &self.state.settings;
+        let (probing, start_reported) = (settings.probing_enabled, settings.start_reported);
+        if probing && start_reported {
             let token = Timer::StartCheck { request: id, attempt: no }.token();
-            self.actions.push(Action::SetTimer { at, token });
+            self.actions.push(Action::SetTimer { at: self.now + start_check_delay, token });
         }
-        if state.report_age.is_checked_by_send() && probing && !queued {
+        if self.state.report_age.is_checked_by_send() && probing && !queued {
             let token = Timer::ReportAgeCheck { request: id, attempt: no }.token();
-            self.actions.push(Action::SetTimer { at: self.now + state.report_age.get(), token });
+            self.actions.push(Action::SetTimer { at: self.now + self.state.report_age.get(), token });
         }
     }
 
@@ -376,7 +378,8 @@
     fn start_check_delay(state: &NodeState, now: Time, request: &Request, attempt: &Attempt) -> Duration {
         let admission = state.admission(now);
         let usual = state.start_delay.upper_bound();
-        let delay = usual.max(admission.wait_budget(request) / 4).max(2 * state.report_age.lag());
+        let delay =
+            usual.max(admission.wait_budget(request) / START_CHECK_PART).max(2 * state.report_age.lag());
         if attempt.queued {
             delay + 2 * from_seconds(admission.load.queue_wait(attempt.worker))
         } else {
@@ -455,7 +458,7 @@
     pub(crate) fn reject(&mut self, id: RequestId) {
         let Some(request) = self.state.requests.get(id) else { return };
         let settings = &self.state.settings;
-        let advice = from_seconds(self.state.service.mean() * self.random.random_range(0.5..1.5));
+        let advice = from_seconds(self.state.service.mean() * self.random.random_range(RETRY_AFTER_JOBS));
         let retry_after = settings.retry_after_enabled.then_some(advice.min(settings.max_retry_after));
         let answer = if self.state.admission(self.now).is_retry_harmless(request) {
             Action::Refuse { id, retry_after }
@@ -493,7 +496,9 @@
         match request.phase {
             Phase::FirstProbe => {
                 // A worker that is reserved for it and says nothing is lost to it; the others come next.
-                request.excluded.extend(self.state.reservations.get(id).map(|held| held.worker));
+                request
+                    .excluded
+                    .extend(self.state.reservations.get(id).map(|reservation| reservation.worker));
                 self.state.reservations.release(id);
                 self.probe_further(id);
             }
--- a/crates/pebblepost-dispatch/src/reservation.rs
+++ b/crates/pebblepost-dispatch/src/reservation.rs
@@ -60,32 +60,36 @@
 
     /// The reservation of a job.
     pub fn get(&self, request: RequestId) -> Option<&Reservation> {
-        self.reservations.iter().find(|held| held.request == request)
+        self.reservations.iter().find(|reservation| reservation.request == request)
     }
 
     /// Jobs that hold a part of a worker, the one that has to start first in front.
     pub fn holders(&self, worker: usize) -> Vec<RequestId> {
         let mut here: Vec<&Reservation> =
-            self.reservations.iter().filter(|held| held.worker == worker).collect();
-        here.sort_by_key(|held| (held.latest_start, held.request));
-        here.iter().map(|held| held.request).collect()
+            self.reservations.iter().filter(|reservation| reservation.worker == worker).collect();
+        here.sort_by_key(|reservation| (reservation.latest_start, reservation.request));
+        here.iter().map(|reservation| reservation.request).collect()
     }
 
     /// Whether anything is reserved at a worker.
     pub fn any_at(&self, worker: usize) -> bool {
-        self.reservations.iter().any(|held| held.worker == worker)
+        self.reservations.iter().any(|reservation| reservation.worker == worker)
     }
 
     /// Releases a job's reservation.
     pub fn release(&mut self, request: RequestId) {
-        self.reservations.retain(|held| held.request != request);
+        self.reservations.retain(|reservation| reservation.request != request);
     }
 
     /// Releases all reservations at workers that can no longer serve them; returns whose they were.
     pub fn release_where(&mut self, lost: impl Fn(usize) -> bool) -> Vec<RequestId> {
-        let released =
-            self.reservations.iter().filter(|held| lost(held.worker)).map(|held| held.request).collect();
-        self.reservations.retain(|held| !lost(held.worker));
+        let released = self
+            .reservations
+            .iter()
+            .filter(|reservation| lost(reservation.worker))
+            .map(|reservation| reservation.request)
+            .collect();
+        self.reservations.retain(|reservation| !lost(reservation.worker));
         released
     }
 
@@ -97,8 +101,8 @@
     ) -> Option<Reservation> {
         let ReservationRequest { request, slots, fleet_slots } = job;
         self.release(request);
-        self.reservations.retain(|held| held.latest_start >= now);
-        let reserved: f64 = self.reservations.iter().map(|held| held.slots).sum();
+        self.reservations.retain(|reservation| reservation.latest_start >= now);
+        let reserved: f64 = self.reservations.iter().map(|reservation| reservation.slots).sum();
         let limit = (self.max_reserved_fraction * fleet_slots).max(slots);
         if self.reservations.len() >= MAX_RESERVATIONS || reserved + slots > limit {
             return None;
@@ -128,15 +132,15 @@
     /// start, as reports, hints and other dispatchers may be wrong. A reservation past its latest start does
     /// not count.
     pub fn allows(&self, now: Time, request: RequestId, slots: f64, forecast: &WorkerForecast) -> bool {
-        let mut held: Vec<&Reservation> =
-            self.reservations.iter().filter(|held| held.worker == forecast.worker).collect();
-        held.retain(|held| held.request != request && held.latest_start >= now);
-        held.sort_by_key(|held| (held.expected_start, held.request));
+        let mut binding: Vec<&Reservation> =
+            self.reservations.iter().filter(|reservation| reservation.worker == forecast.worker).collect();
+        binding.retain(|reservation| reservation.request != request && reservation.latest_start >= now);
+        binding.sort_by_key(|reservation| (reservation.expected_start, reservation.request));
         let mut wanted = slots;
-        held.iter().all(|held| {
-            wanted += held.slots;
-            let from = held.expected_start.max(now);
-            let limit = from + held.latest_start.since(from) / 2;
+        binding.iter().all(|reservation| {
+            wanted += reservation.slots;
+            let from = reservation.expected_start.max(now);
+            let limit = from + reservation.latest_start.since(from) / 2;
             now + forecast.run_time <= limit
                 || forecast.expected_start(now, wanted).is_some_and(|start| start <= limit)
         })
@@ -144,7 +148,10 @@
 
     /// Slots reserved at a worker, without those of `except`.
     fn slots_at(&self, worker: usize, except: RequestId) -> f64 {
-        let others = self.reservations.iter().filter(|held| held.worker == worker && held.request != except);
-        others.map(|held| held.slots).sum()
+        let others = self
+            .reservations
+            .iter()
+            .filter(|reservation| reservation.worker == worker && reservation.request != except);
+        others.map(|reservation| reservation.slots).sum()
     }
 }
--- a/crates/pebblepost-dispatch/src/slow_start.rs
+++ b/crates/pebblepost-dispatch/src/slow_start.rs
@@ -70,8 +70,7 @@
         // Hints are rough, and many light jobs press as well: none counts as less than a mean one.
         let cost = cost.max(1.0);
         let rate = self.capacity_fraction * self.slots.max(1.0) / self.service_seconds.max(f64::MIN_POSITIVE);
-        let bearable =
-            (SAFE_LOAD * settings.overload_multiple * rate).max(SAFE_LOAD / self.report_lag_seconds);
+        let budget = (SAFE_LOAD * settings.overload_multiple * rate).max(SAFE_LOAD / self.report_lag_seconds);
         let workers = if self.is_remote { self.remote_workers } else { self.local_workers };
         let draws = self.draws_per_second / workers.max(1.0);
         // Nodes stand where workers stand; local ones have most of the use of a worker.
@@ -83,8 +82,8 @@
             (true, false) => 1.0 - REMOTE_FRACTION,
             (false, _) => 1.0,
         };
-        let probability = share * bearable / (nodes * draws * cost).max(f64::MIN_POSITIVE);
-        let fits = cost <= (bearable * seconds(settings.overload_time) / 2.0).max(1.0);
+        let probability = share * budget / (nodes * draws * cost).max(f64::MIN_POSITIVE);
+        let fits = cost <= (budget * seconds(settings.overload_time) / 2.0).max(1.0);
         fits.then(|| probability.clamp(0.0, 1.0))
     }
 }
--- a/crates/pebblepost-dispatch/src/wire/settings.rs
+++ b/crates/pebblepost-dispatch/src/wire/settings.rs
@@ -31,7 +31,7 @@
         Ok(Duration::from_nanos(nanos))
     }
 
-    fn word(&self, key: &str) -> &'a str {
+    fn text(&self, key: &str) -> &'a str {
         self.0.get(key).copied().unwrap_or("")
     }
 
@@ -43,7 +43,7 @@
     }
 
     fn list(&self, key: &str) -> impl Iterator<Item = &'a str> {
-        self.word(key).split(',').filter(|part| !part.is_empty())
+        self.text(key).split(',').filter(|part| !part.is_empty())
     }
 }
 
@@ -65,7 +65,7 @@
         classes: (0..classes).map(|i| class(&pairs, i)).collect::<Result<_>>()?,
         tenants: (0..tenants).map(|i| tenant(&pairs, i)).collect::<Result<_>>()?,
         over_quota_value: pairs.number("overShareWorth", 1.0)?,
-        discovery: match pairs.word("discovery") {
+        discovery: match pairs.text("discovery") {
             "ask" => Discovery::Poll,
             "push" | "" => Discovery::Push,
             other => return Err(WireError::Setting(format!("discovery={other}"))),
@@ -78,7 +78,7 @@
         max_attempts: pairs.parse("caps.sendCap", 1)?,
         keepalive: pairs.duration("caps.keepalive", zero)?,
         report_fields: report_fields(&pairs),
-        report_source: match pairs.word("report.source") {
+        report_source: match pairs.text("report.source") {
             "piggyback" => ReportSource::Piggyback,
             "pull" => ReportSource::Probe,
             _ => ReportSource::None,
@@ -106,33 +106,33 @@
             probe: pairs.number("charges.probe", 0.0)?,
         },
         tick: pairs.duration("tick", zero)?,
-        queues_in_order: pairs.word("domain.queueOrder") != "backfill",
-        reservations: room(&pairs)?,
+        queues_in_order: pairs.text("domain.queueOrder") != "backfill",
+        reservations: reservations(&pairs)?,
     })
 }
 
-fn room(pairs: &Pairs) -> Result<ReservationSettings> {
-    let usual = ReservationSettings::default();
-    let room = ReservationSettings {
-        enabled: pairs.parse("room.enabled", usual.enabled)?,
-        size_deviations: pairs.number("room.deviations", usual.size_deviations)?,
-        max_reserved_fraction: pairs.number("room.mostHeld", usual.max_reserved_fraction)?,
+fn reservations(pairs: &Pairs) -> Result<ReservationSettings> {
+    let default = ReservationSettings::default();
+    let settings = ReservationSettings {
+        enabled: pairs.parse("room.enabled", default.enabled)?,
+        size_deviations: pairs.number("room.deviations", default.size_deviations)?,
+        max_reserved_fraction: pairs.number("room.mostHeld", default.max_reserved_fraction)?,
     };
-    room.check().map_err(|bad| WireError::Range(bad.to_string()))?;
-    Ok(room)
+    settings.check().map_err(|invalid| WireError::Range(invalid.to_string()))?;
+    Ok(settings)
 }
 
 fn class(pairs: &Pairs, i: u16) -> Result<Class> {
     let key = |name: &str| format!("classes.{i}.{name}");
     let window = pairs.duration(&key("window"), Duration::ZERO)?;
-    let group = match pairs.word(&key("group")) {
+    let scope = match pairs.text(&key("group")) {
         "all" => DeduplicationScope::All,
         "zone" => DeduplicationScope::Zone,
         _ => DeduplicationScope::Cell, // The narrowest, so that an unknown word breaks no rule.
     };
-    let effect = match pairs.word(&key("effect")) {
+    let idempotency = match pairs.text(&key("effect")) {
         "read_like" => Idempotency::Idempotent,
-        "idempotency_key" => Idempotency::Deduplicated { scope: group, window },
+        "idempotency_key" => Idempotency::Deduplicated { scope, window },
         "non_idempotent" | "" => Idempotency::NonIdempotent,
         other => return Err(WireError::Setting(format!("{}={other}", key("effect")))),
     };
@@ -150,7 +150,7 @@
     Ok(Class {
         latency_target: pairs.duration(&key("onTime"), Duration::ZERO)?,
         deadline: pairs.duration(&key("deadline"), Duration::ZERO)?,
-        idempotency: effect,
+        idempotency,
         value: pairs.number(&key("worth"), 1.0)?,
         late_value: pairs.number(&key("lateValue"), 0.0)?,
         latency_stretch: pairs.number(&key("aimStretch"), parsed("domain.classStretch", 0.0)?)?,
@@ -170,14 +170,14 @@
 }
 
 fn report_fields(pairs: &Pairs) -> Vec<ReportField> {
-    let meaning = |word: &str| match word {
+    let meaning = |text: &str| match text {
         "free_slots" => ReportField::FreeSlots,
         "free_memory" => ReportField::FreeMemory,
         _ => ReportField::Other,
     };
     let field = |name: &str| match name {
-        "x0" => meaning(pairs.word("domain.reportX0")),
-        "x1" => meaning(pairs.word("domain.reportX1")),
+        "x0" => meaning(pairs.text("domain.reportX0")),
+        "x1" => meaning(pairs.text("domain.reportX1")),
         "waiting" => ReportField::Queue,
         "active" => ReportField::InFlight,
         "cpu" => ReportField::Utilization,
