--- a/crates/pebblepost-dispatch/tests/wire.rs
+++ b/crates/pebblepost-dispatch/tests/wire.rs
@@ -37,7 +37,7 @@
 }
 
 fn probed(instance: u32, worker: u32, report: &[f32]) -> Vec<u8> {
-    let values: Vec<u8> = report.iter().flat_map(|v| v.to_le_bytes()).collect();
+    let values: Vec<u8> = report.iter().flat_map(|value| value.to_le_bytes()).collect();
     let head = [&worker.to_le_bytes()[..], &[1], &1_000_000u64.to_le_bytes(), &[report.len() as u8]].concat();
     record(60, &[&instance.to_le_bytes(), &head, &values])
 }
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_protocol_notes_examples_are_understood() {
+fn reads_the_examples_of_the_protocol() {
     let hex = "90bf68f5010000005000000003000000\
         142d00000003000000c4913a5d0000001bb70000000000640ad2557c3bf0910000001c4e0e0000000001\
         0000004000000000\
@@ -62,7 +62,7 @@
         280800000005000000192b6f0e";
     let bytes: Vec<u8> =
         (0..hex.len() / 2).map(|i| u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).expect("hex")).collect();
-    let messages = parse(&bytes).expect("sound");
+    let messages = parse(&bytes).expect("valid");
     assert_eq!(messages.iter().map(|(i, _)| *i).collect::<Vec<_>>(), [3, 3, 5]);
     let Message::Event(Event::Request { id, time_left, repeat, slots, .. }) = &messages[0].1 else {
         panic!("{messages:?}")
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn actions_are_written_as_the_protocol_notes_examples() {
+fn writes_actions_as_the_examples_of_the_protocol() {
     let mut reply = Reply::default();
     let (id, worker) = (RequestId(0x5d3a_91c4), WorkerId(0x0312_4a07));
     reply.push(3, &Action::Send { id, worker, timeout: Some(Duration::from_millis(80)) });
@@ -106,24 +106,27 @@
 }
 
 #[test]
-fn settings_are_translated_and_unknown_keys_skipped() {
-    let s = parse_settings(SETTINGS).expect("sound");
-    assert_eq!((s.nodes, s.zone, s.max_attempts), (4, ZoneId(1), 3));
+fn translates_settings_and_skips_unknown_keys() {
+    let settings = parse_settings(SETTINGS).expect("valid");
+    assert_eq!((settings.nodes, settings.zone, settings.max_attempts), (4, ZoneId(1), 3));
     let group = DeduplicationScope::Zone;
     assert_eq!(
-        s.classes[0].idempotency,
+        settings.classes[0].idempotency,
         Idempotency::Deduplicated { scope: group, window: Duration::from_millis(7500) }
     );
-    assert_eq!((s.classes[0].latency_stretch, s.classes[0].value, s.classes[0].kind), (1.25, 2.5, None));
-    assert_eq!(s.report_fields, [ReportField::FreeSlots, ReportField::Queue, ReportField::InFlight]);
-    assert_eq!(s.warm_up_time, Duration::from_secs(22));
+    assert_eq!(
+        (settings.classes[0].latency_stretch, settings.classes[0].value, settings.classes[0].kind),
+        (1.25, 2.5, None)
+    );
+    assert_eq!(settings.report_fields, [ReportField::FreeSlots, ReportField::Queue, ReportField::InFlight]);
+    assert_eq!(settings.warm_up_time, Duration::from_secs(22));
     for bad in ["tick=fast", "caps.probing=perhaps", "no value", "classes.count=1\nclasses.0.effect=odd"] {
         assert!(matches!(parse_settings(bad), Err(WireError::Setting(_))), "{bad}");
     }
 }
 
 #[test]
-fn malformed_batches_are_refused_and_unknown_records_skipped() {
+fn rejects_malformed_batches_and_skips_unknown_records() {
     assert!(parse(&batch(1, &[record(200, &[&[1, 2, 3]])])).expect("skipped").is_empty());
     let sound = demand(1, 2);
     let short = record(20, &[&sound[5..sound.len() - 1]]);
@@ -167,7 +170,7 @@
 }
 
 #[test]
-fn the_adapter_probes_then_sends_and_ends_cleanly() {
+fn adapter_probes_then_sends_and_exits_cleanly() {
     let input = [
         batch(1_000, &[]),
         batch(2_000, &[launch(3, SETTINGS), list(3, 77), demand(3, 1)]),
@@ -184,7 +187,7 @@
 }
 
 #[test]
-fn a_kill_and_relaunch_in_one_batch_starts_from_nothing() {
+fn relaunch_in_one_batch_starts_without_state() {
     let kill = record(30, &[&3u32.to_le_bytes()]);
     let input = [
         batch(2_000, &[launch(3, SETTINGS), list(3, 77), demand(3, 1)]),
@@ -199,7 +202,7 @@
 }
 
 #[test]
-fn bad_input_ends_the_adapter_with_one_plain_message() {
+fn adapter_exits_with_one_message_on_bad_input() {
     let cases: [(&str, Vec<u8>, &str); 6] = [
         ("a header cut short", vec![1, 2, 3], "truncated header"),
         ("a batch cut short", batch(1, &[demand(1, 1)])[..30].to_vec(), "truncated batch"),
@@ -218,20 +221,27 @@
 }
 
 #[test]
-fn further_rules_are_translated_and_absent_keys_bind_nothing() {
-    let s = parse_settings(SETTINGS).expect("sound");
-    assert_eq!((&s.classes[0].only_kinds, &s.classes[0].only_zones), (&None, &None));
-    assert_eq!((s.close_idle_within, s.full_may_have_run), (None, false));
+fn translates_rules_and_absent_keys_restrict_nothing() {
+    let settings = parse_settings(SETTINGS).expect("valid");
+    assert_eq!((&settings.classes[0].only_kinds, &settings.classes[0].only_zones), (&None, &None));
+    assert_eq!((settings.close_idle_within, settings.full_may_have_run), (None, false));
 
     let more = "classes.0.kindsOnly=0,2\nclasses.0.failureDomainsAllowed=9\n\
         invariants.letGoIn=1000000000\ninvariants.mayShedBegun=true\n";
-    let s = parse_settings(&format!("{SETTINGS}{more}")).expect("sound");
-    assert_eq!(s.classes[0].only_kinds, Some(vec![KindId(0), KindId(2)]));
-    assert_eq!(s.classes[0].only_zones, Some(vec![ZoneId(9)]), "an unknown index is kept: it permits nobody");
-    assert_eq!((s.close_idle_within, s.full_may_have_run), (Some(Duration::from_secs(1)), true));
+    let settings = parse_settings(&format!("{SETTINGS}{more}")).expect("valid");
+    assert_eq!(settings.classes[0].only_kinds, Some(vec![KindId(0), KindId(2)]));
+    assert_eq!(
+        settings.classes[0].only_zones,
+        Some(vec![ZoneId(9)]),
+        "an unknown index is kept: it permits nobody"
+    );
+    assert_eq!(
+        (settings.close_idle_within, settings.full_may_have_run),
+        (Some(Duration::from_secs(1)), true)
+    );
 
-    let s = parse_settings(&format!("{SETTINGS}classes.0.kindsOnly=\n")).expect("sound");
-    assert_eq!(s.classes[0].only_kinds, Some(vec![]), "an empty set permits nobody");
+    let settings = parse_settings(&format!("{SETTINGS}classes.0.kindsOnly=\n")).expect("valid");
+    assert_eq!(settings.classes[0].only_kinds, Some(vec![]), "an empty set permits nobody");
 
     for bad in [
         "classes.0.kindsOnly=0,big",
@@ -245,7 +255,7 @@
 }
 
 #[test]
-fn closing_idle_connections_is_written_as_stated() {
+fn writes_the_close_of_idle_connections() {
     let mut reply = Reply::default();
     reply.push(3, &Action::CloseIdle { worker: WorkerId(0x2c90_11f2) });
     let expected = record(70, &[&3u32.to_le_bytes(), &0x2c90_11f2u32.to_le_bytes()]);
