--- a/crates/pebblepost-fleet-store/src/client.rs
+++ b/crates/pebblepost-fleet-store/src/client.rs
@@ -82,8 +82,8 @@
         &self.replicas
     }
 
-    /// Sends a request to one replica after the other until one answers it. A command that is sent again carries its id, so it
-    /// is applied once.
+    /// Sends a request to one replica after the other until one answers it. A command that is sent again
+    /// carries its id, so it is applied once.
     ///
     /// # Errors
     ///
--- a/crates/pebblepost-fleet-store/src/clock.rs
+++ b/crates/pebblepost-fleet-store/src/clock.rs
@@ -1,5 +1,5 @@
-//! This process's clocks. In the build with faults they run at another rate, or have jumped, by the environment, to show
-//! what depends on them; in any other build these are the machine's own.
+//! This process's clocks. In the build with faults they run at another rate, or have jumped, by the
+//! environment, to show what depends on them; in any other build these are the machine's own.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -8,7 +8,8 @@
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// The time since a moment, on the monotonic clock by which sessions are measured (`PEBBLEPOST_FAULT_CLOCK_RATE`).
+/// The time since a moment, on the monotonic clock by which sessions are measured
+/// (`PEBBLEPOST_FAULT_CLOCK_RATE`).
 pub fn since(moment: Instant) -> Duration {
     let elapsed = moment.elapsed();
     #[cfg(feature = "faults")]
@@ -18,8 +19,8 @@
     elapsed
 }
 
-/// The wall clock, in Unix time in milliseconds (`PEBBLEPOST_FAULT_CLOCK_JUMP_S`). It is shown to people; nothing is decided
-/// by it.
+/// The wall clock, in Unix time in milliseconds (`PEBBLEPOST_FAULT_CLOCK_JUMP_S`). It is shown to people;
+/// nothing is decided by it.
 pub fn unix_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     #[cfg(feature = "faults")]
--- a/crates/pebblepost-fleet-store/src/connection.rs
+++ b/crates/pebblepost-fleet-store/src/connection.rs
@@ -1,4 +1,5 @@
-//! A TCP connection that carries messages as JSON in frames: a length of four bytes (big endian), then the text.
+//! A TCP connection that carries messages as JSON in frames: a length of four bytes (big endian), then the
+//! text.
 
 use futures_util::{SinkExt, StreamExt};
 use serde::Serialize;
--- a/crates/pebblepost-fleet-store/src/lib.rs
+++ b/crates/pebblepost-fleet-store/src/lib.rs
@@ -1,9 +1,10 @@
 //! The replicated store of a fleet: a group of *replicas* (the operator's *keepers*) that hold one
-//! [`pebblepost_fleet::State`] by Raft (`openraft`) over durable storage (`redb`), and the client by which dispatchers and
-//! operators reach them.
+//! [`pebblepost_fleet::State`] by Raft (`openraft`) over durable storage (`redb`), and the client by which
+//! dispatchers and operators reach them.
 //!
-//! The rules are in `pebblepost-fleet`: this package decides nothing about the fleet. It brings commands into one order, applies
-//! them, stores them, and answers reads and heartbeats. Messages are JSON in frames, on loopback only.
+//! The rules are in `pebblepost-fleet`: this package decides nothing about the fleet. It brings commands into
+//! one order, applies them, stores them, and answers reads and heartbeats. Messages are JSON in frames, on
+//! loopback only.
 //!
 //! Modules, each using only those before it:
 //!
--- a/crates/pebblepost-fleet-store/src/network.rs
+++ b/crates/pebblepost-fleet-store/src/network.rs
@@ -53,7 +53,8 @@
             connection.send(&Request::Raft(RaftEnvelope { group, target, disk, message })).await?;
             match connection.next().await?.ok_or(io::ErrorKind::UnexpectedEof)? {
                 Response::Raft(reply) => {
-                    // Kept only after a complete answer: one that was cut short must not be taken for the next.
+                    // Kept only after a complete answer: one that was cut short must not be taken for the
+                    // next.
                     self.connection = Some(connection);
                     Ok(reply)
                 }
--- a/crates/pebblepost-fleet-store/src/protocol.rs
+++ b/crates/pebblepost-fleet-store/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The messages between clients and replicas, and between replicas: one [`Response`] to each [`Request`]; a watch is
-//! answered by a stream of [`Response::Snapshot`], [`Response::Changes`] and [`Response::UpToDate`].
+//! The messages between clients and replicas, and between replicas: one [`Response`] to each [`Request`]; a
+//! watch is answered by a stream of [`Response::Snapshot`], [`Response::Changes`] and [`Response::UpToDate`].
 
 use crate::raft_types::{Peer, TypeConfig};
 use openraft::raft::{
--- a/crates/pebblepost-fleet-store/src/raft_types.rs
+++ b/crates/pebblepost-fleet-store/src/raft_types.rs
@@ -19,8 +19,9 @@
 
 /// A replica as the group's membership lists it.
 ///
-/// The disk is part of it: a replica that comes back with another one has forgotten what it voted for and what it
-/// acknowledged, so under its old number it must neither vote nor acknowledge. It comes back under a new number.
+/// The disk is part of it: a replica that comes back with another one has forgotten what it voted for and
+/// what it acknowledged, so under its old number it must neither vote nor acknowledge. It comes back under a
+/// new number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
     /// Its address.
--- a/crates/pebblepost-fleet-store/src/replica/config.rs
+++ b/crates/pebblepost-fleet-store/src/replica/config.rs
@@ -37,7 +37,8 @@
     pub listen: SocketAddr,
     /// The folder of its disk.
     pub folder: PathBuf,
-    /// Addresses of other replicas from here, by number, where they differ from those of the group's membership.
+    /// Addresses of other replicas from here, by number, where they differ from those of the group's
+    /// membership.
     pub dial: BTreeMap<u64, String>,
     /// How long a member's session lasts without a heartbeat.
     pub session_ttl: Duration,
--- a/crates/pebblepost-fleet-store/src/replica/leadership.rs
+++ b/crates/pebblepost-fleet-store/src/replica/leadership.rs
@@ -1,5 +1,5 @@
-//! What a replica does while it leads: it keeps the sessions of members, ends those that expire, and commits what a majority
-//! of the dispatchers observes of workers.
+//! What a replica does while it leads: it keeps the sessions of members, ends those that expire, and commits
+//! what a majority of the dispatchers observes of workers.
 
 use super::{REQUEST_TIMEOUT, Replica};
 use crate::client::command;
@@ -47,8 +47,8 @@
         due.unwrap_or_default()
     }
 
-    /// Takes in a heartbeat. It counts at the leader only; a replica that wrongly believes that it leads extends nothing, as only
-    /// the real leader can have a session ended.
+    /// Takes in a heartbeat. It counts at the leader only; a replica that wrongly believes that it leads
+    /// extends nothing, as only the real leader can have a session ended.
     pub(super) fn heartbeat(&self, member: &Name, session: u64, report: Option<HeartbeatReport>) -> Response {
         let now = since(self.started_at);
         let outcome = self.with_sessions(|sessions| {
@@ -60,7 +60,8 @@
         }
     }
 
-    /// The progress of a worker's drain. The sessions are read linearizably; what each member has confirmed stays true.
+    /// The progress of a worker's drain. The sessions are read linearizably; what each member has confirmed
+    /// stays true.
     pub(super) async fn drain_status(&self, worker: &Name) -> Response {
         if let Err(not_read) = self.ensure_linearizable().await {
             return not_read;
@@ -70,7 +71,8 @@
         status.map_or_else(|| self.not_leader(), Response::DrainStatus)
     }
 
-    /// The requests of all dispatchers, as far as this leader has reports: an indication that needs no linearizable read.
+    /// The requests of all dispatchers, as far as this leader has reports: an indication that needs no
+    /// linearizable read.
     pub(super) fn request_totals(&self) -> Response {
         let totals = self.with_sessions(|sessions| request_totals(&self.state_machine.read(), sessions));
         totals.map_or_else(|| self.not_leader(), Response::RequestTotals)
--- a/crates/pebblepost-fleet-store/src/replica/membership.rs
+++ b/crates/pebblepost-fleet-store/src/replica/membership.rs
@@ -23,8 +23,8 @@
 }
 
 impl Replica {
-    /// Initializes the group once all of its replicas say that they are new, with the disks named: one that has been part
-    /// of the group before must not initialize it again.
+    /// Initializes the group once all of its replicas say that they are new, with the disks named: one that
+    /// has been part of the group before must not initialize it again.
     pub(super) async fn initialize(&self, replicas: BTreeMap<u64, Peer>) -> Response {
         let own_id = self.config.id;
         if replicas.get(&own_id).map(|peer| peer.disk) != Some(self.disk.identity().disk) {
--- a/crates/pebblepost-fleet-store/src/replica/mod.rs
+++ b/crates/pebblepost-fleet-store/src/replica/mod.rs
@@ -129,8 +129,9 @@
     }
 }
 
-/// Checks that the disk is no copy from before what this replica has acknowledged, as far as a leader that can be reached knows.
-/// A leader of an earlier term than the disk's vote proves nothing: what it was sent may have been replaced since.
+/// Checks that the disk is no copy from before what this replica has acknowledged, as far as a leader that
+/// can be reached knows. A leader of an earlier term than the disk's vote proves nothing: what it was sent
+/// may have been replaced since.
 async fn check_not_outdated(disk: &Disk, config: &ReplicaConfig) -> Result<(), ReplicaError> {
     let known = disk.last_known().map_err(ReplicaError::stopped)?;
     let others = known.replicas.iter().filter(|(id, _)| **id != config.id);
--- a/crates/pebblepost-fleet-store/src/replica/reads.rs
+++ b/crates/pebblepost-fleet-store/src/replica/reads.rs
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Checks that this replica leads, with a majority: a leader that was paused may have been replaced. `Err`: the answer
-    /// to the read instead.
+    /// Checks that this replica leads, with a majority: a leader that was paused may have been replaced.
+    /// `Err`: the answer to the read instead.
     pub(super) async fn ensure_linearizable(&self) -> Result<(), Response> {
         let is_checked =
             cfg!(not(feature = "faults")) || std::env::var_os("PEBBLEPOST_FAULT_STALE").is_none();
--- a/crates/pebblepost-fleet-store/src/replica/server.rs
+++ b/crates/pebblepost-fleet-store/src/replica/server.rs
@@ -19,7 +19,8 @@
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
 impl Replica {
-    /// Accepts connections. They end with this future: an answer after the replica has stopped would be wrong.
+    /// Accepts connections. They end with this future: an answer after the replica has stopped would be
+    /// wrong.
     pub(super) async fn accept(self, listener: TcpListener) {
         let mut connections = JoinSet::new();
         loop {
--- a/crates/pebblepost-fleet-store/src/replica/watch.rs
+++ b/crates/pebblepost-fleet-store/src/replica/watch.rs
@@ -13,8 +13,8 @@
 const MAX_CHANGES_PER_MESSAGE: usize = 64;
 
 impl Replica {
-    /// Sends all changes after a revision. There is no queue: each watch has its position in the bounded log, and one
-    /// that is too far behind gets the whole state.
+    /// Sends all changes after a revision. There is no queue: each watch has its position in the bounded log,
+    /// and one that is too far behind gets the whole state.
     pub(super) async fn watch(&self, mut connection: Connection, from_revision: u64) -> io::Result<()> {
         let mut revision = from_revision;
         let mut revisions = self.state_machine.subscribe();
--- a/crates/pebblepost-fleet-store/src/state_machine.rs
+++ b/crates/pebblepost-fleet-store/src/state_machine.rs
@@ -1,4 +1,5 @@
-//! The replicated state at one replica: entries of the log are applied in their order, and snapshots are taken.
+//! The replicated state at one replica: entries of the log are applied in their order, and snapshots are
+//! taken.
 //!
 //! The state lives in memory; on disk are the last snapshot and the log after it.
 
--- a/crates/pebblepost-fleet-store/src/storage/disk.rs
+++ b/crates/pebblepost-fleet-store/src/storage/disk.rs
@@ -57,7 +57,8 @@
 }
 
 impl Disk {
-    /// Opens and checks the disk in a folder, or sets it up if there is none. A new disk gets the id `new_disk`.
+    /// Opens and checks the disk in a folder, or sets it up if there is none. A new disk gets the id
+    /// `new_disk`.
     ///
     /// # Errors
     ///
@@ -176,8 +177,8 @@
     let io_error =
         |cause: &dyn std::fmt::Display| DiskError::Io { path: path.to_owned(), cause: cause.to_string() };
     let damaged = |cause: String| DiskError::Damaged { path: path.to_owned(), cause };
-    // redb panics on some kinds of damage where it should return an error (seen with a flipped bit in the state of
-    // its allocator); that is a damaged file like any other.
+    // redb panics on some kinds of damage where it should return an error (seen with a flipped bit in the
+    // state of its allocator); that is a damaged file like any other.
     let opened = std::panic::catch_unwind(|| {
         // The set-up of a file of no bytes was cut short: nothing was ever acknowledged from it.
         let exists = std::fs::metadata(path).is_ok_and(|metadata| metadata.len() > 0);
--- a/crates/pebblepost-fleet-store/src/storage/log_store.rs
+++ b/crates/pebblepost-fleet-store/src/storage/log_store.rs
@@ -35,10 +35,11 @@
         saved.map_err(|error| StorageIOError::write_vote(raft_cause(self, &error)).into())
     }
 
-    /// Read at the start only. openraft lets a replica that led when it ended lead on at once, without an entry of this
-    /// process in the log; how far the log was committed it does not know then, and answered reads from a state that lacked
-    /// acknowledged changes. A vote for itself that is not known to have won makes it stand for election like any other:
-    /// the entry with which a new leader begins tells it how far the log is committed before it answers.
+    /// Read at the start only. openraft lets a replica that led when it ended lead on at once, without an
+    /// entry of this process in the log; how far the log was committed it does not know then, and answered
+    /// reads from a state that lacked acknowledged changes. A vote for itself that is not known to have won
+    /// makes it stand for election like any other: the entry with which a new leader begins tells it how far
+    /// the log is committed before it answers.
     async fn read_vote(&mut self) -> RaftResult<Option<Vote<u64>>> {
         let vote: Option<Vote<u64>> =
             self.get(VOTE).map_err(|error| StorageIOError::read_vote(raft_cause(self, &error)))?;
--- a/crates/pebblepost-fleet-store/src/storage/mod.rs
+++ b/crates/pebblepost-fleet-store/src/storage/mod.rs
@@ -1,8 +1,9 @@
 //! A replica's disk: the log, the vote and the last snapshot, in one `redb` file.
 //!
-//! All writes are synced before they are acknowledged, in two phases, so that after a crash the newest commit is either
-//! complete or was never acknowledged. At each start the whole file is checked; a damaged one is refused by name, as a
-//! replica that silently goes back to an older commit would have forgotten what it acknowledged.
+//! All writes are synced before they are acknowledged, in two phases, so that after a crash the newest commit
+//! is either complete or was never acknowledged. At each start the whole file is checked; a damaged one is
+//! refused by name, as a replica that silently goes back to an older commit would have forgotten what it
+//! acknowledged.
 
 mod disk;
 mod error;
--- a/crates/pebblepost-fleet-store/tests/disk.rs
+++ b/crates/pebblepost-fleet-store/tests/disk.rs
@@ -77,7 +77,8 @@
     assert!(open(&folder).is_ok(), "the set-up was cut short: nothing was ever acknowledged from it");
 }
 
-/// For any single bit either the file is refused, or it reads as it was written (the bit is in a part that is not in use).
+/// For any single bit either the file is refused, or it reads as it was written (the bit is in a part that is
+/// not in use).
 #[tokio::test]
 async fn a_flipped_bit_is_found_or_has_no_effect() {
     let intact = filled_disk().await;
--- a/crates/pebblepost-fleet-store/tests/stored_forms.rs
+++ b/crates/pebblepost-fleet-store/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! What a replica stores and sends, pinned by bytes: an earlier build's frames, log entries and disk are read, and the same
-//! bytes are written. The files under `tests/stored` are never edited to follow the code.
+//! What a replica stores and sends, pinned by bytes: an earlier build's frames, log entries and disk are
+//! read, and the same bytes are written. The files under `tests/stored` are never edited to follow the code.
 
 mod common;
 
@@ -108,7 +108,8 @@
     (log, meta.collect())
 }
 
-/// A replica of its own group that was asked for the stored entries' commands, with its address and disk as stored.
+/// A replica of its own group that was asked for the stored entries' commands, with its address and disk as
+/// stored.
 async fn run_replica(folder: &Folder) -> (String, u64) {
     let settings = common::settings(9, folder.0.clone());
     let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
@@ -127,7 +128,8 @@
     (settings.listen.to_string(), status.disk)
 }
 
-/// Writes a disk through a running replica, a snapshot and a purge, and compares each key and value of its tables.
+/// Writes a disk through a running replica, a snapshot and a purge, and compares each key and value of its
+/// tables.
 #[tokio::test]
 async fn a_disk_has_the_tables_keys_and_values_of_earlier_builds() {
     let folder = Folder::new("written");
--- a/crates/pebblepost-fleet/examples/release_size.rs
+++ b/crates/pebblepost-fleet/examples/release_size.rs
@@ -1,5 +1,6 @@
-//! The cost of a release by the size of the fleet, without sockets: the state machine with N dispatchers that restart in times
-//! drawn from a seed. Prints a table: the duration, and the commands and bytes of changes for each dispatcher.
+//! The cost of a release by the size of the fleet, without sockets: the state machine with N dispatchers that
+//! restart in times drawn from a seed. Prints a table: the duration, and the commands and bytes of changes
+//! for each dispatcher.
 //!
 //! `cargo run --release -p pebblepost-fleet --example release_size [PLOT.svg]`
 
@@ -65,7 +66,8 @@
     }
 }
 
-/// The result for one size: the duration in seconds, and the commands and bytes of changes for each dispatcher.
+/// The result for one size: the duration in seconds, and the commands and bytes of changes for each
+/// dispatcher.
 struct Point {
     dispatchers: u64,
     seconds: u64,
@@ -131,7 +133,8 @@
             max_success_rate_drop: 0.05,
             min_answers: 200,
         });
-        // In tenths of a second: each learns of its permit, ends its requests, and is restarted within 2 to 8 s.
+        // In tenths of a second: each learns of its permit, ends its requests, and is restarted within 2 to 8
+        // s.
         let (mut now, mut returning): (u64, BTreeMap<u64, BTreeSet<u64>>) = (0, BTreeMap::new());
         let mut restarted = BTreeSet::new();
         loop {
--- a/crates/pebblepost-fleet/src/command.rs
+++ b/crates/pebblepost-fleet/src/command.rs
@@ -41,8 +41,9 @@
         #[serde(rename = "why", default)]
         reason: Text,
     },
-    /// Replaces drains, settings, budgets and workers by those of a backup. Members, permits and halts stay as they are; members
-    /// that only the backup has become lost. Revisions, sessions and incarnations never go back.
+    /// Replaces drains, settings, budgets and workers by those of a backup. Members, permits and halts stay
+    /// as they are; members that only the backup has become lost. Revisions, sessions and incarnations never
+    /// go back.
     Restore(Snapshot),
     /// Registers the disk of a replica's number, so that the replica may join the Raft group.
     #[serde(rename = "admit")]
@@ -164,7 +165,8 @@
     Halt(SubjectKind),
     /// Ends a halt.
     Resume(SubjectKind),
-    /// Requests a permit. It is granted as soon as the budget allows it; requested again, it is the same permit.
+    /// Requests a permit. It is granted as soon as the budget allows it; requested again, it is the same
+    /// permit.
     #[serde(rename = "ask")]
     RequestPermit {
         /// The dispatcher or worker.
@@ -185,7 +187,8 @@
     /// Ends a permit on an operator's responsibility.
     #[serde(rename = "force")]
     ForceCompletePermit(Subject),
-    /// Begins a release: every dispatcher with another version gets a permit request. Begun again, it is the same release.
+    /// Begins a release: every dispatcher with another version gets a permit request. Begun again, it is the
+    /// same release.
     #[serde(rename = "release")]
     BeginRelease {
         /// The version.
--- a/crates/pebblepost-fleet/src/fencing.rs
+++ b/crates/pebblepost-fleet/src/fencing.rs
@@ -1,5 +1,5 @@
-//! The two sides of a lease outside the state: the holder, which must not act beyond its session, and what is acted on, which
-//! rejects an older holder. No I/O and no clock.
+//! The two sides of a lease outside the state: the holder, which must not act beyond its session, and what is
+//! acted on, which rejects an older holder. No I/O and no clock.
 
 use crate::name::Name;
 use crate::session::SessionTtl;
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a member may rely on its session, by its own clock: from before it sent the last acknowledged heartbeat, less the
-/// margin for clock rates. The clock has to run on while the machine is suspended.
+/// How long a member may rely on its session, by its own clock: from before it sent the last acknowledged
+/// heartbeat, less the margin for clock rates. The clock has to run on while the machine is suspended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SessionValidity {
     session: u64,
@@ -65,7 +65,8 @@
     WouldExpire,
 }
 
-/// The highest fencing token seen of each task, at the side that is acted on. Its owner stores it where it has to survive a restart.
+/// The highest fencing token seen of each task, at the side that is acted on. Its owner stores it where it
+/// has to survive a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencingGuard(BTreeMap<Name, u64>);
 
--- a/crates/pebblepost-fleet/src/follower.rs
+++ b/crates/pebblepost-fleet/src/follower.rs
@@ -1,9 +1,11 @@
-//! A dispatcher's copy of the replicated state, and the drains requested at it while it was partitioned from the group.
+//! A dispatcher's copy of the replicated state, and the drains requested at it while it was partitioned from
+//! the group.
 //!
-//! A drain requested here takes effect at once and is marked *local*. When the group is reached again it is proposed, with
-//! the revision that the drain's key had at the request as precondition. So **the group wins** where it has changed that
-//! worker's drain meanwhile (its decision may be newer, and it is in the history); otherwise the drain becomes replicated. Either
-//! way the local mark is removed only once this copy has what the group decided: there is no moment without a mark.
+//! A drain requested here takes effect at once and is marked *local*. When the group is reached again it is
+//! proposed, with the revision that the drain's key had at the request as precondition. So **the group wins**
+//! where it has changed that worker's drain meanwhile (its decision may be newer, and it is in the history);
+//! otherwise the drain becomes replicated. Either way the local mark is removed only once this copy has what
+//! the group decided: there is no moment without a mark.
 
 use crate::command::{Action, Command, CommandResult, Operation, Precondition, Rejection};
 use crate::name::{IncarnationId, Key, Name, RequestId, Subject, SubjectKind, Text};
@@ -34,7 +36,8 @@
     /// The revision of the drain's key in this copy at the request.
     #[serde(rename = "seen")]
     pub key_revision: u64,
-    /// The revision at which the group accepted it, or had decided otherwise. The mark stays until the copy is there.
+    /// The revision at which the group accepted it, or had decided otherwise. The mark stays until the copy
+    /// is there.
     #[serde(rename = "taken")]
     pub decided_revision: Option<u64>,
 }
--- a/crates/pebblepost-fleet/src/heartbeat.rs
+++ b/crates/pebblepost-fleet/src/heartbeat.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher reports with its heartbeats. Like the heartbeats themselves this is soft state at the Raft leader and
-//! is not replicated: that would be a command from each dispatcher for each worker that goes.
+//! What a dispatcher reports with its heartbeats. Like the heartbeats themselves this is soft state at the
+//! Raft leader and is not replicated: that would be a command from each dispatcher for each worker that goes.
 
 use crate::name::Name;
 use crate::value::{MAX_DIFF_ENTRIES, WorkerDiff};
@@ -12,7 +12,8 @@
 /// A dispatcher's report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatReport {
-    /// All changes up to this revision are in force at the dispatcher and, where it stores a copy of the state, stored.
+    /// All changes up to this revision are in force at the dispatcher and, where it stores a copy of the
+    /// state, stored.
     #[serde(rename = "acts_by")]
     pub applied_revision: u64,
     /// Workers with a drain mark that still have attempts of this dispatcher in flight.
--- a/crates/pebblepost-fleet/src/leader/drain_status.rs
+++ b/crates/pebblepost-fleet/src/leader/drain_status.rs
@@ -1,8 +1,9 @@
 //! Whether a drained worker may be stopped: whether every dispatcher has confirmed the drain.
 //!
-//! Heartbeats are enough for that, because what a dispatcher confirms stays true: a drain mark stands until the worker's
-//! permit ends, a dispatcher sends nothing more where it knows of one, and one that stores a copy of the state confirms only
-//! what is stored, so that its next incarnation knows of it from the start. A new session confirms anew.
+//! Heartbeats are enough for that, because what a dispatcher confirms stays true: a drain mark stands until
+//! the worker's permit ends, a dispatcher sends nothing more where it knows of one, and one that stores a
+//! copy of the state confirms only what is stored, so that its next incarnation knows of it from the start. A
+//! new session confirms anew.
 
 use super::Sessions;
 use crate::name::{Key, Name, Subject, SubjectKind};
@@ -24,8 +25,8 @@
     /// The present leader has no report from its present session.
     #[serde(rename = "unheard")]
     NoReport,
-    /// Its session expired, or it left. It may run all the same, and then acts by what it knows: only its return, or an operator
-    /// who removes the member, decides that.
+    /// Its session expired, or it left. It may run all the same, and then acts by what it knows: only its
+    /// return, or an operator who removes the member, decides that.
     #[serde(rename = "cut_off")]
     Absent,
 }
@@ -60,7 +61,8 @@
 }
 
 impl DrainStatus {
-    /// Whether the worker may be stopped: it has a granted permit, and every dispatcher has confirmed the drain.
+    /// Whether the worker may be stopped: it has a granted permit, and every dispatcher has confirmed the
+    /// drain.
     pub fn is_complete(&self) -> bool {
         self.granted_at_revision.is_some() && self.unconfirmed.is_empty()
     }
--- a/crates/pebblepost-fleet/src/leader/mod.rs
+++ b/crates/pebblepost-fleet/src/leader/mod.rs
@@ -1,5 +1,5 @@
-//! What the Raft leader knows from heartbeats, and what it concludes from them and the state. Soft state: a new leader begins
-//! without any. No I/O; time is monotonic and comes as an argument.
+//! What the Raft leader knows from heartbeats, and what it concludes from them and the state. Soft state: a
+//! new leader begins without any. No I/O; time is monotonic and comes as an argument.
 
 mod drain_status;
 mod request_totals;
--- a/crates/pebblepost-fleet/src/leader/sessions.rs
+++ b/crates/pebblepost-fleet/src/leader/sessions.rs
@@ -1,6 +1,7 @@
 //! The sessions that the leader keeps alive by heartbeats, and those that it has ended.
 //!
-//! A new leader counts all sessions from the moment it began, since it cannot know what its predecessor received.
+//! A new leader counts all sessions from the moment it began, since it cannot know what its predecessor
+//! received.
 
 use crate::command::Action;
 use crate::heartbeat::HeartbeatReport;
@@ -62,7 +63,8 @@
         self.heartbeats.get(member).filter(|last| last.session == session)?.report.as_ref()
     }
 
-    /// The commands that end the sessions without heartbeats, and free the leases of superseded sessions that have expired.
+    /// The commands that end the sessions without heartbeats, and free the leases of superseded sessions that
+    /// have expired.
     pub fn expired(&mut self, now: Duration, state: &State) -> Vec<Action> {
         let is_present = |(_, member): &(&Name, &crate::value::Member)| member.presence == Presence::Present;
         let mut expired = Vec::new();
@@ -82,8 +84,8 @@
         expired
     }
 
-    /// Superseded sessions that hold leases, once no process can rely on them any more: it may have sent a heartbeat just before
-    /// this leader saw that the session was superseded, and was answered.
+    /// Superseded sessions that hold leases, once no process can rely on them any more: it may have sent a
+    /// heartbeat just before this leader saw that the session was superseded, and was answered.
     fn expired_superseded(&mut self, now: Duration, state: &State) -> Vec<Action> {
         let holders = state.leases().filter_map(|(_, lease)| lease.holder.as_ref());
         let superseded: BTreeSet<(Name, u64)> = holders
--- a/crates/pebblepost-fleet/src/leader/worker_majority.rs
+++ b/crates/pebblepost-fleet/src/leader/worker_majority.rs
@@ -7,7 +7,8 @@
 use crate::value::{Presence, Worker, WorkerDiff, WorkerObservation};
 use std::collections::BTreeMap;
 
-/// The command that takes in what a majority of the present dispatchers reports alike; `None`: nothing is to change.
+/// The command that takes in what a majority of the present dispatchers reports alike; `None`: nothing is to
+/// change.
 pub fn majority_update(state: &State, sessions: &Sessions) -> Option<Action> {
     let dispatchers =
         state.members().filter(|(_, member)| member.presence == Presence::Present && member.is_dispatcher());
@@ -20,7 +21,8 @@
             *votes.entry(vote).or_insert(0) += 1;
         }
     }
-    // A change that was committed meanwhile, of which some dispatchers have not heard yet, is not proposed again.
+    // A change that was committed meanwhile, of which some dispatchers have not heard yet, is not proposed
+    // again.
     let is_current = |name: &Name, observation: &Option<WorkerObservation>| {
         state.worker(name).and_then(Worker::observation) == *observation
     };
--- a/crates/pebblepost-fleet/src/lib.rs
+++ b/crates/pebblepost-fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! The replicated state machine of a fleet of dispatchers: members with sessions and leases, drains and settings, permits
-//! under disruption budgets, and releases.
+//! The replicated state machine of a fleet of dispatchers: members with sessions and leases, drains and
+//! settings, permits under disruption budgets, and releases.
 //!
-//! Nothing here does I/O, reads a clock or draws a random number: time comes as a field of a command or as an argument, so
-//! the same commands give the same state at every replica. A command may be late, duplicated or from a dead process; the rules
-//! are checked in [`State::apply`] and nowhere else.
+//! Nothing here does I/O, reads a clock or draws a random number: time comes as a field of a command or as an
+//! argument, so the same commands give the same state at every replica. A command may be late, duplicated or
+//! from a dead process; the rules are checked in [`State::apply`] and nowhere else.
 //!
 //! Modules, each using only those before it:
 //!
--- a/crates/pebblepost-fleet/src/name.rs
+++ b/crates/pebblepost-fleet/src/name.rs
@@ -101,7 +101,8 @@
 }
 impl_checked_text!(Name, Text);
 
-/// Identifies a request, so that a retry (the answer was lost) is applied once. Drawn at random by the issuer.
+/// Identifies a request, so that a retry (the answer was lost) is applied once. Drawn at random by the
+/// issuer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId(pub u64, pub u64);
 
@@ -163,8 +164,9 @@
     }
 }
 
-/// The key of a value in the state. As text: `drain/WORKER`, `worker/WORKER`, `setting/NAME`, `member/NAME`, `budget/KIND`, `halt/KIND`,
-/// `release/KIND`, `lease/TASK`, `permit/KIND/NAME`. Permits come last in their order, and drains first.
+/// The key of a value in the state. As text: `drain/WORKER`, `worker/WORKER`, `setting/NAME`, `member/NAME`,
+/// `budget/KIND`, `halt/KIND`, `release/KIND`, `lease/TASK`, `permit/KIND/NAME`. Permits come last in their
+/// order, and drains first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Key {
--- a/crates/pebblepost-fleet/src/release_driver/mod.rs
+++ b/crates/pebblepost-fleet/src/release_driver/mod.rs
@@ -1,7 +1,7 @@
 //! What drives a release: it looks at the state now and then, and proposes the next wave, the end, or a halt.
 //!
-//! It never decides who goes (see [`crate::availability`]): a driver that is dead, late or duplicated delays a release and
-//! breaks nothing. Time is monotonic and comes as an argument.
+//! It never decides who goes (see [`crate::availability`]): a driver that is dead, late or duplicated delays
+//! a release and breaks nothing. Time is monotonic and comes as an argument.
 
 mod halt;
 mod success_rates;
@@ -15,7 +15,8 @@
 use std::time::Duration;
 use success_rates::SuccessRates;
 
-/// While the new version has too few answers a wave is observed for at most this many times the observation time.
+/// While the new version has too few answers a wave is observed for at most this many times the observation
+/// time.
 const MAX_OBSERVATION_FACTOR: u32 = 3;
 
 /// When the driver proposes what.
@@ -27,7 +28,8 @@
     pub wave_timeout: Duration,
     /// This many new incarnations without a permit, of dispatchers with the new version, halt the release.
     pub max_crashes: u64,
-    /// How much lower the success rate of the new version may be than that of the old one, during an observation.
+    /// How much lower the success rate of the new version may be than that of the old one, during an
+    /// observation.
     pub max_success_rate_drop: f64,
     /// Success rates of fewer answers than this are not compared. 0: none are.
     pub min_answers: u64,
@@ -165,7 +167,8 @@
         self.success_rates.add(&release.version, requests);
         let all_reported = all_reported(state, requests);
         let min_answers = self.policy.min_answers;
-        // Too few answers of the new version are waited for, unless all dispatchers have reported and there are few requests.
+        // Too few answers of the new version are waited for, unless all dispatchers have reported and there
+        // are few requests.
         let needs_more = self.success_rates.needs_more_answers(min_answers, all_reported);
         let factor = if needs_more { MAX_OBSERVATION_FACTOR } else { 1 };
         let observed = now.saturating_sub(complete_since) >= self.policy.observation_time * factor;
--- a/crates/pebblepost-fleet/src/release_driver/success_rates.rs
+++ b/crates/pebblepost-fleet/src/release_driver/success_rates.rs
@@ -9,8 +9,8 @@
 /// Requests counted since the observation began, at dispatchers with the release's version and at the others.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SuccessRates {
-    /// The last counts of each member with the incarnation that they belong to. A member that does not report for a while, as
-    /// leaders change, loses nothing.
+    /// The last counts of each member with the incarnation that they belong to. A member that does not report
+    /// for a while, as leaders change, loses nothing.
     last_counts: BTreeMap<Name, (IncarnationId, RequestCounts)>,
     new: RequestCounts,
     old: RequestCounts,
--- a/crates/pebblepost-fleet/src/session.rs
+++ b/crates/pebblepost-fleet/src/session.rs
@@ -1,7 +1,7 @@
 //! The time to live of sessions, as both of its sides measure it.
 //!
-//! The member gives up first: it counts from *before* it sent a heartbeat and takes off a margin for clocks that run at different
-//! rates; the leader counts from *after* it received the heartbeat and adds the margin.
+//! The member gives up first: it counts from *before* it sent a heartbeat and takes off a margin for clocks
+//! that run at different rates; the leader counts from *after* it received the heartbeat and adds the margin.
 
 use std::time::Duration;
 
--- a/crates/pebblepost-fleet/src/simulation.rs
+++ b/crates/pebblepost-fleet/src/simulation.rs
@@ -1,5 +1,6 @@
-//! The simulation of a release before it begins (dry run): the same state, rules and driver, with dispatchers that return
-//! after given times. It tells when each wave begins and ends, or why the release would be rejected or stall.
+//! The simulation of a release before it begins (dry run): the same state, rules and driver, with dispatchers
+//! that return after given times. It tells when each wave begins and ends, or why the release would be
+//! rejected or stall.
 
 use crate::command::{Action, Command, Operation, Rejection};
 use crate::name::{IncarnationId, Name, RequestId, SubjectKind, Text};
@@ -11,7 +12,8 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The first half of ids in a simulation. No request of a real fleet has it by chance, so none is answered from memory.
+/// The first half of ids in a simulation. No request of a real fleet has it by chance, so none is answered
+/// from memory.
 const SIMULATED: u64 = u64::MAX;
 
 /// A release to simulate.
--- a/crates/pebblepost-fleet/src/state/leases.rs
+++ b/crates/pebblepost-fleet/src/state/leases.rs
@@ -72,8 +72,8 @@
         held.map(|(task, lease)| (Key::Lease(task.clone()), Some(Value::Lease(lease.released())))).collect()
     }
 
-    /// Grants free leases to members that wait and are eligible: present, ready, and without a granted permit. This is the
-    /// only place that grants leases.
+    /// Grants free leases to members that wait and are eligible: present, ready, and without a granted
+    /// permit. This is the only place that grants leases.
     pub(super) fn grant_leases(&mut self, revision: u64) -> KeyChanges {
         let mut changes = KeyChanges::new();
         for (task, lease) in self.leases() {
--- a/crates/pebblepost-fleet/src/state/log.rs
+++ b/crates/pebblepost-fleet/src/state/log.rs
@@ -5,8 +5,8 @@
 use crate::value::{Change, Entry};
 
 impl State {
-    /// The changes after a revision, the oldest first, at most `max`; `None`: they are not all in the log any more, or this
-    /// state never had that revision, so a snapshot is needed.
+    /// The changes after a revision, the oldest first, at most `max`; `None`: they are not all in the log any
+    /// more, or this state never had that revision, so a snapshot is needed.
     pub fn changes_after(&self, revision: u64, max: usize) -> Option<Vec<Change>> {
         if revision < self.compacted_revision || revision > self.revision {
             return None;
--- a/crates/pebblepost-fleet/src/state/mod.rs
+++ b/crates/pebblepost-fleet/src/state/mod.rs
@@ -1,9 +1,9 @@
 //! The state, and the one place where it changes.
 //!
-//! Each command that changes something makes the next *revision*; each key carries the revision of its last change. The
-//! last changes stay in a bounded log, so that a follower goes on where it was; one that is further behind takes a
-//! [`Snapshot`]. All rules are checked in [`State::apply`] and nowhere else; it does no I/O and reads no clock, so the same
-//! commands give the same state at every replica.
+//! Each command that changes something makes the next *revision*; each key carries the revision of its last
+//! change. The last changes stay in a bounded log, so that a follower goes on where it was; one that is
+//! further behind takes a [`Snapshot`]. All rules are checked in [`State::apply`] and nowhere else; it does
+//! no I/O and reads no clock, so the same commands give the same state at every replica.
 
 mod change;
 mod leases;
@@ -41,8 +41,8 @@
 pub const MAX_LOGGED_KEYS: usize = 16_384;
 /// Most results that are kept, so that a retry of a request gets the same one.
 pub const MAX_RESULTS: usize = 8_192;
-/// A restored state continues this far beyond the larger of its own revision and the backup's: followers may have seen
-/// revisions that the backup has not.
+/// A restored state continues this far beyond the larger of its own revision and the backup's: followers may
+/// have seen revisions that the backup has not.
 pub const RESTORE_REVISION_GAP: u64 = 1 << 20;
 /// Most incarnations of a member that are remembered, so that an old process does not take its name back.
 const MAX_INCARNATIONS: usize = 8;
--- a/crates/pebblepost-fleet/src/state/permits.rs
+++ b/crates/pebblepost-fleet/src/state/permits.rs
@@ -29,8 +29,8 @@
         })
     }
 
-    /// Ends the permits of dispatchers that have returned, and grants those that fit now. Whatever a command changed, this is
-    /// the only place that grants permits.
+    /// Ends the permits of dispatchers that have returned, and grants those that fit now. Whatever a command
+    /// changed, this is the only place that grants permits.
     pub(super) fn grant_permits(&mut self, revision: u64) -> KeyChanges {
         let returned = self.permits().filter(|(subject, permit)| self.has_returned(subject, permit));
         let mut changes: KeyChanges =
@@ -50,7 +50,8 @@
         changes
     }
 
-    /// Whether a dispatcher with a granted permit is available in another incarnation, with the permit's version.
+    /// Whether a dispatcher with a granted permit is available in another incarnation, with the permit's
+    /// version.
     fn has_returned(&self, subject: &Subject, permit: &Permit) -> bool {
         if subject.kind != SubjectKind::Dispatcher || !permit.is_granted() {
             return false;
@@ -62,8 +63,9 @@
         })
     }
 
-    /// Permits of dispatchers that returned with another version than the permit's: started by someone who knew of no permit, or
-    /// of no rollback. The permit is bound to the new incarnation, so that it ends as well; a halt stops that too.
+    /// Permits of dispatchers that returned with another version than the permit's: started by someone who
+    /// knew of no permit, or of no rollback. The permit is bound to the new incarnation, so that it ends as
+    /// well; a halt stops that too.
     fn rebound_permits(&self) -> KeyChanges {
         if self.entries.contains_key(&Key::Halt(SubjectKind::Dispatcher)) {
             return KeyChanges::new();
--- a/crates/pebblepost-fleet/src/state/releases.rs
+++ b/crates/pebblepost-fleet/src/state/releases.rs
@@ -120,8 +120,9 @@
         }
     }
 
-    /// A release, and requests for permits with its version for the dispatchers that `changes_from` selects by their
-    /// present version. Granted permits stay granted and get the version; other waiting permits are withdrawn.
+    /// A release, and requests for permits with its version for the dispatchers that `changes_from` selects
+    /// by their present version. Granted permits stay granted and get the version; other waiting permits are
+    /// withdrawn.
     fn begin(
         &self, command: &Command, release: Release, reason: &Text, changes_from: impl Fn(&Text) -> bool,
     ) -> KeyChanges {
--- a/crates/pebblepost-fleet/src/state/replicas.rs
+++ b/crates/pebblepost-fleet/src/state/replicas.rs
@@ -10,8 +10,8 @@
         }
     }
 
-    /// A replica's number belongs for ever to the first disk that had it: with another disk the replica has forgotten what
-    /// it voted for and acknowledged, and the process with the old one may still run.
+    /// A replica's number belongs for ever to the first disk that had it: with another disk the replica has
+    /// forgotten what it voted for and acknowledged, and the process with the old one may still run.
     pub(super) fn admit_replica(&mut self, replica: u64, disk: u64) -> CommandResult {
         match self.replica_disks.get(&replica) {
             Some(known) if *known != disk => {
--- a/crates/pebblepost-fleet/src/state/workers.rs
+++ b/crates/pebblepost-fleet/src/state/workers.rs
@@ -18,7 +18,8 @@
         self.count(|key| matches!(key, Key::Worker(_)))
     }
 
-    /// Takes in observations. Other fields of a worker stay; one that is gone is removed, except for its drain mark and permit.
+    /// Takes in observations. Other fields of a worker stay; one that is gone is removed, except for its
+    /// drain mark and permit.
     pub(super) fn update_workers(&self, workers: &WorkerDiff) -> Result<KeyChanges, Rejection> {
         if workers.len() > MAX_OPERATIONS {
             let count = workers.len();
--- a/crates/pebblepost-fleet/src/value/lease.rs
+++ b/crates/pebblepost-fleet/src/value/lease.rs
@@ -1,11 +1,12 @@
 //! Leases: one member at a time does a task for the whole fleet.
 //!
-//! A lease belongs to a *session* and lasts as long as that: heartbeats renew all leases of a member at once and cost no
-//! entry of the log. The state frees a lease when its holder releases it, when the holder's session expires, or when
-//! the leader says that a superseded session has certainly expired
-//! ([`Action::ExpireSupersededSession`](crate::Action::ExpireSupersededSession)): a process that was superseded under its name may
-//! only be paused, and wake up. Each grant has a *fencing token*, the revision that made it. It grows for ever, also
-//! over a restore, so that what is acted on can reject an older one ([`FencingGuard`](crate::fencing::FencingGuard)).
+//! A lease belongs to a *session* and lasts as long as that: heartbeats renew all leases of a member at once
+//! and cost no entry of the log. The state frees a lease when its holder releases it, when the holder's
+//! session expires, or when the leader says that a superseded session has certainly expired
+//! ([`Action::ExpireSupersededSession`](crate::Action::ExpireSupersededSession)): a process that was
+//! superseded under its name may only be paused, and wake up. Each grant has a *fencing token*, the revision
+//! that made it. It grows for ever, also over a restore, so that what is acted on can reject an older one
+//! ([`FencingGuard`](crate::fencing::FencingGuard)).
 
 use crate::name::Name;
 use serde::{Deserialize, Serialize};
--- a/crates/pebblepost-fleet/src/value/mod.rs
+++ b/crates/pebblepost-fleet/src/value/mod.rs
@@ -1,7 +1,8 @@
 //! The values of the replicated state: what has a key, and the forms in which followers and backups get it.
 //!
-//! These types are stored and sent as JSON under names that never change; `tests/stored` pins the bytes. Nothing here decides
-//! anything: the rules are in [`crate::state`], the disruption budget's in [`crate::availability`].
+//! These types are stored and sent as JSON under names that never change; `tests/stored` pins the bytes.
+//! Nothing here decides anything: the rules are in [`crate::state`], the disruption budget's in
+//! [`crate::availability`].
 
 mod lease;
 mod member;
--- a/crates/pebblepost-fleet/src/value/permit.rs
+++ b/crates/pebblepost-fleet/src/value/permit.rs
@@ -1,4 +1,5 @@
-//! Permits and disruption budgets: which dispatcher or worker may be taken out of service, and how many at once.
+//! Permits and disruption budgets: which dispatcher or worker may be taken out of service, and how many at
+//! once.
 
 use crate::name::{IncarnationId, Name, Text};
 use serde::{Deserialize, Serialize};
--- a/crates/pebblepost-fleet/src/value/release.rs
+++ b/crates/pebblepost-fleet/src/value/release.rs
@@ -4,8 +4,8 @@
 use crate::name::{Name, Text};
 use serde::{Deserialize, Serialize};
 
-/// A release in progress. How many dispatchers have reached its version is a rule of the state as well: a faulty version never
-/// gets past its wave, whoever drives the release.
+/// A release in progress. How many dispatchers have reached its version is a rule of the state as well: a
+/// faulty version never gets past its wave, whoever drives the release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Release {
     /// The version that all dispatchers get.
@@ -31,8 +31,8 @@
 }
 
 impl Release {
-    /// How many of that total may have the version in the present wave. At least one, or a wave of a small fraction would
-    /// never end.
+    /// How many of that total may have the version in the present wave. At least one, or a wave of a small
+    /// fraction would never end.
     pub fn wave_limit(&self, total: usize) -> usize {
         let wave = (self.current_wave as usize).min(self.waves.len().saturating_sub(1));
         self.waves.get(wave).map_or(total, |limit| limit.resolve(total).max(1))
--- a/crates/pebblepost-fleet/src/value/worker.rs
+++ b/crates/pebblepost-fleet/src/value/worker.rs
@@ -1,9 +1,9 @@
 //! Workers: the record in the state, and how dispatchers observe them.
 //!
 //! Each dispatcher sends with its heartbeats only what differs from the replicated list
-//! ([`Follower::diff_observations`](crate::follower::Follower::diff_observations)). What a majority reports alike, the Raft leader
-//! commits ([`majority_update`](crate::leader::majority_update)), so a dispatcher that is partitioned from a worker or from
-//! discovery changes nothing, and a correct list causes no traffic.
+//! ([`Follower::diff_observations`](crate::follower::Follower::diff_observations)). What a majority reports
+//! alike, the Raft leader commits ([`majority_update`](crate::leader::majority_update)), so a dispatcher that
+//! is partitioned from a worker or from discovery changes nothing, and a correct list causes no traffic.
 
 use crate::name::{Name, Text};
 use serde::{Deserialize, Serialize};
--- a/crates/pebblepost-fleet/tests/decisions.rs
+++ b/crates/pebblepost-fleet/tests/decisions.rs
@@ -1,5 +1,6 @@
-//! Decisions pinned by digests of whole seeded runs: random commands, heartbeats, followers, a release's driver and its
-//! simulation. A digest covers what is written (JSON, error texts, numbers) and its order, never the names of Rust items.
+//! Decisions pinned by digests of whole seeded runs: random commands, heartbeats, followers, a release's
+//! driver and its simulation. A digest covers what is written (JSON, error texts, numbers) and its order,
+//! never the names of Rust items.
 
 use pebblepost_fleet::follower::Follower;
 use pebblepost_fleet::heartbeat::HeartbeatReport;
--- a/crates/pebblepost-fleet/tests/leader.rs
+++ b/crates/pebblepost-fleet/tests/leader.rs
@@ -1,4 +1,5 @@
-//! What the leader concludes from heartbeats: the progress of a drain, request totals, and the majority of observations.
+//! What the leader concludes from heartbeats: the progress of a drain, request totals, and the majority of
+//! observations.
 
 use pebblepost_fleet::follower::Follower;
 use pebblepost_fleet::heartbeat::{HeartbeatReport, MAX_BUSY_WORKERS, RequestCounts};
@@ -125,7 +126,8 @@
     fleet.report("a", first, granted, &["v"]);
     fleet.report("b", second, granted, &[]);
     assert_eq!(fleet.unconfirmed(), []);
-    // A heartbeat without a report keeps the last one; a new session has none, and an expired one confirms nothing.
+    // A heartbeat without a report keeps the last one; a new session has none, and an expired one confirms
+    // nothing.
     fleet.sessions.record_heartbeat(NOW, &fleet.state, &name("a"), first, None);
     assert_eq!(fleet.unconfirmed(), []);
     let again = fleet.join("a", 3);
@@ -184,7 +186,8 @@
         ),
         (2, 0)
     );
-    // With the list in its copy no dispatcher has a difference to report; a single one that gets no answer from w is overruled.
+    // With the list in its copy no dispatcher has a difference to report; a single one that gets no answer
+    // from w is overruled.
     let copy = fleet.copy();
     for (member, session) in &sessions {
         fleet.observe(member, *session, &copy, &ready);
--- a/crates/pebblepost-fleet/tests/lease.rs
+++ b/crates/pebblepost-fleet/tests/lease.rs
@@ -1,4 +1,5 @@
-//! Leases: who holds them, and that no order of pauses, restarts, lost answers and leader changes lets two holders act at once.
+//! Leases: who holds them, and that no order of pauses, restarts, lost answers and leader changes lets two
+//! holders act at once.
 
 use pebblepost_fleet::fencing::{FencingGuard, NotAuthorized, SessionValidity, StaleFencingToken};
 use pebblepost_fleet::leader::{HeartbeatOutcome, Sessions};
@@ -87,7 +88,8 @@
         (holder.as_str(), fleet.state.lease(&name("t")).map(|lease| lease.queue.len())),
         ("a", Some(2))
     );
-    // A release by another session changes nothing; one by the holder may name a successor, which passes the queue.
+    // A release by another session changes nothing; one by the holder may name a successor, which passes the
+    // queue.
     fleet.release("a", session_a + 1, None);
     assert_eq!(fleet.holder("t"), Some(("a".to_owned(), first)));
     fleet.release("a", session_a, Some("c"));
@@ -155,7 +157,8 @@
         fleet.apply(Action::ExpireSupersededSession { member: name("a"), session: again }).is_err(),
         "this session lasts"
     );
-    // The leader counts from when it saw that the session was superseded, by its own clock and with the margin.
+    // The leader counts from when it saw that the session was superseded, by its own clock and with the
+    // margin.
     let (mut leader, at) = (Sessions::new(TTL), Duration::from_secs_f64);
     assert_eq!(leader.expired(at(10.0), &fleet.state), []);
     assert_eq!(
--- a/crates/pebblepost-fleet/tests/model.rs
+++ b/crates/pebblepost-fleet/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking of the state machine: every order in which messages can be lost, duplicated and delayed and processes can
-//! restart, up to stated bounds.
+//! Model checking of the state machine: every order in which messages can be lost, duplicated and delayed and
+//! processes can restart, up to stated bounds.
 
 use pebblepost_fleet::follower::{Follower, ProposalOutcome};
 use pebblepost_fleet::leader::Sessions;
@@ -45,7 +45,8 @@
     started: u64,
     next: u64,
     leader: u64,
-    /// The last heartbeat that the leader of this term received: its session and when. Its sessions are rebuilt from that.
+    /// The last heartbeat that the leader of this term received: its session and when. Its sessions are
+    /// rebuilt from that.
     heard: Option<(u64, u64)>,
     /// Heartbeats on their way: the session, the incarnation, when they were sent.
     heartbeats: Vec<(u64, u64, u64)>,
@@ -236,7 +237,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            // An incarnation may rely on a session that a join of the same name has ended since: fencing tokens are for that. It must never rely on one that was expired without heartbeats.
+            // An incarnation may rely on a session that a join of the same name has ended since: fencing
+            // tokens are for that. It must never rely on one that was expired without heartbeats.
             Property::always(
                 "an incarnation that relies on its session has it, unless another joined",
                 |_, world: &World| {
--- a/crates/pebblepost-fleet/tests/release.rs
+++ b/crates/pebblepost-fleet/tests/release.rs
@@ -225,7 +225,8 @@
 
 #[test]
 fn a_lower_success_rate_than_the_old_versions_halts_the_release() {
-    // Observes for ten seconds: answered and succeeded requests of each second, with the new version and the old one.
+    // Observes for ten seconds: answered and succeeded requests of each second, with the new version and the
+    // old one.
     let observe = |new: (u64, u64), old: (u64, u64)| {
         let mut fleet = Fleet::new();
         fleet.start("2", &[Limit::Count(2), Limit::Fraction(1.0)]).expect("sound waves");
--- a/crates/pebblepost-fleet/tests/stored_forms.rs
+++ b/crates/pebblepost-fleet/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! Every form that is stored or sent, pinned by its bytes: what an earlier build wrote is read, and the same bytes are
-//! written again. The files under `tests/stored` are never edited to follow the code.
+//! Every form that is stored or sent, pinned by its bytes: what an earlier build wrote is read, and the same
+//! bytes are written again. The files under `tests/stored` are never edited to follow the code.
 
 use pebblepost_fleet::fencing::FencingGuard;
 use pebblepost_fleet::follower::Follower;
