--- a/crates/pebblepost-dispatch/tests/trace.rs
+++ b/crates/pebblepost-dispatch/tests/trace.rs
@@ -191,6 +191,26 @@
         ..CALM
     },
     Scenario { name: "memory_is_scarce", report: "fmw", memory_units: 3, rate: 220.0, ..CALM },
+    Scenario {
+        name: "no_probing_in_a_crowd",
+        settings: "caps.probing=false",
+        piggyback: true,
+        workers: 60,
+        rate: 1500.0,
+        seconds: 5,
+        node_restarts: true,
+        ..CALM
+    },
+    Scenario {
+        name: "workers_that_fall_over_early",
+        settings: "invariants.tipMultiple=0.1\ninvariants.fall=60000000",
+        hints: true,
+        large_jobs: true,
+        starts_notified: true,
+        churn: true,
+        seconds: 20,
+        ..CALM
+    },
     Scenario { name: "no_workers", workers: 0, zones: 1, rate: 20.0, seconds: 3, ..CALM },
     Scenario { name: "no_reports", report: "", rate: 60.0, ..CALM },
 ];
