--- a/crates/pebblepost-batch-store/src/program/event_loop.rs
+++ b/crates/pebblepost-batch-store/src/program/event_loop.rs
@@ -186,7 +186,7 @@
                     self.store.synced(now, ticket);
                 }
             }
-            Completion::Refusing(reason) => log::debug!("disk rejects writes reason={reason}"),
+            Completion::WriteFailed(reason) => log::debug!("disk rejects writes reason={reason}"),
         }
     }
 
--- a/crates/pebblepost-batch-store/src/program/mod.rs
+++ b/crates/pebblepost-batch-store/src/program/mod.rs
@@ -17,7 +17,7 @@
 use event_loop::EventLoop;
 use eyre::{Result, WrapErr, eyre};
 use pebblepost_messages::DiskId;
-use pebblepost_ring::{Completion, Disk, Opened};
+use pebblepost_ring::{Completion, Disk, Recovered};
 use pebblepost_settings::Settings;
 use std::time::Duration;
 use tokio::runtime::Builder;
@@ -39,7 +39,7 @@
         "storage machine started node={} disk={:x} fresh={} records={}",
         settings.node_name,
         DiskId(opened.identity).0,
-        opened.fresh,
+        opened.is_new,
         opened.records.len()
     );
     let store = Store::new(Duration::ZERO, store_settings, &opened.records)
@@ -53,7 +53,7 @@
     })
 }
 
-fn open_disk(settings: &Settings, completed: mpsc::UnboundedSender<Completion>) -> Result<(Disk, Opened)> {
+fn open_disk(settings: &Settings, completed: mpsc::UnboundedSender<Completion>) -> Result<(Disk, Recovered)> {
     let folder = settings.data_dir.as_ref().ok_or_else(|| eyre!("the settings name no data_dir"))?;
     let on_completion = move |completion| {
         // The receiver is gone only at the end of the program.
--- a/crates/pebblepost-batch-store/src/program/settings.rs
+++ b/crates/pebblepost-batch-store/src/program/settings.rs
@@ -6,7 +6,7 @@
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::Tolerance;
 use pebblepost_replication::replica::ReplicaSettings;
-use pebblepost_ring::Opened;
+use pebblepost_ring::Recovered;
 use pebblepost_settings::Settings;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -39,7 +39,7 @@
 }
 
 /// Settings of the store.
-pub(super) fn store_settings(settings: &Settings, opened: &Opened) -> StoreSettings {
+pub(super) fn store_settings(settings: &Settings, opened: &Recovered) -> StoreSettings {
     let job_retention = settings.bounds.job_retention;
     StoreSettings {
         member: Member {
@@ -67,11 +67,11 @@
             zones: tolerance.zones,
             regions: tolerance.regions,
         },
-        beacon: BEACON_PERIOD,
+        heartbeat_interval: BEACON_PERIOD,
         lease: LEASE_DURATION,
-        grace: ELECTION_TIMEOUT,
-        most_lag: MAX_REPLICATION_LAG,
-        most_own_write: MAX_LOCAL_WRITE_TIME,
-        kept_bytes: RETAINED_LOG_BYTES,
+        election_timeout: ELECTION_TIMEOUT,
+        max_replica_lag: MAX_REPLICATION_LAG,
+        write_timeout: MAX_LOCAL_WRITE_TIME,
+        max_log_bytes: RETAINED_LOG_BYTES,
     }
 }
--- a/crates/pebblepost-batch-store/src/store/handlers/assignment.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/assignment.rs
@@ -51,7 +51,7 @@
             group.replica.configure(now, &record);
         }
         if outcome != EpochChangeOutcome::NotRequested {
-            group.replica.change_ended(now);
+            group.replica.epoch_change_ended(now);
         }
         self.process_replica_outputs(now, group_id);
     }
@@ -73,7 +73,7 @@
     pub(crate) fn time_out_epoch_changes(&mut self, now: Duration) {
         for group_id in self.epoch_changes.take_timed_out(now) {
             if let Some(group) = self.groups.get_mut(&group_id) {
-                group.replica.change_ended(now);
+                group.replica.epoch_change_ended(now);
             }
             self.process_replica_outputs(now, group_id);
         }
@@ -121,7 +121,7 @@
             return;
         }
         if group.replica.confirmed_epoch() >= assignment.epoch {
-            group.replica.ask_to_leave(now);
+            group.replica.request_removal(now);
             return self.process_replica_outputs(now, group_id);
         }
         log::info!("unassigned replica dropped group={group_id} epoch={}", assignment.epoch);
--- a/crates/pebblepost-batch-store/src/store/handlers/replica_outputs.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/replica_outputs.rs
@@ -40,7 +40,7 @@
             }
             ReplicaOutput::Committed { index } => self.committed(now, group_id, index),
             ReplicaOutput::BecamePrimary { epoch } => self.start_group(now, group_id, epoch),
-            ReplicaOutput::Stopped => self.stop_group(group_id),
+            ReplicaOutput::SteppedDown => self.stop_group(group_id),
         }
     }
 
--- a/crates/pebblepost-batch-store/src/store/handlers/status.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/status.rs
@@ -46,7 +46,7 @@
         record.primary.0,
         in_sync.join(","),
         group.is_acting(now),
-        group.replica.committed(),
+        group.replica.commit_index(),
         progress.join(","),
         group.state().jobs().count(),
     )
--- a/crates/pebblepost-control/src/node/control_group.rs
+++ b/crates/pebblepost-control/src/node/control_group.rs
@@ -91,12 +91,12 @@
         let me = settings.me.clone();
         let replica_settings = ReplicaSettings {
             tolerance: settings.tolerance,
-            beacon: HEARTBEAT_INTERVAL,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             lease: LEASE_DURATION,
-            grace: TAKEOVER_GRACE,
-            most_lag: MAX_REPLICA_LAG,
-            most_own_write: MAX_WRITE_TIME,
-            kept_bytes: MAX_LOG_BYTES,
+            election_timeout: TAKEOVER_GRACE,
+            max_replica_lag: MAX_REPLICA_LAG,
+            write_timeout: MAX_WRITE_TIME,
+            max_log_bytes: MAX_LOG_BYTES,
         };
         let state = ControlState::default();
         let mut replica = Replica::new(me.clone(), replica_settings, state, recovered.replica, now);
@@ -136,7 +136,7 @@
 
     /// Index of the newest committed entry.
     pub(super) fn committed(&self) -> u64 {
-        self.replica.committed()
+        self.replica.commit_index()
     }
 
     /// Appends a command to the replicated log; the index of its entry.
@@ -197,8 +197,8 @@
 
     /// Sends the newest epoch to a process that has just connected.
     pub(super) fn introduce(&mut self, to: &Member) {
-        self.register.introduce(to);
-        self.replica.introduce(to);
+        self.register.announce_chosen(to);
+        self.replica.announce_epoch(to);
     }
 
     /// Whether a change of the epoch is in progress.
@@ -261,7 +261,7 @@
             }
             ReplicaOutput::Committed { index } => Some(GroupEvent::Committed { index }),
             ReplicaOutput::BecamePrimary { epoch } => Some(GroupEvent::BecamePrimary { epoch }),
-            ReplicaOutput::Stopped => Some(GroupEvent::SteppedDown),
+            ReplicaOutput::SteppedDown => Some(GroupEvent::SteppedDown),
         }
     }
 
@@ -321,7 +321,7 @@
 
     fn change_ended(&mut self, now: Duration) {
         if self.proposer.take() == Some(Proposer::Replica) {
-            self.replica.change_ended(now);
+            self.replica.epoch_change_ended(now);
         }
         if let Some(QueuedChange { expected_epoch, record }) = self.queued.take() {
             self.propose_epoch(now, expected_epoch, record);
--- a/crates/pebblepost-control/src/runtime/disk.rs
+++ b/crates/pebblepost-control/src/runtime/disk.rs
@@ -42,7 +42,7 @@
     // to it since, it still bootstraps, also after a restart.
     let may_bootstrap =
         settings.seeds.contains(&control_address) && disk_id == bootstrap_disk(control_address);
-    log::info!("disk opened disk={:016x} new={} records={}", disk_id.0, opened.fresh, opened.records.len());
+    log::info!("disk opened disk={:016x} new={} records={}", disk_id.0, opened.is_new, opened.records.len());
     let random_seed = disk_id.0 ^ u64::from(std::process::id());
     let node_settings = NodeSettings::new(settings, control_address, disk_id, may_bootstrap, random_seed);
     Ok(OpenedDisk { disk, node_settings, recovered })
--- a/crates/pebblepost-control/src/runtime/driver.rs
+++ b/crates/pebblepost-control/src/runtime/driver.rs
@@ -127,7 +127,7 @@
                     self.handle(Input::Persisted { write });
                 }
             }
-            Completion::Refusing(reason) => log::warn!("disk rejects writes reason={reason}"),
+            Completion::WriteFailed(reason) => log::warn!("disk rejects writes reason={reason}"),
         }
     }
 
--- a/crates/pebblepost-replication/src/register.rs
+++ b/crates/pebblepost-replication/src/register.rs
@@ -110,12 +110,6 @@
         }
     }
 
-    /// The earlier name of [`Register::announce_chosen`].
-    #[doc(hidden)]
-    pub fn introduce(&mut self, to: &Member) {
-        self.announce_chosen(to);
-    }
-
     /// A message arrived. What can't be decoded is dropped.
     pub fn receive(&mut self, now: Duration, from: &Member, message: &[u8]) {
         let Some(message) = decode::<RegisterMessage>(message) else { return };
--- a/crates/pebblepost-replication/src/replica/api.rs
+++ b/crates/pebblepost-replication/src/replica/api.rs
@@ -43,26 +43,14 @@
         }
     }
 
-    /// The earlier name of [`Replica::announce_epoch`].
-    #[doc(hidden)]
-    pub fn introduce(&mut self, to: &Member) {
-        self.announce_epoch(to);
-    }
-
     /// A requested change of the epoch has ended, with or without success.
     pub fn epoch_change_ended(&mut self, now: Duration) {
         self.advance(now);
-        let heartbeat_interval = self.settings.beacon;
+        let heartbeat_interval = self.settings.heartbeat_interval;
         let backoff = heartbeat_interval + self.random.duration_below(heartbeat_interval * 2);
         self.pending_change.on_request_ended(now, backoff);
     }
 
-    /// The earlier name of [`Replica::epoch_change_ended`].
-    #[doc(hidden)]
-    pub fn change_ended(&mut self, now: Duration) {
-        self.epoch_change_ended(now);
-    }
-
     /// Appends an entry; its index. Committed later.
     ///
     /// # Errors
@@ -128,12 +116,6 @@
         self.commit_index
     }
 
-    /// The earlier name of [`Replica::commit_index`].
-    #[doc(hidden)]
-    pub fn committed(&self) -> u64 {
-        self.commit_index
-    }
-
     /// How far each known replica holds the log on disk, for displays.
     pub fn progress(&self) -> Vec<(DiskId, u64)> {
         let mut progress = vec![(self.local.disk, self.writes.persisted_index())];
--- a/crates/pebblepost-replication/src/replica/catch_up.rs
+++ b/crates/pebblepost-replication/src/replica/catch_up.rs
@@ -71,7 +71,7 @@
 impl<S: StateMachine> Replica<S> {
     /// Asks the primary for the log; every other time all members, in case the primary has changed.
     pub(super) fn request_join_when_due(&mut self) {
-        let interval = self.settings.beacon * JOIN_AFTER_HEARTBEATS;
+        let interval = self.settings.heartbeat_interval * JOIN_AFTER_HEARTBEATS;
         let is_target = self.is_target(self.local.disk);
         let now = self.now;
         let Some(follower) = self.follower_mut() else { return };
--- a/crates/pebblepost-replication/src/replica/commit.rs
+++ b/crates/pebblepost-replication/src/replica/commit.rs
@@ -62,7 +62,7 @@
     /// Drops old entries from memory; an in-sync replica that needs them must not be left to a
     /// snapshot.
     fn trim_log(&mut self) {
-        let max_bytes = self.settings.kept_bytes;
+        let max_bytes = self.settings.max_log_bytes;
         if self.log.bytes() <= max_bytes {
             return;
         }
--- a/crates/pebblepost-replication/src/replica/core.rs
+++ b/crates/pebblepost-replication/src/replica/core.rs
@@ -78,7 +78,7 @@
             targets: Vec::new(),
             role: Role::Follower(Follower::default()),
             pending_change: PendingChange::default(),
-            election: ElectionState::new(recovered.record.epoch, now, settings.grace),
+            election: ElectionState::new(recovered.record.epoch, now, settings.election_timeout),
             founders: Founders::new(now),
             removal: RemovalState::new(recovered.record.epoch),
             random: Random::new(local.disk.0 ^ u64::from(now.subsec_nanos())),
--- a/crates/pebblepost-replication/src/replica/election.rs
+++ b/crates/pebblepost-replication/src/replica/election.rs
@@ -22,7 +22,8 @@
     /// Whether this replica may stand for election now, as the candidate of this rank.
     pub(super) fn may_stand(&self, rank: usize) -> bool {
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-        let stagger = self.settings.beacon.saturating_mul(STAGGER_HEARTBEATS.saturating_mul(rank));
+        let stagger =
+            self.settings.heartbeat_interval.saturating_mul(STAGGER_HEARTBEATS.saturating_mul(rank));
         let all_present = || self.record.in_sync.iter().all(|member| self.is_present(member));
         let skips_timeout = !self.guards.election_timeout || (self.is_resuming() && all_present());
         let not_before = if skips_timeout { Duration::ZERO } else { self.election.stand_not_before };
--- a/crates/pebblepost-replication/src/replica/epoch.rs
+++ b/crates/pebblepost-replication/src/replica/epoch.rs
@@ -21,7 +21,7 @@
         self.term.enter(&former, &self.record);
         self.writes.push(DiskRecord::Epoch(self.record.clone()));
         self.pending_change.on_decided();
-        self.election.stand_not_before = self.now + self.settings.grace;
+        self.election.stand_not_before = self.now + self.settings.election_timeout;
         if leads && is_successor && self.primary().is_some() {
             self.continue_as_primary(&former);
         } else if leads {
--- a/crates/pebblepost-replication/src/replica/founding.rs
+++ b/crates/pebblepost-replication/src/replica/founding.rs
@@ -41,7 +41,7 @@
     }
 
     fn probe_founders_when_due(&mut self) {
-        let interval = self.settings.beacon * PROBE_HEARTBEATS;
+        let interval = self.settings.heartbeat_interval * PROBE_HEARTBEATS;
         if !self.founders.start_probe_if_due(self.now, interval) {
             return;
         }
@@ -54,7 +54,7 @@
 
     /// This founder and those that answered lately.
     fn founders_present(&self) -> Vec<Member> {
-        let valid = self.settings.beacon * PROBE_VALID_HEARTBEATS;
+        let valid = self.settings.heartbeat_interval * PROBE_VALID_HEARTBEATS;
         let others = self.founders.answered_within(self.now, valid).cloned();
         std::iter::once(self.local.clone()).chain(others).collect()
     }
--- a/crates/pebblepost-replication/src/replica/handover.rs
+++ b/crates/pebblepost-replication/src/replica/handover.rs
@@ -15,7 +15,7 @@
         if !self.settings.tolerance.is_met_by(&others) || !self.holds_lease(self.now) {
             return false;
         }
-        let (now, drain_timeout) = (self.now, self.settings.most_lag);
+        let (now, drain_timeout) = (self.now, self.settings.max_replica_lag);
         let is_drained = self.commit_index == self.log.last_index();
         let Some(primary) = self.primary_mut() else { return false };
         let draining_since = *primary.draining_since.get_or_insert(now);
--- a/crates/pebblepost-replication/src/replica/heartbeat.rs
+++ b/crates/pebblepost-replication/src/replica/heartbeat.rs
@@ -8,7 +8,7 @@
 impl<S: StateMachine> Replica<S> {
     /// Sends the next heartbeat to all tracked replicas if it is due.
     pub(super) fn send_heartbeats_when_due(&mut self) {
-        let (now, interval) = (self.now, self.settings.beacon);
+        let (now, interval) = (self.now, self.settings.heartbeat_interval);
         let Some(primary) = self.primary_mut() else { return };
         if !primary.is_epoch_open || !primary.heartbeats.start_if_due(now, interval) {
             return;
@@ -53,7 +53,7 @@
         let Some(number) = follower.pending_heartbeat.take() else { return };
         let matched = follower.matched;
         let persisted = matched.min(persisted_index);
-        self.election.on_lease_granted(self.now + self.settings.grace);
+        self.election.on_lease_granted(self.now + self.settings.election_timeout);
         self.removal.on_confirmation(epoch);
         self.send_to_primary(&ReplicaMessage::HeartbeatAck { epoch, number, matched, persisted });
     }
--- a/crates/pebblepost-replication/src/replica/lease.rs
+++ b/crates/pebblepost-replication/src/replica/lease.rs
@@ -27,16 +27,16 @@
 
     /// Whether this replica can't lead now: its disk hangs, or its state can't be trusted.
     pub(super) fn is_unable(&self, now: Duration) -> bool {
-        self.state_machine.is_damaged() || self.writes.is_hanging(now, self.settings.most_own_write)
+        self.state_machine.is_damaged() || self.writes.is_hanging(now, self.settings.write_timeout)
     }
 
     /// After a stall of this process, that nothing was received says nothing about the others: their
     /// timeouts start anew.
     pub(super) fn extend_timeouts_after_stall(&mut self) {
-        if self.now.saturating_sub(self.last_tick) <= self.settings.most_lag / 2 {
+        if self.now.saturating_sub(self.last_tick) <= self.settings.max_replica_lag / 2 {
             return;
         }
-        let not_before = self.now + self.settings.beacon * STALL_GRACE_HEARTBEATS;
+        let not_before = self.now + self.settings.heartbeat_interval * STALL_GRACE_HEARTBEATS;
         self.election.stand_not_before = self.election.stand_not_before.max(not_before);
         if let Role::Primary(primary) = &mut self.role {
             primary.progress.reset_timeouts(self.now);
--- a/crates/pebblepost-replication/src/replica/output.rs
+++ b/crates/pebblepost-replication/src/replica/output.rs
@@ -43,7 +43,7 @@
         epoch: u64,
     },
     /// This replica is not primary any more; what it proposed and is not committed is undecided.
-    Stopped,
+    SteppedDown,
 }
 
 /// Why an entry was rejected.
--- a/crates/pebblepost-replication/src/replica/primary_term.rs
+++ b/crates/pebblepost-replication/src/replica/primary_term.rs
@@ -44,7 +44,7 @@
         if !self.primary().is_some_and(|primary| primary.is_announced) {
             return;
         }
-        self.outputs.push(ReplicaOutput::Stopped);
+        self.outputs.push(ReplicaOutput::SteppedDown);
         self.send_to_primary(&ReplicaMessage::SteppedDown { epoch: former.epoch });
     }
 
--- a/crates/pebblepost-replication/src/replica/reconfiguration.rs
+++ b/crates/pebblepost-replication/src/replica/reconfiguration.rs
@@ -7,13 +7,13 @@
 use crate::record::{EpochRecord, contains};
 use pebblepost_messages::{DiskId, Member};
 
-/// A joiner that has not answered for this many times `most_lag` is dropped.
+/// A joiner that has not answered for this many times `max_replica_lag` is dropped.
 const DROP_AFTER_LAGS: u32 = 3;
 
 impl<S: StateMachine> Replica<S> {
     /// Drops joiners that don't answer or are not targets any more.
     pub(super) fn drop_unresponsive_joiners(&mut self) {
-        let timeout = self.settings.most_lag * DROP_AFTER_LAGS;
+        let timeout = self.settings.max_replica_lag * DROP_AFTER_LAGS;
         let now = self.now;
         let counting = self.record.in_sync.iter().chain(self.pending_change.joiners());
         let counting: Vec<DiskId> = counting.map(|member| member.disk).collect();
@@ -28,7 +28,7 @@
 
     /// Targets that have not asked for the log may not know the epoch.
     pub(super) fn announce_targets_when_due(&mut self) {
-        let (now, interval) = (self.now, self.settings.most_lag);
+        let (now, interval) = (self.now, self.settings.max_replica_lag);
         let local_disk = self.local.disk;
         let targets = self.targets.clone();
         let Some(primary) = self.primary_mut() else { return };
@@ -99,7 +99,7 @@
 
     fn is_lagging(&self, disk: DiskId) -> bool {
         let Some(primary) = self.primary() else { return false };
-        let (last_index, max_lag) = (self.log.last_index(), self.settings.most_lag);
+        let (last_index, max_lag) = (self.log.last_index(), self.settings.max_replica_lag);
         primary.progress.get(disk).is_some_and(|other| other.is_lagging(self.now, last_index, max_lag))
     }
 
--- a/crates/pebblepost-replication/src/replica/removal.rs
+++ b/crates/pebblepost-replication/src/replica/removal.rs
@@ -30,18 +30,12 @@
             return;
         }
         let Some(primary) = self.record.primary_member().cloned() else { return };
-        let interval = self.settings.beacon * REQUEST_INTERVAL_HEARTBEATS;
+        let interval = self.settings.heartbeat_interval * REQUEST_INTERVAL_HEARTBEATS;
         let number = self.removal.start_request(self.now, interval);
         let message = ReplicaMessage::RemovalRequest { epoch: self.record.epoch, number };
         self.send(primary, &message);
     }
 
-    /// The earlier name of [`Replica::request_removal`].
-    #[doc(hidden)]
-    pub fn ask_to_leave(&mut self, now: Duration) {
-        self.request_removal(now);
-    }
-
     /// A replica is to be removed. Its progress is dropped, unless the record or an undecided change
     /// names it.
     pub(super) fn on_removal_request(&mut self, from: &Member, epoch: u64, number: u64) {
--- a/crates/pebblepost-replication/src/replica/resumption.rs
+++ b/crates/pebblepost-replication/src/replica/resumption.rs
@@ -20,7 +20,7 @@
         }
         self.election.resumed_epoch = Some(self.record.epoch);
         self.election.act_not_before = Duration::ZERO;
-        self.election.stand_not_before = self.now + self.settings.beacon * RESUME_HEARTBEATS;
+        self.election.stand_not_before = self.now + self.settings.heartbeat_interval * RESUME_HEARTBEATS;
     }
 
     /// Whether this replica was the primary and has been restarted.
--- a/crates/pebblepost-replication/tests/group/mod.rs
+++ b/crates/pebblepost-replication/tests/group/mod.rs
@@ -50,12 +50,12 @@
 pub fn settings(tolerance: usize) -> ReplicaSettings {
     ReplicaSettings {
         tolerance: Tolerance { machines: tolerance, ..Tolerance::default() },
-        beacon: Duration::from_millis(100),
+        heartbeat_interval: Duration::from_millis(100),
         lease: Duration::from_millis(500),
-        grace: Duration::from_millis(700),
-        most_lag: Duration::from_millis(600),
-        most_own_write: Duration::from_millis(400),
-        kept_bytes: 1_000,
+        election_timeout: Duration::from_millis(700),
+        max_replica_lag: Duration::from_millis(600),
+        write_timeout: Duration::from_millis(400),
+        max_log_bytes: 1_000,
     }
 }
 
@@ -175,7 +175,7 @@
                 ReplicaOutput::ChangeEpoch { expected, record } => self.change_epoch(disk, expected, record),
                 ReplicaOutput::Committed { .. } => {}
                 ReplicaOutput::BecamePrimary { .. } => self.became_primary.push(disk),
-                ReplicaOutput::Stopped => self.stopped.push(disk),
+                ReplicaOutput::SteppedDown => self.stopped.push(disk),
             }
         }
         changed
--- a/crates/pebblepost-replication/tests/resumption.rs
+++ b/crates/pebblepost-replication/tests/resumption.rs
@@ -27,12 +27,12 @@
 fn settings() -> ReplicaSettings {
     ReplicaSettings {
         tolerance: Tolerance { machines: 1, ..Tolerance::default() },
-        beacon: Duration::from_millis(100),
+        heartbeat_interval: Duration::from_millis(100),
         lease: Duration::from_millis(500),
-        grace: Duration::from_millis(GRACE),
-        most_lag: Duration::from_millis(600),
-        most_own_write: Duration::from_millis(400),
-        kept_bytes: 1_000,
+        election_timeout: Duration::from_millis(GRACE),
+        max_replica_lag: Duration::from_millis(600),
+        write_timeout: Duration::from_millis(400),
+        max_log_bytes: 1_000,
     }
 }
 
--- a/crates/pebblepost-replication/tests/simulation/mod.rs
+++ b/crates/pebblepost-replication/tests/simulation/mod.rs
@@ -75,12 +75,12 @@
 pub fn settings(tolerance: usize) -> ReplicaSettings {
     ReplicaSettings {
         tolerance: Tolerance { machines: tolerance, zones: 0, regions: 0 },
-        beacon: Duration::from_millis(100),
+        heartbeat_interval: Duration::from_millis(100),
         lease: Duration::from_millis(500),
-        grace: Duration::from_millis(600),
-        most_lag: Duration::from_millis(600),
-        most_own_write: Duration::from_millis(400),
-        kept_bytes: 600,
+        election_timeout: Duration::from_millis(600),
+        max_replica_lag: Duration::from_millis(600),
+        write_timeout: Duration::from_millis(400),
+        max_log_bytes: 600,
     }
 }
 
--- a/crates/pebblepost-replication/tests/simulation/outputs.rs
+++ b/crates/pebblepost-replication/tests/simulation/outputs.rs
@@ -77,7 +77,7 @@
             ReplicaOutput::ChangeEpoch { expected, record } => self.ask_register(slot, expected, record),
             ReplicaOutput::Committed { index } => self.acknowledge(slot, index),
             ReplicaOutput::BecamePrimary { .. } => self.check_acting(),
-            ReplicaOutput::Stopped => {
+            ReplicaOutput::SteppedDown => {
                 if let Some(process) = &mut self.slots[slot].process {
                     process.proposals.clear();
                 }
--- a/crates/pebblepost-replication/tests/simulation/transcript.rs
+++ b/crates/pebblepost-replication/tests/simulation/transcript.rs
@@ -82,7 +82,7 @@
             }
             ReplicaOutput::Committed { index } => self.output(now, slot, 13, &[*index], &[]),
             ReplicaOutput::BecamePrimary { epoch } => self.output(now, slot, 14, &[*epoch], &[]),
-            ReplicaOutput::Stopped => self.output(now, slot, 15, &[], &[]),
+            ReplicaOutput::SteppedDown => self.output(now, slot, 15, &[], &[]),
         }
     }
 
--- a/crates/pebblepost-ring/src/disk/completion.rs
+++ b/crates/pebblepost-ring/src/disk/completion.rs
@@ -9,5 +9,5 @@
     /// All records appended up to this ticket are on disk.
     Synced(u64),
     /// A write failed (disk full, I/O error); it is retried until it succeeds.
-    Refusing(Arc<RingError>),
+    WriteFailed(Arc<RingError>),
 }
--- a/crates/pebblepost-ring/src/disk/worker.rs
+++ b/crates/pebblepost-ring/src/disk/worker.rs
@@ -58,7 +58,7 @@
                     }
                     has_failed = true;
                     let is_full = matches!(error, RingError::Full { .. });
-                    (self.completed)(Completion::Refusing(Arc::new(error)));
+                    (self.completed)(Completion::WriteFailed(Arc::new(error)));
                     self.shared.back_off(backoff, is_full);
                     backoff = (backoff * 2).min(MAX_BACKOFF);
                 }
--- a/crates/pebblepost-ring/src/journal.rs
+++ b/crates/pebblepost-ring/src/journal.rs
@@ -59,7 +59,7 @@
     /// Identity of the ring: drawn at random, or given, when it was formatted.
     pub identity: u64,
     /// The ring has just been formatted.
-    pub fresh: bool,
+    pub is_new: bool,
     /// All live records in the order written: those of the newest complete checkpoint first.
     pub records: Vec<Vec<u8>>,
 }
@@ -92,17 +92,17 @@
     /// Fails if the ring is damaged or too small, or the storage fails.
     pub fn open(mut storage: S, options: Options) -> Result<(Journal<S>, Recovered), RingError> {
         let found = read_identity(&mut storage, options.checksum)?;
-        let fresh = found.is_none();
+        let is_new = found.is_none();
         let identity = found.unwrap_or_else(|| options.new_identity());
         let segment_count = options.max_bytes / u64::from(identity.segment_bytes);
         if segment_count < MIN_SEGMENT_COUNT {
             return Err(RingError::TooSmall { max_bytes: options.max_bytes });
         }
-        if fresh {
+        if is_new {
             format(&mut storage, identity, options.checksum)?;
         }
         let recovery = recover(&mut storage, identity.identity, options.checksum)?;
-        if !fresh {
+        if !is_new {
             make_durable(&mut storage, &recovery).map_err(RingError::storage(Step::Recovery))?;
         }
         let in_chain = |slot: &u32| {
@@ -110,7 +110,7 @@
         };
         let free = recovery.slots.iter().copied().filter(|slot| !in_chain(slot)).collect();
         let unallocated = (0..segment_count as u32).filter(|slot| !recovery.slots.contains(slot)).collect();
-        let recovered = Recovered { identity: identity.identity, fresh, records: recovery.replayed.records };
+        let recovered = Recovered { identity: identity.identity, is_new, records: recovery.replayed.records };
         let mut journal = Journal {
             storage,
             parameters: SegmentParameters {
--- a/crates/pebblepost-ring/src/lib.rs
+++ b/crates/pebblepost-ring/src/lib.rs
@@ -23,7 +23,3 @@
 
 pub use disk::{Completion, Disk};
 pub use journal::Recovered;
-
-/// The earlier name of [`Recovered`].
-#[doc(hidden)]
-pub use journal::Recovered as Opened;
--- a/crates/pebblepost-ring/tests/common/checked.rs
+++ b/crates/pebblepost-ring/tests/common/checked.rs
@@ -162,7 +162,7 @@
 
     fn check(&mut self, recovered: Recovered) -> Result<(), Violation> {
         if let Some(identity) = self.identity
-            && (recovered.fresh || recovered.identity != identity)
+            && (recovered.is_new || recovered.identity != identity)
         {
             return Err(Violation::IdentityChanged { from: identity, to: recovered.identity });
         }
--- a/crates/pebblepost-ring/tests/disk.rs
+++ b/crates/pebblepost-ring/tests/disk.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::simulated_disk::{Faults, SimulatedDisk};
-use pebblepost_ring::{Completion, Disk, Opened, journal::Options};
+use pebblepost_ring::{Completion, Disk, Recovered, journal::Options};
 use std::{
     fs,
     path::PathBuf,
@@ -24,7 +24,7 @@
         Folder(path)
     }
 
-    fn open(&self, identity: Option<u64>) -> (Disk, Opened, Receiver<Completion>) {
+    fn open(&self, identity: Option<u64>) -> (Disk, Recovered, Receiver<Completion>) {
         let (sender, receiver) = channel();
         let completed = Box::new(move |completion| sender.send(completion).unwrap_or(()));
         let (disk, opened) = Disk::open(&self.0, MAX_BYTES, identity, completed).expect("opening");
@@ -45,7 +45,7 @@
         match receiver.recv_timeout(TIMEOUT).expect("a completion") {
             Completion::Synced(synced) if synced >= ticket => return failures,
             Completion::Synced(_) => {}
-            Completion::Refusing(_) => failures += 1,
+            Completion::WriteFailed(_) => failures += 1,
         }
     }
 }
@@ -54,14 +54,14 @@
 fn real_files_keep_records_and_checkpoints() {
     let folder = Folder::new("keeps");
     let (disk, opened, receiver) = folder.open(Some(77));
-    assert_eq!(opened, Opened { identity: 77, fresh: true, records: Vec::new() });
+    assert_eq!(opened, Recovered { identity: 77, is_new: true, records: Vec::new() });
     disk.append(vec![vec![1; 10], vec![], vec![2; 300_000]]);
     let ticket = disk.append(vec![vec![3]]);
     wait_for(&receiver, ticket);
     drop(disk);
 
     let (disk, opened, receiver) = folder.open(None);
-    assert_eq!((opened.identity, opened.fresh), (77, false));
+    assert_eq!((opened.identity, opened.is_new), (77, false));
     assert_eq!(opened.records, vec![vec![1; 10], vec![], vec![2; 300_000], vec![3]]);
     let bytes = disk.bytes_since_checkpoint();
     assert!((300_011..301_000).contains(&bytes), "{bytes}");
@@ -121,7 +121,7 @@
     let too_much = disk.capacity() + 1;
     disk.append(vec![vec![1; too_much as usize]]);
     let failure = receiver.recv_timeout(TIMEOUT).expect("a completion");
-    assert!(matches!(failure, Completion::Refusing(_)), "{failure:?}");
+    assert!(matches!(failure, Completion::WriteFailed(_)), "{failure:?}");
     let ticket = disk.checkpoint(vec![vec![2]]);
     wait_for(&receiver, ticket);
     drop(disk);
@@ -137,7 +137,7 @@
     let (disk, _) = Disk::open_storage(simulated.clone(), options, completed).expect("opening");
     simulated.set_faults(Faults { write_errors: 1, sync_errors: 1 });
     disk.append(vec![vec![1]]);
-    assert!(matches!(receiver.recv_timeout(TIMEOUT), Ok(Completion::Refusing(_))));
+    assert!(matches!(receiver.recv_timeout(TIMEOUT), Ok(Completion::WriteFailed(_))));
     let ticket = disk.append(vec![vec![2]]);
     simulated.set_faults(Faults::default());
     wait_for(&receiver, ticket);
@@ -156,7 +156,7 @@
     let (disk, _) = Disk::open_storage(simulated.clone(), options, completed).expect("opening");
     simulated.set_faults(Faults { write_errors: 1, sync_errors: 0 });
     disk.append(vec![vec![0]]);
-    assert!(matches!(receiver.recv_timeout(TIMEOUT), Ok(Completion::Refusing(_))));
+    assert!(matches!(receiver.recv_timeout(TIMEOUT), Ok(Completion::WriteFailed(_))));
     let tickets: Vec<u64> = (1..100).map(|number| disk.append(vec![vec![number]])).collect();
     let before = simulated.syncs();
     simulated.set_faults(Faults::default());
--- a/crates/pebblepost-ring/tests/pinned_bytes.rs
+++ b/crates/pebblepost-ring/tests/pinned_bytes.rs
@@ -99,7 +99,7 @@
     }
     let storage = FileStorage::open(folder.path()).expect("a folder");
     let (journal, recovered) = Journal::open(storage, options()).expect("opening");
-    assert_eq!((recovered.identity, recovered.fresh), (0x0102_0304_0506_0708, false));
+    assert_eq!((recovered.identity, recovered.is_new), (0x0102_0304_0506_0708, false));
     assert!(recovered.records == written_records());
     assert_eq!((journal.journal_bytes(), journal.capacity()), (1280, 4042));
 }
