--- a/crates/pebblepost-agent/src/agent.rs
+++ b/crates/pebblepost-agent/src/agent.rs
@@ -108,7 +108,7 @@
                 log::info!("control plane connected primary={address}");
                 self.acknowledgements = Acknowledgements::default();
             }
-            ControlEvent::Lost => {
+            ControlEvent::Disconnected => {
                 log::info!("control plane link lost, configuration stays in force");
                 self.settings_reload.postpone(Instant::now());
             }
@@ -123,7 +123,7 @@
         if changes.configuration {
             self.subscribed_generation.set(self.feed.generation());
         }
-        if changes.gap {
+        if changes.resync_needed {
             log::info!("patch on an unknown configuration, asking for a full one");
             updates.retain(|update| !matches!(update, FeedUpdate::Configuration(_)));
             self.subscribed_generation.set(0);
@@ -205,7 +205,7 @@
 
     fn reload_settings(&mut self) {
         let addresses = self.settings_reload.read(Instant::now());
-        self.control.add_candidates(&addresses);
+        self.control.add_seeds(&addresses);
     }
 
     fn is_current(&self, id: ConnectionId) -> bool {
--- a/crates/pebblepost-agent/tests/agent/harness.rs
+++ b/crates/pebblepost-agent/tests/agent/harness.rs
@@ -162,7 +162,11 @@
         FeedUpdate::Configuration(ConfigurationUpdate::Full { generation, document }) => {
             format!("configuration {generation}: {}", String::from_utf8_lossy(document))
         }
-        FeedUpdate::Configuration(ConfigurationUpdate::Patch { base, generation, patch }) => {
+        FeedUpdate::Configuration(ConfigurationUpdate::Patch {
+            base_generation: base,
+            generation,
+            patch,
+        }) => {
             format!("patch {base} to {generation}: {}", String::from_utf8_lossy(patch))
         }
         FeedUpdate::Instances { complete, instances } => {
@@ -184,7 +188,7 @@
 pub fn patch(base: u64, generation: u64) -> FeedUpdate {
     let patch =
         format!(r#"{{"generation":{generation},"upsert":{{"services":[{{"name":"s"}}]}}}}"#).into_bytes();
-    FeedUpdate::Configuration(ConfigurationUpdate::Patch { base, generation, patch })
+    FeedUpdate::Configuration(ConfigurationUpdate::Patch { base_generation: base, generation, patch })
 }
 
 pub fn transcribers(complete: bool, listed: &[(&str, InstanceState, u64)]) -> FeedUpdate {
--- a/crates/pebblepost-batch-runner/src/execution/attempt.rs
+++ b/crates/pebblepost-batch-runner/src/execution/attempt.rs
@@ -78,7 +78,7 @@
             None => AttemptOutcome::Interrupted,
             Some(Err(ClientError::NotSent)) => AttemptOutcome::NotSent,
             Some(Err(_)) => AttemptOutcome::Interrupted,
-            Some(Ok(StreamResponse::Whole(response))) => {
+            Some(Ok(StreamResponse::Buffered(response))) => {
                 reservation.record_load(&response.head);
                 outcome_of(&response)
             }
@@ -189,6 +189,6 @@
         headers,
         body: Bytes::copy_from_slice(&item.body),
         request_id: item.id.clone(),
-        deadline: remaining.clamp(MIN_DEADLINE, MAX_DEADLINE),
+        timeout: remaining.clamp(MIN_DEADLINE, MAX_DEADLINE),
     }
 }
--- a/crates/pebblepost-batch-runner/src/execution/scorer.rs
+++ b/crates/pebblepost-batch-runner/src/execution/scorer.rs
@@ -165,6 +165,6 @@
         headers,
         body: Bytes::copy_from_slice(&scorer.body),
         request_id: scorer.id.clone(),
-        deadline,
+        timeout: deadline,
     }
 }
--- a/crates/pebblepost-batch-runner/src/feed_view.rs
+++ b/crates/pebblepost-batch-runner/src/feed_view.rs
@@ -37,7 +37,7 @@
 
     /// Whether a transcriber is known and not gone.
     pub(crate) fn is_present(&self, instance: &str) -> bool {
-        self.state().instance(instance).is_some_and(|instance| instance.state != InstanceState::Gone)
+        self.state().instance(instance).is_some_and(|instance| instance.state != InstanceState::Terminated)
     }
 
     /// Proxies that share the transcribers with this one, itself included.
--- a/crates/pebblepost-batch-runner/src/job/api.rs
+++ b/crates/pebblepost-batch-runner/src/job/api.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, Method, Request, Response, StatusCode};
 use pebblepost_configuration::Route;
 use pebblepost_messages::batch::{
-    FromStore, Job, JobAnswer, JobTerms, SubmitOutcome, ToStore, store_group_of,
+    FromStore, Job, JobResponse, JobTerms, SubmitOutcome, ToStore, store_group_of,
 };
 use std::rc::Rc;
 use std::time::Duration;
@@ -146,7 +146,7 @@
         let deadline = started_at + wait + CALL_TIMEOUT;
         let answer = self.call_until_certain(store_group, deadline, message, |reply| match reply {
             FromStore::Results { answer, .. } => answer,
-            _ => JobAnswer::Uncertain,
+            _ => JobResponse::Unavailable,
         });
         respond(answer.await, |page| json(StatusCode::OK, result_page::to_json(&page)))
     }
@@ -161,7 +161,7 @@
         let deadline = Instant::now() + CALL_TIMEOUT;
         let answer = self.call_until_certain(store_group, deadline, message, |reply| match reply {
             FromStore::Body { answer, .. } => answer,
-            _ => JobAnswer::Uncertain,
+            _ => JobResponse::Unavailable,
         });
         respond(answer.await, |body| octets(Bytes::from(body)))
     }
@@ -171,9 +171,9 @@
         let message = || ToStore::End { call: 0, store_group, job: job.to_owned() };
         let deadline = Instant::now() + CALL_TIMEOUT;
         let answer = self.call_until_certain(store_group, deadline, message, |reply| match reply {
-            FromStore::Ended { answer: JobAnswer::Found(false), .. } => JobAnswer::Uncertain,
+            FromStore::Ended { answer: JobResponse::Found(false), .. } => JobResponse::Unavailable,
             FromStore::Ended { answer, .. } => answer,
-            _ => JobAnswer::Uncertain,
+            _ => JobResponse::Unavailable,
         });
         respond(answer.await, |_| json(StatusCode::OK, Bytes::from_static(b"{}")))
     }
@@ -181,20 +181,20 @@
     /// Calls the primary of a group, and its successors, until one is certain or the deadline has passed.
     async fn call_until_certain<T>(
         &self, group: u32, deadline: Instant, message: impl Fn() -> ToStore,
-        answer_in: impl Fn(FromStore) -> JobAnswer<T>,
-    ) -> JobAnswer<T> {
+        answer_in: impl Fn(FromStore) -> JobResponse<T>,
+    ) -> JobResponse<T> {
         while Instant::now() < deadline {
             match self.call_primary(group, &mut message(), deadline).await {
                 CallOutcome::NotSent => continue,
                 CallOutcome::NoReply => {}
                 CallOutcome::Reply(reply) => match answer_in(reply) {
-                    JobAnswer::Uncertain => {}
+                    JobResponse::Unavailable => {}
                     certain => return certain,
                 },
             }
             self.changes.wait(RETRY_BACKOFF).await;
         }
-        JobAnswer::Uncertain
+        JobResponse::Unavailable
     }
 
     /// Calls the primary of a group. Where there is no link to it, waits for a change instead.
@@ -208,11 +208,11 @@
 }
 
 /// The response to an answer; 503 where no store was certain.
-fn respond<T>(answer: JobAnswer<T>, found: impl FnOnce(T) -> Response<Bytes>) -> Response<Bytes> {
+fn respond<T>(answer: JobResponse<T>, found: impl FnOnce(T) -> Response<Bytes>) -> Response<Bytes> {
     match answer {
-        JobAnswer::Found(content) => found(content),
-        JobAnswer::NotFound => empty(StatusCode::NOT_FOUND),
-        JobAnswer::Uncertain => retry_after(StatusCode::SERVICE_UNAVAILABLE, RETRY_BACKOFF),
+        JobResponse::Found(content) => found(content),
+        JobResponse::NotFound => empty(StatusCode::NOT_FOUND),
+        JobResponse::Unavailable => retry_after(StatusCode::SERVICE_UNAVAILABLE, RETRY_BACKOFF),
     }
 }
 
--- a/crates/pebblepost-batch-runner/src/runner.rs
+++ b/crates/pebblepost-batch-runner/src/runner.rs
@@ -109,13 +109,13 @@
     }
 
     /// The counters since the start.
-    pub fn counts(&self) -> &Metrics {
+    pub fn metrics(&self) -> &Metrics {
         &self.components.metrics
     }
 
     /// Graceful shutdown: takes no new work, and returns unfinished items with the text so far to their stores.
     /// Returns when done, or after the limit.
-    pub async fn stop(&self, limit: Duration) {
+    pub async fn shut_down(&self, limit: Duration) {
         self.components.graceful_shutdown.run(limit).await;
     }
 }
--- a/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
@@ -518,7 +518,7 @@
         let (under_test, mut store) = (RunnerUnderTest::start(false), FakeStore::start());
         under_test.set_primary(store.address, 1);
         let (mut end, _) = store.accept().await;
-        assert_eq!(under_test.runner.counts().to_string(), "");
+        assert_eq!(under_test.runner.metrics().to_string(), "");
         let answer = |seen: &SeenRequest| match seen.text.starts_with("GET /report") {
             true => Reply::Write(report(1, 0)),
             false => Reply::Write(plain(422, seen.header("request-id").unwrap(), "")),
@@ -529,6 +529,6 @@
         let ToStore::Outcomes { outcomes, .. } = end.outcomes().await else { panic!("no outcomes") };
         let ItemOutcome::Finished(result) = &outcomes[0] else { panic!("handed back") };
         assert_eq!(result.state, ResultState::DeadLetter);
-        assert_eq!(under_test.runner.counts().to_string(), "groups_whole=1 runs=1");
+        assert_eq!(under_test.runner.metrics().to_string(), "groups_whole=1 runs=1");
     });
 }
--- a/crates/pebblepost-batch-runner/tests/batch_runner/execution.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/execution.rs
@@ -376,7 +376,7 @@
         while transcribers.seen.borrow().is_empty() {
             tokio::task::yield_now().await;
         }
-        under_test.runner.stop(Duration::from_millis(300)).await;
+        under_test.runner.shut_down(Duration::from_millis(300)).await;
         closed.recv().await.unwrap();
         let partial = PartialText { last_event: 2, message: b"d1\nd2".to_vec(), versions: vec![1] };
         let returned = ItemOutcome::Returned {
@@ -426,7 +426,7 @@
             false => complete_text(seen),
         };
         let full = transcribers.start("full", full).await;
-        under_test.announce("near", "models", near, InstanceState::Gone, 2);
+        under_test.announce("near", "models", near, InstanceState::Terminated, 2);
         under_test.ready("full", "models", full);
         transcribers.seen.borrow_mut().clear();
         end.sender.send(&FromStore::WorkAvailable);
--- a/crates/pebblepost-batch-runner/tests/batch_runner/job_api.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/job_api.rs
@@ -2,7 +2,7 @@
 
 use crate::support::{FakeStore, RunnerUnderTest, StoreEnd, request, run};
 use pebblepost_messages::batch::{
-    FromStore, ItemResult, Job, JobAnswer, JobTerms, ResultPage, ResultState, SubmitOutcome, ToStore,
+    FromStore, ItemResult, Job, JobResponse, JobTerms, ResultPage, ResultState, SubmitOutcome, ToStore,
     store_group_of,
 };
 use rstest::rstest;
@@ -203,7 +203,7 @@
                 wait_ms: 0,
             };
             assert_eq!(first, approved);
-            let not_sure = FromStore::Results { call: number(&first), answer: JobAnswer::Uncertain };
+            let not_sure = FromStore::Results { call: number(&first), answer: JobResponse::Unavailable };
             end.sender.send(&not_sure);
             let second = next_call(&mut end).await;
             let result = ItemResult {
@@ -214,7 +214,7 @@
                 score: "seal".to_owned(),
             };
             let page = ResultPage { total: 40, start: 12, results: vec![result] };
-            let found = FromStore::Results { call: number(&second), answer: JobAnswer::Found(page) };
+            let found = FromStore::Results { call: number(&second), answer: JobResponse::Found(page) };
             end.sender.send(&found);
         });
         let approved = r#"{"total":40,"next_token":13,"results":[{"id":"e5","state":"completed","message":"a\nb","versions":[6,7],"score":"seal"}]}"#;
@@ -235,9 +235,9 @@
             let message = next_call(&mut end).await;
             let call = number(&message);
             end.sender.send(&match message {
-                ToStore::Read { .. } => FromStore::Results { call, answer: JobAnswer::NotFound },
-                ToStore::End { .. } => FromStore::Ended { call, answer: JobAnswer::NotFound },
-                _ => FromStore::Body { call, answer: JobAnswer::NotFound },
+                ToStore::Read { .. } => FromStore::Results { call, answer: JobResponse::NotFound },
+                ToStore::End { .. } => FromStore::Ended { call, answer: JobResponse::NotFound },
+                _ => FromStore::Body { call, answer: JobResponse::NotFound },
             });
         });
         assert_eq!(answer.0, 404);
@@ -264,13 +264,13 @@
         let (mut end, _) = store.accept().await;
         let (answer, ()) = tokio::join!(call(&under_test, "DELETE", "/lots/job"), async {
             let call = number(&next_call(&mut end).await);
-            end.sender.send(&FromStore::Ended { call, answer: JobAnswer::Found(true) });
+            end.sender.send(&FromStore::Ended { call, answer: JobResponse::Found(true) });
         });
         assert_eq!(answer.0, 200);
         let (answer, ()) = tokio::join!(call(&under_test, "GET", "/items/job?id=e5"), async {
             let message = next_call(&mut end).await;
             assert!(matches!(&message, ToStore::ItemBody { item, .. } if item == "e5"));
-            let answer = JobAnswer::Found(b"hi".to_vec());
+            let answer = JobResponse::Found(b"hi".to_vec());
             end.sender.send(&FromStore::Body { call: number(&message), answer });
         });
         assert_eq!((answer.0, answer.2.as_str()), (200, "hi"));
--- a/crates/pebblepost-batch-store/src/program/event_loop.rs
+++ b/crates/pebblepost-batch-store/src/program/event_loop.rs
@@ -166,7 +166,7 @@
                 log::info!("connected to control plane address={address}");
                 self.store.control_connected();
             }
-            ControlEvent::Lost => log::info!("link to control plane lost"),
+            ControlEvent::Disconnected => log::info!("link to control plane lost"),
             ControlEvent::Message(FromControl::Feed(batch)) => {
                 let acknowledgement = self.subscription.apply(now, &batch, &mut self.store);
                 self.control.send(&acknowledgement);
@@ -238,7 +238,7 @@
 
     fn reload_settings(&mut self) {
         match Settings::from_environment() {
-            Ok(settings) => self.control.add_candidates(&settings.control_links()),
+            Ok(settings) => self.control.add_seeds(&settings.control_links()),
             Err(error) => log::warn!("settings not reloaded error={error:#}"),
         }
     }
--- a/crates/pebblepost-batch-store/src/program/timers.rs
+++ b/crates/pebblepost-batch-store/src/program/timers.rs
@@ -7,7 +7,7 @@
 /// Time between ticks of a store without replicas.
 const IDLE_TICK_PERIOD: Duration = Duration::from_millis(500);
 /// Time after which a keep-alive is sent over links that were not used.
-const KEEP_ALIVE_PERIOD: Duration = Duration::from_millis(500);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// How often the settings are read again without a link to the control plane: they may change without a
 /// signal.
 const RELOAD_PERIOD: Duration = Duration::from_secs(2);
@@ -27,7 +27,7 @@
     pub(super) fn new(now: Instant) -> Timers {
         Timers {
             next_tick: now,
-            next_keep_alive: now + KEEP_ALIVE_PERIOD,
+            next_keep_alive: now + KEEP_ALIVE_INTERVAL,
             next_reload: now + RELOAD_PERIOD,
             shutdown_deadline: None,
         }
@@ -55,7 +55,7 @@
     pub(super) fn take_keep_alive(&mut self, now: Instant) -> bool {
         let is_due = now >= self.next_keep_alive;
         if is_due {
-            self.next_keep_alive = now + KEEP_ALIVE_PERIOD;
+            self.next_keep_alive = now + KEEP_ALIVE_INTERVAL;
         }
         is_due
     }
--- a/crates/pebblepost-batch-store/src/store/handlers/job_calls.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/job_calls.rs
@@ -5,7 +5,7 @@
 use crate::store::state::proposals::{Caller, Proposal};
 use pebblepost_batch::command::Change;
 use pebblepost_batch::job::{StoredJob, estimated_job_bytes};
-use pebblepost_messages::batch::{FromStore, Job, JobAnswer, ResultPage, SubmitOutcome, store_group_of};
+use pebblepost_messages::batch::{FromStore, Job, JobResponse, ResultPage, SubmitOutcome, store_group_of};
 use std::time::Duration;
 
 /// Limit on the texts of a page of results in bytes, so that it stays under a megabyte as JSON.
@@ -51,7 +51,7 @@
     /// Ends a job. Idempotent.
     pub(crate) fn end_job(&mut self, now: Duration, caller: Caller, group_id: u32, job: String) {
         let Some(group) = self.acting_group(now, group_id) else {
-            return self.reply_ended(&[caller], &JobAnswer::Uncertain);
+            return self.reply_ended(&[caller], &JobResponse::Unavailable);
         };
         if let Some(callers) = group.proposals.end_callers(&job) {
             callers.push(caller);
@@ -59,15 +59,15 @@
         }
         let has_ended = group.state().job(&job).map(StoredJob::has_ended);
         if has_ended == Some(true) {
-            return self.reply_ended(&[caller], &JobAnswer::Found(true));
+            return self.reply_ended(&[caller], &JobResponse::Found(true));
         }
         if has_ended.is_none() && group.proposals.submit_callers(&job).is_none() {
-            return self.reply_ended(&[caller], &JobAnswer::NotFound);
+            return self.reply_ended(&[caller], &JobResponse::NotFound);
         }
         let proposal = Proposal::EndJob { job: job.clone(), callers: vec![caller] };
         if let Err(error) = group.propose(now, Change::EndJob { job }, proposal) {
             log::debug!("end of job not proposed group={group_id} error={error:?}");
-            self.reply_ended(&[caller], &JobAnswer::Uncertain);
+            self.reply_ended(&[caller], &JobResponse::Unavailable);
         }
         self.process_replica_outputs(now, group_id);
     }
@@ -75,7 +75,7 @@
     /// Answers with the body of a pending item.
     pub(crate) fn read_body(&mut self, now: Duration, caller: Caller, group_id: u32, job: &str, item: &str) {
         let answer = match self.acting_group(now, group_id) {
-            None => JobAnswer::Uncertain,
+            None => JobResponse::Unavailable,
             Some(group) => body_of(group.state().job(job), item),
         };
         self.outbox.reply(caller.link, FromStore::Body { call: caller.call, answer });
@@ -84,15 +84,15 @@
     /// Answers a read, or keeps it until there is a result.
     pub(crate) fn read_results(&mut self, now: Duration, group_id: u32, read: PendingRead) {
         let Some(group) = self.acting_group(now, group_id) else {
-            return self.reply_results(read.caller, JobAnswer::Uncertain);
+            return self.reply_results(read.caller, JobResponse::Unavailable);
         };
         match page_for(group.state().job(&read.job), &read) {
-            JobAnswer::Found(page) if page.results.is_empty() && now < read.deadline => {
+            JobResponse::Found(page) if page.results.is_empty() && now < read.deadline => {
                 let is_open = group.state().job(&read.job).is_some_and(|job| !job.is_complete());
                 if is_open {
                     group.pending_reads.push(read);
                 } else {
-                    self.reply_results(read.caller, JobAnswer::Found(page));
+                    self.reply_results(read.caller, JobResponse::Found(page));
                 }
             }
             answer => self.reply_results(read.caller, answer),
@@ -115,14 +115,14 @@
         }
     }
 
-    pub(crate) fn reply_ended(&mut self, callers: &[Caller], answer: &JobAnswer<bool>) {
+    pub(crate) fn reply_ended(&mut self, callers: &[Caller], answer: &JobResponse<bool>) {
         for caller in callers {
             let message = FromStore::Ended { call: caller.call, answer: answer.clone() };
             self.outbox.reply(caller.link, message);
         }
     }
 
-    pub(crate) fn reply_results(&mut self, caller: Caller, answer: JobAnswer<ResultPage>) {
+    pub(crate) fn reply_results(&mut self, caller: Caller, answer: JobResponse<ResultPage>) {
         self.outbox.reply(caller.link, FromStore::Results { call: caller.call, answer });
     }
 
@@ -140,14 +140,14 @@
     }
 }
 
-fn page_for(job: Option<&StoredJob>, read: &PendingRead) -> JobAnswer<ResultPage> {
+fn page_for(job: Option<&StoredJob>, read: &PendingRead) -> JobResponse<ResultPage> {
     match job {
-        Some(job) => JobAnswer::Found(job.page(read.start, MAX_PAGE_BYTES)),
-        None => JobAnswer::NotFound,
+        Some(job) => JobResponse::Found(job.page(read.start, MAX_PAGE_BYTES)),
+        None => JobResponse::NotFound,
     }
 }
 
-fn body_of(job: Option<&StoredJob>, item: &str) -> JobAnswer<Vec<u8>> {
+fn body_of(job: Option<&StoredJob>, item: &str) -> JobResponse<Vec<u8>> {
     let found = job.and_then(|job| job.pending_item(job.pending_index(item)?));
-    found.map_or(JobAnswer::NotFound, |item| JobAnswer::Found(item.body.clone()))
+    found.map_or(JobResponse::NotFound, |item| JobResponse::Found(item.body.clone()))
 }
--- a/crates/pebblepost-batch-store/src/store/handlers/replica_outputs.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/replica_outputs.rs
@@ -4,7 +4,7 @@
 use crate::store::state::outbox::ReplicaWrite;
 use crate::store::state::proposals::Proposal;
 use pebblepost_batch::clock::GroupClock;
-use pebblepost_messages::batch::{FromStore, JobAnswer, SubmitOutcome, ToStore};
+use pebblepost_messages::batch::{FromStore, JobResponse, SubmitOutcome, ToStore};
 use pebblepost_replication::replica::ReplicaOutput;
 use std::time::Duration;
 
@@ -68,12 +68,12 @@
         for proposal in uncommitted {
             match proposal {
                 Proposal::AddJob { callers, .. } => self.reply_submitted(&callers, SubmitOutcome::Unknown),
-                Proposal::EndJob { callers, .. } => self.reply_ended(&callers, &JobAnswer::Uncertain),
+                Proposal::EndJob { callers, .. } => self.reply_ended(&callers, &JobResponse::Unavailable),
                 Proposal::AppendResults { .. } | Proposal::DeleteJobs { .. } => {}
             }
         }
         for read in reads {
-            self.reply_results(read.caller, JobAnswer::Uncertain);
+            self.reply_results(read.caller, JobResponse::Unavailable);
         }
     }
 
@@ -90,7 +90,7 @@
                 Proposal::EndJob { job, callers } => {
                     self.scheduler.remove_job(&job);
                     self.cancel_job(&job);
-                    self.reply_ended(&callers, &JobAnswer::Found(true));
+                    self.reply_ended(&callers, &JobResponse::Found(true));
                     self.answer_reads_of(now, group_id, &[job]);
                 }
                 Proposal::DeleteJobs { jobs } => jobs.iter().for_each(|job| self.scheduler.remove_job(job)),
--- a/crates/pebblepost-batch-store/tests/integration/simulation/checker.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/checker.rs
@@ -1,6 +1,6 @@
 //! What callers from outside may rely on, checked against what they saw.
 
-use pebblepost_messages::batch::{ItemResult, Job, JobAnswer, ResultPage};
+use pebblepost_messages::batch::{ItemResult, Job, JobResponse, ResultPage};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Nothing of a job may run so long after its end was acknowledged, in milliseconds.
@@ -63,23 +63,25 @@
     }
 
     /// The end of a job was answered.
-    pub fn ended(&mut self, now: u64, id: &str, answer: &JobAnswer<bool>) {
+    pub fn ended(&mut self, now: u64, id: &str, answer: &JobResponse<bool>) {
         match answer {
-            JobAnswer::Found(_) => drop(self.ended.entry(id.to_owned()).or_insert(now)),
-            JobAnswer::NotFound => self.violations.push(format!("{now}: job {id} is not there to be ended")),
-            JobAnswer::Uncertain => {}
+            JobResponse::Found(_) => drop(self.ended.entry(id.to_owned()).or_insert(now)),
+            JobResponse::NotFound => {
+                self.violations.push(format!("{now}: job {id} is not there to be ended"))
+            }
+            JobResponse::Unavailable => {}
         }
     }
 
     /// A read that was sent at `sent_at` was answered.
-    pub fn read(&mut self, now: u64, sent_at: u64, id: &str, answer: &JobAnswer<ResultPage>) {
+    pub fn read(&mut self, now: u64, sent_at: u64, id: &str, answer: &JobResponse<ResultPage>) {
         match answer {
-            JobAnswer::Found(page) => {
+            JobResponse::Found(page) => {
                 self.page(now, sent_at, id, page);
                 self.explain_missing_bodies(sent_at, id);
             }
-            JobAnswer::NotFound => self.violations.push(format!("{now}: job {id} is not there to be read")),
-            JobAnswer::Uncertain => {}
+            JobResponse::NotFound => self.violations.push(format!("{now}: job {id} is not there to be read")),
+            JobResponse::Unavailable => {}
         }
     }
 
@@ -126,15 +128,15 @@
     }
 
     /// The body of an item was answered.
-    pub fn body(&mut self, now: u64, id: &str, item: &str, answer: &JobAnswer<Vec<u8>>) {
+    pub fn body(&mut self, now: u64, id: &str, item: &str, answer: &JobResponse<Vec<u8>>) {
         let Some(job) = self.accepted.get(id) else { return };
         let expected = job.items.iter().find(|other| other.id == item).map(|item| &item.body);
         match answer {
-            JobAnswer::Found(body) if Some(body) != expected => {
+            JobResponse::Found(body) if Some(body) != expected => {
                 self.violations.push(format!("{now}: item {item} has another body"));
             }
-            JobAnswer::NotFound => self.without_body.push((now, id.to_owned(), item.to_owned())),
-            JobAnswer::Found(_) | JobAnswer::Uncertain => {}
+            JobResponse::NotFound => self.without_body.push((now, id.to_owned(), item.to_owned())),
+            JobResponse::Found(_) | JobResponse::Unavailable => {}
         }
     }
 
--- a/crates/pebblepost-batch-store/tests/integration/simulation/client.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/client.rs
@@ -3,7 +3,7 @@
 
 use super::world::World;
 use pebblepost_messages::batch::{
-    FromStore, Item, Job, JobAnswer, JobTerms, SubmitOutcome, ToStore, store_group_of,
+    FromStore, Item, Job, JobResponse, JobTerms, SubmitOutcome, ToStore, store_group_of,
 };
 use rand::RngExt;
 use std::collections::BTreeMap;
@@ -169,23 +169,23 @@
             },
             (Request::Read { job, .. }, FromStore::Results { answer, .. }) => {
                 self.checker.read(now, call.sent_at, job, answer);
-                if let JobAnswer::Found(page) = answer {
+                if let JobResponse::Found(page) = answer {
                     let complete = self.checker.seen(job) as u64 == page.total;
                     self.clients.complete.insert(job.clone(), complete);
                 }
-                *answer != JobAnswer::Uncertain
+                *answer != JobResponse::Unavailable
             }
             (Request::Body { job, item }, FromStore::Body { answer, .. }) => {
                 self.checker.body(now, job, item, answer);
-                if *answer == JobAnswer::NotFound {
+                if *answer == JobResponse::NotFound {
                     let start = self.checker.seen(job) as u64;
                     self.call(call.proxy, Request::Read { job: job.clone(), start, wait_ms: 0 });
                 }
-                *answer != JobAnswer::Uncertain
+                *answer != JobResponse::Unavailable
             }
             (Request::End { job }, FromStore::Ended { answer, .. }) => {
                 self.checker.ended(now, job, answer);
-                *answer != JobAnswer::Uncertain
+                *answer != JobResponse::Unavailable
             }
             _ => false,
         }
--- a/crates/pebblepost-batch-store/tests/integration/simulation/transcript.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/transcript.rs
@@ -3,7 +3,8 @@
 //! The words of the lines are fixed here: they do not follow the names of types and fields in the code.
 
 use pebblepost_messages::batch::{
-    ActiveLease, FromStore, ItemOutcome, ItemResult, JobAnswer, ResultPage, SubmitOutcome, ToStore, WorkLease,
+    ActiveLease, FromStore, ItemOutcome, ItemResult, JobResponse, ResultPage, SubmitOutcome, ToStore,
+    WorkLease,
 };
 use std::fmt::Debug;
 
@@ -45,10 +46,10 @@
         FromStore::Work(leases) => {
             format!("Work [{}]", leases.iter().map(lease).collect::<Vec<_>>().join(", "))
         }
-        FromStore::Results { call, answer: JobAnswer::Found(found) } => {
+        FromStore::Results { call, answer: JobResponse::Found(found) } => {
             format!("Results call {call}: {}", page(found))
         }
-        FromStore::Body { call, answer: JobAnswer::Found(body) } => {
+        FromStore::Body { call, answer: JobResponse::Found(body) } => {
             format!("Body call {call}: {:?}", String::from_utf8_lossy(body))
         }
         FromStore::Submitted { call, outcome } => {
@@ -81,11 +82,11 @@
     }
 }
 
-fn job_answer<T: Debug>(answer: &JobAnswer<T>) -> String {
+fn job_answer<T: Debug>(answer: &JobResponse<T>) -> String {
     match answer {
-        JobAnswer::Found(found) => format!("Found({found:?})"),
-        JobAnswer::NotFound => "NoSuch".to_owned(),
-        JobAnswer::Uncertain => "NotSure".to_owned(),
+        JobResponse::Found(found) => format!("Found({found:?})"),
+        JobResponse::NotFound => "NoSuch".to_owned(),
+        JobResponse::Unavailable => "NotSure".to_owned(),
     }
 }
 
--- a/crates/pebblepost-control/src/feed/publisher.rs
+++ b/crates/pebblepost-control/src/feed/publisher.rs
@@ -294,7 +294,7 @@
         let generation = *generation;
         let update = match &self.configuration.patch {
             Some(PublishedPatch { base, patch }) if *base == known => {
-                ConfigurationUpdate::Patch { base: *base, generation, patch: patch.clone() }
+                ConfigurationUpdate::Patch { base_generation: *base, generation, patch: patch.clone() }
             }
             _ => self.compressed.get_or_init(|| compression::compress(generation, document)).clone(),
         };
--- a/crates/pebblepost-control/src/load_order.rs
+++ b/crates/pebblepost-control/src/load_order.rs
@@ -1,11 +1,11 @@
 //! Load orders to transcribers: their body, and what the configuration requires of a model.
 
 use pebblepost_configuration::{Configuration, RouteKind};
-use pebblepost_rollout::{LoadMode, Order};
+use pebblepost_rollout::{LoadMode, LoadOrder};
 
 /// Body of `POST /order`. The fencing token is the epoch in which the sender is primary: transcribers reject orders
 /// with a lower one than they have seen.
-pub fn body(order: &Order, holder: &str, fencing_token: u64) -> Vec<u8> {
+pub fn body(order: &LoadOrder, holder: &str, fencing_token: u64) -> Vec<u8> {
     let mode = match order.mode {
         LoadMode::Wait => "wait",
         LoadMode::Truncate => "truncate",
--- a/crates/pebblepost-control/src/membership/bootstrap.rs
+++ b/crates/pebblepost-control/src/membership/bootstrap.rs
@@ -16,7 +16,7 @@
 
 /// Identity with which this machine's disk is formatted if it is empty: a seed's, or a random one (`None`).
 pub fn identity_to_format(settings: &Settings) -> Option<DiskId> {
-    let own = settings.listen_control?;
+    let own = settings.control_address?;
     (settings.bootstrap && settings.seeds.contains(&own)).then(|| bootstrap_disk(own))
 }
 
--- a/crates/pebblepost-control/src/membership/peers.rs
+++ b/crates/pebblepost-control/src/membership/peers.rs
@@ -78,7 +78,7 @@
     }
 
     /// Adds link addresses that another process advertised. Invalid ones and those beyond the limit are ignored.
-    pub fn add_candidates(&mut self, addresses: &[String]) {
+    pub fn add_seeds(&mut self, addresses: &[String]) {
         for address in addresses {
             let is_own = *address == self.me.address;
             let has_capacity = self.candidates.len() < MAX_CANDIDATES;
--- a/crates/pebblepost-control/src/node/events.rs
+++ b/crates/pebblepost-control/src/node/events.rs
@@ -4,7 +4,7 @@
 use crate::feed::ConnectionId;
 use crate::state::disk_record::ControlRecord;
 use pebblepost_messages::control::{FromControl, ToControl};
-use pebblepost_rollout::{Order, OrderAnswer, Reported};
+use pebblepost_rollout::{LoadOrder, OrderOutcome, TranscriberReport};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -59,16 +59,16 @@
     /// A transcriber answered a load order.
     OrderAnswered {
         /// The order.
-        order: Order,
+        order: LoadOrder,
         /// The answer.
-        answer: OrderAnswer,
+        answer: OrderOutcome,
     },
     /// A transcriber's load report arrived, or could not be fetched.
     LoadReported {
         /// Identity of the transcriber.
         instance: String,
         /// The report, if it arrived.
-        report: Option<Reported>,
+        report: Option<TranscriberReport>,
     },
     /// The settings name other seeds.
     SeedsChanged(Vec<SocketAddr>),
@@ -121,7 +121,7 @@
     /// Send a load order to a transcriber; answered by [`Input::OrderAnswered`].
     SendOrder {
         /// The order.
-        order: Order,
+        order: LoadOrder,
         /// Its body, JSON.
         body: Vec<u8>,
         /// When the lease was checked: the order must not be sent much later.
--- a/crates/pebblepost-control/src/node/peering.rs
+++ b/crates/pebblepost-control/src/node/peering.rs
@@ -22,9 +22,9 @@
     pub(super) fn handle_peer_message(&mut self, now: Duration, address: &str, message: FromControl) {
         match message {
             FromControl::Feed(batch) => self.replicate_feed(now, address, &batch),
-            FromControl::Members(members) => self.peers.add_candidates(&members),
+            FromControl::Members(members) => self.peers.add_seeds(&members),
             FromControl::Redirect { members, .. } => {
-                self.peers.add_candidates(&members);
+                self.peers.add_seeds(&members);
                 self.peer_links.subscription_rejected(now, address);
             }
             FromControl::GroupChanged { .. } | FromControl::KeepAlive | FromControl::Status(_) => {}
--- a/crates/pebblepost-control/src/node/primary.rs
+++ b/crates/pebblepost-control/src/node/primary.rs
@@ -15,7 +15,7 @@
 use pebblepost_messages::batch::STORE_GROUPS;
 use pebblepost_messages::feed::{FeedUpdate, ModelVersion, StoreGroup};
 use pebblepost_messages::{DiskId, Member};
-use pebblepost_rollout::{OrderAnswer, PlanOutput, Planner};
+use pebblepost_rollout::{OrderOutcome, PlanOutput, Planner};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -126,12 +126,12 @@
                     outputs.push(Output::SendOrder { order, body, lease_checked_at: now });
                 }
                 PlanOutput::Send(order) => {
-                    self.planner.order_answered(now, &order, OrderAnswer::Refused);
+                    self.planner.order_answered(now, &order, OrderOutcome::Rejected);
                 }
-                PlanOutput::Ask { instance, address } => {
+                PlanOutput::FetchLoadReport { instance, address } => {
                     outputs.push(Output::FetchLoadReport { instance, address });
                 }
-                PlanOutput::Holds { instance, model, generation } => {
+                PlanOutput::VersionLoaded { instance, model, generation } => {
                     let change = registry.version_loaded(&instance, &model, generation);
                     self.publish_registry_change(now, &change);
                 }
--- a/crates/pebblepost-control/src/registry.rs
+++ b/crates/pebblepost-control/src/registry.rs
@@ -175,7 +175,7 @@
         if self.terminated.contains_key(&instance.id) {
             return;
         }
-        if instance.state == InstanceState::Gone {
+        if instance.state == InstanceState::Terminated {
             self.terminate(instance.clone());
             return;
         }
@@ -210,7 +210,7 @@
     }
 
     fn terminate(&mut self, mut instance: Instance) -> Instance {
-        instance.state = InstanceState::Gone;
+        instance.state = InstanceState::Terminated;
         self.live.remove(&instance.id);
         if self.by_address.get(&instance.address) == Some(&instance.id) {
             self.by_address.remove(&instance.address);
--- a/crates/pebblepost-control/src/runtime/server.rs
+++ b/crates/pebblepost-control/src/runtime/server.rs
@@ -35,7 +35,7 @@
 /// If a required setting is missing, the disk can't be opened or read, or an address can't be bound.
 pub fn run(settings: Settings) -> Result<(), ControlError> {
     let control_address =
-        settings.listen_control.ok_or(ControlError::MissingSetting { setting: "listen.control" })?;
+        settings.control_address.ok_or(ControlError::MissingSetting { setting: "listen.control" })?;
     let (completed, completions) = mpsc::unbounded_channel();
     let OpenedDisk { disk, node_settings, recovered } = open_disk(&settings, control_address, completed)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/pebblepost-control/src/runtime/transcriber_tasks.rs
+++ b/crates/pebblepost-control/src/runtime/transcriber_tasks.rs
@@ -3,7 +3,7 @@
 use super::event::{Event, EventSender};
 use crate::node::Input;
 use bytes::Bytes;
-use pebblepost_rollout::{Order, OrderAnswer, Reported};
+use pebblepost_rollout::{LoadOrder, OrderOutcome, TranscriberReport};
 use pebblepost_transcriber::{Client, ClientError, Target};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -16,17 +16,17 @@
 /// An order that can't be sent soon after `lease_checked_at` is not sent at all, as another process may hold the lease
 /// by then.
 pub async fn send_order(
-    client: Client, order: Order, body: Vec<u8>, lease_checked_at: Instant, events: EventSender,
+    client: Client, order: LoadOrder, body: Vec<u8>, lease_checked_at: Instant, events: EventSender,
 ) {
     let timeout = CALL_TIMEOUT.saturating_sub(lease_checked_at.elapsed());
     let target = target(&order.instance, &order.address).filter(|_| !timeout.is_zero());
     let answer = match target {
         Some(target) => match client.order(&target, Bytes::from(body), timeout).await {
             Ok(status) => order_answer(status.as_u16()),
-            Err(ClientError::NotSent) => OrderAnswer::Refused,
-            Err(_) => OrderAnswer::Unknown,
+            Err(ClientError::NotSent) => OrderOutcome::Rejected,
+            Err(_) => OrderOutcome::Unknown,
         },
-        None => OrderAnswer::Refused,
+        None => OrderOutcome::Rejected,
     };
     log::debug!("load order answered instance={} answer={answer:?}", order.instance);
     // The loop may have ended.
@@ -39,7 +39,7 @@
         Some(target) => client.load_report(&target, CALL_TIMEOUT).await.ok().flatten(),
         None => None,
     };
-    let report = report.map(|load| Reported {
+    let report = report.map(|load| TranscriberReport {
         busy: load.order_in_progress,
         models: load.models,
         running: load.running,
@@ -48,13 +48,13 @@
     events.send(Event::Input(Input::LoadReported { instance, report })).await.ok();
 }
 
-fn order_answer(status: u16) -> OrderAnswer {
+fn order_answer(status: u16) -> OrderOutcome {
     match status {
-        200 => OrderAnswer::AlreadyHolds,
-        202 => OrderAnswer::UnderWay,
-        409 => OrderAnswer::Conflict,
-        412 => OrderAnswer::Fenced,
-        _ => OrderAnswer::Refused,
+        200 => OrderOutcome::AlreadyLoaded,
+        202 => OrderOutcome::UnderWay,
+        409 => OrderOutcome::Conflict,
+        412 => OrderOutcome::Fenced,
+        _ => OrderOutcome::Rejected,
     }
 }
 
--- a/crates/pebblepost-control/tests/control/feed.rs
+++ b/crates/pebblepost-control/tests/control/feed.rs
@@ -54,7 +54,10 @@
                     self.last_sequence = batch.sequence;
                     for update in &batch.updates {
                         self.count(update);
-                        assert!(!self.state.apply(update).gap, "a patch on what the agent does not have");
+                        assert!(
+                            !self.state.apply(update).resync_needed,
+                            "a patch on what the agent does not have"
+                        );
                     }
                 }
                 FromControl::Redirect { .. } => self.redirects += 1,
--- a/crates/pebblepost-control/tests/control/load_orders.rs
+++ b/crates/pebblepost-control/tests/control/load_orders.rs
@@ -4,7 +4,7 @@
 use crate::support::documents::registration;
 use pebblepost_control::api::HttpRequest;
 use pebblepost_control::load_order;
-use pebblepost_rollout::{LoadMode, Order, OrderAnswer};
+use pebblepost_rollout::{LoadMode, LoadOrder, OrderOutcome};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
     let epoch = cluster.node(node).record().epoch;
     assert!(body.contains(&format!("\"fence_token\":{epoch}")), "{body}");
     assert!(body.contains(&format!("\"holder\":\"core-{node}\"")), "{body}");
-    cluster.answer_order(node, order, OrderAnswer::AlreadyHolds);
+    cluster.answer_order(node, order, OrderOutcome::AlreadyLoaded);
     let loaded = cluster.node(node).registry().instance("i-1").map(|known| known.models[0].generation);
     assert_eq!(loaded, Some(2));
 }
@@ -144,7 +144,7 @@
 #[case(LoadMode::Retain, "retain")]
 #[case(LoadMode::Truncate, "truncate")]
 fn body_of_a_load_order(#[case] mode: LoadMode, #[case] name: &str) {
-    let order = Order {
+    let order = LoadOrder {
         instance: "i-1".into(),
         address: "10.9.0.1:8080".into(),
         model: "m".into(),
--- a/crates/pebblepost-control/tests/control/order_deadline.rs
+++ b/crates/pebblepost-control/tests/control/order_deadline.rs
@@ -2,7 +2,7 @@
 
 use pebblepost_control::node::Input;
 use pebblepost_control::runtime::{Event, transcriber_tasks::send_order};
-use pebblepost_rollout::{LoadMode, Order, OrderAnswer};
+use pebblepost_rollout::{LoadMode, LoadOrder, OrderOutcome};
 use pebblepost_transcriber::{Client, ClientLimits};
 use std::future::poll_fn;
 use std::task::Poll;
@@ -26,14 +26,19 @@
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let address = listener.local_addr().expect("its address").to_string();
-        let order =
-            Order { instance: "i-1".into(), address, model: "m".into(), generation: 2, mode: LoadMode::Wait };
+        let order = LoadOrder {
+            instance: "i-1".into(),
+            address,
+            model: "m".into(),
+            generation: 2,
+            mode: LoadMode::Wait,
+        };
         let (events, mut received) = mpsc::channel(1);
         let decided = Instant::now().checked_sub(Duration::from_secs(1)).expect("a second ago");
         send_order(Client::new(limits()), order, b"{}".to_vec(), decided, events).await;
         match received.recv().await {
             Some(Event::Input(Input::OrderAnswered { answer, .. })) => {
-                assert_eq!(answer, OrderAnswer::Refused);
+                assert_eq!(answer, OrderOutcome::Rejected);
             }
             _ => panic!("the answer was not told"),
         }
--- a/crates/pebblepost-control/tests/control/registry.rs
+++ b/crates/pebblepost-control/tests/control/registry.rs
@@ -57,7 +57,7 @@
     assert!(registry.deregister("i").has_shutdown);
     assert!(registry.deregister("i").instances.is_empty());
     registry.register(second(2), instance("i", "10.0.0.1:1", 9));
-    assert_eq!(state(&registry, "i"), Some(InstanceState::Gone));
+    assert_eq!(state(&registry, "i"), Some(InstanceState::Terminated));
     assert_eq!(registry.deregister("unknown").instances.len(), 1, "its announcement may still be on its way");
     registry.register(second(2), instance("unknown", "10.0.0.3:1", 1));
     assert_eq!(registry.live().count(), 0);
@@ -70,7 +70,7 @@
     let change = registry.register(second(5), instance("new", "10.0.0.1:1", 1));
     assert_eq!(change.instances.len(), 2);
     assert!(change.has_shutdown);
-    assert_eq!(state(&registry, "old"), Some(InstanceState::Gone));
+    assert_eq!(state(&registry, "old"), Some(InstanceState::Terminated));
     assert_eq!(state(&registry, "new"), Some(InstanceState::Ready));
     registry.register(second(6), instance("old", "10.0.0.1:1", 2));
     assert_eq!(state(&registry, "new"), Some(InstanceState::Ready), "the old one does not take it back");
@@ -85,7 +85,7 @@
     assert!(registry.expire(second(114)).instances.is_empty());
     let ended = registry.expire(second(117));
     assert_eq!(ended.instances.len(), 1);
-    assert_eq!(state(&registry, "i"), Some(InstanceState::Gone));
+    assert_eq!(state(&registry, "i"), Some(InstanceState::Terminated));
 }
 
 #[rstest]
@@ -118,14 +118,14 @@
     registry.replicate(
         second(2),
         false,
-        &[Instance { state: InstanceState::Gone, ..instance("a", "10.0.0.1:1", 1) }],
+        &[Instance { state: InstanceState::Terminated, ..instance("a", "10.0.0.1:1", 1) }],
     );
-    assert_eq!(state(&registry, "a"), Some(InstanceState::Gone));
+    assert_eq!(state(&registry, "a"), Some(InstanceState::Terminated));
     assert_eq!(state(&registry, "b"), Some(InstanceState::Draining));
     registry.replicate(second(3), true, &[instance("c", "10.0.0.3:1", 1)]);
-    assert_eq!(state(&registry, "b"), Some(InstanceState::Gone), "not in the whole list");
+    assert_eq!(state(&registry, "b"), Some(InstanceState::Terminated), "not in the whole list");
     registry.register(second(4), instance("a", "10.0.0.1:1", 7));
-    assert_eq!(state(&registry, "a"), Some(InstanceState::Gone));
+    assert_eq!(state(&registry, "a"), Some(InstanceState::Terminated));
 }
 
 #[rstest]
--- a/crates/pebblepost-control/tests/control/support/cluster.rs
+++ b/crates/pebblepost-control/tests/control/support/cluster.rs
@@ -8,7 +8,7 @@
 use pebblepost_messages::control::{FromControl, ToControl};
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::Tolerance;
-use pebblepost_rollout::{Order, OrderAnswer, Reported};
+use pebblepost_rollout::{LoadOrder, OrderOutcome, TranscriberReport};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -84,7 +84,7 @@
     send_blocked: BTreeSet<usize>,
     pub programs: Vec<Program>,
     /// Orders that were sent: time, node, order, body.
-    pub orders: Vec<(Duration, usize, Order, String)>,
+    pub orders: Vec<(Duration, usize, LoadOrder, String)>,
     /// Nodes and the addresses that they wanted dialed without backoff.
     pub dialed_now: Vec<(usize, String)>,
     /// Load reports that were to be fetched: time and instance.
@@ -374,12 +374,12 @@
     }
 
     /// An order is answered.
-    pub fn answer_order(&mut self, index: usize, order: Order, response: OrderAnswer) {
+    pub fn answer_order(&mut self, index: usize, order: LoadOrder, response: OrderOutcome) {
         self.input(index, Input::OrderAnswered { order, answer: response });
     }
 
     /// A report comes.
-    pub fn report(&mut self, index: usize, instance: &str, report: Reported) {
+    pub fn report(&mut self, index: usize, instance: &str, report: TranscriberReport) {
         self.input(index, Input::LoadReported { instance: instance.into(), report: Some(report) });
     }
 
--- a/crates/pebblepost-control/tests/control/whole_system_run.rs
+++ b/crates/pebblepost-control/tests/control/whole_system_run.rs
@@ -9,7 +9,7 @@
 use pebblepost_control::api::{HttpRequest, HttpResponse, Operation};
 use pebblepost_messages::control::{FromControl, SubscriberRole, ToControl};
 use pebblepost_messages::feed::FeedReply;
-use pebblepost_rollout::{OrderAnswer, Reported};
+use pebblepost_rollout::{OrderOutcome, TranscriberReport};
 use rstest::rstest;
 use std::fmt::Write;
 use std::time::Duration;
@@ -88,11 +88,11 @@
         self.answered_orders = self.cluster.orders.len();
         for (_, node, order, _) in orders {
             let answer = match self.random.below(5) {
-                0 => OrderAnswer::UnderWay,
-                1 => OrderAnswer::Conflict,
-                2 => OrderAnswer::Unknown,
-                3 => OrderAnswer::Refused,
-                _ => OrderAnswer::AlreadyHolds,
+                0 => OrderOutcome::UnderWay,
+                1 => OrderOutcome::Conflict,
+                2 => OrderOutcome::Unknown,
+                3 => OrderOutcome::Rejected,
+                _ => OrderOutcome::AlreadyLoaded,
             };
             self.cluster.answer_order(node, order, answer);
         }
@@ -100,7 +100,7 @@
         self.answered_reports = self.cluster.report_requests.len();
         let Some(primary) = self.cluster.acting_nodes().first().copied() else { return };
         for (_, instance) in report_requests {
-            let report = Reported { busy: false, models: vec![("m".into(), 1)], running: 1 };
+            let report = TranscriberReport { busy: false, models: vec![("m".into(), 1)], running: 1 };
             self.cluster.report(primary, &instance, report);
         }
     }
--- a/crates/pebblepost-feed/src/changes.rs
+++ b/crates/pebblepost-feed/src/changes.rs
@@ -13,7 +13,7 @@
     pub named_versions: bool,
     /// The update was a patch on another configuration than the current one, or was damaged: the receiver must
     /// subscribe again to get the full configuration.
-    pub gap: bool,
+    pub resync_needed: bool,
 }
 
 impl FeedChanges {
@@ -26,7 +26,7 @@
     pub fn merge(&mut self, mut later: FeedChanges) {
         self.configuration |= later.configuration;
         self.named_versions |= later.named_versions;
-        self.gap |= later.gap;
+        self.resync_needed |= later.resync_needed;
         self.instances.append(&mut later.instances);
         self.store_groups.append(&mut later.store_groups);
     }
--- a/crates/pebblepost-feed/src/instance_table.rs
+++ b/crates/pebblepost-feed/src/instance_table.rs
@@ -27,7 +27,7 @@
 
     /// The incarnations that have not ended, by id.
     pub(crate) fn live(&self) -> impl Iterator<Item = &Instance> {
-        self.all().filter(|instance| instance.state != InstanceState::Gone)
+        self.all().filter(|instance| instance.state != InstanceState::Terminated)
     }
 
     /// Applies an announcement. Returns whether it changed anything.
@@ -53,14 +53,14 @@
             .collect();
         for id in &absent {
             if let Some(instance) = self.by_id.get(id) {
-                self.insert(Instance { state: InstanceState::Gone, ..instance.clone() });
+                self.insert(Instance { state: InstanceState::Terminated, ..instance.clone() });
             }
         }
         absent
     }
 
     fn insert(&mut self, instance: Instance) {
-        if instance.state == InstanceState::Gone {
+        if instance.state == InstanceState::Terminated {
             self.tombstones.push_back(instance.id.clone());
         }
         self.by_id.insert(instance.id.clone(), instance);
@@ -74,7 +74,7 @@
 
 /// The incarnation after an announcement; `None` if it has ended.
 fn merge(current: &Instance, announcement: &Instance) -> Option<Instance> {
-    if current.state == InstanceState::Gone {
+    if current.state == InstanceState::Terminated {
         return None;
     }
     // Draining and gone are final, in whatever order the announcements arrive.
--- a/crates/pebblepost-feed/src/state.rs
+++ b/crates/pebblepost-feed/src/state.rs
@@ -139,11 +139,11 @@
                 FeedChanges { configuration: true, ..FeedChanges::default() }
             }
             Err(ConfigurationUpdateError::BaseMismatch) => {
-                FeedChanges { gap: true, ..FeedChanges::default() }
+                FeedChanges { resync_needed: true, ..FeedChanges::default() }
             }
             Err(error @ ConfigurationUpdateError::Decompress(_)) => {
                 log::error!("configuration rejected generation={generation}: {error}");
-                FeedChanges { gap: true, ..FeedChanges::default() }
+                FeedChanges { resync_needed: true, ..FeedChanges::default() }
             }
             // Subscribing again would bring the same document.
             Err(error @ ConfigurationUpdateError::Invalid(_)) => {
@@ -161,7 +161,7 @@
                 let document = compression::decompress(*uncompressed_bytes, compressed)?;
                 Ok(Configuration::parse(&document)?)
             }
-            ConfigurationUpdate::Patch { base, patch, .. } => {
+            ConfigurationUpdate::Patch { base_generation: base, patch, .. } => {
                 let current = self
                     .configuration
                     .as_ref()
--- a/crates/pebblepost-feed/tests/compression.rs
+++ b/crates/pebblepost-feed/tests/compression.rs
@@ -49,6 +49,6 @@
         let mut state = FeedState::default();
         let update = ConfigurationUpdate::Compressed { generation: 6, uncompressed_bytes, compressed };
         let changes = state.apply(&FeedUpdate::Configuration(update));
-        assert!(changes.gap && state.configuration().is_none());
+        assert!(changes.resync_needed && state.configuration().is_none());
     }
 }
--- a/crates/pebblepost-feed/tests/feed.rs
+++ b/crates/pebblepost-feed/tests/feed.rs
@@ -18,7 +18,7 @@
 fn patch(base: u64, generation: u64) -> FeedUpdate {
     let route = r#"{"name":"r","hostname":"h","path_prefix":"/p/","kind":"idempotent","backend":"s"}"#;
     let patch = format!(r#"{{"generation":{generation},"upsert":{{"routes":[{route}]}}}}"#).into_bytes();
-    FeedUpdate::Configuration(ConfigurationUpdate::Patch { base, generation, patch })
+    FeedUpdate::Configuration(ConfigurationUpdate::Patch { base_generation: base, generation, patch })
 }
 
 fn instance(id: &str, sequence: u64, state: InstanceState) -> Instance {
@@ -63,7 +63,7 @@
 #[test]
 fn a_patch_applies_to_its_base_only() {
     let mut state = FeedState::default();
-    let gap = FeedChanges { gap: true, ..FeedChanges::default() };
+    let gap = FeedChanges { resync_needed: true, ..FeedChanges::default() };
     assert_eq!(state.apply(&patch(5, 7)), gap);
     state.apply(&full(5));
     assert_eq!(state.apply(&patch(4, 7)), gap);
@@ -96,9 +96,23 @@
     3
 )]
 #[case::stays_draining(InstanceState::Draining, 2, InstanceState::Ready, 9, InstanceState::Draining, 9)]
-#[case::gone_at_any_sequence(InstanceState::Ready, 9, InstanceState::Gone, 0, InstanceState::Gone, 9)]
-#[case::stays_gone(InstanceState::Gone, 2, InstanceState::Ready, 9, InstanceState::Gone, 2)]
-#[case::stays_gone_after_drain(InstanceState::Gone, 2, InstanceState::Draining, 9, InstanceState::Gone, 2)]
+#[case::gone_at_any_sequence(
+    InstanceState::Ready,
+    9,
+    InstanceState::Terminated,
+    0,
+    InstanceState::Terminated,
+    9
+)]
+#[case::stays_gone(InstanceState::Terminated, 2, InstanceState::Ready, 9, InstanceState::Terminated, 2)]
+#[case::stays_gone_after_drain(
+    InstanceState::Terminated,
+    2,
+    InstanceState::Draining,
+    9,
+    InstanceState::Terminated,
+    2
+)]
 fn the_state_of_an_incarnation_is_monotonic(
     #[case] first: InstanceState, #[case] first_sequence: u64, #[case] second: InstanceState,
     #[case] second_sequence: u64, #[case] state: InstanceState, #[case] sequence: u64,
@@ -109,7 +123,7 @@
     ]);
     let current = folded.instance("i").unwrap();
     assert_eq!((current.state, current.sequence), (state, sequence));
-    assert_eq!(ids(&folded).is_empty(), state == InstanceState::Gone);
+    assert_eq!(ids(&folded).is_empty(), state == InstanceState::Terminated);
 }
 
 #[test]
@@ -160,7 +174,7 @@
     for number in 0..5000 {
         let id = format!("i{number}");
         state.apply(&announcement(instance(&id, 1, InstanceState::Ready)));
-        state.apply(&announcement(instance(&id, 1, InstanceState::Gone)));
+        state.apply(&announcement(instance(&id, 1, InstanceState::Terminated)));
     }
     assert!(state.instance("i0").is_none());
     assert!(state.instance("i903").is_none());
@@ -212,7 +226,7 @@
         full(5),
         patch(5, 7),
         announcement(holding("a", 4, 2)),
-        announcement(instance("b", 1, InstanceState::Gone)),
+        announcement(instance("b", 1, InstanceState::Terminated)),
         FeedUpdate::StoreGroups(vec![StoreGroup { group: 1, epoch: 4, ..StoreGroup::default() }]),
         FeedUpdate::NamedVersions(vec![version("m", 3)]),
         FeedUpdate::ProxyCount(2),
@@ -228,7 +242,7 @@
     assert_eq!(subscriber.generation(), 7);
     assert!(subscriber.configuration().unwrap().route("h", "/p/x").is_some());
     assert_eq!(subscriber.instance("a"), state.instance("a"));
-    assert_eq!(subscriber.instance("b").unwrap().state, InstanceState::Gone);
+    assert_eq!(subscriber.instance("b").unwrap().state, InstanceState::Terminated);
     // An incomplete list says nothing about other transcribers.
     let expected = if complete { vec!["a"] } else { vec!["a", "x"] };
     assert_eq!(ids(&subscriber), expected);
--- a/crates/pebblepost-feed/tests/snapshots.rs
+++ b/crates/pebblepost-feed/tests/snapshots.rs
@@ -33,7 +33,7 @@
 }
 
 fn instance(draws: &mut Draws) -> Instance {
-    let state = [InstanceState::Ready, InstanceState::Draining, InstanceState::Gone];
+    let state = [InstanceState::Ready, InstanceState::Draining, InstanceState::Terminated];
     Instance {
         id: format!("i-{}", draws.below(30)),
         backend: "s".into(),
@@ -54,7 +54,7 @@
         0 => ConfigurationUpdate::Full { generation, document: document.into_bytes() },
         1 => compress(generation, document.as_bytes()),
         _ => ConfigurationUpdate::Patch {
-            base: generation - 1,
+            base_generation: generation - 1,
             generation,
             patch: format!(r#"{{"generation":{generation},"upsert":{{"services":[{{"name":"t"}}]}}}}"#)
                 .into_bytes(),
@@ -93,7 +93,7 @@
     let mut digest = Digest(0xcbf2_9ce4_8422_2325);
     for step in 0..UPDATES {
         let changes = state.apply(&update(&mut draws, step));
-        let flags = [changes.configuration, changes.named_versions, changes.gap, changes.any()];
+        let flags = [changes.configuration, changes.named_versions, changes.resync_needed, changes.any()];
         digest.add(&flags.map(u8::from));
         digest.add(changes.instances.join(",").as_bytes());
         digest.add(&changes.store_groups.serialize_bin());
--- a/crates/pebblepost-link/src/control_client/mod.rs
+++ b/crates/pebblepost-link/src/control_client/mod.rs
@@ -28,7 +28,7 @@
 };
 
 /// Interval of the heartbeats.
-pub const KEEP_ALIVE_PERIOD: Duration = Duration::from_millis(500);
+pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Capacity of the channel of events; a full one holds back the reading of the link.
 const EVENT_CAPACITY: usize = 16;
@@ -41,7 +41,7 @@
     /// A message of the primary; heartbeats, redirects and lists of members are not delivered.
     Message(FromControl),
     /// The link is lost; the client is looking for the primary again.
-    Lost,
+    Disconnected,
 }
 
 /// State that the sender and the task share.
@@ -77,7 +77,7 @@
     }
 
     /// Adds seeds of newer settings to the endpoints that are tried.
-    pub fn add_candidates(&self, seeds: &[SocketAddr]) {
+    pub fn add_seeds(&self, seeds: &[SocketAddr]) {
         self.state.borrow_mut().endpoints.add_seeds(seeds);
     }
 }
--- a/crates/pebblepost-link/src/control_client/task.rs
+++ b/crates/pebblepost-link/src/control_client/task.rs
@@ -1,7 +1,7 @@
 //! The task that connects to the primary and reads its messages.
 
 use super::backoff::Backoff;
-use super::{ControlEvent, KEEP_ALIVE_PERIOD, State};
+use super::{ControlEvent, KEEP_ALIVE_INTERVAL, State};
 use crate::{LinkError, LinkLimits, Receiver, Sender, connect};
 use pebblepost_messages::control::{FromControl, ToControl};
 use std::cell::RefCell;
@@ -44,7 +44,7 @@
             if let Some(address) = next {
                 let outcome = self.try_endpoint(address).await;
                 if outcome.was_primary {
-                    self.emit(ControlEvent::Lost).await;
+                    self.emit(ControlEvent::Disconnected).await;
                     backoff.reset();
                     may_follow_redirect = true;
                 }
@@ -79,7 +79,7 @@
 
     /// Reads until the link ends, or until a redirect (`Ok`).
     async fn serve(&self, connection: &mut Connection) -> Result<(), LinkError> {
-        let mut keep_alive = interval_at(Instant::now() + KEEP_ALIVE_PERIOD, KEEP_ALIVE_PERIOD);
+        let mut keep_alive = interval_at(Instant::now() + KEEP_ALIVE_INTERVAL, KEEP_ALIVE_INTERVAL);
         keep_alive.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let message = tokio::select! {
--- a/crates/pebblepost-link/tests/control_client.rs
+++ b/crates/pebblepost-link/tests/control_client.rs
@@ -87,7 +87,7 @@
         assert_eq!(events.recv().await, Some(ControlEvent::Connected(first_address)));
         drop(first);
         drop((sender, receiver));
-        assert_eq!(events.recv().await, Some(ControlEvent::Lost));
+        assert_eq!(events.recv().await, Some(ControlEvent::Disconnected));
 
         let (sender, _receiver) = second.accept().await.unwrap();
         sender.send(&FromControl::KeepAlive);
@@ -106,7 +106,7 @@
         assert_eq!(events.recv().await, Some(ControlEvent::Connected(address)));
         control.reconnect();
         assert!(receiver.receive::<ToControl>().await.is_err());
-        assert_eq!(events.recv().await, Some(ControlEvent::Lost));
+        assert_eq!(events.recv().await, Some(ControlEvent::Disconnected));
         accept(&mut primary, 2).await;
     };
     LocalSet::new().run_until(exchange).await;
@@ -117,7 +117,7 @@
     let exchange = async {
         let (mut primary, address) = listener();
         let (control, mut events) = start(Vec::new());
-        control.add_candidates(&[address]);
+        control.add_seeds(&[address]);
         let (sender, _receiver) = accept(&mut primary, 1).await;
         sender.send(&FromControl::KeepAlive);
         assert_eq!(events.recv().await, Some(ControlEvent::Connected(address)));
--- a/crates/pebblepost-messages/src/batch/message.rs
+++ b/crates/pebblepost-messages/src/batch/message.rs
@@ -117,13 +117,13 @@
 
 /// Response to a request about a job.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub enum JobAnswer<T> {
+pub enum JobResponse<T> {
     /// The value.
     Found(T),
     /// No such job or item.
     NotFound,
     /// This machine is not the primary, or its lease has expired.
-    Uncertain,
+    Unavailable,
 }
 
 /// Results of a job from an offset on.
@@ -152,21 +152,21 @@
         /// Request number.
         call: u64,
         /// The page.
-        answer: JobAnswer<ResultPage>,
+        answer: JobResponse<ResultPage>,
     },
     /// Response to [`ToStore::ItemBody`].
     Body {
         /// Request number.
         call: u64,
         /// The bytes.
-        answer: JobAnswer<Vec<u8>>,
+        answer: JobResponse<Vec<u8>>,
     },
     /// Response to [`ToStore::End`].
     Ended {
         /// Request number.
         call: u64,
         /// Whether the end is stored durably, on as many disks as required.
-        answer: JobAnswer<bool>,
+        answer: JobResponse<bool>,
     },
     /// Notification that there are items to lease.
     WorkAvailable,
--- a/crates/pebblepost-messages/src/feed.rs
+++ b/crates/pebblepost-messages/src/feed.rs
@@ -13,7 +13,7 @@
     /// Draining: finishes its requests and accepts no new ones.
     Draining,
     /// Ended, or declared dead after missed heartbeats.
-    Gone,
+    Terminated,
 }
 
 /// A model that a transcriber has loaded, with the version of its weights.
@@ -67,10 +67,10 @@
         /// The document, JSON, as a raw deflate stream.
         compressed: Vec<u8>,
     },
-    /// A patch on the version `base`.
+    /// A patch on the version `base_generation`.
     Patch {
         /// Version that the patch builds on.
-        base: u64,
+        base_generation: u64,
         /// Version that it makes.
         generation: u64,
         /// The patch, JSON.
--- a/crates/pebblepost-messages/tests/encodings.rs
+++ b/crates/pebblepost-messages/tests/encodings.rs
@@ -5,8 +5,8 @@
 
 use nanoserde::{DeBin, SerBin};
 use pebblepost_messages::batch::{
-    ActiveLease, FromStore, Item, ItemOutcome, ItemResult, Job, JobAnswer, JobTerms, LeasedItem, PartialText,
-    ResultPage, ResultState, Scorer, SubmitOutcome, ToStore, WorkLease, store_group_of,
+    ActiveLease, FromStore, Item, ItemOutcome, ItemResult, Job, JobResponse, JobTerms, LeasedItem,
+    PartialText, ResultPage, ResultState, Scorer, SubmitOutcome, ToStore, WorkLease, store_group_of,
 };
 use pebblepost_messages::control::{FromControl, GroupEpoch, SubscriberRole, ToControl};
 use pebblepost_messages::feed::{
@@ -153,14 +153,14 @@
             compressed: vec![3, 0],
         }),
         FeedUpdate::Configuration(ConfigurationUpdate::Patch {
-            base: 6,
+            base_generation: 6,
             generation: 7,
             patch: b"[]".to_vec(),
         }),
         FeedUpdate::Instances { complete: true, instances: vec![instance(InstanceState::Ready)] },
         FeedUpdate::Instances {
             complete: false,
-            instances: vec![instance(InstanceState::Draining), instance(InstanceState::Gone)],
+            instances: vec![instance(InstanceState::Draining), instance(InstanceState::Terminated)],
         },
         FeedUpdate::StoreGroups(vec![store_group()]),
         FeedUpdate::NamedVersions(vec![model_version()]),
@@ -214,14 +214,15 @@
         encodings.add(&format!("from_store.submitted.{name}"), &FromStore::Submitted { call, outcome });
     }
     let page = ResultPage { total: 8, start: 5, results: vec![result(ResultState::Completed)] };
-    encodings.add("from_store.results.found", &FromStore::Results { call, answer: JobAnswer::Found(page) });
-    encodings.add("from_store.results.no_such", &FromStore::Results { call, answer: JobAnswer::NotFound });
-    encodings.add("from_store.results.not_sure", &FromStore::Results { call, answer: JobAnswer::Uncertain });
+    encodings.add("from_store.results.found", &FromStore::Results { call, answer: JobResponse::Found(page) });
+    encodings.add("from_store.results.no_such", &FromStore::Results { call, answer: JobResponse::NotFound });
     encodings
-        .add("from_store.body.found", &FromStore::Body { call, answer: JobAnswer::Found(vec![1, 2, 3]) });
-    encodings.add("from_store.body.no_such", &FromStore::Body { call, answer: JobAnswer::NotFound });
-    encodings.add("from_store.ended.found", &FromStore::Ended { call, answer: JobAnswer::Found(true) });
-    encodings.add("from_store.ended.not_sure", &FromStore::Ended { call, answer: JobAnswer::Uncertain });
+        .add("from_store.results.not_sure", &FromStore::Results { call, answer: JobResponse::Unavailable });
+    encodings
+        .add("from_store.body.found", &FromStore::Body { call, answer: JobResponse::Found(vec![1, 2, 3]) });
+    encodings.add("from_store.body.no_such", &FromStore::Body { call, answer: JobResponse::NotFound });
+    encodings.add("from_store.ended.found", &FromStore::Ended { call, answer: JobResponse::Found(true) });
+    encodings.add("from_store.ended.not_sure", &FromStore::Ended { call, answer: JobResponse::Unavailable });
     encodings.add("from_store.work_available", &FromStore::WorkAvailable);
     encodings.add("from_store.work", &FromStore::Work(vec![lease()]));
     encodings.add("from_store.cancel", &FromStore::Cancel { jobs: vec!["j1".into(), "j2".into()] });
--- a/crates/pebblepost-proxy/src/dispatch/attempt.rs
+++ b/crates/pebblepost-proxy/src/dispatch/attempt.rs
@@ -75,7 +75,7 @@
         }
         match self.client.open_stream(self.target, request).await? {
             StreamResponse::Stream(head, events) => Ok(AttemptResponse::Stream(head, events)),
-            StreamResponse::Whole(response) => Ok(AttemptResponse::Buffered(response)),
+            StreamResponse::Buffered(response) => Ok(AttemptResponse::Buffered(response)),
         }
     }
 }
--- a/crates/pebblepost-proxy/src/dispatch/forwarding.rs
+++ b/crates/pebblepost-proxy/src/dispatch/forwarding.rs
@@ -236,7 +236,7 @@
             headers,
             body: self.request.body.bytes.clone(),
             request_id: head.request_id.clone(),
-            deadline: self.time_left(),
+            timeout: self.time_left(),
         }
     }
 }
--- a/crates/pebblepost-proxy/src/dispatch/worker_table.rs
+++ b/crates/pebblepost-proxy/src/dispatch/worker_table.rs
@@ -52,7 +52,7 @@
         let state = match instance.state {
             InstanceState::Ready => WorkerState::Ready,
             InstanceState::Draining => WorkerState::Draining,
-            InstanceState::Gone => WorkerState::Gone,
+            InstanceState::Terminated => WorkerState::Gone,
         };
         match self.ids.get(&instance.id) {
             Some(&id) => self.update_known(id, instance, state),
--- a/crates/pebblepost-proxy/src/feed/updater.rs
+++ b/crates/pebblepost-proxy/src/feed/updater.rs
@@ -45,7 +45,7 @@
         let mut applied = Applied::InForce;
         for update in updates {
             let changes = self.cache.apply(update);
-            if changes.gap {
+            if changes.resync_needed {
                 applied = Applied::Gap;
             }
             self.apply_changes(&changes);
@@ -68,7 +68,7 @@
             }
             debug!("transcriber takes no requests transcriber={id} state={:?}", instance.state);
             if let Ok(address) = instance.address.parse() {
-                self.client.close_idle(&Target { instance: id.clone(), address });
+                self.client.remove_target(&Target { instance: id.clone(), address });
             }
         }
         if let Some(configuration) = feed.configuration().filter(|_| changes.configuration) {
--- a/crates/pebblepost-proxy/src/proxy.rs
+++ b/crates/pebblepost-proxy/src/proxy.rs
@@ -51,8 +51,8 @@
     /// # Errors
     /// If the settings lack an address, or a listener can't be opened.
     pub fn start(settings: Settings) -> Result<Proxy, ProxyError> {
-        let ready_listener = listen(settings.listen_ready, "listen.ready")?;
-        let client_listener = listen(settings.listen_front, "listen.front")?;
+        let ready_listener = listen(settings.readiness_address, "listen.ready")?;
+        let client_listener = listen(settings.client_address, "listen.front")?;
         let client_address = client_listener.local_addr().map_err(ProxyError::LocalAddress)?;
         let ready_address = ready_listener.local_addr().map_err(ProxyError::LocalAddress)?;
         let server = Rc::new(Server::new(settings.limits.max_fds));
@@ -158,7 +158,7 @@
         self.shutdown.begin_draining(end - RESPONSE_MARGIN.min(grace / 4));
         let runner = async {
             let timeout = grace.saturating_sub(END_MARGIN + RESPONSE_MARGIN);
-            self.runner.stop(timeout).await;
+            self.runner.shut_down(timeout).await;
         };
         let connections = async {
             tokio::time::sleep(READINESS_PROPAGATION.min(grace / 2)).await;
@@ -184,7 +184,7 @@
 
 impl MetricsReporter {
     fn line(&self) -> String {
-        metrics_line(self.metrics.get(), self.client.metrics(), self.runner.counts())
+        metrics_line(self.metrics.get(), self.client.metrics(), self.runner.metrics())
     }
 
     async fn run(self) {
--- a/crates/pebblepost-proxy/tests/feed.rs
+++ b/crates/pebblepost-proxy/tests/feed.rs
@@ -69,7 +69,11 @@
         let mut link = fake_agent.agent.accept().await.unwrap();
         send(&mut link, 1, vec![configuration(3, ROUTES)]).await;
         let patch = br#"{"generation":9,"remove":{"routes":["a"]}}"#.to_vec();
-        let patch = FeedUpdate::Configuration(ConfigurationUpdate::Patch { base: 8, generation: 9, patch });
+        let patch = FeedUpdate::Configuration(ConfigurationUpdate::Patch {
+            base_generation: 8,
+            generation: 9,
+            patch,
+        });
         assert!(link.0.send(&FeedBatch { sequence: 2, updates: vec![patch] }));
         assert!(link.1.receive::<FeedReply>().await.is_err(), "not acknowledged");
         let mut link = fake_agent.agent.accept().await.unwrap();
--- a/crates/pebblepost-proxy/tests/own_responses.rs
+++ b/crates/pebblepost-proxy/tests/own_responses.rs
@@ -70,7 +70,11 @@
         let fixture = ProxyFixture::bare(8.0);
         assert_eq!(fixture.proxy.apply(&[configuration(1, ROUTES)]), Applied::InForce);
         let patch = br#"{"generation":9}"#.to_vec();
-        let patch = pebblepost_messages::feed::ConfigurationUpdate::Patch { base: 8, generation: 9, patch };
+        let patch = pebblepost_messages::feed::ConfigurationUpdate::Patch {
+            base_generation: 8,
+            generation: 9,
+            patch,
+        };
         let patch = pebblepost_messages::feed::FeedUpdate::Configuration(patch);
         assert_eq!(fixture.proxy.apply(&[patch]), Applied::Gap);
     });
@@ -85,16 +89,16 @@
 fn a_start_that_fails_names_the_key_and_the_address() {
     run(async {
         let mut without_front = settings(8.0);
-        without_front.listen_front = None;
+        without_front.client_address = None;
         assert_eq!(start_error(without_front), "the settings have no listen.front");
         let mut without_ready = settings(8.0);
-        without_ready.listen_ready = None;
+        without_ready.readiness_address = None;
         assert_eq!(start_error(without_ready), "the settings have no listen.ready");
 
         let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = taken.local_addr().unwrap();
         let mut in_use = settings(8.0);
-        in_use.listen_front = Some(address);
+        in_use.client_address = Some(address);
         assert_eq!(
             start_error(in_use),
             format!("listening at {address} (listen.front): Address already in use (os error 98)")
--- a/crates/pebblepost-proxy/tests/unresponsive_transcribers.rs
+++ b/crates/pebblepost-proxy/tests/unresponsive_transcribers.rs
@@ -100,7 +100,7 @@
     run(async {
         let mut fixture = ProxyFixture::start(3, vec![]).await;
         fixture.set_state("i-0", InstanceState::Draining);
-        fixture.set_state("i-1", InstanceState::Gone);
+        fixture.set_state("i-1", InstanceState::Terminated);
         for number in 0..20 {
             fixture.exchange(&get("/pages/1", &format!("r{number}"))).await;
         }
--- a/crates/pebblepost-rollout/src/lib.rs
+++ b/crates/pebblepost-rollout/src/lib.rs
@@ -17,5 +17,5 @@
 mod transcriber;
 mod version_lag;
 
-pub use message::{LoadMode, Order, OrderAnswer, PlanOutput, Reported};
+pub use message::{LoadMode, LoadOrder, OrderOutcome, PlanOutput, TranscriberReport};
 pub use planner::Planner;
--- a/crates/pebblepost-rollout/src/message.rs
+++ b/crates/pebblepost-rollout/src/message.rs
@@ -13,7 +13,7 @@
 
 /// An order to load a version: the body of `POST /order`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct LoadOrder {
     /// Instance id of the transcriber.
     pub instance: String,
     /// Its address.
@@ -28,24 +28,24 @@
 
 /// The answer to an order, by its status code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderOutcome {
     /// 202: the load has started.
     UnderWay,
     /// 200: the version is loaded already.
-    AlreadyHolds,
+    AlreadyLoaded,
     /// 409: another load is in progress.
     Conflict,
     /// 412: the transcriber has seen a higher fencing token.
     Fenced,
     /// 400, 421 or any other status: the order was rejected.
-    Refused,
+    Rejected,
     /// No answer: the order may have been accepted.
     Unknown,
 }
 
 /// A report of a transcriber.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reported {
+pub struct TranscriberReport {
     /// Whether a load is in progress.
     pub busy: bool,
     /// Loaded models and their versions.
@@ -58,16 +58,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlanOutput {
     /// Send an order, then call [`Planner::order_answered`](crate::Planner::order_answered).
-    Send(Order),
+    Send(LoadOrder),
     /// Fetch a report, then call [`Planner::reported`](crate::Planner::reported).
-    Ask {
+    FetchLoadReport {
         /// Instance id of the transcriber.
         instance: String,
         /// Its address.
         address: String,
     },
     /// Register that a transcriber has loaded a version.
-    Holds {
+    VersionLoaded {
         /// Instance id of the transcriber.
         instance: String,
         /// The model.
--- a/crates/pebblepost-rollout/src/pending_order.rs
+++ b/crates/pebblepost-rollout/src/pending_order.rs
@@ -3,7 +3,7 @@
 //! Its outcome is found out by polling reports: an order without a clear answer is never simply repeated,
 //! as it may have been accepted.
 
-use crate::message::Order;
+use crate::message::LoadOrder;
 use std::time::Duration;
 
 /// Time without a response after which a transcriber does not occupy a slot among the concurrent loads.
@@ -64,7 +64,7 @@
     }
 
     /// Whether this is the given order.
-    pub(crate) fn is(&self, order: &Order) -> bool {
+    pub(crate) fn is(&self, order: &LoadOrder) -> bool {
         self.model == order.model && self.generation == order.generation
     }
 
--- a/crates/pebblepost-rollout/src/planner.rs
+++ b/crates/pebblepost-rollout/src/planner.rs
@@ -1,6 +1,6 @@
 //! The planner: takes in what happens, and puts out what the caller must do.
 
-use crate::message::{LoadMode, Order, OrderAnswer, PlanOutput, Reported};
+use crate::message::{LoadMode, LoadOrder, OrderOutcome, PlanOutput, TranscriberReport};
 use crate::named_versions::NamedVersions;
 use crate::pending_order::PendingOrder;
 use crate::placement::{Placement, PlacementState};
@@ -55,7 +55,7 @@
 
     /// A transcriber was announced, has changed or has ended.
     pub fn instance(&mut self, now: Duration, instance: &Instance) {
-        if instance.state == InstanceState::Gone {
+        if instance.state == InstanceState::Terminated {
             self.transcribers.remove(&instance.id);
         } else if let Some(transcriber) = self.transcribers.get_mut(&instance.id) {
             transcriber.announced(instance);
@@ -76,7 +76,7 @@
     }
 
     /// An order was answered, or its call has failed.
-    pub fn order_answered(&mut self, now: Duration, order: &Order, answer: OrderAnswer) {
+    pub fn order_answered(&mut self, now: Duration, order: &LoadOrder, answer: OrderOutcome) {
         if let Some(transcriber) = self.transcribers.get_mut(&order.instance)
             && transcriber.order_answered(now, order, answer)
         {
@@ -86,7 +86,7 @@
     }
 
     /// A report was fetched; `None` if the call has failed.
-    pub fn reported(&mut self, now: Duration, instance: &str, report: Option<Reported>) {
+    pub fn reported(&mut self, now: Duration, instance: &str, report: Option<TranscriberReport>) {
         if let Some(transcriber) = self.transcribers.get_mut(instance) {
             let newly_loaded = transcriber.reported(now, report).into_iter();
             let outputs = newly_loaded.map(|(model, generation)| loaded(instance, model, generation));
@@ -135,7 +135,7 @@
             let Some(pending) = &mut transcriber.pending_order else { continue };
             if pending.start_poll(now) {
                 let address = transcriber.address.clone();
-                self.outputs.push(PlanOutput::Ask { instance: instance.clone(), address });
+                self.outputs.push(PlanOutput::FetchLoadReport { instance: instance.clone(), address });
             }
         }
     }
@@ -159,7 +159,7 @@
         let Some(newest) = self.versions.get(&placement.model) else { return };
         let Some(transcriber) = self.transcribers.get_mut(&placement.instance) else { return };
         transcriber.pending_order = Some(PendingOrder::new(now, &placement.model, newest.generation));
-        self.outputs.push(PlanOutput::Send(Order {
+        self.outputs.push(PlanOutput::Send(LoadOrder {
             instance: placement.instance.clone(),
             address: transcriber.address.clone(),
             model: placement.model.clone(),
@@ -170,5 +170,5 @@
 }
 
 fn loaded(instance: &str, model: String, generation: u64) -> PlanOutput {
-    PlanOutput::Holds { instance: instance.to_owned(), model, generation }
+    PlanOutput::VersionLoaded { instance: instance.to_owned(), model, generation }
 }
--- a/crates/pebblepost-rollout/src/transcriber.rs
+++ b/crates/pebblepost-rollout/src/transcriber.rs
@@ -1,7 +1,7 @@
 //! State of one transcriber: what it announced, what it has loaded, and the order that is pending.
 
 use crate::backoff::{Backoff, BackoffBounds};
-use crate::message::{Order, OrderAnswer, Reported};
+use crate::message::{LoadOrder, OrderOutcome, TranscriberReport};
 use crate::pending_order::PendingOrder;
 use pebblepost_messages::feed::{Instance, InstanceState};
 use std::collections::BTreeMap;
@@ -65,25 +65,25 @@
 
     /// Takes in the answer to an order, unless the order is not pending any more; whether it says that the
     /// version is loaded.
-    pub(crate) fn order_answered(&mut self, now: Duration, order: &Order, answer: OrderAnswer) -> bool {
+    pub(crate) fn order_answered(&mut self, now: Duration, order: &LoadOrder, answer: OrderOutcome) -> bool {
         let Some(pending) = self.pending_order.as_mut().filter(|pending| pending.is(order)) else {
             return false;
         };
         match answer {
-            OrderAnswer::Unknown => pending.unanswered(now),
-            OrderAnswer::UnderWay => {
+            OrderOutcome::Unknown => pending.unanswered(now),
+            OrderOutcome::UnderWay => {
                 pending.accepted(now);
                 self.backoff.reset();
             }
-            OrderAnswer::AlreadyHolds => {
+            OrderOutcome::AlreadyLoaded => {
                 self.pending_order = None;
                 self.set_loaded(&order.model, order.generation);
                 self.backoff.reset();
                 return true;
             }
-            OrderAnswer::Conflict => pending.conflicting(now),
-            OrderAnswer::Fenced => pending.fenced(now, self.backoff.next_delay(FENCED_BACKOFF)),
-            OrderAnswer::Refused => {
+            OrderOutcome::Conflict => pending.conflicting(now),
+            OrderOutcome::Fenced => pending.fenced(now, self.backoff.next_delay(FENCED_BACKOFF)),
+            OrderOutcome::Rejected => {
                 self.pending_order = None;
                 self.not_before = now + self.backoff.next_delay(REJECTED_BACKOFF);
             }
@@ -93,7 +93,9 @@
 
     /// Takes in a report, `None` if it could not be fetched, while an order is pending; the versions that
     /// were not known to be loaded.
-    pub(crate) fn reported(&mut self, now: Duration, report: Option<Reported>) -> Vec<(String, u64)> {
+    pub(crate) fn reported(
+        &mut self, now: Duration, report: Option<TranscriberReport>,
+    ) -> Vec<(String, u64)> {
         let Some(pending) = &mut self.pending_order else { return Vec::new() };
         let polled_at = pending.end_poll();
         let Some(report) = report else {
--- a/crates/pebblepost-rollout/tests/integration/planner.rs
+++ b/crates/pebblepost-rollout/tests/integration/planner.rs
@@ -1,7 +1,7 @@
 //! Single exchanges with the planner: which answer leads to what.
 
 use pebblepost_messages::feed::{Instance, InstanceState, ModelVersion};
-use pebblepost_rollout::{LoadMode, Order, OrderAnswer, PlanOutput, Planner, Reported};
+use pebblepost_rollout::{LoadMode, LoadOrder, OrderOutcome, PlanOutput, Planner, TranscriberReport};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -24,11 +24,11 @@
     }
 }
 
-fn report(busy: bool, generation: u64) -> Option<Reported> {
-    Some(Reported { busy, models: vec![(MODEL.to_owned(), generation)], running: 0 })
+fn report(busy: bool, generation: u64) -> Option<TranscriberReport> {
+    Some(TranscriberReport { busy, models: vec![(MODEL.to_owned(), generation)], running: 0 })
 }
 
-fn orders(planner: &mut Planner) -> Vec<Order> {
+fn orders(planner: &mut Planner) -> Vec<LoadOrder> {
     let outputs = planner.take_outputs();
     outputs
         .into_iter()
@@ -40,7 +40,7 @@
 }
 
 /// A planner with one transcriber that was just ordered to load version 2.
-fn one_order() -> (Planner, Order) {
+fn one_order() -> (Planner, LoadOrder) {
     let mut planner = Planner::new(Duration::ZERO);
     planner.instance(ms(0), &instance("i-1", 1, 1));
     planner.name_version(ms(0), MODEL, 2, false);
@@ -49,13 +49,13 @@
 }
 
 fn polls(outputs: &[PlanOutput]) -> usize {
-    outputs.iter().filter(|output| matches!(output, PlanOutput::Ask { .. })).count()
+    outputs.iter().filter(|output| matches!(output, PlanOutput::FetchLoadReport { .. })).count()
 }
 
 #[test]
 fn polls_an_order_until_the_version_is_loaded() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderAnswer::UnderWay);
+    planner.order_answered(ms(5), &order, OrderOutcome::UnderWay);
     planner.tick(ms(300));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(355));
@@ -66,7 +66,8 @@
     planner.tick(ms(510));
     assert_eq!(polls(&planner.take_outputs()), 1);
     planner.reported(ms(515), "i-1", report(false, 2));
-    let loaded = PlanOutput::Holds { instance: "i-1".to_owned(), model: MODEL.to_owned(), generation: 2 };
+    let loaded =
+        PlanOutput::VersionLoaded { instance: "i-1".to_owned(), model: MODEL.to_owned(), generation: 2 };
     assert_eq!(planner.take_outputs(), [loaded]);
     assert_eq!(planner.next_wake(ms(515)), None);
 }
@@ -74,7 +75,7 @@
 #[test]
 fn load_in_progress_is_not_loaded() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderAnswer::UnderWay);
+    planner.order_answered(ms(5), &order, OrderOutcome::UnderWay);
     planner.tick(ms(355));
     planner.take_outputs();
     planner.reported(ms(360), "i-1", report(true, 2));
@@ -118,7 +119,7 @@
 #[test]
 fn polls_an_unanswered_order_before_it_sends_another() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(100), &order, OrderAnswer::Unknown);
+    planner.order_answered(ms(100), &order, OrderOutcome::Unknown);
     planner.tick(ms(250));
     assert_eq!(polls(&planner.take_outputs()), 1);
     planner.reported(ms(255), "i-1", report(false, 1));
@@ -132,7 +133,7 @@
 #[test]
 fn does_not_repeat_an_unanswered_order_that_was_accepted() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(100), &order, OrderAnswer::Unknown);
+    planner.order_answered(ms(100), &order, OrderOutcome::Unknown);
     planner.tick(ms(250));
     planner.take_outputs();
     planner.reported(ms(255), "i-1", report(true, 1));
@@ -145,7 +146,7 @@
 #[test]
 fn polls_soon_after_a_conflict() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderAnswer::Conflict);
+    planner.order_answered(ms(5), &order, OrderOutcome::Conflict);
     planner.tick(ms(100));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(205));
@@ -157,7 +158,7 @@
     let (mut planner, mut order) = one_order();
     let mut now = ms(5);
     for pause in [300, 600, 1200, 2400, 3000, 3000] {
-        planner.order_answered(now, &order, OrderAnswer::Refused);
+        planner.order_answered(now, &order, OrderOutcome::Rejected);
         planner.tick(now + ms(pause - 1));
         assert_eq!(planner.take_outputs(), []);
         now += ms(pause);
@@ -169,7 +170,7 @@
 #[test]
 fn polls_a_fenced_transcriber_after_a_backoff() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderAnswer::Fenced);
+    planner.order_answered(ms(5), &order, OrderOutcome::Fenced);
     planner.tick(ms(1004));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(1005));
@@ -181,7 +182,7 @@
 #[test]
 fn older_announcement_does_not_revert_loaded_versions() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderAnswer::AlreadyHolds);
+    planner.order_answered(ms(5), &order, OrderOutcome::AlreadyLoaded);
     planner.take_outputs();
     planner.instance(ms(900), &instance("i-1", 1, 2));
     planner.tick(ms(2000));
@@ -190,7 +191,7 @@
 
 #[rstest]
 #[case::draining(InstanceState::Draining)]
-#[case::gone(InstanceState::Gone)]
+#[case::gone(InstanceState::Terminated)]
 fn sends_no_order_to_a_draining_or_ended_transcriber(#[case] state: InstanceState) {
     let mut planner = Planner::new(Duration::ZERO);
     planner.instance(ms(0), &instance("i-1", 1, 1));
@@ -203,8 +204,8 @@
 #[test]
 fn orders_a_restarted_transcriber_under_its_new_instance_id() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderAnswer::UnderWay);
-    planner.instance(ms(50), &Instance { state: InstanceState::Gone, ..instance("i-1", 1, 1) });
+    planner.order_answered(ms(5), &order, OrderOutcome::UnderWay);
+    planner.instance(ms(50), &Instance { state: InstanceState::Terminated, ..instance("i-1", 1, 1) });
     planner.instance(ms(60), &instance("i-2", 1, 1));
     let sent: Vec<String> = orders(&mut planner).into_iter().map(|order| order.instance).collect();
     assert_eq!(sent, ["i-2"]);
@@ -233,7 +234,7 @@
     }
     planner.name_version(ms(0), MODEL, 2, false);
     let order = orders(&mut planner).pop().expect("one of two loads");
-    planner.order_answered(ms(500), &order, OrderAnswer::Unknown);
+    planner.order_answered(ms(500), &order, OrderOutcome::Unknown);
     let mut now = ms(500);
     let mut ordered_at = None;
     let mut asked_after = 0;
@@ -242,7 +243,7 @@
         planner.tick(now);
         for output in planner.take_outputs() {
             match output {
-                PlanOutput::Ask { instance, .. } if instance == order.instance => {
+                PlanOutput::FetchLoadReport { instance, .. } if instance == order.instance => {
                     asked_after += usize::from(now >= ms(3000));
                     planner.reported(now, &instance, None);
                 }
@@ -272,7 +273,7 @@
     let mut open = orders(&mut planner);
     while let Some(order) = open.pop() {
         order_of_models.push(order.model.clone());
-        planner.order_answered(ms(20), &order, OrderAnswer::AlreadyHolds);
+        planner.order_answered(ms(20), &order, OrderOutcome::AlreadyLoaded);
         open.extend(orders(&mut planner));
     }
     assert_eq!(order_of_models.len(), 12);
--- a/crates/pebblepost-rollout/tests/integration/simulation/digest.rs
+++ b/crates/pebblepost-rollout/tests/integration/simulation/digest.rs
@@ -1,6 +1,6 @@
 //! A digest of what the planner puts out in a whole run: times, orders, requests for reports and loaded versions.
 
-use pebblepost_rollout::{LoadMode, Order, PlanOutput};
+use pebblepost_rollout::{LoadMode, LoadOrder, PlanOutput};
 use std::path::Path;
 use std::time::Duration;
 
@@ -20,12 +20,12 @@
         self.number(u64::try_from(now.as_millis()).expect("a short run"));
         match output {
             PlanOutput::Send(order) => self.order(order),
-            PlanOutput::Ask { instance, address } => {
+            PlanOutput::FetchLoadReport { instance, address } => {
                 self.number(1);
                 self.text(instance);
                 self.text(address);
             }
-            PlanOutput::Holds { instance, model, generation } => {
+            PlanOutput::VersionLoaded { instance, model, generation } => {
                 self.number(2);
                 self.text(instance);
                 self.text(model);
@@ -44,7 +44,7 @@
         format!("{:016x}", self.0)
     }
 
-    fn order(&mut self, order: &Order) {
+    fn order(&mut self, order: &LoadOrder) {
         self.number(0);
         self.text(&order.instance);
         self.text(&order.address);
--- a/crates/pebblepost-rollout/tests/integration/simulation/mod.rs
+++ b/crates/pebblepost-rollout/tests/integration/simulation/mod.rs
@@ -4,7 +4,7 @@
 
 use digest::Digest;
 use pebblepost_messages::feed::{Instance, InstanceState, ModelVersion};
-use pebblepost_rollout::{Order, OrderAnswer, PlanOutput, Planner, Reported};
+use pebblepost_rollout::{LoadOrder, OrderOutcome, PlanOutput, Planner, TranscriberReport};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -82,10 +82,10 @@
 #[derive(Debug)]
 enum Event {
     Announce(Instance),
-    OrderArrives(Order),
-    OrderAnswered(Order, OrderAnswer),
+    OrderArrives(LoadOrder),
+    OrderAnswered(LoadOrder, OrderOutcome),
     PollArrives(String),
-    Reported(String, Option<Reported>),
+    Reported(String, Option<TranscriberReport>),
 }
 
 /// A fleet under a planner.
@@ -229,7 +229,7 @@
     fn inject_faults(&mut self) {
         if self.happens(self.faults.crash_every) {
             let index = self.random.below(self.transcribers.len() as u64) as usize;
-            let gone = self.announcement(index, InstanceState::Gone);
+            let gone = self.announcement(index, InstanceState::Terminated);
             let (zone, versions) =
                 (self.transcribers[index].zone.clone(), self.transcribers[index].versions.clone());
             self.unanswered.remove(&gone.id);
@@ -344,7 +344,7 @@
     /// Hands an announcement on as the registry does: never one of an incarnation that has ended.
     fn announce(&mut self, instance: &Instance) {
         let lives = self.transcribers.iter().any(|transcriber| transcriber.id == instance.id);
-        if lives || instance.state == InstanceState::Gone {
+        if lives || instance.state == InstanceState::Terminated {
             self.planner.instance(self.now, instance);
         }
     }
@@ -361,12 +361,12 @@
                     let delay = self.network_delay();
                     self.schedule(delay, Event::OrderArrives(order));
                 }
-                PlanOutput::Ask { instance, .. } => {
+                PlanOutput::FetchLoadReport { instance, .. } => {
                     self.polls += 1;
                     let delay = self.network_delay();
                     self.schedule(delay, Event::PollArrives(instance));
                 }
-                PlanOutput::Holds { instance, model, generation } => {
+                PlanOutput::VersionLoaded { instance, model, generation } => {
                     let transcriber = self.transcribers.iter().find(|transcriber| transcriber.id == instance);
                     let loaded =
                         transcriber.and_then(|transcriber| transcriber.versions.get(&model)).copied();
@@ -391,28 +391,28 @@
         self.faults.lost_answers > 0 && self.random.below(self.faults.lost_answers) == 0
     }
 
-    fn order_arrives(&mut self, order: Order) {
+    fn order_arrives(&mut self, order: LoadOrder) {
         let index = self.transcriber_index(&order.instance);
         let hangs = index.is_none_or(|index| self.transcribers[index].hangs_until > self.now);
         let Some(index) = index.filter(|_| !hangs) else {
-            return self.schedule(CALL_TIMEOUT, Event::OrderAnswered(order, OrderAnswer::Unknown));
+            return self.schedule(CALL_TIMEOUT, Event::OrderAnswered(order, OrderOutcome::Unknown));
         };
         let transcriber = &mut self.transcribers[index];
         let answer = if transcriber.versions.get(&order.model) == Some(&order.generation) {
-            OrderAnswer::AlreadyHolds
+            OrderOutcome::AlreadyLoaded
         } else if transcriber.load.is_some() {
-            OrderAnswer::Conflict
+            OrderOutcome::Conflict
         } else {
             let first = self.loaded.insert((transcriber.id.clone(), order.model.clone(), order.generation));
             assert!(first, "a second load: {order:?}");
             self.loads += 1;
             let left = self.shape.load;
             transcriber.load = Some(Load { model: order.model.clone(), generation: order.generation, left });
-            OrderAnswer::UnderWay
+            OrderOutcome::UnderWay
         };
         if self.is_lost() {
             record_fault(&mut self.transcribers[index], self.now);
-            self.schedule(CALL_TIMEOUT, Event::OrderAnswered(order, OrderAnswer::Unknown));
+            self.schedule(CALL_TIMEOUT, Event::OrderAnswered(order, OrderOutcome::Unknown));
         } else {
             let delay = self.network_delay();
             self.schedule(delay, Event::OrderAnswered(order, answer));
@@ -425,7 +425,7 @@
         let Some(index) = index.filter(|_| !hangs && !self.is_lost()) else {
             return self.schedule(CALL_TIMEOUT, Event::Reported(instance, None));
         };
-        let report = self.transcribers[index].past.front().map(|(_, busy, versions)| Reported {
+        let report = self.transcribers[index].past.front().map(|(_, busy, versions)| TranscriberReport {
             busy: *busy,
             models: versions.clone().into_iter().collect(),
             running: 0,
--- a/crates/pebblepost-rollout/tests/integration/version_lag.rs
+++ b/crates/pebblepost-rollout/tests/integration/version_lag.rs
@@ -1,7 +1,7 @@
 //! Versions that transcribers pass over because the jobs of a model allow older ones.
 
 use pebblepost_messages::feed::{Instance, InstanceState, ModelVersion};
-use pebblepost_rollout::{OrderAnswer, PlanOutput, Planner};
+use pebblepost_rollout::{OrderOutcome, PlanOutput, Planner};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -76,7 +76,7 @@
                 let former =
                     self.loaded.insert(order.instance.clone(), generation).expect("a known transcriber");
                 loaded_from.push(former);
-                self.planner.order_answered(self.now, &order, OrderAnswer::AlreadyHolds);
+                self.planner.order_answered(self.now, &order, OrderOutcome::AlreadyLoaded);
             }
         }
     }
@@ -123,7 +123,7 @@
         for output in outputs {
             if let PlanOutput::Send(order) = output {
                 loads += 1;
-                planner.order_answered(Duration::from_millis(step), &order, OrderAnswer::AlreadyHolds);
+                planner.order_answered(Duration::from_millis(step), &order, OrderOutcome::AlreadyLoaded);
             }
         }
     }
@@ -201,7 +201,7 @@
         for output in planner.take_outputs() {
             if let PlanOutput::Send(order) = output {
                 loads += 1;
-                planner.order_answered(Duration::from_millis(step * 50), &order, OrderAnswer::AlreadyHolds);
+                planner.order_answered(Duration::from_millis(step * 50), &order, OrderOutcome::AlreadyLoaded);
             }
         }
     }
--- a/crates/pebblepost-settings/src/settings.rs
+++ b/crates/pebblepost-settings/src/settings.rs
@@ -39,11 +39,11 @@
     /// Region of each zone.
     pub zones: BTreeMap<String, String>,
     /// Address for clients, if the process serves them.
-    pub listen_front: Option<SocketAddr>,
+    pub client_address: Option<SocketAddr>,
     /// Address for readiness checks.
-    pub listen_ready: Option<SocketAddr>,
+    pub readiness_address: Option<SocketAddr>,
     /// Address of the control plane's HTTP interface for operators, trainers and transcribers.
-    pub listen_control: Option<SocketAddr>,
+    pub control_address: Option<SocketAddr>,
     /// Resource limits of the machine.
     pub limits: MachineLimits,
     /// Failures that the system tolerates at the same time.
--- a/crates/pebblepost-settings/tests/settings.rs
+++ b/crates/pebblepost-settings/tests/settings.rs
@@ -53,9 +53,9 @@
     assert_eq!(settings.data_dir, None);
     assert_eq!(settings.heartbeat, Duration::from_millis(1300));
     assert_eq!(settings.zones["north"], "country");
-    assert_eq!(settings.listen_front.unwrap().to_string(), "10.1.0.10:8263");
-    assert_eq!(settings.listen_ready.unwrap().to_string(), "10.1.0.10:8268");
-    assert_eq!(settings.listen_control, None);
+    assert_eq!(settings.client_address.unwrap().to_string(), "10.1.0.10:8263");
+    assert_eq!(settings.readiness_address.unwrap().to_string(), "10.1.0.10:8268");
+    assert_eq!(settings.control_address, None);
     assert_eq!(settings.limits.cpu_share, 0.25);
     assert_eq!(settings.limits.memory_bytes, 260 * 1024 * 1024);
     assert_eq!(settings.limits.max_fds, 4100);
@@ -105,7 +105,7 @@
     let text = format!("data_dir=''\nregion=''\nseeds=''\n{SMALLEST}[listen]\nfront=''\n[zones]\nz='r'\n");
     let settings = Settings::parse(&text, "local.toml").unwrap();
     assert_eq!(settings.data_dir, None);
-    assert_eq!(settings.listen_front, None);
+    assert_eq!(settings.client_address, None);
     assert_eq!(settings.region, "r");
     assert!(settings.seeds.is_empty());
 }
--- a/crates/pebblepost-transcriber/src/client.rs
+++ b/crates/pebblepost-transcriber/src/client.rs
@@ -55,11 +55,11 @@
     pub async fn open_stream(
         &self, target: &Target, request: OutgoingRequest,
     ) -> Result<StreamResponse, ClientError> {
-        let call = Call::new(&self.state, self.state.limits.get(), target, request.deadline);
+        let call = Call::new(&self.state, self.state.limits.get(), target, request.timeout);
         call.until_deadline(async {
             let started = call.start(request).await?;
             if !is_event_stream(&started.response.head) {
-                return self.buffer(started).await.map(StreamResponse::Whole);
+                return self.buffer(started).await.map(StreamResponse::Buffered);
             }
             let StartedResponse { connection, response, body } = started;
             let stream = EventStream::new(connection, body, response.framing);
@@ -111,7 +111,7 @@
 
     /// Closes the idle connections to a transcriber that is draining or gone; those in use are closed after their
     /// response. Calls to it whose request is not written yet end with [`ClientError::NotSent`].
-    pub fn close_idle(&self, target: &Target) {
+    pub fn remove_target(&self, target: &Target) {
         self.state.pool.remove(target);
     }
 
@@ -123,7 +123,7 @@
     async fn send_within(
         &self, limits: ClientLimits, target: &Target, request: OutgoingRequest,
     ) -> Result<BufferedResponse, ClientError> {
-        let call = Call::new(&self.state, limits, target, request.deadline);
+        let call = Call::new(&self.state, limits, target, request.timeout);
         call.until_deadline(async {
             let started = call.start(request).await?;
             self.buffer(started).await
--- a/crates/pebblepost-transcriber/src/event_stream.rs
+++ b/crates/pebblepost-transcriber/src/event_stream.rs
@@ -23,7 +23,7 @@
     /// A stream begins: the status is 2xx and the content type `text/event-stream`.
     Stream(ResponseHead, EventStream),
     /// Any other response, complete.
-    Whole(BufferedResponse),
+    Buffered(BufferedResponse),
 }
 
 /// A stream whose head has arrived. Dropping it closes the connection, which cancels the request.
--- a/crates/pebblepost-transcriber/src/model.rs
+++ b/crates/pebblepost-transcriber/src/model.rs
@@ -30,7 +30,7 @@
     /// Id that the response must carry; empty for none.
     pub request_id: String,
     /// Time left, sent as `Deadline-Ms`; the call ends by itself then.
-    pub deadline: Duration,
+    pub timeout: Duration,
 }
 
 /// Head of a response that carries the right `Request-Id`.
--- a/crates/pebblepost-transcriber/src/request.rs
+++ b/crates/pebblepost-transcriber/src/request.rs
@@ -55,5 +55,12 @@
     if let Ok(host) = HeaderValue::from_str(&target.address.to_string()) {
         headers.insert(HOST, host);
     }
-    OutgoingRequest { method, path: path.to_owned(), headers, body, request_id: String::new(), deadline }
+    OutgoingRequest {
+        method,
+        path: path.to_owned(),
+        headers,
+        body,
+        request_id: String::new(),
+        timeout: deadline,
+    }
 }
--- a/crates/pebblepost-transcriber/tests/client/exchanges.rs
+++ b/crates/pebblepost-transcriber/tests/client/exchanges.rs
@@ -194,7 +194,7 @@
         let (notify, closed) = oneshot::channel();
         let server = Scripted::start(vec![vec![Step::Read, Step::AwaitClose(notify)]]).await;
         let request =
-            pebblepost_transcriber::OutgoingRequest { deadline: Duration::from_millis(30), ..outgoing("a") };
+            pebblepost_transcriber::OutgoingRequest { timeout: Duration::from_millis(30), ..outgoing("a") };
         let failure = client().send(&server.target(), request).await.unwrap_err();
         assert_eq!(failure, ClientError::TimedOut);
         closed.await.unwrap();
@@ -233,7 +233,7 @@
         let (first, second, third) =
             tokio::join!(client.send(&target, outgoing("a")), client.send(&target, outgoing("b")), async {
                 let request = pebblepost_transcriber::OutgoingRequest {
-                    deadline: Duration::from_millis(20),
+                    timeout: Duration::from_millis(20),
                     ..outgoing("c")
                 };
                 let failure = client.send(&target, request).await.unwrap_err();
@@ -281,7 +281,7 @@
             Scripted::start(vec![vec![Step::Read, Step::Write(OK_A), Step::AwaitClose(notify)]]).await;
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
-        client.close_idle(&server.target());
+        client.remove_target(&server.target());
         closed.await.unwrap();
     });
 }
@@ -304,7 +304,7 @@
             client.send(&target, outgoing("c")),
             async {
                 wait_started.await.unwrap();
-                client.close_idle(&target);
+                client.remove_target(&target);
                 release.send(()).unwrap();
             }
         );
@@ -321,7 +321,7 @@
         let client = client();
         let target = server.target();
         let (response, ()) = tokio::join!(client.send(&target, outgoing("a")), async {
-            client.close_idle(&target);
+            client.remove_target(&target);
         });
         assert_eq!(response.unwrap_err(), ClientError::NotSent);
         assert!(server.requests().is_empty());
@@ -422,7 +422,7 @@
     run(async {
         let server = Scripted::start(vec![vec![Step::Read, Step::Write(OK_A)]]).await;
         match client().open_stream(&server.target(), outgoing("a")).await.unwrap() {
-            StreamResponse::Whole(response) => assert_eq!(&response.body[..], b"hi"),
+            StreamResponse::Buffered(response) => assert_eq!(&response.body[..], b"hi"),
             StreamResponse::Stream(..) => panic!("no stream"),
         }
     });
--- a/crates/pebblepost-transcriber/tests/client/streams.rs
+++ b/crates/pebblepost-transcriber/tests/client/streams.rs
@@ -13,7 +13,7 @@
 async fn open(server: &Scripted) -> (ResponseHead, EventStream) {
     match client().open_stream(&server.target(), outgoing("a")).await.unwrap() {
         StreamResponse::Stream(head, stream) => (head, stream),
-        StreamResponse::Whole(response) => panic!("no stream: {response:?}"),
+        StreamResponse::Buffered(response) => panic!("no stream: {response:?}"),
     }
 }
 
--- a/crates/pebblepost-transcriber/tests/client/support.rs
+++ b/crates/pebblepost-transcriber/tests/client/support.rs
@@ -154,7 +154,7 @@
         headers,
         body: Bytes::from_static(b"abc"),
         request_id: id.to_owned(),
-        deadline: Duration::from_secs(5),
+        timeout: Duration::from_secs(5),
     }
 }
 
