--- a/crates/pebblepost-membership/tests/common/mod.rs
+++ b/crates/pebblepost-membership/tests/membership/common/mod.rs
@@ -1,6 +1,4 @@
 //! A simulated network of members: delays, loss, partitions, freezes, restarts.
-#![allow(dead_code, reason = "each test binary uses a part of it")]
-
 use pebblepost_membership::{Member, MemberState, Membership, Output, Settings};
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::{
@@ -32,6 +30,7 @@
 
 /// A change that one node saw of another.
 #[derive(Clone, Debug)]
+#[expect(dead_code, reason = "who saw it, and when, is printed where an assertion fails")]
 pub struct Observation {
     pub at: Duration,
     pub by: usize,
--- a/crates/pebblepost-membership/tests/datagrams.rs
+++ b/crates/pebblepost-membership/tests/membership/datagrams.rs
@@ -1,16 +1,18 @@
 //! Datagrams of any content are survived.
 
-mod common;
-
-use common::address;
+use crate::common::address;
 use pebblepost_membership::{Member, Membership, Output, Settings};
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::time::Duration;
 
 fn member(node: usize) -> Membership {
     let settings = Settings { seeds: vec![address(0), address(1)], ..Settings::default() };
-    let me =
-        Member { name: common::name(node), address: address(node), payload: vec![7; 64], incarnation: 1 };
+    let me = Member {
+        name: crate::common::name(node),
+        address: address(node),
+        payload: vec![7; 64],
+        incarnation: 1,
+    };
     Membership::new(me, settings, node as u64)
 }
 
@@ -58,7 +60,8 @@
 
 #[test]
 fn members_beyond_the_bound_are_ignored() {
-    let me = Member { name: common::name(0), address: address(0), payload: Vec::new(), incarnation: 1 };
+    let me =
+        Member { name: crate::common::name(0), address: address(0), payload: Vec::new(), incarnation: 1 };
     let mut receiver = Membership::new(me, Settings { max_members: 10, ..Settings::default() }, 1);
     for node in 1..100 {
         let mut sender = member(node);
--- a/crates/pebblepost-membership/tests/pinned_bytes.rs
+++ b/crates/pebblepost-membership/tests/membership/pinned_bytes.rs
@@ -2,9 +2,7 @@
 //!
 //! Members of different versions talk to one another: no renaming may change a byte or a draw.
 
-mod common;
-
-use common::{Digest, Network, PERIOD, Transcript};
+use crate::common::{Digest, Network, PERIOD, Transcript};
 use pebblepost_membership::Settings;
 use std::fmt::Write;
 
@@ -40,5 +38,5 @@
             writeln!(text, "  kind {kind}: {count} {digest:016x}").expect("a string takes it");
         }
     }
-    assert_eq!(text, include_str!("approved/runs.txt"));
+    assert_eq!(text, include_str!("../approved/runs.txt"));
 }
--- a/crates/pebblepost-membership/tests/simulation.rs
+++ b/crates/pebblepost-membership/tests/membership/simulation.rs
@@ -1,8 +1,6 @@
 //! Members on a simulated network, 5 to 200 of them.
 
-mod common;
-
-use common::{Network, PERIOD, states_seen};
+use crate::common::{Network, PERIOD, states_seen};
 use pebblepost_membership::{MemberState, Settings};
 use rstest::rstest;
 use std::time::Duration;
--- a/crates/pebblepost-replication/tests/group/mod.rs
+++ b/crates/pebblepost-replication/tests/replication/group/mod.rs
@@ -1,7 +1,5 @@
 //! Some replicas without disks or links, and a configuration manager.
 
-#![allow(dead_code, reason = "each test binary uses a part of the group")]
-
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::{EpochRecord, Tolerance};
 use pebblepost_replication::replica::{
--- a/crates/pebblepost-replication/tests/guards.rs
+++ b/crates/pebblepost-replication/tests/replication/guards.rs
@@ -1,10 +1,8 @@
 //! Each safety guard taken out: the checkers of the simulation notice.
 
-mod simulation;
-
+use crate::simulation::{Options, Plan, first_violation};
 use pebblepost_replication::guards::{RegisterGuards, ReplicaGuards};
 use rstest::rstest;
-use simulation::{Options, Plan, first_violation};
 
 /// Schedules within which a missing guard must show. Each case starts shortly before the first
 /// seed that shows it, so that the whole takes seconds.
--- /dev/null
+++ b/crates/pebblepost-replication/tests/replication/main.rs
@@ -0,0 +1,11 @@
+//! Tests of the epoch register and of the replica, alone and in simulated groups.
+
+mod group;
+mod guards;
+mod pinned_bytes;
+mod register;
+mod removal;
+mod replica;
+mod resumption;
+mod schedules;
+mod simulation;
--- a/crates/pebblepost-replication/tests/pinned_bytes.rs
+++ b/crates/pebblepost-replication/tests/replication/pinned_bytes.rs
@@ -3,17 +3,14 @@
 //! Programs of different versions talk to one another and read one another's disks: none of this
 //! may change by a renaming.
 
-mod group;
-mod simulation;
-
-use group::{Group, member, record};
+use crate::group::{Group, member, record};
+use crate::simulation::transcript::{Digest, Transcript, Variant};
+use crate::simulation::{Options, Plan};
 use nanoserde::{DeBin, SerBin};
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
 use pebblepost_replication::register::WitnessState;
 use pebblepost_replication::replica::{DiskRecord, ReplicaOutput};
-use simulation::transcript::{Digest, Transcript, Variant};
-use simulation::{Options, Plan};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -67,7 +64,7 @@
 
 #[test]
 fn stored_forms_are_read_and_written_as_before() {
-    let approved = include_str!("approved/stored_forms.txt");
+    let approved = include_str!("../approved/stored_forms.txt");
     assert_pinned("epoch-record", &full_record(), approved);
     assert_pinned("witness-state", &full_witness_state(), approved);
     assert_pinned("witness-state-empty", &WitnessState::default(), approved);
@@ -109,7 +106,7 @@
     [Plan::Random, Plan::Tolerated, Plan::Targets, Plan::Transitions, Plan::SecondLoss, Plan::StaleMinority];
 
 fn run(machines: usize, tolerance: usize, plan: Plan, seed: u64) -> Transcript {
-    let mut world = simulation::world::World::new(Options::new(machines, tolerance, plan), seed);
+    let mut world = crate::simulation::world::World::new(Options::new(machines, tolerance, plan), seed);
     world.transcript = Some(Transcript::default());
     assert!(world.run().is_ok());
     world.transcript.take().expect("a transcript")
@@ -137,5 +134,5 @@
     for ((kind, tag), Variant { count, digest: Digest(digest) }) in variants {
         writeln!(text, "{kind} {tag}: {count} {digest:016x}").expect("a string takes it");
     }
-    assert_eq!(text, include_str!("approved/runs.txt"));
+    assert_eq!(text, include_str!("../approved/runs.txt"));
 }
--- a/crates/pebblepost-replication/tests/removal.rs
+++ b/crates/pebblepost-replication/tests/replication/removal.rs
@@ -1,8 +1,6 @@
 //! Removal of replicas, and replicas that may lack what they are counted on for.
 
-mod group;
-
-use group::{Entries, Group, member, record, settings};
+use crate::group::{Entries, Group, member, record, settings};
 use pebblepost_replication::guards::ReplicaGuards;
 use pebblepost_replication::record::EpochRecord;
 use pebblepost_replication::replica::{DiskRecord, Replica, ReplicaOutput, StateMachine};
--- a/crates/pebblepost-replication/tests/replica.rs
+++ b/crates/pebblepost-replication/tests/replication/replica.rs
@@ -1,8 +1,6 @@
 //! The replica by itself: acting, recovery, catching up, limits.
 
-mod group;
-
-use group::{Group, member, record};
+use crate::group::{Group, member, record};
 use pebblepost_replication::replica::{DiskRecord, ProposeError};
 use rstest::rstest;
 
--- a/crates/pebblepost-replication/tests/schedules.rs
+++ b/crates/pebblepost-replication/tests/replication/schedules.rs
@@ -1,9 +1,7 @@
 //! Many simulated schedules: nothing acknowledged is lost, whatever fails within the tolerance.
 
-mod simulation;
-
+use crate::simulation::{Options, Plan, run_all};
 use rstest::rstest;
-use simulation::{Options, Plan, run_all};
 
 #[rstest]
 #[case::three_random_1(3, 1, Plan::Random, 0, 1200)]
--- a/crates/pebblepost-replication/tests/simulation/mod.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/mod.rs
@@ -1,7 +1,5 @@
 //! A deterministic simulation of a replicated group: seeded network, clocks, disks and faults.
 
-#![allow(dead_code, reason = "each test binary uses a part of the simulation")]
-
 pub mod checker;
 pub mod disk;
 pub mod faults;
--- a/crates/pebblepost-ring/tests/common/mod.rs
+++ b/crates/pebblepost-ring/tests/ring/common/mod.rs
@@ -1,6 +1,4 @@
 //! A simulated disk with power loss, and a journal whose recoveries are checked.
-#![allow(dead_code, reason = "each test binary uses a part of it")]
-
 pub mod checked;
 pub mod simulated_disk;
 
--- a/crates/pebblepost-ring/tests/common/simulated_disk.rs
+++ b/crates/pebblepost-ring/tests/ring/common/simulated_disk.rs
@@ -127,10 +127,6 @@
         self.state().operations_left == Some(0)
     }
 
-    pub fn operations(&self) -> u64 {
-        self.state().operations
-    }
-
     pub fn syncs(&self) -> u64 {
         self.state().syncs
     }
@@ -153,12 +149,6 @@
         digest.0
     }
 
-    /// Total length of all files.
-    pub fn total_bytes(&self) -> u64 {
-        let state = self.state();
-        state.names.values().map(|content| state.contents[*content].live.len() as u64).sum()
-    }
-
     /// What the disk holds after power was lost; power is back afterwards.
     pub fn restore_power(&self) {
         let mut state = self.state();
--- a/crates/pebblepost-ring/tests/disk.rs
+++ b/crates/pebblepost-ring/tests/ring/disk.rs
@@ -1,8 +1,6 @@
 //! The disk's thread, on real files and on a simulated disk in faults.
 
-mod common;
-
-use common::simulated_disk::{Faults, SimulatedDisk};
+use crate::common::simulated_disk::{Faults, SimulatedDisk};
 use pebblepost_ring::{Completion, Disk, Recovered, journal::Options};
 use std::{
     fs,
--- /dev/null
+++ b/crates/pebblepost-ring/tests/ring/main.rs
@@ -0,0 +1,6 @@
+//! Tests of the journal and of the disk thread, on real files and on a simulated disk.
+
+mod common;
+mod disk;
+mod pinned_bytes;
+mod power_loss;
--- a/crates/pebblepost-ring/tests/pinned_bytes.rs
+++ b/crates/pebblepost-ring/tests/ring/pinned_bytes.rs
@@ -1,9 +1,7 @@
 //! Files on disk, whole simulated runs and the texts of errors are those that were approved.
 
-mod common;
-
-use common::checked::{CheckedJournal, Schedule};
-use common::simulated_disk::Faults;
+use crate::common::checked::{CheckedJournal, Schedule};
+use crate::common::simulated_disk::Faults;
 use pebblepost_ring::{
     Disk,
     error::{RingError, Step},
@@ -118,7 +116,7 @@
             writeln!(text, "{write_errors} {sync_errors} {seed}: {digest:016x}").expect("a string takes it");
         }
     }
-    assert_eq!(text, include_str!("approved/schedules.txt"));
+    assert_eq!(text, include_str!("../approved/schedules.txt"));
 }
 
 /// An error with all its causes, as programs print it.
@@ -159,5 +157,5 @@
     let file = folder.path().join("file");
     fs::write(&file, []).expect("a file");
     writeln!(text, "{}", opening_error(&file, 1 << 24)).expect("a string takes it");
-    assert_eq!(text, include_str!("approved/errors.txt"));
+    assert_eq!(text, include_str!("../approved/errors.txt"));
 }
--- a/crates/pebblepost-ring/tests/power_loss.rs
+++ b/crates/pebblepost-ring/tests/ring/power_loss.rs
@@ -1,8 +1,6 @@
 //! Exact recovery after power loss, kills and disk faults, on a simulated disk.
 
-mod common;
-
-use common::{
+use crate::common::{
     checked::{CheckedJournal, Schedule, Violation},
     simulated_disk::{Faults, Omissions},
 };
