--- a/crates/pebblepost-dispatch/src/bin/pebblepost-dispatch-adapter.rs
+++ b/crates/pebblepost-dispatch/src/bin/pebblepost-dispatch-adapter.rs
@@ -1,9 +1,10 @@
-//! Hosts many dispatchers on the bench's wire: batches on standard input, replies on standard
-//! output. Makes no decisions.
+//! Hosts many dispatchers on the byte protocol of the operators' simulator: batches on standard input,
+//! replies on standard output. Makes no decisions.
 
 #![forbid(unsafe_code)]
 
 use pebblepost_dispatch::Dispatcher;
+use pebblepost_dispatch::api::{Action, Time};
 use pebblepost_dispatch::wire::{BATCH_HEADER, BatchHeader, Message, Reply, WireError, parse_batch};
 use std::collections::HashMap;
 use std::io::{self, BufReader, Read, Write};
@@ -20,39 +21,48 @@
 }
 
 fn run(mut input: impl Read, mut output: impl Write) -> io::Result<()> {
-    // `None`: launched once and killed since.
-    let mut instances: HashMap<u32, Option<Dispatcher>> = HashMap::new();
-    let (mut body, mut actions, mut reply) = (Vec::new(), Vec::new(), Reply::default());
+    let mut host = Host::default();
+    let mut body = Vec::new();
     while let Some(header) = read_header(&mut input)? {
         body.clear();
         if input.by_ref().take(header.size as u64).read_to_end(&mut body)? < header.size {
             return Err(io::Error::other(WireError::Truncated("batch")));
         }
         for (instance, message) in parse_batch(&header, &body).map_err(io::Error::other)? {
-            match message {
-                Message::Launch(seed, settings) => {
-                    instances.insert(instance, Some(Dispatcher::new(*settings, seed, header.now)));
-                }
-                Message::Shutdown => {
-                    let slot = instances.get_mut(&instance);
-                    *slot.ok_or_else(|| io::Error::other(WireError::UnknownInstance(instance)))? = None;
-                }
-                Message::Event(event) => {
-                    let slot = instances.get_mut(&instance);
-                    let slot = slot.ok_or_else(|| io::Error::other(WireError::UnknownInstance(instance)))?;
-                    if let Some(dispatcher) = slot {
-                        dispatcher.handle(header.now, event, &mut actions);
-                    }
-                    actions.drain(..).for_each(|action| reply.push(instance, &action));
-                }
-            }
+            host.take_in(header.now, instance, message).map_err(io::Error::other)?;
         }
-        output.write_all(&reply.take())?;
+        output.write_all(&host.reply.take())?;
         output.flush()?;
     }
     Ok(())
 }
 
+/// The instances of one process and the reply to the present batch.
+#[derive(Default)]
+struct Host {
+    /// By their numbers; `None`: launched once and shut down since.
+    instances: HashMap<u32, Option<Dispatcher>>,
+    actions: Vec<Action>,
+    reply: Reply,
+}
+
+impl Host {
+    fn take_in(&mut self, now: Time, instance: u32, message: Message) -> Result<(), WireError> {
+        if let Message::Launch(seed, settings) = message {
+            self.instances.insert(instance, Some(Dispatcher::new(*settings, seed, now)));
+            return Ok(());
+        }
+        let slot = self.instances.get_mut(&instance).ok_or(WireError::UnknownInstance(instance))?;
+        match (message, slot) {
+            (Message::Event(event), Some(dispatcher)) => dispatcher.handle(now, event, &mut self.actions),
+            (Message::Shutdown, slot) => *slot = None,
+            (Message::Event(_), None) | (Message::Launch(..), _) => {}
+        }
+        self.actions.drain(..).for_each(|action| self.reply.push(instance, &action));
+        Ok(())
+    }
+}
+
 /// The next header; `None` at the clean end of input.
 fn read_header(input: &mut impl Read) -> io::Result<Option<BatchHeader>> {
     let mut header = Vec::with_capacity(BATCH_HEADER);
