--- a/crates/pebblepost-batch-store/src/store/handlers/version_lag.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/version_lag.rs
@@ -1,4 +1,4 @@
-//! Reports of version lags to the control plane, which plans roll-outs by them. The wire calls a lag slack.
+//! Reports of version lags to the control plane, which plans roll-outs by them.
 
 use crate::store::Store;
 use pebblepost_messages::control::ToControl;
@@ -15,14 +15,14 @@
         if model.is_empty() {
             return;
         }
-        let slack = self.version_lags.observe(model, min_version);
-        self.outbox.send_to_control(ToControl::VersionSlack { model: model.to_owned(), slack });
+        let lag = self.version_lags.observe(model, min_version);
+        self.outbox.send_to_control(ToControl::VersionLag { model: model.to_owned(), lag });
     }
 
     /// Reports the newest lag of each model to a new primary of the control plane.
     pub(crate) fn report_version_lags(&mut self) {
-        for (model, slack) in self.version_lags.allowed() {
-            let message = ToControl::VersionSlack { model: model.to_owned(), slack };
+        for (model, lag) in self.version_lags.allowed() {
+            let message = ToControl::VersionLag { model: model.to_owned(), lag };
             self.outbox.send_to_control(message);
         }
     }
--- a/crates/pebblepost-control/src/node/links.rs
+++ b/crates/pebblepost-control/src/node/links.rs
@@ -42,9 +42,9 @@
                 }
             }
             ToControl::Announce(_) | ToControl::KeepAlive => {}
-            ToControl::VersionSlack { model, slack } => {
+            ToControl::VersionLag { model, lag } => {
                 if let Some(primary) = &mut self.primary {
-                    primary.planner.observe_slack(now, &model, slack);
+                    primary.planner.observe_version_lag(now, &model, lag);
                 }
             }
             ToControl::Status => {
--- a/crates/pebblepost-control/src/node/primary.rs
+++ b/crates/pebblepost-control/src/node/primary.rs
@@ -66,7 +66,7 @@
         };
         primary.publish(now, state);
         for instance in registry.live() {
-            primary.planner.instance(now, instance);
+            primary.planner.instance_announced(now, instance);
         }
         primary
     }
@@ -86,7 +86,7 @@
         let urgency = if change.has_shutdown { Urgency::Immediate } else { Urgency::Coalesced };
         self.feed.publish_instances(now, &change.instances, urgency);
         for instance in &change.instances {
-            self.planner.instance(now, instance);
+            self.planner.instance_announced(now, instance);
         }
     }
 
@@ -115,7 +115,7 @@
     ) {
         for output in self.planner.take_outputs() {
             match output {
-                PlanOutput::Send(order) if may_order => {
+                PlanOutput::SendOrder(order) if may_order => {
                     log::info!(
                         "load order sent instance={} model={} generation={}",
                         order.instance,
@@ -125,7 +125,7 @@
                     let body = load_order::body(&order, node, self.epoch);
                     outputs.push(Output::SendOrder { order, body, lease_checked_at: now });
                 }
-                PlanOutput::Send(order) => {
+                PlanOutput::SendOrder(order) => {
                     self.planner.order_answered(now, &order, OrderOutcome::Rejected);
                 }
                 PlanOutput::FetchLoadReport { instance, address } => {
--- a/crates/pebblepost-control/src/runtime/transcriber_tasks.rs
+++ b/crates/pebblepost-control/src/runtime/transcriber_tasks.rs
@@ -40,7 +40,7 @@
         None => None,
     };
     let report = report.map(|load| TranscriberReport {
-        busy: load.order_in_progress,
+        is_loading: load.order_in_progress,
         models: load.models,
         running: load.running,
     });
@@ -51,7 +51,7 @@
 fn order_answer(status: u16) -> OrderOutcome {
     match status {
         200 => OrderOutcome::AlreadyLoaded,
-        202 => OrderOutcome::UnderWay,
+        202 => OrderOutcome::Accepted,
         409 => OrderOutcome::Conflict,
         412 => OrderOutcome::Fenced,
         _ => OrderOutcome::Rejected,
--- a/crates/pebblepost-control/tests/control/whole_system_run.rs
+++ b/crates/pebblepost-control/tests/control/whole_system_run.rs
@@ -88,7 +88,7 @@
         self.answered_orders = self.cluster.orders.len();
         for (_, node, order, _) in orders {
             let answer = match self.random.below(5) {
-                0 => OrderOutcome::UnderWay,
+                0 => OrderOutcome::Accepted,
                 1 => OrderOutcome::Conflict,
                 2 => OrderOutcome::Unknown,
                 3 => OrderOutcome::Rejected,
@@ -100,7 +100,7 @@
         self.answered_reports = self.cluster.report_requests.len();
         let Some(primary) = self.cluster.acting_nodes().first().copied() else { return };
         for (_, instance) in report_requests {
-            let report = TranscriberReport { busy: false, models: vec![("m".into(), 1)], running: 1 };
+            let report = TranscriberReport { is_loading: false, models: vec![("m".into(), 1)], running: 1 };
             self.cluster.report(primary, &instance, report);
         }
     }
--- a/crates/pebblepost-dispatch/src/lib.rs
+++ b/crates/pebblepost-dispatch/src/lib.rs
@@ -49,8 +49,6 @@
 mod timers;
 pub mod wire;
 mod worker_table;
-/// The former path of [`reservation`].
-pub use reservation as room;
 
 #[doc = include_str!("../../../README.md")]
 #[cfg(doctest)]
--- a/crates/pebblepost-messages/src/control.rs
+++ b/crates/pebblepost-messages/src/control.rs
@@ -76,11 +76,11 @@
     /// Asks for the state of the control plane, for an operator's command.
     Status,
     /// From a storage machine: by how many versions the last batch job of a model may lag behind the newest named one.
-    VersionSlack {
+    VersionLag {
         /// The model.
         model: String,
         /// Versions.
-        slack: u64,
+        lag: u64,
     },
 }
 
--- a/crates/pebblepost-messages/tests/encodings.rs
+++ b/crates/pebblepost-messages/tests/encodings.rs
@@ -251,7 +251,7 @@
     encodings.add("to_control.announce", &ToControl::Announce(vec![instance(InstanceState::Ready)]));
     encodings.add("to_control.keep_alive", &ToControl::KeepAlive);
     encodings.add("to_control.status", &ToControl::Status);
-    encodings.add("to_control.version_slack", &ToControl::VersionSlack { model: "lm".into(), slack: 2 });
+    encodings.add("to_control.version_slack", &ToControl::VersionLag { model: "lm".into(), lag: 2 });
 }
 
 fn from_control(encodings: &mut Encodings) {
--- a/crates/pebblepost-proxy/src/dispatch/dispatcher_settings.rs
+++ b/crates/pebblepost-proxy/src/dispatch/dispatcher_settings.rs
@@ -4,7 +4,7 @@
 use super::worker_table::HOME_ZONE;
 use pebblepost_dispatch::Settings;
 use pebblepost_dispatch::api::{Discovery, Prices, ReportField, ReportSource};
-use pebblepost_dispatch::room::ReservationSettings;
+use pebblepost_dispatch::reservation::ReservationSettings;
 use std::time::Duration;
 
 /// Shortest time between two calls of the dispatcher's timer.
--- a/crates/pebblepost-rollout/src/message.rs
+++ b/crates/pebblepost-rollout/src/message.rs
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// 202: the load has started.
-    UnderWay,
+    Accepted,
     /// 200: the version is loaded already.
     AlreadyLoaded,
     /// 409: another load is in progress.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TranscriberReport {
     /// Whether a load is in progress.
-    pub busy: bool,
+    pub is_loading: bool,
     /// Loaded models and their versions.
     pub models: Vec<(String, u64)>,
     /// Number of running requests.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlanOutput {
     /// Send an order, then call [`Planner::order_answered`](crate::Planner::order_answered).
-    Send(LoadOrder),
+    SendOrder(LoadOrder),
     /// Fetch a report, then call [`Planner::reported`](crate::Planner::reported).
     FetchLoadReport {
         /// Instance id of the transcriber.
--- a/crates/pebblepost-rollout/src/planner.rs
+++ b/crates/pebblepost-rollout/src/planner.rs
@@ -48,13 +48,13 @@
     }
 
     /// A batch job of a model was accepted that allows this many versions behind the newest named one.
-    pub fn observe_slack(&mut self, now: Duration, model: &str, slack: u64) {
-        self.lags.observe(model, slack);
+    pub fn observe_version_lag(&mut self, now: Duration, model: &str, lag: u64) {
+        self.lags.observe(model, lag);
         self.tick(now);
     }
 
     /// A transcriber was announced, has changed or has ended.
-    pub fn instance(&mut self, now: Duration, instance: &Instance) {
+    pub fn instance_announced(&mut self, now: Duration, instance: &Instance) {
         if instance.state == InstanceState::Terminated {
             self.transcribers.remove(&instance.id);
         } else if let Some(transcriber) = self.transcribers.get_mut(&instance.id) {
@@ -69,7 +69,7 @@
 
     /// Number of running requests of a transcriber, where the caller learns it by other means than
     /// reports. Of transcribers that lag equally, the one with the fewest is ordered first.
-    pub fn running(&mut self, instance: &str, running: u32) {
+    pub fn set_running_requests(&mut self, instance: &str, running: u32) {
         if let Some(transcriber) = self.transcribers.get_mut(instance) {
             transcriber.running_requests = running;
         }
@@ -86,7 +86,7 @@
     }
 
     /// A report was fetched; `None` if the call has failed.
-    pub fn reported(&mut self, now: Duration, instance: &str, report: Option<TranscriberReport>) {
+    pub fn report_received(&mut self, now: Duration, instance: &str, report: Option<TranscriberReport>) {
         if let Some(transcriber) = self.transcribers.get_mut(instance) {
             let newly_loaded = transcriber.reported(now, report).into_iter();
             let outputs = newly_loaded.map(|(model, generation)| loaded(instance, model, generation));
@@ -159,7 +159,7 @@
         let Some(newest) = self.versions.get(&placement.model) else { return };
         let Some(transcriber) = self.transcribers.get_mut(&placement.instance) else { return };
         transcriber.pending_order = Some(PendingOrder::new(now, &placement.model, newest.generation));
-        self.outputs.push(PlanOutput::Send(LoadOrder {
+        self.outputs.push(PlanOutput::SendOrder(LoadOrder {
             instance: placement.instance.clone(),
             address: transcriber.address.clone(),
             model: placement.model.clone(),
--- a/crates/pebblepost-rollout/src/transcriber.rs
+++ b/crates/pebblepost-rollout/src/transcriber.rs
@@ -71,7 +71,7 @@
         };
         match answer {
             OrderOutcome::Unknown => pending.unanswered(now),
-            OrderOutcome::UnderWay => {
+            OrderOutcome::Accepted => {
                 pending.accepted(now);
                 self.backoff.reset();
             }
@@ -104,7 +104,7 @@
         };
         pending.report_received(now);
         self.running_requests = report.running;
-        if report.busy {
+        if report.is_loading {
             return Vec::new();
         }
         let is_new = |(model, generation): &(String, u64)| self.set_loaded(model, *generation);
--- a/crates/pebblepost-rollout/tests/integration/fleet.rs
+++ b/crates/pebblepost-rollout/tests/integration/fleet.rs
@@ -89,8 +89,8 @@
             simulation.run_for(Duration::from_millis(random.below(2_500)));
             *generation += 1;
             simulation.name_version(&model_name(number), *generation, number % 2 == 0);
-            simulation.planner.observe_slack(simulation.now, &model_name(number), random.below(3));
-            simulation.planner.running(&format!("i-{}", random.below(9)), 3);
+            simulation.planner.observe_version_lag(simulation.now, &model_name(number), random.below(3));
+            simulation.planner.set_running_requests(&format!("i-{}", random.below(9)), 3);
         }
     }
     simulation.faults = Faults::default();
--- a/crates/pebblepost-rollout/tests/integration/planner.rs
+++ b/crates/pebblepost-rollout/tests/integration/planner.rs
@@ -25,7 +25,7 @@
 }
 
 fn report(busy: bool, generation: u64) -> Option<TranscriberReport> {
-    Some(TranscriberReport { busy, models: vec![(MODEL.to_owned(), generation)], running: 0 })
+    Some(TranscriberReport { is_loading: busy, models: vec![(MODEL.to_owned(), generation)], running: 0 })
 }
 
 fn orders(planner: &mut Planner) -> Vec<LoadOrder> {
@@ -33,7 +33,7 @@
     outputs
         .into_iter()
         .filter_map(|output| match output {
-            PlanOutput::Send(order) => Some(order),
+            PlanOutput::SendOrder(order) => Some(order),
             _ => None,
         })
         .collect()
@@ -42,7 +42,7 @@
 /// A planner with one transcriber that was just ordered to load version 2.
 fn one_order() -> (Planner, LoadOrder) {
     let mut planner = Planner::new(Duration::ZERO);
-    planner.instance(ms(0), &instance("i-1", 1, 1));
+    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
     planner.name_version(ms(0), MODEL, 2, false);
     let order = orders(&mut planner).pop().expect("one order");
     (planner, order)
@@ -55,17 +55,17 @@
 #[test]
 fn polls_an_order_until_the_version_is_loaded() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::UnderWay);
+    planner.order_answered(ms(5), &order, OrderOutcome::Accepted);
     planner.tick(ms(300));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(355));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.reported(ms(360), "i-1", report(true, 1));
+    planner.report_received(ms(360), "i-1", report(true, 1));
     planner.tick(ms(500));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(510));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.reported(ms(515), "i-1", report(false, 2));
+    planner.report_received(ms(515), "i-1", report(false, 2));
     let loaded =
         PlanOutput::VersionLoaded { instance: "i-1".to_owned(), model: MODEL.to_owned(), generation: 2 };
     assert_eq!(planner.take_outputs(), [loaded]);
@@ -75,10 +75,10 @@
 #[test]
 fn load_in_progress_is_not_loaded() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::UnderWay);
+    planner.order_answered(ms(5), &order, OrderOutcome::Accepted);
     planner.tick(ms(355));
     planner.take_outputs();
-    planner.reported(ms(360), "i-1", report(true, 2));
+    planner.report_received(ms(360), "i-1", report(true, 2));
     assert_eq!(planner.take_outputs(), []);
 }
 
@@ -87,7 +87,7 @@
 #[case::several_versions(false, LoadMode::Retain)]
 fn load_mode_depends_on_single_version(#[case] single_version: bool, #[case] mode: LoadMode) {
     let mut planner = Planner::new(Duration::ZERO);
-    planner.instance(ms(0), &instance("i-1", 1, 1));
+    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
     planner.name_version(ms(0), MODEL, 2, single_version);
     assert_eq!(orders(&mut planner)[0].mode, mode);
 }
@@ -95,7 +95,7 @@
 #[test]
 fn sends_no_order_before_the_former_lease_is_over() {
     let mut planner = Planner::new(ms(3000));
-    planner.instance(ms(0), &instance("i-1", 1, 1));
+    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
     planner.name_version(ms(0), MODEL, 2, false);
     assert_eq!(planner.next_wake(ms(0)), Some(ms(3000)));
     planner.tick(ms(2999));
@@ -107,7 +107,7 @@
 #[test]
 fn skips_versions_that_are_not_the_newest() {
     let mut planner = Planner::new(ms(1000));
-    planner.instance(ms(0), &instance("i-1", 1, 1));
+    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
     planner.name_version(ms(0), MODEL, 2, false);
     planner.name_version(ms(10), MODEL, 3, false);
     planner.name_version(ms(20), MODEL, 2, false);
@@ -122,11 +122,11 @@
     planner.order_answered(ms(100), &order, OrderOutcome::Unknown);
     planner.tick(ms(250));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.reported(ms(255), "i-1", report(false, 1));
+    planner.report_received(ms(255), "i-1", report(false, 1));
     assert_eq!(planner.take_outputs(), [], "the report may be older than the order");
     planner.tick(ms(800));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.reported(ms(805), "i-1", report(false, 1));
+    planner.report_received(ms(805), "i-1", report(false, 1));
     assert_eq!(orders(&mut planner).len(), 1);
 }
 
@@ -136,10 +136,10 @@
     planner.order_answered(ms(100), &order, OrderOutcome::Unknown);
     planner.tick(ms(250));
     planner.take_outputs();
-    planner.reported(ms(255), "i-1", report(true, 1));
+    planner.report_received(ms(255), "i-1", report(true, 1));
     planner.tick(ms(800));
     planner.take_outputs();
-    planner.reported(ms(805), "i-1", report(false, 2));
+    planner.report_received(ms(805), "i-1", report(false, 2));
     assert_eq!(orders(&mut planner), []);
 }
 
@@ -175,7 +175,7 @@
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(1005));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.reported(ms(1010), "i-1", report(false, 1));
+    planner.report_received(ms(1010), "i-1", report(false, 1));
     assert_eq!(orders(&mut planner).len(), 1);
 }
 
@@ -184,7 +184,7 @@
     let (mut planner, order) = one_order();
     planner.order_answered(ms(5), &order, OrderOutcome::AlreadyLoaded);
     planner.take_outputs();
-    planner.instance(ms(900), &instance("i-1", 1, 2));
+    planner.instance_announced(ms(900), &instance("i-1", 1, 2));
     planner.tick(ms(2000));
     assert_eq!(planner.take_outputs(), []);
 }
@@ -194,8 +194,8 @@
 #[case::gone(InstanceState::Terminated)]
 fn sends_no_order_to_a_draining_or_ended_transcriber(#[case] state: InstanceState) {
     let mut planner = Planner::new(Duration::ZERO);
-    planner.instance(ms(0), &instance("i-1", 1, 1));
-    planner.instance(ms(1), &Instance { state, ..instance("i-1", 1, 2) });
+    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
+    planner.instance_announced(ms(1), &Instance { state, ..instance("i-1", 1, 2) });
     planner.name_version(ms(2), MODEL, 2, false);
     planner.tick(ms(5000));
     assert_eq!(planner.take_outputs(), []);
@@ -204,9 +204,10 @@
 #[test]
 fn orders_a_restarted_transcriber_under_its_new_instance_id() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::UnderWay);
-    planner.instance(ms(50), &Instance { state: InstanceState::Terminated, ..instance("i-1", 1, 1) });
-    planner.instance(ms(60), &instance("i-2", 1, 1));
+    planner.order_answered(ms(5), &order, OrderOutcome::Accepted);
+    planner
+        .instance_announced(ms(50), &Instance { state: InstanceState::Terminated, ..instance("i-1", 1, 1) });
+    planner.instance_announced(ms(60), &instance("i-2", 1, 1));
     let sent: Vec<String> = orders(&mut planner).into_iter().map(|order| order.instance).collect();
     assert_eq!(sent, ["i-2"]);
 }
@@ -217,8 +218,8 @@
     for number in 0..7u32 {
         let zone = format!("zone-{}", number % 2);
         let id = format!("i-{number}");
-        planner.instance(ms(0), &Instance { zone, ..instance(&id, 1, 1) });
-        planner.running(&id, 10 - number);
+        planner.instance_announced(ms(0), &Instance { zone, ..instance(&id, 1, 1) });
+        planner.set_running_requests(&id, 10 - number);
     }
     planner.name_version(ms(0), MODEL, 2, false);
     planner.tick(ms(100));
@@ -230,7 +231,7 @@
 fn unresponsive_transcriber_frees_its_slot_and_is_polled_slowly() {
     let mut planner = Planner::new(Duration::ZERO);
     for id in ["i-1", "i-2"] {
-        planner.instance(ms(0), &instance(id, 1, 1));
+        planner.instance_announced(ms(0), &instance(id, 1, 1));
     }
     planner.name_version(ms(0), MODEL, 2, false);
     let order = orders(&mut planner).pop().expect("one of two loads");
@@ -245,9 +246,9 @@
             match output {
                 PlanOutput::FetchLoadReport { instance, .. } if instance == order.instance => {
                     asked_after += usize::from(now >= ms(3000));
-                    planner.reported(now, &instance, None);
+                    planner.report_received(now, &instance, None);
                 }
-                PlanOutput::Send(next) => ordered_at = ordered_at.or(Some((now, next.instance))),
+                PlanOutput::SendOrder(next) => ordered_at = ordered_at.or(Some((now, next.instance))),
                 _ => {}
             }
         }
@@ -264,7 +265,7 @@
         ..instance(id, 1, 1)
     };
     for number in 0..6 {
-        planner.instance(ms(0), &two(&format!("i-{number}")));
+        planner.instance_announced(ms(0), &two(&format!("i-{number}")));
     }
     planner.name_version(ms(1), "a", 2, false);
     planner.name_version(ms(2), "b", 2, false);
--- a/crates/pebblepost-rollout/tests/integration/simulation/digest.rs
+++ b/crates/pebblepost-rollout/tests/integration/simulation/digest.rs
@@ -19,7 +19,7 @@
     pub fn output(&mut self, now: Duration, output: &PlanOutput) {
         self.number(u64::try_from(now.as_millis()).expect("a short run"));
         match output {
-            PlanOutput::Send(order) => self.order(order),
+            PlanOutput::SendOrder(order) => self.order(order),
             PlanOutput::FetchLoadReport { instance, address } => {
                 self.number(1);
                 self.text(instance);
--- a/crates/pebblepost-rollout/tests/integration/simulation/mod.rs
+++ b/crates/pebblepost-rollout/tests/integration/simulation/mod.rs
@@ -335,7 +335,9 @@
                     self.planner.order_answered(self.now, &order, answer);
                 }
                 Event::PollArrives(instance) => self.poll_arrives(instance),
-                Event::Reported(instance, report) => self.planner.reported(self.now, &instance, report),
+                Event::Reported(instance, report) => {
+                    self.planner.report_received(self.now, &instance, report)
+                }
             }
             self.carry_out();
         }
@@ -345,7 +347,7 @@
     fn announce(&mut self, instance: &Instance) {
         let lives = self.transcribers.iter().any(|transcriber| transcriber.id == instance.id);
         if lives || instance.state == InstanceState::Terminated {
-            self.planner.instance(self.now, instance);
+            self.planner.instance_announced(self.now, instance);
         }
     }
 
@@ -353,7 +355,7 @@
         for output in self.planner.take_outputs() {
             self.digest.output(self.now, &output);
             match output {
-                PlanOutput::Send(order) => {
+                PlanOutput::SendOrder(order) => {
                     self.orders += 1;
                     let newest = self.named.get(&order.model);
                     assert_eq!(newest, Some(&order.generation), "an order of a version passed over");
@@ -408,7 +410,7 @@
             self.loads += 1;
             let left = self.shape.load;
             transcriber.load = Some(Load { model: order.model.clone(), generation: order.generation, left });
-            OrderOutcome::UnderWay
+            OrderOutcome::Accepted
         };
         if self.is_lost() {
             record_fault(&mut self.transcribers[index], self.now);
@@ -426,7 +428,7 @@
             return self.schedule(CALL_TIMEOUT, Event::Reported(instance, None));
         };
         let report = self.transcribers[index].past.front().map(|(_, busy, versions)| TranscriberReport {
-            busy: *busy,
+            is_loading: *busy,
             models: versions.clone().into_iter().collect(),
             running: 0,
         });
--- a/crates/pebblepost-rollout/tests/integration/version_lag.rs
+++ b/crates/pebblepost-rollout/tests/integration/version_lag.rs
@@ -38,7 +38,7 @@
     fn new() -> Scene {
         let mut planner = Planner::new(Duration::ZERO);
         for number in 0..TRANSCRIBERS {
-            planner.instance(Duration::ZERO, &instance(number, 1));
+            planner.instance_announced(Duration::ZERO, &instance(number, 1));
         }
         planner.name_version(Duration::ZERO, OTHER, 1, false);
         let loaded = (0..TRANSCRIBERS).map(|number| (format!("i-{number}"), 1)).collect();
@@ -46,7 +46,7 @@
     }
 
     fn observe(&mut self, lags: &[u64]) {
-        lags.iter().for_each(|allowed_lag| self.planner.observe_slack(self.now, MODEL, *allowed_lag));
+        lags.iter().for_each(|allowed_lag| self.planner.observe_version_lag(self.now, MODEL, *allowed_lag));
     }
 
     /// Names a version and lets every load end at once: who loaded it, and from which version, in this order.
@@ -64,7 +64,7 @@
             self.planner.tick(self.now);
             let outputs = self.planner.take_outputs();
             let orders = outputs.into_iter().filter_map(|output| match output {
-                PlanOutput::Send(order) => Some(order),
+                PlanOutput::SendOrder(order) => Some(order),
                 _ => None,
             });
             let orders: Vec<_> = orders.collect();
@@ -113,15 +113,15 @@
 fn all_load_the_only_model() {
     let mut planner = Planner::new(Duration::ZERO);
     for number in 0..3 {
-        planner.instance(Duration::ZERO, &instance(number, 1));
+        planner.instance_announced(Duration::ZERO, &instance(number, 1));
     }
-    planner.observe_slack(Duration::ZERO, MODEL, 1);
+    planner.observe_version_lag(Duration::ZERO, MODEL, 1);
     planner.name_version(Duration::ZERO, MODEL, 2, true);
     let mut loads = 0;
     for step in 0..10 {
         let outputs = planner.take_outputs();
         for output in outputs {
-            if let PlanOutput::Send(order) = output {
+            if let PlanOutput::SendOrder(order) = output {
                 loads += 1;
                 planner.order_answered(Duration::from_millis(step), &order, OrderOutcome::AlreadyLoaded);
             }
@@ -160,10 +160,10 @@
     for number in 0..6 {
         let mut both = instance(number, if number < 3 { 2 } else { 1 });
         both.models[1] = ModelVersion { model: STRICT.to_owned(), generation: 2 };
-        planner.instance(Duration::ZERO, &both);
+        planner.instance_announced(Duration::ZERO, &both);
     }
-    planner.observe_slack(Duration::ZERO, MODEL, 1);
-    planner.observe_slack(Duration::ZERO, STRICT, 0);
+    planner.observe_version_lag(Duration::ZERO, MODEL, 1);
+    planner.observe_version_lag(Duration::ZERO, STRICT, 0);
     planner.name_version(Duration::ZERO, MODEL, 3, true);
     planner.name_version(Duration::ZERO, STRICT, 3, false);
     planner.tick(start);
@@ -171,7 +171,7 @@
     let ordered: Vec<&str> = outputs
         .iter()
         .filter_map(|output| match output {
-            PlanOutput::Send(order) => Some(order.model.as_str()),
+            PlanOutput::SendOrder(order) => Some(order.model.as_str()),
             _ => None,
         })
         .collect();
@@ -187,7 +187,7 @@
         let loaded = |model: &&str| ModelVersion { model: (*model).to_owned(), generation };
         let models = models.iter().map(loaded).collect();
         let announced = Instance { models, state, sequence: 1, ..instance(number, generation) };
-        planner.instance(Duration::ZERO, &announced);
+        planner.instance_announced(Duration::ZERO, &announced);
     };
     // Four hold the newest version; two of these leave.
     for number in 0..8 {
@@ -199,7 +199,7 @@
     for step in 0..50 {
         planner.tick(Duration::from_millis(step * 50));
         for output in planner.take_outputs() {
-            if let PlanOutput::Send(order) = output {
+            if let PlanOutput::SendOrder(order) = output {
                 loads += 1;
                 planner.order_answered(Duration::from_millis(step * 50), &order, OrderOutcome::AlreadyLoaded);
             }
