--- a/crates/pebblepost-dispatch/src/placement.rs
+++ b/crates/pebblepost-dispatch/src/placement.rs
@@ -4,7 +4,7 @@
 //! and preventive probing"): a random first probe precedes each job; a worker with fewer than L busy slots
 //! and capacity for the job gets it; otherwise d-1 more random workers are probed and the least busy of all
 //! d gets it, ties broken at random. What departs from that is marked `Exception` and listed with its
-//! condition in `docs/design.md`.
+//! condition in `docs/dispatch.md`.
 
 use crate::admission::Admission;
 use crate::api::{Time, WorkerState};
