--- a/crates/pebblepost/src/agent.rs
+++ b/crates/pebblepost/src/agent.rs
@@ -9,8 +9,8 @@
 //! `{"undrain":WORKER}`, both with an optional `"why"`, and `{"show":true}`; each is answered by one line, `{"ok":true}` or
 //! `{"error":WHY}`. A drain asked for here holds here at once and is offered to the group.
 
+use crate::checksummed_file;
 use crate::config::Fleet;
-use crate::kept;
 use pebblepost_fleet::follower::{Follower, ProposalOutcome};
 use pebblepost_fleet::heartbeat::{HeartbeatReport, RequestCounts};
 use pebblepost_fleet::setting::SETTINGS;
@@ -115,7 +115,7 @@
 }
 
 fn load(path: &Path) -> io::Result<Option<Follower>> {
-    match kept::read(path) {
+    match checksummed_file::read(path) {
         Ok(body) => Ok(Some(serde_json::from_str(&body)?)),
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(e) => Err(e),
@@ -420,7 +420,7 @@
         let (path, copy) = (path.to_owned(), lock(&shared.follower).clone());
         let shown = path.display().to_string();
         let (revision, mark) = (copy.revision(), copy.newest_drain_revision());
-        let save = move || kept::replace(&path, &serde_json::to_string(&copy)?);
+        let save = move || checksummed_file::replace(&path, &serde_json::to_string(&copy)?);
         match tokio::task::spawn_blocking(save).await {
             Ok(Ok(())) if shared.kept.swap(revision, Ordering::Relaxed) < mark => shared.offers.notify_one(),
             Ok(Err(why)) => (shared.log)(&format!("fleet.copy: {shown}: {why}")),
--- a/crates/pebblepost/src/lib.rs
+++ b/crates/pebblepost/src/lib.rs
@@ -7,17 +7,17 @@
 
 pub mod agent;
 pub mod buffer;
+pub mod checksummed_file;
 pub mod config;
 pub mod deadlines;
 pub mod discovery;
 pub mod engine;
-pub mod fleet;
 pub mod front;
 pub mod health;
 pub mod http;
 pub mod keep;
-pub mod kept;
 pub mod net;
+pub mod operator;
 pub mod sight;
 pub mod turn;
 pub mod workers;
--- a/crates/pebblepost/src/main.rs
+++ b/crates/pebblepost/src/main.rs
@@ -3,7 +3,7 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use pebblepost::{config, fleet, keep, turn};
+use pebblepost::{config, keep, operator, turn};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io::Write;
 use std::os::unix::net::UnixStream;
@@ -29,7 +29,7 @@
         file: PathBuf,
     },
     /// Asks the keepers, or has them change something.
-    Fleet(fleet::FleetArgs),
+    Fleet(operator::FleetArgs),
 }
 
 fn main() -> ExitCode {
@@ -50,9 +50,9 @@
             keep::run(&file).map_err(Into::into)
         }
         Some(Command::Fleet(args)) => {
-            if let Err(error) = fleet::run(args) {
+            if let Err(error) = operator::run(args) {
                 told(&error);
-                return error.code();
+                return error.exit_code();
             }
             Ok(())
         }
--- a/crates/pebblepost/src/fleet/arguments.rs
+++ b/crates/pebblepost/src/operator/arguments.rs
@@ -1,15 +1,17 @@
-//! What an operator may ask for, as the command line has it.
+//! Commands of an operator as the command line has them. The doc comments of commands and options are their help texts.
 
 use clap::{Args, Subcommand, ValueEnum};
 use pebblepost_fleet::{Key, Limit, Name, Subject, SubjectKind, Text};
-use std::net::SocketAddr;
+use std::net::{AddrParseError, SocketAddr};
+use std::num::ParseIntError;
 use std::path::PathBuf;
+use thiserror::Error;
 
 /// Who is asked, and how it is told.
 #[derive(Args, Debug)]
 pub struct FleetArgs {
     /// The keepers, as NUMBER=ADDRESS with commas between.
-    #[arg(long, env = "PEBBLEPOST_KEEPERS", value_delimiter = ',', value_parser = keeper, global = true)]
+    #[arg(long, env = "PEBBLEPOST_KEEPERS", value_delimiter = ',', value_parser = parse_replica, global = true)]
     pub(super) keepers: Vec<(u64, SocketAddr)>,
     /// Gives up after so many seconds.
     #[arg(long, default_value_t = 10.0, global = true)]
@@ -21,17 +23,30 @@
     #[arg(long, env = "USER", default_value = "operator", global = true)]
     pub(super) by: String,
     #[command(subcommand)]
-    pub(super) what: What,
+    pub(super) command: FleetCommand,
 }
 
-fn keeper(text: &str) -> std::result::Result<(u64, SocketAddr), String> {
-    let (id, address) = text.split_once('=').ok_or("not NUMBER=ADDRESS")?;
-    let id = id.parse().map_err(|e| format!("{id:?}: {e}"))?;
-    Ok((id, address.parse().map_err(|e| format!("{address:?}: {e}"))?))
+/// Why a replica on the command line is malformed.
+#[derive(Debug, Error)]
+enum ReplicaArgumentError {
+    #[error("not NUMBER=ADDRESS")]
+    Form,
+    #[error("{text:?}: {error}")]
+    Number { text: String, error: ParseIntError },
+    #[error("{text:?}: {error}")]
+    Address { text: String, error: AddrParseError },
+}
+
+fn parse_replica(text: &str) -> Result<(u64, SocketAddr), ReplicaArgumentError> {
+    let (id, address) = text.split_once('=').ok_or(ReplicaArgumentError::Form)?;
+    let id = id.parse().map_err(|error| ReplicaArgumentError::Number { text: id.to_owned(), error })?;
+    let address =
+        address.parse().map_err(|error| ReplicaArgumentError::Address { text: address.to_owned(), error })?;
+    Ok((id, address))
 }
 
 #[derive(Subcommand, Debug)]
-pub(super) enum What {
+pub(super) enum FleetCommand {
     /// Begins a group of all keepers named; once in a group's life.
     Begin,
     /// Says of each keeper what it knows.
@@ -86,7 +101,7 @@
         /// The dispatcher's `fleet.control`.
         address: SocketAddr,
         /// What: drain, undrain or show.
-        what: Here,
+        what: LocalCommand,
         /// The worker.
         #[arg(required_if_eq_any([("what", "drain"), ("what", "undrain")]))]
         worker: Option<Name>,
@@ -132,7 +147,7 @@
     /// Permits to go out: for a dispatcher to end and come back, for a worker to be switched off.
     Permit {
         /// What becomes of them.
-        what: PermitWhat,
+        what: PermitCommand,
         /// Which: dispatcher/NAME or worker/NAME.
         #[arg(required = true)]
         subjects: Vec<Subject>,
@@ -154,7 +169,7 @@
     },
     /// A release: all dispatchers go over to a version, wave by wave.
     #[command(subcommand)]
-    Release(ReleaseWhat),
+    Release(ReleaseCommand),
     /// Nothing more of a kind goes out until it is resumed.
     Halt {
         /// Of what: dispatcher or worker.
@@ -176,7 +191,7 @@
 }
 
 #[derive(Subcommand, Debug)]
-pub(super) enum ReleaseWhat {
+pub(super) enum ReleaseCommand {
     /// Begins it, for all that have another version; nothing more than the first wave goes until it is driven.
     Start {
         /// The version.
@@ -239,7 +254,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub(super) enum PermitWhat {
+pub(super) enum PermitCommand {
     /// Asks for them; one that has a permit keeps it.
     Ask,
     /// Those that wait do not want it any more.
@@ -251,7 +266,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub(super) enum Here {
+pub(super) enum LocalCommand {
     Drain,
     Undrain,
     Show,
@@ -277,6 +292,7 @@
 }
 
 impl Reason {
+    /// No reason, and no revision that is expected.
     pub(super) fn none() -> Self {
         Self { why: Text::default(), expect: None }
     }
--- /dev/null
+++ b/crates/pebblepost/src/operator/view.rs
@@ -0,0 +1,90 @@
+//! Showing keys and changes of the agreed state, and following them.
+
+use super::client::OperatorClient;
+use super::error::{FleetError, Result};
+use super::text::value_text;
+use pebblepost_fleet::value::Entry;
+use pebblepost_fleet::{Change, Key, Snapshot};
+use pebblepost_fleet_store::protocol::{Request, Response};
+use serde_json::json;
+use std::time::Duration;
+
+/// Pause before another replica is asked for changes.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(200);
+
+impl OperatorClient {
+    fn print_entry(&self, key: &Key, entry: &Entry) {
+        self.print(json!({"key": key, "revision": entry.revision, "value": entry.value}), &|| {
+            format!("{key}\t{}\t(revision {})", value_text(&entry.value), entry.revision)
+        });
+    }
+
+    fn print_change(&self, change: &Change) {
+        self.print(json!(change), &|| {
+            let items = change.items.iter().map(|(key, value)| match value {
+                Some(value) => format!("{key} = {}", value_text(value)),
+                None => format!("{key} is gone"),
+            });
+            let items: Vec<String> = items.collect();
+            let (revision, issued_at_ms, issuer) = (change.revision, change.issued_at_ms, &change.issued_by);
+            format!("{revision}\t{issued_at_ms} by {issuer}: {}", items.join(", "))
+        });
+    }
+
+    /// Prints the entries at some keys, or all, that are of a kind.
+    pub(super) async fn show(&mut self, keys: Vec<Key>, is_shown: fn(&Key) -> bool) -> Result<()> {
+        match self.request(&Request::Get(keys)).await? {
+            Response::Entries { revision, entries } => {
+                let shown = entries.iter().filter(|(key, _)| is_shown(key));
+                shown.for_each(|(key, entry)| self.print_entry(key, entry));
+                self.print(json!({"revision": revision}), &|| format!("revision {revision}"));
+                Ok(())
+            }
+            other => Err(FleetError::unexpected(other)),
+        }
+    }
+
+    /// Prints the last changes, the newest last.
+    pub(super) async fn history(&mut self, last: usize) -> Result<()> {
+        match self.request(&Request::History(last)).await? {
+            Response::History(changes) => {
+                changes.iter().for_each(|change| self.print_change(change));
+                Ok(())
+            }
+            other => Err(FleetError::unexpected(other)),
+        }
+    }
+
+    /// Prints all changes from a revision on, until the program is interrupted.
+    pub(super) async fn watch(&mut self, from: u64) -> Result<()> {
+        let mut shown_revision = from;
+        loop {
+            let Ok(mut stream) = self.client.watch(shown_revision, true).await else {
+                tokio::time::sleep(WATCH_RETRY_DELAY).await;
+                continue;
+            };
+            while let Ok(Ok(Some(response))) =
+                tokio::time::timeout(self.timeout, stream.next::<Response>()).await
+            {
+                shown_revision = self.print_update(response, shown_revision);
+            }
+        }
+    }
+
+    /// Prints what is newer than the shown revision, and returns the revision that is shown then.
+    fn print_update(&self, response: Response, shown_revision: u64) -> u64 {
+        match response {
+            // Another replica may be behind what was shown already.
+            Response::Snapshot(Snapshot { revision, entries }) if revision > shown_revision => {
+                entries.iter().for_each(|(key, entry)| self.print_entry(key, entry));
+                revision
+            }
+            Response::Changes(changes) => {
+                let new = changes.iter().filter(|change| change.revision > shown_revision);
+                new.for_each(|change| self.print_change(change));
+                changes.last().map_or(shown_revision, |change| change.revision.max(shown_revision))
+            }
+            _ => shown_revision,
+        }
+    }
+}
--- a/crates/pebblepost/tests/behaviour_pins.rs
+++ b/crates/pebblepost/tests/behaviour_pins.rs
@@ -9,7 +9,7 @@
 use pebblepost::config::{self, read_settings};
 use pebblepost::engine::{Answer, DeliveryAttempt, Engine, Input, Output, Request};
 use pebblepost::net::{Clock, Listener};
-use pebblepost::{discovery::Registry, keep, kept};
+use pebblepost::{checksummed_file, discovery::Registry, keep};
 use pebblepost_dispatch::api::{
     CellId, ClassId, Entry, KindId, ListKind, RequestId, Status, TenantId, Time, WorkerId, WorkerState,
     ZoneId,
@@ -453,15 +453,15 @@
 #[test]
 fn a_file_with_a_checksum_is_written_as_approved() {
     let path = common::path("checksum");
-    kept::create(&path, r#"{"revision":7}"#).expect("a writable folder");
+    checksummed_file::create(&path, r#"{"revision":7}"#).expect("a writable folder");
     let written = std::fs::read_to_string(&path).expect("written");
     assert_approved("checksummed_file.txt", &written);
-    assert!(kept::create(&path, "x").is_err(), "it exists");
+    assert!(checksummed_file::create(&path, "x").is_err(), "it exists");
     std::fs::write(&path, written.replace('7', "8")).expect("a writable folder");
-    let error = kept::read(&path).expect_err("another checksum");
+    let error = checksummed_file::read(&path).expect_err("another checksum");
     assert_eq!(error.to_string(), "torn, or not such a file: its checksum is not its body's");
-    kept::replace(&path, "body").expect("replaced");
-    assert_eq!(kept::read(&path).expect("whole"), "body");
+    checksummed_file::replace(&path, "body").expect("replaced");
+    assert_eq!(checksummed_file::read(&path).expect("whole"), "body");
     let _ = std::fs::remove_file(&path);
 }
 
