--- a/crates/pebblepost/src/agent.rs
+++ b/crates/pebblepost/src/agent.rs
@@ -10,7 +10,7 @@
 //! `{"error":WHY}`. A drain asked for here holds here at once and is offered to the group.
 
 use crate::checksummed_file;
-use crate::config::Fleet;
+use crate::config::FleetConfig;
 use pebblepost_fleet::follower::{Follower, ProposalOutcome};
 use pebblepost_fleet::heartbeat::{HeartbeatReport, RequestCounts};
 use pebblepost_fleet::setting::SETTINGS;
@@ -174,7 +174,9 @@
 
 impl Agent {
     /// Starts it, with what was kept before. `address`: where this dispatcher takes clients.
-    pub fn start(fleet: &Fleet, name: &str, address: Option<SocketAddr>, log: fn(&str)) -> io::Result<Self> {
+    pub fn start(
+        fleet: &FleetConfig, name: &str, address: Option<SocketAddr>, log: fn(&str),
+    ) -> io::Result<Self> {
         let member: Name =
             name.parse().map_err(|e| io::Error::other(format!("fleet: name {name:?}: {e}")))?;
         let control = fleet.control.map(TcpListener::bind).transpose()?;
@@ -300,11 +302,11 @@
 }
 
 /// Follows all changes, at one keeper after another.
-async fn follow(shared: &Shared, fleet: &Fleet) {
-    if fleet.keepers.is_empty() {
+async fn follow(shared: &Shared, fleet: &FleetConfig) {
+    if fleet.replicas.is_empty() {
         return std::future::pending().await;
     }
-    let mut client = Client::new(fleet.keepers.clone());
+    let mut client = Client::new(fleet.replicas.clone());
     let mut tries = 0;
     loop {
         let from = lock(&shared.follower).revision();
@@ -331,11 +333,11 @@
 }
 
 /// Keeps a session, and offers what was asked for here.
-async fn member_of(shared: &Shared, fleet: &Fleet, mut card: MemberInfo) {
-    if fleet.keepers.is_empty() {
+async fn member_of(shared: &Shared, fleet: &FleetConfig, mut card: MemberInfo) {
+    if fleet.replicas.is_empty() {
         return std::future::pending().await;
     }
-    let mut client = Client::new(fleet.keepers.clone());
+    let mut client = Client::new(fleet.replicas.clone());
     let (member, life) = shared.me.clone();
     let (mut session, mut tries, mut reports, mut told) = (None, 0, 0, None);
     loop {
--- a/crates/pebblepost/src/front/faktory.rs
+++ b/crates/pebblepost/src/front/faktory.rs
@@ -5,7 +5,7 @@
 //! one's answer. Each queue has a class and a kind of workers of its own, so a worker process that fetches
 //! from two queues is two workers to the core, with the same slots.
 
-use crate::config;
+use crate::config::FaktoryConfig;
 use crate::engine::{Answer, DeliveryAttempt, Input, Request};
 use crate::net::{ConnKey, Due, Role, Shared};
 use pebblepost_dispatch::api::*;
@@ -93,7 +93,7 @@
 /// The front.
 #[derive(Debug)]
 pub struct Faktory {
-    config: config::Faktory,
+    config: FaktoryConfig,
     fields: Vec<ReportField>,
     workers: HashMap<String, Worker>,
     by_id: HashMap<WorkerId, (String, usize)>,
@@ -130,7 +130,7 @@
 
 impl Faktory {
     /// The front that the operator set up. It has the loop wake it now and then.
-    pub fn new(s: &mut Shared, config: config::Faktory, fields: Vec<ReportField>) -> Self {
+    pub fn new(s: &mut Shared, config: FaktoryConfig, fields: Vec<ReportField>) -> Self {
         s.net.deadlines.set(s.net.now + SWEEP, Due::Faktory);
         Self {
             config,
--- a/crates/pebblepost/src/front/platform.rs
+++ b/crates/pebblepost/src/front/platform.rs
@@ -2,6 +2,7 @@
 //! after it waits.
 
 use crate::buffer::Buffer;
+use crate::config::RequestClass;
 use crate::engine::{Answer, Input, Request};
 use crate::http::{self, Body, Head, Malformed};
 use crate::net::{Conn, ConnKey, Role, Shared, number};
@@ -43,15 +44,6 @@
     body: Vec<u8>,
 }
 
-/// A class by name.
-#[derive(Debug)]
-pub struct Class {
-    /// Its name on the wire.
-    pub name: String,
-    /// Its clients' usual patience.
-    pub deadline: Duration,
-}
-
 /// Whose a request is. One that the settings do not name counts as the first, as where there are none.
 pub fn tenant(names: &[String], named: Option<&str>) -> TenantId {
     let at = named.and_then(|named| names.iter().position(|name| name == named));
@@ -61,14 +53,14 @@
 /// Requests of the platform's clients.
 #[derive(Debug)]
 pub struct Platform {
-    classes: Vec<Class>,
+    classes: Vec<RequestClass>,
     tenants: Vec<String>,
     jobs: HashMap<RequestId, Job>,
 }
 
 impl Platform {
     /// Nobody has asked yet.
-    pub fn new(classes: Vec<Class>, tenants: Vec<String>) -> Self {
+    pub fn new(classes: Vec<RequestClass>, tenants: Vec<String>) -> Self {
         Self { classes, tenants, jobs: HashMap::new() }
     }
 
--- a/crates/pebblepost/src/main.rs
+++ b/crates/pebblepost/src/main.rs
@@ -3,7 +3,7 @@
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use pebblepost::{config, keep, operator, turn};
+use pebblepost::{config, operator, store_replica, turn};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io::Write;
 use std::os::unix::net::UnixStream;
@@ -47,7 +47,7 @@
         None => reload.map_err(Into::into).and_then(|reload| run(reload, cli.operator)),
         Some(Command::Keep { file }) => {
             log_lines();
-            keep::run(&file).map_err(Into::into)
+            store_replica::run(&file).map_err(Into::into)
         }
         Some(Command::Fleet(args)) => {
             if let Err(error) = operator::run(args) {
--- a/crates/pebblepost/src/turn.rs
+++ b/crates/pebblepost/src/turn.rs
@@ -6,7 +6,7 @@
 use crate::discovery::{Discovery, Registry};
 use crate::engine::{Engine, Input, Output};
 use crate::front::faktory::{Faktory, Peer};
-use crate::front::platform::{Class, ClientState, Platform};
+use crate::front::platform::{ClientState, Platform};
 use crate::health::{self, Condition};
 use crate::net::{Clock, ConnKey, Due, Listener, Net, Ready, Role, Shared, Signal};
 use crate::sight::Mute;
@@ -60,7 +60,7 @@
     /// Opens the listeners.
     pub fn new(config: Config, signals: Signals, log: fn(&str)) -> io::Result<Self> {
         let clock = Clock::default();
-        let mut net = Net::new(config.sockets, clock.now())?;
+        let mut net = Net::new(config.max_descriptors, clock.now())?;
         for (signal, pipe) in [(Signal::Stop, &signals.stop), (Signal::Reload, &signals.reload)] {
             pipe.set_nonblocking(true)?;
             net.watch_signal(signal, pipe)?;
@@ -84,7 +84,7 @@
         }
         let engine = Engine::new(config.settings.clone(), config.seed, net.now).tracing(trace);
         let mut registry = Registry::new(config.zones, config.kinds);
-        if let Some(known) = &config.known {
+        if let Some(known) = &config.known_endpoints {
             registry.apply(known, Some(ListKind::Cached), &clock);
         }
         if config.discovery.is_some() {
@@ -92,7 +92,7 @@
         }
         let mut s = Shared::new(net, registry, clock, log);
         s.inputs.push(s.registry.whole());
-        let classes = config.classes.into_iter().map(|(name, deadline)| Class { name, deadline }).collect();
+        let classes = config.classes;
         let fields = config.settings.report_fields.clone();
         let faktory_times = config.faktory.as_ref().map(|f| (f.heartbeat, f.reserve_for));
         let faktory = config.faktory.map(|f| Faktory::new(&mut s, f, fields));
--- a/crates/pebblepost/tests/behaviour_pins.rs
+++ b/crates/pebblepost/tests/behaviour_pins.rs
@@ -9,7 +9,7 @@
 use pebblepost::config::{self, read_settings};
 use pebblepost::engine::{Answer, DeliveryAttempt, Engine, Input, Output, Request};
 use pebblepost::net::{Clock, Listener};
-use pebblepost::{checksummed_file, discovery::Registry, keep};
+use pebblepost::{checksummed_file, discovery::Registry, store_replica};
 use pebblepost_dispatch::api::{
     CellId, ClassId, Entry, KindId, ListKind, RequestId, Status, TenantId, Time, WorkerId, WorkerState,
     ZoneId,
@@ -103,16 +103,16 @@
         config.name,
         config.listen,
         config.discovery,
-        config.sockets,
+        config.max_descriptors,
         config.connect_timeout,
         config.agent_check,
         config.health,
-        config.classes,
+        config.classes.iter().map(|class| (&class.name, class.deadline)).collect::<Vec<_>>(),
         config.tenants,
         config.zones,
         config.kinds,
         config.report_names,
-        config.known.as_ref().map_or_else(String::new, Value::to_string),
+        config.known_endpoints.as_ref().map_or_else(String::new, Value::to_string),
     );
     let _ = write!(text, "\n  settings {}", config.settings_json);
     if let Some(faktory) = &config.faktory {
@@ -128,7 +128,7 @@
         let _ = write!(
             text,
             "\n  fleet {:?} {:?} {:?} {:?} {:?}",
-            fleet.keepers, fleet.control, fleet.copy, fleet.zone, fleet.version
+            fleet.replicas, fleet.control, fleet.copy, fleet.zone, fleet.version
         );
     }
     text
@@ -252,7 +252,7 @@
         let mut json = whole.clone();
         config::overlay(&mut json, &change);
         std::fs::write(&path, json.to_string()).expect("a writable folder");
-        let read = match keep::read(&path) {
+        let read = match store_replica::read(&path) {
             Ok(read) => format!(
                 "{} {} {} {:?} {:?} {:?} {:?}",
                 read.group,
--- a/crates/pebblepost/tests/platform.rs
+++ b/crates/pebblepost/tests/platform.rs
@@ -456,9 +456,10 @@
     let alone = pebblepost::config::read(|_| None, Some(&root.join("deploy/operator.json"))).expect("sound");
     assert!(alone.faktory.is_some() && alone.listen.is_none());
     let fleet = pebblepost::config::read(var, Some(&root.join("deploy/fleet.json"))).expect("sound");
-    assert_eq!(fleet.fleet.map(|f| f.keepers.len()), Some(3));
+    assert_eq!(fleet.fleet.map(|f| f.replicas.len()), Some(3));
     for n in 1..=3 {
-        let keeper = pebblepost::keep::read(&root.join(format!("deploy/keeper-{n}.json"))).expect("sound");
+        let keeper =
+            pebblepost::store_replica::read(&root.join(format!("deploy/keeper-{n}.json"))).expect("sound");
         assert_eq!((keeper.id, keeper.group.as_str()), (n, "kumamoto-main"));
     }
 }
