--- a/crates/pebblepost/src/discovery.rs
+++ b/crates/pebblepost/src/discovery.rs
@@ -1,11 +1,13 @@
 //! Discovery: the watch, and the registry that it keeps up to date.
 
 use crate::buffer::Buffer;
-use crate::deadlines::Handle;
+use crate::clock::Clock;
 use crate::engine::Input;
-use crate::http::{self, Body, Head};
-use crate::net::{Clock, ConnKey, Due, Role, Shared, number};
+use crate::http::{self, Body, Head, StreamItem};
+use crate::name_hash::hash_name;
+use crate::net::{ConnKey, Due, Role, Shared};
 use crate::sight::Mute;
+use crate::timer_queue::TimerHandle;
 use pebblepost_dispatch::api::{
     CellId, Entry, KindId, ListKind, Settings, Time, WorkerId, WorkerState, ZoneId,
 };
@@ -223,7 +225,7 @@
             kind: KindId(0),
             cell: CellId(0),
             state: WorkerState::Gone,
-            name: number(host),
+            name: hash_name(host),
             started: None,
         };
         self.by_host.insert(host.to_owned(), id);
@@ -341,7 +343,7 @@
     pushed: bool,
     /// Calls in a row that brought nothing, and when the next one is due.
     failures: u32,
-    next: Option<Handle>,
+    next: Option<TimerHandle>,
     /// What the first call is spread over.
     spread: Duration,
     rng: StdRng,
@@ -377,7 +379,7 @@
             (false, 0) => self.spread.mul_f64(drawn),
             (false, _) => PAUSE.mul_f64(0.5 + 0.5 * drawn),
         };
-        self.next = Some(s.net.deadlines.set(s.net.now + pause, Due::Watch));
+        self.next = Some(s.net.timers.schedule(s.net.now + pause, Due::Watch));
     }
 
     /// The time for the next call has come.
@@ -389,7 +391,7 @@
     fn watch(&mut self, s: &mut Shared) {
         let Some(address) = self.address.filter(|_| self.watching.is_none()) else { return };
         if let Some(next) = self.next.take() {
-            s.net.deadlines.withdraw(next);
+            s.net.timers.cancel(next);
         }
         let from = if self.unheard { 0 } else { s.registry.seq };
         let call = Call { head: None, objects: Buffer::default(), opened: s.net.now, confirmed: false };
@@ -514,7 +516,7 @@
         }
         let Some((_, body)) = &mut call.head else { return Ok(None) };
         body.decode(&mut conn.input, &mut call.objects).map_err(|_| ())?;
-        let done = body.done();
+        let done = body.is_complete();
         let object = match http::take_json(&mut call.objects).map_err(|_| ())? {
             Some(object) => object,
             None if done || call.objects.len() > MAX_OBJECT => return Err(()),
@@ -530,7 +532,7 @@
         if !std::mem::replace(&mut self.healthy, true) {
             (s.log)("discovery: watching again");
         }
-        let Some(json) = object else {
+        let StreamItem::Object(json) = object else {
             // An empty line. Nothing has changed: what is known is what discovery has.
             s.inputs.extend(s.registry.rely_on_known());
             return Ok(Some(Vec::new()));
--- a/crates/pebblepost/src/front/faktory.rs
+++ b/crates/pebblepost/src/front/faktory.rs
@@ -131,7 +131,7 @@
 impl Faktory {
     /// The front that the operator set up. It has the loop wake it now and then.
     pub fn new(s: &mut Shared, config: FaktoryConfig, fields: Vec<ReportField>) -> Self {
-        s.net.deadlines.set(s.net.now + SWEEP, Due::Faktory);
+        s.net.timers.schedule(s.net.now + SWEEP, Due::Faktory);
         Self {
             config,
             fields,
@@ -592,7 +592,7 @@
     /// Looks for workers that have fallen silent, jobs kept too long, and answers nobody can ask for again.
     pub fn sweep(&mut self, s: &mut Shared) {
         let now = s.net.now;
-        s.net.deadlines.set(now + SWEEP, Due::Faktory);
+        s.net.timers.schedule(now + SWEEP, Due::Faktory);
         let heartbeat = self.config.heartbeat;
         let silent = |w: &Worker| now >= w.seen + heartbeat;
         let wids: Vec<String> =
--- a/crates/pebblepost/src/front/platform.rs
+++ b/crates/pebblepost/src/front/platform.rs
@@ -5,7 +5,8 @@
 use crate::config::RequestClass;
 use crate::engine::{Answer, Input, Request};
 use crate::http::{self, Body, Head, Malformed};
-use crate::net::{Conn, ConnKey, Role, Shared, number};
+use crate::name_hash::hash_name;
+use crate::net::{Conn, ConnKey, Role, Shared};
 use crate::workers;
 use pebblepost_dispatch::api::{ClassId, RequestId, TenantId};
 use std::collections::HashMap;
@@ -77,7 +78,7 @@
                 Ok(false) => break,
                 Err(Malformed(status)) => {
                     // Where the next request begins is lost.
-                    s.net.send(key, &http::answer(status, "", b"", false));
+                    s.net.send(key, &http::response(status, "", b"", false));
                     s.net.close_gently(key);
                     return;
                 }
@@ -129,10 +130,10 @@
             ClientState::Body(parts) => {
                 let (_, body, bytes) = &mut **parts;
                 body.decode(&mut conn.input, bytes)?;
-                if bytes.len() > http::MAX_BODY {
+                if bytes.len() > http::MAX_BODY_BYTES {
                     return Err(Malformed(413));
                 }
-                if !body.done() {
+                if !body.is_complete() {
                     return Ok(false);
                 }
                 if let ClientState::Body(parts) = std::mem::take(side) {
@@ -160,7 +161,7 @@
             "/ready" | "/health" if matches!(head.method.as_str(), "GET" | "HEAD") => {
                 let status = if s.ready || path == "/health" && !s.stopping { 200 } else { 503 };
                 let keep = head.keep_alive && !s.last_calls;
-                return self.reply(s, key, &http::answer(status, "", b"", keep), keep);
+                return self.reply(s, key, &http::response(status, "", b"", keep), keep);
             }
             "/ready" | "/health" => return self.reject(s, key, head, 405, "Allow: GET, HEAD\r\n"),
             _ if path != "/api" && !path.starts_with("/api/") => return self.reject(s, key, head, 404, ""),
@@ -215,7 +216,7 @@
         let class = ClassId(u16::try_from(class).ok()?);
         // The subject of the request, if it has one.
         let cookies = head.header("cookie").unwrap_or("").split(';').map(str::trim);
-        let key = cookies.filter_map(|c| c.strip_prefix("k=")).next().map_or(0, number);
+        let key = cookies.filter_map(|c| c.strip_prefix("k=")).next().map_or(0, hash_name);
         let tenant = tenant(&self.tenants, head.header("x-org"));
         let repeat = head.header("x-resent") == Some("1");
         // A day is longer than any client waits, and keeps sums of times in range.
@@ -226,7 +227,7 @@
     /// Answers a request that the core never saw; the framing is intact, so the connection goes on.
     fn reject(&mut self, s: &mut Shared, key: ConnKey, head: &Head, status: u16, extra: &str) {
         let keep = head.keep_alive && !s.last_calls;
-        self.reply(s, key, &http::answer(status, extra, b"", keep), keep);
+        self.reply(s, key, &http::response(status, extra, b"", keep), keep);
     }
 
     fn reply(&mut self, s: &mut Shared, key: ConnKey, bytes: &[u8], keep_alive: bool) {
@@ -254,9 +255,9 @@
         let Some(job) = self.jobs.remove(&id) else { return false };
         let keep = job.keep_alive && !s.last_calls;
         let bytes = match answer {
-            Answer::Served(body) => http::answer(200, "", body, keep),
-            Answer::Rejected(after) => http::answer(503, &http::retry_after(*after), b"", keep),
-            Answer::Failed => http::answer(502, "", b"", keep),
+            Answer::Served(body) => http::response(200, "", body, keep),
+            Answer::Rejected(after) => http::response(503, &http::retry_after(*after), b"", keep),
+            Answer::Failed => http::response(502, "", b"", keep),
         };
         self.reply(s, job.client, &bytes, keep);
         self.on_data(s, job.client); // The next request may be there already.
@@ -276,7 +277,7 @@
         let Some(conn) = s.net.get(key) else { return };
         let idle = matches!(conn.role, Role::Client(ClientState::Head)) && conn.input.is_empty();
         if !idle {
-            s.net.send(key, &http::answer(408, "", b"", false));
+            s.net.send(key, &http::response(408, "", b"", false));
         }
         s.net.close_gently(key);
     }
--- a/crates/pebblepost/src/health.rs
+++ b/crates/pebblepost/src/health.rs
@@ -78,7 +78,7 @@
                 (status, head.keep_alive && head.framing == http::Framing::Length(0) && !s.last_calls)
             }
         };
-        s.net.send(key, &http::answer(status, "", body.as_bytes(), keep));
+        s.net.send(key, &http::response(status, "", body.as_bytes(), keep));
         if keep {
             s.net.set_deadline(key, Some(PATIENCE));
         } else {
--- a/crates/pebblepost/src/net.rs
+++ b/crates/pebblepost/src/net.rs
@@ -2,21 +2,21 @@
 //! budget, and the clock.
 
 use crate::buffer::Buffer;
-use crate::deadlines::{Deadlines, Handle};
+use crate::clock::Clock;
 use crate::discovery::{Call, Registry};
 use crate::engine::{self, Input};
 use crate::front::{faktory, platform};
 use crate::health;
+use crate::timer_queue::{TimerHandle, TimerQueue};
 use crate::workers::Link;
 use pebblepost_dispatch::api::{RequestId, Time, WorkerId};
 use polling::{Event, PollMode, Poller};
 use slab::Slab;
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
-use std::hash::{DefaultHasher, Hasher};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsRawFd;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
 /// Descriptors kept free for the poller, signals, listeners, logs and files.
 pub const RESERVE: usize = 32;
@@ -96,8 +96,8 @@
     /// Since when it is idle, if it may be closed for want of descriptors.
     pub idle_since: Option<Time>,
     interest: (bool, bool),
-    deadline: Option<Handle>,
-    write_deadline: Option<Handle>,
+    deadline: Option<TimerHandle>,
+    write_deadline: Option<TimerHandle>,
 }
 
 impl Conn {
@@ -166,45 +166,6 @@
 const FLEET: usize = usize::MAX - 3;
 const LISTENERS: usize = usize::MAX - 64;
 
-/// A number for a name, the same at every node.
-pub fn number(name: &str) -> u64 {
-    let mut hash = DefaultHasher::new();
-    hash.write(name.as_bytes());
-    hash.finish()
-}
-
-/// Monotonic time that starts at the Unix time of the program's start.
-#[derive(Clone, Copy, Debug)]
-pub struct Clock {
-    start: Instant,
-    base: u64,
-}
-
-impl Default for Clock {
-    fn default() -> Self {
-        Self { start: Instant::now(), base: unix_nanos() }
-    }
-}
-
-fn unix_nanos() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_nanos()).unwrap_or(u64::MAX)
-}
-
-impl Clock {
-    /// Now, on the clock of the decisions.
-    pub fn now(&self) -> Time {
-        Time(self.base) + self.start.elapsed()
-    }
-
-    /// A Unix time on the clock of the decisions, whatever was done to the system's clock since the start;
-    /// never in the future.
-    pub fn from_unix_ms(&self, ms: u64) -> Time {
-        let age = Duration::from_nanos(unix_nanos().saturating_sub(ms.saturating_mul(1_000_000)));
-        self.now() - age
-    }
-}
-
 /// All sockets.
 pub struct Net {
     poller: Poller,
@@ -212,7 +173,7 @@
     generation: u32,
     listeners: Vec<(Listener, Option<TcpListener>)>,
     /// Every deadline of the program.
-    pub deadlines: Deadlines<Due>,
+    pub timers: TimerQueue<Due>,
     /// Connections that broke while something was carried out.
     pub broken: Vec<ConnKey>,
     budget: usize,
@@ -230,7 +191,7 @@
             conns: Slab::new(),
             generation: 0,
             listeners: Vec::new(),
-            deadlines: Deadlines::default(),
+            timers: TimerQueue::default(),
             broken: Vec::new(),
             budget: descriptors.saturating_sub(RESERVE).max(8),
             events: Vec::new(),
@@ -309,7 +270,7 @@
     }
 
     fn time_to_next(&self, clock: &Clock) -> Option<Duration> {
-        self.deadlines.next().map(|at| at.since(clock.now()))
+        self.timers.next().map(|at| at.since(clock.now()))
     }
 
     /// Open connections, and the most there may be.
@@ -387,7 +348,7 @@
     fn pause_accepting(&mut self, index: usize) {
         let Some(listener) = &self.listeners[index].1 else { return };
         if self.poller.modify_with_mode(listener, Event::none(LISTENERS + index), PollMode::Level).is_ok() {
-            self.deadlines.set(self.now + Duration::from_millis(50), Due::Accept);
+            self.timers.schedule(self.now + Duration::from_millis(50), Due::Accept);
         }
     }
 
@@ -460,13 +421,13 @@
         }
         let (stuck, since) = (conn.connected && !conn.output.is_empty(), conn.write_deadline);
         if stuck && since.is_none() {
-            let handle = self.deadlines.set(self.now + WRITE_TIMEOUT, Due::Write(key));
+            let handle = self.timers.schedule(self.now + WRITE_TIMEOUT, Due::Write(key));
             if let Some(conn) = self.get(key) {
                 conn.write_deadline = Some(handle);
             }
         } else if let (false, Some(handle)) = (stuck, since) {
             conn.write_deadline = None;
-            self.deadlines.withdraw(handle);
+            self.timers.cancel(handle);
         }
         self.sync(key);
         self.end_output_if_closing(key);
@@ -551,9 +512,9 @@
     pub fn set_deadline(&mut self, key: ConnKey, after: Option<Duration>) {
         let Some(old) = self.get(key).map(|conn| conn.deadline.take()) else { return };
         if let Some(handle) = old {
-            self.deadlines.withdraw(handle);
+            self.timers.cancel(handle);
         }
-        let new = after.map(|after| self.deadlines.set(self.now + after, Due::Conn(key)));
+        let new = after.map(|after| self.timers.schedule(self.now + after, Due::Conn(key)));
         if let Some(conn) = self.get(key) {
             conn.deadline = new;
         }
@@ -569,7 +530,7 @@
         self.get(key)?;
         let (_, conn) = self.conns.remove(key.0 & 0xffff_ffff);
         let _ = self.poller.delete(&conn.stream);
-        conn.deadline.into_iter().chain(conn.write_deadline).for_each(|h| self.deadlines.withdraw(h));
+        conn.deadline.into_iter().chain(conn.write_deadline).for_each(|h| self.timers.cancel(h));
         Some(conn.role)
     }
 
--- a/crates/pebblepost/src/turn.rs
+++ b/crates/pebblepost/src/turn.rs
@@ -2,13 +2,14 @@
 //! comes back.
 
 use crate::agent::Agent;
+use crate::clock::Clock;
 use crate::config::{Config, ConfigError};
 use crate::discovery::{Discovery, Registry};
 use crate::engine::{Engine, Input, Output};
 use crate::front::faktory::{Faktory, Peer};
 use crate::front::platform::{ClientState, Platform};
 use crate::health::{self, Condition};
-use crate::net::{Clock, ConnKey, Due, Listener, Net, Ready, Role, Shared, Signal};
+use crate::net::{ConnKey, Due, Listener, Net, Ready, Role, Shared, Signal};
 use crate::sight::Mute;
 use crate::workers::Workers;
 use pebblepost_dispatch::api::{ListKind, Status};
@@ -120,7 +121,7 @@
         daemon.discovery.keep_up(&mut daemon.s);
         daemon.apply_agreed();
         if daemon.agent.is_some() {
-            daemon.s.net.deadlines.set(daemon.s.net.now + LOOK, Due::Doing);
+            daemon.s.net.timers.schedule(daemon.s.net.now + LOOK, Due::Doing);
         }
         Ok(daemon)
     }
@@ -179,7 +180,7 @@
                     Ready::Conn(key, readable, writable) => self.serve(key, readable, writable),
                 }
             }
-            while let Some(due) = self.s.net.deadlines.pop_due(self.s.net.now) {
+            while let Some(due) = self.s.net.timers.pop_due(self.s.net.now) {
                 self.due(due);
             }
             self.hand_over();
@@ -280,7 +281,7 @@
             // The watch is kept up in any case: when a change counts as told does not wait for the decisions.
             Output::Watch | Output::Fetch => {}
             Output::Set(at, due) => {
-                s.net.deadlines.set(at, Due::Core(due));
+                s.net.timers.schedule(at, Due::Core(due));
             }
             Output::Answer(id, answer) => {
                 if !self.platform.answer(s, id, &answer)
@@ -392,7 +393,7 @@
             Due::Accept => self.s.net.resume_accepting(),
             Due::Doing => {
                 self.to_confirm = true;
-                self.s.net.deadlines.set(self.s.net.now + LOOK, Due::Doing);
+                self.s.net.timers.schedule(self.s.net.now + LOOK, Due::Doing);
             }
             Due::Faktory => self.faktory.iter_mut().for_each(|f| f.sweep(&mut self.s)),
         }
@@ -402,7 +403,7 @@
         if !self.s.stopping {
             self.s.stopping = true;
             (self.s.log)(&format!("{why}: finishing what was taken"));
-            self.s.net.deadlines.set(self.s.net.now + LAST_CALLS, Due::LastCalls);
+            self.s.net.timers.schedule(self.s.net.now + LAST_CALLS, Due::LastCalls);
         }
     }
 
--- a/crates/pebblepost/src/workers.rs
+++ b/crates/pebblepost/src/workers.rs
@@ -229,7 +229,7 @@
         if link.lines.len() > MAX_LINE {
             return self.broken_answer(s, key);
         }
-        let (done, spoilt) = (body.done(), link.spoilt);
+        let (done, spoilt) = (body.is_complete(), link.spoilt);
         let verdict = match task {
             Task::Tail => {
                 link.lines.consume(link.lines.len());
@@ -325,7 +325,7 @@
         let unsent = pending || !conn.connected || !conn.written();
         if let Role::Worker(Link { head: Some((head, body)), .. }) = &conn.role
             && head.framing == http::Framing::UntilClose
-            && !body.done()
+            && !body.is_complete()
             && head.status != 200
         {
             // The end of the connection is the end of such an answer.
--- a/crates/pebblepost/tests/behaviour_pins.rs
+++ b/crates/pebblepost/tests/behaviour_pins.rs
@@ -6,9 +6,10 @@
 mod common;
 
 use common::{Running, Wire, header, lines, platform, post, settings, worker};
+use pebblepost::clock::Clock;
 use pebblepost::config::{self, read_settings};
 use pebblepost::engine::{Answer, DeliveryAttempt, Engine, Input, Output, Request};
-use pebblepost::net::{Clock, Listener};
+use pebblepost::net::Listener;
 use pebblepost::{checksummed_file, discovery::Registry, store_replica};
 use pebblepost_dispatch::api::{
     CellId, ClassId, Entry, KindId, ListKind, RequestId, Status, TenantId, Time, WorkerId, WorkerState,
--- a/crates/pebblepost/tests/parsers.rs
+++ b/crates/pebblepost/tests/parsers.rs
@@ -1,10 +1,10 @@
 //! Random cuts of valid messages and random garbage, from a fixed seed.
 
 use pebblepost::buffer::Buffer;
+use pebblepost::clock::Clock;
 use pebblepost::config::flatten;
 use pebblepost::discovery::Registry;
 use pebblepost::http::{self, Body, Malformed, request_head, response_head};
-use pebblepost::net::Clock;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use serde_json::{Value, json};
@@ -39,7 +39,7 @@
         }
         if let Some((body, _)) = &mut head {
             body.decode(&mut input, &mut out)?;
-            done = body.done();
+            done = body.is_complete();
         }
     }
     Ok(head.filter(|_| done).map(|(_, h)| (h.target, out.data().to_vec(), input.data().to_vec())))
