--- a/crates/pebblepost/src/discovery.rs
+++ b/crates/pebblepost/src/discovery.rs
@@ -293,7 +293,7 @@
             return Some((whole, stale));
         }
         let kind = kind.unwrap_or(if list.whole { ListKind::Full } else { ListKind::Delta });
-        Some((Input::Members(kind, entries), stale))
+        Some((Input::Membership(kind, entries), stale))
     }
 
     /// The entry as the core sees it: an operator's drain mark drains a ready worker.
@@ -316,7 +316,7 @@
     pub fn whole(&self) -> Input {
         let told = self.endpoints.iter().filter(|e| !self.held_back || e.dial.is_none());
         let all = told.map(|e| self.marked(e.entry.worker));
-        Input::Members(ListKind::Cached, all.filter(|e| e.state != WorkerState::Gone).collect())
+        Input::Membership(ListKind::Cached, all.filter(|e| e.state != WorkerState::Gone).collect())
     }
 }
 
--- a/crates/pebblepost/src/front/faktory.rs
+++ b/crates/pebblepost/src/front/faktory.rs
@@ -6,7 +6,7 @@
 //! from two queues is two workers to the core, with the same slots.
 
 use crate::config::FaktoryConfig;
-use crate::engine::{Answer, DeliveryAttempt, Input, Request};
+use crate::engine::{AttemptId, FinalResponse, Input, Request};
 use crate::net::{ConnKey, Due, Role, Shared};
 use pebblepost_dispatch::api::*;
 use serde_json::{Value, json};
@@ -37,7 +37,7 @@
     #[default]
     Nothing,
     /// The answer to its push.
-    Answer,
+    FinalResponse,
     /// A job from one of these queues.
     Job(Vec<usize>),
 }
@@ -54,7 +54,7 @@
 /// A job that a worker has fetched.
 #[derive(Debug)]
 struct Running {
-    attempt: DeliveryAttempt,
+    attempt: AttemptId,
     conn: ConnKey,
     until: Time,
 }
@@ -87,7 +87,7 @@
     id: RequestId,
     first: Time,
     waiting: Vec<ConnKey>,
-    answer: Option<Answer>,
+    answer: Option<FinalResponse>,
 }
 
 /// The front.
@@ -118,13 +118,13 @@
 
 /// The reply to a push, at the time it is given. A rejected job that came back within the window would only
 /// hear the same again, so it is told to stay away for the rest of it.
-fn reply(answer: &Answer, left: Duration) -> String {
+fn reply(answer: &FinalResponse, left: Duration) -> String {
     match answer {
-        Answer::Served(_) => "+OK\r\n".to_owned(),
-        Answer::Rejected(after) => {
+        FinalResponse::Served(_) => "+OK\r\n".to_owned(),
+        FinalResponse::Rejected(after) => {
             format!("-ERR refused, come back in {:.3} s\r\n", left.max(*after).as_secs_f64())
         }
-        Answer::Failed => "-ERR failed, the job may have run\r\n".to_owned(),
+        FinalResponse::Failed => "-ERR failed, the job may have run\r\n".to_owned(),
     }
 }
 
@@ -315,7 +315,7 @@
                 }
                 None => {
                     first.waiting.push(key);
-                    self.set_wait(s, key, Wait::Answer);
+                    self.set_wait(s, key, Wait::FinalResponse);
                 }
             }
             return;
@@ -341,7 +341,7 @@
         self.jobs.insert(id, job);
         self.recent.insert(repeat_key, Recent { id, first: now, waiting: vec![key], answer: None });
         self.pushed += 1;
-        self.set_wait(s, key, Wait::Answer);
+        self.set_wait(s, key, Wait::FinalResponse);
         s.inputs.push(Input::Request(id, request));
     }
 
@@ -352,10 +352,10 @@
     }
 
     /// Gives the final answer to all who pushed the job; `false`: it is not of this front.
-    pub fn answer(&mut self, s: &mut Shared, id: RequestId, answer: Answer) -> bool {
+    pub fn answer(&mut self, s: &mut Shared, id: RequestId, answer: FinalResponse) -> bool {
         let Some(job) = self.jobs.remove(&id) else { return false };
         let Some(first) = self.recent.get_mut(&job.key) else { return true };
-        self.served += u64::from(matches!(answer, Answer::Served(_)));
+        self.served += u64::from(matches!(answer, FinalResponse::Served(_)));
         let reply = reply(&answer, (first.first + WINDOW).since(s.net.now));
         first.answer = Some(answer);
         let now = s.net.now;
@@ -416,7 +416,7 @@
             }
             None => (Status::ConnectFailed, Vec::new()),
         };
-        s.inputs.push(Input::Probed(id, status, Duration::ZERO, report));
+        s.inputs.push(Input::Probed { worker: id, status, latency: Duration::ZERO, report });
         true
     }
 
@@ -426,12 +426,12 @@
     }
 
     /// Hands a job to a parked fetch; `false`: the worker is not of this front.
-    pub fn deliver(&mut self, s: &mut Shared, attempt: DeliveryAttempt, id: WorkerId) -> bool {
+    pub fn deliver(&mut self, s: &mut Shared, attempt: AttemptId, id: WorkerId) -> bool {
         let Some((wid, queue)) = self.by_id.get(&id).cloned() else { return false };
         let now = s.net.now;
-        let end =
-            |s: &mut Shared, status| s.inputs.push(Input::Ended(attempt, status, Vec::new(), Vec::new()));
-        let (Some(worker), Some(job)) = (self.workers.get_mut(&wid), self.jobs.get_mut(&attempt.id)) else {
+        let end = |s: &mut Shared, status| s.inputs.push(Input::attempt_failed(attempt, status));
+        let (Some(worker), Some(job)) = (self.workers.get_mut(&wid), self.jobs.get_mut(&attempt.request))
+        else {
             end(s, Status::ConnectFailed);
             return true;
         };
@@ -456,7 +456,7 @@
     }
 
     /// An attempt has been given up. The worker is not told: the protocol has no word for that.
-    pub fn give_up(&mut self, attempt: DeliveryAttempt) {
+    pub fn give_up(&mut self, attempt: AttemptId) {
         for worker in self.workers.values_mut() {
             worker.running.retain(|_, r| r.attempt != attempt);
         }
@@ -469,7 +469,7 @@
         };
         let worker = wid.and_then(|wid| self.workers.get_mut(&wid));
         if let Some(running) = worker.and_then(|w| w.running.remove(jid)) {
-            s.inputs.push(Input::Ended(running.attempt, status, Vec::new(), Vec::new()));
+            s.inputs.push(Input::attempt_failed(running.attempt, status));
         }
         s.net.send(key, b"+OK\r\n");
     }
@@ -519,7 +519,7 @@
         self.change(s, wid, WorkerState::Gone);
         if let Some(worker) = self.workers.remove(wid) {
             for (_, running) in worker.running {
-                s.inputs.push(Input::Ended(running.attempt, status, Vec::new(), Vec::new()));
+                s.inputs.push(Input::attempt_failed(running.attempt, status));
             }
         }
         // Should it speak again, it starts with a new connection, as a new worker.
@@ -535,7 +535,7 @@
     fn detach(&mut self, s: &mut Shared, key: ConnKey) {
         let Some(Role::Faktory(peer)) = s.net.get(key).map(|c| &mut c.role) else { return };
         let (wid, wait) = (peer.wid.take(), std::mem::take(&mut peer.wait));
-        if wait == Wait::Answer {
+        if wait == Wait::FinalResponse {
             self.producer_gone(s, key);
         }
         let Some((wid, worker)) = wid.and_then(|wid| self.workers.get_mut(&wid).map(|w| (wid, w))) else {
@@ -547,7 +547,7 @@
         let jids: Vec<String> =
             worker.running.iter().filter(|(_, r)| lost(r)).map(|(j, _)| j.clone()).collect();
         for running in jids.iter().filter_map(|jid| worker.running.remove(jid)) {
-            s.inputs.push(Input::Ended(running.attempt, Status::Reset, Vec::new(), Vec::new()));
+            s.inputs.push(Input::attempt_failed(running.attempt, Status::Reset));
         }
         if worker.conns == 0 {
             self.lose(s, &wid, Status::Reset);
@@ -564,7 +564,7 @@
         if first.waiting.is_empty() && self.jobs.get(&id).is_some_and(|job| !job.delivered) {
             self.jobs.remove(&id);
             self.recent.remove(&name);
-            s.inputs.push(Input::ClientGone(id));
+            s.inputs.push(Input::ClientDisconnected(id));
         }
     }
 
@@ -605,7 +605,7 @@
             let jids: Vec<String> =
                 worker.running.iter().filter(|(_, r)| late(r)).map(|(j, _)| j.clone()).collect();
             for running in jids.iter().filter_map(|jid| worker.running.remove(jid)) {
-                s.inputs.push(Input::Ended(running.attempt, Status::Timeout, Vec::new(), Vec::new()));
+                s.inputs.push(Input::attempt_failed(running.attempt, Status::Timeout));
             }
         }
         self.recent.retain(|_, r| r.answer.is_none() || now < r.first + WINDOW);
--- a/crates/pebblepost/src/front/platform.rs
+++ b/crates/pebblepost/src/front/platform.rs
@@ -3,7 +3,7 @@
 
 use crate::buffer::Buffer;
 use crate::config::RequestClass;
-use crate::engine::{Answer, Input, Request};
+use crate::engine::{FinalResponse, Input, Request};
 use crate::http::{self, Body, Head, Malformed};
 use crate::name_hash::hash_name;
 use crate::net::{Conn, ConnKey, Role, Shared};
@@ -251,13 +251,13 @@
     }
 
     /// Gives the final answer; `false`: the request is not of this front.
-    pub fn answer(&mut self, s: &mut Shared, id: RequestId, answer: &Answer) -> bool {
+    pub fn answer(&mut self, s: &mut Shared, id: RequestId, answer: &FinalResponse) -> bool {
         let Some(job) = self.jobs.remove(&id) else { return false };
         let keep = job.keep_alive && !s.last_calls;
         let bytes = match answer {
-            Answer::Served(body) => http::response(200, "", body, keep),
-            Answer::Rejected(after) => http::response(503, &http::retry_after(*after), b"", keep),
-            Answer::Failed => http::response(502, "", b"", keep),
+            FinalResponse::Served(body) => http::response(200, "", body, keep),
+            FinalResponse::Rejected(after) => http::response(503, &http::retry_after(*after), b"", keep),
+            FinalResponse::Failed => http::response(502, "", b"", keep),
         };
         self.reply(s, job.client, &bytes, keep);
         self.on_data(s, job.client); // The next request may be there already.
@@ -268,7 +268,7 @@
     pub fn on_closed(&mut self, s: &mut Shared, key: ConnKey) {
         if let Some(Role::Client(ClientState::Waiting(id))) = s.net.close(key) {
             self.jobs.remove(&id);
-            s.inputs.push(Input::ClientGone(id));
+            s.inputs.push(Input::ClientDisconnected(id));
         }
     }
 
--- a/crates/pebblepost/src/net.rs
+++ b/crates/pebblepost/src/net.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Due {
     /// Of the core.
-    Core(engine::Due),
+    Core(engine::EngineTimer),
     /// Of a connection.
     Conn(ConnKey),
     /// A connection's unwritten output.
--- a/crates/pebblepost/src/turn.rs
+++ b/crates/pebblepost/src/turn.rs
@@ -83,7 +83,7 @@
         if let Some(log) = trace {
             log(&format!("trace settings {:?}", config.settings));
         }
-        let engine = Engine::new(config.settings.clone(), config.seed, net.now).tracing(trace);
+        let engine = Engine::new(config.settings.clone(), config.seed, net.now).with_trace(trace);
         let mut registry = Registry::new(config.zones, config.kinds);
         if let Some(known) = &config.known_endpoints {
             registry.apply(known, Some(ListKind::Cached), &clock);
@@ -199,7 +199,7 @@
             let mut inputs = std::mem::take(&mut self.s.inputs);
             if self.agent.is_some() {
                 for input in &inputs {
-                    if let Input::Probed(worker, status, ..) = input {
+                    if let Input::Probed { worker, status, .. } = input {
                         self.mute.probed(self.s.net.now, *worker, *status);
                     }
                 }
@@ -256,19 +256,19 @@
     fn carry_out(&mut self, output: Output) {
         let s = &mut self.s;
         match output {
-            Output::Deliver(attempt, worker, time_left) => {
-                if let Some(request) = self.platform.request(attempt.id, time_left) {
+            Output::Deliver { attempt, worker, time_left } => {
+                if let Some(request) = self.platform.request(attempt.request, time_left) {
                     self.workers.deliver(s, attempt, worker, &request);
                 } else if !self.faktory.as_mut().is_some_and(|f| f.deliver(s, attempt, worker)) {
-                    s.inputs.push(Input::Ended(attempt, Status::ConnectFailed, Vec::new(), Vec::new()));
+                    s.inputs.push(Input::attempt_failed(attempt, Status::ConnectFailed));
                 }
             }
-            Output::Transmit(attempt, time_left) => {
-                if let Some(request) = self.platform.request(attempt.id, time_left) {
+            Output::Transmit { attempt, time_left } => {
+                if let Some(request) = self.platform.request(attempt.request, time_left) {
                     self.workers.transmit(s, attempt, &request);
                 }
             }
-            Output::GiveUp(attempt) => {
+            Output::Abandon(attempt) => {
                 self.workers.give_up(s, attempt);
                 self.faktory.iter_mut().for_each(|f| f.give_up(attempt));
             }
@@ -280,10 +280,10 @@
             Output::CloseIdle(worker) => self.workers.close_idle(s, worker),
             // The watch is kept up in any case: when a change counts as told does not wait for the decisions.
             Output::Watch | Output::Fetch => {}
-            Output::Set(at, due) => {
+            Output::SetTimer(at, due) => {
                 s.net.timers.schedule(at, Due::Core(due));
             }
-            Output::Answer(id, answer) => {
+            Output::Respond(id, answer) => {
                 if !self.platform.answer(s, id, &answer)
                     && let Some(faktory) = &mut self.faktory
                 {
@@ -367,7 +367,7 @@
 
     fn due(&mut self, due: Due) {
         match due {
-            Due::Core(due) => self.s.inputs.push(Input::Due(due)),
+            Due::Core(due) => self.s.inputs.push(Input::TimerDue(due)),
             Due::Write(key) => self.closed(key),
             Due::Conn(key) => match self.s.net.get(key).map(|c| &c.role) {
                 Some(Role::Client(_)) => self.platform.on_deadline(&mut self.s, key),
--- a/crates/pebblepost/src/workers.rs
+++ b/crates/pebblepost/src/workers.rs
@@ -1,7 +1,7 @@
 //! Workers reached by HTTP: delivery attempts, probes, and the pool of idle links.
 
 use crate::buffer::Buffer;
-use crate::engine::{DeliveryAttempt, Input};
+use crate::engine::{AttemptId, Input};
 use crate::http::{self, Body, Head};
 use crate::net::{Conn, ConnKey, Role, Shared};
 use pebblepost_dispatch::api::{Report, Settings, Status, Time, WorkerId};
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Task {
     /// An attempt.
-    Attempt(DeliveryAttempt),
+    Attempt(AttemptId),
     /// A probe, sent at that time.
     Probe(Time),
     /// The rest of an answer that has told all it had to.
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct Workers {
     idle: HashMap<WorkerId, Vec<ConnKey>>,
-    attempts: HashMap<DeliveryAttempt, ConnKey>,
+    attempts: HashMap<AttemptId, ConnKey>,
     connect_timeout: Duration,
     idle_limit: Duration,
     fields: Vec<String>,
@@ -83,7 +83,7 @@
 
     /// Delivers a request, at once if there is an idle link. A new one may come up late; by then it may no longer be
     /// right to send, so the core is asked again ([`Input::Connected`]) before the first byte goes out.
-    pub fn deliver(&mut self, s: &mut Shared, attempt: DeliveryAttempt, worker: WorkerId, request: &Request) {
+    pub fn deliver(&mut self, s: &mut Shared, attempt: AttemptId, worker: WorkerId, request: &Request) {
         let task = Task::Attempt(attempt);
         let started = match self.idle_link(s, worker, task) {
             Some(key) => {
@@ -97,13 +97,13 @@
                 self.attempts.insert(attempt, key);
             }
             None => {
-                s.inputs.push(Input::Ended(attempt, Status::ConnectFailed, Vec::new(), Vec::new()));
+                s.inputs.push(Input::attempt_failed(attempt, Status::ConnectFailed));
             }
         }
     }
 
     /// Puts the request on the link that came up for it.
-    pub fn transmit(&mut self, s: &mut Shared, attempt: DeliveryAttempt, request: &Request) {
+    pub fn transmit(&mut self, s: &mut Shared, attempt: AttemptId, request: &Request) {
         if let Some(key) = self.attempts.get(&attempt) {
             self.put(s, *key, request);
         }
@@ -122,7 +122,12 @@
         const PROBE: &[u8] = b"GET /status/load HTTP/1.1\r\nHost: api.internal\r\n\r\n";
         let task = Task::Probe(s.net.now);
         let Some(key) = self.idle_link(s, worker, task).or_else(|| self.new_link(s, worker, task)) else {
-            s.inputs.push(Input::Probed(worker, Status::ConnectFailed, Duration::ZERO, Vec::new()));
+            s.inputs.push(Input::Probed {
+                worker,
+                status: Status::ConnectFailed,
+                latency: Duration::ZERO,
+                report: Vec::new(),
+            });
             return;
         };
         s.net.send(key, PROBE);
@@ -171,7 +176,7 @@
     }
 
     /// Ends an attempt that has been given up, by closing its link. Late events of it find nobody.
-    pub fn give_up(&mut self, s: &mut Shared, attempt: DeliveryAttempt) {
+    pub fn give_up(&mut self, s: &mut Shared, attempt: AttemptId) {
         if let Some(key) = self.attempts.remove(&attempt) {
             s.net.close(key);
         }
@@ -349,17 +354,17 @@
         match (task, verdict) {
             (Task::Attempt(attempt), Verdict::Ended(status, report, result)) => {
                 self.attempts.remove(&attempt);
-                s.inputs.push(Input::Ended(attempt, status, report, result));
+                s.inputs.push(Input::AttemptEnded { attempt, status, report, body: result });
             }
             (Task::Attempt(attempt), Verdict::Invalid) => {
                 self.attempts.remove(&attempt);
-                s.inputs.push(Input::Invalid(attempt));
+                s.inputs.push(Input::RequestInvalid(attempt));
             }
             (Task::Probe(sent), verdict) => {
                 let Verdict::Ended(status, report, _) = verdict else {
                     return self.end(s, worker, task, ended(Status::Error));
                 };
-                s.inputs.push(Input::Probed(worker, status, s.net.now.since(sent), report));
+                s.inputs.push(Input::Probed { worker, status, latency: s.net.now.since(sent), report });
             }
             _ => {}
         }
--- a/crates/pebblepost/tests/behaviour_pins.rs
+++ b/crates/pebblepost/tests/behaviour_pins.rs
@@ -8,7 +8,7 @@
 use common::{Running, Wire, header, lines, platform, post, settings, worker};
 use pebblepost::clock::Clock;
 use pebblepost::config::{self, read_settings};
-use pebblepost::engine::{Answer, DeliveryAttempt, Engine, Input, Output, Request};
+use pebblepost::engine::{AttemptId, Engine, FinalResponse, Input, Output, Request};
 use pebblepost::net::Listener;
 use pebblepost::{checksummed_file, discovery::Registry, store_replica};
 use pebblepost_dispatch::api::{
@@ -42,7 +42,7 @@
     let mut parts = text.split(mark);
     let mut result = parts.next().unwrap_or_default().to_owned();
     for part in parts {
-        let rest = part.trim_start_matches(|c: char| c.is_ascii_digit() || c == '.');
+        let rest = part.trim_start_matches(|character: char| character.is_ascii_digit() || character == '.');
         let _ = write!(result, "{mark}{}{rest}", if rest.len() < part.len() { "#" } else { "" });
     }
     result
@@ -117,8 +117,11 @@
     );
     let _ = write!(text, "\n  settings {}", config.settings_json);
     if let Some(faktory) = &config.faktory {
-        let queues: Vec<_> =
-            faktory.queues.iter().map(|q| (q.name.as_str(), q.class, q.kind, q.deadline)).collect();
+        let queues: Vec<_> = faktory
+            .queues
+            .iter()
+            .map(|queue| (queue.name.as_str(), queue.class, queue.kind, queue.deadline))
+            .collect();
         let _ = write!(
             text,
             "\n  faktory {} {:?} {:?} {:?} {:?} {queues:?}",
@@ -135,6 +138,49 @@
     text
 }
 
+/// Operator's files, most of them with one mistake.
+fn operator_files() -> Vec<Value> {
+    vec![
+        json!({}),
+        json!({"nmae": "x"}),
+        json!({"name": "op", "agent_check": {"listen": "127.0.0.1:1"}, "health": {"listen": "127.0.0.1:2"}}),
+        json!({"agent_check": {"liste": "127.0.0.1:1"}}),
+        json!({"agent_check": 1}),
+        json!({"health": {"listen": 2}}),
+        json!({"health": {}}),
+        json!({"settings": []}),
+        json!({"settings": {"room": {"x": 1}}}),
+        json!({"settings": {"instances": 9}}),
+        json!({"settings": {"tick": "soon"}}),
+        json!({"faktory": 1}),
+        json!({"faktory": {"port": 1}}),
+        json!({"faktory": {}}),
+        json!({"faktory": {"listen": "127.0.0.1:3"}}),
+        json!({"faktory": {"listen": "127.0.0.1:3", "password": 1}}),
+        json!({"faktory": {"listen": "127.0.0.1:3", "key": 1}}),
+        json!({"faktory": {"listen": "127.0.0.1:3", "heartbeat_s": 0}}),
+        json!({"faktory": {"listen": "127.0.0.1:3", "reserve_for_s": "x"}}),
+        json!({"faktory": {"listen": "127.0.0.1:3", "queues": []}}),
+        json!({"faktory": {"listen": "127.0.0.1:3", "queues": {"q": 1}}}),
+        json!({"faktory": {"listen": "127.0.0.1:3", "queues": {"q": {"x": 1}}}}),
+        json!({"faktory": {"listen": "127.0.0.1:3", "queues": {"q": {"deadline_s": 1e9}}}}),
+        json!({"faktory": {"listen": "127.0.0.1:3", "queues": {"q": {"wanted_s": -1}}}}),
+        json!({"faktory": {"listen": "127.0.0.1:3", "queues": {"q": {"workers_drop_repeats": 1}}}}),
+        json!({"faktory": {"listen": "127.0.0.1:3", "password": "p", "key": "k", "heartbeat_s": 2, "reserve_for_s": 3,
+            "queues": {"a": {"deadline_s": 5, "wanted_s": 1, "workers_drop_repeats": true}, "b": {}}}}),
+        json!({"fleet": 1}),
+        json!({"fleet": {"keeper": {}}}),
+        json!({"fleet": {"keepers": {"x": "127.0.0.1:1"}}}),
+        json!({"fleet": {"keepers": {"1": "nowhere"}}}),
+        json!({"fleet": {"keepers": {"1": "10.0.0.1:1"}}}),
+        json!({"fleet": {"control": "10.0.0.1:1"}}),
+        json!({"fleet": {"zone": "a\nb"}}),
+        json!({"fleet": {"version": "x".repeat(2000)}}),
+        json!({"fleet": {"keepers": {"1": "127.0.0.1:1", "2": "127.0.0.1:2"}, "control": "127.0.0.1:3", "copy": "/c",
+            "zone": "z", "version": "v"}}),
+    ]
+}
+
 #[test]
 fn configuration_errors_and_values_are_as_approved() {
     let files = Files::new();
@@ -176,45 +222,7 @@
         "environment wrong: {}",
         files.read(Some(&text), None, &[("PROXY_DISCOVERY", "x")])
     );
-    for operator in [
-        json!({}),
-        json!({"nmae": "x"}),
-        json!({"name": "op", "agent_check": {"listen": "127.0.0.1:1"}, "health": {"listen": "127.0.0.1:2"}}),
-        json!({"agent_check": {"liste": "127.0.0.1:1"}}),
-        json!({"agent_check": 1}),
-        json!({"health": {"listen": 2}}),
-        json!({"health": {}}),
-        json!({"settings": []}),
-        json!({"settings": {"room": {"x": 1}}}),
-        json!({"settings": {"instances": 9}}),
-        json!({"settings": {"tick": "soon"}}),
-        json!({"faktory": 1}),
-        json!({"faktory": {"port": 1}}),
-        json!({"faktory": {}}),
-        json!({"faktory": {"listen": "127.0.0.1:3"}}),
-        json!({"faktory": {"listen": "127.0.0.1:3", "password": 1}}),
-        json!({"faktory": {"listen": "127.0.0.1:3", "key": 1}}),
-        json!({"faktory": {"listen": "127.0.0.1:3", "heartbeat_s": 0}}),
-        json!({"faktory": {"listen": "127.0.0.1:3", "reserve_for_s": "x"}}),
-        json!({"faktory": {"listen": "127.0.0.1:3", "queues": []}}),
-        json!({"faktory": {"listen": "127.0.0.1:3", "queues": {"q": 1}}}),
-        json!({"faktory": {"listen": "127.0.0.1:3", "queues": {"q": {"x": 1}}}}),
-        json!({"faktory": {"listen": "127.0.0.1:3", "queues": {"q": {"deadline_s": 1e9}}}}),
-        json!({"faktory": {"listen": "127.0.0.1:3", "queues": {"q": {"wanted_s": -1}}}}),
-        json!({"faktory": {"listen": "127.0.0.1:3", "queues": {"q": {"workers_drop_repeats": 1}}}}),
-        json!({"faktory": {"listen": "127.0.0.1:3", "password": "p", "key": "k", "heartbeat_s": 2, "reserve_for_s": 3,
-            "queues": {"a": {"deadline_s": 5, "wanted_s": 1, "workers_drop_repeats": true}, "b": {}}}}),
-        json!({"fleet": 1}),
-        json!({"fleet": {"keeper": {}}}),
-        json!({"fleet": {"keepers": {"x": "127.0.0.1:1"}}}),
-        json!({"fleet": {"keepers": {"1": "nowhere"}}}),
-        json!({"fleet": {"keepers": {"1": "10.0.0.1:1"}}}),
-        json!({"fleet": {"control": "10.0.0.1:1"}}),
-        json!({"fleet": {"zone": "a\nb"}}),
-        json!({"fleet": {"version": "x".repeat(2000)}}),
-        json!({"fleet": {"keepers": {"1": "127.0.0.1:1", "2": "127.0.0.1:2"}, "control": "127.0.0.1:3", "copy": "/c",
-            "zone": "z", "version": "v"}}),
-    ] {
+    for operator in operator_files() {
         let read = files.read(Some(&text), Some(&operator.to_string()), &[]);
         let shown: String = operator.to_string().chars().take(160).collect();
         let _ = writeln!(transcript, "operator {shown}: {read}");
@@ -499,7 +507,7 @@
     ] {
         let applied = registry.apply(&list, None, &clock);
         let text = match &applied {
-            Some((Input::Members(kind, entries), stale)) => {
+            Some((Input::Membership(kind, entries), stale)) => {
                 let stale: Vec<u32> = stale.iter().map(|worker| worker.0).collect();
                 format!("{kind:?} {} stale {stale:?}", entry_numbers(entries))
             }
@@ -511,7 +519,7 @@
     let marks = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     for names in [&["c"][..], &["c"], &[]] {
         match registry.mark(marks(names)) {
-            Some(Input::Members(kind, entries)) => {
+            Some(Input::Membership(kind, entries)) => {
                 let _ = writeln!(transcript, "marks {names:?}: {kind:?} {}", entry_numbers(&entries));
             }
             _ => {
@@ -562,8 +570,8 @@
             let _ = writeln!(transcript, "{name} {now} {numbers:?}");
         };
         match output {
-            Output::Deliver(attempt, worker, left) => {
-                let DeliveryAttempt { id, no } = attempt;
+            Output::Deliver { attempt, worker, time_left: left } => {
+                let AttemptId { request: id, number: no } = attempt;
                 let numbers = [u64::from(id.0), u64::from(no.0), u64::from(worker.0), left.as_nanos() as u64];
                 write(&mut self.transcript, "deliver", &numbers);
                 self.attempts += 1;
@@ -578,42 +586,44 @@
                 let status = kinds[self.attempts as usize % kinds.len()];
                 match self.attempts % 9 {
                     0 => self.later(Time(now + 2 * MS), Input::Connected(attempt)),
-                    8 => self.later(Time(now + 2 * MS), Input::Invalid(attempt)),
+                    8 => self.later(Time(now + 2 * MS), Input::RequestInvalid(attempt)),
                     _ => {
                         self.later(Time(now + MS), Input::Started(attempt));
                         self.later(Time(now + 2 * MS), Input::Progress(attempt, 0.5));
-                        let ended = Input::Ended(attempt, status, report(), b"body".to_vec());
+                        let ended =
+                            Input::AttemptEnded { attempt, status, report: report(), body: b"body".to_vec() };
                         self.later(Time(now + u64::from(3 + self.attempts % 40) * MS), ended);
                     }
                 }
             }
-            Output::Transmit(attempt, left) => {
-                let DeliveryAttempt { id, no } = attempt;
+            Output::Transmit { attempt, time_left: left } => {
+                let AttemptId { request: id, number: no } = attempt;
                 let numbers = [u64::from(id.0), u64::from(no.0), left.as_nanos() as u64];
                 write(&mut self.transcript, "transmit", &numbers);
             }
-            Output::GiveUp(DeliveryAttempt { id, no }) => {
+            Output::Abandon(AttemptId { request: id, number: no }) => {
                 write(&mut self.transcript, "abandon", &[u64::from(id.0), u64::from(no.0)]);
             }
             Output::Probe(worker) => {
                 write(&mut self.transcript, "probe", &[u64::from(worker.0)]);
                 let latency = Duration::from_millis(1 + u64::from(worker.0));
-                let status = if worker.0 == 3 && now % 7 == 0 { Status::Timeout } else { Status::Ok };
-                let probed = Input::Probed(worker, status, latency, report());
+                let status =
+                    if worker.0 == 3 && now.is_multiple_of(7) { Status::Timeout } else { Status::Ok };
+                let probed = Input::Probed { worker, status, latency, report: report() };
                 self.later(Time(now) + latency, probed);
             }
             Output::CloseIdle(worker) => write(&mut self.transcript, "close idle", &[u64::from(worker.0)]),
             Output::Watch => write(&mut self.transcript, "watch", &[]),
             Output::Fetch => write(&mut self.transcript, "fetch", &[]),
-            Output::Set(at, due) => {
+            Output::SetTimer(at, due) => {
                 write(&mut self.transcript, "timer", &[at.0]);
-                self.later(at, Input::Due(due));
+                self.later(at, Input::TimerDue(due));
             }
-            Output::Answer(id, answer) => {
+            Output::Respond(id, answer) => {
                 let numbers = match answer {
-                    Answer::Served(body) => [u64::from(id.0), 200, body.len() as u64],
-                    Answer::Rejected(after) => [u64::from(id.0), 503, after.as_nanos() as u64],
-                    Answer::Failed => [u64::from(id.0), 502, 0],
+                    FinalResponse::Served(body) => [u64::from(id.0), 200, body.len() as u64],
+                    FinalResponse::Rejected(after) => [u64::from(id.0), 503, after.as_nanos() as u64],
+                    FinalResponse::Failed => [u64::from(id.0), 502, 0],
                 };
                 write(&mut self.transcript, "answer", &numbers);
             }
@@ -638,7 +648,7 @@
     };
     let settings = read_settings("test", &settings()).expect("sound settings");
     let mut around = Surroundings {
-        engine: Engine::new(settings, 7, Time(1)).tracing(Some(log)),
+        engine: Engine::new(settings, 7, Time(1)).with_trace(Some(log)),
         now: 1,
         pending: BTreeMap::new(),
         scheduled: 0,
@@ -655,7 +665,7 @@
         started: None,
     };
     let all = (0..5).map(|number| entry(number, WorkerState::Ready)).collect();
-    around.turn(Input::Members(ListKind::Full, all));
+    around.turn(Input::Membership(ListKind::Full, all));
     for id in 1..=300_u32 {
         around.run_until(u64::from(id) * 9);
         let request = Request {
@@ -670,13 +680,13 @@
         };
         around.turn(Input::Request(RequestId(id), request));
         match id {
-            100 => around.turn(Input::Members(ListKind::Delta, vec![entry(1, WorkerState::Draining)])),
-            150 => around.turn(Input::Members(ListKind::Delta, vec![entry(2, WorkerState::Gone)])),
-            200 => around.turn(Input::Members(
+            100 => around.turn(Input::Membership(ListKind::Delta, vec![entry(1, WorkerState::Draining)])),
+            150 => around.turn(Input::Membership(ListKind::Delta, vec![entry(2, WorkerState::Gone)])),
+            200 => around.turn(Input::Membership(
                 ListKind::Cached,
                 vec![entry(0, WorkerState::Ready), entry(3, WorkerState::Ready)],
             )),
-            _ if id % 13 == 0 => around.turn(Input::ClientGone(RequestId(id - 1))),
+            _ if id % 13 == 0 => around.turn(Input::ClientDisconnected(RequestId(id - 1))),
             _ => {}
         }
     }
--- a/crates/pebblepost/tests/engine.rs
+++ b/crates/pebblepost/tests/engine.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use pebblepost::config::read_settings;
-use pebblepost::engine::{Answer, DeliveryAttempt, Due, Engine, Input, Output, Request};
+use pebblepost::engine::{AttemptId, Engine, EngineTimer, FinalResponse, Input, Output, Request};
 use pebblepost_dispatch::api::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -24,9 +24,9 @@
     prop_oneof![
         3 => Just(Step::Request),
         1 => any::<usize>().prop_map(Step::Gone),
-        1 => (0_u32..4, 0_u8..3, any::<bool>()).prop_map(|(w, s, whole)| Step::Members(w, s, whole)),
-        4 => (any::<usize>(), 0_u8..8).prop_map(|(i, s)| Step::Ended(i, s)),
-        6 => (0_u8..8, 0_f32..5.0).prop_map(|(s, free)| Step::Probed(s, free)),
+        1 => (0_u32..4, 0_u8..3, any::<bool>()).prop_map(|(worker, state, whole)| Step::Members(worker, state, whole)),
+        4 => (any::<usize>(), 0_u8..8).prop_map(|(index, status)| Step::Ended(index, status)),
+        6 => (0_u8..8, 0_f32..5.0).prop_map(|(status, free)| Step::Probed(status, free)),
         4 => (0_u64..900).prop_map(Step::Pass),
     ]
 }
@@ -40,11 +40,11 @@
 #[derive(Default)]
 struct Watcher {
     now: u64,
-    deadlines: BTreeMap<(Time, usize), Due>,
+    deadlines: BTreeMap<(Time, usize), EngineTimer>,
     states: HashMap<WorkerId, WorkerState>,
     answers: HashMap<RequestId, u32>,
     left: HashSet<RequestId>,
-    attempts: Vec<DeliveryAttempt>,
+    attempts: Vec<AttemptId>,
     probes: Vec<WorkerId>,
 }
 
@@ -54,30 +54,31 @@
         engine.turn(Time(self.now), &mut inputs, &mut out);
         for output in out {
             match output {
-                Output::Deliver(attempt, worker, left) => {
+                Output::Deliver { attempt, worker, time_left: left } => {
                     assert_eq!(self.states.get(&worker), Some(&WorkerState::Ready), "sent to one not ready");
-                    assert!(!self.answers.contains_key(&attempt.id), "sent after the answer");
-                    assert!(!self.left.contains(&attempt.id), "sent after the client left");
+                    assert!(!self.answers.contains_key(&attempt.request), "sent after the answer");
+                    assert!(!self.left.contains(&attempt.request), "sent after the client left");
                     assert!(!left.is_zero(), "sent after the deadline");
-                    let before = self.attempts.iter().filter(|a| a.id == attempt.id).count();
+                    let before =
+                        self.attempts.iter().filter(|other| other.request == attempt.request).count();
                     assert!(before < 3, "more attempts than allowed");
                     self.attempts.push(attempt);
                 }
                 // Only after `Input::Connected`, which these steps do not make.
-                Output::Transmit(..) => unreachable!(),
-                Output::Answer(id, answer) => {
+                Output::Transmit { .. } => unreachable!(),
+                Output::Respond(id, answer) => {
                     assert!(!self.left.contains(&id), "an answer to nobody");
                     *self.answers.entry(id).or_default() += 1;
                     assert_eq!(self.answers[&id], 1, "one final answer");
-                    if let Answer::Rejected(after) = answer {
+                    if let FinalResponse::Rejected(after) = answer {
                         assert!(!after.is_zero(), "a refusal says when to come back");
                     }
                 }
-                Output::Set(at, due) => {
+                Output::SetTimer(at, due) => {
                     self.deadlines.insert((at, self.deadlines.len() + self.answers.len()), due);
                 }
                 Output::Probe(worker) => self.probes.push(worker),
-                Output::GiveUp(attempt) => assert!(self.attempts.contains(&attempt)),
+                Output::Abandon(attempt) => assert!(self.attempts.contains(&attempt)),
                 Output::CloseIdle(_) | Output::Watch | Output::Fetch => {}
             }
         }
@@ -85,10 +86,10 @@
 
     fn pass(&mut self, engine: &mut Engine, millis: u64) {
         let until = self.now + millis * 1_000_000;
-        while let Some(first) = self.deadlines.first_entry().filter(|e| e.key().0.0 <= until) {
+        while let Some(first) = self.deadlines.first_entry().filter(|entry| entry.key().0.0 <= until) {
             self.now = self.now.max(first.key().0.0);
             let due = first.remove();
-            self.turn(engine, Input::Due(due));
+            self.turn(engine, Input::TimerDue(due));
         }
         self.now = until;
     }
@@ -101,13 +102,13 @@
     fn one_answer_each_and_nothing_to_whom_it_must_not_go(steps in prop::collection::vec(step(), 0..150)) {
         let settings = read_settings("test", &common::settings()).expect("sound settings");
         let mut engine = Engine::new(settings, 1, Time(1));
-        let mut w = Watcher { now: 1, ..Watcher::default() };
+        let mut watcher = Watcher { now: 1, ..Watcher::default() };
         let entry = |n: u32, state| Entry {
             worker: WorkerId(n), zone: ZoneId(0), kind: KindId(0), cell: CellId(0), state, name: 0, started: None,
         };
-        w.states.extend((0..3).map(|n| (WorkerId(n), WorkerState::Ready)));
+        watcher.states.extend((0..3).map(|n| (WorkerId(n), WorkerState::Ready)));
         let all = (0..3).map(|n| entry(n, WorkerState::Ready)).collect();
-        w.turn(&mut engine, Input::Members(ListKind::Cached, all));
+        watcher.turn(&mut engine, Input::Membership(ListKind::Cached, all));
         let mut requests = Vec::new();
         for step in steps {
             match step {
@@ -116,41 +117,41 @@
                     requests.push(id);
                     let (class, time_left) = (ClassId(0), Duration::from_secs(3));
                     let request = Request { class, time_left, repeat: false, slots: 1.0, memory: 0.0, work: None, key: 0, tenant: TenantId(0) };
-                    w.turn(&mut engine, Input::Request(id, request));
+                    watcher.turn(&mut engine, Input::Request(id, request));
                 }
                 Step::Gone(i) if !requests.is_empty() => {
                     let id = requests[i % requests.len()];
-                    if !w.answers.contains_key(&id) {
-                        w.left.insert(id);
+                    if !watcher.answers.contains_key(&id) {
+                        watcher.left.insert(id);
                     }
-                    w.turn(&mut engine, Input::ClientGone(id));
+                    watcher.turn(&mut engine, Input::ClientDisconnected(id));
                 }
                 Step::Members(n, state, whole) => {
                     let state = [WorkerState::Ready, WorkerState::Draining, WorkerState::Gone][usize::from(state)];
                     if whole {
-                        w.states.clear();
+                        watcher.states.clear();
                     }
-                    w.states.insert(WorkerId(n), state);
+                    watcher.states.insert(WorkerId(n), state);
                     let kind = if whole { ListKind::Full } else { ListKind::Delta };
-                    w.turn(&mut engine, Input::Members(kind, vec![entry(n, state)]));
+                    watcher.turn(&mut engine, Input::Membership(kind, vec![entry(n, state)]));
                 }
-                Step::Ended(i, s) if !w.attempts.is_empty() => {
-                    let attempt = w.attempts[i % w.attempts.len()];
-                    w.turn(&mut engine, Input::Ended(attempt, status(s), Vec::new(), Vec::new()));
+                Step::Ended(index, ended) if !watcher.attempts.is_empty() => {
+                    let attempt = watcher.attempts[index % watcher.attempts.len()];
+                    watcher.turn(&mut engine, Input::attempt_failed(attempt, status(ended)));
                 }
-                Step::Probed(s, free) => {
-                    if let Some(worker) = w.probes.pop() {
-                        let (status, report) = (status(s / 4), vec![0.0, 0.0, free]);
-                        w.turn(&mut engine, Input::Probed(worker, status, Duration::from_millis(1), report));
+                Step::Probed(probed, free) => {
+                    if let Some(worker) = watcher.probes.pop() {
+                        let (status, report) = (status(probed / 4), vec![0.0, 0.0, free]);
+                        watcher.turn(&mut engine, Input::Probed { worker, status, latency: Duration::from_millis(1), report });
                     }
                 }
-                Step::Pass(millis) => w.pass(&mut engine, millis),
+                Step::Pass(millis) => watcher.pass(&mut engine, millis),
                 Step::Gone(_) | Step::Ended(..) => {}
             }
         }
-        w.pass(&mut engine, 4_000);
+        watcher.pass(&mut engine, 4_000);
         for id in requests {
-            prop_assert!(w.answers.contains_key(&id) != w.left.contains(&id), "{id:?} is answered unless its client left");
+            prop_assert!(watcher.answers.contains_key(&id) != watcher.left.contains(&id), "{id:?} is answered unless its client left");
         }
         prop_assert_eq!(engine.unanswered(), 0);
     }
@@ -161,10 +162,10 @@
     engine: Engine,
     now: Time,
     probes: Vec<WorkerId>,
-    sent: Vec<(DeliveryAttempt, WorkerId)>,
-    transmitted: Vec<DeliveryAttempt>,
-    given_up: Vec<DeliveryAttempt>,
-    answers: Vec<Answer>,
+    sent: Vec<(AttemptId, WorkerId)>,
+    transmitted: Vec<AttemptId>,
+    given_up: Vec<AttemptId>,
+    answers: Vec<FinalResponse>,
 }
 
 const ID: RequestId = RequestId(1);
@@ -185,7 +186,7 @@
             answers: Vec::new(),
         };
         let all = [0, 0, 1].into_iter().zip(0..).map(|(zone, n)| bench_entry(n, zone, WorkerState::Ready));
-        bench.turn(vec![Input::Members(ListKind::Cached, all.collect())]);
+        bench.turn(vec![Input::Membership(ListKind::Cached, all.collect())]);
         bench
     }
 
@@ -194,11 +195,11 @@
         self.engine.turn(self.now, &mut inputs, &mut out);
         for output in out {
             match output {
-                Output::Deliver(attempt, worker, _) => self.sent.push((attempt, worker)),
-                Output::Transmit(attempt, _) => self.transmitted.push(attempt),
-                Output::GiveUp(attempt) => self.given_up.push(attempt),
+                Output::Deliver { attempt, worker, .. } => self.sent.push((attempt, worker)),
+                Output::Transmit { attempt, .. } => self.transmitted.push(attempt),
+                Output::Abandon(attempt) => self.given_up.push(attempt),
                 Output::Probe(worker) => self.probes.push(worker),
-                Output::Answer(_, answer) => self.answers.push(answer),
+                Output::Respond(_, answer) => self.answers.push(answer),
                 _ => {}
             }
         }
@@ -225,7 +226,12 @@
         for _ in 0..8 {
             if let Some(worker) = self.probes.pop().filter(|_| self.sent.len() == before) {
                 let report = vec![0.0, 0.0, 4.0];
-                self.turn(vec![Input::Probed(worker, Status::Ok, Duration::from_millis(1), report)]);
+                self.turn(vec![Input::Probed {
+                    worker,
+                    status: Status::Ok,
+                    latency: Duration::from_millis(1),
+                    report,
+                }]);
             }
         }
         self.probes.clear();
@@ -257,7 +263,7 @@
                 bench.ask(3_000);
                 bench.answer_probes();
                 let (first, at) = bench.sent[0];
-                bench.turn(vec![Input::Ended(first, status, Vec::new(), Vec::new())]);
+                bench.turn(vec![Input::attempt_failed(first, status)]);
                 bench.answer_probes();
                 if let Some((_, to)) = bench.sent.get(1) {
                     again += 1;
@@ -276,7 +282,7 @@
                     again == 1 || effect != Idempotency::Idempotent || bench.answers.len() == 1,
                     "{what}: lost"
                 );
-                let refused = bench.answers.iter().any(|a| matches!(a, Answer::Rejected(_)));
+                let refused = bench.answers.iter().any(|answer| matches!(answer, FinalResponse::Rejected(_)));
                 let harmless = never_ran || matches!(effect, Idempotency::Idempotent) || effect == all;
                 assert!(harmless || !refused, "{what}: refused though it may have run");
             }
@@ -291,19 +297,19 @@
     type Happens = fn(&mut Bench);
     let late: [(&str, Happens); 5] = [
         ("all is as it was", |_| {}),
-        ("its worker drains", |b| {
-            let worker = b.sent.last().expect("an attempt").1;
+        ("its worker drains", |bench| {
+            let worker = bench.sent.last().expect("an attempt").1;
             let zone = u16::from(worker.0 == 2);
-            b.turn(vec![Input::Members(
+            bench.turn(vec![Input::Membership(
                 ListKind::Delta,
                 vec![bench_entry(worker.0, zone, WorkerState::Draining)],
             )]);
         }),
-        ("its worker has gone from a whole list", |b| {
-            b.turn(vec![Input::Members(ListKind::Full, Vec::new())]);
+        ("its worker has gone from a whole list", |bench| {
+            bench.turn(vec![Input::Membership(ListKind::Full, Vec::new())]);
         }),
-        ("its client has gone", |b| b.turn(vec![Input::ClientGone(ID)])),
-        ("the window for repeats has closed", |b| b.now = b.now + Duration::from_millis(301)),
+        ("its client has gone", |bench| bench.turn(vec![Input::ClientDisconnected(ID)])),
+        ("the window for repeats has closed", |bench| bench.now = bench.now + Duration::from_millis(301)),
     ];
     for (what, happens) in late {
         let mut bench =
@@ -313,7 +319,7 @@
         let first = bench.sent[0].0;
         bench.turn(vec![Input::Connected(first)]);
         assert_eq!(bench.transmitted, [first], "the first goes out");
-        bench.turn(vec![Input::Ended(first, Status::Reset, Vec::new(), Vec::new())]);
+        bench.turn(vec![Input::attempt_failed(first, Status::Reset)]);
         bench.answer_probes();
         let second = bench.sent.get(1).expect("a further attempt").0;
         happens(&mut bench);
@@ -331,8 +337,13 @@
         let mut bench = Bench::new(Idempotency::Idempotent, true);
         bench.ask(3_000);
         let worker = bench.probes.pop().expect("a probe");
-        let answer = Input::Probed(worker, Status::Ok, Duration::from_millis(1), vec![0.0, 0.0, 4.0]);
-        let gone = Input::ClientGone(ID);
+        let answer = Input::Probed {
+            worker,
+            status: Status::Ok,
+            latency: Duration::from_millis(1),
+            report: vec![0.0, 0.0, 4.0],
+        };
+        let gone = Input::ClientDisconnected(ID);
         bench.turn(if close_first { vec![gone, answer] } else { vec![answer, gone] });
         assert!(bench.sent.is_empty() && bench.answers.is_empty());
         assert_eq!(bench.engine.unanswered(), 0);
