--- /dev/null
+++ b/crates/pebblepost/src/fleet_agent/copy_file.rs
@@ -0,0 +1,46 @@
+//! The copy of the agreed state that is kept over a restart.
+
+use super::shared::{Shared, lock};
+use crate::checksummed_file;
+use pebblepost_fleet::follower::Follower;
+use std::io;
+use std::path::Path;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Least time between two writes of the copy.
+const WRITE_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Reads the copy; `None` if none was kept.
+///
+/// # Errors
+///
+/// If the file cannot be read or is damaged.
+pub(super) fn load(path: &Path) -> io::Result<Option<Follower>> {
+    match checksummed_file::read(path) {
+        Ok(body) => Ok(Some(serde_json::from_str(&body)?)),
+        Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
+        Err(error) => Err(error),
+    }
+}
+
+/// Writes the copy whenever it changes, off the thread that follows.
+pub(super) async fn run(shared: &Shared, path: Option<&Path>) {
+    let Some(path) = path else { return std::future::pending().await };
+    loop {
+        shared.changed.notified().await;
+        let copy = lock(&shared.follower).clone();
+        let (revision, newest_drain) = (copy.revision(), copy.newest_drain_revision());
+        let file = path.to_owned();
+        let write = move || checksummed_file::replace(&file, &serde_json::to_string(&copy)?);
+        match tokio::task::spawn_blocking(write).await {
+            Ok(Ok(())) if shared.kept_revision.swap(revision, Ordering::Relaxed) < newest_drain => {
+                shared.report_due.notify_one();
+            }
+            Ok(Err(error)) => (shared.log)(&format!("fleet.copy: {}: {error}", path.display())),
+            _ => {}
+        }
+        sleep(WRITE_INTERVAL).await;
+    }
+}
--- /dev/null
+++ b/crates/pebblepost/src/fleet_agent/session.rs
@@ -0,0 +1,149 @@
+//! The session of this member: joining, heartbeats, readiness, and proposals of local drains.
+
+use super::retry::{REQUEST_TIMEOUT, backoff};
+use super::shared::{Shared, lock};
+use crate::config::FleetConfig;
+use pebblepost_fleet::follower::ProposalOutcome;
+use pebblepost_fleet::value::MemberInfo;
+use pebblepost_fleet::{Action, Rejection};
+use pebblepost_fleet_store::client::{Client, command};
+use pebblepost_fleet_store::protocol::{Request, Response};
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// Interval of a member's heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Keeps a session, and proposes the drains that were requested here.
+pub(super) async fn run(shared: &Shared, config: &FleetConfig, info: MemberInfo) {
+    if config.replicas.is_empty() {
+        return std::future::pending().await;
+    }
+    let client = Client::new(config.replicas.clone());
+    let mut session = SessionKeeper { shared, client, info, state: State::default(), failures: 0 };
+    loop {
+        if session.step().await == Step::Superseded {
+            return std::future::pending().await;
+        }
+        let joined = session.state.session.is_some();
+        if joined {
+            session.propose_local_drains().await;
+        }
+        let rest = if joined { HEARTBEAT_INTERVAL } else { backoff(session.failures) };
+        let _ = timeout(rest, shared.report_due.notified()).await;
+    }
+}
+
+/// Whether the session goes on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Step {
+    Continue,
+    /// Another process has the name.
+    Superseded,
+}
+
+/// The session as far as it is known here.
+#[derive(Debug, Default)]
+struct State {
+    /// Number of the session; `None` before it was joined.
+    session: Option<u64>,
+    /// Number of the last report of readiness in the session.
+    last_report: u64,
+    /// The readiness that the fleet store knows.
+    reported_ready: Option<bool>,
+}
+
+struct SessionKeeper<'a> {
+    shared: &'a Shared,
+    client: Client,
+    info: MemberInfo,
+    state: State,
+    /// Attempts to join in a row that failed.
+    failures: u32,
+}
+
+impl SessionKeeper<'_> {
+    /// Joins, reports readiness or sends a heartbeat, whichever is due.
+    async fn step(&mut self) -> Step {
+        match self.state.session {
+            None => return self.join().await,
+            Some(session) if self.state.reported_ready != Some(self.is_ready()) => {
+                self.report_readiness(session).await;
+            }
+            Some(session) => self.heartbeat(session).await,
+        }
+        Step::Continue
+    }
+
+    fn is_ready(&self) -> bool {
+        self.shared.ready.load(Ordering::Relaxed)
+    }
+
+    async fn join(&mut self) -> Step {
+        self.info.ready = self.is_ready();
+        let member = self.shared.member.clone();
+        let (info, incarnation_id) = (self.info.clone(), member.incarnation);
+        let join = Action::Join { member: member.name.clone(), incarnation_id, info };
+        match self.client.submit(&command(member.name, join), REQUEST_TIMEOUT).await {
+            Ok(Ok(applied)) => {
+                let reported_ready = Some(self.info.ready);
+                self.state = State { session: applied.session, last_report: 0, reported_ready };
+                self.failures = 0;
+            }
+            Ok(Err(rejection @ Rejection::Superseded { .. })) => {
+                // This process goes on serving by what it follows.
+                (self.shared.log)(&format!("fleet: {rejection}"));
+                return Step::Superseded;
+            }
+            Ok(Err(rejection)) => {
+                (self.shared.log)(&format!("fleet: cannot join: {rejection}"));
+                self.failures += 1;
+            }
+            Err(_) => self.failures += 1,
+        }
+        Step::Continue
+    }
+
+    async fn report_readiness(&mut self, session: u64) {
+        let ready = self.is_ready();
+        self.state.last_report += 1;
+        let (member, sequence) = (self.shared.member.name.clone(), self.state.last_report);
+        let report = Action::ReportReadiness { member: member.clone(), session, sequence, ready };
+        self.state.reported_ready = None;
+        match self.client.submit(&command(member, report), REQUEST_TIMEOUT).await {
+            Ok(Ok(_)) => self.state.reported_ready = Some(ready),
+            Ok(Err(_)) => self.state.session = None,
+            // Whether it was applied is unknown: it is reported again.
+            Err(_) => {}
+        }
+    }
+
+    async fn heartbeat(&mut self, session: u64) {
+        let (member, report) = (self.shared.member.name.clone(), Some(self.shared.heartbeat_report()));
+        let heartbeat = Request::Heartbeat { member, session, report };
+        if let Ok(Response::Heartbeat(false)) = self.client.request(&heartbeat, REQUEST_TIMEOUT).await {
+            (self.shared.log)("fleet: session ended, joining again");
+            self.state.session = None;
+        }
+    }
+
+    /// Proposes every local drain to the group, until one gets no response or cannot be applied now.
+    async fn propose_local_drains(&mut self) {
+        loop {
+            let Some(command) = lock(&self.shared.follower).next_proposal() else { return };
+            let Ok(answer) = self.client.submit(&command, REQUEST_TIMEOUT).await else { return };
+            let outcome = self.shared.update(|follower| follower.record_result(command.id, &answer));
+            match (outcome, answer) {
+                (ProposalOutcome::Overruled, Err(rejection)) => {
+                    (self.shared.log)(&format!("fleet: local drain overruled: {rejection}"));
+                }
+                (ProposalOutcome::Deferred, Err(rejection)) => {
+                    // It stays local, and is proposed again with the next heartbeat.
+                    return (self.shared.log)(&format!("fleet: local drain deferred: {rejection}"));
+                }
+                _ => {}
+            }
+        }
+    }
+}
--- a/crates/pebblepost/src/lib.rs
+++ b/crates/pebblepost/src/lib.rs
@@ -5,13 +5,13 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod agent;
 pub mod buffer;
 pub mod checksummed_file;
 pub mod clock;
 pub mod config;
 pub mod discovery;
 pub mod engine;
+pub mod fleet_agent;
 pub mod front;
 pub mod health;
 pub mod http;
--- a/crates/pebblepost/src/turn.rs
+++ b/crates/pebblepost/src/turn.rs
@@ -1,11 +1,11 @@
 //! The loop. Each turn gathers all that is ready, hands it to the core in one go, and carries out what
 //! comes back.
 
-use crate::agent::Agent;
 use crate::clock::Clock;
 use crate::config::{Config, ConfigError};
 use crate::discovery::{Discovery, Registry};
 use crate::engine::{Engine, Input, Output};
+use crate::fleet_agent::FleetAgent;
 use crate::front::faktory::{Faktory, Peer};
 use crate::front::platform::{ClientState, Platform};
 use crate::health::{self, Condition};
@@ -46,7 +46,7 @@
     discovery: Discovery,
     faktory: Option<Faktory>,
     /// Follows the agreed store, where the operator's file sets it up.
-    agent: Option<Agent>,
+    agent: Option<FleetAgent>,
     /// The agreed revision that is in force once the inputs in hand are, and whether the agent is to be told.
     acts_by: u64,
     to_confirm: bool,
@@ -97,11 +97,14 @@
         let fields = config.settings.report_fields.clone();
         let faktory_times = config.faktory.as_ref().map(|f| (f.heartbeat, f.reserve_for));
         let faktory = config.faktory.map(|f| Faktory::new(&mut s, f, fields));
-        let agent =
-            config.fleet.as_ref().map(|f| Agent::start(f, &config.name, config.listen, log)).transpose()?;
+        let agent = config
+            .fleet
+            .as_ref()
+            .map(|f| FleetAgent::start(f, &config.name, config.listen, log))
+            .transpose()?;
         if let Some(agent) = &agent {
-            agent.woken.set_nonblocking(true)?;
-            s.net.watch_signal(Signal::Fleet, &agent.woken)?;
+            agent.wake.set_nonblocking(true)?;
+            s.net.watch_signal(Signal::Fleet, &agent.wake)?;
         }
         let mut daemon = Self {
             s,
@@ -129,17 +132,17 @@
     /// Puts into force what is agreed in the fleet, as far as it is known.
     fn apply_agreed(&mut self) {
         let Some(agent) = &self.agent else { return };
-        let known = agent.knowledge();
+        let known = agent.view();
         if let Some(told) = self.s.registry.mark(known.drained.clone()) {
             self.s.inputs.push(told);
         }
         (self.acts_by, self.to_confirm) = (known.revision, true);
-        if let Some(revision) = known.permitted {
+        if let Some(revision) = known.permit_revision {
             self.stop(&format!("permitted to end at revision {revision}"));
         }
         if let (Some(faktory), Some((heartbeat, reserve_for))) = (&mut self.faktory, self.faktory_times) {
-            let heartbeat = known.seconds("faktory.heartbeat_s").unwrap_or(heartbeat);
-            let reserve_for = known.seconds("faktory.reserve_for_s").unwrap_or(reserve_for);
+            let heartbeat = known.duration("faktory.heartbeat_s").unwrap_or(heartbeat);
+            let reserve_for = known.duration("faktory.reserve_for_s").unwrap_or(reserve_for);
             faktory.set_times(heartbeat, reserve_for);
         }
     }
@@ -148,7 +151,7 @@
     fn woken(&mut self) {
         if let Some(agent) = &mut self.agent {
             // One byte for each; what is taken is the newest in any case.
-            while matches!((&agent.woken).read(&mut [0; 64]), Ok(1..)) {}
+            while matches!((&agent.wake).read(&mut [0; 64]), Ok(1..)) {}
         }
         self.apply_agreed();
     }
@@ -215,7 +218,7 @@
             self.s.ready = ready;
             (self.s.log)(if ready { "ready" } else { "not ready" });
             if let Some(agent) = &self.agent {
-                agent.takes_clients(ready);
+                agent.set_ready(ready);
             }
         }
         self.confirm();
@@ -224,17 +227,17 @@
     /// Tells the agent what is in force here by now, and what is still out at drained workers.
     fn confirm(&mut self) {
         let Some(agent) = &self.agent else { return };
-        agent.counts(self.engine.counts());
+        agent.set_request_counts(self.engine.counts());
         if !std::mem::take(&mut self.to_confirm) {
             return;
         }
         let busy = self.engine.busy(&self.s.registry.all_marked());
         let busy = busy.into_iter().filter_map(|worker| self.s.registry.mark_of(worker)?.parse().ok());
-        agent.confirms(self.acts_by, busy.collect());
+        agent.confirm(self.acts_by, busy.collect());
         if let Some(seen) =
             self.s.registry.seen(self.s.net.now, self.engine.settings().warm_up_time, &self.mute)
         {
-            agent.sees(seen);
+            agent.set_observations(seen);
         }
     }
 
@@ -341,7 +344,7 @@
                 }
                 Some(Role::Faktory(_)) => self.faktory.iter_mut().for_each(|f| f.on_data(&mut self.s, key)),
                 Some(Role::Health(_)) if alive => {
-                    let fleet = self.agent.as_ref().map(Agent::told);
+                    let fleet = self.agent.as_ref().map(FleetAgent::status_line);
                     health::on_data(&mut self.s, key, fleet.as_deref().unwrap_or_default());
                 }
                 _ => {}
