--- /dev/null
+++ b/crates/pebblepost/src/front/faktory/consumers.rs
@@ -0,0 +1,198 @@
+//! Worker processes: fetches, deliveries, acknowledgements and heartbeats.
+
+use super::protocol::{DEFAULT_QUEUE, OK, QUIET, bulk_string};
+use super::session::Waiting;
+use super::workers::{QueueWorker, Reservation};
+use super::{Faktory, end_attempts, send_error, session, set_waiting};
+use crate::context::Context;
+use crate::engine::{AttemptId, Input};
+use crate::net::ConnectionKey;
+use pebblepost_dispatch::api::{KindId, ReportField, Status, WorkerId, WorkerState};
+use serde_json::Value;
+use std::time::Duration;
+
+/// A `FETCH` that finds no job is answered after this.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Backlog in the load report of a worker without a pending fetch. It has no queue, so a job sent there would only be
+/// rejected and use up its attempts; with this report, the decision module holds the job and probes again.
+const NO_CAPACITY_BACKLOG: f32 = 1_000.0;
+
+impl Faktory {
+    pub(super) fn fetch(
+        &mut self, context: &mut Context, key: ConnectionKey, wid: Option<String>, names: &str,
+    ) {
+        let Some(wid) = wid else { return send_error(context, key, "only workers with a wid fetch") };
+        let names = if names.trim().is_empty() { DEFAULT_QUEUE } else { names };
+        let queues: Vec<usize> =
+            names.split_ascii_whitespace().filter_map(|name| self.queue_index(name)).collect();
+        let Some(process) = self.workers.get_mut(&wid) else { return };
+        process.fetching.push(key);
+        if process.state == WorkerState::Ready {
+            self.register_queues(context, &wid, &queues);
+        }
+        context.net.set_deadline(key, Some(FETCH_TIMEOUT));
+        set_waiting(context, key, Waiting::Job(queues));
+    }
+
+    /// Tells the engine of the queues from which a process fetches for the first time.
+    fn register_queues(&mut self, context: &mut Context, wid: &str, queues: &[usize]) {
+        let mut changed = false;
+        for queue in queues {
+            let known = self.workers.get(wid).is_some_and(|process| process.ids.contains_key(queue));
+            if !known {
+                let config = &self.config.queues[*queue];
+                let host = format!("{wid}/{}", config.name);
+                let id = context.registry.register(&host, KindId(config.kind), WorkerState::Ready);
+                self.workers.register(id, wid, *queue);
+                changed = true;
+            }
+        }
+        if changed {
+            context.inputs.push(context.registry.membership());
+        }
+    }
+
+    /// Probes a worker: its pending fetches are its free slots. `false` if it is not one of this front.
+    pub fn probe(&mut self, context: &mut Context, id: WorkerId) -> bool {
+        let Some(QueueWorker { wid, queue }) = self.workers.by_id(id) else { return false };
+        let (status, report) = match self.workers.get(wid) {
+            Some(process) => {
+                let free = process.fetching.iter().filter(|key| fetches_from(context, **key, *queue)).count();
+                let value = |field: &ReportField| match field {
+                    ReportField::FreeSlots => free as f32,
+                    ReportField::Queue if free == 0 => NO_CAPACITY_BACKLOG,
+                    _ => 0.0,
+                };
+                (Status::Ok, self.report_fields.iter().map(value).collect())
+            }
+            None => (Status::ConnectFailed, Vec::new()),
+        };
+        context.inputs.push(Input::Probed { worker: id, status, latency: Duration::ZERO, report });
+        true
+    }
+
+    /// Gives a job to a pending fetch; `false` if the worker is not one of this front.
+    pub fn deliver(&mut self, context: &mut Context, attempt: AttemptId, id: WorkerId) -> bool {
+        let Some(QueueWorker { wid, queue }) = self.workers.by_id(id).cloned() else { return false };
+        let job = self.jobs.get_mut(attempt.request);
+        let (Some(process), Some(job)) = (self.workers.get_mut(&wid), job) else {
+            context.inputs.push(Input::attempt_failed(attempt, Status::ConnectFailed));
+            return true;
+        };
+        // The engine sends nothing to a draining worker; a fetch that was pending at its drain stays without a job.
+        let ready = process.state == WorkerState::Ready
+            && job.queue == queue
+            && !process.reservations.contains_key(&job.jid);
+        let position = process.fetching.iter().position(|key| ready && fetches_from(context, *key, queue));
+        let Some(connection) = position.map(|position| process.fetching.remove(position)) else {
+            context.inputs.push(Input::attempt_failed(attempt, Status::Full));
+            return true;
+        };
+        job.delivered = true;
+        let expires = context.net.now + job.reserve_for;
+        process.reservations.insert(job.jid.clone(), Reservation { attempt, connection, expires });
+        let payload = bulk_string(&job.payload);
+        context.net.set_deadline(connection, None);
+        set_waiting(context, connection, Waiting::Nothing);
+        context.inputs.push(Input::Started(attempt));
+        context.net.send(connection, &payload);
+        true
+    }
+
+    /// Forgets an attempt that was abandoned. The worker is not notified: the protocol has no message for that.
+    pub fn abandon(&mut self, attempt: AttemptId) {
+        for process in self.workers.processes_mut() {
+            process.reservations.retain(|_, reservation| reservation.attempt != attempt);
+        }
+    }
+
+    /// `ACK` or `FAIL`. One for a job that the worker does not have any more is late, and ignored.
+    pub(super) fn end_job(
+        &mut self, context: &mut Context, key: ConnectionKey, wid: Option<String>, json: &Value,
+        status: Status,
+    ) {
+        let Some(jid) = json.get("jid").and_then(Value::as_str) else {
+            return send_error(context, key, "jid is missing");
+        };
+        let process = wid.and_then(|wid| self.workers.get_mut(&wid));
+        if let Some(reservation) = process.and_then(|process| process.reservations.remove(jid)) {
+            context.inputs.push(Input::attempt_failed(reservation.attempt, status));
+        }
+        context.net.send(key, OK);
+    }
+
+    pub(super) fn heartbeat(
+        &mut self, context: &mut Context, key: ConnectionKey, wid: Option<String>, json: &Value,
+    ) {
+        let named = json.get("wid").and_then(Value::as_str).map(str::to_owned).or(wid);
+        let Some(wid) = named.filter(|wid| self.workers.contains(wid)) else {
+            return send_error(context, key, "unknown worker");
+        };
+        if let Some(process) = self.workers.get_mut(&wid) {
+            process.last_seen = context.net.now;
+        }
+        if let Some("quiet" | "terminate") = json.get("current_state").and_then(Value::as_str) {
+            self.set_state(context, &wid, WorkerState::Draining);
+        }
+        // An operator's drain mark is passed on to the worker in the protocol's own terms.
+        let drained = self.workers.get(&wid).is_some_and(|process| {
+            process.state == WorkerState::Ready
+                && !process.ids.is_empty()
+                && process.ids.values().all(|id| context.registry.is_drained(*id))
+        });
+        context.net.send(key, if drained { QUIET } else { OK });
+    }
+
+    /// Tells the engine, in this turn, that a worker process is draining or gone.
+    fn set_state(&mut self, context: &mut Context, wid: &str, state: WorkerState) {
+        let Some(process) = self.workers.get_mut(wid).filter(|process| process.state != state) else {
+            return;
+        };
+        process.state = state;
+        let ids = process.ids.clone();
+        for (queue, id) in &ids {
+            let queue = &self.config.queues[*queue];
+            context.registry.register(&format!("{wid}/{}", queue.name), KindId(queue.kind), state);
+            if state == WorkerState::Gone {
+                self.workers.unregister(*id);
+            }
+        }
+        if !ids.is_empty() {
+            context.inputs.push(context.registry.membership());
+        }
+        let state = if state == WorkerState::Gone { "gone" } else { "draining" };
+        (context.log)(&format!("faktory: worker={wid} state={state}"));
+    }
+
+    /// The worker process is lost: what it had fetched may have run.
+    pub(super) fn remove_worker(&mut self, context: &mut Context, wid: &str, status: Status) {
+        self.set_state(context, wid, WorkerState::Gone);
+        if let Some(mut process) = self.workers.remove(wid) {
+            end_attempts(context, process.end_reservations(|_| true), status);
+        }
+        // Should it come back, it starts with a new connection, as a new worker.
+        for key in context.net.keys() {
+            if session(context, key).is_some_and(|session| session.wid.as_deref() == Some(wid)) {
+                context.net.close(key);
+            }
+        }
+    }
+
+    pub(super) fn on_worker_connection_closed(
+        &mut self, context: &mut Context, key: ConnectionKey, wid: &str,
+    ) {
+        let Some(process) = self.workers.get_mut(wid) else { return };
+        process.connections -= 1;
+        process.fetching.retain(|fetching| *fetching != key);
+        let attempts = process.end_reservations(|reservation| reservation.connection == key);
+        let last = process.connections == 0;
+        end_attempts(context, attempts, Status::Reset);
+        if last {
+            self.remove_worker(context, wid, Status::Reset);
+        }
+    }
+}
+
+fn fetches_from(context: &mut Context, key: ConnectionKey, queue: usize) -> bool {
+    session(context, key).is_some_and(|session| session.fetches_from(queue))
+}
--- a/crates/pebblepost/src/front/mod.rs
+++ b/crates/pebblepost/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! The fronts: from a wire to the core and back, and nothing else.
+//! The fronts: each translates one protocol to the engine's inputs and back, and decides nothing.
 
 pub mod faktory;
+pub mod health;
 pub mod platform;
--- a/crates/pebblepost/src/main.rs
+++ b/crates/pebblepost/src/main.rs
@@ -1,9 +1,7 @@
-//! The daemon.
-
-#![forbid(unsafe_code)]
+//! The program: the daemon, a replica of the fleet store, or a command of an operator.
 
 use clap::{Parser, Subcommand};
-use pebblepost::{config, operator, store_replica, turn};
+use pebblepost::{config, daemon, operator, store_replica};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io::Write;
 use std::os::unix::net::UnixStream;
@@ -21,6 +19,7 @@
     command: Option<Command>,
 }
 
+// The doc comments here are the help texts of the commands.
 #[derive(Subcommand)]
 enum Command {
     /// Runs a keeper of the agreed store.
@@ -33,50 +32,57 @@
 }
 
 fn main() -> ExitCode {
-    // First of all: from the start SIGHUP ends nothing.
+    // First of all: from the start on SIGHUP ends nothing.
     let reload = UnixStream::pair().and_then(|(reload, notify)| {
         signal_hook::low_level::pipe::register(SIGHUP, notify)?;
         Ok(reload)
     });
     let cli = Cli::parse();
-    let told = |error: &dyn std::fmt::Display| {
-        eprintln!("pebblepost: {error}");
-        ExitCode::FAILURE
-    };
     let result = match cli.command {
-        None => reload.map_err(Into::into).and_then(|reload| run(reload, cli.operator)),
+        None => reload.map_err(Into::into).and_then(|reload| run_daemon(reload, cli.operator)),
         Some(Command::Keep { file }) => {
-            log_lines();
+            init_replica_log();
             store_replica::run(&file).map_err(Into::into)
         }
         Some(Command::Fleet(args)) => {
             if let Err(error) = operator::run(args) {
-                told(&error);
+                print_error(&error);
                 return error.exit_code();
             }
             Ok(())
         }
     };
-    result.map_or_else(|error| told(&*error), |()| ExitCode::SUCCESS)
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            print_error(&*error);
+            ExitCode::FAILURE
+        }
+    }
+}
+
+fn print_error(error: &dyn std::fmt::Display) {
+    eprintln!("pebblepost: {error}");
 }
 
-/// The keeper's log goes to standard error; `RUST_LOG` says how much of it.
-fn log_lines() {
+/// The replica's log goes to standard error; `RUST_LOG` says how much of it.
+fn init_replica_log() {
     let filter = tracing_subscriber::EnvFilter::try_from_default_env();
     let filter = filter.unwrap_or_else(|_| "info,openraft=error".into());
     tracing_subscriber::fmt().with_env_filter(filter).with_ansi(false).with_writer(std::io::stderr).init();
 }
 
-fn run(reload: UnixStream, operator: Option<PathBuf>) -> Result<(), Box<dyn std::error::Error>> {
+fn run_daemon(reload: UnixStream, operator: Option<PathBuf>) -> Result<(), Box<dyn std::error::Error>> {
     let config = config::read(|name| std::env::var(name).ok(), operator.as_deref())?;
     let (stop, notify) = UnixStream::pair()?;
-    for kind in [SIGTERM, SIGINT] {
-        signal_hook::low_level::pipe::register(kind, notify.try_clone()?)?;
+    for signal in [SIGTERM, SIGINT] {
+        signal_hook::low_level::pipe::register(signal, notify.try_clone()?)?;
     }
-    // `eprintln!` would panic if whoever reads the log has gone.
+    // `eprintln!` would panic once the reader of the log is gone.
     let log = |line: &str| drop(writeln!(std::io::stderr(), "pebblepost: {line}"));
-    // The environment speaks of the start only; the file may name another discovery since.
-    let var = |name: &str| std::env::var(name).ok().filter(|_| name != "PROXY_DISCOVERY");
-    let read = Box::new(move || config::read(var, operator.as_deref()));
-    Ok(turn::Daemon::new(config, turn::Signals { stop, reload, read }, log)?.run()?)
+    // The environment counts at the start only; the file may name another discovery since.
+    let variable = |name: &str| std::env::var(name).ok().filter(|_| name != "PROXY_DISCOVERY");
+    let read_config = Box::new(move || config::read(variable, operator.as_deref()));
+    let signals = daemon::Signals { stop, reload, read_config };
+    Ok(daemon::Daemon::new(config, signals, log)?.run()?)
 }
--- /dev/null
+++ b/crates/pebblepost/src/net/sockets.rs
@@ -0,0 +1,309 @@
+//! All sockets of the daemon, its timers, and the descriptor budget.
+
+use super::connection::Connection;
+use super::poll::{ReadyEvent, Signal, listener_key};
+use crate::buffer::Buffer;
+use crate::clock::Clock;
+use crate::connection_key::{ConnectionKey, Generation};
+use crate::connection_role::ConnectionRole;
+use crate::timer::Timer;
+use crate::timer_queue::TimerQueue;
+use pebblepost_dispatch::api::Time;
+use polling::{Event, PollMode, Poller};
+use slab::Slab;
+use socket2::{Domain, Protocol, SockRef, Socket, Type};
+use std::io::{self, ErrorKind};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::os::fd::AsRawFd;
+use std::time::Duration;
+
+/// Descriptors kept free for the poller, signals, listeners, logs and files.
+pub const DESCRIPTOR_RESERVE: usize = 32;
+/// The least number of connections that are allowed, however few descriptors there are.
+const MIN_CONNECTIONS: usize = 8;
+/// How long to wait for the peer to close after our end, so that our last bytes are not reset away.
+const LINGER: Duration = Duration::from_secs(1);
+/// Connections that the kernel queues at a listener.
+const LISTEN_BACKLOG: i32 = 1024;
+/// Most bytes of one read.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+
+/// What a listening socket is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListenerKind {
+    /// Clients of the platform.
+    Platform,
+    /// Faktory producers and workers.
+    Faktory,
+    /// Agent checks of load balancers.
+    AgentCheck,
+    /// Health checks by HTTP.
+    Health,
+}
+
+/// A listening socket; without its socket once it is closed.
+#[derive(Debug)]
+pub(super) struct ListenerSlot {
+    pub(super) kind: ListenerKind,
+    pub(super) socket: Option<TcpListener>,
+}
+
+#[derive(Debug)]
+pub(super) struct ConnectionSlot {
+    pub(super) generation: Generation,
+    pub(super) connection: Connection,
+}
+
+/// All sockets.
+pub struct Sockets {
+    pub(super) poller: Poller,
+    pub(super) connections: Slab<ConnectionSlot>,
+    last_generation: Generation,
+    pub(super) listeners: Vec<ListenerSlot>,
+    /// Every timer of the daemon.
+    pub timers: TimerQueue<Timer>,
+    /// Connections that broke while output was written to them.
+    pub broken: Vec<ConnectionKey>,
+    pub(super) max_connections: usize,
+    events: Vec<Event>,
+    pub(super) read_buffer: Vec<u8>,
+    /// The time of this iteration of the event loop.
+    pub now: Time,
+}
+
+impl Sockets {
+    /// No sockets yet. At most `descriptors` file descriptors may be used, [`DESCRIPTOR_RESERVE`] among them.
+    ///
+    /// # Errors
+    ///
+    /// If the system gives no poller.
+    pub fn new(descriptors: usize, now: Time) -> io::Result<Self> {
+        Ok(Self {
+            poller: Poller::new()?,
+            connections: Slab::new(),
+            last_generation: Generation::default(),
+            listeners: Vec::new(),
+            timers: TimerQueue::default(),
+            broken: Vec::new(),
+            max_connections: descriptors.saturating_sub(DESCRIPTOR_RESERVE).max(MIN_CONNECTIONS),
+            events: Vec::new(),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            now,
+        })
+    }
+
+    /// Opens a listener.
+    ///
+    /// # Errors
+    ///
+    /// If the address cannot be bound, or the poller does not take the socket.
+    pub fn listen(&mut self, kind: ListenerKind, address: SocketAddr) -> io::Result<()> {
+        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        socket.set_reuse_address(true)?;
+        socket.bind(&address.into())?;
+        socket.listen(LISTEN_BACKLOG)?;
+        socket.set_nonblocking(true)?;
+        let socket = TcpListener::from(socket);
+        let key = listener_key(self.listeners.len());
+        self.poller.add_with_mode(&socket, Event::readable(key), PollMode::Level)?;
+        self.listeners.push(ListenerSlot { kind, socket: Some(socket) });
+        Ok(())
+    }
+
+    /// Watches the pipe through which a signal is notified.
+    ///
+    /// # Errors
+    ///
+    /// If the poller does not take the pipe.
+    pub fn watch_signal(&self, signal: Signal, pipe: &impl AsRawFd) -> io::Result<()> {
+        self.poller.add_with_mode(pipe.as_raw_fd(), Event::readable(signal.poll_key()), PollMode::Level)
+    }
+
+    /// Closes the listeners of a kind.
+    pub fn close_listeners(&mut self, kind: ListenerKind) {
+        // The socket itself has to go, or new connections would still be established in its backlog.
+        for listener in self.listeners.iter_mut().filter(|listener| listener.kind == kind) {
+            if let Some(socket) = listener.socket.take() {
+                let _ = self.poller.delete(&socket);
+            }
+        }
+    }
+
+    /// The kind of the listener with this index.
+    pub fn listener_kind(&self, index: usize) -> Option<ListenerKind> {
+        self.listeners.get(index).map(|listener| listener.kind)
+    }
+
+    /// The index of the first listener of a kind.
+    pub fn listener_index(&self, kind: ListenerKind) -> Option<usize> {
+        self.listeners.iter().position(|listener| listener.kind == kind)
+    }
+
+    /// The address of an open listener.
+    pub fn listener_address(&self, kind: ListenerKind) -> Option<SocketAddr> {
+        let listener = self.listeners.iter().find(|listener| listener.kind == kind)?;
+        listener.socket.as_ref()?.local_addr().ok()
+    }
+
+    /// Waits until a socket is ready or the next timer is due, or not at all, and returns what is ready.
+    ///
+    /// # Errors
+    ///
+    /// If the poller fails.
+    pub fn wait(&mut self, clock: &Clock, immediately: bool) -> io::Result<Vec<ReadyEvent>> {
+        let timeout = if immediately { Some(Duration::ZERO) } else { self.time_to_next_timer(clock) };
+        self.events.clear();
+        match self.poller.wait(&mut self.events, timeout) {
+            Err(error) if error.kind() != ErrorKind::Interrupted => return Err(error),
+            _ => {}
+        }
+        self.now = self.now.max(clock.now());
+        Ok(self.events.iter().map(ReadyEvent::from_poll).collect())
+    }
+
+    fn time_to_next_timer(&self, clock: &Clock) -> Option<Duration> {
+        self.timers.next().map(|at| at.since(clock.now()))
+    }
+
+    /// Number of open connections.
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
+    }
+
+    /// The most connections that the descriptor budget allows.
+    pub fn max_connections(&self) -> usize {
+        self.max_connections
+    }
+
+    /// The connection, if it is still open.
+    pub fn get(&mut self, key: ConnectionKey) -> Option<&mut Connection> {
+        let slot = self.connections.get_mut(key.slot())?;
+        key.is_of(slot.generation).then_some(&mut slot.connection)
+    }
+
+    /// The role of the connection, if it is still open.
+    pub fn role(&mut self, key: ConnectionKey) -> Option<&mut ConnectionRole> {
+        self.get(key).map(|connection| &mut connection.role)
+    }
+
+    /// Keys of all connections.
+    pub fn keys(&self) -> Vec<ConnectionKey> {
+        self.connections.iter().map(|(index, slot)| ConnectionKey::new(slot.generation, index)).collect()
+    }
+
+    /// Takes a socket in as a connection.
+    pub(super) fn insert(
+        &mut self, stream: TcpStream, role: ConnectionRole, connected: bool,
+    ) -> io::Result<ConnectionKey> {
+        self.last_generation = self.last_generation.next();
+        let generation = self.last_generation;
+        let entry = self.connections.vacant_entry();
+        let key = ConnectionKey::new(generation, entry.key());
+        let connection = Connection::new(stream, role, connected, self.now);
+        self.poller.add_with_mode(&connection.stream, connection.interest.event(key), PollMode::Level)?;
+        entry.insert(ConnectionSlot { generation, connection });
+        Ok(key)
+    }
+
+    /// Starts to establish a connection. Output is sent once it is established.
+    ///
+    /// # Errors
+    ///
+    /// If no descriptor is left, or the connection is refused at once.
+    pub fn connect(&mut self, address: SocketAddr, role: ConnectionRole) -> io::Result<ConnectionKey> {
+        if self.connections.len() >= self.max_connections
+            && !self.close_longest_idle()
+            && !role.may_use_reserve()
+        {
+            return Err(io::Error::other("no descriptor left"));
+        }
+        let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
+        socket.set_nonblocking(true)?;
+        socket.set_tcp_nodelay(true)?;
+        // `EINPROGRESS` has no `ErrorKind` of its own everywhere; the result is known once the socket is writable.
+        match socket.connect(&address.into()) {
+            Err(error)
+                if matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::AddrNotAvailable) =>
+            {
+                return Err(error);
+            }
+            _ => {}
+        }
+        self.insert(socket.into(), role, false)
+    }
+
+    /// Records that the establishment of a connection has ended; `false` if it failed.
+    pub fn finish_connect(&mut self, key: ConnectionKey) -> bool {
+        let Some(connection) = self.get(key) else { return true };
+        if !connection.connected {
+            let stream = &connection.stream;
+            if !matches!(stream.take_error(), Ok(None)) || stream.peer_addr().is_err() {
+                return false;
+            }
+            connection.connected = true;
+        }
+        true
+    }
+
+    /// Tells the poller what the connection has to be watched for now.
+    pub fn update_interest(&mut self, key: ConnectionKey) {
+        let Some(connection) = self.get(key) else { return };
+        let wanted = connection.wanted_interest();
+        if connection.interest == wanted {
+            return;
+        }
+        connection.interest = wanted;
+        let Some(slot) = self.connections.get(key.slot()) else { return };
+        let stream = &slot.connection.stream;
+        if self.poller.modify_with_mode(stream, wanted.event(key), PollMode::Level).is_err() {
+            self.broken.push(key);
+        }
+    }
+
+    /// Sets, replaces or cancels the connection's own deadline.
+    pub fn set_deadline(&mut self, key: ConnectionKey, after: Option<Duration>) {
+        let Some(old) = self.get(key).map(|connection| connection.deadline.take()) else { return };
+        if let Some(handle) = old {
+            self.timers.cancel(handle);
+        }
+        let new = after.map(|after| self.timers.schedule(self.now + after, Timer::Connection(key)));
+        if let Some(connection) = self.get(key) {
+            connection.deadline = new;
+        }
+    }
+
+    /// Whether the connection's own deadline is set.
+    pub fn has_deadline(&mut self, key: ConnectionKey) -> bool {
+        self.get(key).is_some_and(|connection| connection.deadline.is_some())
+    }
+
+    /// Closes the connection at once and returns its role.
+    pub fn close(&mut self, key: ConnectionKey) -> Option<ConnectionRole> {
+        self.get(key)?;
+        let connection = self.connections.remove(key.slot()).connection;
+        let _ = self.poller.delete(&connection.stream);
+        let handles = connection.deadline.into_iter().chain(connection.write_deadline);
+        handles.for_each(|handle| self.timers.cancel(handle));
+        Some(connection.role)
+    }
+
+    /// Closes the connection once all output is sent and the peer has had time to read it.
+    pub fn close_gracefully(&mut self, key: ConnectionKey) {
+        let now = self.now;
+        let Some(connection) = self.get(key) else { return };
+        connection.role = ConnectionRole::Closing;
+        connection.input = Buffer::default();
+        connection.dropped_bytes = 0;
+        connection.idle_since = Some(now);
+        self.set_deadline(key, Some(LINGER));
+        self.flush(key);
+    }
+
+    /// Closes the connection with a reset, as a peer that has lost its framing gets no orderly end, and returns its role.
+    pub fn abort(&mut self, key: ConnectionKey) -> Option<ConnectionRole> {
+        if let Some(connection) = self.get(key) {
+            let _ = SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
+        }
+        self.close(key)
+    }
+}
--- a/crates/pebblepost/tests/behaviour_pins.rs
+++ b/crates/pebblepost/tests/behaviour_pins.rs
@@ -9,8 +9,12 @@
 use pebblepost::clock::Clock;
 use pebblepost::config::{self, read_settings};
 use pebblepost::engine::{AttemptId, Engine, FinalResponse, Input, Output, Request};
-use pebblepost::net::Listener;
-use pebblepost::{checksummed_file, discovery::Registry, store_replica};
+use pebblepost::net::ListenerKind;
+use pebblepost::{
+    checksummed_file,
+    discovery::registry::{AppliedList, Registry},
+    store_replica,
+};
 use pebblepost_dispatch::api::{
     CellId, ClassId, Entry, KindId, ListKind, RequestId, Status, TenantId, Time, WorkerId, WorkerState,
     ZoneId,
@@ -49,7 +53,7 @@
 }
 
 /// Sends `text`, ends its half of the connection and reads until the other end closes.
-fn exchange(daemon: &Running, listener: Listener, text: &str) -> String {
+fn exchange(daemon: &Running, listener: ListenerKind, text: &str) -> String {
     let mut stream = TcpStream::connect(daemon.address(listener)).expect("a listener");
     stream.set_read_timeout(Some(Duration::from_secs(15))).expect("a sound time-out");
     stream.write_all(text.as_bytes()).expect("an open connection");
@@ -312,7 +316,7 @@
 fn replies_on_http_listeners_and_forwarded_requests_are_as_approved() {
     let (daemon, requests) = daemon_with_listeners();
     common::within(Duration::from_secs(10), "it serves", || {
-        exchange(&daemon, Listener::Platform, &post("t", "Connection: close\r\n", ""))
+        exchange(&daemon, ListenerKind::Platform, &post("t", "Connection: close\r\n", ""))
             .contains(" 200 ")
             .then_some(())
     });
@@ -348,7 +352,7 @@
         format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(17_000)),
         format!("POST /api HTTP/1.1\r\nExpect: 100-continue\r\n{close}"),
     ] {
-        let reply = exchange(&daemon, Listener::Platform, &text);
+        let reply = exchange(&daemon, ListenerKind::Platform, &text);
         let shown: String = text.chars().take(300).collect();
         let _ = writeln!(transcript, "platform {shown:?}\n  -> {reply:?}");
         while let Ok(head) = requests.try_recv() {
@@ -365,10 +369,10 @@
         "GET / HTTP/1.1\r\nContent-Length: 3\r\n\r\n".to_owned(),
         "x\r\n\r\n".to_owned(),
     ] {
-        let reply = exchange(&daemon, Listener::Health, &text);
+        let reply = exchange(&daemon, ListenerKind::Health, &text);
         let _ = writeln!(transcript, "health {text:?}\n  -> {reply:?}");
     }
-    let line = exchange(&daemon, Listener::Agent, "");
+    let line = exchange(&daemon, ListenerKind::AgentCheck, "");
     let _ = writeln!(transcript, "agent check -> {:?}", without_digits_after(&line, "up ready "));
     assert_approved("http.txt", &transcript);
 }
@@ -389,13 +393,13 @@
         "HELLO {\"v\":2,\"wid\":\"w\"}\r\nBEAT {}\r\nBEAT {\"current_state\":\"quiet\"}\r\nEND\r\n".to_owned(),
         format!("HELLO {{\"v\":2}}\r\nPUSH {}\r\n", "x".repeat(70_000)),
     ] {
-        let reply = exchange(&daemon, Listener::Faktory, &text);
+        let reply = exchange(&daemon, ListenerKind::Faktory, &text);
         let shown: String = text.chars().take(600).collect();
         let _ = writeln!(transcript, "{shown:?}\n  -> {reply:?}");
     }
     // One job's way: fetched, acknowledged, and pushed again within the window.
-    let mut producer = daemon.connect(Listener::Faktory);
-    let mut consumer = daemon.connect(Listener::Faktory);
+    let mut producer = daemon.connect(ListenerKind::Faktory);
+    let mut consumer = daemon.connect(ListenerKind::Faktory);
     let mut say = |wire: &mut Wire, text: &str, replies: usize| {
         if !text.is_empty() {
             wire.say(&format!("{text}\r\n"));
@@ -412,7 +416,7 @@
     say(&mut consumer, "", 2);
     say(&mut consumer, "ACK {\"jid\":\"j\"}", 1);
     say(&mut producer, "", 1);
-    let mut again = daemon.connect(Listener::Faktory);
+    let mut again = daemon.connect(ListenerKind::Faktory);
     say(&mut again, "HELLO {\"v\":2}", 2);
     say(&mut again, job, 1);
     say(&mut again, "INFO", 2);
@@ -507,7 +511,7 @@
     ] {
         let applied = registry.apply(&list, None, &clock);
         let text = match &applied {
-            Some((Input::Membership(kind, entries), stale)) => {
+            Some(AppliedList { input: Input::Membership(kind, entries), stale }) => {
                 let stale: Vec<u32> = stale.iter().map(|worker| worker.0).collect();
                 format!("{kind:?} {} stale {stale:?}", entry_numbers(entries))
             }
@@ -518,7 +522,7 @@
     }
     let marks = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     for names in [&["c"][..], &["c"], &[]] {
-        match registry.mark(marks(names)) {
+        match registry.set_drain_marks(marks(names)) {
             Some(Input::Membership(kind, entries)) => {
                 let _ = writeln!(transcript, "marks {names:?}: {kind:?} {}", entry_numbers(&entries));
             }
--- a/crates/pebblepost/tests/common/mod.rs
+++ b/crates/pebblepost/tests/common/mod.rs
@@ -1,13 +1,13 @@
 //! A daemon in a thread, and stand-ins for what it talks to, all on loopback.
 
-#![allow(dead_code)] // Each test file uses its part.
+#![expect(dead_code, reason = "each test file uses its part")]
 
-pub mod keepers;
+pub mod replicas;
 pub mod stopwatch;
 
 use pebblepost::config;
-use pebblepost::net::Listener;
-use pebblepost::turn::{Daemon, Signals};
+use pebblepost::daemon::{Daemon, Signals};
+use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -67,7 +67,7 @@
     hangup: UnixStream,
     gate: Arc<Gate>,
     thread: Option<JoinHandle<()>>,
-    addresses: Vec<(Listener, SocketAddr)>,
+    addresses: Vec<(ListenerKind, SocketAddr)>,
     /// Where its agent listens to operators.
     pub control: Option<SocketAddr>,
     files: Vec<PathBuf>,
@@ -89,10 +89,11 @@
         let config = read().expect("a sound configuration");
         let (signal, stop) = UnixStream::pair().expect("a pair of sockets");
         let (hangup, reload) = UnixStream::pair().expect("a pair of sockets");
-        let signals = Signals { stop, reload, read: Box::new(read) };
+        let signals = Signals { stop, reload, read_config: Box::new(read) };
         let mut daemon = Daemon::new(config, signals, |_| {}).expect("free ports");
-        let listeners = [Listener::Platform, Listener::Faktory, Listener::Agent, Listener::Health];
-        let addresses = listeners.iter().filter_map(|d| Some((*d, daemon.address(*d)?))).collect();
+        let listeners =
+            [ListenerKind::Platform, ListenerKind::Faktory, ListenerKind::AgentCheck, ListenerKind::Health];
+        let addresses = listeners.iter().filter_map(|kind| Some((*kind, daemon.address(*kind)?))).collect();
         let control = daemon.control();
         let thread = std::thread::spawn(move || daemon.run().expect("no fault of the poller"));
         Self {
@@ -106,11 +107,11 @@
         }
     }
 
-    pub fn address(&self, listener: Listener) -> SocketAddr {
-        self.addresses.iter().find(|(d, _)| *d == listener).expect("an open listener").1
+    pub fn address(&self, listener: ListenerKind) -> SocketAddr {
+        self.addresses.iter().find(|(kind, _)| *kind == listener).expect("an open listener").1
     }
 
-    pub fn connect(&self, listener: Listener) -> Wire {
+    pub fn connect(&self, listener: ListenerKind) -> Wire {
         Wire::new(TcpStream::connect(self.address(listener)).expect("a listener"))
     }
 
@@ -216,8 +217,8 @@
 }
 
 pub fn header(head: &[String], name: &str) -> Option<String> {
-    let lines = head.iter().filter_map(|l| l.split_once(':'));
-    lines.filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim().to_owned()).next()
+    let lines = head.iter().filter_map(|line| line.split_once(':'));
+    lines.filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim().to_owned()).next()
 }
 
 /// Settings like the platform's, with one class.
--- a/crates/pebblepost/tests/common/keepers.rs
+++ b/crates/pebblepost/tests/common/replicas.rs
@@ -11,13 +11,13 @@
 pub const LIMIT: Duration = Duration::from_secs(30);
 
 /// Three keepers as processes.
-pub struct Keepers {
+pub struct Replicas {
     pub folder: PathBuf,
     pub at: Vec<SocketAddr>,
     pub running: Vec<Option<Child>>,
 }
 
-impl Keepers {
+impl Replicas {
     pub fn start(first: u8) -> Self {
         let folder = super::path("keepers");
         std::fs::create_dir_all(&folder).expect("a writable folder");
@@ -27,12 +27,12 @@
                 TcpListener::bind((std::net::Ipv4Addr::new(127, 78, first, n + 1), 0)).expect("a free port")
             })
             .collect();
-        let at: Vec<SocketAddr> = free.iter().map(|l| l.local_addr().expect("bound")).collect();
+        let at: Vec<SocketAddr> = free.iter().map(|listener| listener.local_addr().expect("bound")).collect();
         drop(free);
-        let mut keepers = Self { folder, at, running: vec![None, None, None] };
-        (0..3).for_each(|n| keepers.run(n));
-        keepers.fleet_until(&["begin"]);
-        keepers
+        let mut replicas = Self { folder, at, running: vec![None, None, None] };
+        (0..3).for_each(|n| replicas.run(n));
+        replicas.fleet_until(&["begin"]);
+        replicas
     }
 
     pub fn run(&mut self, n: usize) {
@@ -83,19 +83,20 @@
     }
 
     /// The keeper that leads, by index, and the revision that each one has.
-    pub fn look(&self) -> (usize, Vec<u64>) {
+    pub fn leader_and_revisions(&self) -> (usize, Vec<u64>) {
         within(LIMIT, "one leads", || {
             let all = self.fleet(&["status", "--json"]).stdout;
             let all = String::from_utf8_lossy(&all).into_owned();
-            let lines: Vec<Value> = all.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
-            let leader = lines.iter().find(|s| s["leader"].is_u64() && s["leader"] == s["id"])?;
-            let revisions = lines.iter().map(|s| s["revision"].as_u64().unwrap_or(0)).collect();
+            let lines: Vec<Value> = all.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
+            let leader =
+                lines.iter().find(|status| status["leader"].is_u64() && status["leader"] == status["id"])?;
+            let revisions = lines.iter().map(|status| status["revision"].as_u64().unwrap_or(0)).collect();
             Some((leader["id"].as_u64()? as usize - 1, revisions))
         })
     }
 
     /// By number, as an operator's file names them.
-    pub fn named(&self) -> Value {
+    pub fn addresses_json(&self) -> Value {
         (0..3).map(|n| ((n + 1).to_string(), json!(self.at[n]))).collect::<serde_json::Map<_, _>>().into()
     }
 
@@ -115,7 +116,7 @@
     }
 }
 
-impl Drop for Keepers {
+impl Drop for Replicas {
     fn drop(&mut self) {
         (0..3).for_each(|n| self.kill(n));
         let _ = std::fs::remove_dir_all(&self.folder);
--- a/crates/pebblepost/tests/discovery.rs
+++ b/crates/pebblepost/tests/discovery.rs
@@ -5,7 +5,7 @@
 
 use common::stopwatch::Stopwatch;
 use common::{Running, Wire, chunk, header, lines, platform, post, within, worker};
-use pebblepost::net::Listener;
+use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -85,7 +85,7 @@
 }
 
 fn ask(daemon: &Running, request: &str) -> (String, String) {
-    let mut wire = daemon.connect(Listener::Platform);
+    let mut wire = daemon.connect(ListenerKind::Platform);
     wire.say(request);
     let (head, body) = wire.message();
     (head.first().cloned().unwrap_or_default(), body)
@@ -175,7 +175,9 @@
 fn an_empty_or_very_old_list_is_none_to_rely_on_and_the_first_news_count() {
     // On an address of their own, so that no other test is given the ports while a daemon still asks there.
     let gone: Vec<SocketAddr> = (0..3)
-        .map(|_| TcpListener::bind("127.78.1.1:0").and_then(|l| l.local_addr()).expect("a free port"))
+        .map(|_| {
+            TcpListener::bind("127.78.1.1:0").and_then(|listener| listener.local_addr()).expect("a free port")
+        })
         .collect();
     for known in [vec![], gone] {
         let good = worker(serves);
@@ -228,13 +230,13 @@
     let start = Stopwatch::start();
     let mut wires: Vec<Wire> = (0..12)
         .map(|n| {
-            let mut wire = daemon.connect(Listener::Platform);
+            let mut wire = daemon.connect(ListenerKind::Platform);
             wire.say(&post(&format!("t{n}"), "", ""));
             wire
         })
         .collect();
-    let answers: Vec<String> = wires.iter_mut().map(|w| w.message().0.remove(0)).collect();
-    assert!(answers.iter().all(|a| a.starts_with("HTTP/1.1 ")), "{answers:?}");
+    let answers: Vec<String> = wires.iter_mut().map(|wire| wire.message().0.remove(0)).collect();
+    assert!(answers.iter().all(|answer| answer.starts_with("HTTP/1.1 ")), "{answers:?}");
     assert!(
         start.elapsed() < Duration::from_millis(2_050),
         "before the clients give up: {:?}",
@@ -323,7 +325,8 @@
             let _ = wire.try_say("HTTP/1.1 200 OK\r\nTransfer-");
         },
     ];
-    let pairs = silences.into_iter().flat_map(|s| failures.into_iter().map(move |f| (s, f)));
+    let pairs =
+        silences.into_iter().flat_map(|silence| failures.into_iter().map(move |failure| (silence, failure)));
     let plays: Vec<_> = pairs
         .map(|(silence, failure)| {
             std::thread::spawn(move || {
@@ -372,7 +375,9 @@
     let (address, _calls) = discovery(move |wire, _| {
         let pretty = |value: Value| format!("{}\n", serde_json::to_string_pretty(&value).expect("JSON"));
         let pieces = |wire: &mut Wire, text: &str| {
-            text.as_bytes().chunks(7).for_each(|c| chunk(wire, std::str::from_utf8(c).expect("ASCII")));
+            text.as_bytes()
+                .chunks(7)
+                .for_each(|piece| chunk(wire, std::str::from_utf8(piece).expect("ASCII")));
         };
         pieces(wire, &pretty(json!({"seq": 2, "whole": true, "hosts": [host("s-0", old, "ready")]})));
         chunk(wire, "\n");
@@ -414,7 +419,8 @@
 #[test]
 fn restarted_processes_are_ready_in_time_whatever_discovery_does() {
     let good = worker(serves);
-    let closed = TcpListener::bind("127.78.1.3:0").and_then(|l| l.local_addr()).expect("a free port");
+    let closed =
+        TcpListener::bind("127.78.1.3:0").and_then(|listener| listener.local_addr()).expect("a free port");
     let (refuses, _calls) = raw_discovery(|wire, _| {
         std::thread::sleep(Duration::from_secs(2));
         let _ = wire.try_say(REFUSED);
@@ -449,9 +455,10 @@
                 let daemons: Vec<Running> = daemons.collect();
                 let mut took: Vec<Duration> = daemons
                     .iter()
-                    .map(|d| {
+                    .map(|daemon| {
                         within(Duration::from_secs(30), "ready", || {
-                            let ready = ask(d, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").0.contains(" 200 ");
+                            let ready =
+                                ask(daemon, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").0.contains(" 200 ");
                             ready.then(|| start.elapsed())
                         })
                     })
--- a/crates/pebblepost/tests/faktory.rs
+++ b/crates/pebblepost/tests/faktory.rs
@@ -4,7 +4,7 @@
 
 use common::{Running, Wire};
 use pebblepost::front::faktory::password_hash;
-use pebblepost::net::Listener;
+use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,7 +19,7 @@
 }
 
 fn hello(daemon: &Running, wid: Option<&str>) -> Wire {
-    let mut wire = daemon.connect(Listener::Faktory);
+    let mut wire = daemon.connect(ListenerKind::Faktory);
     assert_eq!(wire.line(), r#"+HI {"v":2}"#);
     let mut hello = json!({"v": 2, "hostname": "test", "pid": 1});
     if let Some(wid) = wid {
@@ -107,7 +107,8 @@
     }
     let runs = runs.lock().expect("no panic");
     for (jid, answer) in &answers {
-        let by: Vec<&str> = runs.iter().filter(|(j, ..)| j == jid).map(|(_, w, _)| w.as_str()).collect();
+        let by: Vec<&str> =
+            runs.iter().filter(|(run, ..)| run == jid).map(|(_, worker, _)| worker.as_str()).collect();
         // These workers do not drop repeats: what may have run is not run again.
         assert!(by.len() <= 1, "{jid} ran at {by:?}");
         match (by.first(), answer.as_str()) {
@@ -117,7 +118,7 @@
             other => panic!("{jid}: {other:?}"),
         }
     }
-    assert!(answers.values().any(|a| a == "+OK"), "somebody is served");
+    assert!(answers.values().any(|answer| answer == "+OK"), "somebody is served");
     assert_eq!(drained.line(), "$-1", "nothing for a drained worker");
 }
 
@@ -195,20 +196,22 @@
     worker(&daemon, "drains", &runs, acks);
     let mut beat = hello(&daemon, Some("drains"));
     let mut producer = hello(&daemon, None);
-    let mut told = None;
+    let mut notified = None;
     for i in 0..60 {
         if i == 20 {
             beat.say("BEAT {\"current_state\":\"terminate\"}\r\n");
             assert_eq!(beat.line(), "+OK");
-            told = Some(Instant::now());
+            notified = Some(Instant::now());
         }
         assert_eq!(push(&mut producer, &job(&format!("d{i}"))), "+OK");
         std::thread::sleep(Duration::from_millis(20));
     }
     let runs = runs.lock().expect("no panic");
-    let told = told.expect("was told");
-    assert!(runs.iter().any(|(_, w, _)| w == "drains"), "it worked before");
-    let late = runs.iter().filter(|(_, w, at)| w == "drains" && *at > told + Duration::from_millis(500));
+    let notified = notified.expect("was told");
+    assert!(runs.iter().any(|(_, worker, _)| worker == "drains"), "it worked before");
+    let late = runs
+        .iter()
+        .filter(|(_, worker, at)| worker == "drains" && *at > notified + Duration::from_millis(500));
     assert_eq!(late.count(), 0);
 }
 
@@ -268,7 +271,7 @@
 fn passwords_versions_and_bad_commands() {
     let daemon = start(json!({"password": "sesame"}));
     let greet = |password: &str| {
-        let mut wire = daemon.connect(Listener::Faktory);
+        let mut wire = daemon.connect(ListenerKind::Faktory);
         let hi: Value = serde_json::from_str(wire.line().trim_start_matches("+HI ")).expect("JSON");
         let rounds = u32::try_from(hi["i"].as_u64().expect("rounds")).expect("few");
         let hash = password_hash(password, hi["s"].as_str().expect("a salt"), rounds);
@@ -295,7 +298,7 @@
     assert!(wire.line().contains("\"faktory\""));
     wire.say("END\r\n");
     assert!(wire.ends());
-    let mut rude = daemon.connect(Listener::Faktory);
+    let mut rude = daemon.connect(ListenerKind::Faktory);
     rude.line();
     rude.say("PUSH {}\r\n");
     assert_eq!(rude.line(), "-ERR say HELLO first");
--- a/crates/pebblepost/tests/faults.rs
+++ b/crates/pebblepost/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::keepers::{Keepers, LIMIT};
+use common::replicas::{LIMIT, Replicas};
 use common::{Running, platform, within};
 use serde_json::json;
 use std::process::Stdio;
@@ -10,30 +10,32 @@
 
 /// Has the leader's disk fail, and then a follower's: each ends by name, and the others lose nothing and go on.
 fn fails(first: u8, failpoint: &str, says: &str) {
-    let mut keepers = Keepers::start(first);
-    keepers.fleet_until(&["drain", "a"]);
-    let (leader, _) = keepers.look();
+    let mut replicas = Replicas::start(first);
+    replicas.fleet_until(&["drain", "a"]);
+    let (leader, _) = replicas.leader_and_revisions();
     let mut agreed = 1_u64;
     // The one that leads, and then one that follows. How many changes it takes until the disk fails depends on how many
     // come in one write, so they are made until it has ended.
     for (round, bad) in [leader, (leader + 1) % 3].into_iter().enumerate() {
-        keepers.kill(bad);
-        keepers.run_with(bad, Stdio::piped(), &[("FAILPOINTS", failpoint)]);
+        replicas.kill(bad);
+        replicas.run_with(bad, Stdio::piped(), &[("FAILPOINTS", failpoint)]);
         within(LIMIT, "it ends", || {
-            keepers.fleet_until(&["drain", &format!("w-{round}-{agreed}")]);
+            replicas.fleet_until(&["drain", &format!("w-{round}-{agreed}")]);
             agreed += 1;
-            let child = keepers.running[bad].as_mut().expect("started");
+            let child = replicas.running[bad].as_mut().expect("started");
             child.try_wait().expect("a child").map(drop)
         });
-        let said = keepers.ends(bad);
+        let said = replicas.ends(bad);
         assert!(said.contains("keeper.redb") && said.contains(says), "{said}");
-        keepers.fleet_until(&["drain", &format!("after-{round}")]);
+        replicas.fleet_until(&["drain", &format!("after-{round}")]);
         agreed += 1;
         // The disk works again: it has all that was agreed.
-        keepers.run(bad);
-        within(LIMIT, "it has caught up", || (keepers.look().1[bad] == agreed).then_some(()));
+        replicas.run(bad);
+        within(LIMIT, "it has caught up", || {
+            (replicas.leader_and_revisions().1[bad] == agreed).then_some(())
+        });
     }
-    let state = keepers.fleet_until(&["show"]);
+    let state = replicas.fleet_until(&["show"]);
     assert_eq!(state.matches("drain/").count(), agreed as usize);
 }
 
@@ -48,37 +50,37 @@
 }
 
 /// Restarts all keepers with clocks of this rate, an hour ahead.
-fn with_clocks(keepers: &mut Keepers, rate: &str) {
+fn with_clocks(replicas: &mut Replicas, rate: &str) {
     for n in 0..3 {
-        keepers.kill(n);
+        replicas.kill(n);
         let clocks = [("PEBBLEPOST_FAULT_CLOCK_RATE", rate), ("PEBBLEPOST_FAULT_CLOCK_JUMP_S", "3600")];
-        keepers.run_with(n, Stdio::null(), &clocks);
+        replicas.run_with(n, Stdio::null(), &clocks);
     }
-    keepers.look();
+    replicas.leader_and_revisions();
 }
 
 #[test]
 fn clocks_within_their_bounds_end_no_session_and_one_far_beyond_them_does() {
-    let mut keepers = Keepers::start(7);
-    with_clocks(&mut keepers, "1.05");
-    let fleet = json!({"keepers": keepers.named()});
+    let mut replicas = Replicas::start(7);
+    with_clocks(&mut replicas, "1.05");
+    let fleet = json!({"keepers": replicas.addresses_json()});
     let mut config = platform(&[], None);
     config["name"] = json!("a");
     let _node = Running::start(Some(config), Some(json!({"fleet": fleet})));
-    let session = |keepers: &Keepers| {
+    let session = |replicas: &Replicas| {
         within(LIMIT, "it is a member", || {
-            let members = keepers.fleet_until(&["members"]);
+            let members = replicas.fleet_until(&["members"]);
             let words =
-                members.lines().find(|l| l.contains("here life"))?.split("session ").nth(1)?.to_owned();
+                members.lines().find(|line| line.contains("here life"))?.split("session ").nth(1)?.to_owned();
             words.split(' ').next()?.parse::<u64>().ok()
         })
     };
-    let first = session(&keepers);
+    let first = session(&replicas);
     // Two lengths of a session, by the keepers' clocks.
     std::thread::sleep(Duration::from_secs(6));
-    assert_eq!(session(&keepers), first, "a clock ahead by an hour and fast by a twentieth ended a session");
-    with_clocks(&mut keepers, "60");
+    assert_eq!(session(&replicas), first, "a clock ahead by an hour and fast by a twentieth ended a session");
+    with_clocks(&mut replicas, "60");
     within(LIMIT, "a session that lasts a twentieth of a second ends", || {
-        keepers.fleet_until(&["members"]).contains("lost life").then_some(())
+        replicas.fleet_until(&["members"]).contains("lost life").then_some(())
     });
 }
--- a/crates/pebblepost/tests/fleet.rs
+++ b/crates/pebblepost/tests/fleet.rs
@@ -1,11 +1,11 @@
-//! Keepers and dispatchers as several programs on one machine: what is agreed reaches the decisions, what is asked for
+//! Replicas and dispatchers as several programs on one machine: what is agreed reaches the decisions, what is asked for
 //! at one that is cut off holds there, and serving goes on without any keeper.
 
 mod common;
 
-use common::keepers::{Keepers, LIMIT};
+use common::replicas::{LIMIT, Replicas};
 use common::{Running, Wire, header, lines, platform, post, within, worker};
-use pebblepost::net::Listener;
+use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -19,7 +19,7 @@
 }
 
 fn serves(node: &Running) -> bool {
-    let mut wire = node.connect(Listener::Platform);
+    let mut wire = node.connect(ListenerKind::Platform);
     wire.say(&post("t", "", ""));
     wire.message().1 == "text"
 }
@@ -38,92 +38,95 @@
 }
 
 fn health(node: &Running) -> String {
-    let mut wire = node.connect(Listener::Health);
+    let mut wire = node.connect(ListenerKind::Health);
     wire.say("GET /health HTTP/1.1\r\nHost: h\r\n\r\n");
     wire.message().1
 }
 
 #[test]
 fn what_is_agreed_reaches_every_dispatcher_and_none_needs_a_keeper_to_serve() {
-    let (mut keepers, one) = (Keepers::start(1), good());
+    let (mut replicas, one) = (Replicas::start(1), good());
     let copy = common::path("copy");
-    let with =
-        |copy: Option<&PathBuf>| json!({"keepers": keepers.named(), "control": "127.0.0.1:0", "copy": copy});
+    let with = |copy: Option<&PathBuf>| json!({"keepers": replicas.addresses_json(), "control": "127.0.0.1:0", "copy": copy});
     let (fleet_a, fleet_b) = (with(None), with(Some(&copy)));
-    let (a, b) = (dispatcher("a", &[one], fleet_a), dispatcher("b", &[one], fleet_b.clone()));
-    assert!(serves(&a) && serves(&b));
+    let (first, second) = (dispatcher("a", &[one], fleet_a), dispatcher("b", &[one], fleet_b.clone()));
+    assert!(serves(&first) && serves(&second));
     // s-0 is the only worker: drained, nothing is served.
-    keepers.fleet_until(&["drain", "s-0", "--why", "a test"]);
-    within(LIMIT, "the drain at both", || (!serves(&a) && !serves(&b)).then_some(()));
+    replicas.fleet_until(&["drain", "s-0", "--why", "a test"]);
+    within(LIMIT, "the drain at both", || (!serves(&first) && !serves(&second)).then_some(()));
     within(LIMIT, "both are members", || {
-        let members = keepers.fleet_until(&["members"]);
+        let members = replicas.fleet_until(&["members"]);
         (members.matches("here life 1").count() == 2).then_some(())
     });
     // The leader dies: what was agreed stays, and the next change is agreed by the rest.
-    let (leader, _) = keepers.look();
-    keepers.kill(leader);
-    keepers.fleet_until(&["undrain", "s-0"]);
-    within(LIMIT, "the mark is taken back at both", || (serves(&a) && serves(&b)).then_some(()));
+    let (leader, _) = replicas.leader_and_revisions();
+    replicas.kill(leader);
+    replicas.fleet_until(&["undrain", "s-0"]);
+    within(LIMIT, "the mark is taken back at both", || (serves(&first) && serves(&second)).then_some(()));
     // All keepers die: serving goes on, and the health tells how old its knowledge is.
-    (0..3).for_each(|n| keepers.kill(n));
-    assert!(serves(&a) && serves(&b));
-    let told = health(&a);
-    assert!(told.starts_with("fleet: revision ") && told.contains("confirmed "), "{told}");
+    (0..3).for_each(|n| replicas.kill(n));
+    assert!(serves(&first) && serves(&second));
+    let status = health(&first);
+    assert!(status.starts_with("fleet: revision ") && status.contains("confirmed "), "{status}");
     // A drain asked for at one that is cut off holds there at once, also over its restart, and nowhere else.
-    assert_eq!(here(&b, json!({"drain": "s-0", "why": "smoke"})), json!({"ok": true}));
-    within(Duration::from_millis(400), "the drain here", || (!serves(&b)).then_some(()));
-    assert!(serves(&a));
-    within(LIMIT, "kept", || std::fs::read_to_string(&copy).is_ok_and(|t| t.contains("smoke")).then_some(()));
-    drop(b);
-    let b = dispatcher("b", &[one], fleet_b);
-    assert!(!serves(&b), "not forgotten over a restart without any keeper");
+    assert_eq!(here(&second, json!({"drain": "s-0", "why": "smoke"})), json!({"ok": true}));
+    within(Duration::from_millis(400), "the drain here", || (!serves(&second)).then_some(()));
+    assert!(serves(&first));
+    within(LIMIT, "kept", || {
+        std::fs::read_to_string(&copy).is_ok_and(|text| text.contains("smoke")).then_some(())
+    });
+    drop(second);
+    let second = dispatcher("b", &[one], fleet_b);
+    assert!(!serves(&second), "not forgotten over a restart without any keeper");
     // The group comes back: the drain is offered, and is everybody's.
-    (0..3).for_each(|n| keepers.run(n));
-    within(LIMIT, "the drain at the other", || (!serves(&a)).then_some(()));
-    let history = keepers.fleet_until(&["history"]);
+    (0..3).for_each(|n| replicas.run(n));
+    within(LIMIT, "the drain at the other", || (!serves(&first)).then_some(()));
+    let history = replicas.fleet_until(&["history"]);
     assert!(history.contains("drain/s-0 = by operator here") && history.contains("smoke"), "{history}");
     assert_eq!(
-        here(&b, json!({"undrain": "s-0"}))["error"].as_str().map(|e| e.contains("agreed")),
+        here(&second, json!({"undrain": "s-0"}))["error"].as_str().map(|error| error.contains("agreed")),
         Some(true)
     );
-    keepers.fleet_until(&["undrain", "s-0"]);
-    within(LIMIT, "served again by both", || (serves(&a) && serves(&b)).then_some(()));
-    drop((a, b));
+    replicas.fleet_until(&["undrain", "s-0"]);
+    within(LIMIT, "served again by both", || (serves(&first) && serves(&second)).then_some(()));
+    drop((first, second));
     let _ = std::fs::remove_file(copy);
 }
 
 #[test]
 fn a_keeper_that_lost_its_disk_is_not_believed_and_comes_back_under_a_new_number() {
-    let mut keepers = Keepers::start(2);
-    keepers.fleet_until(&["drain", "w-1"]);
-    keepers.kill(1);
-    std::fs::remove_dir_all(keepers.folder.join("1")).expect("its disk");
-    keepers.run(1);
-    keepers.fleet_until(&["drain", "w-2"]);
+    let mut replicas = Replicas::start(2);
+    replicas.fleet_until(&["drain", "w-1"]);
+    replicas.kill(1);
+    std::fs::remove_dir_all(replicas.folder.join("1")).expect("its disk");
+    replicas.run(1);
+    replicas.fleet_until(&["drain", "w-2"]);
     // It listens, and nobody lets it take part: it has none of what was agreed.
     let status = within(LIMIT, "it answers", || {
-        let all = keepers.fleet_until(&["status", "--json"]);
-        let lines: Vec<Value> = all.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
-        lines.into_iter().find(|s| s["id"] == 2 && s.get("error").is_none())
+        let all = replicas.fleet_until(&["status", "--json"]);
+        let lines: Vec<Value> = all.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
+        lines.into_iter().find(|status| status["id"] == 2 && status.get("error").is_none())
     });
     assert_eq!((&status["begun"], &status["revision"]), (&json!(false), &json!(0)));
-    let again = keepers.fleet(&["begin"]);
+    let again = replicas.fleet(&["begin"]);
     assert_eq!(again.status.code(), Some(1), "a group that runs is not begun again");
-    let add = keepers.fleet(&["add", "2", &keepers.at[1].to_string()]);
+    let add = replicas.fleet(&["add", "2", &replicas.at[1].to_string()]);
     // The agreed state refuses the number, whoever asks for it.
     assert_eq!(add.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&add.stderr).contains("a new disk takes a new number"));
     // Under a new number, with an empty folder: it learns all that was agreed.
-    keepers.kill(1);
-    let config = keepers.folder.join("new.json");
-    let json = json!({"group": "g", "id": 4, "listen": keepers.at[1], "folder": keepers.folder.join("new")});
+    replicas.kill(1);
+    let config = replicas.folder.join("new.json");
+    let json =
+        json!({"group": "g", "id": 4, "listen": replicas.at[1], "folder": replicas.folder.join("new")});
     std::fs::write(&config, json.to_string()).expect("a writable folder");
     let mut keep = Command::new(env!("CARGO_BIN_EXE_pebblepost"));
-    keepers.running[1] = Some(keep.arg("keep").arg(config).stderr(Stdio::null()).spawn().expect("it starts"));
-    keepers.fleet_until(&["add", "4", &keepers.at[1].to_string()]);
-    keepers.fleet_until(&["remove", "2"]);
+    replicas.running[1] =
+        Some(keep.arg("keep").arg(config).stderr(Stdio::null()).spawn().expect("it starts"));
+    replicas.fleet_until(&["add", "4", &replicas.at[1].to_string()]);
+    replicas.fleet_until(&["remove", "2"]);
     within(LIMIT, "it has all of it", || {
-        let at = format!("4={}", keepers.at[1]);
+        let at = format!("4={}", replicas.at[1]);
         let mut fleet = Command::new(env!("CARGO_BIN_EXE_pebblepost"));
         let out = fleet.args(["fleet", "--keepers", &at, "--json", "status"]).output().expect("it starts");
         let status: Value = serde_json::from_slice(&out.stdout).ok()?;
@@ -133,20 +136,20 @@
 
 #[test]
 fn a_keeper_on_an_older_copy_of_its_disk_is_refused_by_name_and_the_others_go_on() {
-    let mut keepers = Keepers::start(4);
-    keepers.fleet_until(&["drain", "w-1"]);
-    let follower = (keepers.look().0 + 1) % 3;
-    keepers.kill(follower);
-    let disk = keepers.folder.join(follower.to_string()).join("keeper.redb");
+    let mut replicas = Replicas::start(4);
+    replicas.fleet_until(&["drain", "w-1"]);
+    let follower = (replicas.leader_and_revisions().0 + 1) % 3;
+    replicas.kill(follower);
+    let disk = replicas.folder.join(follower.to_string()).join("keeper.redb");
     let older = std::fs::read(&disk).expect("its disk");
-    keepers.run(follower);
-    keepers.fleet_until(&["drain", "w-2"]);
-    within(LIMIT, "it has caught up", || (keepers.look().1[follower] == 2).then_some(()));
-    keepers.kill(follower);
+    replicas.run(follower);
+    replicas.fleet_until(&["drain", "w-2"]);
+    within(LIMIT, "it has caught up", || (replicas.leader_and_revisions().1[follower] == 2).then_some(()));
+    replicas.kill(follower);
     std::fs::write(&disk, older).expect("a writable folder");
-    let said = keepers.refuses(follower);
+    let said = replicas.refuses(follower);
     assert!(said.contains("keeper.redb: an older copy"), "{said}");
-    keepers.fleet_until(&["drain", "w-3"]);
+    replicas.fleet_until(&["drain", "w-3"]);
 }
 
 #[test]
@@ -191,21 +194,21 @@
 #[test]
 fn the_file_of_the_old_store_is_taken_over_and_a_torn_one_is_refused() {
     use sha2::{Digest, Sha256};
-    let keepers = Keepers::start(3);
+    let replicas = Replicas::start(3);
     let file = common::path("old-store");
     let body = json!({"node": "a", "registers": {
         "drain/s-1": [true, 3, "a"], "drain/s-2": [null, 4, "a"], "setting/faktory.heartbeat_s": [5, 1, "a"],
     }})
     .to_string();
-    let sum: String = Sha256::digest(body.as_bytes()).iter().map(|b| format!("{b:02x}")).collect();
+    let sum: String = Sha256::digest(body.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect();
     let shown = file.display().to_string();
     std::fs::write(&file, format!("{sum}\n{}\n", &body[1..])).expect("a writable folder");
-    let torn = keepers.fleet(&["import", &shown]);
+    let torn = replicas.fleet(&["import", &shown]);
     assert_eq!(torn.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&torn.stderr).contains("torn"));
     std::fs::write(&file, format!("{sum}\n{body}\n")).expect("a writable folder");
-    keepers.fleet_until(&["import", &shown]);
-    let state = keepers.fleet_until(&["show"]);
+    replicas.fleet_until(&["import", &shown]);
+    let state = replicas.fleet_until(&["show"]);
     assert!(
         state.contains("drain/s-1\tby tester") && state.contains("setting/faktory.heartbeat_s\t5"),
         "{state}"
@@ -214,11 +217,11 @@
     // A backup of it, what came after it taken back, and the backup in a group that lost everything.
     let backup = common::path("backup");
     let named = backup.display().to_string();
-    keepers.fleet_until(&["backup", &named]);
-    assert_eq!(keepers.fleet(&["backup", &named]).status.code(), Some(1), "none is written over");
-    keepers.fleet_until(&["undrain", "s-1"]);
-    let other = Keepers::start(5);
-    for group in [&keepers, &other] {
+    replicas.fleet_until(&["backup", &named]);
+    assert_eq!(replicas.fleet(&["backup", &named]).status.code(), Some(1), "none is written over");
+    replicas.fleet_until(&["undrain", "s-1"]);
+    let other = Replicas::start(5);
+    for group in [&replicas, &other] {
         group.fleet_until(&["restore", &named]);
         assert!(group.fleet_until(&["show"]).contains("drain/s-1\tby tester"));
     }
--- a/crates/pebblepost/tests/listeners.rs
+++ b/crates/pebblepost/tests/listeners.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Running, header, lines, platform, post, worker};
-use pebblepost::net::Listener;
+use pebblepost::net::ListenerKind;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use serde_json::json;
@@ -11,7 +11,8 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-const LISTENERS: [Listener; 4] = [Listener::Platform, Listener::Faktory, Listener::Agent, Listener::Health];
+const LISTENERS: [ListenerKind; 4] =
+    [ListenerKind::Platform, ListenerKind::Faktory, ListenerKind::AgentCheck, ListenerKind::Health];
 
 fn start() -> Running {
     let serves = worker(|wire, head| {
@@ -43,8 +44,9 @@
     );
     let ran = runner(150).run(&garbage, |(listener, start, bytes)| {
         // The last is the agent's, which is no listener of the loop.
-        let address =
-            LISTENERS.get(listener).map_or_else(|| daemon.control.expect("set"), |d| daemon.address(*d));
+        let address = LISTENERS
+            .get(listener)
+            .map_or_else(|| daemon.control.expect("set"), |kind| daemon.address(*kind));
         let mut stream = TcpStream::connect(address).expect("a listener");
         // The daemon may have closed in the middle of it.
         let _ = stream.write_all(&[start.as_bytes(), &bytes].concat());
@@ -52,7 +54,7 @@
         Ok(())
     });
     ran.expect("no failure");
-    let mut wire = daemon.connect(Listener::Platform);
+    let mut wire = daemon.connect(ListenerKind::Platform);
     wire.say(&post("t", "", ""));
     assert_eq!(wire.message().1, "text");
 }
@@ -61,14 +63,14 @@
 fn cuts_change_nothing_at_any_listener() {
     let daemon = start();
     let talks = [
-        (Listener::Platform, post("t", "Connection: close\r\n", "body"), "HTTP/1.1 200 OK\r\n"),
+        (ListenerKind::Platform, post("t", "Connection: close\r\n", "body"), "HTTP/1.1 200 OK\r\n"),
         (
-            Listener::Health,
+            ListenerKind::Health,
             "GET /ready HTTP/1.1\r\nConnection: close\r\n\r\n".to_owned(),
             "HTTP/1.1 200 OK\r\n",
         ),
         (
-            Listener::Faktory,
+            ListenerKind::Faktory,
             "HELLO {\"v\":2}\r\nBEAT {}\r\nEND\r\n".to_owned(),
             "+HI {\"v\":2}\r\n+OK\r\n-ERR unknown worker\r\n+OK\r\n",
         ),
@@ -79,7 +81,8 @@
         let mut stream = TcpStream::connect(daemon.address(*listener)).expect("a listener");
         stream.set_nodelay(true).expect("TCP");
         stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a sound time-out");
-        let mut at: Vec<usize> = cuts.iter().map(|c| c.index(words.len())).chain([0, words.len()]).collect();
+        let mut at: Vec<usize> =
+            cuts.iter().map(|cut| cut.index(words.len())).chain([0, words.len()]).collect();
         at.sort_unstable();
         for piece in at.windows(2) {
             stream.write_all(&words.as_bytes()[piece[0]..piece[1]]).expect("an open connection");
--- a/crates/pebblepost/tests/parsers.rs
+++ b/crates/pebblepost/tests/parsers.rs
@@ -3,7 +3,7 @@
 use pebblepost::buffer::Buffer;
 use pebblepost::clock::Clock;
 use pebblepost::config::flatten;
-use pebblepost::discovery::Registry;
+use pebblepost::discovery::registry::Registry;
 use pebblepost::http::{self, Body, Malformed, request_head, response_head};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
@@ -20,9 +20,10 @@
 
 /// The pieces of `bytes` between the cuts.
 fn pieces<'a>(bytes: &'a [u8], cuts: &[prop::sample::Index]) -> Vec<&'a [u8]> {
-    let mut at: Vec<usize> = cuts.iter().map(|c| c.index(bytes.len() + 1)).chain([0, bytes.len()]).collect();
+    let mut at: Vec<usize> =
+        cuts.iter().map(|cut| cut.index(bytes.len() + 1)).chain([0, bytes.len()]).collect();
     at.sort_unstable();
-    at.windows(2).map(|w| &bytes[w[0]..w[1]]).collect()
+    at.windows(2).map(|bounds| &bytes[bounds[0]..bounds[1]]).collect()
 }
 
 /// Target and body of a request, and what follows it.
@@ -35,14 +36,14 @@
     for piece in pieces {
         input.extend(piece);
         if head.is_none() {
-            head = request_head(&mut input)?.map(|h| (Body::new(h.framing), h));
+            head = request_head(&mut input)?.map(|head| (Body::new(head.framing), head));
         }
         if let Some((body, _)) = &mut head {
             body.decode(&mut input, &mut out)?;
             done = body.is_complete();
         }
     }
-    Ok(head.filter(|_| done).map(|(_, h)| (h.target, out.data().to_vec(), input.data().to_vec())))
+    Ok(head.filter(|_| done).map(|(_, head)| (head.target, out.data().to_vec(), input.data().to_vec())))
 }
 
 fn request(body: &[u8], chunks: &[usize], next: &[u8]) -> Vec<u8> {
--- a/crates/pebblepost/tests/platform.rs
+++ b/crates/pebblepost/tests/platform.rs
@@ -4,7 +4,7 @@
 
 use common::{Running, Wire, header, lines, platform, post, worker};
 use pebblepost::front::platform::tenant;
-use pebblepost::net::Listener;
+use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
@@ -21,7 +21,7 @@
 }
 
 fn ask(daemon: &Running, request: &str) -> (Vec<String>, String) {
-    let mut wire = daemon.connect(Listener::Platform);
+    let mut wire = daemon.connect(ListenerKind::Platform);
     wire.say(request);
     wire.message()
 }
@@ -35,7 +35,7 @@
         serves(wire, head);
     });
     let daemon = Running::start(Some(platform(&[good], None)), None);
-    let mut wire = daemon.connect(Listener::Platform);
+    let mut wire = daemon.connect(ListenerKind::Platform);
     wire.say("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_eq!(wire.message().0[0], "HTTP/1.1 200 OK");
     // Three sent ahead, one in chunks: each waits for the one before.
@@ -47,11 +47,11 @@
         assert_eq!((head[0].as_str(), body.as_str()), ("HTTP/1.1 200 OK", "text"));
     }
     let heads = heads.lock().expect("no panic");
-    let ids: Vec<_> = heads.iter().map(|h| header(h, "x-txn").expect("an id")).collect();
+    let ids: Vec<_> = heads.iter().map(|head| header(head, "x-txn").expect("an id")).collect();
     assert_eq!(ids, ["t1", "t2", "t3"]);
     for head in heads.iter() {
         assert_eq!(head[0], "POST /api?x=1 HTTP/1.1");
-        assert!(header(head, "idempotency-key").is_some_and(|k| k.starts_with("kt")));
+        assert!(header(head, "idempotency-key").is_some_and(|key| key.starts_with("kt")));
         let left: u64 = header(head, "x-remaining-ms").and_then(|n| n.parse().ok()).expect("a time");
         assert!((1_000..=2_000).contains(&left));
     }
@@ -79,7 +79,7 @@
         (job.replace("Content-Length: 0", "Transfer-Encoding: gzip"), 501, true),
     ];
     for (request, status, closes) in cases {
-        let mut wire = daemon.connect(Listener::Platform);
+        let mut wire = daemon.connect(ListenerKind::Platform);
         wire.say(&request);
         let (head, _) = wire.message();
         assert!(
@@ -99,11 +99,11 @@
 #[test]
 fn silent_and_endless_clients_are_let_go_and_kept_ones_stay() {
     let daemon = Running::start(Some(platform(&[worker(serves)], None)), None);
-    let mut kept = daemon.connect(Listener::Platform);
+    let mut kept = daemon.connect(ListenerKind::Platform);
     kept.say(&post("t1", "", ""));
     assert_eq!(kept.message().1, "text");
     let (start, mut silent, mut endless) =
-        (Instant::now(), daemon.connect(Listener::Platform), daemon.connect(Listener::Platform));
+        (Instant::now(), daemon.connect(ListenerKind::Platform), daemon.connect(ListenerKind::Platform));
     endless.say("POST /api HTTP/1.1\r\n");
     for n in 0..4 {
         std::thread::sleep(Duration::from_millis(500));
@@ -118,7 +118,8 @@
 #[test]
 fn nobody_to_serve_is_a_refusal_at_once_with_when_to_come_back() {
     // A port that nobody listens at any more: the connection is refused, so nothing can have run.
-    let closed = TcpListener::bind("127.78.1.2:0").and_then(|l| l.local_addr()).expect("a free port");
+    let closed =
+        TcpListener::bind("127.78.1.2:0").and_then(|listener| listener.local_addr()).expect("a free port");
     let daemon = Running::start(Some(platform(&[closed], None)), None);
     let start = Instant::now();
     let (head, _) = ask(&daemon, &post("t", "", ""));
@@ -143,43 +144,47 @@
 
 #[test]
 fn whatever_a_worker_does_ends_that_attempt_only() {
-    let told = |line: Value| move |wire: &mut Wire, _: &[String]| lines(wire, std::slice::from_ref(&line));
+    let sends_line =
+        |line: Value| move |wire: &mut Wire, _: &[String]| lines(wire, std::slice::from_ref(&line));
     for (what, (seen, status)) in [
-        ("failed", attempts(told(json!({"id": "t", "state": "failed"})))),
-        ("lost", attempts(told(json!({"id": "t", "state": "lost"})))),
-        ("returned", attempts(told(json!({"id": "t", "state": "returned"})))),
-        ("an unknown state", attempts(told(json!({"id": "t", "state": "dreaming"})))),
-        ("done with no result", attempts(told(json!({"id": "t", "state": "done"})))),
-        ("another one's line", attempts(told(json!({"id": "u", "state": "done", "result": "text"})))),
-        ("no id", attempts(told(json!({"state": "done", "result": "text"})))),
-        ("an endless head", attempts(|w, _| while w.try_say("X-More: of it\r\n") {})),
+        ("failed", attempts(sends_line(json!({"id": "t", "state": "failed"})))),
+        ("lost", attempts(sends_line(json!({"id": "t", "state": "lost"})))),
+        ("returned", attempts(sends_line(json!({"id": "t", "state": "returned"})))),
+        ("an unknown state", attempts(sends_line(json!({"id": "t", "state": "dreaming"})))),
+        ("done with no result", attempts(sends_line(json!({"id": "t", "state": "done"})))),
+        ("another one's line", attempts(sends_line(json!({"id": "u", "state": "done", "result": "text"})))),
+        ("no id", attempts(sends_line(json!({"state": "done", "result": "text"})))),
+        ("an endless head", attempts(|wire, _| while wire.try_say("X-More: of it\r\n") {})),
         (
             "an endless line",
-            attempts(|w, _| {
-                w.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                while w.try_say(&format!("1000\r\n{}\r\n", "x".repeat(0x1000))) {}
+            attempts(|wire, _| {
+                wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                while wire.try_say(&format!("1000\r\n{}\r\n", "x".repeat(0x1000))) {}
             }),
         ),
         (
             "endless empty lines",
-            attempts(|w, _| {
-                w.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                while w.try_say("1\r\n\n\r\n") {
+            attempts(|wire, _| {
+                wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                while wire.try_say("1\r\n\n\r\n") {
                     std::thread::sleep(Duration::from_millis(1));
                 }
             }),
         ),
         (
             "a wrong chunk",
-            attempts(|w, _| w.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nno\r\n")),
+            attempts(|wire, _| wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nno\r\n")),
+        ),
+        ("500", attempts(|wire, _| wire.say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))),
+        ("garbage", attempts(|wire, _| wire.say("\u{1}\u{2}garbage\r\n\r\n"))),
+        (
+            "an end with no last line",
+            attempts(|wire, _| wire.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")),
         ),
-        ("500", attempts(|w, _| w.say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))),
-        ("garbage", attempts(|w, _| w.say("\u{1}\u{2}garbage\r\n\r\n"))),
-        ("an end with no last line", attempts(|w, _| w.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))),
         (
             "turned away",
-            attempts(|w, _| {
-                w.say("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+            attempts(|wire, _| {
+                wire.say("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
             }),
         ),
     ] {
@@ -197,8 +202,8 @@
         let hosts = config.pointer_mut("/known/hosts").and_then(Value::as_array_mut).expect("a list");
         hosts.rotate_left(turn);
         let daemon = Running::start(Some(config), None);
-        let about = |k: u32| ask(&daemon, &post("t", &format!("Cookie: a=b; k={k}\r\n"), "")).1;
-        (0..12).map(|k| about(k / 2)).collect::<Vec<_>>()
+        let about = |key: u32| ask(&daemon, &post("t", &format!("Cookie: a=b; k={key}\r\n"), "")).1;
+        (0..12).map(|half| about(half / 2)).collect::<Vec<_>>()
     };
     let (one, other) = (served_by(0), served_by(2));
     assert_eq!(one, other);
@@ -207,19 +212,19 @@
 
 #[test]
 fn a_client_that_leaves_ends_its_attempt() {
-    let (tell, told) = std::sync::mpsc::channel();
+    let (events, observed) = std::sync::mpsc::channel();
     let waits = worker(move |wire, _| {
-        tell.send("has it").expect("a listener");
+        events.send("has it").expect("a listener");
         assert!(wire.line().is_empty());
-        tell.send("was closed").expect("a listener");
+        events.send("was closed").expect("a listener");
     });
     let daemon = Running::start(Some(platform(&[waits], None)), None);
-    let mut wire = daemon.connect(Listener::Platform);
+    let mut wire = daemon.connect(ListenerKind::Platform);
     wire.say(&post("t", "", ""));
     let limit = Duration::from_secs(5);
-    assert_eq!(told.recv_timeout(limit), Ok("has it"));
+    assert_eq!(observed.recv_timeout(limit), Ok("has it"));
     wire.close();
-    assert_eq!(told.recv_timeout(limit), Ok("was closed"));
+    assert_eq!(observed.recv_timeout(limit), Ok("was closed"));
 }
 
 #[test]
@@ -229,7 +234,7 @@
         serves(wire, head);
     });
     let mut daemon = Running::start(Some(platform(&[slow], None)), None);
-    let mut idle = daemon.connect(Listener::Platform);
+    let mut idle = daemon.connect(ListenerKind::Platform);
     idle.say("GET /ready HTTP/1.1\r\n\r\n");
     assert_eq!(idle.message().0[0], "HTTP/1.1 200 OK");
     daemon.stop();
@@ -237,7 +242,7 @@
         idle.say("GET /ready HTTP/1.1\r\n\r\n");
         idle.message().0[0].starts_with("HTTP/1.1 503").then_some(())
     });
-    let mut late = daemon.connect(Listener::Platform);
+    let mut late = daemon.connect(ListenerKind::Platform);
     late.say(&post("t", "", ""));
     let (head, body) = late.message();
     assert_eq!((head[0].as_str(), body.as_str()), ("HTTP/1.1 200 OK", "text"));
@@ -262,7 +267,8 @@
 
 #[test]
 fn a_watch_tells_of_drains_and_garbage_ends_only_the_watch() {
-    let (old, new) = (worker(|w, _| w.say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), worker(serves));
+    let (old, new) =
+        (worker(|wire, _| wire.say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), worker(serves));
     let list = discovery(move |wire, n| {
         let chunk = |wire: &mut Wire, text: &str| wire.say(&format!("{:x}\r\n{text}\r\n", text.len()));
         wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -285,16 +291,16 @@
 
 #[test]
 fn a_watch_that_falls_silent_is_taken_up_again() {
-    let (tell, told) = std::sync::mpsc::channel();
+    let (events, observed) = std::sync::mpsc::channel();
     let silent = discovery(move |wire, n| {
         wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-        tell.send((n, Instant::now())).expect("a listener");
+        events.send((n, Instant::now())).expect("a listener");
         // The daemon gives it up; nothing on the wire says that the watch has ended.
         assert!(wire.line().is_empty());
     });
     let _daemon = Running::start(Some(platform(&[worker(serves)], Some(silent))), None);
-    let (limit, (_, first)) = (Duration::from_secs(8), told.recv().expect("a watch"));
-    let (n, second) = told.recv_timeout(limit).expect("another watch");
+    let (limit, (_, first)) = (Duration::from_secs(8), observed.recv().expect("a watch"));
+    let (n, second) = observed.recv_timeout(limit).expect("another watch");
     assert_eq!(n, 1);
     let after = second - first;
     assert!((Duration::from_millis(2_500)..Duration::from_secs(6)).contains(&after), "{after:?}");
@@ -302,18 +308,18 @@
 
 #[test]
 fn a_new_configuration_moves_the_watch_and_a_bad_one_changes_nothing() {
-    let (tell, told) = std::sync::mpsc::channel();
+    let (events, observed) = std::sync::mpsc::channel();
     let watched = |name: &'static str, worker: SocketAddr| {
-        let tell = tell.clone();
+        let events = events.clone();
         discovery(move |wire, _| {
             let host = json!({"host": name, "dial": worker, "site": "a", "class": "m", "block": 0, "health": "ready", "born_ms": 0});
             let line = format!("{}\n", json!({"seq": 7, "whole": true, "hosts": [host]}));
             // Told first: what the line sets off must not overtake it.
-            tell.send((name, "watched")).expect("a listener");
+            events.send((name, "watched")).expect("a listener");
             wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             wire.say(&format!("{:x}\r\n{line}\r\n", line.len()));
             assert!(wire.line().is_empty());
-            let _ = tell.send((name, "left"));
+            let _ = events.send((name, "left"));
         })
     };
     let says = |text: &'static str| {
@@ -326,14 +332,18 @@
     let (old, new) = (watched("old", one), watched("new", two));
     let mut daemon = Running::start(Some(platform(&[one], Some(old))), None);
     let limit = Duration::from_secs(5);
-    assert_eq!(told.recv_timeout(limit), Ok(("old", "watched")));
+    assert_eq!(observed.recv_timeout(limit), Ok(("old", "watched")));
     assert_eq!(ask(&daemon, &post("t1", "", "")).1, "one");
     daemon.reload("{ not JSON");
     daemon.reload(&platform(&[one], None).to_string());
     assert_eq!(ask(&daemon, &post("t2", "", "")).1, "one");
     daemon.reload(&platform(&[one], Some(new)).to_string());
-    assert_eq!(told.recv_timeout(limit), Ok(("new", "watched")), "nothing else was left or taken up before");
-    assert_eq!(told.recv_timeout(limit), Ok(("old", "left")));
+    assert_eq!(
+        observed.recv_timeout(limit),
+        Ok(("new", "watched")),
+        "nothing else was left or taken up before"
+    );
+    assert_eq!(observed.recv_timeout(limit), Ok(("old", "left")));
     common::within(limit, "the word of the new one counts", || {
         (ask(&daemon, &post("t3", "", "")).1 == "two").then_some(())
     });
@@ -343,35 +353,36 @@
 #[test]
 fn a_client_that_sends_far_ahead_and_leaves_costs_nothing() {
     for (pieces, reset) in [(1_000, true), (4, false)] {
-        let (tell, told) = std::sync::mpsc::channel();
+        let (events, observed) = std::sync::mpsc::channel();
         let waits = worker(move |wire, _| {
-            tell.send("begun").expect("a listener");
+            events.send("begun").expect("a listener");
             assert!(wire.line().is_empty());
-            tell.send("given up").expect("a listener");
+            events.send("given up").expect("a listener");
         });
         let daemon = Running::start(Some(platform(&[waits], None)), None);
-        let mut flood = std::net::TcpStream::connect(daemon.address(Listener::Platform)).expect("a listener");
+        let mut flood =
+            std::net::TcpStream::connect(daemon.address(ListenerKind::Platform)).expect("a listener");
         flood.set_write_timeout(Some(Duration::from_millis(300))).expect("a sound time-out");
         flood.write_all(post("t", "", "").as_bytes()).expect("room");
-        assert_eq!(told.recv_timeout(Duration::from_secs(1)), Ok("begun"));
+        assert_eq!(observed.recv_timeout(Duration::from_secs(1)), Ok("begun"));
         let sent = (0..pieces).take_while(|_| flood.write_all(&[b'x'; 64 * 1024]).is_ok()).count();
         assert!(!reset || sent < pieces, "what is sent ahead is bounded");
         if reset {
             socket2::SockRef::from(&flood).set_linger(Some(Duration::ZERO)).expect("a socket");
         }
         drop(flood);
-        let told = told.recv_timeout(Duration::from_secs(1));
-        assert_eq!(told, Ok("given up"), "before its time-out, reset: {reset}");
+        let observed = observed.recv_timeout(Duration::from_secs(1));
+        assert_eq!(observed, Ok("given up"), "before its time-out, reset: {reset}");
     }
 }
 
 #[test]
-fn balancers_are_told_of_the_real_state() {
+fn load_balancers_get_the_actual_state() {
     let operator = json!({"agent_check": {"listen": "127.0.0.1:0"}, "health": {"listen": "127.0.0.1:0"}});
     let mut daemon = Running::start(Some(platform(&[worker(serves)], None)), Some(operator.clone()));
-    let agent = |daemon: &Running| daemon.connect(Listener::Agent).line();
+    let agent = |daemon: &Running| daemon.connect(ListenerKind::AgentCheck).line();
     let health = |daemon: &Running, path: &str| {
-        let mut wire = daemon.connect(Listener::Health);
+        let mut wire = daemon.connect(ListenerKind::Health);
         wire.say(&format!("GET {path} HTTP/1.0\r\n\r\n"));
         wire.message().0[0][9..12].to_owned()
     };
@@ -391,7 +402,7 @@
     // The limit of 256 leaves 140 for clients; idle ones make room for those that come.
     let mut held: Vec<Wire> = Vec::new();
     for i in 0..200 {
-        let mut wire = daemon.connect(Listener::Platform);
+        let mut wire = daemon.connect(ListenerKind::Platform);
         wire.say(&post(&format!("t{i}"), "", ""));
         assert_eq!(wire.message().1, "text");
         held.push(wire);
@@ -433,7 +444,7 @@
     let kill = |signal: &str| {
         let words = format!("kill -{signal} {}", child.id());
         let run = std::process::Command::new("sh").args(["-c", &words]).status();
-        assert!(run.is_ok_and(|k| k.success()));
+        assert!(run.is_ok_and(|status| status.success()));
     };
     kill("HUP");
     let line = log.next().and_then(Result::ok).expect("a line, not the end");
@@ -472,7 +483,7 @@
     let error = |settings: Value| {
         std::fs::write(&operator, json!({ "settings": settings }).to_string()).expect("a writable folder");
         let var = |name: &str| (name == "PROXY_CONFIG").then(|| config.display().to_string());
-        pebblepost::config::read(var, Some(&operator)).map(|_| ()).map_err(|e| e.to_string())
+        pebblepost::config::read(var, Some(&operator)).map(|_| ()).map_err(|error| error.to_string())
     };
     assert_eq!(error(json!({"room": {"enabled": false, "mostHeld": 0.5}})), Ok(()));
     for (settings, words) in [
@@ -516,7 +527,7 @@
     config["settings"]["invariants"]["fall"] = json!(5e9); // How long whoever is blamed would be out.
     let daemon = Running::start(Some(config), None);
     let answer = |id: &str| {
-        let mut wire = daemon.connect(Listener::Platform);
+        let mut wire = daemon.connect(ListenerKind::Platform);
         wire.say(&post(id, "Cookie: k=77\r\n", "")); // Jobs of one key go to one worker.
         let (head, body) = wire.message();
         (head.first().cloned().unwrap_or_default(), body)
--- a/crates/pebblepost/tests/races.rs
+++ b/crates/pebblepost/tests/races.rs
@@ -1,11 +1,11 @@
 //! The seams of a connection's life, with real connections: two events are made to meet in one turn of the loop (it is
 //! held meanwhile), or a connection is made to come up late (the backlog of its listener is full until it may). The
-//! rows are those of docs/races.md.
+//! rows are those of docs/history/races.md.
 
 mod common;
 
 use common::{Running, Wire, header, lines, platform, post, within, worker};
-use pebblepost::net::Listener;
+use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 use std::io::Write;
@@ -61,7 +61,7 @@
         let mut config = platform(&[address], None);
         config["settings"]["tick"] = json!(100_000_000); // A probe is waited for longer than the loop is held.
         let mut daemon = Running::start(Some(config), None);
-        let mut client = daemon.connect(Listener::Platform);
+        let mut client = daemon.connect(ListenerKind::Platform);
         client.say(&post("t", "", ""));
         let mut probe = probes.recv_timeout(LIMIT).expect("a probe");
         daemon.hold(|_| {
@@ -142,7 +142,7 @@
 }
 
 /// A discovery whose watch says what the test sends.
-fn told_discovery() -> (SocketAddr, Sender<String>) {
+fn discovery_that_sends() -> (SocketAddr, Sender<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (address, (say, said)) = (listener.local_addr().expect("bound"), channel::<String>());
     std::thread::spawn(move || {
@@ -164,15 +164,15 @@
 #[test]
 fn a_worker_that_drains_while_its_connection_comes_up_gets_nothing() {
     let (listener, address) = Late::listen();
-    let (discovery, say) = told_discovery();
+    let (discovery, say) = discovery_that_sends();
     let daemon = Running::start(Some(patient(&[address], Some(discovery))), None);
-    let mut client = daemon.connect(Listener::Platform);
+    let mut client = daemon.connect(ListenerKind::Platform);
     client.say(&post("t", "", "").replace("X-Remaining-Ms: 2000", "X-Remaining-Ms: 4000"));
     let late = Late::after_the_probe(listener, address);
     let host = json!({"host": "s-0", "dial": address, "site": "a", "class": "m", "block": 0, "health": "draining", "born_ms": 0});
     say.send(format!("{}\n", json!({"seq": 2, "whole": false, "hosts": [host]}))).expect("a watch");
     // It has been taken in once there is no worker any more.
-    let mut balancer = daemon.connect(Listener::Platform);
+    let mut balancer = daemon.connect(ListenerKind::Platform);
     within(LIMIT, "the drain is told", || {
         balancer.say("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
         balancer.message().0[0].contains(" 503 ").then_some(())
@@ -185,10 +185,10 @@
 
 /// A connection that comes up late carries what is left to the client then, not what was left when it was decided on.
 #[test]
-fn what_is_left_is_told_as_of_the_first_byte() {
+fn time_left_is_that_at_the_first_byte() {
     let (listener, address) = Late::listen();
     let daemon = Running::start(Some(patient(&[address], None)), None);
-    let mut client = daemon.connect(Listener::Platform);
+    let mut client = daemon.connect(ListenerKind::Platform);
     let start = Instant::now();
     client.say(&post("t", "", "").replace("X-Remaining-Ms: 2000", "X-Remaining-Ms: 4000"));
     let late = Late::after_the_probe(listener, address);
@@ -207,7 +207,7 @@
         _ => lines(wire, &[json!({"id": "t1", "state": "done", "result": "for t1"})]),
     });
     let daemon = Running::start(Some(platform(&[bad], None)), None);
-    let mut client = daemon.connect(Listener::Platform);
+    let mut client = daemon.connect(ListenerKind::Platform);
     assert_eq!(ask(&mut client, "t1").1, "for t1");
     let (status, body) = ask(&mut client, "t2");
     assert!(!status.contains(" 200 ") && body.is_empty(), "{status} {body}");
@@ -216,16 +216,16 @@
 /// A late second answer and the next request are there in one turn: the link on which it lies is not used again.
 #[test]
 fn a_link_with_a_late_second_answer_on_it_is_not_used_again() {
-    let (tell, told) = channel();
+    let (events, observed) = channel();
     let twice = worker(move |wire, head| {
         serves(wire, head);
-        let _ = tell.send(wire.peer());
+        let _ = events.send(wire.peer());
     });
     let mut daemon = Running::start(Some(platform(&[twice], None)), None);
-    let mut client = daemon.connect(Listener::Platform);
+    let mut client = daemon.connect(ListenerKind::Platform);
     for n in 0..10 {
         assert_eq!(ask(&mut client, &format!("t{n}")).1, format!("for t{n}"));
-        let mut link: TcpStream = told.recv_timeout(LIMIT).expect("a job");
+        let mut link: TcpStream = observed.recv_timeout(LIMIT).expect("a job");
         daemon.hold(|_| {
             client.say(&post(&format!("u{n}"), "", ""));
             let late = format!("{}\n", json!({"id": format!("u{n}"), "state": "done", "result": "stray"}));
@@ -237,7 +237,7 @@
         });
         let (_, body) = client.message();
         assert_eq!(body, format!("for u{n}"), "what the worker made for this one");
-        told.recv_timeout(LIMIT).expect("the job");
+        observed.recv_timeout(LIMIT).expect("the job");
     }
 }
 
@@ -253,7 +253,7 @@
         ));
     });
     let daemon = Running::start(Some(platform(&[bad], None)), None);
-    let mut client = daemon.connect(Listener::Platform);
+    let mut client = daemon.connect(ListenerKind::Platform);
     for txn in ["t", "u", "v"] {
         assert_eq!(ask(&mut client, txn).1, format!("for {txn}"));
     }
@@ -262,22 +262,22 @@
 /// The worker closes its idle link in the turn in which a request would be put on it.
 #[test]
 fn an_idle_link_that_the_worker_closes_in_that_turn_costs_no_answer() {
-    let (tell, told) = channel();
+    let (events, observed) = channel();
     let closes = worker(move |wire, head| {
         serves(wire, head);
-        let _ = tell.send(wire.peer());
+        let _ = events.send(wire.peer());
     });
     let mut daemon = Running::start(Some(platform(&[closes], None)), None);
-    let mut client = daemon.connect(Listener::Platform);
+    let mut client = daemon.connect(ListenerKind::Platform);
     for n in 0..5 {
         assert_eq!(ask(&mut client, &format!("t{n}")).1, format!("for t{n}"));
-        let link: TcpStream = told.recv_timeout(LIMIT).expect("a job");
+        let link: TcpStream = observed.recv_timeout(LIMIT).expect("a job");
         daemon.hold(|_| {
             client.say(&post(&format!("u{n}"), "", ""));
             link.shutdown(std::net::Shutdown::Both).expect("an open link");
         });
         assert_eq!(client.message().1, format!("for u{n}"));
-        told.recv_timeout(LIMIT).expect("the job");
+        observed.recv_timeout(LIMIT).expect("the job");
     }
 }
 
@@ -287,7 +287,7 @@
     let mut config = platform(&[worker(serves)], None);
     config["limits"]["sockets"] = json!(128);
     let daemon = Running::start(Some(config), None);
-    let address = daemon.address(Listener::Platform);
+    let address = daemon.address(ListenerKind::Platform);
     let floods: Vec<_> = (0..4)
         .map(|kind| {
             std::thread::spawn(move || {
@@ -312,13 +312,15 @@
         // like any, comes again when it was told to.
         let start = Instant::now();
         loop {
-            let mut client = daemon.connect(Listener::Platform);
+            let mut client = daemon.connect(ListenerKind::Platform);
             client.say(&post(&format!("t{n}"), "", ""));
             let (head, body) = client.message();
             match head.first() {
                 None => shut += 1,
                 Some(status) if status.contains(" 503 ") => {
-                    let after = header(&head, "retry-after").and_then(|s| s.parse().ok()).expect("seconds");
+                    let after = header(&head, "retry-after")
+                        .and_then(|seconds| seconds.parse().ok())
+                        .expect("seconds");
                     std::thread::sleep(Duration::from_secs_f64(after));
                 }
                 Some(status) => {
@@ -337,14 +339,14 @@
 /// throughout, and what it tells after the return is in force.
 #[test]
 fn a_move_of_discovery_and_back_ends_where_it_began() {
-    let (first, say) = told_discovery();
+    let (first, say) = discovery_that_sends();
     // The other takes the connection and says nothing.
     let other = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (old, new) =
         (worker(|wire, _| wire.say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), worker(serves));
     let config = platform(&[old], Some(first));
     let mut daemon = Running::start(Some(config.clone()), None);
-    let mut balancer = daemon.connect(Listener::Platform);
+    let mut balancer = daemon.connect(ListenerKind::Platform);
     within(LIMIT, "the watch is confirmed", || {
         balancer.say("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
         balancer.message().0[0].contains(" 200 ").then_some(())
@@ -357,7 +359,7 @@
     let host = |name, dial: SocketAddr, health| json!({"host": name, "dial": dial, "site": "a", "class": "m", "block": 0, "health": health, "born_ms": 0});
     let hosts = [host("s-0", old, "draining"), host("s-1", new, "ready")];
     say.send(format!("{}\n", json!({"seq": 2, "whole": false, "hosts": hosts}))).expect("a watch");
-    let mut client = daemon.connect(Listener::Platform);
+    let mut client = daemon.connect(ListenerKind::Platform);
     within(Duration::from_secs(2), "its word counts", || ask(&mut client, "t").1.eq("for t").then_some(()));
 }
 
@@ -368,13 +370,13 @@
     let mut config = platform(&[worker(serves)], None);
     config["limits"]["sockets"] = json!(48);
     let mut daemon = Running::start(Some(config), None);
-    let mut resting: Vec<Wire> = (0..6).map(|_| daemon.connect(Listener::Platform)).collect();
+    let mut resting: Vec<Wire> = (0..6).map(|_| daemon.connect(ListenerKind::Platform)).collect();
     for (n, wire) in resting.iter_mut().enumerate() {
         assert_eq!(ask(wire, &format!("t{n}")).1, format!("for t{n}"));
     }
     let mut newcomers = Vec::new();
     daemon.hold(|daemon| {
-        newcomers.extend((0..4).map(|_| daemon.connect(Listener::Platform)));
+        newcomers.extend((0..4).map(|_| daemon.connect(ListenerKind::Platform)));
         resting.iter_mut().take(3).for_each(|wire| wire.say(&post("u", "", "")));
     });
     for wire in resting.iter_mut().take(3) {
@@ -386,12 +388,12 @@
 #[test]
 fn requests_in_the_backlog_are_answered_when_the_listener_ends() {
     let mut daemon = Running::start(Some(platform(&[worker(serves)], None)), None);
-    assert_eq!(ask(&mut daemon.connect(Listener::Platform), "t").1, "for t");
+    assert_eq!(ask(&mut daemon.connect(ListenerKind::Platform), "t").1, "for t");
     daemon.stop();
     let mut late = Vec::new();
     daemon.hold(|daemon| {
         // More than one turn takes.
-        late.extend((0..100).map(|_| daemon.connect(Listener::Platform)));
+        late.extend((0..100).map(|_| daemon.connect(ListenerKind::Platform)));
         late.iter_mut().enumerate().for_each(|(n, wire)| wire.say(&post(&format!("t{n}"), "", "")));
         std::thread::sleep(Duration::from_millis(600)); // The time of the last calls passes meanwhile.
     });
@@ -406,7 +408,7 @@
 #[test]
 fn a_request_that_meets_the_close_after_sigterm_is_answered() {
     let mut daemon = Running::start(Some(platform(&[worker(serves)], None)), None);
-    let mut client = daemon.connect(Listener::Platform);
+    let mut client = daemon.connect(ListenerKind::Platform);
     assert_eq!(ask(&mut client, "t").1, "for t");
     daemon.stop();
     daemon.hold(|_| {
@@ -428,7 +430,7 @@
     config["limits"]["sockets"] = json!(64);
     let daemon = Running::start(Some(config), None);
     // Those beyond what is taken wait in the backlog, or have one that rested longer closed.
-    let _idle: Vec<Wire> = (0..100).map(|_| daemon.connect(Listener::Platform)).collect();
+    let _idle: Vec<Wire> = (0..100).map(|_| daemon.connect(ListenerKind::Platform)).collect();
     std::thread::sleep(Duration::from_millis(100));
     let back = TcpListener::bind(address).expect("its own port");
     let (call, called) = channel();
@@ -440,6 +442,6 @@
     let mut watch = called.recv_timeout(Duration::from_secs(2)).expect("a call");
     assert!(watch.message().0[0].starts_with("GET /v1/endpoints?watch=1"));
     watch.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-    let mut client = daemon.connect(Listener::Platform);
+    let mut client = daemon.connect(ListenerKind::Platform);
     assert_eq!(ask(&mut client, "t").1, "for t");
 }
--- a/crates/pebblepost/tests/release.rs
+++ b/crates/pebblepost/tests/release.rs
@@ -3,9 +3,9 @@
 
 mod common;
 
-use common::keepers::{Keepers, LIMIT};
+use common::replicas::{LIMIT, Replicas};
 use common::{CHUNKED_HEAD, LAST_CHUNK, Running, Wire, chunk, header, lines, platform, post, within, worker};
-use pebblepost::net::Listener;
+use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -14,11 +14,11 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-fn dispatcher(name: &str, zone: &str, version: &str, keepers: &Keepers) -> Running {
+fn dispatcher(name: &str, zone: &str, version: &str, replicas: &Replicas) -> Running {
     let one = worker(|_, _| {});
     let mut config = platform(&[one], None);
     config["name"] = json!(name);
-    let fleet = json!({"keepers": keepers.named(), "zone": zone, "version": version});
+    let fleet = json!({"keepers": replicas.addresses_json(), "zone": zone, "version": version});
     Running::start(Some(config), Some(json!({"fleet": fleet})))
 }
 
@@ -34,7 +34,7 @@
 }
 
 /// A discovery that tells of these hosts and of no change.
-fn told(hosts: Value) -> SocketAddr {
+fn discovery_of(hosts: Value) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
@@ -65,75 +65,75 @@
 
 #[test]
 fn a_dispatcher_ends_itself_once_it_is_permitted_and_the_next_waits_until_it_is_back() {
-    let mut keepers = Keepers::start(8);
-    let mut a = dispatcher("a", "x", "1", &keepers);
-    let mut b = dispatcher("b", "x", "1", &keepers);
+    let mut replicas = Replicas::start(8);
+    let mut first = dispatcher("a", "x", "1", &replicas);
+    let mut second = dispatcher("b", "x", "1", &replicas);
     within(LIMIT, "both are ready members", || {
-        (keepers.fleet_until(&["members"]).matches(", ready").count() == 2).then_some(())
+        (replicas.fleet_until(&["members"]).matches(", ready").count() == 2).then_some(())
     });
-    keepers.fleet_until(&["budget", "dispatcher", "--most", "1"]);
+    replicas.fleet_until(&["budget", "dispatcher", "--most", "1"]);
     let plan = ["release", "plan", "2", "--waves", "1,100%", "--pause-s", "60", "--restart-s", "10"];
-    let told = keepers.fleet_until(&plan);
-    assert!(told.contains("wave 2: 70 to 80 s, 1 go, at most 1 out: b"), "{told}");
-    assert!(told.contains("2 dispatchers in 80 s"), "{told}");
+    let printed = replicas.fleet_until(&plan);
+    assert!(printed.contains("wave 2: 70 to 80 s, 1 go, at most 1 out: b"), "{printed}");
+    assert!(printed.contains("2 dispatchers in 80 s"), "{printed}");
     // What can never be is refused with its cause; what is asked for before there is a budget waits.
     let ask = ["permit", "ask", "dispatcher/a", "dispatcher/b", "--want", "2", "--why", "release 2"];
-    keepers.fleet_until(&["budget", "dispatcher", "--most", "0"]);
-    let refused = keepers.fleet(&ask);
+    replicas.fleet_until(&["budget", "dispatcher", "--most", "0"]);
+    let refused = replicas.fleet(&ask);
     assert_eq!(refused.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&refused.stderr).contains("lets none of 2 out"));
-    keepers.fleet_until(&["budget", "dispatcher", "--most", "1", "--least", "1"]);
-    keepers.fleet_until(&["halt", "dispatcher", "--why", "not yet"]);
-    keepers.fleet_until(&ask);
-    let shown = keepers.fleet_until(&["budget", "dispatcher"]);
+    replicas.fleet_until(&["budget", "dispatcher", "--most", "1", "--least", "1"]);
+    replicas.fleet_until(&["halt", "dispatcher", "--why", "not yet"]);
+    replicas.fleet_until(&ask);
+    let shown = replicas.fleet_until(&["budget", "dispatcher"]);
     assert!(shown.contains("0 of 2 out") && shown.contains("waits  a\t1 in the queue: halted"), "{shown}");
     // The keeper that leads is killed while the first is granted: one of them goes, and only one.
-    let (leader, _) = keepers.look();
-    keepers.fleet_until(&["resume", "dispatcher"]);
-    keepers.kill(leader);
-    ends(&mut a);
+    let (leader, _) = replicas.leader_and_revisions();
+    replicas.fleet_until(&["resume", "dispatcher"]);
+    replicas.kill(leader);
+    ends(&mut first);
     std::thread::sleep(Duration::from_millis(500));
-    assert!(!b.has_ended(), "the second went while the first was out");
-    let shown = keepers.fleet_until(&["budget", "dispatcher"]);
+    assert!(!second.has_ended(), "the second went while the first was out");
+    let shown = replicas.fleet_until(&["budget", "dispatcher"]);
     assert!(shown.contains("out    a\tby a permit") && shown.contains("waits  b"), "{shown}");
-    let taken_back = keepers.fleet(&["permit", "withdraw", "dispatcher/a"]);
+    let taken_back = replicas.fleet(&["permit", "withdraw", "dispatcher/a"]);
     assert_eq!(taken_back.status.code(), Some(1), "it is going already");
     // Back as the wrong version it is still out, and goes again; as the right one it lets the next go.
-    let mut a = dispatcher("a", "x", "1", &keepers);
-    ends(&mut a);
+    let mut first = dispatcher("a", "x", "1", &replicas);
+    ends(&mut first);
     std::thread::sleep(Duration::from_millis(500));
-    assert!(!b.has_ended(), "the second went though the first was not back as wanted");
-    let _a = dispatcher("a", "x", "2", &keepers);
-    ends(&mut b);
-    let _b = dispatcher("b", "x", "2", &keepers);
+    assert!(!second.has_ended(), "the second went though the first was not back as wanted");
+    let _first = dispatcher("a", "x", "2", &replicas);
+    ends(&mut second);
+    let _second = dispatcher("b", "x", "2", &replicas);
     within(LIMIT, "no permit is left", || {
-        keepers.fleet_until(&["budget", "dispatcher"]).contains("0 of 2 out").then_some(())
+        replicas.fleet_until(&["budget", "dispatcher"]).contains("0 of 2 out").then_some(())
     });
-    assert!(!keepers.fleet_until(&["show"]).contains("permit/"));
+    assert!(!replicas.fleet_until(&["show"]).contains("permit/"));
 }
 
 #[test]
 fn a_worker_that_goes_by_a_permit_is_drained_until_it_is_back() {
-    let keepers = Keepers::start(9);
-    keepers.fleet_until(&["budget", "worker", "--most", "1"]);
-    keepers.fleet_until(&["permit", "ask", "worker/w-1", "worker/w-2", "--why", "new fans"]);
-    let shown = keepers.fleet_until(&["budget", "worker"]);
+    let replicas = Replicas::start(9);
+    replicas.fleet_until(&["budget", "worker", "--most", "1"]);
+    replicas.fleet_until(&["permit", "ask", "worker/w-1", "worker/w-2", "--why", "new fans"]);
+    let shown = replicas.fleet_until(&["budget", "worker"]);
     assert!(shown.contains("out    w-1\tby a permit") && shown.contains("waits  w-2"), "{shown}");
-    assert!(keepers.fleet_until(&["show"]).contains("drain/w-1\tby tester"));
-    assert_eq!(keepers.fleet(&["undrain", "w-1"]).status.code(), Some(1), "its permit ends that");
-    keepers.fleet_until(&["permit", "back", "worker/w-1"]);
-    let shown = keepers.fleet_until(&["show"]);
+    assert!(replicas.fleet_until(&["show"]).contains("drain/w-1\tby tester"));
+    assert_eq!(replicas.fleet(&["undrain", "w-1"]).status.code(), Some(1), "its permit ends that");
+    replicas.fleet_until(&["permit", "back", "worker/w-1"]);
+    let shown = replicas.fleet_until(&["show"]);
     assert!(!shown.contains("drain/w-1") && shown.contains("drain/w-2"), "{shown}");
-    let silent = keepers.fleet(&["permit", "force", "worker/w-2"]);
+    let silent = replicas.fleet(&["permit", "force", "worker/w-2"]);
     assert!(String::from_utf8_lossy(&silent.stderr).contains("needs a reason"));
-    keepers.fleet_until(&["permit", "force", "worker/w-2", "--why", "it was never switched off"]);
-    assert!(!keepers.fleet_until(&["show"]).contains("drain/"));
-    assert!(keepers.fleet_until(&["history"]).contains("permit/worker/w-2 is gone"));
+    replicas.fleet_until(&["permit", "force", "worker/w-2", "--why", "it was never switched off"]);
+    assert!(!replicas.fleet_until(&["show"]).contains("drain/"));
+    assert!(replicas.fleet_until(&["history"]).contains("permit/worker/w-2 is gone"));
 }
 
 #[test]
 fn a_worker_may_be_switched_off_only_when_each_dispatcher_is_done_there_and_a_silent_one_is_none() {
-    let mut keepers = Keepers::start(10);
+    let mut replicas = Replicas::start(10);
     let (go, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let slow = {
         let (go, asked) = (go.clone(), asked.clone());
@@ -150,58 +150,60 @@
             wire.say(LAST_CHUNK);
         })
     };
-    let named = keepers.named();
+    let named = replicas.addresses_json();
     let with = |name: &str, copy: Option<PathBuf>| {
         let mut config = platform(&[slow], None);
         config["name"] = json!(name);
         let fleet = json!({"keepers": named, "zone": "x", "version": "1", "copy": copy});
         Running::start(Some(config), Some(json!({"fleet": fleet})))
     };
-    let (a, b) = (with("a", None), with("b", None));
+    let (first, second) = (with("a", None), with("b", None));
     within(LIMIT, "both are members", || {
-        (keepers.fleet_until(&["members"]).matches(", ready").count() == 2).then_some(())
+        (replicas.fleet_until(&["members"]).matches(", ready").count() == 2).then_some(())
     });
     // A job of a long time runs there when the worker's permit is granted.
-    let mut wire = a.connect(Listener::Platform);
+    let mut wire = first.connect(ListenerKind::Platform);
     wire.say(&post("t", "", "").replace("X-Remaining-Ms: 2000", "X-Remaining-Ms: 60000"));
     within(LIMIT, "it runs", || (asked.load(Ordering::Relaxed) == 1).then_some(()));
-    keepers.fleet_until(&["budget", "worker", "--most", "1"]);
-    keepers.fleet_until(&["permit", "ask", "worker/s-0", "--why", "new fans"]);
-    let off = |keepers: &Keepers, within: &str| keepers.fleet(&["--within", within, "off", "s-0"]);
-    let told = |out: &Output| String::from_utf8_lossy(&out.stdout).into_owned();
+    replicas.fleet_until(&["budget", "worker", "--most", "1"]);
+    replicas.fleet_until(&["permit", "ask", "worker/s-0", "--why", "new fans"]);
+    let off = |replicas: &Replicas, within: &str| replicas.fleet(&["--within", within, "off", "s-0"]);
+    let printed = |out: &Output| String::from_utf8_lossy(&out.stdout).into_owned();
     within(LIMIT, "one is done, one is not", || {
-        let said = told(&off(&keepers, "1"));
+        let said = printed(&off(&replicas, "1"));
         (said.contains("1 dispatchers confirmed: may not") && said.contains("a\thas attempts out"))
             .then_some(())
     });
     // The keeper that leads dies: its successor has heard nobody, and says so until it has.
-    let (leader, _) = keepers.look();
-    keepers.kill(leader);
-    within(LIMIT, "heard again", || told(&off(&keepers, "2")).contains("a\thas attempts out").then_some(()));
+    let (leader, _) = replicas.leader_and_revisions();
+    replicas.kill(leader);
+    within(LIMIT, "heard again", || {
+        printed(&off(&replicas, "2")).contains("a\thas attempts out").then_some(())
+    });
     go.store(true, Ordering::Relaxed);
     assert_eq!(wire.message().1, "text");
-    within(LIMIT, "both are done", || off(&keepers, "2").status.success().then_some(()));
+    within(LIMIT, "both are done", || off(&replicas, "2").status.success().then_some(()));
     // One that is gone may be merely cut off: it takes an operator's word that it sends nothing.
-    drop(b);
+    drop(second);
     within(LIMIT, "b is lost", || {
-        let out = off(&keepers, "0.5");
-        (out.status.code() == Some(1) && told(&out).contains("b\tis cut off")).then_some(())
+        let out = off(&replicas, "0.5");
+        (out.status.code() == Some(1) && printed(&out).contains("b\tis cut off")).then_some(())
     });
-    keepers.fleet_until(&["dismiss", "b"]);
-    within(LIMIT, "a's word is enough", || off(&keepers, "2").status.success().then_some(()));
+    replicas.fleet_until(&["dismiss", "b"]);
+    within(LIMIT, "a's word is enough", || off(&replicas, "2").status.success().then_some(()));
     // One that cannot keep its copy would forget the drain over a restart: it honours it and confirms nothing.
-    let nowhere = keepers.folder.join("no such folder").join("copy");
+    let nowhere = replicas.folder.join("no such folder").join("copy");
     let _c = with("c", Some(nowhere));
-    within(LIMIT, "c is there", || keepers.fleet_until(&["members"]).contains("member/c").then_some(()));
-    let out = off(&keepers, "3");
+    within(LIMIT, "c is there", || replicas.fleet_until(&["members"]).contains("member/c").then_some(()));
+    let out = off(&replicas, "3");
     assert_eq!(out.status.code(), Some(1));
-    assert!(told(&out).contains("c\tacts by revision 0"), "{}", told(&out));
+    assert!(printed(&out).contains("c\tacts by revision 0"), "{}", printed(&out));
     assert_eq!(asked.load(Ordering::Relaxed), 1, "nothing more went there");
 }
 
 #[test]
 fn a_worker_that_most_dispatchers_see_dead_is_out_and_others_wait_until_it_is_back() {
-    let keepers = Keepers::start(11);
+    let replicas = Replicas::start(11);
     // Two workers, each of which can be made to answer no probe.
     let dead = [false; 2].map(|dead| Arc::new(AtomicBool::new(dead)));
     let at: Vec<_> = dead.iter().map(|dead| serves(dead.clone())).collect();
@@ -210,9 +212,9 @@
             let (host, dial) = (format!("s-{n}"), at[n]);
             json!({"host": host, "dial": dial, "site": "a", "class": "m", "block": 0, "health": "ready", "born_ms": 0})
         };
-        let mut config = platform(&at, Some(told(json!([host(0), host(1)]))));
+        let mut config = platform(&at, Some(discovery_of(json!([host(0), host(1)]))));
         config["name"] = json!(name);
-        let fleet = json!({"keepers": keepers.named(), "zone": "x", "version": "1"});
+        let fleet = json!({"keepers": replicas.addresses_json(), "zone": "x", "version": "1"});
         Running::start(Some(config), Some(json!({"fleet": fleet})))
     };
     let nodes: Vec<Running> = ["a", "b", "c"].map(with).into_iter().collect();
@@ -223,7 +225,7 @@
             let (over, asked) = (over.clone(), &asked);
             scope.spawn(move || {
                 while !over.load(Ordering::Relaxed) {
-                    let mut wire = node.connect(Listener::Platform);
+                    let mut wire = node.connect(ListenerKind::Platform);
                     wire.say(&post(&format!("t{}", asked.fetch_add(1, Ordering::Relaxed)), "", ""));
                     wire.message();
                     std::thread::sleep(Duration::from_millis(50));
@@ -231,13 +233,13 @@
             });
         }
         let shows = |what: &str, part: &str| {
-            within(LIMIT, what, || keepers.fleet_until(&["budget", "worker"]).contains(part).then_some(()));
+            within(LIMIT, what, || replicas.fleet_until(&["budget", "worker"]).contains(part).then_some(()));
         };
-        keepers.fleet_until(&["budget", "worker", "--most", "1"]);
+        replicas.fleet_until(&["budget", "worker", "--most", "1"]);
         shows("both are on the agreed list", "0 of 2 out");
         dead[0].store(true, Ordering::Relaxed);
         shows("the dead one is out", "out    s-0\twithout a permit");
-        keepers.fleet_until(&["permit", "ask", "worker/s-1", "--why", "new fans"]);
+        replicas.fleet_until(&["permit", "ask", "worker/s-1", "--why", "new fans"]);
         shows("the other waits", "waits  s-1\t1 in the queue: 1 others are out");
         dead[0].store(false, Ordering::Relaxed);
         shows("and goes once that one answers again", "out    s-1\tby a permit");
