--- a/crates/pebblepost/src/daemon/mod.rs
+++ b/crates/pebblepost/src/daemon/mod.rs
@@ -14,7 +14,7 @@
 use crate::discovery::registry::Registry;
 use crate::discovery::watch::Watch;
 use crate::engine::{Engine, Input};
-use crate::fleet_agent::FleetAgent;
+use crate::fleet_agent::{FleetAgent, FleetAgentError};
 use crate::front::faktory::Faktory;
 use crate::front::health::NodeStatus;
 use crate::front::platform::Platform;
@@ -26,6 +26,7 @@
 use std::io::{self, Read};
 use std::net::SocketAddr;
 use std::os::unix::net::UnixStream;
+use thiserror::Error;
 
 /// What reaches the daemon from outside while it runs.
 pub struct Signals {
@@ -37,6 +38,25 @@
     pub read_config: Box<dyn Fn() -> Result<Config, ConfigError> + Send>,
 }
 
+/// Why the daemon could not start.
+#[derive(Debug, Error)]
+pub enum DaemonError {
+    /// A listener cannot be opened.
+    #[error("cannot listen on {address}: {error}")]
+    Listen {
+        /// Its address.
+        address: SocketAddr,
+        /// Why not.
+        error: io::Error,
+    },
+    /// The fleet agent cannot start.
+    #[error(transparent)]
+    FleetAgent(#[from] FleetAgentError),
+    /// The system gives no poller or descriptor.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
 /// The daemon.
 pub struct Daemon {
     context: Context,
@@ -55,8 +75,8 @@
     ///
     /// # Errors
     ///
-    /// If a listener cannot be opened, or the system gives no poller, thread or descriptor.
-    pub fn new(config: Config, signals: Signals, log: fn(&str)) -> io::Result<Self> {
+    /// If a listener cannot be opened, the fleet agent cannot start, or the system gives no poller or descriptor.
+    pub fn new(config: Config, signals: Signals, log: fn(&str)) -> Result<Self, DaemonError> {
         let clock = Clock::default();
         let net = open_sockets(&config, &signals, &clock)?;
         let trace = std::env::var_os("PEBBLEPOST_TRACE").map(|_| log);
@@ -214,7 +234,7 @@
     }
 }
 
-fn open_sockets(config: &Config, signals: &Signals, clock: &Clock) -> io::Result<Sockets> {
+fn open_sockets(config: &Config, signals: &Signals, clock: &Clock) -> Result<Sockets, DaemonError> {
     let mut net = Sockets::new(config.max_descriptors, clock.now())?;
     for (signal, pipe) in [(Signal::Stop, &signals.stop), (Signal::Reload, &signals.reload)] {
         pipe.set_nonblocking(true)?;
@@ -228,9 +248,7 @@
     ];
     for (listener, address) in listeners {
         if let Some(address) = address {
-            net.listen(listener, address).map_err(|error| {
-                io::Error::new(error.kind(), format!("cannot listen on {address}: {error}"))
-            })?;
+            net.listen(listener, address).map_err(|error| DaemonError::Listen { address, error })?;
         }
     }
     Ok(net)
--- a/crates/pebblepost/src/engine/mod.rs
+++ b/crates/pebblepost/src/engine/mod.rs
@@ -299,13 +299,12 @@
             request.attempts.len() < max_attempts
                 && may_deliver(&self.settings, &self.workers, now, request, worker, None)
         });
-        let number = self.requests.next_attempt_number(id);
         let Some(request) = self.requests.get_mut(id).filter(|_| allowed) else {
             self.reject_attempt(now, id, worker);
             return;
         };
-        let attempt = AttemptId { request: id, number };
-        RequestTable::push_attempt(request, worker, now, true);
+        let attempt = AttemptId { request: id, number: AttemptNo(request.attempts.len() as u8) };
+        request.push_attempt(worker, now, true);
         outputs.push(Output::Deliver { attempt, worker, time_left: request.deadline.since(now) });
         if let Some(at) = timeout.map(|timeout| now + timeout).filter(|at| *at < request.deadline) {
             outputs.push(Output::SetTimer(at, EngineTimer::AttemptTimeout(attempt)));
@@ -316,7 +315,7 @@
         let attempt = self.requests.next_attempt_number(id);
         if let Some(request) = self.requests.get_mut(id) {
             // It takes a number, as the decision module counts it.
-            RequestTable::push_attempt(request, worker, now, false);
+            request.push_attempt(worker, now, false);
         }
         let closed = self.requests.is_closed(id);
         let (status, latency, report) = (Status::Moot, Duration::ZERO, Vec::new());
--- a/crates/pebblepost/src/engine/request_table.rs
+++ b/crates/pebblepost/src/engine/request_table.rs
@@ -25,6 +25,11 @@
 }
 
 impl TrackedRequest {
+    /// Records an attempt that starts now, or that was rejected before it was sent.
+    pub(super) fn push_attempt(&mut self, worker: WorkerId, now: Time, open: bool) {
+        self.attempts.push(Attempt { worker, sent: now, open, may_have_run: false });
+    }
+
     fn has_open_attempt(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.open)
     }
@@ -97,11 +102,6 @@
         open.map(|attempt| attempt.worker).filter(|worker| among.contains(worker)).collect()
     }
 
-    /// Records an attempt and returns its number.
-    pub(super) fn push_attempt(request: &mut TrackedRequest, worker: WorkerId, now: Time, open: bool) {
-        request.attempts.push(Attempt { worker, sent: now, open, may_have_run: false });
-    }
-
     /// The number that the request's next attempt gets.
     pub(super) fn next_attempt_number(&self, id: RequestId) -> AttemptNo {
         AttemptNo(self.attempt_count(id).min(255) as u8)
--- a/crates/pebblepost/src/fleet_agent/mod.rs
+++ b/crates/pebblepost/src/fleet_agent/mod.rs
@@ -5,7 +5,7 @@
 //! pipe that wakes the loop; the copy of the agreed state behind it ([`Follower`]) lives in the agent. While no replica of
 //! the store is reached, the last view stays in force, and [`FleetAgent::status_line`] says how old it is.
 //!
-//! An operator of this machine reaches the agent at `fleet.control` (see [`control`]).
+//! An operator of this machine reaches the agent at `fleet.control` (see the module `control`).
 
 mod control;
 mod copy_file;
@@ -31,8 +31,25 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::thread::JoinHandle;
+use thiserror::Error;
 use tokio::sync::oneshot;
 
+/// Why the fleet agent could not start.
+#[derive(Debug, Error)]
+pub enum FleetAgentError {
+    /// The name of this node cannot be that of a member.
+    #[error("fleet: name {name:?}: {error}")]
+    MemberName {
+        /// The name.
+        name: String,
+        /// What is wrong with it.
+        error: InvalidName,
+    },
+    /// The address for operators cannot be bound, or the system gives no thread or descriptor.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
 /// The fleet agent, from the event loop's side. Its thread ends when this is dropped.
 pub struct FleetAgent {
     shared: Arc<Shared>,
@@ -50,12 +67,12 @@
     ///
     /// # Errors
     ///
-    /// If the name cannot be one of a member, the address for operators cannot be bound, or the system gives no thread or
+    /// If the name cannot be that of a member, the address for operators cannot be bound, or the system gives no thread or
     /// descriptor.
     pub fn start(
         config: &FleetConfig, name: &str, address: Option<SocketAddr>, log: fn(&str),
-    ) -> io::Result<Self> {
-        let invalid = |error: InvalidName| io::Error::other(format!("fleet: name {name:?}: {error}"));
+    ) -> Result<Self, FleetAgentError> {
+        let invalid = |error| FleetAgentError::MemberName { name: name.to_owned(), error };
         let member: Name = name.parse().map_err(invalid)?;
         let control = config.control.map(TcpListener::bind).transpose()?;
         if let Some(listener) = &control {
--- a/crates/pebblepost/src/front/faktory/producers.rs
+++ b/crates/pebblepost/src/front/faktory/producers.rs
@@ -14,14 +14,23 @@
 /// The times that a job may be reserved for, in seconds.
 const RESERVE_FOR_RANGE_S: std::ops::RangeInclusive<f64> = 0.001..=86_400.0;
 
+/// A job as a push describes it.
+struct PushedJob<'a> {
+    deduplication_key: String,
+    jid: &'a str,
+    /// Index of its queue.
+    queue: usize,
+    reserve_for: Duration,
+}
+
 impl Faktory {
     pub(super) fn push(&mut self, context: &mut Context, key: ConnectionKey, json: &Value, payload: &str) {
-        let job = match self.parse_job(json, payload) {
-            Ok(job) => job,
+        let pushed = match self.parse_job(json) {
+            Ok(pushed) => pushed,
             Err(error) => return send_error(context, key, error),
         };
         let now = context.net.now;
-        match self.jobs.repeat(&job.deduplication_key, key, now) {
+        match self.jobs.repeat(&pushed.deduplication_key, key, now) {
             Some(Repeat::Reply(reply)) => return context.net.send(key, reply.as_bytes()),
             Some(Repeat::Waits) => return set_waiting(context, key, Waiting::Response),
             None => {}
@@ -30,7 +39,7 @@
             return send_error(context, key, "refused, come back in 1.000 s");
         }
         let id = context.next_request_id();
-        let queue = &self.config.queues[job.queue];
+        let queue = &self.config.queues[pushed.queue];
         let request = Request {
             class: ClassId(queue.class),
             time_left: queue.deadline,
@@ -41,13 +50,21 @@
             key: 0,
             tenant: TenantId(0),
         };
+        let job = Job {
+            deduplication_key: pushed.deduplication_key,
+            jid: pushed.jid.to_owned(),
+            payload: payload.as_bytes().to_vec(),
+            queue: pushed.queue,
+            reserve_for: pushed.reserve_for,
+            delivered: false,
+        };
         self.jobs.insert(id, job, key, now);
         set_waiting(context, key, Waiting::Response);
         context.inputs.push(Input::Request(id, request));
     }
 
     /// Reads a job; the error is the text of the reply.
-    fn parse_job(&self, json: &Value, payload: &str) -> Result<Job, &'static str> {
+    fn parse_job<'a>(&self, json: &'a Value) -> Result<PushedJob<'a>, &'static str> {
         let text = |name: &str| json.get(name).and_then(Value::as_str).filter(|text| !text.is_empty());
         let arguments = json.get("args").and_then(Value::as_array);
         let (Some(jid), Some(_), Some(_)) = (text("jid"), text("jobtype"), arguments) else {
@@ -66,8 +83,7 @@
         };
         let own_key = self.config.key.as_ref().and_then(|key| json.pointer("/custom")?.get(key));
         let deduplication_key = own_key.map_or_else(|| format!("jid {jid}"), |key| format!("key {key}"));
-        let (jid, payload) = (jid.to_owned(), payload.as_bytes().to_vec());
-        Ok(Job { deduplication_key, jid, payload, queue, reserve_for, delivered: false })
+        Ok(PushedJob { deduplication_key, jid, queue, reserve_for })
     }
 
     /// Gives the final response to all who pushed the job; `false` if it is not one of this front.
