--- a/crates/pebblepost/src/checksummed_file.rs
+++ b/crates/pebblepost/src/checksummed_file.rs
@@ -1,6 +1,6 @@
 //! Files that are either complete or absent: the SHA-256 of the body in hexadecimal on the first line, the body on the second.
 //!
-//! The fleet agent's copy of the agreed state, backups and the predecessor of the fleet store use this form. What the body
+//! The fleet agent's snapshot of the agreed state, backups and the predecessor of the fleet store use this form. What the body
 //! means is up to the caller.
 
 use sha2::{Digest, Sha256};
--- a/crates/pebblepost/src/config/fleet.rs
+++ b/crates/pebblepost/src/config/fleet.rs
@@ -18,7 +18,7 @@
     pub replicas: BTreeMap<u64, String>,
     /// Where operators of this machine request a drain here.
     pub control: Option<SocketAddr>,
-    /// Where the copy of the agreed state is kept over a restart, if anywhere.
+    /// Where a snapshot of the agreed state is saved over a restart, if anywhere.
     pub copy: Option<PathBuf>,
     /// The zone, for the list of members and the budgets.
     #[serde(default)]
--- a/crates/pebblepost/src/daemon/fleet_link.rs
+++ b/crates/pebblepost/src/daemon/fleet_link.rs
@@ -96,7 +96,7 @@
         }
         let registry = &context.registry;
         let busy = engine.busy(&registry.all_drained()).into_iter();
-        let busy = busy.filter_map(|worker| registry.drain_mark(worker)?.parse().ok());
+        let busy = busy.filter_map(|worker| registry.drained_name(worker)?.parse().ok());
         self.agent.confirm(self.applied_revision, busy.collect());
         let warm_up_time = engine.settings().warm_up_time;
         if let Some(observations) = registry.observations(context.net.now, warm_up_time, &self.probes) {
--- a/crates/pebblepost/src/daemon/mod.rs
+++ b/crates/pebblepost/src/daemon/mod.rs
@@ -191,7 +191,7 @@
     fn apply_fleet_view(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
         let (view, default_timeouts) = (fleet.take_view(), fleet.default_timeouts);
-        if let Some(input) = self.context.registry.set_drain_marks(view.drained.clone()) {
+        if let Some(input) = self.context.registry.set_drained(view.drained.clone()) {
             self.context.inputs.push(input);
         }
         if let Some(revision) = view.permit_revision {
--- a/crates/pebblepost/src/discovery/registry.rs
+++ b/crates/pebblepost/src/discovery/registry.rs
@@ -103,7 +103,7 @@
     }
 
     /// The name in the operators' drain mark for the worker: its own, or that of the process of which it is a queue.
-    pub fn drain_mark(&self, worker: WorkerId) -> Option<&str> {
+    pub fn drained_name(&self, worker: WorkerId) -> Option<&str> {
         let host = self.get(worker)?.host.as_str();
         [host, host.split('/').next().unwrap_or_default()]
             .into_iter()
@@ -112,7 +112,7 @@
 
     /// Whether an operator's drain mark names the worker.
     pub fn is_drained(&self, worker: WorkerId) -> bool {
-        self.drain_mark(worker).is_some()
+        self.drained_name(worker).is_some()
     }
 
     /// All workers that an operator's drain mark names.
@@ -222,7 +222,7 @@
     }
 
     /// Replaces the operators' drain marks; what the engine has to learn if that changes anything.
-    pub fn set_drain_marks(&mut self, drained: HashSet<String>) -> Option<Input> {
+    pub fn set_drained(&mut self, drained: HashSet<String>) -> Option<Input> {
         if drained == self.drained {
             return None;
         }
--- a/crates/pebblepost/src/engine/delivery_rules.rs
+++ b/crates/pebblepost/src/engine/delivery_rules.rs
@@ -29,8 +29,8 @@
         others().filter(|attempt| attempt.open || attempt.may_have_run).min_by_key(|attempt| attempt.sent);
     let retry_allowed =
         first.is_none_or(|first| may_repeat(settings, workers, now, request.class, first, target));
-    let copy_allowed = settings.hedging_enabled || !others().any(|attempt| attempt.open);
-    retry_allowed && copy_allowed && !request.answered && now < request.deadline
+    let hedge_allowed = settings.hedging_enabled || !others().any(|attempt| attempt.open);
+    retry_allowed && hedge_allowed && !request.answered && now < request.deadline
 }
 
 /// Whether a class allows another attempt at `target` after `first`, which runs or may have run.
--- a/crates/pebblepost/src/fleet_agent/mod.rs
+++ b/crates/pebblepost/src/fleet_agent/mod.rs
@@ -2,17 +2,17 @@
 //! a part `fleet`; without one there is no thread and no descriptor.
 //!
 //! The event loop never waits for it. What is agreed is handed over as one value, the newest [`FleetView`], with a byte in a
-//! pipe that wakes the loop; the copy of the agreed state behind it ([`Follower`]) lives in the agent. While no replica of
+//! pipe that wakes the loop; the replica of the agreed state behind it ([`Follower`]) lives in the agent. While no replica of
 //! the store is reached, the last view stays in force, and [`FleetAgent::status_line`] says how old it is.
 //!
 //! An operator of this machine reaches the agent at `fleet.control` (see the module `control`).
 
 mod control;
-mod copy_file;
 mod follow;
 mod retry;
 mod session;
 mod shared;
+mod snapshot_file;
 
 pub use shared::FleetView;
 
@@ -62,7 +62,7 @@
 }
 
 impl FleetAgent {
-    /// Starts the agent with the copy of the agreed state that was kept, if any. `address` is where this dispatcher takes
+    /// Starts the agent with the snapshot of the agreed state that was saved, if any. `address` is where this dispatcher takes
     /// clients.
     ///
     /// # Errors
@@ -79,7 +79,7 @@
             listener.set_nonblocking(true)?;
         }
         let control_address = control.as_ref().map(TcpListener::local_addr).transpose()?;
-        let follower = load_copy(config, log);
+        let follower = load_snapshot(config, log);
         let (wake, notify) = UnixStream::pair()?;
         notify.set_nonblocking(true)?;
         let member = Member { name: member, incarnation: incarnation_id() };
@@ -170,7 +170,7 @@
                     _ = stopped => {}
                     () = follow::run(&shared, &config) => {}
                     () = session::run(&shared, &config, info) => {}
-                    () = copy_file::run(&shared, config.copy.as_deref()) => {}
+                    () = snapshot_file::run(&shared, config.copy.as_deref()) => {}
                     () = control::run(shared.clone(), control) => {}
                 }
             });
@@ -179,12 +179,12 @@
     }
 }
 
-/// The copy that was kept, or an empty one. One that cannot be read does not keep the program from serving; until a replica
+/// The snapshot that was saved, or an empty one. One that cannot be read does not keep the program from serving; until a replica
 /// is reached its drains are unknown.
-fn load_copy(config: &FleetConfig, log: fn(&str)) -> Follower {
+fn load_snapshot(config: &FleetConfig, log: fn(&str)) -> Follower {
     let Some(path) = config.copy.as_deref() else { return Follower::default() };
-    match copy_file::load(path) {
-        Ok(copy) => copy.unwrap_or_default(),
+    match snapshot_file::load(path) {
+        Ok(snapshot) => snapshot.unwrap_or_default(),
         Err(error) => {
             log(&format!("fleet.copy: {}: {error}; goes on without it", path.display()));
             Follower::default()
--- a/crates/pebblepost/src/fleet_agent/session.rs
+++ b/crates/pebblepost/src/fleet_agent/session.rs
@@ -21,7 +21,7 @@
         return std::future::pending().await;
     }
     let client = Client::new(config.replicas.clone());
-    let mut session = SessionKeeper { shared, client, info, state: State::default(), failures: 0 };
+    let mut session = FleetSession { shared, client, info, state: State::default(), failures: 0 };
     loop {
         if session.step().await == Step::Superseded {
             return std::future::pending().await;
@@ -30,8 +30,8 @@
         if joined {
             session.propose_local_drains().await;
         }
-        let rest = if joined { HEARTBEAT_INTERVAL } else { backoff(session.failures) };
-        let _ = timeout(rest, shared.report_due.notified()).await;
+        let delay = if joined { HEARTBEAT_INTERVAL } else { backoff(session.failures) };
+        let _ = timeout(delay, shared.report_due.notified()).await;
     }
 }
 
@@ -54,7 +54,7 @@
     reported_ready: Option<bool>,
 }
 
-struct SessionKeeper<'a> {
+struct FleetSession<'a> {
     shared: &'a Shared,
     client: Client,
     info: MemberInfo,
@@ -63,7 +63,7 @@
     failures: u32,
 }
 
-impl SessionKeeper<'_> {
+impl FleetSession<'_> {
     /// Joins, reports readiness or sends a heartbeat, whichever is due.
     async fn step(&mut self) -> Step {
         match self.state.session {
--- a/crates/pebblepost/src/fleet_agent/shared.rs
+++ b/crates/pebblepost/src/fleet_agent/shared.rs
@@ -80,9 +80,9 @@
     pub(super) report: Mutex<HeartbeatReport>,
     /// How the event loop sees the workers; `None` if it knows too little.
     pub(super) observations: Mutex<Option<BTreeMap<Name, WorkerObservation>>>,
-    /// The revision of the copy that was kept; the highest if none is kept.
-    pub(super) kept_revision: AtomicU64,
-    /// Notified when the copy has changed.
+    /// The revision of the saved snapshot; the highest if none is saved.
+    pub(super) persisted_revision: AtomicU64,
+    /// Notified when the agreed state has changed here.
     pub(super) changed: Notify,
     wake: UnixStream,
     pub(super) log: fn(&str),
@@ -94,7 +94,7 @@
 
 impl Shared {
     pub(super) fn new(
-        member: Member, follower: Follower, keeps_copy: bool, wake: UnixStream, log: fn(&str),
+        member: Member, follower: Follower, persists: bool, wake: UnixStream, log: fn(&str),
     ) -> Self {
         Self {
             ready: AtomicBool::new(false),
@@ -102,7 +102,7 @@
             member,
             confirmed_ms: AtomicU64::new(0),
             started: Instant::now(),
-            kept_revision: AtomicU64::new(if keeps_copy { follower.revision() } else { u64::MAX }),
+            persisted_revision: AtomicU64::new(if persists { follower.revision() } else { u64::MAX }),
             follower: Mutex::new(follower),
             report_due: Notify::new(),
             report: Mutex::default(),
@@ -133,13 +133,13 @@
         if std::env::var_os("PEBBLEPOST_FAULT_CONFIRM").is_some() {
             return HeartbeatReport { applied_revision: u64::MAX, busy_workers: BTreeSet::new(), ..report };
         }
-        let applied_revision = report.applied_revision.min(self.kept_revision.load(Ordering::Relaxed));
+        let applied_revision = report.applied_revision.min(self.persisted_revision.load(Ordering::Relaxed));
         let observations = lock(&self.observations);
         let worker_diff = observations.as_ref().map(|seen| lock(&self.follower).diff_observations(seen));
         HeartbeatReport { applied_revision, worker_diff: worker_diff.unwrap_or_default(), ..report }
     }
 
-    /// Changes the copy of the agreed state, and wakes the event loop if that changes its view.
+    /// Changes the local replica of the agreed state, and wakes the event loop if that changes its view.
     pub(super) fn update<T>(&self, change: impl FnOnce(&mut Follower) -> T) -> T {
         let mut follower = lock(&self.follower);
         let result = change(&mut follower);
--- a/crates/pebblepost/src/fleet_agent/copy_file.rs
+++ b/crates/pebblepost/src/fleet_agent/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! The copy of the agreed state that is kept over a restart.
+//! The snapshot of the agreed state that is saved over a restart, in the file `fleet.copy`.
 
 use super::shared::{Shared, lock};
 use crate::checksummed_file;
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Least time between two writes of the copy.
+/// Least time between two writes of the snapshot.
 const WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Reads the copy; `None` if none was kept.
+/// Reads the snapshot; `None` if none was saved.
 ///
 /// # Errors
 ///
@@ -25,17 +25,17 @@
     }
 }
 
-/// Writes the copy whenever it changes, off the thread that follows.
+/// Writes the snapshot whenever the agreed state changes, off the thread that follows.
 pub(super) async fn run(shared: &Shared, path: Option<&Path>) {
     let Some(path) = path else { return std::future::pending().await };
     loop {
         shared.changed.notified().await;
-        let copy = lock(&shared.follower).clone();
-        let (revision, newest_drain) = (copy.revision(), copy.newest_drain_revision());
+        let snapshot = lock(&shared.follower).clone();
+        let (revision, newest_drain) = (snapshot.revision(), snapshot.newest_drain_revision());
         let file = path.to_owned();
-        let write = move || checksummed_file::replace(&file, &serde_json::to_string(&copy)?);
+        let write = move || checksummed_file::replace(&file, &serde_json::to_string(&snapshot)?);
         match tokio::task::spawn_blocking(write).await {
-            Ok(Ok(())) if shared.kept_revision.swap(revision, Ordering::Relaxed) < newest_drain => {
+            Ok(Ok(())) if shared.persisted_revision.swap(revision, Ordering::Relaxed) < newest_drain => {
                 shared.report_due.notify_one();
             }
             Ok(Err(error)) => (shared.log)(&format!("fleet.copy: {}: {error}", path.display())),
--- a/crates/pebblepost/src/net/connection.rs
+++ b/crates/pebblepost/src/net/connection.rs
@@ -85,7 +85,7 @@
     }
 
     /// What the poller has to watch it for now.
-    pub(super) fn wanted_interest(&self) -> Interest {
+    pub(super) fn required_interest(&self) -> Interest {
         Interest {
             readable: self.role.awaits_response() || self.input.len() < self.max_input_bytes(),
             writable: !self.connected || !self.output.is_empty(),
--- a/crates/pebblepost/src/net/sockets.rs
+++ b/crates/pebblepost/src/net/sockets.rs
@@ -248,14 +248,14 @@
     /// Tells the poller what the connection has to be watched for now.
     pub fn update_interest(&mut self, key: ConnectionKey) {
         let Some(connection) = self.get(key) else { return };
-        let wanted = connection.wanted_interest();
-        if connection.interest == wanted {
+        let required = connection.required_interest();
+        if connection.interest == required {
             return;
         }
-        connection.interest = wanted;
+        connection.interest = required;
         let Some(slot) = self.connections.get(key.slot()) else { return };
         let stream = &slot.connection.stream;
-        if self.poller.modify_with_mode(stream, wanted.event(key), PollMode::Level).is_err() {
+        if self.poller.modify_with_mode(stream, required.event(key), PollMode::Level).is_err() {
             self.broken.push(key);
         }
     }
--- a/crates/pebblepost/src/operator/arguments.rs
+++ b/crates/pebblepost/src/operator/arguments.rs
@@ -7,12 +7,19 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Who is asked, and how it is told.
+/// Options of all commands: whom to ask, and how to print.
 #[derive(Args, Debug)]
 pub struct FleetArgs {
     /// The keepers, as NUMBER=ADDRESS with commas between.
-    #[arg(long, env = "PEBBLEPOST_KEEPERS", value_delimiter = ',', value_parser = parse_replica, global = true)]
-    pub(super) keepers: Vec<(u64, SocketAddr)>,
+    #[arg(
+        long = "keepers",
+        value_name = "KEEPERS",
+        env = "PEBBLEPOST_KEEPERS",
+        value_delimiter = ',',
+        value_parser = parse_replica,
+        global = true
+    )]
+    pub(super) replicas: Vec<(u64, SocketAddr)>,
     /// Gives up after so many seconds.
     #[arg(long, default_value_t = 10.0, global = true)]
     pub(super) within: f64,
@@ -229,8 +236,8 @@
         #[arg(long, default_value_t = 60.0)]
         pause_s: f64,
         /// A wave that is not back within so many seconds halts the release.
-        #[arg(long, default_value_t = 600.0)]
-        patience_s: f64,
+        #[arg(long = "patience-s", value_name = "PATIENCE_S", default_value_t = 600.0)]
+        wave_timeout_s: f64,
         /// So many crashes of dispatchers with the new version halt it.
         #[arg(long, default_value_t = 3)]
         crashes: u64,
--- a/crates/pebblepost/src/operator/commands.rs
+++ b/crates/pebblepost/src/operator/commands.rs
@@ -92,9 +92,9 @@
                 };
                 self.plan(&plan).await
             }
-            ReleaseCommand::Drive { pause_s, patience_s, crashes, drop, sample } => {
+            ReleaseCommand::Drive { pause_s, wave_timeout_s, crashes, drop, sample } => {
                 let observation_time = duration("pause-s", pause_s)?;
-                let wave_timeout = duration("patience-s", patience_s)?;
+                let wave_timeout = duration("patience-s", wave_timeout_s)?;
                 if !(0.0..=1.0).contains(&drop) {
                     return Err(FleetError::SuccessRateDrop(drop));
                 }
--- a/crates/pebblepost/src/operator/error.rs
+++ b/crates/pebblepost/src/operator/error.rs
@@ -55,7 +55,7 @@
         problem: FileProblem,
     },
     /// Another replica than the one that was named.
-    #[error("keeper {actual} listens {}, not {expected}", place(.address.as_deref()))]
+    #[error("keeper {actual} listens {}, not {expected}", location(.address.as_deref()))]
     OtherReplica {
         /// The number that was named.
         expected: u64,
@@ -125,7 +125,7 @@
     Simulation(SimulationError),
 }
 
-fn place(address: Option<&str>) -> String {
+fn location(address: Option<&str>) -> String {
     address.map_or_else(|| "there".to_owned(), |address| format!("at {address}"))
 }
 
--- a/crates/pebblepost/src/operator/mod.rs
+++ b/crates/pebblepost/src/operator/mod.rs
@@ -36,17 +36,17 @@
     if let FleetCommand::Here { address, what, worker, why } = &args.command {
         return local::run(*address, *what, worker.as_ref(), why, timeout(args.within)?);
     }
-    if args.keepers.is_empty() {
+    if args.replicas.is_empty() {
         return Err(FleetError::NoReplicas);
     }
     let timeout = timeout(args.within)?;
-    if let Some((_, address)) = args.keepers.iter().find(|(_, address)| !address.ip().is_loopback()) {
+    if let Some((_, address)) = args.replicas.iter().find(|(_, address)| !address.ip().is_loopback()) {
         return Err(FleetError::NotLoopback(*address));
     }
     let issuer = args.by.parse().map_err(FleetError::Issuer)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(FleetError::Runtime)?;
-    let replicas = args.keepers.iter().map(|(id, address)| (*id, address.to_string()));
+    let replicas = args.replicas.iter().map(|(id, address)| (*id, address.to_string()));
     let replicas: BTreeMap<u64, String> = replicas.collect();
     let client = Client::new(replicas.clone());
     let format = if args.json { Format::Json } else { Format::Text };
--- a/crates/pebblepost/src/operator/text.rs
+++ b/crates/pebblepost/src/operator/text.rs
@@ -50,8 +50,8 @@
             let holder = lease.holder.as_ref().map_or_else(
                 || "free".to_owned(),
                 |holder| {
-                    let (member, session, fence) = (&holder.member, holder.session, holder.fencing_token);
-                    format!("held by {member} (session {session}), fence {fence}")
+                    let (member, session, token) = (&holder.member, holder.session, holder.fencing_token);
+                    format!("held by {member} (session {session}), fence {token}")
                 },
             );
             let revoked = if lease.revoked { ", asked back" } else { "" };
--- a/crates/pebblepost/tests/behaviour_pins.rs
+++ b/crates/pebblepost/tests/behaviour_pins.rs
@@ -522,7 +522,7 @@
     }
     let marks = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     for names in [&["c"][..], &["c"], &[]] {
-        match registry.set_drain_marks(marks(names)) {
+        match registry.set_drained(marks(names)) {
             Some(Input::Membership(kind, entries)) => {
                 let _ = writeln!(transcript, "marks {names:?}: {kind:?} {}", entry_numbers(&entries));
             }
