--- a/crates/pebblepost/tests/behaviour_pins.rs
+++ b/crates/pebblepost/tests/behaviour_pins.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{Running, Wire, header, lines, platform, post, settings, worker};
+use common::{RunningDaemon, Wire, header, lines, platform, post, settings, worker};
 use pebblepost::clock::Clock;
 use pebblepost::config::{self, read_settings};
 use pebblepost::engine::{AttemptId, Engine, FinalResponse, Input, Output, Request};
@@ -53,7 +53,7 @@
 }
 
 /// Sends `text`, ends its half of the connection and reads until the other end closes.
-fn exchange(daemon: &Running, listener: ListenerKind, text: &str) -> String {
+fn exchange(daemon: &RunningDaemon, listener: ListenerKind, text: &str) -> String {
     let mut stream = TcpStream::connect(daemon.address(listener)).expect("a listener");
     stream.set_read_timeout(Some(Duration::from_secs(15))).expect("a sound time-out");
     stream.write_all(text.as_bytes()).expect("an open connection");
@@ -285,14 +285,14 @@
 }
 
 /// A daemon with all four listeners and the agent's, and one worker that reports each request's bytes.
-fn daemon_with_listeners() -> (Running, mpsc::Receiver<Vec<String>>) {
+fn daemon_with_listeners() -> (RunningDaemon, mpsc::Receiver<Vec<String>>) {
     let (sender, requests) = mpsc::channel();
     let sender = std::sync::Arc::new(Mutex::new(sender));
     let serves = worker(move |wire, head| {
         let _ = sender.lock().expect("no panic").send(head.to_vec());
         let id = header(head, "x-txn").expect("an id");
         match id.as_str() {
-            "fails" => wire.say("HTTP/1.1 422 No\r\nContent-Length: 0\r\n\r\n"),
+            "fails" => wire.send("HTTP/1.1 422 No\r\nContent-Length: 0\r\n\r\n"),
             "object" => lines(wire, &[json!({"id": id, "state": "done", "result": {"a": [1, 2]}})]),
             _ => lines(
                 wire,
@@ -308,7 +308,7 @@
         "faktory": {"listen": "127.0.0.1:0", "queues": {"default": {}, "images": {"deadline_s": 5}}, "key": "once"},
         "agent_check": listen, "health": listen, "fleet": {"control": "127.0.0.1:0"}
     });
-    let daemon = Running::start(Some(platform(&[serves], None)), Some(operator));
+    let daemon = RunningDaemon::start(Some(platform(&[serves], None)), Some(operator));
     (daemon, requests)
 }
 
@@ -402,7 +402,7 @@
     let mut consumer = daemon.connect(ListenerKind::Faktory);
     let mut say = |wire: &mut Wire, text: &str, replies: usize| {
         if !text.is_empty() {
-            wire.say(&format!("{text}\r\n"));
+            wire.send(&format!("{text}\r\n"));
         }
         let replies: Vec<String> = (0..replies).map(|_| wire.line()).collect();
         let _ = writeln!(transcript, "{text:?} -> {replies:?}");
@@ -444,7 +444,7 @@
         r#"{"undrain":"s-9"}"#,
         r#"{"show":true}"#,
     ] {
-        wire.say(&format!("{line}\n"));
+        wire.send(&format!("{line}\n"));
         let _ = writeln!(transcript, "{line} -> {}", wire.line());
     }
     assert_approved("agent_control.txt", &transcript);
@@ -454,7 +454,7 @@
 fn the_request_to_discovery_is_as_approved() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let config = platform(&[], Some(listener.local_addr().expect("bound")));
-    let _daemon = Running::start(Some(config), None);
+    let _daemon = RunningDaemon::start(Some(config), None);
     let mut stream = listener.accept().expect("the watch").0;
     let expected = "GET /v1/endpoints?watch=1&from=1 HTTP/1.1\r\nHost: discovery\r\n\r\n";
     stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a sound time-out");
--- a/crates/pebblepost/tests/common/mod.rs
+++ b/crates/pebblepost/tests/common/mod.rs
@@ -62,7 +62,7 @@
 }
 
 /// A running daemon. Dropped, it gets the stop signal and must end.
-pub struct Running {
+pub struct RunningDaemon {
     signal: UnixStream,
     hangup: UnixStream,
     gate: Arc<Gate>,
@@ -73,7 +73,7 @@
     files: Vec<PathBuf>,
 }
 
-impl Running {
+impl RunningDaemon {
     pub fn start(platform: Option<Value>, operator: Option<Value>) -> Self {
         let platform = platform.map(|json| file(&json));
         let operator = operator.map(|json| file(&json));
@@ -143,7 +143,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningDaemon {
     fn drop(&mut self) {
         self.stop();
         if let Some(thread) = self.thread.take() {
@@ -164,12 +164,12 @@
         Self(BufReader::new(stream))
     }
 
-    pub fn say(&mut self, text: &str) {
+    pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).expect("an open connection");
     }
 
     /// Whether the peer still takes what is said.
-    pub fn try_say(&mut self, text: &str) -> bool {
+    pub fn try_send(&mut self, text: &str) -> bool {
         self.0.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
@@ -251,28 +251,28 @@
 
 /// A worker that answers probes, and jobs as `job` says: it gets the connection after a job's head and body.
 pub fn worker(job: impl Fn(&mut Wire, &[String]) + Send + Sync + Clone + 'static) -> SocketAddr {
-    mortal(|| true, job)
+    worker_while(|| true, job)
 }
 
 /// The same, but while it does not live it closes every connection unanswered.
-pub fn mortal(
-    lives: impl Fn() -> bool + Send + Sync + Clone + 'static,
+pub fn worker_while(
+    is_alive: impl Fn() -> bool + Send + Sync + Clone + 'static,
     job: impl Fn(&mut Wire, &[String]) + Send + Sync + Clone + 'static,
 ) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let (lives, job) = (lives.clone(), job.clone());
+            let (is_alive, job) = (is_alive.clone(), job.clone());
             std::thread::spawn(move || {
                 let mut wire = Wire::new(stream);
                 loop {
                     let (head, _) = wire.message();
-                    match head.first().filter(|_| lives()) {
+                    match head.first().filter(|_| is_alive()) {
                         None => return,
                         Some(line) if line.starts_with("GET /status/load ") => {
                             let body = r#"{"util":0.1,"eps":0.0,"x0":4}"#;
-                            wire.say(&format!(
+                            wire.send(&format!(
                                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                                 body.len()
                             ));
@@ -293,16 +293,16 @@
 
 /// Some bytes of a job's answer as a chunk.
 pub fn chunk(wire: &mut Wire, text: &str) {
-    wire.say(&format!("{:x}\r\n{text}\r\n", text.len()));
+    wire.send(&format!("{:x}\r\n{text}\r\n", text.len()));
 }
 
 /// The lines of a job's answer, in chunks.
 pub fn lines(wire: &mut Wire, lines: &[Value]) {
-    wire.say(CHUNKED_HEAD);
+    wire.send(CHUNKED_HEAD);
     for line in lines {
         chunk(wire, &format!("{line}\n"));
     }
-    wire.say(LAST_CHUNK);
+    wire.send(LAST_CHUNK);
 }
 
 pub fn post(txn: &str, extra: &str, body: &str) -> String {
--- a/crates/pebblepost/tests/discovery.rs
+++ b/crates/pebblepost/tests/discovery.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::stopwatch::Stopwatch;
-use common::{Running, Wire, chunk, header, lines, platform, post, within, worker};
+use common::{RunningDaemon, Wire, chunk, header, lines, platform, post, within, worker};
 use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener};
@@ -27,7 +27,7 @@
     let count = asked.clone();
     let address = worker(move |wire, _| {
         count.fetch_add(1, Ordering::Relaxed);
-        wire.say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+        wire.send("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
     });
     (address, asked)
 }
@@ -48,7 +48,7 @@
     say: impl Fn(&mut Wire, usize) + Send + Sync + Clone + 'static,
 ) -> (SocketAddr, Receiver<Instant>) {
     raw_discovery(move |wire, n| {
-        wire.say(HEAD);
+        wire.send(HEAD);
         say(wire, n);
     })
 }
@@ -79,19 +79,19 @@
 
 /// Keeps a watch open, with the empty lines that say so, until the daemon leaves.
 fn stay(wire: &mut Wire) {
-    while wire.try_say("1\r\n\n\r\n") {
+    while wire.try_send("1\r\n\n\r\n") {
         std::thread::sleep(Duration::from_millis(500));
     }
 }
 
-fn ask(daemon: &Running, request: &str) -> (String, String) {
+fn ask(daemon: &RunningDaemon, request: &str) -> (String, String) {
     let mut wire = daemon.connect(ListenerKind::Platform);
-    wire.say(request);
+    wire.send(request);
     let (head, body) = wire.message();
     (head.first().cloned().unwrap_or_default(), body)
 }
 
-fn served_by(daemon: &Running) -> bool {
+fn served_by(daemon: &RunningDaemon) -> bool {
     ask(daemon, &post("t", "", "")).1 == "text"
 }
 
@@ -101,12 +101,12 @@
     let (address, calls) = discovery(move |wire, n| {
         let whole = list(9, true, &[host("s-new", new, "ready")]);
         if n == 0 {
-            return wire.say(&format!("{:x}\r\n{}", whole.len(), &whole[..whole.len() / 2]));
+            return wire.send(&format!("{:x}\r\n{}", whole.len(), &whole[..whole.len() / 2]));
         }
         chunk(wire, &whole);
         stay(wire);
     });
-    let daemon = Running::start(Some(platform(&[old], Some(address))), None);
+    let daemon = RunningDaemon::start(Some(platform(&[old], Some(address))), None);
     calls.recv_timeout(LIMIT).expect("a first call");
     calls.recv_timeout(LIMIT).expect("a second, after half of a list");
     within(LIMIT, "the whole list counts", || served_by(&daemon).then_some(()));
@@ -125,13 +125,13 @@
         }
         // Discovery has come back with what it knew before the drain.
         chunk(wire, &list(5, true, &both("ready")));
-        while !went.load(Ordering::Relaxed) && wire.try_say("1\r\n\n\r\n") {
+        while !went.load(Ordering::Relaxed) && wire.try_send("1\r\n\n\r\n") {
             std::thread::sleep(Duration::from_millis(20));
         }
         chunk(wire, &list(6, false, &[host("s-0", drained, "ready"), host("s-1", other, "gone")]));
         stay(wire);
     });
-    let daemon = Running::start(Some(platform(&[drained, other], Some(address))), None);
+    let daemon = RunningDaemon::start(Some(platform(&[drained, other], Some(address))), None);
     for _ in 0..2 {
         calls.recv_timeout(LIMIT).expect("a call");
     }
@@ -157,12 +157,12 @@
             _ => stay(wire),
         }
     });
-    let daemons: Vec<Running> = (0..4)
+    let daemons: Vec<RunningDaemon> = (0..4)
         .map(|n| {
             let mut config = platform(&[good], Some(address));
             config["seed"] = json!(format!("{}", n + 1));
             config["settings"]["instances"] = json!(4);
-            Running::start(Some(config), None)
+            RunningDaemon::start(Some(config), None)
         })
         .collect();
     let mut at: Vec<Instant> = (0..8).map(|_| calls.recv_timeout(LIMIT).expect("a call")).collect();
@@ -185,7 +185,7 @@
             chunk(wire, &list(90, true, &[host("s-new", good, "ready")]));
             stay(wire);
         });
-        let daemon = Running::start(Some(platform(&known, Some(address))), None);
+        let daemon = RunningDaemon::start(Some(platform(&known, Some(address))), None);
         let start = Instant::now();
         let (status, _) = ask(&daemon, &post("t", "", ""));
         assert!(status.contains(" 503") || status.contains(" 200"), "{status}");
@@ -204,11 +204,11 @@
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
     });
-    let daemon = Running::start(Some(platform(&[address, worker(serves)], None)), None);
+    let daemon = RunningDaemon::start(Some(platform(&[address, worker(serves)], None)), None);
     for n in 0..30 {
         assert_eq!(ask(&daemon, &post(&format!("t{n}"), "", "")).1, "text", "request {n}");
     }
-    let alone = Running::start(Some(platform(&[address], None)), None);
+    let alone = RunningDaemon::start(Some(platform(&[address], None)), None);
     let start = Instant::now();
     assert!(ask(&alone, &post("t", "", "")).0.contains(" 503"), "refused: nothing can have run");
     assert!(start.elapsed() < Duration::from_secs(2));
@@ -219,19 +219,19 @@
     let silent = || {
         worker(|wire, head| {
             let id = header(head, "x-txn").expect("an id");
-            wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             chunk(wire, &format!("{}\n", json!({"id": id, "state": "started"})));
             assert!(wire.line().is_empty(), "until the attempt is given up");
         })
     };
     let mut config = platform(&[silent(), silent(), worker(serves)], None);
     config["known"]["hosts"][2]["site"] = json!("b");
-    let daemon = Running::start(Some(config), None);
+    let daemon = RunningDaemon::start(Some(config), None);
     let start = Stopwatch::start();
     let mut wires: Vec<Wire> = (0..12)
         .map(|n| {
             let mut wire = daemon.connect(ListenerKind::Platform);
-            wire.say(&post(&format!("t{n}"), "", ""));
+            wire.send(&post(&format!("t{n}"), "", ""));
             wire
         })
         .collect();
@@ -255,7 +255,7 @@
     config["settings"]["invariants"]["warmUp"] = json!(23e9);
     config["settings"]["invariants"]["tipMultiple"] = json!(3.0);
     config["settings"]["invariants"]["fall"] = json!(3e9);
-    let daemon = Running::start(Some(config), None);
+    let daemon = RunningDaemon::start(Some(config), None);
     let mut served = 0;
     for n in 0..20 {
         let start = Instant::now();
@@ -284,7 +284,7 @@
     });
     let mut config = platform(&[], Some(address));
     config["settings"]["discovery"] = json!("push");
-    let daemon = Running::start(Some(config), None);
+    let daemon = RunningDaemon::start(Some(config), None);
     for _ in 0..2 {
         calls.recv_timeout(LIMIT).expect("the watch is taken up, and again after its end");
     }
@@ -305,13 +305,13 @@
         // Half an object, and its rest in drops.
         |wire| {
             let mut drops = "{\"seq\":3,".chars().chain(std::iter::repeat(' '));
-            while wire.try_say(&format!("1\r\n{}\r\n", drops.next().expect("endless"))) {
+            while wire.try_send(&format!("1\r\n{}\r\n", drops.next().expect("endless"))) {
                 std::thread::sleep(Duration::from_millis(200));
             }
         },
         // A chunk that is never filled.
         |wire| {
-            wire.say("ffff\r\n{");
+            wire.send("ffff\r\n{");
             assert!(wire.line().is_empty());
         },
     ];
@@ -319,10 +319,10 @@
         |_| {},
         |wire| {
             std::thread::sleep(Duration::from_secs(2));
-            let _ = wire.try_say(REFUSED);
+            let _ = wire.try_send(REFUSED);
         },
         |wire| {
-            let _ = wire.try_say("HTTP/1.1 200 OK\r\nTransfer-");
+            let _ = wire.try_send("HTTP/1.1 200 OK\r\nTransfer-");
         },
     ];
     let pairs =
@@ -341,18 +341,18 @@
                 let both = move |health| [host("s-0", drained, health), host("s-1", other, "ready")];
                 let (address, calls) = raw_discovery(move |wire, n| match n {
                     0 => {
-                        wire.say(HEAD);
+                        wire.send(HEAD);
                         chunk(wire, &list(2, true, &both("ready")));
                         silence(wire);
                     }
                     1 => failure(wire),
                     _ => {
-                        wire.say(HEAD);
+                        wire.send(HEAD);
                         chunk(wire, &list(3, false, &both("draining")));
                         stay(wire);
                     }
                 });
-                let daemon = Running::start(Some(platform(&[drained, other], Some(address))), None);
+                let daemon = RunningDaemon::start(Some(platform(&[drained, other], Some(address))), None);
                 let alive = calls.recv_timeout(LIMIT).expect("a first call");
                 while alive.elapsed() < Duration::from_secs(6) {
                     served_by(&daemon);
@@ -386,7 +386,7 @@
         stay(wire);
     });
     // The known worker is closed: only the list brings one that serves.
-    let daemon = Running::start(Some(platform(&[], Some(address))), None);
+    let daemon = RunningDaemon::start(Some(platform(&[], Some(address))), None);
     within(Duration::from_secs(2), "the list counts", || served_by(&daemon).then_some(()));
 }
 
@@ -402,7 +402,7 @@
         chunk(wire, &list(9, false, &[host("s-0", drained, "draining"), host("s-1", other, "ready")]));
         stay(wire);
     });
-    let daemon = Running::start(Some(platform(&[drained, other], Some(address))), None);
+    let daemon = RunningDaemon::start(Some(platform(&[drained, other], Some(address))), None);
     calls.recv_timeout(Duration::from_secs(1)).expect("a call at once");
     let ready = || ask(&daemon, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").0.contains(" 200 ");
     assert!(!ready(), "not before it knows");
@@ -423,7 +423,7 @@
         TcpListener::bind("127.78.1.3:0").and_then(|listener| listener.local_addr()).expect("a free port");
     let (refuses, _calls) = raw_discovery(|wire, _| {
         std::thread::sleep(Duration::from_secs(2));
-        let _ = wire.try_say(REFUSED);
+        let _ = wire.try_send(REFUSED);
     });
     let turn = Arc::new(std::sync::Mutex::new(()));
     let (busy, _calls) = raw_discovery(move |wire, _| {
@@ -431,12 +431,12 @@
         let turn = turn.lock().expect("no panic");
         if asked.elapsed() > Duration::from_secs(2) {
             drop(turn);
-            let _ = wire.try_say(REFUSED);
+            let _ = wire.try_send(REFUSED);
             return;
         }
         std::thread::sleep(Duration::from_millis(400));
         drop(turn);
-        if wire.try_say(HEAD) {
+        if wire.try_send(HEAD) {
             chunk(wire, &list(3, true, &[host("s-0", good, "ready")]));
             stay(wire);
         }
@@ -450,9 +450,9 @@
                     let mut config = platform(&[good], Some(address));
                     config["seed"] = json!(format!("{n}"));
                     config["settings"]["instances"] = json!(10);
-                    Running::start(Some(config), None)
+                    RunningDaemon::start(Some(config), None)
                 });
-                let daemons: Vec<Running> = daemons.collect();
+                let daemons: Vec<RunningDaemon> = daemons.collect();
                 let mut took: Vec<Duration> = daemons
                     .iter()
                     .map(|daemon| {
@@ -480,7 +480,7 @@
             discovery(move |wire, _| chunk(wire, &list(3, true, &[host("s-0", good, "ready")])));
         let mut config = platform(&[good], Some(address));
         config["settings"]["discovery"] = json!(mode);
-        let daemon = Running::start(Some(config), None);
+        let daemon = RunningDaemon::start(Some(config), None);
         let first = calls.recv_timeout(LIMIT).expect("a first call");
         let more = std::iter::from_fn(|| {
             calls.recv_timeout(Duration::from_secs(1).saturating_sub(first.elapsed())).ok()
@@ -501,7 +501,7 @@
     });
     let mut config = platform(&[good], Some(address));
     config["settings"]["discovery"] = json!("push");
-    let daemon = Running::start(Some(config), None);
+    let daemon = RunningDaemon::start(Some(config), None);
     calls.recv_timeout(LIMIT).expect("a call");
     within(Duration::from_secs(3), "its line says that the list is current", || {
         served_by(&daemon).then_some(())
--- a/crates/pebblepost/tests/engine.rs
+++ b/crates/pebblepost/tests/engine.rs
@@ -38,7 +38,7 @@
 
 /// What the core is allowed, seen from outside.
 #[derive(Default)]
-struct Watcher {
+struct EngineObserver {
     now: u64,
     deadlines: BTreeMap<(Time, usize), EngineTimer>,
     states: HashMap<WorkerId, WorkerState>,
@@ -48,7 +48,7 @@
     probes: Vec<WorkerId>,
 }
 
-impl Watcher {
+impl EngineObserver {
     fn turn(&mut self, engine: &mut Engine, input: Input) {
         let (mut inputs, mut out) = (vec![input], Vec::new());
         engine.turn(Time(self.now), &mut inputs, &mut out);
@@ -102,13 +102,13 @@
     fn one_answer_each_and_nothing_to_whom_it_must_not_go(steps in prop::collection::vec(step(), 0..150)) {
         let settings = read_settings("test", &common::settings()).expect("sound settings");
         let mut engine = Engine::new(settings, 1, Time(1));
-        let mut watcher = Watcher { now: 1, ..Watcher::default() };
+        let mut observer = EngineObserver { now: 1, ..EngineObserver::default() };
         let entry = |n: u32, state| Entry {
             worker: WorkerId(n), zone: ZoneId(0), kind: KindId(0), cell: CellId(0), state, name: 0, started: None,
         };
-        watcher.states.extend((0..3).map(|n| (WorkerId(n), WorkerState::Ready)));
+        observer.states.extend((0..3).map(|n| (WorkerId(n), WorkerState::Ready)));
         let all = (0..3).map(|n| entry(n, WorkerState::Ready)).collect();
-        watcher.turn(&mut engine, Input::Membership(ListKind::Cached, all));
+        observer.turn(&mut engine, Input::Membership(ListKind::Cached, all));
         let mut requests = Vec::new();
         for step in steps {
             match step {
@@ -117,41 +117,41 @@
                     requests.push(id);
                     let (class, time_left) = (ClassId(0), Duration::from_secs(3));
                     let request = Request { class, time_left, repeat: false, slots: 1.0, memory: 0.0, work: None, key: 0, tenant: TenantId(0) };
-                    watcher.turn(&mut engine, Input::Request(id, request));
+                    observer.turn(&mut engine, Input::Request(id, request));
                 }
                 Step::Gone(i) if !requests.is_empty() => {
                     let id = requests[i % requests.len()];
-                    if !watcher.answers.contains_key(&id) {
-                        watcher.left.insert(id);
+                    if !observer.answers.contains_key(&id) {
+                        observer.left.insert(id);
                     }
-                    watcher.turn(&mut engine, Input::ClientDisconnected(id));
+                    observer.turn(&mut engine, Input::ClientDisconnected(id));
                 }
                 Step::Members(n, state, whole) => {
                     let state = [WorkerState::Ready, WorkerState::Draining, WorkerState::Gone][usize::from(state)];
                     if whole {
-                        watcher.states.clear();
+                        observer.states.clear();
                     }
-                    watcher.states.insert(WorkerId(n), state);
+                    observer.states.insert(WorkerId(n), state);
                     let kind = if whole { ListKind::Full } else { ListKind::Delta };
-                    watcher.turn(&mut engine, Input::Membership(kind, vec![entry(n, state)]));
+                    observer.turn(&mut engine, Input::Membership(kind, vec![entry(n, state)]));
                 }
-                Step::Ended(index, ended) if !watcher.attempts.is_empty() => {
-                    let attempt = watcher.attempts[index % watcher.attempts.len()];
-                    watcher.turn(&mut engine, Input::attempt_failed(attempt, status(ended)));
+                Step::Ended(index, ended) if !observer.attempts.is_empty() => {
+                    let attempt = observer.attempts[index % observer.attempts.len()];
+                    observer.turn(&mut engine, Input::attempt_failed(attempt, status(ended)));
                 }
                 Step::Probed(probed, free) => {
-                    if let Some(worker) = watcher.probes.pop() {
+                    if let Some(worker) = observer.probes.pop() {
                         let (status, report) = (status(probed / 4), vec![0.0, 0.0, free]);
-                        watcher.turn(&mut engine, Input::Probed { worker, status, latency: Duration::from_millis(1), report });
+                        observer.turn(&mut engine, Input::Probed { worker, status, latency: Duration::from_millis(1), report });
                     }
                 }
-                Step::Pass(millis) => watcher.pass(&mut engine, millis),
+                Step::Pass(millis) => observer.pass(&mut engine, millis),
                 Step::Gone(_) | Step::Ended(..) => {}
             }
         }
-        watcher.pass(&mut engine, 4_000);
+        observer.pass(&mut engine, 4_000);
         for id in requests {
-            prop_assert!(watcher.answers.contains_key(&id) != watcher.left.contains(&id), "{id:?} is answered unless its client left");
+            prop_assert!(observer.answers.contains_key(&id) != observer.left.contains(&id), "{id:?} is answered unless its client left");
         }
         prop_assert_eq!(engine.unanswered(), 0);
     }
--- a/crates/pebblepost/tests/faktory.rs
+++ b/crates/pebblepost/tests/faktory.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Running, Wire};
+use common::{RunningDaemon, Wire};
 use pebblepost::front::faktory::password_hash;
 use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
@@ -12,20 +12,20 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-fn start(faktory: Value) -> Running {
+fn start(faktory: Value) -> RunningDaemon {
     let mut faktory = faktory;
     faktory["listen"] = json!("127.0.0.1:0");
-    Running::start(None, Some(json!({"faktory": faktory})))
+    RunningDaemon::start(None, Some(json!({"faktory": faktory})))
 }
 
-fn hello(daemon: &Running, wid: Option<&str>) -> Wire {
+fn hello(daemon: &RunningDaemon, wid: Option<&str>) -> Wire {
     let mut wire = daemon.connect(ListenerKind::Faktory);
     assert_eq!(wire.line(), r#"+HI {"v":2}"#);
     let mut hello = json!({"v": 2, "hostname": "test", "pid": 1});
     if let Some(wid) = wid {
         hello["wid"] = json!(wid);
     }
-    wire.say(&format!("HELLO {hello}\r\n"));
+    wire.send(&format!("HELLO {hello}\r\n"));
     assert_eq!(wire.line(), "+OK");
     wire
 }
@@ -35,13 +35,13 @@
 }
 
 fn push(wire: &mut Wire, job: &Value) -> String {
-    wire.say(&format!("PUSH {job}\r\n"));
+    wire.send(&format!("PUSH {job}\r\n"));
     wire.line()
 }
 
 /// Fetches once; `None`: no job came.
 fn fetch(wire: &mut Wire) -> Option<Value> {
-    wire.say("FETCH default\r\n");
+    wire.send("FETCH default\r\n");
     match wire.line().as_str() {
         "$-1" | "" => None,
         _ => Some(serde_json::from_str(&wire.line()).expect("a job in JSON")),
@@ -51,11 +51,13 @@
 type Runs = Arc<Mutex<Vec<(String, String, Instant)>>>;
 
 /// A worker of one slot that notes what it runs and ends each job with `last`, as long as that says anything.
-fn worker(daemon: &Running, wid: &str, runs: &Runs, last: fn(&str) -> Option<String>) -> JoinHandle<()> {
+fn worker(
+    daemon: &RunningDaemon, wid: &str, runs: &Runs, last: fn(&str) -> Option<String>,
+) -> JoinHandle<()> {
     let (mut wire, wid, runs) = (hello(daemon, Some(wid)), wid.to_owned(), runs.clone());
     std::thread::spawn(move || {
         loop {
-            wire.say("FETCH default\r\n");
+            wire.send("FETCH default\r\n");
             match wire.line().as_str() {
                 "" => return,
                 "$-1" => continue,
@@ -65,7 +67,7 @@
             let jid = job["jid"].as_str().expect("a jid").to_owned();
             runs.lock().expect("no panic").push((jid.clone(), wid.clone(), Instant::now()));
             match last(&jid) {
-                Some(word) => wire.say(&format!("{word} {}\r\n", json!({"jid": jid}))),
+                Some(word) => wire.send(&format!("{word} {}\r\n", json!({"jid": jid}))),
                 None => std::thread::sleep(Duration::from_secs(60)),
             }
             wire.line();
@@ -85,9 +87,9 @@
     worker(&daemon, "silent", &runs, |_| None);
     worker(&daemon, "failing", &runs, |_| Some("FAIL".to_owned()));
     let mut drained = hello(&daemon, Some("drained"));
-    drained.say("FETCH default\r\n");
+    drained.send("FETCH default\r\n");
     let mut beat = hello(&daemon, Some("drained"));
-    beat.say("BEAT {\"wid\":\"drained\",\"current_state\":\"quiet\"}\r\n");
+    beat.send("BEAT {\"wid\":\"drained\",\"current_state\":\"quiet\"}\r\n");
     assert_eq!(beat.line(), "+OK");
 
     let pushes: Vec<_> = (0..40)
@@ -101,7 +103,7 @@
         let (i, started, answer, mut wire) = push.join().expect("no panic");
         assert!(started.elapsed() < Duration::from_millis(4_500), "{i} is answered before its deadline");
         // Exactly one: the next thing on the wire is the answer to the next command.
-        wire.say("NONSENSE\r\n");
+        wire.send("NONSENSE\r\n");
         assert_eq!(wire.line(), "-ERR unknown command", "after job {i}");
         answers.insert(format!("j{i}"), answer);
     }
@@ -133,8 +135,8 @@
     };
     let mut first = hello(&daemon, None);
     let mut second = hello(&daemon, None);
-    first.say(&format!("PUSH {}\r\n", keyed("a")));
-    second.say(&format!("PUSH {}\r\n", keyed("b")));
+    first.send(&format!("PUSH {}\r\n", keyed("a")));
+    second.send(&format!("PUSH {}\r\n", keyed("b")));
     worker(&daemon, "w", &runs, acks);
     assert_eq!(first.line(), "+OK");
     assert_eq!(second.line(), "+OK", "while the first is under way");
@@ -167,7 +169,7 @@
         Some("ACK".to_owned())
     });
     let (mut first, mut second) = (hello(&daemon, None), hello(&daemon, None));
-    first.say(&format!("PUSH {}\r\n", job("a")));
+    first.send(&format!("PUSH {}\r\n", job("a")));
     common::within(Duration::from_secs(5), "a first run", || runs.lock().expect("no panic").first().cloned());
     // The only slot is busy now: sent there, the job would be turned away and that worker out of its draws.
     assert_eq!(push(&mut second, &job("b")), "+OK");
@@ -199,7 +201,7 @@
     let mut notified = None;
     for i in 0..60 {
         if i == 20 {
-            beat.say("BEAT {\"current_state\":\"terminate\"}\r\n");
+            beat.send("BEAT {\"current_state\":\"terminate\"}\r\n");
             assert_eq!(beat.line(), "+OK");
             notified = Some(Instant::now());
         }
@@ -221,7 +223,7 @@
     for (wid, breaks) in [("breaks", true), ("late", false)] {
         let mut producer = hello(&daemon, None);
         let mut worker = hello(&daemon, Some(wid));
-        producer.say(&format!("PUSH {}\r\n", job(wid)));
+        producer.send(&format!("PUSH {}\r\n", job(wid)));
         let fetched = common::within(Duration::from_secs(5), "a job comes", || fetch(&mut worker));
         assert_eq!(fetched["jid"], wid);
         if breaks {
@@ -229,7 +231,7 @@
             assert_eq!(producer.line(), "-ERR failed, the job may have run");
         } else {
             assert_eq!(producer.line(), "-ERR failed, the job may have run");
-            worker.say("ACK {\"jid\":\"late\"}\r\n");
+            worker.send("ACK {\"jid\":\"late\"}\r\n");
             assert_eq!(worker.line(), "+OK");
             worker.close();
         }
@@ -239,18 +241,18 @@
 #[test]
 fn a_drain_asked_for_here_has_the_worker_go_quiet() {
     let operator = json!({"faktory": {"listen": "127.0.0.1:0"}, "fleet": {"control": "127.0.0.1:0"}});
-    let daemon = Running::start(None, Some(operator));
+    let daemon = RunningDaemon::start(None, Some(operator));
     let say = |line: Value| {
         let mut wire = common::Wire::new(
             std::net::TcpStream::connect(daemon.control.expect("set")).expect("a listener"),
         );
-        wire.say(&format!("{line}\n"));
+        wire.send(&format!("{line}\n"));
         wire.line()
     };
     let mut worker = hello(&daemon, Some("w"));
     assert!(fetch(&mut worker).is_none());
     let beat = |worker: &mut common::Wire| {
-        worker.say("BEAT {}\r\n");
+        worker.send("BEAT {}\r\n");
         match worker.line() {
             line if line == "$17" => worker.line(),
             line => line,
@@ -275,7 +277,7 @@
         let hi: Value = serde_json::from_str(wire.line().trim_start_matches("+HI ")).expect("JSON");
         let rounds = u32::try_from(hi["i"].as_u64().expect("rounds")).expect("few");
         let hash = password_hash(password, hi["s"].as_str().expect("a salt"), rounds);
-        wire.say(&format!("HELLO {}\r\n", json!({"v": 2, "pwdhash": hash})));
+        wire.send(&format!("HELLO {}\r\n", json!({"v": 2, "pwdhash": hash})));
         (wire.line(), wire)
     };
     assert_eq!(greet("guess").0, "-ERR invalid password");
@@ -290,16 +292,16 @@
         ("BEAT {\"wid\":\"nobody\"}", "-ERR unknown worker"),
         ("ACK {}", "-ERR jid is missing"),
     ] {
-        wire.say(&format!("{command}\r\n"));
+        wire.send(&format!("{command}\r\n"));
         assert_eq!(wire.line(), reply, "{command}");
     }
-    wire.say("INFO\r\n");
+    wire.send("INFO\r\n");
     assert!(wire.line().starts_with('$'));
     assert!(wire.line().contains("\"faktory\""));
-    wire.say("END\r\n");
+    wire.send("END\r\n");
     assert!(wire.ends());
     let mut rude = daemon.connect(ListenerKind::Faktory);
     rude.line();
-    rude.say("PUSH {}\r\n");
+    rude.send("PUSH {}\r\n");
     assert_eq!(rude.line(), "-ERR say HELLO first");
 }
--- a/crates/pebblepost/tests/faults.rs
+++ b/crates/pebblepost/tests/faults.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::replicas::{LIMIT, Replicas};
-use common::{Running, platform, within};
+use common::{RunningDaemon, platform, within};
 use serde_json::json;
 use std::process::Stdio;
 use std::time::Duration;
@@ -66,7 +66,7 @@
     let fleet = json!({"keepers": replicas.addresses_json()});
     let mut config = platform(&[], None);
     config["name"] = json!("a");
-    let _node = Running::start(Some(config), Some(json!({"fleet": fleet})));
+    let _node = RunningDaemon::start(Some(config), Some(json!({"fleet": fleet})));
     let session = |replicas: &Replicas| {
         within(LIMIT, "it is a member", || {
             let members = replicas.fleet_until(&["members"]);
--- a/crates/pebblepost/tests/fleet.rs
+++ b/crates/pebblepost/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::replicas::{LIMIT, Replicas};
-use common::{Running, Wire, header, lines, platform, post, within, worker};
+use common::{RunningDaemon, Wire, header, lines, platform, post, within, worker};
 use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,15 +12,15 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-fn dispatcher(name: &str, workers: &[SocketAddr], fleet: Value) -> Running {
+fn dispatcher(name: &str, workers: &[SocketAddr], fleet: Value) -> RunningDaemon {
     let mut config = platform(workers, None);
     config["name"] = json!(name);
-    Running::start(Some(config), Some(json!({"health": {"listen": "127.0.0.1:0"}, "fleet": fleet})))
+    RunningDaemon::start(Some(config), Some(json!({"health": {"listen": "127.0.0.1:0"}, "fleet": fleet})))
 }
 
-fn serves(node: &Running) -> bool {
+fn serves(node: &RunningDaemon) -> bool {
     let mut wire = node.connect(ListenerKind::Platform);
-    wire.say(&post("t", "", ""));
+    wire.send(&post("t", "", ""));
     wire.message().1 == "text"
 }
 
@@ -31,15 +31,15 @@
     })
 }
 
-fn here(node: &Running, line: Value) -> Value {
+fn here(node: &RunningDaemon, line: Value) -> Value {
     let mut wire = Wire::new(TcpStream::connect(node.control.expect("set")).expect("a listener"));
-    wire.say(&format!("{line}\n"));
+    wire.send(&format!("{line}\n"));
     serde_json::from_str(&wire.line()).expect("JSON")
 }
 
-fn health(node: &Running) -> String {
+fn health(node: &RunningDaemon) -> String {
     let mut wire = node.connect(ListenerKind::Health);
-    wire.say("GET /health HTTP/1.1\r\nHost: h\r\n\r\n");
+    wire.send("GET /health HTTP/1.1\r\nHost: h\r\n\r\n");
     wire.message().1
 }
 
--- a/crates/pebblepost/tests/listeners.rs
+++ b/crates/pebblepost/tests/listeners.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Running, header, lines, platform, post, worker};
+use common::{RunningDaemon, header, lines, platform, post, worker};
 use pebblepost::net::ListenerKind;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
@@ -14,14 +14,14 @@
 const LISTENERS: [ListenerKind; 4] =
     [ListenerKind::Platform, ListenerKind::Faktory, ListenerKind::AgentCheck, ListenerKind::Health];
 
-fn start() -> Running {
+fn start() -> RunningDaemon {
     let serves = worker(|wire, head| {
         let id = header(head, "x-txn");
         lines(wire, &[json!({"id": id, "state": "done", "result": "text"})]);
     });
     let listen = json!({"listen": "127.0.0.1:0"});
     let operator = json!({"faktory": listen, "agent_check": listen, "health": listen, "fleet": {"control": "127.0.0.1:0"}});
-    Running::start(Some(platform(&[serves], None)), Some(operator))
+    RunningDaemon::start(Some(platform(&[serves], None)), Some(operator))
 }
 
 fn runner(cases: u32) -> TestRunner {
@@ -55,7 +55,7 @@
     });
     ran.expect("no failure");
     let mut wire = daemon.connect(ListenerKind::Platform);
-    wire.say(&post("t", "", ""));
+    wire.send(&post("t", "", ""));
     assert_eq!(wire.message().1, "text");
 }
 
--- a/crates/pebblepost/tests/platform.rs
+++ b/crates/pebblepost/tests/platform.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Running, Wire, header, lines, platform, post, worker};
+use common::{RunningDaemon, Wire, header, lines, platform, post, worker};
 use pebblepost::front::platform::tenant;
 use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
@@ -20,9 +20,9 @@
     );
 }
 
-fn ask(daemon: &Running, request: &str) -> (Vec<String>, String) {
+fn ask(daemon: &RunningDaemon, request: &str) -> (Vec<String>, String) {
     let mut wire = daemon.connect(ListenerKind::Platform);
-    wire.say(request);
+    wire.send(request);
     wire.message()
 }
 
@@ -34,14 +34,14 @@
         seen.lock().expect("no panic").push(head.to_vec());
         serves(wire, head);
     });
-    let daemon = Running::start(Some(platform(&[good], None)), None);
+    let daemon = RunningDaemon::start(Some(platform(&[good], None)), None);
     let mut wire = daemon.connect(ListenerKind::Platform);
-    wire.say("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
+    wire.send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_eq!(wire.message().0[0], "HTTP/1.1 200 OK");
     // Three sent ahead, one in chunks: each waits for the one before.
     let chunked = post("t3", "", "")
         .replace("Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
-    wire.say(&format!("{}{}{chunked}", post("t1", "", "one"), post("t2", "", "two")));
+    wire.send(&format!("{}{}{chunked}", post("t1", "", "one"), post("t2", "", "two")));
     for _ in 0..3 {
         let (head, body) = wire.message();
         assert_eq!((head[0].as_str(), body.as_str()), ("HTTP/1.1 200 OK", "text"));
@@ -60,7 +60,7 @@
 #[test]
 fn bad_input_gets_its_status() {
     let good = worker(serves);
-    let daemon = Running::start(Some(platform(&[good], None)), None);
+    let daemon = RunningDaemon::start(Some(platform(&[good], None)), None);
     let job = post("t", "", "");
     let cases = [
         (job.replace("POST", "GET"), 405, false),
@@ -80,7 +80,7 @@
     ];
     for (request, status, closes) in cases {
         let mut wire = daemon.connect(ListenerKind::Platform);
-        wire.say(&request);
+        wire.send(&request);
         let (head, _) = wire.message();
         assert!(
             head[0].starts_with(&format!("HTTP/1.1 {status} ")),
@@ -90,7 +90,7 @@
         if closes {
             assert!(wire.ends());
         } else {
-            wire.say(&post("t", "", ""));
+            wire.send(&post("t", "", ""));
             assert_eq!(wire.message().1, "text", "the connection goes on after {status}");
         }
     }
@@ -98,20 +98,20 @@
 
 #[test]
 fn silent_and_endless_clients_are_let_go_and_kept_ones_stay() {
-    let daemon = Running::start(Some(platform(&[worker(serves)], None)), None);
+    let daemon = RunningDaemon::start(Some(platform(&[worker(serves)], None)), None);
     let mut kept = daemon.connect(ListenerKind::Platform);
-    kept.say(&post("t1", "", ""));
+    kept.send(&post("t1", "", ""));
     assert_eq!(kept.message().1, "text");
     let (start, mut silent, mut endless) =
         (Instant::now(), daemon.connect(ListenerKind::Platform), daemon.connect(ListenerKind::Platform));
-    endless.say("POST /api HTTP/1.1\r\n");
+    endless.send("POST /api HTTP/1.1\r\n");
     for n in 0..4 {
         std::thread::sleep(Duration::from_millis(500));
-        endless.say(&format!("X-{n}: more\r\n"));
+        endless.send(&format!("X-{n}: more\r\n"));
     }
     assert!(endless.line().starts_with("HTTP/1.1 408 "));
     assert!(silent.ends() && start.elapsed() < Duration::from_secs(3));
-    kept.say(&post("t2", "", ""));
+    kept.send(&post("t2", "", ""));
     assert_eq!(kept.message().1, "text");
 }
 
@@ -120,7 +120,7 @@
     // A port that nobody listens at any more: the connection is refused, so nothing can have run.
     let closed =
         TcpListener::bind("127.78.1.2:0").and_then(|listener| listener.local_addr()).expect("a free port");
-    let daemon = Running::start(Some(platform(&[closed], None)), None);
+    let daemon = RunningDaemon::start(Some(platform(&[closed], None)), None);
     let start = Instant::now();
     let (head, _) = ask(&daemon, &post("t", "", ""));
     assert_eq!(head[0], "HTTP/1.1 503 Service Unavailable");
@@ -137,7 +137,7 @@
         seen.fetch_add(1, Ordering::SeqCst);
         job(wire, head);
     });
-    let daemon = Running::start(Some(platform(&[counted], None)), None);
+    let daemon = RunningDaemon::start(Some(platform(&[counted], None)), None);
     let (head, _) = ask(&daemon, &post("t", "", ""));
     (count.load(Ordering::SeqCst), head[0].clone())
 }
@@ -154,37 +154,37 @@
         ("done with no result", attempts(sends_line(json!({"id": "t", "state": "done"})))),
         ("another one's line", attempts(sends_line(json!({"id": "u", "state": "done", "result": "text"})))),
         ("no id", attempts(sends_line(json!({"state": "done", "result": "text"})))),
-        ("an endless head", attempts(|wire, _| while wire.try_say("X-More: of it\r\n") {})),
+        ("an endless head", attempts(|wire, _| while wire.try_send("X-More: of it\r\n") {})),
         (
             "an endless line",
             attempts(|wire, _| {
-                wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                while wire.try_say(&format!("1000\r\n{}\r\n", "x".repeat(0x1000))) {}
+                wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                while wire.try_send(&format!("1000\r\n{}\r\n", "x".repeat(0x1000))) {}
             }),
         ),
         (
             "endless empty lines",
             attempts(|wire, _| {
-                wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                while wire.try_say("1\r\n\n\r\n") {
+                wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                while wire.try_send("1\r\n\n\r\n") {
                     std::thread::sleep(Duration::from_millis(1));
                 }
             }),
         ),
         (
             "a wrong chunk",
-            attempts(|wire, _| wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nno\r\n")),
+            attempts(|wire, _| wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nno\r\n")),
         ),
-        ("500", attempts(|wire, _| wire.say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))),
-        ("garbage", attempts(|wire, _| wire.say("\u{1}\u{2}garbage\r\n\r\n"))),
+        ("500", attempts(|wire, _| wire.send("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))),
+        ("garbage", attempts(|wire, _| wire.send("\u{1}\u{2}garbage\r\n\r\n"))),
         (
             "an end with no last line",
-            attempts(|wire, _| wire.say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")),
+            attempts(|wire, _| wire.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")),
         ),
         (
             "turned away",
             attempts(|wire, _| {
-                wire.say("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
+                wire.send("HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n");
             }),
         ),
     ] {
@@ -201,7 +201,7 @@
         let mut config = platform(&workers, None);
         let hosts = config.pointer_mut("/known/hosts").and_then(Value::as_array_mut).expect("a list");
         hosts.rotate_left(turn);
-        let daemon = Running::start(Some(config), None);
+        let daemon = RunningDaemon::start(Some(config), None);
         let about = |key: u32| ask(&daemon, &post("t", &format!("Cookie: a=b; k={key}\r\n"), "")).1;
         (0..12).map(|half| about(half / 2)).collect::<Vec<_>>()
     };
@@ -218,9 +218,9 @@
         assert!(wire.line().is_empty());
         events.send("was closed").expect("a listener");
     });
-    let daemon = Running::start(Some(platform(&[waits], None)), None);
+    let daemon = RunningDaemon::start(Some(platform(&[waits], None)), None);
     let mut wire = daemon.connect(ListenerKind::Platform);
-    wire.say(&post("t", "", ""));
+    wire.send(&post("t", "", ""));
     let limit = Duration::from_secs(5);
     assert_eq!(observed.recv_timeout(limit), Ok("has it"));
     wire.close();
@@ -233,17 +233,17 @@
         std::thread::sleep(Duration::from_millis(900));
         serves(wire, head);
     });
-    let mut daemon = Running::start(Some(platform(&[slow], None)), None);
+    let mut daemon = RunningDaemon::start(Some(platform(&[slow], None)), None);
     let mut idle = daemon.connect(ListenerKind::Platform);
-    idle.say("GET /ready HTTP/1.1\r\n\r\n");
+    idle.send("GET /ready HTTP/1.1\r\n\r\n");
     assert_eq!(idle.message().0[0], "HTTP/1.1 200 OK");
     daemon.stop();
     common::within(Duration::from_millis(400), "not ready after the signal", || {
-        idle.say("GET /ready HTTP/1.1\r\n\r\n");
+        idle.send("GET /ready HTTP/1.1\r\n\r\n");
         idle.message().0[0].starts_with("HTTP/1.1 503").then_some(())
     });
     let mut late = daemon.connect(ListenerKind::Platform);
-    late.say(&post("t", "", ""));
+    late.send(&post("t", "", ""));
     let (head, body) = late.message();
     assert_eq!((head[0].as_str(), body.as_str()), ("HTTP/1.1 200 OK", "text"));
     assert_eq!(header(&head, "connection").as_deref(), Some("close"));
@@ -268,10 +268,10 @@
 #[test]
 fn a_watch_tells_of_drains_and_garbage_ends_only_the_watch() {
     let (old, new) =
-        (worker(|wire, _| wire.say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), worker(serves));
+        (worker(|wire, _| wire.send("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), worker(serves));
     let list = discovery(move |wire, n| {
-        let chunk = |wire: &mut Wire, text: &str| wire.say(&format!("{:x}\r\n{text}\r\n", text.len()));
-        wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        let chunk = |wire: &mut Wire, text: &str| wire.send(&format!("{:x}\r\n{text}\r\n", text.len()));
+        wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         if n == 0 {
             return chunk(wire, "{\"seq\":\"garbage\"}\n");
         }
@@ -280,7 +280,7 @@
         chunk(wire, &format!("{}\n", json!({"seq": 2, "whole": false, "hosts": hosts})));
         std::thread::sleep(Duration::from_secs(20));
     });
-    let daemon = Running::start(Some(platform(&[old], Some(list))), None);
+    let daemon = RunningDaemon::start(Some(platform(&[old], Some(list))), None);
     common::within(Duration::from_secs(10), "the new worker serves", || {
         (ask(&daemon, &post("t", "", "")).1 == "text").then_some(())
     });
@@ -293,12 +293,12 @@
 fn a_watch_that_falls_silent_is_taken_up_again() {
     let (events, observed) = std::sync::mpsc::channel();
     let silent = discovery(move |wire, n| {
-        wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+        wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
         events.send((n, Instant::now())).expect("a listener");
         // The daemon gives it up; nothing on the wire says that the watch has ended.
         assert!(wire.line().is_empty());
     });
-    let _daemon = Running::start(Some(platform(&[worker(serves)], Some(silent))), None);
+    let _daemon = RunningDaemon::start(Some(platform(&[worker(serves)], Some(silent))), None);
     let (limit, (_, first)) = (Duration::from_secs(8), observed.recv().expect("a watch"));
     let (n, second) = observed.recv_timeout(limit).expect("another watch");
     assert_eq!(n, 1);
@@ -316,8 +316,8 @@
             let line = format!("{}\n", json!({"seq": 7, "whole": true, "hosts": [host]}));
             // Told first: what the line sets off must not overtake it.
             events.send((name, "watched")).expect("a listener");
-            wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            wire.say(&format!("{:x}\r\n{line}\r\n", line.len()));
+            wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            wire.send(&format!("{:x}\r\n{line}\r\n", line.len()));
             assert!(wire.line().is_empty());
             let _ = events.send((name, "left"));
         })
@@ -330,7 +330,7 @@
     };
     let (one, two) = (says("one"), says("two"));
     let (old, new) = (watched("old", one), watched("new", two));
-    let mut daemon = Running::start(Some(platform(&[one], Some(old))), None);
+    let mut daemon = RunningDaemon::start(Some(platform(&[one], Some(old))), None);
     let limit = Duration::from_secs(5);
     assert_eq!(observed.recv_timeout(limit), Ok(("old", "watched")));
     assert_eq!(ask(&daemon, &post("t1", "", "")).1, "one");
@@ -359,7 +359,7 @@
             assert!(wire.line().is_empty());
             events.send("given up").expect("a listener");
         });
-        let daemon = Running::start(Some(platform(&[waits], None)), None);
+        let daemon = RunningDaemon::start(Some(platform(&[waits], None)), None);
         let mut flood =
             std::net::TcpStream::connect(daemon.address(ListenerKind::Platform)).expect("a listener");
         flood.set_write_timeout(Some(Duration::from_millis(300))).expect("a sound time-out");
@@ -379,11 +379,11 @@
 #[test]
 fn load_balancers_get_the_actual_state() {
     let operator = json!({"agent_check": {"listen": "127.0.0.1:0"}, "health": {"listen": "127.0.0.1:0"}});
-    let mut daemon = Running::start(Some(platform(&[worker(serves)], None)), Some(operator.clone()));
-    let agent = |daemon: &Running| daemon.connect(ListenerKind::AgentCheck).line();
-    let health = |daemon: &Running, path: &str| {
+    let mut daemon = RunningDaemon::start(Some(platform(&[worker(serves)], None)), Some(operator.clone()));
+    let agent = |daemon: &RunningDaemon| daemon.connect(ListenerKind::AgentCheck).line();
+    let health = |daemon: &RunningDaemon, path: &str| {
         let mut wire = daemon.connect(ListenerKind::Health);
-        wire.say(&format!("GET {path} HTTP/1.0\r\n\r\n"));
+        wire.send(&format!("GET {path} HTTP/1.0\r\n\r\n"));
         wire.message().0[0][9..12].to_owned()
     };
     assert!(agent(&daemon).starts_with("up ready "));
@@ -391,19 +391,19 @@
     daemon.stop();
     common::within(Duration::from_millis(400), "drains", || (agent(&daemon) == "drain").then_some(()));
     assert_eq!(health(&daemon, "/ready"), "503");
-    let empty = Running::start(Some(platform(&[], None)), Some(operator));
+    let empty = RunningDaemon::start(Some(platform(&[], None)), Some(operator));
     assert_eq!(agent(&empty), "maint");
     assert_eq!(health(&empty, "/ready"), "503");
 }
 
 #[test]
 fn more_clients_than_descriptors_are_served_in_turn() {
-    let daemon = Running::start(Some(platform(&[worker(serves)], None)), None);
+    let daemon = RunningDaemon::start(Some(platform(&[worker(serves)], None)), None);
     // The limit of 256 leaves 140 for clients; idle ones make room for those that come.
     let mut held: Vec<Wire> = Vec::new();
     for i in 0..200 {
         let mut wire = daemon.connect(ListenerKind::Platform);
-        wire.say(&post(&format!("t{i}"), "", ""));
+        wire.send(&post(&format!("t{i}"), "", ""));
         assert_eq!(wire.message().1, "text");
         held.push(wire);
     }
@@ -518,17 +518,17 @@
             let id = header(head, "x-txn").expect("an id");
             if let Some(code) = id.strip_prefix("bad-") {
                 count.fetch_add(1, Ordering::Relaxed);
-                return wire.say(&format!("HTTP/1.1 {code} No\r\nContent-Length: 0\r\n\r\n"));
+                return wire.send(&format!("HTTP/1.1 {code} No\r\nContent-Length: 0\r\n\r\n"));
             }
             lines(wire, &[json!({"id": id, "state": "done", "result": name})]);
         })
     };
     let mut config = platform(&[named("one"), named("two")], None);
     config["settings"]["invariants"]["fall"] = json!(5e9); // How long whoever is blamed would be out.
-    let daemon = Running::start(Some(config), None);
+    let daemon = RunningDaemon::start(Some(config), None);
     let answer = |id: &str| {
         let mut wire = daemon.connect(ListenerKind::Platform);
-        wire.say(&post(id, "Cookie: k=77\r\n", "")); // Jobs of one key go to one worker.
+        wire.send(&post(id, "Cookie: k=77\r\n", "")); // Jobs of one key go to one worker.
         let (head, body) = wire.message();
         (head.first().cloned().unwrap_or_default(), body)
     };
--- a/crates/pebblepost/tests/races.rs
+++ b/crates/pebblepost/tests/races.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{Running, Wire, header, lines, platform, post, within, worker};
+use common::{RunningDaemon, Wire, header, lines, platform, post, within, worker};
 use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -21,7 +21,7 @@
 }
 
 fn ask(wire: &mut Wire, txn: &str) -> (String, String) {
-    wire.say(&post(txn, "", ""));
+    wire.send(&post(txn, "", ""));
     let (head, body) = wire.message();
     (head.first().cloned().unwrap_or_default(), body)
 }
@@ -60,16 +60,16 @@
         let (address, probes, jobs) = held_worker();
         let mut config = platform(&[address], None);
         config["settings"]["tick"] = json!(100_000_000); // A probe is waited for longer than the loop is held.
-        let mut daemon = Running::start(Some(config), None);
+        let mut daemon = RunningDaemon::start(Some(config), None);
         let mut client = daemon.connect(ListenerKind::Platform);
-        client.say(&post("t", "", ""));
+        client.send(&post("t", "", ""));
         let mut probe = probes.recv_timeout(LIMIT).expect("a probe");
         daemon.hold(|_| {
             if close_first {
                 client.close();
-                probe.say(&report(""));
+                probe.send(&report(""));
             } else {
-                probe.say(&report(""));
+                probe.send(&report(""));
                 client.close();
             }
         });
@@ -104,7 +104,7 @@
         assert!(probe.message().0[0].starts_with("GET "));
         // Its backlog holds one; whoever comes after that waits for its SYN to be sent again.
         let filler = TcpStream::connect(address).expect("room for one");
-        probe.say(&report("Connection: close\r\n"));
+        probe.send(&report("Connection: close\r\n"));
         Self { listener, filler, probe }
     }
 
@@ -149,10 +149,10 @@
         let Some(Ok(stream)) = listener.incoming().next() else { return };
         let mut wire = Wire::new(stream);
         wire.message();
-        wire.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+        wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
         loop {
             let text = said.recv_timeout(Duration::from_secs(1)).unwrap_or_else(|_| "\n".to_owned());
-            if !wire.try_say(&format!("{:x}\r\n{text}\r\n", text.len())) {
+            if !wire.try_send(&format!("{:x}\r\n{text}\r\n", text.len())) {
                 return;
             }
         }
@@ -165,16 +165,16 @@
 fn a_worker_that_drains_while_its_connection_comes_up_gets_nothing() {
     let (listener, address) = Late::listen();
     let (discovery, say) = discovery_that_sends();
-    let daemon = Running::start(Some(patient(&[address], Some(discovery))), None);
+    let daemon = RunningDaemon::start(Some(patient(&[address], Some(discovery))), None);
     let mut client = daemon.connect(ListenerKind::Platform);
-    client.say(&post("t", "", "").replace("X-Remaining-Ms: 2000", "X-Remaining-Ms: 4000"));
+    client.send(&post("t", "", "").replace("X-Remaining-Ms: 2000", "X-Remaining-Ms: 4000"));
     let late = Late::after_the_probe(listener, address);
     let host = json!({"host": "s-0", "dial": address, "site": "a", "class": "m", "block": 0, "health": "draining", "born_ms": 0});
     say.send(format!("{}\n", json!({"seq": 2, "whole": false, "hosts": [host]}))).expect("a watch");
     // It has been taken in once there is no worker any more.
     let mut balancer = daemon.connect(ListenerKind::Platform);
     within(LIMIT, "the drain is told", || {
-        balancer.say("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
+        balancer.send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
         balancer.message().0[0].contains(" 503 ").then_some(())
     });
     let (up, job) = late.let_up();
@@ -187,10 +187,10 @@
 #[test]
 fn time_left_is_that_at_the_first_byte() {
     let (listener, address) = Late::listen();
-    let daemon = Running::start(Some(patient(&[address], None)), None);
+    let daemon = RunningDaemon::start(Some(patient(&[address], None)), None);
     let mut client = daemon.connect(ListenerKind::Platform);
     let start = Instant::now();
-    client.say(&post("t", "", "").replace("X-Remaining-Ms: 2000", "X-Remaining-Ms: 4000"));
+    client.send(&post("t", "", "").replace("X-Remaining-Ms: 2000", "X-Remaining-Ms: 4000"));
     let late = Late::after_the_probe(listener, address);
     std::thread::sleep(Duration::from_millis(300)); // So late at least; the SYN is sent again after a second.
     let head = late.let_up().1.expect("the job");
@@ -206,7 +206,7 @@
         Some("t1") => serves(wire, head),
         _ => lines(wire, &[json!({"id": "t1", "state": "done", "result": "for t1"})]),
     });
-    let daemon = Running::start(Some(platform(&[bad], None)), None);
+    let daemon = RunningDaemon::start(Some(platform(&[bad], None)), None);
     let mut client = daemon.connect(ListenerKind::Platform);
     assert_eq!(ask(&mut client, "t1").1, "for t1");
     let (status, body) = ask(&mut client, "t2");
@@ -221,13 +221,13 @@
         serves(wire, head);
         let _ = events.send(wire.peer());
     });
-    let mut daemon = Running::start(Some(platform(&[twice], None)), None);
+    let mut daemon = RunningDaemon::start(Some(platform(&[twice], None)), None);
     let mut client = daemon.connect(ListenerKind::Platform);
     for n in 0..10 {
         assert_eq!(ask(&mut client, &format!("t{n}")).1, format!("for t{n}"));
         let mut link: TcpStream = observed.recv_timeout(LIMIT).expect("a job");
         daemon.hold(|_| {
-            client.say(&post(&format!("u{n}"), "", ""));
+            client.send(&post(&format!("u{n}"), "", ""));
             let late = format!("{}\n", json!({"id": format!("u{n}"), "state": "done", "result": "stray"}));
             let late = format!(
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{late}\r\n0\r\n\r\n",
@@ -247,12 +247,12 @@
     let bad = worker(|wire, head| {
         let id = header(head, "x-txn").expect("an id");
         let line = format!("{}\n", json!({"id": id, "state": "done", "result": format!("for {id}")}));
-        wire.say(&format!(
+        wire.send(&format!(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{line}\r\nno chunk\r\n",
             line.len()
         ));
     });
-    let daemon = Running::start(Some(platform(&[bad], None)), None);
+    let daemon = RunningDaemon::start(Some(platform(&[bad], None)), None);
     let mut client = daemon.connect(ListenerKind::Platform);
     for txn in ["t", "u", "v"] {
         assert_eq!(ask(&mut client, txn).1, format!("for {txn}"));
@@ -267,13 +267,13 @@
         serves(wire, head);
         let _ = events.send(wire.peer());
     });
-    let mut daemon = Running::start(Some(platform(&[closes], None)), None);
+    let mut daemon = RunningDaemon::start(Some(platform(&[closes], None)), None);
     let mut client = daemon.connect(ListenerKind::Platform);
     for n in 0..5 {
         assert_eq!(ask(&mut client, &format!("t{n}")).1, format!("for t{n}"));
         let link: TcpStream = observed.recv_timeout(LIMIT).expect("a job");
         daemon.hold(|_| {
-            client.say(&post(&format!("u{n}"), "", ""));
+            client.send(&post(&format!("u{n}"), "", ""));
             link.shutdown(std::net::Shutdown::Both).expect("an open link");
         });
         assert_eq!(client.message().1, format!("for u{n}"));
@@ -286,7 +286,7 @@
 fn floods_leave_the_usual_clients_served() {
     let mut config = platform(&[worker(serves)], None);
     config["limits"]["sockets"] = json!(128);
-    let daemon = Running::start(Some(config), None);
+    let daemon = RunningDaemon::start(Some(config), None);
     let address = daemon.address(ListenerKind::Platform);
     let floods: Vec<_> = (0..4)
         .map(|kind| {
@@ -313,7 +313,7 @@
         let start = Instant::now();
         loop {
             let mut client = daemon.connect(ListenerKind::Platform);
-            client.say(&post(&format!("t{n}"), "", ""));
+            client.send(&post(&format!("t{n}"), "", ""));
             let (head, body) = client.message();
             match head.first() {
                 None => shut += 1,
@@ -343,12 +343,12 @@
     // The other takes the connection and says nothing.
     let other = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (old, new) =
-        (worker(|wire, _| wire.say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), worker(serves));
+        (worker(|wire, _| wire.send("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), worker(serves));
     let config = platform(&[old], Some(first));
-    let mut daemon = Running::start(Some(config.clone()), None);
+    let mut daemon = RunningDaemon::start(Some(config.clone()), None);
     let mut balancer = daemon.connect(ListenerKind::Platform);
     within(LIMIT, "the watch is confirmed", || {
-        balancer.say("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
+        balancer.send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
         balancer.message().0[0].contains(" 200 ").then_some(())
     });
     let mut moved = config.clone();
@@ -369,7 +369,7 @@
 fn a_resting_client_whose_request_lies_unread_is_not_the_one_to_close() {
     let mut config = platform(&[worker(serves)], None);
     config["limits"]["sockets"] = json!(48);
-    let mut daemon = Running::start(Some(config), None);
+    let mut daemon = RunningDaemon::start(Some(config), None);
     let mut resting: Vec<Wire> = (0..6).map(|_| daemon.connect(ListenerKind::Platform)).collect();
     for (n, wire) in resting.iter_mut().enumerate() {
         assert_eq!(ask(wire, &format!("t{n}")).1, format!("for t{n}"));
@@ -377,7 +377,7 @@
     let mut newcomers = Vec::new();
     daemon.hold(|daemon| {
         newcomers.extend((0..4).map(|_| daemon.connect(ListenerKind::Platform)));
-        resting.iter_mut().take(3).for_each(|wire| wire.say(&post("u", "", "")));
+        resting.iter_mut().take(3).for_each(|wire| wire.send(&post("u", "", "")));
     });
     for wire in resting.iter_mut().take(3) {
         assert_eq!(wire.message().1, "for u");
@@ -387,14 +387,14 @@
 /// The end of the listener finds newcomers in its backlog whose requests are there: each has its answer.
 #[test]
 fn requests_in_the_backlog_are_answered_when_the_listener_ends() {
-    let mut daemon = Running::start(Some(platform(&[worker(serves)], None)), None);
+    let mut daemon = RunningDaemon::start(Some(platform(&[worker(serves)], None)), None);
     assert_eq!(ask(&mut daemon.connect(ListenerKind::Platform), "t").1, "for t");
     daemon.stop();
     let mut late = Vec::new();
     daemon.hold(|daemon| {
         // More than one turn takes.
         late.extend((0..100).map(|_| daemon.connect(ListenerKind::Platform)));
-        late.iter_mut().enumerate().for_each(|(n, wire)| wire.say(&post(&format!("t{n}"), "", "")));
+        late.iter_mut().enumerate().for_each(|(n, wire)| wire.send(&post(&format!("t{n}"), "", "")));
         std::thread::sleep(Duration::from_millis(600)); // The time of the last calls passes meanwhile.
     });
     for (n, wire) in late.iter_mut().enumerate() {
@@ -407,13 +407,13 @@
 /// After SIGTERM a request on a resting connection comes in the turn in which resting ones are closed.
 #[test]
 fn a_request_that_meets_the_close_after_sigterm_is_answered() {
-    let mut daemon = Running::start(Some(platform(&[worker(serves)], None)), None);
+    let mut daemon = RunningDaemon::start(Some(platform(&[worker(serves)], None)), None);
     let mut client = daemon.connect(ListenerKind::Platform);
     assert_eq!(ask(&mut client, "t").1, "for t");
     daemon.stop();
     daemon.hold(|_| {
         std::thread::sleep(Duration::from_millis(600));
-        client.say(&post("u", "", ""));
+        client.send(&post("u", "", ""));
     });
     assert_eq!(client.message().1, "for u");
     drop(client);
@@ -428,7 +428,7 @@
     drop(place);
     let mut config = platform(&[worker(serves)], Some(address));
     config["limits"]["sockets"] = json!(64);
-    let daemon = Running::start(Some(config), None);
+    let daemon = RunningDaemon::start(Some(config), None);
     // Those beyond what is taken wait in the backlog, or have one that rested longer closed.
     let _idle: Vec<Wire> = (0..100).map(|_| daemon.connect(ListenerKind::Platform)).collect();
     std::thread::sleep(Duration::from_millis(100));
@@ -441,7 +441,7 @@
     });
     let mut watch = called.recv_timeout(Duration::from_secs(2)).expect("a call");
     assert!(watch.message().0[0].starts_with("GET /v1/endpoints?watch=1"));
-    watch.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+    watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
     let mut client = daemon.connect(ListenerKind::Platform);
     assert_eq!(ask(&mut client, "t").1, "for t");
 }
--- a/crates/pebblepost/tests/release.rs
+++ b/crates/pebblepost/tests/release.rs
@@ -4,7 +4,9 @@
 mod common;
 
 use common::replicas::{LIMIT, Replicas};
-use common::{CHUNKED_HEAD, LAST_CHUNK, Running, Wire, chunk, header, lines, platform, post, within, worker};
+use common::{
+    CHUNKED_HEAD, LAST_CHUNK, RunningDaemon, Wire, chunk, header, lines, platform, post, within, worker,
+};
 use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener};
@@ -14,17 +16,17 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-fn dispatcher(name: &str, zone: &str, version: &str, replicas: &Replicas) -> Running {
+fn dispatcher(name: &str, zone: &str, version: &str, replicas: &Replicas) -> RunningDaemon {
     let one = worker(|_, _| {});
     let mut config = platform(&[one], None);
     config["name"] = json!(name);
     let fleet = json!({"keepers": replicas.addresses_json(), "zone": zone, "version": version});
-    Running::start(Some(config), Some(json!({"fleet": fleet})))
+    RunningDaemon::start(Some(config), Some(json!({"fleet": fleet})))
 }
 
 /// A worker that serves, unless it is to be dead.
 fn serves(dead: Arc<AtomicBool>) -> SocketAddr {
-    common::mortal(
+    common::worker_while(
         move || !dead.load(Ordering::Relaxed),
         |wire, head| {
             let id = header(head, "x-txn");
@@ -46,11 +48,11 @@
                     return;
                 }
                 let list = format!("{}\n", json!({"seq": 2, "whole": true, "hosts": hosts}));
-                wire.say(&format!(
+                wire.send(&format!(
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\r\n",
                     list.len()
                 ));
-                while wire.try_say("1\r\n\n\r\n") {
+                while wire.try_send("1\r\n\n\r\n") {
                     std::thread::sleep(Duration::from_millis(500));
                 }
             });
@@ -59,7 +61,7 @@
     address
 }
 
-fn ends(node: &mut Running) {
+fn ends(node: &mut RunningDaemon) {
     within(LIMIT, "it ends itself", || node.has_ended().then_some(()));
 }
 
@@ -140,14 +142,14 @@
         worker(move |wire, head| {
             asked.fetch_add(1, Ordering::Relaxed);
             // It has started: one that has not is sent again after 225 ms, while its worker may still be sent to.
-            wire.say(CHUNKED_HEAD);
+            wire.send(CHUNKED_HEAD);
             chunk(wire, &format!("{}\n", json!({"id": header(head, "x-txn"), "state": "started"})));
             within(LIMIT, "the job may end", || go.load(Ordering::Relaxed).then_some(()));
             chunk(
                 wire,
                 &format!("{}\n", json!({"id": header(head, "x-txn"), "state": "done", "result": "text"})),
             );
-            wire.say(LAST_CHUNK);
+            wire.send(LAST_CHUNK);
         })
     };
     let named = replicas.addresses_json();
@@ -155,7 +157,7 @@
         let mut config = platform(&[slow], None);
         config["name"] = json!(name);
         let fleet = json!({"keepers": named, "zone": "x", "version": "1", "copy": copy});
-        Running::start(Some(config), Some(json!({"fleet": fleet})))
+        RunningDaemon::start(Some(config), Some(json!({"fleet": fleet})))
     };
     let (first, second) = (with("a", None), with("b", None));
     within(LIMIT, "both are members", || {
@@ -163,7 +165,7 @@
     });
     // A job of a long time runs there when the worker's permit is granted.
     let mut wire = first.connect(ListenerKind::Platform);
-    wire.say(&post("t", "", "").replace("X-Remaining-Ms: 2000", "X-Remaining-Ms: 60000"));
+    wire.send(&post("t", "", "").replace("X-Remaining-Ms: 2000", "X-Remaining-Ms: 60000"));
     within(LIMIT, "it runs", || (asked.load(Ordering::Relaxed) == 1).then_some(()));
     replicas.fleet_until(&["budget", "worker", "--most", "1"]);
     replicas.fleet_until(&["permit", "ask", "worker/s-0", "--why", "new fans"]);
@@ -215,9 +217,9 @@
         let mut config = platform(&at, Some(discovery_of(json!([host(0), host(1)]))));
         config["name"] = json!(name);
         let fleet = json!({"keepers": replicas.addresses_json(), "zone": "x", "version": "1"});
-        Running::start(Some(config), Some(json!({"fleet": fleet})))
+        RunningDaemon::start(Some(config), Some(json!({"fleet": fleet})))
     };
-    let nodes: Vec<Running> = ["a", "b", "c"].map(with).into_iter().collect();
+    let nodes: Vec<RunningDaemon> = ["a", "b", "c"].map(with).into_iter().collect();
     // Jobs keep the probes going: a worker that nobody has to do with is not seen.
     let (over, asked) = (Arc::new(AtomicBool::new(false)), AtomicUsize::new(0));
     std::thread::scope(|scope| {
@@ -226,7 +228,7 @@
             scope.spawn(move || {
                 while !over.load(Ordering::Relaxed) {
                     let mut wire = node.connect(ListenerKind::Platform);
-                    wire.say(&post(&format!("t{}", asked.fetch_add(1, Ordering::Relaxed)), "", ""));
+                    wire.send(&post(&format!("t{}", asked.fetch_add(1, Ordering::Relaxed)), "", ""));
                     wire.message();
                     std::thread::sleep(Duration::from_millis(50));
                 }
