--- /dev/null
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -0,0 +1,305 @@
+//! What must stay the same from one version to the next: seeded draws (by a digest of numbers, text and order, free of the
+//! names of Rust items), the simulated worker's decisions, JSON keys and command line options. The approved values were
+//! written by the version before the code was renamed.
+
+use pebblepost_harness::checker::{Broken, Rule};
+use pebblepost_harness::fault::schedule::{Draw, Schedule};
+use pebblepost_harness::machine::{Machine, Note, Taken};
+use pebblepost_harness::scenario::{Fault, Hints, Order, Plan, Scenario, Trouble, WorkerSpec};
+use pebblepost_harness::{cpu, fleet, release, room, store};
+use std::path::Path;
+use std::process::Command;
+
+/// FNV-1a, 64 bits.
+struct Digest(u64);
+
+impl Digest {
+    fn new() -> Self {
+        Self(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+
+    fn integer(&mut self, value: u64) {
+        self.bytes(&value.to_le_bytes());
+    }
+
+    fn float(&mut self, value: f64) {
+        self.integer(value.to_bits());
+    }
+
+    fn optional(&mut self, value: Option<f64>) {
+        self.integer(u64::from(value.is_some()));
+        self.float(value.unwrap_or(0.0));
+    }
+
+    fn text(&mut self, text: &str) {
+        self.integer(text.len() as u64);
+        self.bytes(text.as_bytes());
+    }
+}
+
+/// Compares with the approved text. `PEBBLEPOST_APPROVE=1` writes it anew.
+fn approved(name: &str, text: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/approved").join(name);
+    if std::env::var_os("PEBBLEPOST_APPROVE").is_some() {
+        std::fs::write(&path, text).expect("a folder that can be written");
+    }
+    let expected = std::fs::read_to_string(&path).expect("an approved text");
+    assert_eq!(text, expected, "{}", path.display());
+}
+
+fn digest_worker(digest: &mut Digest, worker: &WorkerSpec) {
+    digest.text(&worker.host);
+    digest.integer(worker.zone as u64);
+    digest.text(worker.kind);
+    digest.integer(u64::from(worker.cores));
+    digest.integer(u64::from(worker.slots));
+    digest.float(worker.speed);
+    digest.integer(worker.queue as u64);
+    digest.integer(u64::from(worker.order == Order::Backfill));
+    digest.float(worker.cold_from);
+    digest.float(worker.cold_s);
+    digest.integer(worker.keys as u64);
+    digest.float(worker.refresh_s);
+    digest.float(worker.delay_s);
+    digest.float(worker.noise);
+}
+
+fn digest_trouble(digest: &mut Digest, trouble: &Trouble) {
+    digest.float(trouble.at);
+    digest.integer(trouble.worker as u64);
+    let (kind, seconds, share) = match trouble.what {
+        Fault::Drain(seconds) => (0, seconds, 0.0),
+        Fault::Silent(seconds) => (1, seconds, 0.0),
+        Fault::Restart(seconds) => (2, seconds, 0.0),
+        Fault::Errors(seconds, share) => (3, seconds, share),
+    };
+    digest.integer(kind);
+    digest.float(seconds);
+    digest.float(share);
+}
+
+fn digest_plan(plan: &Plan) -> u64 {
+    let mut digest = Digest::new();
+    digest.integer(plan.seed);
+    digest.integer(u64::from(plan.order == Order::Backfill));
+    plan.workers.iter().for_each(|worker| digest_worker(&mut digest, worker));
+    for arrival in &plan.arrivals {
+        digest.float(arrival.at);
+        digest.integer(arrival.dispatcher as u64);
+        digest.float(arrival.work);
+        digest.integer(u64::from(arrival.slots));
+        digest.integer(u64::from(arrival.large));
+        digest.optional(arrival.hint);
+        digest.integer(arrival.key);
+        arrival.noise.iter().for_each(|noise| digest.float(*noise));
+        digest.integer(u64::from(arrival.retries));
+        digest.float(arrival.backoff);
+        digest.optional(arrival.leaves);
+    }
+    plan.troubles.iter().for_each(|trouble| digest_trouble(&mut digest, trouble));
+    digest.float(plan.store.0);
+    digest.float(plan.store.1);
+    digest.optional(plan.discovery_rate);
+    digest.0
+}
+
+#[test]
+fn drawn_plans_are_the_approved_ones() {
+    let scenarios = [
+        ("mixed", Scenario::mixed(30.0, 0.65)),
+        ("faults", Scenario { faults: 40.0, impatient: 0.3, workers: 23, ..Scenario::mixed(60.0, 0.9) }),
+        (
+            "hints",
+            Scenario {
+                hints: Hints { sent: true, factor: 3.0, share: 0.4 },
+                large_share: 0.4,
+                large_slots: [0.3, 0.4, 0.3],
+                order: Some(Order::Fifo),
+                discovery_rate: Some(4.0),
+                ..Scenario::mixed(20.0, 0.5)
+            },
+        ),
+        (
+            "no hints",
+            Scenario { hints: Hints { sent: false, ..Hints::default() }, ..Scenario::mixed(9.0, 0.3) },
+        ),
+    ];
+    let mut lines = String::new();
+    for (name, scenario) in &scenarios {
+        for seed in [1, 2, 77] {
+            let plan = Plan::draw(scenario, seed).expect("a valid scenario");
+            let (arrivals, troubles) = (plan.arrivals.len(), plan.troubles.len());
+            lines += &format!("{name} {seed}: {arrivals} {troubles} {:016x}\n", digest_plan(&plan));
+        }
+    }
+    approved("plans.txt", &lines);
+}
+
+#[test]
+fn scenarios_of_the_fleet_command_are_the_approved_ones() {
+    let mut lines = String::new();
+    for (name, scenario) in fleet::scenarios(fleet::Size { dispatchers: 20, workers: 15, seconds: 20.0 }) {
+        let plan = Plan::draw(&scenario, 5).expect("a valid scenario");
+        lines += &format!("{name}: {:?} {:016x}\n", scenario.herd, digest_plan(&plan));
+    }
+    approved("fleet-scenarios.txt", &lines);
+}
+
+#[test]
+fn drawn_schedules_are_the_approved_ones() {
+    let mut lines = String::new();
+    for seed in [1, 2, 3, 77] {
+        let draw = Draw { processes: 3, seconds: 300.0, every: 0.85, longest: 2.0 };
+        let text = serde_json::to_string(&Schedule::draw(draw, seed)).expect("plain data");
+        let mut digest = Digest::new();
+        digest.text(&text);
+        lines += &format!("{seed}: {} {:016x}\n", text.len(), digest.0);
+    }
+    let plan =
+        store::run::Plan { keepers: 5, desks: 4, seconds: 20.0, seed: 9, pause_ms: 20, dispatchers: 0 };
+    lines += &(serde_json::to_string(&store::run::schedule(&plan)).expect("plain data") + "\n");
+    approved("schedules.txt", &lines);
+}
+
+#[test]
+fn the_simulated_worker_does_the_approved_work() {
+    let mut lines = String::new();
+    for seed in [1, 2, 3] {
+        let plan = Plan::draw(&Scenario::mixed(600.0, 0.25), seed).expect("a valid scenario");
+        let (mut digest, mut notes, mut machine) =
+            (Digest::new(), Vec::new(), Machine::new(plan.workers[2].clone(), plan.store.1));
+        let mut accepted = 0;
+        for (number, arrival) in plan.arrivals.iter().enumerate() {
+            machine.advance(arrival.at, 0.7, &mut notes);
+            if number % 3_000 == 2_000 {
+                machine.restart(arrival.at).iter().for_each(|ticket| digest.integer(*ticket));
+            }
+            if number % 611 == 610 {
+                machine.hand_back().iter().for_each(|ticket| digest.integer(*ticket));
+            }
+            machine.charge(arrival.dispatcher, 0.002);
+            let taken =
+                machine.submit(arrival.dispatcher, number as u64, arrival.slots, arrival.work, arrival.key);
+            accepted += u64::from(taken == Taken::In);
+            digest.integer(u64::from(taken == Taken::In));
+            let (free, busy, waiting) = machine.load();
+            digest.integer(u64::from(free));
+            digest.float(busy);
+            digest.integer(waiting as u64);
+            digest.integer(machine.fetching() as u64);
+            digest.float(machine.capacity());
+            digest.integer(u64::from(machine.fallen().is_some()));
+            if let Some(press) = machine.pressed() {
+                digest.float(press.since);
+                digest.float(press.bears);
+                for (at, work, from) in press.sent {
+                    digest.float(at);
+                    digest.float(work);
+                    digest.integer(from as u64);
+                }
+            }
+        }
+        for note in &notes {
+            match note {
+                Note::Started(ticket) => digest.integer(2 * ticket),
+                Note::Done(ticket) => digest.integer(2 * ticket + 1),
+            }
+        }
+        let (all, events) = (plan.arrivals.len(), notes.len());
+        lines += &format!("{seed}: {accepted} of {all}, {events} events, {:016x}\n", digest.0);
+    }
+    approved("simulated-worker.txt", &lines);
+}
+
+#[test]
+fn json_that_the_commands_print_has_the_approved_keys() {
+    let broken = Broken { rule: Rule::RunsOnce, at: 1.5, what: "seen".to_owned() };
+    let empty = pebblepost_harness::report::Summary::of(&[], &[broken], 0.0);
+    let at_load = room::AtLoad { load: 0.65, on: empty.clone(), off: empty.clone() };
+    let reports = [
+        (
+            "room",
+            serde_json::to_string(&room::Report { on: empty.clone(), off: empty, loads: vec![at_load] }),
+        ),
+        (
+            "cpu",
+            serde_json::to_string(&cpu::Report {
+                a: vec![1.0],
+                b: vec![2.0],
+                median_a: 1.0,
+                median_b: 2.0,
+                ratio: 0.5,
+            }),
+        ),
+        ("fleet", serde_json::to_string(&fleet::Summary::default())),
+        ("store", serde_json::to_string(&store::run::Summary::default())),
+        ("store --serving", serde_json::to_string(&store::serving::Serving::default())),
+        (
+            "store --herd",
+            serde_json::to_string(&store::herd::Herd {
+                dispatchers: 1,
+                joined_s: 2.0,
+                joined_again_s: 3.0,
+                revisions: 4,
+                elections: 5,
+                slowest_change_ms: 6.0,
+            }),
+        ),
+        ("release", serde_json::to_string(&release::run::Summary::default())),
+    ];
+    let mut lines = String::new();
+    for (name, text) in reports {
+        lines += &format!("{name}: {}\n", text.expect("plain data"));
+    }
+    approved("reports.txt", &lines);
+}
+
+#[test]
+fn rules_have_the_approved_names() {
+    let rules = [
+        Rule::OneAnswer,
+        Rule::Genuine,
+        Rule::Attempts,
+        Rule::RunsOnce,
+        Rule::Drains,
+        Rule::Cold,
+        Rule::Departed,
+    ];
+    let names: Vec<String> = rules.iter().map(|rule| serde_json::to_string(rule).expect("a name")).collect();
+    let printed: Vec<String> = rules.iter().map(|rule| format!("{rule:?}")).collect();
+    approved("rules.txt", &format!("{}\n{}\n", names.join(" "), printed.join(" ")));
+}
+
+/// Options, defaults and possible values; not the texts.
+#[test]
+fn commands_have_the_approved_options() {
+    let mut lines = String::new();
+    for command in ["room", "cpu", "fleet", "store", "release"] {
+        let mut program = Command::new(env!("CARGO_BIN_EXE_pebblepost-harness"));
+        let help = program.args([command, "--help"]).output().expect("the program runs");
+        assert!(help.status.success(), "{command}");
+        lines += &format!("{command}:");
+        for line in String::from_utf8_lossy(&help.stdout).lines().map(str::trim) {
+            if line.starts_with("--") {
+                lines += &format!(" {}", line.split("  ").next().unwrap_or(line));
+            }
+            if let Some(at) = line.find("[default: ") {
+                lines += &format!(" {}", &line[at..]);
+            }
+            if let Some((_, values)) = line.split_once("[possible values: ") {
+                let values = values.trim_end_matches(']').split(", ");
+                values.for_each(|value| lines += &format!(" ={value}"));
+            } else if let Some((value, _)) = line.strip_prefix("- ").and_then(|rest| rest.split_once(':')) {
+                lines += &format!(" ={value}");
+            }
+        }
+        lines += "\n";
+    }
+    approved("commands.txt", &lines);
+}
