--- a/crates/pebblepost-harness/src/release/scribe.rs
+++ b/crates/pebblepost-harness/src/release/scribe.rs
@@ -59,7 +59,8 @@
         out.into_iter().map(|name| (name, zones.get(name).copied().unwrap_or_default())).collect()
     }
 
-    fn change(&mut self, change: &Value) {
+    /// Takes in a change of the state, unless it is known already.
+    pub fn change(&mut self, change: &Value) {
         let revision = change["revision"].as_u64().unwrap_or(0);
         if revision <= self.revision {
             return;
@@ -94,7 +95,8 @@
         }
     }
 
-    fn snapshot(&mut self, snapshot: &Value) {
+    /// Takes in a snapshot of the whole state.
+    pub fn snapshot(&mut self, snapshot: &Value) {
         let entries = snapshot["entries"].as_object().into_iter().flatten();
         self.entries = entries.map(|(key, entry)| (key.clone(), entry["value"].clone())).collect();
         self.revision = snapshot["revision"].as_u64().unwrap_or(0);
@@ -120,35 +122,3 @@
         sleep(Duration::from_millis(100)).await;
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_grant_beside_one_that_is_out_already_is_over_a_budget_of_one_and_one_after_another_is_not() {
-        let member = |ready: bool| {
-            let card = json!({"role": "dispatcher", "zone": ZONES[0], "ready": ready});
-            json!({"member": {"presence": "here", "card": card}})
-        };
-        let permit = json!({"permit": {"granted": 7}});
-        let mut notes = Notes::default();
-        let entries = json!({
-            "member/a": {"value": member(true)}, "member/b": {"value": member(true)},
-            "budget/dispatcher": {"value": {"budget": {"most": {"count": 1}, "most_in_zone": null}}},
-        });
-        notes.snapshot(&json!({"revision": 3, "entries": entries}));
-        let change = |revision: u64, items: Value| json!({"revision": revision, "items": items});
-        notes.change(&change(4, json!([["permit/dispatcher/a", permit]])));
-        assert_eq!((notes.grants, notes.over.len()), ([1, 0], 0));
-        // Told again by another keeper: nothing new.
-        notes.change(&change(4, json!([["permit/dispatcher/b", permit]])));
-        notes.change(&change(5, json!([["permit/dispatcher/a", null], ["permit/dispatcher/b", permit]])));
-        assert_eq!((notes.grants, notes.over.len()), ([2, 0], 0));
-        notes.change(&change(6, json!([["permit/dispatcher/b", null], ["member/b", member(false)]])));
-        notes.change(&change(7, json!([["permit/dispatcher/a", permit]])));
-        assert_eq!((notes.grants, notes.over.len()), ([3, 0], 1), "b is out as it is not ready");
-        notes.change(&change(8, json!([["drain/w", {}], ["permit/worker/w", permit]])));
-        assert_eq!((notes.grants, notes.over.len()), ([3, 1], 1), "no budget is known for workers");
-    }
-}
--- a/crates/pebblepost-harness/src/report.rs
+++ b/crates/pebblepost-harness/src/report.rs
@@ -190,28 +190,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::scenario::Scenario;
-
-    #[test]
-    fn shares_count_what_came_within_the_time_wanted() {
-        let mut plan = Plan::draw(&Scenario::mixed(5.0, 0.65), 1).expect("a sound scenario");
-        plan.arrivals.truncate(3);
-        plan.arrivals.iter_mut().for_each(|a| (a.work, a.slots, a.large) = (0.2, 1, false));
-        let fate = |arrival, outcome| Fate { arrival, outcome, tries: 1, refused_after: None };
-        let fates = [fate(0, Outcome::Served(0.9)), fate(1, Outcome::Served(1.1)), fate(2, Outcome::Refused)];
-        let g = group(&plan, &fates, |a| !a.large);
-        assert_eq!((g.asked, g.in_time, g.late, g.refused), (3, 1, 1, 1));
-        assert!((g.work_in_time - 0.2).abs() < 1e-9);
-    }
-
-    #[test]
-    fn the_interval_is_wilsons() {
-        let (low, high) = interval(90, 100);
-        assert!((low - 0.826).abs() < 0.001 && (high - 0.945).abs() < 0.001, "{low} {high}");
-        assert_eq!(interval(0, 0), (0.0, 1.0));
-    }
-}
--- /dev/null
+++ b/crates/pebblepost-harness/tests/unit/fault_relay.rs
@@ -0,0 +1,82 @@
+//! What a relay does to the bytes of a connection.
+
+use pebblepost_harness::fault::relay::{Relay, Wire};
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::timeout;
+
+const SHORT: Duration = Duration::from_millis(150);
+const LONG: Duration = Duration::from_secs(5);
+
+/// An echo behind a relay, and a connection through it.
+async fn echo() -> (Relay, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let target = listener.local_addr().expect("bound");
+    tokio::spawn(async move {
+        while let Ok((stream, _)) = listener.accept().await {
+            tokio::spawn(async move {
+                let (mut from, mut to) = stream.into_split();
+                let _ = tokio::io::copy(&mut from, &mut to).await;
+            });
+        }
+    });
+    let relay = Relay::open([127, 0, 9, 1].into(), target).await.expect("a free port");
+    let stream = TcpStream::connect(relay.address).await.expect("a relay");
+    (relay, stream)
+}
+
+async fn comes_back(stream: &mut TcpStream, limit: Duration) -> Option<u8> {
+    let mut byte = [0];
+    timeout(limit, stream.read_exact(&mut byte)).await.ok()?.ok()?;
+    Some(byte[0])
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn held_bytes_come_late_and_none_is_lost() {
+    let (relay, mut stream) = echo().await;
+    for (n, wire) in [Wire::Cut, Wire::HoldsThere, Wire::HoldsBack].into_iter().enumerate() {
+        relay.set(wire);
+        stream.write_all(&[n as u8]).await.expect("open");
+        assert_eq!(comes_back(&mut stream, SHORT).await, None, "{wire:?}");
+        relay.set(Wire::Passes);
+        assert_eq!(comes_back(&mut stream, LONG).await, Some(n as u8), "{wire:?}");
+    }
+    assert_eq!(relay.carried(), 6);
+    relay.set(Wire::Cut);
+    let mut fresh = TcpStream::connect(relay.address).await.expect("accepts and says nothing");
+    fresh.write_all(&[9]).await.expect("open");
+    assert_eq!(comes_back(&mut fresh, SHORT).await, None);
+    relay.set(Wire::Passes);
+    assert_eq!(comes_back(&mut fresh, LONG).await, Some(9));
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_reset_breaks_what_is_open_and_new_ones_pass() {
+    let (relay, mut stream) = echo().await;
+    stream.write_all(&[1]).await.expect("open");
+    assert_eq!(comes_back(&mut stream, LONG).await, Some(1));
+    relay.reset();
+    let mut byte = [0];
+    let end = timeout(LONG, stream.read(&mut byte)).await.expect("it ends");
+    assert!(end.is_err(), "reset, not closed: {end:?}");
+    let mut fresh = TcpStream::connect(relay.address).await.expect("a relay");
+    fresh.write_all(&[2]).await.expect("open");
+    assert_eq!(comes_back(&mut fresh, LONG).await, Some(2));
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn late_and_trickling_wires_are_slow() {
+    let (relay, mut stream) = echo().await;
+    relay.set(Wire::Late(100));
+    let start = tokio::time::Instant::now();
+    stream.write_all(&[1]).await.expect("open");
+    assert_eq!(comes_back(&mut stream, LONG).await, Some(1));
+    assert!(start.elapsed() >= Duration::from_millis(200), "{:?}", start.elapsed());
+    relay.set(Wire::Trickles(200));
+    stream.write_all(&[0; 40]).await.expect("open");
+    let start = tokio::time::Instant::now();
+    let mut all = [0; 40];
+    timeout(LONG, stream.read_exact(&mut all)).await.expect("in time").expect("all of it");
+    assert!(start.elapsed() >= Duration::from_millis(150), "{:?}", start.elapsed());
+}
--- /dev/null
+++ b/crates/pebblepost-harness/tests/unit/fleet.rs
@@ -0,0 +1,12 @@
+//! The scenarios of the fleet command.
+
+use pebblepost_harness::fleet::{Size, scenarios};
+
+#[test]
+fn each_scenario_hits_the_part_of_the_fleet_that_it_speaks_of() {
+    let all = scenarios(Size { dispatchers: 20, workers: 15, seconds: 20.0 });
+    let hit: Vec<usize> = all.iter().map(|(_, s)| s.troubles.len()).collect();
+    assert_eq!(hit, [3, 5, 18]);
+    let (begin, end) = (all[2].1.troubles[0].at, all[2].1.troubles[16].at);
+    assert!(end - begin <= 7.0, "all are replaced within 7 s: {begin} to {end}");
+}
--- /dev/null
+++ b/crates/pebblepost-harness/tests/unit/main.rs
@@ -0,0 +1,13 @@
+//! Tests of the parts that need no process: a module for each module of the crate.
+
+mod checker;
+mod fault_relay;
+mod fault_schedule;
+mod fleet;
+mod machine;
+mod release_hands;
+mod release_scribe;
+mod release_witness;
+mod report;
+mod scenario;
+mod store_verdict;
--- /dev/null
+++ b/crates/pebblepost-harness/tests/unit/release_scribe.rs
@@ -0,0 +1,32 @@
+//! Grants counted against their budgets.
+
+use pebblepost_harness::dispatcher::ZONES;
+use pebblepost_harness::release::scribe::Notes;
+use serde_json::{Value, json};
+
+#[test]
+fn a_grant_beside_one_that_is_out_already_is_over_a_budget_of_one_and_one_after_another_is_not() {
+    let member = |ready: bool| {
+        let card = json!({"role": "dispatcher", "zone": ZONES[0], "ready": ready});
+        json!({"member": {"presence": "here", "card": card}})
+    };
+    let permit = json!({"permit": {"granted": 7}});
+    let mut notes = Notes::default();
+    let entries = json!({
+        "member/a": {"value": member(true)}, "member/b": {"value": member(true)},
+        "budget/dispatcher": {"value": {"budget": {"most": {"count": 1}, "most_in_zone": null}}},
+    });
+    notes.snapshot(&json!({"revision": 3, "entries": entries}));
+    let change = |revision: u64, items: Value| json!({"revision": revision, "items": items});
+    notes.change(&change(4, json!([["permit/dispatcher/a", permit]])));
+    assert_eq!((notes.grants, notes.over.len()), ([1, 0], 0));
+    // Told again by another keeper: nothing new.
+    notes.change(&change(4, json!([["permit/dispatcher/b", permit]])));
+    notes.change(&change(5, json!([["permit/dispatcher/a", null], ["permit/dispatcher/b", permit]])));
+    assert_eq!((notes.grants, notes.over.len()), ([2, 0], 0));
+    notes.change(&change(6, json!([["permit/dispatcher/b", null], ["member/b", member(false)]])));
+    notes.change(&change(7, json!([["permit/dispatcher/a", permit]])));
+    assert_eq!((notes.grants, notes.over.len()), ([3, 0], 1), "b is out as it is not ready");
+    notes.change(&change(8, json!([["drain/w", {}], ["permit/worker/w", permit]])));
+    assert_eq!((notes.grants, notes.over.len()), ([3, 1], 1), "no budget is known for workers");
+}
--- /dev/null
+++ b/crates/pebblepost-harness/tests/unit/release_witness.rs
@@ -0,0 +1,28 @@
+//! Outages beside each other, and during halts.
+
+use pebblepost_harness::release::witness::{by_permit, late_after, most_at_once};
+use pebblepost_harness::supervisor::{How, Outage};
+
+fn out(dispatcher: usize, from: f64, to: f64, how: How) -> Outage {
+    Outage { dispatcher, from, to, how }
+}
+
+#[test]
+fn outages_beside_each_other_count_and_those_one_after_another_do_not() {
+    let all = [
+        out(0, 1.0, 2.0, How::Itself),
+        out(1, 2.0, 4.0, How::Itself),
+        out(2, 3.0, 3.5, How::Itself),
+        out(3, 3.0, 9.0, How::Ordered),
+    ];
+    let asked = by_permit(&all);
+    assert_eq!(most_at_once(&asked, 1), (2, 0.5));
+    assert_eq!(most_at_once(&asked, 2), (2, 0.0));
+    assert_eq!(most_at_once(&all.iter().collect::<Vec<_>>(), 2).0, 3);
+}
+
+#[test]
+fn only_what_goes_during_a_halt_is_late() {
+    let all = [out(0, 1.0, 2.0, How::Itself), out(1, 2.25, 4.0, How::Itself), out(2, 6.0, 7.0, How::Itself)];
+    assert_eq!(late_after(&by_permit(&all), &[(2.0, 5.0), (7.0, 8.0)]), [0.25, 0.0]);
+}
