--- a/crates/pebblepost-harness/src/fault/relay.rs
+++ b/crates/pebblepost-harness/src/fault/relay.rs
@@ -171,10 +171,15 @@
                 Wire::Trickles(_) => sleep(Duration::from_millis(50)).await,
                 _ => {}
             }
-            if order.wait_for(|o| !o.wire.holds(there)).await.is_err() || to.write_all(piece).await.is_err() {
+            if order.wait_for(|o| !o.wire.holds(there)).await.is_err() {
                 return;
             }
+            // Counted before the write: whoever has read a byte must find it counted.
             carried.fetch_add(piece.len() as u64, Ordering::Relaxed);
+            if to.write_all(piece).await.is_err() {
+                carried.fetch_sub(piece.len() as u64, Ordering::Relaxed);
+                return;
+            }
         }
         if got == 0 {
             let _ = order.wait_for(|o| !o.wire.holds(there)).await;
