--- a/crates/pebblepost-harness/src/fault/process.rs
+++ b/crates/pebblepost-harness/src/fault/managed_process.rs
@@ -7,13 +7,13 @@
 use std::time::{Duration, Instant};
 
 /// The process.
-pub struct Victim {
+pub struct ManagedProcess {
     command: Command,
     child: Option<Child>,
     paused: bool,
 }
 
-impl Victim {
+impl ManagedProcess {
     /// One that has not been started.
     pub fn new(command: Command) -> Self {
         Self { command, child: None, paused: false }
@@ -83,7 +83,7 @@
     }
 }
 
-impl Drop for Victim {
+impl Drop for ManagedProcess {
     fn drop(&mut self) {
         self.kill();
     }
--- a/crates/pebblepost-harness/src/main.rs
+++ b/crates/pebblepost-harness/src/main.rs
@@ -38,9 +38,9 @@
     /// Workers.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u16).range(1..=200))]
     workers: u16,
-    /// Keepers.
-    #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=9))]
-    keepers: u8,
+    /// Replicas of the agreed store.
+    #[arg(long = "keepers", value_name = "KEEPERS", default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=9))]
+    replicas: u8,
     /// Most dispatchers out at once.
     #[arg(long, default_value_t = 3)]
     budget: u32,
@@ -75,12 +75,12 @@
 
 #[derive(Args)]
 struct Store {
-    /// Keepers.
-    #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=9))]
-    keepers: u8,
-    /// Desks that change and read at the same time.
-    #[arg(long, default_value_t = 6)]
-    desks: usize,
+    /// Replicas of the agreed store.
+    #[arg(long = "keepers", value_name = "KEEPERS", default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=9))]
+    replicas: u8,
+    /// Clients of the store that change and read at the same time.
+    #[arg(long = "desks", value_name = "DESKS", default_value_t = 6)]
+    clients: usize,
     /// Dispatchers that follow the group while clients ask them for work.
     #[arg(long, default_value_t = 2)]
     dispatchers: usize,
@@ -103,8 +103,8 @@
     #[arg(long, value_name = "ROUNDS")]
     serving: Option<usize>,
     /// Has so many dispatchers come back at once instead.
-    #[arg(long, value_name = "DISPATCHERS", conflicts_with = "serving")]
-    herd: Option<usize>,
+    #[arg(long = "herd", value_name = "DISPATCHERS", conflicts_with = "serving")]
+    mass_restart: Option<usize>,
     /// Leaves out the faults of these numbers, to shrink a finding.
     #[arg(long, value_delimiter = ',')]
     without: Vec<usize>,
@@ -215,8 +215,8 @@
 
 fn play_store(args: Store) -> Result<()> {
     let plan = store::run::Plan {
-        keepers: usize::from(args.keepers),
-        desks: args.desks.max(1),
+        replicas: usize::from(args.replicas),
+        clients: args.clients.max(1),
         seconds: args.seconds.max(1.0),
         seed: args.seed,
         pause_ms: args.pause_ms,
@@ -232,15 +232,16 @@
         return Ok(());
     }
     let program = args.program.map_or_else(dispatcher::built, Ok)?;
-    if let Some(dispatchers) = args.herd {
-        let herd = threads()?.block_on(store::herd::measure(&program, dispatchers.clamp(1, 1_000)))?;
-        println!("{}", serde_json::to_string(&herd)?);
+    if let Some(dispatchers) = args.mass_restart {
+        let report =
+            threads()?.block_on(store::mass_restart::measure(&program, dispatchers.clamp(1, 1_000)))?;
+        println!("{}", serde_json::to_string(&report)?);
         return Ok(());
     }
     if let Some(rounds) = args.serving {
-        let serving =
-            threads()?.block_on(store::serving::measure(&program, args.seconds, rounds, args.seed))?;
-        println!("{}", serde_json::to_string(&serving)?);
+        let report =
+            threads()?.block_on(store::client_impact::measure(&program, args.seconds, rounds, args.seed))?;
+        println!("{}", serde_json::to_string(&report)?);
         return Ok(());
     }
     let (summary, found) = threads()?.block_on(store::run::run(&plan, &schedule, &program))?;
@@ -253,7 +254,7 @@
     let plan = release::run::Plan {
         dispatchers: usize::from(args.dispatchers),
         workers: usize::from(args.workers),
-        keepers: usize::from(args.keepers),
+        replicas: usize::from(args.replicas),
         budget: (args.budget, args.budget_in_zone),
         worker_budget: args.worker_budget,
         watch_s: args.watch_s.clamp(0.1, 60.0),
--- a/crates/pebblepost-harness/src/release/hands.rs
+++ b/crates/pebblepost-harness/src/release/hands.rs
@@ -42,7 +42,7 @@
         &self, office: &Office, supervisor: &Supervisor, hosts: &[(usize, String)], seed: u64,
         enough: &AtomicBool,
     ) -> Result<()> {
-        let (mut rng, mut desk) = (Pcg64Mcg::seed_from_u64(seed), office.desk());
+        let (mut rng, mut client) = (Pcg64Mcg::seed_from_u64(seed), office.client());
         let mut number = 0;
         while !enough.load(Ordering::Relaxed) {
             let (worker, host) = &hosts[rng.random_range(0..hosts.len())];
@@ -51,7 +51,7 @@
             office.start(&["permit", "ask", &subject, "--why", "new fans"], rng.random()).await?;
             let end = Instant::now() + TAIL;
             let granted = loop {
-                if let Ok(say) = desk.ask(&json!({"off": host}), PATIENCE).await {
+                if let Ok(say) = client.ask(&json!({"off": host}), PATIENCE).await {
                     let off = &say["off"];
                     let missing = off["waits_for"].as_object().map_or(1, serde_json::Map::len);
                     if let (Some(granted), 0) = (off["granted"].as_u64(), missing) {
@@ -70,7 +70,7 @@
             lock(&self.offs).push(Off { worker: *worker, from, to: supervisor.now(), waited: from - asked });
             number += 1;
             let back: Value = json!({"back": [subject, granted]});
-            insist(&mut desk, (seed, number), &back).await?;
+            insist(&mut client, (seed, number), &back).await?;
             sleep(Duration::from_millis(rng.random_range(100..1_500))).await;
         }
         Ok(())
--- a/crates/pebblepost-harness/src/release/office.rs
+++ b/crates/pebblepost-harness/src/release/office.rs
@@ -1,7 +1,7 @@
 //! Operators: what they ask the keepers for, by the operator's program, which is killed on the way, or by a desk.
 
 use crate::standin::lock;
-use crate::store::desk::{Desk, Leader};
+use crate::store::client::{Leader, StoreClient};
 use anyhow::{Result, bail};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -24,23 +24,23 @@
     /// The operator's program.
     pub program: PathBuf,
     /// Where the keepers are reached.
-    pub keepers: Vec<SocketAddr>,
+    pub replicas: Vec<SocketAddr>,
     /// How many runs of the program were killed.
     pub killed: Mutex<usize>,
 }
 
 impl Office {
     /// A desk of its own.
-    pub fn desk(&self) -> Desk {
-        Desk::new(self.keepers.clone(), Leader::default())
+    pub fn client(&self) -> StoreClient {
+        StoreClient::new(self.replicas.clone(), Leader::default())
     }
 
     /// The program, asked for this.
     pub fn operator(&self, words: &[&str]) -> Result<tokio::process::Child> {
-        let named = self.keepers.iter().enumerate().map(|(i, at)| format!("{}={at}", i + 1));
-        let keepers = named.collect::<Vec<_>>().join(",");
+        let named = self.replicas.iter().enumerate().map(|(i, at)| format!("{}={at}", i + 1));
+        let replicas = named.collect::<Vec<_>>().join(",");
         let mut program = tokio::process::Command::new(&self.program);
-        program.args(["fleet", "--keepers", &keepers, "--by", "driver", "--within", "4"]).args(words);
+        program.args(["fleet", "--keepers", &replicas, "--by", "driver", "--within", "4"]).args(words);
         program.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null()).kill_on_drop(true);
         Ok(program.spawn()?)
     }
@@ -68,12 +68,12 @@
 }
 
 /// Has an operation done, however long that takes under faults.
-pub async fn insist(desk: &mut Desk, id: (u64, u64), op: &Value) -> Result<()> {
+pub async fn insist(client: &mut StoreClient, id: (u64, u64), op: &Value) -> Result<()> {
     let act = json!({"change": {"ops": [op], "expect": [], "why": "rig"}});
     let command = json!({"command": {"id": [id.0, id.1], "by": "rig", "at_ms": 0, "act": act}});
     let end = Instant::now() + TAIL;
     loop {
-        match desk.ask(&command, PATIENCE).await {
+        match client.ask(&command, PATIENCE).await {
             Ok(say) if say.pointer("/answer/Ok").is_some() => return Ok(()),
             Ok(say) => bail!("{op}: {say}"),
             Err(error) if Instant::now() >= end => return Err(error),
--- a/crates/pebblepost-harness/src/release/run.rs
+++ b/crates/pebblepost-harness/src/release/run.rs
@@ -10,8 +10,8 @@
 use crate::run::{Played, Run};
 use crate::scenario::Scenario;
 use crate::standin::lock;
-use crate::store::desk::Desk;
-use crate::store::group::{Group, until};
+use crate::store::client::StoreClient;
+use crate::store::cluster::{Cluster, retry_until};
 use crate::supervisor::{Flaw, How, Order, Outage, Supervisor};
 use anyhow::{Context, Result, bail};
 use nix::sys::signal::{Signal, kill};
@@ -58,7 +58,7 @@
     /// Stand-in workers.
     pub workers: usize,
     /// Keepers.
-    pub keepers: usize,
+    pub replicas: usize,
     /// Most dispatchers out at once, and in each zone.
     pub budget: (u32, u32),
     /// Most workers out at once; one hand more switches them off and on.
@@ -172,8 +172,8 @@
 }
 
 /// `of`: what the permits begin with that count.
-async fn progress(desk: &mut Desk, version: &str, of: &str) -> Result<Progress> {
-    let say = desk.ask(&json!({"get": []}), PATIENCE).await?;
+async fn progress(client: &mut StoreClient, version: &str, of: &str) -> Result<Progress> {
+    let say = client.ask(&json!({"get": []}), PATIENCE).await?;
     let entries = say.pointer("/found/entries").and_then(Value::as_object);
     let entries = entries.with_context(|| format!("no entries: {say}"))?;
     let there = |entry: &&Value| {
@@ -234,15 +234,15 @@
 
 /// Waits until all have a version and no permit is left. A halt that nobody here made is resumed, unless `until_halted`.
 async fn ends(shared: &Shared, number: u64, version: &str, until_halted: bool) -> Result<()> {
-    let mut desk = shared.office.desk();
+    let mut client = shared.office.client();
     let all = shared.plan.dispatchers;
     let end = Instant::now() + TAIL + Duration::from_secs(6 * all as u64);
     for round in 0.. {
-        let now = progress(&mut desk, version, GOES).await;
+        let now = progress(&mut client, version, GOES).await;
         match &now {
             Ok(now) if now.halted && until_halted => return Ok(()),
             Ok(now) if now.halted => {
-                insist(&mut desk, (33 + number, round), &json!({"resume": "dispatcher"})).await?;
+                insist(&mut client, (33 + number, round), &json!({"resume": "dispatcher"})).await?;
             }
             Ok(now) if (now.there, now.permits, now.release) == (all, 0, false) => return Ok(()),
             _ => {}
@@ -266,20 +266,20 @@
     let seeded = Pcg64Mcg::seed_from_u64;
     let (one, other, mut rng) = (seeded(fork()), seeded(fork()), seeded(fork()));
     let course = async {
-        let mut desk = shared.office.desk();
+        let mut client = shared.office.client();
         if Flaw::of(version).is_some() {
             ends(shared, number * 10, version, true).await?;
             shared.office.start(&["release", "back", before], rng.random()).await?;
-            insist(&mut desk, (32, number), &json!({"resume": "dispatcher"})).await?;
+            insist(&mut client, (32, number), &json!({"resume": "dispatcher"})).await?;
             ends(shared, number * 10 + 1, before, false).await?;
             return Ok(true);
         }
         sleep(Duration::from_millis(rng.random_range(200..6_000))).await;
-        insist(&mut desk, (31, number), &json!({"halt": "dispatcher"})).await?;
+        insist(&mut client, (31, number), &json!({"halt": "dispatcher"})).await?;
         let halted = shared.supervisor.now();
         sleep(Duration::from_millis(rng.random_range(1_000..3_000))).await;
         lock(&shared.halts).push((halted, shared.supervisor.now()));
-        insist(&mut desk, (32, number), &json!({"resume": "dispatcher"})).await?;
+        insist(&mut client, (32, number), &json!({"resume": "dispatcher"})).await?;
         ends(shared, number * 10, version, false).await?;
         Ok(false)
     };
@@ -353,7 +353,7 @@
         return Schedule::default();
     }
     Schedule::draw(
-        Draw { processes: plan.keepers, seconds: plan.seconds, every: 1.5, longest: 2.5 },
+        Draw { processes: plan.replicas, seconds: plan.seconds, every: 1.5, longest: 2.5 },
         plan.seed,
     )
 }
@@ -404,30 +404,34 @@
     let folder =
         std::env::temp_dir().join(format!("pebblepost-harness-release-{}-{}", std::process::id(), plan.seed));
     let schedule = schedule(plan);
-    let mut group = Group::start(program, plan.keepers, folder.clone()).await?;
+    let mut cluster = Cluster::start(program, plan.replicas, folder.clone()).await?;
     let named = |(i, at): (usize, &SocketAddr)| ((i + 1).to_string(), json!(at));
-    let keepers: serde_json::Map<_, _> = group.outside().iter().enumerate().map(named).collect();
+    let replicas: serde_json::Map<_, _> = cluster.client_addresses().iter().enumerate().map(named).collect();
     // With a copy each: what one has confirmed it knows over a restart.
     let copies = folder.join("copies");
     std::fs::create_dir_all(&copies)?;
-    let operator = json!({"fleet": {"keepers": keepers, "version": "v0", "copy": copies}});
-    let supervisor = Arc::new(Supervisor::of("v0", group.outside()));
+    let operator = json!({"fleet": {"keepers": replicas, "version": "v0", "copy": copies}});
+    let supervisor = Arc::new(Supervisor::of("v0", cluster.client_addresses()));
     let shared = Arc::new(Shared {
         plan: plan.clone(),
-        office: Office { program: program.to_owned(), keepers: group.outside(), killed: Mutex::default() },
+        office: Office {
+            program: program.to_owned(),
+            replicas: cluster.client_addresses(),
+            killed: Mutex::default(),
+        },
         supervisor: supervisor.clone(),
         enough: AtomicBool::new(false),
         halts: Mutex::default(),
         hands: Hands::default(),
         notes: Mutex::default(),
     });
-    let mut desk = shared.office.desk();
+    let mut client = shared.office.client();
     let budget = json!({"most": {"count": plan.budget.0}, "most_in_zone": {"count": plan.budget.1}});
-    insist(&mut desk, (30, 0), &json!({"budget": ["dispatcher", budget]})).await?;
+    insist(&mut client, (30, 0), &json!({"budget": ["dispatcher", budget]})).await?;
     let budget = json!({"most": {"count": plan.worker_budget}});
-    insist(&mut desk, (30, 1), &json!({"budget": ["worker", budget]})).await?;
+    insist(&mut client, (30, 1), &json!({"budget": ["worker", budget]})).await?;
     let played = tokio::spawn(clients(plan.clone(), program.to_owned(), operator, supervisor.clone()));
-    until(Duration::from_secs(60), async || match progress(&mut desk, "", GOES).await? {
+    retry_until(Duration::from_secs(60), async || match progress(&mut client, "", GOES).await? {
         now if now.there >= plan.dispatchers => Ok(()),
         now => bail!("{} of {} dispatchers have joined and are ready", now.there, plan.dispatchers),
     })
@@ -436,12 +440,12 @@
     let hands = tokio::spawn(hands(shared.clone()));
     let scribe = tokio::spawn({
         let shared = shared.clone();
-        async move { scribe::follow(&shared.office.keepers, &shared.notes).await }
+        async move { scribe::follow(&shared.office.replicas, &shared.notes).await }
     });
     let counts = Mutex::new(schedule.kinds());
     let ends = Instant::now() + Duration::from_secs_f64((plan.seconds - 20.0).max(5.0));
     let until_end = async {
-        group.play(&schedule, |_| {}).await?;
+        cluster.play(&schedule, |_| {}).await?;
         tokio::time::sleep_until(ends).await;
         anyhow::Ok(())
     };
@@ -453,14 +457,14 @@
         false => until_end.await?,
     }
     shared.enough.store(true, Ordering::Relaxed);
-    group.heal()?;
-    group.mended().await?;
+    cluster.end_all_faults()?;
+    cluster.wait_for_replacement().await?;
     let mut found = Vec::new();
     let (course, ended) = work.await?;
     found.extend(ended.err().map(|error| error.to_string()));
     found.extend(hands.await?.err().map(|error| error.to_string()));
     scribe.abort();
-    let stuck = progress(&mut desk, "", "permit/").await?.permits;
+    let stuck = progress(&mut client, "", "permit/").await?.permits;
     supervisor.is_over();
     let played = played.await??;
     Ok(judge(&shared, &played, course, stuck, lock(&counts).clone(), found))
--- a/crates/pebblepost-harness/src/release/scribe.rs
+++ b/crates/pebblepost-harness/src/release/scribe.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::ZONES;
 use crate::standin::lock;
-use crate::store::desk::Frames;
+use crate::store::client::Connection;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -104,9 +104,9 @@
 }
 
 /// Follows the keepers for as long as it is polled.
-pub async fn follow(keepers: &[SocketAddr], notes: &Mutex<Notes>) {
-    for at in (0..keepers.len()).cycle() {
-        if let Ok(Ok(mut frames)) = timeout(QUIET, Frames::open(keepers[at])).await {
+pub async fn follow(replicas: &[SocketAddr], notes: &Mutex<Notes>) {
+    for at in (0..replicas.len()).cycle() {
+        if let Ok(Ok(mut frames)) = timeout(QUIET, Connection::open(replicas[at])).await {
             let from = lock(notes).revision;
             if frames.send(&json!({"watch": from})).await.is_ok() {
                 while let Ok(Ok(say)) = timeout(QUIET, frames.next()).await {
--- a/crates/pebblepost-harness/src/store/desk.rs
+++ b/crates/pebblepost-harness/src/store/client.rs
@@ -15,9 +15,9 @@
 const MAX_FRAME: usize = 8 * 1024 * 1024;
 
 /// A connection that carries frames: JSON behind its length in four bytes.
-pub struct Frames(TcpStream);
+pub struct Connection(TcpStream);
 
-impl Frames {
+impl Connection {
     /// Connects.
     pub async fn open(address: SocketAddr) -> Result<Self> {
         let stream = TcpStream::connect(address).await?;
@@ -49,14 +49,14 @@
 pub type Leader = Arc<AtomicUsize>;
 
 /// The desk.
-pub struct Desk {
+pub struct StoreClient {
     addresses: Vec<SocketAddr>,
     leader: Leader,
-    frames: Option<(usize, Frames)>,
+    frames: Option<(usize, Connection)>,
     first: Option<usize>,
 }
 
-impl Desk {
+impl StoreClient {
     /// A desk that reaches the keepers at these addresses, the first being number 1.
     pub fn new(addresses: Vec<SocketAddr>, leader: Leader) -> Self {
         Self { addresses, leader, frames: None, first: None }
@@ -70,7 +70,7 @@
     async fn one(&mut self, at: usize, ask: &Value) -> Result<Value> {
         let mut frames = match self.frames.take() {
             Some((to, frames)) if to == at => frames,
-            _ => Frames::open(self.addresses[at]).await?,
+            _ => Connection::open(self.addresses[at]).await?,
         };
         frames.send(ask).await?;
         let say = frames.next().await?;
--- a/crates/pebblepost-harness/src/store/serving.rs
+++ b/crates/pebblepost-harness/src/store/client_impact.rs
@@ -1,8 +1,8 @@
 //! What the agreed store does to the clients of dispatchers: the same traffic without a part `fleet`, with keepers that
 //! are killed while many changes are made, and with all keepers dead. In turn, over several rounds.
 
-use super::desk::{Desk, Leader};
-use super::group::Group;
+use super::client::{Leader, StoreClient};
+use super::cluster::Cluster;
 use crate::clients::Outcome;
 use crate::fault::schedule::{Fault, What};
 use crate::run::{Played, Run};
@@ -36,7 +36,7 @@
 
 /// Medians of all rounds, and of the ratios round by round to the side without a fleet.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Serving {
+pub struct ClientImpact {
     /// No part `fleet` in the operator's file.
     pub without: Side,
     /// Keepers killed in turn while changes are made.
@@ -71,12 +71,12 @@
 }
 
 /// Kills keepers in turn, for as long as it is polled.
-async fn killing(group: &mut Group, count: usize) -> Result<()> {
+async fn killing(cluster: &mut Cluster, count: usize) -> Result<()> {
     for number in 0.. {
         sleep(KILLS).await;
-        group.begin_fault(Fault { number, at: 0.0, lasts: 0.0, what: What::Kill(number % count) });
+        cluster.begin_fault(Fault { number, at: 0.0, lasts: 0.0, what: What::Kill(number % count) });
         sleep(Duration::from_millis(500)).await;
-        group.end_fault(number)?;
+        cluster.end_fault(number)?;
     }
     Ok(())
 }
@@ -84,10 +84,10 @@
 /// Has changes made at a rate, until told to stop; counts those that are acknowledged.
 async fn changing(addresses: Vec<std::net::SocketAddr>, stop: Arc<AtomicBool>, done: Arc<AtomicUsize>) {
     let leader = Leader::default();
-    let desks: Vec<_> = (0..16_u64)
+    let clients: Vec<_> = (0..16_u64)
         .map(|n| {
             let (stop, done) = (stop.clone(), done.clone());
-            let mut desk = Desk::new(addresses.clone(), leader.clone());
+            let mut client = StoreClient::new(addresses.clone(), leader.clone());
             tokio::spawn(async move {
                 let mut ticks = interval(Duration::from_micros(16_000_000 / CHANGES));
                 ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
@@ -97,16 +97,16 @@
                         return;
                     }
                     // A worker that no dispatcher knows: the mark is carried and changes nothing here.
-                    let change = Desk::command((n, i), &format!("none-{n}"), i % 2 == 0, "");
-                    if desk.ask(&change, Duration::from_secs(2)).await.is_ok() {
+                    let change = StoreClient::command((n, i), &format!("none-{n}"), i % 2 == 0, "");
+                    if client.ask(&change, Duration::from_secs(2)).await.is_ok() {
                         done.fetch_add(1, Ordering::Relaxed);
                     }
                 }
             })
         })
         .collect();
-    for desk in desks {
-        let _ = desk.await;
+    for client in clients {
+        let _ = client.await;
     }
 }
 
@@ -116,7 +116,7 @@
 }
 
 /// Plays all sides in turn.
-pub async fn measure(program: &Path, seconds: f64, rounds: usize, seed: u64) -> Result<Serving> {
+pub async fn measure(program: &Path, seconds: f64, rounds: usize, seed: u64) -> Result<ClientImpact> {
     let scenario = Scenario { faults: 0.0, ..Scenario::mixed(seconds, 0.6) };
     let mut sides: [Vec<Side>; 3] = Default::default();
     let mut changes = Vec::new();
@@ -130,23 +130,25 @@
         sides[0].push(play(&json!({})).await?);
         let folder =
             std::env::temp_dir().join(format!("pebblepost-harness-serving-{}-{round}", std::process::id()));
-        let mut group = Group::start(program, 3, folder).await?;
+        let mut cluster = Cluster::start(program, 3, folder).await?;
         let named = |(i, at): (usize, &std::net::SocketAddr)| ((i + 1).to_string(), json!(at));
-        let keepers: serde_json::Map<_, _> = group.outside().iter().enumerate().map(named).collect();
-        let operator = json!({"fleet": {"keepers": keepers}});
+        let replicas: serde_json::Map<_, _> =
+            cluster.client_addresses().iter().enumerate().map(named).collect();
+        let operator = json!({"fleet": {"keepers": replicas}});
         let (stop, done) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-        let work = tokio::spawn(changing(group.outside(), stop.clone(), done.clone()));
+        let work = tokio::spawn(changing(cluster.client_addresses(), stop.clone(), done.clone()));
         let began = Instant::now();
         let killed = tokio::select! {
             killed = play(&operator) => killed?,
-            ended = killing(&mut group, 3) => anyhow::bail!("the kills ended: {ended:?}"),
+            ended = killing(&mut cluster, 3) => anyhow::bail!("the kills ended: {ended:?}"),
         };
         stop.store(true, Ordering::Relaxed);
         changes.push(done.load(Ordering::Relaxed) as f64 / began.elapsed().as_secs_f64());
-        group.heal()?;
+        cluster.end_all_faults()?;
         work.await?;
         sides[1].push(killed);
-        (0..3).for_each(|k| group.begin_fault(Fault { number: k, at: 0.0, lasts: 0.0, what: What::Kill(k) }));
+        (0..3)
+            .for_each(|k| cluster.begin_fault(Fault { number: k, at: 0.0, lasts: 0.0, what: What::Kill(k) }));
         sides[2].push(play(&operator).await?);
     }
     let of = |i: usize, figure: fn(&Side) -> f64| median(sides[i].iter().map(figure).collect());
@@ -159,7 +161,7 @@
     let ratio = |i: usize, figure: fn(&Side) -> f64| {
         median(sides[i].iter().zip(&sides[0]).map(|(a, b)| figure(a) / figure(b).max(1e-9)).collect())
     };
-    Ok(Serving {
+    Ok(ClientImpact {
         without: all(0),
         killed: all(1),
         dead: all(2),
--- a/crates/pebblepost-harness/src/store/group.rs
+++ b/crates/pebblepost-harness/src/store/cluster.rs
@@ -1,7 +1,7 @@
 //! Keepers as processes, a relay on each directed pair, and the faults that happen to both.
 
-use super::desk::{Desk, Frames, Leader};
-use crate::fault::process::Victim;
+use super::client::{Connection, Leader, StoreClient};
+use crate::fault::managed_process::ManagedProcess;
 use crate::fault::relay::{Relay, Wire};
 use crate::fault::schedule::{Damage, Fault, Schedule, What};
 use anyhow::{Context, Result, bail};
@@ -16,82 +16,84 @@
 use tokio::time::{sleep, timeout};
 
 /// So many numbers each place may have, one after another, as its disks are replaced.
-const LIVES: usize = 256;
+const MAX_REPLACEMENTS: usize = 256;
 /// A keeper on a damaged disk must have ended within this.
-const REFUSES: Duration = Duration::from_secs(5);
+const REFUSAL_TIMEOUT: Duration = Duration::from_secs(5);
 /// A replacement must have a vote within this, faults or not.
-const REPLACED: Duration = Duration::from_secs(120);
+const REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// A group of keepers, and the wires between them and to them. The keeper at place `i` of `n` has the number `i + 1`, and
 /// `n` more with each disk that is replaced; the place after the last keeper is the outside: the desks.
-pub struct Group {
+pub struct Cluster {
     program: PathBuf,
-    keepers: Vec<Victim>,
+    replicas: Vec<ManagedProcess>,
     /// Their numbers, by place.
-    numbers: Vec<usize>,
+    replica_ids: Vec<usize>,
     addresses: Vec<SocketAddr>,
     relays: BTreeMap<(usize, usize), Relay>,
     active: Vec<Fault>,
     folder: PathBuf,
     /// The replacement that is being taken in: one at a time, or a majority might have forgotten.
-    mending: Option<JoinHandle<Result<()>>>,
+    replacement: Option<JoinHandle<Result<()>>>,
     /// Disks replaced, and those of them that the program refused by name before.
     pub disks: (usize, usize),
     /// Keepers that ended by themselves, or did not where they had to.
     pub crashed: Vec<String>,
 }
 
-fn at(place: usize) -> IpAddr {
+fn replica_ip(place: usize) -> IpAddr {
     [127, 0, 1, u8::try_from(place + 1).unwrap_or(u8::MAX)].into()
 }
 
-impl Group {
+impl Cluster {
     /// Starts so many keepers in a folder of their own, and has them begin a group.
     pub async fn start(program: &Path, count: usize, folder: PathBuf) -> Result<Self> {
         std::fs::create_dir_all(&folder)?;
         let mut addresses = Vec::new();
         for place in 0..count {
             // The port is free a moment later, when the keeper binds it.
-            addresses.push(TcpListener::bind((at(place), 0))?.local_addr()?);
+            addresses.push(TcpListener::bind((replica_ip(place), 0))?.local_addr()?);
         }
         let mut relays = BTreeMap::new();
         for from in 0..=count {
             for to in (0..count).filter(|to| *to != from) {
-                relays.insert((from, to), Relay::open(at(from), addresses[to]).await?);
+                relays.insert((from, to), Relay::open(replica_ip(from), addresses[to]).await?);
             }
         }
-        let mut group = Self {
+        let mut cluster = Self {
             program: program.to_owned(),
-            keepers: Vec::new(),
-            numbers: (1..=count).collect(),
+            replicas: Vec::new(),
+            replica_ids: (1..=count).collect(),
             addresses,
             relays,
             active: Vec::new(),
             folder,
-            mending: None,
+            replacement: None,
             disks: (0, 0),
             crashed: Vec::new(),
         };
         for place in 0..count {
-            let mut keeper = group.keeper(place)?;
-            keeper.start()?;
-            group.keepers.push(keeper);
+            let mut replica = cluster.replica(place)?;
+            replica.start()?;
+            cluster.replicas.push(replica);
         }
-        group.begin().await?;
-        Ok(group)
+        cluster.begin().await?;
+        Ok(cluster)
     }
 
     fn disk(&self, place: usize) -> PathBuf {
-        self.folder.join(format!("keeper-{}", self.numbers[place]))
+        self.folder.join(format!("keeper-{}", self.replica_ids[place]))
     }
 
     /// The keeper at a place, with its present number; not started.
-    fn keeper(&self, place: usize) -> Result<Victim> {
-        let (number, count) = (self.numbers[place], self.addresses.len());
+    fn replica(&self, place: usize) -> Result<ManagedProcess> {
+        let (number, count) = (self.replica_ids[place], self.addresses.len());
         let mut dial = BTreeMap::new();
         for to in (0..count).filter(|to| *to != place) {
             let through = self.relays[&(place, to)].address.to_string();
-            dial.extend((0..LIVES).map(|life| ((to + 1 + life * count).to_string(), through.clone())));
+            dial.extend(
+                (0..MAX_REPLACEMENTS).map(|life| ((to + 1 + life * count).to_string(), through.clone())),
+            );
         }
         let config = json!({
             "group": "rig", "id": number, "listen": self.addresses[place].to_string(),
@@ -103,14 +105,14 @@
         let log = File::options().create(true).append(true).open(log)?;
         let mut command = Command::new(&self.program);
         command.arg("keep").arg(path).stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log);
-        Ok(Victim::new(command))
+        Ok(ManagedProcess::new(command))
     }
 
     async fn begin(&self) -> Result<()> {
         let mut peers = serde_json::Map::new();
         for (place, address) in self.addresses.iter().enumerate() {
             let status =
-                until(Duration::from_secs(20), async || ask(*address, &json!("status")).await).await?;
+                retry_until(Duration::from_secs(20), async || ask(*address, &json!("status")).await).await?;
             let disk = status.pointer("/status/disk").with_context(|| format!("no disk: {status}"))?.clone();
             peers.insert((place + 1).to_string(), json!({"address": address.to_string(), "disk": disk}));
         }
@@ -122,7 +124,7 @@
     }
 
     /// Where the desks reach each keeper.
-    pub fn outside(&self) -> Vec<SocketAddr> {
+    pub fn client_addresses(&self) -> Vec<SocketAddr> {
         let count = self.addresses.len();
         (0..count).map(|to| self.relays[&(count, to)].address).collect()
     }
@@ -136,18 +138,18 @@
     /// A fault begins.
     pub fn begin_fault(&mut self, fault: Fault) {
         match fault.what {
-            What::Kill(k) => self.keepers[k].kill(),
+            What::Kill(k) => self.replicas[k].kill(),
             What::Stop(k) => {
-                self.keepers[k].stop(Duration::from_secs(3));
+                self.replicas[k].stop(Duration::from_secs(3));
             }
-            What::Pause(k) => self.keepers[k].pause(),
+            What::Pause(k) => self.replicas[k].pause(),
             What::Reset(from, to) => self.relays[&(from, to)].reset(),
             What::Disk(k, damage) => {
-                self.keepers[k].kill();
-                if !self.being_mended()
-                    && let Err(error) = self.spoil(k, damage)
+                self.replicas[k].kill();
+                if !self.is_replacing()
+                    && let Err(error) = self.damage_disk(k, damage)
                 {
-                    self.crashed.push(format!("the disk of keeper {}: {error:#}", self.numbers[k]));
+                    self.crashed.push(format!("the disk of keeper {}: {error:#}", self.replica_ids[k]));
                 }
             }
             What::Wire(..) | What::Alone(_) | What::Apart(_) | What::Deaf(_) => {}
@@ -156,13 +158,13 @@
         self.rewire();
     }
 
-    fn being_mended(&self) -> bool {
-        self.mending.as_ref().is_some_and(|mending| !mending.is_finished())
+    fn is_replacing(&self) -> bool {
+        self.replacement.as_ref().is_some_and(|replacement| !replacement.is_finished())
     }
 
     /// Spoils the disk of a keeper that was killed. Where something is left of it the keeper must end by itself, naming
     /// it; then it gets a new number and an empty disk, and asks to be taken in once it is started.
-    fn spoil(&mut self, k: usize, damage: Damage) -> Result<()> {
+    fn damage_disk(&mut self, k: usize, damage: Damage) -> Result<()> {
         let file = self.disk(k).join("keeper.redb");
         match damage {
             Damage::Gone => std::fs::remove_file(&file)?,
@@ -178,14 +180,14 @@
             }
         }
         if damage != Damage::Gone {
-            let keeper = &mut self.keepers[k];
-            keeper.start()?;
-            let end = Instant::now() + REFUSES;
-            while Instant::now() < end && keeper.runs() {
+            let replica = &mut self.replicas[k];
+            replica.start()?;
+            let end = Instant::now() + REFUSAL_TIMEOUT;
+            while Instant::now() < end && replica.runs() {
                 std::thread::sleep(Duration::from_millis(20));
             }
-            let refused = keeper.ended().is_some_and(|status| !status.success());
-            keeper.kill();
+            let refused = replica.ended().is_some_and(|status| !status.success());
+            replica.kill();
             self.disks.1 += usize::from(refused);
             // A flipped bit may be one that nothing reads.
             if !refused && damage == Damage::Torn {
@@ -193,18 +195,18 @@
             }
         }
         self.disks.0 += 1;
-        let old = self.numbers[k];
-        self.numbers[k] += self.addresses.len();
-        self.keepers[k] = self.keeper(k)?;
-        let (new, at, outside) = (self.numbers[k], self.addresses[k], self.outside());
-        self.mending = Some(tokio::spawn(take_in(old, new, at, outside)));
+        let old = self.replica_ids[k];
+        self.replica_ids[k] += self.addresses.len();
+        self.replicas[k] = self.replica(k)?;
+        let (new, at, outside) = (self.replica_ids[k], self.addresses[k], self.client_addresses());
+        self.replacement = Some(tokio::spawn(join_replacement(old, new, at, outside)));
         Ok(())
     }
 
     /// Waits until a replacement that is being taken in has its vote.
-    pub async fn mended(&mut self) -> Result<()> {
-        match self.mending.take() {
-            Some(mending) => mending.await?,
+    pub async fn wait_for_replacement(&mut self) -> Result<()> {
+        match self.replacement.take() {
+            Some(replacement) => replacement.await?,
             None => Ok(()),
         }
     }
@@ -217,8 +219,8 @@
         let held = |k: usize| self.active.iter().any(|f| f.what.ends(k));
         let paused = |k: usize| self.active.iter().any(|f| matches!(f.what, What::Pause(o) if o == k));
         match fault.what {
-            What::Kill(k) | What::Stop(k) | What::Disk(k, _) if !held(k) => self.keepers[k].start()?,
-            What::Pause(k) if !paused(k) => self.keepers[k].resume(),
+            What::Kill(k) | What::Stop(k) | What::Disk(k, _) if !held(k) => self.replicas[k].start()?,
+            What::Pause(k) if !paused(k) => self.replicas[k].resume(),
             _ => {}
         }
         Ok(())
@@ -230,7 +232,7 @@
             let of = |fault: &Fault| match fault.what {
                 What::Wire(f, t, wire) if (f, t) == (*from, *to) => Some(wire),
                 What::Alone(k) if k == *from || k == *to => Some(Wire::Cut),
-                What::Apart(k) if *from < self.keepers.len() && (k == *from || k == *to) => Some(Wire::Cut),
+                What::Apart(k) if *from < self.replicas.len() && (k == *from || k == *to) => Some(Wire::Cut),
                 What::Deaf(k) if k == *to => Some(Wire::HoldsThere),
                 What::Deaf(k) if k == *from => Some(Wire::HoldsBack),
                 _ => None,
@@ -250,7 +252,7 @@
         steps.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (at, fault, number) in steps {
             sleep(Duration::from_secs_f64((at - start.elapsed().as_secs_f64()).max(0.0))).await;
-            self.look()?;
+            self.restart_crashed()?;
             match fault {
                 Some(fault) => {
                     begins(&fault);
@@ -263,26 +265,26 @@
     }
 
     /// Notes keepers that ended though no fault was theirs, and starts them again.
-    pub fn look(&mut self) -> Result<()> {
-        for (k, keeper) in self.keepers.iter_mut().enumerate() {
-            if let Some(status) = keeper.ended()
+    pub fn restart_crashed(&mut self) -> Result<()> {
+        for (k, replica) in self.replicas.iter_mut().enumerate() {
+            if let Some(status) = replica.ended()
                 && !self.active.iter().any(|f| f.what.ends(k))
             {
-                self.crashed.push(format!("keeper {} ended by itself: {status}", self.numbers[k]));
-                keeper.start()?;
+                self.crashed.push(format!("keeper {} ended by itself: {status}", self.replica_ids[k]));
+                replica.start()?;
             }
         }
         Ok(())
     }
 
     /// All faults are over, and all keepers run.
-    pub fn heal(&mut self) -> Result<()> {
+    pub fn end_all_faults(&mut self) -> Result<()> {
         for number in self.active.iter().map(|f| f.number).collect::<Vec<_>>() {
             self.end_fault(number)?;
         }
-        for keeper in &mut self.keepers {
-            keeper.resume();
-            keeper.start()?;
+        for replica in &mut self.replicas {
+            replica.resume();
+            replica.start()?;
         }
         Ok(())
     }
@@ -293,9 +295,9 @@
     }
 }
 
-impl Drop for Group {
+impl Drop for Cluster {
     fn drop(&mut self) {
-        self.keepers.clear();
+        self.replicas.clear();
         if std::env::var_os("PEBBLEPOST_RIG_LOG").is_none() {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
@@ -304,8 +306,9 @@
 
 /// Has a keeper with a new disk take the place of one whose disk is lost: it learns, the old number goes, and it gets a
 /// vote. In this order no majority is ever larger than that of the keepers that are left.
-async fn take_in(old: usize, new: usize, at: SocketAddr, outside: Vec<SocketAddr>) -> Result<()> {
-    let (mut desk, end) = (Desk::new(outside, Leader::default()), Instant::now() + REPLACED);
+async fn join_replacement(old: usize, new: usize, at: SocketAddr, outside: Vec<SocketAddr>) -> Result<()> {
+    let (mut client, end) =
+        (StoreClient::new(outside, Leader::default()), Instant::now() + REPLACEMENT_TIMEOUT);
     let disk = loop {
         match ask(at, &json!("status")).await {
             Ok(status) => {
@@ -318,7 +321,7 @@
     let learn = json!({"learn": [new, {"address": at.to_string(), "disk": disk}]});
     for step in [learn, json!({"remove": old}), json!({"promote": new})] {
         loop {
-            match desk.ask(&step, Duration::from_secs(8)).await {
+            match client.ask(&step, Duration::from_secs(8)).await {
                 Ok(said) if said == json!("done") => break,
                 Ok(said) => bail!("{step}: {said}"),
                 Err(error) if Instant::now() >= end => return Err(error),
@@ -331,7 +334,7 @@
 
 async fn ask(address: SocketAddr, message: &Value) -> Result<Value> {
     let work = async {
-        let mut frames = Frames::open(address).await?;
+        let mut frames = Connection::open(address).await?;
         frames.send(message).await?;
         frames.next().await
     };
@@ -339,7 +342,7 @@
 }
 
 /// Tries until it works, at most for so long.
-pub async fn until<T>(limit: Duration, mut work: impl AsyncFnMut() -> Result<T>) -> Result<T> {
+pub async fn retry_until<T>(limit: Duration, mut work: impl AsyncFnMut() -> Result<T>) -> Result<T> {
     let end = Instant::now() + limit;
     loop {
         match work().await {
--- a/crates/pebblepost-harness/src/store/verdict.rs
+++ b/crates/pebblepost-harness/src/store/consistency.rs
@@ -1,31 +1,31 @@
 //! Judges what the desks saw: nothing acknowledged is lost, no read is old, and each worker's mark behaves as if there
 //! were one copy of it (linearizability, by `stateright`'s checker).
 
-use super::witness::{Op, Seen};
+use super::history::{Operation, OperationKind};
 use serde::Serialize;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 use std::collections::BTreeMap;
 
 /// One worker's drain mark, as if there were one copy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Mark(Option<String>);
+struct DrainMark(Option<String>);
 
-impl SequentialSpec for Mark {
-    type Op = Op;
+impl SequentialSpec for DrainMark {
+    type Op = OperationKind;
     /// What a read found; other operations find nothing.
     type Ret = Option<String>;
 
-    fn invoke(&mut self, op: &Op) -> Option<String> {
+    fn invoke(&mut self, op: &OperationKind) -> Option<String> {
         match op {
-            Op::Drain(tag) => {
+            OperationKind::Drain(tag) => {
                 self.0.get_or_insert_with(|| tag.clone());
                 None
             }
-            Op::Undrain => {
+            OperationKind::Undrain => {
                 self.0 = None;
                 None
             }
-            Op::Read => self.0.clone(),
+            OperationKind::Read => self.0.clone(),
         }
     }
 }
@@ -47,9 +47,9 @@
 }
 
 /// What one worker's history allows to be expected at the end: its mark, if all who touched it are known to have.
-fn expected(history: &[&Seen]) -> Option<bool> {
+fn expected(history: &[&Operation]) -> Option<bool> {
     // Only where nobody's outcome is unknown and the changes came one after another.
-    let changes: Vec<&&Seen> = history.iter().filter(|s| s.op != Op::Read).collect();
+    let changes: Vec<&&Operation> = history.iter().filter(|s| s.kind != OperationKind::Read).collect();
     let mut last = f64::NEG_INFINITY;
     for change in &changes {
         let (answered, _) = change.answered.as_ref()?;
@@ -58,31 +58,31 @@
         }
         last = *answered;
     }
-    changes.last().map(|c| matches!(c.op, Op::Drain(_)))
+    changes.last().map(|c| matches!(c.kind, OperationKind::Drain(_)))
 }
 
 /// Reads that were asked after a lone change was acknowledged and before any other was asked, and contradict it.
-fn stale(history: &[&Seen]) -> usize {
-    let changes: Vec<&&Seen> = history.iter().filter(|s| s.op != Op::Read).collect();
-    let reads = history.iter().filter(|s| s.op == Op::Read);
-    let contradicts = |read: &&&Seen| {
+fn stale(history: &[&Operation]) -> usize {
+    let changes: Vec<&&Operation> = history.iter().filter(|s| s.kind != OperationKind::Read).collect();
+    let reads = history.iter().filter(|s| s.kind == OperationKind::Read);
+    let contradicts = |read: &&&Operation| {
         let Some((answered, found)) = &read.answered else { return false };
         // Every change but those over before the read, or begun after it, may or may not be seen.
         let open = changes
             .iter()
             .any(|c| c.asked < *answered && c.answered.as_ref().is_none_or(|(end, _)| *end > read.asked));
-        let end = |c: &Seen| c.answered.as_ref().map_or(f64::INFINITY, |(end, _)| *end);
+        let end = |c: &Operation| c.answered.as_ref().map_or(f64::INFINITY, |(end, _)| *end);
         let before = || changes.iter().filter(|c| end(c) <= read.asked);
         let last = before().max_by(|a, b| a.asked.total_cmp(&b.asked));
         // Of two that were out at the same time either may have been the last.
         let clear = last.is_none_or(|last| before().all(|c| c.asked >= last.asked || end(c) <= last.asked));
-        let drained = last.is_some_and(|c| matches!(c.op, Op::Drain(_)));
+        let drained = last.is_some_and(|c| matches!(c.kind, OperationKind::Drain(_)));
         !open && clear && found.is_some() != drained
     };
     reads.filter(contradicts).count()
 }
 
-fn linearizable(history: &[&Seen]) -> bool {
+fn linearizable(history: &[&Operation]) -> bool {
     // Each operation is a thread of its own, so that those whose outcome is unknown stay open for ever.
     let mut events: Vec<(f64, bool, usize)> = Vec::new();
     for (i, seen) in history.iter().enumerate() {
@@ -90,16 +90,16 @@
         events.extend(seen.answered.as_ref().map(|(at, _)| (*at, true, i)));
     }
     events.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-    let mut tester = LinearizabilityTester::new(Mark(None));
+    let mut tester = LinearizabilityTester::new(DrainMark(None));
     for (_, ends, i) in events {
         let seen = history[i];
         // A read that got no answer says nothing.
-        if seen.op == Op::Read && seen.answered.is_none() {
+        if seen.kind == OperationKind::Read && seen.answered.is_none() {
             continue;
         }
         let taken = match &seen.answered {
             Some((_, found)) if ends => tester.on_return(i, found.clone()).is_ok(),
-            _ => tester.on_invoke(i, seen.op.clone()).is_ok(),
+            _ => tester.on_invoke(i, seen.kind.clone()).is_ok(),
         };
         debug_assert!(taken, "each operation is asked and answered once");
     }
@@ -107,12 +107,12 @@
 }
 
 /// Judges the operations. `end`: the tag of each mark that stands at the end, read after all faults were over.
-pub fn judge(seen: &[Seen], end: &BTreeMap<String, String>) -> Verdict {
+pub fn judge(seen: &[Operation], end: &BTreeMap<String, String>) -> Verdict {
     let mut verdict = Verdict { linearizable: true, ..Verdict::default() };
-    let mut by_worker: BTreeMap<&str, Vec<&Seen>> = BTreeMap::new();
+    let mut by_worker: BTreeMap<&str, Vec<&Operation>> = BTreeMap::new();
     for s in seen {
         by_worker.entry(&s.worker).or_default().push(s);
-        verdict.committed += usize::from(s.op != Op::Read && s.answered.is_some());
+        verdict.committed += usize::from(s.kind != OperationKind::Read && s.answered.is_some());
     }
     for (worker, history) in &mut by_worker {
         history.sort_by(|a, b| a.asked.total_cmp(&b.asked));
--- a/crates/pebblepost-harness/src/store/witness.rs
+++ b/crates/pebblepost-harness/src/store/history.rs
@@ -4,7 +4,7 @@
 
 /// An operation on one worker's drain mark.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Op {
+pub enum OperationKind {
     /// Sets it with this tag; one that is there keeps its own.
     Drain(String),
     /// Takes it away.
@@ -15,11 +15,11 @@
 
 /// An operation as it was seen.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct Operation {
     /// On which worker.
     pub worker: String,
     /// What was asked.
-    pub op: Op,
+    pub kind: OperationKind,
     /// When it was asked, in seconds from the start.
     pub asked: f64,
     /// When it was answered, and with what a read found. `None`: it is not known whether it was done.
@@ -27,4 +27,4 @@
 }
 
 /// The list of them; each is noted when it has ended or was given up.
-pub type Witness = Record<Seen>;
+pub type OperationHistory = Record<Operation>;
--- a/crates/pebblepost-harness/src/store/herd.rs
+++ b/crates/pebblepost-harness/src/store/mass_restart.rs
@@ -1,8 +1,8 @@
 //! Many dispatchers that come back at once: each joins, and no election is lost through it.
 
-use super::desk::{Desk, Leader};
-use super::group::{Group, until};
-use crate::fault::process::Victim;
+use super::client::{Leader, StoreClient};
+use super::cluster::{Cluster, retry_until};
+use crate::fault::managed_process::ManagedProcess;
 use anyhow::{Context, Result, bail};
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
 
 /// What came of it.
 #[derive(Clone, Debug, Serialize)]
-pub struct Herd {
+pub struct MassRestartReport {
     /// Dispatchers.
     pub dispatchers: usize,
     /// From their first start until the group had all of them as members, in seconds.
@@ -28,7 +28,7 @@
     pub slowest_change_ms: f64,
 }
 
-fn start(program: &Path, folder: &Path, number: usize, keepers: &Value) -> Result<Victim> {
+fn start(program: &Path, folder: &Path, number: usize, replicas: &Value) -> Result<ManagedProcess> {
     // An address of its own: among hundreds of processes a port that was free a moment ago is none any more.
     let [high, low] = u16::try_from(number)?.to_be_bytes();
     let listen = SocketAddr::from(([127, 3, high, low], 8081));
@@ -40,17 +40,17 @@
     });
     let files = ["config", "operator"].map(|what| folder.join(format!("{what}-{number}.json")));
     std::fs::write(&files[0], config.to_string())?;
-    std::fs::write(&files[1], json!({"fleet": {"keepers": keepers}}).to_string())?;
+    std::fs::write(&files[1], json!({"fleet": {"keepers": replicas}}).to_string())?;
     let [config, operator] = &files;
     let mut command = Command::new(program);
     command.env("PROXY_CONFIG", config).env("PEBBLEPOST_OPERATOR", operator);
     command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
-    Ok(Victim::new(command))
+    Ok(ManagedProcess::new(command))
 }
 
 /// Members that are there in that life, and the revision.
-async fn here(desk: &mut Desk, life: u64) -> Result<(usize, u64)> {
-    let say = desk.ask(&json!({"get": []}), Duration::from_secs(5)).await?;
+async fn here(client: &mut StoreClient, life: u64) -> Result<(usize, u64)> {
+    let say = client.ask(&json!({"get": []}), Duration::from_secs(5)).await?;
     let found = say.get("found").with_context(|| say.to_string())?;
     let members = found["entries"].as_object().into_iter().flatten().filter(|(_, entry)| {
         let member = &entry["value"]["member"];
@@ -59,49 +59,49 @@
     Ok((members.count(), found["revision"].as_u64().unwrap_or(0)))
 }
 
-async fn term(desk: &mut Desk) -> Result<u64> {
-    let say = desk.ask(&json!("status"), Duration::from_secs(5)).await?;
+async fn term(client: &mut StoreClient) -> Result<u64> {
+    let say = client.ask(&json!("status"), Duration::from_secs(5)).await?;
     say.pointer("/status/term").and_then(Value::as_u64).with_context(|| say.to_string())
 }
 
 /// Plays it.
-pub async fn measure(program: &Path, dispatchers: usize) -> Result<Herd> {
+pub async fn measure(program: &Path, dispatchers: usize) -> Result<MassRestartReport> {
     let folder = std::env::temp_dir().join(format!("pebblepost-harness-herd-{}", std::process::id()));
-    let group = Group::start(program, 3, folder).await?;
+    let cluster = Cluster::start(program, 3, folder).await?;
     let named = |(i, at): (usize, &SocketAddr)| ((i + 1).to_string(), json!(at));
-    let keepers = Value::Object(group.outside().iter().enumerate().map(named).collect());
-    let mut desk = Desk::new(group.outside(), Leader::default());
-    here(&mut desk, 1).await?;
-    let first_term = term(&mut desk).await?;
-    let mut herd = Vec::new();
+    let replicas = Value::Object(cluster.client_addresses().iter().enumerate().map(named).collect());
+    let mut client = StoreClient::new(cluster.client_addresses(), Leader::default());
+    here(&mut client, 1).await?;
+    let first_term = term(&mut client).await?;
+    let mut processes = Vec::new();
     for number in 0..dispatchers {
-        herd.push(start(program, group.folder(), number, &keepers)?);
+        processes.push(start(program, cluster.folder(), number, &replicas)?);
     }
     let mut took = Vec::new();
     let (mut slowest, mut revisions) = (Duration::ZERO, 0);
     for life in 1..=2 {
-        herd.iter_mut().for_each(Victim::kill);
+        processes.iter_mut().for_each(ManagedProcess::kill);
         let began = Instant::now();
-        for one in &mut herd {
+        for one in &mut processes {
             one.start()?;
         }
         let mut number = 0;
-        until(Duration::from_secs(120), async || {
+        retry_until(Duration::from_secs(120), async || {
             number += 1;
             let (asked, change) =
-                (Instant::now(), Desk::command((life, number), "none", number % 2 == 0, ""));
-            desk.ask(&change, Duration::from_secs(10)).await?;
+                (Instant::now(), StoreClient::command((life, number), "none", number % 2 == 0, ""));
+            client.ask(&change, Duration::from_secs(10)).await?;
             slowest = slowest.max(asked.elapsed());
-            let (count, revision) = here(&mut desk, life).await?;
+            let (count, revision) = here(&mut client, life).await?;
             revisions = revision;
             if count < dispatchers { bail!("{count} of {dispatchers} have joined") } else { Ok(()) }
         })
         .await?;
         took.push(began.elapsed().as_secs_f64());
     }
-    let elections = term(&mut desk).await?.saturating_sub(first_term);
+    let elections = term(&mut client).await?.saturating_sub(first_term);
     let slowest_change_ms = slowest.as_secs_f64() * 1e3;
-    Ok(Herd {
+    Ok(MassRestartReport {
         dispatchers,
         joined_s: took[0],
         joined_again_s: took[1],
--- a/crates/pebblepost-harness/src/store/run.rs
+++ b/crates/pebblepost-harness/src/store/run.rs
@@ -1,9 +1,9 @@
 //! `rig store`: a group under a schedule of faults while desks change and read, and the judgement.
 
-use super::desk::{Desk, Frames, Leader, tag};
-use super::group::{Group, until};
-use super::verdict::{Verdict, judge};
-use super::witness::{Op, Seen, Witness};
+use super::client::{Connection, Leader, StoreClient, tag};
+use super::cluster::{Cluster, retry_until};
+use super::consistency::{Verdict, judge};
+use super::history::{Operation, OperationHistory, OperationKind};
 use crate::clients::Outcome;
 use crate::fault::schedule::{Draw, Fault, Schedule, What};
 use crate::run::Run;
@@ -34,9 +34,9 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Keepers.
-    pub keepers: usize,
+    pub replicas: usize,
     /// Desks at work at the same time.
-    pub desks: usize,
+    pub clients: usize,
     /// Seconds of work under faults.
     pub seconds: f64,
     /// The seed.
@@ -83,7 +83,7 @@
 
 struct Shared {
     plan: Plan,
-    witness: Witness,
+    history: OperationHistory,
     leader: Leader,
     stop: AtomicBool,
     contended: AtomicU64,
@@ -94,14 +94,16 @@
     gap: Mutex<(Option<Instant>, Vec<f64>)>,
 }
 
-async fn change(shared: &Shared, desk: &mut Desk, id: (u64, u64), worker: &str, op: Op) -> bool {
-    let (drain, name) = match &op {
-        Op::Drain(tag) => (true, tag.as_str()),
+async fn change(
+    shared: &Shared, client: &mut StoreClient, id: (u64, u64), worker: &str, kind: OperationKind,
+) -> bool {
+    let (drain, name) = match &kind {
+        OperationKind::Drain(tag) => (true, tag.as_str()),
         _ => (false, ""),
     };
-    let command = Desk::command(id, worker, drain, name);
-    let (asked, began) = (shared.witness.now(), Instant::now());
-    let said = desk.ask(&command, PATIENCE).await;
+    let command = StoreClient::command(id, worker, drain, name);
+    let (asked, began) = (shared.history.now(), Instant::now());
+    let said = client.ask(&command, PATIENCE).await;
     let done = said.is_ok_and(|say| say.pointer("/answer/Ok").is_some());
     if done {
         let _ = lock(&shared.writes).record(began.elapsed().as_micros() as u64);
@@ -112,35 +114,40 @@
             gap.1.push(killed.elapsed().as_secs_f64() * 1e3);
         }
     }
-    let answered = done.then(|| (shared.witness.now(), None));
-    shared.witness.note(Seen { worker: worker.to_owned(), op, asked, answered });
+    let answered = done.then(|| (shared.history.now(), None));
+    shared.history.note(Operation { worker: worker.to_owned(), kind, asked, answered });
     done
 }
 
-async fn read(shared: &Shared, desk: &mut Desk, worker: &str) {
-    let asked = shared.witness.now();
-    if let Ok(found) = desk.read(worker, PATIENCE).await {
-        let answered = Some((shared.witness.now(), found));
-        shared.witness.note(Seen { worker: worker.to_owned(), op: Op::Read, asked, answered });
+async fn read(shared: &Shared, client: &mut StoreClient, worker: &str) {
+    let asked = shared.history.now();
+    if let Ok(found) = client.read(worker, PATIENCE).await {
+        let answered = Some((shared.history.now(), found));
+        shared.history.note(Operation {
+            worker: worker.to_owned(),
+            kind: OperationKind::Read,
+            asked,
+            answered,
+        });
     }
 }
 
 /// One desk at work until it is told to stop.
 async fn work(shared: Arc<Shared>, number: usize, addresses: Vec<SocketAddr>) {
     let mut rng = Pcg64Mcg::seed_from_u64(shared.plan.seed.wrapping_mul(1_000) ^ number as u64);
-    let mut desk = Desk::new(addresses, shared.leader.clone());
+    let mut client = StoreClient::new(addresses, shared.leader.clone());
     let mut own: VecDeque<String> = VecDeque::new();
     let mut next = 0_u64;
     while !shared.stop.load(Ordering::Relaxed) {
         next += 1;
         if rng.random_bool(0.2) {
-            desk.turn_to(rng.random_range(0..shared.plan.keepers)); // One that led may still think that it does.
+            client.turn_to(rng.random_range(0..shared.plan.replicas)); // One that led may still think that it does.
         }
         let id = (number as u64 + 1, next);
         match rng.random_range(0..10) {
             0..5 => {
                 let worker = format!("w-{number}-{next}");
-                if change(&shared, &mut desk, id, &worker, Op::Drain(format!("t{next}"))).await {
+                if change(&shared, &mut client, id, &worker, OperationKind::Drain(format!("t{next}"))).await {
                     own.push_back(worker.clone());
                     let mut fresh = lock(&shared.fresh);
                     fresh.push_back(worker);
@@ -151,7 +158,8 @@
                 if own.len() > HELD
                     && let Some(oldest) = own.pop_front()
                 {
-                    change(&shared, &mut desk, (id.0, id.1 | 1 << 60), &oldest, Op::Undrain).await;
+                    change(&shared, &mut client, (id.0, id.1 | 1 << 60), &oldest, OperationKind::Undrain)
+                        .await;
                 }
             }
             5..7 => {
@@ -160,7 +168,7 @@
                     (!fresh.is_empty()).then(|| fresh[rng.random_range(0..fresh.len())].clone())
                 };
                 if let Some(worker) = some {
-                    read(&shared, &mut desk, &worker).await;
+                    read(&shared, &mut client, &worker).await;
                 }
             }
             what => {
@@ -168,10 +176,17 @@
                 let worker = format!("c-{turn}");
                 match what {
                     7 => drop(
-                        change(&shared, &mut desk, id, &worker, Op::Drain(format!("t{number}-{next}"))).await,
+                        change(
+                            &shared,
+                            &mut client,
+                            id,
+                            &worker,
+                            OperationKind::Drain(format!("t{number}-{next}")),
+                        )
+                        .await,
                     ),
-                    8 => drop(change(&shared, &mut desk, id, &worker, Op::Undrain).await),
-                    _ => read(&shared, &mut desk, &worker).await,
+                    8 => drop(change(&shared, &mut client, id, &worker, OperationKind::Undrain).await),
+                    _ => read(&shared, &mut client, &worker).await,
                 }
             }
         }
@@ -229,7 +244,7 @@
     for address in addresses.iter().cycle() {
         let from = lock(&copy).revision;
         let session = async {
-            let mut frames = timeout(Duration::from_secs(1), Frames::open(*address)).await??;
+            let mut frames = timeout(Duration::from_secs(1), Connection::open(*address)).await??;
             frames.send(&json!({"watch": from})).await?;
             loop {
                 let say = timeout(Duration::from_millis(1_500), frames.next()).await??;
@@ -245,10 +260,10 @@
 type Served = (f64, Vec<String>);
 
 /// Dispatchers that follow the group through the same wires as the desks, with stand-in workers and clients around them.
-async fn serving(plan: Plan, program: PathBuf, keepers: Vec<SocketAddr>) -> Result<Served> {
+async fn serving(plan: Plan, program: PathBuf, replicas: Vec<SocketAddr>) -> Result<Served> {
     let named = |(i, at): (usize, &SocketAddr)| ((i + 1).to_string(), json!(at));
-    let keepers: serde_json::Map<_, _> = keepers.iter().enumerate().map(named).collect();
-    let operator = json!({"fleet": {"keepers": keepers}});
+    let replicas: serde_json::Map<_, _> = replicas.iter().enumerate().map(named).collect();
+    let operator = json!({"fleet": {"keepers": replicas}});
     let (dispatchers, faults) = (plan.dispatchers, 0.0);
     let scenario = Scenario { dispatchers, faults, ..Scenario::mixed(plan.seconds, 0.6) };
     let run = Run {
@@ -267,17 +282,17 @@
 /// Draws the schedule of a plan.
 pub fn schedule(plan: &Plan) -> Schedule {
     let every = 0.85;
-    Schedule::draw(Draw { processes: plan.keepers, seconds: plan.seconds, every, longest: 2.0 }, plan.seed)
+    Schedule::draw(Draw { processes: plan.replicas, seconds: plan.seconds, every, longest: 2.0 }, plan.seed)
 }
 
 /// Runs it. Returns the figures and what was found, in words.
 pub async fn run(plan: &Plan, schedule: &Schedule, program: &Path) -> Result<(Summary, Vec<String>)> {
     let folder =
         std::env::temp_dir().join(format!("pebblepost-harness-store-{}-{}", std::process::id(), plan.seed));
-    let mut group = Group::start(program, plan.keepers, folder).await?;
+    let mut cluster = Cluster::start(program, plan.replicas, folder).await?;
     let shared = Arc::new(Shared {
         plan: plan.clone(),
-        witness: Witness::default(),
+        history: OperationHistory::default(),
         leader: Leader::default(),
         stop: AtomicBool::new(false),
         contended: AtomicU64::new(0),
@@ -286,48 +301,52 @@
         gap: Mutex::default(),
     });
     let copy = Arc::new(Mutex::new(Copy::default()));
-    let follower = tokio::spawn(follow(group.outside(), copy.clone()));
-    let desks: Vec<_> =
-        (0..plan.desks).map(|n| tokio::spawn(work(shared.clone(), n, group.outside()))).collect();
+    let follower = tokio::spawn(follow(cluster.client_addresses(), copy.clone()));
+    let clients: Vec<_> = (0..plan.clients)
+        .map(|n| tokio::spawn(work(shared.clone(), n, cluster.client_addresses())))
+        .collect();
     let serving = (plan.dispatchers > 0)
-        .then(|| tokio::spawn(serving(plan.clone(), program.to_owned(), group.outside())));
+        .then(|| tokio::spawn(serving(plan.clone(), program.to_owned(), cluster.client_addresses())));
     let leader_killed = |fault: &Fault| {
         if fault.what == What::Kill(shared.leader.load(Ordering::Relaxed)) {
             lock(&shared.gap).0.get_or_insert_with(Instant::now);
         }
     };
-    group.play(schedule, leader_killed).await?;
+    cluster.play(schedule, leader_killed).await?;
     shared.stop.store(true, Ordering::Relaxed);
-    group.heal()?;
-    for desk in desks {
-        desk.await?;
+    cluster.end_all_faults()?;
+    for client in clients {
+        client.await?;
     }
-    group.mended().await.context("a keeper with a new disk is not taken in after all faults")?;
+    cluster
+        .wait_for_replacement()
+        .await
+        .context("a keeper with a new disk is not taken in after all faults")?;
     let served = match serving {
         Some(serving) => Some(serving.await??),
         None => None,
     };
     // All faults are over: the group must answer again, and the follower must come to the same.
-    let mut desk = Desk::new(group.outside(), shared.leader.clone());
-    let (revision, end) = until(Duration::from_secs(60), async || {
-        let say = desk.ask(&json!({"get": []}), PATIENCE).await?;
+    let mut client = StoreClient::new(cluster.client_addresses(), shared.leader.clone());
+    let (revision, end) = retry_until(Duration::from_secs(60), async || {
+        let say = client.ask(&json!({"get": []}), PATIENCE).await?;
         let found = say.get("found").with_context(|| say.to_string())?;
         Ok((found["revision"].as_u64().unwrap_or(0), drains(&found["entries"])))
     })
     .await
     .context("the group does not answer after all faults")?;
-    let caught_up = until(Duration::from_secs(30), async || {
+    let caught_up = retry_until(Duration::from_secs(30), async || {
         let at = lock(&copy).revision;
         if at >= revision { Ok(()) } else { anyhow::bail!("the follower stays at {at} of {revision}") }
     });
     let caught_up = caught_up.await;
     follower.abort();
-    group.look()?;
+    cluster.restart_crashed()?;
     let copy = lock(&copy);
-    let seen: Vec<Seen> = shared.witness.take().into_iter().map(|(_, seen)| seen).collect();
+    let seen: Vec<Operation> = shared.history.take().into_iter().map(|(_, seen)| seen).collect();
     let verdict = judge(&seen, &end);
     let mut broken = copy.wrong.clone();
-    broken.extend(group.crashed.clone());
+    broken.extend(cluster.crashed.clone());
     broken.extend(served.iter().flat_map(|(_, rules)| rules.clone()));
     broken.extend(caught_up.err().map(|e| e.to_string()));
     let forgotten: Vec<&String> = end.keys().filter(|w| !copy.drains.contains_key(*w)).collect();
@@ -345,8 +364,8 @@
         drains_forgotten: forgotten.len(),
         unknown: seen.iter().filter(|s| s.answered.is_none()).count(),
         kills: faults.get("kill").copied().unwrap_or(0),
-        disks_replaced: group.disks.0,
-        disks_refused: group.disks.1,
+        disks_replaced: cluster.disks.0,
+        disks_refused: cluster.disks.1,
         served_share: served.map(|(share, _)| share),
         faults,
         rules_broken: broken.len(),
@@ -354,7 +373,7 @@
         write_p99_ms: ms(0.99),
         leader_gap_p50_ms: gap(0.5),
         leader_gap_p99_ms: gap(0.99),
-        bytes_per_change: group.carried() / verdict.committed.max(1) as u64,
+        bytes_per_change: cluster.carried() / verdict.committed.max(1) as u64,
         verdict,
     };
     Ok((summary, found))
--- a/crates/pebblepost-harness/src/supervisor.rs
+++ b/crates/pebblepost-harness/src/supervisor.rs
@@ -6,7 +6,7 @@
 use crate::dispatcher::Process;
 use crate::record::{Record, Seen, Told};
 use crate::standin::lock;
-use crate::store::desk::{Desk, Leader};
+use crate::store::client::{Leader, StoreClient};
 use anyhow::Result;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -92,7 +92,7 @@
 #[derive(Debug, Default)]
 pub struct Supervisor {
     version: String,
-    keepers: Vec<SocketAddr>,
+    replicas: Vec<SocketAddr>,
     orders: Mutex<BTreeMap<usize, Order>>,
     outages: Mutex<Vec<Outage>>,
     killed: Mutex<Vec<Killed>>,
@@ -106,15 +106,15 @@
 
 impl Supervisor {
     /// One that asks these keepers; all begin with this version.
-    pub fn of(version: &str, keepers: Vec<SocketAddr>) -> Self {
-        Self { version: version.to_owned(), keepers, ..Self::default() }
+    pub fn of(version: &str, replicas: Vec<SocketAddr>) -> Self {
+        Self { version: version.to_owned(), replicas, ..Self::default() }
     }
 
     /// The version that the agreed state names for one that has ended.
     async fn named(&self, dispatcher: usize) -> Option<String> {
         let key = format!("permit/dispatcher/n{dispatcher}");
-        let mut desk = Desk::new(self.keepers.clone(), Leader::default());
-        let say = desk.ask(&json!({"get": [key]}), PATIENCE).await.ok()?;
+        let mut client = StoreClient::new(self.replicas.clone(), Leader::default());
+        let say = client.ask(&json!({"get": [key]}), PATIENCE).await.ok()?;
         let permit = say.pointer("/found/entries")?.get(&key)?.pointer("/value/permit")?.clone();
         let granted = permit["granted"].is_u64();
         permit["want"].as_str().filter(|want| granted && !want.is_empty()).map(str::to_owned)
--- a/crates/pebblepost-harness/tests/pins.rs
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -162,7 +162,7 @@
         lines += &format!("{seed}: {} {:016x}\n", text.len(), digest.0);
     }
     let plan =
-        store::run::Plan { keepers: 5, desks: 4, seconds: 20.0, seed: 9, pause_ms: 20, dispatchers: 0 };
+        store::run::Plan { replicas: 5, clients: 4, seconds: 20.0, seed: 9, pause_ms: 20, dispatchers: 0 };
     lines += &(serde_json::to_string(&store::run::schedule(&plan)).expect("plain data") + "\n");
     approved("schedules.txt", &lines);
 }
@@ -239,10 +239,10 @@
         ),
         ("fleet", serde_json::to_string(&fleet::Summary::default())),
         ("store", serde_json::to_string(&store::run::Summary::default())),
-        ("store --serving", serde_json::to_string(&store::serving::Serving::default())),
+        ("store --serving", serde_json::to_string(&store::client_impact::ClientImpact::default())),
         (
             "store --herd",
-            serde_json::to_string(&store::herd::Herd {
+            serde_json::to_string(&store::mass_restart::MassRestartReport {
                 dispatchers: 1,
                 joined_s: 2.0,
                 joined_again_s: 3.0,
--- a/crates/pebblepost-harness/tests/release.rs
+++ b/crates/pebblepost-harness/tests/release.rs
@@ -10,7 +10,7 @@
     let plan = Plan {
         dispatchers: 4,
         workers: 6,
-        keepers: 3,
+        replicas: 3,
         budget: (2, 1),
         worker_budget: 2,
         watch_s: 3.0,
--- a/crates/pebblepost-harness/tests/store.rs
+++ b/crates/pebblepost-harness/tests/store.rs
@@ -9,7 +9,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_acknowledged_is_lost_and_no_read_is_old_whatever_happens_between_three_keepers() {
     let program = dispatcher::built().expect("the program builds");
-    let plan = Plan { keepers: 3, desks: 4, seconds: 20.0, seed: 2, pause_ms: 20, dispatchers: 2 };
+    let plan = Plan { replicas: 3, clients: 4, seconds: 20.0, seed: 2, pause_ms: 20, dispatchers: 2 };
     let schedule = schedule(&plan);
     assert!(schedule.kinds()["kill"] >= 8, "{:?}", schedule.kinds());
     let (summary, found) = run(&plan, &schedule, &program).await.expect("the group answers after all faults");
@@ -29,7 +29,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keeper_that_answers_in_seconds_does_not_hold_up_the_rest() {
     let program = dispatcher::built().expect("the program builds");
-    let plan = Plan { keepers: 3, desks: 4, seconds: 12.0, seed: 3, pause_ms: 20, dispatchers: 0 };
+    let plan = Plan { replicas: 3, clients: 4, seconds: 12.0, seed: 3, pause_ms: 20, dispatchers: 0 };
     let late = Wire::Late(1_500);
     let slow = [(0, 2), (1, 2), (2, 0), (2, 1)].map(|(from, to)| (0.0, 12.0, What::Wire(from, to, late)));
     let (summary, found) = run(&plan, &faults(slow), &program).await.expect("the group answers");
@@ -42,7 +42,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn disks_that_are_lost_or_damaged_are_named_and_replaced_while_the_group_goes_on() {
     let program = dispatcher::built().expect("the program builds");
-    let plan = Plan { keepers: 3, desks: 4, seconds: 16.0, seed: 4, pause_ms: 20, dispatchers: 0 };
+    let plan = Plan { replicas: 3, clients: 4, seconds: 16.0, seed: 4, pause_ms: 20, dispatchers: 0 };
     let spoilt = [
         (1.0, 1.0, What::Disk(0, Damage::Gone)),
         (6.0, 1.0, What::Disk(1, Damage::Torn)),
--- a/crates/pebblepost-harness/tests/unit/main.rs
+++ b/crates/pebblepost-harness/tests/unit/main.rs
@@ -10,4 +10,4 @@
 mod release_witness;
 mod report;
 mod scenario;
-mod store_verdict;
+mod store_consistency;
