--- a/crates/pebblepost-harness/src/fault/mod.rs
+++ b/crates/pebblepost-harness/src/fault/mod.rs
@@ -1,9 +1,9 @@
-//! Faults between processes. Kept apart so that each can serve other runs:
+//! Faults of processes and of the links between them. Nothing here knows what the processes do.
 //!
-//! * [`relay`]: what sits on the wire between two processes and does to it what it is told.
-//! * [`schedule`]: which fault when, drawn from a seed; printed, replayed, and shrunk by leaving faults out.
-//! * [`managed_process`]: processes that are killed, paused, stopped and started again.
+//! * [`tcp_relay`]: a relay between two processes that can hold, delay, throttle or reset bytes
+//! * [`schedule`]: which fault happens when, drawn from a seed; printed, replayed, shrunk
+//! * [`managed_process`]: processes that are killed, suspended, stopped and started again
 
 pub mod managed_process;
-pub mod relay;
 pub mod schedule;
+pub mod tcp_relay;
--- a/crates/pebblepost-harness/src/release/run.rs
+++ b/crates/pebblepost-harness/src/release/run.rs
@@ -6,7 +6,7 @@
 use super::witness::{Halt, by_permit, late_after, most_at_once};
 use crate::clients::Outcome;
 use crate::dispatcher::ZONES;
-use crate::fault::schedule::{Draw, Schedule};
+use crate::fault::schedule::{Schedule, ScheduleParameters};
 use crate::run::{Played, Run};
 use crate::scenario::Scenario;
 use crate::standin::lock;
@@ -353,7 +353,12 @@
         return Schedule::default();
     }
     Schedule::draw(
-        Draw { processes: plan.replicas, seconds: plan.seconds, every: 1.5, longest: 2.5 },
+        ScheduleParameters {
+            processes: plan.replicas,
+            seconds: plan.seconds,
+            mean_interval_s: 1.5,
+            longest_s: 2.5,
+        },
         plan.seed,
     )
 }
@@ -442,7 +447,7 @@
         let shared = shared.clone();
         async move { scribe::follow(&shared.office.replicas, &shared.notes).await }
     });
-    let counts = Mutex::new(schedule.kinds());
+    let counts = Mutex::new(schedule.counts_by_name());
     let ends = Instant::now() + Duration::from_secs_f64((plan.seconds - 20.0).max(5.0));
     let until_end = async {
         cluster.play(&schedule, |_| {}).await?;
--- a/crates/pebblepost-harness/src/store/client_impact.rs
+++ b/crates/pebblepost-harness/src/store/client_impact.rs
@@ -4,7 +4,7 @@
 use super::client::{Leader, StoreClient};
 use super::cluster::Cluster;
 use crate::clients::Outcome;
-use crate::fault::schedule::{Fault, What};
+use crate::fault::schedule::{Fault, FaultKind};
 use crate::run::{Played, Run};
 use crate::scenario::Scenario;
 use anyhow::Result;
@@ -74,7 +74,12 @@
 async fn killing(cluster: &mut Cluster, count: usize) -> Result<()> {
     for number in 0.. {
         sleep(KILLS).await;
-        cluster.begin_fault(Fault { number, at: 0.0, lasts: 0.0, what: What::Kill(number % count) });
+        cluster.begin_fault(Fault {
+            number,
+            begins_at_s: 0.0,
+            duration_s: 0.0,
+            kind: FaultKind::Kill(number % count),
+        });
         sleep(Duration::from_millis(500)).await;
         cluster.end_fault(number)?;
     }
@@ -147,8 +152,14 @@
         cluster.end_all_faults()?;
         work.await?;
         sides[1].push(killed);
-        (0..3)
-            .for_each(|k| cluster.begin_fault(Fault { number: k, at: 0.0, lasts: 0.0, what: What::Kill(k) }));
+        (0..3).for_each(|k| {
+            cluster.begin_fault(Fault {
+                number: k,
+                begins_at_s: 0.0,
+                duration_s: 0.0,
+                kind: FaultKind::Kill(k),
+            })
+        });
         sides[2].push(play(&operator).await?);
     }
     let of = |i: usize, figure: fn(&Side) -> f64| median(sides[i].iter().map(figure).collect());
--- a/crates/pebblepost-harness/src/store/cluster.rs
+++ b/crates/pebblepost-harness/src/store/cluster.rs
@@ -2,8 +2,8 @@
 
 use super::client::{Connection, Leader, StoreClient};
 use crate::fault::managed_process::ManagedProcess;
-use crate::fault::relay::{Relay, Wire};
-use crate::fault::schedule::{Damage, Fault, Schedule, What};
+use crate::fault::schedule::{DiskDamage, Fault, FaultKind, Schedule};
+use crate::fault::tcp_relay::{LinkState, Relay};
 use anyhow::{Context, Result, bail};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -130,21 +130,21 @@
     }
 
     /// Bytes carried between keepers so far.
-    pub fn carried(&self) -> u64 {
+    pub fn bytes_forwarded(&self) -> u64 {
         let count = self.addresses.len();
-        self.relays.iter().filter(|((from, _), _)| *from < count).map(|(_, r)| r.carried()).sum()
+        self.relays.iter().filter(|((from, _), _)| *from < count).map(|(_, r)| r.bytes_forwarded()).sum()
     }
 
     /// A fault begins.
     pub fn begin_fault(&mut self, fault: Fault) {
-        match fault.what {
-            What::Kill(k) => self.replicas[k].kill(),
-            What::Stop(k) => {
+        match fault.kind {
+            FaultKind::Kill(k) => self.replicas[k].kill(),
+            FaultKind::Stop(k) => {
                 self.replicas[k].stop(Duration::from_secs(3));
             }
-            What::Pause(k) => self.replicas[k].pause(),
-            What::Reset(from, to) => self.relays[&(from, to)].reset(),
-            What::Disk(k, damage) => {
+            FaultKind::Pause(k) => self.replicas[k].pause(),
+            FaultKind::Reset(from, to) => self.relays[&(from, to)].reset(),
+            FaultKind::Disk(k, damage) => {
                 self.replicas[k].kill();
                 if !self.is_replacing()
                     && let Err(error) = self.damage_disk(k, damage)
@@ -152,10 +152,13 @@
                     self.crashed.push(format!("the disk of keeper {}: {error:#}", self.replica_ids[k]));
                 }
             }
-            What::Wire(..) | What::Alone(_) | What::Apart(_) | What::Deaf(_) => {}
+            FaultKind::Link(..)
+            | FaultKind::Isolated(_)
+            | FaultKind::IsolatedFromPeers(_)
+            | FaultKind::InboundHeld(_) => {}
         }
         self.active.push(fault);
-        self.rewire();
+        self.apply_link_states();
     }
 
     fn is_replacing(&self) -> bool {
@@ -164,22 +167,22 @@
 
     /// Spoils the disk of a keeper that was killed. Where something is left of it the keeper must end by itself, naming
     /// it; then it gets a new number and an empty disk, and asks to be taken in once it is started.
-    fn damage_disk(&mut self, k: usize, damage: Damage) -> Result<()> {
+    fn damage_disk(&mut self, k: usize, damage: DiskDamage) -> Result<()> {
         let file = self.disk(k).join("keeper.redb");
         match damage {
-            Damage::Gone => std::fs::remove_file(&file)?,
-            Damage::Torn => {
+            DiskDamage::Deleted => std::fs::remove_file(&file)?,
+            DiskDamage::Truncated => {
                 let half = std::fs::metadata(&file)?.len() / 2;
                 File::options().write(true).open(&file)?.set_len(half)?;
             }
-            Damage::Flipped(bit) => {
+            DiskDamage::BitFlipped(bit) => {
                 let mut bytes = std::fs::read(&file)?;
                 let at = usize::try_from(bit)? % (bytes.len() * 8);
                 bytes[at / 8] ^= 1 << (at % 8);
                 std::fs::write(&file, bytes)?;
             }
         }
-        if damage != Damage::Gone {
+        if damage != DiskDamage::Deleted {
             let replica = &mut self.replicas[k];
             replica.start()?;
             let end = Instant::now() + REFUSAL_TIMEOUT;
@@ -190,7 +193,7 @@
             replica.kill();
             self.disks.1 += usize::from(refused);
             // A flipped bit may be one that nothing reads.
-            if !refused && damage == Damage::Torn {
+            if !refused && damage == DiskDamage::Truncated {
                 bail!("torn, and served");
             }
         }
@@ -215,26 +218,32 @@
     pub fn end_fault(&mut self, number: usize) -> Result<()> {
         let Some(i) = self.active.iter().position(|f| f.number == number) else { return Ok(()) };
         let fault = self.active.remove(i);
-        self.rewire();
-        let held = |k: usize| self.active.iter().any(|f| f.what.ends(k));
-        let paused = |k: usize| self.active.iter().any(|f| matches!(f.what, What::Pause(o) if o == k));
-        match fault.what {
-            What::Kill(k) | What::Stop(k) | What::Disk(k, _) if !held(k) => self.replicas[k].start()?,
-            What::Pause(k) if !paused(k) => self.replicas[k].resume(),
+        self.apply_link_states();
+        let held = |k: usize| self.active.iter().any(|f| f.kind.stops(k));
+        let paused = |k: usize| self.active.iter().any(|f| matches!(f.kind, FaultKind::Pause(o) if o == k));
+        match fault.kind {
+            FaultKind::Kill(k) | FaultKind::Stop(k) | FaultKind::Disk(k, _) if !held(k) => {
+                self.replicas[k].start()?
+            }
+            FaultKind::Pause(k) if !paused(k) => self.replicas[k].resume(),
             _ => {}
         }
         Ok(())
     }
 
     /// Each wire does what the last fault that concerns it wants.
-    fn rewire(&self) {
+    fn apply_link_states(&self) {
         for ((from, to), relay) in &self.relays {
-            let of = |fault: &Fault| match fault.what {
-                What::Wire(f, t, wire) if (f, t) == (*from, *to) => Some(wire),
-                What::Alone(k) if k == *from || k == *to => Some(Wire::Cut),
-                What::Apart(k) if *from < self.replicas.len() && (k == *from || k == *to) => Some(Wire::Cut),
-                What::Deaf(k) if k == *to => Some(Wire::HoldsThere),
-                What::Deaf(k) if k == *from => Some(Wire::HoldsBack),
+            let of = |fault: &Fault| match fault.kind {
+                FaultKind::Link(f, t, link) if (f, t) == (*from, *to) => Some(link),
+                FaultKind::Isolated(k) if k == *from || k == *to => Some(LinkState::Partitioned),
+                FaultKind::IsolatedFromPeers(k)
+                    if *from < self.replicas.len() && (k == *from || k == *to) =>
+                {
+                    Some(LinkState::Partitioned)
+                }
+                FaultKind::InboundHeld(k) if k == *to => Some(LinkState::RequestsHeld),
+                FaultKind::InboundHeld(k) if k == *from => Some(LinkState::RepliesHeld),
                 _ => None,
             };
             relay.set(self.active.iter().filter_map(of).next_back().unwrap_or_default());
@@ -246,8 +255,8 @@
         let start = Instant::now();
         let mut steps: Vec<(f64, Option<Fault>, usize)> = Vec::new();
         for fault in &schedule.0 {
-            steps.push((fault.at, Some(*fault), fault.number));
-            steps.push((fault.at + fault.lasts, None, fault.number));
+            steps.push((fault.begins_at_s, Some(*fault), fault.number));
+            steps.push((fault.begins_at_s + fault.duration_s, None, fault.number));
         }
         steps.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (at, fault, number) in steps {
@@ -268,7 +277,7 @@
     pub fn restart_crashed(&mut self) -> Result<()> {
         for (k, replica) in self.replicas.iter_mut().enumerate() {
             if let Some(status) = replica.ended()
-                && !self.active.iter().any(|f| f.what.ends(k))
+                && !self.active.iter().any(|f| f.kind.stops(k))
             {
                 self.crashed.push(format!("keeper {} ended by itself: {status}", self.replica_ids[k]));
                 replica.start()?;
--- a/crates/pebblepost-harness/src/store/run.rs
+++ b/crates/pebblepost-harness/src/store/run.rs
@@ -5,7 +5,7 @@
 use super::consistency::{Verdict, judge};
 use super::history::{Operation, OperationHistory, OperationKind};
 use crate::clients::Outcome;
-use crate::fault::schedule::{Draw, Fault, Schedule, What};
+use crate::fault::schedule::{Fault, FaultKind, Schedule, ScheduleParameters};
 use crate::run::Run;
 use crate::scenario::Scenario;
 use crate::standin::lock;
@@ -281,8 +281,16 @@
 
 /// Draws the schedule of a plan.
 pub fn schedule(plan: &Plan) -> Schedule {
-    let every = 0.85;
-    Schedule::draw(Draw { processes: plan.replicas, seconds: plan.seconds, every, longest: 2.0 }, plan.seed)
+    let mean_interval_s = 0.85;
+    Schedule::draw(
+        ScheduleParameters {
+            processes: plan.replicas,
+            seconds: plan.seconds,
+            mean_interval_s,
+            longest_s: 2.0,
+        },
+        plan.seed,
+    )
 }
 
 /// Runs it. Returns the figures and what was found, in words.
@@ -308,7 +316,7 @@
     let serving = (plan.dispatchers > 0)
         .then(|| tokio::spawn(serving(plan.clone(), program.to_owned(), cluster.client_addresses())));
     let leader_killed = |fault: &Fault| {
-        if fault.what == What::Kill(shared.leader.load(Ordering::Relaxed)) {
+        if fault.kind == FaultKind::Kill(shared.leader.load(Ordering::Relaxed)) {
             lock(&shared.gap).0.get_or_insert_with(Instant::now);
         }
     };
@@ -357,7 +365,7 @@
         sorted.sort_by(f64::total_cmp);
         sorted.get(((sorted.len() as f64 * part).ceil() as usize).saturating_sub(1)).copied().unwrap_or(0.0)
     };
-    let faults = schedule.kinds();
+    let faults = schedule.counts_by_name();
     let mut found = verdict.found.clone();
     found.extend(broken.iter().cloned());
     let summary = Summary {
@@ -373,7 +381,7 @@
         write_p99_ms: ms(0.99),
         leader_gap_p50_ms: gap(0.5),
         leader_gap_p99_ms: gap(0.99),
-        bytes_per_change: cluster.carried() / verdict.committed.max(1) as u64,
+        bytes_per_change: cluster.bytes_forwarded() / verdict.committed.max(1) as u64,
         verdict,
     };
     Ok((summary, found))
--- a/crates/pebblepost-harness/tests/pins.rs
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -3,7 +3,7 @@
 //! written by the version before the code was renamed.
 
 use pebblepost_harness::checker::{Broken, Rule};
-use pebblepost_harness::fault::schedule::{Draw, Schedule};
+use pebblepost_harness::fault::schedule::{Schedule, ScheduleParameters};
 use pebblepost_harness::machine::{Machine, Note, Taken};
 use pebblepost_harness::scenario::{Fault, Hints, Order, Plan, Scenario, Trouble, WorkerSpec};
 use pebblepost_harness::{cpu, fleet, release, room, store};
@@ -155,7 +155,7 @@
 fn drawn_schedules_are_the_approved_ones() {
     let mut lines = String::new();
     for seed in [1, 2, 3, 77] {
-        let draw = Draw { processes: 3, seconds: 300.0, every: 0.85, longest: 2.0 };
+        let draw = ScheduleParameters { processes: 3, seconds: 300.0, mean_interval_s: 0.85, longest_s: 2.0 };
         let text = serde_json::to_string(&Schedule::draw(draw, seed)).expect("plain data");
         let mut digest = Digest::new();
         digest.text(&text);
--- a/crates/pebblepost-harness/tests/store.rs
+++ b/crates/pebblepost-harness/tests/store.rs
@@ -2,8 +2,8 @@
 //! is bounded generously and not judged.
 
 use pebblepost_harness::dispatcher;
-use pebblepost_harness::fault::relay::Wire;
-use pebblepost_harness::fault::schedule::{Damage, Fault, Schedule, What};
+use pebblepost_harness::fault::schedule::{DiskDamage, Fault, FaultKind, Schedule};
+use pebblepost_harness::fault::tcp_relay::LinkState;
 use pebblepost_harness::store::run::{Plan, run, schedule};
 
 #[tokio::test(flavor = "multi_thread")]
@@ -11,7 +11,7 @@
     let program = dispatcher::built().expect("the program builds");
     let plan = Plan { replicas: 3, clients: 4, seconds: 20.0, seed: 2, pause_ms: 20, dispatchers: 2 };
     let schedule = schedule(&plan);
-    assert!(schedule.kinds()["kill"] >= 8, "{:?}", schedule.kinds());
+    assert!(schedule.counts_by_name()["kill"] >= 8, "{:?}", schedule.counts_by_name());
     let (summary, found) = run(&plan, &schedule, &program).await.expect("the group answers after all faults");
     assert!(summary.verdict.linearizable, "{found:#?}");
     let (v, s) = (&summary.verdict, &summary);
@@ -21,8 +21,8 @@
 }
 
 /// A schedule of these, each from its second on for so long.
-fn faults(all: impl IntoIterator<Item = (f64, f64, What)>) -> Schedule {
-    let one = |(number, (at, lasts, what))| Fault { number, at, lasts, what };
+fn faults(all: impl IntoIterator<Item = (f64, f64, FaultKind)>) -> Schedule {
+    let one = |(number, (at, duration_s, kind))| Fault { number, begins_at_s: at, duration_s, kind };
     Schedule(all.into_iter().enumerate().map(one).collect())
 }
 
@@ -30,8 +30,9 @@
 async fn a_keeper_that_answers_in_seconds_does_not_hold_up_the_rest() {
     let program = dispatcher::built().expect("the program builds");
     let plan = Plan { replicas: 3, clients: 4, seconds: 12.0, seed: 3, pause_ms: 20, dispatchers: 0 };
-    let late = Wire::Late(1_500);
-    let slow = [(0, 2), (1, 2), (2, 0), (2, 1)].map(|(from, to)| (0.0, 12.0, What::Wire(from, to, late)));
+    let late = LinkState::Delayed(1_500);
+    let slow =
+        [(0, 2), (1, 2), (2, 0), (2, 1)].map(|(from, to)| (0.0, 12.0, FaultKind::Link(from, to, late)));
     let (summary, found) = run(&plan, &faults(slow), &program).await.expect("the group answers");
     let v = &summary.verdict;
     assert_eq!((v.lost, v.stale_reads, v.linearizable), (0, 0, true), "{found:#?}");
@@ -44,9 +45,9 @@
     let program = dispatcher::built().expect("the program builds");
     let plan = Plan { replicas: 3, clients: 4, seconds: 16.0, seed: 4, pause_ms: 20, dispatchers: 0 };
     let spoilt = [
-        (1.0, 1.0, What::Disk(0, Damage::Gone)),
-        (6.0, 1.0, What::Disk(1, Damage::Torn)),
-        (11.0, 1.0, What::Disk(2, Damage::Gone)),
+        (1.0, 1.0, FaultKind::Disk(0, DiskDamage::Deleted)),
+        (6.0, 1.0, FaultKind::Disk(1, DiskDamage::Truncated)),
+        (11.0, 1.0, FaultKind::Disk(2, DiskDamage::Deleted)),
     ];
     let (summary, found) = run(&plan, &faults(spoilt), &program).await.expect("the group answers");
     let (v, s) = (&summary.verdict, &summary);
--- a/crates/pebblepost-harness/tests/unit/fault_relay.rs
+++ b/crates/pebblepost-harness/tests/unit/fault_tcp_relay.rs
@@ -1,6 +1,6 @@
 //! What a relay does to the bytes of a connection.
 
-use pebblepost_harness::fault::relay::{Relay, Wire};
+use pebblepost_harness::fault::tcp_relay::{LinkState, Relay};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -35,19 +35,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn held_bytes_come_late_and_none_is_lost() {
     let (relay, mut stream) = echo().await;
-    for (n, wire) in [Wire::Cut, Wire::HoldsThere, Wire::HoldsBack].into_iter().enumerate() {
-        relay.set(wire);
+    for (n, link) in
+        [LinkState::Partitioned, LinkState::RequestsHeld, LinkState::RepliesHeld].into_iter().enumerate()
+    {
+        relay.set(link);
         stream.write_all(&[n as u8]).await.expect("open");
-        assert_eq!(comes_back(&mut stream, SHORT).await, None, "{wire:?}");
-        relay.set(Wire::Passes);
-        assert_eq!(comes_back(&mut stream, LONG).await, Some(n as u8), "{wire:?}");
+        assert_eq!(comes_back(&mut stream, SHORT).await, None, "{link:?}");
+        relay.set(LinkState::Forwarding);
+        assert_eq!(comes_back(&mut stream, LONG).await, Some(n as u8), "{link:?}");
     }
-    assert_eq!(relay.carried(), 6);
-    relay.set(Wire::Cut);
+    assert_eq!(relay.bytes_forwarded(), 6);
+    relay.set(LinkState::Partitioned);
     let mut fresh = TcpStream::connect(relay.address).await.expect("accepts and says nothing");
     fresh.write_all(&[9]).await.expect("open");
     assert_eq!(comes_back(&mut fresh, SHORT).await, None);
-    relay.set(Wire::Passes);
+    relay.set(LinkState::Forwarding);
     assert_eq!(comes_back(&mut fresh, LONG).await, Some(9));
 }
 
@@ -68,12 +70,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn late_and_trickling_wires_are_slow() {
     let (relay, mut stream) = echo().await;
-    relay.set(Wire::Late(100));
+    relay.set(LinkState::Delayed(100));
     let start = tokio::time::Instant::now();
     stream.write_all(&[1]).await.expect("open");
     assert_eq!(comes_back(&mut stream, LONG).await, Some(1));
     assert!(start.elapsed() >= Duration::from_millis(200), "{:?}", start.elapsed());
-    relay.set(Wire::Trickles(200));
+    relay.set(LinkState::Throttled(200));
     stream.write_all(&[0; 40]).await.expect("open");
     let start = tokio::time::Instant::now();
     let mut all = [0; 40];
--- a/crates/pebblepost-harness/tests/unit/main.rs
+++ b/crates/pebblepost-harness/tests/unit/main.rs
@@ -1,8 +1,8 @@
 //! Tests of the parts that need no process: a module for each module of the crate.
 
 mod checker;
-mod fault_relay;
 mod fault_schedule;
+mod fault_tcp_relay;
 mod fleet;
 mod machine;
 mod release_hands;
