--- a/crates/pebblepost-harness/src/checker.rs
+++ b/crates/pebblepost-harness/src/checker.rs
@@ -1,7 +1,7 @@
 //! The rules, checked on the record of a run. It knows nothing of the dispatcher but what clients, workers and
 //! discovery saw.
 
-use crate::record::{End, Entry, Seen, Told};
+use crate::event_log::{AttemptEnd, Availability, Entry, Event};
 use serde::Serialize;
 use std::collections::HashMap;
 
@@ -17,12 +17,12 @@
     /// Nothing new goes to a worker so long after its drain was told.
     pub drain: f64,
     /// A start counts as told so long after it, whether it arrived or not.
-    pub told: f64,
+    pub assumed_notified_after_s: f64,
 }
 
 impl Default for Figures {
     fn default() -> Self {
-        Self { slack: 0.05, attempts: 3, window: 10.0, drain: 0.5, told: 6.0 }
+        Self { slack: 0.05, attempts: 3, window: 10.0, drain: 0.5, assumed_notified_after_s: 6.0 }
     }
 }
 
@@ -71,52 +71,54 @@
     format!("draft of {txn}")
 }
 
-fn barred(what: Told) -> bool {
-    matches!(what, Told::Draining | Told::Gone)
+fn barred(what: Availability) -> bool {
+    matches!(what, Availability::Draining | Availability::Gone)
 }
 
 /// The last word on each worker, by dispatcher; `None`: what discovery itself has to tell.
 #[derive(Default)]
-struct Words(HashMap<(Option<usize>, usize), (f64, Told)>);
+struct Words(HashMap<(Option<usize>, usize), (f64, Availability)>);
 
 impl Words {
     /// Takes in an entry that is a word. The grace of a drain counts from the first word of it.
-    fn take(&mut self, at: f64, seen: &Seen) {
-        let (of, what) = match seen {
-            Seen::Told { dispatcher, worker, what } => ((Some(*dispatcher), *worker), *what),
-            Seen::Published { worker, what } => ((None, *worker), *what),
+    fn take(&mut self, at: f64, event: &Event) {
+        let (of, what) = match event {
+            Event::Availability { dispatcher, worker, what } => ((Some(*dispatcher), *worker), *what),
+            Event::Published { worker, what } => ((None, *worker), *what),
             _ => return,
         };
-        let word = self.0.entry(of).or_insert((at, what));
-        if !(barred(word.1) && barred(what)) {
-            *word = (at, what);
+        let update = self.0.entry(of).or_insert((at, what));
+        if !(barred(update.1) && barred(what)) {
+            *update = (at, what);
         }
     }
 
-    fn told(&self, dispatcher: usize, worker: usize) -> Option<(f64, Told)> {
+    fn last_sent_to(&self, dispatcher: usize, worker: usize) -> Option<(f64, Availability)> {
         self.0.get(&(Some(dispatcher), worker)).copied()
     }
 
     /// Since when a dispatcher must know that a worker takes nothing new: since it was told or, if the word did not
-    /// reach it, so long after discovery had it to tell (`figures.told`).
-    fn barred_since(&self, figures: &Figures, dispatcher: usize, worker: usize) -> Option<(f64, Told)> {
-        let told = self.told(dispatcher, worker);
-        if let Some(word) = told.filter(|(_, what)| barred(*what)) {
-            return Some(word);
+    /// reach it, so long after discovery had it to tell (`figures.assumed_notified_after_s`).
+    fn barred_since(
+        &self, figures: &Figures, dispatcher: usize, worker: usize,
+    ) -> Option<(f64, Availability)> {
+        let notified = self.last_sent_to(dispatcher, worker);
+        if let Some(update) = notified.filter(|(_, what)| barred(*what)) {
+            return Some(update);
         }
         let (at, what) = self.0.get(&(None, worker)).copied().filter(|(_, what)| barred(*what))?;
-        Some((told.map_or(at, |(ready, _)| at.max(ready)) + figures.told, what))
+        Some((notified.map_or(at, |(ready, _)| at.max(ready)) + figures.assumed_notified_after_s, what))
     }
 }
 
 /// Longest time from when a dispatcher must have known that a worker drains or is gone to an attempt that it sent there,
 /// in seconds; 0 if nothing was sent after such a word.
-pub fn slowest_drain(record: &[Entry], figures: &Figures) -> f64 {
-    let (mut words, mut slowest) = (Words::default(), 0.0_f64);
-    for (at, seen) in record {
-        words.take(*at, seen);
-        if let Seen::Arrived { dispatcher, worker, .. } = seen
-            && let Some((since, _)) = words.barred_since(figures, *dispatcher, *worker)
+pub fn slowest_drain(log: &[Entry], figures: &Figures) -> f64 {
+    let (mut updates, mut slowest) = (Words::default(), 0.0_f64);
+    for (at, event) in log {
+        updates.take(*at, event);
+        if let Event::AttemptArrived { dispatcher, worker, .. } = event
+            && let Some((since, _)) = updates.barred_since(figures, *dispatcher, *worker)
         {
             slowest = slowest.max(at - since);
         }
@@ -126,24 +128,24 @@
 
 /// Most work that a cold worker was sent within the time in which it falls, as a multiple of what it could do: by the
 /// dispatchers that knew of its start when they sent, whose duty it is, and by all.
-pub fn cold_multiples(record: &[Entry], figures: &Figures) -> (f64, f64) {
+pub fn cold_multiples(log: &[Entry], figures: &Figures) -> (f64, f64) {
     // When each dispatcher was told of each start of a worker.
     let mut starts: HashMap<(usize, usize), Vec<f64>> = HashMap::new();
     let (mut knowing, mut all) = (0.0_f64, 0.0_f64);
-    for (at, seen) in record {
-        match seen {
-            Seen::Told { dispatcher, worker, what: Told::Ready { cold: true } } => {
+    for (at, event) in log {
+        match event {
+            Event::Availability { dispatcher, worker, what: Availability::Ready { cold: true } } => {
                 starts.entry((*dispatcher, *worker)).or_default().push(*at);
             }
-            Seen::Pressed { worker, press } => {
+            Event::ColdLoadPeak { worker, cold_load } => {
                 let knew = |when: f64, from: usize| {
-                    let told = starts.get(&(from, *worker)).into_iter().flatten();
-                    when > press.since + figures.told
-                        || told.into_iter().any(|t| (press.since..=when).contains(t))
+                    let notified = starts.get(&(from, *worker)).into_iter().flatten();
+                    when > cold_load.since + figures.assumed_notified_after_s
+                        || notified.into_iter().any(|t| (cold_load.since..=when).contains(t))
                 };
                 let of = |hit: &dyn Fn(f64, usize) -> bool| {
-                    let sent = press.sent.iter().filter(|(when, _, from)| hit(*when, *from));
-                    sent.map(|(_, work, _)| work).sum::<f64>() / press.bears
+                    let sent = cold_load.sent.iter().filter(|(when, _, from)| hit(*when, *from));
+                    sent.map(|(_, work, _)| work).sum::<f64>() / cold_load.capacity_in_window
                 };
                 (knowing, all) = (knowing.max(of(&knew)), all.max(of(&|_, _| true)));
             }
@@ -168,10 +170,10 @@
 
 /// The record without the ends of those tries that a killed dispatcher took with it: asked before it was back, still
 /// waited for when it was killed, and ended after that.
-pub fn without_killed(record: Vec<Entry>, killed: &[Killed]) -> Vec<Entry> {
+pub fn without_killed(log: Vec<Entry>, killed: &[Killed]) -> Vec<Entry> {
     let mut asked: HashMap<String, (usize, f64, f64)> = HashMap::new();
-    for (at, seen) in &record {
-        if let Seen::Asked { txn, dispatcher, waits, .. } = seen {
+    for (at, event) in &log {
+        if let Event::Requested { txn, dispatcher, waits, .. } = event {
             asked.insert(txn.clone(), (*dispatcher, *at, at + waits));
         }
     }
@@ -184,33 +186,33 @@
             killed.iter().any(hit)
         })
     };
-    let kept = |(at, seen): &Entry| match seen {
-        Seen::Cut { txn } | Seen::TimeUp { txn } => !lost(*at, txn),
+    let kept = |(at, event): &Entry| match event {
+        Event::ConnectionClosed { txn } | Event::TimedOut { txn } => !lost(*at, txn),
         _ => true,
     };
-    record.into_iter().filter(kept).collect()
+    log.into_iter().filter(kept).collect()
 }
 
 /// Checks a whole record.
-pub fn check(record: &[Entry], figures: &Figures) -> Vec<Broken> {
+pub fn check(log: &[Entry], figures: &Figures) -> Vec<Broken> {
     let mut broken = Vec::new();
     let mut tries: HashMap<&str, Try> = HashMap::new();
-    let mut words = Words::default();
+    let mut updates = Words::default();
     // Per key: attempts that may have run, by try and worker, with the time they arrived.
     let mut ran: HashMap<&str, Vec<(&str, usize, f64)>> = HashMap::new();
     let mut keys: HashMap<&str, &str> = HashMap::new();
     let mut report = |rule, at, what: String| broken.push(Broken { rule, at, what });
-    for (at, seen) in record {
+    for (at, event) in log {
         let at = *at;
-        words.take(at, seen);
-        match seen {
-            Seen::Asked { txn, key, waits, .. } => {
+        updates.take(at, event);
+        match event {
+            Event::Requested { txn, key, waits, .. } => {
                 keys.insert(txn, key);
                 if tries.insert(txn, Try { asked: at, waits: *waits, ..Try::default() }).is_some() {
                     report(Rule::OneAnswer, at, format!("the clients asked twice by the id {txn}"));
                 }
             }
-            Seen::Answered { txn, status, body } => {
+            Event::Responded { txn, status, body } => {
                 let Some(t) = tries.get_mut(txn.as_str()) else { continue };
                 if t.over.replace(at).is_some() {
                     report(Rule::OneAnswer, at, format!("{txn} was answered twice"));
@@ -222,23 +224,26 @@
                     report(Rule::Genuine, at, format!("{txn} was served with what no worker made for it"));
                 }
             }
-            Seen::Left { txn } => {
+            Event::Left { txn } => {
                 if let Some(t) = tries.get_mut(txn.as_str()) {
                     t.over = Some(at);
                 }
             }
-            Seen::Cut { txn } => report(Rule::OneAnswer, at, format!("{txn}: closed without an answer")),
-            Seen::TimeUp { txn } => report(Rule::OneAnswer, at, format!("{txn}: no answer in its time")),
-            Seen::Stranger { txn } => {
+            Event::ConnectionClosed { txn } => {
+                report(Rule::OneAnswer, at, format!("{txn}: closed without an answer"))
+            }
+            Event::TimedOut { txn } => report(Rule::OneAnswer, at, format!("{txn}: no answer in its time")),
+            Event::UnknownRequest { txn } => {
                 report(Rule::Genuine, at, format!("a worker got {txn}, never asked for"))
             }
-            Seen::Fell { worker, since, sent } => {
+            Event::Overloaded { worker, since, sent } => {
                 // It is the dispatchers' fault if two thirds came from those told of its start.
                 let knew = |from: usize| {
-                    let word = words.told(from, *worker);
-                    at > since + figures.told
-                        || word
-                            .is_some_and(|(when, what)| when >= *since && what == Told::Ready { cold: true })
+                    let update = updates.last_sent_to(from, *worker);
+                    at > since + figures.assumed_notified_after_s
+                        || update.is_some_and(|(when, what)| {
+                            when >= *since && what == Availability::Ready { cold: true }
+                        })
                 };
                 let all: f64 = sent.iter().map(|(_, work)| work).sum();
                 let known: f64 = sent.iter().filter(|(from, _)| knew(*from)).map(|(_, work)| work).sum();
@@ -246,9 +251,9 @@
                     report(Rule::Cold, at, format!("worker {worker} was pushed over while cold"));
                 }
             }
-            Seen::Told { .. } | Seen::Published { .. } | Seen::Pressed { .. } => {}
-            Seen::Arrived { txn, key, dispatcher, worker } => {
-                if let Some((since, what)) = words.barred_since(figures, *dispatcher, *worker)
+            Event::Availability { .. } | Event::Published { .. } | Event::ColdLoadPeak { .. } => {}
+            Event::AttemptArrived { txn, key, dispatcher, worker } => {
+                if let Some((since, what)) = updates.barred_since(figures, *dispatcher, *worker)
                     && at > since + figures.drain + figures.slack
                 {
                     let late = (at - since) * 1e3;
@@ -274,14 +279,14 @@
                 }
                 runs.push((txn, *worker, at));
             }
-            Seen::Ended { txn, worker, end } => {
+            Event::AttemptEnded { txn, worker, end } => {
                 match end {
-                    End::Done => {
+                    AttemptEnd::Done => {
                         if let Some(t) = tries.get_mut(txn.as_str()) {
                             t.done_at_worker = true;
                         }
                     }
-                    End::Unseen => {
+                    AttemptEnd::NotRun => {
                         // Proved never to have run: it does not count.
                         if let Some(runs) = keys.get(txn.as_str()).and_then(|key| ran.get_mut(key))
                             && let Some(i) = runs.iter().position(|(t, w, _)| t == txn && w == worker)
@@ -289,7 +294,7 @@
                             runs.remove(i);
                         }
                     }
-                    End::Broken => {}
+                    AttemptEnd::Broken => {}
                 }
             }
         }
--- a/crates/pebblepost-harness/src/clients.rs
+++ b/crates/pebblepost-harness/src/clients.rs
@@ -1,9 +1,9 @@
 //! Open-loop clients: each request goes out at its time, whatever has become of those before it, and asks again
 //! after a refusal or a failure as the site's clients do.
 
-use crate::record::{Record, Seen};
-use crate::scenario::{Arrival, DEADLINE_S, Plan};
-use crate::standin::{lock, txn};
+use crate::event_log::{Event, EventLog};
+use crate::worker::pool::{lock, txn};
+use crate::workload::{Arrival, DEADLINE_S, Plan};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
@@ -45,7 +45,7 @@
 /// The clients of all dispatchers.
 pub struct Clients {
     plan: Arc<Plan>,
-    record: Arc<Record>,
+    log: Arc<EventLog>,
     desks: Vec<(Http, SocketAddr)>,
     fates: Mutex<Vec<Fate>>,
 }
@@ -60,14 +60,14 @@
 
 impl Clients {
     /// One pool of connections for each dispatcher.
-    pub fn new(plan: Arc<Plan>, record: Arc<Record>, dispatchers: &[SocketAddr]) -> Arc<Self> {
+    pub fn new(plan: Arc<Plan>, log: Arc<EventLog>, dispatchers: &[SocketAddr]) -> Arc<Self> {
         let desk = |address: &SocketAddr| {
             let mut connector = HttpConnector::new();
             connector.set_nodelay(true);
             (Client::builder(TokioExecutor::new()).build(connector), *address)
         };
         let desks = dispatchers.iter().map(desk).collect();
-        Arc::new(Self { plan, record, desks, fates: Mutex::default() })
+        Arc::new(Self { plan, log, desks, fates: Mutex::default() })
     }
 
     /// Plays all arrivals from now on; returns how each went once the last has ended.
@@ -87,7 +87,7 @@
         let arrival = &self.plan.arrivals[index];
         let began = Instant::now();
         let deadline = began + Duration::from_secs_f64(DEADLINE_S);
-        let leaves = arrival.leaves.map(|after| began + Duration::from_secs_f64(after));
+        let cancels_after_s = arrival.cancels_after_s.map(|after| began + Duration::from_secs_f64(after));
         let (mut tries, mut refused_after, mut outcome) = (0, None, Outcome::Refused);
         while tries <= arrival.retries {
             let sent = Instant::now();
@@ -95,7 +95,7 @@
                 break;
             }
             tries += 1;
-            match self.ask(index, arrival, tries - 1, deadline, leaves).await {
+            match self.ask(index, arrival, tries - 1, deadline, cancels_after_s).await {
                 Reply::Served => {
                     outcome = Outcome::Served(began.elapsed().as_secs_f64());
                     break;
@@ -118,7 +118,8 @@
     }
 
     async fn ask(
-        &self, index: usize, arrival: &Arrival, try_no: u32, deadline: Instant, leaves: Option<Instant>,
+        &self, index: usize, arrival: &Arrival, try_no: u32, deadline: Instant,
+        cancels_after_s: Option<Instant>,
     ) -> Reply {
         let (http, address) = &self.desks[arrival.dispatcher % self.desks.len()];
         let (txn, key) = (txn(index, try_no), format!("job-{index:08x}"));
@@ -136,7 +137,7 @@
             request = request.header("x-estimate", ((hint * 1e6) as u64).to_string());
         }
         let Ok(request) = request.body(Full::new(Bytes::from_static(b"audio"))) else { return Reply::Lost };
-        self.record.note(Seen::Asked { txn: txn.clone(), key, dispatcher: arrival.dispatcher, waits });
+        self.log.append(Event::Requested { txn: txn.clone(), key, dispatcher: arrival.dispatcher, waits });
         let answer = async {
             let response = http.request(request).await.ok()?;
             let status = response.status().as_u16();
@@ -144,16 +145,16 @@
             Some((status, String::from_utf8_lossy(&body).into_owned()))
         };
         // An answer at the last moment is still on its way for a little. Who leaves closes the connection.
-        let until = leaves.unwrap_or(deadline + Duration::from_millis(50));
-        let seen = timeout_at(until, answer).await;
-        let (reply, seen) = match seen {
-            Ok(Some((200, body))) => (Reply::Served, Seen::Answered { txn, status: 200, body }),
-            Ok(Some((status, body))) => (Reply::Refused, Seen::Answered { txn, status, body }),
-            Ok(None) => (Reply::Lost, Seen::Cut { txn }),
-            Err(_) if leaves.is_some() => (Reply::Left, Seen::Left { txn }),
-            Err(_) => (Reply::Lost, Seen::TimeUp { txn }),
+        let until = cancels_after_s.unwrap_or(deadline + Duration::from_millis(50));
+        let event = timeout_at(until, answer).await;
+        let (reply, event) = match event {
+            Ok(Some((200, body))) => (Reply::Served, Event::Responded { txn, status: 200, body }),
+            Ok(Some((status, body))) => (Reply::Refused, Event::Responded { txn, status, body }),
+            Ok(None) => (Reply::Lost, Event::ConnectionClosed { txn }),
+            Err(_) if cancels_after_s.is_some() => (Reply::Left, Event::Left { txn }),
+            Err(_) => (Reply::Lost, Event::TimedOut { txn }),
         };
-        self.record.note(seen);
+        self.log.append(event);
         reply
     }
 }
--- a/crates/pebblepost-harness/src/cpu.rs
+++ b/crates/pebblepost-harness/src/cpu_cost.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::Outcome;
 use crate::run::Run;
-use crate::scenario::{Hints, Scenario};
+use crate::workload::{HintSpec, RunSpec};
 use anyhow::Result;
 use serde::Serialize;
 use serde_json::Value;
@@ -38,27 +38,27 @@
 }
 
 /// Jobs of 4 ms, all alike, about 2,000 a second.
-fn alike(seconds: f64) -> Scenario {
-    let hints = Hints::default();
-    Scenario {
+fn alike(seconds: f64) -> RunSpec {
+    let hints = HintSpec::default();
+    RunSpec {
         dispatchers: 1,
         work_s: 0.004,
-        cv: 0.0,
+        work_variation: 0.0,
         large_share: 0.0,
         hints,
         faults: 0.0,
-        ..Scenario::mixed(seconds, 0.3)
+        ..RunSpec::mixed(seconds, 0.3)
     }
 }
 
 /// Plays both sides in turn, so many rounds. The first round of each warms up and is left out.
 pub async fn measure(a: &Side<'_>, b: &Side<'_>, seconds: f64, rounds: usize, seed: u64) -> Result<Report> {
-    let scenario = alike(seconds);
+    let run_spec = alike(seconds);
     let (mut of_a, mut of_b) = (Vec::new(), Vec::new());
     for round in 0..=rounds {
         for (side, list) in [(a, &mut of_a), (b, &mut of_b)] {
             let run = Run {
-                scenario: &scenario,
+                run_spec: &run_spec,
                 seed,
                 program: side.program,
                 operator: side.operator,
--- a/crates/pebblepost-harness/src/discovery.rs
+++ b/crates/pebblepost-harness/src/discovery.rs
@@ -1,9 +1,9 @@
 //! A stand-in discovery: late, and only when asked. It learns of a change some time after it happened and writes it
 //! to the watches that are open; what it wrote, and when, goes into the record.
 
-use crate::record::{Record, Seen, Told};
-use crate::scenario::Plan;
-use crate::standin::{Body, lock, plain};
+use crate::event_log::{Availability, Event, EventLog};
+use crate::worker::pool::{Body, complete_response, lock};
+use crate::workload::Plan;
 use bytes::Bytes;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
@@ -36,14 +36,14 @@
 
 struct List {
     seq: u64,
-    states: Vec<(Told, u64)>,
+    states: Vec<(Availability, u64)>,
     watches: Vec<Watch>,
 }
 
 /// The service.
 pub struct Discovery {
     plan: Arc<Plan>,
-    record: Arc<Record>,
+    log: Arc<EventLog>,
     list: Mutex<List>,
     /// Each dispatcher's addresses of the workers.
     dials: Mutex<Vec<Vec<SocketAddr>>>,
@@ -58,12 +58,12 @@
 
 impl Discovery {
     /// All workers are ready and have been for long.
-    pub fn new(plan: Arc<Plan>, record: Arc<Record>) -> Arc<Self> {
-        let states = vec![(Told::Ready { cold: false }, 0); plan.workers.len()];
+    pub fn new(plan: Arc<Plan>, log: Arc<EventLog>) -> Arc<Self> {
+        let states = vec![(Availability::Ready { cold: false }, 0); plan.workers.len()];
         let list = List { seq: 1, states, watches: Vec::new() };
         Arc::new(Self {
             plan,
-            record,
+            log,
             list: Mutex::new(list),
             dials: Mutex::default(),
             calls: AtomicU64::new(0),
@@ -100,12 +100,12 @@
         Ok(address)
     }
 
-    fn host(&self, dispatcher: usize, worker: usize, state: (Told, u64)) -> Value {
+    fn host(&self, dispatcher: usize, worker: usize, state: (Availability, u64)) -> Value {
         let spec = &self.plan.workers[worker];
         let health = match state.0 {
-            Told::Ready { .. } => "ready",
-            Told::Draining => "draining",
-            Told::Gone => "gone",
+            Availability::Ready { .. } => "ready",
+            Availability::Draining => "draining",
+            Availability::Gone => "gone",
         };
         let site = ["honkan", "bekkan", "soko"][spec.zone % 3];
         json!({"host": spec.host, "dial": lock(&self.dials)[dispatcher][worker].to_string(),
@@ -114,10 +114,10 @@
     }
 
     fn whole(&self, dispatcher: usize, list: &List) -> String {
-        let there = list.states.iter().enumerate().filter(|(_, s)| s.0 != Told::Gone);
+        let there = list.states.iter().enumerate().filter(|(_, s)| s.0 != Availability::Gone);
         let hosts: Vec<Value> = there.map(|(w, s)| self.host(dispatcher, w, *s)).collect();
         for (worker, state) in list.states.iter().enumerate() {
-            self.record.note(Seen::Told { dispatcher, worker, what: state.0 });
+            self.log.append(Event::Availability { dispatcher, worker, what: state.0 });
         }
         format!("{}\n", json!({"seq": list.seq, "whole": true, "hosts": hosts}))
     }
@@ -142,7 +142,7 @@
             };
             tokio::time::sleep_until(turn.min(now + LONGEST_WAIT)).await;
             if turn > now + LONGEST_WAIT {
-                return plain(503, &[], String::new());
+                return complete_response(503, &[], String::new());
             }
         }
         self.answer(dispatcher, request)
@@ -150,12 +150,12 @@
 
     fn answer(&self, dispatcher: usize, request: &Request<Incoming>) -> Response<Body> {
         if request.uri().path() != "/v1/endpoints" {
-            return plain(404, &[], String::new());
+            return complete_response(404, &[], String::new());
         }
         let mut list = lock(&self.list);
         let whole = self.whole(dispatcher, &list);
         if !request.uri().query().is_some_and(|q| q.split('&').any(|p| p == "watch=1")) {
-            return plain(200, &[], whole);
+            return complete_response(200, &[], whole);
         }
         let (lines, body) = mpsc::unbounded_channel();
         let _ = lines.send(Ok(Frame::data(Bytes::from(whole))));
@@ -163,26 +163,27 @@
         Response::new(StreamBody::new(UnboundedReceiverStream::new(body)).boxed())
     }
 
-    fn publish(&self, worker: usize, what: Told) {
+    fn publish(&self, worker: usize, what: Availability) {
         let mut list = lock(&self.list);
-        let born = if what == (Told::Ready { cold: true }) { unix_ms() } else { list.states[worker].1 };
+        let born =
+            if what == (Availability::Ready { cold: true }) { unix_ms() } else { list.states[worker].1 };
         list.seq += 1;
         list.states[worker] = (what, born);
-        self.record.note(Seen::Published { worker, what });
+        self.log.append(Event::Published { worker, what });
         let (seq, state) = (list.seq, list.states[worker]);
         list.watches.retain(|watch| {
             let host = self.host(watch.dispatcher, worker, state);
             let line = format!("{}\n", json!({"seq": seq, "whole": false, "hosts": [host]}));
             let open = watch.lines.send(Ok(Frame::data(Bytes::from(line)))).is_ok();
             if open {
-                self.record.note(Seen::Told { dispatcher: watch.dispatcher, worker, what });
+                self.log.append(Event::Availability { dispatcher: watch.dispatcher, worker, what });
             }
             open
         });
     }
 
     /// Takes what changes at the workers, and tells it late, for as long as it is polled.
-    pub async fn run(self: Arc<Self>, mut changes: mpsc::UnboundedReceiver<(usize, Told)>) {
+    pub async fn run(self: Arc<Self>, mut changes: mpsc::UnboundedReceiver<(usize, Availability)>) {
         let mut rng = Pcg64Mcg::seed_from_u64(self.plan.seed ^ 0xd15c);
         let mut heartbeat = tokio::time::interval(HEARTBEAT);
         let mut latest = vec![0_u64; self.plan.workers.len()];
@@ -192,9 +193,9 @@
                 Some((worker, what)) = changes.recv() => {
                     // A silent process is noticed by its absence only; what it said of itself comes sooner.
                     let late = match what {
-                        Told::Draining => rng.random_range(1.1..4.1),
-                        Told::Gone => rng.random_range(7.4..14.0),
-                        Told::Ready { .. } => rng.random_range(0.47..2.0),
+                        Availability::Draining => rng.random_range(1.1..4.1),
+                        Availability::Gone => rng.random_range(7.4..14.0),
+                        Availability::Ready { .. } => rng.random_range(0.47..2.0),
                     };
                     latest[worker] += 1;
                     let (due, number) = (due.clone(), latest[worker]);
--- a/crates/pebblepost-harness/src/record.rs
+++ b/crates/pebblepost-harness/src/event_log.rs
@@ -1,24 +1,24 @@
 //! What both sides saw, in one list with one clock: the clients, the workers and discovery write to it, the checker
 //! and the report read it.
 
-use crate::machine::Press;
+use crate::worker::model::ColdLoad;
 use std::sync::{Mutex, PoisonError};
 use std::time::Instant;
 
 /// How an attempt ended at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// Served.
     Done,
     /// Turned away or handed back: it never ran.
-    Unseen,
+    NotRun,
     /// It failed, or the worker died with it.
     Broken,
 }
 
 /// A state of a worker as discovery tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Availability {
     /// Takes work; whether it has started lately.
     Ready {
         /// It has started lately.
@@ -32,9 +32,9 @@
 
 /// One thing that was seen.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum Event {
     /// A client's try went out to a dispatcher; it waits so many seconds.
-    Asked {
+    Requested {
         /// The id of the try.
         txn: String,
         /// The key of the job, the same for each try.
@@ -45,7 +45,7 @@
         waits: f64,
     },
     /// The dispatcher answered, with this body.
-    Answered {
+    Responded {
         /// The id of the try.
         txn: String,
         /// Status.
@@ -59,17 +59,17 @@
         txn: String,
     },
     /// The connection ended with no whole answer.
-    Cut {
+    ConnectionClosed {
         /// The id of the try.
         txn: String,
     },
     /// Nothing had come when the client's time was up.
-    TimeUp {
+    TimedOut {
         /// The id of the try.
         txn: String,
     },
     /// An attempt's last byte arrived at a worker.
-    Arrived {
+    AttemptArrived {
         /// The id of the try.
         txn: String,
         /// The key of the job.
@@ -80,16 +80,16 @@
         worker: usize,
     },
     /// That attempt ended there.
-    Ended {
+    AttemptEnded {
         /// The id of the try.
         txn: String,
         /// At which worker.
         worker: usize,
         /// How.
-        end: End,
+        end: AttemptEnd,
     },
     /// A worker got a request that no client sent.
-    Stranger {
+    UnknownRequest {
         /// What it said it was.
         txn: String,
     },
@@ -98,26 +98,26 @@
         /// Of which worker.
         worker: usize,
         /// What.
-        what: Told,
+        what: Availability,
     },
     /// Discovery wrote a worker's state to a dispatcher.
-    Told {
+    Availability {
         /// To which dispatcher.
         dispatcher: usize,
         /// Of which worker.
         worker: usize,
         /// What.
-        what: Told,
+        what: Availability,
     },
     /// A cold worker was sent more within the time in which it falls than ever before in this life.
-    Pressed {
+    ColdLoadPeak {
         /// Which.
         worker: usize,
         /// What it was sent, and what it bears.
-        press: Press,
+        cold_load: ColdLoad,
     },
     /// A cold worker was sent more than it can bear.
-    Fell {
+    Overloaded {
         /// Which.
         worker: usize,
         /// When it had started.
@@ -128,22 +128,22 @@
 }
 
 /// A thing seen, with when: seconds from the start.
-pub type Entry = (f64, Seen);
+pub type Entry = (f64, Event);
 
 /// The list, of what one kind of run sees.
 #[derive(Debug)]
-pub struct Record<T = Seen> {
+pub struct EventLog<T = Event> {
     start: Instant,
     list: Mutex<Vec<(f64, T)>>,
 }
 
-impl<T> Default for Record<T> {
+impl<T> Default for EventLog<T> {
     fn default() -> Self {
         Self { start: Instant::now(), list: Mutex::default() }
     }
 }
 
-impl<T> Record<T> {
+impl<T> EventLog<T> {
     /// Seconds from the start.
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
@@ -155,9 +155,9 @@
     }
 
     /// Notes a thing as seen now.
-    pub fn note(&self, seen: T) {
+    pub fn append(&self, event: T) {
         let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
-        list.push((self.now(), seen)); // Timed under the lock, so that the list is in order.
+        list.push((self.now(), event)); // Timed under the lock, so that the list is in order.
     }
 
     /// All that was seen, in order.
--- a/crates/pebblepost-harness/src/fleet.rs
+++ b/crates/pebblepost-harness/src/fleet.rs
@@ -5,8 +5,8 @@
 use crate::clients::Outcome;
 use crate::report::p99_ms;
 use crate::run::{Played, Run};
-use crate::scenario::{Fault, Scenario, Trouble};
-use crate::standin::Counts;
+use crate::worker::pool::Counts;
+use crate::workload::{Fault, RunSpec, ScheduledWorkerFault};
 use anyhow::Result;
 use serde::Serialize;
 use serde_json::json;
@@ -50,7 +50,8 @@
     /// the dispatchers that knew of its start when they sent.
     pub worst_cold_multiple: f64,
     /// The same by all, those among them that could not know of it yet.
-    pub worst_cold_multiple_untold: f64,
+    #[serde(rename = "worst_cold_multiple_untold")]
+    pub worst_cold_multiple_of_all: f64,
     /// Longest time from the word of a drain to the last attempt sent there on.
     pub slowest_drain_ms: f64,
     /// Rules broken.
@@ -58,35 +59,36 @@
 }
 
 /// The scenarios, by name.
-pub fn scenarios(size: Size) -> Vec<(&'static str, Scenario)> {
-    let base = Scenario {
+pub fn run_specs(size: Size) -> Vec<(&'static str, RunSpec)> {
+    let base = RunSpec {
         dispatchers: size.dispatchers,
         workers: size.workers,
         faults: 0.0,
         discovery_rate: Some(DISCOVERY_RATE),
-        ..Scenario::mixed(size.seconds, LOAD)
+        ..RunSpec::mixed(size.seconds, LOAD)
     };
     let at = |part: f64| part * size.seconds;
     // One in five drains shortly before the restart, so that the lists that the dispatchers start from are old.
     let drains = (0..size.workers).step_by(5);
-    let drains = drains.map(|worker| Trouble { at: at(0.2), worker, what: Fault::Drain(at(0.5)) }).collect();
+    let drains = drains
+        .map(|worker| ScheduledWorkerFault { at: at(0.2), worker, what: Fault::Drain(at(0.5)) })
+        .collect();
     let zone = (0..size.workers).step_by(3);
-    let zone = zone.map(|worker| Trouble { at: at(0.25), worker, what: Fault::Silent(at(0.25)) }).collect();
+    let zone = zone
+        .map(|worker| ScheduledWorkerFault { at: at(0.25), worker, what: Fault::Silent(at(0.25)) })
+        .collect();
     // Six in ten drain and are replaced by cold ones, one after another within 7 s.
     let count = size.workers * 6 / 10;
     let replaced = (0..count).flat_map(|worker| {
         let begin = at(0.2) + 7.0_f64.min(at(0.3)) * worker as f64 / count.max(1) as f64;
-        [(begin, Fault::Drain(5.0)), (begin + 4.5, Fault::Restart(1.0))].map(|(at, what)| Trouble {
-            at,
-            worker,
-            what,
-        })
+        [(begin, Fault::Drain(5.0)), (begin + 4.5, Fault::Restart(1.0))]
+            .map(|(at, what)| ScheduledWorkerFault { at, worker, what })
     });
     let replaced = replaced.collect();
     vec![
-        ("herd", Scenario { herd: Some((at(0.4), 0.7)), troubles: drains, ..base.clone() }),
-        ("zone", Scenario { troubles: zone, ..base.clone() }),
-        ("replaced", Scenario { troubles: replaced, ..base }),
+        ("herd", RunSpec { mass_restart: Some((at(0.4), 0.7)), worker_faults: drains, ..base.clone() }),
+        ("zone", RunSpec { worker_faults: zone, ..base.clone() }),
+        ("replaced", RunSpec { worker_faults: replaced, ..base }),
     ]
 }
 
@@ -100,16 +102,16 @@
         discovery_calls: played.discovery_calls,
         counts: played.counts,
         worst_cold_multiple: played.cold_multiples.0,
-        worst_cold_multiple_untold: played.cold_multiples.1,
+        worst_cold_multiple_of_all: played.cold_multiples.1,
         slowest_drain_ms: played.slowest_drain * 1e3,
         rules_broken: played.broken.len(),
         handshakes_per_served: 0.0,
     }
-    .reckoned()
+    .with_handshake_ratio()
 }
 
 impl Summary {
-    fn reckoned(mut self) -> Self {
+    fn with_handshake_ratio(mut self) -> Self {
         self.handshakes_per_served = self.counts.handshakes as f64 / self.served.max(1) as f64;
         self
     }
@@ -124,12 +126,12 @@
             discovery_calls: self.discovery_calls + other.discovery_calls,
             counts: self.counts.with(other.counts),
             worst_cold_multiple: self.worst_cold_multiple.max(other.worst_cold_multiple),
-            worst_cold_multiple_untold: self.worst_cold_multiple_untold.max(other.worst_cold_multiple_untold),
+            worst_cold_multiple_of_all: self.worst_cold_multiple_of_all.max(other.worst_cold_multiple_of_all),
             slowest_drain_ms: self.slowest_drain_ms.max(other.slowest_drain_ms),
             rules_broken: self.rules_broken + other.rules_broken,
             handshakes_per_served: 0.0,
         }
-        .reckoned()
+        .with_handshake_ratio()
     }
 }
 
@@ -137,12 +139,12 @@
 pub async fn measure(size: Size, seed: u64, program: &Path) -> Result<(Vec<String>, Summary)> {
     let operator = json!({});
     let (mut lines, mut all) = (Vec::new(), Summary::default());
-    for (name, scenario) in &scenarios(size) {
-        let played = Run { scenario, seed, program, operator: &operator, supervisor: None }.play().await?;
+    for (name, run_spec) in &run_specs(size) {
+        let played = Run { run_spec, seed, program, operator: &operator, supervisor: None }.play().await?;
         let s = summary(&played);
         lines.push(format!("{name:<9} {}", serde_json::to_string(&s)?));
-        let told = |b: &Broken| format!("broken: {:?} at {:.2} s: {}", b.rule, b.at, b.what);
-        lines.extend(played.broken.iter().map(told));
+        let notified = |b: &Broken| format!("broken: {:?} at {:.2} s: {}", b.rule, b.at, b.what);
+        lines.extend(played.broken.iter().map(notified));
         all = all.with(&s);
     }
     Ok((lines, all))
--- a/crates/pebblepost-harness/src/main.rs
+++ b/crates/pebblepost-harness/src/main.rs
@@ -4,8 +4,8 @@
 
 use anyhow::Result;
 use clap::{Args, Parser, Subcommand};
-use pebblepost_harness::scenario::{Hints, Order, Scenario};
-use pebblepost_harness::{cpu, dispatcher, fleet, release, room, store};
+use pebblepost_harness::workload::{HintSpec, QueueOrder, RunSpec};
+use pebblepost_harness::{cpu_cost, dispatcher, fleet, release, reservations, store};
 use std::path::PathBuf;
 
 /// Measured runs of real pebblepost processes on loopback.
@@ -169,11 +169,11 @@
     #[arg(long)]
     json: bool,
     /// Loads to play, as parts of what the fleet can do.
-    #[arg(long, value_delimiter = ',', default_values_t = room::LOADS)]
+    #[arg(long, value_delimiter = ',', default_values_t = reservations::LOADS)]
     loads: Vec<f64>,
     /// The order of the workers' queues; drawn by the seed by default.
     #[arg(long)]
-    order: Option<Order>,
+    order: Option<QueueOrder>,
     /// Dispatchers.
     #[arg(long, default_value_t = 3)]
     dispatchers: usize,
@@ -276,13 +276,13 @@
 
 fn play_cpu(args: Cpu) -> Result<()> {
     let program = args.program.map_or_else(dispatcher::built, Ok)?;
-    let (on, off) = (room::operator(true), room::operator(false));
-    let a = cpu::Side { program: &program, operator: &on };
+    let (on, off) = (reservations::operator(true), reservations::operator(false));
+    let a = cpu_cost::Side { program: &program, operator: &on };
     let b = match &args.against {
-        Some(other) => cpu::Side { program: other, operator: &on },
-        None => cpu::Side { program: &program, operator: &off },
+        Some(other) => cpu_cost::Side { program: other, operator: &on },
+        None => cpu_cost::Side { program: &program, operator: &off },
     };
-    let report = threads()?.block_on(cpu::measure(&a, &b, args.seconds, args.rounds, args.seed))?;
+    let report = threads()?.block_on(cpu_cost::measure(&a, &b, args.seconds, args.rounds, args.seed))?;
     println!("{}", serde_json::to_string(&report)?);
     Ok(())
 }
@@ -307,18 +307,18 @@
     if (one + two + four - 1.0).abs() > 1e-6 {
         anyhow::bail!("--slots: the shares sum to {}, not 1", one + two + four);
     }
-    let scenario = Scenario {
+    let run_spec = RunSpec {
         order: args.order,
         large_slots: [one, two, four],
         dispatchers: args.dispatchers.max(1),
         workers: args.workers.max(1),
-        hints: Hints { sent: !args.no_hints, factor: args.hint_factor, share: args.hint_share },
+        hints: HintSpec { sent: !args.no_hints, factor: args.hint_factor, share: args.hint_share },
         large_share: args.large_share,
         faults: args.faults,
-        ..Scenario::mixed(args.seconds, 0.0)
+        ..RunSpec::mixed(args.seconds, 0.0)
     };
-    let report = threads()?.block_on(room::measure(&scenario, &args.loads, args.seed, &program))?;
-    println!("{}", room::table(&report));
+    let report = threads()?.block_on(reservations::measure(&run_spec, &args.loads, args.seed, &program))?;
+    println!("{}", reservations::table(&report));
     if args.json {
         println!("{}", serde_json::to_string(&report)?);
     }
--- a/crates/pebblepost-harness/src/release/hands.rs
+++ b/crates/pebblepost-harness/src/release/hands.rs
@@ -3,9 +3,9 @@
 
 use super::office::{Office, PATIENCE, TAIL, insist};
 use crate::checker::Killed;
-use crate::record::{Entry, Seen};
-use crate::standin::lock;
+use crate::event_log::{Entry, Event};
 use crate::supervisor::Supervisor;
+use crate::worker::pool::lock;
 use anyhow::{Result, bail};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -51,8 +51,8 @@
             office.start(&["permit", "ask", &subject, "--why", "new fans"], rng.random()).await?;
             let end = Instant::now() + TAIL;
             let granted = loop {
-                if let Ok(say) = client.ask(&json!({"off": host}), PATIENCE).await {
-                    let off = &say["off"];
+                if let Ok(send_line) = client.ask(&json!({"off": host}), PATIENCE).await {
+                    let off = &send_line["off"];
                     let missing = off["waits_for"].as_object().map_or(1, serde_json::Map::len);
                     if let (Some(granted), 0) = (off["granted"].as_u64(), missing) {
                         break granted;
@@ -85,13 +85,13 @@
 
 /// What workers got, or still had to do, while they were off: attempts that arrived, and jobs that ran on and were served
 /// from there. A dispatcher that was killed or paused is excused from what it had out by then, and from nothing new.
-pub fn work_while_off(record: &[Entry], offs: &[Off], killed: &[Killed]) -> Vec<String> {
+pub fn work_while_off(log: &[Entry], offs: &[Off], killed: &[Killed]) -> Vec<String> {
     let (mut found, mut attempts) = (Vec::new(), HashMap::<&str, usize>::new());
     let mut open: HashMap<(&str, usize), (f64, usize)> = HashMap::new();
     let mut ran_on: HashSet<&str> = HashSet::new();
-    for (at, seen) in record {
-        match seen {
-            Seen::Arrived { txn, dispatcher, worker, .. } => {
+    for (at, event) in log {
+        match event {
+            Event::AttemptArrived { txn, dispatcher, worker, .. } => {
                 *attempts.entry(txn).or_insert(0) += 1;
                 open.insert((txn, *worker), (*at, *dispatcher));
                 if let Some(off) = offs.iter().find(|o| o.worker == *worker && (o.from..o.to).contains(at)) {
@@ -101,7 +101,7 @@
                     ));
                 }
             }
-            Seen::Ended { txn, worker, .. } => {
+            Event::AttemptEnded { txn, worker, .. } => {
                 let Some((began, by)) = open.remove(&(txn.as_str(), *worker)) else { continue };
                 let ran = |o: &&Off| o.worker == *worker && began < o.from && *at >= o.from;
                 let excused = |o: &Off| killed.iter().any(|k| k.dispatcher == by && k.from <= o.from);
@@ -110,7 +110,7 @@
                 }
             }
             // Of several attempts another one may have been the answer.
-            Seen::Answered { txn, status: 200, .. }
+            Event::Responded { txn, status: 200, .. }
                 if ran_on.contains(txn.as_str()) && attempts.get(txn.as_str()) == Some(&1) =>
             {
                 found
--- a/crates/pebblepost-harness/src/release/run.rs
+++ b/crates/pebblepost-harness/src/release/run.rs
@@ -8,11 +8,11 @@
 use crate::dispatcher::ZONES;
 use crate::fault::schedule::{Schedule, ScheduleParameters};
 use crate::run::{Played, Run};
-use crate::scenario::Scenario;
-use crate::standin::lock;
 use crate::store::client::StoreClient;
 use crate::store::cluster::{Cluster, retry_until};
-use crate::supervisor::{Flaw, How, Order, Outage, Supervisor};
+use crate::supervisor::{Flaw, Outage, OutageCause, ProcessFault, Supervisor};
+use crate::worker::pool::lock;
+use crate::workload::RunSpec;
 use anyhow::{Context, Result, bail};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -310,7 +310,7 @@
         let ended = match shared.plan.mode {
             Mode::Permits => release(&shared, course.begun as u64, &version, &before).await,
             Mode::AtOnce => {
-                (0..shared.plan.dispatchers).for_each(|n| shared.supervisor.order(n, Order::Stop));
+                (0..shared.plan.dispatchers).for_each(|n| shared.supervisor.inject(n, ProcessFault::Stop));
                 sleep(Duration::from_secs(20)).await;
                 Ok(false)
             }
@@ -336,13 +336,13 @@
         let (one, all) = (rng.random_range(0..shared.plan.dispatchers), 0..shared.plan.dispatchers);
         let zone = one % ZONES.len();
         let (order, kind, whom): (_, _, Vec<usize>) = match rng.random_range(0..18) {
-            0..10 => (Order::Kill, "dispatcher_kill", vec![one]),
-            10 => (Order::Kill, "zone_kill", all.filter(|n| n % ZONES.len() == zone).collect()),
-            11 => (Order::Kill, "fleet_kill", all.collect()),
+            0..10 => (ProcessFault::Kill, "dispatcher_kill", vec![one]),
+            10 => (ProcessFault::Kill, "zone_kill", all.filter(|n| n % ZONES.len() == zone).collect()),
+            11 => (ProcessFault::Kill, "fleet_kill", all.collect()),
             // Longer than a session lasts, and shorter.
-            _ => (Order::Pause(rng.random_range(0.5..6.0)), "dispatcher_pause", vec![one]),
+            _ => (ProcessFault::Pause(rng.random_range(0.5..6.0)), "dispatcher_pause", vec![one]),
         };
-        whom.into_iter().for_each(|n| shared.supervisor.order(n, order));
+        whom.into_iter().for_each(|n| shared.supervisor.inject(n, order));
         *lock(counts).entry(kind).or_insert(0) += 1;
     }
 }
@@ -363,18 +363,18 @@
     )
 }
 
-fn scenario(plan: &Plan) -> Scenario {
-    Scenario {
+fn run_spec(plan: &Plan) -> RunSpec {
+    RunSpec {
         dispatchers: plan.dispatchers,
         workers: plan.workers,
         faults: 0.0,
-        ..Scenario::mixed(plan.seconds + 15.0, 0.5)
+        ..RunSpec::mixed(plan.seconds + 15.0, 0.5)
     }
 }
 
 /// All hands, each with workers of its own, until there is enough.
 async fn hands(shared: Arc<Shared>) -> Result<()> {
-    let drawn = crate::scenario::Plan::draw(&scenario(&shared.plan), shared.plan.seed)?;
+    let drawn = crate::workload::Plan::draw(&run_spec(&shared.plan), shared.plan.seed)?;
     let count = shared.plan.worker_budget as usize + 1;
     let all = (0..count).map(|hand| {
         let hosts: Vec<(usize, String)> = drawn
@@ -399,9 +399,9 @@
 async fn clients(
     plan: Plan, program: PathBuf, operator: Value, supervisor: Arc<Supervisor>,
 ) -> Result<Played> {
-    let scenario = scenario(&plan);
-    let (scenario, operator, supervisor) = (&scenario, &operator, Some(supervisor.as_ref()));
-    Run { scenario, seed: plan.seed, program: &program, operator, supervisor }.play().await
+    let run_spec = run_spec(&plan);
+    let (run_spec, operator, supervisor) = (&run_spec, &operator, Some(supervisor.as_ref()));
+    Run { run_spec, seed: plan.seed, program: &program, operator, supervisor }.play().await
 }
 
 /// Runs it. Returns the figures and what was found, in words.
@@ -470,7 +470,7 @@
     found.extend(hands.await?.err().map(|error| error.to_string()));
     scribe.abort();
     let stuck = progress(&mut client, "", "permit/").await?.permits;
-    supervisor.is_over();
+    supervisor.finish();
     let played = played.await??;
     Ok(judge(&shared, &played, course, stuck, lock(&counts).clone(), found))
 }
@@ -492,7 +492,7 @@
     if over > 0.0 {
         found.push(format!("{most} were out by permits, for {over:.3} s more than the budget allows"));
     }
-    let crash = |o: &&Outage| matches!(o.how, How::Crash);
+    let crash = |o: &&Outage| matches!(o.cause, OutageCause::Crash);
     found.extend(
         outages.iter().filter(crash).map(|o| format!("dispatcher {} crashed at {:.3}", o.dispatcher, o.from)),
     );
@@ -502,7 +502,7 @@
     if off_most > plan.worker_budget as usize {
         found.push(format!("{off_most} workers were off at once"));
     }
-    let worked = work_while_off(&played.seen, &offs, &shared.supervisor.killed());
+    let worked = work_while_off(&played.event, &offs, &shared.supervisor.exits());
     let mut waited: Vec<f64> = offs.iter().map(|o| o.waited * 1e3).collect();
     waited.sort_by(f64::total_cmp);
     let waited = |part: f64| waited.get((waited.len() as f64 * part) as usize).copied().unwrap_or(0.0);
@@ -516,12 +516,12 @@
         let count = played.fates.iter().filter(|f| hit(&f.outcome)).count();
         count as f64 / played.fates.len().max(1) as f64
     };
-    let median_out = |how: How| {
-        let mut all: Vec<f64> = outages.iter().filter(|o| o.how == how).map(|o| o.to - o.from).collect();
+    let median_out = |cause: OutageCause| {
+        let mut all: Vec<f64> = outages.iter().filter(|o| o.cause == cause).map(|o| o.to - o.from).collect();
         all.sort_by(f64::total_cmp);
         all.get(all.len() / 2).copied().unwrap_or(0.0) * 1e3
     };
-    let reached = |flaw| shared.supervisor.reached(flaw);
+    let reached = |flaw| shared.supervisor.max_dispatchers_with(flaw);
     let work_while_off = worked.len();
     found.extend(worked);
     let summary = Summary {
@@ -554,8 +554,8 @@
         served_share: share(|o| matches!(o, Outcome::Served(_))),
         refused_share: share(|o| matches!(o, Outcome::Refused)),
         lost_share: share(|o| matches!(o, Outcome::Lost)),
-        out_itself_p50_ms: median_out(How::Itself),
-        out_ordered_p50_ms: median_out(How::Ordered),
+        out_itself_p50_ms: median_out(OutageCause::Voluntary),
+        out_ordered_p50_ms: median_out(OutageCause::Injected),
         drivers_killed: *lock(&shared.office.killed),
         faults,
         rules_broken: notes.over.len() + played.broken.len() + outages.iter().filter(crash).count(),
--- a/crates/pebblepost-harness/src/release/scribe.rs
+++ b/crates/pebblepost-harness/src/release/scribe.rs
@@ -1,8 +1,8 @@
 //! A scribe: follows all changes at the keepers, and reckons at each grant, by a reading of its own, how many are out by then.
 
 use crate::dispatcher::ZONES;
-use crate::standin::lock;
 use crate::store::client::Connection;
+use crate::worker::pool::lock;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/pebblepost-harness/src/release/witness.rs
+++ b/crates/pebblepost-harness/src/release/witness.rs
@@ -1,6 +1,6 @@
 //! Judges outages by what was seen from outside: who was ready when, who ended itself, and what operators were told.
 
-use crate::supervisor::{How, Outage};
+use crate::supervisor::{Outage, OutageCause};
 
 /// The most that were out at once, and for how long, in seconds, that was more than a budget.
 pub fn most_at_once(outages: &[&Outage], budget: usize) -> (usize, f64) {
@@ -20,7 +20,7 @@
 
 /// Those that went of their own accord, as a program does that was permitted to.
 pub fn by_permit(outages: &[Outage]) -> Vec<&Outage> {
-    outages.iter().filter(|o| o.how == How::Itself).collect()
+    outages.iter().filter(|o| o.cause == OutageCause::Voluntary).collect()
 }
 
 /// A halt: when it was acknowledged, and when its end was asked for.
--- a/crates/pebblepost-harness/src/report.rs
+++ b/crates/pebblepost-harness/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::checker::Broken;
 use crate::clients::{Fate, Outcome};
-use crate::scenario::{Arrival, Plan, wanted};
+use crate::workload::{Arrival, Plan, latency_target_s};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -106,7 +106,7 @@
                 if let Some(h) = &mut latency {
                     h.saturating_record(micros(after));
                 }
-                if after <= wanted(arrival.work) {
+                if after <= latency_target_s(arrival.work) {
                     group.in_time += 1;
                     group.work_in_time += work;
                 } else {
--- a/crates/pebblepost-harness/src/room.rs
+++ b/crates/pebblepost-harness/src/reservations.rs
@@ -2,7 +2,7 @@
 
 use crate::report::Summary;
 use crate::run::{Played, Run};
-use crate::scenario::Scenario;
+use crate::workload::RunSpec;
 use anyhow::Result;
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -45,16 +45,16 @@
     Summary::of(&parts, &broken, runs.iter().map(|p| p.cpu).sum())
 }
 
-/// Plays `scenario` at each load, with the room on and off. All run at the same time, each with a fleet of its own,
+/// Plays `run_spec` at each load, with the room on and off. All run at the same time, each with a fleet of its own,
 /// so that whatever else the machine does meets all.
-pub async fn measure(scenario: &Scenario, loads: &[f64], seed: u64, program: &Path) -> Result<Report> {
+pub async fn measure(run_spec: &RunSpec, loads: &[f64], seed: u64, program: &Path) -> Result<Report> {
     let (on_file, off_file) = (operator(true), operator(false));
     let (mut on, mut off) = (Vec::new(), Vec::new());
-    let scenarios: Vec<_> = loads.iter().map(|load| Scenario { load: *load, ..scenario.clone() }).collect();
-    let run = |scenario, operator| async move {
-        Run { scenario, seed, program, operator, supervisor: None }.play().await
+    let run_specs: Vec<_> = loads.iter().map(|load| RunSpec { load: *load, ..run_spec.clone() }).collect();
+    let run = |run_spec, operator| async move {
+        Run { run_spec, seed, program, operator, supervisor: None }.play().await
     };
-    let both = scenarios.iter().map(|s| async { tokio::try_join!(run(s, &on_file), run(s, &off_file)) });
+    let both = run_specs.iter().map(|s| async { tokio::try_join!(run(s, &on_file), run(s, &off_file)) });
     for played in futures_util::future::try_join_all(both).await? {
         on.push(played.0);
         off.push(played.1);
--- a/crates/pebblepost-harness/src/run.rs
+++ b/crates/pebblepost-harness/src/run.rs
@@ -4,10 +4,10 @@
 use crate::clients::{Clients, Fate};
 use crate::discovery::Discovery;
 use crate::dispatcher::{Process, Start};
-use crate::record::{Entry, Record, Seen, Told};
-use crate::scenario::{Order, Plan, Scenario};
-use crate::standin::{Counts, Fleet};
+use crate::event_log::{Availability, Entry, Event, EventLog};
 use crate::supervisor::Supervisor;
+use crate::worker::pool::{Counts, WorkerPool};
+use crate::workload::{Plan, QueueOrder, RunSpec};
 use anyhow::Result;
 use serde_json::Value;
 use std::path::Path;
@@ -19,7 +19,7 @@
 #[derive(Clone)]
 pub struct Run<'a> {
     /// The scenario.
-    pub scenario: &'a Scenario,
+    pub run_spec: &'a RunSpec,
     /// The seed.
     pub seed: u64,
     /// The program.
@@ -33,7 +33,7 @@
 /// What came of it.
 pub struct Played {
     /// All that was seen.
-    pub seen: Vec<Entry>,
+    pub event: Vec<Entry>,
     /// What was asked.
     pub plan: Arc<Plan>,
     /// How each request went.
@@ -57,22 +57,22 @@
 impl Run<'_> {
     /// Plays it.
     pub async fn play(&self) -> Result<Played> {
-        let plan = Arc::new(Plan::draw(self.scenario, self.seed)?);
-        let record = Arc::new(Record::default());
+        let plan = Arc::new(Plan::draw(self.run_spec, self.seed)?);
+        let log = Arc::new(EventLog::default());
         let (changes, changed) = mpsc::unbounded_channel();
-        let fleet = Fleet::new(plan.clone(), record.clone(), changes);
-        let discovery = Discovery::new(plan.clone(), record.clone());
+        let fleet = WorkerPool::new(plan.clone(), log.clone(), changes);
+        let discovery = Discovery::new(plan.clone(), log.clone());
         let mut processes = Vec::new();
         let order = match plan.order {
-            Order::Fifo => "fifo",
-            Order::Backfill => "backfill",
+            QueueOrder::Fifo => "fifo",
+            QueueOrder::Backfill => "backfill",
         };
-        for number in 0..self.scenario.dispatchers {
+        for number in 0..self.run_spec.dispatchers {
             let address = discovery.open(fleet.open(number).await?).await?;
             let start = Start {
                 program: self.program,
                 number,
-                of: self.scenario.dispatchers,
+                of: self.run_spec.dispatchers,
                 discovery: address,
                 known: discovery.known(number),
                 seed: self.seed.wrapping_mul(31).wrapping_add(number as u64),
@@ -84,20 +84,20 @@
         }
         let behind = [tokio::spawn(fleet.clone().drive()), tokio::spawn(discovery.clone().run(changed))];
         let addresses: Vec<_> = processes.iter().map(|p| p.address).collect();
-        let clients = Clients::new(plan.clone(), record.clone(), &addresses);
+        let clients = Clients::new(plan.clone(), log.clone(), &addresses);
         let (fates, killed) = match self.supervisor {
             None => {
-                let (fates, killed) = tokio::join!(clients.play(), self.herd(&mut processes, &record));
+                let (fates, killed) = tokio::join!(clients.play(), self.mass_restart(&mut processes, &log));
                 (fates, killed?)
             }
             Some(supervisor) => {
-                let workers = self.scenario.workers;
+                let workers = self.run_spec.workers;
                 let each = processes.iter_mut().enumerate();
-                let kept = each.map(|(n, process)| supervisor.keep(n, process, &record, workers));
+                let kept = each.map(|(n, process)| supervisor.supervise(n, process, &log, workers));
                 let course = async {
                     let fates = clients.play().await;
                     // What is being done to the dispatchers may take longer than their clients stay.
-                    supervisor.until_over().await;
+                    supervisor.until_finished().await;
                     fates
                 };
                 let fates = tokio::select! {
@@ -106,23 +106,23 @@
                         anyhow::bail!("the supervisor ended: {:?}", ended.err())
                     }
                 };
-                (fates, supervisor.killed())
+                (fates, supervisor.exits())
             }
         };
         let cpu = processes.iter().map(Process::cpu).sum();
         let ready = processes.iter().flat_map(|p| p.ready.iter().copied()).collect();
         let (counts, discovery_calls) = (fleet.counts(), discovery.calls());
         let ended = processes.iter_mut().filter_map(|p| (!p.runs()).then_some(p.address));
-        let crash = |a| Broken { rule: Rule::OneAnswer, at: record.now(), what: format!("{a} has ended") };
+        let crash = |a| Broken { rule: Rule::OneAnswer, at: log.now(), what: format!("{a} has ended") };
         let mut broken: Vec<Broken> = ended.map(crash).collect();
         tokio::task::block_in_place(|| drop(processes));
         behind.iter().for_each(tokio::task::JoinHandle::abort);
-        let (seen, figures) = (without_killed(record.take(), &killed), Figures::default());
-        broken.extend(check(&seen, &figures));
-        let slowest_drain = slowest_drain(&seen, &figures);
-        let cold_multiples = cold_multiples(&seen, &figures);
+        let (event, figures) = (without_killed(log.take(), &killed), Figures::default());
+        broken.extend(check(&event, &figures));
+        let slowest_drain = slowest_drain(&event, &figures);
+        let cold_multiples = cold_multiples(&event, &figures);
         Ok(Played {
-            seen,
+            event,
             cold_multiples,
             plan,
             fates,
@@ -136,18 +136,22 @@
     }
 
     /// Kills some dispatchers at once and starts all of them anew, each from the list that it had at first.
-    async fn herd(&self, processes: &mut [Process], record: &Record) -> Result<Vec<Killed>> {
-        let Some((at, part)) = self.scenario.herd else { return Ok(Vec::new()) };
+    async fn mass_restart(&self, processes: &mut [Process], log: &EventLog) -> Result<Vec<Killed>> {
+        let Some((at, part)) = self.run_spec.mass_restart else { return Ok(Vec::new()) };
         tokio::time::sleep(Duration::from_secs_f64(at)).await;
         let count = (part * processes.len() as f64).round() as usize;
-        let from = record.now();
+        let from = log.now();
         processes.iter_mut().take(count).for_each(Process::kill);
         let again = processes.iter_mut().take(count).enumerate().map(|(dispatcher, process)| async move {
-            for worker in 0..self.scenario.workers {
-                record.note(Seen::Told { dispatcher, worker, what: Told::Ready { cold: false } });
+            for worker in 0..self.run_spec.workers {
+                log.append(Event::Availability {
+                    dispatcher,
+                    worker,
+                    what: Availability::Ready { cold: false },
+                });
             }
             process.start_again().await?;
-            anyhow::Ok(Killed { dispatcher, from, back: record.now(), abrupt: true })
+            anyhow::Ok(Killed { dispatcher, from, back: log.now(), abrupt: true })
         });
         futures_util::future::try_join_all(again).await
     }
--- a/crates/pebblepost-harness/src/store/history.rs
+++ b/crates/pebblepost-harness/src/store/history.rs
@@ -1,6 +1,6 @@
 //! What was asked of the group and what it answered, with when. Nobody here knows what a keeper thinks.
 
-use crate::record::Record;
+use crate::event_log::EventLog;
 
 /// An operation on one worker's drain mark.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -27,4 +27,4 @@
 }
 
 /// The list of them; each is noted when it has ended or was given up.
-pub type OperationHistory = Record<Operation>;
+pub type OperationHistory = EventLog<Operation>;
--- a/crates/pebblepost-harness/src/store/run.rs
+++ b/crates/pebblepost-harness/src/store/run.rs
@@ -7,8 +7,8 @@
 use crate::clients::Outcome;
 use crate::fault::schedule::{Fault, FaultKind, Schedule, ScheduleParameters};
 use crate::run::Run;
-use crate::scenario::Scenario;
-use crate::standin::lock;
+use crate::worker::pool::lock;
+use crate::workload::RunSpec;
 use anyhow::{Context, Result};
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
@@ -115,7 +115,7 @@
         }
     }
     let answered = done.then(|| (shared.history.now(), None));
-    shared.history.note(Operation { worker: worker.to_owned(), kind, asked, answered });
+    shared.history.append(Operation { worker: worker.to_owned(), kind, asked, answered });
     done
 }
 
@@ -123,7 +123,7 @@
     let asked = shared.history.now();
     if let Ok(found) = client.read(worker, PATIENCE).await {
         let answered = Some((shared.history.now(), found));
-        shared.history.note(Operation {
+        shared.history.append(Operation {
             worker: worker.to_owned(),
             kind: OperationKind::Read,
             asked,
@@ -265,9 +265,9 @@
     let replicas: serde_json::Map<_, _> = replicas.iter().enumerate().map(named).collect();
     let operator = json!({"fleet": {"keepers": replicas}});
     let (dispatchers, faults) = (plan.dispatchers, 0.0);
-    let scenario = Scenario { dispatchers, faults, ..Scenario::mixed(plan.seconds, 0.6) };
+    let run_spec = RunSpec { dispatchers, faults, ..RunSpec::mixed(plan.seconds, 0.6) };
     let run = Run {
-        scenario: &scenario,
+        run_spec: &run_spec,
         seed: plan.seed,
         program: &program,
         operator: &operator,
--- a/crates/pebblepost-harness/src/supervisor.rs
+++ b/crates/pebblepost-harness/src/supervisor.rs
@@ -4,9 +4,9 @@
 
 use crate::checker::Killed;
 use crate::dispatcher::Process;
-use crate::record::{Record, Seen, Told};
-use crate::standin::lock;
+use crate::event_log::{Availability, Event, EventLog};
 use crate::store::client::{Leader, StoreClient};
+use crate::worker::pool::lock;
 use anyhow::Result;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -46,13 +46,13 @@
     }
 }
 /// Each is looked at this often.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The keepers are asked for so long before one is started as it was.
-const PATIENCE: Duration = Duration::from_secs(2);
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What is done to one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Order {
+pub enum ProcessFault {
     /// SIGKILL.
     Kill,
     /// SIGSTOP for so many seconds.
@@ -63,11 +63,11 @@
 
 /// How an outage began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum OutageCause {
     /// It ended itself, as a program does that is told to: nobody here told it.
-    Itself,
+    Voluntary,
     /// By an order.
-    Ordered,
+    Injected,
     /// It ran, and was not ready.
     NotReady,
     /// It ended itself by an error.
@@ -85,7 +85,7 @@
     /// Until when.
     pub to: f64,
     /// How it began.
-    pub how: How,
+    pub cause: OutageCause,
 }
 
 /// The supervisor.
@@ -93,15 +93,15 @@
 pub struct Supervisor {
     version: String,
     replicas: Vec<SocketAddr>,
-    orders: Mutex<BTreeMap<usize, Order>>,
+    pending_faults: Mutex<BTreeMap<usize, ProcessFault>>,
     outages: Mutex<Vec<Outage>>,
-    killed: Mutex<Vec<Killed>>,
+    exits: Mutex<Vec<Killed>>,
     /// Dispatchers that were ever started with each version.
-    reached: Mutex<BTreeMap<String, BTreeSet<usize>>>,
+    dispatchers_by_version: Mutex<BTreeMap<String, BTreeSet<usize>>>,
     /// Nobody needs the dispatchers any more.
-    over: Notify,
+    finished: Notify,
     /// When the record began.
-    began: Mutex<Option<Instant>>,
+    log_began: Mutex<Option<Instant>>,
 }
 
 impl Supervisor {
@@ -111,18 +111,18 @@
     }
 
     /// The version that the agreed state names for one that has ended.
-    async fn named(&self, dispatcher: usize) -> Option<String> {
+    async fn permitted_version(&self, dispatcher: usize) -> Option<String> {
         let key = format!("permit/dispatcher/n{dispatcher}");
         let mut client = StoreClient::new(self.replicas.clone(), Leader::default());
-        let say = client.ask(&json!({"get": [key]}), PATIENCE).await.ok()?;
-        let permit = say.pointer("/found/entries")?.get(&key)?.pointer("/value/permit")?.clone();
+        let send_line = client.ask(&json!({"get": [key]}), LOOKUP_TIMEOUT).await.ok()?;
+        let permit = send_line.pointer("/found/entries")?.get(&key)?.pointer("/value/permit")?.clone();
         let granted = permit["granted"].is_u64();
         permit["want"].as_str().filter(|want| granted && !want.is_empty()).map(str::to_owned)
     }
 
     /// Does this to one, as soon as it is looked at.
-    pub fn order(&self, dispatcher: usize, order: Order) {
-        lock(&self.orders).insert(dispatcher, order);
+    pub fn inject(&self, dispatcher: usize, inject: ProcessFault) {
+        lock(&self.pending_faults).insert(dispatcher, inject);
     }
 
     /// All outages so far that have ended.
@@ -131,56 +131,56 @@
     }
 
     /// What the checker excuses.
-    pub fn killed(&self) -> Vec<Killed> {
-        lock(&self.killed).clone()
+    pub fn exits(&self) -> Vec<Killed> {
+        lock(&self.exits).clone()
     }
 
     /// The most dispatchers that ever ran one version with this flaw.
-    pub fn reached(&self, flaw: Flaw) -> usize {
-        let reached = lock(&self.reached);
-        let bad = reached.iter().filter(|(version, _)| Flaw::of(version) == Some(flaw));
+    pub fn max_dispatchers_with(&self, flaw: Flaw) -> usize {
+        let dispatchers_by_version = lock(&self.dispatchers_by_version);
+        let bad = dispatchers_by_version.iter().filter(|(version, _)| Flaw::of(version) == Some(flaw));
         bad.map(|(_, who)| who.len()).max().unwrap_or(0)
     }
 
     /// The dispatchers may end, once their clients have.
-    pub fn is_over(&self) {
-        self.over.notify_one();
+    pub fn finish(&self) {
+        self.finished.notify_one();
     }
 
-    /// Waits for [`Self::is_over`].
-    pub async fn until_over(&self) {
-        self.over.notified().await;
+    /// Waits for [`Self::finish`].
+    pub async fn until_finished(&self) {
+        self.finished.notified().await;
     }
 
     /// Seconds of the record.
     pub fn now(&self) -> f64 {
-        lock(&self.began).map_or(0.0, |began| began.elapsed().as_secs_f64())
+        lock(&self.log_began).map_or(0.0, |log_began| log_began.elapsed().as_secs_f64())
     }
 
     /// Keeps one running, for as long as it is polled.
-    pub async fn keep(
-        &self, dispatcher: usize, process: &mut Process, record: &Record, workers: usize,
+    pub async fn supervise(
+        &self, dispatcher: usize, process: &mut Process, log: &EventLog, workers: usize,
     ) -> Result<()> {
-        lock(&self.began)
-            .get_or_insert_with(|| Instant::now() - Duration::from_secs_f64(record.now().max(0.0)));
-        let (mut out, mut ordered, mut paused): (Option<f64>, bool, Option<Instant>) = (None, false, None);
+        lock(&self.log_began)
+            .get_or_insert_with(|| Instant::now() - Duration::from_secs_f64(log.now().max(0.0)));
+        let (mut out, mut injected, mut paused): (Option<f64>, bool, Option<Instant>) = (None, false, None);
         let mut crashes: Option<Instant> = None;
         let mut version = self.version.clone();
         loop {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
             if crashes.is_some_and(|at| Instant::now() >= at) && paused.is_none() {
                 // As a program that fails: from outside there is no telling it from a kill.
                 crashes = None;
-                lock(&self.orders).insert(dispatcher, Order::Kill);
+                lock(&self.pending_faults).insert(dispatcher, ProcessFault::Kill);
             }
-            let order = lock(&self.orders).remove(&dispatcher);
-            if let Some(order) = order.filter(|_| paused.is_none()) {
-                ordered = true;
-                out.get_or_insert_with(|| record.now());
-                match order {
-                    Order::Kill => process.kill(),
-                    Order::Stop => process.stop(),
-                    Order::Pause(seconds) => {
+            let inject = lock(&self.pending_faults).remove(&dispatcher);
+            if let Some(inject) = inject.filter(|_| paused.is_none()) {
+                injected = true;
+                out.get_or_insert_with(|| log.now());
+                match inject {
+                    ProcessFault::Kill => process.kill(),
+                    ProcessFault::Stop => process.stop(),
+                    ProcessFault::Pause(seconds) => {
                         process.pause();
                         paused = Some(Instant::now() + Duration::from_secs_f64(seconds));
                     }
@@ -191,41 +191,45 @@
                 process.resume();
             }
             if let Some(clean) = process.ended() {
-                let from = *out.get_or_insert_with(|| record.now());
-                let how = match (ordered, clean) {
-                    (true, _) => How::Ordered,
-                    (false, true) => How::Itself,
-                    (false, false) => How::Crash,
+                let from = *out.get_or_insert_with(|| log.now());
+                let cause = match (injected, clean) {
+                    (true, _) => OutageCause::Injected,
+                    (false, true) => OutageCause::Voluntary,
+                    (false, false) => OutageCause::Crash,
                 };
                 for worker in 0..workers {
-                    record.note(Seen::Told { dispatcher, worker, what: Told::Ready { cold: false } });
+                    log.append(Event::Availability {
+                        dispatcher,
+                        worker,
+                        what: Availability::Ready { cold: false },
+                    });
                 }
-                if let Some(named) = self.named(dispatcher).await {
-                    version = named;
+                if let Some(permitted_version) = self.permitted_version(dispatcher).await {
+                    version = permitted_version;
                 }
                 let flaw = Flaw::of(&version);
                 process.set_version(&version, flaw == Some(Flaw::Refuses))?;
                 process.start_again().await?;
                 crashes = (flaw == Some(Flaw::Crashes)).then(|| Instant::now() + CRASHES_AFTER);
-                lock(&self.reached).entry(version.clone()).or_default().insert(dispatcher);
-                let back = record.now();
-                let abrupt = how != How::Itself;
-                lock(&self.killed).push(Killed { dispatcher, from, back, abrupt });
+                lock(&self.dispatchers_by_version).entry(version.clone()).or_default().insert(dispatcher);
+                let back = log.now();
+                let abrupt = cause != OutageCause::Voluntary;
+                lock(&self.exits).push(Killed { dispatcher, from, back, abrupt });
                 let to = back - process.not_ready_at.elapsed().as_secs_f64();
-                lock(&self.outages).push(Outage { dispatcher, from, to, how });
-                (out, ordered) = (None, false);
+                lock(&self.outages).push(Outage { dispatcher, from, to, cause });
+                (out, injected) = (None, false);
             } else if process.is_ready().await {
                 if let Some(from) = out.take() {
-                    let how = if ordered { How::Ordered } else { How::NotReady };
-                    let to = record.now();
-                    if ordered {
-                        lock(&self.killed).push(Killed { dispatcher, from, back: to, abrupt: true });
+                    let cause = if injected { OutageCause::Injected } else { OutageCause::NotReady };
+                    let to = log.now();
+                    if injected {
+                        lock(&self.exits).push(Killed { dispatcher, from, back: to, abrupt: true });
                     }
-                    lock(&self.outages).push(Outage { dispatcher, from, to, how });
-                    ordered = false;
+                    lock(&self.outages).push(Outage { dispatcher, from, to, cause });
+                    injected = false;
                 }
             } else {
-                out.get_or_insert_with(|| record.now());
+                out.get_or_insert_with(|| log.now());
             }
         }
     }
--- a/crates/pebblepost-harness/src/machine.rs
+++ b/crates/pebblepost-harness/src/worker/model.rs
@@ -1,38 +1,38 @@
 //! A stand-in worker's inside, without I/O or clock: slots, waiting room, pace, warmth, what it has fetched, and
 //! falling over. The caller says what time it is and gets back what has happened since.
 
-use crate::scenario::{Order, WorkerSpec};
+use crate::workload::{QueueOrder, WorkerSpec};
 use std::collections::VecDeque;
 
 /// A job at a worker; the caller's number.
-pub type Ticket = u64;
+pub type JobId = u64;
 
 /// A cold worker falls over if it is sent more than this multiple of what it can do, for this long.
-pub const TIP_MULTIPLE: f64 = 3.0;
-/// See [`TIP_MULTIPLE`].
-pub const FALL_S: f64 = 3.0;
+pub const OVERLOAD_FACTOR: f64 = 3.0;
+/// See [`OVERLOAD_FACTOR`].
+pub const OVERLOAD_WINDOW_S: f64 = 3.0;
 
 /// What happened to a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
+pub enum JobEvent {
     /// It has begun.
-    Started(Ticket),
+    Started(JobId),
     /// It is done.
-    Done(Ticket),
+    Done(JobId),
 }
 
 /// What became of a job handed in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Admission {
     /// It runs or waits.
-    In,
+    Accepted,
     /// Turned away unseen: no room to wait, or no worker of this size can run it.
-    Away,
+    Rejected,
 }
 
 #[derive(Clone, Debug)]
 struct Job {
-    ticket: Ticket,
+    job_id: JobId,
     slots: u32,
     /// Seconds of fetching left, and of work at speed 1.
     fetch: f64,
@@ -42,7 +42,7 @@
 
 /// The inside of one stand-in.
 #[derive(Debug)]
-pub struct Machine {
+pub struct WorkerModel {
     spec: WorkerSpec,
     /// When it started, if that matters still.
     started: Option<f64>,
@@ -50,29 +50,29 @@
     running: Vec<Job>,
     waiting: VecDeque<Job>,
     /// Subjects kept, the one used last at the end.
-    kept: VecDeque<u64>,
+    cached_keys: VecDeque<u64>,
     fetch_s: f64,
     /// Work for connections and probes that is still to be done.
     overhead: f64,
     /// Work sent while it was cold: when, how much, by which sender.
     sent: VecDeque<(f64, f64, usize)>,
     worst: f64,
-    pressed: Option<Press>,
-    fallen: bool,
+    take_cold_load_peak: Option<ColdLoad>,
+    overload: bool,
 }
 
 /// What a cold worker was sent lately, taken at the moment that it was the most so far.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Press {
+pub struct ColdLoad {
     /// When it had started.
     pub since: f64,
-    /// Work that it could do in [`FALL_S`] at its pace of that moment.
-    pub bears: f64,
-    /// Work sent within [`FALL_S`]: when, how much, by which sender.
+    /// Work that it could do in [`OVERLOAD_WINDOW_S`] at its pace of that moment.
+    pub capacity_in_window: f64,
+    /// Work sent within [`OVERLOAD_WINDOW_S`]: when, how much, by which sender.
     pub sent: Vec<(f64, f64, usize)>,
 }
 
-impl Machine {
+impl WorkerModel {
     /// A warm worker with nothing to do. `fetch_s`: how long it takes to fetch what a subject needs.
     pub fn new(spec: WorkerSpec, fetch_s: f64) -> Self {
         Self {
@@ -81,29 +81,29 @@
             now: 0.0,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            kept: VecDeque::new(),
+            cached_keys: VecDeque::new(),
             fetch_s,
             overhead: 0.0,
             sent: VecDeque::new(),
             worst: 0.0,
-            pressed: None,
-            fallen: false,
+            take_cold_load_peak: None,
+            overload: false,
         }
     }
 
     /// Starts anew, cold and empty. Returns the jobs that are lost by it.
-    pub fn restart(&mut self, now: f64) -> Vec<Ticket> {
-        let lost = self.running.drain(..).chain(self.waiting.drain(..)).map(|j| j.ticket).collect();
-        (self.started, self.now, self.overhead, self.fallen) = (Some(now), now, 0.0, false);
-        self.kept.clear();
+    pub fn restart(&mut self, now: f64) -> Vec<JobId> {
+        let lost = self.running.drain(..).chain(self.waiting.drain(..)).map(|j| j.job_id).collect();
+        (self.started, self.now, self.overhead, self.overload) = (Some(now), now, 0.0, false);
+        self.cached_keys.clear();
         self.sent.clear();
         self.worst = 0.0;
         lost
     }
 
     /// Hands back what has not begun.
-    pub fn hand_back(&mut self) -> Vec<Ticket> {
-        self.waiting.drain(..).map(|j| j.ticket).collect()
+    pub fn return_queued(&mut self) -> Vec<JobId> {
+        self.waiting.drain(..).map(|j| j.job_id).collect()
     }
 
     /// Its figures.
@@ -112,25 +112,25 @@
     }
 
     /// Part of its capacity that it has now.
-    pub fn warmth(&self) -> f64 {
+    pub fn slow_start_factor(&self) -> f64 {
         let Some(start) = self.started else { return 1.0 };
-        let part = (self.now - start) / self.spec.cold_s;
-        (self.spec.cold_from + (1.0 - self.spec.cold_from) * part).min(1.0)
+        let part = (self.now - start) / self.spec.slow_start_s;
+        (self.spec.cold_capacity + (1.0 - self.spec.cold_capacity) * part).min(1.0)
     }
 
     /// Work that it can do in a second, at this moment.
     pub fn capacity(&self) -> f64 {
-        f64::from(self.spec.cores.min(self.spec.slots)) * self.spec.speed * self.warmth()
+        f64::from(self.spec.cores.min(self.spec.slots)) * self.spec.speed * self.slow_start_factor()
     }
 
     /// The press that was the worst so far in this life, if it has become worse since it was asked for last.
-    pub fn pressed(&mut self) -> Option<Press> {
-        self.pressed.take()
+    pub fn take_cold_load_peak(&mut self) -> Option<ColdLoad> {
+        self.take_cold_load_peak.take()
     }
 
     /// It was sent more, while cold, than it can bear: when it had started, and the work sent by whom.
-    pub fn fallen(&self) -> Option<(f64, Vec<(usize, f64)>)> {
-        let since = self.started.filter(|_| self.fallen)?;
+    pub fn overload(&self) -> Option<(f64, Vec<(usize, f64)>)> {
+        let since = self.started.filter(|_| self.overload)?;
         Some((since, self.sent.iter().map(|(_, work, from)| (*from, *work)).collect()))
     }
 
@@ -151,53 +151,54 @@
     }
 
     /// Work that is no job: a new connection, a probe.
-    pub fn charge(&mut self, from: usize, seconds: f64) {
+    pub fn add_overhead(&mut self, from: usize, seconds: f64) {
         self.overhead += seconds;
-        self.weigh(from, seconds);
+        self.record_cold_load(from, seconds);
     }
 
     /// Counts work against what a cold worker bears, whatever becomes of it.
-    fn weigh(&mut self, from: usize, work: f64) {
-        if self.warmth() >= 1.0 {
+    fn record_cold_load(&mut self, from: usize, work: f64) {
+        if self.slow_start_factor() >= 1.0 {
             return self.sent.clear();
         }
         self.sent.push_back((self.now, work, from));
-        while self.sent.front().is_some_and(|(at, ..)| *at < self.now - FALL_S) {
+        while self.sent.front().is_some_and(|(at, ..)| *at < self.now - OVERLOAD_WINDOW_S) {
             self.sent.pop_front();
         }
         let total: f64 = self.sent.iter().map(|(_, work, _)| work).sum();
-        let bears = (FALL_S * self.capacity()).max(f64::MIN_POSITIVE);
-        if total / bears > self.worst {
-            self.worst = total / bears;
+        let capacity_in_window = (OVERLOAD_WINDOW_S * self.capacity()).max(f64::MIN_POSITIVE);
+        if total / capacity_in_window > self.worst {
+            self.worst = total / capacity_in_window;
             let since = self.started.unwrap_or(self.now);
-            self.pressed = Some(Press { since, bears, sent: self.sent.iter().copied().collect() });
+            self.take_cold_load_peak =
+                Some(ColdLoad { since, capacity_in_window, sent: self.sent.iter().copied().collect() });
         }
         // A little slack for chance: one usual job.
-        self.fallen |= total > TIP_MULTIPLE * FALL_S * self.capacity() + 0.5;
+        self.overload |= total > OVERLOAD_FACTOR * OVERLOAD_WINDOW_S * self.capacity() + 0.5;
     }
 
     /// Takes a job of the sender `from`, if there is room for it.
-    pub fn submit(&mut self, from: usize, ticket: Ticket, slots: u32, work: f64, key: u64) -> Taken {
+    pub fn submit(&mut self, from: usize, job_id: JobId, slots: u32, work: f64, key: u64) -> Admission {
         let slots = slots.max(1);
-        self.weigh(from, work * f64::from(slots));
+        self.record_cold_load(from, work * f64::from(slots));
         let fits = slots <= self.spec.slots;
         if !fits || self.slots_in_use() + slots > self.spec.slots && self.waiting.len() >= self.spec.queue {
-            return Taken::Away;
+            return Admission::Rejected;
         }
-        self.waiting.push_back(Job { ticket, slots, fetch: 0.0, work, key });
-        Taken::In
+        self.waiting.push_back(Job { job_id, slots, fetch: 0.0, work, key });
+        Admission::Accepted
     }
 
     /// Lets time pass. `store_share`: part of its full speed at which a fetch goes on. Notes are in their order.
-    pub fn advance(&mut self, now: f64, store_share: f64, notes: &mut Vec<Note>) {
+    pub fn advance(&mut self, now: f64, store_share: f64, events: &mut Vec<JobEvent>) {
         let mut left = (now - self.now).max(0.0);
-        self.begin(notes);
+        self.start_queued(events);
         while left > 0.0 && !self.running.is_empty() {
             let used = f64::from(self.slots_in_use()).max(1.0);
             let share = (f64::from(self.spec.cores) / used).min(1.0);
             // Overhead takes up to half of the cores until it is done.
             let free = if self.overhead > 0.0 { 0.5 } else { 1.0 };
-            let pace = self.spec.speed * self.warmth() * share * free;
+            let pace = self.spec.speed * self.slow_start_factor() * share * free;
             let ends = |j: &Job| {
                 if j.fetch > 0.0 { j.fetch / store_share.max(1e-6) } else { j.work / pace.max(1e-6) }
             };
@@ -209,9 +210,9 @@
             self.now += step;
             left -= step;
             let done = |j: &Job| j.fetch <= 1e-9 && j.work <= 1e-9;
-            notes.extend(self.running.iter().filter(|j| done(j)).map(|j| Note::Done(j.ticket)));
+            events.extend(self.running.iter().filter(|j| done(j)).map(|j| JobEvent::Done(j.job_id)));
             self.running.retain(|j| !done(j));
-            self.begin(notes);
+            self.start_queued(events);
         }
         if self.running.is_empty() {
             self.overhead = 0.0;
@@ -220,23 +221,27 @@
     }
 
     /// Starts what fits, by the order of the queue.
-    fn begin(&mut self, notes: &mut Vec<Note>) {
+    fn start_queued(&mut self, events: &mut Vec<JobEvent>) {
         loop {
             let free = self.spec.slots.saturating_sub(self.slots_in_use());
             let next = match self.spec.order {
-                Order::Fifo => self.waiting.front().filter(|j| j.slots <= free).map(|_| 0),
-                Order::Backfill => self.waiting.iter().position(|j| j.slots <= free),
+                QueueOrder::Fifo => self.waiting.front().filter(|j| j.slots <= free).map(|_| 0),
+                QueueOrder::Backfill => self.waiting.iter().position(|j| j.slots <= free),
             };
             let Some(mut job) = next.and_then(|i| self.waiting.remove(i)) else { return };
             if job.key != 0 {
-                let had = self.kept.iter().position(|k| *k == job.key).and_then(|i| self.kept.remove(i));
+                let had = self
+                    .cached_keys
+                    .iter()
+                    .position(|k| *k == job.key)
+                    .and_then(|i| self.cached_keys.remove(i));
                 job.fetch = if had.is_some() { 0.0 } else { self.fetch_s };
-                self.kept.push_back(job.key);
-                if self.kept.len() > self.spec.keys {
-                    self.kept.pop_front();
+                self.cached_keys.push_back(job.key);
+                if self.cached_keys.len() > self.spec.keys {
+                    self.cached_keys.pop_front();
                 }
             }
-            notes.push(Note::Started(job.ticket));
+            events.push(JobEvent::Started(job.job_id));
             self.running.push(job);
         }
     }
--- a/crates/pebblepost-harness/src/standin.rs
+++ b/crates/pebblepost-harness/src/worker/pool.rs
@@ -1,10 +1,10 @@
-//! Stand-in workers on sockets: HTTP/1.1 as the platform's transcribers speak it, around a [`Machine`] each. A
+//! Stand-in workers on sockets: HTTP/1.1 as the platform's transcribers speak it, around a [`WorkerModel`] each. A
 //! dispatcher reaches each worker at an address of its own, so that the record can tell who sent what.
 
 use crate::checker::result_for;
-use crate::machine::{Machine, Note, Taken, Ticket};
-use crate::record::{End, Record, Seen, Told};
-use crate::scenario::{Fault, Plan, WorkerSpec};
+use crate::event_log::{AttemptEnd, Availability, Event, EventLog};
+use crate::worker::model::{Admission, JobEvent, JobId, WorkerModel};
+use crate::workload::{Fault, Plan, WorkerSpec};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, StreamBody, combinators::BoxBody};
 use hyper::body::{Frame, Incoming};
@@ -45,7 +45,7 @@
 
 /// What a worker's inside sends to the connection of a job.
 #[derive(Clone, Copy, Debug)]
-enum Word {
+enum JobUpdate {
     Started,
     Done,
     Failed,
@@ -71,12 +71,12 @@
     }
 }
 
-struct Inside {
+struct WorkerState {
     handshakes: u64,
     open: usize,
     most_open: usize,
-    machine: Machine,
-    jobs: HashMap<Ticket, mpsc::UnboundedSender<Word>>,
+    model: WorkerModel,
+    jobs: HashMap<JobId, mpsc::UnboundedSender<JobUpdate>>,
     /// Reports that are not visible yet, and the one that is: free slots, busy part, errors a second.
     coming: VecDeque<(f64, [f64; 3])>,
     report: [f64; 3],
@@ -87,32 +87,32 @@
 }
 
 /// One worker.
-pub struct StandIn {
+pub struct SimulatedWorker {
     number: usize,
-    inside: Mutex<Inside>,
+    state: Mutex<WorkerState>,
     /// What it is at, and how often it has broken all its connections.
     mode: watch::Sender<(Mode, u32)>,
 }
 
 /// The whole fleet, and what is known of the clients' requests.
-pub struct Fleet {
+pub struct WorkerPool {
     /// The plan.
     pub plan: Arc<Plan>,
     /// Where all is written down.
-    pub record: Arc<Record>,
-    workers: Vec<Arc<StandIn>>,
-    tickets: AtomicU64,
+    pub log: Arc<EventLog>,
+    workers: Vec<Arc<SimulatedWorker>>,
+    next_job_id: AtomicU64,
     /// Attempts of each arrival so far: each has a work of its own.
     attempts: Vec<AtomicUsize>,
     /// What has changed at a worker: discovery learns of it later.
-    pub changes: mpsc::UnboundedSender<(usize, Told)>,
+    pub changes: mpsc::UnboundedSender<(usize, Availability)>,
 }
 
 /// The body of a stand-in's answer.
 pub type Body = BoxBody<Bytes, Infallible>;
 
 /// An answer that is whole at once.
-pub fn plain(status: u16, headers: &[(&'static str, &str)], body: String) -> Response<Body> {
+pub fn complete_response(status: u16, headers: &[(&'static str, &str)], body: String) -> Response<Body> {
     let mut builder = Response::builder().status(status);
     for (name, value) in headers {
         builder = builder.header(*name, *value);
@@ -130,16 +130,16 @@
     format!("tx{arrival:08x}{try_no:02x}")
 }
 
-impl Fleet {
+impl WorkerPool {
     /// A fleet that has not begun.
     pub fn new(
-        plan: Arc<Plan>, record: Arc<Record>, changes: mpsc::UnboundedSender<(usize, Told)>,
+        plan: Arc<Plan>, log: Arc<EventLog>, changes: mpsc::UnboundedSender<(usize, Availability)>,
     ) -> Arc<Self> {
-        let inside = |(i, spec): (usize, &WorkerSpec)| Inside {
+        let state = |(i, spec): (usize, &WorkerSpec)| WorkerState {
             handshakes: 0,
             open: 0,
             most_open: 0,
-            machine: Machine::new(spec.clone(), plan.store.1),
+            model: WorkerModel::new(spec.clone(), plan.store.1),
             jobs: HashMap::new(),
             coming: VecDeque::new(),
             report: [f64::from(spec.slots), 0.0, 0.0],
@@ -150,18 +150,18 @@
         };
         let worker = |(i, spec)| {
             let mode = watch::Sender::new((Mode::Up, 0));
-            Arc::new(StandIn { number: i, inside: Mutex::new(inside((i, spec))), mode })
+            Arc::new(SimulatedWorker { number: i, state: Mutex::new(state((i, spec))), mode })
         };
         let workers = plan.workers.iter().enumerate().map(worker).collect();
         let attempts = plan.arrivals.iter().map(|_| AtomicUsize::new(0)).collect();
-        Arc::new(Self { plan, record, workers, tickets: AtomicU64::new(0), attempts, changes })
+        Arc::new(Self { plan, log, workers, next_job_id: AtomicU64::new(0), attempts, changes })
     }
 
     /// What was counted so far.
     pub fn counts(&self) -> Counts {
-        let of = |worker: &Arc<StandIn>| {
-            let inside = lock(&worker.inside);
-            Counts { handshakes: inside.handshakes, worst_worker_connections: inside.most_open }
+        let of = |worker: &Arc<SimulatedWorker>| {
+            let state = lock(&worker.state);
+            Counts { handshakes: state.handshakes, worst_worker_connections: state.most_open }
         };
         self.workers.iter().map(of).fold(Counts::default(), Counts::with)
     }
@@ -181,11 +181,11 @@
     pub async fn drive(self: Arc<Self>) {
         let mut ticks = tokio::time::interval(Duration::from_millis(1));
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
-        let mut faults: VecDeque<_> = self.plan.troubles.iter().copied().collect();
+        let mut faults: VecDeque<_> = self.plan.worker_faults.iter().copied().collect();
         let mut ends: Vec<(f64, usize, Fault)> = Vec::new();
         loop {
             ticks.tick().await;
-            let now = self.record.now();
+            let now = self.log.now();
             while let Some(t) = faults.pop_front_if(|t| t.at <= now) {
                 self.begin_fault(t.worker, t.what);
                 let (Fault::Drain(s) | Fault::Silent(s) | Fault::Restart(s) | Fault::Errors(s, _)) = t.what;
@@ -194,7 +194,7 @@
             for (_, worker, what) in ends.extract_if(.., |(at, ..)| *at <= now) {
                 self.end_fault(worker, what);
             }
-            let fetching: usize = self.workers.iter().map(|w| lock(&w.inside).machine.fetching()).sum();
+            let fetching: usize = self.workers.iter().map(|w| lock(&w.state).model.fetching()).sum();
             let share = (self.plan.store.0 / fetching.max(1) as f64).min(1.0);
             for worker in &self.workers {
                 if worker.mode.borrow().0 == Mode::Up {
@@ -204,101 +204,101 @@
         }
     }
 
-    fn step(&self, worker: &StandIn, now: f64, share: f64) {
-        let mut inside = lock(&worker.inside);
-        let inside = &mut *inside;
-        let mut notes = Vec::new();
-        inside.machine.advance(now, share, &mut notes);
-        for note in notes {
-            match note {
-                Note::Started(ticket) => {
-                    if let Some(job) = inside.jobs.get(&ticket) {
-                        let _ = job.send(Word::Started);
+    fn step(&self, worker: &SimulatedWorker, now: f64, share: f64) {
+        let mut state = lock(&worker.state);
+        let state = &mut *state;
+        let mut events = Vec::new();
+        state.model.advance(now, share, &mut events);
+        for event in events {
+            match event {
+                JobEvent::Started(job_id) => {
+                    if let Some(job) = state.jobs.get(&job_id) {
+                        let _ = job.send(JobUpdate::Started);
                     }
                 }
-                Note::Done(ticket) => {
-                    let failed = inside.fails > 0.0 && inside.rng.random_bool(inside.fails);
-                    if let Some(job) = inside.jobs.remove(&ticket) {
-                        let _ = job.send(if failed { Word::Failed } else { Word::Done });
+                JobEvent::Done(job_id) => {
+                    let failed = state.fails > 0.0 && state.rng.random_bool(state.fails);
+                    if let Some(job) = state.jobs.remove(&job_id) {
+                        let _ = job.send(if failed { JobUpdate::Failed } else { JobUpdate::Done });
                     }
                 }
             }
         }
-        if let Some(press) = inside.machine.pressed() {
-            self.record.note(Seen::Pressed { worker: worker.number, press });
+        if let Some(cold_load) = state.model.take_cold_load_peak() {
+            self.log.append(Event::ColdLoadPeak { worker: worker.number, cold_load });
         }
-        if let Some((since, sent)) = inside.machine.fallen() {
-            self.record.note(Seen::Fell { worker: worker.number, since, sent });
-            self.crash(worker, inside, now);
+        if let Some((since, sent)) = state.model.overload() {
+            self.log.append(Event::Overloaded { worker: worker.number, since, sent });
+            self.crash(worker, state, now);
         }
-        let spec = inside.machine.spec();
+        let spec = state.model.spec();
         let (refresh, delay, noise) = (spec.refresh_s, spec.delay_s, spec.noise);
-        if now >= inside.refreshed + refresh {
-            inside.refreshed = now;
-            let (free, busy, _) = inside.machine.load();
-            let off = Normal::new(1.0, noise).map_or(1.0, |n| n.sample(&mut inside.rng));
-            let free = if inside.draining { 0.0 } else { f64::from(free) * off };
-            inside.coming.push_back((now + delay, [free.max(0.0), busy, inside.fails]));
+        if now >= state.refreshed + refresh {
+            state.refreshed = now;
+            let (free, busy, _) = state.model.load();
+            let off = Normal::new(1.0, noise).map_or(1.0, |n| n.sample(&mut state.rng));
+            let free = if state.draining { 0.0 } else { f64::from(free) * off };
+            state.coming.push_back((now + delay, [free.max(0.0), busy, state.fails]));
         }
-        while let Some((_, report)) = inside.coming.pop_front_if(|(at, _)| *at <= now) {
-            inside.report = report;
+        while let Some((_, report)) = state.coming.pop_front_if(|(at, _)| *at <= now) {
+            state.report = report;
         }
     }
 
     /// All connections break, and all work is lost.
-    fn crash(&self, worker: &StandIn, inside: &mut Inside, now: f64) {
-        inside.machine.restart(now);
-        inside.jobs.clear();
-        inside.coming.clear();
+    fn crash(&self, worker: &SimulatedWorker, state: &mut WorkerState, now: f64) {
+        state.model.restart(now);
+        state.jobs.clear();
+        state.coming.clear();
         worker.mode.send_modify(|mode| mode.1 += 1);
     }
 
     fn begin_fault(&self, worker: usize, what: Fault) {
         let Some(worker) = self.workers.get(worker) else { return };
-        let mut inside = lock(&worker.inside);
+        let mut state = lock(&worker.state);
         match what {
             Fault::Drain(_) => {
-                inside.draining = true;
-                for ticket in inside.machine.hand_back() {
-                    if let Some(job) = inside.jobs.remove(&ticket) {
-                        let _ = job.send(Word::Returned);
+                state.draining = true;
+                for job_id in state.model.return_queued() {
+                    if let Some(job) = state.jobs.remove(&job_id) {
+                        let _ = job.send(JobUpdate::Returned);
                     }
                 }
-                let _ = self.changes.send((worker.number, Told::Draining));
+                let _ = self.changes.send((worker.number, Availability::Draining));
             }
             Fault::Silent(_) => {
                 worker.mode.send_modify(|mode| mode.0 = Mode::Silent);
-                let _ = self.changes.send((worker.number, Told::Gone));
+                let _ = self.changes.send((worker.number, Availability::Gone));
             }
             Fault::Restart(_) => {
                 worker.mode.send_modify(|mode| mode.0 = Mode::Down);
-                let now = self.record.now();
-                self.crash(worker, &mut inside, now);
+                let now = self.log.now();
+                self.crash(worker, &mut state, now);
             }
-            Fault::Errors(_, share) => inside.fails = share,
+            Fault::Errors(_, share) => state.fails = share,
         }
     }
 
     fn end_fault(&self, worker: usize, what: Fault) {
         let Some(worker) = self.workers.get(worker) else { return };
-        let mut inside = lock(&worker.inside);
+        let mut state = lock(&worker.state);
         match what {
-            Fault::Errors(..) => inside.fails = 0.0,
+            Fault::Errors(..) => state.fails = 0.0,
             Fault::Drain(_) => {
-                inside.draining = false;
-                let _ = self.changes.send((worker.number, Told::Ready { cold: false }));
+                state.draining = false;
+                let _ = self.changes.send((worker.number, Availability::Ready { cold: false }));
             }
             Fault::Silent(_) | Fault::Restart(_) => {
-                let now = self.record.now();
-                self.crash(worker, &mut inside, now);
+                let now = self.log.now();
+                self.crash(worker, &mut state, now);
                 worker.mode.send_modify(|mode| mode.0 = Mode::Up);
-                let _ = self.changes.send((worker.number, Told::Ready { cold: true }));
+                let _ = self.changes.send((worker.number, Availability::Ready { cold: true }));
             }
         }
     }
 
     async fn answer(
-        self: Arc<Self>, worker: Arc<StandIn>, dispatcher: usize, request: Request<Incoming>,
+        self: Arc<Self>, worker: Arc<SimulatedWorker>, dispatcher: usize, request: Request<Incoming>,
     ) -> Result<Response<Body>, Infallible> {
         if worker.mode.borrow().0 == Mode::Silent {
             std::future::pending::<()>().await;
@@ -309,43 +309,47 @@
         };
         let (txn, key) = (header("x-txn"), header("idempotency-key"));
         match (request.method(), request.uri().path()) {
-            (&Method::GET, "/health") => return Ok(plain(200, &[], String::new())),
+            (&Method::GET, "/health") => return Ok(complete_response(200, &[], String::new())),
             (&Method::GET, "/status/load") => {
-                let mut inside = lock(&worker.inside);
-                inside.machine.charge(dispatcher, PROBE_WORK);
-                let [free, util, eps] = inside.report;
+                let mut state = lock(&worker.state);
+                state.model.add_overhead(dispatcher, PROBE_WORK);
+                let [free, util, eps] = state.report;
                 let report = serde_json::json!({"util": util, "eps": eps, "x0": free});
-                return Ok(plain(200, &[("content-type", "application/json")], report.to_string()));
+                return Ok(complete_response(
+                    200,
+                    &[("content-type", "application/json")],
+                    report.to_string(),
+                ));
             }
             (&Method::POST, _) if !txn.is_empty() => {}
-            _ => return Ok(plain(404, &[], String::new())),
+            _ => return Ok(complete_response(404, &[], String::new())),
         }
         if request.into_body().collect().await.is_err() {
-            return Ok(plain(400, &[], String::new()));
+            return Ok(complete_response(400, &[], String::new()));
         }
         let arrival = arrival_of(&txn).and_then(|i| Some((i, self.plan.arrivals.get(i)?)));
         let Some((index, arrival)) = arrival else {
-            self.record.note(Seen::Stranger { txn });
-            return Ok(plain(400, &[], String::new()));
+            self.log.append(Event::UnknownRequest { txn });
+            return Ok(complete_response(400, &[], String::new()));
         };
         let number = worker.number;
-        self.record.note(Seen::Arrived { txn: txn.clone(), key, dispatcher, worker: number });
+        self.log.append(Event::AttemptArrived { txn: txn.clone(), key, dispatcher, worker: number });
         let attempt = self.attempts[index].fetch_add(1, Ordering::Relaxed);
         let work = arrival.work * arrival.noise[attempt % arrival.noise.len()];
-        let ticket = self.tickets.fetch_add(1, Ordering::Relaxed);
-        let (tell, words) = mpsc::unbounded_channel();
+        let job_id = self.next_job_id.fetch_add(1, Ordering::Relaxed);
+        let (updates_in, updates) = mpsc::unbounded_channel();
         {
-            let mut inside = lock(&worker.inside);
-            let taken = inside.machine.submit(dispatcher, ticket, arrival.slots, work, arrival.key);
-            if taken == Taken::Away || inside.draining {
-                drop(inside);
-                self.record.note(Seen::Ended { txn, worker: number, end: End::Unseen });
-                return Ok(plain(503, &[("x-turned-away", "1")], String::new()));
+            let mut state = lock(&worker.state);
+            let admission = state.model.submit(dispatcher, job_id, arrival.slots, work, arrival.key);
+            if admission == Admission::Rejected || state.draining {
+                drop(state);
+                self.log.append(Event::AttemptEnded { txn, worker: number, end: AttemptEnd::NotRun });
+                return Ok(complete_response(503, &[("x-turned-away", "1")], String::new()));
             }
-            inside.jobs.insert(ticket, tell);
+            state.jobs.insert(job_id, updates_in);
         }
         let (lines, body) = mpsc::unbounded_channel();
-        tokio::spawn(speak(self, number, txn, work, words, lines));
+        tokio::spawn(stream_job(self, number, txn, work, updates, lines));
         let body = StreamBody::new(UnboundedReceiverStream::new(body)).boxed();
         Ok(Response::new(body))
     }
@@ -354,12 +358,12 @@
 type Line = Result<Frame<Bytes>, Infallible>;
 
 /// Turns what happens to a job into the lines of its answer, and into the record whether or not anyone listens.
-async fn speak(
-    fleet: Arc<Fleet>, worker: usize, txn: String, work: f64, mut words: mpsc::UnboundedReceiver<Word>,
-    lines: mpsc::UnboundedSender<Line>,
+async fn stream_job(
+    fleet: Arc<WorkerPool>, worker: usize, txn: String, work: f64,
+    mut updates: mpsc::UnboundedReceiver<JobUpdate>, lines: mpsc::UnboundedSender<Line>,
 ) {
     let host = &fleet.plan.workers[worker].host;
-    let say = |state: &str, extra: serde_json::Value| {
+    let send_line = |state: &str, extra: serde_json::Value| {
         let mut line = serde_json::json!({"id": txn, "from": host, "state": state});
         if let (Some(line), serde_json::Value::Object(extra)) = (line.as_object_mut(), extra) {
             line.extend(extra);
@@ -369,45 +373,47 @@
     let none = serde_json::Value::Null;
     let mut started: Option<f64> = None;
     loop {
-        let word = tokio::time::timeout(PROGRESS, words.recv()).await;
-        let end = match word {
+        let update = tokio::time::timeout(PROGRESS, updates.recv()).await;
+        let end = match update {
             Err(_) => {
                 if let Some(at) = started {
-                    let share = ((fleet.record.now() - at) / work.max(0.001)).min(0.99);
-                    say("running", serde_json::json!({"share": share}));
+                    let share = ((fleet.log.now() - at) / work.max(0.001)).min(0.99);
+                    send_line("running", serde_json::json!({"share": share}));
                 }
                 continue;
             }
-            Ok(Some(Word::Started)) => {
-                started = Some(fleet.record.now());
-                say("started", none.clone());
+            Ok(Some(JobUpdate::Started)) => {
+                started = Some(fleet.log.now());
+                send_line("started", none.clone());
                 continue;
             }
             // The worker died with it; its connections break on their own.
-            Ok(None) => End::Broken,
-            Ok(Some(Word::Failed)) => End::Broken,
-            Ok(Some(Word::Returned)) => End::Unseen,
-            Ok(Some(Word::Done)) => End::Done,
+            Ok(None) => AttemptEnd::Broken,
+            Ok(Some(JobUpdate::Failed)) => AttemptEnd::Broken,
+            Ok(Some(JobUpdate::Returned)) => AttemptEnd::NotRun,
+            Ok(Some(JobUpdate::Done)) => AttemptEnd::Done,
         };
         // Written down first: the dispatcher may be quicker than this thread.
-        fleet.record.note(Seen::Ended { txn: txn.clone(), worker, end });
-        match word {
-            Ok(Some(Word::Done)) => say("done", serde_json::json!({"result": result_for(&txn)})),
-            Ok(Some(Word::Failed)) => say("failed", none),
-            Ok(Some(Word::Returned)) => say("returned", none),
+        fleet.log.append(Event::AttemptEnded { txn: txn.clone(), worker, end });
+        match update {
+            Ok(Some(JobUpdate::Done)) => send_line("done", serde_json::json!({"result": result_for(&txn)})),
+            Ok(Some(JobUpdate::Failed)) => send_line("failed", none),
+            Ok(Some(JobUpdate::Returned)) => send_line("returned", none),
             _ => {}
         }
         return;
     }
 }
 
-async fn listen(fleet: Arc<Fleet>, worker: Arc<StandIn>, dispatcher: usize, listener: TcpListener) {
+async fn listen(
+    fleet: Arc<WorkerPool>, worker: Arc<SimulatedWorker>, dispatcher: usize, listener: TcpListener,
+) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::spawn(serve(fleet.clone(), worker.clone(), dispatcher, stream));
     }
 }
 
-async fn serve(fleet: Arc<Fleet>, worker: Arc<StandIn>, dispatcher: usize, stream: TcpStream) {
+async fn serve(fleet: Arc<WorkerPool>, worker: Arc<SimulatedWorker>, dispatcher: usize, stream: TcpStream) {
     // A worker that dies resets its connections.
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     let _ = stream.set_nodelay(true);
@@ -418,11 +424,11 @@
         // On a real network it would not come up: no handshake.
         Mode::Silent => {}
         Mode::Up => {
-            let mut inside = lock(&worker.inside);
-            inside.machine.charge(dispatcher, CONNECTION_WORK);
-            inside.handshakes += 1;
-            inside.open += 1;
-            inside.most_open = inside.most_open.max(inside.open);
+            let mut state = lock(&worker.state);
+            state.model.add_overhead(dispatcher, CONNECTION_WORK);
+            state.handshakes += 1;
+            state.open += 1;
+            state.most_open = state.most_open.max(state.open);
         }
     }
     let service = service_fn({
@@ -436,6 +442,6 @@
         _ = mode.wait_for(|(now, count)| *now == Mode::Down || *count != epoch) => {}
     }
     if now == Mode::Up {
-        lock(&worker.inside).open -= 1;
+        lock(&worker.state).open -= 1;
     }
 }
--- a/crates/pebblepost-harness/tests/pins.rs
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -4,9 +4,11 @@
 
 use pebblepost_harness::checker::{Broken, Rule};
 use pebblepost_harness::fault::schedule::{Schedule, ScheduleParameters};
-use pebblepost_harness::machine::{Machine, Note, Taken};
-use pebblepost_harness::scenario::{Fault, Hints, Order, Plan, Scenario, Trouble, WorkerSpec};
-use pebblepost_harness::{cpu, fleet, release, room, store};
+use pebblepost_harness::worker::model::{Admission, JobEvent, WorkerModel};
+use pebblepost_harness::workload::{
+    Fault, HintSpec, Plan, QueueOrder, RunSpec, ScheduledWorkerFault, WorkerSpec,
+};
+use pebblepost_harness::{cpu_cost, fleet, release, reservations, store};
 use std::path::Path;
 use std::process::Command;
 
@@ -61,19 +63,19 @@
     digest.integer(u64::from(worker.slots));
     digest.float(worker.speed);
     digest.integer(worker.queue as u64);
-    digest.integer(u64::from(worker.order == Order::Backfill));
-    digest.float(worker.cold_from);
-    digest.float(worker.cold_s);
+    digest.integer(u64::from(worker.order == QueueOrder::Backfill));
+    digest.float(worker.cold_capacity);
+    digest.float(worker.slow_start_s);
     digest.integer(worker.keys as u64);
     digest.float(worker.refresh_s);
     digest.float(worker.delay_s);
     digest.float(worker.noise);
 }
 
-fn digest_trouble(digest: &mut Digest, trouble: &Trouble) {
-    digest.float(trouble.at);
-    digest.integer(trouble.worker as u64);
-    let (kind, seconds, share) = match trouble.what {
+fn digest_trouble(digest: &mut Digest, fault: &ScheduledWorkerFault) {
+    digest.float(fault.at);
+    digest.integer(fault.worker as u64);
+    let (kind, seconds, share) = match fault.what {
         Fault::Drain(seconds) => (0, seconds, 0.0),
         Fault::Silent(seconds) => (1, seconds, 0.0),
         Fault::Restart(seconds) => (2, seconds, 0.0),
@@ -87,7 +89,7 @@
 fn digest_plan(plan: &Plan) -> u64 {
     let mut digest = Digest::new();
     digest.integer(plan.seed);
-    digest.integer(u64::from(plan.order == Order::Backfill));
+    digest.integer(u64::from(plan.order == QueueOrder::Backfill));
     plan.workers.iter().for_each(|worker| digest_worker(&mut digest, worker));
     for arrival in &plan.arrivals {
         digest.float(arrival.at);
@@ -100,9 +102,9 @@
         arrival.noise.iter().for_each(|noise| digest.float(*noise));
         digest.integer(u64::from(arrival.retries));
         digest.float(arrival.backoff);
-        digest.optional(arrival.leaves);
+        digest.optional(arrival.cancels_after_s);
     }
-    plan.troubles.iter().for_each(|trouble| digest_trouble(&mut digest, trouble));
+    plan.worker_faults.iter().for_each(|fault| digest_trouble(&mut digest, fault));
     digest.float(plan.store.0);
     digest.float(plan.store.1);
     digest.optional(plan.discovery_rate);
@@ -111,31 +113,31 @@
 
 #[test]
 fn drawn_plans_are_the_approved_ones() {
-    let scenarios = [
-        ("mixed", Scenario::mixed(30.0, 0.65)),
-        ("faults", Scenario { faults: 40.0, impatient: 0.3, workers: 23, ..Scenario::mixed(60.0, 0.9) }),
+    let run_specs = [
+        ("mixed", RunSpec::mixed(30.0, 0.65)),
+        ("faults", RunSpec { faults: 40.0, cancel_share: 0.3, workers: 23, ..RunSpec::mixed(60.0, 0.9) }),
         (
             "hints",
-            Scenario {
-                hints: Hints { sent: true, factor: 3.0, share: 0.4 },
+            RunSpec {
+                hints: HintSpec { sent: true, factor: 3.0, share: 0.4 },
                 large_share: 0.4,
                 large_slots: [0.3, 0.4, 0.3],
-                order: Some(Order::Fifo),
+                order: Some(QueueOrder::Fifo),
                 discovery_rate: Some(4.0),
-                ..Scenario::mixed(20.0, 0.5)
+                ..RunSpec::mixed(20.0, 0.5)
             },
         ),
         (
             "no hints",
-            Scenario { hints: Hints { sent: false, ..Hints::default() }, ..Scenario::mixed(9.0, 0.3) },
+            RunSpec { hints: HintSpec { sent: false, ..HintSpec::default() }, ..RunSpec::mixed(9.0, 0.3) },
         ),
     ];
     let mut lines = String::new();
-    for (name, scenario) in &scenarios {
+    for (name, run_spec) in &run_specs {
         for seed in [1, 2, 77] {
-            let plan = Plan::draw(scenario, seed).expect("a valid scenario");
-            let (arrivals, troubles) = (plan.arrivals.len(), plan.troubles.len());
-            lines += &format!("{name} {seed}: {arrivals} {troubles} {:016x}\n", digest_plan(&plan));
+            let plan = Plan::draw(run_spec, seed).expect("a valid scenario");
+            let (arrivals, worker_faults) = (plan.arrivals.len(), plan.worker_faults.len());
+            lines += &format!("{name} {seed}: {arrivals} {worker_faults} {:016x}\n", digest_plan(&plan));
         }
     }
     approved("plans.txt", &lines);
@@ -144,9 +146,9 @@
 #[test]
 fn scenarios_of_the_fleet_command_are_the_approved_ones() {
     let mut lines = String::new();
-    for (name, scenario) in fleet::scenarios(fleet::Size { dispatchers: 20, workers: 15, seconds: 20.0 }) {
-        let plan = Plan::draw(&scenario, 5).expect("a valid scenario");
-        lines += &format!("{name}: {:?} {:016x}\n", scenario.herd, digest_plan(&plan));
+    for (name, run_spec) in fleet::run_specs(fleet::Size { dispatchers: 20, workers: 15, seconds: 20.0 }) {
+        let plan = Plan::draw(&run_spec, 5).expect("a valid scenario");
+        lines += &format!("{name}: {:?} {:016x}\n", run_spec.mass_restart, digest_plan(&plan));
     }
     approved("fleet-scenarios.txt", &lines);
 }
@@ -171,47 +173,47 @@
 fn the_simulated_worker_does_the_approved_work() {
     let mut lines = String::new();
     for seed in [1, 2, 3] {
-        let plan = Plan::draw(&Scenario::mixed(600.0, 0.25), seed).expect("a valid scenario");
-        let (mut digest, mut notes, mut machine) =
-            (Digest::new(), Vec::new(), Machine::new(plan.workers[2].clone(), plan.store.1));
+        let plan = Plan::draw(&RunSpec::mixed(600.0, 0.25), seed).expect("a valid scenario");
+        let (mut digest, mut events, mut model) =
+            (Digest::new(), Vec::new(), WorkerModel::new(plan.workers[2].clone(), plan.store.1));
         let mut accepted = 0;
         for (number, arrival) in plan.arrivals.iter().enumerate() {
-            machine.advance(arrival.at, 0.7, &mut notes);
+            model.advance(arrival.at, 0.7, &mut events);
             if number % 3_000 == 2_000 {
-                machine.restart(arrival.at).iter().for_each(|ticket| digest.integer(*ticket));
+                model.restart(arrival.at).iter().for_each(|job_id| digest.integer(*job_id));
             }
             if number % 611 == 610 {
-                machine.hand_back().iter().for_each(|ticket| digest.integer(*ticket));
+                model.return_queued().iter().for_each(|job_id| digest.integer(*job_id));
             }
-            machine.charge(arrival.dispatcher, 0.002);
-            let taken =
-                machine.submit(arrival.dispatcher, number as u64, arrival.slots, arrival.work, arrival.key);
-            accepted += u64::from(taken == Taken::In);
-            digest.integer(u64::from(taken == Taken::In));
-            let (free, busy, waiting) = machine.load();
+            model.add_overhead(arrival.dispatcher, 0.002);
+            let admission =
+                model.submit(arrival.dispatcher, number as u64, arrival.slots, arrival.work, arrival.key);
+            accepted += u64::from(admission == Admission::Accepted);
+            digest.integer(u64::from(admission == Admission::Accepted));
+            let (free, busy, waiting) = model.load();
             digest.integer(u64::from(free));
             digest.float(busy);
             digest.integer(waiting as u64);
-            digest.integer(machine.fetching() as u64);
-            digest.float(machine.capacity());
-            digest.integer(u64::from(machine.fallen().is_some()));
-            if let Some(press) = machine.pressed() {
-                digest.float(press.since);
-                digest.float(press.bears);
-                for (at, work, from) in press.sent {
+            digest.integer(model.fetching() as u64);
+            digest.float(model.capacity());
+            digest.integer(u64::from(model.overload().is_some()));
+            if let Some(cold_load) = model.take_cold_load_peak() {
+                digest.float(cold_load.since);
+                digest.float(cold_load.capacity_in_window);
+                for (at, work, from) in cold_load.sent {
                     digest.float(at);
                     digest.float(work);
                     digest.integer(from as u64);
                 }
             }
         }
-        for note in &notes {
-            match note {
-                Note::Started(ticket) => digest.integer(2 * ticket),
-                Note::Done(ticket) => digest.integer(2 * ticket + 1),
+        for event in &events {
+            match event {
+                JobEvent::Started(job_id) => digest.integer(2 * job_id),
+                JobEvent::Done(job_id) => digest.integer(2 * job_id + 1),
             }
         }
-        let (all, events) = (plan.arrivals.len(), notes.len());
+        let (all, events) = (plan.arrivals.len(), events.len());
         lines += &format!("{seed}: {accepted} of {all}, {events} events, {:016x}\n", digest.0);
     }
     approved("simulated-worker.txt", &lines);
@@ -221,15 +223,19 @@
 fn json_that_the_commands_print_has_the_approved_keys() {
     let broken = Broken { rule: Rule::RunsOnce, at: 1.5, what: "seen".to_owned() };
     let empty = pebblepost_harness::report::Summary::of(&[], &[broken], 0.0);
-    let at_load = room::AtLoad { load: 0.65, on: empty.clone(), off: empty.clone() };
+    let at_load = reservations::AtLoad { load: 0.65, on: empty.clone(), off: empty.clone() };
     let reports = [
         (
             "room",
-            serde_json::to_string(&room::Report { on: empty.clone(), off: empty, loads: vec![at_load] }),
+            serde_json::to_string(&reservations::Report {
+                on: empty.clone(),
+                off: empty,
+                loads: vec![at_load],
+            }),
         ),
         (
             "cpu",
-            serde_json::to_string(&cpu::Report {
+            serde_json::to_string(&cpu_cost::Report {
                 a: vec![1.0],
                 b: vec![2.0],
                 median_a: 1.0,
--- a/crates/pebblepost-harness/tests/run.rs
+++ b/crates/pebblepost-harness/tests/run.rs
@@ -3,31 +3,31 @@
 use pebblepost_harness::clients::Outcome;
 use pebblepost_harness::dispatcher::built;
 use pebblepost_harness::run::{Played, Run};
-use pebblepost_harness::scenario::{Fault, Hints, Scenario, Trouble};
+use pebblepost_harness::workload::{Fault, HintSpec, RunSpec, ScheduledWorkerFault};
 use serde_json::json;
 
 /// Plays all at the same time, each with a fleet of its own.
-fn play(scenarios: &[Scenario]) -> Vec<Played> {
+fn play(run_specs: &[RunSpec]) -> Vec<Played> {
     let (program, operator) = (built().expect("pebblepost builds"), json!({}));
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("threads");
-    let runs = scenarios.iter().map(|scenario| {
+    let runs = run_specs.iter().map(|run_spec| {
         let (program, operator) = (&program, &operator);
-        async move { Run { scenario, seed: 5, program, operator, supervisor: None }.play().await }
+        async move { Run { run_spec, seed: 5, program, operator, supervisor: None }.play().await }
     });
     runtime.block_on(futures_util::future::try_join_all(runs)).expect("runs")
 }
 
 #[test]
 fn faults_of_each_kind_break_no_rule_and_every_request_ends() {
-    let fault = |at, worker, what| Trouble { at, worker, what };
-    let troubles = vec![
+    let fault = |at, worker, what| ScheduledWorkerFault { at, worker, what };
+    let worker_faults = vec![
         fault(0.5, 0, Fault::Drain(3.0)),
         fault(0.7, 1, Fault::Restart(0.3)),
         fault(1.0, 2, Fault::Silent(1.5)),
         fault(1.0, 3, Fault::Errors(2.0, 0.5)),
     ];
-    let scenario = Scenario { workers: 6, faults: 0.0, troubles, ..Scenario::mixed(5.0, 0.5) };
-    let played = &play(&[scenario])[0];
+    let run_spec = RunSpec { workers: 6, faults: 0.0, worker_faults, ..RunSpec::mixed(5.0, 0.5) };
+    let played = &play(&[run_spec])[0];
     assert_eq!(played.broken, []);
     assert_eq!(played.fates.len(), played.plan.arrivals.len());
     let served = played.fates.iter().filter(|f| matches!(f.outcome, Outcome::Served(_))).count();
@@ -37,16 +37,16 @@
 /// What a killed dispatcher had taken is lost; nothing after it has a claim to be.
 #[test]
 fn dispatchers_killed_at_once_start_again_though_discovery_answers_few_calls() {
-    let scenario = Scenario {
+    let run_spec = RunSpec {
         dispatchers: 4,
         workers: 6,
         faults: 0.0,
-        herd: Some((1.0, 0.75)),
+        mass_restart: Some((1.0, 0.75)),
         discovery_rate: Some(1.0),
-        troubles: vec![Trouble { at: 0.2, worker: 0, what: Fault::Drain(3.0) }],
-        ..Scenario::mixed(4.0, 0.4)
+        worker_faults: vec![ScheduledWorkerFault { at: 0.2, worker: 0, what: Fault::Drain(3.0) }],
+        ..RunSpec::mixed(4.0, 0.4)
     };
-    let played = &play(&[scenario])[0];
+    let played = &play(&[run_spec])[0];
     assert_eq!(played.broken, []);
     assert_eq!(played.ready.len(), 4 + 3, "all were ready, and those that were killed once more");
     // At one call a second the first four wait in turn and some fail, so that they ask again.
@@ -58,18 +58,18 @@
 
 #[test]
 fn wrong_hints_a_flood_of_large_jobs_and_clients_that_leave_break_no_rule() {
-    let base = Scenario { workers: 6, faults: 0.0, ..Scenario::mixed(4.0, 0.6) };
-    let wrong = |factor, share| Scenario { hints: Hints { sent: true, factor, share }, ..base.clone() };
-    let scenarios = [
+    let base = RunSpec { workers: 6, faults: 0.0, ..RunSpec::mixed(4.0, 0.6) };
+    let wrong = |factor, share| RunSpec { hints: HintSpec { sent: true, factor, share }, ..base.clone() };
+    let run_specs = [
         wrong(10.0, 1.0),
         wrong(0.1, 1.0),
         wrong(3.0, 0.3),
         wrong(1.0 / 3.0, 0.3),
-        Scenario { hints: Hints { sent: false, ..Hints::default() }, ..base.clone() },
-        Scenario { large_share: 0.5, large_slots: [0.3, 0.4, 0.3], ..base.clone() },
-        Scenario { impatient: 0.3, ..base.clone() },
+        RunSpec { hints: HintSpec { sent: false, ..HintSpec::default() }, ..base.clone() },
+        RunSpec { large_share: 0.5, large_slots: [0.3, 0.4, 0.3], ..base.clone() },
+        RunSpec { cancel_share: 0.3, ..base.clone() },
     ];
-    for (n, played) in play(&scenarios).iter().enumerate() {
+    for (n, played) in play(&run_specs).iter().enumerate() {
         assert_eq!(played.broken, [], "scenario {n}");
         let lost = played.fates.iter().filter(|f| f.outcome == Outcome::Lost).count();
         assert_eq!((lost, played.fates.len()), (0, played.plan.arrivals.len()), "scenario {n}");
--- a/crates/pebblepost-harness/tests/unit/release_hands.rs
+++ b/crates/pebblepost-harness/tests/unit/release_hands.rs
@@ -1,17 +1,18 @@
 //! Work that reaches a worker while it is off.
 
 use pebblepost_harness::checker::Killed;
-use pebblepost_harness::record::{End, Seen};
+use pebblepost_harness::event_log::{AttemptEnd, Event};
 use pebblepost_harness::release::hands::{Off, most_off, work_while_off};
 
 #[test]
 fn jobs_that_arrive_or_run_on_at_a_worker_that_is_off_are_found() {
     let text = str::to_owned;
-    let arrived = |txn, worker| Seen::Arrived { txn: text(txn), key: text("k"), dispatcher: 0, worker };
-    let ended = |txn, worker| Seen::Ended { txn: text(txn), worker, end: End::Done };
-    let answered = |txn| Seen::Answered { txn: text(txn), status: 200, body: text("") };
+    let arrived =
+        |txn, worker| Event::AttemptArrived { txn: text(txn), key: text("k"), dispatcher: 0, worker };
+    let ended = |txn, worker| Event::AttemptEnded { txn: text(txn), worker, end: AttemptEnd::Done };
+    let answered = |txn| Event::Responded { txn: text(txn), status: 200, body: text("") };
     let off = |worker, from, to| Off { worker, from, to, waited: 0.0 };
-    let record = [
+    let log = [
         (1.0, arrived("before", 1)),
         (1.5, ended("before", 1)),
         (1.6, answered("before")),
@@ -22,10 +23,10 @@
         (2.8, answered("on")),
     ];
     let offs = [off(1, 2.0, 3.0), off(2, 3.0, 4.0)];
-    let found = work_while_off(&record, &offs, &[]);
+    let found = work_while_off(&log, &offs, &[]);
     assert_eq!(found.len(), 2, "{found:?}");
     assert!(found[0].contains("sent new to worker 1") && found[1].contains("on was served"));
     let killed = [Killed { dispatcher: 0, from: 1.9, back: 2.9, abrupt: true }];
-    assert_eq!(work_while_off(&record, &offs, &killed).len(), 1, "nothing new is excused");
+    assert_eq!(work_while_off(&log, &offs, &killed).len(), 1, "nothing new is excused");
     assert_eq!((most_off(&offs), most_off(&[off(1, 1.0, 3.0), off(2, 2.0, 4.0)])), (1, 2));
 }
--- a/crates/pebblepost-harness/tests/unit/release_witness.rs
+++ b/crates/pebblepost-harness/tests/unit/release_witness.rs
@@ -1,19 +1,19 @@
 //! Outages beside each other, and during halts.
 
 use pebblepost_harness::release::witness::{by_permit, late_after, most_at_once};
-use pebblepost_harness::supervisor::{How, Outage};
+use pebblepost_harness::supervisor::{Outage, OutageCause};
 
-fn out(dispatcher: usize, from: f64, to: f64, how: How) -> Outage {
-    Outage { dispatcher, from, to, how }
+fn out(dispatcher: usize, from: f64, to: f64, cause: OutageCause) -> Outage {
+    Outage { dispatcher, from, to, cause }
 }
 
 #[test]
 fn outages_beside_each_other_count_and_those_one_after_another_do_not() {
     let all = [
-        out(0, 1.0, 2.0, How::Itself),
-        out(1, 2.0, 4.0, How::Itself),
-        out(2, 3.0, 3.5, How::Itself),
-        out(3, 3.0, 9.0, How::Ordered),
+        out(0, 1.0, 2.0, OutageCause::Voluntary),
+        out(1, 2.0, 4.0, OutageCause::Voluntary),
+        out(2, 3.0, 3.5, OutageCause::Voluntary),
+        out(3, 3.0, 9.0, OutageCause::Injected),
     ];
     let asked = by_permit(&all);
     assert_eq!(most_at_once(&asked, 1), (2, 0.5));
@@ -23,6 +23,10 @@
 
 #[test]
 fn only_what_goes_during_a_halt_is_late() {
-    let all = [out(0, 1.0, 2.0, How::Itself), out(1, 2.25, 4.0, How::Itself), out(2, 6.0, 7.0, How::Itself)];
+    let all = [
+        out(0, 1.0, 2.0, OutageCause::Voluntary),
+        out(1, 2.25, 4.0, OutageCause::Voluntary),
+        out(2, 6.0, 7.0, OutageCause::Voluntary),
+    ];
     assert_eq!(late_after(&by_permit(&all), &[(2.0, 5.0), (7.0, 8.0)]), [0.25, 0.0]);
 }
--- a/crates/pebblepost-harness/tests/unit/report.rs
+++ b/crates/pebblepost-harness/tests/unit/report.rs
@@ -2,11 +2,11 @@
 
 use pebblepost_harness::clients::{Fate, Outcome};
 use pebblepost_harness::report::{group, interval};
-use pebblepost_harness::scenario::{Plan, Scenario};
+use pebblepost_harness::workload::{Plan, RunSpec};
 
 #[test]
 fn shares_count_what_came_within_the_time_wanted() {
-    let mut plan = Plan::draw(&Scenario::mixed(5.0, 0.65), 1).expect("a sound scenario");
+    let mut plan = Plan::draw(&RunSpec::mixed(5.0, 0.65), 1).expect("a sound scenario");
     plan.arrivals.truncate(3);
     plan.arrivals.iter_mut().for_each(|a| (a.work, a.slots, a.large) = (0.2, 1, false));
     let fate = |arrival, outcome| Fate { arrival, outcome, tries: 1, refused_after: None };
--- a/crates/pebblepost-harness/tests/unit/scenario.rs
+++ b/crates/pebblepost-harness/tests/unit/workload.rs
@@ -1,10 +1,10 @@
 //! Drawn plans.
 
-use pebblepost_harness::scenario::{Plan, Scenario};
+use pebblepost_harness::workload::{Plan, RunSpec};
 
 #[test]
 fn the_same_seed_asks_for_the_same_work_in_the_same_order() {
-    let draw = |seed, load| Plan::draw(&Scenario::mixed(60.0, load), seed).expect("a sound scenario");
+    let draw = |seed, load| Plan::draw(&RunSpec::mixed(60.0, load), seed).expect("a sound scenario");
     let text = |p: &Plan| serde_json::to_string(p).expect("figures");
     assert_eq!(text(&draw(7, 0.65)), text(&draw(7, 0.65)));
     assert_ne!(text(&draw(7, 0.65)), text(&draw(8, 0.65)));
@@ -12,7 +12,7 @@
 
 #[test]
 fn the_offered_work_is_the_load_asked_for() {
-    let plan = Plan::draw(&Scenario::mixed(600.0, 0.65), 3).expect("a sound scenario");
+    let plan = Plan::draw(&RunSpec::mixed(600.0, 0.65), 3).expect("a sound scenario");
     let capacity: f64 = plan.workers.iter().map(|w| f64::from(w.cores) * w.speed).sum();
     let offered: f64 = plan.arrivals.iter().map(|a| a.work * f64::from(a.slots)).sum();
     let load = offered / 600.0 / capacity;
