--- a/crates/pebblepost-harness/src/clients.rs
+++ b/crates/pebblepost-harness/src/clients.rs
@@ -151,7 +151,7 @@
             Ok(Some((200, body))) => (Reply::Served, Event::Responded { txn, status: 200, body }),
             Ok(Some((status, body))) => (Reply::Refused, Event::Responded { txn, status, body }),
             Ok(None) => (Reply::Lost, Event::ConnectionClosed { txn }),
-            Err(_) if cancels_after_s.is_some() => (Reply::Left, Event::Left { txn }),
+            Err(_) if cancels_after_s.is_some() => (Reply::Left, Event::ClientCancelled { txn }),
             Err(_) => (Reply::Lost, Event::TimedOut { txn }),
         };
         self.log.append(event);
--- a/crates/pebblepost-harness/src/discovery.rs
+++ b/crates/pebblepost-harness/src/discovery.rs
@@ -117,7 +117,7 @@
         let there = list.states.iter().enumerate().filter(|(_, s)| s.0 != Availability::Gone);
         let hosts: Vec<Value> = there.map(|(w, s)| self.host(dispatcher, w, *s)).collect();
         for (worker, state) in list.states.iter().enumerate() {
-            self.log.append(Event::Availability { dispatcher, worker, what: state.0 });
+            self.log.append(Event::Notified { dispatcher, worker, what: state.0 });
         }
         format!("{}\n", json!({"seq": list.seq, "whole": true, "hosts": hosts}))
     }
@@ -176,7 +176,7 @@
             let line = format!("{}\n", json!({"seq": seq, "whole": false, "hosts": [host]}));
             let open = watch.lines.send(Ok(Frame::data(Bytes::from(line)))).is_ok();
             if open {
-                self.log.append(Event::Availability { dispatcher: watch.dispatcher, worker, what });
+                self.log.append(Event::Notified { dispatcher: watch.dispatcher, worker, what });
             }
             open
         });
--- a/crates/pebblepost-harness/src/event_log.rs
+++ b/crates/pebblepost-harness/src/event_log.rs
@@ -13,7 +13,7 @@
     /// Turned away or handed back: it never ran.
     NotRun,
     /// It failed, or the worker died with it.
-    Broken,
+    Failed,
 }
 
 /// A state of a worker as discovery tells it.
@@ -54,7 +54,7 @@
         body: String,
     },
     /// The client left of its own accord, before its time was up.
-    Left {
+    ClientCancelled {
         /// The id of the try.
         txn: String,
     },
@@ -101,7 +101,7 @@
         what: Availability,
     },
     /// Discovery wrote a worker's state to a dispatcher.
-    Availability {
+    Notified {
         /// To which dispatcher.
         dispatcher: usize,
         /// Of which worker.
@@ -114,7 +114,7 @@
         /// Which.
         worker: usize,
         /// What it was sent, and what it bears.
-        cold_load: ColdLoad,
+        load: ColdLoad,
     },
     /// A cold worker was sent more than it can bear.
     Overloaded {
--- a/crates/pebblepost-harness/src/fleet.rs
+++ b/crates/pebblepost-harness/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The measurement for `docs/fleet.md`: many dispatchers with thin traffic through a herd restart, a zone that is lost
 //! and comes back cold, and a mass replacement of workers, each with a discovery that is late and answers few calls.
 
-use crate::checker::Broken;
+use crate::checker::rules::Violation;
 use crate::clients::Outcome;
 use crate::report::p99_ms;
 use crate::run::{Played, Run};
@@ -143,7 +143,7 @@
         let played = Run { run_spec, seed, program, operator: &operator, supervisor: None }.play().await?;
         let s = summary(&played);
         lines.push(format!("{name:<9} {}", serde_json::to_string(&s)?));
-        let notified = |b: &Broken| format!("broken: {:?} at {:.2} s: {}", b.rule, b.at, b.what);
+        let notified = |b: &Violation| format!("broken: {:?} at {:.2} s: {}", b.rule, b.at, b.what);
         lines.extend(played.broken.iter().map(notified));
         all = all.with(&s);
     }
--- a/crates/pebblepost-harness/src/release/hands.rs
+++ b/crates/pebblepost-harness/src/release/hands.rs
@@ -2,7 +2,7 @@
 //! off. A worker goes on taking jobs meanwhile, so that the record shows who sent it any.
 
 use super::office::{Office, PATIENCE, TAIL, insist};
-use crate::checker::Killed;
+use crate::checker::exits::DispatcherExit;
 use crate::event_log::{Entry, Event};
 use crate::supervisor::Supervisor;
 use crate::worker::pool::lock;
@@ -85,7 +85,7 @@
 
 /// What workers got, or still had to do, while they were off: attempts that arrived, and jobs that ran on and were served
 /// from there. A dispatcher that was killed or paused is excused from what it had out by then, and from nothing new.
-pub fn work_while_off(log: &[Entry], offs: &[Off], killed: &[Killed]) -> Vec<String> {
+pub fn work_while_off(log: &[Entry], offs: &[Off], killed: &[DispatcherExit]) -> Vec<String> {
     let (mut found, mut attempts) = (Vec::new(), HashMap::<&str, usize>::new());
     let mut open: HashMap<(&str, usize), (f64, usize)> = HashMap::new();
     let mut ran_on: HashSet<&str> = HashSet::new();
--- a/crates/pebblepost-harness/src/report.rs
+++ b/crates/pebblepost-harness/src/report.rs
@@ -1,6 +1,6 @@
 //! What a run comes to: shares in time by size, work done, latencies, rules.
 
-use crate::checker::Broken;
+use crate::checker::rules::Violation;
 use crate::clients::{Fate, Outcome};
 use crate::workload::{Arrival, Plan, latency_target_s};
 use hdrhistogram::Histogram;
@@ -154,12 +154,12 @@
     /// Daemons' CPU for each request served, in microseconds.
     pub cpu_us: f64,
     /// The first of the rules broken.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
 }
 
 impl Summary {
     /// Sums up several runs as one. `cpu`: seconds of the daemons.
-    pub fn of(runs: &[(&Plan, &[Fate])], broken: &[Broken], cpu: f64) -> Self {
+    pub fn of(runs: &[(&Plan, &[Fate])], broken: &[Violation], cpu: f64) -> Self {
         let mut groups = [Group::default(), Group::default()];
         let mut large_by_slots: BTreeMap<u32, Group> = BTreeMap::new();
         for (plan, fates) in runs {
--- a/crates/pebblepost-harness/src/run.rs
+++ b/crates/pebblepost-harness/src/run.rs
@@ -1,6 +1,9 @@
 //! One measured run: a plan, real dispatchers, stand-ins around them, and the checker after it.
 
-use crate::checker::{Broken, Figures, Killed, Rule, check, cold_multiples, slowest_drain, without_killed};
+use crate::checker::availability::slowest_drain;
+use crate::checker::exits::{DispatcherExit, without_excused};
+use crate::checker::rules::{Limits, Rule, Violation, check};
+use crate::checker::slow_start::cold_multiples;
 use crate::clients::{Clients, Fate};
 use crate::discovery::Discovery;
 use crate::dispatcher::{Process, Start};
@@ -39,7 +42,7 @@
     /// How each request went.
     pub fates: Vec<Fate>,
     /// Rules broken.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// CPU of all dispatchers, in seconds.
     pub cpu: f64,
     /// Times from a dispatcher's start until it took clients.
@@ -113,14 +116,14 @@
         let ready = processes.iter().flat_map(|p| p.ready.iter().copied()).collect();
         let (counts, discovery_calls) = (fleet.counts(), discovery.calls());
         let ended = processes.iter_mut().filter_map(|p| (!p.runs()).then_some(p.address));
-        let crash = |a| Broken { rule: Rule::OneAnswer, at: log.now(), what: format!("{a} has ended") };
-        let mut broken: Vec<Broken> = ended.map(crash).collect();
+        let crash = |a| Violation { rule: Rule::OneAnswer, at: log.now(), what: format!("{a} has ended") };
+        let mut broken: Vec<Violation> = ended.map(crash).collect();
         tokio::task::block_in_place(|| drop(processes));
         behind.iter().for_each(tokio::task::JoinHandle::abort);
-        let (event, figures) = (without_killed(log.take(), &killed), Figures::default());
-        broken.extend(check(&event, &figures));
-        let slowest_drain = slowest_drain(&event, &figures);
-        let cold_multiples = cold_multiples(&event, &figures);
+        let (event, limits) = (without_excused(log.take(), &killed), Limits::default());
+        broken.extend(check(&event, &limits));
+        let slowest_drain = slowest_drain(&event, &limits);
+        let cold_multiples = cold_multiples(&event, &limits);
         Ok(Played {
             event,
             cold_multiples,
@@ -136,7 +139,7 @@
     }
 
     /// Kills some dispatchers at once and starts all of them anew, each from the list that it had at first.
-    async fn mass_restart(&self, processes: &mut [Process], log: &EventLog) -> Result<Vec<Killed>> {
+    async fn mass_restart(&self, processes: &mut [Process], log: &EventLog) -> Result<Vec<DispatcherExit>> {
         let Some((at, part)) = self.run_spec.mass_restart else { return Ok(Vec::new()) };
         tokio::time::sleep(Duration::from_secs_f64(at)).await;
         let count = (part * processes.len() as f64).round() as usize;
@@ -144,14 +147,10 @@
         processes.iter_mut().take(count).for_each(Process::kill);
         let again = processes.iter_mut().take(count).enumerate().map(|(dispatcher, process)| async move {
             for worker in 0..self.run_spec.workers {
-                log.append(Event::Availability {
-                    dispatcher,
-                    worker,
-                    what: Availability::Ready { cold: false },
-                });
+                log.append(Event::Notified { dispatcher, worker, what: Availability::Ready { cold: false } });
             }
             process.start_again().await?;
-            anyhow::Ok(Killed { dispatcher, from, back: log.now(), abrupt: true })
+            anyhow::Ok(DispatcherExit { dispatcher, from, back: log.now(), abrupt: true })
         });
         futures_util::future::try_join_all(again).await
     }
--- a/crates/pebblepost-harness/src/supervisor.rs
+++ b/crates/pebblepost-harness/src/supervisor.rs
@@ -2,7 +2,7 @@
 //! the version that its permit names; without a permit, or if nobody can be asked, with the one it had. It looks at each from outside, as a balancer does, and notes when one
 //! was out and how that began. On order it kills, pauses or stops one.
 
-use crate::checker::Killed;
+use crate::checker::exits::DispatcherExit;
 use crate::dispatcher::Process;
 use crate::event_log::{Availability, Event, EventLog};
 use crate::store::client::{Leader, StoreClient};
@@ -95,7 +95,7 @@
     replicas: Vec<SocketAddr>,
     pending_faults: Mutex<BTreeMap<usize, ProcessFault>>,
     outages: Mutex<Vec<Outage>>,
-    exits: Mutex<Vec<Killed>>,
+    exits: Mutex<Vec<DispatcherExit>>,
     /// Dispatchers that were ever started with each version.
     dispatchers_by_version: Mutex<BTreeMap<String, BTreeSet<usize>>>,
     /// Nobody needs the dispatchers any more.
@@ -131,7 +131,7 @@
     }
 
     /// What the checker excuses.
-    pub fn exits(&self) -> Vec<Killed> {
+    pub fn exits(&self) -> Vec<DispatcherExit> {
         lock(&self.exits).clone()
     }
 
@@ -198,7 +198,7 @@
                     (false, false) => OutageCause::Crash,
                 };
                 for worker in 0..workers {
-                    log.append(Event::Availability {
+                    log.append(Event::Notified {
                         dispatcher,
                         worker,
                         what: Availability::Ready { cold: false },
@@ -214,7 +214,7 @@
                 lock(&self.dispatchers_by_version).entry(version.clone()).or_default().insert(dispatcher);
                 let back = log.now();
                 let abrupt = cause != OutageCause::Voluntary;
-                lock(&self.exits).push(Killed { dispatcher, from, back, abrupt });
+                lock(&self.exits).push(DispatcherExit { dispatcher, from, back, abrupt });
                 let to = back - process.not_ready_at.elapsed().as_secs_f64();
                 lock(&self.outages).push(Outage { dispatcher, from, to, cause });
                 (out, injected) = (None, false);
@@ -223,7 +223,7 @@
                     let cause = if injected { OutageCause::Injected } else { OutageCause::NotReady };
                     let to = log.now();
                     if injected {
-                        lock(&self.exits).push(Killed { dispatcher, from, back: to, abrupt: true });
+                        lock(&self.exits).push(DispatcherExit { dispatcher, from, back: to, abrupt: true });
                     }
                     lock(&self.outages).push(Outage { dispatcher, from, to, cause });
                     injected = false;
--- a/crates/pebblepost-harness/src/worker/pool.rs
+++ b/crates/pebblepost-harness/src/worker/pool.rs
@@ -1,7 +1,7 @@
 //! Stand-in workers on sockets: HTTP/1.1 as the platform's transcribers speak it, around a [`WorkerModel`] each. A
 //! dispatcher reaches each worker at an address of its own, so that the record can tell who sent what.
 
-use crate::checker::result_for;
+use crate::checker::rules::result_for;
 use crate::event_log::{AttemptEnd, Availability, Event, EventLog};
 use crate::worker::model::{Admission, JobEvent, JobId, WorkerModel};
 use crate::workload::{Fault, Plan, WorkerSpec};
@@ -224,8 +224,8 @@
                 }
             }
         }
-        if let Some(cold_load) = state.model.take_cold_load_peak() {
-            self.log.append(Event::ColdLoadPeak { worker: worker.number, cold_load });
+        if let Some(load) = state.model.take_cold_load_peak() {
+            self.log.append(Event::ColdLoadPeak { worker: worker.number, load });
         }
         if let Some((since, sent)) = state.model.overload() {
             self.log.append(Event::Overloaded { worker: worker.number, since, sent });
@@ -388,8 +388,8 @@
                 continue;
             }
             // The worker died with it; its connections break on their own.
-            Ok(None) => AttemptEnd::Broken,
-            Ok(Some(JobUpdate::Failed)) => AttemptEnd::Broken,
+            Ok(None) => AttemptEnd::Failed,
+            Ok(Some(JobUpdate::Failed)) => AttemptEnd::Failed,
             Ok(Some(JobUpdate::Returned)) => AttemptEnd::NotRun,
             Ok(Some(JobUpdate::Done)) => AttemptEnd::Done,
         };
--- a/crates/pebblepost-harness/tests/pins.rs
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -2,7 +2,7 @@
 //! names of Rust items), the simulated worker's decisions, JSON keys and command line options. The approved values were
 //! written by the version before the code was renamed.
 
-use pebblepost_harness::checker::{Broken, Rule};
+use pebblepost_harness::checker::rules::{Rule, Violation};
 use pebblepost_harness::fault::schedule::{Schedule, ScheduleParameters};
 use pebblepost_harness::worker::model::{Admission, JobEvent, WorkerModel};
 use pebblepost_harness::workload::{
@@ -197,10 +197,10 @@
             digest.integer(model.fetching() as u64);
             digest.float(model.capacity());
             digest.integer(u64::from(model.overload().is_some()));
-            if let Some(cold_load) = model.take_cold_load_peak() {
-                digest.float(cold_load.since);
-                digest.float(cold_load.capacity_in_window);
-                for (at, work, from) in cold_load.sent {
+            if let Some(load) = model.take_cold_load_peak() {
+                digest.float(load.since);
+                digest.float(load.capacity_in_window);
+                for (at, work, from) in load.sent {
                     digest.float(at);
                     digest.float(work);
                     digest.integer(from as u64);
@@ -221,7 +221,7 @@
 
 #[test]
 fn json_that_the_commands_print_has_the_approved_keys() {
-    let broken = Broken { rule: Rule::RunsOnce, at: 1.5, what: "seen".to_owned() };
+    let broken = Violation { rule: Rule::RunsOnce, at: 1.5, what: "seen".to_owned() };
     let empty = pebblepost_harness::report::Summary::of(&[], &[broken], 0.0);
     let at_load = reservations::AtLoad { load: 0.65, on: empty.clone(), off: empty.clone() };
     let reports = [
--- a/crates/pebblepost-harness/tests/unit/checker.rs
+++ b/crates/pebblepost-harness/tests/unit/checker.rs
@@ -1,8 +1,9 @@
 //! The rules and what of a record breaks them.
 
-use pebblepost_harness::checker::{
-    Figures, Killed, Rule, check, cold_multiples, result_for, slowest_drain, without_killed,
-};
+use pebblepost_harness::checker::availability::slowest_drain;
+use pebblepost_harness::checker::exits::{DispatcherExit, without_excused};
+use pebblepost_harness::checker::rules::{Limits, Rule, check, result_for};
+use pebblepost_harness::checker::slow_start::cold_multiples;
 use pebblepost_harness::event_log::{AttemptEnd, Availability, Entry, Event};
 use pebblepost_harness::worker::model::ColdLoad;
 
@@ -23,7 +24,7 @@
 }
 
 fn rules(log: &[Entry]) -> Vec<Rule> {
-    check(log, &Figures::default()).into_iter().map(|b| b.rule).collect()
+    check(log, &Limits::default()).into_iter().map(|b| b.rule).collect()
 }
 
 #[test]
@@ -44,7 +45,7 @@
 fn each_rule_is_seen_to_be_broken() {
     let start = (0.0, asked("t", "k"));
     let draft = result_for("t");
-    let notified = |at, what| (at, Event::Availability { dispatcher: 0, worker: 1, what });
+    let notified = |at, what| (at, Event::Notified { dispatcher: 0, worker: 1, what });
     let cold = Availability::Ready { cold: true };
     let fell = |since| Event::Overloaded { worker: 1, since, sent: vec![(0, 2.0), (1, 1.0)] };
     let cases: Vec<(Rule, Vec<Entry>)> = vec![
@@ -82,7 +83,10 @@
         (Rule::Cold, vec![notified(0.2, cold), (1.0, fell(0.1))]),
         (Rule::Cold, vec![(6.2, fell(0.1))]),
         (Rule::Departed, vec![(1.0, answered("t", 503, "")), (1.1, arrived("t", "k", 1))]),
-        (Rule::Departed, vec![(1.0, Event::Left { txn: "t".into() }), (1.1, arrived("t", "k", 1))]),
+        (
+            Rule::Departed,
+            vec![(1.0, Event::ClientCancelled { txn: "t".into() }), (1.1, arrived("t", "k", 1))],
+        ),
     ];
     for (rule, rest) in cases {
         let log: Vec<Entry> = std::iter::once(start.clone()).chain(rest).collect();
@@ -92,7 +96,7 @@
 
 #[test]
 fn a_worker_that_is_ready_again_may_be_sent_to() {
-    let notified = |what| Event::Availability { dispatcher: 0, worker: 1, what };
+    let notified = |what| Event::Notified { dispatcher: 0, worker: 1, what };
     let ready = Availability::Ready { cold: false };
     let log = [(0.0, notified(Availability::Draining)), (5.0, notified(ready)), (6.0, arrived("t", "k", 1))];
     assert_eq!(rules(&log), []);
@@ -100,7 +104,7 @@
 
 #[test]
 fn what_went_on_to_a_drained_worker_is_timed_from_the_first_word_of_it() {
-    let notified = |what| Event::Availability { dispatcher: 0, worker: 1, what };
+    let notified = |what| Event::Notified { dispatcher: 0, worker: 1, what };
     let log = [
         (0.0, notified(Availability::Draining)),
         (0.2, notified(Availability::Gone)),
@@ -109,7 +113,7 @@
         (0.5, notified(Availability::Ready { cold: true })),
         (5.0, arrived("v", "m", 1)),
     ];
-    assert_eq!(slowest_drain(&log, &Figures::default()), 0.3);
+    assert_eq!(slowest_drain(&log, &Limits::default()), 0.3);
 }
 
 #[test]
@@ -126,38 +130,38 @@
         (9.6, Event::ConnectionClosed { txn: "after".into() }),
         (9.7, Event::ConnectionClosed { txn: "before".into() }),
     ];
-    let killed = Killed { dispatcher: 0, from: 8.0, back: 9.0, abrupt: true };
+    let killed = DispatcherExit { dispatcher: 0, from: 8.0, back: 9.0, abrupt: true };
     let left = |killed| {
-        let left = check(&without_killed(log.clone(), &[killed]), &Figures::default());
+        let left = check(&without_excused(log.clone(), &[killed]), &Limits::default());
         left.iter().filter_map(|b| Some(b.what.split(':').next()?.to_owned())).collect::<Vec<_>>()
     };
     assert_eq!(left(killed), ["early", "after", "before"]);
     // One that ended itself has to answer what it had taken.
-    assert_eq!(left(Killed { abrupt: false, ..killed }), ["early", "lost", "after", "before"]);
+    assert_eq!(left(DispatcherExit { abrupt: false, ..killed }), ["early", "lost", "after", "before"]);
 }
 
 #[test]
 fn only_what_was_sent_in_knowledge_of_the_start_counts_against_the_dispatchers() {
     let notified =
-        |at| (at, Event::Availability { dispatcher: 0, worker: 1, what: Availability::Ready { cold: true } });
-    let cold_load =
+        |at| (at, Event::Notified { dispatcher: 0, worker: 1, what: Availability::Ready { cold: true } });
+    let load =
         |since, sent: &[(f64, f64, usize)]| ColdLoad { since, capacity_in_window: 1.0, sent: sent.to_vec() };
-    let take_cold_load_peak = |at, cold_load| (at, Event::ColdLoadPeak { worker: 1, cold_load });
+    let take_cold_load_peak = |at, load| (at, Event::ColdLoadPeak { worker: 1, load });
     // Sent before the word, after it, and by one that never got it.
     let log = [
         notified(1.0),
-        (1.1, Event::Availability { dispatcher: 1, worker: 2, what: Availability::Ready { cold: true } }),
-        take_cold_load_peak(2.0, cold_load(0.5, &[(0.9, 4.0, 0), (1.5, 2.0, 0), (1.5, 1.0, 1)])),
+        (1.1, Event::Notified { dispatcher: 1, worker: 2, what: Availability::Ready { cold: true } }),
+        take_cold_load_peak(2.0, load(0.5, &[(0.9, 4.0, 0), (1.5, 2.0, 0), (1.5, 1.0, 1)])),
     ];
-    assert_eq!(cold_multiples(&log, &Figures::default()), (2.0, 7.0));
+    assert_eq!(cold_multiples(&log, &Limits::default()), (2.0, 7.0));
     // A word of an earlier start is none of this one; after so long everybody counts as told.
-    let log = [notified(1.0), take_cold_load_peak(9.0, cold_load(2.0, &[(7.0, 4.0, 0), (8.5, 0.5, 1)]))];
-    assert_eq!(cold_multiples(&log, &Figures::default()), (0.5, 4.5));
+    let log = [notified(1.0), take_cold_load_peak(9.0, load(2.0, &[(7.0, 4.0, 0), (8.5, 0.5, 1)]))];
+    assert_eq!(cold_multiples(&log, &Limits::default()), (0.5, 4.5));
 }
 
 #[test]
 fn nobody_is_blamed_for_a_start_that_was_not_told() {
-    let notified = Event::Availability { dispatcher: 0, worker: 1, what: Availability::Ready { cold: true } };
+    let notified = Event::Notified { dispatcher: 0, worker: 1, what: Availability::Ready { cold: true } };
     let fell = Event::Overloaded { worker: 1, since: 0.1, sent: vec![(0, 1.0), (1, 1.0)] };
     assert_eq!(rules(&[(0.2, notified), (1.0, fell)]), [], "half of it came from one that knew");
 }
--- a/crates/pebblepost-harness/tests/unit/release_hands.rs
+++ b/crates/pebblepost-harness/tests/unit/release_hands.rs
@@ -1,6 +1,6 @@
 //! Work that reaches a worker while it is off.
 
-use pebblepost_harness::checker::Killed;
+use pebblepost_harness::checker::exits::DispatcherExit;
 use pebblepost_harness::event_log::{AttemptEnd, Event};
 use pebblepost_harness::release::hands::{Off, most_off, work_while_off};
 
@@ -26,7 +26,7 @@
     let found = work_while_off(&log, &offs, &[]);
     assert_eq!(found.len(), 2, "{found:?}");
     assert!(found[0].contains("sent new to worker 1") && found[1].contains("on was served"));
-    let killed = [Killed { dispatcher: 0, from: 1.9, back: 2.9, abrupt: true }];
+    let killed = [DispatcherExit { dispatcher: 0, from: 1.9, back: 2.9, abrupt: true }];
     assert_eq!(work_while_off(&log, &offs, &killed).len(), 1, "nothing new is excused");
     assert_eq!((most_off(&offs), most_off(&[off(1, 1.0, 3.0), off(2, 2.0, 4.0)])), (1, 2));
 }
