--- a/crates/pebblepost-harness/src/clients.rs
+++ b/crates/pebblepost-harness/src/clients.rs
@@ -1,9 +1,12 @@
 //! Open-loop clients: each request goes out at its time, whatever has become of those before it, and asks again
 //! after a refusal or a failure as the site's clients do.
 
+use crate::attempt_id::attempt_id;
 use crate::event_log::{Event, EventLog};
-use crate::worker::pool::{lock, txn};
-use crate::workload::{Arrival, DEADLINE_S, Plan};
+use crate::sync::lock;
+use crate::workload::arrivals::Arrival;
+use crate::workload::latency_target::DEADLINE_S;
+use crate::workload::plan::Plan;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
@@ -122,7 +125,7 @@
         cancels_after_s: Option<Instant>,
     ) -> Reply {
         let (http, address) = &self.desks[arrival.dispatcher % self.desks.len()];
-        let (txn, key) = (txn(index, try_no), format!("job-{index:08x}"));
+        let (txn, key) = (attempt_id(index, try_no), format!("job-{index:08x}"));
         let waits = (deadline - Instant::now()).as_secs_f64();
         let mut request = Request::post(format!("http://{address}/api/segments"))
             .header("x-txn", &txn)
--- a/crates/pebblepost-harness/src/cpu_cost.rs
+++ b/crates/pebblepost-harness/src/cpu_cost.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::Outcome;
 use crate::run::Run;
-use crate::workload::{HintSpec, RunSpec};
+use crate::workload::spec::{HintSpec, RunSpec};
 use anyhow::Result;
 use serde::Serialize;
 use serde_json::Value;
@@ -46,7 +46,7 @@
         work_variation: 0.0,
         large_share: 0.0,
         hints,
-        faults: 0.0,
+        fault_rate: 0.0,
         ..RunSpec::mixed(seconds, 0.3)
     }
 }
--- a/crates/pebblepost-harness/src/discovery.rs
+++ b/crates/pebblepost-harness/src/discovery.rs
@@ -2,8 +2,9 @@
 //! to the watches that are open; what it wrote, and when, goes into the record.
 
 use crate::event_log::{Availability, Event, EventLog};
-use crate::worker::pool::{Body, complete_response, lock};
-use crate::workload::Plan;
+use crate::sync::lock;
+use crate::worker::http::{Body, StreamedLine, complete_response};
+use crate::workload::plan::Plan;
 use bytes::Bytes;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
@@ -27,11 +28,9 @@
 /// A call that would wait for longer in turn fails.
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
 
-type Line = Result<Frame<Bytes>, Infallible>;
-
 struct Watch {
     dispatcher: usize,
-    lines: mpsc::UnboundedSender<Line>,
+    lines: mpsc::UnboundedSender<StreamedLine>,
 }
 
 struct List {
--- a/crates/pebblepost-harness/src/fault/tcp_relay.rs
+++ b/crates/pebblepost-harness/src/fault/tcp_relay.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct RelayState {
     link: LinkState,
-    /// Counts how often all connections were to be reset.
+    /// ConnectionCounts how often all connections were to be reset.
     resets: u64,
 }
 
--- a/crates/pebblepost-harness/src/fleet.rs
+++ b/crates/pebblepost-harness/src/fleet.rs
@@ -5,8 +5,8 @@
 use crate::clients::Outcome;
 use crate::report::p99_ms;
 use crate::run::{Played, Run};
-use crate::worker::pool::Counts;
-use crate::workload::{Fault, RunSpec, ScheduledWorkerFault};
+use crate::worker::simulated::ConnectionCounts;
+use crate::workload::spec::{MassRestart, RunSpec, ScheduledWorkerFault, WorkerFault};
 use anyhow::Result;
 use serde::Serialize;
 use serde_json::json;
@@ -45,7 +45,7 @@
     pub handshakes_per_served: f64,
     /// The rest of what was counted at the workers.
     #[serde(flatten)]
-    pub counts: Counts,
+    pub counts: ConnectionCounts,
     /// Most work that a cold worker was sent within the time in which it falls, as a multiple of what it could do, by
     /// the dispatchers that knew of its start when they sent.
     pub worst_cold_multiple: f64,
@@ -63,7 +63,7 @@
     let base = RunSpec {
         dispatchers: size.dispatchers,
         workers: size.workers,
-        faults: 0.0,
+        fault_rate: 0.0,
         discovery_rate: Some(DISCOVERY_RATE),
         ..RunSpec::mixed(size.seconds, LOAD)
     };
@@ -71,22 +71,29 @@
     // One in five drains shortly before the restart, so that the lists that the dispatchers start from are old.
     let drains = (0..size.workers).step_by(5);
     let drains = drains
-        .map(|worker| ScheduledWorkerFault { at: at(0.2), worker, what: Fault::Drain(at(0.5)) })
+        .map(|worker| ScheduledWorkerFault { at: at(0.2), worker, fault: WorkerFault::Drain(at(0.5)) })
         .collect();
     let zone = (0..size.workers).step_by(3);
     let zone = zone
-        .map(|worker| ScheduledWorkerFault { at: at(0.25), worker, what: Fault::Silent(at(0.25)) })
+        .map(|worker| ScheduledWorkerFault { at: at(0.25), worker, fault: WorkerFault::Silent(at(0.25)) })
         .collect();
     // Six in ten drain and are replaced by cold ones, one after another within 7 s.
     let count = size.workers * 6 / 10;
     let replaced = (0..count).flat_map(|worker| {
         let begin = at(0.2) + 7.0_f64.min(at(0.3)) * worker as f64 / count.max(1) as f64;
-        [(begin, Fault::Drain(5.0)), (begin + 4.5, Fault::Restart(1.0))]
-            .map(|(at, what)| ScheduledWorkerFault { at, worker, what })
+        [(begin, WorkerFault::Drain(5.0)), (begin + 4.5, WorkerFault::Restart(1.0))]
+            .map(|(at, fault)| ScheduledWorkerFault { at, worker, fault })
     });
     let replaced = replaced.collect();
     vec![
-        ("herd", RunSpec { mass_restart: Some((at(0.4), 0.7)), worker_faults: drains, ..base.clone() }),
+        (
+            "herd",
+            RunSpec {
+                mass_restart: Some(MassRestart { at: at(0.4), share: 0.7 }),
+                worker_faults: drains,
+                ..base.clone()
+            },
+        ),
         ("zone", RunSpec { worker_faults: zone, ..base.clone() }),
         ("replaced", RunSpec { worker_faults: replaced, ..base }),
     ]
--- a/crates/pebblepost-harness/src/lib.rs
+++ b/crates/pebblepost-harness/src/lib.rs
@@ -13,6 +13,7 @@
 
 #![forbid(unsafe_code)]
 
+pub mod attempt_id;
 pub mod checker;
 pub mod clients;
 pub mod cpu_cost;
@@ -27,5 +28,6 @@
 pub mod run;
 pub mod store;
 pub mod supervisor;
+pub mod sync;
 pub mod worker;
 pub mod workload;
--- a/crates/pebblepost-harness/src/main.rs
+++ b/crates/pebblepost-harness/src/main.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Result;
 use clap::{Args, Parser, Subcommand};
-use pebblepost_harness::workload::{HintSpec, QueueOrder, RunSpec};
+use pebblepost_harness::workload::spec::{HintSpec, QueueOrder, RunSpec};
 use pebblepost_harness::{cpu_cost, dispatcher, fleet, release, reservations, store};
 use std::path::PathBuf;
 
@@ -314,7 +314,7 @@
         workers: args.workers.max(1),
         hints: HintSpec { sent: !args.no_hints, factor: args.hint_factor, share: args.hint_share },
         large_share: args.large_share,
-        faults: args.faults,
+        fault_rate: args.faults,
         ..RunSpec::mixed(args.seconds, 0.0)
     };
     let report = threads()?.block_on(reservations::measure(&run_spec, &args.loads, args.seed, &program))?;
--- a/crates/pebblepost-harness/src/release/hands.rs
+++ b/crates/pebblepost-harness/src/release/hands.rs
@@ -5,7 +5,7 @@
 use crate::checker::exits::DispatcherExit;
 use crate::event_log::{Entry, Event};
 use crate::supervisor::Supervisor;
-use crate::worker::pool::lock;
+use crate::sync::lock;
 use anyhow::{Result, bail};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/pebblepost-harness/src/release/office.rs
+++ b/crates/pebblepost-harness/src/release/office.rs
@@ -1,7 +1,7 @@
 //! Operators: what they ask the keepers for, by the operator's program, which is killed on the way, or by a desk.
 
 use crate::store::client::{Leader, StoreClient};
-use crate::worker::pool::lock;
+use crate::sync::lock;
 use anyhow::{Result, bail};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/pebblepost-harness/src/release/run.rs
+++ b/crates/pebblepost-harness/src/release/run.rs
@@ -11,8 +11,8 @@
 use crate::store::client::StoreClient;
 use crate::store::cluster::{Cluster, retry_until};
 use crate::supervisor::{Flaw, Outage, OutageCause, ProcessFault, Supervisor};
-use crate::worker::pool::lock;
-use crate::workload::RunSpec;
+use crate::sync::lock;
+use crate::workload::spec::RunSpec;
 use anyhow::{Context, Result, bail};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -367,14 +367,14 @@
     RunSpec {
         dispatchers: plan.dispatchers,
         workers: plan.workers,
-        faults: 0.0,
+        fault_rate: 0.0,
         ..RunSpec::mixed(plan.seconds + 15.0, 0.5)
     }
 }
 
 /// All hands, each with workers of its own, until there is enough.
 async fn hands(shared: Arc<Shared>) -> Result<()> {
-    let drawn = crate::workload::Plan::draw(&run_spec(&shared.plan), shared.plan.seed)?;
+    let drawn = crate::workload::plan::Plan::draw(&run_spec(&shared.plan), shared.plan.seed)?;
     let count = shared.plan.worker_budget as usize + 1;
     let all = (0..count).map(|hand| {
         let hosts: Vec<(usize, String)> = drawn
--- a/crates/pebblepost-harness/src/release/scribe.rs
+++ b/crates/pebblepost-harness/src/release/scribe.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::ZONES;
 use crate::store::client::Connection;
-use crate::worker::pool::lock;
+use crate::sync::lock;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/pebblepost-harness/src/report.rs
+++ b/crates/pebblepost-harness/src/report.rs
@@ -2,7 +2,9 @@
 
 use crate::checker::rules::Violation;
 use crate::clients::{Fate, Outcome};
-use crate::workload::{Arrival, Plan, latency_target_s};
+use crate::workload::arrivals::Arrival;
+use crate::workload::latency_target::latency_target_s;
+use crate::workload::plan::Plan;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/crates/pebblepost-harness/src/reservations.rs
+++ b/crates/pebblepost-harness/src/reservations.rs
@@ -2,7 +2,7 @@
 
 use crate::report::Summary;
 use crate::run::{Played, Run};
-use crate::workload::RunSpec;
+use crate::workload::spec::RunSpec;
 use anyhow::Result;
 use serde::Serialize;
 use serde_json::{Value, json};
--- a/crates/pebblepost-harness/src/run.rs
+++ b/crates/pebblepost-harness/src/run.rs
@@ -9,8 +9,11 @@
 use crate::dispatcher::{Process, Start};
 use crate::event_log::{Availability, Entry, Event, EventLog};
 use crate::supervisor::Supervisor;
-use crate::worker::pool::{Counts, WorkerPool};
-use crate::workload::{Plan, QueueOrder, RunSpec};
+use crate::worker::http::listen;
+use crate::worker::pool::WorkerPool;
+use crate::worker::simulated::ConnectionCounts;
+use crate::workload::plan::Plan;
+use crate::workload::spec::{MassRestart, QueueOrder, RunSpec};
 use anyhow::Result;
 use serde_json::Value;
 use std::path::Path;
@@ -52,7 +55,7 @@
     /// See [`cold_multiples`].
     pub cold_multiples: (f64, f64),
     /// What was counted at the workers.
-    pub counts: Counts,
+    pub counts: ConnectionCounts,
     /// Calls to discovery.
     pub discovery_calls: u64,
 }
@@ -71,7 +74,7 @@
             QueueOrder::Backfill => "backfill",
         };
         for number in 0..self.run_spec.dispatchers {
-            let address = discovery.open(fleet.open(number).await?).await?;
+            let address = discovery.open(listen(&fleet, number).await?).await?;
             let start = Start {
                 program: self.program,
                 number,
@@ -114,7 +117,7 @@
         };
         let cpu = processes.iter().map(Process::cpu).sum();
         let ready = processes.iter().flat_map(|p| p.ready.iter().copied()).collect();
-        let (counts, discovery_calls) = (fleet.counts(), discovery.calls());
+        let (counts, discovery_calls) = (fleet.connection_counts(), discovery.calls());
         let ended = processes.iter_mut().filter_map(|p| (!p.runs()).then_some(p.address));
         let crash = |a| Violation { rule: Rule::OneAnswer, at: log.now(), what: format!("{a} has ended") };
         let mut broken: Vec<Violation> = ended.map(crash).collect();
@@ -140,9 +143,9 @@
 
     /// Kills some dispatchers at once and starts all of them anew, each from the list that it had at first.
     async fn mass_restart(&self, processes: &mut [Process], log: &EventLog) -> Result<Vec<DispatcherExit>> {
-        let Some((at, part)) = self.run_spec.mass_restart else { return Ok(Vec::new()) };
+        let Some(MassRestart { at, share }) = self.run_spec.mass_restart else { return Ok(Vec::new()) };
         tokio::time::sleep(Duration::from_secs_f64(at)).await;
-        let count = (part * processes.len() as f64).round() as usize;
+        let count = (share * processes.len() as f64).round() as usize;
         let from = log.now();
         processes.iter_mut().take(count).for_each(Process::kill);
         let again = processes.iter_mut().take(count).enumerate().map(|(dispatcher, process)| async move {
--- a/crates/pebblepost-harness/src/store/client_impact.rs
+++ b/crates/pebblepost-harness/src/store/client_impact.rs
@@ -6,7 +6,7 @@
 use crate::clients::Outcome;
 use crate::fault::schedule::{Fault, FaultKind};
 use crate::run::{Played, Run};
-use crate::workload::RunSpec;
+use crate::workload::spec::RunSpec;
 use anyhow::Result;
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -122,7 +122,7 @@
 
 /// Plays all sides in turn.
 pub async fn measure(program: &Path, seconds: f64, rounds: usize, seed: u64) -> Result<ClientImpact> {
-    let run_spec = RunSpec { faults: 0.0, ..RunSpec::mixed(seconds, 0.6) };
+    let run_spec = RunSpec { fault_rate: 0.0, ..RunSpec::mixed(seconds, 0.6) };
     let mut sides: [Vec<Side>; 3] = Default::default();
     let mut changes = Vec::new();
     for round in 0..rounds.max(1) {
--- a/crates/pebblepost-harness/src/store/run.rs
+++ b/crates/pebblepost-harness/src/store/run.rs
@@ -7,8 +7,8 @@
 use crate::clients::Outcome;
 use crate::fault::schedule::{Fault, FaultKind, Schedule, ScheduleParameters};
 use crate::run::Run;
-use crate::worker::pool::lock;
-use crate::workload::RunSpec;
+use crate::sync::lock;
+use crate::workload::spec::RunSpec;
 use anyhow::{Context, Result};
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
@@ -264,8 +264,8 @@
     let named = |(i, at): (usize, &SocketAddr)| ((i + 1).to_string(), json!(at));
     let replicas: serde_json::Map<_, _> = replicas.iter().enumerate().map(named).collect();
     let operator = json!({"fleet": {"keepers": replicas}});
-    let (dispatchers, faults) = (plan.dispatchers, 0.0);
-    let run_spec = RunSpec { dispatchers, faults, ..RunSpec::mixed(plan.seconds, 0.6) };
+    let dispatchers = plan.dispatchers;
+    let run_spec = RunSpec { dispatchers, fault_rate: 0.0, ..RunSpec::mixed(plan.seconds, 0.6) };
     let run = Run {
         run_spec: &run_spec,
         seed: plan.seed,
--- a/crates/pebblepost-harness/src/supervisor.rs
+++ b/crates/pebblepost-harness/src/supervisor.rs
@@ -6,7 +6,7 @@
 use crate::dispatcher::Process;
 use crate::event_log::{Availability, Event, EventLog};
 use crate::store::client::{Leader, StoreClient};
-use crate::worker::pool::lock;
+use crate::sync::lock;
 use anyhow::Result;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/pebblepost-harness/src/worker/model.rs
+++ b/crates/pebblepost-harness/src/worker/model.rs
@@ -1,7 +1,8 @@
 //! A stand-in worker's inside, without I/O or clock: slots, waiting room, pace, warmth, what it has fetched, and
 //! falling over. The caller says what time it is and gets back what has happened since.
 
-use crate::workload::{QueueOrder, WorkerSpec};
+use crate::workload::spec::QueueOrder;
+use crate::workload::workers::WorkerSpec;
 use std::collections::VecDeque;
 
 /// A job at a worker; the caller's number.
@@ -156,7 +157,7 @@
         self.record_cold_load(from, seconds);
     }
 
-    /// Counts work against what a cold worker bears, whatever becomes of it.
+    /// ConnectionCounts work against what a cold worker bears, whatever becomes of it.
     fn record_cold_load(&mut self, from: usize, work: f64) {
         if self.slow_start_factor() >= 1.0 {
             return self.sent.clear();
--- /dev/null
+++ b/crates/pebblepost-harness/src/workload/plan.rs
@@ -0,0 +1,66 @@
+//! A plan as a whole.
+
+use super::arrivals::{Arrival, draw_arrivals};
+use super::error::PlanError;
+use super::faults::draw_worker_faults;
+use super::random::{Part, stream};
+use super::spec::{QueueOrder, RunSpec, ScheduledWorkerFault};
+use super::workers::{WorkerSpec, draw_workers};
+use rand::RngExt;
+use serde::Serialize;
+
+/// The store that workers fetch from.
+#[derive(Clone, Copy, Debug, Serialize)]
+pub struct SharedStore {
+    /// Fetches that it serves at full speed at once.
+    pub full_speed_fetches: f64,
+    /// Seconds that a fetch takes at full speed.
+    pub fetch_s: f64,
+}
+
+/// All that one seed makes of a [`RunSpec`].
+#[derive(Clone, Debug, Serialize)]
+pub struct Plan {
+    /// The seed.
+    pub seed: u64,
+    /// The order of the workers' queues.
+    pub order: QueueOrder,
+    /// The workers.
+    pub workers: Vec<WorkerSpec>,
+    /// The requests, in their order.
+    pub arrivals: Vec<Arrival>,
+    /// The faults, in their order.
+    pub worker_faults: Vec<ScheduledWorkerFault>,
+    /// The store that the workers share.
+    pub store: SharedStore,
+    /// Calls that discovery answers in a second.
+    pub discovery_rate: Option<f64>,
+}
+
+impl Plan {
+    /// Draws all parts of a plan.
+    ///
+    /// # Errors
+    ///
+    /// If the spec describes no distribution of job sizes.
+    pub fn draw(run_spec: &RunSpec, seed: u64) -> Result<Self, PlanError> {
+        let coin = if stream(seed, Part::QueueOrder).random_bool(0.5) {
+            QueueOrder::Fifo
+        } else {
+            QueueOrder::Backfill
+        };
+        let order = run_spec.order.unwrap_or(coin);
+        let workers = draw_workers(run_spec, seed, order);
+        let capacity = workers.iter().map(|worker| f64::from(worker.cores) * worker.speed).sum();
+        let mut rng = stream(seed, Part::SharedStore);
+        let fetch_s = rng.random_range(0.19..0.67) * run_spec.work_s;
+        let arrivals = draw_arrivals(run_spec, seed, capacity)?;
+        // A third of the jobs fetch; the store has some times the capacity that these need.
+        let fetches = arrivals.len() as f64 / run_spec.seconds / 3.0 * fetch_s;
+        let full_speed_fetches = (fetches * rng.random_range(1.8..4.8)).max(1.0);
+        let store = SharedStore { full_speed_fetches, fetch_s };
+        let worker_faults = draw_worker_faults(run_spec, seed);
+        let discovery_rate = run_spec.discovery_rate;
+        Ok(Self { seed, order, workers, arrivals, worker_faults, store, discovery_rate })
+    }
+}
--- a/crates/pebblepost-harness/tests/pins.rs
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -5,9 +5,9 @@
 use pebblepost_harness::checker::rules::{Rule, Violation};
 use pebblepost_harness::fault::schedule::{Schedule, ScheduleParameters};
 use pebblepost_harness::worker::model::{Admission, JobEvent, WorkerModel};
-use pebblepost_harness::workload::{
-    Fault, HintSpec, Plan, QueueOrder, RunSpec, ScheduledWorkerFault, WorkerSpec,
-};
+use pebblepost_harness::workload::plan::Plan;
+use pebblepost_harness::workload::spec::{HintSpec, QueueOrder, RunSpec, ScheduledWorkerFault, WorkerFault};
+use pebblepost_harness::workload::workers::WorkerSpec;
 use pebblepost_harness::{cpu_cost, fleet, release, reservations, store};
 use std::path::Path;
 use std::process::Command;
@@ -75,11 +75,11 @@
 fn digest_trouble(digest: &mut Digest, fault: &ScheduledWorkerFault) {
     digest.float(fault.at);
     digest.integer(fault.worker as u64);
-    let (kind, seconds, share) = match fault.what {
-        Fault::Drain(seconds) => (0, seconds, 0.0),
-        Fault::Silent(seconds) => (1, seconds, 0.0),
-        Fault::Restart(seconds) => (2, seconds, 0.0),
-        Fault::Errors(seconds, share) => (3, seconds, share),
+    let (kind, seconds, share) = match fault.fault {
+        WorkerFault::Drain(seconds) => (0, seconds, 0.0),
+        WorkerFault::Silent(seconds) => (1, seconds, 0.0),
+        WorkerFault::Restart(seconds) => (2, seconds, 0.0),
+        WorkerFault::Errors { seconds, share } => (3, seconds, share),
     };
     digest.integer(kind);
     digest.float(seconds);
@@ -105,8 +105,8 @@
         digest.optional(arrival.cancels_after_s);
     }
     plan.worker_faults.iter().for_each(|fault| digest_trouble(&mut digest, fault));
-    digest.float(plan.store.0);
-    digest.float(plan.store.1);
+    digest.float(plan.store.full_speed_fetches);
+    digest.float(plan.store.fetch_s);
     digest.optional(plan.discovery_rate);
     digest.0
 }
@@ -115,7 +115,7 @@
 fn drawn_plans_are_the_approved_ones() {
     let run_specs = [
         ("mixed", RunSpec::mixed(30.0, 0.65)),
-        ("faults", RunSpec { faults: 40.0, cancel_share: 0.3, workers: 23, ..RunSpec::mixed(60.0, 0.9) }),
+        ("faults", RunSpec { fault_rate: 40.0, cancel_share: 0.3, workers: 23, ..RunSpec::mixed(60.0, 0.9) }),
         (
             "hints",
             RunSpec {
@@ -148,7 +148,11 @@
     let mut lines = String::new();
     for (name, run_spec) in fleet::run_specs(fleet::Size { dispatchers: 20, workers: 15, seconds: 20.0 }) {
         let plan = Plan::draw(&run_spec, 5).expect("a valid scenario");
-        lines += &format!("{name}: {:?} {:016x}\n", run_spec.mass_restart, digest_plan(&plan));
+        lines += &format!(
+            "{name}: {:?} {:016x}\n",
+            run_spec.mass_restart.map(|restart| (restart.at, restart.share)),
+            digest_plan(&plan)
+        );
     }
     approved("fleet-scenarios.txt", &lines);
 }
@@ -175,7 +179,7 @@
     for seed in [1, 2, 3] {
         let plan = Plan::draw(&RunSpec::mixed(600.0, 0.25), seed).expect("a valid scenario");
         let (mut digest, mut events, mut model) =
-            (Digest::new(), Vec::new(), WorkerModel::new(plan.workers[2].clone(), plan.store.1));
+            (Digest::new(), Vec::new(), WorkerModel::new(plan.workers[2].clone(), plan.store.fetch_s));
         let mut accepted = 0;
         for (number, arrival) in plan.arrivals.iter().enumerate() {
             model.advance(arrival.at, 0.7, &mut events);
--- a/crates/pebblepost-harness/tests/run.rs
+++ b/crates/pebblepost-harness/tests/run.rs
@@ -3,7 +3,7 @@
 use pebblepost_harness::clients::Outcome;
 use pebblepost_harness::dispatcher::built;
 use pebblepost_harness::run::{Played, Run};
-use pebblepost_harness::workload::{Fault, HintSpec, RunSpec, ScheduledWorkerFault};
+use pebblepost_harness::workload::spec::{HintSpec, MassRestart, RunSpec, ScheduledWorkerFault, WorkerFault};
 use serde_json::json;
 
 /// Plays all at the same time, each with a fleet of its own.
@@ -19,14 +19,14 @@
 
 #[test]
 fn faults_of_each_kind_break_no_rule_and_every_request_ends() {
-    let fault = |at, worker, what| ScheduledWorkerFault { at, worker, what };
+    let at_worker = |at, worker, fault| ScheduledWorkerFault { at, worker, fault };
     let worker_faults = vec![
-        fault(0.5, 0, Fault::Drain(3.0)),
-        fault(0.7, 1, Fault::Restart(0.3)),
-        fault(1.0, 2, Fault::Silent(1.5)),
-        fault(1.0, 3, Fault::Errors(2.0, 0.5)),
+        at_worker(0.5, 0, WorkerFault::Drain(3.0)),
+        at_worker(0.7, 1, WorkerFault::Restart(0.3)),
+        at_worker(1.0, 2, WorkerFault::Silent(1.5)),
+        at_worker(1.0, 3, WorkerFault::Errors { seconds: 2.0, share: 0.5 }),
     ];
-    let run_spec = RunSpec { workers: 6, faults: 0.0, worker_faults, ..RunSpec::mixed(5.0, 0.5) };
+    let run_spec = RunSpec { workers: 6, fault_rate: 0.0, worker_faults, ..RunSpec::mixed(5.0, 0.5) };
     let played = &play(&[run_spec])[0];
     assert_eq!(played.broken, []);
     assert_eq!(played.fates.len(), played.plan.arrivals.len());
@@ -40,10 +40,10 @@
     let run_spec = RunSpec {
         dispatchers: 4,
         workers: 6,
-        faults: 0.0,
-        mass_restart: Some((1.0, 0.75)),
+        fault_rate: 0.0,
+        mass_restart: Some(MassRestart { at: 1.0, share: 0.75 }),
         discovery_rate: Some(1.0),
-        worker_faults: vec![ScheduledWorkerFault { at: 0.2, worker: 0, what: Fault::Drain(3.0) }],
+        worker_faults: vec![ScheduledWorkerFault { at: 0.2, worker: 0, fault: WorkerFault::Drain(3.0) }],
         ..RunSpec::mixed(4.0, 0.4)
     };
     let played = &play(&[run_spec])[0];
@@ -58,7 +58,7 @@
 
 #[test]
 fn wrong_hints_a_flood_of_large_jobs_and_clients_that_leave_break_no_rule() {
-    let base = RunSpec { workers: 6, faults: 0.0, ..RunSpec::mixed(4.0, 0.6) };
+    let base = RunSpec { workers: 6, fault_rate: 0.0, ..RunSpec::mixed(4.0, 0.6) };
     let wrong = |factor, share| RunSpec { hints: HintSpec { sent: true, factor, share }, ..base.clone() };
     let run_specs = [
         wrong(10.0, 1.0),
--- a/crates/pebblepost-harness/tests/unit/report.rs
+++ b/crates/pebblepost-harness/tests/unit/report.rs
@@ -2,7 +2,8 @@
 
 use pebblepost_harness::clients::{Fate, Outcome};
 use pebblepost_harness::report::{group, interval};
-use pebblepost_harness::workload::{Plan, RunSpec};
+use pebblepost_harness::workload::plan::Plan;
+use pebblepost_harness::workload::spec::RunSpec;
 
 #[test]
 fn shares_count_what_came_within_the_time_wanted() {
--- a/crates/pebblepost-harness/tests/unit/worker_model.rs
+++ b/crates/pebblepost-harness/tests/unit/worker_model.rs
@@ -1,7 +1,8 @@
 //! The simulated worker's queue, slots, cache and slow start.
 
 use pebblepost_harness::worker::model::{Admission, JobEvent, JobId, WorkerModel};
-use pebblepost_harness::workload::{QueueOrder, WorkerSpec};
+use pebblepost_harness::workload::spec::QueueOrder;
+use pebblepost_harness::workload::workers::WorkerSpec;
 
 fn model(order: QueueOrder) -> WorkerModel {
     let spec = WorkerSpec {
--- a/crates/pebblepost-harness/tests/unit/workload.rs
+++ b/crates/pebblepost-harness/tests/unit/workload.rs
@@ -1,6 +1,7 @@
 //! Drawn plans.
 
-use pebblepost_harness::workload::{Plan, RunSpec};
+use pebblepost_harness::workload::plan::Plan;
+use pebblepost_harness::workload::spec::RunSpec;
 
 #[test]
 fn the_same_seed_asks_for_the_same_work_in_the_same_order() {
