--- a/crates/pebblepost-harness/src/clients.rs
+++ b/crates/pebblepost-harness/src/clients.rs
@@ -32,7 +32,7 @@
 
 /// How one request went.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fate {
+pub struct RequestResult {
     /// Its number in the plan.
     pub arrival: usize,
     /// What became of it.
@@ -50,7 +50,7 @@
     plan: Arc<Plan>,
     log: Arc<EventLog>,
     desks: Vec<(Http, SocketAddr)>,
-    fates: Mutex<Vec<Fate>>,
+    results: Mutex<Vec<RequestResult>>,
 }
 
 /// How one try ended.
@@ -70,11 +70,11 @@
             (Client::builder(TokioExecutor::new()).build(connector), *address)
         };
         let desks = dispatchers.iter().map(desk).collect();
-        Arc::new(Self { plan, log, desks, fates: Mutex::default() })
+        Arc::new(Self { plan, log, desks, results: Mutex::default() })
     }
 
     /// Plays all arrivals from now on; returns how each went once the last has ended.
-    pub async fn play(self: Arc<Self>) -> Vec<Fate> {
+    pub async fn play(self: Arc<Self>) -> Vec<RequestResult> {
         let start = Instant::now();
         let mut out = tokio::task::JoinSet::new();
         for index in 0..self.plan.arrivals.len() {
@@ -83,7 +83,7 @@
             out.spawn(async move { this.request(index).await });
         }
         while out.join_next().await.is_some() {}
-        std::mem::take(&mut *lock(&self.fates))
+        std::mem::take(&mut *lock(&self.results))
     }
 
     async fn request(&self, index: usize) {
@@ -117,7 +117,7 @@
                 }
             }
         }
-        lock(&self.fates).push(Fate { arrival: index, outcome, tries, refused_after });
+        lock(&self.results).push(RequestResult { arrival: index, outcome, tries, refused_after });
     }
 
     async fn ask(
--- a/crates/pebblepost-harness/src/cpu_cost.rs
+++ b/crates/pebblepost-harness/src/cpu_cost.rs
@@ -65,9 +65,9 @@
                 supervisor: None,
             };
             let played = run.play().await?;
-            let served = played.fates.iter().filter(|f| matches!(f.outcome, Outcome::Served(_))).count();
+            let served = played.results.iter().filter(|f| matches!(f.outcome, Outcome::Served(_))).count();
             if round > 0 {
-                list.push(played.cpu * 1e6 / served.max(1) as f64);
+                list.push(played.cpu_s * 1e6 / served.max(1) as f64);
             }
         }
     }
--- a/crates/pebblepost-harness/src/dispatcher.rs
+++ b/crates/pebblepost-harness/src/dispatcher.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// One process. It is ended when this is dropped.
-pub struct Process {
+pub struct DispatcherProcess {
     command: Command,
     child: Child,
     /// Where clients connect.
@@ -29,7 +29,7 @@
     operator: Value,
     files: [PathBuf; 2],
     /// CPU of lives that have ended, in seconds.
-    spent: f64,
+    cpu_of_earlier_runs_s: f64,
 }
 
 /// The buildings; dispatcher `n` is in the one of number `n`, counted round.
@@ -65,7 +65,7 @@
 }
 
 /// What a process is started with.
-pub struct Start<'a> {
+pub struct Launch<'a> {
     /// The program.
     pub program: &'a Path,
     /// Its number, and how many there are.
@@ -86,9 +86,9 @@
     pub folder: &'a Path,
 }
 
-impl Process {
+impl DispatcherProcess {
     /// Starts one; it takes clients when this returns.
-    pub async fn start(start: &Start<'_>) -> Result<Self> {
+    pub async fn start(start: &Launch<'_>) -> Result<Self> {
         // An address that nobody connects from: a port that was free a moment ago, or is while the process is started
         // again, still is. Runs beside each other draw different ports.
         let [high, low] = u16::try_from(start.number)?.to_be_bytes();
@@ -132,7 +132,7 @@
             seed: start.seed,
             operator,
             files,
-            spent: 0.0,
+            cpu_of_earlier_runs_s: 0.0,
         };
         process.wait_until_ready().await?;
         Ok(process)
@@ -140,7 +140,7 @@
 
     /// Kills it outright.
     pub fn kill(&mut self) {
-        self.spent = self.cpu();
+        self.cpu_of_earlier_runs_s = self.cpu_s();
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -234,14 +234,15 @@
     }
 
     /// CPU that it has used, in seconds (proc(5): `stat`, fields 14 and 15, in hundredths).
-    pub fn cpu(&self) -> f64 {
+    pub fn cpu_s(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let fields = stat.rsplit_once(')').map_or("", |(_, rest)| rest).split_whitespace();
-        self.spent + fields.skip(11).take(2).filter_map(|f| f.parse::<f64>().ok()).sum::<f64>() / 100.0
+        self.cpu_of_earlier_runs_s
+            + fields.skip(11).take(2).filter_map(|f| f.parse::<f64>().ok()).sum::<f64>() / 100.0
     }
 }
 
-impl Drop for Process {
+impl Drop for DispatcherProcess {
     fn drop(&mut self) {
         self.resume();
         self.stop();
@@ -256,7 +257,7 @@
 }
 
 /// The program beside this one, built first so that it is the present one.
-pub fn built() -> Result<PathBuf> {
+pub fn build_program() -> Result<PathBuf> {
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let mut build = Command::new(cargo);
     build.args(["build", "--quiet", "--locked", "-p", "pebblepost"]);
--- a/crates/pebblepost-harness/src/fleet.rs
+++ b/crates/pebblepost-harness/src/fleet.rs
@@ -100,18 +100,18 @@
 }
 
 fn summary(played: &Played) -> Summary {
-    let count = |hit: fn(&Outcome) -> bool| played.fates.iter().filter(|f| hit(&f.outcome)).count();
+    let count = |hit: fn(&Outcome) -> bool| played.results.iter().filter(|f| hit(&f.outcome)).count();
     Summary {
         served: count(|o| matches!(o, Outcome::Served(_))),
         refused: count(|o| *o == Outcome::Refused),
         lost: count(|o| *o == Outcome::Lost),
         ready_p99_ms: p99_ms(&played.ready),
         discovery_calls: played.discovery_calls,
-        counts: played.counts,
+        counts: played.connections,
         worst_cold_multiple: played.cold_multiples.0,
         worst_cold_multiple_of_all: played.cold_multiples.1,
-        slowest_drain_ms: played.slowest_drain * 1e3,
-        rules_broken: played.broken.len(),
+        slowest_drain_ms: played.slowest_drain_s * 1e3,
+        rules_broken: played.violations.len(),
         handshakes_per_served: 0.0,
     }
     .with_handshake_ratio()
@@ -151,7 +151,7 @@
         let s = summary(&played);
         lines.push(format!("{name:<9} {}", serde_json::to_string(&s)?));
         let notified = |b: &Violation| format!("broken: {:?} at {:.2} s: {}", b.rule, b.at, b.what);
-        lines.extend(played.broken.iter().map(notified));
+        lines.extend(played.violations.iter().map(notified));
         all = all.with(&s);
     }
     Ok((lines, all))
--- a/crates/pebblepost-harness/src/main.rs
+++ b/crates/pebblepost-harness/src/main.rs
@@ -64,7 +64,7 @@
     no_faults: bool,
     /// How dispatchers are brought to a new version.
     #[arg(long, default_value = "permits")]
-    mode: release::run::Mode,
+    mode: release::plan::Mode,
     /// Print one JSON object as the last line.
     #[arg(long)]
     json: bool,
@@ -231,7 +231,7 @@
         println!("{}", serde_json::to_string(&schedule)?);
         return Ok(());
     }
-    let program = args.program.map_or_else(dispatcher::built, Ok)?;
+    let program = args.program.map_or_else(dispatcher::build_program, Ok)?;
     if let Some(dispatchers) = args.mass_restart {
         let report =
             threads()?.block_on(store::mass_restart::measure(&program, dispatchers.clamp(1, 1_000)))?;
@@ -251,11 +251,11 @@
 }
 
 fn play_release(args: Release) -> Result<()> {
-    let plan = release::run::Plan {
+    let plan = release::plan::Plan {
         dispatchers: usize::from(args.dispatchers),
         workers: usize::from(args.workers),
         replicas: usize::from(args.replicas),
-        budget: (args.budget, args.budget_in_zone),
+        budget: release::plan::DisruptionBudget { total: args.budget, per_zone: args.budget_in_zone },
         worker_budget: args.worker_budget,
         watch_s: args.watch_s.clamp(0.1, 60.0),
         seconds: args.seconds.max(1.0),
@@ -263,7 +263,7 @@
         faults: !args.no_faults,
         mode: args.mode,
     };
-    let program = args.program.map_or_else(dispatcher::built, Ok)?;
+    let program = args.program.map_or_else(dispatcher::build_program, Ok)?;
     let (summary, found) = threads()?.block_on(release::run::run(&plan, &program))?;
     found.iter().for_each(|line| println!("found: {line}"));
     println!("{}", if args.json { serde_json::to_string(&summary)? } else { format!("{summary:#?}") });
@@ -275,7 +275,7 @@
 }
 
 fn play_cpu(args: Cpu) -> Result<()> {
-    let program = args.program.map_or_else(dispatcher::built, Ok)?;
+    let program = args.program.map_or_else(dispatcher::build_program, Ok)?;
     let (on, off) = (reservations::operator(true), reservations::operator(false));
     let a = cpu_cost::Side { program: &program, operator: &on };
     let b = match &args.against {
@@ -288,7 +288,7 @@
 }
 
 fn play_fleet(args: Fleet) -> Result<()> {
-    let program = args.program.map_or_else(dispatcher::built, Ok)?;
+    let program = args.program.map_or_else(dispatcher::build_program, Ok)?;
     let (dispatchers, workers) = (args.dispatchers.max(1), args.workers.max(1));
     let size = fleet::Size { dispatchers, workers, seconds: args.seconds.max(1.0) };
     let (lines, all) = threads()?.block_on(fleet::measure(size, args.seed, &program))?;
@@ -300,7 +300,7 @@
 }
 
 fn play_room(args: Room) -> Result<()> {
-    let program = args.program.map_or_else(dispatcher::built, Ok)?;
+    let program = args.program.map_or_else(dispatcher::build_program, Ok)?;
     let [one, two, four] = args.slots[..] else {
         anyhow::bail!("--slots: three shares, for 1, 2 and 4 slots")
     };
--- /dev/null
+++ b/crates/pebblepost-harness/src/release/dispatcher_faults.rs
@@ -0,0 +1,31 @@
+//! Faults of dispatchers during a release trial: kills of one, a zone or all of them, and suspensions.
+
+use super::trial::Trial;
+use crate::dispatcher::ZONES;
+use crate::supervisor::ProcessFault;
+use crate::sync::lock;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeMap;
+use std::sync::Mutex;
+use std::time::Duration;
+use tokio::time::sleep;
+
+/// Injects faults into dispatchers, for as long as it is polled.
+pub(super) async fn inject_faults(trial: &Trial, counts: &Mutex<BTreeMap<&'static str, usize>>) {
+    let mut rng = Pcg64Mcg::seed_from_u64(trial.plan.seed ^ 0xd15);
+    loop {
+        sleep(Duration::from_secs_f64(rng.random_range(3.0..9.0))).await;
+        let (one, all) = (rng.random_range(0..trial.plan.dispatchers), 0..trial.plan.dispatchers);
+        let zone = one % ZONES.len();
+        let (order, kind, whom): (_, _, Vec<usize>) = match rng.random_range(0..18) {
+            0..10 => (ProcessFault::Kill, "dispatcher_kill", vec![one]),
+            10 => (ProcessFault::Kill, "zone_kill", all.filter(|n| n % ZONES.len() == zone).collect()),
+            11 => (ProcessFault::Kill, "fleet_kill", all.collect()),
+            // Longer than a session lasts, and shorter.
+            _ => (ProcessFault::Pause(rng.random_range(0.5..6.0)), "dispatcher_pause", vec![one]),
+        };
+        whom.into_iter().for_each(|n| trial.supervisor.inject(n, order));
+        *lock(counts).entry(kind).or_insert(0) += 1;
+    }
+}
--- a/crates/pebblepost-harness/src/release/scribe.rs
+++ b/crates/pebblepost-harness/src/release/grant_audit.rs
@@ -11,11 +11,11 @@
 use tokio::time::{sleep, timeout};
 
 /// A watch says something every half second; quiet for so long, it is taken up elsewhere.
-const QUIET: Duration = Duration::from_secs(2);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What was read.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Notes {
+pub struct GrantAudit {
     /// Permits granted, to dispatchers and to workers.
     pub grants: [usize; 2],
     /// Grants after which more were out than the budget allows, in words.
@@ -27,7 +27,7 @@
 /// Kinds, as the keys name them.
 const KINDS: [&str; 2] = ["dispatcher", "worker"];
 
-impl Notes {
+impl GrantAudit {
     /// Those of a kind that are out, and the zone of each.
     fn out(&self, kind: usize) -> BTreeMap<&str, &str> {
         let mut out = BTreeSet::new();
@@ -104,17 +104,17 @@
 }
 
 /// Follows the keepers for as long as it is polled.
-pub async fn follow(replicas: &[SocketAddr], notes: &Mutex<Notes>) {
+pub async fn follow(replicas: &[SocketAddr], audit: &Mutex<GrantAudit>) {
     for at in (0..replicas.len()).cycle() {
-        if let Ok(Ok(mut frames)) = timeout(QUIET, Connection::open(replicas[at])).await {
-            let from = lock(notes).revision;
+        if let Ok(Ok(mut frames)) = timeout(WATCH_TIMEOUT, Connection::open(replicas[at])).await {
+            let from = lock(audit).revision;
             if frames.send(&json!({"watch": from})).await.is_ok() {
-                while let Ok(Ok(say)) = timeout(QUIET, frames.next()).await {
-                    let mut notes = lock(notes);
-                    if let Some(changes) = say["changes"].as_array() {
-                        changes.iter().for_each(|change| notes.change(change));
-                    } else if say["snapshot"]["revision"].as_u64() > Some(notes.revision) {
-                        notes.snapshot(&say["snapshot"]);
+                while let Ok(Ok(reply)) = timeout(WATCH_TIMEOUT, frames.next()).await {
+                    let mut audit = lock(audit);
+                    if let Some(changes) = reply["changes"].as_array() {
+                        changes.iter().for_each(|change| audit.change(change));
+                    } else if reply["snapshot"]["revision"].as_u64() > Some(audit.revision) {
+                        audit.snapshot(&reply["snapshot"]);
                     }
                 }
             }
--- a/crates/pebblepost-harness/src/release/hands.rs
+++ b/crates/pebblepost-harness/src/release/maintenance.rs
@@ -1,7 +1,7 @@
 //! Hands: they switch workers off and on again, each by a permit, and only once the keepers say that a worker may be switched
 //! off. A worker goes on taking jobs meanwhile, so that the record shows who sent it any.
 
-use super::office::{Office, PATIENCE, TAIL, insist};
+use super::operators::{COMPLETION_TIMEOUT, Operators, REQUEST_TIMEOUT, apply};
 use crate::checker::exits::DispatcherExit;
 use crate::event_log::{Entry, Event};
 use crate::supervisor::Supervisor;
@@ -18,7 +18,7 @@
 
 /// A worker was switched off.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Off {
+pub struct SwitchedOff {
     /// Which.
     pub worker: usize,
     /// From when, in seconds of the record.
@@ -26,33 +26,33 @@
     /// Until when.
     pub to: f64,
     /// How long it took from the request to this, in seconds.
-    pub waited: f64,
+    pub waited_s: f64,
 }
 
 /// All hands, and what they have done.
 #[derive(Debug, Default)]
-pub struct Hands {
+pub struct WorkerMaintenance {
     /// What was off when.
-    pub offs: Mutex<Vec<Off>>,
+    pub switched_off: Mutex<Vec<SwitchedOff>>,
 }
 
-impl Hands {
+impl WorkerMaintenance {
     /// Takes one of these workers after the other off and on, until there is enough.
     pub async fn work(
-        &self, office: &Office, supervisor: &Supervisor, hosts: &[(usize, String)], seed: u64,
-        enough: &AtomicBool,
+        &self, operators: &Operators, supervisor: &Supervisor, hosts: &[(usize, String)], seed: u64,
+        stopping: &AtomicBool,
     ) -> Result<()> {
-        let (mut rng, mut client) = (Pcg64Mcg::seed_from_u64(seed), office.client());
+        let (mut rng, mut client) = (Pcg64Mcg::seed_from_u64(seed), operators.client());
         let mut number = 0;
-        while !enough.load(Ordering::Relaxed) {
+        while !stopping.load(Ordering::Relaxed) {
             let (worker, host) = &hosts[rng.random_range(0..hosts.len())];
             let subject = format!("worker/{host}");
             let asked = supervisor.now();
-            office.start(&["permit", "ask", &subject, "--why", "new fans"], rng.random()).await?;
-            let end = Instant::now() + TAIL;
+            operators.start(&["permit", "ask", &subject, "--why", "new fans"], rng.random()).await?;
+            let end = Instant::now() + COMPLETION_TIMEOUT;
             let granted = loop {
-                if let Ok(send_line) = client.ask(&json!({"off": host}), PATIENCE).await {
-                    let off = &send_line["off"];
+                if let Ok(reply) = client.ask(&json!({"off": host}), REQUEST_TIMEOUT).await {
+                    let off = &reply["off"];
                     let missing = off["waits_for"].as_object().map_or(1, serde_json::Map::len);
                     if let (Some(granted), 0) = (off["granted"].as_u64(), missing) {
                         break granted;
@@ -67,10 +67,15 @@
             };
             let from = supervisor.now();
             sleep(Duration::from_millis(rng.random_range(300..2_000))).await;
-            lock(&self.offs).push(Off { worker: *worker, from, to: supervisor.now(), waited: from - asked });
+            lock(&self.switched_off).push(SwitchedOff {
+                worker: *worker,
+                from,
+                to: supervisor.now(),
+                waited_s: from - asked,
+            });
             number += 1;
             let back: Value = json!({"back": [subject, granted]});
-            insist(&mut client, (seed, number), &back).await?;
+            apply(&mut client, (seed, number), &back).await?;
             sleep(Duration::from_millis(rng.random_range(100..1_500))).await;
         }
         Ok(())
@@ -78,14 +83,14 @@
 }
 
 /// The most workers that were off at once.
-pub fn most_off(offs: &[Off]) -> usize {
-    let at = |t: f64| offs.iter().filter(|o| (o.from..o.to).contains(&t)).count();
-    offs.iter().map(|o| at(o.from)).max().unwrap_or(0)
+pub fn most_off(switched_off: &[SwitchedOff]) -> usize {
+    let at = |t: f64| switched_off.iter().filter(|o| (o.from..o.to).contains(&t)).count();
+    switched_off.iter().map(|o| at(o.from)).max().unwrap_or(0)
 }
 
 /// What workers got, or still had to do, while they were off: attempts that arrived, and jobs that ran on and were served
 /// from there. A dispatcher that was killed or paused is excused from what it had out by then, and from nothing new.
-pub fn work_while_off(log: &[Entry], offs: &[Off], killed: &[DispatcherExit]) -> Vec<String> {
+pub fn work_while_off(log: &[Entry], switched_off: &[SwitchedOff], killed: &[DispatcherExit]) -> Vec<String> {
     let (mut found, mut attempts) = (Vec::new(), HashMap::<&str, usize>::new());
     let mut open: HashMap<(&str, usize), (f64, usize)> = HashMap::new();
     let mut ran_on: HashSet<&str> = HashSet::new();
@@ -94,7 +99,9 @@
             Event::AttemptArrived { txn, dispatcher, worker, .. } => {
                 *attempts.entry(txn).or_insert(0) += 1;
                 open.insert((txn, *worker), (*at, *dispatcher));
-                if let Some(off) = offs.iter().find(|o| o.worker == *worker && (o.from..o.to).contains(at)) {
+                if let Some(off) =
+                    switched_off.iter().find(|o| o.worker == *worker && (o.from..o.to).contains(at))
+                {
                     found.push(format!(
                         "dispatcher {dispatcher} sent {txn} to worker {worker} at {at:.3}, off since {:.3}",
                         off.from
@@ -103,9 +110,9 @@
             }
             Event::AttemptEnded { txn, worker, .. } => {
                 let Some((began, by)) = open.remove(&(txn.as_str(), *worker)) else { continue };
-                let ran = |o: &&Off| o.worker == *worker && began < o.from && *at >= o.from;
-                let excused = |o: &Off| killed.iter().any(|k| k.dispatcher == by && k.from <= o.from);
-                if offs.iter().find(ran).is_some_and(|o| !excused(o)) {
+                let ran = |o: &&SwitchedOff| o.worker == *worker && began < o.from && *at >= o.from;
+                let excused = |o: &SwitchedOff| killed.iter().any(|k| k.dispatcher == by && k.from <= o.from);
+                if switched_off.iter().find(ran).is_some_and(|o| !excused(o)) {
                     ran_on.insert(txn);
                 }
             }
--- a/crates/pebblepost-harness/src/release/office.rs
+++ b/crates/pebblepost-harness/src/release/operators.rs
@@ -14,13 +14,13 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// After the faults all that goes on must have ended within this.
-pub const TAIL: Duration = Duration::from_secs(90);
+pub const COMPLETION_TIMEOUT: Duration = Duration::from_secs(90);
 /// One answer is waited for so long.
-pub const PATIENCE: Duration = Duration::from_secs(4);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Where operators work.
 #[derive(Debug)]
-pub struct Office {
+pub struct Operators {
     /// The operator's program.
     pub program: PathBuf,
     /// Where the keepers are reached.
@@ -29,7 +29,7 @@
     pub killed: Mutex<usize>,
 }
 
-impl Office {
+impl Operators {
     /// A desk of its own.
     pub fn client(&self) -> StoreClient {
         StoreClient::new(self.replicas.clone(), Leader::default())
@@ -49,7 +49,7 @@
     pub async fn start(&self, words: &[&str], seed: u64) -> Result<()> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut kills = rng.random_range(0..3);
-        let end = Instant::now() + TAIL;
+        let end = Instant::now() + COMPLETION_TIMEOUT;
         loop {
             let mut program = self.operator(words)?;
             if kills > 0 {
@@ -68,14 +68,14 @@
 }
 
 /// Has an operation done, however long that takes under faults.
-pub async fn insist(client: &mut StoreClient, id: (u64, u64), op: &Value) -> Result<()> {
+pub async fn apply(client: &mut StoreClient, id: (u64, u64), op: &Value) -> Result<()> {
     let act = json!({"change": {"ops": [op], "expect": [], "why": "rig"}});
     let command = json!({"command": {"id": [id.0, id.1], "by": "rig", "at_ms": 0, "act": act}});
-    let end = Instant::now() + TAIL;
+    let end = Instant::now() + COMPLETION_TIMEOUT;
     loop {
-        match client.ask(&command, PATIENCE).await {
-            Ok(say) if say.pointer("/answer/Ok").is_some() => return Ok(()),
-            Ok(say) => bail!("{op}: {say}"),
+        match client.ask(&command, REQUEST_TIMEOUT).await {
+            Ok(reply) if reply.pointer("/answer/Ok").is_some() => return Ok(()),
+            Ok(reply) => bail!("{op}: {reply}"),
             Err(error) if Instant::now() >= end => return Err(error),
             Err(_) => {}
         }
--- a/crates/pebblepost-harness/src/report.rs
+++ b/crates/pebblepost-harness/src/report.rs
@@ -1,7 +1,7 @@
 //! What a run comes to: shares in time by size, work done, latencies, rules.
 
 use crate::checker::rules::Violation;
-use crate::clients::{Fate, Outcome};
+use crate::clients::{Outcome, RequestResult};
 use crate::workload::arrivals::Arrival;
 use crate::workload::latency_target::latency_target_s;
 use crate::workload::plan::Plan;
@@ -90,20 +90,20 @@
 }
 
 /// Sums up those requests that `which` picks.
-pub fn group(plan: &Plan, fates: &[Fate], which: impl Fn(&Arrival) -> bool) -> Group {
+pub fn group(plan: &Plan, results: &[RequestResult], which: impl Fn(&Arrival) -> bool) -> Group {
     let mut group = Group::default();
     let (mut latency, mut refusals) = (times(), times());
-    for fate in fates {
-        let arrival = &plan.arrivals[fate.arrival];
-        if !which(arrival) || fate.outcome == Outcome::Left {
+    for result in results {
+        let arrival = &plan.arrivals[result.arrival];
+        if !which(arrival) || result.outcome == Outcome::Left {
             continue; // Who leaves is owed nothing.
         }
         let work = arrival.work * f64::from(arrival.slots);
         group.asked += 1;
         group.work += work;
-        group.tries += fate.tries as usize;
+        group.tries += result.tries as usize;
         let micros = |s: f64| (s * 1e6) as u64;
-        match fate.outcome {
+        match result.outcome {
             Outcome::Served(after) => {
                 if let Some(h) = &mut latency {
                     h.saturating_record(micros(after));
@@ -119,7 +119,7 @@
             Outcome::Lost => group.lost += 1,
             Outcome::Left => {}
         }
-        if let (Some(h), Some(after)) = (&mut refusals, fate.refused_after) {
+        if let (Some(h), Some(after)) = (&mut refusals, result.refused_after) {
             h.saturating_record(micros(after));
         }
     }
@@ -161,15 +161,15 @@
 
 impl Summary {
     /// Sums up several runs as one. `cpu`: seconds of the daemons.
-    pub fn of(runs: &[(&Plan, &[Fate])], broken: &[Violation], cpu: f64) -> Self {
+    pub fn of(runs: &[(&Plan, &[RequestResult])], broken: &[Violation], cpu: f64) -> Self {
         let mut groups = [Group::default(), Group::default()];
         let mut large_by_slots: BTreeMap<u32, Group> = BTreeMap::new();
-        for (plan, fates) in runs {
+        for (plan, results) in runs {
             for (sum, large) in groups.iter_mut().zip([true, false]) {
-                sum.add(&group(plan, fates, |a| a.large == large));
+                sum.add(&group(plan, results, |a| a.large == large));
             }
             for slots in [1, 2, 4] {
-                let part = group(plan, fates, |a| a.large && a.slots == slots);
+                let part = group(plan, results, |a| a.large && a.slots == slots);
                 large_by_slots.entry(slots).or_default().add(&part);
             }
         }
--- a/crates/pebblepost-harness/src/reservations.rs
+++ b/crates/pebblepost-harness/src/reservations.rs
@@ -40,9 +40,9 @@
 }
 
 fn summary(runs: &[&Played]) -> Summary {
-    let parts: Vec<_> = runs.iter().map(|p| (&*p.plan, p.fates.as_slice())).collect();
-    let broken: Vec<_> = runs.iter().flat_map(|p| p.broken.iter().cloned()).collect();
-    Summary::of(&parts, &broken, runs.iter().map(|p| p.cpu).sum())
+    let parts: Vec<_> = runs.iter().map(|p| (&*p.plan, p.results.as_slice())).collect();
+    let broken: Vec<_> = runs.iter().flat_map(|p| p.violations.iter().cloned()).collect();
+    Summary::of(&parts, &broken, runs.iter().map(|p| p.cpu_s).sum())
 }
 
 /// Plays `run_spec` at each load, with the room on and off. All run at the same time, each with a fleet of its own,
--- a/crates/pebblepost-harness/src/run.rs
+++ b/crates/pebblepost-harness/src/run.rs
@@ -1,19 +1,20 @@
-//! One measured run: a plan, real dispatchers, stand-ins around them, and the checker after it.
+//! One measured run: a plan, real dispatchers, simulated workers, discovery and clients around them, and the checker after
+//! it. Measurements and trials are made of runs.
 
 use crate::checker::availability::slowest_drain;
 use crate::checker::exits::{DispatcherExit, without_excused};
 use crate::checker::rules::{Limits, Rule, Violation, check};
 use crate::checker::slow_start::cold_multiples;
-use crate::clients::{Clients, Fate};
+use crate::clients::{Clients, RequestResult};
 use crate::discovery::Discovery;
-use crate::dispatcher::{Process, Start};
+use crate::dispatcher::{DispatcherProcess, Launch};
 use crate::event_log::{Availability, Entry, Event, EventLog};
 use crate::supervisor::Supervisor;
 use crate::worker::http::listen;
 use crate::worker::pool::WorkerPool;
 use crate::worker::simulated::ConnectionCounts;
 use crate::workload::plan::Plan;
-use crate::workload::spec::{MassRestart, QueueOrder, RunSpec};
+use crate::workload::spec::{MassRestart, RunSpec};
 use anyhow::Result;
 use serde_json::Value;
 use std::path::Path;
@@ -21,61 +22,98 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// What a run is made of.
+/// A run that can be played.
 #[derive(Clone)]
 pub struct Run<'a> {
-    /// The scenario.
+    /// What it consists of.
     pub run_spec: &'a RunSpec,
-    /// The seed.
+    /// The seed of its plan.
     pub seed: u64,
-    /// The program.
+    /// The dispatchers' program.
     pub program: &'a Path,
-    /// The dispatchers' operator's file.
+    /// The dispatchers' operator file.
     pub operator: &'a Value,
-    /// Who starts them again, whenever they end.
+    /// Restarts dispatchers whenever they end; `None`: nobody does.
     pub supervisor: Option<&'a Supervisor>,
 }
 
-/// What came of it.
+/// A run that was played.
 pub struct Played {
-    /// All that was seen.
-    pub event: Vec<Entry>,
-    /// What was asked.
+    /// All that was seen, without what exits of dispatchers excuse.
+    pub log: Vec<Entry>,
+    /// What was drawn.
     pub plan: Arc<Plan>,
     /// How each request went.
-    pub fates: Vec<Fate>,
+    pub results: Vec<RequestResult>,
     /// Rules broken.
-    pub broken: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// CPU of all dispatchers, in seconds.
-    pub cpu: f64,
+    pub cpu_s: f64,
     /// Times from a dispatcher's start until it took clients.
     pub ready: Vec<Duration>,
     /// See [`slowest_drain`], in seconds.
-    pub slowest_drain: f64,
+    pub slowest_drain_s: f64,
     /// See [`cold_multiples`].
     pub cold_multiples: (f64, f64),
-    /// What was counted at the workers.
-    pub counts: ConnectionCounts,
+    /// Connections to workers.
+    pub connections: ConnectionCounts,
     /// Calls to discovery.
     pub discovery_calls: u64,
 }
 
 impl Run<'_> {
     /// Plays it.
+    ///
+    /// # Errors
+    ///
+    /// If the spec can not be drawn, or a process does not start.
     pub async fn play(&self) -> Result<Played> {
         let plan = Arc::new(Plan::draw(self.run_spec, self.seed)?);
         let log = Arc::new(EventLog::default());
         let (changes, changed) = mpsc::unbounded_channel();
-        let fleet = WorkerPool::new(plan.clone(), log.clone(), changes);
+        let workers = WorkerPool::new(plan.clone(), log.clone(), changes);
         let discovery = Discovery::new(plan.clone(), log.clone());
-        let mut processes = Vec::new();
-        let order = match plan.order {
-            QueueOrder::Fifo => "fifo",
-            QueueOrder::Backfill => "backfill",
+        let mut processes = self.start_dispatchers(&plan, &workers, &discovery).await?;
+        let simulated = [tokio::spawn(workers.clone().drive()), tokio::spawn(discovery.clone().run(changed))];
+        let addresses: Vec<_> = processes.iter().map(|process| process.address).collect();
+        let clients = Clients::new(plan.clone(), log.clone(), &addresses);
+        let (results, exits) = match self.supervisor {
+            None => {
+                let restart = self.restart_many(&mut processes, &log);
+                let (results, exits) = tokio::join!(clients.play(), restart);
+                (results, exits?)
+            }
+            Some(supervisor) => self.play_supervised(supervisor, clients, &mut processes, &log).await?,
         };
+        let cpu_s = processes.iter().map(DispatcherProcess::cpu_s).sum();
+        let ready = processes.iter().flat_map(|process| process.ready.iter().copied()).collect();
+        let (connections, discovery_calls) = (workers.connection_counts(), discovery.calls());
+        let mut violations = crashed(&mut processes, log.now());
+        tokio::task::block_in_place(|| drop(processes));
+        simulated.iter().for_each(tokio::task::JoinHandle::abort);
+        let (log, limits) = (without_excused(log.take(), &exits), Limits::default());
+        violations.extend(check(&log, &limits));
+        Ok(Played {
+            slowest_drain_s: slowest_drain(&log, &limits),
+            cold_multiples: cold_multiples(&log, &limits),
+            log,
+            plan,
+            results,
+            violations,
+            cpu_s,
+            ready,
+            connections,
+            discovery_calls,
+        })
+    }
+
+    async fn start_dispatchers(
+        &self, plan: &Plan, workers: &Arc<WorkerPool>, discovery: &Arc<Discovery>,
+    ) -> Result<Vec<DispatcherProcess>> {
+        let mut processes = Vec::new();
         for number in 0..self.run_spec.dispatchers {
-            let address = discovery.open(listen(&fleet, number).await?).await?;
-            let start = Start {
+            let address = discovery.open(listen(workers, number).await?).await?;
+            let launch = Launch {
                 program: self.program,
                 number,
                 of: self.run_spec.dispatchers,
@@ -83,78 +121,61 @@
                 known: discovery.known(number),
                 seed: self.seed.wrapping_mul(31).wrapping_add(number as u64),
                 operator: self.operator,
-                queue_order: order,
+                queue_order: plan.order.name(),
                 folder: &std::env::temp_dir(),
             };
-            processes.push(Process::start(&start).await?);
+            processes.push(DispatcherProcess::start(&launch).await?);
         }
-        let behind = [tokio::spawn(fleet.clone().drive()), tokio::spawn(discovery.clone().run(changed))];
-        let addresses: Vec<_> = processes.iter().map(|p| p.address).collect();
-        let clients = Clients::new(plan.clone(), log.clone(), &addresses);
-        let (fates, killed) = match self.supervisor {
-            None => {
-                let (fates, killed) = tokio::join!(clients.play(), self.mass_restart(&mut processes, &log));
-                (fates, killed?)
-            }
-            Some(supervisor) => {
-                let workers = self.run_spec.workers;
-                let each = processes.iter_mut().enumerate();
-                let kept = each.map(|(n, process)| supervisor.supervise(n, process, &log, workers));
-                let course = async {
-                    let fates = clients.play().await;
-                    // What is being done to the dispatchers may take longer than their clients stay.
-                    supervisor.until_finished().await;
-                    fates
-                };
-                let fates = tokio::select! {
-                    fates = course => fates,
-                    ended = futures_util::future::try_join_all(kept) => {
-                        anyhow::bail!("the supervisor ended: {:?}", ended.err())
-                    }
-                };
-                (fates, supervisor.exits())
+        Ok(processes)
+    }
+
+    /// Plays the clients while a supervisor keeps the dispatchers running.
+    async fn play_supervised(
+        &self, supervisor: &Supervisor, clients: Arc<Clients>, processes: &mut [DispatcherProcess],
+        log: &EventLog,
+    ) -> Result<(Vec<RequestResult>, Vec<DispatcherExit>)> {
+        let workers = self.run_spec.workers;
+        let each = processes.iter_mut().enumerate();
+        let supervised = each.map(|(number, process)| supervisor.supervise(number, process, log, workers));
+        let played = async {
+            let results = clients.play().await;
+            // What is being done to the dispatchers may take longer than their clients stay.
+            supervisor.until_finished().await;
+            results
+        };
+        let results = tokio::select! {
+            results = played => results,
+            ended = futures_util::future::try_join_all(supervised) => {
+                anyhow::bail!("the supervisor ended: {:?}", ended.err())
             }
         };
-        let cpu = processes.iter().map(Process::cpu).sum();
-        let ready = processes.iter().flat_map(|p| p.ready.iter().copied()).collect();
-        let (counts, discovery_calls) = (fleet.connection_counts(), discovery.calls());
-        let ended = processes.iter_mut().filter_map(|p| (!p.runs()).then_some(p.address));
-        let crash = |a| Violation { rule: Rule::OneAnswer, at: log.now(), what: format!("{a} has ended") };
-        let mut broken: Vec<Violation> = ended.map(crash).collect();
-        tokio::task::block_in_place(|| drop(processes));
-        behind.iter().for_each(tokio::task::JoinHandle::abort);
-        let (event, limits) = (without_excused(log.take(), &killed), Limits::default());
-        broken.extend(check(&event, &limits));
-        let slowest_drain = slowest_drain(&event, &limits);
-        let cold_multiples = cold_multiples(&event, &limits);
-        Ok(Played {
-            event,
-            cold_multiples,
-            plan,
-            fates,
-            broken,
-            cpu,
-            ready,
-            slowest_drain,
-            counts,
-            discovery_calls,
-        })
+        Ok((results, supervisor.exits()))
     }
 
-    /// Kills some dispatchers at once and starts all of them anew, each from the list that it had at first.
-    async fn mass_restart(&self, processes: &mut [Process], log: &EventLog) -> Result<Vec<DispatcherExit>> {
+    /// Kills some dispatchers at once and starts all of them again, each from the list that it had at first.
+    async fn restart_many(
+        &self, processes: &mut [DispatcherProcess], log: &EventLog,
+    ) -> Result<Vec<DispatcherExit>> {
         let Some(MassRestart { at, share }) = self.run_spec.mass_restart else { return Ok(Vec::new()) };
         tokio::time::sleep(Duration::from_secs_f64(at)).await;
         let count = (share * processes.len() as f64).round() as usize;
         let from = log.now();
-        processes.iter_mut().take(count).for_each(Process::kill);
-        let again = processes.iter_mut().take(count).enumerate().map(|(dispatcher, process)| async move {
+        processes.iter_mut().take(count).for_each(DispatcherProcess::kill);
+        let restarts = processes.iter_mut().take(count).enumerate().map(|(dispatcher, process)| async move {
             for worker in 0..self.run_spec.workers {
                 log.append(Event::Notified { dispatcher, worker, what: Availability::Ready { cold: false } });
             }
             process.start_again().await?;
             anyhow::Ok(DispatcherExit { dispatcher, from, back: log.now(), abrupt: true })
         });
-        futures_util::future::try_join_all(again).await
+        futures_util::future::try_join_all(restarts).await
     }
 }
+
+/// Dispatchers that ended by themselves.
+fn crashed(processes: &mut [DispatcherProcess], now: f64) -> Vec<Violation> {
+    let ended = processes.iter_mut().filter_map(|process| (!process.runs()).then_some(process.address));
+    let violation =
+        |address| Violation { rule: Rule::OneAnswer, at: now, what: format!("{address} has ended") };
+    ended.map(violation).collect()
+}
--- a/crates/pebblepost-harness/src/store/client.rs
+++ b/crates/pebblepost-harness/src/store/client.rs
@@ -73,9 +73,9 @@
             _ => Connection::open(self.addresses[at]).await?,
         };
         frames.send(ask).await?;
-        let say = frames.next().await?;
+        let reply = frames.next().await?;
         self.frames = Some((at, frames));
-        Ok(say)
+        Ok(reply)
     }
 
     /// Asks until one answers who may. The error says what the last one said.
@@ -86,19 +86,19 @@
         while Instant::now() < end {
             let next = (at + 1) % count;
             match timeout_at(end.min(Instant::now() + EACH), self.one(at, ask)).await {
-                Ok(Ok(say)) => {
-                    let leader = say.get("elsewhere").map(|l| l.as_u64().unwrap_or(0) as usize);
+                Ok(Ok(reply)) => {
+                    let leader = reply.get("elsewhere").map(|l| l.as_u64().unwrap_or(0) as usize);
                     match leader {
                         // The numbers go round the places, as disks are replaced.
                         Some(leader @ 1..) if (leader - 1) % count != at => at = (leader - 1) % count,
                         Some(_) => at = next,
-                        None if say.get("failed").is_some() => at = next,
+                        None if reply.get("failed").is_some() => at = next,
                         None => {
                             self.leader.store(at, Ordering::Relaxed);
-                            return Ok(say);
+                            return Ok(reply);
                         }
                     }
-                    last = Some(say.to_string());
+                    last = Some(reply.to_string());
                 }
                 Ok(Err(error)) => (last, at) = (Some(error.to_string()), next),
                 Err(_) => {
@@ -121,8 +121,8 @@
     /// The tag of a worker's drain mark as of now; `None`: it has none.
     pub async fn read(&mut self, worker: &str, within: Duration) -> Result<Option<String>> {
         let key = format!("drain/{worker}");
-        let say = self.ask(&json!({"get": [key]}), within).await?;
-        let entries = say.pointer("/found/entries").with_context(|| format!("not found: {say}"))?;
+        let reply = self.ask(&json!({"get": [key]}), within).await?;
+        let entries = reply.pointer("/found/entries").with_context(|| format!("not found: {reply}"))?;
         Ok(tag(entries.get(&key)))
     }
 }
--- a/crates/pebblepost-harness/src/store/client_impact.rs
+++ b/crates/pebblepost-harness/src/store/client_impact.rs
@@ -55,18 +55,18 @@
 
 fn side(played: &Played) -> Side {
     let mut times: Vec<f64> = played
-        .fates
+        .results
         .iter()
         .filter_map(|f| if let Outcome::Served(after) = f.outcome { Some(after * 1e3) } else { None })
         .collect();
     times.sort_by(f64::total_cmp);
     let p99 = times.get((times.len() as f64 * 0.99) as usize).copied().unwrap_or(0.0);
-    let asked = played.fates.len().max(1) as f64;
+    let asked = played.results.len().max(1) as f64;
     Side {
         served_share: times.len() as f64 / asked,
         p99_ms: p99,
-        cpu_us: played.cpu * 1e6 / asked,
-        rules_broken: played.broken.len(),
+        cpu_us: played.cpu_s * 1e6 / asked,
+        rules_broken: played.violations.len(),
     }
 }
 
@@ -136,10 +136,7 @@
         let folder =
             std::env::temp_dir().join(format!("pebblepost-harness-serving-{}-{round}", std::process::id()));
         let mut cluster = Cluster::start(program, 3, folder).await?;
-        let named = |(i, at): (usize, &std::net::SocketAddr)| ((i + 1).to_string(), json!(at));
-        let replicas: serde_json::Map<_, _> =
-            cluster.client_addresses().iter().enumerate().map(named).collect();
-        let operator = json!({"fleet": {"keepers": replicas}});
+        let operator = json!({"fleet": {"keepers": cluster.named_addresses()}});
         let (stop, done) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
         let work = tokio::spawn(changing(cluster.client_addresses(), stop.clone(), done.clone()));
         let began = Instant::now();
--- a/crates/pebblepost-harness/src/store/cluster.rs
+++ b/crates/pebblepost-harness/src/store/cluster.rs
@@ -116,9 +116,9 @@
             let disk = status.pointer("/status/disk").with_context(|| format!("no disk: {status}"))?.clone();
             peers.insert((place + 1).to_string(), json!({"address": address.to_string(), "disk": disk}));
         }
-        let said = ask(self.addresses[0], &json!({"begin": peers})).await?;
-        if said != json!("done") {
-            bail!("the group does not begin: {said}");
+        let reply = ask(self.addresses[0], &json!({"begin": peers})).await?;
+        if reply != json!("done") {
+            bail!("the group does not begin: {reply}");
         }
         Ok(())
     }
@@ -129,6 +129,12 @@
         (0..count).map(|to| self.relays[&(count, to)].address).collect()
     }
 
+    /// The same by the replicas' ids, as a dispatcher's operator file names them.
+    pub fn named_addresses(&self) -> serde_json::Map<String, Value> {
+        let named = |(place, address): (usize, &SocketAddr)| ((place + 1).to_string(), json!(address));
+        self.client_addresses().iter().enumerate().map(named).collect()
+    }
+
     /// Bytes carried between keepers so far.
     pub fn bytes_forwarded(&self) -> u64 {
         let count = self.addresses.len();
@@ -331,8 +337,8 @@
     for step in [learn, json!({"remove": old}), json!({"promote": new})] {
         loop {
             match client.ask(&step, Duration::from_secs(8)).await {
-                Ok(said) if said == json!("done") => break,
-                Ok(said) => bail!("{step}: {said}"),
+                Ok(reply) if reply == json!("done") => break,
+                Ok(reply) => bail!("{step}: {reply}"),
                 Err(error) if Instant::now() >= end => return Err(error),
                 Err(_) => {}
             }
--- a/crates/pebblepost-harness/src/store/mass_restart.rs
+++ b/crates/pebblepost-harness/src/store/mass_restart.rs
@@ -50,8 +50,8 @@
 
 /// Members that are there in that life, and the revision.
 async fn here(client: &mut StoreClient, life: u64) -> Result<(usize, u64)> {
-    let say = client.ask(&json!({"get": []}), Duration::from_secs(5)).await?;
-    let found = say.get("found").with_context(|| say.to_string())?;
+    let reply = client.ask(&json!({"get": []}), Duration::from_secs(5)).await?;
+    let found = reply.get("found").with_context(|| reply.to_string())?;
     let members = found["entries"].as_object().into_iter().flatten().filter(|(_, entry)| {
         let member = &entry["value"]["member"];
         member["presence"] == "here" && member["incarnation"] == life
@@ -60,16 +60,15 @@
 }
 
 async fn term(client: &mut StoreClient) -> Result<u64> {
-    let say = client.ask(&json!("status"), Duration::from_secs(5)).await?;
-    say.pointer("/status/term").and_then(Value::as_u64).with_context(|| say.to_string())
+    let reply = client.ask(&json!("status"), Duration::from_secs(5)).await?;
+    reply.pointer("/status/term").and_then(Value::as_u64).with_context(|| reply.to_string())
 }
 
 /// Plays it.
 pub async fn measure(program: &Path, dispatchers: usize) -> Result<MassRestartReport> {
     let folder = std::env::temp_dir().join(format!("pebblepost-harness-herd-{}", std::process::id()));
     let cluster = Cluster::start(program, 3, folder).await?;
-    let named = |(i, at): (usize, &SocketAddr)| ((i + 1).to_string(), json!(at));
-    let replicas = Value::Object(cluster.client_addresses().iter().enumerate().map(named).collect());
+    let replicas = Value::Object(cluster.named_addresses());
     let mut client = StoreClient::new(cluster.client_addresses(), Leader::default());
     here(&mut client, 1).await?;
     let first_term = term(&mut client).await?;
--- a/crates/pebblepost-harness/src/store/run.rs
+++ b/crates/pebblepost-harness/src/store/run.rs
@@ -103,8 +103,8 @@
     };
     let command = StoreClient::command(id, worker, drain, name);
     let (asked, began) = (shared.history.now(), Instant::now());
-    let said = client.ask(&command, PATIENCE).await;
-    let done = said.is_ok_and(|say| say.pointer("/answer/Ok").is_some());
+    let reply = client.ask(&command, PATIENCE).await;
+    let done = reply.is_ok_and(|reply| reply.pointer("/answer/Ok").is_some());
     if done {
         let _ = lock(&shared.writes).record(began.elapsed().as_micros() as u64);
         let mut gap = lock(&shared.gap);
@@ -203,15 +203,15 @@
 }
 
 impl Copy {
-    fn take(&mut self, say: &Value) {
-        if let Some(snapshot) = say.get("snapshot") {
+    fn take(&mut self, reply: &Value) {
+        if let Some(snapshot) = reply.get("snapshot") {
             let revision = snapshot["revision"].as_u64().unwrap_or(0);
             if revision >= self.revision {
                 self.revision = revision;
                 self.drains = drains(&snapshot["entries"]);
             }
         }
-        for change in say.get("changes").and_then(Value::as_array).into_iter().flatten() {
+        for change in reply.get("changes").and_then(Value::as_array).into_iter().flatten() {
             let revision = change["revision"].as_u64().unwrap_or(0);
             if revision <= self.revision {
                 continue; // From a keeper that is behind.
@@ -247,8 +247,8 @@
             let mut frames = timeout(Duration::from_secs(1), Connection::open(*address)).await??;
             frames.send(&json!({"watch": from})).await?;
             loop {
-                let say = timeout(Duration::from_millis(1_500), frames.next()).await??;
-                lock(&copy).take(&say);
+                let reply = timeout(Duration::from_millis(1_500), frames.next()).await??;
+                lock(&copy).take(&reply);
             }
         };
         let _: Result<()> = session.await;
@@ -274,9 +274,9 @@
         supervisor: None,
     };
     let played = run.play().await?;
-    let served = played.fates.iter().filter(|f| matches!(f.outcome, Outcome::Served(_))).count();
-    let broken = played.broken.iter().map(|b| format!("{:?}: {}", b.rule, b.what)).collect();
-    Ok((served as f64 / played.fates.len().max(1) as f64, broken))
+    let served = played.results.iter().filter(|f| matches!(f.outcome, Outcome::Served(_))).count();
+    let broken = played.violations.iter().map(|b| format!("{:?}: {}", b.rule, b.what)).collect();
+    Ok((served as f64 / played.results.len().max(1) as f64, broken))
 }
 
 /// Draws the schedule of a plan.
@@ -337,8 +337,8 @@
     // All faults are over: the group must answer again, and the follower must come to the same.
     let mut client = StoreClient::new(cluster.client_addresses(), shared.leader.clone());
     let (revision, end) = retry_until(Duration::from_secs(60), async || {
-        let say = client.ask(&json!({"get": []}), PATIENCE).await?;
-        let found = say.get("found").with_context(|| say.to_string())?;
+        let reply = client.ask(&json!({"get": []}), PATIENCE).await?;
+        let found = reply.get("found").with_context(|| reply.to_string())?;
         Ok((found["revision"].as_u64().unwrap_or(0), drains(&found["entries"])))
     })
     .await
--- a/crates/pebblepost-harness/src/supervisor.rs
+++ b/crates/pebblepost-harness/src/supervisor.rs
@@ -3,7 +3,7 @@
 //! was out and how that began. On order it kills, pauses or stops one.
 
 use crate::checker::exits::DispatcherExit;
-use crate::dispatcher::Process;
+use crate::dispatcher::DispatcherProcess;
 use crate::event_log::{Availability, Event, EventLog};
 use crate::store::client::{Leader, StoreClient};
 use crate::sync::lock;
@@ -21,14 +21,14 @@
 
 /// What is wrong with a version, by how its name begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum VersionDefect {
     /// `crashes`: it crashes soon after each of its starts.
     Crashes,
     /// `refuses`: its configuration has it refuse a good part of what it could serve.
     Refuses,
 }
 
-impl Flaw {
+impl VersionDefect {
     /// All of them.
     pub const ALL: [Self; 2] = [Self::Crashes, Self::Refuses];
 
@@ -42,7 +42,7 @@
 
     /// What is wrong with this version.
     pub fn of(version: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|flaw| version.starts_with(flaw.name()))
+        Self::ALL.into_iter().find(|defect| version.starts_with(defect.name()))
     }
 }
 /// Each is looked at this often.
@@ -114,8 +114,8 @@
     async fn permitted_version(&self, dispatcher: usize) -> Option<String> {
         let key = format!("permit/dispatcher/n{dispatcher}");
         let mut client = StoreClient::new(self.replicas.clone(), Leader::default());
-        let send_line = client.ask(&json!({"get": [key]}), LOOKUP_TIMEOUT).await.ok()?;
-        let permit = send_line.pointer("/found/entries")?.get(&key)?.pointer("/value/permit")?.clone();
+        let reply = client.ask(&json!({"get": [key]}), LOOKUP_TIMEOUT).await.ok()?;
+        let permit = reply.pointer("/found/entries")?.get(&key)?.pointer("/value/permit")?.clone();
         let granted = permit["granted"].is_u64();
         permit["want"].as_str().filter(|want| granted && !want.is_empty()).map(str::to_owned)
     }
@@ -136,9 +136,10 @@
     }
 
     /// The most dispatchers that ever ran one version with this flaw.
-    pub fn max_dispatchers_with(&self, flaw: Flaw) -> usize {
+    pub fn max_dispatchers_with(&self, defect: VersionDefect) -> usize {
         let dispatchers_by_version = lock(&self.dispatchers_by_version);
-        let bad = dispatchers_by_version.iter().filter(|(version, _)| Flaw::of(version) == Some(flaw));
+        let bad =
+            dispatchers_by_version.iter().filter(|(version, _)| VersionDefect::of(version) == Some(defect));
         bad.map(|(_, who)| who.len()).max().unwrap_or(0)
     }
 
@@ -159,7 +160,7 @@
 
     /// Keeps one running, for as long as it is polled.
     pub async fn supervise(
-        &self, dispatcher: usize, process: &mut Process, log: &EventLog, workers: usize,
+        &self, dispatcher: usize, process: &mut DispatcherProcess, log: &EventLog, workers: usize,
     ) -> Result<()> {
         lock(&self.log_began)
             .get_or_insert_with(|| Instant::now() - Duration::from_secs_f64(log.now().max(0.0)));
@@ -207,10 +208,10 @@
                 if let Some(permitted_version) = self.permitted_version(dispatcher).await {
                     version = permitted_version;
                 }
-                let flaw = Flaw::of(&version);
-                process.set_version(&version, flaw == Some(Flaw::Refuses))?;
+                let defect = VersionDefect::of(&version);
+                process.set_version(&version, defect == Some(VersionDefect::Refuses))?;
                 process.start_again().await?;
-                crashes = (flaw == Some(Flaw::Crashes)).then(|| Instant::now() + CRASHES_AFTER);
+                crashes = (defect == Some(VersionDefect::Crashes)).then(|| Instant::now() + CRASHES_AFTER);
                 lock(&self.dispatchers_by_version).entry(version.clone()).or_default().insert(dispatcher);
                 let back = log.now();
                 let abrupt = cause != OutageCause::Voluntary;
--- a/crates/pebblepost-harness/src/workload/spec.rs
+++ b/crates/pebblepost-harness/src/workload/spec.rs
@@ -12,6 +12,16 @@
     Backfill,
 }
 
+impl QueueOrder {
+    /// Its name in the settings of dispatchers.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Fifo => "fifo",
+            Self::Backfill => "backfill",
+        }
+    }
+}
+
 /// Accuracy of the clients' hints.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct HintSpec {
--- a/crates/pebblepost-harness/tests/pins.rs
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -261,7 +261,7 @@
                 slowest_change_ms: 6.0,
             }),
         ),
-        ("release", serde_json::to_string(&release::run::Summary::default())),
+        ("release", serde_json::to_string(&release::summary::Summary::default())),
     ];
     let mut lines = String::new();
     for (name, text) in reports {
--- a/crates/pebblepost-harness/tests/release.rs
+++ b/crates/pebblepost-harness/tests/release.rs
@@ -2,16 +2,17 @@
 //! safety, as seen from outside; how long anything takes is bounded generously and not judged.
 
 use pebblepost_harness::dispatcher;
-use pebblepost_harness::release::run::{Mode, Plan, run};
+use pebblepost_harness::release::plan::{DisruptionBudget, Mode, Plan};
+use pebblepost_harness::release::run::run;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn no_more_dispatchers_go_at_once_than_the_budget_allows_whatever_breaks() {
-    let program = dispatcher::built().expect("the program builds");
+    let program = dispatcher::build_program().expect("the program builds");
     let plan = Plan {
         dispatchers: 4,
         workers: 6,
         replicas: 3,
-        budget: (2, 1),
+        budget: DisruptionBudget { total: 2, per_zone: 1 },
         worker_budget: 2,
         watch_s: 3.0,
         seconds: 30.0,
--- a/crates/pebblepost-harness/tests/run.rs
+++ b/crates/pebblepost-harness/tests/run.rs
@@ -1,14 +1,14 @@
 //! Real dispatchers among stand-ins, a few seconds each: what goes wrong must break no rule.
 
 use pebblepost_harness::clients::Outcome;
-use pebblepost_harness::dispatcher::built;
+use pebblepost_harness::dispatcher::build_program;
 use pebblepost_harness::run::{Played, Run};
 use pebblepost_harness::workload::spec::{HintSpec, MassRestart, RunSpec, ScheduledWorkerFault, WorkerFault};
 use serde_json::json;
 
 /// Plays all at the same time, each with a fleet of its own.
 fn play(run_specs: &[RunSpec]) -> Vec<Played> {
-    let (program, operator) = (built().expect("pebblepost builds"), json!({}));
+    let (program, operator) = (build_program().expect("pebblepost builds"), json!({}));
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("threads");
     let runs = run_specs.iter().map(|run_spec| {
         let (program, operator) = (&program, &operator);
@@ -28,10 +28,10 @@
     ];
     let run_spec = RunSpec { workers: 6, fault_rate: 0.0, worker_faults, ..RunSpec::mixed(5.0, 0.5) };
     let played = &play(&[run_spec])[0];
-    assert_eq!(played.broken, []);
-    assert_eq!(played.fates.len(), played.plan.arrivals.len());
-    let served = played.fates.iter().filter(|f| matches!(f.outcome, Outcome::Served(_))).count();
-    assert!(served * 2 > played.fates.len(), "{served} of {}", played.fates.len());
+    assert_eq!(played.violations, []);
+    assert_eq!(played.results.len(), played.plan.arrivals.len());
+    let served = played.results.iter().filter(|f| matches!(f.outcome, Outcome::Served(_))).count();
+    assert!(served * 2 > played.results.len(), "{served} of {}", played.results.len());
 }
 
 /// What a killed dispatcher had taken is lost; nothing after it has a claim to be.
@@ -47,13 +47,13 @@
         ..RunSpec::mixed(4.0, 0.4)
     };
     let played = &play(&[run_spec])[0];
-    assert_eq!(played.broken, []);
+    assert_eq!(played.violations, []);
     assert_eq!(played.ready.len(), 4 + 3, "all were ready, and those that were killed once more");
     // At one call a second the first four wait in turn and some fail, so that they ask again.
     assert!(played.discovery_calls > 4 + 3, "{} calls to discovery", played.discovery_calls);
     let last = played.plan.arrivals.iter().rposition(|a| a.dispatcher == 0).expect("the busiest one");
-    let fate = played.fates.iter().find(|f| f.arrival == last).expect("it has ended");
-    assert!(!matches!(fate.outcome, Outcome::Lost), "{fate:?} at a dispatcher that is back");
+    let result = played.results.iter().find(|f| f.arrival == last).expect("it has ended");
+    assert!(!matches!(result.outcome, Outcome::Lost), "{result:?} at a dispatcher that is back");
 }
 
 #[test]
@@ -70,14 +70,15 @@
         RunSpec { cancel_share: 0.3, ..base.clone() },
     ];
     for (n, played) in play(&run_specs).iter().enumerate() {
-        assert_eq!(played.broken, [], "scenario {n}");
-        let lost = played.fates.iter().filter(|f| f.outcome == Outcome::Lost).count();
-        assert_eq!((lost, played.fates.len()), (0, played.plan.arrivals.len()), "scenario {n}");
-        let small = |f: &&pebblepost_harness::clients::Fate| !played.plan.arrivals[f.arrival].large;
-        let served = |f: &&pebblepost_harness::clients::Fate| matches!(f.outcome, Outcome::Served(_));
+        assert_eq!(played.violations, [], "scenario {n}");
+        let lost = played.results.iter().filter(|f| f.outcome == Outcome::Lost).count();
+        assert_eq!((lost, played.results.len()), (0, played.plan.arrivals.len()), "scenario {n}");
+        let small = |f: &&pebblepost_harness::clients::RequestResult| !played.plan.arrivals[f.arrival].large;
+        let served =
+            |f: &&pebblepost_harness::clients::RequestResult| matches!(f.outcome, Outcome::Served(_));
         let (all, in_the_end) = (
-            played.fates.iter().filter(small).count(),
-            played.fates.iter().filter(small).filter(served).count(),
+            played.results.iter().filter(small).count(),
+            played.results.iter().filter(small).filter(served).count(),
         );
         assert!(in_the_end * 4 > all, "small jobs keep a floor: {in_the_end} of {all}, scenario {n}");
     }
--- a/crates/pebblepost-harness/tests/store.rs
+++ b/crates/pebblepost-harness/tests/store.rs
@@ -8,7 +8,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_acknowledged_is_lost_and_no_read_is_old_whatever_happens_between_three_keepers() {
-    let program = dispatcher::built().expect("the program builds");
+    let program = dispatcher::build_program().expect("the program builds");
     let plan = Plan { replicas: 3, clients: 4, seconds: 20.0, seed: 2, pause_ms: 20, dispatchers: 2 };
     let schedule = schedule(&plan);
     assert!(schedule.counts_by_name()["kill"] >= 8, "{:?}", schedule.counts_by_name());
@@ -28,7 +28,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_keeper_that_answers_in_seconds_does_not_hold_up_the_rest() {
-    let program = dispatcher::built().expect("the program builds");
+    let program = dispatcher::build_program().expect("the program builds");
     let plan = Plan { replicas: 3, clients: 4, seconds: 12.0, seed: 3, pause_ms: 20, dispatchers: 0 };
     let late = LinkState::Delayed(1_500);
     let slow =
@@ -42,7 +42,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn disks_that_are_lost_or_damaged_are_named_and_replaced_while_the_group_goes_on() {
-    let program = dispatcher::built().expect("the program builds");
+    let program = dispatcher::build_program().expect("the program builds");
     let plan = Plan { replicas: 3, clients: 4, seconds: 16.0, seed: 4, pause_ms: 20, dispatchers: 0 };
     let spoilt = [
         (1.0, 1.0, FaultKind::Disk(0, DiskDamage::Deleted)),
--- a/crates/pebblepost-harness/tests/unit/release_scribe.rs
+++ b/crates/pebblepost-harness/tests/unit/release_grant_audit.rs
@@ -1,7 +1,7 @@
 //! Grants counted against their budgets.
 
 use pebblepost_harness::dispatcher::ZONES;
-use pebblepost_harness::release::scribe::Notes;
+use pebblepost_harness::release::grant_audit::GrantAudit;
 use serde_json::{Value, json};
 
 #[test]
@@ -11,22 +11,22 @@
         json!({"member": {"presence": "here", "card": card}})
     };
     let permit = json!({"permit": {"granted": 7}});
-    let mut notes = Notes::default();
+    let mut audit = GrantAudit::default();
     let entries = json!({
         "member/a": {"value": member(true)}, "member/b": {"value": member(true)},
         "budget/dispatcher": {"value": {"budget": {"most": {"count": 1}, "most_in_zone": null}}},
     });
-    notes.snapshot(&json!({"revision": 3, "entries": entries}));
+    audit.snapshot(&json!({"revision": 3, "entries": entries}));
     let change = |revision: u64, items: Value| json!({"revision": revision, "items": items});
-    notes.change(&change(4, json!([["permit/dispatcher/a", permit]])));
-    assert_eq!((notes.grants, notes.over.len()), ([1, 0], 0));
+    audit.change(&change(4, json!([["permit/dispatcher/a", permit]])));
+    assert_eq!((audit.grants, audit.over.len()), ([1, 0], 0));
     // Told again by another keeper: nothing new.
-    notes.change(&change(4, json!([["permit/dispatcher/b", permit]])));
-    notes.change(&change(5, json!([["permit/dispatcher/a", null], ["permit/dispatcher/b", permit]])));
-    assert_eq!((notes.grants, notes.over.len()), ([2, 0], 0));
-    notes.change(&change(6, json!([["permit/dispatcher/b", null], ["member/b", member(false)]])));
-    notes.change(&change(7, json!([["permit/dispatcher/a", permit]])));
-    assert_eq!((notes.grants, notes.over.len()), ([3, 0], 1), "b is out as it is not ready");
-    notes.change(&change(8, json!([["drain/w", {}], ["permit/worker/w", permit]])));
-    assert_eq!((notes.grants, notes.over.len()), ([3, 1], 1), "no budget is known for workers");
+    audit.change(&change(4, json!([["permit/dispatcher/b", permit]])));
+    audit.change(&change(5, json!([["permit/dispatcher/a", null], ["permit/dispatcher/b", permit]])));
+    assert_eq!((audit.grants, audit.over.len()), ([2, 0], 0));
+    audit.change(&change(6, json!([["permit/dispatcher/b", null], ["member/b", member(false)]])));
+    audit.change(&change(7, json!([["permit/dispatcher/a", permit]])));
+    assert_eq!((audit.grants, audit.over.len()), ([3, 0], 1), "b is out as it is not ready");
+    audit.change(&change(8, json!([["drain/w", {}], ["permit/worker/w", permit]])));
+    assert_eq!((audit.grants, audit.over.len()), ([3, 1], 1), "no budget is known for workers");
 }
--- a/crates/pebblepost-harness/tests/unit/release_hands.rs
+++ b/crates/pebblepost-harness/tests/unit/release_maintenance.rs
@@ -2,7 +2,7 @@
 
 use pebblepost_harness::checker::exits::DispatcherExit;
 use pebblepost_harness::event_log::{AttemptEnd, Event};
-use pebblepost_harness::release::hands::{Off, most_off, work_while_off};
+use pebblepost_harness::release::maintenance::{SwitchedOff, most_off, work_while_off};
 
 #[test]
 fn jobs_that_arrive_or_run_on_at_a_worker_that_is_off_are_found() {
@@ -11,7 +11,7 @@
         |txn, worker| Event::AttemptArrived { txn: text(txn), key: text("k"), dispatcher: 0, worker };
     let ended = |txn, worker| Event::AttemptEnded { txn: text(txn), worker, end: AttemptEnd::Done };
     let answered = |txn| Event::Responded { txn: text(txn), status: 200, body: text("") };
-    let off = |worker, from, to| Off { worker, from, to, waited: 0.0 };
+    let off = |worker, from, to| SwitchedOff { worker, from, to, waited_s: 0.0 };
     let log = [
         (1.0, arrived("before", 1)),
         (1.5, ended("before", 1)),
@@ -22,11 +22,11 @@
         (2.7, ended("on", 1)),
         (2.8, answered("on")),
     ];
-    let offs = [off(1, 2.0, 3.0), off(2, 3.0, 4.0)];
-    let found = work_while_off(&log, &offs, &[]);
+    let switched_off = [off(1, 2.0, 3.0), off(2, 3.0, 4.0)];
+    let found = work_while_off(&log, &switched_off, &[]);
     assert_eq!(found.len(), 2, "{found:?}");
     assert!(found[0].contains("sent new to worker 1") && found[1].contains("on was served"));
     let killed = [DispatcherExit { dispatcher: 0, from: 1.9, back: 2.9, abrupt: true }];
-    assert_eq!(work_while_off(&log, &offs, &killed).len(), 1, "nothing new is excused");
-    assert_eq!((most_off(&offs), most_off(&[off(1, 1.0, 3.0), off(2, 2.0, 4.0)])), (1, 2));
+    assert_eq!(work_while_off(&log, &switched_off, &killed).len(), 1, "nothing new is excused");
+    assert_eq!((most_off(&switched_off), most_off(&[off(1, 1.0, 3.0), off(2, 2.0, 4.0)])), (1, 2));
 }
--- a/crates/pebblepost-harness/tests/unit/release_witness.rs
+++ b/crates/pebblepost-harness/tests/unit/release_outages.rs
@@ -1,6 +1,6 @@
 //! Outages beside each other, and during halts.
 
-use pebblepost_harness::release::witness::{by_permit, late_after, most_at_once};
+use pebblepost_harness::release::outages::{by_permit, late_after, most_at_once};
 use pebblepost_harness::supervisor::{Outage, OutageCause};
 
 fn out(dispatcher: usize, from: f64, to: f64, cause: OutageCause) -> Outage {
--- a/crates/pebblepost-harness/tests/unit/report.rs
+++ b/crates/pebblepost-harness/tests/unit/report.rs
@@ -1,6 +1,6 @@
 //! Figures of a run.
 
-use pebblepost_harness::clients::{Fate, Outcome};
+use pebblepost_harness::clients::{Outcome, RequestResult};
 use pebblepost_harness::report::{group, interval};
 use pebblepost_harness::workload::plan::Plan;
 use pebblepost_harness::workload::spec::RunSpec;
@@ -10,9 +10,10 @@
     let mut plan = Plan::draw(&RunSpec::mixed(5.0, 0.65), 1).expect("a sound scenario");
     plan.arrivals.truncate(3);
     plan.arrivals.iter_mut().for_each(|a| (a.work, a.slots, a.large) = (0.2, 1, false));
-    let fate = |arrival, outcome| Fate { arrival, outcome, tries: 1, refused_after: None };
-    let fates = [fate(0, Outcome::Served(0.9)), fate(1, Outcome::Served(1.1)), fate(2, Outcome::Refused)];
-    let g = group(&plan, &fates, |a| !a.large);
+    let result = |arrival, outcome| RequestResult { arrival, outcome, tries: 1, refused_after: None };
+    let results =
+        [result(0, Outcome::Served(0.9)), result(1, Outcome::Served(1.1)), result(2, Outcome::Refused)];
+    let g = group(&plan, &results, |a| !a.large);
     assert_eq!((g.asked, g.in_time, g.late, g.refused), (3, 1, 1, 1));
     assert!((g.work_in_time - 0.2).abs() < 1e-9);
 }
