--- a/crates/pebblepost-harness/src/main.rs
+++ b/crates/pebblepost-harness/src/main.rs
@@ -214,7 +214,7 @@
 }
 
 fn play_store(args: Store) -> Result<()> {
-    let plan = store::run::Plan {
+    let plan = store::plan::Plan {
         replicas: usize::from(args.replicas),
         clients: args.clients.max(1),
         seconds: args.seconds.max(1.0),
@@ -224,7 +224,7 @@
     };
     let schedule = match &args.schedule {
         Some(path) => serde_json::from_str(&std::fs::read_to_string(path)?)?,
-        None => store::run::schedule(&plan),
+        None => plan.schedule(),
     };
     let schedule = schedule.without(&args.without);
     if args.print {
--- a/crates/pebblepost-harness/src/release/grant_audit.rs
+++ b/crates/pebblepost-harness/src/release/grant_audit.rs
@@ -1,7 +1,7 @@
 //! A scribe: follows all changes at the keepers, and reckons at each grant, by a reading of its own, how many are out by then.
 
 use crate::dispatcher::ZONES;
-use crate::store::client::Connection;
+use crate::store::connection::Connection;
 use crate::sync::lock;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -106,10 +106,10 @@
 /// Follows the keepers for as long as it is polled.
 pub async fn follow(replicas: &[SocketAddr], audit: &Mutex<GrantAudit>) {
     for at in (0..replicas.len()).cycle() {
-        if let Ok(Ok(mut frames)) = timeout(WATCH_TIMEOUT, Connection::open(replicas[at])).await {
+        if let Ok(Ok(mut connection)) = timeout(WATCH_TIMEOUT, Connection::open(replicas[at])).await {
             let from = lock(audit).revision;
-            if frames.send(&json!({"watch": from})).await.is_ok() {
-                while let Ok(Ok(reply)) = timeout(WATCH_TIMEOUT, frames.next()).await {
+            if connection.send(&json!({"watch": from})).await.is_ok() {
+                while let Ok(Ok(reply)) = timeout(WATCH_TIMEOUT, connection.receive()).await {
                     let mut audit = lock(audit);
                     if let Some(changes) = reply["changes"].as_array() {
                         changes.iter().for_each(|change| audit.change(change));
--- a/crates/pebblepost-harness/src/release/maintenance.rs
+++ b/crates/pebblepost-harness/src/release/maintenance.rs
@@ -51,7 +51,7 @@
             operators.start(&["permit", "ask", &subject, "--why", "new fans"], rng.random()).await?;
             let end = Instant::now() + COMPLETION_TIMEOUT;
             let granted = loop {
-                if let Ok(reply) = client.ask(&json!({"off": host}), REQUEST_TIMEOUT).await {
+                if let Ok(reply) = client.request(&json!({"off": host}), REQUEST_TIMEOUT).await {
                     let off = &reply["off"];
                     let missing = off["waits_for"].as_object().map_or(1, serde_json::Map::len);
                     if let (Some(granted), 0) = (off["granted"].as_u64(), missing) {
--- a/crates/pebblepost-harness/src/release/operators.rs
+++ b/crates/pebblepost-harness/src/release/operators.rs
@@ -73,10 +73,10 @@
     let command = json!({"command": {"id": [id.0, id.1], "by": "rig", "at_ms": 0, "act": act}});
     let end = Instant::now() + COMPLETION_TIMEOUT;
     loop {
-        match client.ask(&command, REQUEST_TIMEOUT).await {
+        match client.request(&command, REQUEST_TIMEOUT).await {
             Ok(reply) if reply.pointer("/answer/Ok").is_some() => return Ok(()),
             Ok(reply) => bail!("{op}: {reply}"),
-            Err(error) if Instant::now() >= end => return Err(error),
+            Err(error) if Instant::now() >= end => return Err(error.into()),
             Err(_) => {}
         }
     }
--- a/crates/pebblepost-harness/src/release/progress.rs
+++ b/crates/pebblepost-harness/src/release/progress.rs
@@ -24,7 +24,7 @@
 impl Progress {
     /// Reads it. An empty `version` stands for any. Permits count whose keys begin with `permit_prefix`.
     pub(super) async fn read(client: &mut StoreClient, version: &str, permit_prefix: &str) -> Result<Self> {
-        let reply = client.ask(&json!({"get": []}), REQUEST_TIMEOUT).await?;
+        let reply = client.request(&json!({"get": []}), REQUEST_TIMEOUT).await?;
         let entries = reply.pointer("/found/entries").and_then(Value::as_object);
         let entries = entries.with_context(|| format!("no entries: {reply}"))?;
         let is_ready = |entry: &&Value| {
--- a/crates/pebblepost-harness/src/store/client_impact.rs
+++ b/crates/pebblepost-harness/src/store/client_impact.rs
@@ -103,7 +103,7 @@
                     }
                     // A worker that no dispatcher knows: the mark is carried and changes nothing here.
                     let change = StoreClient::command((n, i), &format!("none-{n}"), i % 2 == 0, "");
-                    if client.ask(&change, Duration::from_secs(2)).await.is_ok() {
+                    if client.request(&change, Duration::from_secs(2)).await.is_ok() {
                         done.fetch_add(1, Ordering::Relaxed);
                     }
                 }
--- a/crates/pebblepost-harness/src/store/cluster.rs
+++ b/crates/pebblepost-harness/src/store/cluster.rs
@@ -1,6 +1,7 @@
-//! Keepers as processes, a relay on each directed pair, and the faults that happen to both.
+//! Replicas as processes, a relay on each directed pair of them, and the faults that are injected into both.
 
-use super::client::{Connection, Leader, StoreClient};
+use super::client::{Leader, StoreClient};
+use super::connection::Connection;
 use crate::fault::managed_process::ManagedProcess;
 use crate::fault::schedule::{DiskDamage, Fault, FaultKind, Schedule};
 use crate::fault::tcp_relay::{LinkState, Relay};
@@ -15,29 +16,38 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// So many numbers each place may have, one after another, as its disks are replaced.
+/// Ids that each place may have, one after another, as its disks are replaced.
 const MAX_REPLACEMENTS: usize = 256;
-/// A keeper on a damaged disk must have ended within this.
+/// A replica must have refused a damaged disk within this.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(5);
-/// A replacement must have a vote within this, faults or not.
+/// A replacement must be a voter within this, faults or not.
 const REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A group of keepers, and the wires between them and to them. The keeper at place `i` of `n` has the number `i + 1`, and
-/// `n` more with each disk that is replaced; the place after the last keeper is the outside: the desks.
+/// Disks of a cluster.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct DiskCounts {
+    /// Lost or damaged, and replaced.
+    pub replaced: usize,
+    /// Of these, damaged and refused by the replica.
+    pub refused: usize,
+}
+
+/// A cluster of replicas, and the links between them and from clients. The replica at place `i` of `n` has the id `i + 1`,
+/// and `n` more with each disk that is replaced. The place after the last replica stands for all clients.
 pub struct Cluster {
     program: PathBuf,
     replicas: Vec<ManagedProcess>,
-    /// Their numbers, by place.
+    /// Their ids, by place.
     replica_ids: Vec<usize>,
     addresses: Vec<SocketAddr>,
     relays: BTreeMap<(usize, usize), Relay>,
     active: Vec<Fault>,
     folder: PathBuf,
-    /// The replacement that is being taken in: one at a time, or a majority might have forgotten.
+    /// The replacement that joins: one at a time, or a majority might have lost what was committed.
     replacement: Option<JoinHandle<Result<()>>>,
-    /// Disks replaced, and those of them that the program refused by name before.
-    pub disks: (usize, usize),
-    /// Keepers that ended by themselves, or did not where they had to.
+    /// Disks that were lost or damaged.
+    pub disks: DiskCounts,
+    /// Replicas that ended by themselves, or did not where they had to, in words.
     pub crashed: Vec<String>,
 }
 
@@ -46,12 +56,16 @@
 }
 
 impl Cluster {
-    /// Starts so many keepers in a folder of their own, and has them begin a group.
+    /// Starts so many replicas in a folder of their own, and forms a cluster of them.
+    ///
+    /// # Errors
+    ///
+    /// If a replica does not start, or the cluster does not form.
     pub async fn start(program: &Path, count: usize, folder: PathBuf) -> Result<Self> {
         std::fs::create_dir_all(&folder)?;
         let mut addresses = Vec::new();
         for place in 0..count {
-            // The port is free a moment later, when the keeper binds it.
+            // The port is still free when the replica binds it a moment later.
             addresses.push(TcpListener::bind((replica_ip(place), 0))?.local_addr()?);
         }
         let mut relays = BTreeMap::new();
@@ -69,7 +83,7 @@
             active: Vec::new(),
             folder,
             replacement: None,
-            disks: (0, 0),
+            disks: DiskCounts::default(),
             crashed: Vec::new(),
         };
         for place in 0..count {
@@ -77,7 +91,7 @@
             replica.start()?;
             cluster.replicas.push(replica);
         }
-        cluster.begin().await?;
+        cluster.form().await?;
         Ok(cluster)
     }
 
@@ -85,7 +99,7 @@
         self.folder.join(format!("keeper-{}", self.replica_ids[place]))
     }
 
-    /// The keeper at a place, with its present number; not started.
+    /// The replica at a place, with its present id; not started.
     fn replica(&self, place: usize) -> Result<ManagedProcess> {
         let (number, count) = (self.replica_ids[place], self.addresses.len());
         let mut dial = BTreeMap::new();
@@ -108,7 +122,7 @@
         Ok(ManagedProcess::new(command))
     }
 
-    async fn begin(&self) -> Result<()> {
+    async fn form(&self) -> Result<()> {
         let mut peers = serde_json::Map::new();
         for (place, address) in self.addresses.iter().enumerate() {
             let status =
@@ -123,7 +137,7 @@
         Ok(())
     }
 
-    /// Where the desks reach each keeper.
+    /// Addresses through which clients reach each replica, by place.
     pub fn client_addresses(&self) -> Vec<SocketAddr> {
         let count = self.addresses.len();
         (0..count).map(|to| self.relays[&(count, to)].address).collect()
@@ -135,27 +149,27 @@
         self.client_addresses().iter().enumerate().map(named).collect()
     }
 
-    /// Bytes carried between keepers so far.
+    /// Bytes between replicas so far.
     pub fn bytes_forwarded(&self) -> u64 {
         let count = self.addresses.len();
         self.relays.iter().filter(|((from, _), _)| *from < count).map(|(_, r)| r.bytes_forwarded()).sum()
     }
 
-    /// A fault begins.
+    /// Injects a fault.
     pub fn begin_fault(&mut self, fault: Fault) {
         match fault.kind {
-            FaultKind::Kill(k) => self.replicas[k].kill(),
-            FaultKind::Stop(k) => {
-                self.replicas[k].stop(Duration::from_secs(3));
+            FaultKind::Kill(place) => self.replicas[place].kill(),
+            FaultKind::Stop(place) => {
+                self.replicas[place].stop(Duration::from_secs(3));
             }
-            FaultKind::Pause(k) => self.replicas[k].pause(),
+            FaultKind::Pause(place) => self.replicas[place].pause(),
             FaultKind::Reset(from, to) => self.relays[&(from, to)].reset(),
-            FaultKind::Disk(k, damage) => {
-                self.replicas[k].kill();
+            FaultKind::Disk(place, damage) => {
+                self.replicas[place].kill();
                 if !self.is_replacing()
-                    && let Err(error) = self.damage_disk(k, damage)
+                    && let Err(error) = self.damage_disk(place, damage)
                 {
-                    self.crashed.push(format!("the disk of keeper {}: {error:#}", self.replica_ids[k]));
+                    self.crashed.push(format!("the disk of keeper {}: {error:#}", self.replica_ids[place]));
                 }
             }
             FaultKind::Link(..)
@@ -171,10 +185,10 @@
         self.replacement.as_ref().is_some_and(|replacement| !replacement.is_finished())
     }
 
-    /// Spoils the disk of a keeper that was killed. Where something is left of it the keeper must end by itself, naming
-    /// it; then it gets a new number and an empty disk, and asks to be taken in once it is started.
-    fn damage_disk(&mut self, k: usize, damage: DiskDamage) -> Result<()> {
-        let file = self.disk(k).join("keeper.redb");
+    /// Damages the disk of a replica that was killed. Where something is left of it the replica must refuse to start on it.
+    /// Then it is replaced by one with a new id and an empty disk, which joins once it is started.
+    fn damage_disk(&mut self, place: usize, damage: DiskDamage) -> Result<()> {
+        let file = self.disk(place).join("keeper.redb");
         match damage {
             DiskDamage::Deleted => std::fs::remove_file(&file)?,
             DiskDamage::Truncated => {
@@ -189,7 +203,7 @@
             }
         }
         if damage != DiskDamage::Deleted {
-            let replica = &mut self.replicas[k];
+            let replica = &mut self.replicas[place];
             replica.start()?;
             let end = Instant::now() + REFUSAL_TIMEOUT;
             while Instant::now() < end && replica.runs() {
@@ -197,22 +211,26 @@
             }
             let refused = replica.ended().is_some_and(|status| !status.success());
             replica.kill();
-            self.disks.1 += usize::from(refused);
+            self.disks.refused += usize::from(refused);
             // A flipped bit may be one that nothing reads.
             if !refused && damage == DiskDamage::Truncated {
                 bail!("torn, and served");
             }
         }
-        self.disks.0 += 1;
-        let old = self.replica_ids[k];
-        self.replica_ids[k] += self.addresses.len();
-        self.replicas[k] = self.replica(k)?;
-        let (new, at, outside) = (self.replica_ids[k], self.addresses[k], self.client_addresses());
-        self.replacement = Some(tokio::spawn(join_replacement(old, new, at, outside)));
+        self.disks.replaced += 1;
+        let old = self.replica_ids[place];
+        self.replica_ids[place] += self.addresses.len();
+        self.replicas[place] = self.replica(place)?;
+        let (new, at, addresses) = (self.replica_ids[place], self.addresses[place], self.client_addresses());
+        self.replacement = Some(tokio::spawn(join_replacement(old, new, at, addresses)));
         Ok(())
     }
 
-    /// Waits until a replacement that is being taken in has its vote.
+    /// Waits until a replacement that joins is a voter.
+    ///
+    /// # Errors
+    ///
+    /// If it is not within its time.
     pub async fn wait_for_replacement(&mut self) -> Result<()> {
         match self.replacement.take() {
             Some(replacement) => replacement.await?,
@@ -220,43 +238,52 @@
         }
     }
 
-    /// A fault is over.
+    /// Ends the fault of this number in the schedule, if it is active.
+    ///
+    /// # Errors
+    ///
+    /// If a process does not start.
     pub fn end_fault(&mut self, number: usize) -> Result<()> {
         let Some(i) = self.active.iter().position(|f| f.number == number) else { return Ok(()) };
         let fault = self.active.remove(i);
         self.apply_link_states();
-        let held = |k: usize| self.active.iter().any(|f| f.kind.stops(k));
-        let paused = |k: usize| self.active.iter().any(|f| matches!(f.kind, FaultKind::Pause(o) if o == k));
+        let held = |place: usize| self.active.iter().any(|f| f.kind.stops(place));
+        let paused =
+            |place: usize| self.active.iter().any(|f| matches!(f.kind, FaultKind::Pause(o) if o == place));
         match fault.kind {
-            FaultKind::Kill(k) | FaultKind::Stop(k) | FaultKind::Disk(k, _) if !held(k) => {
-                self.replicas[k].start()?
+            FaultKind::Kill(place) | FaultKind::Stop(place) | FaultKind::Disk(place, _) if !held(place) => {
+                self.replicas[place].start()?
             }
-            FaultKind::Pause(k) if !paused(k) => self.replicas[k].resume(),
+            FaultKind::Pause(place) if !paused(place) => self.replicas[place].resume(),
             _ => {}
         }
         Ok(())
     }
 
-    /// Each wire does what the last fault that concerns it wants.
+    /// Sets each link to the state of the last active fault that concerns it.
     fn apply_link_states(&self) {
         for ((from, to), relay) in &self.relays {
             let of = |fault: &Fault| match fault.kind {
                 FaultKind::Link(f, t, link) if (f, t) == (*from, *to) => Some(link),
-                FaultKind::Isolated(k) if k == *from || k == *to => Some(LinkState::Partitioned),
-                FaultKind::IsolatedFromPeers(k)
-                    if *from < self.replicas.len() && (k == *from || k == *to) =>
+                FaultKind::Isolated(place) if place == *from || place == *to => Some(LinkState::Partitioned),
+                FaultKind::IsolatedFromPeers(place)
+                    if *from < self.replicas.len() && (place == *from || place == *to) =>
                 {
                     Some(LinkState::Partitioned)
                 }
-                FaultKind::InboundHeld(k) if k == *to => Some(LinkState::RequestsHeld),
-                FaultKind::InboundHeld(k) if k == *from => Some(LinkState::RepliesHeld),
+                FaultKind::InboundHeld(place) if place == *to => Some(LinkState::RequestsHeld),
+                FaultKind::InboundHeld(place) if place == *from => Some(LinkState::RepliesHeld),
                 _ => None,
             };
             relay.set(self.active.iter().filter_map(of).next_back().unwrap_or_default());
         }
     }
 
-    /// Plays a schedule: begins and ends its faults at their times. `begins` is told of each before it begins.
+    /// Injects and ends the faults of a schedule at their times. `begins` is called before each begins.
+    ///
+    /// # Errors
+    ///
+    /// If a process does not start.
     pub async fn play(&mut self, schedule: &Schedule, mut begins: impl FnMut(&Fault)) -> Result<()> {
         let start = Instant::now();
         let mut steps: Vec<(f64, Option<Fault>, usize)> = Vec::new();
@@ -279,20 +306,28 @@
         Ok(())
     }
 
-    /// Notes keepers that ended though no fault was theirs, and starts them again.
+    /// Notes replicas that ended without a fault, and starts them again.
+    ///
+    /// # Errors
+    ///
+    /// If one does not start.
     pub fn restart_crashed(&mut self) -> Result<()> {
-        for (k, replica) in self.replicas.iter_mut().enumerate() {
+        for (place, replica) in self.replicas.iter_mut().enumerate() {
             if let Some(status) = replica.ended()
-                && !self.active.iter().any(|f| f.kind.stops(k))
+                && !self.active.iter().any(|f| f.kind.stops(place))
             {
-                self.crashed.push(format!("keeper {} ended by itself: {status}", self.replica_ids[k]));
+                self.crashed.push(format!("keeper {} ended by itself: {status}", self.replica_ids[place]));
                 replica.start()?;
             }
         }
         Ok(())
     }
 
-    /// All faults are over, and all keepers run.
+    /// Ends all faults; all replicas run then.
+    ///
+    /// # Errors
+    ///
+    /// If one does not start.
     pub fn end_all_faults(&mut self) -> Result<()> {
         for number in self.active.iter().map(|f| f.number).collect::<Vec<_>>() {
             self.end_fault(number)?;
@@ -304,7 +339,7 @@
         Ok(())
     }
 
-    /// The folder.
+    /// The folder of the replicas' files.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
@@ -319,11 +354,11 @@
     }
 }
 
-/// Has a keeper with a new disk take the place of one whose disk is lost: it learns, the old number goes, and it gets a
-/// vote. In this order no majority is ever larger than that of the keepers that are left.
-async fn join_replacement(old: usize, new: usize, at: SocketAddr, outside: Vec<SocketAddr>) -> Result<()> {
+/// Has a replica with a new disk replace one whose disk is lost: it joins as a learner, the old one is removed, and it becomes
+/// a voter. In this order no quorum is ever larger than that of the replicas that are left.
+async fn join_replacement(old: usize, new: usize, at: SocketAddr, addresses: Vec<SocketAddr>) -> Result<()> {
     let (mut client, end) =
-        (StoreClient::new(outside, Leader::default()), Instant::now() + REPLACEMENT_TIMEOUT);
+        (StoreClient::new(addresses, Leader::default()), Instant::now() + REPLACEMENT_TIMEOUT);
     let disk = loop {
         match ask(at, &json!("status")).await {
             Ok(status) => {
@@ -336,10 +371,10 @@
     let learn = json!({"learn": [new, {"address": at.to_string(), "disk": disk}]});
     for step in [learn, json!({"remove": old}), json!({"promote": new})] {
         loop {
-            match client.ask(&step, Duration::from_secs(8)).await {
+            match client.request(&step, Duration::from_secs(8)).await {
                 Ok(reply) if reply == json!("done") => break,
                 Ok(reply) => bail!("{step}: {reply}"),
-                Err(error) if Instant::now() >= end => return Err(error),
+                Err(error) if Instant::now() >= end => return Err(error.into()),
                 Err(_) => {}
             }
         }
@@ -349,14 +384,18 @@
 
 async fn ask(address: SocketAddr, message: &Value) -> Result<Value> {
     let work = async {
-        let mut frames = Connection::open(address).await?;
-        frames.send(message).await?;
-        frames.next().await
+        let mut connection = Connection::open(address).await?;
+        connection.send(message).await?;
+        connection.receive().await
     };
-    timeout(Duration::from_secs(5), work).await?
+    Ok(timeout(Duration::from_secs(5), work).await??)
 }
 
-/// Tries until it works, at most for so long.
+/// Retries until it works or the time is over.
+///
+/// # Errors
+///
+/// The last one, once the time is over.
 pub async fn retry_until<T>(limit: Duration, mut work: impl AsyncFnMut() -> Result<T>) -> Result<T> {
     let end = Instant::now() + limit;
     loop {
--- a/crates/pebblepost-harness/src/store/mass_restart.rs
+++ b/crates/pebblepost-harness/src/store/mass_restart.rs
@@ -50,7 +50,7 @@
 
 /// Members that are there in that life, and the revision.
 async fn here(client: &mut StoreClient, life: u64) -> Result<(usize, u64)> {
-    let reply = client.ask(&json!({"get": []}), Duration::from_secs(5)).await?;
+    let reply = client.request(&json!({"get": []}), Duration::from_secs(5)).await?;
     let found = reply.get("found").with_context(|| reply.to_string())?;
     let members = found["entries"].as_object().into_iter().flatten().filter(|(_, entry)| {
         let member = &entry["value"]["member"];
@@ -60,7 +60,7 @@
 }
 
 async fn term(client: &mut StoreClient) -> Result<u64> {
-    let reply = client.ask(&json!("status"), Duration::from_secs(5)).await?;
+    let reply = client.request(&json!("status"), Duration::from_secs(5)).await?;
     reply.pointer("/status/term").and_then(Value::as_u64).with_context(|| reply.to_string())
 }
 
@@ -89,7 +89,7 @@
             number += 1;
             let (asked, change) =
                 (Instant::now(), StoreClient::command((life, number), "none", number % 2 == 0, ""));
-            client.ask(&change, Duration::from_secs(10)).await?;
+            client.request(&change, Duration::from_secs(10)).await?;
             slowest = slowest.max(asked.elapsed());
             let (count, revision) = here(&mut client, life).await?;
             revisions = revision;
--- a/crates/pebblepost-harness/src/store/run.rs
+++ b/crates/pebblepost-harness/src/store/run.rs
@@ -1,53 +1,32 @@
-//! `rig store`: a group under a schedule of faults while desks change and read, and the judgement.
+//! A trial of the agreed store as a whole: a cluster under a schedule of faults while clients change and read, a follower and
+//! dispatchers follow, and the judgement.
 
-use super::client::{Connection, Leader, StoreClient, tag};
+use super::client::StoreClient;
 use super::cluster::{Cluster, retry_until};
 use super::consistency::{Verdict, judge};
-use super::history::{Operation, OperationHistory, OperationKind};
+use super::follower::{FollowerState, drains, follow};
+use super::history::Operation;
+use super::load::{Load, LoadClient, OPERATION_TIMEOUT};
+use super::plan::Plan;
 use crate::clients::Outcome;
-use crate::fault::schedule::{Fault, FaultKind, Schedule, ScheduleParameters};
+use crate::fault::schedule::{Fault, FaultKind, Schedule};
 use crate::run::Run;
 use crate::sync::lock;
 use crate::workload::spec::RunSpec;
-use anyhow::{Context, Result};
-use hdrhistogram::Histogram;
-use rand::{RngExt, SeedableRng};
-use rand_pcg::Pcg64Mcg;
+use anyhow::{Context, Result, bail};
 use serde::Serialize;
 use serde_json::{Value, json};
-use std::collections::{BTreeMap, VecDeque};
-use std::net::SocketAddr;
+use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
-use tokio::time::{sleep, timeout};
+use std::time::Duration;
 
-/// An operation is given up after this; it is then not known whether it was done.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// A desk holds so many marks of its own before it takes the oldest back.
-const HELD: usize = 200;
-/// Operations on one contended mark before the desks go on to the next: few enough that all orders can be tried.
-const CONTENDED: u64 = 14;
+/// The cluster must answer within this once all faults are over.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
+/// The follower must have caught up within this after that.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What is asked for.
-#[derive(Clone, Debug)]
-pub struct Plan {
-    /// Keepers.
-    pub replicas: usize,
-    /// Desks at work at the same time.
-    pub clients: usize,
-    /// Seconds of work under faults.
-    pub seconds: f64,
-    /// The seed.
-    pub seed: u64,
-    /// Pause between two operations of a desk, in milliseconds.
-    pub pause_ms: u64,
-    /// Dispatchers that follow the group while clients ask them for work; 0: none.
-    pub dispatchers: usize,
-}
-
-/// What came of it.
+/// The figures of a trial.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Summary {
     /// The judgement.
@@ -55,19 +34,20 @@
     pub verdict: Verdict,
     /// Drains in the agreed state that a follower did not have at the end.
     pub drains_forgotten: usize,
-    /// Operations whose outcome the desks do not know.
+    /// Operations whose outcome the clients do not know.
     pub unknown: usize,
-    /// Keepers killed.
+    /// Replicas killed.
     pub kills: usize,
-    /// Disks of keepers that were lost and replaced, and those of them that were damaged and refused by name before.
+    /// Disks that were lost or damaged, and replaced.
     pub disks_replaced: usize,
-    /// See `disks_replaced`.
+    /// Those of them that a replica refused to start on, by name.
     pub disks_refused: usize,
-    /// Part of the clients' requests that the dispatchers served; `None` without dispatchers.
+    /// Share of the requests that the dispatchers served; `None` without dispatchers.
     pub served_share: Option<f64>,
     /// Faults by kind.
     pub faults: BTreeMap<&'static str, usize>,
-    /// What else broke: a follower's gap, a keeper that ended by itself or served a torn disk, a rule of the dispatchers.
+    /// What else was wrong: a gap of the follower, a replica that ended by itself or served a truncated disk, a rule of the
+    /// dispatchers.
     pub rules_broken: usize,
     /// Time of an acknowledged change, median and 99th percentile.
     pub write_p50_ms: f64,
@@ -77,195 +57,25 @@
     pub leader_gap_p50_ms: f64,
     /// See `leader_gap_p50_ms`.
     pub leader_gap_p99_ms: f64,
-    /// Bytes between keepers for each acknowledged change.
+    /// Bytes between replicas for each acknowledged change.
     pub bytes_per_change: u64,
 }
 
-struct Shared {
-    plan: Plan,
-    history: OperationHistory,
-    leader: Leader,
-    stop: AtomicBool,
-    contended: AtomicU64,
-    /// Marks acknowledged lately, for reads that must see them.
-    fresh: Mutex<VecDeque<String>>,
-    writes: Mutex<Histogram<u64>>,
-    /// When a leader was killed, until a change is acknowledged; and the gaps so far, in milliseconds.
-    gap: Mutex<(Option<Instant>, Vec<f64>)>,
-}
-
-async fn change(
-    shared: &Shared, client: &mut StoreClient, id: (u64, u64), worker: &str, kind: OperationKind,
-) -> bool {
-    let (drain, name) = match &kind {
-        OperationKind::Drain(tag) => (true, tag.as_str()),
-        _ => (false, ""),
-    };
-    let command = StoreClient::command(id, worker, drain, name);
-    let (asked, began) = (shared.history.now(), Instant::now());
-    let reply = client.ask(&command, PATIENCE).await;
-    let done = reply.is_ok_and(|reply| reply.pointer("/answer/Ok").is_some());
-    if done {
-        let _ = lock(&shared.writes).record(began.elapsed().as_micros() as u64);
-        let mut gap = lock(&shared.gap);
-        // Only what was asked after the kill tells that the group goes on.
-        if let Some(killed) = gap.0.filter(|killed| began > *killed) {
-            gap.0 = None;
-            gap.1.push(killed.elapsed().as_secs_f64() * 1e3);
-        }
-    }
-    let answered = done.then(|| (shared.history.now(), None));
-    shared.history.append(Operation { worker: worker.to_owned(), kind, asked, answered });
-    done
-}
-
-async fn read(shared: &Shared, client: &mut StoreClient, worker: &str) {
-    let asked = shared.history.now();
-    if let Ok(found) = client.read(worker, PATIENCE).await {
-        let answered = Some((shared.history.now(), found));
-        shared.history.append(Operation {
-            worker: worker.to_owned(),
-            kind: OperationKind::Read,
-            asked,
-            answered,
-        });
-    }
-}
-
-/// One desk at work until it is told to stop.
-async fn work(shared: Arc<Shared>, number: usize, addresses: Vec<SocketAddr>) {
-    let mut rng = Pcg64Mcg::seed_from_u64(shared.plan.seed.wrapping_mul(1_000) ^ number as u64);
-    let mut client = StoreClient::new(addresses, shared.leader.clone());
-    let mut own: VecDeque<String> = VecDeque::new();
-    let mut next = 0_u64;
-    while !shared.stop.load(Ordering::Relaxed) {
-        next += 1;
-        if rng.random_bool(0.2) {
-            client.turn_to(rng.random_range(0..shared.plan.replicas)); // One that led may still think that it does.
-        }
-        let id = (number as u64 + 1, next);
-        match rng.random_range(0..10) {
-            0..5 => {
-                let worker = format!("w-{number}-{next}");
-                if change(&shared, &mut client, id, &worker, OperationKind::Drain(format!("t{next}"))).await {
-                    own.push_back(worker.clone());
-                    let mut fresh = lock(&shared.fresh);
-                    fresh.push_back(worker);
-                    if fresh.len() > 32 {
-                        fresh.pop_front();
-                    }
-                }
-                if own.len() > HELD
-                    && let Some(oldest) = own.pop_front()
-                {
-                    change(&shared, &mut client, (id.0, id.1 | 1 << 60), &oldest, OperationKind::Undrain)
-                        .await;
-                }
-            }
-            5..7 => {
-                let some = {
-                    let fresh = lock(&shared.fresh);
-                    (!fresh.is_empty()).then(|| fresh[rng.random_range(0..fresh.len())].clone())
-                };
-                if let Some(worker) = some {
-                    read(&shared, &mut client, &worker).await;
-                }
-            }
-            what => {
-                let turn = shared.contended.fetch_add(1, Ordering::Relaxed) / CONTENDED;
-                let worker = format!("c-{turn}");
-                match what {
-                    7 => drop(
-                        change(
-                            &shared,
-                            &mut client,
-                            id,
-                            &worker,
-                            OperationKind::Drain(format!("t{number}-{next}")),
-                        )
-                        .await,
-                    ),
-                    8 => drop(change(&shared, &mut client, id, &worker, OperationKind::Undrain).await),
-                    _ => read(&shared, &mut client, &worker).await,
-                }
-            }
-        }
-        sleep(Duration::from_millis(shared.plan.pause_ms)).await;
-    }
-}
-
-/// A follower's copy of the drains, and what was wrong with the news it got.
-#[derive(Default)]
-struct Copy {
-    revision: u64,
-    drains: BTreeMap<String, String>,
-    wrong: Vec<String>,
+/// What the clients of dispatchers saw.
+struct Serving {
+    /// Share of their requests that was served.
+    served_share: f64,
+    /// Rules broken, in words.
+    violations: Vec<String>,
 }
 
-impl Copy {
-    fn take(&mut self, reply: &Value) {
-        if let Some(snapshot) = reply.get("snapshot") {
-            let revision = snapshot["revision"].as_u64().unwrap_or(0);
-            if revision >= self.revision {
-                self.revision = revision;
-                self.drains = drains(&snapshot["entries"]);
-            }
-        }
-        for change in reply.get("changes").and_then(Value::as_array).into_iter().flatten() {
-            let revision = change["revision"].as_u64().unwrap_or(0);
-            if revision <= self.revision {
-                continue; // From a keeper that is behind.
-            }
-            if revision != self.revision + 1 {
-                self.wrong.push(format!("change {revision} came after {}", self.revision));
-            }
-            self.revision = revision;
-            for item in change["items"].as_array().into_iter().flatten() {
-                let Some(worker) = item[0].as_str().and_then(|k| k.strip_prefix("drain/")) else { continue };
-                match tag(Some(&json!({"value": item[1]}))) {
-                    Some(tag) => drop(self.drains.insert(worker.to_owned(), tag)),
-                    None => drop(self.drains.remove(worker)),
-                }
-            }
-        }
-    }
-}
-
-fn drains(entries: &Value) -> BTreeMap<String, String> {
-    let entries = entries.as_object().into_iter().flatten();
-    let drain = |(key, entry): (&String, &Value)| {
-        Some((key.strip_prefix("drain/")?.to_owned(), tag(Some(entry)).unwrap_or_default()))
-    };
-    entries.filter_map(drain).collect()
-}
-
-/// Follows all changes at one keeper after another, resuming at its own revision, until told to stop.
-async fn follow(addresses: Vec<SocketAddr>, copy: Arc<Mutex<Copy>>) {
-    for address in addresses.iter().cycle() {
-        let from = lock(&copy).revision;
-        let session = async {
-            let mut frames = timeout(Duration::from_secs(1), Connection::open(*address)).await??;
-            frames.send(&json!({"watch": from})).await?;
-            loop {
-                let reply = timeout(Duration::from_millis(1_500), frames.next()).await??;
-                lock(&copy).take(&reply);
-            }
-        };
-        let _: Result<()> = session.await;
-        sleep(Duration::from_millis(50)).await;
-    }
-}
-
-/// What the clients of dispatchers saw: the part of their requests that was served, and the rules broken.
-type Served = (f64, Vec<String>);
-
-/// Dispatchers that follow the group through the same wires as the desks, with stand-in workers and clients around them.
-async fn serving(plan: Plan, program: PathBuf, replicas: Vec<SocketAddr>) -> Result<Served> {
-    let named = |(i, at): (usize, &SocketAddr)| ((i + 1).to_string(), json!(at));
-    let replicas: serde_json::Map<_, _> = replicas.iter().enumerate().map(named).collect();
+/// Dispatchers that follow the store through the same links as the clients, with simulated workers and clients around them.
+async fn serve_requests(
+    plan: Plan, program: PathBuf, replicas: serde_json::Map<String, Value>,
+) -> Result<Serving> {
     let operator = json!({"fleet": {"keepers": replicas}});
-    let dispatchers = plan.dispatchers;
-    let run_spec = RunSpec { dispatchers, fault_rate: 0.0, ..RunSpec::mixed(plan.seconds, 0.6) };
+    let run_spec =
+        RunSpec { dispatchers: plan.dispatchers, fault_rate: 0.0, ..RunSpec::mixed(plan.seconds, 0.6) };
     let run = Run {
         run_spec: &run_spec,
         seed: plan.seed,
@@ -274,54 +84,66 @@
         supervisor: None,
     };
     let played = run.play().await?;
-    let served = played.results.iter().filter(|f| matches!(f.outcome, Outcome::Served(_))).count();
-    let broken = played.violations.iter().map(|b| format!("{:?}: {}", b.rule, b.what)).collect();
-    Ok((served as f64 / played.results.len().max(1) as f64, broken))
+    let served = played.results.iter().filter(|result| matches!(result.outcome, Outcome::Served(_))).count();
+    let violations =
+        played.violations.iter().map(|violation| format!("{:?}: {}", violation.rule, violation.what));
+    Ok(Serving {
+        served_share: served as f64 / played.results.len().max(1) as f64,
+        violations: violations.collect(),
+    })
 }
 
-/// Draws the schedule of a plan.
-pub fn schedule(plan: &Plan) -> Schedule {
-    let mean_interval_s = 0.85;
-    Schedule::draw(
-        ScheduleParameters {
-            processes: plan.replicas,
-            seconds: plan.seconds,
-            mean_interval_s,
-            longest_s: 2.0,
-        },
-        plan.seed,
-    )
+/// The state at the end.
+struct FinalState {
+    revision: u64,
+    drains: BTreeMap<String, String>,
+}
+
+/// Reads the state once all faults are over: the cluster must answer again.
+async fn read_final_state(client: &mut StoreClient) -> Result<FinalState> {
+    let state = retry_until(ANSWER_TIMEOUT, async || {
+        let reply = client.request(&json!({"get": []}), OPERATION_TIMEOUT).await?;
+        let found = reply.get("found").with_context(|| reply.to_string())?;
+        let revision = found["revision"].as_u64().unwrap_or(0);
+        Ok(FinalState { revision, drains: drains(&found["entries"]) })
+    });
+    state.await.context("the group does not answer after all faults")
 }
 
-/// Runs it. Returns the figures and what was found, in words.
+async fn wait_until_caught_up(follower: &Mutex<FollowerState>, revision: u64) -> Result<()> {
+    retry_until(CATCH_UP_TIMEOUT, async || {
+        let at = lock(follower).revision;
+        if at >= revision { Ok(()) } else { bail!("the follower stays at {at} of {revision}") }
+    })
+    .await
+}
+
+/// Runs a trial. Returns its figures and, in words, what was found to be wrong.
+///
+/// # Errors
+///
+/// If a process does not start, or the cluster does not answer once all faults are over.
 pub async fn run(plan: &Plan, schedule: &Schedule, program: &Path) -> Result<(Summary, Vec<String>)> {
     let folder =
         std::env::temp_dir().join(format!("pebblepost-harness-store-{}-{}", std::process::id(), plan.seed));
     let mut cluster = Cluster::start(program, plan.replicas, folder).await?;
-    let shared = Arc::new(Shared {
-        plan: plan.clone(),
-        history: OperationHistory::default(),
-        leader: Leader::default(),
-        stop: AtomicBool::new(false),
-        contended: AtomicU64::new(0),
-        fresh: Mutex::default(),
-        writes: Mutex::new(Histogram::new(3)?),
-        gap: Mutex::default(),
-    });
-    let copy = Arc::new(Mutex::new(Copy::default()));
-    let follower = tokio::spawn(follow(cluster.client_addresses(), copy.clone()));
-    let clients: Vec<_> = (0..plan.clients)
-        .map(|n| tokio::spawn(work(shared.clone(), n, cluster.client_addresses())))
-        .collect();
+    let load = Arc::new(Load::new(plan.clone())?);
+    let state = Arc::new(Mutex::new(FollowerState::default()));
+    let follower = tokio::spawn(follow(cluster.client_addresses(), state.clone()));
+    let start_client = |number| {
+        let (load, addresses) = (load.clone(), cluster.client_addresses());
+        tokio::spawn(async move { LoadClient::new(&load, number, addresses).run().await })
+    };
+    let clients: Vec<_> = (0..plan.clients).map(start_client).collect();
     let serving = (plan.dispatchers > 0)
-        .then(|| tokio::spawn(serving(plan.clone(), program.to_owned(), cluster.client_addresses())));
-    let leader_killed = |fault: &Fault| {
-        if fault.kind == FaultKind::Kill(shared.leader.load(Ordering::Relaxed)) {
-            lock(&shared.gap).0.get_or_insert_with(Instant::now);
+        .then(|| tokio::spawn(serve_requests(plan.clone(), program.to_owned(), cluster.named_addresses())));
+    let note_kill = |fault: &Fault| {
+        if let FaultKind::Kill(place) = fault.kind {
+            load.replica_killed(place);
         }
     };
-    cluster.play(schedule, leader_killed).await?;
-    shared.stop.store(true, Ordering::Relaxed);
+    cluster.play(schedule, note_kill).await?;
+    load.stop();
     cluster.end_all_faults()?;
     for client in clients {
         client.await?;
@@ -330,59 +152,59 @@
         .wait_for_replacement()
         .await
         .context("a keeper with a new disk is not taken in after all faults")?;
-    let served = match serving {
+    let serving = match serving {
         Some(serving) => Some(serving.await??),
         None => None,
     };
-    // All faults are over: the group must answer again, and the follower must come to the same.
-    let mut client = StoreClient::new(cluster.client_addresses(), shared.leader.clone());
-    let (revision, end) = retry_until(Duration::from_secs(60), async || {
-        let reply = client.ask(&json!({"get": []}), PATIENCE).await?;
-        let found = reply.get("found").with_context(|| reply.to_string())?;
-        Ok((found["revision"].as_u64().unwrap_or(0), drains(&found["entries"])))
-    })
-    .await
-    .context("the group does not answer after all faults")?;
-    let caught_up = retry_until(Duration::from_secs(30), async || {
-        let at = lock(&copy).revision;
-        if at >= revision { Ok(()) } else { anyhow::bail!("the follower stays at {at} of {revision}") }
-    });
-    let caught_up = caught_up.await;
+    let mut client = StoreClient::new(cluster.client_addresses(), load.leader().clone());
+    let end = read_final_state(&mut client).await?;
+    let caught_up = wait_until_caught_up(&state, end.revision).await;
     follower.abort();
     cluster.restart_crashed()?;
-    let copy = lock(&copy);
-    let seen: Vec<Operation> = shared.history.take().into_iter().map(|(_, seen)| seen).collect();
-    let verdict = judge(&seen, &end);
-    let mut broken = copy.wrong.clone();
+    let state = lock(&state);
+    let mut broken = state.gaps.clone();
     broken.extend(cluster.crashed.clone());
-    broken.extend(served.iter().flat_map(|(_, rules)| rules.clone()));
-    broken.extend(caught_up.err().map(|e| e.to_string()));
-    let forgotten: Vec<&String> = end.keys().filter(|w| !copy.drains.contains_key(*w)).collect();
-    let (writes, gaps) = (lock(&shared.writes), lock(&shared.gap).1.clone());
-    let ms = |part: f64| writes.value_at_quantile(part) as f64 / 1e3;
-    let gap = |part: f64| {
-        let mut sorted = gaps.clone();
-        sorted.sort_by(f64::total_cmp);
-        sorted.get(((sorted.len() as f64 * part).ceil() as usize).saturating_sub(1)).copied().unwrap_or(0.0)
-    };
+    broken.extend(serving.iter().flat_map(|serving| serving.violations.clone()));
+    broken.extend(caught_up.err().map(|error| error.to_string()));
+    let forgotten = end.drains.keys().filter(|worker| !state.drains.contains_key(*worker)).count();
+    Ok(summarize(
+        &load,
+        &cluster,
+        schedule,
+        &end,
+        forgotten,
+        serving.map(|serving| serving.served_share),
+        broken,
+    ))
+}
+
+/// The figures of a trial, and what was found. `broken`: what else was wrong.
+fn summarize(
+    load: &Load, cluster: &Cluster, schedule: &Schedule, end: &FinalState, drains_forgotten: usize,
+    served_share: Option<f64>, broken: Vec<String>,
+) -> (Summary, Vec<String>) {
+    let operations: Vec<Operation> =
+        load.history.take().into_iter().map(|(_, operation)| operation).collect();
+    let verdict = judge(&operations, &end.drains);
     let faults = schedule.counts_by_name();
     let mut found = verdict.found.clone();
-    found.extend(broken.iter().cloned());
+    let rules_broken = broken.len();
+    found.extend(broken);
     let summary = Summary {
-        drains_forgotten: forgotten.len(),
-        unknown: seen.iter().filter(|s| s.answered.is_none()).count(),
+        drains_forgotten,
+        unknown: operations.iter().filter(|operation| operation.answered.is_none()).count(),
         kills: faults.get("kill").copied().unwrap_or(0),
-        disks_replaced: cluster.disks.0,
-        disks_refused: cluster.disks.1,
-        served_share: served.map(|(share, _)| share),
+        disks_replaced: cluster.disks.replaced,
+        disks_refused: cluster.disks.refused,
+        served_share,
         faults,
-        rules_broken: broken.len(),
-        write_p50_ms: ms(0.5),
-        write_p99_ms: ms(0.99),
-        leader_gap_p50_ms: gap(0.5),
-        leader_gap_p99_ms: gap(0.99),
+        rules_broken,
+        write_p50_ms: load.change_ms(0.5),
+        write_p99_ms: load.change_ms(0.99),
+        leader_gap_p50_ms: load.leader_gap_ms(0.5),
+        leader_gap_p99_ms: load.leader_gap_ms(0.99),
         bytes_per_change: cluster.bytes_forwarded() / verdict.committed.max(1) as u64,
         verdict,
     };
-    Ok((summary, found))
+    (summary, found)
 }
--- a/crates/pebblepost-harness/src/supervisor.rs
+++ b/crates/pebblepost-harness/src/supervisor.rs
@@ -114,7 +114,7 @@
     async fn permitted_version(&self, dispatcher: usize) -> Option<String> {
         let key = format!("permit/dispatcher/n{dispatcher}");
         let mut client = StoreClient::new(self.replicas.clone(), Leader::default());
-        let reply = client.ask(&json!({"get": [key]}), LOOKUP_TIMEOUT).await.ok()?;
+        let reply = client.request(&json!({"get": [key]}), LOOKUP_TIMEOUT).await.ok()?;
         let permit = reply.pointer("/found/entries")?.get(&key)?.pointer("/value/permit")?.clone();
         let granted = permit["granted"].is_u64();
         permit["want"].as_str().filter(|want| granted && !want.is_empty()).map(str::to_owned)
--- a/crates/pebblepost-harness/tests/pins.rs
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -168,8 +168,8 @@
         lines += &format!("{seed}: {} {:016x}\n", text.len(), digest.0);
     }
     let plan =
-        store::run::Plan { replicas: 5, clients: 4, seconds: 20.0, seed: 9, pause_ms: 20, dispatchers: 0 };
-    lines += &(serde_json::to_string(&store::run::schedule(&plan)).expect("plain data") + "\n");
+        store::plan::Plan { replicas: 5, clients: 4, seconds: 20.0, seed: 9, pause_ms: 20, dispatchers: 0 };
+    lines += &(serde_json::to_string(&plan.schedule()).expect("plain data") + "\n");
     approved("schedules.txt", &lines);
 }
 
--- a/crates/pebblepost-harness/tests/store.rs
+++ b/crates/pebblepost-harness/tests/store.rs
@@ -4,13 +4,14 @@
 use pebblepost_harness::dispatcher;
 use pebblepost_harness::fault::schedule::{DiskDamage, Fault, FaultKind, Schedule};
 use pebblepost_harness::fault::tcp_relay::LinkState;
-use pebblepost_harness::store::run::{Plan, run, schedule};
+use pebblepost_harness::store::plan::Plan;
+use pebblepost_harness::store::run::run;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_acknowledged_is_lost_and_no_read_is_old_whatever_happens_between_three_keepers() {
     let program = dispatcher::build_program().expect("the program builds");
     let plan = Plan { replicas: 3, clients: 4, seconds: 20.0, seed: 2, pause_ms: 20, dispatchers: 2 };
-    let schedule = schedule(&plan);
+    let schedule = plan.schedule();
     assert!(schedule.counts_by_name()["kill"] >= 8, "{:?}", schedule.counts_by_name());
     let (summary, found) = run(&plan, &schedule, &program).await.expect("the group answers after all faults");
     assert!(summary.verdict.linearizable, "{found:#?}");
