--- a/crates/pebblepost-harness/src/checker/rules.rs
+++ b/crates/pebblepost-harness/src/checker/rules.rs
@@ -242,6 +242,6 @@
         checker.observe(*at, event);
     }
     let mut violations = checker.violations;
-    violations.sort_by(|a, b| a.at.total_cmp(&b.at));
+    violations.sort_by(|left, right| left.at.total_cmp(&right.at));
     violations
 }
--- a/crates/pebblepost-harness/src/cpu_cost.rs
+++ b/crates/pebblepost-harness/src/cpu_cost.rs
@@ -1,6 +1,7 @@
 //! What a request costs a daemon in CPU: many jobs all alike through one process, two programs or settings in turn.
 
 use crate::clients::Outcome;
+use crate::quantile::median;
 use crate::run::Run;
 use crate::workload::spec::{HintSpec, RunSpec};
 use anyhow::Result;
@@ -20,23 +21,21 @@
 #[derive(Serialize)]
 pub struct Report {
     /// The first side.
-    pub a: Vec<f64>,
+    #[serde(rename = "a")]
+    pub first_us: Vec<f64>,
     /// The second.
-    pub b: Vec<f64>,
-    /// Medians.
-    pub median_a: f64,
-    /// See `median_a`.
-    pub median_b: f64,
+    #[serde(rename = "b")]
+    pub second_us: Vec<f64>,
+    /// Median of the first side.
+    #[serde(rename = "median_a")]
+    pub median_first_us: f64,
+    /// Median of the second side.
+    #[serde(rename = "median_b")]
+    pub median_second_us: f64,
     /// Median of the rounds' ratios, first by second.
     pub ratio: f64,
 }
 
-fn median(values: &[f64]) -> f64 {
-    let mut sorted = values.to_vec();
-    sorted.sort_by(f64::total_cmp);
-    sorted.get(sorted.len() / 2).copied().unwrap_or(0.0)
-}
-
 /// Jobs of 4 ms, all alike, about 2,000 a second.
 fn alike(seconds: f64) -> RunSpec {
     let hints = HintSpec::default();
@@ -52,11 +51,13 @@
 }
 
 /// Plays both sides in turn, so many rounds. The first round of each warms up and is left out.
-pub async fn measure(a: &Side<'_>, b: &Side<'_>, seconds: f64, rounds: usize, seed: u64) -> Result<Report> {
+pub async fn measure(
+    first: &Side<'_>, second: &Side<'_>, seconds: f64, rounds: usize, seed: u64,
+) -> Result<Report> {
     let run_spec = alike(seconds);
-    let (mut of_a, mut of_b) = (Vec::new(), Vec::new());
+    let (mut of_first, mut of_second) = (Vec::new(), Vec::new());
     for round in 0..=rounds {
-        for (side, list) in [(a, &mut of_a), (b, &mut of_b)] {
+        for (side, list) in [(first, &mut of_first), (second, &mut of_second)] {
             let run = Run {
                 run_spec: &run_spec,
                 seed,
@@ -71,6 +72,12 @@
             }
         }
     }
-    let ratios: Vec<f64> = of_a.iter().zip(&of_b).map(|(a, b)| a / b).collect();
-    Ok(Report { median_a: median(&of_a), median_b: median(&of_b), ratio: median(&ratios), a: of_a, b: of_b })
+    let ratios: Vec<f64> = of_first.iter().zip(&of_second).map(|(first, second)| first / second).collect();
+    Ok(Report {
+        median_first_us: median(&of_first),
+        median_second_us: median(&of_second),
+        ratio: median(&ratios),
+        first_us: of_first,
+        second_us: of_second,
+    })
 }
--- a/crates/pebblepost-harness/src/discovery.rs
+++ b/crates/pebblepost-harness/src/discovery.rs
@@ -52,7 +52,7 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
 impl Discovery {
@@ -113,8 +113,8 @@
     }
 
     fn whole(&self, dispatcher: usize, list: &List) -> String {
-        let there = list.states.iter().enumerate().filter(|(_, s)| s.0 != Availability::Gone);
-        let hosts: Vec<Value> = there.map(|(w, s)| self.host(dispatcher, w, *s)).collect();
+        let there = list.states.iter().enumerate().filter(|(_, state)| state.0 != Availability::Gone);
+        let hosts: Vec<Value> = there.map(|(worker, state)| self.host(dispatcher, worker, *state)).collect();
         for (worker, state) in list.states.iter().enumerate() {
             self.log.append(Event::Notified { dispatcher, worker, what: state.0 });
         }
@@ -153,7 +153,11 @@
         }
         let mut list = lock(&self.list);
         let whole = self.whole(dispatcher, &list);
-        if !request.uri().query().is_some_and(|q| q.split('&').any(|p| p == "watch=1")) {
+        if !request
+            .uri()
+            .query()
+            .is_some_and(|query| query.split('&').any(|parameter| parameter == "watch=1"))
+        {
             return complete_response(200, &[], whole);
         }
         let (lines, body) = mpsc::unbounded_channel();
--- a/crates/pebblepost-harness/src/dispatcher.rs
+++ b/crates/pebblepost-harness/src/dispatcher.rs
@@ -100,8 +100,8 @@
             "settings": settings(start.of, start.queue_order),
         });
         let id = format!("{}-{address}", std::process::id()).replace(':', "-");
-        let files =
-            ["config", "operator"].map(|w| start.folder.join(format!("pebblepost-harness-{id}-{w}.json")));
+        let files = ["config", "operator"]
+            .map(|name| start.folder.join(format!("pebblepost-harness-{id}-{name}.json")));
         let mut operator = start.operator.clone();
         if let Some(fleet) = operator.get_mut("fleet") {
             fleet["zone"] = ZONES[start.number % ZONES.len()].into();
--- a/crates/pebblepost-harness/src/fault/managed_process.rs
+++ b/crates/pebblepost-harness/src/fault/managed_process.rs
@@ -31,7 +31,7 @@
 
     /// Whether it runs, paused or not.
     pub fn runs(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(None)))
+        self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
     /// How it ended by itself, if it has.
@@ -42,7 +42,7 @@
     fn signal(&mut self, signal: Signal) {
         // One that has ended has no number any more that is its own.
         if self.runs()
-            && let Some(pid) = self.child.as_ref().and_then(|c| i32::try_from(c.id()).ok())
+            && let Some(pid) = self.child.as_ref().and_then(|child| i32::try_from(child.id()).ok())
         {
             let _ = kill(Pid::from_raw(pid), signal);
         }
--- a/crates/pebblepost-harness/src/fault/schedule.rs
+++ b/crates/pebblepost-harness/src/fault/schedule.rs
@@ -53,7 +53,7 @@
 impl FaultKind {
     /// Whether this process does not run while the fault lasts.
     pub fn stops(&self, process: usize) -> bool {
-        matches!(*self, Self::Kill(o) | Self::Stop(o) | Self::Disk(o, _) if o == process)
+        matches!(*self, Self::Kill(stopped) | Self::Stop(stopped) | Self::Disk(stopped, _) if stopped == process)
     }
 
     /// The name under which reports count it.
@@ -117,7 +117,7 @@
         let (mut at, mut faults) = (0.0, Vec::new());
         loop {
             // Whole milliseconds, so that printing and reading change nothing.
-            let ms = |s: f64| (s * 1e3).round() / 1e3;
+            let ms = |seconds: f64| (seconds * 1e3).round() / 1e3;
             at = ms(at + parameters.mean_interval_s * rng.random_range(0.3..1.7));
             let duration_s = ms(rng.random_range(0.1..parameters.longest_s));
             if at + duration_s > parameters.seconds {
--- a/crates/pebblepost-harness/src/fault/tcp_relay.rs
+++ b/crates/pebblepost-harness/src/fault/tcp_relay.rs
@@ -131,7 +131,7 @@
     // While partitioned the server does not see a connection that is accepted here.
     let through = async {
         let mut state = state.clone();
-        let _ = state.wait_for(|o| !o.link.holds_bytes(true)).await;
+        let _ = state.wait_for(|state| !state.link.holds_bytes(true)).await;
         TcpStream::connect(target).await
     };
     let server = tokio::select! {
@@ -160,7 +160,7 @@
 
 async fn until_reset(mut state: watch::Receiver<RelayState>, initial_resets: u64) {
     // An error: the relay itself has gone, and its connections with it.
-    let _ = state.wait_for(|o| o.resets != initial_resets).await;
+    let _ = state.wait_for(|state| state.resets != initial_resets).await;
 }
 
 /// Forwards bytes in one direction until the end of the stream, and then the end itself unless the link holds it back.
@@ -183,7 +183,7 @@
                 LinkState::Throttled(_) => sleep(Duration::from_millis(50)).await,
                 _ => {}
             }
-            if state.wait_for(|o| !o.link.holds_bytes(towards_target)).await.is_err() {
+            if state.wait_for(|state| !state.link.holds_bytes(towards_target)).await.is_err() {
                 return;
             }
             // Counted before the write: whoever has read a byte must find it counted.
@@ -194,7 +194,7 @@
             }
         }
         if read_bytes == 0 {
-            let _ = state.wait_for(|o| !o.link.holds_bytes(towards_target)).await;
+            let _ = state.wait_for(|state| !state.link.holds_bytes(towards_target)).await;
             let _ = to.shutdown().await;
             return;
         }
--- a/crates/pebblepost-harness/src/fleet.rs
+++ b/crates/pebblepost-harness/src/fleet.rs
@@ -102,9 +102,9 @@
 fn summary(played: &Played) -> Summary {
     let count = |hit: fn(&Outcome) -> bool| played.results.iter().filter(|f| hit(&f.outcome)).count();
     Summary {
-        served: count(|o| matches!(o, Outcome::Served(_))),
-        refused: count(|o| *o == Outcome::Refused),
-        lost: count(|o| *o == Outcome::Lost),
+        served: count(|outcome| matches!(outcome, Outcome::Served(_))),
+        refused: count(|outcome| *outcome == Outcome::Refused),
+        lost: count(|outcome| *outcome == Outcome::Lost),
         ready_p99_ms: p99_ms(&played.ready),
         discovery_calls: played.discovery_calls,
         counts: played.connections,
@@ -148,11 +148,13 @@
     let (mut lines, mut all) = (Vec::new(), Summary::default());
     for (name, run_spec) in &run_specs(size) {
         let played = Run { run_spec, seed, program, operator: &operator, supervisor: None }.play().await?;
-        let s = summary(&played);
-        lines.push(format!("{name:<9} {}", serde_json::to_string(&s)?));
-        let notified = |b: &Violation| format!("broken: {:?} at {:.2} s: {}", b.rule, b.at, b.what);
+        let figures = summary(&played);
+        lines.push(format!("{name:<9} {}", serde_json::to_string(&figures)?));
+        let notified = |violation: &Violation| {
+            format!("broken: {:?} at {:.2} s: {}", violation.rule, violation.at, violation.what)
+        };
         lines.extend(played.violations.iter().map(notified));
-        all = all.with(&s);
+        all = all.with(&figures);
     }
     Ok((lines, all))
 }
--- a/crates/pebblepost-harness/src/lib.rs
+++ b/crates/pebblepost-harness/src/lib.rs
@@ -22,6 +22,7 @@
 pub mod event_log;
 pub mod fault;
 pub mod fleet;
+pub mod quantile;
 pub mod release;
 pub mod report;
 pub mod reservations;
--- a/crates/pebblepost-harness/src/main.rs
+++ b/crates/pebblepost-harness/src/main.rs
@@ -277,12 +277,13 @@
 fn play_cpu(args: Cpu) -> Result<()> {
     let program = args.program.map_or_else(dispatcher::build_program, Ok)?;
     let (on, off) = (reservations::operator(true), reservations::operator(false));
-    let a = cpu_cost::Side { program: &program, operator: &on };
-    let b = match &args.against {
+    let first = cpu_cost::Side { program: &program, operator: &on };
+    let second = match &args.against {
         Some(other) => cpu_cost::Side { program: other, operator: &on },
         None => cpu_cost::Side { program: &program, operator: &off },
     };
-    let report = threads()?.block_on(cpu_cost::measure(&a, &b, args.seconds, args.rounds, args.seed))?;
+    let report =
+        threads()?.block_on(cpu_cost::measure(&first, &second, args.seconds, args.rounds, args.seed))?;
     println!("{}", serde_json::to_string(&report)?);
     Ok(())
 }
--- a/crates/pebblepost-harness/src/release/grant_audit.rs
+++ b/crates/pebblepost-harness/src/release/grant_audit.rs
@@ -69,7 +69,8 @@
         let mut granted = [0; 2];
         for item in change["items"].as_array().into_iter().flatten() {
             let key = item[0].as_str().unwrap_or_default().to_owned();
-            let is_granted = |v: Option<&Value>| v.is_some_and(|v| v["permit"]["granted"].is_u64());
+            let is_granted =
+                |value: Option<&Value>| value.is_some_and(|value| value["permit"]["granted"].is_u64());
             let before = is_granted(self.entries.get(&key));
             match &item[1] {
                 Value::Null => drop(self.entries.remove(&key)),
@@ -86,7 +87,7 @@
                 &self.entries.get(&format!("budget/{}", KINDS[kind])).cloned().unwrap_or_default()["budget"];
             let most = |name: &str| budget[name]["count"].as_u64().unwrap_or(u64::MAX) as usize;
             let out = self.out(kind);
-            let in_zone = |zone: &&str| out.values().filter(|z| *z == zone).count();
+            let in_zone = |zone: &&str| out.values().filter(|other| *other == zone).count();
             let worst = ZONES.iter().map(in_zone).max().unwrap_or(0);
             if out.len() > most("most") || worst > most("most_in_zone") {
                 let who: Vec<&str> = out.into_keys().collect();
--- a/crates/pebblepost-harness/src/release/maintenance.rs
+++ b/crates/pebblepost-harness/src/release/maintenance.rs
@@ -84,8 +84,9 @@
 
 /// The most workers that were off at once.
 pub fn most_off(switched_off: &[SwitchedOff]) -> usize {
-    let at = |t: f64| switched_off.iter().filter(|o| (o.from..o.to).contains(&t)).count();
-    switched_off.iter().map(|o| at(o.from)).max().unwrap_or(0)
+    let at =
+        |time: f64| switched_off.iter().filter(|window| (window.from..window.to).contains(&time)).count();
+    switched_off.iter().map(|window| at(window.from)).max().unwrap_or(0)
 }
 
 /// What workers got, or still had to do, while they were off: attempts that arrived, and jobs that ran on and were served
@@ -99,8 +100,9 @@
             Event::AttemptArrived { txn, dispatcher, worker, .. } => {
                 *attempts.entry(txn).or_insert(0) += 1;
                 open.insert((txn, *worker), (*at, *dispatcher));
-                if let Some(off) =
-                    switched_off.iter().find(|o| o.worker == *worker && (o.from..o.to).contains(at))
+                if let Some(off) = switched_off
+                    .iter()
+                    .find(|window| window.worker == *worker && (window.from..window.to).contains(at))
                 {
                     found.push(format!(
                         "dispatcher {dispatcher} sent {txn} to worker {worker} at {at:.3}, off since {:.3}",
@@ -110,9 +112,13 @@
             }
             Event::AttemptEnded { txn, worker, .. } => {
                 let Some((began, by)) = open.remove(&(txn.as_str(), *worker)) else { continue };
-                let ran = |o: &&SwitchedOff| o.worker == *worker && began < o.from && *at >= o.from;
-                let excused = |o: &SwitchedOff| killed.iter().any(|k| k.dispatcher == by && k.from <= o.from);
-                if switched_off.iter().find(ran).is_some_and(|o| !excused(o)) {
+                let ran = |window: &&SwitchedOff| {
+                    window.worker == *worker && began < window.from && *at >= window.from
+                };
+                let excused = |window: &SwitchedOff| {
+                    killed.iter().any(|exit| exit.dispatcher == by && exit.from <= window.from)
+                };
+                if switched_off.iter().find(ran).is_some_and(|window| !excused(window)) {
                     ran_on.insert(txn);
                 }
             }
--- a/crates/pebblepost-harness/src/report.rs
+++ b/crates/pebblepost-harness/src/report.rs
@@ -64,11 +64,11 @@
     if of == 0 {
         return (0.0, 1.0);
     }
-    let (n, z) = (of as f64, 1.96);
-    let p = hits as f64 / n;
-    let middle = p + z * z / (2.0 * n);
-    let off = z * (p * (1.0 - p) / n + z * z / (4.0 * n * n)).sqrt();
-    ((middle - off) / (1.0 + z * z / n), (middle + off) / (1.0 + z * z / n))
+    let (n, quantile) = (of as f64, 1.96);
+    let share = hits as f64 / n;
+    let middle = share + quantile * quantile / (2.0 * n);
+    let off = quantile * (share * (1.0 - share) / n + quantile * quantile / (4.0 * n * n)).sqrt();
+    ((middle - off) / (1.0 + quantile * quantile / n), (middle + off) / (1.0 + quantile * quantile / n))
 }
 
 /// Times, to the microsecond, up to a minute.
@@ -77,14 +77,14 @@
 }
 
 fn ms(times: &Option<Histogram<u64>>, quantile: f64) -> f64 {
-    times.as_ref().map_or(0.0, |h| h.value_at_quantile(quantile) as f64 / 1e3)
+    times.as_ref().map_or(0.0, |histogram| histogram.value_at_quantile(quantile) as f64 / 1e3)
 }
 
 /// 99th percentile of some times, in milliseconds.
 pub fn p99_ms(some: &[Duration]) -> f64 {
     let mut all = times();
-    if let Some(h) = &mut all {
-        some.iter().for_each(|t| h.saturating_record(t.as_micros() as u64));
+    if let Some(histogram) = &mut all {
+        some.iter().for_each(|time| histogram.saturating_record(time.as_micros() as u64));
     }
     ms(&all, 0.99)
 }
@@ -102,11 +102,11 @@
         group.asked += 1;
         group.work += work;
         group.tries += result.tries as usize;
-        let micros = |s: f64| (s * 1e6) as u64;
+        let micros = |seconds: f64| (seconds * 1e6) as u64;
         match result.outcome {
             Outcome::Served(after) => {
-                if let Some(h) = &mut latency {
-                    h.saturating_record(micros(after));
+                if let Some(histogram) = &mut latency {
+                    histogram.saturating_record(micros(after));
                 }
                 if after <= latency_target_s(arrival.work) {
                     group.in_time += 1;
@@ -119,8 +119,8 @@
             Outcome::Lost => group.lost += 1,
             Outcome::Left => {}
         }
-        if let (Some(h), Some(after)) = (&mut refusals, result.refused_after) {
-            h.saturating_record(micros(after));
+        if let (Some(histogram), Some(after)) = (&mut refusals, result.refused_after) {
+            histogram.saturating_record(micros(after));
         }
     }
     (group.p50_ms, group.p99_ms) = (ms(&latency, 0.5), ms(&latency, 0.99));
@@ -166,10 +166,10 @@
         let mut large_by_slots: BTreeMap<u32, Group> = BTreeMap::new();
         for (plan, results) in runs {
             for (sum, large) in groups.iter_mut().zip([true, false]) {
-                sum.add(&group(plan, results, |a| a.large == large));
+                sum.add(&group(plan, results, |arrival| arrival.large == large));
             }
             for slots in [1, 2, 4] {
-                let part = group(plan, results, |a| a.large && a.slots == slots);
+                let part = group(plan, results, |arrival| arrival.large && arrival.slots == slots);
                 large_by_slots.entry(slots).or_default().add(&part);
             }
         }
--- a/crates/pebblepost-harness/src/reservations.rs
+++ b/crates/pebblepost-harness/src/reservations.rs
@@ -40,9 +40,9 @@
 }
 
 fn summary(runs: &[&Played]) -> Summary {
-    let parts: Vec<_> = runs.iter().map(|p| (&*p.plan, p.results.as_slice())).collect();
-    let broken: Vec<_> = runs.iter().flat_map(|p| p.violations.iter().cloned()).collect();
-    Summary::of(&parts, &broken, runs.iter().map(|p| p.cpu_s).sum())
+    let parts: Vec<_> = runs.iter().map(|played| (&*played.plan, played.results.as_slice())).collect();
+    let broken: Vec<_> = runs.iter().flat_map(|played| played.violations.iter().cloned()).collect();
+    Summary::of(&parts, &broken, runs.iter().map(|played| played.cpu_s).sum())
 }
 
 /// Plays `run_spec` at each load, with the room on and off. All run at the same time, each with a fleet of its own,
@@ -54,7 +54,8 @@
     let run = |run_spec, operator| async move {
         Run { run_spec, seed, program, operator, supervisor: None }.play().await
     };
-    let both = run_specs.iter().map(|s| async { tokio::try_join!(run(s, &on_file), run(s, &off_file)) });
+    let both =
+        run_specs.iter().map(|spec| async { tokio::try_join!(run(spec, &on_file), run(spec, &off_file)) });
     for played in futures_util::future::try_join_all(both).await? {
         on.push(played.0);
         off.push(played.1);
@@ -65,19 +66,19 @@
     Ok(Report { on: all(&on), off: all(&off), loads: loads.iter().enumerate().map(at).collect() })
 }
 
-fn row(name: &str, s: &Summary) -> String {
+fn row(name: &str, figures: &Summary) -> String {
     let share = |share: f64, (low, high): (f64, f64)| format!("{share:.4} ({low:.3} to {high:.3})");
     format!(
         "{name:<12} {:>24} {:>24} {:>8} {:>8} {:>7} {:>7} {:>7.0} {:>6.1} {:>6}",
-        share(s.large_in_time, s.large_interval),
-        share(s.small_in_time, s.small_interval),
-        format!("{}/{}", s.large.late, s.large.refused),
-        format!("{}/{}", s.small.late, s.small.refused),
-        s.large_asked,
-        s.small_asked,
-        s.work_in_time,
-        s.cpu_us,
-        s.rules_broken
+        share(figures.large_in_time, figures.large_interval),
+        share(figures.small_in_time, figures.small_interval),
+        format!("{}/{}", figures.large.late, figures.large.refused),
+        format!("{}/{}", figures.small.late, figures.small.refused),
+        figures.large_asked,
+        figures.small_asked,
+        figures.work_in_time,
+        figures.cpu_us,
+        figures.rules_broken
     )
 }
 
@@ -96,23 +97,23 @@
         "us",
         "broken"
     )];
-    for l in &report.loads {
-        lines.push(row(&format!("{:.2} on", l.load), &l.on));
-        lines.push(row(&format!("{:.2} off", l.load), &l.off));
+    for at_load in &report.loads {
+        lines.push(row(&format!("{:.2} on", at_load.load), &at_load.on));
+        lines.push(row(&format!("{:.2} off", at_load.load), &at_load.off));
     }
     lines.push(row("all on", &report.on));
     lines.push(row("all off", &report.off));
-    for (name, s) in [("on", &report.on), ("off", &report.off)] {
-        for (slots, g) in &s.large_by_slots {
-            let (share, retried) = (g.share(), g.tries as f64 / g.asked.max(1) as f64);
+    for (name, figures) in [("on", &report.on), ("off", &report.off)] {
+        for (slots, group) in &figures.large_by_slots {
+            let (share, retried) = (group.share(), group.tries as f64 / group.asked.max(1) as f64);
             lines.push(format!(
                 "{name}: large of {slots} slots: {share:.3} of {} in time, {retried:.2} tries",
-                g.asked
+                group.asked
             ));
         }
     }
-    for b in report.on.broken.iter().chain(&report.off.broken) {
-        lines.push(format!("broken: {:?} at {:.2} s: {}", b.rule, b.at, b.what));
+    for violation in report.on.broken.iter().chain(&report.off.broken) {
+        lines.push(format!("broken: {:?} at {:.2} s: {}", violation.rule, violation.at, violation.what));
     }
     lines.join("\n")
 }
--- a/crates/pebblepost-harness/src/store/cluster.rs
+++ b/crates/pebblepost-harness/src/store/cluster.rs
@@ -152,7 +152,11 @@
     /// Bytes between replicas so far.
     pub fn bytes_forwarded(&self) -> u64 {
         let count = self.addresses.len();
-        self.relays.iter().filter(|((from, _), _)| *from < count).map(|(_, r)| r.bytes_forwarded()).sum()
+        self.relays
+            .iter()
+            .filter(|((from, _), _)| *from < count)
+            .map(|(_, relay)| relay.bytes_forwarded())
+            .sum()
     }
 
     /// Injects a fault.
@@ -248,8 +252,9 @@
         let fault = self.active.remove(i);
         self.apply_link_states();
         let held = |place: usize| self.active.iter().any(|f| f.kind.stops(place));
-        let paused =
-            |place: usize| self.active.iter().any(|f| matches!(f.kind, FaultKind::Pause(o) if o == place));
+        let paused = |place: usize| {
+            self.active.iter().any(|f| matches!(f.kind, FaultKind::Pause(paused) if paused == place))
+        };
         match fault.kind {
             FaultKind::Kill(place) | FaultKind::Stop(place) | FaultKind::Disk(place, _) if !held(place) => {
                 self.replicas[place].start()?
@@ -264,7 +269,7 @@
     fn apply_link_states(&self) {
         for ((from, to), relay) in &self.relays {
             let of = |fault: &Fault| match fault.kind {
-                FaultKind::Link(f, t, link) if (f, t) == (*from, *to) => Some(link),
+                FaultKind::Link(source, target, link) if (source, target) == (*from, *to) => Some(link),
                 FaultKind::Isolated(place) if place == *from || place == *to => Some(LinkState::Partitioned),
                 FaultKind::IsolatedFromPeers(place)
                     if *from < self.replicas.len() && (place == *from || place == *to) =>
@@ -291,7 +296,7 @@
             steps.push((fault.begins_at_s, Some(*fault), fault.number));
             steps.push((fault.begins_at_s + fault.duration_s, None, fault.number));
         }
-        steps.sort_by(|a, b| a.0.total_cmp(&b.0));
+        steps.sort_by(|left, right| left.0.total_cmp(&right.0));
         for (at, fault, number) in steps {
             sleep(Duration::from_secs_f64((at - start.elapsed().as_secs_f64()).max(0.0))).await;
             self.restart_crashed()?;
--- a/crates/pebblepost-harness/src/store/consistency.rs
+++ b/crates/pebblepost-harness/src/store/consistency.rs
@@ -49,7 +49,8 @@
 /// What one worker's history allows to be expected at the end: its mark, if all who touched it are known to have.
 fn expected(history: &[&Operation]) -> Option<bool> {
     // Only where nobody's outcome is unknown and the changes came one after another.
-    let changes: Vec<&&Operation> = history.iter().filter(|s| s.kind != OperationKind::Read).collect();
+    let changes: Vec<&&Operation> =
+        history.iter().filter(|operation| operation.kind != OperationKind::Read).collect();
     let mut last = f64::NEG_INFINITY;
     for change in &changes {
         let (answered, _) = change.answered.as_ref()?;
@@ -58,25 +59,28 @@
         }
         last = *answered;
     }
-    changes.last().map(|c| matches!(c.kind, OperationKind::Drain(_)))
+    changes.last().map(|change| matches!(change.kind, OperationKind::Drain(_)))
 }
 
 /// Reads that were asked after a lone change was acknowledged and before any other was asked, and contradict it.
 fn stale(history: &[&Operation]) -> usize {
-    let changes: Vec<&&Operation> = history.iter().filter(|s| s.kind != OperationKind::Read).collect();
-    let reads = history.iter().filter(|s| s.kind == OperationKind::Read);
+    let changes: Vec<&&Operation> =
+        history.iter().filter(|operation| operation.kind != OperationKind::Read).collect();
+    let reads = history.iter().filter(|operation| operation.kind == OperationKind::Read);
     let contradicts = |read: &&&Operation| {
         let Some((answered, found)) = &read.answered else { return false };
         // Every change but those over before the read, or begun after it, may or may not be seen.
-        let open = changes
-            .iter()
-            .any(|c| c.asked < *answered && c.answered.as_ref().is_none_or(|(end, _)| *end > read.asked));
-        let end = |c: &Operation| c.answered.as_ref().map_or(f64::INFINITY, |(end, _)| *end);
-        let before = || changes.iter().filter(|c| end(c) <= read.asked);
-        let last = before().max_by(|a, b| a.asked.total_cmp(&b.asked));
+        let open = changes.iter().any(|change| {
+            change.asked < *answered && change.answered.as_ref().is_none_or(|(end, _)| *end > read.asked)
+        });
+        let end = |change: &Operation| change.answered.as_ref().map_or(f64::INFINITY, |(end, _)| *end);
+        let before = || changes.iter().filter(|change| end(change) <= read.asked);
+        let last = before().max_by(|left, right| left.asked.total_cmp(&right.asked));
         // Of two that were out at the same time either may have been the last.
-        let clear = last.is_none_or(|last| before().all(|c| c.asked >= last.asked || end(c) <= last.asked));
-        let drained = last.is_some_and(|c| matches!(c.kind, OperationKind::Drain(_)));
+        let clear = last.is_none_or(|last| {
+            before().all(|change| change.asked >= last.asked || end(change) <= last.asked)
+        });
+        let drained = last.is_some_and(|change| matches!(change.kind, OperationKind::Drain(_)));
         !open && clear && found.is_some() != drained
     };
     reads.filter(contradicts).count()
@@ -89,7 +93,7 @@
         events.push((seen.asked, false, i));
         events.extend(seen.answered.as_ref().map(|(at, _)| (*at, true, i)));
     }
-    events.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    events.sort_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)));
     let mut tester = LinearizabilityTester::new(DrainMark(None));
     for (_, ends, i) in events {
         let seen = history[i];
@@ -110,12 +114,13 @@
 pub fn judge(seen: &[Operation], end: &BTreeMap<String, String>) -> Verdict {
     let mut verdict = Verdict { linearizable: true, ..Verdict::default() };
     let mut by_worker: BTreeMap<&str, Vec<&Operation>> = BTreeMap::new();
-    for s in seen {
-        by_worker.entry(&s.worker).or_default().push(s);
-        verdict.committed += usize::from(s.kind != OperationKind::Read && s.answered.is_some());
+    for operation in seen {
+        by_worker.entry(&operation.worker).or_default().push(operation);
+        verdict.committed +=
+            usize::from(operation.kind != OperationKind::Read && operation.answered.is_some());
     }
     for (worker, history) in &mut by_worker {
-        history.sort_by(|a, b| a.asked.total_cmp(&b.asked));
+        history.sort_by(|left, right| left.asked.total_cmp(&right.asked));
         if let Some(expected) = expected(history)
             && expected != end.contains_key(*worker)
         {
--- a/crates/pebblepost-harness/src/store/load.rs
+++ b/crates/pebblepost-harness/src/store/load.rs
@@ -3,6 +3,7 @@
 use super::client::{Leader, StoreClient};
 use super::history::{Operation, OperationHistory, OperationKind};
 use super::plan::Plan;
+use crate::quantile::nearest_rank;
 use crate::sync::lock;
 use hdrhistogram::Histogram;
 use rand::{RngExt, SeedableRng};
@@ -89,10 +90,7 @@
 
     /// Time from the kill of a leader to the next acknowledged change, in milliseconds.
     pub(super) fn leader_gap_ms(&self, quantile: f64) -> f64 {
-        let mut sorted = lock(&self.leader_gaps).gaps_ms.clone();
-        sorted.sort_by(f64::total_cmp);
-        let rank = (sorted.len() as f64 * quantile).ceil() as usize;
-        sorted.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
+        nearest_rank(&lock(&self.leader_gaps).gaps_ms, quantile)
     }
 
     fn change_acknowledged(&self, began: Instant) {
--- a/crates/pebblepost-harness/src/worker/model.rs
+++ b/crates/pebblepost-harness/src/worker/model.rs
@@ -94,7 +94,7 @@
 
     /// Starts anew, cold and empty. Returns the jobs that are lost by it.
     pub fn restart(&mut self, now: f64) -> Vec<JobId> {
-        let lost = self.running.drain(..).chain(self.waiting.drain(..)).map(|j| j.job_id).collect();
+        let lost = self.running.drain(..).chain(self.waiting.drain(..)).map(|job| job.job_id).collect();
         (self.started, self.now, self.overhead, self.overload) = (Some(now), now, 0.0, false);
         self.cached_keys.clear();
         self.sent.clear();
@@ -104,7 +104,7 @@
 
     /// Hands back what has not begun.
     pub fn return_queued(&mut self) -> Vec<JobId> {
-        self.waiting.drain(..).map(|j| j.job_id).collect()
+        self.waiting.drain(..).map(|job| job.job_id).collect()
     }
 
     /// Its figures.
@@ -136,7 +136,7 @@
     }
 
     fn slots_in_use(&self) -> u32 {
-        self.running.iter().map(|j| j.slots).sum()
+        self.running.iter().map(|job| job.slots).sum()
     }
 
     /// Free slots, running jobs' share of the cores, and how many jobs wait.
@@ -148,7 +148,7 @@
 
     /// Jobs that fetch now; the shared store serves so many.
     pub fn fetching(&self) -> usize {
-        self.running.iter().filter(|j| j.fetch > 0.0).count()
+        self.running.iter().filter(|job| job.fetch > 0.0).count()
     }
 
     /// Work that is no job: a new connection, a probe.
@@ -200,8 +200,8 @@
             // Overhead takes up to half of the cores until it is done.
             let free = if self.overhead > 0.0 { 0.5 } else { 1.0 };
             let pace = self.spec.speed * self.slow_start_factor() * share * free;
-            let ends = |j: &Job| {
-                if j.fetch > 0.0 { j.fetch / store_share.max(1e-6) } else { j.work / pace.max(1e-6) }
+            let ends = |job: &Job| {
+                if job.fetch > 0.0 { job.fetch / store_share.max(1e-6) } else { job.work / pace.max(1e-6) }
             };
             let step = self.running.iter().map(ends).fold(left, f64::min).max(1e-7).min(left);
             for job in &mut self.running {
@@ -210,9 +210,9 @@
             self.overhead = (self.overhead - step * 0.5 * self.capacity()).max(0.0);
             self.now += step;
             left -= step;
-            let done = |j: &Job| j.fetch <= 1e-9 && j.work <= 1e-9;
-            events.extend(self.running.iter().filter(|j| done(j)).map(|j| JobEvent::Done(j.job_id)));
-            self.running.retain(|j| !done(j));
+            let done = |job: &Job| job.fetch <= 1e-9 && job.work <= 1e-9;
+            events.extend(self.running.iter().filter(|job| done(job)).map(|job| JobEvent::Done(job.job_id)));
+            self.running.retain(|job| !done(job));
             self.start_queued(events);
         }
         if self.running.is_empty() {
@@ -226,15 +226,15 @@
         loop {
             let free = self.spec.slots.saturating_sub(self.slots_in_use());
             let next = match self.spec.order {
-                QueueOrder::Fifo => self.waiting.front().filter(|j| j.slots <= free).map(|_| 0),
-                QueueOrder::Backfill => self.waiting.iter().position(|j| j.slots <= free),
+                QueueOrder::Fifo => self.waiting.front().filter(|job| job.slots <= free).map(|_| 0),
+                QueueOrder::Backfill => self.waiting.iter().position(|job| job.slots <= free),
             };
             let Some(mut job) = next.and_then(|i| self.waiting.remove(i)) else { return };
             if job.key != 0 {
                 let had = self
                     .cached_keys
                     .iter()
-                    .position(|k| *k == job.key)
+                    .position(|cached| *cached == job.key)
                     .and_then(|i| self.cached_keys.remove(i));
                 job.fetch = if had.is_some() { 0.0 } else { self.fetch_s };
                 self.cached_keys.push_back(job.key);
--- a/crates/pebblepost-harness/src/workload/faults.rs
+++ b/crates/pebblepost-harness/src/workload/faults.rs
@@ -27,6 +27,6 @@
             });
         }
     }
-    worker_faults.sort_by(|a, b| a.at.total_cmp(&b.at));
+    worker_faults.sort_by(|left, right| left.at.total_cmp(&right.at));
     worker_faults
 }
--- a/crates/pebblepost-harness/tests/pins.rs
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -240,10 +240,10 @@
         (
             "cpu",
             serde_json::to_string(&cpu_cost::Report {
-                a: vec![1.0],
-                b: vec![2.0],
-                median_a: 1.0,
-                median_b: 2.0,
+                first_us: vec![1.0],
+                second_us: vec![2.0],
+                median_first_us: 1.0,
+                median_second_us: 2.0,
                 ratio: 0.5,
             }),
         ),
--- a/crates/pebblepost-harness/tests/release.rs
+++ b/crates/pebblepost-harness/tests/release.rs
@@ -20,15 +20,21 @@
         faults: true,
         mode: Mode::Permits,
     };
-    let (s, found) = run(&plan, &program).await.expect("all answer after all faults");
-    assert!(s.completed >= 1 && s.completed + s.rolled_back == s.releases, "{found:#?} {s:?}");
-    assert_eq!((s.stuck_permits, s.rules_broken), (0, 0), "{found:#?}");
-    assert!(s.max_out_dispatchers <= 2 && s.max_out_in_zone <= 1 && s.over_budget_ms == 0.0, "{found:#?}");
+    let (figures, found) = run(&plan, &program).await.expect("all answer after all faults");
+    assert!(
+        figures.completed >= 1 && figures.completed + figures.rolled_back == figures.releases,
+        "{found:#?} {figures:?}"
+    );
+    assert_eq!((figures.stuck_permits, figures.rules_broken), (0, 0), "{found:#?}");
+    assert!(
+        figures.max_out_dispatchers <= 2 && figures.max_out_in_zone <= 1 && figures.over_budget_ms == 0.0,
+        "{found:#?}"
+    );
     // One that comes back as another version than wanted goes again by the same grant.
-    assert!(s.grants >= 3 && s.grants_to_workers >= s.workers_off, "{s:?}");
-    assert_eq!(s.grants_over_budget, 0, "{found:#?}");
+    assert!(figures.grants >= 3 && figures.grants_to_workers >= figures.workers_off, "{figures:?}");
+    assert_eq!(figures.grants_over_budget, 0, "{found:#?}");
     // Workers go as well, one hand more than the budget lets out: nothing comes to one that is off.
-    assert!(s.workers_off >= 3 && s.max_out_workers <= 2, "{s:?}");
-    assert_eq!(s.work_while_off, 0, "{found:#?}");
-    assert!(s.went >= 3, "only {} went by themselves", s.went);
+    assert!(figures.workers_off >= 3 && figures.max_out_workers <= 2, "{figures:?}");
+    assert_eq!(figures.work_while_off, 0, "{found:#?}");
+    assert!(figures.went >= 3, "only {} went by themselves", figures.went);
 }
--- a/crates/pebblepost-harness/tests/run.rs
+++ b/crates/pebblepost-harness/tests/run.rs
@@ -51,7 +51,8 @@
     assert_eq!(played.ready.len(), 4 + 3, "all were ready, and those that were killed once more");
     // At one call a second the first four wait in turn and some fail, so that they ask again.
     assert!(played.discovery_calls > 4 + 3, "{} calls to discovery", played.discovery_calls);
-    let last = played.plan.arrivals.iter().rposition(|a| a.dispatcher == 0).expect("the busiest one");
+    let last =
+        played.plan.arrivals.iter().rposition(|arrival| arrival.dispatcher == 0).expect("the busiest one");
     let result = played.results.iter().find(|f| f.arrival == last).expect("it has ended");
     assert!(!matches!(result.outcome, Outcome::Lost), "{result:?} at a dispatcher that is back");
 }
--- a/crates/pebblepost-harness/tests/store.rs
+++ b/crates/pebblepost-harness/tests/store.rs
@@ -15,10 +15,14 @@
     assert!(schedule.counts_by_name()["kill"] >= 8, "{:?}", schedule.counts_by_name());
     let (summary, found) = run(&plan, &schedule, &program).await.expect("the group answers after all faults");
     assert!(summary.verdict.linearizable, "{found:#?}");
-    let (v, s) = (&summary.verdict, &summary);
-    assert_eq!((v.lost, v.stale_reads, s.drains_forgotten, s.rules_broken), (0, 0, 0, 0), "{found:#?}");
-    assert!(v.committed > 50, "only {} changes were acknowledged", v.committed);
-    assert!(s.served_share > Some(0.5), "served {:?} meanwhile", s.served_share);
+    let (verdict, figures) = (&summary.verdict, &summary);
+    assert_eq!(
+        (verdict.lost, verdict.stale_reads, figures.drains_forgotten, figures.rules_broken),
+        (0, 0, 0, 0),
+        "{found:#?}"
+    );
+    assert!(verdict.committed > 50, "only {} changes were acknowledged", verdict.committed);
+    assert!(figures.served_share > Some(0.5), "served {:?} meanwhile", figures.served_share);
 }
 
 /// A schedule of these, each from its second on for so long.
@@ -35,10 +39,10 @@
     let slow =
         [(0, 2), (1, 2), (2, 0), (2, 1)].map(|(from, to)| (0.0, 12.0, FaultKind::Link(from, to, late)));
     let (summary, found) = run(&plan, &faults(slow), &program).await.expect("the group answers");
-    let v = &summary.verdict;
-    assert_eq!((v.lost, v.stale_reads, v.linearizable), (0, 0, true), "{found:#?}");
+    let verdict = &summary.verdict;
+    assert_eq!((verdict.lost, verdict.stale_reads, verdict.linearizable), (0, 0, true), "{found:#?}");
     // At the pace of the slow one a change would take three seconds, and the desks would come to some twenty.
-    assert!(v.committed > 200 && summary.write_p50_ms < 750.0, "{summary:?}");
+    assert!(verdict.committed > 200 && summary.write_p50_ms < 750.0, "{summary:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -51,9 +55,13 @@
         (11.0, 1.0, FaultKind::Disk(2, DiskDamage::Deleted)),
     ];
     let (summary, found) = run(&plan, &faults(spoilt), &program).await.expect("the group answers");
-    let (v, s) = (&summary.verdict, &summary);
-    assert_eq!((v.lost, v.stale_reads, s.drains_forgotten, s.rules_broken), (0, 0, 0, 0), "{found:#?}");
+    let (verdict, figures) = (&summary.verdict, &summary);
+    assert_eq!(
+        (verdict.lost, verdict.stale_reads, figures.drains_forgotten, figures.rules_broken),
+        (0, 0, 0, 0),
+        "{found:#?}"
+    );
     // None of the three disks that the group began with is left.
-    assert_eq!((s.disks_replaced, s.disks_refused), (3, 1), "{found:#?}");
-    assert!(v.linearizable && v.committed > 50, "{found:#?}");
+    assert_eq!((figures.disks_replaced, figures.disks_refused), (3, 1), "{found:#?}");
+    assert!(verdict.linearizable && verdict.committed > 50, "{found:#?}");
 }
--- a/crates/pebblepost-harness/tests/unit/checker.rs
+++ b/crates/pebblepost-harness/tests/unit/checker.rs
@@ -24,7 +24,7 @@
 }
 
 fn rules(log: &[Entry]) -> Vec<Rule> {
-    check(log, &Limits::default()).into_iter().map(|b| b.rule).collect()
+    check(log, &Limits::default()).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
@@ -133,7 +133,9 @@
     let killed = DispatcherExit { dispatcher: 0, from: 8.0, back: 9.0, abrupt: true };
     let left = |killed| {
         let left = check(&without_excused(log.clone(), &[killed]), &Limits::default());
-        left.iter().filter_map(|b| Some(b.what.split(':').next()?.to_owned())).collect::<Vec<_>>()
+        left.iter()
+            .filter_map(|violation| Some(violation.what.split(':').next()?.to_owned()))
+            .collect::<Vec<_>>()
     };
     assert_eq!(left(killed), ["early", "after", "before"]);
     // One that ended itself has to answer what it had taken.
--- a/crates/pebblepost-harness/tests/unit/report.rs
+++ b/crates/pebblepost-harness/tests/unit/report.rs
@@ -9,13 +9,15 @@
 fn shares_count_what_came_within_the_time_wanted() {
     let mut plan = Plan::draw(&RunSpec::mixed(5.0, 0.65), 1).expect("a sound scenario");
     plan.arrivals.truncate(3);
-    plan.arrivals.iter_mut().for_each(|a| (a.work, a.slots, a.large) = (0.2, 1, false));
+    plan.arrivals
+        .iter_mut()
+        .for_each(|arrival| (arrival.work, arrival.slots, arrival.large) = (0.2, 1, false));
     let result = |arrival, outcome| RequestResult { arrival, outcome, tries: 1, refused_after: None };
     let results =
         [result(0, Outcome::Served(0.9)), result(1, Outcome::Served(1.1)), result(2, Outcome::Refused)];
-    let g = group(&plan, &results, |a| !a.large);
-    assert_eq!((g.asked, g.in_time, g.late, g.refused), (3, 1, 1, 1));
-    assert!((g.work_in_time - 0.2).abs() < 1e-9);
+    let figures = group(&plan, &results, |arrival| !arrival.large);
+    assert_eq!((figures.asked, figures.in_time, figures.late, figures.refused), (3, 1, 1, 1));
+    assert!((figures.work_in_time - 0.2).abs() < 1e-9);
 }
 
 #[test]
--- a/crates/pebblepost-harness/tests/unit/worker_model.rs
+++ b/crates/pebblepost-harness/tests/unit/worker_model.rs
@@ -25,61 +25,64 @@
 }
 
 fn started(events: &[JobEvent]) -> Vec<JobId> {
-    events.iter().filter_map(|n| if let JobEvent::Started(t) = n { Some(*t) } else { None }).collect()
+    events
+        .iter()
+        .filter_map(|n| if let JobEvent::Started(job_id) = n { Some(*job_id) } else { None })
+        .collect()
 }
 
 #[test]
 fn a_wide_job_waits_in_order_or_for_ever() {
     for (order, expected) in [(QueueOrder::Fifo, vec![1, 2, 3]), (QueueOrder::Backfill, vec![1, 3, 2])] {
-        let (mut m, mut events) = (model(order), Vec::new());
-        m.submit(0, 1, 1, 1.0, 0);
-        m.submit(0, 2, 2, 1.0, 0);
-        m.submit(0, 3, 1, 1.0, 0);
-        m.advance(5.0, 1.0, &mut events);
+        let (mut worker, mut events) = (model(order), Vec::new());
+        worker.submit(0, 1, 1, 1.0, 0);
+        worker.submit(0, 2, 2, 1.0, 0);
+        worker.submit(0, 3, 1, 1.0, 0);
+        worker.advance(5.0, 1.0, &mut events);
         assert_eq!(started(&events), expected);
     }
 }
 
 #[test]
 fn the_waiting_room_and_the_size_have_an_end() {
-    let mut m = model(QueueOrder::Fifo);
-    assert_eq!(m.submit(0, 1, 3, 1.0, 0), Admission::Rejected, "wider than the worker");
+    let mut worker = model(QueueOrder::Fifo);
+    assert_eq!(worker.submit(0, 1, 3, 1.0, 0), Admission::Rejected, "wider than the worker");
     let mut events = Vec::new();
     for job_id in 0..2 {
-        assert_eq!(m.submit(0, job_id, 1, 1.0, 0), Admission::Accepted);
+        assert_eq!(worker.submit(0, job_id, 1, 1.0, 0), Admission::Accepted);
     }
-    m.advance(0.1, 1.0, &mut events);
+    worker.advance(0.1, 1.0, &mut events);
     for job_id in 2..5 {
-        assert_eq!(m.submit(0, job_id, 1, 1.0, 0), Admission::Accepted);
+        assert_eq!(worker.submit(0, job_id, 1, 1.0, 0), Admission::Accepted);
     }
-    assert_eq!(m.submit(0, 5, 1, 1.0, 0), Admission::Rejected);
+    assert_eq!(worker.submit(0, 5, 1, 1.0, 0), Admission::Rejected);
 }
 
 #[test]
 fn what_a_subject_needs_is_fetched_once_and_slowly_from_a_crowded_store() {
-    let (mut m, mut events) = (model(QueueOrder::Fifo), Vec::new());
-    m.submit(0, 1, 1, 1.0, 7);
-    m.advance(1.9, 0.5, &mut events);
+    let (mut worker, mut events) = (model(QueueOrder::Fifo), Vec::new());
+    worker.submit(0, 1, 1, 1.0, 7);
+    worker.advance(1.9, 0.5, &mut events);
     assert!(!events.contains(&JobEvent::Done(1)), "1 s of fetching at half speed, then 1 s of work");
-    m.advance(2.1, 0.5, &mut events);
+    worker.advance(2.1, 0.5, &mut events);
     assert!(events.contains(&JobEvent::Done(1)));
-    m.submit(0, 2, 1, 1.0, 7);
-    m.advance(3.2, 0.5, &mut events);
+    worker.submit(0, 2, 1, 1.0, 7);
+    worker.advance(3.2, 0.5, &mut events);
     assert!(events.contains(&JobEvent::Done(2)), "kept");
 }
 
 #[test]
 fn a_cold_worker_is_slow_and_falls_over_at_three_times_what_it_can_do() {
-    let (mut m, mut events) = (model(QueueOrder::Fifo), Vec::new());
-    m.restart(0.0);
-    assert!((m.capacity() - 0.4).abs() < 1e-9);
-    m.submit(0, 1, 1, 1.0, 0);
-    m.advance(1.0, 1.0, &mut events);
+    let (mut worker, mut events) = (model(QueueOrder::Fifo), Vec::new());
+    worker.restart(0.0);
+    assert!((worker.capacity() - 0.4).abs() < 1e-9);
+    worker.submit(0, 1, 1, 1.0, 0);
+    worker.advance(1.0, 1.0, &mut events);
     assert!(!events.contains(&JobEvent::Done(1)));
-    m.submit(0, 2, 1, 2.0, 0);
-    assert!(m.overload().is_none());
-    m.submit(0, 3, 1, 3.0, 0);
-    assert_eq!(m.overload(), Some((0.0, vec![(0, 1.0), (0, 2.0), (0, 3.0)])));
-    assert_eq!(m.restart(2.0), [1, 2, 3]);
-    assert!(m.overload().is_none());
+    worker.submit(0, 2, 1, 2.0, 0);
+    assert!(worker.overload().is_none());
+    worker.submit(0, 3, 1, 3.0, 0);
+    assert_eq!(worker.overload(), Some((0.0, vec![(0, 1.0), (0, 2.0), (0, 3.0)])));
+    assert_eq!(worker.restart(2.0), [1, 2, 3]);
+    assert!(worker.overload().is_none());
 }
--- a/crates/pebblepost-harness/tests/unit/workload.rs
+++ b/crates/pebblepost-harness/tests/unit/workload.rs
@@ -6,7 +6,7 @@
 #[test]
 fn the_same_seed_asks_for_the_same_work_in_the_same_order() {
     let draw = |seed, load| Plan::draw(&RunSpec::mixed(60.0, load), seed).expect("a sound scenario");
-    let text = |p: &Plan| serde_json::to_string(p).expect("figures");
+    let text = |plan: &Plan| serde_json::to_string(plan).expect("figures");
     assert_eq!(text(&draw(7, 0.65)), text(&draw(7, 0.65)));
     assert_ne!(text(&draw(7, 0.65)), text(&draw(8, 0.65)));
 }
@@ -14,10 +14,11 @@
 #[test]
 fn the_offered_work_is_the_load_asked_for() {
     let plan = Plan::draw(&RunSpec::mixed(600.0, 0.65), 3).expect("a sound scenario");
-    let capacity: f64 = plan.workers.iter().map(|w| f64::from(w.cores) * w.speed).sum();
-    let offered: f64 = plan.arrivals.iter().map(|a| a.work * f64::from(a.slots)).sum();
+    let capacity: f64 = plan.workers.iter().map(|worker| f64::from(worker.cores) * worker.speed).sum();
+    let offered: f64 = plan.arrivals.iter().map(|arrival| arrival.work * f64::from(arrival.slots)).sum();
     let load = offered / 600.0 / capacity;
     assert!((load - 0.65).abs() < 0.05, "{load}");
-    let large = plan.arrivals.iter().filter(|a| a.large).count() as f64 / plan.arrivals.len() as f64;
+    let large =
+        plan.arrivals.iter().filter(|arrival| arrival.large).count() as f64 / plan.arrivals.len() as f64;
     assert!((large - 0.03).abs() < 0.01, "{large}");
 }
