--- a/crates/pebblepost-harness/src/clients.rs
+++ b/crates/pebblepost-harness/src/clients.rs
@@ -1,5 +1,5 @@
-//! Open-loop clients: each request goes out at its time, whatever has become of those before it, and asks again
-//! after a refusal or a failure as the site's clients do.
+//! Open-loop clients: each request goes out at its time, whether or not earlier ones have been answered, and is retried after
+//! a rejection or a failure.
 
 use crate::attempt_id::attempt_id;
 use crate::event_log::{Event, EventLog};
@@ -17,17 +17,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// What became of a client's request in the end.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// Served, so many seconds after its first try.
+    /// Served, so many seconds after its first attempt.
     Served(f64),
-    /// Refused or failed at each try.
+    /// Rejected or failed at each attempt.
     Refused,
-    /// Nothing came in time, or the connection broke.
+    /// No answer in time, or the connection was closed.
     Lost,
-    /// The client left of its own accord.
-    Left,
+    /// The client disconnected.
+    Cancelled,
 }
 
 /// How one request went.
@@ -35,45 +35,51 @@
 pub struct RequestResult {
     /// Its number in the plan.
     pub arrival: usize,
-    /// What became of it.
+    /// How it ended.
     pub outcome: Outcome,
-    /// How often it was tried.
-    pub tries: u32,
-    /// Seconds until its first refusal, if any.
+    /// Attempts.
+    pub attempts: u32,
+    /// Seconds until its first rejection, if any.
     pub refused_after: Option<f64>,
 }
 
+/// No attempt begins with less time than this to the deadline.
+const LEAST_TIME_LEFT: Duration = Duration::from_millis(20);
+/// Answers are still read for so long after the deadline.
+const LAST_ANSWER_GRACE: Duration = Duration::from_millis(50);
+
 type Http = Client<HttpConnector, Full<Bytes>>;
 
 /// The clients of all dispatchers.
 pub struct Clients {
     plan: Arc<Plan>,
     log: Arc<EventLog>,
-    desks: Vec<(Http, SocketAddr)>,
+    /// A pool of connections for each dispatcher.
+    dispatchers: Vec<(Http, SocketAddr)>,
     results: Mutex<Vec<RequestResult>>,
 }
 
-/// How one try ended.
+/// How one attempt ended.
 enum Reply {
     Served,
     Refused,
     Lost,
-    Left,
+    Cancelled,
 }
 
 impl Clients {
-    /// One pool of connections for each dispatcher.
+    /// Clients of the dispatchers at these addresses.
     pub fn new(plan: Arc<Plan>, log: Arc<EventLog>, dispatchers: &[SocketAddr]) -> Arc<Self> {
-        let desk = |address: &SocketAddr| {
+        let connect = |address: &SocketAddr| {
             let mut connector = HttpConnector::new();
             connector.set_nodelay(true);
             (Client::builder(TokioExecutor::new()).build(connector), *address)
         };
-        let desks = dispatchers.iter().map(desk).collect();
-        Arc::new(Self { plan, log, desks, results: Mutex::default() })
+        let dispatchers = dispatchers.iter().map(connect).collect();
+        Arc::new(Self { plan, log, dispatchers, results: Mutex::default() })
     }
 
-    /// Plays all arrivals from now on; returns how each went once the last has ended.
+    /// Sends all requests from now on; returns how each went, once the last has ended.
     pub async fn play(self: Arc<Self>) -> Vec<RequestResult> {
         let start = Instant::now();
         let mut out = tokio::task::JoinSet::new();
@@ -91,14 +97,14 @@
         let began = Instant::now();
         let deadline = began + Duration::from_secs_f64(DEADLINE_S);
         let cancels_after_s = arrival.cancels_after_s.map(|after| began + Duration::from_secs_f64(after));
-        let (mut tries, mut refused_after, mut outcome) = (0, None, Outcome::Refused);
-        while tries <= arrival.retries {
+        let (mut attempts, mut refused_after, mut outcome) = (0, None, Outcome::Refused);
+        while attempts <= arrival.retries {
             let sent = Instant::now();
-            if sent + Duration::from_millis(20) >= deadline {
+            if sent + LEAST_TIME_LEFT >= deadline {
                 break;
             }
-            tries += 1;
-            match self.ask(index, arrival, tries - 1, deadline, cancels_after_s).await {
+            attempts += 1;
+            match self.attempt(index, arrival, attempts - 1, deadline, cancels_after_s).await {
                 Reply::Served => {
                     outcome = Outcome::Served(began.elapsed().as_secs_f64());
                     break;
@@ -107,8 +113,8 @@
                     outcome = Outcome::Lost;
                     break;
                 }
-                Reply::Left => {
-                    outcome = Outcome::Left;
+                Reply::Cancelled => {
+                    outcome = Outcome::Cancelled;
                     break;
                 }
                 Reply::Refused => {
@@ -117,15 +123,15 @@
                 }
             }
         }
-        lock(&self.results).push(RequestResult { arrival: index, outcome, tries, refused_after });
+        lock(&self.results).push(RequestResult { arrival: index, outcome, attempts, refused_after });
     }
 
-    async fn ask(
-        &self, index: usize, arrival: &Arrival, try_no: u32, deadline: Instant,
+    async fn attempt(
+        &self, index: usize, arrival: &Arrival, attempt: u32, deadline: Instant,
         cancels_after_s: Option<Instant>,
     ) -> Reply {
-        let (http, address) = &self.desks[arrival.dispatcher % self.desks.len()];
-        let (txn, key) = (attempt_id(index, try_no), format!("job-{index:08x}"));
+        let (http, address) = &self.dispatchers[arrival.dispatcher % self.dispatchers.len()];
+        let (txn, key) = (attempt_id(index, attempt), format!("job-{index:08x}"));
         let waits = (deadline - Instant::now()).as_secs_f64();
         let mut request = Request::post(format!("http://{address}/api/segments"))
             .header("x-txn", &txn)
@@ -147,14 +153,14 @@
             let body = response.into_body().collect().await.ok()?.to_bytes();
             Some((status, String::from_utf8_lossy(&body).into_owned()))
         };
-        // An answer at the last moment is still on its way for a little. Who leaves closes the connection.
-        let until = cancels_after_s.unwrap_or(deadline + Duration::from_millis(50));
+        // An answer at the last moment may still be on its way. A client that cancels closes the connection.
+        let until = cancels_after_s.unwrap_or(deadline + LAST_ANSWER_GRACE);
         let event = timeout_at(until, answer).await;
         let (reply, event) = match event {
             Ok(Some((200, body))) => (Reply::Served, Event::Responded { txn, status: 200, body }),
             Ok(Some((status, body))) => (Reply::Refused, Event::Responded { txn, status, body }),
             Ok(None) => (Reply::Lost, Event::ConnectionClosed { txn }),
-            Err(_) if cancels_after_s.is_some() => (Reply::Left, Event::ClientCancelled { txn }),
+            Err(_) if cancels_after_s.is_some() => (Reply::Cancelled, Event::ClientCancelled { txn }),
             Err(_) => (Reply::Lost, Event::TimedOut { txn }),
         };
         self.log.append(event);
--- /dev/null
+++ b/crates/pebblepost-harness/src/dispatcher/mod.rs
@@ -0,0 +1,13 @@
+//! The dispatchers under test: real `pebblepost` processes.
+//!
+//! * [`process`]: one process, its start, faults, readiness and CPU time
+//! * [`settings`]: the settings that each is started with
+//! * [`program`]: builds the program
+
+pub mod process;
+pub mod program;
+pub mod settings;
+
+pub use process::{DispatcherProcess, Launch};
+pub use program::build_program;
+pub use settings::ZONES;
--- a/crates/pebblepost-harness/src/dispatcher.rs
+++ b/crates/pebblepost-harness/src/dispatcher/process.rs
@@ -1,5 +1,6 @@
-//! Real `pebblepost` processes: their configuration, start, end, and the CPU that they used.
+//! One dispatcher as a process: its start, faults, readiness and CPU time.
 
+use super::settings::{ZONES, refusing_settings, settings};
 use anyhow::{Context, Result, bail};
 use bytes::Bytes;
 use http_body_util::Empty;
@@ -14,6 +15,17 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+/// A process must be ready within this after its start.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause between two readiness probes at a start.
+const START_PROBE_INTERVAL: Duration = Duration::from_millis(2);
+/// A readiness probe must be answered within this.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// A process that is dropped is killed if it has not ended within this.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
+/// The number of the start is in the seed from this bit on: never longer than a seed may be.
+const START_NUMBER_BIT: u32 = 40;
+
 /// One process. It is ended when this is dropped.
 pub struct DispatcherProcess {
     command: Command,
@@ -22,114 +34,113 @@
     pub address: SocketAddr,
     /// How long each of its starts took until it took clients.
     pub ready: Vec<Duration>,
-    /// When the last look at it began that did not find it ready: until then it surely was not.
+    /// When the last readiness probe began that failed: until then it certainly was not ready.
     pub not_ready_at: Instant,
     config: Value,
     seed: u64,
     operator: Value,
-    files: [PathBuf; 2],
-    /// CPU of lives that have ended, in seconds.
+    files: Files,
+    /// CPU of earlier starts, in seconds.
     cpu_of_earlier_runs_s: f64,
 }
 
-/// The buildings; dispatcher `n` is in the one of number `n`, counted round.
-pub const ZONES: [&str; 3] = ["honkan", "bekkan", "soko"];
-
-/// The one class of jobs; within so many nanoseconds an answer has its full worth.
-fn class(on_time: u64) -> Value {
-    json!({
-        "name": "segment", "effect": "idempotency_key", "group": "all", "window": 10_000_000_000_u64,
-        "onTime": on_time, "deadline": 6_000_000_000_u64, "worth": 1.0, "lateValue": 0.0, "streamed": false,
-    })
-}
-
-/// The settings of the site's kind, as a platform gives them.
-fn settings(dispatchers: usize, queue_order: &str) -> Value {
-    json!({
-        "instances": dispatchers, "locality": 0, "discovery": "ask", "tick": 2_000_000, "worthBy": "work",
-        "failureDomains": ZONES, "kinds": ["small-fast", "mid-three", "wide-five"],
-        "classes": [class(600_000_000)],
-        "caps": {"probing": true, "cancelling": true, "mayDuplicate": true, "sendCap": 3, "retryAfter": false,
-                 "keepalive": 30_000_000_000_u64, "connectTimeout": 250_000_000, "maxRetryAfter": 2_000_000_000},
-        "charges": {"crossZone": 0.025, "handshake": 0.02, "lateFail": 0.03, "probe": 0.01, "waste": 0.014},
-        "report": {"names": ["cpu", "err_rps", "x0"], "source": "pull"},
-        "domain": {"reportX0": "free_slots", "tellsStart": true, "classStretch": 2.0, "progress": 2_000_000_000,
-                   "queueOrder": queue_order},
-        "invariants": {"stopSendingWithin": 500_000_000, "answerSlack": 8_000_000, "askWithin": 10_000_000_000_u64,
-                       "coldFrom": 0.12, "warmUp": 23_000_000_000_u64, "tipMultiple": 3.0, "fall": 3_000_000_000_u64}
-    })
-}
-
-fn write(path: &Path, json: &Value) -> Result<()> {
-    std::fs::write(path, json.to_string()).with_context(|| path.display().to_string())
-}
-
 /// What a process is started with.
 pub struct Launch<'a> {
     /// The program.
     pub program: &'a Path,
-    /// Its number, and how many there are.
+    /// Its number.
     pub number: usize,
-    /// See `number`.
+    /// How many dispatchers there are.
     pub of: usize,
-    /// Discovery.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The list it begins with.
+    /// The list of workers that it begins with.
     pub known: Value,
     /// Its seed.
     pub seed: u64,
-    /// The operator's file.
+    /// The operator file.
     pub operator: &'a Value,
-    /// What it says of the order of the workers' queues.
+    /// The order of the workers' queues, by its name in the settings.
     pub queue_order: &'a str,
     /// A folder for its files.
     pub folder: &'a Path,
 }
 
-impl DispatcherProcess {
-    /// Starts one; it takes clients when this returns.
-    pub async fn start(start: &Launch<'_>) -> Result<Self> {
-        // An address that nobody connects from: a port that was free a moment ago, or is while the process is started
-        // again, still is. Runs beside each other draw different ports.
-        let [high, low] = u16::try_from(start.number)?.to_be_bytes();
-        let address = TcpListener::bind(SocketAddr::from(([127, 4, high, low], 0)))?.local_addr()?;
-        let config = json!({
-            "name": format!("n{}", start.number), "listen": address.to_string(),
-            "discovery": start.discovery.to_string(), "seed": format!("{:x}", start.seed),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": start.known,
-            "settings": settings(start.of, start.queue_order),
-        });
-        let id = format!("{}-{address}", std::process::id()).replace(':', "-");
-        let files = ["config", "operator"]
-            .map(|name| start.folder.join(format!("pebblepost-harness-{id}-{name}.json")));
-        let mut operator = start.operator.clone();
+/// Files that a process reads.
+struct Files {
+    config: PathBuf,
+    operator: PathBuf,
+}
+
+fn write(path: &Path, json: &Value) -> Result<()> {
+    std::fs::write(path, json.to_string()).with_context(|| path.display().to_string())
+}
+
+impl Launch<'_> {
+    fn config(&self, address: SocketAddr) -> Value {
+        json!({
+            "name": format!("n{}", self.number), "listen": address.to_string(),
+            "discovery": self.discovery.to_string(), "seed": format!("{:x}", self.seed),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": self.known,
+            "settings": settings(self.of, self.queue_order),
+        })
+    }
+
+    /// The operator file of this dispatcher: in its zone, with a folder of its own for its copy of the state.
+    fn operator_file(&self) -> Value {
+        let mut operator = self.operator.clone();
         if let Some(fleet) = operator.get_mut("fleet") {
-            fleet["zone"] = ZONES[start.number % ZONES.len()].into();
+            fleet["zone"] = ZONES[self.number % ZONES.len()].into();
             if let Some(folder) = fleet["copy"].as_str().map(PathBuf::from) {
-                fleet["copy"] = json!(folder.join(format!("n{}", start.number)));
+                fleet["copy"] = json!(folder.join(format!("n{}", self.number)));
             }
         }
-        for (path, json) in files.iter().zip([&config, &operator]) {
-            write(path, json)?;
-        }
+        operator
+    }
+
+    fn files(&self, address: SocketAddr) -> Files {
+        let id = format!("{}-{address}", std::process::id()).replace(':', "-");
+        let file = |name: &str| self.folder.join(format!("pebblepost-harness-{id}-{name}.json"));
+        Files { config: file("config"), operator: file("operator") }
+    }
+
+    fn command(&self, files: &Files) -> Command {
         let log = match std::env::var_os("PEBBLEPOST_RIG_LOG") {
             Some(_) => Stdio::inherit(),
             None => Stdio::null(),
         };
-        let mut command = Command::new(start.program);
-        let [config_file, operator_file] = &files;
-        command.env("PROXY_CONFIG", config_file).env("PEBBLEPOST_OPERATOR", operator_file);
+        let mut command = Command::new(self.program);
+        command.env("PROXY_CONFIG", &files.config).env("PEBBLEPOST_OPERATOR", &files.operator);
         command.stdin(Stdio::null()).stderr(log);
-        let child = command.spawn().with_context(|| start.program.display().to_string())?;
-        let (ready, not_ready_at) = (Vec::new(), Instant::now());
+        command
+    }
+}
+
+impl DispatcherProcess {
+    /// Starts a process; it takes clients when this returns.
+    ///
+    /// # Errors
+    ///
+    /// If its files can not be written, or it ends at once or is not ready in time.
+    pub async fn start(launch: &Launch<'_>) -> Result<Self> {
+        // An address that nobody connects from: a port that was free a moment ago, or is while the process is started
+        // again, still is. Runs beside each other draw different ports.
+        let [high, low] = u16::try_from(launch.number)?.to_be_bytes();
+        let address = TcpListener::bind(SocketAddr::from(([127, 4, high, low], 0)))?.local_addr()?;
+        let (config, operator, files) =
+            (launch.config(address), launch.operator_file(), launch.files(address));
+        write(&files.config, &config)?;
+        write(&files.operator, &operator)?;
+        let mut command = launch.command(&files);
+        let child = command.spawn().with_context(|| launch.program.display().to_string())?;
         let mut process = Self {
             command,
             child,
             address,
-            ready,
-            not_ready_at,
+            ready: Vec::new(),
+            not_ready_at: Instant::now(),
             config,
-            seed: start.seed,
+            seed: launch.seed,
             operator,
             files,
             cpu_of_earlier_runs_s: 0.0,
@@ -146,7 +157,7 @@
     }
 
     fn signal(&mut self, signal: Signal) {
-        // One that has ended has no number any more that is its own.
+        // The id of a process that has ended may be that of another one.
         if self.runs()
             && let Ok(pid) = i32::try_from(self.child.id())
         {
@@ -175,37 +186,43 @@
         Some(status.success())
     }
 
-    /// The version that it has from its next start on, and whether its configuration is a bad one, by which hardly a worker
-    /// is quick enough for any job.
+    /// Sets the version that it has from its next start on. `refuses`: with settings by which it refuses most requests.
+    ///
+    /// # Errors
+    ///
+    /// If the operator file can not be written.
     pub fn set_version(&mut self, version: &str, refuses: bool) -> Result<()> {
-        let settings = json!({"domain": {"classStretch": 1.05}, "classes": [class(1_000_000)]});
         match (self.operator.as_object_mut(), refuses) {
-            (Some(operator), true) => drop(operator.insert("settings".to_owned(), settings)),
+            (Some(operator), true) => drop(operator.insert("settings".to_owned(), refusing_settings())),
             (Some(operator), false) => drop(operator.remove("settings")),
             (None, _) => {}
         }
         if let Some(fleet) = self.operator.get_mut("fleet") {
             fleet["version"] = version.into();
         }
-        write(&self.files[1], &self.operator)
+        write(&self.files.operator, &self.operator)
     }
 
-    /// Whether it says so, within a quarter of a second.
+    /// Whether it answers that it is ready.
     pub async fn is_ready(&self) -> bool {
-        let ask = async {
+        let probe = async {
             let http: Client<_, Empty<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
             let uri: Uri = format!("http://{}/ready", self.address).parse().ok()?;
             Some(http.get(uri).await.ok()?.status().is_success())
         };
-        tokio::time::timeout(Duration::from_millis(250), ask).await.ok().flatten().unwrap_or(false)
+        tokio::time::timeout(PROBE_TIMEOUT, probe).await.ok().flatten().unwrap_or(false)
     }
 
-    /// Starts one that has ended anew, at its address, from the list that it had at first.
+    /// Starts it again after it has ended, at its address, with the list of workers that it had at first.
+    ///
+    /// # Errors
+    ///
+    /// If it does not start, ends at once or is not ready in time.
     pub async fn start_again(&mut self) -> Result<()> {
-        // Another one in each life, and never longer than a seed may be.
-        let life = (self.ready.len() as u64) << 40;
-        self.config["seed"] = format!("{:x}", self.seed ^ life).into();
-        write(&self.files[0], &self.config)?;
+        // Each start has a seed of its own.
+        let start_number = (self.ready.len() as u64) << START_NUMBER_BIT;
+        self.config["seed"] = format!("{:x}", self.seed ^ start_number).into();
+        write(&self.files.config, &self.config)?;
         self.child = self.command.spawn()?;
         self.wait_until_ready().await
     }
@@ -213,17 +230,17 @@
     async fn wait_until_ready(&mut self) -> Result<()> {
         let began = Instant::now();
         self.not_ready_at = began;
-        while began.elapsed() < Duration::from_secs(10) {
+        while began.elapsed() < START_TIMEOUT {
             if let Some(status) = self.child.try_wait()? {
                 bail!("a dispatcher ended at its start: {status}");
             }
-            let look = Instant::now();
+            let probed_at = Instant::now();
             if self.is_ready().await {
                 self.ready.push(began.elapsed());
                 return Ok(());
             }
-            self.not_ready_at = look;
-            tokio::time::sleep(Duration::from_millis(2)).await;
+            self.not_ready_at = probed_at;
+            tokio::time::sleep(START_PROBE_INTERVAL).await;
         }
         bail!("a dispatcher was not ready at {} within 10 s", self.address)
     }
@@ -246,30 +263,13 @@
     fn drop(&mut self) {
         self.resume();
         self.stop();
-        let limit = Instant::now() + Duration::from_secs(8);
+        let limit = Instant::now() + SHUTDOWN_TIMEOUT;
         while Instant::now() < limit && self.runs() {
             std::thread::sleep(Duration::from_millis(20));
         }
         let _ = self.child.kill();
         let _ = self.child.wait();
-        self.files.iter().for_each(|f| drop(std::fs::remove_file(f)));
-    }
-}
-
-/// The program beside this one, built first so that it is the present one.
-pub fn build_program() -> Result<PathBuf> {
-    let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
-    let mut build = Command::new(cargo);
-    build.args(["build", "--quiet", "--locked", "-p", "pebblepost"]);
-    if !cfg!(debug_assertions) {
-        build.arg("--release");
-    }
-    build.current_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/../.."));
-    if !build.status().context("cargo")?.success() {
-        bail!("pebblepost did not build");
+        let _ = std::fs::remove_file(&self.files.config);
+        let _ = std::fs::remove_file(&self.files.operator);
     }
-    let here = std::env::current_exe()?;
-    let folder = here.parent().context("a program without a folder")?;
-    let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
-    Ok(folder.join("pebblepost"))
 }
--- a/crates/pebblepost-harness/src/event_log.rs
+++ b/crates/pebblepost-harness/src/event_log.rs
@@ -1,5 +1,5 @@
-//! What both sides saw, in one list with one clock: the clients, the workers and discovery write to it, the checker
-//! and the report read it.
+//! What was seen from outside the dispatchers, in one list with one clock: clients, workers and discovery append to it, the
+//! checker reads it.
 
 use crate::worker::model::ColdLoad;
 use std::sync::{Mutex, PoisonError};
@@ -10,13 +10,13 @@
 pub enum AttemptEnd {
     /// Served.
     Done,
-    /// Turned away or handed back: it never ran.
+    /// Rejected or returned: it never ran.
     NotRun,
-    /// It failed, or the worker died with it.
+    /// It failed, or the worker crashed.
     Failed,
 }
 
-/// A state of a worker as discovery tells it.
+/// The availability of a worker, as discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
     /// Takes work; whether it has started lately.
@@ -26,53 +26,53 @@
     },
     /// Takes nothing new.
     Draining,
-    /// Is no more.
+    /// Not listed any more.
     Gone,
 }
 
-/// One thing that was seen.
+/// Something that was seen. Times are seconds from the start of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A client's try went out to a dispatcher; it waits so many seconds.
+    /// A client's attempt went out to a dispatcher.
     Requested {
-        /// The id of the try.
+        /// Id of the client's attempt.
         txn: String,
-        /// The key of the job, the same for each try.
+        /// Idempotency key, the same for each attempt of a request.
         key: String,
         /// To which dispatcher.
         dispatcher: usize,
-        /// How long it waits.
+        /// Seconds for which the client waits.
         waits: f64,
     },
-    /// The dispatcher answered, with this body.
+    /// The dispatcher answered.
     Responded {
-        /// The id of the try.
+        /// Id of the client's attempt.
         txn: String,
         /// Status.
         status: u16,
         /// Body.
         body: String,
     },
-    /// The client left of its own accord, before its time was up.
+    /// The client disconnected before its deadline.
     ClientCancelled {
-        /// The id of the try.
+        /// Id of the client's attempt.
         txn: String,
     },
-    /// The connection ended with no whole answer.
+    /// The connection ended without a complete answer.
     ConnectionClosed {
-        /// The id of the try.
+        /// Id of the client's attempt.
         txn: String,
     },
-    /// Nothing had come when the client's time was up.
+    /// There was no answer at the client's deadline.
     TimedOut {
-        /// The id of the try.
+        /// Id of the client's attempt.
         txn: String,
     },
     /// An attempt's last byte arrived at a worker.
     AttemptArrived {
-        /// The id of the try.
+        /// Id of the client's attempt.
         txn: String,
-        /// The key of the job.
+        /// Idempotency key.
         key: String,
         /// From which dispatcher.
         dispatcher: usize,
@@ -81,7 +81,7 @@
     },
     /// That attempt ended there.
     AttemptEnded {
-        /// The id of the try.
+        /// Id of the client's attempt.
         txn: String,
         /// At which worker.
         worker: usize,
@@ -90,17 +90,17 @@
     },
     /// A worker got a request that no client sent.
     UnknownRequest {
-        /// What it said it was.
+        /// The id that it gave.
         txn: String,
     },
-    /// Discovery has this to tell of a worker from now on, whether or not it reaches anyone.
+    /// Discovery lists a worker as this from now on, whether or not that reaches anyone.
     Published {
         /// Of which worker.
         worker: usize,
         /// What.
         what: Availability,
     },
-    /// Discovery wrote a worker's state to a dispatcher.
+    /// Discovery wrote a worker's availability to a dispatcher.
     Notified {
         /// To which dispatcher.
         dispatcher: usize,
@@ -109,28 +109,28 @@
         /// What.
         what: Availability,
     },
-    /// A cold worker was sent more within the time in which it falls than ever before in this life.
+    /// The load on a cold worker is the highest since its start.
     ColdLoadPeak {
         /// Which.
         worker: usize,
-        /// What it was sent, and what it bears.
+        /// The load.
         load: ColdLoad,
     },
-    /// A cold worker was sent more than it can bear.
+    /// A cold worker was overloaded and crashes.
     Overloaded {
         /// Which.
         worker: usize,
         /// When it had started.
         since: f64,
-        /// The work that it was sent lately, by dispatcher.
+        /// Work that it was sent lately, by dispatcher.
         sent: Vec<(usize, f64)>,
     },
 }
 
-/// A thing seen, with when: seconds from the start.
+/// An event with its time, in seconds from the start.
 pub type Entry = (f64, Event);
 
-/// The list, of what one kind of run sees.
+/// The list of events of a run.
 #[derive(Debug)]
 pub struct EventLog<T = Event> {
     start: Instant,
@@ -154,13 +154,13 @@
         self.start
     }
 
-    /// Notes a thing as seen now.
+    /// Appends an event, at the present time.
     pub fn append(&self, event: T) {
         let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
         list.push((self.now(), event)); // Timed under the lock, so that the list is in order.
     }
 
-    /// All that was seen, in order.
+    /// Takes all events, in their order.
     pub fn take(&self) -> Vec<(f64, T)> {
         std::mem::take(&mut *self.list.lock().unwrap_or_else(PoisonError::into_inner))
     }
--- a/crates/pebblepost-harness/src/report.rs
+++ b/crates/pebblepost-harness/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run comes to: shares in time by size, work done, latencies, rules.
+//! The figures of runs: shares in time by size, work done, latencies, rules.
 
 use crate::checker::rules::Violation;
 use crate::clients::{Outcome, RequestResult};
@@ -13,32 +13,33 @@
 /// A group of requests.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Group {
-    /// How many were asked for.
+    /// Requests.
     pub asked: usize,
-    /// How many were answered within the time wanted.
+    /// Answered within their latency target.
     pub in_time: usize,
     /// Answered later than that.
     pub late: usize,
-    /// Refused or failed at each try.
+    /// Rejected or failed at each attempt.
     pub refused: usize,
     /// No answer.
     pub lost: usize,
-    /// Tries, all together.
-    pub tries: usize,
-    /// Seconds of slots asked for, and those of requests in time.
+    /// Attempts of all.
+    #[serde(rename = "tries")]
+    pub attempts: usize,
+    /// Work of all, in seconds of slots.
     pub work: f64,
-    /// See `work`.
+    /// Work of those in time, in seconds of slots.
     pub work_in_time: f64,
-    /// Milliseconds to the answer of those served: half of them, and 99 in 100.
+    /// Median latency of those served, in milliseconds.
     pub p50_ms: f64,
-    /// See `p50_ms`.
+    /// The same: 99th percentile.
     pub p99_ms: f64,
-    /// Milliseconds until the first refusal, 99 in 100.
+    /// Time to the first rejection, in milliseconds: 99th percentile.
     pub refused_p99_ms: f64,
 }
 
 impl Group {
-    /// Adds another run's; of the latencies the longer one stays.
+    /// Adds those of another run; of the latencies the longer ones stay.
     fn add(&mut self, other: &Group) {
         self.p50_ms = self.p50_ms.max(other.p50_ms);
         self.p99_ms = self.p99_ms.max(other.p99_ms);
@@ -48,18 +49,18 @@
         self.late += other.late;
         self.refused += other.refused;
         self.lost += other.lost;
-        self.tries += other.tries;
+        self.attempts += other.attempts;
         self.work += other.work;
         self.work_in_time += other.work_in_time;
     }
 
-    /// Share in time.
+    /// Share that was answered in time; 1 if there are none.
     pub fn share(&self) -> f64 {
         if self.asked == 0 { 1.0 } else { self.in_time as f64 / self.asked as f64 }
     }
 }
 
-/// Wilson's score interval at 95% (E. B. Wilson, 1927).
+/// Wilson's score interval at 95% (E. B. Wilson, 1927), as shares.
 pub fn interval(hits: usize, of: usize) -> (f64, f64) {
     if of == 0 {
         return (0.0, 1.0);
@@ -71,7 +72,7 @@
     ((middle - off) / (1.0 + quantile * quantile / n), (middle + off) / (1.0 + quantile * quantile / n))
 }
 
-/// Times, to the microsecond, up to a minute.
+/// A histogram of times, to the microsecond, up to a minute.
 fn times() -> Option<Histogram<u64>> {
     Histogram::new_with_bounds(1, 60_000_000, 3).ok()
 }
@@ -89,19 +90,19 @@
     ms(&all, 0.99)
 }
 
-/// Sums up those requests that `which` picks.
+/// The figures of those requests that `which` picks.
 pub fn group(plan: &Plan, results: &[RequestResult], which: impl Fn(&Arrival) -> bool) -> Group {
     let mut group = Group::default();
     let (mut latency, mut refusals) = (times(), times());
     for result in results {
         let arrival = &plan.arrivals[result.arrival];
-        if !which(arrival) || result.outcome == Outcome::Left {
-            continue; // Who leaves is owed nothing.
+        if !which(arrival) || result.outcome == Outcome::Cancelled {
+            continue; // A client that cancels is owed no answer.
         }
         let work = arrival.work * f64::from(arrival.slots);
         group.asked += 1;
         group.work += work;
-        group.tries += result.tries as usize;
+        group.attempts += result.attempts as usize;
         let micros = |seconds: f64| (seconds * 1e6) as u64;
         match result.outcome {
             Outcome::Served(after) => {
@@ -117,7 +118,7 @@
             }
             Outcome::Refused => group.refused += 1,
             Outcome::Lost => group.lost += 1,
-            Outcome::Left => {}
+            Outcome::Cancelled => {}
         }
         if let (Some(histogram), Some(after)) = (&mut refusals, result.refused_after) {
             histogram.saturating_record(micros(after));
@@ -128,39 +129,39 @@
     group
 }
 
-/// One run.
+/// The figures of one or more runs.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// Share of the large jobs in time, and their number.
+    /// Share of the large jobs in time.
     pub large_in_time: f64,
-    /// The same of the others.
+    /// The same of the small ones.
     pub small_in_time: f64,
-    /// See `large_in_time`.
+    /// Number of large jobs.
     pub large_asked: usize,
-    /// See `small_in_time`.
+    /// Number of small jobs.
     pub small_asked: usize,
-    /// 95% intervals of the two shares.
+    /// 95% interval of the share of large jobs in time.
     pub large_interval: (f64, f64),
-    /// See `large_interval`.
+    /// The same of the small ones.
     pub small_interval: (f64, f64),
-    /// Seconds of slots of requests in time.
+    /// Work of requests in time, in seconds of slots.
     pub work_in_time: f64,
     /// Rules broken.
     pub rules_broken: usize,
-    /// The groups in full.
+    /// All figures of the large jobs.
     pub large: Group,
-    /// See `large`.
+    /// All figures of the small jobs.
     pub small: Group,
     /// Large jobs by the slots they take.
     pub large_by_slots: BTreeMap<u32, Group>,
-    /// Daemons' CPU for each request served, in microseconds.
+    /// CPU of the dispatchers for each request served, in microseconds.
     pub cpu_us: f64,
-    /// The first of the rules broken.
+    /// The first violations.
     pub broken: Vec<Violation>,
 }
 
 impl Summary {
-    /// Sums up several runs as one. `cpu`: seconds of the daemons.
+    /// Sums up several runs as one. `cpu`: seconds of the dispatchers.
     pub fn of(runs: &[(&Plan, &[RequestResult])], broken: &[Violation], cpu: f64) -> Self {
         let mut groups = [Group::default(), Group::default()];
         let mut large_by_slots: BTreeMap<u32, Group> = BTreeMap::new();
--- a/crates/pebblepost-harness/src/store/consistency.rs
+++ b/crates/pebblepost-harness/src/store/consistency.rs
@@ -1,4 +1,4 @@
-//! Judges what the desks saw: nothing acknowledged is lost, no read is old, and each worker's mark behaves as if there
+//! Judges what the clients saw: nothing acknowledged is lost, no read is old, and each worker's mark behaves as if there
 //! were one copy of it (linearizability, by `stateright`'s checker).
 
 use super::history::{Operation, OperationKind};
--- a/crates/pebblepost-harness/src/store/history.rs
+++ b/crates/pebblepost-harness/src/store/history.rs
@@ -1,4 +1,4 @@
-//! What was asked of the group and what it answered, with when. Nobody here knows what a keeper thinks.
+//! What clients asked of the cluster and what it answered, with the times. Nothing here knows the state of a replica.
 
 use crate::event_log::EventLog;
 
--- a/crates/pebblepost-harness/src/worker/model.rs
+++ b/crates/pebblepost-harness/src/worker/model.rs
@@ -1,33 +1,33 @@
-//! A stand-in worker's inside, without I/O or clock: slots, waiting room, pace, warmth, what it has fetched, and
-//! falling over. The caller says what time it is and gets back what has happened since.
+//! The state of a simulated worker, without I/O or clock: slots, queue, speed, slow start, cache and overload. The caller
+//! passes the time and gets back what has happened since.
 
 use crate::workload::spec::QueueOrder;
 use crate::workload::workers::WorkerSpec;
 use std::collections::VecDeque;
 
-/// A job at a worker; the caller's number.
+/// A job at a worker, by the caller's number.
 pub type JobId = u64;
 
-/// A cold worker falls over if it is sent more than this multiple of what it can do, for this long.
+/// A cold worker crashes if it is sent more than this multiple of its capacity within [`OVERLOAD_WINDOW_S`].
 pub const OVERLOAD_FACTOR: f64 = 3.0;
-/// See [`OVERLOAD_FACTOR`].
+/// The window of that, in seconds.
 pub const OVERLOAD_WINDOW_S: f64 = 3.0;
 
 /// What happened to a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobEvent {
-    /// It has begun.
+    /// It runs.
     Started(JobId),
     /// It is done.
     Done(JobId),
 }
 
-/// What became of a job handed in.
+/// Whether a job was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs or waits.
+    /// It runs or is queued.
     Accepted,
-    /// Turned away unseen: no room to wait, or no worker of this size can run it.
+    /// Rejected: the queue is full, or the job needs more slots than the worker has.
     Rejected,
 }
 
@@ -41,40 +41,40 @@
     key: u64,
 }
 
-/// The inside of one stand-in.
+/// The state of one worker.
 #[derive(Debug)]
 pub struct WorkerModel {
     spec: WorkerSpec,
-    /// When it started, if that matters still.
+    /// When it last started; `None`: long ago.
     started: Option<f64>,
     now: f64,
     running: Vec<Job>,
     waiting: VecDeque<Job>,
-    /// Subjects kept, the one used last at the end.
+    /// Cached affinity keys, the most recently used at the end.
     cached_keys: VecDeque<u64>,
     fetch_s: f64,
-    /// Work for connections and probes that is still to be done.
+    /// Work of connections and load reports that is still to be done.
     overhead: f64,
-    /// Work sent while it was cold: when, how much, by which sender.
+    /// Work sent while it was cold: when, how much, by which dispatcher.
     sent: VecDeque<(f64, f64, usize)>,
     worst: f64,
     take_cold_load_peak: Option<ColdLoad>,
     overload: bool,
 }
 
-/// What a cold worker was sent lately, taken at the moment that it was the most so far.
+/// The load on a cold worker at the moment that it was the highest since its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ColdLoad {
-    /// When it had started.
+    /// When it had started, in seconds.
     pub since: f64,
-    /// Work that it could do in [`OVERLOAD_WINDOW_S`] at its pace of that moment.
+    /// Work that it could do in [`OVERLOAD_WINDOW_S`] at its speed of that moment.
     pub capacity_in_window: f64,
-    /// Work sent within [`OVERLOAD_WINDOW_S`]: when, how much, by which sender.
+    /// Work sent within [`OVERLOAD_WINDOW_S`]: when, how much, by which dispatcher.
     pub sent: Vec<(f64, f64, usize)>,
 }
 
 impl WorkerModel {
-    /// A warm worker with nothing to do. `fetch_s`: how long it takes to fetch what a subject needs.
+    /// A warm idle worker. `fetch_s`: seconds that it takes to fetch what a key that is not cached needs.
     pub fn new(spec: WorkerSpec, fetch_s: f64) -> Self {
         Self {
             spec,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Starts anew, cold and empty. Returns the jobs that are lost by it.
+    /// Restarts, cold and empty. Returns the jobs that are lost.
     pub fn restart(&mut self, now: f64) -> Vec<JobId> {
         let lost = self.running.drain(..).chain(self.waiting.drain(..)).map(|job| job.job_id).collect();
         (self.started, self.now, self.overhead, self.overload) = (Some(now), now, 0.0, false);
@@ -102,17 +102,17 @@
         lost
     }
 
-    /// Hands back what has not begun.
+    /// Returns the jobs that do not run yet.
     pub fn return_queued(&mut self) -> Vec<JobId> {
         self.waiting.drain(..).map(|job| job.job_id).collect()
     }
 
-    /// Its figures.
+    /// What it was made from.
     pub fn spec(&self) -> &WorkerSpec {
         &self.spec
     }
 
-    /// Part of its capacity that it has now.
+    /// Share of its capacity that it has now.
     pub fn slow_start_factor(&self) -> f64 {
         let Some(start) = self.started else { return 1.0 };
         let part = (self.now - start) / self.spec.slow_start_s;
@@ -124,12 +124,12 @@
         f64::from(self.spec.cores.min(self.spec.slots)) * self.spec.speed * self.slow_start_factor()
     }
 
-    /// The press that was the worst so far in this life, if it has become worse since it was asked for last.
+    /// The highest load since its start, if it has risen since this was called last.
     pub fn take_cold_load_peak(&mut self) -> Option<ColdLoad> {
         self.take_cold_load_peak.take()
     }
 
-    /// It was sent more, while cold, than it can bear: when it had started, and the work sent by whom.
+    /// Set once it was overloaded while cold: when it had started, and the work sent by each dispatcher.
     pub fn overload(&self) -> Option<(f64, Vec<(usize, f64)>)> {
         let since = self.started.filter(|_| self.overload)?;
         Some((since, self.sent.iter().map(|(_, work, from)| (*from, *work)).collect()))
@@ -139,19 +139,19 @@
         self.running.iter().map(|job| job.slots).sum()
     }
 
-    /// Free slots, running jobs' share of the cores, and how many jobs wait.
+    /// Free slots, share of the cores in use, and the length of the queue.
     pub fn load(&self) -> (u32, f64, usize) {
         let used = self.slots_in_use();
         let busy = (f64::from(used) / f64::from(self.spec.cores)).min(1.0);
         (self.spec.slots.saturating_sub(used), busy, self.waiting.len())
     }
 
-    /// Jobs that fetch now; the shared store serves so many.
+    /// Jobs that fetch from the shared store now.
     pub fn fetching(&self) -> usize {
         self.running.iter().filter(|job| job.fetch > 0.0).count()
     }
 
-    /// Work that is no job: a new connection, a probe.
+    /// Adds work that is no job: a new connection, a load report.
     pub fn add_overhead(&mut self, from: usize, seconds: f64) {
         self.overhead += seconds;
         self.record_cold_load(from, seconds);
@@ -178,7 +178,7 @@
         self.overload |= total > OVERLOAD_FACTOR * OVERLOAD_WINDOW_S * self.capacity() + 0.5;
     }
 
-    /// Takes a job of the sender `from`, if there is room for it.
+    /// Admits a job of the dispatcher `from`, if there is capacity for it.
     pub fn submit(&mut self, from: usize, job_id: JobId, slots: u32, work: f64, key: u64) -> Admission {
         let slots = slots.max(1);
         self.record_cold_load(from, work * f64::from(slots));
@@ -190,7 +190,8 @@
         Admission::Accepted
     }
 
-    /// Lets time pass. `store_share`: part of its full speed at which a fetch goes on. Notes are in their order.
+    /// Lets time pass until `now`. `store_share`: part of its full speed at which a fetch goes on. Appends what happened to
+    /// `events`, in its order.
     pub fn advance(&mut self, now: f64, store_share: f64, events: &mut Vec<JobEvent>) {
         let mut left = (now - self.now).max(0.0);
         self.start_queued(events);
@@ -199,13 +200,13 @@
             let share = (f64::from(self.spec.cores) / used).min(1.0);
             // Overhead takes up to half of the cores until it is done.
             let free = if self.overhead > 0.0 { 0.5 } else { 1.0 };
-            let pace = self.spec.speed * self.slow_start_factor() * share * free;
+            let speed = self.spec.speed * self.slow_start_factor() * share * free;
             let ends = |job: &Job| {
-                if job.fetch > 0.0 { job.fetch / store_share.max(1e-6) } else { job.work / pace.max(1e-6) }
+                if job.fetch > 0.0 { job.fetch / store_share.max(1e-6) } else { job.work / speed.max(1e-6) }
             };
             let step = self.running.iter().map(ends).fold(left, f64::min).max(1e-7).min(left);
             for job in &mut self.running {
-                if job.fetch > 0.0 { job.fetch -= step * store_share } else { job.work -= step * pace }
+                if job.fetch > 0.0 { job.fetch -= step * store_share } else { job.work -= step * speed }
             }
             self.overhead = (self.overhead - step * 0.5 * self.capacity()).max(0.0);
             self.now += step;
--- a/crates/pebblepost-harness/tests/unit/report.rs
+++ b/crates/pebblepost-harness/tests/unit/report.rs
@@ -12,7 +12,7 @@
     plan.arrivals
         .iter_mut()
         .for_each(|arrival| (arrival.work, arrival.slots, arrival.large) = (0.2, 1, false));
-    let result = |arrival, outcome| RequestResult { arrival, outcome, tries: 1, refused_after: None };
+    let result = |arrival, outcome| RequestResult { arrival, outcome, attempts: 1, refused_after: None };
     let results =
         [result(0, Outcome::Served(0.9)), result(1, Outcome::Served(1.1)), result(2, Outcome::Refused)];
     let figures = group(&plan, &results, |arrival| !arrival.large);
