--- a/crates/pebblepost-harness/src/cpu_cost.rs
+++ b/crates/pebblepost-harness/src/cpu_cost.rs
@@ -1,4 +1,5 @@
-//! What a request costs a daemon in CPU: many jobs all alike through one process, two programs or settings in turn.
+//! Measures the CPU time that a request costs a dispatcher: many equal jobs through one process, two programs or settings in
+//! turn.
 
 use crate::clients::Outcome;
 use crate::quantile::median;
@@ -9,15 +10,15 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// What is compared: a program with its operator's file.
+/// One of the two that are compared.
 pub struct Side<'a> {
     /// The program.
     pub program: &'a Path,
-    /// Its operator's file.
+    /// Its operator file.
     pub operator: &'a Value,
 }
 
-/// Microseconds of CPU for each request served, by round, and what is told of them.
+/// CPU time for each request served, in microseconds, by round.
 #[derive(Serialize)]
 pub struct Report {
     /// The first side.
@@ -36,8 +37,8 @@
     pub ratio: f64,
 }
 
-/// Jobs of 4 ms, all alike, about 2,000 a second.
-fn alike(seconds: f64) -> RunSpec {
+/// Equal jobs of 4 ms, about 2,000 a second.
+fn equal_jobs(seconds: f64) -> RunSpec {
     let hints = HintSpec::default();
     RunSpec {
         dispatchers: 1,
@@ -50,11 +51,15 @@
     }
 }
 
-/// Plays both sides in turn, so many rounds. The first round of each warms up and is left out.
+/// Plays both sides in turn, so many rounds after one that is not counted.
+///
+/// # Errors
+///
+/// If a process does not start.
 pub async fn measure(
     first: &Side<'_>, second: &Side<'_>, seconds: f64, rounds: usize, seed: u64,
 ) -> Result<Report> {
-    let run_spec = alike(seconds);
+    let run_spec = equal_jobs(seconds);
     let (mut of_first, mut of_second) = (Vec::new(), Vec::new());
     for round in 0..=rounds {
         for (side, list) in [(first, &mut of_first), (second, &mut of_second)] {
--- a/crates/pebblepost-harness/src/discovery.rs
+++ b/crates/pebblepost-harness/src/discovery.rs
@@ -1,6 +1,7 @@
-//! A stand-in discovery: late, and only when asked. It learns of a change some time after it happened and writes it
-//! to the watches that are open; what it wrote, and when, goes into the record.
+//! A simulated discovery service. It learns of a change some time after it happened and writes it to the watches that are
+//! open; what it wrote, and when, is logged.
 
+use crate::dispatcher::ZONES;
 use crate::event_log::{Availability, Event, EventLog};
 use crate::sync::lock;
 use crate::worker::http::{Body, StreamedLine, complete_response};
@@ -23,31 +24,42 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::UnboundedReceiverStream;
 
-/// While nothing changes, an empty line this often.
-const HEARTBEAT: Duration = Duration::from_secs(2);
-/// A call that would wait for longer in turn fails.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+/// While nothing changes, watches get an empty line this often.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// A call that would wait in the queue for longer is rejected.
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
+
+/// A worker as it is listed.
+#[derive(Clone, Copy, Debug)]
+struct Listing {
+    availability: Availability,
+    /// When it started last, in milliseconds of the Unix time; 0: long ago.
+    started_ms: u64,
+}
 
+/// A dispatcher's open watch.
 struct Watch {
     dispatcher: usize,
     lines: mpsc::UnboundedSender<StreamedLine>,
 }
 
-struct List {
-    seq: u64,
-    states: Vec<(Availability, u64)>,
+/// The list of workers.
+struct EndpointList {
+    /// Number of the last change.
+    sequence: u64,
+    listings: Vec<Listing>,
     watches: Vec<Watch>,
 }
 
-/// The service.
+/// The service. Its calls are answered one after another.
 pub struct Discovery {
     plan: Arc<Plan>,
     log: Arc<EventLog>,
-    list: Mutex<List>,
-    /// Each dispatcher's addresses of the workers.
-    dials: Mutex<Vec<Vec<SocketAddr>>>,
+    list: Mutex<EndpointList>,
+    /// The addresses of the workers, by dispatcher.
+    worker_addresses: Mutex<Vec<Vec<SocketAddr>>>,
     calls: AtomicU64,
-    /// When the calls that wait in turn will have been answered.
+    /// When the calls that are queued will have been answered.
     busy_until: Mutex<tokio::time::Instant>,
 }
 
@@ -56,15 +68,16 @@
 }
 
 impl Discovery {
-    /// All workers are ready and have been for long.
+    /// A service that lists all workers as ready, and started long ago.
     pub fn new(plan: Arc<Plan>, log: Arc<EventLog>) -> Arc<Self> {
-        let states = vec![(Availability::Ready { cold: false }, 0); plan.workers.len()];
-        let list = List { seq: 1, states, watches: Vec::new() };
+        let listing = Listing { availability: Availability::Ready { cold: false }, started_ms: 0 };
+        let listings = vec![listing; plan.workers.len()];
+        let list = EndpointList { sequence: 1, listings, watches: Vec::new() };
         Arc::new(Self {
             plan,
             log,
             list: Mutex::new(list),
-            dials: Mutex::default(),
+            worker_addresses: Mutex::default(),
             calls: AtomicU64::new(0),
             busy_until: Mutex::new(tokio::time::Instant::now()),
         })
@@ -75,13 +88,17 @@
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Opens it to one more dispatcher, which reaches the workers at `dials`.
-    pub async fn open(self: &Arc<Self>, dials: Vec<SocketAddr>) -> std::io::Result<SocketAddr> {
+    /// Opens it to one more dispatcher, which reaches the workers at these addresses. Returns its own address.
+    ///
+    /// # Errors
+    ///
+    /// If no listener can be bound.
+    pub async fn open(self: &Arc<Self>, worker_addresses: Vec<SocketAddr>) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let dispatcher = {
-            let mut all = lock(&self.dials);
-            all.push(dials);
+            let mut all = lock(&self.worker_addresses);
+            all.push(worker_addresses);
             all.len() - 1
         };
         let this = self.clone();
@@ -90,7 +107,7 @@
                 let this = this.clone();
                 let service = service_fn(move |request| {
                     let this = this.clone();
-                    async move { Ok::<_, Infallible>(this.in_turn(dispatcher, &request).await) }
+                    async move { Ok::<_, Infallible>(this.answer_queued(dispatcher, &request).await) }
                 });
                 let http = hyper::server::conn::http1::Builder::new();
                 tokio::spawn(async move { http.serve_connection(TokioIo::new(stream), service).await });
@@ -99,48 +116,55 @@
         Ok(address)
     }
 
-    fn host(&self, dispatcher: usize, worker: usize, state: (Availability, u64)) -> Value {
+    /// One worker, as JSON for a dispatcher.
+    fn host(&self, dispatcher: usize, worker: usize, listing: Listing) -> Value {
         let spec = &self.plan.workers[worker];
-        let health = match state.0 {
+        let health = match listing.availability {
             Availability::Ready { .. } => "ready",
             Availability::Draining => "draining",
             Availability::Gone => "gone",
         };
-        let site = ["honkan", "bekkan", "soko"][spec.zone % 3];
-        json!({"host": spec.host, "dial": lock(&self.dials)[dispatcher][worker].to_string(),
+        let site = ZONES[spec.zone % ZONES.len()];
+        json!({"host": spec.host, "dial": lock(&self.worker_addresses)[dispatcher][worker].to_string(),
                "site": site, "class": spec.kind, "block": worker / 8,
-               "health": health, "share": 1.0, "born_ms": state.1})
+               "health": health, "share": 1.0, "born_ms": listing.started_ms})
     }
 
-    fn whole(&self, dispatcher: usize, list: &List) -> String {
-        let there = list.states.iter().enumerate().filter(|(_, state)| state.0 != Availability::Gone);
-        let hosts: Vec<Value> = there.map(|(worker, state)| self.host(dispatcher, worker, *state)).collect();
-        for (worker, state) in list.states.iter().enumerate() {
-            self.log.append(Event::Notified { dispatcher, worker, what: state.0 });
+    /// The complete list, as a line for a dispatcher.
+    fn complete_list(&self, dispatcher: usize, list: &EndpointList) -> String {
+        let listed = list
+            .listings
+            .iter()
+            .enumerate()
+            .filter(|(_, listing)| listing.availability != Availability::Gone);
+        let hosts: Vec<Value> =
+            listed.map(|(worker, listing)| self.host(dispatcher, worker, *listing)).collect();
+        for (worker, listing) in list.listings.iter().enumerate() {
+            self.log.append(Event::Notified { dispatcher, worker, what: listing.availability });
         }
-        format!("{}\n", json!({"seq": list.seq, "whole": true, "hosts": hosts}))
+        format!("{}\n", json!({"seq": list.sequence, "whole": true, "hosts": hosts}))
     }
 
     /// The list as JSON for a dispatcher's configuration.
     pub fn known(&self, dispatcher: usize) -> Value {
-        serde_json::from_str(&self.whole(dispatcher, &lock(&self.list))).unwrap_or_default()
+        serde_json::from_str(&self.complete_list(dispatcher, &lock(&self.list))).unwrap_or_default()
     }
 
-    /// Answers calls one after another, as fast as the scenario's capacity lets it.
-    async fn in_turn(&self, dispatcher: usize, request: &Request<Incoming>) -> Response<Body> {
+    /// Answers a call when those before it have been answered, at the rate of the plan.
+    async fn answer_queued(&self, dispatcher: usize, request: &Request<Incoming>) -> Response<Body> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         if let Some(rate) = self.plan.discovery_rate {
             let now = tokio::time::Instant::now();
             let turn = {
                 let mut busy = lock(&self.busy_until);
                 let turn = (*busy).max(now) + Duration::from_secs_f64(1.0 / rate);
-                if turn <= now + LONGEST_WAIT {
+                if turn <= now + MAX_QUEUE_TIME {
                     *busy = turn;
                 }
                 turn
             };
-            tokio::time::sleep_until(turn.min(now + LONGEST_WAIT)).await;
-            if turn > now + LONGEST_WAIT {
+            tokio::time::sleep_until(turn.min(now + MAX_QUEUE_TIME)).await;
+            if turn > now + MAX_QUEUE_TIME {
                 return complete_response(503, &[], String::new());
             }
         }
@@ -152,31 +176,33 @@
             return complete_response(404, &[], String::new());
         }
         let mut list = lock(&self.list);
-        let whole = self.whole(dispatcher, &list);
+        let complete = self.complete_list(dispatcher, &list);
         if !request
             .uri()
             .query()
             .is_some_and(|query| query.split('&').any(|parameter| parameter == "watch=1"))
         {
-            return complete_response(200, &[], whole);
+            return complete_response(200, &[], complete);
         }
         let (lines, body) = mpsc::unbounded_channel();
-        let _ = lines.send(Ok(Frame::data(Bytes::from(whole))));
+        let _ = lines.send(Ok(Frame::data(Bytes::from(complete))));
         list.watches.push(Watch { dispatcher, lines });
         Response::new(StreamBody::new(UnboundedReceiverStream::new(body)).boxed())
     }
 
+    /// Lists a worker with this availability, and notifies the open watches.
     fn publish(&self, worker: usize, what: Availability) {
         let mut list = lock(&self.list);
-        let born =
-            if what == (Availability::Ready { cold: true }) { unix_ms() } else { list.states[worker].1 };
-        list.seq += 1;
-        list.states[worker] = (what, born);
+        let has_started = what == (Availability::Ready { cold: true });
+        let started_ms = if has_started { unix_ms() } else { list.listings[worker].started_ms };
+        let listing = Listing { availability: what, started_ms };
+        list.sequence += 1;
+        list.listings[worker] = listing;
         self.log.append(Event::Published { worker, what });
-        let (seq, state) = (list.seq, list.states[worker]);
+        let sequence = list.sequence;
         list.watches.retain(|watch| {
-            let host = self.host(watch.dispatcher, worker, state);
-            let line = format!("{}\n", json!({"seq": seq, "whole": false, "hosts": [host]}));
+            let host = self.host(watch.dispatcher, worker, listing);
+            let line = format!("{}\n", json!({"seq": sequence, "whole": false, "hosts": [host]}));
             let open = watch.lines.send(Ok(Frame::data(Bytes::from(line)))).is_ok();
             if open {
                 self.log.append(Event::Notified { dispatcher: watch.dispatcher, worker, what });
@@ -185,17 +211,18 @@
         });
     }
 
-    /// Takes what changes at the workers, and tells it late, for as long as it is polled.
+    /// Publishes the changes of the workers, each late, for as long as it is polled. Of several changes of one worker that are
+    /// under way only the latest is published.
     pub async fn run(self: Arc<Self>, mut changes: mpsc::UnboundedReceiver<(usize, Availability)>) {
         let mut rng = Pcg64Mcg::seed_from_u64(self.plan.seed ^ 0xd15c);
-        let mut heartbeat = tokio::time::interval(HEARTBEAT);
+        let mut heartbeat = tokio::time::interval(HEARTBEAT_INTERVAL);
         let mut latest = vec![0_u64; self.plan.workers.len()];
         let (due, mut ready) = mpsc::unbounded_channel();
         loop {
             tokio::select! {
                 Some((worker, what)) = changes.recv() => {
-                    // A silent process is noticed by its absence only; what it said of itself comes sooner.
-                    let late = match what {
+                    // A silent process is noticed by missing heartbeats only; what it announces comes sooner.
+                    let delay_s = match what {
                         Availability::Draining => rng.random_range(1.1..4.1),
                         Availability::Gone => rng.random_range(7.4..14.0),
                         Availability::Ready { .. } => rng.random_range(0.47..2.0),
@@ -203,7 +230,7 @@
                     latest[worker] += 1;
                     let (due, number) = (due.clone(), latest[worker]);
                     tokio::spawn(async move {
-                        tokio::time::sleep(Duration::from_secs_f64(late)).await;
+                        tokio::time::sleep(Duration::from_secs_f64(delay_s)).await;
                         let _ = due.send((worker, what, number));
                     });
                 }
@@ -213,8 +240,8 @@
                     }
                 }
                 _ = heartbeat.tick() => {
-                    let beat = || Ok(Frame::data(Bytes::from_static(b"\n")));
-                    lock(&self.list).watches.retain(|watch| watch.lines.send(beat()).is_ok());
+                    let heartbeat = || Ok(Frame::data(Bytes::from_static(b"\n")));
+                    lock(&self.list).watches.retain(|watch| watch.lines.send(heartbeat()).is_ok());
                 }
             }
         }
--- a/crates/pebblepost-harness/src/fault/managed_process.rs
+++ b/crates/pebblepost-harness/src/fault/managed_process.rs
@@ -1,4 +1,4 @@
-//! A process that faults happen to: killed, paused, stopped, started again. It is ended when this is dropped.
+//! A process that faults are injected into. It is killed when this is dropped.
 
 use anyhow::{Context, Result};
 use nix::sys::signal::{Signal, kill};
@@ -14,12 +14,16 @@
 }
 
 impl ManagedProcess {
-    /// One that has not been started.
+    /// A process that has not been started.
     pub fn new(command: Command) -> Self {
         Self { command, child: None, paused: false }
     }
 
     /// Starts it, unless it runs.
+    ///
+    /// # Errors
+    ///
+    /// If the program can not be executed.
     pub fn start(&mut self) -> Result<()> {
         if !self.runs() {
             let child = self.command.spawn();
@@ -29,7 +33,7 @@
         Ok(())
     }
 
-    /// Whether it runs, paused or not.
+    /// Whether it runs, suspended or not.
     pub fn runs(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
@@ -40,7 +44,7 @@
     }
 
     fn signal(&mut self, signal: Signal) {
-        // One that has ended has no number any more that is its own.
+        // The id of a process that has ended may be that of another one.
         if self.runs()
             && let Some(pid) = self.child.as_ref().and_then(|child| i32::try_from(child.id()).ok())
         {
@@ -69,7 +73,7 @@
         self.paused = false;
     }
 
-    /// SIGTERM, and SIGKILL if it has not ended within `limit`. Whether it ended by itself.
+    /// SIGTERM, and SIGKILL if it has not ended within `limit`. Returns whether it ended by itself.
     pub fn stop(&mut self, limit: Duration) -> bool {
         self.resume();
         self.signal(Signal::SIGTERM);
--- a/crates/pebblepost-harness/src/fleet.rs
+++ b/crates/pebblepost-harness/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The measurement for `docs/fleet.md`: many dispatchers with thin traffic through a herd restart, a zone that is lost
-//! and comes back cold, and a mass replacement of workers, each with a discovery that is late and answers few calls.
+//! Measures many dispatchers with little traffic each through a mass restart, a zone that is lost and comes back cold, and a
+//! mass replacement of workers, with a discovery that is late and answers few calls.
 
 use crate::checker::rules::Violation;
 use crate::clients::Outcome;
@@ -12,30 +12,30 @@
 use serde_json::json;
 use std::path::Path;
 
-/// Calls a second that discovery answers: the middle of what the site says.
+/// Calls a second that discovery answers: the middle of what the site states.
 const DISCOVERY_RATE: f64 = 4.0;
-/// Offered work as a part of what the fleet can do.
+/// Offered work, as a share of the workers' capacity.
 const LOAD: f64 = 0.5;
 
-/// What is asked for.
+/// The size of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     /// Dispatchers.
     pub dispatchers: usize,
     /// Workers.
     pub workers: usize,
-    /// Seconds of arrivals in each scenario.
+    /// Seconds of arrivals in each run.
     pub seconds: f64,
 }
 
-/// What came of one scenario, or of all together.
+/// The figures of one run, or of all together.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Summary {
-    /// Requests served, refused at each try, and lost with no answer.
+    /// Requests that were served.
     pub served: usize,
-    /// See `served`.
+    /// Requests that were rejected at each attempt.
     pub refused: usize,
-    /// See `served`; those that a killed dispatcher took with it among them.
+    /// Requests without an answer, those that a killed dispatcher had accepted among them.
     pub lost: usize,
     /// Time from a dispatcher's start until it takes clients, 99th percentile.
     pub ready_p99_ms: f64,
@@ -43,22 +43,22 @@
     pub discovery_calls: u64,
     /// New connections at workers for each request served.
     pub handshakes_per_served: f64,
-    /// The rest of what was counted at the workers.
+    /// Connections to workers.
     #[serde(flatten)]
     pub counts: ConnectionCounts,
-    /// Most work that a cold worker was sent within the time in which it falls, as a multiple of what it could do, by
-    /// the dispatchers that knew of its start when they sent.
+    /// Most work that a cold worker was sent within the window in which it overloads, as a multiple of what it could do, by the
+    /// dispatchers that knew of its start when they sent it.
     pub worst_cold_multiple: f64,
-    /// The same by all, those among them that could not know of it yet.
+    /// The same by all dispatchers.
     #[serde(rename = "worst_cold_multiple_untold")]
     pub worst_cold_multiple_of_all: f64,
-    /// Longest time from the word of a drain to the last attempt sent there on.
+    /// Longest time from the notification of a drain to the last attempt sent to that worker.
     pub slowest_drain_ms: f64,
     /// Rules broken.
     pub rules_broken: usize,
 }
 
-/// The scenarios, by name.
+/// The runs, by name.
 pub fn run_specs(size: Size) -> Vec<(&'static str, RunSpec)> {
     let base = RunSpec {
         dispatchers: size.dispatchers,
@@ -123,7 +123,7 @@
         self
     }
 
-    /// Both together: sums where they add up, the worst elsewhere.
+    /// Sums of the counts, maxima of the others.
     fn with(self, other: &Self) -> Self {
         Self {
             served: self.served + other.served,
@@ -142,7 +142,11 @@
     }
 }
 
-/// Plays the scenarios one after another. Returns a line for each, what was broken, and all together last.
+/// Plays the runs one after another. Returns a line for each with its violations, and the figures of all together.
+///
+/// # Errors
+///
+/// If a process does not start.
 pub async fn measure(size: Size, seed: u64, program: &Path) -> Result<(Vec<String>, Summary)> {
     let operator = json!({});
     let (mut lines, mut all) = (Vec::new(), Summary::default());
@@ -150,10 +154,10 @@
         let played = Run { run_spec, seed, program, operator: &operator, supervisor: None }.play().await?;
         let figures = summary(&played);
         lines.push(format!("{name:<9} {}", serde_json::to_string(&figures)?));
-        let notified = |violation: &Violation| {
+        let line = |violation: &Violation| {
             format!("broken: {:?} at {:.2} s: {}", violation.rule, violation.at, violation.what)
         };
-        lines.extend(played.violations.iter().map(notified));
+        lines.extend(played.violations.iter().map(line));
         all = all.with(&figures);
     }
     Ok((lines, all))
--- a/crates/pebblepost-harness/src/release/grant_audit.rs
+++ b/crates/pebblepost-harness/src/release/grant_audit.rs
@@ -1,4 +1,5 @@
-//! A scribe: follows all changes at the keepers, and reckons at each grant, by a reading of its own, how many are out by then.
+//! Audits grants: follows all changes of the agreed state, and at each grant computes, by a rule of its own, how many are out
+//! by then.
 
 use crate::dispatcher::ZONES;
 use crate::store::connection::Connection;
@@ -10,10 +11,10 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A watch says something every half second; quiet for so long, it is taken up elsewhere.
+/// A watch says something every half second; silent for so long, the next replica is asked.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What was read.
+/// The state as followed, and what the grants in it come to.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GrantAudit {
     /// Permits granted, to dispatchers and to workers.
@@ -24,7 +25,7 @@
     entries: BTreeMap<String, Value>,
 }
 
-/// Kinds, as the keys name them.
+/// Kinds of members, as the keys name them.
 const KINDS: [&str; 2] = ["dispatcher", "worker"];
 
 impl GrantAudit {
@@ -59,8 +60,8 @@
         out.into_iter().map(|name| (name, zones.get(name).copied().unwrap_or_default())).collect()
     }
 
-    /// Takes in a change of the state, unless it is known already.
-    pub fn change(&mut self, change: &Value) {
+    /// Applies a change of the state, unless it is known already.
+    pub fn apply_change(&mut self, change: &Value) {
         let revision = change["revision"].as_u64().unwrap_or(0);
         if revision <= self.revision {
             return;
@@ -83,28 +84,34 @@
         }
         for kind in (0..KINDS.len()).filter(|kind| granted[*kind] > 0) {
             self.grants[kind] += granted[kind];
-            let budget =
-                &self.entries.get(&format!("budget/{}", KINDS[kind])).cloned().unwrap_or_default()["budget"];
-            let most = |name: &str| budget[name]["count"].as_u64().unwrap_or(u64::MAX) as usize;
-            let out = self.out(kind);
-            let in_zone = |zone: &&str| out.values().filter(|other| *other == zone).count();
-            let worst = ZONES.iter().map(in_zone).max().unwrap_or(0);
-            if out.len() > most("most") || worst > most("most_in_zone") {
-                let who: Vec<&str> = out.into_keys().collect();
-                self.over.push(format!("granted at revision {revision}, with {} out: {who:?}", KINDS[kind]));
-            }
+            self.check_budget(kind);
+        }
+    }
+
+    /// Notes a grant after which more are out than the budget allows. Without a budget any number may be.
+    fn check_budget(&mut self, kind: usize) {
+        let name = KINDS[kind];
+        let entry = self.entries.get(&format!("budget/{name}")).cloned().unwrap_or_default();
+        let most = |limit: &str| entry["budget"][limit]["count"].as_u64().unwrap_or(u64::MAX) as usize;
+        let out = self.out(kind);
+        let in_zone = |zone: &&str| out.values().filter(|other| *other == zone).count();
+        let worst = ZONES.iter().map(in_zone).max().unwrap_or(0);
+        if out.len() > most("most") || worst > most("most_in_zone") {
+            let members: Vec<&str> = out.into_keys().collect();
+            let what = format!("granted at revision {}, with {name} out: {members:?}", self.revision);
+            self.over.push(what);
         }
     }
 
-    /// Takes in a snapshot of the whole state.
-    pub fn snapshot(&mut self, snapshot: &Value) {
+    /// Replaces the state by a snapshot.
+    pub fn apply_snapshot(&mut self, snapshot: &Value) {
         let entries = snapshot["entries"].as_object().into_iter().flatten();
         self.entries = entries.map(|(key, entry)| (key.clone(), entry["value"].clone())).collect();
         self.revision = snapshot["revision"].as_u64().unwrap_or(0);
     }
 }
 
-/// Follows the keepers for as long as it is polled.
+/// Follows one replica after another, for as long as it is polled.
 pub async fn follow(replicas: &[SocketAddr], audit: &Mutex<GrantAudit>) {
     for at in (0..replicas.len()).cycle() {
         if let Ok(Ok(mut connection)) = timeout(WATCH_TIMEOUT, Connection::open(replicas[at])).await {
@@ -113,9 +120,9 @@
                 while let Ok(Ok(reply)) = timeout(WATCH_TIMEOUT, connection.receive()).await {
                     let mut audit = lock(audit);
                     if let Some(changes) = reply["changes"].as_array() {
-                        changes.iter().for_each(|change| audit.change(change));
+                        changes.iter().for_each(|change| audit.apply_change(change));
                     } else if reply["snapshot"]["revision"].as_u64() > Some(audit.revision) {
-                        audit.snapshot(&reply["snapshot"]);
+                        audit.apply_snapshot(&reply["snapshot"]);
                     }
                 }
             }
--- a/crates/pebblepost-harness/src/release/maintenance.rs
+++ b/crates/pebblepost-harness/src/release/maintenance.rs
@@ -1,9 +1,10 @@
-//! Hands: they switch workers off and on again, each by a permit, and only once the keepers say that a worker may be switched
-//! off. A worker goes on taking jobs meanwhile, so that the record shows who sent it any.
+//! Maintenance of workers: crews switch workers off and on again, each by a permit, and only once the store says that a worker
+//! may be switched off. A worker goes on accepting jobs meanwhile, so that the event log shows who sent it any.
 
 use super::operators::{COMPLETION_TIMEOUT, Operators, REQUEST_TIMEOUT, apply};
 use crate::checker::exits::DispatcherExit;
 use crate::event_log::{Entry, Event};
+use crate::store::client::StoreClient;
 use crate::supervisor::Supervisor;
 use crate::sync::lock;
 use anyhow::{Result, bail};
@@ -16,28 +17,35 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
+/// The store is asked this often whether a worker may be switched off.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
 /// A worker was switched off.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SwitchedOff {
     /// Which.
     pub worker: usize,
-    /// From when, in seconds of the record.
+    /// From when, in seconds of the log.
     pub from: f64,
     /// Until when.
     pub to: f64,
-    /// How long it took from the request to this, in seconds.
+    /// Seconds from the request of its permit until then.
     pub waited_s: f64,
 }
 
-/// All hands, and what they have done.
+/// What the crews have done.
 #[derive(Debug, Default)]
 pub struct WorkerMaintenance {
-    /// What was off when.
+    /// Which workers were off when.
     pub switched_off: Mutex<Vec<SwitchedOff>>,
 }
 
 impl WorkerMaintenance {
-    /// Takes one of these workers after the other off and on, until there is enough.
+    /// One crew: switches one of these workers after another off and on, until the trial stops.
+    ///
+    /// # Errors
+    ///
+    /// If a worker may not be switched off within [`COMPLETION_TIMEOUT`].
     pub async fn work(
         &self, operators: &Operators, supervisor: &Supervisor, hosts: &[(usize, String)], seed: u64,
         stopping: &AtomicBool,
@@ -48,23 +56,8 @@
             let (worker, host) = &hosts[rng.random_range(0..hosts.len())];
             let subject = format!("worker/{host}");
             let asked = supervisor.now();
-            operators.start(&["permit", "ask", &subject, "--why", "new fans"], rng.random()).await?;
-            let end = Instant::now() + COMPLETION_TIMEOUT;
-            let granted = loop {
-                if let Ok(reply) = client.request(&json!({"off": host}), REQUEST_TIMEOUT).await {
-                    let off = &reply["off"];
-                    let missing = off["waits_for"].as_object().map_or(1, serde_json::Map::len);
-                    if let (Some(granted), 0) = (off["granted"].as_u64(), missing) {
-                        break granted;
-                    }
-                    if Instant::now() >= end {
-                        bail!("{subject} may not be switched off: {off}");
-                    }
-                } else if Instant::now() >= end {
-                    bail!("nobody says whether {subject} may be switched off");
-                }
-                sleep(Duration::from_millis(50)).await;
-            };
+            operators.run(&["permit", "ask", &subject, "--why", "new fans"], rng.random()).await?;
+            let granted = wait_until_granted(&mut client, host).await?;
             let from = supervisor.now();
             sleep(Duration::from_millis(rng.random_range(300..2_000))).await;
             lock(&self.switched_off).push(SwitchedOff {
@@ -82,6 +75,27 @@
     }
 }
 
+/// Waits until a worker may be switched off: its permit is granted, and no dispatcher is waited for. Returns the revision of
+/// the grant.
+async fn wait_until_granted(client: &mut StoreClient, host: &str) -> Result<u64> {
+    let end = Instant::now() + COMPLETION_TIMEOUT;
+    loop {
+        if let Ok(reply) = client.request(&json!({"off": host}), REQUEST_TIMEOUT).await {
+            let off = &reply["off"];
+            let missing = off["waits_for"].as_object().map_or(1, serde_json::Map::len);
+            if let (Some(granted), 0) = (off["granted"].as_u64(), missing) {
+                return Ok(granted);
+            }
+            if Instant::now() >= end {
+                bail!("worker/{host} may not be switched off: {off}");
+            }
+        } else if Instant::now() >= end {
+            bail!("nobody says whether worker/{host} may be switched off");
+        }
+        sleep(POLL_INTERVAL).await;
+    }
+}
+
 /// The most workers that were off at once.
 pub fn most_off(switched_off: &[SwitchedOff]) -> usize {
     let at =
@@ -89,8 +103,8 @@
     switched_off.iter().map(|window| at(window.from)).max().unwrap_or(0)
 }
 
-/// What workers got, or still had to do, while they were off: attempts that arrived, and jobs that ran on and were served
-/// from there. A dispatcher that was killed or paused is excused from what it had out by then, and from nothing new.
+/// Work at workers that were off: attempts that arrived, and jobs that ran on and were served from there. A dispatcher that was
+/// killed or suspended is excused from what it had in flight by then, and from nothing new.
 pub fn work_while_off(log: &[Entry], switched_off: &[SwitchedOff], killed: &[DispatcherExit]) -> Vec<String> {
     let (mut found, mut attempts) = (Vec::new(), HashMap::<&str, usize>::new());
     let mut open: HashMap<(&str, usize), (f64, usize)> = HashMap::new();
@@ -122,7 +136,7 @@
                     ran_on.insert(txn);
                 }
             }
-            // Of several attempts another one may have been the answer.
+            // Of several attempts another one may have given the answer.
             Event::Responded { txn, status: 200, .. }
                 if ran_on.contains(txn.as_str()) && attempts.get(txn.as_str()) == Some(&1) =>
             {
--- a/crates/pebblepost-harness/src/release/outages.rs
+++ b/crates/pebblepost-harness/src/release/outages.rs
@@ -1,8 +1,8 @@
-//! Judges outages by what was seen from outside: who was ready when, who ended itself, and what operators were told.
+//! Judges outages by what was seen from outside: who was ready when, and who ended by itself.
 
 use crate::supervisor::{Outage, OutageCause};
 
-/// The most that were out at once, and for how long, in seconds, that was more than a budget.
+/// The most that were out at once, and for how long, in seconds, that was more than the budget.
 pub fn most_at_once(outages: &[&Outage], budget: usize) -> (usize, f64) {
     let mut edges: Vec<(f64, i32)> =
         outages.iter().flat_map(|outage| [(outage.from, 1), (outage.to, -1)]).collect();
@@ -19,15 +19,15 @@
     (usize::try_from(most).unwrap_or(0), over)
 }
 
-/// Those that went of their own accord, as a program does that was permitted to.
+/// Those that began by themselves, as a program does that has a permit.
 pub fn by_permit(outages: &[Outage]) -> Vec<&Outage> {
     outages.iter().filter(|outage| outage.cause == OutageCause::Voluntary).collect()
 }
 
-/// A halt: when it was acknowledged, and when its end was asked for.
+/// A halt: when it was acknowledged, and when its end was requested, in seconds of the log.
 pub type Halt = (f64, f64);
 
-/// How long after each halt was acknowledged the last one went, in seconds; 0: none did.
+/// Time from the acknowledgement of each halt to the last outage that began during it, in seconds; 0: none did.
 pub fn late_after(outages: &[&Outage], halts: &[Halt]) -> Vec<f64> {
     let late = |(from, to): &Halt| {
         let begun = outages.iter().map(|outage| outage.from).filter(|at| (*from..*to).contains(at));
--- a/crates/pebblepost-harness/src/release/rollout.rs
+++ b/crates/pebblepost-harness/src/release/rollout.rs
@@ -67,7 +67,7 @@
             "--sample",
             SAMPLE_SIZE,
         ];
-        let mut driver = trial.operators.operator(&arguments)?;
+        let mut driver = trial.operators.spawn(&arguments)?;
         let lifetime = Duration::from_millis(rng.random_range(2_000..30_000));
         if timeout(lifetime, driver.wait()).await.is_err() {
             if rng.random_range(0..3) == 0 {
@@ -113,14 +113,14 @@
     let mut fork = || rng.random::<u64>();
     let waves = format!("1,{SECOND_WAVE},100%");
     let arguments = ["release", "start", version, "--waves", &waves];
-    tokio::try_join!(trial.operators.start(&arguments, fork()), trial.operators.start(&arguments, fork()))?;
+    tokio::try_join!(trial.operators.run(&arguments, fork()), trial.operators.run(&arguments, fork()))?;
     let seeded = Pcg64Mcg::seed_from_u64;
     let (one, other, mut rng) = (seeded(fork()), seeded(fork()), seeded(fork()));
     let course = async {
         let mut client = trial.operators.client();
         if VersionDefect::of(version).is_some() {
             wait_for_completion(trial, number * 10, version, true).await?;
-            trial.operators.start(&["release", "back", before], rng.random()).await?;
+            trial.operators.run(&["release", "back", before], rng.random()).await?;
             apply(&mut client, (32, number), &json!({"resume": "dispatcher"})).await?;
             wait_for_completion(trial, number * 10 + 1, before, false).await?;
             return Ok(ReleaseEnd::RolledBack);
--- a/crates/pebblepost-harness/src/reservations.rs
+++ b/crates/pebblepost-harness/src/reservations.rs
@@ -1,4 +1,5 @@
-//! The measurement for `docs/room.md`: the mixed run with the room on and off, on the same arrivals, at two loads.
+//! Measures the reservation of capacity for large jobs: the mixed run with reservations on and off, on the same arrivals, at
+//! several loads.
 
 use crate::report::Summary;
 use crate::run::{Played, Run};
@@ -8,33 +9,33 @@
 use serde_json::{Value, json};
 use std::path::Path;
 
-/// Loads that are played, as parts of what the fleet can do.
+/// Loads that are played by default, as shares of the workers' capacity.
 pub const LOADS: [f64; 2] = [0.65, 0.9];
 
-/// One load, with the room on and off.
+/// One load, with reservations on and off.
 #[derive(Serialize)]
 pub struct AtLoad {
     /// The load.
     pub load: f64,
-    /// With the room.
+    /// With reservations.
     pub on: Summary,
-    /// Without it.
+    /// Without them.
     pub off: Summary,
 }
 
-/// All loads: their sum with the room on, the same with it off, and each by itself.
+/// All loads: their sum with reservations on, the same with them off, and each by itself.
 #[derive(Serialize)]
 pub struct Report {
-    /// The sum, with the room.
+    /// The sum, with reservations.
     #[serde(flatten)]
     pub on: Summary,
-    /// The sum, without it.
+    /// The sum, without them.
     pub off: Summary,
     /// Each load.
     pub loads: Vec<AtLoad>,
 }
 
-/// The operator's file that turns the room on or off.
+/// The operator file that turns reservations on or off.
 pub fn operator(on: bool) -> Value {
     json!({"settings": {"room": {"enabled": on}}})
 }
@@ -45,8 +46,12 @@
     Summary::of(&parts, &broken, runs.iter().map(|played| played.cpu_s).sum())
 }
 
-/// Plays `run_spec` at each load, with the room on and off. All run at the same time, each with a fleet of its own,
-/// so that whatever else the machine does meets all.
+/// Plays `run_spec` at each load, with reservations on and off. All run at the same time, each with workers of its own, so that
+/// whatever else the machine does affects all.
+///
+/// # Errors
+///
+/// If the spec can not be drawn, or a process does not start.
 pub async fn measure(run_spec: &RunSpec, loads: &[f64], seed: u64, program: &Path) -> Result<Report> {
     let (on_file, off_file) = (operator(true), operator(false));
     let (mut on, mut off) = (Vec::new(), Vec::new());
--- a/crates/pebblepost-harness/src/store/consistency.rs
+++ b/crates/pebblepost-harness/src/store/consistency.rs
@@ -30,25 +30,25 @@
     }
 }
 
-/// The judgement.
+/// What the operations show.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Verdict {
     /// Changes that were acknowledged.
     pub committed: usize,
-    /// Those of them that are not in the state at the end, or are again though taken back.
+    /// Those of them that the final state contradicts.
     pub lost: usize,
-    /// Reads that did not see what was acknowledged before they were asked.
+    /// Reads that did not see what was acknowledged before they were sent.
     pub stale_reads: usize,
-    /// No history contradicts there being one copy.
+    /// Each history can be explained by one copy.
     pub linearizable: bool,
     /// What was found, in words.
     #[serde(skip)]
     pub found: Vec<String>,
 }
 
-/// What one worker's history allows to be expected at the end: its mark, if all who touched it are known to have.
+/// Whether a worker must be drained at the end; `None`: its history leaves that open.
 fn expected(history: &[&Operation]) -> Option<bool> {
-    // Only where nobody's outcome is unknown and the changes came one after another.
+    // Known only if no outcome is unknown and the changes came one after another.
     let changes: Vec<&&Operation> =
         history.iter().filter(|operation| operation.kind != OperationKind::Read).collect();
     let mut last = f64::NEG_INFINITY;
@@ -62,7 +62,7 @@
     changes.last().map(|change| matches!(change.kind, OperationKind::Drain(_)))
 }
 
-/// Reads that were asked after a lone change was acknowledged and before any other was asked, and contradict it.
+/// Number of reads that contradict the last change acknowledged before them, with no other change open meanwhile.
 fn stale(history: &[&Operation]) -> usize {
     let changes: Vec<&&Operation> =
         history.iter().filter(|operation| operation.kind != OperationKind::Read).collect();
@@ -87,34 +87,34 @@
 }
 
 fn linearizable(history: &[&Operation]) -> bool {
-    // Each operation is a thread of its own, so that those whose outcome is unknown stay open for ever.
+    // Each operation is a thread of its own, so that those whose outcome is unknown stay open.
     let mut events: Vec<(f64, bool, usize)> = Vec::new();
-    for (i, seen) in history.iter().enumerate() {
-        events.push((seen.asked, false, i));
-        events.extend(seen.answered.as_ref().map(|(at, _)| (*at, true, i)));
+    for (i, operation) in history.iter().enumerate() {
+        events.push((operation.asked, false, i));
+        events.extend(operation.answered.as_ref().map(|(at, _)| (*at, true, i)));
     }
     events.sort_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)));
     let mut tester = LinearizabilityTester::new(DrainMark(None));
     for (_, ends, i) in events {
-        let seen = history[i];
-        // A read that got no answer says nothing.
-        if seen.kind == OperationKind::Read && seen.answered.is_none() {
+        let operation = history[i];
+        // A read without an answer shows nothing.
+        if operation.kind == OperationKind::Read && operation.answered.is_none() {
             continue;
         }
-        let taken = match &seen.answered {
+        let accepted = match &operation.answered {
             Some((_, found)) if ends => tester.on_return(i, found.clone()).is_ok(),
-            _ => tester.on_invoke(i, seen.kind.clone()).is_ok(),
+            _ => tester.on_invoke(i, operation.kind.clone()).is_ok(),
         };
-        debug_assert!(taken, "each operation is asked and answered once");
+        debug_assert!(accepted, "each operation is asked and answered once");
     }
     tester.is_consistent()
 }
 
-/// Judges the operations. `end`: the tag of each mark that stands at the end, read after all faults were over.
-pub fn judge(seen: &[Operation], end: &BTreeMap<String, String>) -> Verdict {
+/// Judges the operations. `end`: the tag of each worker that is drained at the end, read once all faults were over.
+pub fn judge(operations: &[Operation], end: &BTreeMap<String, String>) -> Verdict {
     let mut verdict = Verdict { linearizable: true, ..Verdict::default() };
     let mut by_worker: BTreeMap<&str, Vec<&Operation>> = BTreeMap::new();
-    for operation in seen {
+    for operation in operations {
         by_worker.entry(&operation.worker).or_default().push(operation);
         verdict.committed +=
             usize::from(operation.kind != OperationKind::Read && operation.answered.is_some());
--- a/crates/pebblepost-harness/src/worker/model.rs
+++ b/crates/pebblepost-harness/src/worker/model.rs
@@ -157,7 +157,7 @@
         self.record_cold_load(from, seconds);
     }
 
-    /// ConnectionCounts work against what a cold worker bears, whatever becomes of it.
+    /// Counts work against the capacity of a cold worker, whether or not it is admitted.
     fn record_cold_load(&mut self, from: usize, work: f64) {
         if self.slow_start_factor() >= 1.0 {
             return self.sent.clear();
--- a/crates/pebblepost-harness/tests/unit/release_grant_audit.rs
+++ b/crates/pebblepost-harness/tests/unit/release_grant_audit.rs
@@ -16,17 +16,17 @@
         "member/a": {"value": member(true)}, "member/b": {"value": member(true)},
         "budget/dispatcher": {"value": {"budget": {"most": {"count": 1}, "most_in_zone": null}}},
     });
-    audit.snapshot(&json!({"revision": 3, "entries": entries}));
+    audit.apply_snapshot(&json!({"revision": 3, "entries": entries}));
     let change = |revision: u64, items: Value| json!({"revision": revision, "items": items});
-    audit.change(&change(4, json!([["permit/dispatcher/a", permit]])));
+    audit.apply_change(&change(4, json!([["permit/dispatcher/a", permit]])));
     assert_eq!((audit.grants, audit.over.len()), ([1, 0], 0));
-    // Told again by another keeper: nothing new.
-    audit.change(&change(4, json!([["permit/dispatcher/b", permit]])));
-    audit.change(&change(5, json!([["permit/dispatcher/a", null], ["permit/dispatcher/b", permit]])));
+    // Sent again by another replica: nothing new.
+    audit.apply_change(&change(4, json!([["permit/dispatcher/b", permit]])));
+    audit.apply_change(&change(5, json!([["permit/dispatcher/a", null], ["permit/dispatcher/b", permit]])));
     assert_eq!((audit.grants, audit.over.len()), ([2, 0], 0));
-    audit.change(&change(6, json!([["permit/dispatcher/b", null], ["member/b", member(false)]])));
-    audit.change(&change(7, json!([["permit/dispatcher/a", permit]])));
+    audit.apply_change(&change(6, json!([["permit/dispatcher/b", null], ["member/b", member(false)]])));
+    audit.apply_change(&change(7, json!([["permit/dispatcher/a", permit]])));
     assert_eq!((audit.grants, audit.over.len()), ([3, 0], 1), "b is out as it is not ready");
-    audit.change(&change(8, json!([["drain/w", {}], ["permit/worker/w", permit]])));
+    audit.apply_change(&change(8, json!([["drain/w", {}], ["permit/worker/w", permit]])));
     assert_eq!((audit.grants, audit.over.len()), ([3, 1], 1), "no budget is known for workers");
 }
