--- a/crates/pebblepost-harness/src/checker/availability.rs
+++ b/crates/pebblepost-harness/src/checker/availability.rs
@@ -1,6 +1,6 @@
 //! What discovery published and sent of each worker, and how soon dispatchers act on it.
 
-use super::rules::Limits;
+use super::limits::Limits;
 use crate::event_log::{Availability, Entry, Event};
 use std::collections::HashMap;
 
--- a/crates/pebblepost-harness/src/checker/slow_start.rs
+++ b/crates/pebblepost-harness/src/checker/slow_start.rs
@@ -1,6 +1,6 @@
 //! Load on workers that have started lately, as a multiple of what they can take.
 
-use super::rules::Limits;
+use super::limits::Limits;
 use crate::event_log::{Availability, Entry, Event};
 use crate::worker::model::ColdLoad;
 use std::collections::HashMap;
--- a/crates/pebblepost-harness/src/run.rs
+++ b/crates/pebblepost-harness/src/run.rs
@@ -3,7 +3,8 @@
 
 use crate::checker::availability::slowest_drain;
 use crate::checker::exits::{DispatcherExit, without_excused};
-use crate::checker::rules::{Limits, Rule, Violation, check};
+use crate::checker::limits::Limits;
+use crate::checker::rules::{Rule, Violation, check};
 use crate::checker::slow_start::cold_multiples;
 use crate::clients::{Clients, RequestResult};
 use crate::discovery::Discovery;
--- a/crates/pebblepost-harness/src/store/cluster.rs
+++ b/crates/pebblepost-harness/src/store/cluster.rs
@@ -1,7 +1,7 @@
 //! Replicas as processes, a relay on each directed pair of them, and the faults that are injected into both.
 
-use super::client::{Leader, StoreClient};
-use super::connection::Connection;
+use super::replacement::{damage_file, join_replacement};
+use super::retry::{query, retry_until};
 use crate::fault::managed_process::ManagedProcess;
 use crate::fault::schedule::{DiskDamage, Fault, FaultKind, Schedule};
 use crate::fault::tcp_relay::{LinkState, Relay};
@@ -14,14 +14,12 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 use tokio::task::JoinHandle;
-use tokio::time::{sleep, timeout};
+use tokio::time::sleep;
 
 /// Ids that each place may have, one after another, as its disks are replaced.
 const MAX_REPLACEMENTS: usize = 256;
 /// A replica must have refused a damaged disk within this.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(5);
-/// A replacement must be a voter within this, faults or not.
-const REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Disks of a cluster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -126,11 +124,12 @@
         let mut peers = serde_json::Map::new();
         for (place, address) in self.addresses.iter().enumerate() {
             let status =
-                retry_until(Duration::from_secs(20), async || ask(*address, &json!("status")).await).await?;
+                retry_until(Duration::from_secs(20), async || query(*address, &json!("status")).await)
+                    .await?;
             let disk = status.pointer("/status/disk").with_context(|| format!("no disk: {status}"))?.clone();
             peers.insert((place + 1).to_string(), json!({"address": address.to_string(), "disk": disk}));
         }
-        let reply = ask(self.addresses[0], &json!({"begin": peers})).await?;
+        let reply = query(self.addresses[0], &json!({"begin": peers})).await?;
         if reply != json!("done") {
             bail!("the group does not begin: {reply}");
         }
@@ -193,19 +192,7 @@
     /// Then it is replaced by one with a new id and an empty disk, which joins once it is started.
     fn damage_disk(&mut self, place: usize, damage: DiskDamage) -> Result<()> {
         let file = self.disk(place).join("keeper.redb");
-        match damage {
-            DiskDamage::Deleted => std::fs::remove_file(&file)?,
-            DiskDamage::Truncated => {
-                let half = std::fs::metadata(&file)?.len() / 2;
-                File::options().write(true).open(&file)?.set_len(half)?;
-            }
-            DiskDamage::BitFlipped(bit) => {
-                let mut bytes = std::fs::read(&file)?;
-                let at = usize::try_from(bit)? % (bytes.len() * 8);
-                bytes[at / 8] ^= 1 << (at % 8);
-                std::fs::write(&file, bytes)?;
-            }
-        }
+        damage_file(&file, damage)?;
         if damage != DiskDamage::Deleted {
             let replica = &mut self.replicas[place];
             replica.start()?;
@@ -358,56 +345,3 @@
         }
     }
 }
-
-/// Has a replica with a new disk replace one whose disk is lost: it joins as a learner, the old one is removed, and it becomes
-/// a voter. In this order no quorum is ever larger than that of the replicas that are left.
-async fn join_replacement(old: usize, new: usize, at: SocketAddr, addresses: Vec<SocketAddr>) -> Result<()> {
-    let (mut client, end) =
-        (StoreClient::new(addresses, Leader::default()), Instant::now() + REPLACEMENT_TIMEOUT);
-    let disk = loop {
-        match ask(at, &json!("status")).await {
-            Ok(status) => {
-                break status.pointer("/status/disk").cloned().with_context(|| status.to_string())?;
-            }
-            Err(error) if Instant::now() >= end => return Err(error),
-            Err(_) => sleep(Duration::from_millis(50)).await,
-        }
-    };
-    let learn = json!({"learn": [new, {"address": at.to_string(), "disk": disk}]});
-    for step in [learn, json!({"remove": old}), json!({"promote": new})] {
-        loop {
-            match client.request(&step, Duration::from_secs(8)).await {
-                Ok(reply) if reply == json!("done") => break,
-                Ok(reply) => bail!("{step}: {reply}"),
-                Err(error) if Instant::now() >= end => return Err(error.into()),
-                Err(_) => {}
-            }
-        }
-    }
-    Ok(())
-}
-
-async fn ask(address: SocketAddr, message: &Value) -> Result<Value> {
-    let work = async {
-        let mut connection = Connection::open(address).await?;
-        connection.send(message).await?;
-        connection.receive().await
-    };
-    Ok(timeout(Duration::from_secs(5), work).await??)
-}
-
-/// Retries until it works or the time is over.
-///
-/// # Errors
-///
-/// The last one, once the time is over.
-pub async fn retry_until<T>(limit: Duration, mut work: impl AsyncFnMut() -> Result<T>) -> Result<T> {
-    let end = Instant::now() + limit;
-    loop {
-        match work().await {
-            Ok(found) => return Ok(found),
-            Err(error) if Instant::now() >= end => return Err(error),
-            Err(_) => sleep(Duration::from_millis(50)).await,
-        }
-    }
-}
--- a/crates/pebblepost-harness/src/store/mass_restart.rs
+++ b/crates/pebblepost-harness/src/store/mass_restart.rs
@@ -1,7 +1,8 @@
 //! Measures how many dispatchers that come back at once join the store, and what that does to it.
 
 use super::client::{Leader, StoreClient};
-use super::cluster::{Cluster, retry_until};
+use super::cluster::Cluster;
+use super::retry::retry_until;
 use crate::fault::managed_process::ManagedProcess;
 use anyhow::{Context, Result, bail};
 use serde::Serialize;
--- a/crates/pebblepost-harness/src/store/mod.rs
+++ b/crates/pebblepost-harness/src/store/mod.rs
@@ -19,4 +19,6 @@
 mod load;
 pub mod mass_restart;
 pub mod plan;
+mod replacement;
+pub mod retry;
 pub mod run;
--- a/crates/pebblepost-harness/src/store/run.rs
+++ b/crates/pebblepost-harness/src/store/run.rs
@@ -2,12 +2,13 @@
 //! dispatchers follow, and the judgement.
 
 use super::client::StoreClient;
-use super::cluster::{Cluster, retry_until};
+use super::cluster::Cluster;
 use super::consistency::{Verdict, judge};
 use super::follower::{FollowerState, drains, follow};
 use super::history::Operation;
 use super::load::{Load, LoadClient, OPERATION_TIMEOUT};
 use super::plan::Plan;
+use super::retry::retry_until;
 use crate::clients::Outcome;
 use crate::fault::schedule::{Fault, FaultKind, Schedule};
 use crate::run::Run;
--- a/crates/pebblepost-harness/src/worker/simulated.rs
+++ b/crates/pebblepost-harness/src/worker/simulated.rs
@@ -1,5 +1,5 @@
 //! One simulated worker in time: a [`WorkerModel`] with faults, load reports and the state of its connections. It does no
-//! I/O; [`super::http`] serves its connections.
+//! I/O: its connections are served elsewhere.
 
 use super::model::{JobEvent, JobId, WorkerModel};
 use crate::event_log::{Availability, Event, EventLog};
--- a/crates/pebblepost-harness/tests/unit/checker.rs
+++ b/crates/pebblepost-harness/tests/unit/checker.rs
@@ -2,7 +2,8 @@
 
 use pebblepost_harness::checker::availability::slowest_drain;
 use pebblepost_harness::checker::exits::{DispatcherExit, without_excused};
-use pebblepost_harness::checker::rules::{Limits, Rule, check, result_for};
+use pebblepost_harness::checker::limits::Limits;
+use pebblepost_harness::checker::rules::{Rule, check, result_for};
 use pebblepost_harness::checker::slow_start::cold_multiples;
 use pebblepost_harness::event_log::{AttemptEnd, Availability, Entry, Event};
 use pebblepost_harness::worker::model::ColdLoad;
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn a_sound_run_breaks_nothing() {
+fn a_correct_run_breaks_no_rule() {
     let draft = result_for("t1");
     let log = [
         (0.0, asked("t1", "k")),
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn each_rule_is_seen_to_be_broken() {
+fn each_broken_rule_is_reported() {
     let start = (0.0, asked("t", "k"));
     let draft = result_for("t");
     let notified = |at, what| (at, Event::Notified { dispatcher: 0, worker: 1, what });
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn what_went_on_to_a_drained_worker_is_timed_from_the_first_word_of_it() {
+fn attempts_to_a_drained_worker_are_timed_from_the_first_notification() {
     let notified = |what| Event::Notified { dispatcher: 0, worker: 1, what };
     let log = [
         (0.0, notified(Availability::Draining)),
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn only_what_a_killed_dispatcher_took_with_it_is_excused() {
+fn only_requests_that_a_killed_dispatcher_had_accepted_are_excused() {
     let log = vec![
         (0.0, asked("before", "k")),
         (7.0, asked("early", "n")),
@@ -138,31 +139,31 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(left(killed), ["early", "after", "before"]);
-    // One that ended itself has to answer what it had taken.
+    // One that ended by itself has to answer what it had accepted.
     assert_eq!(left(DispatcherExit { abrupt: false, ..killed }), ["early", "lost", "after", "before"]);
 }
 
 #[test]
-fn only_what_was_sent_in_knowledge_of_the_start_counts_against_the_dispatchers() {
+fn only_load_sent_after_the_notification_of_a_start_counts_against_dispatchers() {
     let notified =
         |at| (at, Event::Notified { dispatcher: 0, worker: 1, what: Availability::Ready { cold: true } });
     let load =
         |since, sent: &[(f64, f64, usize)]| ColdLoad { since, capacity_in_window: 1.0, sent: sent.to_vec() };
     let take_cold_load_peak = |at, load| (at, Event::ColdLoadPeak { worker: 1, load });
-    // Sent before the word, after it, and by one that never got it.
+    // Sent before the notification, after it, and by one that never got it.
     let log = [
         notified(1.0),
         (1.1, Event::Notified { dispatcher: 1, worker: 2, what: Availability::Ready { cold: true } }),
         take_cold_load_peak(2.0, load(0.5, &[(0.9, 4.0, 0), (1.5, 2.0, 0), (1.5, 1.0, 1)])),
     ];
     assert_eq!(cold_multiples(&log, &Limits::default()), (2.0, 7.0));
-    // A word of an earlier start is none of this one; after so long everybody counts as told.
+    // A notification of an earlier start does not count; after so long every dispatcher counts as notified.
     let log = [notified(1.0), take_cold_load_peak(9.0, load(2.0, &[(7.0, 4.0, 0), (8.5, 0.5, 1)]))];
     assert_eq!(cold_multiples(&log, &Limits::default()), (0.5, 4.5));
 }
 
 #[test]
-fn nobody_is_blamed_for_a_start_that_was_not_told() {
+fn no_dispatcher_is_at_fault_for_a_start_that_it_was_not_notified_of() {
     let notified = Event::Notified { dispatcher: 0, worker: 1, what: Availability::Ready { cold: true } };
     let fell = Event::Overloaded { worker: 1, since: 0.1, sent: vec![(0, 1.0), (1, 1.0)] };
     assert_eq!(rules(&[(0.2, notified), (1.0, fell)]), [], "half of it came from one that knew");
