--- a/crates/pebblepost-harness/src/report.rs
+++ b/crates/pebblepost-harness/src/report.rs
@@ -14,7 +14,8 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Group {
     /// Requests.
-    pub asked: usize,
+    #[serde(rename = "asked")]
+    pub requests: usize,
     /// Answered within their latency target.
     pub in_time: usize,
     /// Answered later than that.
@@ -44,7 +45,7 @@
         self.p50_ms = self.p50_ms.max(other.p50_ms);
         self.p99_ms = self.p99_ms.max(other.p99_ms);
         self.refused_p99_ms = self.refused_p99_ms.max(other.refused_p99_ms);
-        self.asked += other.asked;
+        self.requests += other.requests;
         self.in_time += other.in_time;
         self.late += other.late;
         self.refused += other.refused;
@@ -56,7 +57,7 @@
 
     /// Share that was answered in time; 1 if there are none.
     pub fn share(&self) -> f64 {
-        if self.asked == 0 { 1.0 } else { self.in_time as f64 / self.asked as f64 }
+        if self.requests == 0 { 1.0 } else { self.in_time as f64 / self.requests as f64 }
     }
 }
 
@@ -100,7 +101,7 @@
             continue; // A client that cancels is owed no answer.
         }
         let work = arrival.work * f64::from(arrival.slots);
-        group.asked += 1;
+        group.requests += 1;
         group.work += work;
         group.attempts += result.attempts as usize;
         let micros = |seconds: f64| (seconds * 1e6) as u64;
@@ -179,10 +180,10 @@
         Self {
             large_in_time: large.share(),
             small_in_time: small.share(),
-            large_asked: large.asked,
-            small_asked: small.asked,
-            large_interval: interval(large.in_time, large.asked),
-            small_interval: interval(small.in_time, small.asked),
+            large_asked: large.requests,
+            small_asked: small.requests,
+            large_interval: interval(large.in_time, large.requests),
+            small_interval: interval(small.in_time, small.requests),
             work_in_time: large.work_in_time + small.work_in_time,
             rules_broken: broken.len(),
             large_by_slots,
--- a/crates/pebblepost-harness/src/reservations.rs
+++ b/crates/pebblepost-harness/src/reservations.rs
@@ -110,10 +110,10 @@
     lines.push(row("all off", &report.off));
     for (name, figures) in [("on", &report.on), ("off", &report.off)] {
         for (slots, group) in &figures.large_by_slots {
-            let (share, retried) = (group.share(), group.attempts as f64 / group.asked.max(1) as f64);
+            let (share, retried) = (group.share(), group.attempts as f64 / group.requests.max(1) as f64);
             lines.push(format!(
                 "{name}: large of {slots} slots: {share:.3} of {} in time, {retried:.2} tries",
-                group.asked
+                group.requests
             ));
         }
     }
--- a/crates/pebblepost-harness/src/store/consistency.rs
+++ b/crates/pebblepost-harness/src/store/consistency.rs
@@ -53,11 +53,11 @@
         history.iter().filter(|operation| operation.kind != OperationKind::Read).collect();
     let mut last = f64::NEG_INFINITY;
     for change in &changes {
-        let (answered, _) = change.answered.as_ref()?;
-        if change.asked < last {
+        let (answer, _) = change.answer.as_ref()?;
+        if change.requested_at < last {
             return None;
         }
-        last = *answered;
+        last = *answer;
     }
     changes.last().map(|change| matches!(change.kind, OperationKind::Drain(_)))
 }
@@ -68,17 +68,19 @@
         history.iter().filter(|operation| operation.kind != OperationKind::Read).collect();
     let reads = history.iter().filter(|operation| operation.kind == OperationKind::Read);
     let contradicts = |read: &&&Operation| {
-        let Some((answered, found)) = &read.answered else { return false };
+        let Some((answer, found)) = &read.answer else { return false };
         // Every change but those over before the read, or begun after it, may or may not be seen.
         let open = changes.iter().any(|change| {
-            change.asked < *answered && change.answered.as_ref().is_none_or(|(end, _)| *end > read.asked)
+            change.requested_at < *answer
+                && change.answer.as_ref().is_none_or(|(end, _)| *end > read.requested_at)
         });
-        let end = |change: &Operation| change.answered.as_ref().map_or(f64::INFINITY, |(end, _)| *end);
-        let before = || changes.iter().filter(|change| end(change) <= read.asked);
-        let last = before().max_by(|left, right| left.asked.total_cmp(&right.asked));
+        let end = |change: &Operation| change.answer.as_ref().map_or(f64::INFINITY, |(end, _)| *end);
+        let before = || changes.iter().filter(|change| end(change) <= read.requested_at);
+        let last = before().max_by(|left, right| left.requested_at.total_cmp(&right.requested_at));
         // Of two that were out at the same time either may have been the last.
         let clear = last.is_none_or(|last| {
-            before().all(|change| change.asked >= last.asked || end(change) <= last.asked)
+            before()
+                .all(|change| change.requested_at >= last.requested_at || end(change) <= last.requested_at)
         });
         let drained = last.is_some_and(|change| matches!(change.kind, OperationKind::Drain(_)));
         !open && clear && found.is_some() != drained
@@ -90,18 +92,18 @@
     // Each operation is a thread of its own, so that those whose outcome is unknown stay open.
     let mut events: Vec<(f64, bool, usize)> = Vec::new();
     for (i, operation) in history.iter().enumerate() {
-        events.push((operation.asked, false, i));
-        events.extend(operation.answered.as_ref().map(|(at, _)| (*at, true, i)));
+        events.push((operation.requested_at, false, i));
+        events.extend(operation.answer.as_ref().map(|(at, _)| (*at, true, i)));
     }
     events.sort_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)));
     let mut tester = LinearizabilityTester::new(DrainMark(None));
     for (_, ends, i) in events {
         let operation = history[i];
         // A read without an answer shows nothing.
-        if operation.kind == OperationKind::Read && operation.answered.is_none() {
+        if operation.kind == OperationKind::Read && operation.answer.is_none() {
             continue;
         }
-        let accepted = match &operation.answered {
+        let accepted = match &operation.answer {
             Some((_, found)) if ends => tester.on_return(i, found.clone()).is_ok(),
             _ => tester.on_invoke(i, operation.kind.clone()).is_ok(),
         };
@@ -116,11 +118,10 @@
     let mut by_worker: BTreeMap<&str, Vec<&Operation>> = BTreeMap::new();
     for operation in operations {
         by_worker.entry(&operation.worker).or_default().push(operation);
-        verdict.committed +=
-            usize::from(operation.kind != OperationKind::Read && operation.answered.is_some());
+        verdict.committed += usize::from(operation.kind != OperationKind::Read && operation.answer.is_some());
     }
     for (worker, history) in &mut by_worker {
-        history.sort_by(|left, right| left.asked.total_cmp(&right.asked));
+        history.sort_by(|left, right| left.requested_at.total_cmp(&right.requested_at));
         if let Some(expected) = expected(history)
             && expected != end.contains_key(*worker)
         {
--- a/crates/pebblepost-harness/src/store/history.rs
+++ b/crates/pebblepost-harness/src/store/history.rs
@@ -21,9 +21,9 @@
     /// What was requested.
     pub kind: OperationKind,
     /// When it was requested, in seconds from the start.
-    pub asked: f64,
+    pub requested_at: f64,
     /// When it was answered, and with what a read found. `None`: it is not known whether it was done.
-    pub answered: Option<(f64, Option<String>)>,
+    pub answer: Option<(f64, Option<String>)>,
 }
 
 /// The operations, each appended when it has ended or was given up.
--- a/crates/pebblepost-harness/src/store/load.rs
+++ b/crates/pebblepost-harness/src/store/load.rs
@@ -201,24 +201,24 @@
         };
         let command = StoreClient::command((self.number as u64 + 1, number), worker, drain, tag);
         let history = &self.load.history;
-        let (asked, began) = (history.now(), Instant::now());
+        let (requested_at, began) = (history.now(), Instant::now());
         let reply = self.client.request(&command, OPERATION_TIMEOUT).await;
         let done = reply.is_ok_and(|reply| reply.pointer("/answer/Ok").is_some());
         if done {
             self.load.change_acknowledged(began);
         }
-        let answered = done.then(|| (history.now(), None));
-        history.append(Operation { worker: worker.to_owned(), kind, asked, answered });
+        let answer = done.then(|| (history.now(), None));
+        history.append(Operation { worker: worker.to_owned(), kind, requested_at, answer });
         done
     }
 
     async fn read(&mut self, worker: &str) {
         let history = &self.load.history;
-        let asked = history.now();
+        let requested_at = history.now();
         if let Ok(found) = self.client.read(worker, OPERATION_TIMEOUT).await {
-            let answered = Some((history.now(), found));
+            let answer = Some((history.now(), found));
             let kind = OperationKind::Read;
-            history.append(Operation { worker: worker.to_owned(), kind, asked, answered });
+            history.append(Operation { worker: worker.to_owned(), kind, requested_at, answer });
         }
     }
 }
--- a/crates/pebblepost-harness/src/store/run.rs
+++ b/crates/pebblepost-harness/src/store/run.rs
@@ -193,7 +193,7 @@
     found.extend(broken);
     let summary = Summary {
         drains_forgotten,
-        unknown: operations.iter().filter(|operation| operation.answered.is_none()).count(),
+        unknown: operations.iter().filter(|operation| operation.answer.is_none()).count(),
         kills: faults.get("kill").copied().unwrap_or(0),
         disks_replaced: cluster.disks.replaced,
         disks_refused: cluster.disks.refused,
--- a/crates/pebblepost-harness/tests/pins.rs
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::process::Command;
 
-/// FNV-1a, 64 bits.
+/// FNV-1a digest of 64 bits.
 struct Digest(u64);
 
 impl Digest {
@@ -72,7 +72,7 @@
     digest.float(worker.noise);
 }
 
-fn digest_trouble(digest: &mut Digest, fault: &ScheduledWorkerFault) {
+fn digest_worker_fault(digest: &mut Digest, fault: &ScheduledWorkerFault) {
     digest.float(fault.at);
     digest.integer(fault.worker as u64);
     let (kind, seconds, share) = match fault.fault {
@@ -104,7 +104,7 @@
         digest.float(arrival.backoff);
         digest.optional(arrival.cancels_after_s);
     }
-    plan.worker_faults.iter().for_each(|fault| digest_trouble(&mut digest, fault));
+    plan.worker_faults.iter().for_each(|fault| digest_worker_fault(&mut digest, fault));
     digest.float(plan.store.full_speed_fetches);
     digest.float(plan.store.fetch_s);
     digest.optional(plan.discovery_rate);
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn scenarios_of_the_fleet_command_are_the_approved_ones() {
+fn runs_of_the_fleet_command_are_the_approved_ones() {
     let mut lines = String::new();
     for (name, run_spec) in fleet::run_specs(fleet::Size { dispatchers: 20, workers: 15, seconds: 20.0 }) {
         let plan = Plan::draw(&run_spec, 5).expect("a valid scenario");
--- a/crates/pebblepost-harness/tests/release.rs
+++ b/crates/pebblepost-harness/tests/release.rs
@@ -1,12 +1,12 @@
-//! Releases of real dispatchers by doubled drivers that are killed, while keepers and dispatchers break. What is judged is
-//! safety, as seen from outside; how long anything takes is bounded generously and not judged.
+//! Releases of real dispatchers by two drivers that are killed, while replicas and dispatchers fail. Safety is checked, as seen
+//! from outside; times are bounded generously and not checked.
 
 use pebblepost_harness::dispatcher;
 use pebblepost_harness::release::plan::{DisruptionBudget, Mode, Plan};
 use pebblepost_harness::release::run::run;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_more_dispatchers_go_at_once_than_the_budget_allows_whatever_breaks() {
+async fn no_more_dispatchers_are_out_at_once_than_the_budget_allows_under_faults() {
     let program = dispatcher::build_program().expect("the program builds");
     let plan = Plan {
         dispatchers: 4,
@@ -30,10 +30,10 @@
         figures.max_out_dispatchers <= 2 && figures.max_out_in_zone <= 1 && figures.over_budget_ms == 0.0,
         "{found:#?}"
     );
-    // One that comes back as another version than wanted goes again by the same grant.
+    // A dispatcher that comes back with another version than wanted restarts again by the same grant.
     assert!(figures.grants >= 3 && figures.grants_to_workers >= figures.workers_off, "{figures:?}");
     assert_eq!(figures.grants_over_budget, 0, "{found:#?}");
-    // Workers go as well, one hand more than the budget lets out: nothing comes to one that is off.
+    // Workers are switched off as well, by one crew more than the budget lets out: no job arrives at one that is off.
     assert!(figures.workers_off >= 3 && figures.max_out_workers <= 2, "{figures:?}");
     assert_eq!(figures.work_while_off, 0, "{found:#?}");
     assert!(figures.went >= 3, "only {} went by themselves", figures.went);
--- a/crates/pebblepost-harness/tests/run.rs
+++ b/crates/pebblepost-harness/tests/run.rs
@@ -1,4 +1,4 @@
-//! Real dispatchers among stand-ins, a few seconds each: what goes wrong must break no rule.
+//! Real dispatchers among simulated workers and clients, a few seconds each: faults must break no rule.
 
 use pebblepost_harness::clients::Outcome;
 use pebblepost_harness::dispatcher::build_program;
@@ -6,7 +6,7 @@
 use pebblepost_harness::workload::spec::{HintSpec, MassRestart, RunSpec, ScheduledWorkerFault, WorkerFault};
 use serde_json::json;
 
-/// Plays all at the same time, each with a fleet of its own.
+/// Plays all at the same time, each with workers of its own.
 fn play(run_specs: &[RunSpec]) -> Vec<Played> {
     let (program, operator) = (build_program().expect("pebblepost builds"), json!({}));
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("threads");
@@ -34,9 +34,9 @@
     assert!(served * 2 > played.results.len(), "{served} of {}", played.results.len());
 }
 
-/// What a killed dispatcher had taken is lost; nothing after it has a claim to be.
+/// Requests that a killed dispatcher had accepted are lost, and no later ones.
 #[test]
-fn dispatchers_killed_at_once_start_again_though_discovery_answers_few_calls() {
+fn dispatchers_killed_at_once_start_again_though_discovery_is_rate_limited() {
     let run_spec = RunSpec {
         dispatchers: 4,
         workers: 6,
@@ -49,7 +49,7 @@
     let played = &play(&[run_spec])[0];
     assert_eq!(played.violations, []);
     assert_eq!(played.ready.len(), 4 + 3, "all were ready, and those that were killed once more");
-    // At one call a second the first four wait in turn and some fail, so that they ask again.
+    // At one call a second the first four are queued and some rejected, so that they are retried.
     assert!(played.discovery_calls > 4 + 3, "{} calls to discovery", played.discovery_calls);
     let last =
         played.plan.arrivals.iter().rposition(|arrival| arrival.dispatcher == 0).expect("the busiest one");
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn wrong_hints_a_flood_of_large_jobs_and_clients_that_leave_break_no_rule() {
+fn wrong_hints_many_large_jobs_and_cancelled_requests_break_no_rule() {
     let base = RunSpec { workers: 6, fault_rate: 0.0, ..RunSpec::mixed(4.0, 0.6) };
     let wrong = |factor, share| RunSpec { hints: HintSpec { sent: true, factor, share }, ..base.clone() };
     let run_specs = [
--- a/crates/pebblepost-harness/tests/store.rs
+++ b/crates/pebblepost-harness/tests/store.rs
@@ -1,5 +1,4 @@
-//! Three keepers as processes, faults between them, and the judgement. What is judged is safety; how long anything takes
-//! is bounded generously and not judged.
+//! Three replicas as processes under faults. Safety is checked; times are bounded generously and not checked.
 
 use pebblepost_harness::dispatcher;
 use pebblepost_harness::fault::schedule::{DiskDamage, Fault, FaultKind, Schedule};
@@ -8,7 +7,7 @@
 use pebblepost_harness::store::run::run;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_acknowledged_is_lost_and_no_read_is_old_whatever_happens_between_three_keepers() {
+async fn no_acknowledged_change_is_lost_and_no_read_is_stale_under_faults_of_three_replicas() {
     let program = dispatcher::build_program().expect("the program builds");
     let plan = Plan { replicas: 3, clients: 4, seconds: 20.0, seed: 2, pause_ms: 20, dispatchers: 2 };
     let schedule = plan.schedule();
@@ -25,14 +24,14 @@
     assert!(figures.served_share > Some(0.5), "served {:?} meanwhile", figures.served_share);
 }
 
-/// A schedule of these, each from its second on for so long.
+/// A schedule of these faults: when each begins, how long it lasts, and what it is.
 fn faults(all: impl IntoIterator<Item = (f64, f64, FaultKind)>) -> Schedule {
     let one = |(number, (at, duration_s, kind))| Fault { number, begins_at_s: at, duration_s, kind };
     Schedule(all.into_iter().enumerate().map(one).collect())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_keeper_that_answers_in_seconds_does_not_hold_up_the_rest() {
+async fn a_slow_replica_does_not_delay_the_quorum() {
     let program = dispatcher::build_program().expect("the program builds");
     let plan = Plan { replicas: 3, clients: 4, seconds: 12.0, seed: 3, pause_ms: 20, dispatchers: 0 };
     let late = LinkState::Delayed(1_500);
@@ -41,12 +40,12 @@
     let (summary, found) = run(&plan, &faults(slow), &program).await.expect("the group answers");
     let verdict = &summary.verdict;
     assert_eq!((verdict.lost, verdict.stale_reads, verdict.linearizable), (0, 0, true), "{found:#?}");
-    // At the pace of the slow one a change would take three seconds, and the desks would come to some twenty.
+    // At the speed of the slow replica a change would take three seconds, and the clients would make some twenty.
     assert!(verdict.committed > 200 && summary.write_p50_ms < 750.0, "{summary:?}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn disks_that_are_lost_or_damaged_are_named_and_replaced_while_the_group_goes_on() {
+async fn lost_and_damaged_disks_are_refused_and_replaced_while_the_cluster_serves() {
     let program = dispatcher::build_program().expect("the program builds");
     let plan = Plan { replicas: 3, clients: 4, seconds: 16.0, seed: 4, pause_ms: 20, dispatchers: 0 };
     let spoilt = [
@@ -61,7 +60,7 @@
         (0, 0, 0, 0),
         "{found:#?}"
     );
-    // None of the three disks that the group began with is left.
+    // None of the three disks that the cluster began with is left.
     assert_eq!((figures.disks_replaced, figures.disks_refused), (3, 1), "{found:#?}");
     assert!(verdict.linearizable && verdict.committed > 50, "{found:#?}");
 }
--- a/crates/pebblepost-harness/tests/unit/checker.rs
+++ b/crates/pebblepost-harness/tests/unit/checker.rs
@@ -1,4 +1,4 @@
-//! The rules and what of a record breaks them.
+//! The rules and what of an event log breaks them.
 
 use pebblepost_harness::checker::availability::slowest_drain;
 use pebblepost_harness::checker::exits::{DispatcherExit, without_excused};
@@ -8,7 +8,7 @@
 use pebblepost_harness::event_log::{AttemptEnd, Availability, Entry, Event};
 use pebblepost_harness::worker::model::ColdLoad;
 
-fn asked(txn: &str, key: &str) -> Event {
+fn requested(txn: &str, key: &str) -> Event {
     Event::Requested { txn: txn.into(), key: key.into(), dispatcher: 0, waits: 6.0 }
 }
 
@@ -16,11 +16,11 @@
     Event::AttemptArrived { txn: txn.into(), key: key.into(), dispatcher: 0, worker }
 }
 
-fn ended(txn: &str, end: AttemptEnd) -> Event {
+fn attempt_ended(txn: &str, end: AttemptEnd) -> Event {
     Event::AttemptEnded { txn: txn.into(), worker: 1, end }
 }
 
-fn answered(txn: &str, status: u16, body: &str) -> Event {
+fn responded(txn: &str, status: u16, body: &str) -> Event {
     Event::Responded { txn: txn.into(), status, body: body.into() }
 }
 
@@ -32,35 +32,35 @@
 fn a_correct_run_breaks_no_rule() {
     let draft = result_for("t1");
     let log = [
-        (0.0, asked("t1", "k")),
+        (0.0, requested("t1", "k")),
         (0.1, arrived("t1", "k", 1)),
-        (0.2, ended("t1", AttemptEnd::NotRun)),
+        (0.2, attempt_ended("t1", AttemptEnd::NotRun)),
         (0.3, arrived("t1", "k", 1)),
-        (0.9, ended("t1", AttemptEnd::Done)),
-        (0.9, answered("t1", 200, &draft)),
+        (0.9, attempt_ended("t1", AttemptEnd::Done)),
+        (0.9, responded("t1", 200, &draft)),
     ];
     assert_eq!(rules(&log), []);
 }
 
 #[test]
 fn each_broken_rule_is_reported() {
-    let start = (0.0, asked("t", "k"));
+    let start = (0.0, requested("t", "k"));
     let draft = result_for("t");
     let notified = |at, what| (at, Event::Notified { dispatcher: 0, worker: 1, what });
     let cold = Availability::Ready { cold: true };
     let fell = |since| Event::Overloaded { worker: 1, since, sent: vec![(0, 2.0), (1, 1.0)] };
     let cases: Vec<(Rule, Vec<Entry>)> = vec![
-        (Rule::OneAnswer, vec![(7.0, answered("t", 503, ""))]),
-        (Rule::OneAnswer, vec![(1.0, answered("t", 503, "")), (2.0, answered("t", 503, ""))]),
+        (Rule::OneAnswer, vec![(7.0, responded("t", 503, ""))]),
+        (Rule::OneAnswer, vec![(1.0, responded("t", 503, "")), (2.0, responded("t", 503, ""))]),
         (Rule::OneAnswer, vec![(1.0, Event::ConnectionClosed { txn: "t".into() })]),
         (Rule::OneAnswer, vec![(6.1, Event::TimedOut { txn: "t".into() })]),
-        (Rule::Genuine, vec![(1.0, answered("t", 200, &draft))]),
+        (Rule::Genuine, vec![(1.0, responded("t", 200, &draft))]),
         (
             Rule::Genuine,
             vec![
                 (0.1, arrived("t", "k", 1)),
-                (0.2, ended("t", AttemptEnd::Done)),
-                (0.3, answered("t", 200, "x")),
+                (0.2, attempt_ended("t", AttemptEnd::Done)),
+                (0.3, responded("t", 200, "x")),
             ],
         ),
         (Rule::Genuine, vec![(1.0, Event::UnknownRequest { txn: "u".into() })]),
@@ -83,7 +83,7 @@
         ),
         (Rule::Cold, vec![notified(0.2, cold), (1.0, fell(0.1))]),
         (Rule::Cold, vec![(6.2, fell(0.1))]),
-        (Rule::Departed, vec![(1.0, answered("t", 503, "")), (1.1, arrived("t", "k", 1))]),
+        (Rule::Departed, vec![(1.0, responded("t", 503, "")), (1.1, arrived("t", "k", 1))]),
         (
             Rule::Departed,
             vec![(1.0, Event::ClientCancelled { txn: "t".into() }), (1.1, arrived("t", "k", 1))],
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_worker_that_is_ready_again_may_be_sent_to() {
+fn accepts_attempts_to_a_worker_that_is_ready_again() {
     let notified = |what| Event::Notified { dispatcher: 0, worker: 1, what };
     let ready = Availability::Ready { cold: false };
     let log = [(0.0, notified(Availability::Draining)), (5.0, notified(ready)), (6.0, arrived("t", "k", 1))];
@@ -120,14 +120,14 @@
 #[test]
 fn only_requests_that_a_killed_dispatcher_had_accepted_are_excused() {
     let log = vec![
-        (0.0, asked("before", "k")),
-        (7.0, asked("early", "n")),
+        (0.0, requested("before", "k")),
+        (7.0, requested("early", "n")),
         (7.1, Event::ConnectionClosed { txn: "early".into() }),
-        (7.5, asked("lost", "l")),
+        (7.5, requested("lost", "l")),
         (8.0, Event::ConnectionClosed { txn: "lost".into() }),
-        (8.5, asked("no door", "o")),
+        (8.5, requested("no door", "o")),
         (8.5, Event::ConnectionClosed { txn: "no door".into() }),
-        (9.5, asked("after", "m")),
+        (9.5, requested("after", "m")),
         (9.6, Event::ConnectionClosed { txn: "after".into() }),
         (9.7, Event::ConnectionClosed { txn: "before".into() }),
     ];
--- a/crates/pebblepost-harness/tests/unit/fault_schedule.rs
+++ b/crates/pebblepost-harness/tests/unit/fault_schedule.rs
@@ -3,7 +3,7 @@
 use pebblepost_harness::fault::schedule::{Schedule, ScheduleParameters};
 
 #[test]
-fn a_schedule_is_the_same_for_its_seed_survives_printing_and_shrinks() {
+fn a_schedule_is_reproducible_serializable_and_shrinks() {
     let draw = ScheduleParameters { processes: 3, seconds: 600.0, mean_interval_s: 0.85, longest_s: 2.0 };
     let one = Schedule::draw(draw, 7);
     assert!(one == Schedule::draw(draw, 7) && one != Schedule::draw(draw, 8));
--- a/crates/pebblepost-harness/tests/unit/fault_tcp_relay.rs
+++ b/crates/pebblepost-harness/tests/unit/fault_tcp_relay.rs
@@ -9,7 +9,7 @@
 const SHORT: Duration = Duration::from_millis(150);
 const LONG: Duration = Duration::from_secs(5);
 
-/// An echo behind a relay, and a connection through it.
+/// An echo server behind a relay, and a connection through it.
 async fn echo() -> (Relay, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let target = listener.local_addr().expect("bound");
@@ -26,54 +26,54 @@
     (relay, stream)
 }
 
-async fn comes_back(stream: &mut TcpStream, limit: Duration) -> Option<u8> {
+async fn read_echo(stream: &mut TcpStream, limit: Duration) -> Option<u8> {
     let mut byte = [0];
     timeout(limit, stream.read_exact(&mut byte)).await.ok()?.ok()?;
     Some(byte[0])
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn held_bytes_come_late_and_none_is_lost() {
+async fn held_bytes_arrive_late_and_none_is_lost() {
     let (relay, mut stream) = echo().await;
     for (n, link) in
         [LinkState::Partitioned, LinkState::RequestsHeld, LinkState::RepliesHeld].into_iter().enumerate()
     {
         relay.set(link);
         stream.write_all(&[n as u8]).await.expect("open");
-        assert_eq!(comes_back(&mut stream, SHORT).await, None, "{link:?}");
+        assert_eq!(read_echo(&mut stream, SHORT).await, None, "{link:?}");
         relay.set(LinkState::Forwarding);
-        assert_eq!(comes_back(&mut stream, LONG).await, Some(n as u8), "{link:?}");
+        assert_eq!(read_echo(&mut stream, LONG).await, Some(n as u8), "{link:?}");
     }
     assert_eq!(relay.bytes_forwarded(), 6);
     relay.set(LinkState::Partitioned);
     let mut fresh = TcpStream::connect(relay.address).await.expect("accepts and says nothing");
     fresh.write_all(&[9]).await.expect("open");
-    assert_eq!(comes_back(&mut fresh, SHORT).await, None);
+    assert_eq!(read_echo(&mut fresh, SHORT).await, None);
     relay.set(LinkState::Forwarding);
-    assert_eq!(comes_back(&mut fresh, LONG).await, Some(9));
+    assert_eq!(read_echo(&mut fresh, LONG).await, Some(9));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reset_breaks_what_is_open_and_new_ones_pass() {
+async fn a_reset_breaks_open_connections_and_new_ones_pass() {
     let (relay, mut stream) = echo().await;
     stream.write_all(&[1]).await.expect("open");
-    assert_eq!(comes_back(&mut stream, LONG).await, Some(1));
+    assert_eq!(read_echo(&mut stream, LONG).await, Some(1));
     relay.reset();
     let mut byte = [0];
     let end = timeout(LONG, stream.read(&mut byte)).await.expect("it ends");
     assert!(end.is_err(), "reset, not closed: {end:?}");
     let mut fresh = TcpStream::connect(relay.address).await.expect("a relay");
     fresh.write_all(&[2]).await.expect("open");
-    assert_eq!(comes_back(&mut fresh, LONG).await, Some(2));
+    assert_eq!(read_echo(&mut fresh, LONG).await, Some(2));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn late_and_trickling_wires_are_slow() {
+async fn delayed_and_throttled_links_are_slow() {
     let (relay, mut stream) = echo().await;
     relay.set(LinkState::Delayed(100));
     let start = tokio::time::Instant::now();
     stream.write_all(&[1]).await.expect("open");
-    assert_eq!(comes_back(&mut stream, LONG).await, Some(1));
+    assert_eq!(read_echo(&mut stream, LONG).await, Some(1));
     assert!(start.elapsed() >= Duration::from_millis(200), "{:?}", start.elapsed());
     relay.set(LinkState::Throttled(200));
     stream.write_all(&[0; 40]).await.expect("open");
--- a/crates/pebblepost-harness/tests/unit/fleet.rs
+++ b/crates/pebblepost-harness/tests/unit/fleet.rs
@@ -1,9 +1,9 @@
-//! The scenarios of the fleet command.
+//! The runs of the fleet command.
 
 use pebblepost_harness::fleet::{Size, run_specs};
 
 #[test]
-fn each_scenario_hits_the_part_of_the_fleet_that_it_speaks_of() {
+fn each_run_has_the_faults_of_its_name() {
     let all = run_specs(Size { dispatchers: 20, workers: 15, seconds: 20.0 });
     let hit: Vec<usize> = all.iter().map(|(_, spec)| spec.worker_faults.len()).collect();
     assert_eq!(hit, [3, 5, 18]);
--- a/crates/pebblepost-harness/tests/unit/release_grant_audit.rs
+++ b/crates/pebblepost-harness/tests/unit/release_grant_audit.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 #[test]
-fn a_grant_beside_one_that_is_out_already_is_over_a_budget_of_one_and_one_after_another_is_not() {
+fn counts_a_grant_over_budget_only_while_another_member_is_out() {
     let member = |ready: bool| {
         let card = json!({"role": "dispatcher", "zone": ZONES[0], "ready": ready});
         json!({"member": {"presence": "here", "card": card}})
--- a/crates/pebblepost-harness/tests/unit/release_maintenance.rs
+++ b/crates/pebblepost-harness/tests/unit/release_maintenance.rs
@@ -5,22 +5,22 @@
 use pebblepost_harness::release::maintenance::{SwitchedOff, most_off, work_while_off};
 
 #[test]
-fn jobs_that_arrive_or_run_on_at_a_worker_that_is_off_are_found() {
+fn finds_jobs_that_arrive_or_run_on_at_a_worker_that_is_off() {
     let text = str::to_owned;
     let arrived =
         |txn, worker| Event::AttemptArrived { txn: text(txn), key: text("k"), dispatcher: 0, worker };
-    let ended = |txn, worker| Event::AttemptEnded { txn: text(txn), worker, end: AttemptEnd::Done };
-    let answered = |txn| Event::Responded { txn: text(txn), status: 200, body: text("") };
+    let attempt_ended = |txn, worker| Event::AttemptEnded { txn: text(txn), worker, end: AttemptEnd::Done };
+    let responded = |txn| Event::Responded { txn: text(txn), status: 200, body: text("") };
     let off = |worker, from, to| SwitchedOff { worker, from, to, waited_s: 0.0 };
     let log = [
         (1.0, arrived("before", 1)),
-        (1.5, ended("before", 1)),
-        (1.6, answered("before")),
+        (1.5, attempt_ended("before", 1)),
+        (1.6, responded("before")),
         (1.8, arrived("on", 1)),
         (2.5, arrived("new", 1)),
         (2.5, arrived("elsewhere", 2)),
-        (2.7, ended("on", 1)),
-        (2.8, answered("on")),
+        (2.7, attempt_ended("on", 1)),
+        (2.8, responded("on")),
     ];
     let switched_off = [off(1, 2.0, 3.0), off(2, 3.0, 4.0)];
     let found = work_while_off(&log, &switched_off, &[]);
--- a/crates/pebblepost-harness/tests/unit/release_outages.rs
+++ b/crates/pebblepost-harness/tests/unit/release_outages.rs
@@ -1,4 +1,4 @@
-//! Outages beside each other, and during halts.
+//! Concurrent outages, and outages during halts.
 
 use pebblepost_harness::release::outages::{by_permit, late_after, most_at_once};
 use pebblepost_harness::supervisor::{Outage, OutageCause};
@@ -8,21 +8,21 @@
 }
 
 #[test]
-fn outages_beside_each_other_count_and_those_one_after_another_do_not() {
+fn counts_concurrent_outages_and_not_consecutive_ones() {
     let all = [
         out(0, 1.0, 2.0, OutageCause::Voluntary),
         out(1, 2.0, 4.0, OutageCause::Voluntary),
         out(2, 3.0, 3.5, OutageCause::Voluntary),
         out(3, 3.0, 9.0, OutageCause::Injected),
     ];
-    let asked = by_permit(&all);
-    assert_eq!(most_at_once(&asked, 1), (2, 0.5));
-    assert_eq!(most_at_once(&asked, 2), (2, 0.0));
+    let requested = by_permit(&all);
+    assert_eq!(most_at_once(&requested, 1), (2, 0.5));
+    assert_eq!(most_at_once(&requested, 2), (2, 0.0));
     assert_eq!(most_at_once(&all.iter().collect::<Vec<_>>(), 2).0, 3);
 }
 
 #[test]
-fn only_what_goes_during_a_halt_is_late() {
+fn only_outages_that_begin_during_a_halt_are_late() {
     let all = [
         out(0, 1.0, 2.0, OutageCause::Voluntary),
         out(1, 2.25, 4.0, OutageCause::Voluntary),
--- a/crates/pebblepost-harness/tests/unit/report.rs
+++ b/crates/pebblepost-harness/tests/unit/report.rs
@@ -6,7 +6,7 @@
 use pebblepost_harness::workload::spec::RunSpec;
 
 #[test]
-fn shares_count_what_came_within_the_time_wanted() {
+fn shares_count_requests_within_their_latency_target() {
     let mut plan = Plan::draw(&RunSpec::mixed(5.0, 0.65), 1).expect("a sound scenario");
     plan.arrivals.truncate(3);
     plan.arrivals
@@ -16,12 +16,12 @@
     let results =
         [result(0, Outcome::Served(0.9)), result(1, Outcome::Served(1.1)), result(2, Outcome::Refused)];
     let figures = group(&plan, &results, |arrival| !arrival.large);
-    assert_eq!((figures.asked, figures.in_time, figures.late, figures.refused), (3, 1, 1, 1));
+    assert_eq!((figures.requests, figures.in_time, figures.late, figures.refused), (3, 1, 1, 1));
     assert!((figures.work_in_time - 0.2).abs() < 1e-9);
 }
 
 #[test]
-fn the_interval_is_wilsons() {
+fn the_interval_is_the_wilson_score_interval() {
     let (low, high) = interval(90, 100);
     assert!((low - 0.826).abs() < 0.001 && (high - 0.945).abs() < 0.001, "{low} {high}");
     assert_eq!(interval(0, 0), (0.0, 1.0));
--- a/crates/pebblepost-harness/tests/unit/worker_model.rs
+++ b/crates/pebblepost-harness/tests/unit/worker_model.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_wide_job_waits_in_order_or_for_ever() {
+fn a_wide_job_waits_first_in_fifo_order_and_is_overtaken_by_backfill() {
     for (order, expected) in [(QueueOrder::Fifo, vec![1, 2, 3]), (QueueOrder::Backfill, vec![1, 3, 2])] {
         let (mut worker, mut events) = (model(order), Vec::new());
         worker.submit(0, 1, 1, 1.0, 0);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_waiting_room_and_the_size_have_an_end() {
+fn rejects_when_the_queue_is_full_or_the_job_too_wide() {
     let mut worker = model(QueueOrder::Fifo);
     assert_eq!(worker.submit(0, 1, 3, 1.0, 0), Admission::Rejected, "wider than the worker");
     let mut events = Vec::new();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_a_subject_needs_is_fetched_once_and_slowly_from_a_crowded_store() {
+fn fetches_a_key_once_and_slowly_from_a_busy_store() {
     let (mut worker, mut events) = (model(QueueOrder::Fifo), Vec::new());
     worker.submit(0, 1, 1, 1.0, 7);
     worker.advance(1.9, 0.5, &mut events);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_cold_worker_is_slow_and_falls_over_at_three_times_what_it_can_do() {
+fn a_cold_worker_is_slow_and_overloads_at_three_times_its_capacity() {
     let (mut worker, mut events) = (model(QueueOrder::Fifo), Vec::new());
     worker.restart(0.0);
     assert!((worker.capacity() - 0.4).abs() < 1e-9);
--- a/crates/pebblepost-harness/tests/unit/workload.rs
+++ b/crates/pebblepost-harness/tests/unit/workload.rs
@@ -4,7 +4,7 @@
 use pebblepost_harness::workload::spec::RunSpec;
 
 #[test]
-fn the_same_seed_asks_for_the_same_work_in_the_same_order() {
+fn the_same_seed_draws_the_same_plan() {
     let draw = |seed, load| Plan::draw(&RunSpec::mixed(60.0, load), seed).expect("a sound scenario");
     let text = |plan: &Plan| serde_json::to_string(plan).expect("figures");
     assert_eq!(text(&draw(7, 0.65)), text(&draw(7, 0.65)));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_offered_work_is_the_load_asked_for() {
+fn the_offered_work_matches_the_load() {
     let plan = Plan::draw(&RunSpec::mixed(600.0, 0.65), 3).expect("a sound scenario");
     let capacity: f64 = plan.workers.iter().map(|worker| f64::from(worker.cores) * worker.speed).sum();
     let offered: f64 = plan.arrivals.iter().map(|arrival| arrival.work * f64::from(arrival.slots)).sum();
