--- a/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
@@ -18,6 +18,7 @@
     FromStore, Item, ItemOutcome, LeasedItem, PartialText, ResultState, ToStore, WorkLease,
 };
 use pebblepost_messages::feed::InstanceState;
+use pebblepost_stable_hash::Fnv1a;
 use pebblepost_transcriber::{Load, StreamEvent};
 use rstest::rstest;
 use std::cell::Cell;
@@ -25,31 +26,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// FNV-1a of 64 bits.
-struct Digest(u64);
-
-impl Digest {
-    fn new() -> Digest {
-        Digest(0xcbf2_9ce4_8422_2325)
-    }
-
-    fn bytes(&mut self, bytes: &[u8]) {
-        for byte in bytes {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-        }
-    }
-
-    fn number(&mut self, number: u64) {
-        self.bytes(&number.to_le_bytes());
-    }
-}
-
 #[rstest]
 #[case::one(1, 0xbee6_f0ff_0fb7_f70f)]
 #[case::large(0x9e37_79b9_7f4a_7c15, 0x0909_31cd_6554_f78e)]
 fn draws_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
-    let mut digest = Digest::new();
+    let mut digest = Fnv1a::default();
     let elements: Vec<u64> = (0..17).collect();
     for round in 0..500 {
         digest.number(random.below(round + 1));
@@ -59,7 +41,7 @@
     }
     assert!(random.pick::<u64>(&[]).is_none());
     digest.number(random.below(u64::MAX));
-    assert_eq!(digest.0, approved, "{:#x}", digest.0);
+    assert_eq!(digest.finish(), approved, "{:#x}", digest.finish());
 }
 
 #[rstest]
@@ -67,7 +49,7 @@
 #[case::large(0x9e37_79b9_7f4a_7c15, 0x9f4d_7670_8fbf_3c4b)]
 fn choices_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
-    let mut digest = Digest::new();
+    let mut digest = Fnv1a::default();
     for _ in 0..5000 {
         let draw = |_| {
             let slots = u32::try_from(random.below(12)).unwrap();
@@ -92,12 +74,12 @@
             }
         }
     }
-    assert_eq!(digest.0, approved, "{:#x}", digest.0);
+    assert_eq!(digest.finish(), approved, "{:#x}", digest.finish());
 }
 
 #[test]
 fn subsets_and_priorities_match_the_approved_digest() {
-    let mut digest = Digest::new();
+    let mut digest = Fnv1a::default();
     for node in ["edge-1", "edge-2", "a-longer-name-of-a-machine"] {
         for instance in 0..64 {
             digest.number(rendezvous_hash(node, &format!("i-{instance}")));
@@ -125,7 +107,7 @@
             digest.number(u64::from(priority(rank, Duration::from_millis(due_ms))));
         }
     }
-    assert_eq!(digest.0, 0x810f_6584_45c7_b6f4, "{:#x}", digest.0);
+    assert_eq!(digest.finish(), 0x810f_6584_45c7_b6f4, "{:#x}", digest.finish());
 }
 
 #[rstest]
@@ -134,7 +116,7 @@
 fn loads_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
     let start = Instant::now() + 4 * REPORT_LAG;
-    let (mut now, mut loads, mut digest) = (start, LoadTable::default(), Digest::new());
+    let (mut now, mut loads, mut digest) = (start, LoadTable::default(), Fnv1a::default());
     let mut started = Vec::new();
     for _ in 0..4000 {
         now += Duration::from_millis(random.below(120));
@@ -181,10 +163,10 @@
                 loads.is_executing_order(&id),
                 heard,
             ];
-            digest.bytes(&flags.map(u8::from));
+            digest.update(&flags.map(u8::from));
         }
     }
-    assert_eq!(digest.0, approved, "{:#x}", digest.0);
+    assert_eq!(digest.finish(), approved, "{:#x}", digest.finish());
 }
 
 fn work_of(random: &Random, number: u64) -> WorkLease {
@@ -220,7 +202,7 @@
 #[case::large(0x9e37_79b9_7f4a_7c15, 0xfa39_a193_ab7e_79f9)]
 fn leases_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
-    let (mut now, mut table, mut digest) = (Instant::now(), LeaseTable::default(), Digest::new());
+    let (mut now, mut table, mut digest) = (Instant::now(), LeaseTable::default(), Fnv1a::default());
     let mut keys = Vec::new();
     for number in 0..4000 {
         now += Duration::from_millis(random.below(400));
@@ -251,7 +233,7 @@
             6 => {
                 let group = u32::try_from(random.below(3)).unwrap();
                 let announced = table.announce(group, random.below(4));
-                digest.bytes(&ToStore::ActiveLeases(announced).serialize_bin());
+                digest.update(&ToStore::ActiveLeases(announced).serialize_bin());
             }
             _ if random.below(30) == 0 => table.cancel(&[format!("job-{}", random.below(4))], now),
             _ => digest.number(u64::try_from(table.remove_abandoned(now)).unwrap()),
@@ -270,9 +252,9 @@
     }
     for item in table.release_all() {
         digest.number(item.lease);
-        digest.bytes(item.item.as_bytes());
+        digest.update(item.item.as_bytes());
     }
-    assert_eq!(digest.0, approved, "{:#x}", digest.0);
+    assert_eq!(digest.finish(), approved, "{:#x}", digest.finish());
 }
 
 #[rstest]
@@ -281,7 +263,7 @@
 fn texts_match_the_approved_digest(#[case] single_version: bool, #[case] approved: u64) {
     let random = Random::seeded(11);
     let terms = VersionRequirement { min_version: 2, single_version };
-    let (mut text, mut digest) = (Text::default(), Digest::new());
+    let (mut text, mut digest) = (Text::default(), Fnv1a::default());
     for _ in 0..3000 {
         let is_next = random.below(8) > 0;
         let id = if is_next { text.last_event() + 1 } else { random.below(6) };
@@ -300,10 +282,10 @@
             _ => {}
         }
         digest.number(u64::from(text.can_resume_under(Some(3), terms)));
-        digest.bytes(&text.partial().serialize_bin());
-        digest.bytes(&text.partial_before_last_event().serialize_bin());
+        digest.update(&text.partial().serialize_bin());
+        digest.update(&text.partial_before_last_event().serialize_bin());
     }
-    assert_eq!(digest.0, approved, "{:#x}", digest.0);
+    assert_eq!(digest.finish(), approved, "{:#x}", digest.finish());
 }
 
 const TWO_SERVICES: &str = r#"{"generation":8,"routes":[
@@ -403,9 +385,9 @@
 fn seeded_runs_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     run_within(Duration::from_secs(200), async move {
         let lines = transcript(Random::seeded(seed)).await;
-        let mut digest = Digest::new();
-        lines.iter().for_each(|line| digest.bytes(line.as_bytes()));
-        assert_eq!(digest.0, approved, "{:#x}\n{}", digest.0, lines.join("\n"));
+        let mut digest = Fnv1a::default();
+        lines.iter().for_each(|line| digest.update(line.as_bytes()));
+        assert_eq!(digest.finish(), approved, "{:#x}\n{}", digest.finish(), lines.join("\n"));
     });
 }
 
--- a/crates/pebblepost-batch-store/tests/integration/simulation/digest.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/digest.rs
@@ -2,16 +2,11 @@
 
 use nanoserde::SerBin;
 use pebblepost_batch_store::store::StoreOutput;
+use pebblepost_stable_hash::Fnv1a;
 
-/// FNV-1a over 64 bits.
-#[derive(Debug)]
-pub struct Digest(u64);
-
-impl Default for Digest {
-    fn default() -> Digest {
-        Digest(0xcbf2_9ce4_8422_2325)
-    }
-}
+/// Digest of all outputs.
+#[derive(Debug, Default)]
+pub struct Digest(Fnv1a);
 
 impl Digest {
     /// Adds an output of a machine.
@@ -47,21 +42,16 @@
 
     /// Adds the length of some bytes and the bytes.
     pub fn bytes(&mut self, bytes: &[u8]) {
-        self.number(bytes.len() as u64);
-        bytes.iter().for_each(|byte| self.byte(*byte));
+        self.0.bytes(bytes);
     }
 
     /// Adds a number.
     pub fn number(&mut self, number: u64) {
-        number.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
+        self.0.number(number);
     }
 
     /// The digest so far, in hexadecimal.
     pub fn hex(&self) -> String {
-        format!("{:016x}", self.0)
-    }
-
-    fn byte(&mut self, byte: u8) {
-        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        format!("{:016x}", self.0.finish())
     }
 }
--- a/crates/pebblepost-batch/tests/integration/decisions.rs
+++ b/crates/pebblepost-batch/tests/integration/decisions.rs
@@ -1,11 +1,12 @@
 //! What the scheduler decides over random sequences of events, as approved digests of whole runs.
 
-use crate::support::{Digest, append_results, apply, approve, job, ms, result};
+use crate::support::{append_results, apply, approve, job, ms, result};
 use pebblepost_batch::clock::GroupClock;
 use pebblepost_batch::command::Change;
 use pebblepost_batch::scheduler::{ItemProgress, ProxyId, ProxyLease, Scheduler};
 use pebblepost_batch::state::BatchState;
 use pebblepost_messages::batch::{PartialText, WorkLease};
+use pebblepost_stable_hash::Fnv1a;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
@@ -17,7 +18,7 @@
 /// A primary of two groups under random events.
 struct Run {
     random: StdRng,
-    digest: Digest,
+    digest: Fnv1a,
     now_ms: u64,
     states: Vec<BatchState>,
     scheduler: Scheduler,
@@ -30,7 +31,7 @@
     fn new(seed: u64) -> Run {
         Run {
             random: StdRng::seed_from_u64(seed),
-            digest: Digest::default(),
+            digest: Fnv1a::default(),
             now_ms: 0,
             states: (0..GROUPS).map(|_| BatchState::default()).collect(),
             scheduler: Scheduler::default(),
@@ -224,7 +225,7 @@
         (0..PROXIES).for_each(|proxy| run.scheduler.connect_proxy(ProxyId(proxy)));
         (0..GROUPS).for_each(|group| run.start_group(group));
         (0..4_000).for_each(|_| run.step());
-        format!("{seed} {} {} {}", run.digest.hex(), run.granted.len(), run.jobs)
+        format!("{seed} {:016x} {} {}", run.digest.finish(), run.granted.len(), run.jobs)
     });
     approve("decisions.txt", &lines.collect::<Vec<_>>());
 }
--- a/crates/pebblepost-batch/tests/integration/support.rs
+++ b/crates/pebblepost-batch/tests/integration/support.rs
@@ -50,37 +50,6 @@
     Duration::from_millis(millis)
 }
 
-/// FNV-1a over 64 bits.
-pub struct Digest(u64);
-
-impl Default for Digest {
-    fn default() -> Digest {
-        Digest(0xcbf2_9ce4_8422_2325)
-    }
-}
-
-impl Digest {
-    /// Adds the length of some bytes and the bytes.
-    pub fn bytes(&mut self, bytes: &[u8]) {
-        self.number(bytes.len() as u64);
-        bytes.iter().for_each(|byte| self.byte(*byte));
-    }
-
-    /// Adds a number.
-    pub fn number(&mut self, number: u64) {
-        number.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
-    }
-
-    /// The digest so far, in hexadecimal.
-    pub fn hex(&self) -> String {
-        format!("{:016x}", self.0)
-    }
-
-    fn byte(&mut self, byte: u8) {
-        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
-    }
-}
-
 /// Bytes in hexadecimal.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
--- a/crates/pebblepost-control/tests/control/support/trace.rs
+++ b/crates/pebblepost-control/tests/control/support/trace.rs
@@ -4,43 +4,30 @@
 use nanoserde::SerBin;
 use pebblepost_control::node::Output;
 use pebblepost_control::state::disk_record::ControlRecord;
+use pebblepost_stable_hash::Fnv1a;
 use std::time::Duration;
 
-const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-const PRIME: u64 = 0x0000_0100_0000_01b3;
-
 /// An FNV-1a hash and how many outputs went into it.
-#[derive(Clone, Copy, Debug)]
+#[derive(Clone, Copy, Debug, Default)]
 pub struct Trace {
-    hash: u64,
+    hash: Fnv1a,
     outputs: u64,
 }
 
-impl Default for Trace {
-    fn default() -> Trace {
-        Trace { hash: OFFSET, outputs: 0 }
-    }
-}
-
 impl Trace {
     /// The digest as approved files show it.
     pub fn shown(&self) -> String {
-        format!("{:016x} after {} outputs", self.hash, self.outputs)
+        format!("{:016x} after {} outputs", self.hash.finish(), self.outputs)
     }
 
     /// Hashes bytes and their length.
     pub fn bytes(&mut self, bytes: &[u8]) {
-        self.number(bytes.len() as u64);
-        for byte in bytes {
-            self.hash = (self.hash ^ u64::from(*byte)).wrapping_mul(PRIME);
-        }
+        self.hash.bytes(bytes);
     }
 
     /// Hashes a number.
     pub fn number(&mut self, number: u64) {
-        for byte in number.to_le_bytes() {
-            self.hash = (self.hash ^ u64::from(byte)).wrapping_mul(PRIME);
-        }
+        self.hash.number(number);
     }
 
     /// Hashes an output of a process at some time.
--- a/crates/pebblepost-dispatch/tests/simulation/mod.rs
+++ b/crates/pebblepost-dispatch/tests/simulation/mod.rs
@@ -6,6 +6,7 @@
 use pebblepost_dispatch::Dispatcher;
 use pebblepost_dispatch::api::Time;
 use pebblepost_dispatch::wire::{BATCH_HEADER, BatchHeader, Message, Reply, parse_batch};
+use pebblepost_stable_hash::Fnv1a;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
@@ -186,7 +187,7 @@
 /// What a run leaves: the digest of its actions, and how many there were of each kind.
 #[derive(Clone, Debug)]
 pub struct Trace {
-    pub digest: u64,
+    pub digest: Fnv1a,
     pub bytes: u64,
     pub counts: [u64; ACTION_CODES.len()],
     /// Every record that went in, with its time.
@@ -247,7 +248,7 @@
             workers: Vec::new(),
             requests: BTreeMap::new(),
             next_request: 0,
-            trace: Trace { digest: 0xcbf2_9ce4_8422_2325, bytes: 0, counts: [0; 9], events: Vec::new() },
+            trace: Trace { digest: Fnv1a::default(), bytes: 0, counts: [0; 9], events: Vec::new() },
         };
         for worker in 0..scenario.workers {
             simulation.workers.push(Worker {
@@ -376,9 +377,7 @@
         let mut reply = Reply::default();
         actions.iter().for_each(|action| reply.push(node as u32, action));
         let bytes = reply.take();
-        for byte in &bytes {
-            self.trace.digest = (self.trace.digest ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
-        }
+        self.trace.digest.update(&bytes);
         self.trace.bytes += bytes.len() as u64;
         let mut rest = &bytes[8..];
         while !rest.is_empty() {
--- a/crates/pebblepost-dispatch/tests/trace.rs
+++ b/crates/pebblepost-dispatch/tests/trace.rs
@@ -217,7 +217,7 @@
 
 fn line(scenario: &Scenario, seed: u64, trace: &Trace) -> String {
     let counts: Vec<String> = trace.counts.iter().map(u64::to_string).collect();
-    format!("{} {seed} {} {:016x} {}", scenario.name, trace.bytes, trace.digest, counts.join(" "))
+    format!("{} {seed} {} {:016x} {}", scenario.name, trace.bytes, trace.digest.finish(), counts.join(" "))
 }
 
 #[test]
--- a/crates/pebblepost-feed/tests/snapshots.rs
+++ b/crates/pebblepost-feed/tests/snapshots.rs
@@ -6,22 +6,12 @@
 use pebblepost_messages::feed::{
     ConfigurationUpdate, FeedUpdate, Instance, InstanceState, ModelVersion, StoreGroup,
 };
+use pebblepost_stable_hash::Fnv1a;
 use rstest::rstest;
 
 /// Steps of each sequence.
 const UPDATES: u64 = 400;
 
-/// FNV-1a, 64 bit.
-struct Digest(u64);
-
-impl Digest {
-    fn add(&mut self, bytes: &[u8]) {
-        for byte in bytes {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
-        }
-    }
-}
-
 /// A linear congruential generator: the sequences must not change with a library.
 struct Draws(u64);
 
@@ -90,23 +80,23 @@
 fn snapshots_of_a_seeded_sequence_are_as_approved(#[case] seed: u64, #[case] approved: u64) {
     let mut draws = Draws(seed);
     let mut state = FeedState::default();
-    let mut digest = Digest(0xcbf2_9ce4_8422_2325);
+    let mut digest = Fnv1a::default();
     for step in 0..UPDATES {
         let changes = state.apply(&update(&mut draws, step));
         let flags = [changes.configuration, changes.named_versions, changes.resync_needed, changes.any()];
-        digest.add(&flags.map(u8::from));
-        digest.add(changes.instances.join(",").as_bytes());
-        digest.add(&changes.store_groups.serialize_bin());
-        digest.add(&state.snapshot().serialize_bin());
-        digest.add(&state.proxy_count().to_le_bytes());
+        digest.update(&flags.map(u8::from));
+        digest.update(changes.instances.join(",").as_bytes());
+        digest.update(&changes.store_groups.serialize_bin());
+        digest.update(&state.snapshot().serialize_bin());
+        digest.update(&state.proxy_count().to_le_bytes());
     }
-    assert_eq!(digest.0, approved, "{:#x}", digest.0);
+    assert_eq!(digest.finish(), approved, "{:#x}", digest.finish());
 }
 
 #[test]
 fn a_compressed_configuration_has_the_approved_bytes() {
     let document: String = (0..200).map(|number| format!("{{\"number\":{}}}", number * 37)).collect();
-    let mut digest = Digest(0xcbf2_9ce4_8422_2325);
-    digest.add(&compress(6, document.as_bytes()).serialize_bin());
-    assert_eq!(digest.0, 0xcac5_66a9_4423_4230, "{:#x}", digest.0);
+    let mut digest = Fnv1a::default();
+    digest.update(&compress(6, document.as_bytes()).serialize_bin());
+    assert_eq!(digest.finish(), 0xcac5_66a9_4423_4230, "{:#x}", digest.finish());
 }
--- a/crates/pebblepost-fleet/tests/decisions.rs
+++ b/crates/pebblepost-fleet/tests/decisions.rs
@@ -10,21 +10,18 @@
 use pebblepost_fleet::simulation::{ReleasePlan, simulate};
 use pebblepost_fleet::value::Presence;
 use pebblepost_fleet::{Action, Command, Limit, Name, RequestId, State, SubjectKind};
+use pebblepost_stable_hash::Fnv1a;
 use serde::Serialize;
 use std::time::Duration;
 
-/// FNV-1a, 64 bits.
-struct Digest(u64);
+/// Digest of decisions as JSON.
+#[derive(Default)]
+struct Digest(Fnv1a);
 
 impl Digest {
-    fn new() -> Self {
-        Self(0xcbf2_9ce4_8422_2325)
-    }
-
     fn text(&mut self, text: &str) {
-        for byte in text.bytes().chain([0]) {
-            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-        }
+        self.0.update(text.as_bytes());
+        self.0.update(&[0]);
     }
 
     fn json<T: Serialize>(&mut self, value: &T) {
@@ -167,7 +164,7 @@
 
 /// A fleet, its leader, a follower and a driver, over so many steps.
 fn whole_run(seed: u64, steps: u64) -> u64 {
-    let (mut digest, mut draws, mut state) = (Digest::new(), Draws(seed), State::default());
+    let (mut digest, mut draws, mut state) = (Digest::default(), Draws(seed), State::default());
     let mut sessions = Sessions::new(SessionTtl(Duration::from_secs(10)));
     let mut follower = Follower::default();
     let pace = ReleasePolicy {
@@ -234,7 +231,7 @@
     digest.json(&follower);
     let present = state.members().filter(|(_, member)| member.presence == Presence::Present).count();
     digest.json(&present);
-    digest.0
+    digest.0.finish()
 }
 
 fn follow(follower: &mut Follower, state: &State, draws: &mut Draws, digest: &mut Digest, now: Duration) {
--- a/crates/pebblepost-membership/tests/membership/common/mod.rs
+++ b/crates/pebblepost-membership/tests/membership/common/mod.rs
@@ -1,5 +1,6 @@
 //! A simulated network of members: delays, loss, partitions, freezes, restarts.
 use pebblepost_membership::{Member, MemberState, Membership, Output, Settings};
+use pebblepost_stable_hash::Fnv1a;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
 use std::{
     cmp::Reverse,
@@ -38,42 +39,13 @@
     pub state: MemberState,
 }
 
-/// An FNV-1a hash of 64 bits.
-#[derive(Clone, Copy, Debug)]
-pub struct Digest(pub u64);
-
-impl Default for Digest {
-    fn default() -> Digest {
-        Digest(0xcbf2_9ce4_8422_2325)
-    }
-}
-
-impl Digest {
-    pub fn bytes(&mut self, bytes: &[u8]) {
-        self.number(bytes.len() as u64);
-        for byte in bytes {
-            self.byte(*byte);
-        }
-    }
-
-    pub fn number(&mut self, number: u64) {
-        for byte in number.to_le_bytes() {
-            self.byte(byte);
-        }
-    }
-
-    fn byte(&mut self, byte: u8) {
-        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    }
-}
-
 /// Digests of all that the members put out, in order, and of each kind of datagram by itself.
 #[derive(Clone, Debug, Default)]
 pub struct Transcript {
     pub outputs: u64,
-    pub digest: Digest,
+    pub digest: Fnv1a,
     /// By the byte that names the kind: number of datagrams, and digest.
-    pub kinds: BTreeMap<u8, (u64, Digest)>,
+    pub kinds: BTreeMap<u8, (u64, Fnv1a)>,
 }
 
 impl Transcript {
--- a/crates/pebblepost-membership/tests/membership/pinned_bytes.rs
+++ b/crates/pebblepost-membership/tests/membership/pinned_bytes.rs
@@ -2,7 +2,7 @@
 //!
 //! Members of different versions talk to one another: no renaming may change a byte or a draw.
 
-use crate::common::{Digest, Network, PERIOD, Transcript};
+use crate::common::{Network, PERIOD, Transcript};
 use pebblepost_membership::Settings;
 use std::fmt::Write;
 
@@ -32,9 +32,10 @@
     let mut text = String::new();
     for (size, seed) in [(5, 0), (5, 1), (20, 0), (20, 1), (20, 2), (120, 0)] {
         let transcript = run(size, seed);
-        let (outputs, Digest(digest)) = (transcript.outputs, transcript.digest);
+        let (outputs, digest) = (transcript.outputs, transcript.digest.finish());
         writeln!(text, "run {size} {seed}: {outputs} {digest:016x}").expect("a string takes it");
-        for (kind, (count, Digest(digest))) in transcript.kinds {
+        for (kind, (count, digest)) in transcript.kinds {
+            let digest = digest.finish();
             writeln!(text, "  kind {kind}: {count} {digest:016x}").expect("a string takes it");
         }
     }
--- a/crates/pebblepost-replication/tests/replication/pinned_bytes.rs
+++ b/crates/pebblepost-replication/tests/replication/pinned_bytes.rs
@@ -4,7 +4,7 @@
 //! may change by a renaming.
 
 use crate::group::{Group, member, record};
-use crate::simulation::transcript::{Digest, Transcript, Variant};
+use crate::simulation::transcript::{Transcript, Variant};
 use crate::simulation::{Options, Plan};
 use nanoserde::{DeBin, SerBin};
 use pebblepost_messages::{DiskId, Member};
@@ -120,18 +120,19 @@
         for (number, plan) in PLANS.into_iter().enumerate() {
             for seed in seeds.clone() {
                 let transcript = run(machines, tolerance, plan, seed);
-                let (outputs, Digest(digest)) = (transcript.outputs, transcript.digest);
+                let (outputs, digest) = (transcript.outputs, transcript.digest.finish());
                 writeln!(text, "run {machines} {tolerance} {number} {seed}: {outputs} {digest:016x}")
                     .expect("a string takes it");
                 for (key, variant) in transcript.variants {
                     let total = variants.entry(key).or_default();
                     total.count += variant.count;
-                    total.digest.number(variant.digest.0);
+                    total.digest.number(variant.digest.finish());
                 }
             }
         }
     }
-    for ((kind, tag), Variant { count, digest: Digest(digest) }) in variants {
+    for ((kind, tag), Variant { count, digest }) in variants {
+        let digest = digest.finish();
         writeln!(text, "{kind} {tag}: {count} {digest:016x}").expect("a string takes it");
     }
     assert_eq!(text, include_str!("../approved/runs.txt"));
--- a/crates/pebblepost-replication/tests/replication/simulation/transcript.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/transcript.rs
@@ -3,49 +3,21 @@
 use nanoserde::SerBin;
 use pebblepost_replication::register::RegisterOutput;
 use pebblepost_replication::replica::ReplicaOutput;
+use pebblepost_stable_hash::Fnv1a;
 use std::collections::BTreeMap;
 
-/// An FNV-1a hash of 64 bits.
-#[derive(Clone, Copy, Debug)]
-pub struct Digest(pub u64);
-
-impl Default for Digest {
-    fn default() -> Self {
-        Self(0xcbf2_9ce4_8422_2325)
-    }
-}
-
-impl Digest {
-    pub fn bytes(&mut self, bytes: &[u8]) {
-        self.number(bytes.len() as u64);
-        for byte in bytes {
-            self.byte(*byte);
-        }
-    }
-
-    pub fn number(&mut self, number: u64) {
-        for byte in number.to_le_bytes() {
-            self.byte(byte);
-        }
-    }
-
-    fn byte(&mut self, byte: u8) {
-        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    }
-}
-
 /// What is known of one kind of message or record, by the tag that it starts with.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Variant {
     pub count: u64,
-    pub digest: Digest,
+    pub digest: Fnv1a,
 }
 
 /// The run in the order in which it happened, and each variant by itself.
 #[derive(Clone, Debug, Default)]
 pub struct Transcript {
     pub outputs: u64,
-    pub digest: Digest,
+    pub digest: Fnv1a,
     pub variants: BTreeMap<(&'static str, u16), Variant>,
 }
 
--- a/crates/pebblepost-ring/tests/ring/common/mod.rs
+++ b/crates/pebblepost-ring/tests/ring/common/mod.rs
@@ -23,32 +23,3 @@
         self.below(count) == 0
     }
 }
-
-/// An FNV-1a hash of 64 bits.
-#[derive(Clone, Copy, Debug)]
-pub struct Digest(pub u64);
-
-impl Default for Digest {
-    fn default() -> Digest {
-        Digest(0xcbf2_9ce4_8422_2325)
-    }
-}
-
-impl Digest {
-    pub fn bytes(&mut self, bytes: &[u8]) {
-        self.number(bytes.len() as u64);
-        for byte in bytes {
-            self.byte(*byte);
-        }
-    }
-
-    pub fn number(&mut self, number: u64) {
-        for byte in number.to_le_bytes() {
-            self.byte(byte);
-        }
-    }
-
-    fn byte(&mut self, byte: u8) {
-        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    }
-}
--- a/crates/pebblepost-ring/tests/ring/common/simulated_disk.rs
+++ b/crates/pebblepost-ring/tests/ring/common/simulated_disk.rs
@@ -1,7 +1,8 @@
 //! A folder of files in memory that loses what was not synced when power is lost.
 
-use super::{Digest, Random};
+use super::Random;
 use pebblepost_ring::storage::Storage;
+use pebblepost_stable_hash::Fnv1a;
 use std::{
     collections::BTreeMap,
     io,
@@ -131,10 +132,10 @@
         self.state().syncs
     }
 
-    /// Digest of all that is on the disk, and of how it came there.
+    /// Fnv1a of all that is on the disk, and of how it came there.
     pub fn digest(&self) -> u64 {
         let state = self.state();
-        let mut digest = Digest::default();
+        let mut digest = Fnv1a::default();
         for number in [state.random.0, state.operations, state.syncs] {
             digest.number(number);
         }
@@ -146,7 +147,7 @@
             digest.bytes(&content.live);
             digest.bytes(&content.durable);
         }
-        digest.0
+        digest.finish()
     }
 
     /// What the disk holds after power was lost; power is back afterwards.
--- a/crates/pebblepost-rollout/tests/integration/simulation/digest.rs
+++ b/crates/pebblepost-rollout/tests/integration/simulation/digest.rs
@@ -1,18 +1,13 @@
 //! A digest of what the planner puts out in a whole run: times, orders, requests for reports and loaded versions.
 
 use pebblepost_rollout::{LoadMode, LoadOrder, PlanOutput};
+use pebblepost_stable_hash::Fnv1a;
 use std::path::Path;
 use std::time::Duration;
 
-/// FNV-1a over 64 bits.
-#[derive(Debug)]
-pub struct Digest(u64);
-
-impl Default for Digest {
-    fn default() -> Digest {
-        Digest(0xcbf2_9ce4_8422_2325)
-    }
-}
+/// Digest of all outputs.
+#[derive(Debug, Default)]
+pub struct Digest(Fnv1a);
 
 impl Digest {
     /// Adds an output of the planner.
@@ -36,12 +31,12 @@
 
     /// Adds a number.
     pub fn number(&mut self, number: u64) {
-        number.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
+        self.0.number(number);
     }
 
     /// The digest so far, in hexadecimal.
     pub fn hex(&self) -> String {
-        format!("{:016x}", self.0)
+        format!("{:016x}", self.0.finish())
     }
 
     fn order(&mut self, order: &LoadOrder) {
@@ -58,12 +53,7 @@
     }
 
     fn text(&mut self, text: &str) {
-        self.number(text.len() as u64);
-        text.bytes().for_each(|byte| self.byte(byte));
-    }
-
-    fn byte(&mut self, byte: u8) {
-        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        self.0.bytes(text.as_bytes());
     }
 }
 
