--- a/crates/pebblepost-settings/src/lib.rs
+++ b/crates/pebblepost-settings/src/lib.rs
@@ -14,7 +14,7 @@
 
 pub use error::{SettingsError, ValueError};
 pub use model::{Bounds, FaultTolerance, MachineLimits};
-pub use settings::Settings;
+pub use settings::{RegionByZone, Settings};
 
 /// Environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "PEBBLEPOST_SETTINGS";
--- a/crates/pebblepost-settings/src/parse.rs
+++ b/crates/pebblepost-settings/src/parse.rs
@@ -2,8 +2,7 @@
 
 use crate::error::{SettingsError, ValueError};
 use crate::section::Section;
-use crate::{Bounds, FaultTolerance, MachineLimits, Settings};
-use std::collections::BTreeMap;
+use crate::{Bounds, FaultTolerance, MachineLimits, RegionByZone, Settings};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -49,8 +48,8 @@
     })
 }
 
-fn read_zones(section: &Section<'_>) -> Result<BTreeMap<String, String>, SettingsError> {
-    let mut zones = BTreeMap::new();
+fn read_zones(section: &Section<'_>) -> Result<RegionByZone, SettingsError> {
+    let mut zones = RegionByZone::new();
     for zone in section.keys() {
         zones.insert(zone.to_owned(), section.string(zone)?.unwrap_or_default());
     }
--- a/crates/pebblepost-settings/src/settings.rs
+++ b/crates/pebblepost-settings/src/settings.rs
@@ -15,6 +15,9 @@
 /// Offset of the membership protocol.
 const MEMBERSHIP_OFFSET: u16 = 3;
 
+/// Region of each zone, by their names.
+pub type RegionByZone = BTreeMap<String, String>;
+
 /// Settings of a process, validated.
 #[derive(Clone, Debug)]
 pub struct Settings {
@@ -37,7 +40,7 @@
     /// Interval of a transcriber's heartbeats.
     pub heartbeat: Duration,
     /// Region of each zone.
-    pub zones: BTreeMap<String, String>,
+    pub zones: RegionByZone,
     /// Address for clients, if the process serves them.
     pub client_address: Option<SocketAddr>,
     /// Address for readiness checks.
