--- a/crates/pebblepost/tests/common/mod.rs
+++ b/crates/pebblepost/tests/common/mod.rs
@@ -32,8 +32,8 @@
     path
 }
 
-/// Where a daemon's loop stands still between two turns, so that a test can bring about what the next turn finds: the
-/// loop reads the configuration anew at a hangup, and that is where it is held.
+/// Holds a daemon's event loop between two turns, so that a test can prepare what the next turn finds. The loop reads the
+/// configuration at a hangup signal, and is held there.
 #[derive(Default)]
 struct Gate {
     armed: AtomicBool,
@@ -119,13 +119,13 @@
         let _ = self.signal.write_all(b"x");
     }
 
-    /// Replaces the platform's configuration, the first of the files, and has it read.
+    /// Replaces the platform's configuration, the first of the files, and has the daemon read it.
     pub fn reload(&mut self, text: &str) {
         std::fs::write(&self.files[0], text).expect("a writable folder");
         let _ = self.hangup.write_all(b"x");
     }
 
-    /// Holds the loop while `meanwhile` runs: all that it brings about is there when the next turn begins.
+    /// Holds the loop while `meanwhile` runs; the next turn finds all that it has caused.
     pub fn hold(&mut self, meanwhile: impl FnOnce(&mut Self)) {
         self.gate.armed.store(true, Ordering::SeqCst);
         let _ = self.hangup.write_all(b"x");
@@ -168,7 +168,7 @@
         self.0.get_mut().write_all(text.as_bytes()).expect("an open connection");
     }
 
-    /// Whether the peer still takes what is said.
+    /// Sends; `false` if the peer has closed.
     pub fn try_send(&mut self, text: &str) -> bool {
         self.0.get_mut().write_all(text.as_bytes()).is_ok()
     }
@@ -180,7 +180,7 @@
         line.trim_end().to_owned()
     }
 
-    /// Whether the peer closes within the read time-out, whatever it says before.
+    /// Whether the peer closes within the read time-out, whatever it sends before.
     pub fn ends(&mut self) -> bool {
         let mut rest = Vec::new();
         self.0.read_to_end(&mut rest).is_ok()
@@ -206,7 +206,7 @@
         self.0.read_to_end(rest)
     }
 
-    /// The same connection, to be written to from elsewhere.
+    /// The same connection, to be written from another thread.
     pub fn peer(&self) -> TcpStream {
         self.0.get_ref().try_clone().expect("a descriptor")
     }
@@ -254,7 +254,7 @@
     worker_while(|| true, job)
 }
 
-/// The same, but while it does not live it closes every connection unanswered.
+/// The same, but while `is_alive` is false it closes every connection without a response.
 pub fn worker_while(
     is_alive: impl Fn() -> bool + Send + Sync + Clone + 'static,
     job: impl Fn(&mut Wire, &[String]) + Send + Sync + Clone + 'static,
--- a/crates/pebblepost/tests/common/replicas.rs
+++ b/crates/pebblepost/tests/common/replicas.rs
@@ -1,4 +1,4 @@
-//! Three keepers as processes of the program.
+//! Three replicas of the fleet store as processes.
 
 use super::within;
 use serde_json::{Value, json};
@@ -7,10 +7,10 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
-/// Waiting is bounded generously; what is judged is what comes of it.
+/// Limit of every wait; generous, as it is the outcome that is tested and not the time.
 pub const LIMIT: Duration = Duration::from_secs(30);
 
-/// Three keepers as processes.
+/// Three replicas as processes.
 pub struct Replicas {
     pub folder: PathBuf,
     pub at: Vec<SocketAddr>,
@@ -21,7 +21,7 @@
     pub fn start(first: u8) -> Self {
         let folder = super::path("keepers");
         std::fs::create_dir_all(&folder).expect("a writable folder");
-        // On an address that nothing else here uses, a port that was free a moment ago still is.
+        // On an address that nothing else uses, a port that was free before still is.
         let free: Vec<TcpListener> = (0..3)
             .map(|n| {
                 TcpListener::bind((std::net::Ipv4Addr::new(127, 78, first, n + 1), 0)).expect("a free port")
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Waits for one that must end by itself, with its errors piped; what it said.
+    /// Waits for a replica that must stop by itself, with its errors piped; returns them.
     pub fn ends(&mut self, n: usize) -> String {
         // It stays among those that are killed at the end until it has ended.
         within(LIMIT, "it ends by itself", || {
@@ -76,13 +76,13 @@
         String::from_utf8_lossy(&said.stderr).into_owned()
     }
 
-    /// Starts one that must refuse to go on; what it said.
+    /// Starts a replica that must refuse to run; returns its errors.
     pub fn refuses(&mut self, n: usize) -> String {
         self.run_with(n, Stdio::piped(), &[]);
         self.ends(n)
     }
 
-    /// The keeper that leads, by index, and the revision that each one has.
+    /// The leader's index, and the revision of each replica.
     pub fn leader_and_revisions(&self) -> (usize, Vec<u64>) {
         within(LIMIT, "one leads", || {
             let all = self.fleet(&["status", "--json"]).stdout;
@@ -95,7 +95,7 @@
         })
     }
 
-    /// By number, as an operator's file names them.
+    /// The addresses by number, as in an operator's file.
     pub fn addresses_json(&self) -> Value {
         (0..3).map(|n| ((n + 1).to_string(), json!(self.at[n]))).collect::<serde_json::Map<_, _>>().into()
     }
@@ -107,7 +107,7 @@
         fleet.output().expect("it starts")
     }
 
-    /// Until the group takes it.
+    /// Repeats an operator's command until the group accepts it.
     pub fn fleet_until(&self, words: &[&str]) -> String {
         within(LIMIT, &format!("{words:?}"), || {
             let done = self.fleet(words);
--- a/crates/pebblepost/tests/common/stopwatch.rs
+++ b/crates/pebblepost/tests/common/stopwatch.rs
@@ -1,12 +1,12 @@
-//! Time as the machine let this process have it.
+//! A stopwatch that leaves out stalls of a busy machine.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Pause of the thread that watches for stalls.
+/// Interval of the thread that detects stalls.
 const WATCH_EVERY: Duration = Duration::from_millis(5);
-/// A thread that wakes up less late than this was not kept from running.
+/// A thread that wakes up less late than this was not stalled.
 const LEAST_STALL: Duration = Duration::from_millis(10);
 
 /// Measures how long something took, without the stretches in which this machine kept a thread of this process from
--- a/crates/pebblepost/tests/discovery.rs
+++ b/crates/pebblepost/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! Hard cases of discovery and of what it tells of: nothing crashes or stalls, each request gets its one answer in time,
-//! and no drain is forgotten.
+//! Failures of discovery and of the workers on its list: nothing crashes or stalls, each request gets one response in time,
+//! and no drain is lost.
 
 mod common;
 
@@ -20,8 +20,8 @@
     lines(wire, &[json!({"id": id, "state": "done", "result": "text"})]);
 }
 
-/// A worker that must not be asked for work, and how often it was. What it fails is sent on to others, so the answers do
-/// not tell.
+/// A worker that must not get requests, and how many it got. Requests that it fails are retried elsewhere, so the responses
+/// do not show them.
 fn unwanted() -> (SocketAddr, Arc<AtomicUsize>) {
     let asked = Arc::new(AtomicUsize::new(0));
     let count = asked.clone();
@@ -42,8 +42,8 @@
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// What a stand-in discovery does on the nth call for its list, from 0, after the head of its answer; the connection closes
-/// when it returns.
+/// A stand-in for discovery: what it does on the nth call for its list, from 0, after the head of its response. The
+/// connection closes when it returns.
 fn discovery(
     say: impl Fn(&mut Wire, usize) + Send + Sync + Clone + 'static,
 ) -> (SocketAddr, Receiver<Instant>) {
@@ -53,8 +53,8 @@
     })
 }
 
-/// The same, from the first byte on. Whoever asks for anything else than the list (a daemon that takes the port for a
-/// worker's) is none of its callers.
+/// The same, from the first byte on. Requests for anything but the list (of a daemon that takes the port for a worker's) are
+/// not counted.
 fn raw_discovery(
     say: impl Fn(&mut Wire, usize) + Send + Sync + Clone + 'static,
 ) -> (SocketAddr, Receiver<Instant>) {
@@ -77,7 +77,7 @@
     (address, calls)
 }
 
-/// Keeps a watch open, with the empty lines that say so, until the daemon leaves.
+/// Keeps a watch open with empty lines as signs of life until the daemon disconnects.
 fn stay(wire: &mut Wire) {
     while wire.try_send("1\r\n\n\r\n") {
         std::thread::sleep(Duration::from_millis(500));
@@ -141,7 +141,7 @@
     }
     assert_eq!(asked.load(Ordering::Relaxed), 0, "the drained one got work");
     go.store(true, Ordering::Relaxed);
-    // Discovery counts on from its older number, and what is news by that is believed.
+    // Discovery counts on from its older version, and changes after that are applied.
     within(LIMIT, "only the one that is ready again is left", || {
         (!ask(&daemon, &post("u", "", "")).0.contains(" 200")).then_some(())
     });
@@ -268,8 +268,8 @@
     assert!(served > 0, "cold ones take their part");
 }
 
-/// Where lists are pushed the decisions never ask, so nothing that was told would ever be read: a worker added after the
-/// start got no work, and a drain was never heard of.
+/// Where lists are pushed the decision module never polls, so no change was ever read: a worker added after the start got no
+/// requests, and a drain was never applied.
 #[test]
 fn where_lists_are_pushed_the_watch_is_kept_up_without_being_asked_for() {
     let ((drained, asked), next) = (unwanted(), worker(serves));
@@ -296,13 +296,13 @@
 
 const REFUSED: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
-/// How a watch falls silent after its first list, and what becomes of the next call: the one after that tells of a drain,
-/// and the drain is in force 6 s after the last sign of life.
+/// How a watch falls silent after its first list, and how the next call fails: the call after that reports a drain, which
+/// has to be in force 6 s after the last sign of life.
 #[test]
 fn a_change_is_in_force_six_seconds_after_the_watch_fell_silent_whatever_fails() {
     let silences: [fn(&mut Wire); 3] = [
         |wire| assert!(wire.line().is_empty()),
-        // Half an object, and its rest in drops.
+        // Half an object, and its rest byte by byte.
         |wire| {
             let mut drops = "{\"seq\":3,".chars().chain(std::iter::repeat(' '));
             while wire.try_send(&format!("1\r\n{}\r\n", drops.next().expect("endless"))) {
@@ -330,7 +330,7 @@
     let plays: Vec<_> = pairs
         .map(|(silence, failure)| {
             std::thread::spawn(move || {
-                // It serves, or nothing would go there for what it did.
+                // It serves requests, or it would be ejected.
                 let asked = Arc::new(AtomicUsize::new(0));
                 let count = asked.clone();
                 let drained = worker(move |wire, head| {
@@ -368,7 +368,7 @@
     plays.into_iter().for_each(|play| play.join().expect("in force in time"));
 }
 
-/// A whole list over many lines, as an operator's tool may indent it, in small pieces; then a change of the same kind.
+/// A complete list over many lines, as an operator's tool may indent it, in small chunks; then a change in the same form.
 #[test]
 fn lists_may_be_indented() {
     let (old, new) = (worker(serves), worker(serves));
@@ -390,8 +390,8 @@
     within(Duration::from_secs(2), "the list counts", || served_by(&daemon).then_some(()));
 }
 
-/// A new process is given a list that may be old. It sends nothing by it before discovery has spoken: what changed long ago
-/// counts as told from its first moment.
+/// A new process is given a list that may be outdated. It sends nothing by that list before discovery has responded: changes
+/// made long ago are in force from the process's start.
 #[test]
 fn a_new_process_sends_nothing_by_the_list_it_was_given_while_discovery_answers() {
     let ((drained, asked), other) = (unwanted(), worker(serves));
@@ -471,7 +471,7 @@
     plays.into_iter().for_each(|play| play.join().expect("ready in time"));
 }
 
-/// A discovery that answers each call with the list and ends it is called as one that fails is, not without a pause.
+/// A discovery that answers each call with the list and then ends it is called with the same backoff as one that fails.
 #[test]
 fn a_watch_that_ends_at_once_is_not_taken_up_in_a_rush() {
     for (mode, most) in [("ask", 5), ("push", 30)] {
@@ -491,7 +491,7 @@
     }
 }
 
-/// An agent that has no news begins to answer at once, and its first line comes after two seconds.
+/// An agent without an update begins to respond at once; its first line comes after two seconds.
 #[test]
 fn an_agent_without_news_is_not_taken_for_one_that_is_down() {
     let good = worker(serves);
--- a/crates/pebblepost/tests/engine.rs
+++ b/crates/pebblepost/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The core's own guards, under random events: late, repeated and out of order.
+//! The rules that the engine itself enforces, under random events: late, repeated and out of order.
 
 mod common;
 
@@ -36,7 +36,7 @@
     [Ok, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot][usize::from(n) % 8]
 }
 
-/// What the core is allowed, seen from outside.
+/// Checks from outside what the engine is allowed to do.
 #[derive(Default)]
 struct EngineObserver {
     now: u64,
@@ -157,7 +157,7 @@
     }
 }
 
-/// A core with three workers: 0 and 1 in one zone, each in a cell of its own, 2 in another zone.
+/// An engine with three workers: 0 and 1 in one zone, each in a cell of its own, 2 in another zone.
 struct Bench {
     engine: Engine,
     now: Time,
@@ -220,7 +220,7 @@
         self.turn(vec![Input::Request(ID, request)]);
     }
 
-    /// Answers all probes with room until one more attempt is sent, if one is.
+    /// Answers all probes with free capacity until one more attempt is sent, if any.
     fn answer_probes(&mut self) {
         let before = self.sent.len();
         for _ in 0..8 {
@@ -243,8 +243,8 @@
     Entry { worker, zone: ZoneId(zone), kind: KindId(0), cell, state, name: u64::from(n), started: None }
 }
 
-/// WIRE's rule on effects as a table: after an attempt that ended so, where may a further one go, and may the request be
-/// refused?
+/// The protocol's rule on idempotency as a table: after an attempt that ended so, where may a retry go, and may the request
+/// be rejected?
 #[test]
 fn a_request_is_sent_again_and_refused_as_its_class_allows() {
     let window = Duration::from_secs(10);
@@ -290,7 +290,8 @@
     }
 }
 
-/// An attempt's connection comes up after what made it right has passed: it is not sent, and ends as one that never ran.
+/// An attempt's connection is established when the attempt is not allowed any more: it is not sent, and ends as one that
+/// never ran.
 #[test]
 fn what_was_right_to_send_is_looked_at_again_when_the_connection_is_up() {
     let window = Duration::from_millis(300);
@@ -330,7 +331,7 @@
     }
 }
 
-/// All that one turn may find together with a client's close: nothing of it sends what the client asked for.
+/// Everything that may come in one turn with a client's disconnection: nothing of it may send the client's request.
 #[test]
 fn a_client_that_has_gone_counts_before_all_else_in_its_turn() {
     for close_first in [true, false] {
--- a/crates/pebblepost/tests/faktory.rs
+++ b/crates/pebblepost/tests/faktory.rs
@@ -50,7 +50,7 @@
 
 type Runs = Arc<Mutex<Vec<(String, String, Instant)>>>;
 
-/// A worker of one slot that notes what it runs and ends each job with `last`, as long as that says anything.
+/// A worker with one slot that records its jobs and ends each with the command that `last` returns, if any.
 fn worker(
     daemon: &RunningDaemon, wid: &str, runs: &Runs, last: fn(&str) -> Option<String>,
 ) -> JoinHandle<()> {
@@ -102,7 +102,7 @@
     for push in pushes {
         let (i, started, answer, mut wire) = push.join().expect("no panic");
         assert!(started.elapsed() < Duration::from_millis(4_500), "{i} is answered before its deadline");
-        // Exactly one: the next thing on the wire is the answer to the next command.
+        // Exactly one: the next reply on the wire is that to the next command.
         wire.send("NONSENSE\r\n");
         assert_eq!(wire.line(), "-ERR unknown command", "after job {i}");
         answers.insert(format!("j{i}"), answer);
@@ -111,7 +111,7 @@
     for (jid, answer) in &answers {
         let by: Vec<&str> =
             runs.iter().filter(|(run, ..)| run == jid).map(|(_, worker, _)| worker.as_str()).collect();
-        // These workers do not drop repeats: what may have run is not run again.
+        // These workers do not deduplicate: a job that may have run is not retried.
         assert!(by.len() <= 1, "{jid} ran at {by:?}");
         match (by.first(), answer.as_str()) {
             (Some(&"good"), "+OK") | (Some(&("silent" | "failing")), "-ERR failed, the job may have run") => {
@@ -171,7 +171,7 @@
     let (mut first, mut second) = (hello(&daemon, None), hello(&daemon, None));
     first.send(&format!("PUSH {}\r\n", job("a")));
     common::within(Duration::from_secs(5), "a first run", || runs.lock().expect("no panic").first().cloned());
-    // The only slot is busy now: sent there, the job would be turned away and that worker out of its draws.
+    // The only slot is busy: sent there, the job would be rejected and could not be sent to that worker again.
     assert_eq!(push(&mut second, &job("b")), "+OK");
     assert_eq!(first.line(), "+OK");
 }
@@ -184,7 +184,7 @@
     let answer = push(&mut producer, &job("x"));
     assert!(answer.starts_with("-ERR refused, come back in "), "{answer}");
     assert!(start.elapsed() < Duration::from_millis(4_000));
-    // Until the window is over the same job would hear the same: the advice says so.
+    // Until the window ends a repeat would get the same reply: the advised delay covers it.
     let secs: f64 = answer.split(' ').nth(5).and_then(|n| n.parse().ok()).expect("seconds");
     assert!((5.0..=10.0).contains(&secs), "{answer}");
     assert!(push(&mut producer, &job("x")).starts_with("-ERR refused, "));
--- a/crates/pebblepost/tests/faults.rs
+++ b/crates/pebblepost/tests/faults.rs
@@ -1,4 +1,4 @@
-//! A disk that is full in the middle of a group's work, and clocks that are off (the build with faults).
+//! Full disks and wrong clocks of the fleet store's replicas (with the feature `faults`).
 
 mod common;
 
@@ -8,14 +8,14 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-/// Has the leader's disk fail, and then a follower's: each ends by name, and the others lose nothing and go on.
+/// Fails the leader's disk, then a follower's: each replica stops and names its file, and the others lose nothing and go on.
 fn fails(first: u8, failpoint: &str, says: &str) {
     let mut replicas = Replicas::start(first);
     replicas.fleet_until(&["drain", "a"]);
     let (leader, _) = replicas.leader_and_revisions();
     let mut agreed = 1_u64;
-    // The one that leads, and then one that follows. How many changes it takes until the disk fails depends on how many
-    // come in one write, so they are made until it has ended.
+    // The leader, then a follower. How many changes it takes until the disk fails depends on how many go into one write, so
+    // changes are made until the replica has stopped.
     for (round, bad) in [leader, (leader + 1) % 3].into_iter().enumerate() {
         replicas.kill(bad);
         replicas.run_with(bad, Stdio::piped(), &[("FAILPOINTS", failpoint)]);
@@ -29,7 +29,7 @@
         assert!(said.contains("keeper.redb") && said.contains(says), "{said}");
         replicas.fleet_until(&["drain", &format!("after-{round}")]);
         agreed += 1;
-        // The disk works again: it has all that was agreed.
+        // The disk works again: the replica catches up.
         replicas.run(bad);
         within(LIMIT, "it has caught up", || {
             (replicas.leader_and_revisions().1[bad] == agreed).then_some(())
@@ -49,7 +49,7 @@
     fails(10, "disk_sync=60*off->return", "Input/output error");
 }
 
-/// Restarts all keepers with clocks of this rate, an hour ahead.
+/// Restarts all replicas with clocks of this rate, an hour ahead.
 fn with_clocks(replicas: &mut Replicas, rate: &str) {
     for n in 0..3 {
         replicas.kill(n);
@@ -76,7 +76,7 @@
         })
     };
     let first = session(&replicas);
-    // Two lengths of a session, by the keepers' clocks.
+    // Twice a session's lifetime, by the replicas' clocks.
     std::thread::sleep(Duration::from_secs(6));
     assert_eq!(session(&replicas), first, "a clock ahead by an hour and fast by a twentieth ended a session");
     with_clocks(&mut replicas, "60");
--- a/crates/pebblepost/tests/fleet.rs
+++ b/crates/pebblepost/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Replicas and dispatchers as several programs on one machine: what is agreed reaches the decisions, what is asked for
-//! at one that is cut off holds there, and serving goes on without any keeper.
+//! Replicas of the fleet store and dispatchers on one machine: what is agreed comes into force, a drain requested at a
+//! dispatcher without a connection is in force there, and requests are served without any replica.
 
 mod common;
 
@@ -58,17 +58,17 @@
         let members = replicas.fleet_until(&["members"]);
         (members.matches("here life 1").count() == 2).then_some(())
     });
-    // The leader dies: what was agreed stays, and the next change is agreed by the rest.
+    // The leader crashes: what was agreed stays, and the others agree on the next change.
     let (leader, _) = replicas.leader_and_revisions();
     replicas.kill(leader);
     replicas.fleet_until(&["undrain", "s-0"]);
     within(LIMIT, "the mark is taken back at both", || (serves(&first) && serves(&second)).then_some(()));
-    // All keepers die: serving goes on, and the health tells how old its knowledge is.
+    // All replicas crash: requests are served, and the health check says how old the agreed state is.
     (0..3).for_each(|n| replicas.kill(n));
     assert!(serves(&first) && serves(&second));
     let status = health(&first);
     assert!(status.starts_with("fleet: revision ") && status.contains("confirmed "), "{status}");
-    // A drain asked for at one that is cut off holds there at once, also over its restart, and nowhere else.
+    // A drain requested at a dispatcher without a connection is in force there at once, also over its restart, and nowhere else.
     assert_eq!(here(&second, json!({"drain": "s-0", "why": "smoke"})), json!({"ok": true}));
     within(Duration::from_millis(400), "the drain here", || (!serves(&second)).then_some(()));
     assert!(serves(&first));
@@ -78,7 +78,7 @@
     drop(second);
     let second = dispatcher("b", &[one], fleet_b);
     assert!(!serves(&second), "not forgotten over a restart without any keeper");
-    // The group comes back: the drain is offered, and is everybody's.
+    // The group is back: the drain is proposed and agreed.
     (0..3).for_each(|n| replicas.run(n));
     within(LIMIT, "the drain at the other", || (!serves(&first)).then_some(()));
     let history = replicas.fleet_until(&["history"]);
@@ -101,7 +101,7 @@
     std::fs::remove_dir_all(replicas.folder.join("1")).expect("its disk");
     replicas.run(1);
     replicas.fleet_until(&["drain", "w-2"]);
-    // It listens, and nobody lets it take part: it has none of what was agreed.
+    // It listens, but the group does not let it take part: it has none of the agreed state.
     let status = within(LIMIT, "it answers", || {
         let all = replicas.fleet_until(&["status", "--json"]);
         let lines: Vec<Value> = all.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
@@ -111,10 +111,10 @@
     let again = replicas.fleet(&["begin"]);
     assert_eq!(again.status.code(), Some(1), "a group that runs is not begun again");
     let add = replicas.fleet(&["add", "2", &replicas.at[1].to_string()]);
-    // The agreed state refuses the number, whoever asks for it.
+    // The agreed state rejects the number.
     assert_eq!(add.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&add.stderr).contains("a new disk takes a new number"));
-    // Under a new number, with an empty folder: it learns all that was agreed.
+    // Under a new number, with an empty folder, it catches up.
     replicas.kill(1);
     let config = replicas.folder.join("new.json");
     let json =
@@ -214,7 +214,7 @@
         "{state}"
     );
     assert!(!state.contains("s-2") && state.contains("taken over from"), "{state}");
-    // A backup of it, what came after it taken back, and the backup in a group that lost everything.
+    // A backup, its restoration after a change, and its restoration in a group that has lost everything.
     let backup = common::path("backup");
     let named = backup.display().to_string();
     replicas.fleet_until(&["backup", &named]);
--- a/crates/pebblepost/tests/platform.rs
+++ b/crates/pebblepost/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front and the links to workers, against stand-ins.
+//! The platform's front and the connections to workers, against stand-ins.
 
 mod common;
 
@@ -38,7 +38,7 @@
     let mut wire = daemon.connect(ListenerKind::Platform);
     wire.send("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
     assert_eq!(wire.message().0[0], "HTTP/1.1 200 OK");
-    // Three sent ahead, one in chunks: each waits for the one before.
+    // Three pipelined requests, one in chunks: each waits for the one before.
     let chunked = post("t3", "", "")
         .replace("Content-Length: 0\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
     wire.send(&format!("{}{}{chunked}", post("t1", "", "one"), post("t2", "", "two")));
@@ -117,7 +117,7 @@
 
 #[test]
 fn nobody_to_serve_is_a_refusal_at_once_with_when_to_come_back() {
-    // A port that nobody listens at any more: the connection is refused, so nothing can have run.
+    // A closed port: the connection is refused, so nothing can have run.
     let closed =
         TcpListener::bind("127.78.1.2:0").and_then(|listener| listener.local_addr()).expect("a free port");
     let daemon = RunningDaemon::start(Some(platform(&[closed], None)), None);
@@ -129,7 +129,7 @@
     assert!(start.elapsed() < Duration::from_millis(1_500), "not held back until the client's time is up");
 }
 
-/// How many attempts a worker sees, and what the client gets, if each goes so.
+/// How many attempts a worker gets, and what the client gets, if each attempt goes so.
 fn attempts(job: impl Fn(&mut Wire, &[String]) + Send + Sync + Clone + 'static) -> (u32, String) {
     let count = Arc::new(AtomicU32::new(0));
     let seen = count.clone();
@@ -295,7 +295,7 @@
     let silent = discovery(move |wire, n| {
         wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
         events.send((n, Instant::now())).expect("a listener");
-        // The daemon gives it up; nothing on the wire says that the watch has ended.
+        // The daemon's watch times out; nothing on the wire ends it.
         assert!(wire.line().is_empty());
     });
     let _daemon = RunningDaemon::start(Some(platform(&[worker(serves)], Some(silent))), None);
@@ -314,7 +314,7 @@
         discovery(move |wire, _| {
             let host = json!({"host": name, "dial": worker, "site": "a", "class": "m", "block": 0, "health": "ready", "born_ms": 0});
             let line = format!("{}\n", json!({"seq": 7, "whole": true, "hosts": [host]}));
-            // Told first: what the line sets off must not overtake it.
+            // Sent first: what the line sets off must not overtake it.
             events.send((name, "watched")).expect("a listener");
             wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
             wire.send(&format!("{:x}\r\n{line}\r\n", line.len()));
@@ -349,7 +349,7 @@
     });
 }
 
-/// What a client does that has sent far ahead and leaves: more than is kept, then a reset or an orderly end behind it.
+/// A client pipelines more than is buffered and disconnects by a reset or an orderly end.
 #[test]
 fn a_client_that_sends_far_ahead_and_leaves_costs_nothing() {
     for (pieces, reset) in [(1_000, true), (4, false)] {
@@ -399,7 +399,7 @@
 #[test]
 fn more_clients_than_descriptors_are_served_in_turn() {
     let daemon = RunningDaemon::start(Some(platform(&[worker(serves)], None)), None);
-    // The limit of 256 leaves 140 for clients; idle ones make room for those that come.
+    // The limit of 256 leaves 140 for clients; idle ones are closed for new ones.
     let mut held: Vec<Wire> = Vec::new();
     for i in 0..200 {
         let mut wire = daemon.connect(ListenerKind::Platform);
@@ -499,7 +499,7 @@
     [config, operator].iter().for_each(|f| drop(std::fs::remove_file(f)));
 }
 
-/// The tenant was never read: everybody's requests counted as the first one's.
+/// Regression: the tenant was not read, and all requests counted as those of the first one.
 #[test]
 fn a_tenant_is_known_by_its_name() {
     let names = ["office".to_owned(), "studio".to_owned()];
@@ -507,8 +507,8 @@
     assert_eq!((known, tenant(&[], Some("x")).0), ([1, 0, 0], 0));
 }
 
-/// permits-main, rude clients: what a worker said was no request of its was sent to six of them and held against each, so
-/// that a hundred bad requests kept all workers out of the draws.
+/// Regression: a request that a worker rejected as invalid was retried at six workers and counted as a failure of each, so
+/// that a hundred invalid requests had all workers ejected.
 #[test]
 fn a_request_that_a_worker_rejects_is_failed_at_once_and_nobody_is_blamed() {
     let asked = Arc::new(AtomicU32::new(0));
@@ -524,7 +524,7 @@
         })
     };
     let mut config = platform(&[named("one"), named("two")], None);
-    config["settings"]["invariants"]["fall"] = json!(5e9); // How long whoever is blamed would be out.
+    config["settings"]["invariants"]["fall"] = json!(5e9); // How long a worker would be ejected.
     let daemon = RunningDaemon::start(Some(config), None);
     let answer = |id: &str| {
         let mut wire = daemon.connect(ListenerKind::Platform);
--- a/crates/pebblepost/tests/races.rs
+++ b/crates/pebblepost/tests/races.rs
@@ -1,6 +1,6 @@
-//! The seams of a connection's life, with real connections: two events are made to meet in one turn of the loop (it is
-//! held meanwhile), or a connection is made to come up late (the backlog of its listener is full until it may). The
-//! rows are those of docs/history/races.md.
+//! Races in a connection's lifetime, with real connections: two events are brought into one iteration of the event loop,
+//! which is held meanwhile, or a connection is established late, as its listener's backlog is full. The cases are those of
+//! docs/history/races.md.
 
 mod common;
 
@@ -32,7 +32,7 @@
     format!("HTTP/1.1 200 OK\r\n{options}Content-Length: {}\r\n\r\n{REPORT}", REPORT.len())
 }
 
-/// A worker whose probes the test answers itself: it gets the connection of each, and all jobs are counted.
+/// A worker whose probes the test answers itself: it gets the connection of each probe, and the head of each job.
 fn held_worker() -> (SocketAddr, Receiver<Wire>, Receiver<Vec<String>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
@@ -53,7 +53,7 @@
     (address, probes, jobs)
 }
 
-/// A client's close and the probe's answer that would have its request sent, in one turn and in either order.
+/// A client's disconnection and the probe response that would have its request sent, in one turn and in either order.
 #[test]
 fn a_client_that_leaves_in_the_turn_of_the_probes_answer_has_nothing_sent() {
     for close_first in [true, false] {
@@ -82,7 +82,7 @@
     }
 }
 
-/// A worker that answers one probe and then lets no connection come up until it may: its backlog is full.
+/// A worker that answers one probe and then has no connection established until it is released: its backlog is full.
 struct Late {
     listener: Socket,
     filler: TcpStream,
@@ -160,7 +160,7 @@
     (address, say)
 }
 
-/// The worker drains while the connection to it comes up: nothing is sent there, and the client has its answer.
+/// The worker drains while a connection to it is established: nothing is sent there, and the client gets its response.
 #[test]
 fn a_worker_that_drains_while_its_connection_comes_up_gets_nothing() {
     let (listener, address) = Late::listen();
@@ -183,7 +183,7 @@
     assert!(client.message().0[0].contains(" 503 "), "it never ran, so it is refused");
 }
 
-/// A connection that comes up late carries what is left to the client then, not what was left when it was decided on.
+/// A connection that is established late carries the time left at that moment, not at the decision.
 #[test]
 fn time_left_is_that_at_the_first_byte() {
     let (listener, address) = Late::listen();
@@ -199,7 +199,7 @@
     assert!(left + 300 <= 4_000, "{left} ms were told after {passed} ms");
 }
 
-/// The answer to an earlier job comes on a kept connection before the answer to the one that is on it now.
+/// The response to an earlier job comes on a reused connection before that to the present one.
 #[test]
 fn an_answer_with_another_requests_id_serves_nobody() {
     let bad = worker(|wire, head| match header(head, "x-txn").as_deref() {
@@ -213,7 +213,7 @@
     assert!(!status.contains(" 200 ") && body.is_empty(), "{status} {body}");
 }
 
-/// A late second answer and the next request are there in one turn: the link on which it lies is not used again.
+/// A late second response and the next request come in one turn: the connection with the response is not reused.
 #[test]
 fn a_link_with_a_late_second_answer_on_it_is_not_used_again() {
     let (events, observed) = channel();
@@ -241,7 +241,7 @@
     }
 }
 
-/// What is wrong after `done` costs the request nothing, and the next one gets a link of its own.
+/// A malformed chunk after the result does not fail the request, and the next one gets a new connection.
 #[test]
 fn a_wrong_chunk_after_done_ends_the_link_only() {
     let bad = worker(|wire, head| {
@@ -259,7 +259,7 @@
     }
 }
 
-/// The worker closes its idle link in the turn in which a request would be put on it.
+/// The worker closes an idle connection in the turn in which a request would be sent on it.
 #[test]
 fn an_idle_link_that_the_worker_closes_in_that_turn_costs_no_answer() {
     let (events, observed) = channel();
@@ -281,7 +281,7 @@
     }
 }
 
-/// Hundreds send much at once and leave, others send a head without end, others rest: usual clients are served on.
+/// Hundreds of clients send much and disconnect, others send endless heads, others stay idle: usual clients are served.
 #[test]
 fn floods_leave_the_usual_clients_served() {
     let mut config = platform(&[worker(serves)], None);
@@ -307,9 +307,8 @@
         .collect();
     let mut shut = 0;
     for n in 0..100 {
-        // As usual clients do: whoever is shut unread for want of descriptors (a new one rests until its request is there)
-        // sends it once more on a new connection, and whoever is refused, as the floods' first requests take slots
-        // like any, comes again when it was told to.
+        // As usual clients do: one that is closed unread for want of descriptors retries on a new connection, and one that is
+        // rejected, as the first requests of the flood take slots as well, retries after the advised delay.
         let start = Instant::now();
         loop {
             let mut client = daemon.connect(ListenerKind::Platform);
@@ -335,12 +334,12 @@
     floods.into_iter().for_each(|f| f.join().expect("no panic"));
 }
 
-/// SIGHUP to another discovery and back while the first watch there is still half open: the watch of the first counts
-/// throughout, and what it tells after the return is in force.
+/// SIGHUP to another discovery and back while the watch there is not established: the first watch counts throughout, and
+/// what it reports after the return is in force.
 #[test]
 fn a_move_of_discovery_and_back_ends_where_it_began() {
     let (first, say) = discovery_that_sends();
-    // The other takes the connection and says nothing.
+    // The other accepts the connection and sends nothing.
     let other = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let (old, new) =
         (worker(|wire, _| wire.send("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")), worker(serves));
@@ -363,8 +362,8 @@
     within(Duration::from_secs(2), "its word counts", || ask(&mut client, "t").1.eq("for t").then_some(()));
 }
 
-/// The descriptors are full, a newcomer and a request of the client that rests longest come in one turn: the client is
-/// not closed over its request.
+/// All descriptors are in use, and a new connection and a request of the longest idle client come in one turn: that client
+/// is not closed.
 #[test]
 fn a_resting_client_whose_request_lies_unread_is_not_the_one_to_close() {
     let mut config = platform(&[worker(serves)], None);
@@ -384,7 +383,7 @@
     }
 }
 
-/// The end of the listener finds newcomers in its backlog whose requests are there: each has its answer.
+/// The listener is closed with connections and requests in its backlog: each gets its response.
 #[test]
 fn requests_in_the_backlog_are_answered_when_the_listener_ends() {
     let mut daemon = RunningDaemon::start(Some(platform(&[worker(serves)], None)), None);
@@ -392,10 +391,10 @@
     daemon.stop();
     let mut late = Vec::new();
     daemon.hold(|daemon| {
-        // More than one turn takes.
+        // More than one iteration accepts.
         late.extend((0..100).map(|_| daemon.connect(ListenerKind::Platform)));
         late.iter_mut().enumerate().for_each(|(n, wire)| wire.send(&post(&format!("t{n}"), "", "")));
-        std::thread::sleep(Duration::from_millis(600)); // The time of the last calls passes meanwhile.
+        std::thread::sleep(Duration::from_millis(600)); // The grace period ends meanwhile.
     });
     for (n, wire) in late.iter_mut().enumerate() {
         let (head, _) = wire.message();
@@ -404,7 +403,7 @@
     daemon.wait();
 }
 
-/// After SIGTERM a request on a resting connection comes in the turn in which resting ones are closed.
+/// After SIGTERM a request on an idle connection comes in the turn in which idle ones are closed.
 #[test]
 fn a_request_that_meets_the_close_after_sigterm_is_answered() {
     let mut daemon = RunningDaemon::start(Some(platform(&[worker(serves)], None)), None);
@@ -420,7 +419,7 @@
     daemon.wait();
 }
 
-/// All descriptors are with clients that rest, and discovery has been down: at its return it is asked, and jobs go out.
+/// Idle clients hold all descriptors, and discovery has been down: once it is back it is called, and requests are served.
 #[test]
 fn discovery_and_jobs_have_a_descriptor_though_idle_clients_fill_them() {
     let place = TcpListener::bind("127.78.1.9:0").expect("a free port");
@@ -429,7 +428,7 @@
     let mut config = platform(&[worker(serves)], Some(address));
     config["limits"]["sockets"] = json!(64);
     let daemon = RunningDaemon::start(Some(config), None);
-    // Those beyond what is taken wait in the backlog, or have one that rested longer closed.
+    // Those beyond the budget wait in the backlog, or have a longer idle one closed.
     let _idle: Vec<Wire> = (0..100).map(|_| daemon.connect(ListenerKind::Platform)).collect();
     std::thread::sleep(Duration::from_millis(100));
     let back = TcpListener::bind(address).expect("its own port");
--- a/crates/pebblepost/tests/release.rs
+++ b/crates/pebblepost/tests/release.rs
@@ -1,5 +1,5 @@
-//! Permits between three keepers, which are processes that die, dispatchers, and an operator's commands. Many dispatchers
-//! as processes, and faults between all of them, are in the rig (`rig/tests/release.rs`).
+//! Permits with three replicas of the fleet store that crash, dispatchers, and an operator's commands. Many dispatchers as
+//! processes, with faults between all of them, are tested in the harness.
 
 mod common;
 
@@ -24,7 +24,7 @@
     RunningDaemon::start(Some(config), Some(json!({"fleet": fleet})))
 }
 
-/// A worker that serves, unless it is to be dead.
+/// A worker that serves requests until it is marked dead.
 fn serves(dead: Arc<AtomicBool>) -> SocketAddr {
     common::worker_while(
         move || !dead.load(Ordering::Relaxed),
@@ -35,7 +35,7 @@
     )
 }
 
-/// A discovery that tells of these hosts and of no change.
+/// A discovery that lists these hosts and no changes.
 fn discovery_of(hosts: Value) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
@@ -78,7 +78,7 @@
     let printed = replicas.fleet_until(&plan);
     assert!(printed.contains("wave 2: 70 to 80 s, 1 go, at most 1 out: b"), "{printed}");
     assert!(printed.contains("2 dispatchers in 80 s"), "{printed}");
-    // What can never be is refused with its cause; what is asked for before there is a budget waits.
+    // A request that can never be granted is rejected with the cause; one made before there is a budget waits.
     let ask = ["permit", "ask", "dispatcher/a", "dispatcher/b", "--want", "2", "--why", "release 2"];
     replicas.fleet_until(&["budget", "dispatcher", "--most", "0"]);
     let refused = replicas.fleet(&ask);
@@ -89,7 +89,7 @@
     replicas.fleet_until(&ask);
     let shown = replicas.fleet_until(&["budget", "dispatcher"]);
     assert!(shown.contains("0 of 2 out") && shown.contains("waits  a\t1 in the queue: halted"), "{shown}");
-    // The keeper that leads is killed while the first is granted: one of them goes, and only one.
+    // The leader is killed while the first permit is granted: exactly one dispatcher stops.
     let (leader, _) = replicas.leader_and_revisions();
     replicas.fleet_until(&["resume", "dispatcher"]);
     replicas.kill(leader);
@@ -100,7 +100,7 @@
     assert!(shown.contains("out    a\tby a permit") && shown.contains("waits  b"), "{shown}");
     let taken_back = replicas.fleet(&["permit", "withdraw", "dispatcher/a"]);
     assert_eq!(taken_back.status.code(), Some(1), "it is going already");
-    // Back as the wrong version it is still out, and goes again; as the right one it lets the next go.
+    // Back with the wrong version it counts as unavailable and stops again; with the right one the next may stop.
     let mut first = dispatcher("a", "x", "1", &replicas);
     ends(&mut first);
     std::thread::sleep(Duration::from_millis(500));
@@ -141,7 +141,7 @@
         let (go, asked) = (go.clone(), asked.clone());
         worker(move |wire, head| {
             asked.fetch_add(1, Ordering::Relaxed);
-            // It has started: one that has not is sent again after 225 ms, while its worker may still be sent to.
+            // Reports its start: a job that has not started is retried after 225 ms, while its worker is not drained.
             wire.send(CHUNKED_HEAD);
             chunk(wire, &format!("{}\n", json!({"id": header(head, "x-txn"), "state": "started"})));
             within(LIMIT, "the job may end", || go.load(Ordering::Relaxed).then_some(()));
@@ -163,7 +163,7 @@
     within(LIMIT, "both are members", || {
         (replicas.fleet_until(&["members"]).matches(", ready").count() == 2).then_some(())
     });
-    // A job of a long time runs there when the worker's permit is granted.
+    // A long job runs there when the worker's permit is granted.
     let mut wire = first.connect(ListenerKind::Platform);
     wire.send(&post("t", "", "").replace("X-Remaining-Ms: 2000", "X-Remaining-Ms: 60000"));
     within(LIMIT, "it runs", || (asked.load(Ordering::Relaxed) == 1).then_some(()));
@@ -176,7 +176,7 @@
         (said.contains("1 dispatchers confirmed: may not") && said.contains("a\thas attempts out"))
             .then_some(())
     });
-    // The keeper that leads dies: its successor has heard nobody, and says so until it has.
+    // The leader crashes: its successor has had no heartbeat, and reports that until it has.
     let (leader, _) = replicas.leader_and_revisions();
     replicas.kill(leader);
     within(LIMIT, "heard again", || {
@@ -185,7 +185,7 @@
     go.store(true, Ordering::Relaxed);
     assert_eq!(wire.message().1, "text");
     within(LIMIT, "both are done", || off(&replicas, "2").status.success().then_some(()));
-    // One that is gone may be merely cut off: it takes an operator's word that it sends nothing.
+    // A missing dispatcher may be partitioned only: an operator has to confirm that it sends nothing.
     drop(second);
     within(LIMIT, "b is lost", || {
         let out = off(&replicas, "0.5");
@@ -193,7 +193,7 @@
     });
     replicas.fleet_until(&["dismiss", "b"]);
     within(LIMIT, "a's word is enough", || off(&replicas, "2").status.success().then_some(()));
-    // One that cannot keep its copy would forget the drain over a restart: it honours it and confirms nothing.
+    // A dispatcher that cannot save its snapshot would lose the drain over a restart: it applies it and confirms nothing.
     let nowhere = replicas.folder.join("no such folder").join("copy");
     let _c = with("c", Some(nowhere));
     within(LIMIT, "c is there", || replicas.fleet_until(&["members"]).contains("member/c").then_some(()));
@@ -220,7 +220,7 @@
         RunningDaemon::start(Some(config), Some(json!({"fleet": fleet})))
     };
     let nodes: Vec<RunningDaemon> = ["a", "b", "c"].map(with).into_iter().collect();
-    // Jobs keep the probes going: a worker that nobody has to do with is not seen.
+    // Requests keep the probes going: a worker without any is not observed.
     let (over, asked) = (Arc::new(AtomicBool::new(false)), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         for node in &nodes {
