--- a/crates/pebblepost/tests/common/replicas.rs
+++ b/crates/pebblepost/tests/common/replicas.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::{Child, Command, Output, Stdio};
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// Limit of every wait; generous, as it is the outcome that is tested and not the time.
 pub const LIMIT: Duration = Duration::from_secs(30);
@@ -107,12 +107,18 @@
         fleet.output().expect("it starts")
     }
 
-    /// Repeats an operator's command until the group accepts it.
+    /// Repeats an operator's command until the group accepts it; a failure shows the last error.
     pub fn fleet_until(&self, words: &[&str]) -> String {
-        within(LIMIT, &format!("{words:?}"), || {
-            let done = self.fleet(words);
-            done.status.success().then(|| String::from_utf8_lossy(&done.stdout).into_owned())
-        })
+        let start = Instant::now();
+        loop {
+            let output = self.fleet(words);
+            if output.status.success() {
+                return String::from_utf8_lossy(&output.stdout).into_owned();
+            }
+            let errors = String::from_utf8_lossy(&output.stderr);
+            assert!(start.elapsed() < LIMIT, "{words:?}: {errors}");
+            std::thread::sleep(Duration::from_millis(5));
+        }
     }
 }
 
