--- a/crates/pebblepost-harness/src/checker/availability.rs
+++ b/crates/pebblepost-harness/src/checker/availability.rs
@@ -20,8 +20,10 @@
     /// Takes in an event, if it is an update. The grace of a drain counts from the first update that closes a worker.
     pub(super) fn observe(&mut self, at: f64, event: &Event) {
         let (key, availability) = match event {
-            Event::Notified { dispatcher, worker, what } => ((Some(*dispatcher), *worker), *what),
-            Event::Published { worker, what } => ((None, *worker), *what),
+            Event::Notified { dispatcher, worker, availability } => {
+                ((Some(*dispatcher), *worker), *availability)
+            }
+            Event::Published { worker, availability } => ((None, *worker), *availability),
             _ => return,
         };
         let last = self.0.entry(key).or_insert((at, availability));
--- a/crates/pebblepost-harness/src/checker/slow_start.rs
+++ b/crates/pebblepost-harness/src/checker/slow_start.rs
@@ -2,7 +2,7 @@
 
 use super::limits::Limits;
 use crate::event_log::{Availability, Entry, Event};
-use crate::worker::model::ColdLoad;
+use crate::worker::model::{ColdLoad, SentWork};
 use std::collections::HashMap;
 
 /// When each dispatcher was notified of each start of a worker.
@@ -14,11 +14,11 @@
         self.0.entry((dispatcher, worker)).or_default().push(at);
     }
 
-    /// Whether a dispatcher knew, at the time `at`, of the start that this load came after.
-    fn knew(&self, limits: &Limits, load: &ColdLoad, worker: usize, dispatcher: usize, at: f64) -> bool {
-        let mut notices = self.0.get(&(dispatcher, worker)).into_iter().flatten();
-        at > load.since + limits.assumed_notified_after_s
-            || notices.any(|notice| (load.since..=at).contains(notice))
+    /// Whether a dispatcher knew, when it sent this work, of the start that the load came after.
+    fn knew(&self, limits: &Limits, load: &ColdLoad, worker: usize, sent: &SentWork) -> bool {
+        let mut notices = self.0.get(&(sent.dispatcher, worker)).into_iter().flatten();
+        sent.at > load.since + limits.assumed_notified_after_s
+            || notices.any(|notice| (load.since..=sent.at).contains(notice))
     }
 }
 
@@ -29,17 +29,17 @@
     let (mut by_notified, mut by_all) = (0.0_f64, 0.0_f64);
     for (at, event) in log {
         match event {
-            Event::Notified { dispatcher, worker, what: Availability::Ready { cold: true } } => {
+            Event::Notified { dispatcher, worker, availability: Availability::Ready { cold: true } } => {
                 notices.observe(*at, *dispatcher, *worker);
             }
             Event::ColdLoadPeak { worker, load } => {
-                let multiple = |counts: &dyn Fn(f64, usize) -> bool| {
-                    let sent = load.sent.iter().filter(|(at, _, dispatcher)| counts(*at, *dispatcher));
-                    sent.map(|(_, work, _)| work).sum::<f64>() / load.capacity_in_window
+                let multiple = |counts: &dyn Fn(&SentWork) -> bool| {
+                    let sent = load.sent.iter().filter(|sent| counts(sent));
+                    sent.map(|sent| sent.work).sum::<f64>() / load.capacity_in_window
                 };
-                let knew = |at: f64, dispatcher| notices.knew(limits, load, *worker, dispatcher, at);
+                let knew = |sent: &SentWork| notices.knew(limits, load, *worker, sent);
                 by_notified = by_notified.max(multiple(&knew));
-                by_all = by_all.max(multiple(&|_, _| true));
+                by_all = by_all.max(multiple(&|_| true));
             }
             _ => {}
         }
--- a/crates/pebblepost-harness/src/discovery.rs
+++ b/crates/pebblepost-harness/src/discovery.rs
@@ -140,7 +140,7 @@
         let hosts: Vec<Value> =
             listed.map(|(worker, listing)| self.host(dispatcher, worker, *listing)).collect();
         for (worker, listing) in list.listings.iter().enumerate() {
-            self.log.append(Event::Notified { dispatcher, worker, what: listing.availability });
+            self.log.append(Event::Notified { dispatcher, worker, availability: listing.availability });
         }
         format!("{}\n", json!({"seq": list.sequence, "whole": true, "hosts": hosts}))
     }
@@ -191,21 +191,21 @@
     }
 
     /// Lists a worker with this availability, and notifies the open watches.
-    fn publish(&self, worker: usize, what: Availability) {
+    fn publish(&self, worker: usize, availability: Availability) {
         let mut list = lock(&self.list);
-        let has_started = what == (Availability::Ready { cold: true });
+        let has_started = availability == (Availability::Ready { cold: true });
         let started_ms = if has_started { unix_ms() } else { list.listings[worker].started_ms };
-        let listing = Listing { availability: what, started_ms };
+        let listing = Listing { availability, started_ms };
         list.sequence += 1;
         list.listings[worker] = listing;
-        self.log.append(Event::Published { worker, what });
+        self.log.append(Event::Published { worker, availability });
         let sequence = list.sequence;
         list.watches.retain(|watch| {
             let host = self.host(watch.dispatcher, worker, listing);
             let line = format!("{}\n", json!({"seq": sequence, "whole": false, "hosts": [host]}));
             let open = watch.lines.send(Ok(Frame::data(Bytes::from(line)))).is_ok();
             if open {
-                self.log.append(Event::Notified { dispatcher: watch.dispatcher, worker, what });
+                self.log.append(Event::Notified { dispatcher: watch.dispatcher, worker, availability });
             }
             open
         });
@@ -220,9 +220,9 @@
         let (due, mut ready) = mpsc::unbounded_channel();
         loop {
             tokio::select! {
-                Some((worker, what)) = changes.recv() => {
+                Some((worker, availability)) = changes.recv() => {
                     // A silent process is noticed by missing heartbeats only; what it announces comes sooner.
-                    let delay_s = match what {
+                    let delay_s = match availability {
                         Availability::Draining => rng.random_range(1.1..4.1),
                         Availability::Gone => rng.random_range(7.4..14.0),
                         Availability::Ready { .. } => rng.random_range(0.47..2.0),
@@ -231,12 +231,12 @@
                     let (due, number) = (due.clone(), latest[worker]);
                     tokio::spawn(async move {
                         tokio::time::sleep(Duration::from_secs_f64(delay_s)).await;
-                        let _ = due.send((worker, what, number));
+                        let _ = due.send((worker, availability, number));
                     });
                 }
-                Some((worker, what, number)) = ready.recv() => {
+                Some((worker, availability, number)) = ready.recv() => {
                     if number == latest[worker] {
-                        self.publish(worker, what);
+                        self.publish(worker, availability);
                     }
                 }
                 _ = heartbeat.tick() => {
--- a/crates/pebblepost-harness/src/event_log.rs
+++ b/crates/pebblepost-harness/src/event_log.rs
@@ -97,8 +97,8 @@
     Published {
         /// Of which worker.
         worker: usize,
-        /// What.
-        what: Availability,
+        /// Its availability.
+        availability: Availability,
     },
     /// Discovery wrote a worker's availability to a dispatcher.
     Notified {
@@ -106,8 +106,8 @@
         dispatcher: usize,
         /// Of which worker.
         worker: usize,
-        /// What.
-        what: Availability,
+        /// Its availability.
+        availability: Availability,
     },
     /// The load on a cold worker is the highest since its start.
     ColdLoadPeak {
--- a/crates/pebblepost-harness/src/release/outages.rs
+++ b/crates/pebblepost-harness/src/release/outages.rs
@@ -24,14 +24,23 @@
     outages.iter().filter(|outage| outage.cause == OutageCause::Voluntary).collect()
 }
 
-/// A halt: when it was acknowledged, and when its end was requested, in seconds of the log.
-pub type Halt = (f64, f64);
+/// A halt of releases by an operator.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Halt {
+    /// When it was acknowledged, in seconds of the log.
+    pub acknowledged_at: f64,
+    /// When its end was requested, in seconds of the log.
+    pub resumed_at: f64,
+}
 
 /// Time from the acknowledgement of each halt to the last outage that began during it, in seconds; 0: none did.
 pub fn late_after(outages: &[&Outage], halts: &[Halt]) -> Vec<f64> {
-    let late = |(from, to): &Halt| {
-        let begun = outages.iter().map(|outage| outage.from).filter(|at| (*from..*to).contains(at));
-        begun.map(|at| at - from).fold(0.0, f64::max)
+    let late = |halt: &Halt| {
+        let begun = outages
+            .iter()
+            .map(|outage| outage.from)
+            .filter(|at| (halt.acknowledged_at..halt.resumed_at).contains(at));
+        begun.map(|at| at - halt.acknowledged_at).fold(0.0, f64::max)
     };
     halts.iter().map(late).collect()
 }
--- a/crates/pebblepost-harness/src/release/rollout.rs
+++ b/crates/pebblepost-harness/src/release/rollout.rs
@@ -1,6 +1,7 @@
 //! Releases of a trial: begun by two operators, driven by two drivers that are killed, halted, and rolled back if defective.
 
 use super::operators::{COMPLETION_TIMEOUT, apply};
+use super::outages::Halt;
 use super::plan::Mode;
 use super::progress::{DISPATCHER_PERMITS, Progress};
 use super::trial::Trial;
@@ -127,9 +128,9 @@
         }
         sleep(Duration::from_millis(rng.random_range(200..6_000))).await;
         apply(&mut client, (31, number), &json!({"halt": "dispatcher"})).await?;
-        let halted = trial.supervisor.now();
+        let acknowledged_at = trial.supervisor.now();
         sleep(Duration::from_millis(rng.random_range(1_000..3_000))).await;
-        lock(&trial.halts).push((halted, trial.supervisor.now()));
+        lock(&trial.halts).push(Halt { acknowledged_at, resumed_at: trial.supervisor.now() });
         apply(&mut client, (32, number), &json!({"resume": "dispatcher"})).await?;
         wait_for_completion(trial, number * 10, version, false).await?;
         Ok(ReleaseEnd::Completed)
--- a/crates/pebblepost-harness/src/run.rs
+++ b/crates/pebblepost-harness/src/run.rs
@@ -164,7 +164,11 @@
         processes.iter_mut().take(count).for_each(DispatcherProcess::kill);
         let restarts = processes.iter_mut().take(count).enumerate().map(|(dispatcher, process)| async move {
             for worker in 0..self.run_spec.workers {
-                log.append(Event::Notified { dispatcher, worker, what: Availability::Ready { cold: false } });
+                log.append(Event::Notified {
+                    dispatcher,
+                    worker,
+                    availability: Availability::Ready { cold: false },
+                });
             }
             process.start_again().await?;
             anyhow::Ok(DispatcherExit { dispatcher, from, back: log.now(), abrupt: true })
--- a/crates/pebblepost-harness/src/supervisor/mod.rs
+++ b/crates/pebblepost-harness/src/supervisor/mod.rs
@@ -208,8 +208,8 @@
             (false, false) => OutageCause::Crash,
         };
         for worker in 0..self.workers {
-            let what = Availability::Ready { cold: false };
-            self.log.append(Event::Notified { dispatcher: self.dispatcher, worker, what });
+            let availability = Availability::Ready { cold: false };
+            self.log.append(Event::Notified { dispatcher: self.dispatcher, worker, availability });
         }
         if let Some(permitted) = self.supervisor.permitted_version(self.dispatcher).await {
             self.version = permitted;
--- a/crates/pebblepost-harness/src/worker/model.rs
+++ b/crates/pebblepost-harness/src/worker/model.rs
@@ -13,6 +13,13 @@
 /// The window of that, in seconds.
 pub const OVERLOAD_WINDOW_S: f64 = 3.0;
 
+/// Work that a cold worker takes beyond that: about one usual job.
+const OVERLOAD_TOLERANCE: f64 = 0.5;
+/// Share of the cores that overhead takes until it is done.
+const OVERHEAD_SHARE: f64 = 0.5;
+/// Work that is left by rounding errors.
+const NO_WORK: f64 = 1e-9;
+
 /// What happened to a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobEvent {
@@ -49,17 +56,39 @@
     started: Option<f64>,
     now: f64,
     running: Vec<Job>,
-    waiting: VecDeque<Job>,
+    queue: VecDeque<Job>,
     /// Cached affinity keys, the most recently used at the end.
     cached_keys: VecDeque<u64>,
     fetch_s: f64,
     /// Work of connections and load reports that is still to be done.
     overhead: f64,
-    /// Work sent while it was cold: when, how much, by which dispatcher.
-    sent: VecDeque<(f64, f64, usize)>,
-    worst: f64,
-    take_cold_load_peak: Option<ColdLoad>,
-    overload: bool,
+    /// Work sent while it was cold.
+    sent: VecDeque<SentWork>,
+    peak_multiple: f64,
+    cold_load_peak: Option<ColdLoad>,
+    overloaded: bool,
+}
+
+/// The load of a worker.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Load {
+    /// Slots that no job holds.
+    pub free_slots: u32,
+    /// Share of the cores in use.
+    pub utilization: f64,
+    /// Jobs in the queue.
+    pub queued: usize,
+}
+
+/// Work that a worker was sent.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct SentWork {
+    /// When, in seconds.
+    pub at: f64,
+    /// How much, in seconds at speed 1.
+    pub work: f64,
+    /// By which dispatcher.
+    pub dispatcher: usize,
 }
 
 /// The load on a cold worker at the moment that it was the highest since its start.
@@ -69,8 +98,8 @@
     pub since: f64,
     /// Work that it could do in [`OVERLOAD_WINDOW_S`] at its speed of that moment.
     pub capacity_in_window: f64,
-    /// Work sent within [`OVERLOAD_WINDOW_S`]: when, how much, by which dispatcher.
-    pub sent: Vec<(f64, f64, usize)>,
+    /// Work sent within [`OVERLOAD_WINDOW_S`].
+    pub sent: Vec<SentWork>,
 }
 
 impl WorkerModel {
@@ -81,30 +110,30 @@
             started: None,
             now: 0.0,
             running: Vec::new(),
-            waiting: VecDeque::new(),
+            queue: VecDeque::new(),
             cached_keys: VecDeque::new(),
             fetch_s,
             overhead: 0.0,
             sent: VecDeque::new(),
-            worst: 0.0,
-            take_cold_load_peak: None,
-            overload: false,
+            peak_multiple: 0.0,
+            cold_load_peak: None,
+            overloaded: false,
         }
     }
 
     /// Restarts, cold and empty. Returns the jobs that are lost.
     pub fn restart(&mut self, now: f64) -> Vec<JobId> {
-        let lost = self.running.drain(..).chain(self.waiting.drain(..)).map(|job| job.job_id).collect();
-        (self.started, self.now, self.overhead, self.overload) = (Some(now), now, 0.0, false);
+        let lost = self.running.drain(..).chain(self.queue.drain(..)).map(|job| job.job_id).collect();
+        (self.started, self.now, self.overhead, self.overloaded) = (Some(now), now, 0.0, false);
         self.cached_keys.clear();
         self.sent.clear();
-        self.worst = 0.0;
+        self.peak_multiple = 0.0;
         lost
     }
 
     /// Returns the jobs that do not run yet.
     pub fn return_queued(&mut self) -> Vec<JobId> {
-        self.waiting.drain(..).map(|job| job.job_id).collect()
+        self.queue.drain(..).map(|job| job.job_id).collect()
     }
 
     /// What it was made from.
@@ -126,24 +155,27 @@
 
     /// The highest load since its start, if it has risen since this was called last.
     pub fn take_cold_load_peak(&mut self) -> Option<ColdLoad> {
-        self.take_cold_load_peak.take()
+        self.cold_load_peak.take()
     }
 
     /// Set once it was overloaded while cold: when it had started, and the work sent by each dispatcher.
     pub fn overload(&self) -> Option<(f64, Vec<(usize, f64)>)> {
-        let since = self.started.filter(|_| self.overload)?;
-        Some((since, self.sent.iter().map(|(_, work, from)| (*from, *work)).collect()))
+        let since = self.started.filter(|_| self.overloaded)?;
+        Some((since, self.sent.iter().map(|sent| (sent.dispatcher, sent.work)).collect()))
     }
 
     fn slots_in_use(&self) -> u32 {
         self.running.iter().map(|job| job.slots).sum()
     }
 
-    /// Free slots, share of the cores in use, and the length of the queue.
-    pub fn load(&self) -> (u32, f64, usize) {
+    /// Its load now.
+    pub fn load(&self) -> Load {
         let used = self.slots_in_use();
-        let busy = (f64::from(used) / f64::from(self.spec.cores)).min(1.0);
-        (self.spec.slots.saturating_sub(used), busy, self.waiting.len())
+        Load {
+            free_slots: self.spec.slots.saturating_sub(used),
+            utilization: (f64::from(used) / f64::from(self.spec.cores)).min(1.0),
+            queued: self.queue.len(),
+        }
     }
 
     /// Jobs that fetch from the shared store now.
@@ -162,20 +194,20 @@
         if self.slow_start_factor() >= 1.0 {
             return self.sent.clear();
         }
-        self.sent.push_back((self.now, work, from));
-        while self.sent.front().is_some_and(|(at, ..)| *at < self.now - OVERLOAD_WINDOW_S) {
+        self.sent.push_back(SentWork { at: self.now, work, dispatcher: from });
+        while self.sent.front().is_some_and(|sent| sent.at < self.now - OVERLOAD_WINDOW_S) {
             self.sent.pop_front();
         }
-        let total: f64 = self.sent.iter().map(|(_, work, _)| work).sum();
+        let total: f64 = self.sent.iter().map(|sent| sent.work).sum();
         let capacity_in_window = (OVERLOAD_WINDOW_S * self.capacity()).max(f64::MIN_POSITIVE);
-        if total / capacity_in_window > self.worst {
-            self.worst = total / capacity_in_window;
+        if total / capacity_in_window > self.peak_multiple {
+            self.peak_multiple = total / capacity_in_window;
             let since = self.started.unwrap_or(self.now);
-            self.take_cold_load_peak =
+            self.cold_load_peak =
                 Some(ColdLoad { since, capacity_in_window, sent: self.sent.iter().copied().collect() });
         }
-        // A little slack for chance: one usual job.
-        self.overload |= total > OVERLOAD_FACTOR * OVERLOAD_WINDOW_S * self.capacity() + 0.5;
+        let limit = OVERLOAD_FACTOR * OVERLOAD_WINDOW_S * self.capacity() + OVERLOAD_TOLERANCE;
+        self.overloaded |= total > limit;
     }
 
     /// Admits a job of the dispatcher `from`, if there is capacity for it.
@@ -183,10 +215,10 @@
         let slots = slots.max(1);
         self.record_cold_load(from, work * f64::from(slots));
         let fits = slots <= self.spec.slots;
-        if !fits || self.slots_in_use() + slots > self.spec.slots && self.waiting.len() >= self.spec.queue {
+        if !fits || self.slots_in_use() + slots > self.spec.slots && self.queue.len() >= self.spec.queue {
             return Admission::Rejected;
         }
-        self.waiting.push_back(Job { job_id, slots, fetch: 0.0, work, key });
+        self.queue.push_back(Job { job_id, slots, fetch: 0.0, work, key });
         Admission::Accepted
     }
 
@@ -198,8 +230,7 @@
         while left > 0.0 && !self.running.is_empty() {
             let used = f64::from(self.slots_in_use()).max(1.0);
             let share = (f64::from(self.spec.cores) / used).min(1.0);
-            // Overhead takes up to half of the cores until it is done.
-            let free = if self.overhead > 0.0 { 0.5 } else { 1.0 };
+            let free = if self.overhead > 0.0 { OVERHEAD_SHARE } else { 1.0 };
             let speed = self.spec.speed * self.slow_start_factor() * share * free;
             let ends = |job: &Job| {
                 if job.fetch > 0.0 { job.fetch / store_share.max(1e-6) } else { job.work / speed.max(1e-6) }
@@ -208,10 +239,10 @@
             for job in &mut self.running {
                 if job.fetch > 0.0 { job.fetch -= step * store_share } else { job.work -= step * speed }
             }
-            self.overhead = (self.overhead - step * 0.5 * self.capacity()).max(0.0);
+            self.overhead = (self.overhead - step * OVERHEAD_SHARE * self.capacity()).max(0.0);
             self.now += step;
             left -= step;
-            let done = |job: &Job| job.fetch <= 1e-9 && job.work <= 1e-9;
+            let done = |job: &Job| job.fetch <= NO_WORK && job.work <= NO_WORK;
             events.extend(self.running.iter().filter(|job| done(job)).map(|job| JobEvent::Done(job.job_id)));
             self.running.retain(|job| !done(job));
             self.start_queued(events);
@@ -227,17 +258,17 @@
         loop {
             let free = self.spec.slots.saturating_sub(self.slots_in_use());
             let next = match self.spec.order {
-                QueueOrder::Fifo => self.waiting.front().filter(|job| job.slots <= free).map(|_| 0),
-                QueueOrder::Backfill => self.waiting.iter().position(|job| job.slots <= free),
+                QueueOrder::Fifo => self.queue.front().filter(|job| job.slots <= free).map(|_| 0),
+                QueueOrder::Backfill => self.queue.iter().position(|job| job.slots <= free),
             };
-            let Some(mut job) = next.and_then(|i| self.waiting.remove(i)) else { return };
+            let Some(mut job) = next.and_then(|i| self.queue.remove(i)) else { return };
             if job.key != 0 {
-                let had = self
+                let hit = self
                     .cached_keys
                     .iter()
                     .position(|cached| *cached == job.key)
                     .and_then(|i| self.cached_keys.remove(i));
-                job.fetch = if had.is_some() { 0.0 } else { self.fetch_s };
+                job.fetch = if hit.is_some() { 0.0 } else { self.fetch_s };
                 self.cached_keys.push_back(job.key);
                 if self.cached_keys.len() > self.spec.keys {
                     self.cached_keys.pop_front();
--- a/crates/pebblepost-harness/src/worker/simulated.rs
+++ b/crates/pebblepost-harness/src/worker/simulated.rs
@@ -139,10 +139,14 @@
         let (refresh_s, delay_s, noise) = (spec.refresh_s, spec.delay_s, spec.noise);
         if now >= self.report_refreshed_at + refresh_s {
             self.report_refreshed_at = now;
-            let (free, utilization, _) = self.model.load();
+            let load = self.model.load();
             let error = Normal::new(1.0, noise).map_or(1.0, |n| n.sample(&mut self.rng));
-            let free = if self.draining { 0.0 } else { f64::from(free) * error };
-            let report = LoadReport { free_slots: free.max(0.0), utilization, errors: self.failure_share };
+            let free = if self.draining { 0.0 } else { f64::from(load.free_slots) * error };
+            let report = LoadReport {
+                free_slots: free.max(0.0),
+                utilization: load.utilization,
+                errors: self.failure_share,
+            };
             self.delayed_reports.push_back((now + delay_s, report));
         }
         while let Some((_, report)) = self.delayed_reports.pop_front_if(|(at, _)| *at <= now) {
--- a/crates/pebblepost-harness/tests/pins.rs
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -194,20 +194,20 @@
                 model.submit(arrival.dispatcher, number as u64, arrival.slots, arrival.work, arrival.key);
             accepted += u64::from(admission == Admission::Accepted);
             digest.integer(u64::from(admission == Admission::Accepted));
-            let (free, busy, waiting) = model.load();
-            digest.integer(u64::from(free));
-            digest.float(busy);
-            digest.integer(waiting as u64);
+            let worker_load = model.load();
+            digest.integer(u64::from(worker_load.free_slots));
+            digest.float(worker_load.utilization);
+            digest.integer(worker_load.queued as u64);
             digest.integer(model.fetching() as u64);
             digest.float(model.capacity());
             digest.integer(u64::from(model.overload().is_some()));
             if let Some(load) = model.take_cold_load_peak() {
                 digest.float(load.since);
                 digest.float(load.capacity_in_window);
-                for (at, work, from) in load.sent {
-                    digest.float(at);
-                    digest.float(work);
-                    digest.integer(from as u64);
+                for sent in load.sent {
+                    digest.float(sent.at);
+                    digest.float(sent.work);
+                    digest.integer(sent.dispatcher as u64);
                 }
             }
         }
--- a/crates/pebblepost-harness/tests/unit/checker.rs
+++ b/crates/pebblepost-harness/tests/unit/checker.rs
@@ -6,7 +6,7 @@
 use pebblepost_harness::checker::rules::{Rule, check, result_for};
 use pebblepost_harness::checker::slow_start::cold_multiples;
 use pebblepost_harness::event_log::{AttemptEnd, Availability, Entry, Event};
-use pebblepost_harness::worker::model::ColdLoad;
+use pebblepost_harness::worker::model::{ColdLoad, SentWork};
 
 fn requested(txn: &str, key: &str) -> Event {
     Event::Requested { txn: txn.into(), key: key.into(), dispatcher: 0, waits: 6.0 }
@@ -46,7 +46,7 @@
 fn each_broken_rule_is_reported() {
     let start = (0.0, requested("t", "k"));
     let draft = result_for("t");
-    let notified = |at, what| (at, Event::Notified { dispatcher: 0, worker: 1, what });
+    let notified = |at, availability| (at, Event::Notified { dispatcher: 0, worker: 1, availability });
     let cold = Availability::Ready { cold: true };
     let fell = |since| Event::Overloaded { worker: 1, since, sent: vec![(0, 2.0), (1, 1.0)] };
     let cases: Vec<(Rule, Vec<Entry>)> = vec![
@@ -77,7 +77,7 @@
         (
             Rule::Drains,
             vec![
-                (0.0, Event::Published { worker: 1, what: Availability::Draining }),
+                (0.0, Event::Published { worker: 1, availability: Availability::Draining }),
                 (6.6, arrived("t", "k", 1)),
             ],
         ),
@@ -97,7 +97,7 @@
 
 #[test]
 fn accepts_attempts_to_a_worker_that_is_ready_again() {
-    let notified = |what| Event::Notified { dispatcher: 0, worker: 1, what };
+    let notified = |availability| Event::Notified { dispatcher: 0, worker: 1, availability };
     let ready = Availability::Ready { cold: false };
     let log = [(0.0, notified(Availability::Draining)), (5.0, notified(ready)), (6.0, arrived("t", "k", 1))];
     assert_eq!(rules(&log), []);
@@ -105,7 +105,7 @@
 
 #[test]
 fn attempts_to_a_drained_worker_are_timed_from_the_first_notification() {
-    let notified = |what| Event::Notified { dispatcher: 0, worker: 1, what };
+    let notified = |availability| Event::Notified { dispatcher: 0, worker: 1, availability };
     let log = [
         (0.0, notified(Availability::Draining)),
         (0.2, notified(Availability::Gone)),
@@ -145,15 +145,18 @@
 
 #[test]
 fn only_load_sent_after_the_notification_of_a_start_counts_against_dispatchers() {
-    let notified =
-        |at| (at, Event::Notified { dispatcher: 0, worker: 1, what: Availability::Ready { cold: true } });
-    let load =
-        |since, sent: &[(f64, f64, usize)]| ColdLoad { since, capacity_in_window: 1.0, sent: sent.to_vec() };
+    let notified = |at| {
+        (at, Event::Notified { dispatcher: 0, worker: 1, availability: Availability::Ready { cold: true } })
+    };
+    let load = |since, sent: &[(f64, f64, usize)]| {
+        let sent = sent.iter().map(|&(at, work, dispatcher)| SentWork { at, work, dispatcher }).collect();
+        ColdLoad { since, capacity_in_window: 1.0, sent }
+    };
     let take_cold_load_peak = |at, load| (at, Event::ColdLoadPeak { worker: 1, load });
     // Sent before the notification, after it, and by one that never got it.
     let log = [
         notified(1.0),
-        (1.1, Event::Notified { dispatcher: 1, worker: 2, what: Availability::Ready { cold: true } }),
+        (1.1, Event::Notified { dispatcher: 1, worker: 2, availability: Availability::Ready { cold: true } }),
         take_cold_load_peak(2.0, load(0.5, &[(0.9, 4.0, 0), (1.5, 2.0, 0), (1.5, 1.0, 1)])),
     ];
     assert_eq!(cold_multiples(&log, &Limits::default()), (2.0, 7.0));
@@ -164,7 +167,8 @@
 
 #[test]
 fn no_dispatcher_is_at_fault_for_a_start_that_it_was_not_notified_of() {
-    let notified = Event::Notified { dispatcher: 0, worker: 1, what: Availability::Ready { cold: true } };
+    let notified =
+        Event::Notified { dispatcher: 0, worker: 1, availability: Availability::Ready { cold: true } };
     let fell = Event::Overloaded { worker: 1, since: 0.1, sent: vec![(0, 1.0), (1, 1.0)] };
     assert_eq!(rules(&[(0.2, notified), (1.0, fell)]), [], "half of it came from one that knew");
 }
