--- a/crates/pebblepost-harness/src/checker/rules.rs
+++ b/crates/pebblepost-harness/src/checker/rules.rs
@@ -162,7 +162,7 @@
             && at > since + self.limits.drain_grace_s + self.limits.tolerance_s
         {
             let late_ms = (at - since) * 1e3;
-            let what = format!("{txn} to {worker}, {late_ms:.0} ms after {availability:?} was told");
+            let what = format!("{txn} to {worker}, {late_ms:.0} ms after {availability:?} was announced");
             self.report(Rule::Drains, at, what);
         }
     }
--- a/crates/pebblepost-harness/src/cli.rs
+++ b/crates/pebblepost-harness/src/cli.rs
@@ -122,7 +122,7 @@
     /// Workers.
     #[arg(long, default_value_t = 15)]
     pub(crate) workers: usize,
-    /// Seconds of arrivals in each scenario.
+    /// Seconds of arrivals in each run.
     #[arg(long, default_value_t = 20.0)]
     pub(crate) seconds: f64,
     /// Seed of all draws.
--- a/crates/pebblepost-harness/src/clients.rs
+++ b/crates/pebblepost-harness/src/clients.rs
@@ -23,7 +23,7 @@
     /// Served, so many seconds after its first attempt.
     Served(f64),
     /// Rejected or failed at each attempt.
-    Refused,
+    Rejected,
     /// No answer in time, or the connection was closed.
     Lost,
     /// The client disconnected.
@@ -40,7 +40,7 @@
     /// Attempts.
     pub attempts: u32,
     /// Seconds until its first rejection, if any.
-    pub refused_after: Option<f64>,
+    pub first_rejection_after_s: Option<f64>,
 }
 
 /// No attempt begins with less time than this to the deadline.
@@ -62,7 +62,7 @@
 /// How one attempt ended.
 enum Reply {
     Served,
-    Refused,
+    Rejected,
     Lost,
     Cancelled,
 }
@@ -97,7 +97,7 @@
         let began = Instant::now();
         let deadline = began + Duration::from_secs_f64(DEADLINE_S);
         let cancels_after_s = arrival.cancels_after_s.map(|after| began + Duration::from_secs_f64(after));
-        let (mut attempts, mut refused_after, mut outcome) = (0, None, Outcome::Refused);
+        let (mut attempts, mut first_rejection_after_s, mut outcome) = (0, None, Outcome::Rejected);
         while attempts <= arrival.retries {
             let sent = Instant::now();
             if sent + LEAST_TIME_LEFT >= deadline {
@@ -117,13 +117,18 @@
                     outcome = Outcome::Cancelled;
                     break;
                 }
-                Reply::Refused => {
-                    refused_after.get_or_insert(sent.elapsed().as_secs_f64());
+                Reply::Rejected => {
+                    first_rejection_after_s.get_or_insert(sent.elapsed().as_secs_f64());
                     sleep(Duration::from_secs_f64(arrival.backoff)).await;
                 }
             }
         }
-        lock(&self.results).push(RequestResult { arrival: index, outcome, attempts, refused_after });
+        lock(&self.results).push(RequestResult {
+            arrival: index,
+            outcome,
+            attempts,
+            first_rejection_after_s,
+        });
     }
 
     async fn attempt(
@@ -158,7 +163,7 @@
         let event = timeout_at(until, answer).await;
         let (reply, event) = match event {
             Ok(Some((200, body))) => (Reply::Served, Event::Responded { txn, status: 200, body }),
-            Ok(Some((status, body))) => (Reply::Refused, Event::Responded { txn, status, body }),
+            Ok(Some((status, body))) => (Reply::Rejected, Event::Responded { txn, status, body }),
             Ok(None) => (Reply::Lost, Event::ConnectionClosed { txn }),
             Err(_) if cancels_after_s.is_some() => (Reply::Cancelled, Event::ClientCancelled { txn }),
             Err(_) => (Reply::Lost, Event::TimedOut { txn }),
--- a/crates/pebblepost-harness/src/fleet.rs
+++ b/crates/pebblepost-harness/src/fleet.rs
@@ -103,7 +103,7 @@
     let count = |hit: fn(&Outcome) -> bool| played.results.iter().filter(|f| hit(&f.outcome)).count();
     Summary {
         served: count(|outcome| matches!(outcome, Outcome::Served(_))),
-        refused: count(|outcome| *outcome == Outcome::Refused),
+        refused: count(|outcome| *outcome == Outcome::Rejected),
         lost: count(|outcome| *outcome == Outcome::Lost),
         ready_p99_ms: p99_ms(&played.ready),
         discovery_calls: played.discovery_calls,
--- a/crates/pebblepost-harness/src/release/maintenance.rs
+++ b/crates/pebblepost-harness/src/release/maintenance.rs
@@ -90,7 +90,7 @@
                 bail!("worker/{host} may not be switched off: {off}");
             }
         } else if Instant::now() >= end {
-            bail!("nobody says whether worker/{host} may be switched off");
+            bail!("no replica answers whether worker/{host} may be switched off");
         }
         sleep(POLL_INTERVAL).await;
     }
--- a/crates/pebblepost-harness/src/release/summary.rs
+++ b/crates/pebblepost-harness/src/release/summary.rs
@@ -193,7 +193,7 @@
         stuck_permits,
         halt_p99_ms: nearest_rank(&late_after(&permitted, &halts), 0.99) * 1e3,
         served_share: share(played, |outcome| matches!(outcome, Outcome::Served(_))),
-        refused_share: share(played, |outcome| matches!(outcome, Outcome::Refused)),
+        refused_share: share(played, |outcome| matches!(outcome, Outcome::Rejected)),
         lost_share: share(played, |outcome| matches!(outcome, Outcome::Lost)),
         out_itself_p50_ms: median_outage_ms(&outages, OutageCause::Voluntary),
         out_ordered_p50_ms: median_outage_ms(&outages, OutageCause::Injected),
--- a/crates/pebblepost-harness/src/report.rs
+++ b/crates/pebblepost-harness/src/report.rs
@@ -10,6 +10,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Longer times count as this, in microseconds.
+const LONGEST_TIME_US: u64 = 60_000_000;
+/// The quantile of the normal distribution for an interval of 95%.
+const NORMAL_QUANTILE: f64 = 1.96;
+
 /// A group of requests.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Group {
@@ -66,35 +71,43 @@
     if of == 0 {
         return (0.0, 1.0);
     }
-    let (n, quantile) = (of as f64, 1.96);
+    let (n, quantile) = (of as f64, NORMAL_QUANTILE);
     let share = hits as f64 / n;
     let middle = share + quantile * quantile / (2.0 * n);
     let off = quantile * (share * (1.0 - share) / n + quantile * quantile / (4.0 * n * n)).sqrt();
     ((middle - off) / (1.0 + quantile * quantile / n), (middle + off) / (1.0 + quantile * quantile / n))
 }
 
-/// A histogram of times, to the microsecond, up to a minute.
-fn times() -> Option<Histogram<u64>> {
-    Histogram::new_with_bounds(1, 60_000_000, 3).ok()
-}
+/// A histogram of times, to the microsecond, up to a minute. Empty if it can not be made.
+struct Times(Option<Histogram<u64>>);
+
+impl Times {
+    fn new() -> Self {
+        Self(Histogram::new_with_bounds(1, LONGEST_TIME_US, 3).ok())
+    }
+
+    fn record_us(&mut self, time_us: u64) {
+        if let Some(histogram) = &mut self.0 {
+            histogram.saturating_record(time_us);
+        }
+    }
 
-fn ms(times: &Option<Histogram<u64>>, quantile: f64) -> f64 {
-    times.as_ref().map_or(0.0, |histogram| histogram.value_at_quantile(quantile) as f64 / 1e3)
+    fn quantile_ms(&self, quantile: f64) -> f64 {
+        self.0.as_ref().map_or(0.0, |histogram| histogram.value_at_quantile(quantile) as f64 / 1e3)
+    }
 }
 
 /// 99th percentile of some times, in milliseconds.
-pub fn p99_ms(some: &[Duration]) -> f64 {
-    let mut all = times();
-    if let Some(histogram) = &mut all {
-        some.iter().for_each(|time| histogram.saturating_record(time.as_micros() as u64));
-    }
-    ms(&all, 0.99)
+pub fn p99_ms(times: &[Duration]) -> f64 {
+    let mut all = Times::new();
+    times.iter().for_each(|time| all.record_us(time.as_micros() as u64));
+    all.quantile_ms(0.99)
 }
 
 /// The figures of those requests that `which` picks.
 pub fn group(plan: &Plan, results: &[RequestResult], which: impl Fn(&Arrival) -> bool) -> Group {
     let mut group = Group::default();
-    let (mut latency, mut refusals) = (times(), times());
+    let (mut latencies, mut rejections) = (Times::new(), Times::new());
     for result in results {
         let arrival = &plan.arrivals[result.arrival];
         if !which(arrival) || result.outcome == Outcome::Cancelled {
@@ -107,9 +120,7 @@
         let micros = |seconds: f64| (seconds * 1e6) as u64;
         match result.outcome {
             Outcome::Served(after) => {
-                if let Some(histogram) = &mut latency {
-                    histogram.saturating_record(micros(after));
-                }
+                latencies.record_us(micros(after));
                 if after <= latency_target_s(arrival.work) {
                     group.in_time += 1;
                     group.work_in_time += work;
@@ -117,16 +128,16 @@
                     group.late += 1;
                 }
             }
-            Outcome::Refused => group.refused += 1,
+            Outcome::Rejected => group.refused += 1,
             Outcome::Lost => group.lost += 1,
             Outcome::Cancelled => {}
         }
-        if let (Some(histogram), Some(after)) = (&mut refusals, result.refused_after) {
-            histogram.saturating_record(micros(after));
+        if let Some(after) = result.first_rejection_after_s {
+            rejections.record_us(micros(after));
         }
     }
-    (group.p50_ms, group.p99_ms) = (ms(&latency, 0.5), ms(&latency, 0.99));
-    group.refused_p99_ms = ms(&refusals, 0.99);
+    (group.p50_ms, group.p99_ms) = (latencies.quantile_ms(0.5), latencies.quantile_ms(0.99));
+    group.refused_p99_ms = rejections.quantile_ms(0.99);
     group
 }
 
--- a/crates/pebblepost-harness/src/reservations.rs
+++ b/crates/pebblepost-harness/src/reservations.rs
@@ -112,7 +112,7 @@
         for (slots, group) in &figures.large_by_slots {
             let (share, retried) = (group.share(), group.attempts as f64 / group.requests.max(1) as f64);
             lines.push(format!(
-                "{name}: large of {slots} slots: {share:.3} of {} in time, {retried:.2} tries",
+                "{name}: large of {slots} slots: {share:.3} of {} in time, {retried:.2} attempts",
                 group.requests
             ));
         }
--- a/crates/pebblepost-harness/src/store/cluster.rs
+++ b/crates/pebblepost-harness/src/store/cluster.rs
@@ -104,7 +104,8 @@
         for to in (0..count).filter(|to| *to != place) {
             let through = self.relays[&(place, to)].address.to_string();
             dial.extend(
-                (0..MAX_REPLACEMENTS).map(|life| ((to + 1 + life * count).to_string(), through.clone())),
+                (0..MAX_REPLACEMENTS)
+                    .map(|replacement| ((to + 1 + replacement * count).to_string(), through.clone())),
             );
         }
         let config = json!({
@@ -131,7 +132,7 @@
         }
         let reply = query(self.addresses[0], &json!({"begin": peers})).await?;
         if reply != json!("done") {
-            bail!("the group does not begin: {reply}");
+            bail!("the cluster does not form: {reply}");
         }
         Ok(())
     }
@@ -172,7 +173,7 @@
                 if !self.is_replacing()
                     && let Err(error) = self.damage_disk(place, damage)
                 {
-                    self.crashed.push(format!("the disk of keeper {}: {error:#}", self.replica_ids[place]));
+                    self.crashed.push(format!("the disk of replica {}: {error:#}", self.replica_ids[place]));
                 }
             }
             FaultKind::Link(..)
@@ -205,7 +206,7 @@
             self.disks.refused += usize::from(refused);
             // A flipped bit may be one that nothing reads.
             if !refused && damage == DiskDamage::Truncated {
-                bail!("torn, and served");
+                bail!("truncated, and served");
             }
         }
         self.disks.replaced += 1;
@@ -308,7 +309,7 @@
             if let Some(status) = replica.ended()
                 && !self.active.iter().any(|f| f.kind.stops(place))
             {
-                self.crashed.push(format!("keeper {} ended by itself: {status}", self.replica_ids[place]));
+                self.crashed.push(format!("replica {} ended by itself: {status}", self.replica_ids[place]));
                 replica.start()?;
             }
         }
--- a/crates/pebblepost-harness/src/store/retry.rs
+++ b/crates/pebblepost-harness/src/store/retry.rs
@@ -9,7 +9,7 @@
 
 /// A replica must answer within this.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause between two tries.
+/// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Sends a message to one replica and returns its reply.
--- a/crates/pebblepost-harness/src/store/run.rs
+++ b/crates/pebblepost-harness/src/store/run.rs
@@ -108,7 +108,7 @@
         let revision = found["revision"].as_u64().unwrap_or(0);
         Ok(FinalState { revision, drains: drains(&found["entries"]) })
     });
-    state.await.context("the group does not answer after all faults")
+    state.await.context("the cluster does not answer after all faults")
 }
 
 async fn wait_until_caught_up(follower: &Mutex<FollowerState>, revision: u64) -> Result<()> {
@@ -152,7 +152,7 @@
     cluster
         .wait_for_replacement()
         .await
-        .context("a keeper with a new disk is not taken in after all faults")?;
+        .context("a replica with a new disk has not joined after all faults")?;
     let serving = match serving {
         Some(serving) => Some(serving.await??),
         None => None,
--- a/crates/pebblepost-harness/src/worker/http.rs
+++ b/crates/pebblepost-harness/src/worker/http.rs
@@ -147,7 +147,7 @@
     complete_response(200, &[("content-type", "application/json")], body.to_string())
 }
 
-/// Hands a job to the worker; the response is its stream of updates, or a rejection.
+/// Submits a job to the worker; the response is its stream of updates, or a rejection.
 fn submit(
     pool: Arc<WorkerPool>, worker: &SimulatedWorker, dispatcher: usize, txn: String, arrival: usize,
 ) -> Response<Body> {
--- a/crates/pebblepost-harness/src/worker/pool.rs
+++ b/crates/pebblepost-harness/src/worker/pool.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// An id for a job that was handed in.
+    /// An id for a job that was submitted.
     pub(super) fn next_job_id(&self) -> u64 {
         self.job_ids.fetch_add(1, Ordering::Relaxed)
     }
--- a/crates/pebblepost-harness/src/workload/error.rs
+++ b/crates/pebblepost-harness/src/workload/error.rs
@@ -1,6 +1,6 @@
 //! Why a plan can not be drawn.
 
-/// A spec describes no distribution.
+/// A spec does not describe a distribution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
     /// The sizes of jobs: the mean or the variation is not a positive finite number.
--- a/crates/pebblepost-harness/src/workload/plan.rs
+++ b/crates/pebblepost-harness/src/workload/plan.rs
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// If the spec describes no distribution of job sizes.
+    /// If the spec does not describe a distribution of job sizes.
     pub fn draw(run_spec: &RunSpec, seed: u64) -> Result<Self, PlanError> {
         let coin = if stream(seed, Part::QueueOrder).random_bool(0.5) {
             QueueOrder::Fifo
--- a/crates/pebblepost-harness/tests/unit/report.rs
+++ b/crates/pebblepost-harness/tests/unit/report.rs
@@ -12,9 +12,10 @@
     plan.arrivals
         .iter_mut()
         .for_each(|arrival| (arrival.work, arrival.slots, arrival.large) = (0.2, 1, false));
-    let result = |arrival, outcome| RequestResult { arrival, outcome, attempts: 1, refused_after: None };
+    let result =
+        |arrival, outcome| RequestResult { arrival, outcome, attempts: 1, first_rejection_after_s: None };
     let results =
-        [result(0, Outcome::Served(0.9)), result(1, Outcome::Served(1.1)), result(2, Outcome::Refused)];
+        [result(0, Outcome::Served(0.9)), result(1, Outcome::Served(1.1)), result(2, Outcome::Rejected)];
     let figures = group(&plan, &results, |arrival| !arrival.large);
     assert_eq!((figures.requests, figures.in_time, figures.late, figures.refused), (3, 1, 1, 1));
     assert!((figures.work_in_time - 0.2).abs() < 1e-9);
