--- a/crates/pebblepost-harness/src/dispatcher/process.rs
+++ b/crates/pebblepost-harness/src/dispatcher/process.rs
@@ -1,14 +1,13 @@
 //! One dispatcher as a process: its start, faults, readiness and CPU time.
 
 use super::settings::{ZONES, refusing_settings, settings};
+use crate::fault::signal::{self, Signal};
 use anyhow::{Context, Result, bail};
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::Uri;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use nix::sys::signal::{Signal, kill};
-use nix::unistd::Pid;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -156,28 +155,26 @@
         let _ = self.child.wait();
     }
 
-    fn signal(&mut self, signal: Signal) {
+    fn send_signal(&mut self, signal: Signal) {
         // The id of a process that has ended may be that of another one.
-        if self.runs()
-            && let Ok(pid) = i32::try_from(self.child.id())
-        {
-            let _ = kill(Pid::from_raw(pid), signal);
+        if self.runs() {
+            signal::send(self.child.id(), signal);
         }
     }
 
     /// SIGTERM.
     pub fn stop(&mut self) {
-        self.signal(Signal::SIGTERM);
+        self.send_signal(Signal::SIGTERM);
     }
 
     /// SIGSTOP.
     pub fn pause(&mut self) {
-        self.signal(Signal::SIGSTOP);
+        self.send_signal(Signal::SIGSTOP);
     }
 
     /// SIGCONT.
     pub fn resume(&mut self) {
-        self.signal(Signal::SIGCONT);
+        self.send_signal(Signal::SIGCONT);
     }
 
     /// Whether it has ended, and then whether without an error.
--- a/crates/pebblepost-harness/src/fault/managed_process.rs
+++ b/crates/pebblepost-harness/src/fault/managed_process.rs
@@ -1,8 +1,7 @@
 //! A process that faults are injected into. It is killed when this is dropped.
 
+use super::signal::{self, Signal};
 use anyhow::{Context, Result};
-use nix::sys::signal::{Signal, kill};
-use nix::unistd::Pid;
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 
@@ -43,12 +42,12 @@
         self.child.as_mut()?.try_wait().ok()?
     }
 
-    fn signal(&mut self, signal: Signal) {
+    fn send_signal(&mut self, signal: Signal) {
         // The id of a process that has ended may be that of another one.
         if self.runs()
-            && let Some(pid) = self.child.as_ref().and_then(|child| i32::try_from(child.id()).ok())
+            && let Some(child) = &self.child
         {
-            let _ = kill(Pid::from_raw(pid), signal);
+            signal::send(child.id(), signal);
         }
     }
 
@@ -63,20 +62,20 @@
 
     /// SIGSTOP.
     pub fn pause(&mut self) {
-        self.signal(Signal::SIGSTOP);
+        self.send_signal(Signal::SIGSTOP);
         self.paused = true;
     }
 
     /// SIGCONT.
     pub fn resume(&mut self) {
-        self.signal(Signal::SIGCONT);
+        self.send_signal(Signal::SIGCONT);
         self.paused = false;
     }
 
     /// SIGTERM, and SIGKILL if it has not ended within `limit`. Returns whether it ended by itself.
     pub fn stop(&mut self, limit: Duration) -> bool {
         self.resume();
-        self.signal(Signal::SIGTERM);
+        self.send_signal(Signal::SIGTERM);
         let end = Instant::now() + limit;
         while Instant::now() < end && self.runs() {
             std::thread::sleep(Duration::from_millis(10));
--- a/crates/pebblepost-harness/src/release/plan.rs
+++ b/crates/pebblepost-harness/src/release/plan.rs
@@ -4,6 +4,9 @@
 use crate::workload::spec::RunSpec;
 use serde::Serialize;
 
+/// The version that all dispatchers begin with.
+pub(super) const INITIAL_VERSION: &str = "v0";
+
 /// How dispatchers are brought to a new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "snake_case")]
--- a/crates/pebblepost-harness/src/release/rollout.rs
+++ b/crates/pebblepost-harness/src/release/rollout.rs
@@ -2,14 +2,13 @@
 
 use super::operators::{COMPLETION_TIMEOUT, apply};
 use super::outages::Halt;
-use super::plan::Mode;
+use super::plan::{INITIAL_VERSION, Mode};
 use super::progress::{DISPATCHER_PERMITS, Progress};
 use super::trial::Trial;
+use crate::fault::signal::{self, Signal};
 use crate::supervisor::{ProcessFault, VersionDefect};
 use crate::sync::lock;
 use anyhow::{Result, bail};
-use nix::sys::signal::{Signal, kill};
-use nix::unistd::Pid;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
@@ -24,6 +23,12 @@
 const MAX_SERVED_DROP: &str = "0.1";
 /// The second wave; the first is one dispatcher, the last is all.
 const SECOND_WAVE: &str = "50%";
+/// Requests by their kind, as the first part of their ids: halts by an operator.
+const HALT_REQUESTS: u64 = 31;
+/// Ends of halts.
+const RESUME_REQUESTS: u64 = 32;
+/// Ends of halts by a driver; the number of the release is added.
+const DRIVER_HALT_REQUESTS: u64 = 33;
 /// A release without permits counts as completed after this.
 const WITHOUT_PERMITS: Duration = Duration::from_secs(20);
 
@@ -44,10 +49,10 @@
 
 /// Suspends a process for so long.
 async fn suspend(process: &tokio::process::Child, duration: Duration) {
-    let Some(pid) = process.id().and_then(|id| i32::try_from(id).ok()).map(Pid::from_raw) else { return };
-    let _ = kill(pid, Signal::SIGSTOP);
+    let Some(process_id) = process.id() else { return };
+    signal::send(process_id, Signal::SIGSTOP);
     sleep(duration).await;
-    let _ = kill(pid, Signal::SIGCONT);
+    signal::send(process_id, Signal::SIGCONT);
 }
 
 /// Runs a driver of the present release that is killed and started again, for as long as it is polled.
@@ -94,7 +99,8 @@
         match &now {
             Ok(now) if now.halted && until_halted => return Ok(()),
             Ok(now) if now.halted => {
-                apply(&mut client, (33 + number, round), &json!({"resume": "dispatcher"})).await?;
+                apply(&mut client, (DRIVER_HALT_REQUESTS + number, round), &json!({"resume": "dispatcher"}))
+                    .await?;
             }
             Ok(now) if (now.ready_members, now.permits, now.in_progress) == (all, 0, false) => return Ok(()),
             _ => {}
@@ -107,8 +113,8 @@
     Ok(())
 }
 
-/// One release: begun by two operators at once, driven by two drivers, halted by an operator in the middle. A defective one is halted
-/// by its drivers and rolled back.
+/// One release: begun by two operators at once, driven by two drivers, halted by an operator in the middle. A defective one
+/// is halted by its drivers and rolled back.
 async fn release(trial: &Trial, number: u64, version: &str, before: &str) -> Result<ReleaseEnd> {
     let mut rng = Pcg64Mcg::seed_from_u64(trial.plan.seed.wrapping_mul(7_919) ^ number);
     let mut fork = || rng.random::<u64>();
@@ -117,26 +123,26 @@
     tokio::try_join!(trial.operators.run(&arguments, fork()), trial.operators.run(&arguments, fork()))?;
     let seeded = Pcg64Mcg::seed_from_u64;
     let (one, other, mut rng) = (seeded(fork()), seeded(fork()), seeded(fork()));
-    let course = async {
+    let steps = async {
         let mut client = trial.operators.client();
         if VersionDefect::of(version).is_some() {
             wait_for_completion(trial, number * 10, version, true).await?;
             trial.operators.run(&["release", "back", before], rng.random()).await?;
-            apply(&mut client, (32, number), &json!({"resume": "dispatcher"})).await?;
+            apply(&mut client, (RESUME_REQUESTS, number), &json!({"resume": "dispatcher"})).await?;
             wait_for_completion(trial, number * 10 + 1, before, false).await?;
             return Ok(ReleaseEnd::RolledBack);
         }
         sleep(Duration::from_millis(rng.random_range(200..6_000))).await;
-        apply(&mut client, (31, number), &json!({"halt": "dispatcher"})).await?;
+        apply(&mut client, (HALT_REQUESTS, number), &json!({"halt": "dispatcher"})).await?;
         let acknowledged_at = trial.supervisor.now();
         sleep(Duration::from_millis(rng.random_range(1_000..3_000))).await;
         lock(&trial.halts).push(Halt { acknowledged_at, resumed_at: trial.supervisor.now() });
-        apply(&mut client, (32, number), &json!({"resume": "dispatcher"})).await?;
+        apply(&mut client, (RESUME_REQUESTS, number), &json!({"resume": "dispatcher"})).await?;
         wait_for_completion(trial, number * 10, version, false).await?;
         Ok(ReleaseEnd::Completed)
     };
     tokio::select! {
-        end = course => end,
+        end = steps => end,
         driven = drive(trial, one) => bail!("a driver does not start: {driven:?}"),
         driven = drive(trial, other) => bail!("a driver does not start: {driven:?}"),
     }
@@ -145,12 +151,12 @@
 /// Releases one after another until the trial stops; each third is defective.
 pub(super) async fn run_releases(trial: Arc<Trial>) -> (ReleaseCounts, Result<()>) {
     let mut counts = ReleaseCounts::default();
-    let mut before = "v0".to_owned();
+    let mut before = INITIAL_VERSION.to_owned();
     while !trial.stopping.load(Ordering::Relaxed) {
         counts.begun += 1;
-        let bad = counts.begun % 3 == 0 && trial.plan.mode == Mode::Permits;
+        let defective = counts.begun % 3 == 0 && trial.plan.mode == Mode::Permits;
         let defect = VersionDefect::ALL[counts.begun / 3 % VersionDefect::ALL.len()];
-        let version = format!("{}{}", if bad { defect.name() } else { "v" }, counts.begun);
+        let version = format!("{}{}", if defective { defect.name() } else { "v" }, counts.begun);
         let ended = match trial.plan.mode {
             Mode::Permits => release(&trial, counts.begun as u64, &version, &before).await,
             Mode::AtOnce => {
--- a/crates/pebblepost-harness/src/release/run.rs
+++ b/crates/pebblepost-harness/src/release/run.rs
@@ -4,7 +4,7 @@
 use super::grant_audit::{self, GrantAudit};
 use super::maintenance::WorkerMaintenance;
 use super::operators::{Operators, apply};
-use super::plan::Plan;
+use super::plan::{INITIAL_VERSION, Plan};
 use super::progress::{DISPATCHER_PERMITS, Progress};
 use super::rollout::run_releases;
 use super::summary::{Summary, judge};
@@ -25,8 +25,8 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// The version that all dispatchers begin with.
-const INITIAL_VERSION: &str = "v0";
+/// First part of the ids of the requests that set budgets.
+const BUDGET_REQUESTS: u64 = 30;
 /// All dispatchers must have joined within this.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(60);
 /// Releases stop being begun so long before the end, in seconds.
@@ -64,9 +64,9 @@
 async fn set_budgets(client: &mut StoreClient, plan: &Plan) -> Result<()> {
     let dispatchers =
         json!({"most": {"count": plan.budget.total}, "most_in_zone": {"count": plan.budget.per_zone}});
-    apply(client, (30, 0), &json!({"budget": ["dispatcher", dispatchers]})).await?;
+    apply(client, (BUDGET_REQUESTS, 0), &json!({"budget": ["dispatcher", dispatchers]})).await?;
     let workers = json!({"most": {"count": plan.worker_budget}});
-    apply(client, (30, 1), &json!({"budget": ["worker", workers]})).await
+    apply(client, (BUDGET_REQUESTS, 1), &json!({"budget": ["worker", workers]})).await
 }
 
 async fn wait_until_joined(client: &mut StoreClient, dispatchers: usize) -> Result<()> {
