--- a/crates/pebblepost-harness/src/workload/mod.rs
+++ b/crates/pebblepost-harness/src/workload/mod.rs
@@ -1,4 +1,4 @@
-//! The workload of a run: the workers, the requests and the faults. A [`RunSpec`] is a handful of figures; a [`Plan`] is what
+//! The workload of a run: the workers, the requests and the faults. A [`RunSpec`](spec::RunSpec) is a handful of figures; a [`Plan`](plan::Plan) is what
 //! one seed makes of it, drawn in full before the run, so that arrivals do not wait for answers and two settings meet the same
 //! work. Nothing here knows a clock or a process.
 //!
--- a/crates/pebblepost-rollout/src/message.rs
+++ b/crates/pebblepost-rollout/src/message.rs
@@ -59,7 +59,7 @@
 pub enum PlanOutput {
     /// Send an order, then call [`Planner::order_answered`](crate::Planner::order_answered).
     SendOrder(LoadOrder),
-    /// Fetch a report, then call [`Planner::reported`](crate::Planner::reported).
+    /// Fetch a report, then call [`Planner::report_received`](crate::Planner::report_received).
     FetchLoadReport {
         /// Instance id of the transcriber.
         instance: String,
