--- a/crates/pebblepost-control/src/feed/publisher.rs
+++ b/crates/pebblepost-control/src/feed/publisher.rs
@@ -345,7 +345,7 @@
                 ConfigurationUpdate::Patch { base_generation: *base, generation, patch: patch.clone() }
             }
             (ConfigurationForm::Patch, None) | (ConfigurationForm::Complete, _) => {
-                self.compressed.get_or_init(|| compression::compress(generation, document)).clone()
+                self.compressed.get_or_init(|| compression::compress_configuration(generation, document)).clone()
             }
         };
         Some(FeedUpdate::Configuration(update))
--- a/crates/pebblepost-control/src/node/dispatch.rs
+++ b/crates/pebblepost-control/src/node/dispatch.rs
@@ -27,7 +27,7 @@
             }
             Input::LoadReported { instance, report } => {
                 if let Some(primary) = &mut self.primary {
-                    primary.planner.report_received(now, &instance, report);
+                    primary.planner.handle_report(now, &instance, report);
                 }
             }
             Input::SeedsChanged(seeds) => self.change_seeds(seeds),
--- a/crates/pebblepost-control/src/node/primary.rs
+++ b/crates/pebblepost-control/src/node/primary.rs
@@ -73,7 +73,7 @@
         };
         primary.publish(now, state);
         for instance in registry.live() {
-            primary.planner.instance_announced(now, instance);
+            primary.planner.handle_instance_update(now, instance);
         }
         primary
     }
@@ -93,7 +93,7 @@
         let urgency = if change.has_shutdown { Urgency::Immediate } else { Urgency::Coalesced };
         self.feed.publish_instances(now, &change.instances, urgency);
         for instance in &change.instances {
-            self.planner.instance_announced(now, instance);
+            self.planner.handle_instance_update(now, instance);
         }
     }
 
@@ -120,7 +120,7 @@
         if answer == OrderOutcome::Fenced && self.fenced.insert(order.instance.clone()) {
             log::warn!("load order fenced instance={} fencing_token={}", order.instance, self.epoch);
         }
-        self.planner.order_answered(now, order, answer);
+        self.planner.handle_order_outcome(now, order, answer);
     }
 
     /// Processes the outputs of the roll-out planner. Load orders are sent under a lease only, and not after its end.
@@ -141,7 +141,7 @@
                     outputs.push(Output::SendOrder { order, body, send_by });
                 }
                 (PlanOutput::SendOrder(order), _) => {
-                    self.planner.order_answered(now, &order, OrderOutcome::Rejected);
+                    self.planner.handle_order_outcome(now, &order, OrderOutcome::Rejected);
                 }
                 (PlanOutput::FetchLoadReport { instance, address }, _) => {
                     outputs.push(Output::FetchLoadReport { instance, address });
@@ -181,7 +181,7 @@
             let is_single = state
                 .configuration()
                 .is_some_and(|configuration| load_order::requires_single_version(configuration, model));
-            self.planner.name_version(now, model, *generation, is_single);
+            self.planner.set_named_version(now, model, *generation, is_single);
         }
     }
 }
--- a/crates/pebblepost-feed/src/compression.rs
+++ b/crates/pebblepost-feed/src/compression.rs
@@ -34,7 +34,7 @@
 }
 
 /// A full configuration as a compressed update.
-pub fn compress(generation: u64, document: &[u8]) -> ConfigurationUpdate {
+pub fn compress_configuration(generation: u64, document: &[u8]) -> ConfigurationUpdate {
     ConfigurationUpdate::Compressed {
         generation,
         uncompressed_bytes: document.len() as u64,
--- a/crates/pebblepost-feed/tests/compression.rs
+++ b/crates/pebblepost-feed/tests/compression.rs
@@ -1,7 +1,7 @@
 //! Compressed configurations: small, restored unchanged, and never applied when damaged.
 
 use pebblepost_feed::FeedState;
-use pebblepost_feed::compression::compress;
+use pebblepost_feed::compression::compress_configuration;
 use pebblepost_messages::feed::{ConfigurationUpdate, FeedUpdate};
 
 /// A configuration with many routes whose names have nothing in common.
@@ -22,7 +22,7 @@
 #[test]
 fn a_packed_configuration_is_in_force_as_it_was() {
     let document = document(6);
-    let update = compress(6, &document);
+    let update = compress_configuration(6, &document);
     let ConfigurationUpdate::Compressed { compressed, .. } = &update else { panic!("not compressed") };
     assert!(compressed.len() * 3 < document.len(), "{} of {} bytes", compressed.len(), document.len());
     let mut state = FeedState::default();
@@ -32,7 +32,8 @@
 
 #[test]
 fn a_damaged_configuration_is_rejected_and_asks_for_the_full_one() {
-    let ConfigurationUpdate::Compressed { uncompressed_bytes, compressed, .. } = compress(6, &document(6))
+    let ConfigurationUpdate::Compressed { uncompressed_bytes, compressed, .. } =
+        compress_configuration(6, &document(6))
     else {
         panic!("not compressed")
     };
--- a/crates/pebblepost-feed/tests/snapshots.rs
+++ b/crates/pebblepost-feed/tests/snapshots.rs
@@ -2,7 +2,7 @@
 
 use nanoserde::SerBin;
 use pebblepost_feed::FeedState;
-use pebblepost_feed::compression::compress;
+use pebblepost_feed::compression::compress_configuration;
 use pebblepost_messages::feed::{
     ConfigurationUpdate, FeedUpdate, Instance, InstanceState, ModelVersion, StoreGroup,
 };
@@ -42,7 +42,7 @@
     let document = format!(r#"{{"generation":{generation},"routes":[],"services":[{{"name":"s"}}]}}"#);
     FeedUpdate::Configuration(match draws.below(3) {
         0 => ConfigurationUpdate::Full { generation, document: document.into_bytes() },
-        1 => compress(generation, document.as_bytes()),
+        1 => compress_configuration(generation, document.as_bytes()),
         _ => ConfigurationUpdate::Patch {
             base_generation: generation - 1,
             generation,
@@ -97,6 +97,6 @@
 fn a_compressed_configuration_has_the_approved_bytes() {
     let document: String = (0..200).map(|number| format!("{{\"number\":{}}}", number * 37)).collect();
     let mut digest = Fnv1a::default();
-    digest.update(&compress(6, document.as_bytes()).serialize_bin());
+    digest.update(&compress_configuration(6, document.as_bytes()).serialize_bin());
     assert_eq!(digest.finish(), 0xcac5_66a9_4423_4230, "{:#x}", digest.finish());
 }
--- a/crates/pebblepost-rollout/src/message.rs
+++ b/crates/pebblepost-rollout/src/message.rs
@@ -57,9 +57,9 @@
 /// What the caller must do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlanOutput {
-    /// Send an order, then call [`Planner::order_answered`](crate::Planner::order_answered).
+    /// Send an order, then call [`Planner::handle_order_outcome`](crate::Planner::handle_order_outcome).
     SendOrder(LoadOrder),
-    /// Fetch a report, then call [`Planner::report_received`](crate::Planner::report_received).
+    /// Fetch a report, then call [`Planner::handle_report`](crate::Planner::handle_report).
     FetchLoadReport {
         /// Instance id of the transcriber.
         instance: String,
--- a/crates/pebblepost-rollout/src/planner.rs
+++ b/crates/pebblepost-rollout/src/planner.rs
@@ -56,7 +56,7 @@
 
     /// The configuration names a version of a model, and says whether a text must be made under a single
     /// version. Older versions than the newest are ignored.
-    pub fn name_version(&mut self, now: Duration, model: &str, generation: u64, single_version: bool) {
+    pub fn set_named_version(&mut self, now: Duration, model: &str, generation: u64, single_version: bool) {
         if self.versions.insert(now, model, generation, single_version) {
             self.tick(now);
         }
@@ -69,7 +69,7 @@
     }
 
     /// A transcriber was announced, has changed or has ended.
-    pub fn instance_announced(&mut self, now: Duration, instance: &Instance) {
+    pub fn handle_instance_update(&mut self, now: Duration, instance: &Instance) {
         if instance.state == InstanceState::Terminated {
             self.transcribers.remove(&instance.id);
         } else if let Some(transcriber) = self.transcribers.get_mut(&instance.id) {
@@ -91,7 +91,7 @@
     }
 
     /// An order was answered, or its call has failed.
-    pub fn order_answered(&mut self, now: Duration, order: &LoadOrder, answer: OrderOutcome) {
+    pub fn handle_order_outcome(&mut self, now: Duration, order: &LoadOrder, answer: OrderOutcome) {
         if let Some(transcriber) = self.transcribers.get_mut(&order.instance)
             && transcriber.order_answered(now, order, answer)
         {
@@ -101,7 +101,7 @@
     }
 
     /// A report was fetched; `None` if the call has failed.
-    pub fn report_received(&mut self, now: Duration, instance: &str, report: Option<TranscriberReport>) {
+    pub fn handle_report(&mut self, now: Duration, instance: &str, report: Option<TranscriberReport>) {
         if let Some(transcriber) = self.transcribers.get_mut(instance) {
             let newly_loaded = transcriber.reported(now, report).into_iter();
             let outputs = newly_loaded.map(|(model, generation)| loaded(instance, model, generation));
--- a/crates/pebblepost-rollout/tests/integration/planner.rs
+++ b/crates/pebblepost-rollout/tests/integration/planner.rs
@@ -42,8 +42,8 @@
 /// A planner with one transcriber that was just ordered to load version 2.
 fn one_order() -> (Planner, LoadOrder) {
     let mut planner = Planner::new(Duration::ZERO);
-    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
-    planner.name_version(ms(0), MODEL, 2, false);
+    planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
+    planner.set_named_version(ms(0), MODEL, 2, false);
     let order = orders(&mut planner).pop().expect("one order");
     (planner, order)
 }
@@ -55,17 +55,17 @@
 #[test]
 fn polls_an_order_until_the_version_is_loaded() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::Accepted);
+    planner.handle_order_outcome(ms(5), &order, OrderOutcome::Accepted);
     planner.tick(ms(300));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(355));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.report_received(ms(360), "i-1", report(true, 1));
+    planner.handle_report(ms(360), "i-1", report(true, 1));
     planner.tick(ms(500));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(510));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.report_received(ms(515), "i-1", report(false, 2));
+    planner.handle_report(ms(515), "i-1", report(false, 2));
     let loaded =
         PlanOutput::VersionLoaded { instance: "i-1".to_owned(), model: MODEL.to_owned(), generation: 2 };
     assert_eq!(planner.take_outputs(), [loaded]);
@@ -75,10 +75,10 @@
 #[test]
 fn load_in_progress_is_not_loaded() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::Accepted);
+    planner.handle_order_outcome(ms(5), &order, OrderOutcome::Accepted);
     planner.tick(ms(355));
     planner.take_outputs();
-    planner.report_received(ms(360), "i-1", report(true, 2));
+    planner.handle_report(ms(360), "i-1", report(true, 2));
     assert_eq!(planner.take_outputs(), []);
 }
 
@@ -87,16 +87,16 @@
 #[case::several_versions(false, LoadMode::Retain)]
 fn load_mode_depends_on_single_version(#[case] single_version: bool, #[case] mode: LoadMode) {
     let mut planner = Planner::new(Duration::ZERO);
-    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
-    planner.name_version(ms(0), MODEL, 2, single_version);
+    planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
+    planner.set_named_version(ms(0), MODEL, 2, single_version);
     assert_eq!(orders(&mut planner)[0].mode, mode);
 }
 
 #[test]
 fn sends_no_order_before_the_former_lease_is_over() {
     let mut planner = Planner::new(ms(3000));
-    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
-    planner.name_version(ms(0), MODEL, 2, false);
+    planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
+    planner.set_named_version(ms(0), MODEL, 2, false);
     assert_eq!(planner.next_wake(ms(0)), Some(ms(3000)));
     planner.tick(ms(2999));
     assert_eq!(planner.take_outputs(), []);
@@ -107,10 +107,10 @@
 #[test]
 fn skips_versions_that_are_not_the_newest() {
     let mut planner = Planner::new(ms(1000));
-    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
-    planner.name_version(ms(0), MODEL, 2, false);
-    planner.name_version(ms(10), MODEL, 3, false);
-    planner.name_version(ms(20), MODEL, 2, false);
+    planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
+    planner.set_named_version(ms(0), MODEL, 2, false);
+    planner.set_named_version(ms(10), MODEL, 3, false);
+    planner.set_named_version(ms(20), MODEL, 2, false);
     planner.tick(ms(1000));
     let sent: Vec<u64> = orders(&mut planner).iter().map(|order| order.generation).collect();
     assert_eq!(sent, [3]);
@@ -119,34 +119,34 @@
 #[test]
 fn polls_an_unanswered_order_before_it_sends_another() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(100), &order, OrderOutcome::Unknown);
+    planner.handle_order_outcome(ms(100), &order, OrderOutcome::Unknown);
     planner.tick(ms(250));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.report_received(ms(255), "i-1", report(false, 1));
+    planner.handle_report(ms(255), "i-1", report(false, 1));
     assert_eq!(planner.take_outputs(), [], "the report may be older than the order");
     planner.tick(ms(800));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.report_received(ms(805), "i-1", report(false, 1));
+    planner.handle_report(ms(805), "i-1", report(false, 1));
     assert_eq!(orders(&mut planner).len(), 1);
 }
 
 #[test]
 fn does_not_repeat_an_unanswered_order_that_was_accepted() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(100), &order, OrderOutcome::Unknown);
+    planner.handle_order_outcome(ms(100), &order, OrderOutcome::Unknown);
     planner.tick(ms(250));
     planner.take_outputs();
-    planner.report_received(ms(255), "i-1", report(true, 1));
+    planner.handle_report(ms(255), "i-1", report(true, 1));
     planner.tick(ms(800));
     planner.take_outputs();
-    planner.report_received(ms(805), "i-1", report(false, 2));
+    planner.handle_report(ms(805), "i-1", report(false, 2));
     assert_eq!(orders(&mut planner), []);
 }
 
 #[test]
 fn polls_soon_after_a_conflict() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::Conflict);
+    planner.handle_order_outcome(ms(5), &order, OrderOutcome::Conflict);
     planner.tick(ms(100));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(205));
@@ -158,7 +158,7 @@
     let (mut planner, mut order) = one_order();
     let mut now = ms(5);
     for pause in [300, 600, 1200, 2400, 3000, 3000] {
-        planner.order_answered(now, &order, OrderOutcome::Rejected);
+        planner.handle_order_outcome(now, &order, OrderOutcome::Rejected);
         planner.tick(now + ms(pause - 1));
         assert_eq!(planner.take_outputs(), []);
         now += ms(pause);
@@ -170,21 +170,21 @@
 #[test]
 fn polls_a_fenced_transcriber_after_a_backoff() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::Fenced);
+    planner.handle_order_outcome(ms(5), &order, OrderOutcome::Fenced);
     planner.tick(ms(1004));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(1005));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.report_received(ms(1010), "i-1", report(false, 1));
+    planner.handle_report(ms(1010), "i-1", report(false, 1));
     assert_eq!(orders(&mut planner).len(), 1);
 }
 
 #[test]
 fn older_announcement_does_not_revert_loaded_versions() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::AlreadyLoaded);
+    planner.handle_order_outcome(ms(5), &order, OrderOutcome::AlreadyLoaded);
     planner.take_outputs();
-    planner.instance_announced(ms(900), &instance("i-1", 1, 2));
+    planner.handle_instance_update(ms(900), &instance("i-1", 1, 2));
     planner.tick(ms(2000));
     assert_eq!(planner.take_outputs(), []);
 }
@@ -194,9 +194,9 @@
 #[case::gone(InstanceState::Terminated)]
 fn sends_no_order_to_a_draining_or_ended_transcriber(#[case] state: InstanceState) {
     let mut planner = Planner::new(Duration::ZERO);
-    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
-    planner.instance_announced(ms(1), &Instance { state, ..instance("i-1", 1, 2) });
-    planner.name_version(ms(2), MODEL, 2, false);
+    planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
+    planner.handle_instance_update(ms(1), &Instance { state, ..instance("i-1", 1, 2) });
+    planner.set_named_version(ms(2), MODEL, 2, false);
     planner.tick(ms(5000));
     assert_eq!(planner.take_outputs(), []);
 }
@@ -204,10 +204,12 @@
 #[test]
 fn orders_a_restarted_transcriber_under_its_new_instance_id() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::Accepted);
-    planner
-        .instance_announced(ms(50), &Instance { state: InstanceState::Terminated, ..instance("i-1", 1, 1) });
-    planner.instance_announced(ms(60), &instance("i-2", 1, 1));
+    planner.handle_order_outcome(ms(5), &order, OrderOutcome::Accepted);
+    planner.handle_instance_update(
+        ms(50),
+        &Instance { state: InstanceState::Terminated, ..instance("i-1", 1, 1) },
+    );
+    planner.handle_instance_update(ms(60), &instance("i-2", 1, 1));
     let sent: Vec<String> = orders(&mut planner).into_iter().map(|order| order.instance).collect();
     assert_eq!(sent, ["i-2"]);
 }
@@ -218,10 +220,10 @@
     for number in 0..7u32 {
         let zone = format!("zone-{}", number % 2);
         let id = format!("i-{number}");
-        planner.instance_announced(ms(0), &Instance { zone, ..instance(&id, 1, 1) });
+        planner.handle_instance_update(ms(0), &Instance { zone, ..instance(&id, 1, 1) });
         planner.set_running_requests(&id, 10 - number);
     }
-    planner.name_version(ms(0), MODEL, 2, false);
+    planner.set_named_version(ms(0), MODEL, 2, false);
     planner.tick(ms(100));
     let sent: Vec<String> = orders(&mut planner).into_iter().map(|order| order.instance).collect();
     assert_eq!(sent, ["i-6", "i-5", "i-4"]);
@@ -231,11 +233,11 @@
 fn unresponsive_transcriber_frees_its_slot_and_is_polled_slowly() {
     let mut planner = Planner::new(Duration::ZERO);
     for id in ["i-1", "i-2"] {
-        planner.instance_announced(ms(0), &instance(id, 1, 1));
+        planner.handle_instance_update(ms(0), &instance(id, 1, 1));
     }
-    planner.name_version(ms(0), MODEL, 2, false);
+    planner.set_named_version(ms(0), MODEL, 2, false);
     let order = orders(&mut planner).pop().expect("one of two loads");
-    planner.order_answered(ms(500), &order, OrderOutcome::Unknown);
+    planner.handle_order_outcome(ms(500), &order, OrderOutcome::Unknown);
     let mut now = ms(500);
     let mut ordered_at = None;
     let mut asked_after = 0;
@@ -246,7 +248,7 @@
             match output {
                 PlanOutput::FetchLoadReport { instance, .. } if instance == order.instance => {
                     asked_after += usize::from(now >= ms(3000));
-                    planner.report_received(now, &instance, None);
+                    planner.handle_report(now, &instance, None);
                 }
                 PlanOutput::SendOrder(next) => ordered_at = ordered_at.or(Some((now, next.instance))),
                 _ => {}
@@ -265,16 +267,16 @@
         ..instance(id, 1, 1)
     };
     for number in 0..6 {
-        planner.instance_announced(ms(0), &two(&format!("i-{number}")));
+        planner.handle_instance_update(ms(0), &two(&format!("i-{number}")));
     }
-    planner.name_version(ms(1), "a", 2, false);
-    planner.name_version(ms(2), "b", 2, false);
+    planner.set_named_version(ms(1), "a", 2, false);
+    planner.set_named_version(ms(2), "b", 2, false);
     planner.tick(ms(10));
     let mut order_of_models = Vec::new();
     let mut open = orders(&mut planner);
     while let Some(order) = open.pop() {
         order_of_models.push(order.model.clone());
-        planner.order_answered(ms(20), &order, OrderOutcome::AlreadyLoaded);
+        planner.handle_order_outcome(ms(20), &order, OrderOutcome::AlreadyLoaded);
         open.extend(orders(&mut planner));
     }
     assert_eq!(order_of_models.len(), 12);
@@ -287,8 +289,8 @@
 fn large_fleet(size: u64) -> (Planner, Vec<PlanOutput>) {
     let mut planner = Planner::new(Duration::ZERO);
     (0..size)
-        .for_each(|number| planner.instance_announced(ms(0), &instance(&format!("i-{number:04}"), 1, 1)));
-    planner.name_version(ms(100), MODEL, 2, false);
+        .for_each(|number| planner.handle_instance_update(ms(0), &instance(&format!("i-{number:04}"), 1, 1)));
+    planner.set_named_version(ms(100), MODEL, 2, false);
     let mut outputs = planner.take_outputs();
     for step in 1..20 {
         planner.tick(ms(100 + 50 * step));
@@ -308,8 +310,9 @@
 #[test]
 fn a_large_fleet_is_ordered_in_slices() {
     let mut planner = Planner::new(Duration::ZERO);
-    (0..999).for_each(|number| planner.instance_announced(ms(0), &instance(&format!("i-{number:04}"), 1, 1)));
-    planner.name_version(ms(100), MODEL, 2, false);
+    (0..999)
+        .for_each(|number| planner.handle_instance_update(ms(0), &instance(&format!("i-{number:04}"), 1, 1)));
+    planner.set_named_version(ms(100), MODEL, 2, false);
     assert_eq!(orders(&mut planner).len(), 32, "a decision of bounded length");
     let (_, outputs) = large_fleet(999);
     assert_eq!(orders_among(&outputs).len(), 333, "a third of them within a second");
@@ -319,7 +322,7 @@
 fn the_more_transcribers_load_the_less_often_each_is_polled() {
     let (mut planner, outputs) = large_fleet(999);
     for order in orders_among(&outputs) {
-        planner.order_answered(ms(1_100), &order, OrderOutcome::Accepted);
+        planner.handle_order_outcome(ms(1_100), &order, OrderOutcome::Accepted);
     }
     planner.take_outputs();
     let mut polled = 0;
@@ -329,7 +332,7 @@
         for output in planner.take_outputs() {
             if let PlanOutput::FetchLoadReport { instance, .. } = output {
                 polled += 1;
-                planner.report_received(now, &instance, report(true, 1));
+                planner.handle_report(now, &instance, report(true, 1));
             }
         }
     }
@@ -346,7 +349,7 @@
     let order = orders_among(&outputs).pop().expect("an order");
     planner.tick(ms(1_100));
     planner.take_outputs();
-    planner.order_answered(ms(1_101), &order, OrderOutcome::AlreadyLoaded);
+    planner.handle_order_outcome(ms(1_101), &order, OrderOutcome::AlreadyLoaded);
     assert_eq!(orders(&mut planner).len(), orders_at_once);
     planner.tick(ms(1_150));
     assert_eq!(orders(&mut planner).len(), 1 - orders_at_once);
--- a/crates/pebblepost-rollout/tests/integration/simulation/mod.rs
+++ b/crates/pebblepost-rollout/tests/integration/simulation/mod.rs
@@ -149,7 +149,7 @@
     /// Names a version.
     pub fn name_version(&mut self, model: &str, generation: u64, single_version: bool) {
         self.named.insert(model.to_owned(), generation);
-        self.planner.name_version(self.now, model, generation, single_version);
+        self.planner.set_named_version(self.now, model, generation, single_version);
         self.carry_out();
     }
 
@@ -332,12 +332,10 @@
                 Event::OrderArrives(order) => self.order_arrives(order),
                 Event::OrderAnswered(order, answer) => {
                     self.unanswered.remove(&order.instance);
-                    self.planner.order_answered(self.now, &order, answer);
+                    self.planner.handle_order_outcome(self.now, &order, answer);
                 }
                 Event::PollArrives(instance) => self.poll_arrives(instance),
-                Event::Reported(instance, report) => {
-                    self.planner.report_received(self.now, &instance, report)
-                }
+                Event::Reported(instance, report) => self.planner.handle_report(self.now, &instance, report),
             }
             self.carry_out();
         }
@@ -347,7 +345,7 @@
     fn announce(&mut self, instance: &Instance) {
         let lives = self.transcribers.iter().any(|transcriber| transcriber.id == instance.id);
         if lives || instance.state == InstanceState::Terminated {
-            self.planner.instance_announced(self.now, instance);
+            self.planner.handle_instance_update(self.now, instance);
         }
     }
 
--- a/crates/pebblepost-rollout/tests/integration/version_lag.rs
+++ b/crates/pebblepost-rollout/tests/integration/version_lag.rs
@@ -38,9 +38,9 @@
     fn new() -> Scene {
         let mut planner = Planner::new(Duration::ZERO);
         for number in 0..TRANSCRIBERS {
-            planner.instance_announced(Duration::ZERO, &instance(number, 1));
+            planner.handle_instance_update(Duration::ZERO, &instance(number, 1));
         }
-        planner.name_version(Duration::ZERO, OTHER, 1, false);
+        planner.set_named_version(Duration::ZERO, OTHER, 1, false);
         let loaded = (0..TRANSCRIBERS).map(|number| (format!("i-{number}"), 1)).collect();
         Scene { planner, now: Duration::ZERO, loaded }
     }
@@ -52,7 +52,7 @@
     /// Names a version and lets every load end at once: who loaded it, and from which version, in this order.
     fn name(&mut self, generation: u64) -> Vec<u64> {
         self.now += Duration::from_secs(6);
-        self.planner.name_version(self.now, MODEL, generation, true);
+        self.planner.set_named_version(self.now, MODEL, generation, true);
         self.load(generation)
     }
 
@@ -76,7 +76,7 @@
                 let former =
                     self.loaded.insert(order.instance.clone(), generation).expect("a known transcriber");
                 loaded_from.push(former);
-                self.planner.order_answered(self.now, &order, OrderOutcome::AlreadyLoaded);
+                self.planner.handle_order_outcome(self.now, &order, OrderOutcome::AlreadyLoaded);
             }
         }
     }
@@ -113,17 +113,21 @@
 fn all_load_the_only_model() {
     let mut planner = Planner::new(Duration::ZERO);
     for number in 0..3 {
-        planner.instance_announced(Duration::ZERO, &instance(number, 1));
+        planner.handle_instance_update(Duration::ZERO, &instance(number, 1));
     }
     planner.observe_version_lag(Duration::ZERO, MODEL, 1);
-    planner.name_version(Duration::ZERO, MODEL, 2, true);
+    planner.set_named_version(Duration::ZERO, MODEL, 2, true);
     let mut loads = 0;
     for step in 0..10 {
         let outputs = planner.take_outputs();
         for output in outputs {
             if let PlanOutput::SendOrder(order) = output {
                 loads += 1;
-                planner.order_answered(Duration::from_millis(step), &order, OrderOutcome::AlreadyLoaded);
+                planner.handle_order_outcome(
+                    Duration::from_millis(step),
+                    &order,
+                    OrderOutcome::AlreadyLoaded,
+                );
             }
         }
     }
@@ -160,12 +164,12 @@
     for number in 0..6 {
         let mut both = instance(number, if number < 3 { 2 } else { 1 });
         both.models[1] = ModelVersion { model: STRICT.to_owned(), generation: 2 };
-        planner.instance_announced(Duration::ZERO, &both);
+        planner.handle_instance_update(Duration::ZERO, &both);
     }
     planner.observe_version_lag(Duration::ZERO, MODEL, 1);
     planner.observe_version_lag(Duration::ZERO, STRICT, 0);
-    planner.name_version(Duration::ZERO, MODEL, 3, true);
-    planner.name_version(Duration::ZERO, STRICT, 3, false);
+    planner.set_named_version(Duration::ZERO, MODEL, 3, true);
+    planner.set_named_version(Duration::ZERO, STRICT, 3, false);
     planner.tick(start);
     let outputs = planner.take_outputs();
     let ordered: Vec<&str> = outputs
@@ -187,21 +191,25 @@
         let loaded = |model: &&str| ModelVersion { model: (*model).to_owned(), generation };
         let models = models.iter().map(loaded).collect();
         let announced = Instance { models, state, sequence: 1, ..instance(number, generation) };
-        planner.instance_announced(Duration::ZERO, &announced);
+        planner.handle_instance_update(Duration::ZERO, &announced);
     };
     // Four hold the newest version; two of these leave.
     for number in 0..8 {
         let state = if number < 2 { InstanceState::Draining } else { InstanceState::Ready };
         announce(&mut planner, number, if number < 4 { 2 } else { 1 }, state);
     }
-    models.iter().for_each(|model| planner.name_version(Duration::ZERO, model, 2, false));
+    models.iter().for_each(|model| planner.set_named_version(Duration::ZERO, model, 2, false));
     let mut loads = 0;
     for step in 0..50 {
         planner.tick(Duration::from_millis(step * 50));
         for output in planner.take_outputs() {
             if let PlanOutput::SendOrder(order) = output {
                 loads += 1;
-                planner.order_answered(Duration::from_millis(step * 50), &order, OrderOutcome::AlreadyLoaded);
+                planner.handle_order_outcome(
+                    Duration::from_millis(step * 50),
+                    &order,
+                    OrderOutcome::AlreadyLoaded,
+                );
             }
         }
     }
