--- a/crates/pebblepost-control/src/feed/publisher.rs
+++ b/crates/pebblepost-control/src/feed/publisher.rs
@@ -344,9 +344,10 @@
             (ConfigurationForm::Patch, Some(PublishedPatch { base, patch })) => {
                 ConfigurationUpdate::Patch { base_generation: *base, generation, patch: patch.clone() }
             }
-            (ConfigurationForm::Patch, None) | (ConfigurationForm::Complete, _) => {
-                self.compressed.get_or_init(|| compression::compress_configuration(generation, document)).clone()
-            }
+            (ConfigurationForm::Patch, None) | (ConfigurationForm::Complete, _) => self
+                .compressed
+                .get_or_init(|| compression::compress_configuration(generation, document))
+                .clone(),
         };
         Some(FeedUpdate::Configuration(update))
     }
--- a/crates/pebblepost-feed/src/changes.rs
+++ b/crates/pebblepost-feed/src/changes.rs
@@ -1,28 +1,28 @@
-//! What an update changed.
+//! The changes that feed updates made to the state.
 
-/// What an update, or several, changed.
+/// The changes that one or several updates made to a [`FeedState`](crate::FeedState).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedChanges {
-    /// A newer configuration was applied.
+    /// Whether a newer configuration was applied.
     pub configuration: bool,
-    /// Ids of transcribers that are new or changed in any way.
+    /// Ids of the instances that are new or changed in any way.
     pub instances: Vec<String>,
-    /// Groups of batch jobs with a newer epoch or assignment.
+    /// Numbers of the store groups that are new, or that have another assignment under the same or a newer epoch.
     pub store_groups: Vec<u32>,
-    /// A newer version of a model was named.
+    /// Whether a newer version of a model was named.
     pub named_versions: bool,
-    /// The update was a patch on another configuration than the current one, or was damaged: the receiver must
-    /// subscribe again to get the full configuration.
+    /// Whether a configuration update could not be applied, because it was a patch for another generation than the
+    /// current one or because it was damaged. The receiver must subscribe again to get the full configuration.
     pub resync_needed: bool,
 }
 
 impl FeedChanges {
-    /// Whether anything changed.
+    /// Whether anything changed or a resync is needed.
     pub fn any(&self) -> bool {
         *self != FeedChanges::default()
     }
 
-    /// Adds the changes of a later update.
+    /// Adds the changes that a later update made.
     pub fn merge(&mut self, mut later: FeedChanges) {
         self.configuration |= later.configuration;
         self.named_versions |= later.named_versions;
--- a/crates/pebblepost-feed/src/compression.rs
+++ b/crates/pebblepost-feed/src/compression.rs
@@ -1,39 +1,46 @@
-//! Compression of what many subscribers are sent: with hundreds of routes or transcribers for each agent of a fleet,
-//! uncompressed updates would occupy the control primary's link for most of a second.
+//! Compression of the updates that are sent to many subscribers.
+//!
+//! Updates with hundreds of routes or transcribers go to every agent of a fleet. Uncompressed, they would occupy the
+//! network link of the control primary for most of a second.
 
 use nanoserde::SerBin;
 use pebblepost_messages::feed::{CompressedUpdates, ConfigurationUpdate, FeedUpdate};
 
-/// On configurations, higher levels cost several times the processor time and save a few percent.
+/// Deflate level. On configurations, higher levels take several times the processor time and save only a few percent
+/// of the size.
 const COMPRESSION_LEVEL: u8 = 3;
-/// Shorter updates are not compressed.
+/// Encoded updates that are shorter than this are not compressed.
 const MIN_COMPRESSED_BYTES: usize = 512;
-/// Limit on decompressed documents, against a damaged or hostile length.
+/// Upper bound on the length of a decompressed document. It limits the memory that a damaged or malicious length can
+/// make a receiver allocate.
 const MAX_DOCUMENT_BYTES: usize = 256 * 1024 * 1024;
 
-/// A compressed document cannot be decompressed.
+/// Why a compressed document cannot be decompressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecompressError {
-    /// The announced length is over the limit.
-    #[error("a document of {uncompressed_bytes} bytes is over the limit")]
+    /// The announced length exceeds the limit of 256 MiB.
+    #[error(
+        "the announced length of {uncompressed_bytes} bytes exceeds the limit of {} bytes",
+        MAX_DOCUMENT_BYTES
+    )]
     TooLarge {
         /// Announced length of the document, in bytes.
         uncompressed_bytes: u64,
     },
-    /// The bytes are not a complete deflate stream, or hold more than the announced length.
-    #[error("the compressed document is damaged")]
+    /// The bytes are not a complete deflate stream, or decompress to more than the announced length.
+    #[error("the compressed document is damaged or longer than the announced length")]
     Corrupted,
-    /// The document is shorter than announced.
-    #[error("a document of {actual_bytes} bytes was announced with {expected_bytes}")]
+    /// The document is shorter than the announced length.
+    #[error("the document has {actual_bytes} bytes, but {expected_bytes} were announced")]
     LengthMismatch {
         /// Announced length, in bytes.
         expected_bytes: usize,
-        /// Length once decompressed, in bytes.
+        /// Length of the decompressed document, in bytes.
         actual_bytes: usize,
     },
 }
 
-/// A full configuration as a compressed update.
+/// Returns a full configuration as a compressed update.
 pub fn compress_configuration(generation: u64, document: &[u8]) -> ConfigurationUpdate {
     ConfigurationUpdate::Compressed {
         generation,
@@ -42,7 +49,9 @@
     }
 }
 
-/// Updates in the form that many subscribers share; `None` if they are so short that this is not worth it.
+/// Compresses updates once for all subscribers.
+///
+/// Returns `None` if their encoded form has less than 512 bytes, where compression does not pay off.
 pub fn compress_updates(updates: &[FeedUpdate]) -> Option<CompressedUpdates> {
     let encoded = SerBin::serialize_bin(&updates.to_vec());
     if encoded.len() < MIN_COMPRESSED_BYTES {
@@ -54,11 +63,11 @@
     })
 }
 
-/// A decompressed document, or decompressed updates in their encoded form.
+/// Decompresses a document, or updates in their encoded form.
 ///
 /// # Errors
 ///
-/// The announced length is too large or wrong, or the bytes are damaged.
+/// Fails if the announced length exceeds the limit or is not that of the document, or if the bytes are damaged.
 pub fn decompress(uncompressed_bytes: u64, compressed: &[u8]) -> Result<Vec<u8>, DecompressError> {
     let expected_bytes = usize::try_from(uncompressed_bytes)
         .ok()
--- a/crates/pebblepost-feed/src/instance_table.rs
+++ b/crates/pebblepost-feed/src/instance_table.rs
@@ -1,12 +1,13 @@
-//! The incarnations of transcribers, folded from their announcements.
+//! The instances of transcribers, as their announcements describe them.
 
 use pebblepost_messages::feed::{Instance, InstanceState, ModelVersion};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Tombstones kept, the newest: a late announcement must not revive an ended incarnation.
+/// Number of the newest tombstones that are kept. With its tombstone, an instance that has terminated is not revived
+/// by a late announcement.
 const MAX_TOMBSTONES: usize = 4096;
 
-/// All known incarnations, the newest of the ended ones among them as tombstones.
+/// All known instances. The newest of the terminated ones are kept as tombstones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InstanceTable {
     by_id: BTreeMap<String, Instance>,
@@ -15,17 +16,17 @@
 }
 
 impl InstanceTable {
-    /// An incarnation, possibly a tombstone.
+    /// Returns an instance, which may be a tombstone.
     pub(crate) fn get(&self, id: &str) -> Option<&Instance> {
         self.by_id.get(id)
     }
 
-    /// All incarnations with the tombstones, by id.
+    /// Iterates over all instances, including the tombstones, by id.
     pub(crate) fn all(&self) -> impl Iterator<Item = &Instance> {
         self.by_id.values()
     }
 
-    /// The incarnations that have not ended, by id.
+    /// Iterates over the instances that have not terminated, by id.
     pub(crate) fn live(&self) -> impl Iterator<Item = &Instance> {
         self.all().filter(|instance| instance.state != InstanceState::Terminated)
     }
@@ -44,8 +45,8 @@
         true
     }
 
-    /// Ends all live incarnations that are not among `ids`. Returns the ids of the ended ones.
-    pub(crate) fn retain(&mut self, ids: &BTreeSet<&str>) -> Vec<String> {
+    /// Marks all live instances that are not among `ids` as terminated. Returns their ids.
+    pub(crate) fn terminate_absent(&mut self, ids: &BTreeSet<&str>) -> Vec<String> {
         let absent: Vec<String> = self
             .live()
             .filter(|instance| !ids.contains(instance.id.as_str()))
@@ -72,12 +73,12 @@
     }
 }
 
-/// The incarnation after an announcement; `None` if it has ended.
+/// Returns the instance after an announcement, or `None` if it has terminated.
 fn merge(current: &Instance, announcement: &Instance) -> Option<Instance> {
     if current.state == InstanceState::Terminated {
         return None;
     }
-    // Draining and gone are final, in whatever order the announcements arrive.
+    // An instance never returns to an earlier state, in whatever order the announcements arrive.
     let state = current.state.max(announcement.state);
     if announcement.sequence < current.sequence {
         return Some(Instance { state, ..current.clone() });
@@ -89,7 +90,7 @@
     Some(merged)
 }
 
-/// Under the same sequence number, the version of a model does not go back.
+/// Raises the versions of `models` to those in `current`, so that no version decreases under one sequence number.
 fn keep_newer_versions(models: &mut [ModelVersion], current: &[ModelVersion]) {
     for model in models {
         if let Some(known) = current.iter().find(|known| known.model == model.model) {
--- a/crates/pebblepost-feed/src/lib.rs
+++ b/crates/pebblepost-feed/src/lib.rs
@@ -1,9 +1,10 @@
-//! State of the data plane, folded from the updates of the feed.
+//! State of the data plane, built from the updates of the feed.
 //!
-//! Every program that receives the feed (proxies, agents, stores, standby control processes) and the control
-//! primary that publishes it hold a [`FeedState`]. The crate owns that state and the rules by which it changes: it
-//! is monotonic, so an older configuration, announcement, epoch or version is ignored. It never does I/O and holds
-//! no clock; the messages are those of `pebblepost-messages`.
+//! A [`FeedState`] is held by every program that receives the feed (proxies, agents, stores, standby control
+//! processes) and by the control primary that publishes it. The state is monotonic: an older configuration,
+//! announcement, epoch or version is ignored.
+//!
+//! The crate does no I/O and reads no clock. `pebblepost-messages` defines the messages.
 
 mod changes;
 pub mod compression;
--- a/crates/pebblepost-feed/src/state.rs
+++ b/crates/pebblepost-feed/src/state.rs
@@ -1,4 +1,4 @@
-//! The folded state and the rules by which updates change it.
+//! The state of the data plane and the rules by which updates change it.
 
 use crate::changes::FeedChanges;
 use crate::compression::{self, DecompressError};
@@ -8,10 +8,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Version of a model's weights before any was named.
-const INITIAL_MODEL_VERSION: u64 = 1;
+/// Weight version of a model for which no version was named.
+const INITIAL_WEIGHT_VERSION: u64 = 1;
 
-/// State of the data plane as of the updates applied so far.
+/// State of the data plane after the updates applied so far.
 #[derive(Clone, Debug, Default)]
 pub struct FeedState {
     configuration: Option<Arc<Configuration>>,
@@ -22,11 +22,11 @@
     proxy_count: u32,
 }
 
-/// Why a newer configuration is not applied.
+/// Why a newer configuration was not applied.
 #[derive(Debug, thiserror::Error)]
 enum ConfigurationUpdateError {
-    /// The update is a patch on another generation than the current one.
-    #[error("the patch is on another generation")]
+    /// The update is a patch for another generation than the current one.
+    #[error("the patch applies to another generation than the current one")]
     BaseMismatch,
     #[error(transparent)]
     Decompress(#[from] DecompressError),
@@ -35,7 +35,7 @@
 }
 
 impl FeedState {
-    /// Applies an update.
+    /// Applies an update and returns what it changed.
     pub fn apply(&mut self, update: &FeedUpdate) -> FeedChanges {
         match update {
             FeedUpdate::Configuration(update) => self.apply_configuration(update),
@@ -58,8 +58,10 @@
         changes
     }
 
-    /// Updates that bring a new subscriber to this state. The list of transcribers is marked as complete only if it
-    /// is known to be ([`FeedState::instances_are_complete`]); otherwise it contains the tombstones.
+    /// Returns the updates that bring a new subscriber to this state.
+    ///
+    /// The list of instances is marked as complete only if it is known to be
+    /// ([`FeedState::instances_are_complete`]). Otherwise it also contains the tombstones.
     pub fn snapshot(&self) -> Vec<FeedUpdate> {
         let mut updates = Vec::new();
         if let Some(configuration) = &self.configuration {
@@ -70,59 +72,60 @@
         }
         updates.push(self.instances_update());
         updates.push(FeedUpdate::StoreGroups(self.store_groups.values().cloned().collect()));
-        updates.push(FeedUpdate::NamedVersions(self.model_versions()));
+        updates.push(FeedUpdate::NamedVersions(self.named_version_list()));
         updates.push(FeedUpdate::ProxyCount(self.proxy_count));
         updates
     }
 
-    /// Whether the list of transcribers is complete: a complete one was received, or
+    /// Whether the list of instances is known to be complete: a complete list was received, or
     /// [`FeedState::set_instances_complete`] was called.
     pub fn instances_are_complete(&self) -> bool {
         self.instances_complete
     }
 
-    /// Marks the list of transcribers as complete. For a publisher, once every live transcriber has had the time to
-    /// announce itself, so that a snapshot may say that all others are gone.
+    /// Marks the list of instances as complete, so that subscribers take all others as terminated.
+    ///
+    /// A publisher calls this once every live transcriber has had the time to announce itself.
     pub fn set_instances_complete(&mut self) {
         self.instances_complete = true;
     }
 
-    /// The current configuration, if there is one.
+    /// Returns the current configuration, if there is one.
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// Generation of the current configuration; 0 if there is none.
+    /// Returns the generation of the current configuration, or 0 if there is none.
     pub fn generation(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |configuration| configuration.generation())
     }
 
-    /// All live transcribers, by id. Tombstones are not among them.
+    /// Iterates over the live instances, by id, without the tombstones.
     pub fn instances(&self) -> impl Iterator<Item = &Instance> {
         self.instances.live()
     }
 
-    /// A transcriber, possibly a tombstone.
+    /// Returns an instance, which may be a tombstone.
     pub fn instance(&self, id: &str) -> Option<&Instance> {
         self.instances.get(id)
     }
 
-    /// Assignment of a group of batch jobs.
+    /// Returns the assignment of a store group.
     pub fn store_group(&self, group: u32) -> Option<&StoreGroup> {
         self.store_groups.get(&group)
     }
 
-    /// Assignments of all groups of batch jobs, by number.
+    /// Iterates over the assignments of all store groups, by number.
     pub fn store_groups(&self) -> impl Iterator<Item = &StoreGroup> {
         self.store_groups.values()
     }
 
-    /// Newest named version of a model; 1 if none was named.
+    /// Returns the newest named version of a model, or 1 if none was named.
     pub fn named_version(&self, model: &str) -> u64 {
-        self.named_versions.get(model).copied().unwrap_or(INITIAL_MODEL_VERSION)
+        self.named_versions.get(model).copied().unwrap_or(INITIAL_WEIGHT_VERSION)
     }
 
-    /// Number of proxies connected to the control plane, at least 1.
+    /// Returns the number of proxies that are connected to the control plane, but at least 1.
     pub fn proxy_count(&self) -> u32 {
         self.proxy_count.max(1)
     }
@@ -145,7 +148,7 @@
                 log::error!("configuration rejected generation={generation}: {error}");
                 FeedChanges { resync_needed: true, ..FeedChanges::default() }
             }
-            // Subscribing again would bring the same document.
+            // A new subscription would deliver the same document, so no resync is requested.
             Err(error @ ConfigurationUpdateError::Invalid(_)) => {
                 log::error!("configuration rejected generation={generation}: {error}");
                 FeedChanges::default()
@@ -153,7 +156,7 @@
         }
     }
 
-    /// The configuration that an update makes.
+    /// Returns the configuration that an update describes.
     fn resolve(&self, update: &ConfigurationUpdate) -> Result<Configuration, ConfigurationUpdateError> {
         match update {
             ConfigurationUpdate::Full { document, .. } => Ok(Configuration::parse(document)?),
@@ -161,11 +164,11 @@
                 let document = compression::decompress(*uncompressed_bytes, compressed)?;
                 Ok(Configuration::parse(&document)?)
             }
-            ConfigurationUpdate::Patch { base_generation: base, patch, .. } => {
+            ConfigurationUpdate::Patch { base_generation, patch, .. } => {
                 let current = self
                     .configuration
                     .as_ref()
-                    .filter(|current| current.generation() == *base)
+                    .filter(|current| current.generation() == *base_generation)
                     .ok_or(ConfigurationUpdateError::BaseMismatch)?;
                 Ok(current.patched(patch)?)
             }
@@ -182,7 +185,7 @@
             self.instances_complete = true;
             let ids: BTreeSet<&str> =
                 announcements.iter().map(|announcement| announcement.id.as_str()).collect();
-            changed.append(&mut self.instances.retain(&ids));
+            changed.append(&mut self.instances.terminate_absent(&ids));
         }
         FeedChanges { instances: changed, ..FeedChanges::default() }
     }
@@ -200,14 +203,14 @@
     }
 
     fn apply_named_versions(&mut self, versions: &[ModelVersion]) -> FeedChanges {
-        let mut raised = false;
+        let mut has_newer_version = false;
         for version in versions {
             if version.generation > self.named_version(&version.model) {
                 self.named_versions.insert(version.model.clone(), version.generation);
-                raised = true;
+                has_newer_version = true;
             }
         }
-        FeedChanges { named_versions: raised, ..FeedChanges::default() }
+        FeedChanges { named_versions: has_newer_version, ..FeedChanges::default() }
     }
 
     fn instances_update(&self) -> FeedUpdate {
@@ -220,7 +223,7 @@
         FeedUpdate::Instances { complete, instances }
     }
 
-    fn model_versions(&self) -> Vec<ModelVersion> {
+    fn named_version_list(&self) -> Vec<ModelVersion> {
         self.named_versions
             .iter()
             .map(|(model, generation)| ModelVersion { model: model.clone(), generation: *generation })
--- a/crates/pebblepost-feed/tests/compression.rs
+++ b/crates/pebblepost-feed/tests/compression.rs
@@ -1,10 +1,10 @@
-//! Compressed configurations: small, restored unchanged, and never applied when damaged.
+//! Compressed configurations are smaller, are restored unchanged, and are not applied if they are damaged.
 
 use pebblepost_feed::FeedState;
 use pebblepost_feed::compression::compress_configuration;
 use pebblepost_messages::feed::{ConfigurationUpdate, FeedUpdate};
 
-/// A configuration with many routes whose names have nothing in common.
+/// Returns a configuration with 500 routes whose names share no text that would make compression easy.
 fn document(generation: u64) -> Vec<u8> {
     let route = |number: u64| {
         let name = number.wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_packed_configuration_is_in_force_as_it_was() {
+fn compressed_configuration_is_restored_unchanged() {
     let document = document(6);
     let update = compress_configuration(6, &document);
     let ConfigurationUpdate::Compressed { compressed, .. } = &update else { panic!("not compressed") };
@@ -31,20 +31,20 @@
 }
 
 #[test]
-fn a_damaged_configuration_is_rejected_and_asks_for_the_full_one() {
+fn damaged_configuration_is_rejected_and_requires_a_resync() {
     let ConfigurationUpdate::Compressed { uncompressed_bytes, compressed, .. } =
         compress_configuration(6, &document(6))
     else {
         panic!("not compressed")
     };
-    let mut flipped = compressed.clone();
-    flipped[100] ^= 0x55;
+    let mut corrupted = compressed.clone();
+    corrupted[100] ^= 0x55;
     let damaged = [
         (uncompressed_bytes, compressed[..compressed.len() / 2].to_vec()),
         (uncompressed_bytes - 1, compressed.clone()),
         (uncompressed_bytes + 1, compressed.clone()),
         (u64::MAX, compressed),
-        (uncompressed_bytes, flipped),
+        (uncompressed_bytes, corrupted),
     ];
     for (uncompressed_bytes, compressed) in damaged {
         let mut state = FeedState::default();
--- a/crates/pebblepost-feed/tests/feed.rs
+++ b/crates/pebblepost-feed/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Folding of the feed: the state is monotonic.
+//! Updates of the feed state: it is monotonic, whatever the order of the updates.
 
 use pebblepost_feed::{FeedChanges, FeedState};
 use pebblepost_messages::feed::{
@@ -29,7 +29,7 @@
     FeedUpdate::Instances { complete: false, instances: vec![instance] }
 }
 
-fn holding(id: &str, sequence: u64, generation: u64) -> Instance {
+fn instance_with_version(id: &str, sequence: u64, generation: u64) -> Instance {
     let models = vec![ModelVersion { model: "m".to_owned(), generation }];
     Instance { models, ..instance(id, sequence, InstanceState::Ready) }
 }
@@ -42,14 +42,14 @@
     state.instances().map(|instance| instance.id.as_str()).collect()
 }
 
-fn state_of(updates: &[FeedUpdate]) -> FeedState {
+fn state_after_updates(updates: &[FeedUpdate]) -> FeedState {
     let mut state = FeedState::default();
     state.apply_all(updates);
     state
 }
 
 #[test]
-fn a_newer_configuration_replaces_an_older_one_and_never_the_other_way_round() {
+fn only_a_newer_configuration_replaces_the_current_one() {
     let mut state = FeedState::default();
     assert_eq!(state.generation(), 0);
     assert!(state.apply(&full(5)).configuration);
@@ -61,22 +61,22 @@
 }
 
 #[test]
-fn a_patch_applies_to_its_base_only() {
+fn patch_applies_only_to_its_base_generation() {
     let mut state = FeedState::default();
-    let gap = FeedChanges { resync_needed: true, ..FeedChanges::default() };
-    assert_eq!(state.apply(&patch(5, 7)), gap);
+    let resync = FeedChanges { resync_needed: true, ..FeedChanges::default() };
+    assert_eq!(state.apply(&patch(5, 7)), resync);
     state.apply(&full(5));
-    assert_eq!(state.apply(&patch(4, 7)), gap);
+    assert_eq!(state.apply(&patch(4, 7)), resync);
     assert_eq!(state.generation(), 5);
     assert!(state.apply(&patch(5, 7)).configuration);
     assert_eq!(state.configuration().unwrap().route("h", "/p/x").unwrap().name, "r");
-    // Applied already: no gap, although its base is not the current generation.
+    // A patch that was applied already needs no resync, although its base is not the current generation.
     assert!(!state.apply(&patch(5, 7)).any());
 }
 
 #[test]
-fn an_invalid_configuration_changes_nothing() {
-    let mut state = state_of(&[full(5)]);
+fn invalid_configuration_is_ignored() {
+    let mut state = state_after_updates(&[full(5)]);
     let document = b"{".to_vec();
     let update = FeedUpdate::Configuration(ConfigurationUpdate::Full { generation: 6, document });
     assert!(!state.apply(&update).any());
@@ -96,7 +96,7 @@
     3
 )]
 #[case::stays_draining(InstanceState::Draining, 2, InstanceState::Ready, 9, InstanceState::Draining, 9)]
-#[case::gone_at_any_sequence(
+#[case::terminates_at_any_sequence(
     InstanceState::Ready,
     9,
     InstanceState::Terminated,
@@ -104,8 +104,8 @@
     InstanceState::Terminated,
     9
 )]
-#[case::stays_gone(InstanceState::Terminated, 2, InstanceState::Ready, 9, InstanceState::Terminated, 2)]
-#[case::stays_gone_after_drain(
+#[case::stays_terminated(InstanceState::Terminated, 2, InstanceState::Ready, 9, InstanceState::Terminated, 2)]
+#[case::stays_terminated_after_drain(
     InstanceState::Terminated,
     2,
     InstanceState::Draining,
@@ -113,21 +113,21 @@
     InstanceState::Terminated,
     2
 )]
-fn the_state_of_an_incarnation_is_monotonic(
+fn instance_state_is_monotonic(
     #[case] first: InstanceState, #[case] first_sequence: u64, #[case] second: InstanceState,
     #[case] second_sequence: u64, #[case] state: InstanceState, #[case] sequence: u64,
 ) {
-    let folded = state_of(&[
+    let feed_state = state_after_updates(&[
         announcement(instance("i", first_sequence, first)),
         announcement(instance("i", second_sequence, second)),
     ]);
-    let current = folded.instance("i").unwrap();
+    let current = feed_state.instance("i").unwrap();
     assert_eq!((current.state, current.sequence), (state, sequence));
-    assert_eq!(ids(&folded).is_empty(), state == InstanceState::Terminated);
+    assert_eq!(ids(&feed_state).is_empty(), state == InstanceState::Terminated);
 }
 
 #[test]
-fn changes_name_the_transcribers_that_changed() {
+fn changes_list_the_changed_instances() {
     let mut state = FeedState::default();
     let first = announcement(instance("i", 1, InstanceState::Ready));
     assert_eq!(state.apply(&first).instances, ["i"]);
@@ -141,20 +141,20 @@
 #[case::older_sequence_does_not_go_back(3, 2, 2, 1, 2)]
 #[case::older_sequence_does_not_rise(3, 2, 2, 9, 2)]
 #[case::a_newer_announcement_replaces(3, 2, 4, 1, 1)]
-fn versions_of_models_follow_the_sequence(
+fn loaded_versions_follow_the_sequence_number(
     #[case] first_sequence: u64, #[case] first: u64, #[case] second_sequence: u64, #[case] second: u64,
     #[case] expected: u64,
 ) {
-    let state = state_of(&[
-        announcement(holding("i", first_sequence, first)),
-        announcement(holding("i", second_sequence, second)),
+    let state = state_after_updates(&[
+        announcement(instance_with_version("i", first_sequence, first)),
+        announcement(instance_with_version("i", second_sequence, second)),
     ]);
     assert_eq!(state.instance("i").unwrap().models, [version("m", expected)]);
 }
 
 #[test]
-fn a_complete_list_ends_all_other_transcribers() {
-    let mut state = state_of(&[
+fn complete_list_terminates_all_other_instances() {
+    let mut state = state_after_updates(&[
         announcement(instance("a", 1, InstanceState::Ready)),
         announcement(instance("b", 1, InstanceState::Draining)),
         announcement(instance("c", 1, InstanceState::Ready)),
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn tombstones_are_kept_up_to_a_limit() {
+fn number_of_tombstones_is_limited() {
     let mut state = FeedState::default();
     for number in 0..5000 {
         let id = format!("i{number}");
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn store_groups_follow_their_epoch() {
+fn store_group_with_an_older_epoch_is_ignored() {
     let group = |epoch, targets: usize| StoreGroup {
         group: 3,
         epoch,
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn named_versions_only_rise() {
+fn named_versions_never_decrease() {
     let mut state = FeedState::default();
     assert_eq!(state.named_version("m"), 1);
     assert!(state.apply(&FeedUpdate::NamedVersions(vec![version("m", 3)])).named_versions);
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn the_proxy_count_is_at_least_one() {
+fn proxy_count_is_at_least_one() {
     let mut state = FeedState::default();
     assert_eq!(state.proxy_count(), 1);
     state.apply(&FeedUpdate::ProxyCount(7));
@@ -221,11 +221,11 @@
 #[rstest]
 #[case::complete(true)]
 #[case::incomplete(false)]
-fn a_snapshot_brings_a_new_subscriber_to_the_same_state(#[case] complete: bool) {
-    let mut state = state_of(&[
+fn snapshot_brings_a_new_subscriber_to_the_same_state(#[case] complete: bool) {
+    let mut state = state_after_updates(&[
         full(5),
         patch(5, 7),
-        announcement(holding("a", 4, 2)),
+        announcement(instance_with_version("a", 4, 2)),
         announcement(instance("b", 1, InstanceState::Terminated)),
         FeedUpdate::StoreGroups(vec![StoreGroup { group: 1, epoch: 4, ..StoreGroup::default() }]),
         FeedUpdate::NamedVersions(vec![version("m", 3)]),
@@ -234,7 +234,7 @@
     if complete {
         state.set_instances_complete();
     }
-    let mut subscriber = state_of(&[
+    let mut subscriber = state_after_updates(&[
         announcement(instance("b", 1, InstanceState::Ready)),
         announcement(instance("x", 1, InstanceState::Ready)),
     ]);
@@ -243,7 +243,7 @@
     assert!(subscriber.configuration().unwrap().route("h", "/p/x").is_some());
     assert_eq!(subscriber.instance("a"), state.instance("a"));
     assert_eq!(subscriber.instance("b").unwrap().state, InstanceState::Terminated);
-    // An incomplete list says nothing about other transcribers.
+    // An incomplete list leaves the other instances of the subscriber as they are.
     let expected = if complete { vec!["a"] } else { vec!["a", "x"] };
     assert_eq!(ids(&subscriber), expected);
     assert_eq!(subscriber.store_group(1).unwrap().epoch, 4);
