--- a/crates/pebblepost-rollout/src/lib.rs
+++ b/crates/pebblepost-rollout/src/lib.rs
@@ -1,12 +1,12 @@
-//! Plans roll-outs of weight versions: which transcriber loads which version when. No I/O, no clock.
+//! Plans roll-outs of weight versions: which transcriber loads which version, and when.
 //!
-//! * [`Planner`]: takes in what happens and puts out what the caller must do.
-//! * `placement`: which transcriber loads which model next.
-//! * `transcriber`, `pending_order`, `backoff`: state of one transcriber and of the order sent to it.
-//! * `named_versions`, `version_lag`: the newest version of each model, and the lag that its jobs allow.
+//! * [`Planner`] takes events from the caller and returns the actions that the caller must carry out.
+//! * `placement` selects the transcriber and the model to load next.
+//! * `transcriber`, `pending_order` and `backoff` hold the state of one transcriber and of its load order.
+//! * `named_versions` and `version_lag` hold the newest version of each model and the lag that its jobs allow.
 //!
-//! The crate sends nothing and waits for nothing: the caller passes the time since an arbitrary start of
-//! its monotonic clock, sends the orders and fetches the reports.
+//! The crate does no I/O and reads no clock. The caller sends the orders, fetches the reports, and passes the
+//! current time as the duration since an arbitrary start of its monotonic clock.
 
 mod backoff;
 mod message;
--- a/crates/pebblepost-rollout/src/named_versions.rs
+++ b/crates/pebblepost-rollout/src/named_versions.rs
@@ -1,27 +1,29 @@
-//! The newest version of each model that the configuration names.
+//! The newest named version of each model, which is the target of its roll-out.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The newest named version of a model.
+/// The newest named version of one model.
 #[derive(Clone, Debug)]
 pub(crate) struct NamedVersion {
-    /// The version.
+    /// The weight version.
     pub(crate) generation: u64,
-    /// Whether a text must be made under a single version.
+    /// Whether each text must be generated under a single version.
     pub(crate) single_version: bool,
-    /// When it was named.
+    /// Time at which the version was named.
     pub(crate) named_at: Duration,
 }
 
-/// Newest named versions by model.
+/// The newest named versions by model.
 #[derive(Debug, Default)]
 pub(crate) struct NamedVersions {
     by_model: BTreeMap<String, NamedVersion>,
 }
 
 impl NamedVersions {
-    /// Names a version, or changes whether texts must be made under a single one; whether it is the newest.
+    /// Records a named version. For the version that is already the newest, only `single_version` is updated.
+    ///
+    /// Returns `false`, without an effect, if a newer version of the model is known.
     pub(crate) fn insert(
         &mut self, now: Duration, model: &str, generation: u64, single_version: bool,
     ) -> bool {
@@ -40,7 +42,7 @@
         self.by_model.get(model)
     }
 
-    /// The newest named version, if it is newer than the one loaded.
+    /// Returns the newest named version of a model if it is newer than the loaded one.
     pub(crate) fn newer_than(&self, model: &str, loaded: u64) -> Option<&NamedVersion> {
         self.get(model).filter(|newest| newest.generation > loaded)
     }
--- a/crates/pebblepost-rollout/src/pending_order.rs
+++ b/crates/pebblepost-rollout/src/pending_order.rs
@@ -1,40 +1,40 @@
-//! An order that was sent to a transcriber and is not known to have ended.
+//! A load order that was sent to a transcriber and whose outcome is not settled.
 //!
-//! Its outcome is found out by polling reports: an order without a clear answer is never simply repeated,
-//! as it may have been accepted.
+//! The outcome is determined by polling reports. An order without a definite answer is never sent again before a
+//! report settles it, because the transcriber may have accepted it.
 
 use crate::message::LoadOrder;
 use std::time::Duration;
 
-/// Time without a response after which a transcriber does not occupy a slot among the concurrent loads.
+/// Time without a response after which a transcriber no longer occupies one of the slots for concurrent loads.
 pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Delay of the first poll after an order was accepted.
+/// Delay between the acceptance of an order and the first poll.
 const FIRST_POLL_DELAY: Duration = Duration::from_millis(350);
-/// Time between polls while the outcome of an order is open.
+/// Time between polls of a responsive transcriber.
 const POLL_PERIOD: Duration = Duration::from_millis(150);
 /// Time between polls of an unresponsive transcriber.
 const UNRESPONSIVE_POLL_PERIOD: Duration = Duration::from_secs(1);
-/// A report that was requested earlier than this after an order may show the state before it.
+/// A report that was requested less than this after an order was sent may show the state before the order.
 const MAX_REPORT_LAG: Duration = Duration::from_millis(700);
-/// An accepted order that reports still do not show after this time is lost.
+/// Time after which an accepted order that no report shows is considered lost.
 const LOST_ORDER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How far an order has come.
+/// What is known about the outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Sent and not answered.
+    /// The order was sent and no answer has arrived.
     Sent,
-    /// Accepted.
+    /// The transcriber has accepted the order.
     Accepted,
-    /// Not answered in time: it may have been accepted.
+    /// No answer arrived in time: the transcriber may have accepted the order.
     Uncertain,
-    /// Not accepted, as another load is in progress.
+    /// The order was not accepted because another load is in progress.
     Conflicting,
-    /// Not accepted, as the transcriber has seen a higher fencing token.
+    /// The order was not accepted because the transcriber has seen a higher fencing token.
     Fenced,
 }
 
-/// An order and what is known of its outcome.
+/// An order and what is known about its outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingOrder {
     pub(crate) model: String,
@@ -42,17 +42,17 @@
     pub(crate) generation: u64,
     stage: Stage,
     sent_at: Duration,
-    /// When the transcriber responded last; at first, when the order was sent.
+    /// Time of the last response of the transcriber, initially the time at which the order was sent.
     last_response: Duration,
     next_poll: Duration,
-    /// When the report in flight was requested.
+    /// Time at which the report in flight was requested.
     polled_at: Option<Duration>,
-    /// When the last poll was requested.
+    /// Time at which the last report was requested, whether or not it has arrived.
     last_poll: Option<Duration>,
 }
 
 impl PendingOrder {
-    /// An order that is sent now.
+    /// Creates the state of an order that is sent at `now`.
     pub(crate) fn new(now: Duration, model: &str, generation: u64) -> PendingOrder {
         PendingOrder {
             model: model.to_owned(),
@@ -66,17 +66,17 @@
         }
     }
 
-    /// Whether this is the given order.
-    pub(crate) fn is(&self, order: &LoadOrder) -> bool {
+    /// Whether this is the state of the given order.
+    pub(crate) fn matches(&self, order: &LoadOrder) -> bool {
         self.model == order.model && self.generation == order.generation
     }
 
-    /// Whether the transcriber occupies a slot among the concurrent loads of its service.
+    /// Whether the transcriber occupies one of the slots for concurrent loads of its service.
     pub(crate) fn occupies_slot(&self, now: Duration) -> bool {
         self.stage != Stage::Fenced && !self.is_unresponsive(now)
     }
 
-    /// When something has to be done next: a poll, or another look at whether a slot is occupied.
+    /// Returns the time of the next poll or, if that is earlier, the time at which the slot is freed.
     pub(crate) fn next_wake(&self, now: Duration) -> Duration {
         let poll = match self.polled_at {
             Some(polled_at) => polled_at + RESPONSE_TIMEOUT,
@@ -85,52 +85,53 @@
         if self.is_unresponsive(now) { poll } else { poll.min(self.last_response + RESPONSE_TIMEOUT) }
     }
 
-    /// No answer came: the outcome is uncertain, unless an answer came before.
-    pub(crate) fn unanswered(&mut self, now: Duration) {
+    /// Records that the call failed without an answer. Has no effect if the order was answered before.
+    pub(crate) fn on_no_answer(&mut self, now: Duration) {
         if self.stage == Stage::Sent {
             self.stage = Stage::Uncertain;
             self.next_poll = now + POLL_PERIOD;
         }
     }
 
-    /// The order was accepted.
-    pub(crate) fn accepted(&mut self, now: Duration) {
+    pub(crate) fn on_accepted(&mut self, now: Duration) {
         self.last_response = now;
         self.stage = Stage::Accepted;
         self.next_poll = now + FIRST_POLL_DELAY;
     }
 
-    /// Another load is in progress.
-    pub(crate) fn conflicting(&mut self, now: Duration) {
+    /// Records that the order was refused because another load is in progress.
+    pub(crate) fn on_conflict(&mut self, now: Duration) {
         self.last_response = now;
         self.stage = Stage::Conflicting;
         self.next_poll = now + POLL_PERIOD;
     }
 
-    /// The transcriber has seen a higher fencing token; it is polled after a delay.
-    pub(crate) fn fenced(&mut self, now: Duration, delay: Duration) {
+    /// Records that the transcriber has seen a higher fencing token. It is polled after `delay`.
+    pub(crate) fn on_fenced(&mut self, now: Duration, delay: Duration) {
         self.last_response = now;
         self.stage = Stage::Fenced;
         self.next_poll = now + delay;
     }
 
-    /// Ends the poll in flight, and returns when it was requested.
+    /// Ends the poll in flight and returns the time at which it was requested.
+    ///
+    /// Without a poll in flight, returns the time at which the order was sent.
     pub(crate) fn end_poll(&mut self) -> Duration {
         self.polled_at.take().unwrap_or(self.sent_at)
     }
 
-    /// A poll failed.
-    pub(crate) fn poll_failed(&mut self, now: Duration) {
+    pub(crate) fn on_poll_failed(&mut self, now: Duration) {
         self.next_poll = now + self.poll_period(now);
     }
 
-    /// A report arrived.
-    pub(crate) fn report_received(&mut self, now: Duration) {
+    pub(crate) fn on_report(&mut self, now: Duration) {
         self.last_response = now;
         self.next_poll = now + POLL_PERIOD;
     }
 
-    /// Starts a poll if one is due, no sooner than `min_period` after the one before.
+    /// Starts a poll if one is due, but no sooner than `min_period` after the previous one.
+    ///
+    /// Returns whether it started one. No poll is started before the order is answered or has timed out.
     pub(crate) fn start_poll(&mut self, now: Duration, min_period: Duration) -> bool {
         if self.stage == Stage::Sent && self.is_unresponsive(now) {
             self.stage = Stage::Uncertain;
@@ -146,8 +147,9 @@
         true
     }
 
-    /// Whether a report without a load in progress, requested at `polled_at`, ends the order: the version
-    /// is loaded, or the order was surely not accepted or was lost.
+    /// Whether a report that was requested at `polled_at` and shows no load in progress settles the order.
+    ///
+    /// It does so if the version is loaded, or if the order was certainly not accepted or was lost.
     pub(crate) fn is_resolved(&self, loaded: u64, polled_at: Duration) -> bool {
         match self.stage {
             Stage::Sent => false,
--- a/crates/pebblepost-rollout/src/placement.rs
+++ b/crates/pebblepost-rollout/src/placement.rs
@@ -1,7 +1,7 @@
-//! Which transcriber loads which model next.
+//! Selection of the transcriber and the model to load next.
 //!
-//! Decides only, by the state that it is passed: it counts, for each service, the concurrent loads and the
-//! transcribers that serve each model, and ranks the possible loads.
+//! The selection is a pure function of [`PlacementState`]. It counts, for each service, the concurrent loads and the
+//! transcribers that serve each model, and then ranks the loads that are possible.
 
 use crate::named_versions::NamedVersions;
 use crate::transcriber::Transcriber;
@@ -10,13 +10,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One in this many transcribers of a service loads at a time: more of them slow each other down.
+/// At most one in this many transcribers of a service loads concurrently, because more concurrent loads slow each
+/// other down.
 const CONCURRENT_LOADS_DIVISOR: usize = 3;
 
-/// Models whose jobs a transcriber is to serve with its loaded version, on average.
+/// Target for the number of models whose jobs a transcriber serves with its loaded versions, on average.
 const MODELS_PER_TRANSCRIBER: usize = 2;
 
-/// A load to order.
+/// A load for which an order is to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Placement {
     /// Instance id of the transcriber.
@@ -24,7 +25,7 @@
     pub(crate) model: String,
 }
 
-/// The state by which loads are placed.
+/// The input of the selection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlacementState<'a> {
     pub(crate) now: Duration,
@@ -37,38 +38,38 @@
 /// Counts over the transcribers of one service.
 #[derive(Default)]
 struct ServiceCounts<'a> {
-    /// Transcribers that are ready and count towards the limit on concurrent loads.
+    /// Ready transcribers from which the limit on concurrent loads is computed.
     counted: usize,
+    /// Transcribers whose pending order occupies a slot.
     loading: usize,
     loading_by_zone: BTreeMap<&'a str, usize>,
     by_model: BTreeMap<&'a str, ModelCounts>,
 }
 
-/// Counts over the ready transcribers of one service that have a model loaded.
+/// Counts over the ready transcribers of one service that have loaded a model.
 #[derive(Clone, Copy, Default)]
 struct ModelCounts {
     transcribers: usize,
-    /// Those that have loaded the newest version, or are loading it.
+    /// Transcribers that have loaded the newest version or are loading it.
     current: usize,
-    /// Those whose version serves the jobs of the model, or will once it is loaded.
+    /// Transcribers whose loaded version is recent enough for the jobs of the model, or that are loading the newest.
     serving: usize,
 }
 
-/// Rank of a possible load: the lowest is ordered first. The order of the fields is the order of their
-/// weight.
+/// Rank of a possible load. The load with the lowest rank is selected; earlier fields take precedence.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank<'a> {
-    /// Transcribers whose version no longer serves the jobs of the model come first.
+    /// Whether the loaded version still serves the jobs of the model. Those that no longer do come first.
     still_serves: bool,
-    /// Then models whose jobs the fewest transcribers serve.
+    /// Number of transcribers that serve the jobs of the model.
     serving: usize,
-    /// Then the version that was named earliest.
+    /// Time at which the newest version of the model was named.
     named_at: Duration,
-    /// Of the transcribers of a model: the one that lags most,
+    /// Number of versions behind the newest one. The transcriber with the largest lag comes first.
     lag: Reverse<u64>,
-    /// then one in the zone with the fewest loads,
+    /// Number of loads in the zone of the transcriber.
     loading_in_zone: usize,
-    /// then the one with the fewest running requests.
+    /// Number of requests that the transcriber is running.
     running_requests: u32,
     instance: &'a str,
     model: &'a str,
@@ -83,16 +84,20 @@
         self.by_model.get(model).copied().unwrap_or_default()
     }
 
-    /// Transcribers that are to serve the jobs of a model. Where several models share the transcribers, no
-    /// model needs all of them: loads would keep them busy.
+    /// Returns how many transcribers are to serve the jobs of a model.
+    ///
+    /// Where several models share the transcribers, this is only a part of them. Otherwise the transcribers would be
+    /// busy with loads most of the time.
     fn target_serving(&self, model: &str) -> usize {
         let transcribers = self.model(model).transcribers;
         let models = self.by_model.len().max(1);
         (transcribers * MODELS_PER_TRANSCRIBER).div_ceil(models).min(transcribers)
     }
 
-    /// Transcribers that are to load the newest version of a model whose jobs allow this lag: they take
-    /// turns, unless it is the only model, whose loads disturb no other.
+    /// Returns how many transcribers are to have the newest version of a model whose jobs allow this lag.
+    ///
+    /// The transcribers take turns in loading new versions. If the service has a single model, all of them load every
+    /// version, because the loads disturb no other model.
     fn target_current(&self, model: &str, allowed_lag: u64) -> usize {
         let turns = match self.by_model.len() {
             0 | 1 => 1,
@@ -103,7 +108,7 @@
 }
 
 impl<'a> PlacementState<'a> {
-    /// The load to order next, if there is a free slot for one.
+    /// Returns the load to order next, or `None` if no load is needed or no slot is free.
     pub(crate) fn next_placement(&self) -> Option<Placement> {
         let services = self.count_services();
         let mut best: Option<Rank<'_>> = None;
@@ -124,7 +129,8 @@
         best.map(|best| Placement { instance: best.instance.to_owned(), model: best.model.to_owned() })
     }
 
-    /// Rank of a load of a model; `None` if it is not behind, or enough transcribers serve it.
+    /// Returns the rank of a load, or `None` if it is not needed: the loaded version is the newest one, or enough
+    /// transcribers serve the model.
     fn rank(
         &self, service: &ServiceCounts<'_>, instance: &'a str, transcriber: &Transcriber, model: &'a str,
         loaded: u64,
@@ -157,7 +163,7 @@
         let mut services: BTreeMap<&str, ServiceCounts<'_>> = BTreeMap::new();
         for transcriber in self.transcribers.values() {
             let service = services.entry(&transcriber.backend).or_default();
-            let is_counted = transcriber.is_ready && self.now >= transcriber.counted_from;
+            let is_counted = transcriber.is_ready && self.now >= transcriber.counts_from;
             service.counted += usize::from(is_counted);
             let loading =
                 transcriber.pending_order.as_ref().filter(|pending| pending.occupies_slot(self.now));
@@ -166,7 +172,7 @@
                 *service.loading_by_zone.entry(&transcriber.zone).or_default() += 1;
             }
             if !transcriber.is_ready {
-                // A draining transcriber accepts no new requests, whatever it has loaded.
+                // A draining transcriber accepts no new requests, so it serves none of its loaded models.
                 continue;
             }
             for (model, loaded) in &transcriber.loaded {
--- a/crates/pebblepost-rollout/src/planner.rs
+++ b/crates/pebblepost-rollout/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner: takes in what happens, and puts out what the caller must do.
+//! The planner: handles events and returns the actions that the caller must carry out.
 
 use crate::message::{LoadMode, LoadOrder, OrderOutcome, PlanOutput, TranscriberReport};
 use crate::named_versions::NamedVersions;
@@ -10,142 +10,156 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A new transcriber counts towards the limit on concurrent loads after this time: the incarnation that it
-/// replaces may have crashed, and still be known.
-const COUNTED_AFTER: Duration = Duration::from_secs(3);
+/// Time after which a newly announced transcriber counts towards the limit on concurrent loads. It may replace an
+/// instance that has crashed and is still registered; counting both would raise the limit.
+const NEW_TRANSCRIBER_GRACE: Duration = Duration::from_secs(3);
 
-/// Up to so many transcribers everything is decided anew after each event.
-const SMALL_FLEET: usize = 64;
-/// With more of them, events are handled together that arrive within this time for each further one: a decision looks at
-/// all transcribers, and each of hundreds that load is heard several times a second.
+/// Largest fleet, in transcribers, in which every event is followed by a decision at once.
+const MAX_TRANSCRIBERS_FOR_IMMEDIATE_DECISIONS: usize = 64;
+/// In a larger fleet, an event is followed by a decision only if the last one is at least this long ago for each
+/// transcriber above that number, so that events are handled together. A decision scans all transcribers, and each of
+/// the hundreds that may be loading causes several events a second.
 const DECISION_DELAY_PER_TRANSCRIBER: Duration = Duration::from_micros(20);
-/// Most orders decided at a time, for the same reason.
+/// Upper bound on the orders of one decision, because placing each order scans all transcribers.
 const MAX_ORDERS_PER_DECISION: usize = 32;
 
-/// Up to so many transcribers that load are polled as often as each wants.
-const FREELY_POLLED: usize = 64;
-/// With more of them, time between two polls of one of them for each further one, which bounds the polls a second.
+/// Number of pending orders up to which the polls of a transcriber are not slowed down.
+const MAX_ORDERS_POLLED_UNTHROTTLED: usize = 64;
+/// With more pending orders, two polls of a transcriber are at least this far apart for each order above that number.
+/// This bounds the number of polls per second over all transcribers.
 const POLL_PERIOD_PER_TRANSCRIBER: Duration = Duration::from_millis(2);
 
-/// The planner of one lease holder.
+/// The roll-out planner of one lease holder.
 ///
-/// It brings the transcribers that have loaded a model to its newest named version: one order at a time
-/// for each transcriber, a third of a service's transcribers at a time, and never a version that is no
-/// longer the newest. Where the batch jobs of a model allow a version lag, as many transcribers skip a
-/// version as still serve those jobs; where more than two models share the transcribers, each is served by
-/// a part of them. An order without a clear answer is looked into by reports before another one is sent.
+/// It brings the transcribers that have loaded a model to the newest named version of that model:
+///
+/// * A transcriber has at most one order pending, and only a third of a service's transcribers load concurrently.
+/// * No order is sent for a version that is not the newest named one.
+/// * Where the batch jobs of a model allow a version lag, transcribers may skip versions as long as their loaded
+///   version still serves those jobs.
+/// * Where more than two models share the transcribers of a service, only some of them serve each model.
+/// * After an order without a definite answer, the planner polls reports before it sends another order.
 #[derive(Debug, Default)]
 pub struct Planner {
+    /// Time before which no order is sent.
     not_before: Duration,
-    /// When the first transcriber was announced.
+    /// Time at which the first transcriber was announced.
     first_announced_at: Option<Duration>,
     versions: NamedVersions,
     lags: VersionLags,
     transcribers: BTreeMap<String, Transcriber>,
-    /// When it was last decided what is due.
+    /// Time of the last decision.
     decided_at: Option<Duration>,
     outputs: Vec<PlanOutput>,
 }
 
 impl Planner {
-    /// A planner that may send its first order at `not_before`: orders of a former lease holder must be
-    /// `lease_ms` old by then.
+    /// Creates a planner that sends no order before `not_before`.
+    ///
+    /// The caller must choose it so that any order of a former lease holder is at least `lease_ms` old by then.
     pub fn new(not_before: Duration) -> Planner {
         Planner { not_before, ..Planner::default() }
     }
 
-    /// The configuration names a version of a model, and says whether a text must be made under a single
-    /// version. Older versions than the newest are ignored.
+    /// Records a version of a model that the configuration names. A version older than the newest one is ignored.
+    ///
+    /// `single_version` says whether each text must be generated under a single version.
     pub fn set_named_version(&mut self, now: Duration, model: &str, generation: u64, single_version: bool) {
         if self.versions.insert(now, model, generation, single_version) {
             self.tick(now);
         }
     }
 
-    /// A batch job of a model was accepted that allows this many versions behind the newest named one.
+    /// Records that a batch job was accepted that allows its model to lag by this many versions behind the newest
+    /// named one.
     pub fn observe_version_lag(&mut self, now: Duration, model: &str, lag: u64) {
         self.lags.observe(model, lag);
-        self.decide_soon(now);
+        self.decide_unless_recent(now);
     }
 
-    /// A transcriber was announced, has changed or has ended.
+    /// Handles the announcement, the change or the termination of a transcriber.
     pub fn handle_instance_update(&mut self, now: Duration, instance: &Instance) {
         if instance.state == InstanceState::Terminated {
             self.transcribers.remove(&instance.id);
         } else if let Some(transcriber) = self.transcribers.get_mut(&instance.id) {
-            transcriber.announced(instance);
+            transcriber.apply_announcement(instance);
         } else {
-            let mut transcriber = Transcriber::new(self.counted_from(now));
-            transcriber.announced(instance);
+            let mut transcriber = Transcriber::new(self.counts_from(now));
+            transcriber.apply_announcement(instance);
             self.transcribers.insert(instance.id.clone(), transcriber);
         }
-        self.decide_soon(now);
+        self.decide_unless_recent(now);
     }
 
-    /// Number of running requests of a transcriber, where the caller learns it by other means than
-    /// reports. Of transcribers that lag equally, the one with the fewest is ordered first.
+    /// Sets the number of running requests of a transcriber, if the caller knows it from another source than reports.
+    ///
+    /// Of transcribers that rank equally by lag and zone, the one with the fewest running requests loads first.
     pub fn set_running_requests(&mut self, instance: &str, running: u32) {
         if let Some(transcriber) = self.transcribers.get_mut(instance) {
             transcriber.running_requests = running;
         }
     }
 
-    /// An order was answered, or its call has failed.
-    pub fn handle_order_outcome(&mut self, now: Duration, order: &LoadOrder, answer: OrderOutcome) {
+    /// Handles the outcome of an order, including [`OrderOutcome::Unknown`] for a call that failed.
+    pub fn handle_order_outcome(&mut self, now: Duration, order: &LoadOrder, outcome: OrderOutcome) {
         if let Some(transcriber) = self.transcribers.get_mut(&order.instance)
-            && transcriber.order_answered(now, order, answer)
+            && transcriber.apply_order_outcome(now, order, outcome)
         {
-            self.outputs.push(loaded(&order.instance, order.model.clone(), order.generation));
+            self.outputs.push(version_loaded(&order.instance, order.model.clone(), order.generation));
         }
-        self.decide_soon(now);
+        self.decide_unless_recent(now);
     }
 
-    /// A report was fetched; `None` if the call has failed.
+    /// Handles a report that was fetched; `None` stands for a call that failed.
     pub fn handle_report(&mut self, now: Duration, instance: &str, report: Option<TranscriberReport>) {
         if let Some(transcriber) = self.transcribers.get_mut(instance) {
-            let newly_loaded = transcriber.reported(now, report).into_iter();
-            let outputs = newly_loaded.map(|(model, generation)| loaded(instance, model, generation));
+            let newly_loaded = transcriber.apply_report(now, report).into_iter();
+            let outputs = newly_loaded.map(|(model, generation)| version_loaded(instance, model, generation));
             self.outputs.extend(outputs);
         }
-        self.decide_soon(now);
+        self.decide_unless_recent(now);
     }
 
-    /// Time has passed; to be called every 50 ms or so, or when [`Planner::next_wake`] says.
+    /// Requests the reports and sends the orders that are due.
+    ///
+    /// To be called about every 50 ms, or at the time that [`Planner::next_wake`] returns.
     pub fn tick(&mut self, now: Duration) {
         self.decided_at = Some(now);
         self.poll_reports(now);
         self.send_orders(now);
     }
 
-    /// When [`Planner::tick`] next has something to do, if nothing else happens before; `None` if nothing
-    /// is left to do.
+    /// Returns the time at which [`Planner::tick`] has something to do, provided that no event comes before.
+    ///
+    /// `None` if no order is pending or waiting for a start time.
     pub fn next_wake(&self, now: Duration) -> Option<Duration> {
-        self.transcribers.values().filter_map(|transcriber| self.wake_of(now, transcriber)).min()
+        self.transcribers.values().filter_map(|transcriber| self.transcriber_wake(now, transcriber)).min()
     }
 
-    /// Takes what the caller must do, in order.
+    /// Takes the actions that the caller must carry out, in this order.
     pub fn take_outputs(&mut self) -> Vec<PlanOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Decides what follows from an event, together with others where the fleet is large; the next [`Planner::tick`]
-    /// decides the rest.
-    fn decide_soon(&mut self, now: Duration) {
-        let further = u32::try_from(self.transcribers.len().saturating_sub(SMALL_FLEET)).unwrap_or(u32::MAX);
-        let delay = DECISION_DELAY_PER_TRANSCRIBER.saturating_mul(further);
+    /// Decides what follows from an event, unless the fleet is large and the last decision is too recent. In that
+    /// case the next event or [`Planner::tick`] decides.
+    fn decide_unless_recent(&mut self, now: Duration) {
+        let excess = self.transcribers.len().saturating_sub(MAX_TRANSCRIBERS_FOR_IMMEDIATE_DECISIONS);
+        let delay = DECISION_DELAY_PER_TRANSCRIBER.saturating_mul(u32::try_from(excess).unwrap_or(u32::MAX));
         if self.decided_at.is_none_or(|decided_at| now >= decided_at + delay) {
             self.tick(now);
         }
     }
 
-    /// From when on a transcriber that is announced now counts towards the limit on concurrent loads:
-    /// at once if it was there when the planner started.
-    fn counted_from(&mut self, now: Duration) -> Duration {
+    /// Returns the time from which a transcriber that is announced now counts towards the limit on concurrent loads.
+    ///
+    /// One that is announced soon after the first is assumed to be older than the planner, and counts at once.
+    fn counts_from(&mut self, now: Duration) -> Duration {
         let first_announced_at = *self.first_announced_at.get_or_insert(now);
-        if now < first_announced_at + COUNTED_AFTER { now } else { now + COUNTED_AFTER }
+        if now < first_announced_at + NEW_TRANSCRIBER_GRACE { now } else { now + NEW_TRANSCRIBER_GRACE }
     }
 
-    fn wake_of(&self, now: Duration, transcriber: &Transcriber) -> Option<Duration> {
+    fn transcriber_wake(&self, now: Duration, transcriber: &Transcriber) -> Option<Duration> {
         if let Some(pending) = &transcriber.pending_order {
             return Some(pending.next_wake(now));
         }
@@ -155,11 +169,11 @@
         (transcriber.is_ready && is_behind && starts_at > now).then_some(starts_at)
     }
 
-    /// Shortest time between two polls of a transcriber: the more of them load, the longer.
+    /// Returns the minimum time between two polls of a transcriber. It grows with the number of pending orders.
     fn min_poll_period(&self) -> Duration {
         let pending = self.transcribers.values().filter(|transcriber| transcriber.pending_order.is_some());
-        let further = pending.count().saturating_sub(FREELY_POLLED);
-        POLL_PERIOD_PER_TRANSCRIBER.saturating_mul(u32::try_from(further).unwrap_or(u32::MAX))
+        let excess = pending.count().saturating_sub(MAX_ORDERS_POLLED_UNTHROTTLED);
+        POLL_PERIOD_PER_TRANSCRIBER.saturating_mul(u32::try_from(excess).unwrap_or(u32::MAX))
     }
 
     /// Requests the reports that are due.
@@ -174,7 +188,7 @@
         }
     }
 
-    /// Sends the orders for which there are free slots.
+    /// Sends orders while there are free slots, up to the limit of one decision.
     fn send_orders(&mut self, now: Duration) {
         if now < self.not_before {
             return;
@@ -204,6 +218,6 @@
     }
 }
 
-fn loaded(instance: &str, model: String, generation: u64) -> PlanOutput {
+fn version_loaded(instance: &str, model: String, generation: u64) -> PlanOutput {
     PlanOutput::VersionLoaded { instance: instance.to_owned(), model, generation }
 }
--- a/crates/pebblepost-rollout/src/transcriber.rs
+++ b/crates/pebblepost-rollout/src/transcriber.rs
@@ -1,4 +1,4 @@
-//! State of one transcriber: what it announced, what it has loaded, and the order that is pending.
+//! State of one transcriber: its newest announcement, its loaded versions, and its pending load order.
 
 use crate::backoff::{Backoff, BackoffBounds};
 use crate::message::{LoadOrder, OrderOutcome, TranscriberReport};
@@ -7,17 +7,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Backoff after an order was rejected.
+/// Backoff before the next order to a transcriber that rejected one.
 const REJECTED_BACKOFF: BackoffBounds =
-    BackoffBounds { first: Duration::from_millis(300), max: Duration::from_secs(3) };
-/// Backoff after a higher fencing token was seen.
+    BackoffBounds { initial: Duration::from_millis(300), max: Duration::from_secs(3) };
+/// Backoff before the next poll of a transcriber that has seen a higher fencing token.
 const FENCED_BACKOFF: BackoffBounds =
-    BackoffBounds { first: Duration::from_secs(1), max: Duration::from_secs(5) };
+    BackoffBounds { initial: Duration::from_secs(1), max: Duration::from_secs(5) };
 
-/// A transcriber whose incarnation has not ended.
+/// An instance of a transcriber that has not terminated.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Transcriber {
-    /// Service that it belongs to.
+    /// Name of the service to which it belongs.
     pub(crate) backend: String,
     pub(crate) address: String,
     pub(crate) zone: String,
@@ -25,28 +25,28 @@
     pub(crate) is_ready: bool,
     /// Sequence number of its newest announcement.
     sequence: u64,
-    /// Versions that it has surely loaded, by model; they never go back within one incarnation.
+    /// Versions that are known to be loaded, by model. They never decrease during the life of an instance.
     pub(crate) loaded: BTreeMap<String, u64>,
-    /// Running requests by its newest report.
+    /// Number of running requests, from its newest report or from the caller.
     pub(crate) running_requests: u32,
-    /// From when on it counts towards the limit on concurrent loads.
-    pub(crate) counted_from: Duration,
+    /// Time from which it counts towards the limit on concurrent loads.
+    pub(crate) counts_from: Duration,
     pub(crate) pending_order: Option<PendingOrder>,
-    /// Time before which it gets no order.
+    /// Time before which it is sent no order.
     pub(crate) not_before: Duration,
     backoff: Backoff,
 }
 
 impl Transcriber {
-    /// A transcriber that counts towards the limit on concurrent loads from `counted_from` on.
-    pub(crate) fn new(counted_from: Duration) -> Transcriber {
-        Transcriber { counted_from, ..Transcriber::default() }
+    /// Creates a transcriber that counts towards the limit on concurrent loads from `counts_from`.
+    pub(crate) fn new(counts_from: Duration) -> Transcriber {
+        Transcriber { counts_from, ..Transcriber::default() }
     }
 
-    /// Takes over an announcement; of one older than the newest, its loaded versions only.
-    pub(crate) fn announced(&mut self, instance: &Instance) {
+    /// Applies an announcement. If it is older than the newest one, only its loaded versions are applied.
+    pub(crate) fn apply_announcement(&mut self, instance: &Instance) {
         for loaded in &instance.models {
-            self.set_loaded(&loaded.model, loaded.generation);
+            self.raise_loaded(&loaded.model, loaded.generation);
         }
         if instance.sequence < self.sequence {
             return;
@@ -58,31 +58,34 @@
         self.is_ready = instance.state == InstanceState::Ready;
     }
 
-    /// Whether it may get an order now.
+    /// Whether an order may be sent to it now.
     pub(crate) fn accepts_order(&self, now: Duration) -> bool {
         self.is_ready && self.pending_order.is_none() && now >= self.not_before
     }
 
-    /// Takes in the answer to an order, unless the order is not pending any more; whether it says that the
-    /// version is loaded.
-    pub(crate) fn order_answered(&mut self, now: Duration, order: &LoadOrder, answer: OrderOutcome) -> bool {
-        let Some(pending) = self.pending_order.as_mut().filter(|pending| pending.is(order)) else {
+    /// Applies the outcome of an order. An order that is no longer pending is ignored.
+    ///
+    /// Returns whether the outcome says that the version is loaded.
+    pub(crate) fn apply_order_outcome(
+        &mut self, now: Duration, order: &LoadOrder, outcome: OrderOutcome,
+    ) -> bool {
+        let Some(pending) = self.pending_order.as_mut().filter(|pending| pending.matches(order)) else {
             return false;
         };
-        match answer {
-            OrderOutcome::Unknown => pending.unanswered(now),
+        match outcome {
+            OrderOutcome::Unknown => pending.on_no_answer(now),
             OrderOutcome::Accepted => {
-                pending.accepted(now);
+                pending.on_accepted(now);
                 self.backoff.reset();
             }
             OrderOutcome::AlreadyLoaded => {
                 self.pending_order = None;
-                self.set_loaded(&order.model, order.generation);
+                self.raise_loaded(&order.model, order.generation);
                 self.backoff.reset();
                 return true;
             }
-            OrderOutcome::Conflict => pending.conflicting(now),
-            OrderOutcome::Fenced => pending.fenced(now, self.backoff.next_delay(FENCED_BACKOFF)),
+            OrderOutcome::Conflict => pending.on_conflict(now),
+            OrderOutcome::Fenced => pending.on_fenced(now, self.backoff.next_delay(FENCED_BACKOFF)),
             OrderOutcome::Rejected => {
                 self.pending_order = None;
                 self.not_before = now + self.backoff.next_delay(REJECTED_BACKOFF);
@@ -91,29 +94,31 @@
         false
     }
 
-    /// Takes in a report, `None` if it could not be fetched, while an order is pending; the versions that
-    /// were not known to be loaded.
-    pub(crate) fn reported(
+    /// Applies a report that was polled while an order is pending; `None` stands for a failed poll.
+    ///
+    /// Returns the versions that were not known to be loaded. Without a pending order the report is ignored. While a
+    /// load is in progress the reported versions are ignored.
+    pub(crate) fn apply_report(
         &mut self, now: Duration, report: Option<TranscriberReport>,
     ) -> Vec<(String, u64)> {
         let Some(pending) = &mut self.pending_order else { return Vec::new() };
         let polled_at = pending.end_poll();
         let Some(report) = report else {
-            pending.poll_failed(now);
+            pending.on_poll_failed(now);
             return Vec::new();
         };
-        pending.report_received(now);
+        pending.on_report(now);
         self.running_requests = report.running;
         if report.is_loading {
             return Vec::new();
         }
-        let is_new = |(model, generation): &(String, u64)| self.set_loaded(model, *generation);
+        let is_new = |(model, generation): &(String, u64)| self.raise_loaded(model, *generation);
         let newly_loaded = report.models.into_iter().filter(is_new).collect();
         self.resolve_order(polled_at);
         newly_loaded
     }
 
-    /// Ends the pending order if a report that was requested at `polled_at` shows its outcome.
+    /// Removes the pending order if a report that was requested at `polled_at` settles its outcome.
     fn resolve_order(&mut self, polled_at: Duration) {
         let loaded = &self.loaded;
         self.pending_order.take_if(|pending| {
@@ -122,8 +127,8 @@
         });
     }
 
-    /// Raises the loaded version of a model; whether it was older.
-    fn set_loaded(&mut self, model: &str, generation: u64) -> bool {
+    /// Raises the loaded version of a model. Returns `false` if this or a newer version is loaded already.
+    fn raise_loaded(&mut self, model: &str, generation: u64) -> bool {
         match self.loaded.get_mut(model) {
             Some(loaded) if *loaded >= generation => false,
             Some(loaded) => {
--- a/crates/pebblepost-rollout/tests/integration/fleet.rs
+++ b/crates/pebblepost-rollout/tests/integration/fleet.rs
@@ -1,5 +1,5 @@
-//! Properties of the planner over a simulated fleet: the limit of loads holds, no version is
-//! loaded twice or after a newer one was named, and all transcribers become current in time.
+//! Properties of the planner with a simulated fleet: the limit on concurrent loads holds, no version is loaded twice or
+//! ordered after a newer one was named, and the transcribers converge to the newest versions in time.
 
 use crate::simulation::digest::approve;
 use crate::simulation::{Faults, FleetShape, Random, Simulation, model_name};
@@ -9,10 +9,10 @@
 const SMALL: FleetShape = FleetShape { transcribers: 9, models: 1, load: Duration::from_millis(400) };
 const THREE_MODELS: FleetShape = FleetShape { transcribers: 9, models: 3, load: Duration::from_millis(600) };
 const LARGE: FleetShape = FleetShape { transcribers: 45, models: 1, load: Duration::from_millis(250) };
-/// Schedules per case, times the transcribers of a fleet.
-const SCHEDULED_TRANSCRIBERS: u64 = 360;
+/// Number of seeds per case, multiplied by the number of transcribers: smaller fleets run with more seeds.
+const SEEDS_TIMES_TRANSCRIBERS: u64 = 360;
 
-/// Names versions of all models at random times over 20 s.
+/// Names six versions of every model, with a random pause of less than 2.5 s before each.
 fn name_versions(simulation: &mut Simulation, shape: FleetShape, random: &mut Random) {
     let mut newest = vec![1; shape.models];
     for _ in 0..6 {
@@ -28,22 +28,28 @@
 #[case::small("small", SMALL, Duration::from_millis(3000))]
 #[case::three_models("three models", THREE_MODELS, Duration::from_millis(6500))]
 #[case::large("large", LARGE, Duration::from_millis(2500))]
-fn faultless_fleet_converges_in_time(#[case] name: &str, #[case] shape: FleetShape, #[case] most: Duration) {
+fn faultless_fleet_converges_in_time(
+    #[case] name: &str, #[case] shape: FleetShape, #[case] max_duration: Duration,
+) {
     let mut simulation = Simulation::new(shape, Faults::default(), 7);
     simulation.run_for(Duration::from_secs(3));
     let named_at = simulation.now;
     for number in 0..shape.models {
         simulation.name_version(&model_name(number), 2, true);
     }
-    let all = simulation.run_until_converged(most);
+    let converged_after = simulation.run_until_converged(max_duration);
     simulation.run_for(Duration::from_secs(3));
     for number in 0..shape.models {
         let (first, last) = simulation.load_times[&(model_name(number), 2)];
         println!("{name}: model {number}: first {:?}, last {:?}", first - named_at, last - named_at);
     }
     let (orders, polls, loads) = (simulation.orders, simulation.polls, simulation.loads);
-    println!("{name}: all after {all:?}; {loads} loads, {orders} orders, {polls} reports");
-    assert_eq!(loads, simulation.target_per_model() * shape.models, "as many as are to load, and no more");
+    println!("{name}: converged after {converged_after:?}; {loads} loads, {orders} orders, {polls} reports");
+    assert_eq!(
+        loads,
+        simulation.target_per_model() * shape.models,
+        "each transcriber that is to load a version loads it once"
+    );
     assert_eq!(orders, loads);
     assert_eq!(simulation.most_loading, shape.transcribers.div_ceil(3));
 }
@@ -62,7 +68,7 @@
     #[case] faults: Faults, #[values(SMALL, THREE_MODELS, LARGE)] shape: FleetShape,
 ) {
     let mut longest = Duration::ZERO;
-    for seed in 0..SCHEDULED_TRANSCRIBERS / shape.transcribers as u64 {
+    for seed in 0..SEEDS_TIMES_TRANSCRIBERS / shape.transcribers as u64 {
         let mut simulation = Simulation::new(shape, Faults::default(), seed);
         simulation.run_for(Duration::from_secs(5));
         simulation.faults = faults;
@@ -70,10 +76,11 @@
         simulation.faults = Faults::default();
         longest = longest.max(simulation.run_until_converged(Duration::from_secs(20)));
     }
-    println!("{faults:?} {shape:?}: {longest:?} at the most after the last fault");
+    println!("{faults:?} {shape:?}: converged at most {longest:?} after the last fault");
 }
 
-/// A run in which everything goes wrong for a while, and jobs allow older versions.
+/// Runs a fleet with all kinds of faults for a while, with jobs that allow a version lag, and returns a line with the
+/// digest of the planner's outputs.
 fn digest_of_run(shape: FleetShape, seed: u64) -> String {
     let mut simulation = Simulation::new(shape, Faults::default(), seed);
     let mut random = Random(seed + 5_000);
@@ -96,12 +103,12 @@
     simulation.faults = Faults::default();
     simulation.run_for(Duration::from_secs(10));
     let (orders, polls, loads) = (simulation.orders, simulation.polls, simulation.loads);
-    let digest = simulation.digest.hex();
+    let digest = simulation.digest.to_hex();
     format!("{} {} {seed} {digest} {orders} {polls} {loads}", shape.transcribers, shape.models)
 }
 
 #[rstest]
-fn decisions_are_the_approved_ones() {
+fn decisions_match_the_approved_digests() {
     let two_models = FleetShape { transcribers: 24, models: 2, load: Duration::from_millis(250) };
     let shapes = [SMALL, THREE_MODELS, two_models].into_iter();
     let runs = shapes.flat_map(|shape| (1..=4).map(move |seed| digest_of_run(shape, seed)));
--- a/crates/pebblepost-rollout/tests/integration/main.rs
+++ b/crates/pebblepost-rollout/tests/integration/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the planner: single exchanges, version lags, and simulated fleets.
+//! Tests of the planner: reactions to single events, version lags, and simulated fleets.
 
 mod fleet;
 mod planner;
--- a/crates/pebblepost-rollout/tests/integration/planner.rs
+++ b/crates/pebblepost-rollout/tests/integration/planner.rs
@@ -1,4 +1,4 @@
-//! Single exchanges with the planner: which answer leads to what.
+//! Reactions of the planner to single events: which outcome or report leads to which action.
 
 use pebblepost_messages::feed::{Instance, InstanceState, ModelVersion};
 use pebblepost_rollout::{LoadMode, LoadOrder, OrderOutcome, PlanOutput, Planner, TranscriberReport};
@@ -24,8 +24,8 @@
     }
 }
 
-fn report(busy: bool, generation: u64) -> Option<TranscriberReport> {
-    Some(TranscriberReport { is_loading: busy, models: vec![(MODEL.to_owned(), generation)], running: 0 })
+fn report(is_loading: bool, generation: u64) -> Option<TranscriberReport> {
+    Some(TranscriberReport { is_loading, models: vec![(MODEL.to_owned(), generation)], running: 0 })
 }
 
 fn orders(planner: &mut Planner) -> Vec<LoadOrder> {
@@ -39,7 +39,7 @@
         .collect()
 }
 
-/// A planner with one transcriber that was just ordered to load version 2.
+/// Returns a planner with one transcriber that was just ordered to load version 2, and that order.
 fn one_order() -> (Planner, LoadOrder) {
     let mut planner = Planner::new(Duration::ZERO);
     planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn load_in_progress_is_not_loaded() {
+fn reported_version_is_ignored_while_a_load_is_in_progress() {
     let (mut planner, order) = one_order();
     planner.handle_order_outcome(ms(5), &order, OrderOutcome::Accepted);
     planner.tick(ms(355));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn sends_no_order_before_the_former_lease_is_over() {
+fn sends_no_order_before_the_former_lease_has_expired() {
     let mut planner = Planner::new(ms(3000));
     planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
     planner.set_named_version(ms(0), MODEL, 2, false);
@@ -123,7 +123,7 @@
     planner.tick(ms(250));
     assert_eq!(polls(&planner.take_outputs()), 1);
     planner.handle_report(ms(255), "i-1", report(false, 1));
-    assert_eq!(planner.take_outputs(), [], "the report may be older than the order");
+    assert_eq!(planner.take_outputs(), [], "the report may show the state before the order");
     planner.tick(ms(800));
     assert_eq!(polls(&planner.take_outputs()), 1);
     planner.handle_report(ms(805), "i-1", report(false, 1));
@@ -157,13 +157,13 @@
 fn repeats_a_rejected_order_with_exponential_backoff() {
     let (mut planner, mut order) = one_order();
     let mut now = ms(5);
-    for pause in [300, 600, 1200, 2400, 3000, 3000] {
+    for backoff_ms in [300, 600, 1200, 2400, 3000, 3000] {
         planner.handle_order_outcome(now, &order, OrderOutcome::Rejected);
-        planner.tick(now + ms(pause - 1));
+        planner.tick(now + ms(backoff_ms - 1));
         assert_eq!(planner.take_outputs(), []);
-        now += ms(pause);
+        now += ms(backoff_ms);
         planner.tick(now);
-        order = orders(&mut planner).pop().expect("the order again");
+        order = orders(&mut planner).pop().expect("a repeated order");
     }
 }
 
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn older_announcement_does_not_revert_loaded_versions() {
+fn announcement_with_an_older_version_does_not_revert_loaded_versions() {
     let (mut planner, order) = one_order();
     planner.handle_order_outcome(ms(5), &order, OrderOutcome::AlreadyLoaded);
     planner.take_outputs();
@@ -191,8 +191,8 @@
 
 #[rstest]
 #[case::draining(InstanceState::Draining)]
-#[case::gone(InstanceState::Terminated)]
-fn sends_no_order_to_a_draining_or_ended_transcriber(#[case] state: InstanceState) {
+#[case::terminated(InstanceState::Terminated)]
+fn sends_no_order_to_a_draining_or_terminated_transcriber(#[case] state: InstanceState) {
     let mut planner = Planner::new(Duration::ZERO);
     planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
     planner.handle_instance_update(ms(1), &Instance { state, ..instance("i-1", 1, 2) });
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn loads_a_third_at_a_time_spread_over_zones_least_busy_first() {
+fn loads_a_third_at_a_time_spread_over_zones_and_least_busy_first() {
     let mut planner = Planner::new(ms(100));
     for number in 0..7u32 {
         let zone = format!("zone-{}", number % 2);
@@ -240,14 +240,14 @@
     planner.handle_order_outcome(ms(500), &order, OrderOutcome::Unknown);
     let mut now = ms(500);
     let mut ordered_at = None;
-    let mut asked_after = 0;
+    let mut late_polls = 0;
     while now < ms(6000) {
         now += ms(50);
         planner.tick(now);
         for output in planner.take_outputs() {
             match output {
                 PlanOutput::FetchLoadReport { instance, .. } if instance == order.instance => {
-                    asked_after += usize::from(now >= ms(3000));
+                    late_polls += usize::from(now >= ms(3000));
                     planner.handle_report(now, &instance, None);
                 }
                 PlanOutput::SendOrder(next) => ordered_at = ordered_at.or(Some((now, next.instance))),
@@ -256,11 +256,11 @@
         }
     }
     assert_eq!(ordered_at, Some((ms(2000), "i-2".to_owned())));
-    assert!((3..=4).contains(&asked_after), "asked {asked_after} times in 3 s");
+    assert!((3..=4).contains(&late_polls), "{late_polls} polls in the last 3 s, expected 3 or 4");
 }
 
 #[test]
-fn models_of_one_transcriber_alternate() {
+fn loads_alternate_between_models_on_the_same_transcribers() {
     let mut planner = Planner::new(ms(10));
     let two = |id: &str| Instance {
         models: ["a", "b"].map(|model| ModelVersion { model: model.to_owned(), generation: 1 }).to_vec(),
@@ -272,20 +272,21 @@
     planner.set_named_version(ms(1), "a", 2, false);
     planner.set_named_version(ms(2), "b", 2, false);
     planner.tick(ms(10));
-    let mut order_of_models = Vec::new();
-    let mut open = orders(&mut planner);
-    while let Some(order) = open.pop() {
-        order_of_models.push(order.model.clone());
+    let mut ordered_models = Vec::new();
+    let mut unanswered = orders(&mut planner);
+    while let Some(order) = unanswered.pop() {
+        ordered_models.push(order.model.clone());
         planner.handle_order_outcome(ms(20), &order, OrderOutcome::AlreadyLoaded);
-        open.extend(orders(&mut planner));
+        unanswered.extend(orders(&mut planner));
     }
-    assert_eq!(order_of_models.len(), 12);
-    for (index, pair) in order_of_models.chunks(2).enumerate() {
-        assert_ne!(pair[0], pair[1], "pair {index} of {order_of_models:?}");
+    assert_eq!(ordered_models.len(), 12);
+    for (index, pair) in ordered_models.chunks(2).enumerate() {
+        assert_ne!(pair[0], pair[1], "the loads of pair {index} are of the same model: {ordered_models:?}");
     }
 }
 
-/// A planner with this many transcribers, of which a third loads version 2, and its outputs until now.
+/// Returns a planner with this many transcribers, a third of which are ordered to load version 2, and its outputs so
+/// far.
 fn large_fleet(size: u64) -> (Planner, Vec<PlanOutput>) {
     let mut planner = Planner::new(Duration::ZERO);
     (0..size)
@@ -299,7 +300,7 @@
     (planner, outputs)
 }
 
-fn orders_among(outputs: &[PlanOutput]) -> Vec<LoadOrder> {
+fn orders_in(outputs: &[PlanOutput]) -> Vec<LoadOrder> {
     let order = |output: &PlanOutput| match output {
         PlanOutput::SendOrder(order) => Some(order.clone()),
         _ => None,
@@ -308,20 +309,20 @@
 }
 
 #[test]
-fn a_large_fleet_is_ordered_in_slices() {
+fn orders_per_decision_are_bounded_in_a_large_fleet() {
     let mut planner = Planner::new(Duration::ZERO);
     (0..999)
         .for_each(|number| planner.handle_instance_update(ms(0), &instance(&format!("i-{number:04}"), 1, 1)));
     planner.set_named_version(ms(100), MODEL, 2, false);
-    assert_eq!(orders(&mut planner).len(), 32, "a decision of bounded length");
+    assert_eq!(orders(&mut planner).len(), 32, "the orders of one decision are bounded");
     let (_, outputs) = large_fleet(999);
-    assert_eq!(orders_among(&outputs).len(), 333, "a third of them within a second");
+    assert_eq!(orders_in(&outputs).len(), 333, "a third of the transcribers are ordered within a second");
 }
 
 #[test]
-fn the_more_transcribers_load_the_less_often_each_is_polled() {
+fn poll_rate_is_bounded_when_many_transcribers_load() {
     let (mut planner, outputs) = large_fleet(999);
-    for order in orders_among(&outputs) {
+    for order in orders_in(&outputs) {
         planner.handle_order_outcome(ms(1_100), &order, OrderOutcome::Accepted);
     }
     planner.take_outputs();
@@ -336,21 +337,21 @@
             }
         }
     }
-    assert!((333..=2 * 333).contains(&polled), "{polled} polls in a second");
+    assert!((333..=2 * 333).contains(&polled), "{polled} polls in a second, expected 333 to 666");
 }
 
 #[rstest]
 #[case::small(30, 1)]
 #[case::large(999, 0)]
-fn an_event_is_followed_by_a_decision_at_once_in_a_small_fleet_only(
-    #[case] size: u64, #[case] orders_at_once: usize,
+fn events_trigger_immediate_decisions_only_in_a_small_fleet(
+    #[case] size: u64, #[case] immediate_orders: usize,
 ) {
     let (mut planner, outputs) = large_fleet(size);
-    let order = orders_among(&outputs).pop().expect("an order");
+    let order = orders_in(&outputs).pop().expect("an order");
     planner.tick(ms(1_100));
     planner.take_outputs();
     planner.handle_order_outcome(ms(1_101), &order, OrderOutcome::AlreadyLoaded);
-    assert_eq!(orders(&mut planner).len(), orders_at_once);
+    assert_eq!(orders(&mut planner).len(), immediate_orders);
     planner.tick(ms(1_150));
-    assert_eq!(orders(&mut planner).len(), 1 - orders_at_once);
+    assert_eq!(orders(&mut planner).len(), 1 - immediate_orders);
 }
--- a/crates/pebblepost-rollout/tests/integration/simulation/digest.rs
+++ b/crates/pebblepost-rollout/tests/integration/simulation/digest.rs
@@ -1,68 +1,66 @@
-//! A digest of what the planner puts out in a whole run: times, orders, requests for reports and loaded versions.
+//! A digest of the outputs of the planner over a run: times, orders, requests for reports and loaded versions.
 
 use pebblepost_rollout::{LoadMode, LoadOrder, PlanOutput};
 use pebblepost_stable_hash::Fnv1a;
 use std::path::Path;
 use std::time::Duration;
 
-/// Digest of all outputs.
+/// Digest of the outputs so far.
 #[derive(Debug, Default)]
 pub struct Digest(Fnv1a);
 
 impl Digest {
-    /// Adds an output of the planner.
-    pub fn output(&mut self, now: Duration, output: &PlanOutput) {
-        self.number(u64::try_from(now.as_millis()).expect("a short run"));
+    pub fn add_output(&mut self, now: Duration, output: &PlanOutput) {
+        self.add_number(u64::try_from(now.as_millis()).expect("a short run"));
         match output {
-            PlanOutput::SendOrder(order) => self.order(order),
+            PlanOutput::SendOrder(order) => self.add_order(order),
             PlanOutput::FetchLoadReport { instance, address } => {
-                self.number(1);
-                self.text(instance);
-                self.text(address);
+                self.add_number(1);
+                self.add_text(instance);
+                self.add_text(address);
             }
             PlanOutput::VersionLoaded { instance, model, generation } => {
-                self.number(2);
-                self.text(instance);
-                self.text(model);
-                self.number(*generation);
+                self.add_number(2);
+                self.add_text(instance);
+                self.add_text(model);
+                self.add_number(*generation);
             }
         }
     }
 
-    /// Adds a number.
-    pub fn number(&mut self, number: u64) {
+    pub fn add_number(&mut self, number: u64) {
         self.0.number(number);
     }
 
-    /// The digest so far, in hexadecimal.
-    pub fn hex(&self) -> String {
+    pub fn to_hex(&self) -> String {
         format!("{:016x}", self.0.finish())
     }
 
-    fn order(&mut self, order: &LoadOrder) {
-        self.number(0);
-        self.text(&order.instance);
-        self.text(&order.address);
-        self.text(&order.model);
-        self.number(order.generation);
-        self.number(match order.mode {
+    fn add_order(&mut self, order: &LoadOrder) {
+        self.add_number(0);
+        self.add_text(&order.instance);
+        self.add_text(&order.address);
+        self.add_text(&order.model);
+        self.add_number(order.generation);
+        self.add_number(match order.mode {
             LoadMode::Wait => 0,
             LoadMode::Truncate => 1,
             LoadMode::Retain => 2,
         });
     }
 
-    fn text(&mut self, text: &str) {
+    fn add_text(&mut self, text: &str) {
         self.0.bytes(text.as_bytes());
     }
 }
 
-/// Compares lines with the approved ones of `tests/approved`; `APPROVE=1` writes them anew.
+/// Compares lines with an approved file in `tests/approved`. With `APPROVE=1` the file is rewritten
+/// first.
 pub fn approve(name: &str, lines: &[String]) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/approved").join(name);
     let text = lines.join("\n") + "\n";
     if std::env::var_os("APPROVE").is_some() {
-        std::fs::write(&path, &text).expect("writing the approved text");
+        std::fs::write(&path, &text).expect("the approved file is written");
     }
     let approved = std::fs::read_to_string(&path).unwrap_or_default();
     assert!(approved == text, "{} differs; received:\n{text}", path.display());
--- a/crates/pebblepost-rollout/tests/integration/simulation/mod.rs
+++ b/crates/pebblepost-rollout/tests/integration/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet of transcribers with a clock of its own, for the planner's property tests.
+//! A simulated fleet of transcribers with a simulated clock, for the property tests of the planner.
 
 pub mod digest;
 
@@ -10,37 +10,38 @@
 
 /// Step of the simulated clock.
 const STEP: Duration = Duration::from_millis(5);
-/// Time between the planner's ticks.
-const TICK: Duration = Duration::from_millis(50);
-/// Age of the state that reports show.
+/// Time between two ticks of the planner.
+const TICK_PERIOD: Duration = Duration::from_millis(50);
+/// Age of the state that a report shows.
 const REPORT_LAG: Duration = Duration::from_millis(300);
-/// Time between announcements.
-const HEARTBEAT: Duration = Duration::from_millis(1200);
-/// Time limit of a call.
+/// Time between two announcements of a transcriber.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(1200);
+/// Time after which a call without an answer fails.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// A load does not count towards the limit for this time after a fault of its transcriber.
+/// Time after a fault of a transcriber for which its load does not count towards the limit on concurrent loads.
 const FAULT_GRACE: Duration = Duration::from_secs(3);
 
-/// Rates of faults.
+/// Rates of the injected faults.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// One answer in so many is lost, after the transcriber acted; 0 for none.
+    /// One answer in this many is lost after the transcriber has acted on the request; 0 for none.
     pub lost_answers: u64,
-    /// A transcriber crashes about this often.
+    /// Mean time between two crashes of a transcriber in the fleet.
     pub crash_every: Option<Duration>,
-    /// A transcriber hangs about this often.
+    /// Mean time between two hangs of a transcriber in the fleet.
     pub hang_every: Option<Duration>,
 }
 
-/// A fleet.
+/// Size of a fleet and duration of its loads.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetShape {
     pub transcribers: usize,
     pub models: usize,
+    /// Time that a load takes if not too many run concurrently.
     pub load: Duration,
 }
 
-/// SplitMix64.
+/// A SplitMix64 generator.
 #[derive(Debug)]
 pub struct Random(pub u64);
 
@@ -62,7 +63,7 @@
 struct Load {
     model: String,
     generation: u64,
-    left: Duration,
+    remaining: Duration,
 }
 
 #[derive(Debug)]
@@ -75,8 +76,8 @@
     next_heartbeat: Duration,
     hangs_until: Duration,
     last_fault: Duration,
-    /// Past states, for lagging reports.
-    past: VecDeque<(Duration, bool, BTreeMap<String, u64>)>,
+    /// Time, whether a load was in progress, and loaded versions of past steps, from which reports are made.
+    history: VecDeque<(Duration, bool, BTreeMap<String, u64>)>,
 }
 
 #[derive(Debug)]
@@ -88,7 +89,7 @@
     Reported(String, Option<TranscriberReport>),
 }
 
-/// A fleet under a planner.
+/// A planner and the fleet that it controls.
 #[derive(Debug)]
 pub struct Simulation {
     pub now: Duration,
@@ -97,10 +98,10 @@
     pub polls: usize,
     pub loads: usize,
     pub most_loading: usize,
-    /// When each version was first and last loaded.
+    /// Times at which each version of a model was first and last loaded.
     pub load_times: BTreeMap<(String, u64), (Duration, Duration)>,
     pub faults: Faults,
-    /// All that the planner puts out, and when it wants to be called next.
+    /// Digest of the outputs of the planner and of the wake times that it returns.
     pub digest: Digest,
     shape: FleetShape,
     random: Random,
@@ -146,14 +147,12 @@
         simulation
     }
 
-    /// Names a version.
     pub fn name_version(&mut self, model: &str, generation: u64, single_version: bool) {
         self.named.insert(model.to_owned(), generation);
         self.planner.set_named_version(self.now, model, generation, single_version);
-        self.carry_out();
+        self.apply_outputs();
     }
 
-    /// Lets time pass.
     pub fn run_for(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -161,24 +160,28 @@
         }
     }
 
-    /// Runs until every transcriber holds the newest versions; panics after `most`.
-    pub fn run_until_converged(&mut self, most: Duration) -> Duration {
+    /// Runs until the fleet has converged and returns the time taken. Panics after `max_duration`.
+    pub fn run_until_converged(&mut self, max_duration: Duration) -> Duration {
         let start = self.now;
         while !self.has_converged() {
-            assert!(self.now < start + most, "not current after {most:?}: {:?}", self.transcribers);
+            assert!(
+                self.now < start + max_duration,
+                "not converged after {max_duration:?}: {:?}",
+                self.transcribers
+            );
             self.step();
         }
         self.now - start
     }
 
-    /// Transcribers that are to hold the newest version of each model: all of them, unless more than two models share
-    /// them.
+    /// Returns how many transcribers are to load the newest version of each model: all of them, unless more than two
+    /// models share them.
     pub fn target_per_model(&self) -> usize {
         let count = self.transcribers.len();
         count.min((2 * count).div_ceil(self.named.len().max(1)))
     }
 
-    /// Whether as many transcribers hold the newest version of each model as are to.
+    /// Whether at least the target number of transcribers have loaded the newest version of each model.
     pub fn has_converged(&self) -> bool {
         let target = self.target_per_model();
         self.named.iter().all(|(model, generation)| {
@@ -195,13 +198,13 @@
         self.send_heartbeats();
         self.deliver();
         if self.now >= self.next_tick {
-            self.next_tick = self.now + TICK;
+            self.next_tick = self.now + TICK_PERIOD;
             self.planner.tick(self.now);
             let wake_in = self.planner.next_wake(self.now).map(|at| at.saturating_sub(self.now).as_millis());
             self.digest
-                .number(wake_in.map_or(u64::MAX, |millis| u64::try_from(millis).expect("a short run")));
+                .add_number(wake_in.map_or(u64::MAX, |millis| u64::try_from(millis).expect("a short run")));
         }
-        self.carry_out();
+        self.apply_outputs();
         self.record_states();
     }
 
@@ -216,28 +219,28 @@
             next_heartbeat: self.now,
             hangs_until: Duration::ZERO,
             last_fault: Duration::ZERO,
-            past: VecDeque::new(),
+            history: VecDeque::new(),
         }
     }
 
-    fn happens(&mut self, every: Option<Duration>) -> bool {
+    fn occurs(&mut self, every: Option<Duration>) -> bool {
         let Some(every) = every else { return false };
         let steps = u64::try_from(every.as_millis() / STEP.as_millis()).expect("short");
         self.random.below(steps) == 0
     }
 
     fn inject_faults(&mut self) {
-        if self.happens(self.faults.crash_every) {
+        if self.occurs(self.faults.crash_every) {
             let index = self.random.below(self.transcribers.len() as u64) as usize;
-            let gone = self.announcement(index, InstanceState::Terminated);
+            let terminated = self.announcement(index, InstanceState::Terminated);
             let (zone, versions) =
                 (self.transcribers[index].zone.clone(), self.transcribers[index].versions.clone());
-            self.unanswered.remove(&gone.id);
+            self.unanswered.remove(&terminated.id);
             let delay = Duration::from_millis(self.random.below(2000));
-            self.schedule(delay, Event::Announce(gone));
+            self.schedule(delay, Event::Announce(terminated));
             self.transcribers[index] = self.start(zone, versions);
         }
-        if self.happens(self.faults.hang_every) {
+        if self.occurs(self.faults.hang_every) {
             let index = self.random.below(self.transcribers.len() as u64) as usize;
             let length = Duration::from_millis(500 + self.random.below(5000));
             self.transcribers[index].hangs_until = self.now + length;
@@ -251,16 +254,17 @@
 
     fn advance_loads(&mut self) {
         let loading = self.transcribers.iter().filter(|transcriber| transcriber.load.is_some()).count();
-        let free_loads = self.shape.transcribers.div_ceil(3);
-        let slowdown = if loading > free_loads { (loading - free_loads + 1) as u32 } else { 1 };
+        let max_full_speed_loads = self.shape.transcribers.div_ceil(3);
+        let slowdown =
+            if loading > max_full_speed_loads { (loading - max_full_speed_loads + 1) as u32 } else { 1 };
         let mut counted = 0;
         for transcriber in &mut self.transcribers {
             let Some(load) = &mut transcriber.load else { continue };
             let is_faultless =
                 transcriber.last_fault.is_zero() || self.now > transcriber.last_fault + FAULT_GRACE;
             counted += usize::from(is_faultless);
-            load.left = load.left.saturating_sub(STEP / slowdown);
-            if load.left.is_zero() {
+            load.remaining = load.remaining.saturating_sub(STEP / slowdown);
+            if load.remaining.is_zero() {
                 let times = self
                     .load_times
                     .entry((load.model.clone(), load.generation))
@@ -271,7 +275,11 @@
             }
         }
         self.most_loading = self.most_loading.max(counted);
-        assert!(counted <= free_loads, "{counted} loads at once at {:?}", self.now);
+        assert!(
+            counted <= max_full_speed_loads,
+            "{counted} concurrent loads at {:?}, the limit is {max_full_speed_loads}",
+            self.now
+        );
     }
 
     fn announcement(&self, index: usize, state: InstanceState) -> Instance {
@@ -300,7 +308,7 @@
             {
                 continue;
             }
-            self.transcribers[index].next_heartbeat = self.now + HEARTBEAT;
+            self.transcribers[index].next_heartbeat = self.now + HEARTBEAT_PERIOD;
             self.transcribers[index].sequence += 1;
             let announcement = self.announcement(index, InstanceState::Ready);
             let delay = Duration::from_millis(self.random.below(600));
@@ -310,9 +318,13 @@
 
     fn record_states(&mut self) {
         for transcriber in &mut self.transcribers {
-            transcriber.past.push_back((self.now, transcriber.load.is_some(), transcriber.versions.clone()));
-            while transcriber.past.front().is_some_and(|(at, ..)| *at + REPORT_LAG < self.now) {
-                transcriber.past.pop_front();
+            transcriber.history.push_back((
+                self.now,
+                transcriber.load.is_some(),
+                transcriber.versions.clone(),
+            ));
+            while transcriber.history.front().is_some_and(|(at, ..)| *at + REPORT_LAG < self.now) {
+                transcriber.history.pop_front();
             }
         }
     }
@@ -337,27 +349,34 @@
                 Event::PollArrives(instance) => self.poll_arrives(instance),
                 Event::Reported(instance, report) => self.planner.handle_report(self.now, &instance, report),
             }
-            self.carry_out();
+            self.apply_outputs();
         }
     }
 
-    /// Hands an announcement on as the registry does: never one of an incarnation that has ended.
+    /// Passes an announcement to the planner as the registry does: a terminated instance is not announced again.
     fn announce(&mut self, instance: &Instance) {
-        let lives = self.transcribers.iter().any(|transcriber| transcriber.id == instance.id);
-        if lives || instance.state == InstanceState::Terminated {
+        let is_running = self.transcribers.iter().any(|transcriber| transcriber.id == instance.id);
+        if is_running || instance.state == InstanceState::Terminated {
             self.planner.handle_instance_update(self.now, instance);
         }
     }
 
-    fn carry_out(&mut self) {
+    fn apply_outputs(&mut self) {
         for output in self.planner.take_outputs() {
-            self.digest.output(self.now, &output);
+            self.digest.add_output(self.now, &output);
             match output {
                 PlanOutput::SendOrder(order) => {
                     self.orders += 1;
                     let newest = self.named.get(&order.model);
-                    assert_eq!(newest, Some(&order.generation), "an order of a version passed over");
-                    assert!(self.unanswered.insert(order.instance.clone()), "two orders at once: {order:?}");
+                    assert_eq!(
+                        newest,
+                        Some(&order.generation),
+                        "an order for a version that is not the newest: {order:?}"
+                    );
+                    assert!(
+                        self.unanswered.insert(order.instance.clone()),
+                        "an order while another is unanswered: {order:?}"
+                    );
                     let delay = self.network_delay();
                     self.schedule(delay, Event::OrderArrives(order));
                 }
@@ -372,7 +391,7 @@
                         transcriber.and_then(|transcriber| transcriber.versions.get(&model)).copied();
                     assert!(
                         loaded.is_none_or(|loaded| loaded >= generation),
-                        "{instance} has loaded {loaded:?}"
+                        "{instance} has loaded {loaded:?}, reported as loaded: {generation}"
                     );
                 }
             }
@@ -387,14 +406,14 @@
         self.transcribers.iter().position(|transcriber| transcriber.id == instance)
     }
 
-    fn is_lost(&mut self) -> bool {
+    fn draws_answer_loss(&mut self) -> bool {
         self.faults.lost_answers > 0 && self.random.below(self.faults.lost_answers) == 0
     }
 
     fn order_arrives(&mut self, order: LoadOrder) {
         let index = self.transcriber_index(&order.instance);
-        let hangs = index.is_none_or(|index| self.transcribers[index].hangs_until > self.now);
-        let Some(index) = index.filter(|_| !hangs) else {
+        let is_unreachable = index.is_none_or(|index| self.transcribers[index].hangs_until > self.now);
+        let Some(index) = index.filter(|_| !is_unreachable) else {
             return self.schedule(CALL_TIMEOUT, Event::OrderAnswered(order, OrderOutcome::Unknown));
         };
         let transcriber = &mut self.transcribers[index];
@@ -404,13 +423,14 @@
             OrderOutcome::Conflict
         } else {
             let first = self.loaded.insert((transcriber.id.clone(), order.model.clone(), order.generation));
-            assert!(first, "a second load: {order:?}");
+            assert!(first, "a second load of the same version: {order:?}");
             self.loads += 1;
-            let left = self.shape.load;
-            transcriber.load = Some(Load { model: order.model.clone(), generation: order.generation, left });
+            let remaining = self.shape.load;
+            transcriber.load =
+                Some(Load { model: order.model.clone(), generation: order.generation, remaining });
             OrderOutcome::Accepted
         };
-        if self.is_lost() {
+        if self.draws_answer_loss() {
             record_fault(&mut self.transcribers[index], self.now);
             self.schedule(CALL_TIMEOUT, Event::OrderAnswered(order, OrderOutcome::Unknown));
         } else {
@@ -421,15 +441,16 @@
 
     fn poll_arrives(&mut self, instance: String) {
         let index = self.transcriber_index(&instance);
-        let hangs = index.is_none_or(|index| self.transcribers[index].hangs_until > self.now);
-        let Some(index) = index.filter(|_| !hangs && !self.is_lost()) else {
+        let is_unreachable = index.is_none_or(|index| self.transcribers[index].hangs_until > self.now);
+        let Some(index) = index.filter(|_| !is_unreachable && !self.draws_answer_loss()) else {
             return self.schedule(CALL_TIMEOUT, Event::Reported(instance, None));
         };
-        let report = self.transcribers[index].past.front().map(|(_, busy, versions)| TranscriberReport {
-            is_loading: *busy,
-            models: versions.clone().into_iter().collect(),
-            running: 0,
-        });
+        let report =
+            self.transcribers[index].history.front().map(|(_, is_loading, versions)| TranscriberReport {
+                is_loading: *is_loading,
+                models: versions.clone().into_iter().collect(),
+                running: 0,
+            });
         let delay = self.network_delay();
         self.schedule(delay, Event::Reported(instance, report));
     }
@@ -439,7 +460,6 @@
     transcriber.last_fault = now;
 }
 
-/// Name of a simulated model.
 pub fn model_name(number: usize) -> String {
     format!("model-{number}")
 }
--- a/crates/pebblepost-rollout/tests/integration/version_lag.rs
+++ b/crates/pebblepost-rollout/tests/integration/version_lag.rs
@@ -1,4 +1,4 @@
-//! Versions that transcribers pass over because the jobs of a model allow older ones.
+//! Versions that transcribers skip because the jobs of a model allow a version lag.
 
 use pebblepost_messages::feed::{Instance, InstanceState, ModelVersion};
 use pebblepost_rollout::{OrderOutcome, PlanOutput, Planner};
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 const MODEL: &str = "model-a";
-/// Another model on the same transcribers, which stays at its first version.
-const OTHER: &str = "model-b";
+/// Another model on the same transcribers, which stays at version 1.
+const OTHER_MODEL: &str = "model-b";
 const TRANSCRIBERS: usize = 9;
 
 fn instance(number: usize, generation: u64) -> Instance {
@@ -20,44 +20,44 @@
         slots: 12,
         models: vec![
             ModelVersion { model: MODEL.to_owned(), generation },
-            ModelVersion { model: OTHER.to_owned(), generation: 1 },
+            ModelVersion { model: OTHER_MODEL.to_owned(), generation: 1 },
         ],
         sequence: 1,
         ..Instance::default()
     }
 }
 
-/// A planner with nine transcribers that hold version 1; what each holds.
-struct Scene {
+/// A planner with nine transcribers that start at version 1, and the version that each has loaded.
+struct Fixture {
     planner: Planner,
     now: Duration,
     loaded: BTreeMap<String, u64>,
 }
 
-impl Scene {
-    fn new() -> Scene {
+impl Fixture {
+    fn new() -> Fixture {
         let mut planner = Planner::new(Duration::ZERO);
         for number in 0..TRANSCRIBERS {
             planner.handle_instance_update(Duration::ZERO, &instance(number, 1));
         }
-        planner.set_named_version(Duration::ZERO, OTHER, 1, false);
+        planner.set_named_version(Duration::ZERO, OTHER_MODEL, 1, false);
         let loaded = (0..TRANSCRIBERS).map(|number| (format!("i-{number}"), 1)).collect();
-        Scene { planner, now: Duration::ZERO, loaded }
+        Fixture { planner, now: Duration::ZERO, loaded }
     }
 
     fn observe(&mut self, lags: &[u64]) {
         lags.iter().for_each(|allowed_lag| self.planner.observe_version_lag(self.now, MODEL, *allowed_lag));
     }
 
-    /// Names a version and lets every load end at once: who loaded it, and from which version, in this order.
-    fn name(&mut self, generation: u64) -> Vec<u64> {
+    /// Names a version and completes every load at once. Returns the former versions, in the order of the loads.
+    fn name_version(&mut self, generation: u64) -> Vec<u64> {
         self.now += Duration::from_secs(6);
         self.planner.set_named_version(self.now, MODEL, generation, true);
-        self.load(generation)
+        self.complete_loads(generation)
     }
 
-    /// Lets every load that is ordered end at once.
-    fn load(&mut self, generation: u64) -> Vec<u64> {
+    /// Completes every ordered load at once. Returns the former versions, in the order of the loads.
+    fn complete_loads(&mut self, generation: u64) -> Vec<u64> {
         let mut loaded_from = Vec::new();
         loop {
             self.now += Duration::from_millis(50);
@@ -73,44 +73,53 @@
             }
             assert!(orders.len() <= TRANSCRIBERS.div_ceil(3));
             for order in orders {
-                let former =
-                    self.loaded.insert(order.instance.clone(), generation).expect("a known transcriber");
+                let former = self
+                    .loaded
+                    .insert(order.instance.clone(), generation)
+                    .expect("a transcriber of the fixture");
                 loaded_from.push(former);
                 self.planner.handle_order_outcome(self.now, &order, OrderOutcome::AlreadyLoaded);
             }
         }
     }
 
-    /// The oldest loaded version.
-    fn oldest(&self) -> u64 {
+    fn oldest_loaded(&self) -> u64 {
         self.loaded.values().copied().min().expect("transcribers")
     }
 }
 
 #[rstest]
-#[case::nothing_observed(&[], 0)]
-#[case::none_allowed(&[0, 0], 0)]
-#[case::one(&[1, 1], 1)]
-#[case::two(&[2], 2)]
+#[case::no_job_observed(&[], 0)]
+#[case::no_lag_allowed(&[0, 0], 0)]
+#[case::lag_of_one(&[1, 1], 1)]
+#[case::lag_of_two(&[2], 2)]
 #[case::more_than_the_limit(&[7], 2)]
 #[case::strictest_of_the_newest_jobs(&[2, 0, 1, 2], 0)]
 #[case::older_jobs_do_not_count(&[0, 1, 1, 2, 1], 1)]
 fn skips_versions_within_the_allowed_lag(#[case] observed: &[u64], #[case] allowed_lag: u64) {
-    let mut scene = Scene::new();
-    scene.observe(observed);
+    let mut fixture = Fixture::new();
+    fixture.observe(observed);
     let mut loads = 0;
     for generation in 2..=13 {
-        loads += scene.name(generation).len();
-        assert!(scene.oldest() + allowed_lag >= generation, "{:?} at version {generation}", scene.loaded);
+        loads += fixture.name_version(generation).len();
+        assert!(
+            fixture.oldest_loaded() + allowed_lag >= generation,
+            "{:?} at version {generation}",
+            fixture.loaded
+        );
     }
-    let all = 12 * TRANSCRIBERS;
-    let turns = usize::try_from(allowed_lag).expect("a few") + 1;
-    assert!(loads >= all / turns - TRANSCRIBERS && loads <= all / turns + TRANSCRIBERS + 3, "{loads} loads");
-    assert_eq!(loads < all, allowed_lag > 0);
+    let loads_without_lag = 12 * TRANSCRIBERS;
+    let turns = usize::try_from(allowed_lag).expect("a small lag") + 1;
+    assert!(
+        loads >= loads_without_lag / turns - TRANSCRIBERS
+            && loads <= loads_without_lag / turns + TRANSCRIBERS + 3,
+        "{loads} loads"
+    );
+    assert_eq!(loads < loads_without_lag, allowed_lag > 0);
 }
 
 #[rstest]
-fn all_load_the_only_model() {
+fn every_transcriber_loads_the_only_model() {
     let mut planner = Planner::new(Duration::ZERO);
     for number in 0..3 {
         planner.handle_instance_update(Duration::ZERO, &instance(number, 1));
@@ -135,29 +144,37 @@
 }
 
 #[rstest]
-fn loads_first_where_the_version_no_longer_serves() {
-    let mut scene = Scene::new();
-    scene.observe(&[1]);
-    assert_eq!(scene.name(2), [1, 1, 1, 1, 1], "half of them, as all serve on");
-    assert_eq!(scene.name(3), [1, 1, 1, 1, 2], "the others, and one more to keep half of them current");
-    assert_eq!(scene.name(4)[..4], [2, 2, 2, 2]);
+fn transcribers_whose_version_no_longer_serves_load_first() {
+    let mut fixture = Fixture::new();
+    fixture.observe(&[1]);
+    assert_eq!(
+        fixture.name_version(2),
+        [1, 1, 1, 1, 1],
+        "half of them are enough, because all still serve the jobs"
+    );
+    assert_eq!(
+        fixture.name_version(3),
+        [1, 1, 1, 1, 2],
+        "the others, and one more so that half of them are current"
+    );
+    assert_eq!(fixture.name_version(4)[..4], [2, 2, 2, 2]);
 }
 
 #[rstest]
-fn stricter_job_makes_all_load() {
-    let mut scene = Scene::new();
-    scene.observe(&[1]);
-    scene.name(2);
-    assert_eq!(scene.oldest(), 1);
-    scene.observe(&[0]);
-    assert_eq!(scene.load(2), [1, 1, 1, 1], "the others, at once");
-    scene.name(3);
-    assert_eq!(scene.oldest(), 3);
+fn stricter_job_makes_all_transcribers_load() {
+    let mut fixture = Fixture::new();
+    fixture.observe(&[1]);
+    fixture.name_version(2);
+    assert_eq!(fixture.oldest_loaded(), 1);
+    fixture.observe(&[0]);
+    assert_eq!(fixture.complete_loads(2), [1, 1, 1, 1], "the transcribers that had skipped the version");
+    fixture.name_version(3);
+    assert_eq!(fixture.oldest_loaded(), 3);
 }
 
-/// Two models on each of six transcribers: the jobs of one allow the version before the newest, those of the other none.
+/// Each of six transcribers has two models. The jobs of one model allow a lag of one version, those of the other none.
 #[rstest]
-fn prefers_a_model_without_serving_transcribers() {
+fn model_without_serving_transcribers_loads_first() {
     const STRICT: &str = "strict";
     let start = Duration::from_secs(1);
     let mut planner = Planner::new(start);
@@ -179,21 +196,22 @@
             _ => None,
         })
         .collect();
-    assert_eq!(ordered, [STRICT, STRICT], "three serve the other model meanwhile");
+    assert_eq!(ordered, [STRICT, STRICT], "three transcribers still serve the other model");
 }
 
-/// Three models on six transcribers: four of them are to serve each, and one that leaves is none of these.
+/// With three models on six ready transcribers, four are to serve each model. A draining transcriber is not counted
+/// among the four, although it has loaded the newest version.
 #[rstest]
 fn draining_transcriber_does_not_count_as_serving() {
     let mut planner = Planner::new(Duration::ZERO);
-    let models = [MODEL, OTHER, "model-c"];
+    let models = [MODEL, OTHER_MODEL, "model-c"];
     let announce = |planner: &mut Planner, number: usize, generation: u64, state: InstanceState| {
         let loaded = |model: &&str| ModelVersion { model: (*model).to_owned(), generation };
         let models = models.iter().map(loaded).collect();
         let announced = Instance { models, state, sequence: 1, ..instance(number, generation) };
         planner.handle_instance_update(Duration::ZERO, &announced);
     };
-    // Four hold the newest version; two of these leave.
+    // Four transcribers have loaded the newest version; two of these are draining.
     for number in 0..8 {
         let state = if number < 2 { InstanceState::Draining } else { InstanceState::Ready };
         announce(&mut planner, number, if number < 4 { 2 } else { 1 }, state);
@@ -213,5 +231,5 @@
             }
         }
     }
-    assert_eq!(loads, 2 * models.len(), "two more for each model, in place of those that leave");
+    assert_eq!(loads, 2 * models.len(), "two more for each model, in place of the draining ones");
 }
