--- a/crates/pebblepost-configuration/src/configuration.rs
+++ b/crates/pebblepost-configuration/src/configuration.rs
@@ -1,10 +1,10 @@
-//! A validated configuration: the document of one generation and what is derived from it.
+//! A validated configuration: the document of one generation and the values derived from it.
 
 use crate::routing_table::RoutingTable;
 use crate::{ConfigurationError, Limits, Route, Service, json, parse, patch};
 use simd_json::BorrowedValue;
 
-/// A configuration that passed validation.
+/// A configuration that has passed validation.
 #[derive(Clone, Debug)]
 pub struct Configuration {
     document: Vec<u8>,
@@ -20,20 +20,22 @@
     ///
     /// # Errors
     ///
-    /// The first fault found, in the order size, JSON, generation, services, routes, limits, ambiguous routes.
+    /// Returns the first error found. The checks run in this order: size and nesting, JSON, generation, services,
+    /// routes, limits, ambiguous routes.
     pub fn parse(document: &[u8]) -> Result<Configuration, ConfigurationError> {
         let mut buffer = json::parse_buffer(document)?;
         let value = json::parse_object(&mut buffer)?;
         Configuration::validate(&value, document.to_vec())
     }
 
-    /// Applies a patch (`generation`, `upsert`, `remove`) to this configuration and validates the result. Unknown
-    /// fields of the document are kept.
+    /// Applies a patch (`generation`, `upsert`, `remove`) to the document and validates the result.
+    ///
+    /// Unknown fields of the document are kept. `self` is unchanged.
     ///
     /// # Errors
     ///
-    /// The patch is not valid JSON or has another shape, its generation is not above the current one, or the
-    /// patched document is not valid.
+    /// Fails if the patch is not valid JSON or not of the expected form, if its generation is not above the current
+    /// one, or if the patched document is invalid.
     pub fn patched(&self, patch: &[u8]) -> Result<Configuration, ConfigurationError> {
         let mut document_buffer = json::parse_buffer(&self.document)?;
         let mut patch_buffer = json::parse_buffer(patch)?;
@@ -48,38 +50,39 @@
         Configuration::validate(&value, document)
     }
 
-    /// The full document, JSON.
+    /// Returns the full JSON document.
     pub fn document(&self) -> &[u8] {
         &self.document
     }
 
-    /// Version of the document.
+    /// Returns the generation of the document.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// All routes, in the order of the document.
+    /// Returns all routes, in the order of the document.
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// The route that matches a request: the longest prefix among the routes of the host. The host is compared
-    /// without regard to case or port, and a query in `path` is ignored.
+    /// Returns the route that matches a request: of the routes of the host, the one with the longest matching prefix.
+    ///
+    /// The comparison of hosts ignores case and port. A query in `path` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routing_table.find(host, path).and_then(|index| self.routes.get(index))
     }
 
-    /// The service with this name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// All services, in the order of the document.
+    /// Returns all services, in the order of the document.
     pub fn services(&self) -> &[Service] {
         &self.services
     }
 
-    /// Limits on the requests of clients.
+    /// Returns the limits on client requests.
     pub fn limits(&self) -> Limits {
         self.limits
     }
--- a/crates/pebblepost-configuration/src/equality.rs
+++ b/crates/pebblepost-configuration/src/equality.rs
@@ -1,12 +1,13 @@
-//! Comparison of documents by their JSON values.
+//! Comparison of documents as JSON values.
 
 use crate::json;
 use simd_json::BorrowedValue;
 use simd_json::prelude::*;
 
-/// Whether two documents have the same contents. They are compared as JSON values: white space, the order of an
-/// object's fields and the notation of numbers do not matter. Documents that cannot be parsed are equal only if
-/// their bytes are.
+/// Whether two documents are equal as JSON values.
+///
+/// White space, the order of the fields of an object and the notation of numbers do not matter. Documents that cannot
+/// be parsed are equal only if their bytes are.
 pub fn is_same_document(left: &[u8], right: &[u8]) -> bool {
     if left == right {
         return true;
@@ -40,7 +41,7 @@
 fn is_same_number(left: &BorrowedValue<'_>, right: &BorrowedValue<'_>) -> bool {
     match (left.as_i128(), right.as_i128()) {
         (Some(left), Some(right)) => left == right,
-        // One of them is a fraction or out of range.
+        // At least one of them has a fraction or exceeds the range of `i128`.
         _ => left.cast_f64() == right.cast_f64(),
     }
 }
--- a/crates/pebblepost-configuration/src/error.rs
+++ b/crates/pebblepost-configuration/src/error.rs
@@ -1,68 +1,68 @@
-//! Why a document or a patch is rejected. The texts are part of the operator's interface.
+//! Errors of documents and patches. Their texts are part of the operator's interface.
 
-/// A document or patch was rejected. The text is one sentence for the operator.
+/// Why a document or a patch was rejected. The display text is one sentence for the operator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigurationError {
-    /// The document is larger than the parser is given.
+    /// The document is larger than the limit.
     #[error("the document has more than {max_bytes} bytes")]
     DocumentTooLarge {
-        /// Largest size, in bytes.
+        /// The limit, in bytes.
         max_bytes: usize,
     },
-    /// The document is nested deeper than the recursive parser is given.
+    /// The document is nested deeper than the limit, which protects the stack of the recursive parser.
     #[error("the document is nested deeper than {max_depth} levels")]
     NestedTooDeeply {
-        /// Deepest nesting, in levels.
+        /// The limit, in levels.
         max_depth: usize,
     },
     /// The bytes are not valid JSON.
     #[error("the document is not valid JSON: {message}")]
     InvalidJson {
-        /// Message of the parser.
+        /// Error message of the parser.
         message: String,
     },
     /// A value that must be an object is of another type.
     #[error("{object} is not an object")]
     NotAnObject {
-        /// What the value stands for.
+        /// Description of the value, such as `route 0`.
         object: String,
     },
     /// A field of an object is missing or invalid.
     #[error("{object}: `{field}` {reason}")]
     InvalidField {
-        /// What the object stands for.
+        /// Description of the object, such as `route 'r'`.
         object: String,
         /// Name of the field.
         field: String,
-        /// What is wrong with it.
+        /// Why the field is invalid.
         reason: FieldError,
     },
     /// Two services have the same name.
     #[error("two services have the name '{name}'")]
     DuplicateService {
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
     /// Two routes have the same name.
     #[error("two routes have the name '{name}'")]
     DuplicateRoute {
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
-    /// Two routes match the same host and prefix.
+    /// Two routes have the same host and path prefix.
     #[error("routes '{first}' and '{second}' have the same host and prefix")]
     AmbiguousRoutes {
-        /// Name of the route that comes first in the document.
+        /// Name of the first route, in the order of the document.
         first: String,
-        /// Name of the other one.
+        /// Name of the second route.
         second: String,
     },
-    /// A patch does not raise the generation.
+    /// The generation of a patch is not above that of the document.
     #[error("generation {generation} is not above the current {current}")]
     StaleGeneration {
         /// Generation of the patch.
         generation: u64,
-        /// Generation of the document that it was applied to.
+        /// Generation of the document to which it was applied.
         current: u64,
     },
     /// `upsert` or `remove` of a patch is not an object.
@@ -71,14 +71,14 @@
         /// Name of the section.
         section: &'static str,
     },
-    /// An entry of `remove` is not a list of names.
+    /// An entry of `remove` is not an array of strings.
     #[error("the patch: `remove` must hold a list of names under `{key}`")]
     InvalidRemoval {
         /// Key of the entry.
         key: String,
     },
-    /// A patch upserts items into a field of the document that is not a list.
-    #[error("the document: `{key}` is no list")]
+    /// A patch upserts items into a field of the document that is not an array.
+    #[error("the document: `{key}` is not a list")]
     NotAList {
         /// Key of the field.
         key: String,
@@ -86,48 +86,48 @@
     /// An item that a patch upserts has no name.
     #[error("the patch: an item of `{key}` has no name")]
     UnnamedItem {
-        /// Key of the list.
+        /// Key of the array.
         key: String,
     },
 }
 
-/// What is wrong with a field.
+/// Why a field is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FieldError {
     /// A required field is absent or `null`.
     #[error("is missing")]
     Missing,
-    /// Not a string.
-    #[error("must be a text")]
+    /// The value is not a string.
+    #[error("must be a string")]
     NotAString,
-    /// Not a boolean.
+    /// The value is not a boolean.
     #[error("must be true or false")]
     NotABoolean,
-    /// Not a number.
+    /// The value is not a number.
     #[error("must be a number")]
     NotANumber,
-    /// Negative, or not finite.
+    /// The number is negative or not finite.
     #[error("must not be negative")]
     Negative,
-    /// Not an integer.
-    #[error("must be a whole number")]
+    /// The number is not an integer.
+    #[error("must be an integer")]
     NotAnInteger,
-    /// Not a list.
+    /// The value is not an array.
     #[error("must be a list")]
     NotAList,
-    /// Zero where a positive number is required.
+    /// The number is zero, but must be positive.
     #[error("must be above 0")]
     Zero,
-    /// A path prefix without a slash at its beginning or end.
+    /// A path prefix does not begin or does not end with a slash.
     #[error("must begin and end with a slash")]
     MissingSlash,
-    /// A traffic split without entries, and no other backend.
+    /// A traffic split has no entries, and no other backend is given.
     #[error("names no service")]
     NoBackend,
-    /// A traffic split of which all weights are 0.
+    /// All weights of a traffic split are 0.
     #[error("has weights that sum to 0")]
     ZeroWeights,
-    /// The document has no service of this name.
+    /// The field names a service that the document does not define.
     #[error("names the unknown service '{0}'")]
     UnknownService(String),
 }
--- a/crates/pebblepost-configuration/src/lib.rs
+++ b/crates/pebblepost-configuration/src/lib.rs
@@ -1,13 +1,14 @@
 //! The operator's configuration: validation, patches and the routing table.
 //!
-//! The format of documents and patches is that of the protocol, section "The operator's API".
+//! The section "The operator's API" of the protocol defines the format of documents and patches.
 //!
-//! The crate owns the JSON document of one generation and everything derived from it. A document is parsed and
-//! validated as `simd-json` values; fields that are not known are kept in the document and otherwise ignored.
-//! The crate never does I/O, holds no clock, and never distributes a configuration: `pebblepost-feed` does.
+//! A [`Configuration`] holds the JSON document of one generation and everything that is derived from it. Documents
+//! are parsed and validated as `simd-json` values. Unknown fields are kept in the document and otherwise ignored.
 //!
-//! Dependencies point downwards: [`Configuration`] uses the parsers and the patch, these use the model and the
-//! JSON helpers.
+//! The crate does no I/O and reads no clock. It does not distribute configurations; `pebblepost-feed` does that.
+//!
+//! Dependencies between the modules are acyclic: `configuration` uses `parse` and `patch`, which use `model` and
+//! `json`.
 
 mod configuration;
 mod equality;
--- a/crates/pebblepost-configuration/src/model.rs
+++ b/crates/pebblepost-configuration/src/model.rs
@@ -1,20 +1,20 @@
-//! Typed contents of a document: routes, services and limits.
+//! Typed values of a document: routes, services and limits.
 
 use std::time::Duration;
 
-/// What running a request twice would do, and so how it may be retried.
+/// Kind of the requests of a route. It decides whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// A request may be executed more than once.
     Idempotent,
-    /// Runs at most once.
+    /// A request is executed at most once.
     NonIdempotent,
-    /// Batch jobs of trainers.
+    /// Batch jobs of model trainers.
     Rollout,
 }
 
-/// A route: which requests it matches, and the terms under which they are forwarded (protocol, sections "Requests" and
-/// "Batch jobs").
+/// A route: which requests it matches and how they are forwarded. The sections "Requests" and "Batch jobs" of the
+/// protocol define the fields.
 ///
 /// Defaults of absent fields: `timeout` 30 s, `target_latency` 1 s, `priority` 5, `max_attempts` 1,
 /// `run_deadline` 60 s, `queue_ttl` 1 h, flags false.
@@ -27,29 +27,30 @@
     pub hostname: String,
     /// Path prefix that the route matches; begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether its requests may be retried.
+    /// Kind of its requests, which decides whether they may be retried.
     pub kind: RouteKind,
-    /// Responses are event streams.
+    /// Whether responses are event streams.
     pub streaming: bool,
-    /// An interrupted stream may be resumed at another transcriber.
+    /// Whether an interrupted stream may be resumed at another transcriber.
     pub resumable: bool,
-    /// Requests name the prefixes of their prompt, for prefix-cache affinity.
+    /// Whether requests name the prefixes of their prompt, for prefix-cache affinity.
     pub sticky: bool,
-    /// Longest time for which a request is kept before it is answered.
+    /// Time limit for answering a request.
     pub timeout: Duration,
-    /// Latency target: a response within it has its full value.
+    /// Latency target. A response within it has its full value.
     pub target_latency: Duration,
-    /// Priority class, 0 highest.
+    /// Priority class; 0 is the highest.
     pub priority: u32,
-    /// Names of services with their weights; never empty, and the weights sum to more than 0.
+    /// Names of services with their weights. Never empty, and the sum of the weights is above 0.
     pub backends: Vec<(String, u64)>,
-    /// Most transcribers that one request of a client may be sent to; at least 1. A client's retry is a new request.
+    /// Largest number of transcribers to which one request of a client is sent; at least 1. A retry by the client is a
+    /// new request.
     pub max_attempts: u32,
-    /// Batch jobs: time after the first submission by which results are due.
+    /// For batch jobs: time after the first submission at which results are due.
     pub run_deadline: Duration,
-    /// Batch jobs: time after the first submission from which on an item may be dead-lettered.
+    /// For batch jobs: time after the first submission from which an item may be dead-lettered.
     pub queue_ttl: Duration,
-    /// Batch jobs: the whole text of an item is made under one version of the weights.
+    /// For batch jobs: whether the whole text of an item must be generated under a single weight version.
     pub single_version: bool,
 }
 
@@ -62,23 +63,23 @@
     pub name: String,
     /// Path of the health check.
     pub health_path: String,
-    /// Most connections that one of its transcribers accepts, from all clients together.
+    /// Largest number of connections that each of its transcribers accepts from all clients together.
     pub max_conns: u32,
-    /// Models that its transcribers serve; empty for services that generate no tokens.
+    /// Names of the models that its transcribers serve. Empty for services that generate no tokens.
     pub models: Vec<String>,
-    /// Requests that one engine runs concurrently, if the document says so.
+    /// Number of requests that one engine runs concurrently, if the document states it.
     pub engine_slots: Option<u32>,
 }
 
-/// Limits on the requests of clients.
+/// Limits on client requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest request head, in bytes.
+    /// Largest size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Largest request body, in bytes.
+    /// Largest size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time in which a request head must arrive.
+    /// Time within which a request head must arrive.
     pub header_timeout: Duration,
-    /// Longest time for which a client's connection may be idle.
+    /// Longest time for which a client connection may be idle.
     pub idle_timeout: Duration,
 }
--- a/crates/pebblepost-configuration/src/parse/mod.rs
+++ b/crates/pebblepost-configuration/src/parse/mod.rs
@@ -10,10 +10,10 @@
 use simd_json::BorrowedValue;
 use simd_json::prelude::*;
 
-/// Name of the whole document, and of a patch, in errors.
+/// Name of the whole document, or of a patch, in error texts.
 const DOCUMENT: &str = "the document";
 
-/// The generation of a document or patch.
+/// Reads the generation of a document or patch.
 pub(crate) fn generation(document: &BorrowedValue<'_>) -> Result<u64, ConfigurationError> {
     const FIELD: &str = "generation";
     let reader = ObjectReader::new(document, DOCUMENT)?;
--- a/crates/pebblepost-configuration/src/parse/routes.rs
+++ b/crates/pebblepost-configuration/src/parse/routes.rs
@@ -14,13 +14,14 @@
 const DEFAULT_RUN_DEADLINE: Duration = Duration::from_secs(60);
 const DEFAULT_QUEUE_TTL: Duration = Duration::from_secs(3600);
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// Weight of a single backend.
+/// Weight of the backend of a route without a traffic split.
 const SINGLE_BACKEND_WEIGHT: u64 = 1;
-/// Fractional weights are scaled by this before they are rounded up.
+/// Factor by which weights are multiplied before they are rounded up, if any of them has a fraction.
 const WEIGHT_SCALE: f64 = 1000.0;
+/// Upper bound on a weight, after it was scaled.
 const MAX_WEIGHT: f64 = 1e12;
 
-/// All routes, in the order of the document, each validated by itself and against the services.
+/// Parses all routes, in the order of the document. Each one is validated by itself and against the services.
 pub(crate) fn parse_all(
     document: &BorrowedValue<'_>, services: &[Service],
 ) -> Result<Vec<Route>, ConfigurationError> {
@@ -64,7 +65,7 @@
     })
 }
 
-/// An unknown kind is treated as the strictest one.
+/// Parses the kind of a route. An unknown kind is treated as the strictest one, non-idempotent.
 fn parse_kind(kind: &str) -> RouteKind {
     match kind {
         "idempotent" => RouteKind::Idempotent,
@@ -87,7 +88,7 @@
     if timeout.is_zero() { Err(route.invalid("timeout_ms", FieldError::Zero)) } else { Ok(timeout) }
 }
 
-/// `traffic_split`, if it has entries, else the single `backend`.
+/// Parses the backends of a route: `traffic_split` if it has entries, and otherwise the single `backend`.
 fn parse_backends(
     route: &ObjectReader<'_, '_>, services: &HashSet<&str>,
 ) -> Result<Vec<(String, u64)>, ConfigurationError> {
@@ -111,7 +112,7 @@
     let Some(entries) = route.list(FIELD)? else { return Ok(None) };
     let mut weights = Vec::with_capacity(entries.len());
     for entry in entries {
-        let entry = ObjectReader::new(entry, "a part of `traffic_split`")?;
+        let entry = ObjectReader::new(entry, "an entry of `traffic_split`")?;
         let backend = entry.required_string("backend")?;
         check_service(route, FIELD, backend, services)?;
         weights.push((backend, entry.number("weight")?.unwrap_or(DEFAULT_WEIGHT)));
@@ -122,7 +123,7 @@
     Ok(Some(integer_weights(&weights)))
 }
 
-/// Weights as integers: unchanged if all are, else all scaled and rounded up.
+/// Converts weights to integers. If any of them has a fraction, all are scaled and rounded up.
 fn integer_weights(weights: &[(&str, f64)]) -> Vec<(String, u64)> {
     let has_fraction = weights.iter().any(|(_, weight)| weight.fract() != 0.0);
     let scale = if has_fraction { WEIGHT_SCALE } else { 1.0 };
--- a/crates/pebblepost-configuration/src/parse/services.rs
+++ b/crates/pebblepost-configuration/src/parse/services.rs
@@ -10,7 +10,7 @@
 const DEFAULT_HEALTH_PATH: &str = "/healthz";
 const DEFAULT_MAX_CONNS: u32 = 100;
 
-/// All services, in the order of the document.
+/// Parses all services, in the order of the document.
 pub(crate) fn parse_all(document: &BorrowedValue<'_>) -> Result<Vec<Service>, ConfigurationError> {
     let document = ObjectReader::new(document, DOCUMENT)?;
     let values = document.list("services")?.ok_or_else(|| document.missing("services"))?;
@@ -47,7 +47,7 @@
     })
 }
 
-/// Names of models: each entry is a string, or an object with a `name`.
+/// Parses the names of the models. Each entry is a string, or an object with a `name`.
 fn parse_models(engine: &ObjectReader<'_, '_>) -> Result<Vec<String>, ConfigurationError> {
     let mut models = Vec::new();
     for value in engine.list("models")?.unwrap_or_default() {
--- a/crates/pebblepost-configuration/src/patch.rs
+++ b/crates/pebblepost-configuration/src/patch.rs
@@ -1,15 +1,16 @@
-//! Applying a patch to a document.
+//! Application of patches to a document.
 
 use crate::ConfigurationError;
 use simd_json::borrowed::Object;
 use simd_json::prelude::*;
 use simd_json::{BorrowedValue, ValueType};
 
-/// Fields that a patch replaces at the top level of the document.
+/// Top-level fields of the document that a patch replaces as a whole.
 const REPLACED_FIELDS: [&str; 2] = ["generation", "limits"];
 
-/// Applies `remove`, then `upsert`, then the replaced fields. Items are identified by their name and keep their
-/// order: a replaced item keeps its index, a new one is appended.
+/// Applies `remove`, then `upsert`, then the fields that are replaced as a whole.
+///
+/// Items are identified by their `name`. A replaced item keeps its index; a new item is appended.
 pub(crate) fn apply<'a>(
     document: &mut BorrowedValue<'a>, patch: BorrowedValue<'a>,
 ) -> Result<(), ConfigurationError> {
@@ -69,7 +70,7 @@
     let items = match items {
         BorrowedValue::Array(items) => *items,
         value if value.is_null() => return Ok(()),
-        // Anything but a list, such as `limits`, is replaced as one value.
+        // A value that is not an array, such as `limits`, is replaced as a whole.
         value => {
             document.insert(key.to_owned().into(), value);
             return Ok(());
--- a/crates/pebblepost-configuration/src/routing_table.rs
+++ b/crates/pebblepost-configuration/src/routing_table.rs
@@ -10,21 +10,25 @@
     hosts: HashMap<String, HostRoutes>,
 }
 
-/// Routes of one host.
+/// The routes of one host, as indices by path prefix.
 #[derive(Clone, Debug, Default)]
 struct HostRoutes {
     by_prefix: HashMap<String, usize>,
     /// Length of the longest prefix, in bytes.
-    longest_prefix: usize,
+    max_prefix_bytes: usize,
 }
 
 impl RoutingTable {
-    /// Builds the table. Fails if two routes have the same host and prefix.
+    /// Builds the table.
+    ///
+    /// # Errors
+    ///
+    /// Fails if two routes have the same host and path prefix.
     pub(crate) fn new(routes: &[Route]) -> Result<RoutingTable, ConfigurationError> {
         let mut hosts: HashMap<String, HostRoutes> = HashMap::new();
         for (index, route) in routes.iter().enumerate() {
             let host = hosts.entry(normalize_host(&route.hostname).into_owned()).or_default();
-            host.longest_prefix = host.longest_prefix.max(route.path_prefix.len());
+            host.max_prefix_bytes = host.max_prefix_bytes.max(route.path_prefix.len());
             if let Some(first) = host.by_prefix.insert(route.path_prefix.clone(), index) {
                 return Err(ConfigurationError::AmbiguousRoutes {
                     first: routes.get(first).map_or_else(String::new, |first| first.name.clone()),
@@ -35,13 +39,13 @@
         Ok(RoutingTable { hosts })
     }
 
-    /// Index of the route with the longest prefix of the path.
+    /// Returns the index of the route of the host with the longest prefix that matches the path.
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<usize> {
         let host = self.hosts.get(normalize_host(host).as_ref())?;
         let path = path.split('?').next().unwrap_or(path);
-        let mut end = path.len().min(host.longest_prefix);
+        let mut end = path.len().min(host.max_prefix_bytes);
         loop {
-            // Every prefix ends with a slash, so only those parts of the path are looked up.
+            // Every prefix ends with a slash, so only the parts of the path that end with one are looked up.
             let slash = path.as_bytes().get(..end)?.iter().rposition(|byte| *byte == b'/')?;
             if let Some(index) = host.by_prefix.get(&path[..=slash]) {
                 return Some(*index);
@@ -51,7 +55,7 @@
     }
 }
 
-/// The host in lower case, without its port.
+/// Returns the host in lower case and without its port.
 fn normalize_host(host: &str) -> Cow<'_, str> {
     let name = without_port(host);
     if name.bytes().any(|byte| byte.is_ascii_uppercase()) {
@@ -63,7 +67,7 @@
 
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
-        // The colons of an IPv6 address without a port are inside brackets.
+        // The colons of an IPv6 address are inside brackets. If a bracket follows the last colon, there is no port.
         Some((name, port)) if !port.contains(']') => name,
         _ => host,
     }
--- a/crates/pebblepost-configuration/tests/configuration.rs
+++ b/crates/pebblepost-configuration/tests/configuration.rs
@@ -24,12 +24,12 @@
     Configuration::parse(document.as_bytes()).unwrap()
 }
 
-/// A document with the services `s` and `t` and these routes.
+/// Returns a document with the services `s` and `t` and the given routes.
 fn with_routes(routes: &str) -> String {
     format!(r#"{{"generation":1,"routes":[{routes}],"services":[{{"name":"s"}},{{"name":"t"}}]}}"#)
 }
 
-/// A route with one field replaced, or left out if the value is empty.
+/// Returns a route in which one field is replaced, or omitted if the value is empty.
 fn route_with(field: &str, value: &str) -> String {
     let fields = [
         ("name", r#""r""#),
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn an_ipv6_host_keeps_its_colons() {
+fn ipv6_host_is_matched_with_and_without_a_port() {
     let document = with_routes(&route_with("hostname", r#""[::1]""#));
     let configuration = parse(&document);
     assert!(configuration.route("[::1]", "/p/x").is_some());
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_prefix_of_one_slash_matches_every_path() {
+fn prefix_of_one_slash_matches_every_path() {
     let configuration = parse(&with_routes(&route_with("path_prefix", r#""/""#)));
     assert!(configuration.route("h", "/").is_some());
     assert!(configuration.route("h", "/a/b").is_some());
@@ -137,13 +137,13 @@
 #[rstest]
 #[case::list("[]", "the document is not an object")]
 #[case::no_generation(r#"{"routes":[],"services":[]}"#, "the document: `generation` is missing")]
-#[case::generation_is_text(
+#[case::generation_is_a_string(
     r#"{"generation":"1","routes":[],"services":[]}"#,
     "the document: `generation` must be a number"
 )]
-#[case::generation_is_fraction(
+#[case::generation_has_a_fraction(
     r#"{"generation":1.5,"routes":[],"services":[]}"#,
-    "the document: `generation` must be a whole number"
+    "the document: `generation` must be an integer"
 )]
 #[case::negative_generation(
     r#"{"generation":-1,"routes":[],"services":[]}"#,
@@ -155,32 +155,35 @@
     r#"{"generation":1,"routes":{},"services":[]}"#,
     "the document: `routes` must be a list"
 )]
-#[case::route_is_text(r#"{"generation":1,"routes":["..."],"services":[]}"#, "route 0 is not an object")]
+#[case::route_is_a_string(r#"{"generation":1,"routes":["..."],"services":[]}"#, "route 0 is not an object")]
 #[case::service_without_name(
     r#"{"generation":1,"routes":[],"services":[{"max_conns":1}]}"#,
     "service 0: `name` is missing"
 )]
-#[case::service_twice(
+#[case::duplicate_service(
     r#"{"generation":1,"routes":[],"services":[{"name":"a"},{"name":"a"}]}"#,
     "two services have the name 'a'"
 )]
-#[case::bad_max_conns(
+#[case::max_conns_is_a_string(
     r#"{"generation":1,"routes":[],"services":[{"name":"a","max_conns":"x"}]}"#,
     "service 'a': `max_conns` must be a number"
 )]
-#[case::bad_limits(r#"{"generation":1,"routes":[],"services":[],"limits":3}"#, "limits is not an object")]
-#[case::bad_limit(
+#[case::limits_are_a_number(
+    r#"{"generation":1,"routes":[],"services":[],"limits":3}"#,
+    "limits is not an object"
+)]
+#[case::limit_is_a_string(
     r#"{"generation":1,"routes":[],"services":[],"limits":{"idle_timeout_ms":"x"}}"#,
     "limits: `idle_timeout_ms` must be a number"
 )]
-fn rejects_a_document_of_another_shape(#[case] document: &str, #[case] reason: &str) {
+fn rejects_a_document_with_an_invalid_structure(#[case] document: &str, #[case] reason: &str) {
     assert_eq!(error_text(document), reason);
 }
 
 #[rstest]
 #[case("name", "", "route 0: `name` is missing")]
 #[case("name", "null", "route 0: `name` is missing")]
-#[case("name", "3", "route 0: `name` must be a text")]
+#[case("name", "3", "route 0: `name` must be a string")]
 #[case("hostname", "", "route 'r': `hostname` is missing")]
 #[case("path_prefix", "", "route 'r': `path_prefix` is missing")]
 #[case("path_prefix", r#""p/""#, "route 'r': `path_prefix` must begin and end with a slash")]
@@ -212,10 +215,10 @@
 #[case(
     "traffic_split",
     r#"[{"backend":"s","weight":-1}]"#,
-    "a part of `traffic_split`: `weight` must not be negative"
+    "an entry of `traffic_split`: `weight` must not be negative"
 )]
 #[case("streaming", "1", "route 'r': `streaming` must be true or false")]
-#[case("max_attempts", "1.5", "route 'r': `max_attempts` must be a whole number")]
+#[case("max_attempts", "1.5", "route 'r': `max_attempts` must be an integer")]
 #[case("queue_ttl_s", r#""x""#, "route 'r': `queue_ttl_s` must be a number")]
 fn rejects_a_route_with_an_invalid_field(#[case] field: &str, #[case] value: &str, #[case] reason: &str) {
     assert_eq!(error_text(&with_routes(&route_with(field, value))), reason);
@@ -246,7 +249,7 @@
 }
 
 #[test]
-fn an_unknown_kind_runs_at_most_once() {
+fn route_of_unknown_kind_is_non_idempotent() {
     let configuration = parse(&with_routes(&route_with("kind", r#""of_the_future""#)));
     assert_eq!(configuration.routes()[0].kind, RouteKind::NonIdempotent);
 }
@@ -266,7 +269,7 @@
 }
 
 #[test]
-fn the_same_prefix_at_another_host_is_another_route() {
+fn same_prefix_at_another_host_is_another_route() {
     let other = route_with("name", r#""q""#).replace(r#""h""#, r#""i""#);
     let configuration = parse(&with_routes(&format!("{},{other}", route_with("", ""))));
     assert_eq!(configuration.route("i", "/p/").unwrap().name, "q");
@@ -281,7 +284,7 @@
 }
 
 #[test]
-fn brackets_inside_strings_are_not_nesting() {
+fn brackets_inside_strings_do_not_count_as_nesting() {
     let text = "[".repeat(200) + r#"\"{{\\"#;
     let document = with_routes(&route_with("note", &format!("\"{text}\"")));
     assert_eq!(parse(&document).routes().len(), 1);
@@ -295,7 +298,7 @@
 }
 
 #[test]
-fn damaged_bytes_never_panic() {
+fn damaged_document_does_not_panic() {
     let mut document = DOCUMENT.as_bytes().to_vec();
     for index in 0..document.len() {
         for byte in [0, b'"', b'\\', b'{', b'9', 0xff] {
@@ -317,6 +320,6 @@
 #[case::large_numbers(r#"[9007199254740993]"#, r#"[9007199254740992]"#, false)]
 #[case::not_parsable("{", "{ ", false)]
 #[case::same_bytes("{", "{", true)]
-fn documents_are_compared_as_values(#[case] left: &str, #[case] right: &str, #[case] same: bool) {
+fn documents_are_compared_as_json_values(#[case] left: &str, #[case] right: &str, #[case] same: bool) {
     assert_eq!(is_same_document(left.as_bytes(), right.as_bytes()), same);
 }
--- a/crates/pebblepost-configuration/tests/error_texts.rs
+++ b/crates/pebblepost-configuration/tests/error_texts.rs
@@ -1,4 +1,4 @@
-//! Texts of rejected documents that `configuration.rs` and `patches.rs` do not pin: they reach the operator.
+//! Error texts that operators see and that `configuration.rs` and `patches.rs` do not check.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -48,27 +48,27 @@
 #[case::weight_of_wrong_type(
     r#"{"generation":1,"services":[{"name":"s"}],"routes":[{"name":"r","hostname":"h","path_prefix":"/","kind":"",
         "traffic_split":[3]}]}"#,
-    "a part of `traffic_split` is not an object"
+    "an entry of `traffic_split` is not an object"
 )]
 #[case::empty_split_without_backend(
     r#"{"generation":1,"services":[{"name":"s"}],"routes":[{"name":"r","hostname":"h","path_prefix":"/","kind":"",
         "traffic_split":[]}]}"#,
     "route 'r': `traffic_split` names no service"
 )]
-fn rejects_a_document_with_this_text(#[case] document: &str, #[case] expected: &str) {
+fn invalid_document_gives_this_error_text(#[case] document: &str, #[case] expected: &str) {
     assert_eq!(parse_error(document), expected);
 }
 
 #[rstest]
-#[case::upsert_into_no_list(
+#[case::upsert_into_a_field_that_is_not_a_list(
     r#"{"generation":2,"upsert":{"note":[{"name":"x"}]}}"#,
-    "the document: `note` is no list"
+    "the document: `note` is not a list"
 )]
 #[case::remove_of_wrong_type(
     r#"{"generation":2,"remove":{"routes":3}}"#,
     "the patch: `remove` must hold a list of names under `routes`"
 )]
 #[case::generation_of_wrong_type(r#"{"generation":"2"}"#, "the document: `generation` must be a number")]
-fn rejects_a_patch_with_this_text(#[case] patch: &str, #[case] expected: &str) {
+fn invalid_patch_gives_this_error_text(#[case] patch: &str, #[case] expected: &str) {
     assert_eq!(patch_error(patch), expected);
 }
--- a/crates/pebblepost-configuration/tests/patches.rs
+++ b/crates/pebblepost-configuration/tests/patches.rs
@@ -1,4 +1,4 @@
-//! Patches of a configuration: their effect, and why one is rejected.
+//! Patches of a configuration: their effect, and the errors of invalid ones.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -25,7 +25,10 @@
 
 fn assert_document(configuration: &Configuration, expected: &str) {
     let document = String::from_utf8_lossy(configuration.document());
-    assert!(is_same_document(document.as_bytes(), expected.as_bytes()), "{document}\nis not\n{expected}");
+    assert!(
+        is_same_document(document.as_bytes(), expected.as_bytes()),
+        "document:\n{document}\nexpected:\n{expected}"
+    );
 }
 
 #[test]
@@ -60,13 +63,13 @@
 }
 
 #[test]
-fn a_patch_may_change_nothing_but_the_generation() {
+fn patch_may_change_only_the_generation() {
     let configuration = patched(r#"{"generation":8,"upsert":null,"remove":{"routes":null}}"#);
     assert_document(&configuration, &DOCUMENT.replace("\"generation\":7", "\"generation\":8"));
 }
 
 #[test]
-fn a_patched_document_parses_to_the_same_routes() {
+fn patched_document_parses_to_the_same_routes() {
     let configuration = patched(r#"{"generation":8,"remove":{"routes":["a"]}}"#);
     let reparsed = Configuration::parse(configuration.document()).unwrap();
     assert_eq!(reparsed.routes(), configuration.routes());
@@ -88,7 +91,7 @@
 #[case::no_generation("{}", "the document: `generation` is missing")]
 #[case::not_an_object("[]", "the document is not an object")]
 #[case::upsert_is_a_list(r#"{"generation":8,"upsert":[]}"#, "the patch: `upsert` must be an object")]
-#[case::remove_is_a_text(r#"{"generation":8,"remove":"a"}"#, "the patch: `remove` must be an object")]
+#[case::remove_is_a_string(r#"{"generation":8,"remove":"a"}"#, "the patch: `remove` must be an object")]
 #[case::names_are_numbers(
     r#"{"generation":8,"remove":{"routes":[1]}}"#,
     "the patch: `remove` must hold a list of names under `routes`"
@@ -101,17 +104,17 @@
     r#"{"generation":8,"remove":{"services":["t"]}}"#,
     "route 'c': `backend` names the unknown service 't'"
 )]
-#[case::prefix_taken(
+#[case::ambiguous_prefix(
     r#"{"generation":8,"upsert":{"routes":[{"name":"z","hostname":"h","path_prefix":"/a/","kind":"idempotent",
       "backend":"s"}]}}"#,
     "routes 'a' and 'z' have the same host and prefix"
 )]
-#[case::no_timeout(
+#[case::zero_timeout(
     r#"{"generation":8,"upsert":{"routes":[{"name":"a","hostname":"h","path_prefix":"/a/","kind":"idempotent",
       "backend":"s","timeout_ms":0}]}}"#,
     "route 'a': `timeout_ms` must be above 0"
 )]
-#[case::weights(
+#[case::zero_weights(
     r#"{"generation":8,"upsert":{"routes":[{"name":"a","hostname":"h","path_prefix":"/a/","kind":"idempotent",
       "traffic_split":[{"backend":"s","weight":0}]}]}}"#,
     "route 'a': `traffic_split` has weights that sum to 0"
@@ -126,7 +129,7 @@
 }
 
 #[test]
-fn a_patched_document_has_the_approved_bytes() {
+fn patched_document_has_the_approved_bytes() {
     let configuration = patched(
         r#"{"generation":9,"upsert":{"routes":[{"name":"b","hostname":"h","path_prefix":"/b2/","kind":"rollout",
          "backend":"t","queue_ttl_s":40.0}],"services":[{"name":"u","max_conns":3}],"limits":{"x":[1e3,"\u00e9\n"]}},
