--- a/crates/pebblepost-membership/src/codec.rs
+++ b/crates/pebblepost-membership/src/codec.rs
@@ -1,12 +1,13 @@
-//! Bounded reading and writing of datagrams. Integers are little-endian.
+//! Encoding and decoding of the fields of datagrams, with bounded lengths. Integers are little-endian.
 
 use crate::member::{MAX_NAME_BYTES, MAX_PAYLOAD_BYTES, Member, MemberState, Update};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Bytes of an update without name and payload: state, incarnation, address, two lengths.
+/// Encoded size of an update without name and payload: state, incarnation, address, and two lengths.
 const UPDATE_HEADER_BYTES: usize = 1 + 8 + 6 + 2;
 
-/// Reads from the start of some bytes; `None` once they don't suffice.
+/// Reads fields from the start of a byte slice. Each method returns `None` if the remaining bytes are too few or
+/// invalid.
 pub(crate) struct Reader<'a>(pub(crate) &'a [u8]);
 
 impl<'a> Reader<'a> {
@@ -28,14 +29,14 @@
         self.take(8)?.try_into().ok().map(u64::from_le_bytes)
     }
 
-    /// Bytes with a length of one byte in front.
-    fn short(&mut self, max_bytes: usize) -> Option<&'a [u8]> {
+    /// Reads bytes that are preceded by their length, which takes one byte and is at most `max_bytes`.
+    fn length_prefixed(&mut self, max_bytes: usize) -> Option<&'a [u8]> {
         let length = usize::from(self.byte()?);
         if length <= max_bytes { self.take(length) } else { None }
     }
 
     pub(crate) fn name(&mut self) -> Option<String> {
-        String::from_utf8(self.short(MAX_NAME_BYTES)?.to_vec()).ok()
+        String::from_utf8(self.length_prefixed(MAX_NAME_BYTES)?.to_vec()).ok()
     }
 
     pub(crate) fn address(&mut self) -> Option<SocketAddrV4> {
@@ -49,13 +50,13 @@
         let incarnation = self.u64()?;
         let address = self.address()?;
         let name = self.name()?;
-        let payload = self.short(MAX_PAYLOAD_BYTES)?.to_vec();
+        let payload = self.length_prefixed(MAX_PAYLOAD_BYTES)?.to_vec();
         Some(Update { member: Member { name, address, payload, incarnation }, state })
     }
 }
 
-/// Appends bytes, at most 255, with their length in front.
-fn write_short(buffer: &mut Vec<u8>, bytes: &[u8]) {
+/// Appends bytes, preceded by their length in one byte. Bytes beyond 255 are omitted.
+fn write_length_prefixed(buffer: &mut Vec<u8>, bytes: &[u8]) {
     let length = u8::try_from(bytes.len()).unwrap_or(u8::MAX);
     buffer.push(length);
     buffer.extend_from_slice(&bytes[..usize::from(length)]);
@@ -70,7 +71,7 @@
 }
 
 pub(crate) fn write_name(buffer: &mut Vec<u8>, name: &str) {
-    write_short(buffer, name.as_bytes());
+    write_length_prefixed(buffer, name.as_bytes());
 }
 
 pub(crate) fn write_address(buffer: &mut Vec<u8>, address: SocketAddrV4) {
@@ -83,10 +84,10 @@
     write_u64(buffer, update.member.incarnation);
     write_address(buffer, update.member.address);
     write_name(buffer, &update.member.name);
-    write_short(buffer, &update.member.payload);
+    write_length_prefixed(buffer, &update.member.payload);
 }
 
-/// Bytes of an encoded update.
-pub(crate) fn update_bytes(update: &Update) -> usize {
+/// Returns the encoded size of an update, in bytes.
+pub(crate) fn encoded_update_bytes(update: &Update) -> usize {
     UPDATE_HEADER_BYTES + update.member.name.len() + update.member.payload.len()
 }
--- a/crates/pebblepost-membership/src/gossip.rs
+++ b/crates/pebblepost-membership/src/gossip.rs
@@ -1,31 +1,32 @@
-//! Updates still to be disseminated, each a bounded number of times.
+//! Queue of the updates to disseminate. Each update is sent a bounded number of times.
 
 use crate::member::Update;
 
 struct QueuedUpdate {
     update: Update,
+    /// Number of datagrams that have carried the update.
     sent_count: u32,
 }
 
-/// The queue of updates, the least often sent first.
+/// The queue of updates, ordered by how often they were sent, least often first.
 #[derive(Default)]
 pub(crate) struct GossipQueue {
     queued: Vec<QueuedUpdate>,
 }
 
 impl GossipQueue {
-    /// Adds an update in place of an older one about the same member.
+    /// Adds an update, which replaces a queued one about the same member.
     pub(crate) fn push(&mut self, update: Update) {
         self.queued.retain(|queued| queued.update.member.name != update.member.name);
         self.queued.insert(0, QueuedUpdate { update, sent_count: 0 });
     }
 
-    /// The updates in the order in which they should be sent.
+    /// Iterates over the updates in the order in which they are to be sent.
     pub(crate) fn updates(&self) -> impl Iterator<Item = &Update> {
         self.queued.iter().map(|queued| &queued.update)
     }
 
-    /// The first `count` updates have been sent; those sent `limit` times are dropped.
+    /// Records that the first `count` updates were sent. Updates that were sent `limit` times are dropped.
     pub(crate) fn on_sent(&mut self, count: usize, limit: u32) {
         for queued in &mut self.queued[..count] {
             queued.sent_count += 1;
--- a/crates/pebblepost-membership/src/lib.rs
+++ b/crates/pebblepost-membership/src/lib.rs
@@ -1,18 +1,19 @@
-//! SWIM membership without I/O or clock.
+//! SWIM membership: failure detection and dissemination of member states.
 //!
-//! The caller hands in the time and the datagrams received, and sends what
-//! [`Membership::take_outputs`] returns. Each period a member probes one other, directly and, if no
-//! acknowledgement comes, through some others; a member that answers neither is suspected and,
-//! unless it refutes this with a higher incarnation, declared dead. Updates are piggybacked on the
-//! probes' datagrams. Terms are those of the SWIM paper (Das, Gupta, Motivala 2002).
+//! In each protocol period a member probes one other member directly. If no acknowledgement arrives, it asks some
+//! other members to probe the same member. A member that answers neither is suspected, and declared dead unless it
+//! refutes the suspicion with a higher incarnation. Updates are piggybacked on the datagrams of the probes. The terms
+//! are those of the SWIM paper (Das, Gupta, Motivala 2002).
 //!
-//! * `member`, `settings`, `output`: the types that cross the border.
-//! * `member_table`, `gossip`, `probe_state`, `exchange_state`: state, each with the rules that need
-//!   nothing else.
-//! * `membership`: holds the state together; `probing`, `suspicion`, `exchange` and `protocol` are
-//!   its decisions, by concern.
-//! * `message`, `codec`: the datagrams. The codec is written by hand, as `nanoserde` reserves memory
-//!   for any length that a datagram claims.
+//! The crate does no I/O and reads no clock. The caller passes in the time and the datagrams that it received, and
+//! sends the datagrams that [`Membership::take_outputs`] returns.
+//!
+//! * `member`, `settings` and `output` define the types of the public interface.
+//! * `member_table`, `gossip`, `probe_state` and `exchange_state` hold parts of the state, each with the rules that
+//!   depend on this part alone.
+//! * `membership` combines them. `probing`, `suspicion`, `exchange` and `protocol` implement the protocol on it.
+//! * `message` and `codec` define the datagrams. The codec is written by hand because `nanoserde` reserves memory for
+//!   any length that a datagram claims.
 
 mod codec;
 mod exchange;
--- a/crates/pebblepost-membership/src/member.rs
+++ b/crates/pebblepost-membership/src/member.rs
@@ -1,40 +1,40 @@
-//! Members and updates about them.
+//! Members, their states, and updates about them.
 
 use std::net::SocketAddrV4;
 
-/// Longest name of a member, in bytes.
+/// Largest length of a member's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Longest payload of a member, in bytes.
+/// Largest length of a member's payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 64;
 
-/// A process that takes part.
+/// A process that takes part in the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Unique name, at most 64 bytes. A restarted process keeps it.
+    /// Unique name of at most 64 bytes. A process keeps its name when it restarts.
     pub name: String,
-    /// Address at which it receives datagrams.
+    /// Address at which the process receives datagrams.
     pub address: SocketAddrV4,
-    /// Anything that the caller wants others to know (role, zone), at most 64 bytes.
+    /// Data that the caller wants other members to know (role, zone), at most 64 bytes.
     pub payload: Vec<u8>,
-    /// Rises with each start of the process, and when it refutes a suspicion.
+    /// Incarnation number. It increases with each start of the process and with each suspicion that it refutes.
     pub incarnation: u64,
 }
 
-/// The state of a member, as another one knows it.
+/// The state of a member as another member knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It answers, or an update says so.
+    /// The member answers probes, or an update says that it does.
     Alive,
-    /// It did not acknowledge a probe; it can still refute this.
+    /// The member did not acknowledge a probe, but can still refute the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// The member did not refute a suspicion in time.
     Dead,
-    /// It has left by itself.
+    /// The member has left on its own.
     Left,
 }
 
 impl MemberState {
-    /// Whether the member may take part: alive or only suspected.
+    /// Whether the member still counts as taking part, which it does if it is alive or suspected.
     pub fn is_present(self) -> bool {
         self <= MemberState::Suspect
     }
@@ -67,7 +67,10 @@
 }
 
 impl Update {
-    /// Whether it replaces another update about the same member.
+    /// Whether this update replaces another one about the same member.
+    ///
+    /// A higher incarnation takes precedence; under the same incarnation, the later state in the order of
+    /// [`MemberState`] does.
     pub(crate) fn supersedes(&self, other: &Update) -> bool {
         (self.member.incarnation, self.state) > (other.member.incarnation, other.state)
     }
--- a/crates/pebblepost-membership/src/member_table.rs
+++ b/crates/pebblepost-membership/src/member_table.rs
@@ -1,4 +1,4 @@
-//! The members known, with the times at which their state expires.
+//! The table of known members, with the times at which their states expire.
 
 use crate::member::{Member, MemberState, Update};
 use std::{collections::BTreeMap, net::SocketAddrV4, ops::Bound, time::Duration};
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub(crate) update: Update,
-    /// End of a suspicion, or of the retention of a member that is dead or has left.
+    /// Time at which a suspicion ends, or at which a member that is dead or has left is removed.
     pub(crate) deadline: Option<Duration>,
 }
 
@@ -30,23 +30,23 @@
         self.entries.values()
     }
 
-    /// Members that are alive or suspected.
-    pub(crate) fn present(&self) -> impl Iterator<Item = &Member> {
+    /// Iterates over the members that are alive or suspected.
+    pub(crate) fn present_members(&self) -> impl Iterator<Item = &Member> {
         self.entries().filter(|entry| entry.update.state.is_present()).map(|entry| &entry.update.member)
     }
 
-    pub(crate) fn dead(&self) -> impl Iterator<Item = &Member> {
+    pub(crate) fn dead_members(&self) -> impl Iterator<Item = &Member> {
         self.entries()
             .filter(|entry| entry.update.state == MemberState::Dead)
             .map(|entry| &entry.update.member)
     }
 
-    pub(crate) fn at_address(&self, address: SocketAddrV4) -> Option<&Entry> {
+    pub(crate) fn find_by_address(&self, address: SocketAddrV4) -> Option<&Entry> {
         self.entries().find(|entry| entry.update.member.address == address)
     }
 
-    /// Entries with names after this one, in order.
-    pub(crate) fn after(&self, name: &str) -> impl Iterator<Item = &Entry> {
+    /// Iterates over the entries with names after this one, in the order of their names.
+    pub(crate) fn entries_after(&self, name: &str) -> impl Iterator<Item = &Entry> {
         let range = (Bound::Excluded(name), Bound::Unbounded);
         self.entries.range::<str, _>(range).map(|(_, entry)| entry)
     }
@@ -59,13 +59,13 @@
         self.entries.remove(name);
     }
 
-    /// Entries whose deadline has passed.
-    pub(crate) fn expired(&self, now: Duration) -> Vec<Update> {
+    /// Returns the updates of the entries whose deadline has passed.
+    pub(crate) fn expired_updates(&self, now: Duration) -> Vec<Update> {
         let expired = |entry: &&Entry| entry.deadline.is_some_and(|deadline| deadline <= now);
         self.entries().filter(expired).map(|entry| entry.update.clone()).collect()
     }
 
-    /// Extends all deadlines.
+    /// Postpones all deadlines by the given time.
     pub(crate) fn extend_deadlines(&mut self, by: Duration) {
         for entry in self.entries.values_mut() {
             entry.deadline = entry.deadline.map(|deadline| deadline + by);
--- a/crates/pebblepost-membership/src/message.rs
+++ b/crates/pebblepost-membership/src/message.rs
@@ -1,14 +1,15 @@
-//! The datagrams: one message, followed by piggybacked updates.
+//! Datagrams, each of which contains one message, followed by piggybacked updates.
 
 use crate::{
-    codec::{Reader, update_bytes, write_address, write_name, write_u32, write_u64, write_update},
+    codec::{Reader, encoded_update_bytes, write_address, write_name, write_u32, write_u64, write_update},
     member::Update,
 };
 use std::net::SocketAddrV4;
 
-/// Largest datagram, in bytes.
+/// Largest size of a datagram, in bytes.
 pub(crate) const MAX_DATAGRAM_BYTES: usize = 1_200;
 
+/// First byte of every datagram.
 const MAGIC: u8 = 0xb7;
 const PING: u8 = 1;
 const ACK: u8 = 2;
@@ -17,31 +18,31 @@
 const PAGE: u8 = 5;
 const GOSSIP: u8 = 6;
 
-/// What a datagram is for.
+/// The message of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Message {
-    /// Asks for a [`Message::Ack`]. An empty `name` stands for whoever listens there.
+    /// Asks for a [`Message::Ack`]. With an empty `name`, any member that receives it answers.
     Ping { sequence: u64, name: String },
-    /// Acknowledges a ping, with the number of members that its sender knows to be present.
+    /// Acknowledges a ping. `members` is the number of members that are present to the knowledge of its sender.
     Ack { sequence: u64, members: u32 },
     /// Asks the receiver to ping another member and to forward its acknowledgement.
     PingRequest { sequence: u64, name: String, address: SocketAddrV4 },
-    /// Asks for the member list, from the first name after this one.
+    /// Asks for a page of the member list that starts with the first name after `after`.
     PageRequest { after: String },
-    /// A page of the member list, as updates. `last`: no page follows.
-    Page { last: bool },
-    /// Nothing but updates.
+    /// A page of the member list, which follows as updates. `is_last` says that no page follows.
+    Page { is_last: bool },
+    /// Only carries updates.
     Gossip,
 }
 
 impl Message {
-    /// Encodes a datagram with as many of the updates as fit; returns it with their number.
+    /// Encodes a datagram with as many of the updates as fit. Returns the datagram and the number of these updates.
     pub(crate) fn encode<'a>(&self, updates: impl IntoIterator<Item = &'a Update>) -> (Vec<u8>, usize) {
         let mut buffer = vec![MAGIC];
         self.write(&mut buffer);
         let mut count = 0;
         for update in updates {
-            if buffer.len() + update_bytes(update) > MAX_DATAGRAM_BYTES {
+            if buffer.len() + encoded_update_bytes(update) > MAX_DATAGRAM_BYTES {
                 break;
             }
             write_update(&mut buffer, update);
@@ -50,7 +51,7 @@
         (buffer, count)
     }
 
-    /// Decodes a datagram; `None` if it can't be decoded.
+    /// Decodes a datagram, or returns `None` if it is malformed or too large.
     pub(crate) fn decode(datagram: &[u8]) -> Option<(Message, Vec<Update>)> {
         let mut reader = Reader(datagram);
         if datagram.len() > MAX_DATAGRAM_BYTES || reader.byte()? != MAGIC {
@@ -86,7 +87,7 @@
                 buffer.push(PAGE_REQUEST);
                 write_name(buffer, after);
             }
-            Message::Page { last } => buffer.extend_from_slice(&[PAGE, u8::from(*last)]),
+            Message::Page { is_last } => buffer.extend_from_slice(&[PAGE, u8::from(*is_last)]),
             Message::Gossip => buffer.push(GOSSIP),
         }
     }
@@ -101,7 +102,7 @@
                 address: reader.address()?,
             }),
             PAGE_REQUEST => Some(Message::PageRequest { after: reader.name()? }),
-            PAGE => Some(Message::Page { last: reader.byte()? != 0 }),
+            PAGE => Some(Message::Page { is_last: reader.byte()? != 0 }),
             GOSSIP => Some(Message::Gossip),
             _ => None,
         }
--- a/crates/pebblepost-membership/src/output.rs
+++ b/crates/pebblepost-membership/src/output.rs
@@ -1,23 +1,23 @@
-//! What the membership asks its caller to do.
+//! The outputs of the membership protocol, for its caller.
 
 use crate::member::{Member, MemberState};
 use std::net::SocketAddrV4;
 
-/// Something to be done by the caller.
+/// An action that the caller must carry out, or a change that it must know.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a datagram.
     Send {
-        /// Receiver.
+        /// Address of the receiver.
         to: SocketAddrV4,
-        /// Its bytes, at most 1,200.
+        /// Bytes of the datagram, at most 1,200.
         datagram: Vec<u8>,
     },
-    /// The state, incarnation or address of another member has changed.
-    Changed {
-        /// The member as it is now known.
+    /// The state or the incarnation of another member has changed, and with it possibly its address or payload.
+    MemberChanged {
+        /// The member with its current incarnation, address and payload.
         member: Member,
-        /// Its state.
+        /// The current state of the member.
         state: MemberState,
     },
 }
--- a/crates/pebblepost-membership/src/probing.rs
+++ b/crates/pebblepost-membership/src/probing.rs
@@ -1,4 +1,4 @@
-//! Failure detection: one member is probed a period, directly and then through others.
+//! Failure detection: in each period one member is probed, first directly and then through other members.
 
 use crate::{
     member::{Member, MemberState, Update},
@@ -10,38 +10,39 @@
 use std::{net::SocketAddrV4, time::Duration};
 
 impl Membership {
-    /// Pings the next member of the round.
+    /// Starts a probe: pings the next member of the round.
     pub(crate) fn begin_probe(&mut self, now: Duration) {
-        let Some(member) = self.next_target() else { return };
+        let Some(member) = self.next_probe_target() else { return };
         let sequence = self.next_sequence();
         let ping = Message::Ping { sequence, name: member.name.clone() };
         self.send_to(member.address, &ping);
-        let indirect_at = Some(now + self.settings.direct_timeout);
+        let indirect_at = Some(now + self.settings.direct_probe_timeout);
         self.probe = Some(Probe { member, sequence, indirect_at, is_acknowledged: false });
     }
 
-    /// Suspects the probed member unless it has acknowledged.
+    /// Ends the probe of the period. The probed member is suspected unless it has acknowledged.
     pub(crate) fn end_probe(&mut self, now: Duration) {
         let Some(probe) = self.probe.take() else { return };
         if !probe.is_acknowledged {
-            self.apply(now, Update { member: probe.member, state: MemberState::Suspect });
+            self.apply_update(now, Update { member: probe.member, state: MemberState::Suspect });
         }
     }
 
-    /// Asks other members to ping the probed one.
+    /// Asks other members to ping the probed member.
     pub(crate) fn probe_indirectly(&mut self) {
         let Some(probe) = &mut self.probe else { return };
         probe.indirect_at = None;
         let (name, address) = (probe.member.name.clone(), probe.member.address);
         let request = Message::PingRequest { sequence: probe.sequence, name, address };
-        let others = self.table.present().map(|member| member.address).filter(|other| *other != address);
-        let relays = others.sample(&mut self.random, self.settings.indirect_probes);
+        let candidates =
+            self.table.present_members().map(|member| member.address).filter(|other| *other != address);
+        let relays = candidates.sample(&mut self.random, self.settings.indirect_probe_count);
         for to in relays {
             self.send_to(to, &request);
         }
     }
 
-    /// Acknowledges a ping that is meant for this member, or for whoever listens here.
+    /// Acknowledges a ping that names this member or no member at all.
     pub(crate) fn on_ping(&mut self, from: SocketAddrV4, sequence: u64, name: &str) {
         if name.is_empty() || name == self.local.name {
             let members = self.present_count();
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Pings a member for another one.
+    /// Pings a member on behalf of another member.
     pub(crate) fn on_ping_request(
         &mut self, from: SocketAddrV4, sequence: u64, name: String, address: SocketAddrV4,
     ) {
@@ -58,7 +59,7 @@
         self.send_to(address, &Message::Ping { sequence: relayed_sequence, name });
     }
 
-    /// Takes the acknowledgement of the own probe, or forwards that of a relayed ping.
+    /// Handles the acknowledgement of the current probe, or forwards that of a relayed ping to its requester.
     pub(crate) fn on_ack(&mut self, sequence: u64, members: u32) {
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.sequence == sequence) {
             probe.is_acknowledged = true;
@@ -71,8 +72,8 @@
         }
     }
 
-    /// The next present member in the order of probes; a new order is drawn at its end.
-    fn next_target(&mut self) -> Option<Member> {
+    /// Returns the next present member in the probe order. Starts a new round at the end of the current one.
+    fn next_probe_target(&mut self) -> Option<Member> {
         for _ in 0..2 {
             while let Some(name) = self.probe_order.pop() {
                 let entry = self.table.get(&name);
@@ -80,7 +81,7 @@
                     return Some(entry.update.member.clone());
                 }
             }
-            let names = self.table.present().map(|member| member.name.clone()).collect();
+            let names = self.table.present_members().map(|member| member.name.clone()).collect();
             self.probe_order.refill(names, &mut self.random);
         }
         None
--- a/crates/pebblepost-membership/src/settings.rs
+++ b/crates/pebblepost-membership/src/settings.rs
@@ -1,49 +1,50 @@
-//! Settings of the membership.
+//! Settings of the membership protocol.
 
 use std::{net::SocketAddrV4, time::Duration};
 
-/// Settings; all members should use the same.
+/// Settings of the membership protocol. All members should use the same values.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Addresses at which to join; the local one may be among them.
+    /// Addresses of the members through which to join. The local address may be among them.
     pub seeds: Vec<SocketAddrV4>,
-    /// Time between two probes.
-    pub period: Duration,
-    /// Time without an acknowledgement after which others are asked to probe the same member.
-    pub direct_timeout: Duration,
-    /// Number of members that are asked then.
-    pub indirect_probes: usize,
-    /// Number of periods for which a member stays suspected, multiplied by the decimal logarithm of
-    /// the number of members (at least 1).
-    pub suspicion_periods: u32,
-    /// How often an update is sent, multiplied by the binary logarithm of the number of members.
-    pub retransmissions: u32,
-    /// How long members are kept that are dead or have left.
+    /// Protocol period: the time between two probes.
+    pub probe_period: Duration,
+    /// Time without an acknowledgement of a direct probe after which other members are asked to probe the same member.
+    pub direct_probe_timeout: Duration,
+    /// Number of members that are asked for an indirect probe.
+    pub indirect_probe_count: usize,
+    /// Multiplier of the suspicion timeout. The timeout in periods is this number multiplied by the decimal logarithm
+    /// of the number of members, where the logarithm counts as at least 1.
+    pub suspicion_multiplier: u32,
+    /// Multiplier of the retransmission limit. An update is sent this many times, multiplied by the binary logarithm of
+    /// the number of members.
+    pub retransmit_multiplier: u32,
+    /// Time for which members that are dead or have left are kept in the member list.
     pub dead_retention: Duration,
-    /// Periods between two exchanges of a page of the member list.
-    pub exchange_periods: u32,
-    /// Periods between two attempts to reach a dead member or a seed that isn't known to be alive.
-    pub reconnect_periods: u32,
-    /// Number of members that can be known at the same time; more are ignored.
+    /// Number of periods between two requests for a page of another member's list.
+    pub exchange_interval_periods: u32,
+    /// Number of periods between two attempts to reach a dead member, or a seed that is not known to be present.
+    pub reconnect_interval_periods: u32,
+    /// Upper bound on the number of other members in the member list. Further members are ignored.
     pub max_members: usize,
-    /// Whether the local member refutes suspicions of itself. Off only in tests.
-    pub refute: bool,
+    /// Whether the local member refutes suspicions about itself. Disabled only in tests.
+    pub refutes_suspicions: bool,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
             seeds: Vec::new(),
-            period: Duration::from_millis(1000),
-            direct_timeout: Duration::from_millis(300),
-            indirect_probes: 3,
-            suspicion_periods: 4,
-            retransmissions: 3,
+            probe_period: Duration::from_millis(1000),
+            direct_probe_timeout: Duration::from_millis(300),
+            indirect_probe_count: 3,
+            suspicion_multiplier: 4,
+            retransmit_multiplier: 3,
             dead_retention: Duration::from_secs(120),
-            exchange_periods: 10,
-            reconnect_periods: 5,
+            exchange_interval_periods: 10,
+            reconnect_interval_periods: 5,
             max_members: 2_000,
-            refute: true,
+            refutes_suspicions: true,
         }
     }
 }
--- a/crates/pebblepost-membership/tests/membership/common/mod.rs
+++ b/crates/pebblepost-membership/tests/membership/common/mod.rs
@@ -1,4 +1,5 @@
-//! A simulated network of members: delays, loss, partitions, freezes, restarts.
+//! A simulated network of members with delays, datagram loss, partitions, freezes and restarts.
+
 use pebblepost_membership::{Member, MemberState, Membership, Output, Settings};
 use pebblepost_stable_hash::Fnv1a;
 use rand::{RngExt, SeedableRng, rngs::SmallRng};
@@ -17,7 +18,7 @@
     Deliver { to: usize, from: SocketAddrV4, datagram: Vec<u8> },
 }
 
-/// One machine.
+/// A simulated member with its process.
 pub struct Node {
     pub membership: Membership,
     pub incarnation: u64,
@@ -29,7 +30,7 @@
     inbox: Vec<Event>,
 }
 
-/// A change that one node saw of another.
+/// A change of a member that another node reported.
 #[derive(Clone, Debug)]
 #[expect(dead_code, reason = "who saw it, and when, is printed where an assertion fails")]
 pub struct Observation {
@@ -39,17 +40,17 @@
     pub state: MemberState,
 }
 
-/// Digests of all that the members put out, in order, and of each kind of datagram by itself.
+/// Digests of all outputs of the members, in order, and of each kind of datagram by itself.
 #[derive(Clone, Debug, Default)]
 pub struct Transcript {
     pub outputs: u64,
     pub digest: Fnv1a,
-    /// By the byte that names the kind: number of datagrams, and digest.
+    /// Number of datagrams and their digest, by the byte that gives the kind of the message.
     pub kinds: BTreeMap<u8, (u64, Fnv1a)>,
 }
 
 impl Transcript {
-    fn output(&mut self, now: Duration, node: usize, output: &Output) {
+    fn add_output(&mut self, now: Duration, node: usize, output: &Output) {
         self.outputs += 1;
         self.digest.number(now.as_nanos() as u64);
         self.digest.number(node as u64);
@@ -61,7 +62,7 @@
                 *count += 1;
                 digest.bytes(datagram);
             }
-            Output::Changed { member, state } => {
+            Output::MemberChanged { member, state } => {
                 self.digest.bytes(member.name.as_bytes());
                 self.digest.number(member.incarnation);
                 self.digest.number(*state as u64);
@@ -100,10 +101,10 @@
 }
 
 impl Network {
-    /// Members that start within 0.3 s and know three seeds.
+    /// Creates a network of members that start within 0.3 s and have the first three as seeds.
     pub fn new(size: usize, seed: u64, mut settings: Settings) -> Network {
         settings.seeds = (0..3.min(size)).map(address).collect();
-        settings.period = PERIOD;
+        settings.probe_period = PERIOD;
         let mut network = Network {
             now: Duration::ZERO,
             nodes: Vec::new(),
@@ -116,7 +117,7 @@
             random: SmallRng::seed_from_u64(seed),
         };
         for node in 0..size {
-            let membership = network.make(node, 1);
+            let membership = network.create_member(node, 1);
             network.nodes.push(Node {
                 membership,
                 incarnation: 1,
@@ -146,11 +147,12 @@
         self.now = end;
     }
 
-    /// Runs until all running nodes see exactly the running nodes as alive; returns the time taken.
+    /// Runs until all running nodes know exactly the running nodes as alive. Returns the time taken, or `None` after
+    /// the timeout.
     pub fn run_until_converged(&mut self, timeout: Duration) -> Option<Duration> {
         let start = self.now;
         while self.now - start < timeout {
-            if self.converged() {
+            if self.has_converged() {
                 return Some(self.now - start);
             }
             self.run_for(Duration::from_millis(100));
@@ -158,7 +160,7 @@
         None
     }
 
-    /// Runs until all running nodes know `of` as dead; returns the time taken.
+    /// Runs until all running nodes know `of` as dead. Returns the time taken, or `None` after the timeout.
     pub fn run_until_dead(&mut self, of: usize, timeout: Duration) -> Option<Duration> {
         let start = self.now;
         while self.now - start < timeout {
@@ -171,7 +173,7 @@
         None
     }
 
-    pub fn converged(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         let running: Vec<usize> = (0..self.nodes.len()).filter(|node| self.nodes[*node].running).collect();
         running.iter().all(|node| {
             let mut present: Vec<usize> = self.nodes[*node]
@@ -192,7 +194,7 @@
 
     pub fn restart(&mut self, node: usize) {
         let incarnation = self.nodes[node].incarnation + 1;
-        self.nodes[node].membership = self.make(node, incarnation);
+        self.nodes[node].membership = self.create_member(node, incarnation);
         self.nodes[node].incarnation = incarnation;
         self.nodes[node].running = true;
         self.schedule(self.now, Event::Tick { node, incarnation });
@@ -200,7 +202,7 @@
 
     pub fn leave(&mut self, node: usize) {
         self.nodes[node].membership.leave();
-        self.carry_out(node);
+        self.apply_outputs(node);
         self.nodes[node].running = false;
     }
 
@@ -215,14 +217,16 @@
         }
     }
 
-    /// State of `of` as `by` sees it.
+    /// Returns the state and the incarnation of `of` as `by` knows them.
     pub fn state(&self, by: usize, of: usize) -> Option<(MemberState, u64)> {
         let wanted = name(of);
         let mut members = self.nodes[by].membership.members();
         members.find(|(member, _)| member.name == wanted).map(|(member, state)| (state, member.incarnation))
     }
 
-    /// Changes to dead of nodes that were running and not frozen all the while.
+    /// Returns the reported deaths of nodes that are running now.
+    ///
+    /// The deaths are false unless the test had frozen or killed the node in the meantime.
     pub fn false_deaths(&self) -> Vec<&Observation> {
         self.seen
             .iter()
@@ -236,7 +240,7 @@
         }
     }
 
-    fn make(&self, node: usize, incarnation: u64) -> Membership {
+    fn create_member(&self, node: usize, incarnation: u64) -> Membership {
         let payload = b"store,celje-a".to_vec();
         let member =
             Member { name: name(node), address: address(node), payload, incarnation: incarnation * 1_000 };
@@ -273,17 +277,17 @@
                 self.nodes[to].membership.receive(self.now, from, &datagram);
             }
         }
-        self.carry_out(node);
+        self.apply_outputs(node);
     }
 
-    fn carry_out(&mut self, node: usize) {
+    fn apply_outputs(&mut self, node: usize) {
         for output in self.nodes[node].membership.take_outputs() {
             if let Some(transcript) = &mut self.transcript {
-                transcript.output(self.now, node, &output);
+                transcript.add_output(self.now, node, &output);
             }
             match output {
                 Output::Send { to, datagram } => self.send(node, to, datagram),
-                Output::Changed { member, state } => {
+                Output::MemberChanged { member, state } => {
                     self.seen.push(Observation {
                         at: self.now,
                         by: node,
@@ -296,7 +300,7 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddrV4, datagram: Vec<u8>) {
-        assert!(datagram.len() <= 1_200, "a datagram of {} bytes", datagram.len());
+        assert!(datagram.len() <= 1_200, "a datagram of {} bytes, the limit is 1200", datagram.len());
         self.nodes[from].sent_datagrams += 1;
         self.nodes[from].sent_bytes += datagram.len() as u64;
         let to = node_of(to);
@@ -309,7 +313,7 @@
     }
 }
 
-/// Counts by state of what was seen of a node.
+/// Counts the reported changes of a node by state.
 pub fn states_seen(network: &Network, of: usize) -> BTreeMap<MemberState, usize> {
     let mut counts = BTreeMap::new();
     for seen in network.seen.iter().filter(|seen| seen.of == of) {
--- a/crates/pebblepost-membership/tests/membership/datagrams.rs
+++ b/crates/pebblepost-membership/tests/membership/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams of any content are survived.
+//! Robustness against datagrams of any content, and the limit on the number of members.
 
 use crate::common::address;
 use pebblepost_membership::{Member, Membership, Output, Settings};
@@ -7,36 +7,36 @@
 
 fn member(node: usize) -> Membership {
     let settings = Settings { seeds: vec![address(0), address(1)], ..Settings::default() };
-    let me = Member {
+    let local = Member {
         name: crate::common::name(node),
         address: address(node),
         payload: vec![7; 64],
         incarnation: 1,
     };
-    Membership::new(me, settings, node as u64)
+    Membership::new(local, settings, node as u64)
 }
 
-fn sent(membership: &mut Membership) -> Vec<Vec<u8>> {
+fn take_sent_datagrams(membership: &mut Membership) -> Vec<Vec<u8>> {
     let outputs = membership.take_outputs().into_iter();
     outputs
         .filter_map(|output| match output {
             Output::Send { datagram, .. } => Some(datagram),
-            Output::Changed { .. } => None,
+            Output::MemberChanged { .. } => None,
         })
         .collect()
 }
 
 #[test]
-fn random_and_altered_datagrams_are_survived() {
+fn random_and_altered_datagrams_do_not_panic() {
     let mut random = SmallRng::seed_from_u64(9);
     let mut receiver = member(0);
     let mut sender = member(1);
     sender.tick(Duration::ZERO);
-    let proper = sent(&mut sender);
-    assert!(!proper.is_empty());
+    let valid = take_sent_datagrams(&mut sender);
+    assert!(!valid.is_empty());
     for round in 0..200_000_u64 {
         let mut datagram = if random.random_bool(0.5) {
-            proper[round as usize % proper.len()].clone()
+            valid[round as usize % valid.len()].clone()
         } else {
             let length = random.random_range(0..1_300);
             (0..length).map(|_| random.random()).collect()
@@ -53,20 +53,20 @@
         if receiver.next_tick() <= now {
             receiver.tick(now);
         }
-        assert!(sent(&mut receiver).iter().all(|datagram| datagram.len() <= 1_200));
+        assert!(take_sent_datagrams(&mut receiver).iter().all(|datagram| datagram.len() <= 1_200));
     }
     assert!(receiver.members().count() <= Settings::default().max_members);
 }
 
 #[test]
-fn members_beyond_the_bound_are_ignored() {
-    let me =
+fn members_beyond_the_limit_are_ignored() {
+    let local =
         Member { name: crate::common::name(0), address: address(0), payload: Vec::new(), incarnation: 1 };
-    let mut receiver = Membership::new(me, Settings { max_members: 10, ..Settings::default() }, 1);
+    let mut receiver = Membership::new(local, Settings { max_members: 10, ..Settings::default() }, 1);
     for node in 1..100 {
         let mut sender = member(node);
         sender.tick(Duration::ZERO);
-        for datagram in sent(&mut sender) {
+        for datagram in take_sent_datagrams(&mut sender) {
             receiver.receive(Duration::ZERO, address(node), &datagram);
         }
     }
