--- a/crates/pebblepost-dispatch/src/affinity.rs
+++ b/crates/pebblepost-dispatch/src/affinity.rs
@@ -99,7 +99,7 @@
 
     /// On how many of so many workers the jobs of a key go: one, unless it is asked for more often than one
     /// worker can bear.
-    pub fn replicas(&self, key: u64, workers: usize) -> usize {
+    pub fn workers_per_key(&self, key: u64, workers: usize) -> usize {
         let jobs = self.counts.get(&key).copied().unwrap_or(0) as f64;
         let fraction = jobs / self.recent.len().max(MIN_POPULARITY_JOBS) as f64;
         ((fraction * workers as f64 * REPLICA_HEADROOM).ceil() as usize).clamp(1, workers.max(1))
--- a/crates/pebblepost-dispatch/src/placement.rs
+++ b/crates/pebblepost-dispatch/src/placement.rs
@@ -56,7 +56,7 @@
             && worker.is_permitted(&load.settings.classes[request.class])
             && retry::may_send(load.settings, load.now, request)
             && (load.is_warm(index) || worker.reports > 0 && load.has_capacity(index, request.slots, 0.0))
-            && (!self.reservations.any_at(index) || self.leaves_reservations(request, index))
+            && (!self.reservations.has_any_at(index) || self.leaves_reservations(request, index))
     }
 
     fn leaves_reservations(&self, request: &Request, worker: usize) -> bool {
--- a/crates/pebblepost-dispatch/src/probing.rs
+++ b/crates/pebblepost-dispatch/src/probing.rs
@@ -90,7 +90,7 @@
         };
         let full_since = self.full_since(request);
         let promising = pool.iter().filter(|worker| self.is_promising(request, *worker, full_since));
-        let replicas = self.popularity.replicas(request.key, pool.len());
+        let replicas = self.popularity.workers_per_key(request.key, pool.len());
         let first = affinity::first_by_rank(promising, replicas, rank);
         let locality = |worker: &usize| load.workers.locality(*worker, load.settings);
         first.into_iter().min_by_key(|worker| (locality(worker), rank(worker)))
--- a/crates/pebblepost-dispatch/src/reservation.rs
+++ b/crates/pebblepost-dispatch/src/reservation.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether anything is reserved at a worker.
-    pub fn any_at(&self, worker: usize) -> bool {
+    pub fn has_any_at(&self, worker: usize) -> bool {
         self.reservations.iter().any(|reservation| reservation.worker == worker)
     }
 
--- a/crates/pebblepost-dispatch/tests/affinity.rs
+++ b/crates/pebblepost-dispatch/tests/affinity.rs
@@ -36,8 +36,8 @@
     let mut popularity = KeyPopularity::default();
     (0..2560).for_each(|i| popularity.record(if i % 5 == 0 { 7 } else { 100 + i % 160 }));
     let among = [(7, 13), (101, 13), (9999, 13), (7, 1), (7, 0)];
-    assert_eq!(among.map(|(key, workers)| popularity.replicas(key, workers)), [4, 1, 1, 1, 1]);
+    assert_eq!(among.map(|(key, workers)| popularity.workers_per_key(key, workers)), [4, 1, 1, 1, 1]);
     (0..256).for_each(|i| popularity.record(1000 + i));
-    assert_eq!(popularity.replicas(7, 13), 1, "no longer asked for, it goes back to one");
+    assert_eq!(popularity.workers_per_key(7, 13), 1, "no longer asked for, it goes back to one");
     assert_eq!(first_by_rank(0..5, 2, |worker| 10 - *worker as u64), [4, 3]);
 }
--- a/crates/pebblepost-dispatch/tests/dispatcher/reservations.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/reservations.rs
@@ -163,7 +163,7 @@
         "the one that must start first in front"
     );
     assert_eq!(reservations.release_where(|worker| worker == 0), [RequestId(1), RequestId(2)]);
-    assert!(!reservations.any_at(0) && reservations.get(RequestId(1)).is_none());
+    assert!(!reservations.has_any_at(0) && reservations.get(RequestId(1)).is_none());
 }
 
 #[test]
