--- a/crates/pebblepost-dispatch/src/affinity.rs
+++ b/crates/pebblepost-dispatch/src/affinity.rs
@@ -1,25 +1,27 @@
-//! Cache affinity: jobs of one key go to the same few workers, which keep what the key needs.
+//! Cache affinity: jobs with the same key go to the same few workers, which cache what the key needs.
 //!
-//! Owns the keys this node has sent to each worker and how often each is asked for; decides nothing.
+//! Owns the keys that this dispatcher has sent to each worker and the popularity of keys; decides nothing.
 //!
 //! The order of workers for a key is rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings
 //! to increase hit rates", 1998) with weights (Schindelhauer and Schomaker, "Weighted distributed hash
-//! tables", 2005): every node that knows the same weights has the same order, a worker comes first for the
-//! part of the keys that its weight is of all weights, and one that leaves moves only its own keys.
+//! tables", 2005). All dispatchers that know the same weights have the same order. A worker comes first for a
+//! fraction of the keys equal to its fraction of the total weight. A worker that leaves moves only its own
+//! keys.
 
 use std::collections::{HashMap, VecDeque};
 
-/// The key of jobs that need nothing.
+/// Key of jobs that need nothing cached.
 pub const NO_KEY: u64 = 0;
-/// Keys remembered for each worker. Workers keep fewer for each of their slots, but one node sees only a part
-/// of their jobs, and keys asked for often stay in front.
-const RECENT_KEYS: usize = 8;
-/// Jobs over which the popularity of keys is counted.
-const POPULARITY_WINDOW: usize = 256;
-/// Fewest jobs that a popularity is taken of.
-const MIN_POPULARITY_JOBS: usize = POPULARITY_WINDOW / 8;
-/// Workers for a key, as a multiple of its part of all jobs: jobs come in bursts, and one node sees a sample.
-const REPLICA_HEADROOM: f64 = 1.5;
+/// Number of keys remembered for each worker. Workers cache fewer keys for each of their slots, but one
+/// dispatcher sees only a part of their jobs, and popular keys stay recent.
+const RECENT_KEYS_PER_WORKER: usize = 8;
+/// Number of jobs over which the popularity of keys is counted.
+const POPULARITY_WINDOW_JOBS: usize = 256;
+/// Minimum number of jobs assumed when a popularity is computed.
+const MIN_POPULARITY_JOBS: usize = POPULARITY_WINDOW_JOBS / 8;
+/// Number of workers for a key as a multiple of its fraction of all jobs. The headroom covers bursts and the
+/// fact that one dispatcher sees only a sample.
+const WORKERS_PER_KEY_HEADROOM: f64 = 1.5;
 
 /// Scatters numbers evenly (the finalizer of SplitMix64).
 fn mix(number: u64) -> u64 {
@@ -28,14 +30,15 @@
     number ^ number >> 31
 }
 
-/// Rank of a worker for a key; the lowest comes first. `name` is the same at every node, `weight` over 0.
+/// Returns the rank of a worker for a key; the lowest rank comes first. `name` must be the same at every
+/// dispatcher and `weight` greater than 0.
 pub fn rank(key: u64, name: u64, weight: f64) -> u64 {
-    // An exponential draw of rate `weight`; the bits of positive floats are ordered as the floats are.
+    // An exponential draw of rate `weight`. The bits of positive floats are ordered as the floats are.
     let uniform = ((mix(key ^ mix(name)) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
     (-uniform.ln() / weight.max(f64::MIN_POSITIVE)).to_bits()
 }
 
-/// The first `count` of some workers in the order of their ranks.
+/// Returns the first `count` of `workers` in the order of their ranks.
 pub fn first_by_rank(
     workers: impl Iterator<Item = usize>, count: usize, rank: impl Fn(&usize) -> u64,
 ) -> Vec<usize> {
@@ -45,33 +48,33 @@
     ordered
 }
 
-/// Keys of the jobs that one node sent to one worker of late.
+/// Keys of the jobs that one dispatcher recently sent to one worker.
 #[derive(Clone, Debug, Default)]
 pub struct RecentKeys {
-    /// The latest is last.
+    /// Oldest first.
     keys: VecDeque<u64>,
 }
 
 impl RecentKeys {
-    /// A job of this key was sent to the worker.
+    /// Records that a job with this key was sent to the worker.
     pub fn record(&mut self, key: u64) {
         if key == NO_KEY {
             return;
         }
         self.keys.retain(|known| *known != key);
         self.keys.push_back(key);
-        if self.keys.len() > RECENT_KEYS {
+        if self.keys.len() > RECENT_KEYS_PER_WORKER {
             self.keys.pop_front();
         }
     }
 
-    /// Whether a job of this key finds there what it needs, as far as this node can know.
+    /// Returns whether the worker is likely to have cached what a job with this key needs.
     pub fn contains(&self, key: u64) -> bool {
         key == NO_KEY || self.keys.contains(&key)
     }
 }
 
-/// How often each key is asked for, among the last of a node's own jobs that have one.
+/// Popularity of each key among the last jobs of a dispatcher that have one.
 #[derive(Clone, Debug, Default)]
 pub struct KeyPopularity {
     recent: VecDeque<u64>,
@@ -79,14 +82,14 @@
 }
 
 impl KeyPopularity {
-    /// A job of this key arrived.
+    /// Records the arrival of a job with this key.
     pub fn record(&mut self, key: u64) {
         if key == NO_KEY {
             return;
         }
         self.recent.push_back(key);
         *self.counts.entry(key).or_default() += 1;
-        if self.recent.len() > POPULARITY_WINDOW
+        if self.recent.len() > POPULARITY_WINDOW_JOBS
             && let Some(oldest) = self.recent.pop_front()
             && let Some(count) = self.counts.get_mut(&oldest)
         {
@@ -97,11 +100,11 @@
         }
     }
 
-    /// On how many of so many workers the jobs of a key go: one, unless it is asked for more often than one
-    /// worker can bear.
+    /// Returns the number of workers, out of `workers`, that serve the jobs of a key: one, unless its jobs
+    /// are too many for one worker.
     pub fn workers_per_key(&self, key: u64, workers: usize) -> usize {
         let jobs = self.counts.get(&key).copied().unwrap_or(0) as f64;
         let fraction = jobs / self.recent.len().max(MIN_POPULARITY_JOBS) as f64;
-        ((fraction * workers as f64 * REPLICA_HEADROOM).ceil() as usize).clamp(1, workers.max(1))
+        ((fraction * workers as f64 * WORKERS_PER_KEY_HEADROOM).ceil() as usize).clamp(1, workers.max(1))
     }
 }
--- a/crates/pebblepost-dispatch/src/connections.rs
+++ b/crates/pebblepost-dispatch/src/connections.rs
@@ -1,7 +1,7 @@
 //! Idle connections: which of them are safe to use.
 //!
-//! Owns the idle connections to a worker, as far as a node can know of them, and the learned limit on their
-//! idle time. It opens and closes nothing: the caller does.
+//! Owns the idle connections to a worker, as far as a dispatcher can know them, and the learned limit on
+//! their idle time. Opens and closes no connection itself.
 
 use crate::api::Time;
 use crate::estimators::EWMA_GAIN;
@@ -11,28 +11,28 @@
 /// Idle connections to one worker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct IdleConnections {
-    /// Since when each has been idle, the oldest in front.
+    /// Time since when each connection has been idle, the oldest first.
     since: VecDeque<Time>,
 }
 
-/// What a send uses.
+/// Connection to use for a send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Connection {
-    /// A new connection, as there is no idle one.
+    /// A new connection, because there is no idle one.
     New,
-    /// A new connection; the idle ones must be closed, as they may have been lost.
+    /// A new connection. The idle ones must be closed, because they may have been lost.
     NewAfterClosing,
-    /// A connection that has been idle for no longer than this.
+    /// A connection that has been idle for at most this time.
     Reused(Duration),
 }
 
 impl IdleConnections {
-    /// A connection has become idle.
+    /// Records that a connection has become idle.
     pub(crate) fn record(&mut self, now: Time) {
         self.since.push_back(now);
     }
 
-    /// Takes a connection for a send. `keepalive`: idle connections close after it.
+    /// Takes a connection for a send. Connections idle for `keepalive` have been closed by then.
     pub(crate) fn take(&mut self, now: Time, keepalive: Duration, limit: IdleLimit) -> Connection {
         while self.since.front().is_some_and(|since| *since + keepalive <= now) {
             self.since.pop_front();
@@ -48,8 +48,8 @@
     }
 }
 
-/// How long connections may have been idle and be used; learned from jobs that started and from those that
-/// never did.
+/// Limit on the idle time of connections that are still used. Learned from jobs that started and from jobs
+/// that never did.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IdleLimit(Duration);
 
@@ -58,14 +58,15 @@
         Self(keepalive)
     }
 
-    /// A job started on a connection that had been idle for so long: a bit longer is safe, too.
+    /// Records that a job started on a connection that had been idle for `idle`. A slightly longer idle time
+    /// is then safe too.
     pub(crate) fn record_start(&mut self, idle: Duration, keepalive: Duration) {
         if idle > self.0 / 2 {
             self.0 = self.0.mul_f64(1.0 + EWMA_GAIN).min(keepalive);
         }
     }
 
-    /// A job was lost on a connection that had been idle for so long, or on a new one.
+    /// Records that a job was lost on a connection that had been idle for `idle`, or on a new one.
     pub(crate) fn record_loss(&mut self, idle: Option<Duration>, tick: Duration) {
         let safe = idle.map_or(self.0, |idle| idle / 2);
         self.0 = self.0.min(safe).max(tick);
--- a/crates/pebblepost-dispatch/src/lib.rs
+++ b/crates/pebblepost-dispatch/src/lib.rs
@@ -1,29 +1,29 @@
-//! pebblepost_dispatch decides, for one dispatcher node, which worker gets which job.
+//! Decides, for one dispatcher, which worker gets which job.
 //!
-//! The crate does no input or output and reads no clock: the caller hands every [`Event`] to a
-//! [`Dispatcher`] together with the time, and carries out the [`Action`]s it returns. The same
-//! events and seed always give the same actions.
+//! The crate does no I/O and reads no clock. The caller passes every [`Event`] to a [`Dispatcher`] together
+//! with the time, and carries out the [`Action`]s that it returns. The same settings, seed and events always
+//! give the same actions. A *node* is one running dispatcher.
 //!
-//! Interface: [`api`] has the settings, events and actions, [`wire`] translates the byte protocol of the
-//! operators' simulator into them, [`Dispatcher`] takes events in and puts actions out. `request_flow` is
-//! the way of a request from its arrival to its answer.
+//! Interface: [`api`] defines the settings, events and actions. [`wire`] translates the byte protocol of the
+//! operators' simulator into them. [`Dispatcher`] handles events and returns actions. `request_flow` controls
+//! the lifecycle of a request from arrival to answer.
 //!
-//! Decisions, each by what it is given:
+//! Decisions:
 //!
-//! * `probing`: which worker is drawn next.
-//! * `placement`: which of the probed workers gets a job, by the design's rule.
+//! * `probing`: which worker is probed next.
+//! * `placement`: which of the probed workers gets a job.
 //! * `admission`: until when a request is worth starting, and whether it is worth queueing.
 //! * `retry`: whether and where a request may be sent again.
-//! * `slow_start`: what a worker that warms up may get.
-//! * [`reservation`]: what is reserved for large jobs; [`job_size`]: which jobs are large.
+//! * `slow_start`: which load a worker may get while it warms up.
+//! * [`reservation`]: which slots are reserved for large jobs; [`job_size`]: which jobs are large.
 //! * [`outlier_detection`]: for how long a worker is ejected from the draws.
-//! * [`affinity`]: which workers jobs of one key go to.
-//! * `discovery`: when the membership is polled for.
+//! * [`affinity`]: which workers the jobs of a key go to.
+//! * `discovery`: when the membership is polled.
 //!
-//! State, and what is learned: `node_state` holds it all, `worker_table` and `request_table` the workers and
-//! requests, `load` and [`forecast`] what to expect of a worker, `report_quality` how far load reports can
-//! be believed, `service_times` and [`estimators`] times and rates, `connections` which idle connections are
-//! safe, `timers` the layout of timer tokens.
+//! State and estimates: `node_state` owns all state, `worker_table` and `request_table` the workers and
+//! requests. `load` and [`forecast`] model what to expect of a worker, `report_quality` how far load reports
+//! can be trusted. `service_times` and [`estimators`] hold durations and rates, `connections` which idle
+//! connections are safe to use. `timers` defines the layout of timer tokens.
 
 mod admission;
 pub mod affinity;
--- a/crates/pebblepost-dispatch/src/node_state.rs
+++ b/crates/pebblepost-dispatch/src/node_state.rs
@@ -1,8 +1,7 @@
-//! What a node knows: its settings, workers, requests and reservations, and what it learns from events.
+//! State of one dispatcher: settings, workers, requests, reservations and learned estimates.
 //!
-//! Owns this state and takes observations into it; the decisions on it are beside it, in
-//! [`crate::admission`], [`crate::placement`] and [`crate::probing`], and look at it through views of one
-//! time.
+//! Owns this state and records observations in it. Decisions are made in [`crate::admission`],
+//! [`crate::placement`] and [`crate::probing`], which read the state through views of one point in time.
 
 use crate::admission::Admission;
 use crate::affinity::KeyPopularity;
@@ -14,7 +13,7 @@
 use crate::job_size::{JobSizes, TypicalJob};
 use crate::load::LoadModel;
 use crate::placement::Placement;
-use crate::probing::Draw;
+use crate::probing::WorkerSampler;
 use crate::report_quality::{LoadLevel, ReportAge, ReportReliability};
 use crate::request_table::{Arrival, Attempt, Request, RequestTable};
 use crate::reservation::Reservations;
@@ -23,20 +22,20 @@
 use crate::worker_table::{Locality, PerLocality, WorkerTable};
 use std::time::Duration;
 
-/// Delays are taken to last so many ticks, until the first is seen.
+/// Delays are assumed to last this many ticks until the first one is observed.
 const INITIAL_DELAY_TICKS: f64 = 4.0;
-/// The rate of draws looks back for at most so many overload times: it counts at a quiet node, yet follows a
-/// crowd.
-const DRAW_MEMORY: u32 = 4;
-/// A worker that failed a job is ejected for this many of its visits at least.
-const EJECTION_VISITS: f64 = 2.0;
+/// The draw rate is averaged over at most this many overload times: long enough to count draws of a
+/// dispatcher with little traffic, short enough to follow a burst.
+const MAX_DRAW_WINDOW_OVERLOAD_TIMES: u32 = 4;
+/// A worker that failed a job is ejected for at least this many of its mean intervals between draws.
+const MIN_EJECTION_DRAW_INTERVALS: f64 = 2.0;
 const MIN_ARRIVALS_PER_SECOND: f64 = 0.1;
 
-/// State of one node.
+/// State of one dispatcher.
 #[derive(Debug)]
 pub(crate) struct NodeState {
     pub(crate) settings: Settings,
-    /// Seed of this node's order of workers.
+    /// Seed of this dispatcher's order of workers.
     seed: u64,
     started: Time,
     pub(crate) workers: WorkerTable,
@@ -49,33 +48,33 @@
     pub(crate) idle_limit: IdleLimit,
     tenants: TenantUsage,
     popularity: KeyPopularity,
-    /// Requests that arrive at this node.
+    /// Rate of requests that arrive at this dispatcher.
     arrivals: EventRate,
-    /// Workers drawn by this node.
+    /// Rate of workers drawn by this dispatcher.
     draws: PerLocality<EventRate>,
     pub(crate) probe_round_trip: DurationEstimate,
-    /// From send to start of jobs that found a free slot.
+    /// Delay from send to start of jobs that found a free slot.
     pub(crate) start_delay: DurationEstimate,
-    /// Mean busy slots and waiting jobs of a worker.
+    /// Mean number of busy slots and queued jobs per worker.
     mean_busy: f64,
-    /// Fraction of the remote workers probed that have capacity.
-    pub(crate) remote_capacity: f64,
+    /// Moving average of the fraction of probed remote workers that have capacity.
+    pub(crate) remote_capacity_fraction: f64,
 }
 
-/// An attempt that ended.
+/// End of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptEnd {
     pub(crate) request: RequestId,
     pub(crate) attempt: AttemptNo,
     pub(crate) status: Status,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub(crate) latency: Duration,
-    /// Whether the request is over with it.
+    /// Whether the request is finished as well.
     pub(crate) closed: bool,
 }
 
 impl NodeState {
-    /// A node that has just started and knows nothing but its settings.
+    /// Creates the state of a dispatcher that has just started.
     pub(crate) fn new(settings: Settings, seed: u64, now: Time) -> Self {
         let tick = seconds(settings.tick);
         let delay = DurationEstimate { mean: INITIAL_DELAY_TICKS * tick, deviation: tick };
@@ -98,12 +97,12 @@
             probe_round_trip: delay,
             start_delay: delay,
             mean_busy: 0.0,
-            remote_capacity: 1.0,
+            remote_capacity_fraction: 1.0,
             settings,
         }
     }
 
-    // Views of one time.
+    // Views of the state at one point in time.
 
     pub(crate) fn load(&self, now: Time) -> LoadModel<'_> {
         LoadModel {
@@ -125,15 +124,15 @@
         Placement { admission: self.admission(now), reservations: &self.reservations }
     }
 
-    pub(crate) fn draw(&self, now: Time) -> Draw<'_> {
-        Draw {
+    pub(crate) fn sampler(&self, now: Time) -> WorkerSampler<'_> {
+        WorkerSampler {
             placement: self.placement(now),
             popularity: &self.popularity,
             arrivals_per_second: self.arrivals.per_second,
         }
     }
 
-    /// A worker as slow start sees it; `None` if it has warmed up.
+    /// Returns the inputs of slow start for a worker, or `None` if the worker has warmed up.
     pub(crate) fn warming_worker(&self, now: Time, worker: usize) -> Option<WarmingWorker> {
         let load = self.load(now);
         let capacity_fraction = load.capacity_fraction(worker);
@@ -144,7 +143,7 @@
         Some(WarmingWorker {
             capacity_fraction,
             slots: load.slots(worker),
-            service_seconds: self.service.on_kind(self.workers[worker].kind),
+            service_seconds: self.service.mean_seconds_of_kind(self.workers[worker].kind),
             report_lag_seconds: seconds(self.report_age.lag()),
             is_remote: locality == Locality::Remote,
             local_workers: self.workers.ready.local,
@@ -153,12 +152,13 @@
         })
     }
 
-    /// Builds the pools anew, after changes of the membership or the classes.
+    /// Rebuilds the pools after changes of the membership or the classes.
     pub(crate) fn rebuild_pools(&mut self) {
         self.workers.rebuild_pools(&self.settings);
     }
 
-    /// Releases the reservations at workers that can no longer serve them; returns whose they were.
+    /// Releases the reservations at workers that can no longer serve them. Returns the requests that held
+    /// them.
     pub(crate) fn release_lost_reservations(&mut self, now: Time) -> Vec<RequestId> {
         let (workers, settings) = (&self.workers, &self.settings);
         self.reservations.release_where(|index| {
@@ -168,48 +168,49 @@
         })
     }
 
-    /// Takes in an entry of the membership; returns the worker's index.
+    /// Applies an entry of the membership. Returns the worker's index.
     pub(crate) fn update_worker(&mut self, entry: &Entry) -> usize {
         self.workers.update(entry, self.seed)
     }
 
     // Observations.
 
-    /// A request of a known class arrived: it is in the table from here on.
+    /// Records the arrival of a request of a known class and adds it to the table.
     pub(crate) fn record_arrival(&mut self, now: Time, arrival: &Arrival) {
-        // Rate over the life of the node at first, then over its last connections' lifetime.
+        // The rate is averaged over the dispatcher's uptime at first, later over the keep-alive time.
         let age = seconds(now.since(self.started).max(self.settings.tick));
-        let memory = age.min(seconds(self.settings.keepalive));
-        self.arrivals.record(now, memory, self.settings.tick);
+        let window_seconds = age.min(seconds(self.settings.keepalive));
+        self.arrivals.record(now, window_seconds, self.settings.tick);
         self.tenants.record(arrival.tenant);
         self.popularity.record(arrival.key);
         let cost = self.service.record_cost(arrival.class, arrival.work);
         let typical = TypicalJob {
-            service_seconds: self.service.mean(),
+            service_seconds: self.service.mean_seconds(),
             seconds_per_hinted_second: self.service.fastest_seconds_per_hinted_second(),
         };
         let is_large = self.job_sizes.record(arrival.work, arrival.slots, typical);
         let deadline = now + arrival.time_left;
-        // A retry counts from the client's first try, whose time it goes on using up.
+        // A retry counts from the client's first try, because it uses up that try's time.
         let first_try = deadline - self.settings.classes[arrival.class].deadline;
         let arrived = if arrival.is_retry { first_try } else { now };
         self.requests.insert(Request::new(arrival, arrived, deadline, cost, is_large));
     }
 
-    /// A worker was drawn.
+    /// Records that a worker was drawn.
     pub(crate) fn record_draw(&mut self, now: Time, worker: usize) {
-        let shortest = self.settings.overload_time;
-        let memory = seconds(now.since(self.started).clamp(shortest, DRAW_MEMORY * shortest));
+        let overload_time = self.settings.overload_time;
+        let window =
+            now.since(self.started).clamp(overload_time, MAX_DRAW_WINDOW_OVERLOAD_TIMES * overload_time);
         let locality = self.workers.locality(worker, &self.settings);
-        self.draws[locality].record(now, memory, self.settings.tick);
+        self.draws[locality].record(now, seconds(window), self.settings.tick);
     }
 
-    /// A remote worker that was probed has capacity for a job, or has not.
+    /// Records whether a probed remote worker has capacity for a job.
     pub(crate) fn record_remote_capacity(&mut self, has_capacity: bool) {
-        update_mean(&mut self.remote_capacity, f64::from(u8::from(has_capacity)), EWMA_GAIN);
+        update_mean(&mut self.remote_capacity_fraction, f64::from(u8::from(has_capacity)), EWMA_GAIN);
     }
 
-    /// A load report came; one that is not as the settings say is dropped.
+    /// Records a load report. A report whose length differs from the configured fields is dropped.
     pub(crate) fn record_report(&mut self, now: Time, index: usize, report: &[f32]) {
         let fields = &self.settings.report_fields;
         if report.len() != fields.len() || report.is_empty() {
@@ -236,33 +237,35 @@
         if fields.contains(&ReportField::InFlight) && !fields.contains(&ReportField::Queue) {
             worker.queued_jobs = (worker.jobs - (worker.slots - worker.free_slots)).round().max(0.0);
         }
-        // The membership tells of a restart only seconds later.
+        // The membership announces a restart only seconds later.
         let failures = std::mem::take(&mut worker.connection_failures);
         if failures.is_outage(now, self.settings.overload_time) {
             worker.started = worker.started.max(Some(now));
         }
         worker.reported_at = now;
         worker.reports = worker.reports.saturating_add(1);
-        if worker.is_known() {
+        if worker.has_known_slots() {
             let busy = worker.slots - worker.free_slots + worker.queued_jobs;
             update_mean(&mut self.mean_busy, busy, EWMA_GAIN);
         }
     }
 
-    /// A probe ended without a report.
+    /// Records a probe that ended without a report.
     pub(crate) fn record_failed_probe(&mut self, now: Time, index: usize, status: Status, latency: Duration) {
         let worker = &mut self.workers[index];
-        // A broken connection says nothing, nor does a silent one of a worker that was heard since.
+        // A broken connection proves nothing, and neither does a time-out of a worker that has reported
+        // since.
         if status != Status::Reset && worker.reported_at + latency <= now {
             worker.outliers.record_failed_probe(now);
         }
     }
 
-    /// The job of an attempt has started.
-    pub(crate) fn record_start(&mut self, now: Time, id: RequestId, no: AttemptNo) {
+    /// Records that the job of an attempt has started.
+    pub(crate) fn record_start(&mut self, now: Time, id: RequestId, number: AttemptNo) {
         let Some(request) = self.requests.get(id) else { return };
         let (class, late) = (request.class, now > self.admission(now).on_time_until(request));
-        let Some(attempt) = self.requests.in_flight_mut(id, no).filter(|attempt| attempt.started.is_none())
+        let Some(attempt) =
+            self.requests.in_flight_mut(id, number).filter(|attempt| attempt.started.is_none())
         else {
             return;
         };
@@ -286,8 +289,8 @@
         self.record_reliability(now, attempt.worker, attempt.load_level, late);
     }
 
-    /// An attempt has not started though there is capacity: its connection, if idle before, is taken to be
-    /// lost, and no more jobs of its class go there for now.
+    /// Records that an attempt has not started although there is capacity. A reused connection is taken to be
+    /// lost, and the worker is ejected for jobs of this class for a while.
     pub(crate) fn record_missed_start(&mut self, now: Time, class: usize, attempt: &Attempt) {
         let worker = &mut self.workers[attempt.worker];
         worker.own_jobs.retain(|job| job.sent != attempt.sent); // It holds no slot there.
@@ -296,14 +299,15 @@
         self.idle_limit.record_loss(attempt.connection_idle, self.settings.tick);
     }
 
-    /// An attempt of a request in the table has ended.
+    /// Records the end of an attempt of a request in the table.
     pub(crate) fn record_attempt_end(&mut self, now: Time, attempt: &Attempt, end: &AttemptEnd) {
         let Some(request) = self.requests.get(end.request) else { return };
         let (class, work) = (request.class, request.work);
         let index = attempt.worker;
         let (is_ok, is_rejected) = (end.status == Status::Ok, end.status == Status::Full);
         self.workers.queued_attempts -= usize::from(attempt.queued);
-        // Service time counts from the start, or if that is not reported, where a job did not have to wait.
+        // Service time counts from the start. If starts are not reported, it counts from the send, for jobs
+        // that did not have to wait.
         let service_time = attempt.started.map_or(end.latency, |started| now.since(started));
         if let Some(work) = work.filter(|_| is_ok && attempt.started.is_some()) {
             self.service.record_hinted_run(self.workers[index].kind, service_time, work);
@@ -343,18 +347,19 @@
         }
     }
 
-    /// A job failed at a worker: ejected for an overload time or some of its visits, if that is longer.
+    /// Records a failed job and ejects the worker for an overload time or, if longer, for some of its mean
+    /// intervals between draws, bounded by the keep-alive time.
     fn record_failed_job(&mut self, now: Time, worker: usize) {
-        let subset = self.draw(now).subset_size(self.workers.any_class_pool().local.len());
+        let subset = self.sampler(now).subset_size(self.workers.any_class_pool().local.len());
         let arrivals_per_second = self.arrivals.per_second.max(MIN_ARRIVALS_PER_SECOND);
-        let visits = from_seconds(EJECTION_VISITS * subset as f64 / arrivals_per_second);
-        let ejection = self.settings.overload_time.max(visits.min(self.settings.keepalive));
+        let draw_intervals = from_seconds(MIN_EJECTION_DRAW_INTERVALS * subset as f64 / arrivals_per_second);
+        let ejection = self.settings.overload_time.max(draw_intervals.min(self.settings.keepalive));
         self.workers[worker].outliers.record_failed_job(now, ejection);
     }
 
-    fn record_reliability(&mut self, now: Time, worker: usize, level: LoadLevel, bad: bool) {
+    fn record_reliability(&mut self, now: Time, worker: usize, level: LoadLevel, failed: bool) {
         if self.load(now).is_stale(worker) {
-            self.report_reliability.record(level, bad);
+            self.report_reliability.record(level, failed);
         }
     }
 }
--- a/crates/pebblepost-dispatch/src/placement.rs
+++ b/crates/pebblepost-dispatch/src/placement.rs
@@ -1,10 +1,10 @@
-//! Placement: which of the probed workers gets a job, by the rule of the design.
+//! Placement: selects which of the probed workers gets a job.
 //!
 //! Owns no state. The mechanism is Van Houdt's preventive probing ("Load balancing with power of d choices
 //! and preventive probing"): a random first probe precedes each job; a worker with fewer than L busy slots
-//! and capacity for the job gets it; otherwise d-1 more random workers are probed and the least busy of all
-//! d gets it, ties broken at random. What departs from that is marked `Exception` and listed with its
-//! condition in `docs/dispatch.md`.
+//! and capacity for the job gets it; otherwise d-1 more random workers are probed and the least busy of all d
+//! gets it, ties broken at random. Deviations from that are marked `Exception` and listed with their
+//! conditions in `docs/dispatch.md`.
 
 use crate::admission::Admission;
 use crate::api::{Time, WorkerState};
@@ -14,27 +14,27 @@
 use crate::reservation::{ReservationRequest, Reservations};
 use crate::retry;
 
-/// d: two choices bring most of the gain, and probes are priced.
+/// The parameter d. Two choices bring most of the gain, and probes have a price.
 pub(crate) const CHOICES: usize = 2;
-/// Rounds of probes for a large job in which it may hold a reservation.
+/// Maximum number of probe rounds in which a large job may hold a reservation.
 const MAX_RESERVED_ROUNDS: u32 = 16;
-/// Slots from which on L is one less than the slots, and two less: the optimum at load 0.8 (figure 3 of the
-/// paper).
-const THRESHOLD_STEPS: [f64; 2] = [8.0, 34.0];
+/// Numbers of slots from which on L is the number of slots less one, and less two: the optimum at load 0.8
+/// (figure 3 of the paper).
+const THRESHOLD_STEP_SLOTS: [f64; 2] = [8.0, 34.0];
 
-/// L for a worker of so many slots.
-fn threshold(slots: f64) -> f64 {
-    slots - THRESHOLD_STEPS.iter().filter(|step| slots >= **step).count() as f64
+/// Returns L for a worker with this many slots.
+fn busy_threshold(slots: f64) -> f64 {
+    slots - THRESHOLD_STEP_SLOTS.iter().filter(|step| slots >= **step).count() as f64
 }
 
-/// Cost of a placement; the least is best.
+/// Cost of a placement; the lowest is best. Late placements cost more than any in time.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct Cost {
     is_late: bool,
     load: f64,
 }
 
-/// Decides where requests go.
+/// View of a dispatcher's state that selects workers for requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Placement<'a> {
     pub(crate) admission: Admission<'a>,
@@ -42,12 +42,12 @@
 }
 
 impl<'a> Placement<'a> {
-    /// The load that it looks at.
+    /// Returns the load model used for placement.
     pub(crate) fn load(&self) -> &LoadModel<'a> {
         &self.admission.load
     }
 
-    /// Whether a worker may get a request at this moment, by every rule. Held before every send.
+    /// Returns whether a worker may get a request now by all rules. Checked before every send.
     pub(crate) fn is_eligible(&self, request: &Request, index: usize) -> bool {
         let load = self.load();
         let worker = &load.workers[index];
@@ -65,8 +65,9 @@
         self.reservations.allows(load.now, request.id, request.slots, &forecast)
     }
 
-    /// Fewer than L busy, and capacity for the job. Exception: misleading reports are read by what they
-    /// turned out to mean (all nodes send to what looks idle); no worse than the mean will do.
+    /// Returns whether fewer than L slots are busy and the worker has capacity for the job. Exception: where
+    /// reports mislead because all dispatchers send to workers that look idle, a report is judged by the
+    /// outcome of earlier sends on such reports, which must be no worse than the mean.
     pub(crate) fn is_below_threshold(&self, request: &Request, index: usize) -> bool {
         let load = self.load();
         if load.is_misleading(index) {
@@ -74,18 +75,18 @@
         }
         let worker = &load.workers[index];
         load.has_capacity(index, request.slots, request.memory)
-            && (!worker.is_known() || load.busy(index) < threshold(worker.slots))
+            && (!worker.has_known_slots() || load.busy(index) < busy_threshold(worker.slots))
     }
 
-    /// Whether the worker of the first probe gets a request. One that holds a reservation there needs no
-    /// more.
+    /// Returns whether the worker of the first probe gets a request. A request that holds a reservation there
+    /// is exempt from the threshold.
     pub(crate) fn accepts_first(&self, request: &Request, worker: usize, is_reserved: bool) -> bool {
         (is_reserved || self.is_below_threshold(request, worker))
             && self.is_eligible(request, worker)
             && self.admission.ends_in_time(request, worker)
     }
 
-    /// The least busy of all that were probed; several if they tie.
+    /// Returns the least busy eligible workers of all that were probed; several if they tie.
     pub(crate) fn least_busy(&self, request: &Request) -> Vec<usize> {
         let eligible = request.answered.iter().copied().filter(|worker| self.is_eligible(request, *worker));
         let costs: Vec<(usize, Cost)> = eligible.map(|worker| (worker, self.cost(request, worker))).collect();
@@ -94,13 +95,14 @@
         costs.iter().filter(|(_, cost)| Some(*cost) == least).map(|(worker, _)| *worker).collect()
     }
 
-    /// Busy count as a part of the slots, below 0; among full workers the expected wait.
+    /// Returns the busy slots as a fraction of all slots, less one, so that it is below 0; for full workers
+    /// the expected wait in seconds.
     fn cost(&self, request: &Request, index: usize) -> Cost {
         let load = self.load();
         let is_late = !self.admission.ends_in_time(request, index);
         let slots = load.workers[index].slots.max(1.0);
         if load.is_misleading(index) {
-            return Cost { is_late, load: load.report_reliability.bad_fraction(load.level(index)) };
+            return Cost { is_late, load: load.report_reliability.failure_fraction(load.level(index)) };
         }
         let busy = load.busy(index);
         let load = if busy < slots {
@@ -111,7 +113,8 @@
         Cost { is_late, load }
     }
 
-    /// Whether the least busy worker gets a request at once. One that warms up must end it in time.
+    /// Returns whether the least busy worker gets a request at once. A worker that is warming up must end it
+    /// in time.
     pub(crate) fn accepts_least_busy(&self, request: &Request, worker: usize) -> bool {
         let load = self.load();
         let has_capacity = || {
@@ -122,7 +125,7 @@
             && (load.is_warm(worker) || self.admission.ends_in_time(request, worker))
     }
 
-    /// Where in the fleet a request is expected to wait least.
+    /// Returns the worker of the fleet where a request is expected to wait least.
     pub(crate) fn shortest_queue(&self, request: &Request) -> Option<usize> {
         let load = self.load();
         let eligible = load.workers.pool(request.class)?.iter().filter(|worker| {
@@ -134,7 +137,7 @@
         eligible.min_by(|one, other| wait(one).total_cmp(&wait(other)))
     }
 
-    /// An attempt of a request at a worker, on a new connection.
+    /// Creates an attempt of a request at a worker, on a new connection.
     pub(crate) fn attempt(&self, request: &Request, worker: usize) -> Attempt {
         let load = self.load();
         Attempt {
@@ -150,15 +153,16 @@
         }
     }
 
-    /// Whether nothing is held against a worker for jobs of the request's class.
+    /// Returns whether a worker is not ejected for jobs of the request's class.
     pub(crate) fn is_healthy(&self, request: &Request, worker: usize) -> bool {
         let load = self.load();
         load.workers[worker].outliers.is_healthy(load.now, request.class)
     }
 
-    /// Exception: a large job that none of the probed workers can take holds a part of one that will.
-    /// `None`: it is no such job, or has held one for long enough. `only`: the worker where it queues.
-    pub(crate) fn reservable(&self, request: &Request, only: Option<usize>) -> Option<Reservable> {
+    /// Exception: a large job that none of the probed workers can take reserves slots of a worker. Returns
+    /// `None` if the job is not large or has used up its rounds. `only` restricts the choice to the worker
+    /// where the job is queued.
+    pub(crate) fn reservation_plan(&self, request: &Request, only: Option<usize>) -> Option<ReservationPlan> {
         if !request.is_large || request.backoffs >= MAX_RESERVED_ROUNDS {
             return None;
         }
@@ -167,27 +171,27 @@
             self.is_healthy(request, *worker)
                 && !request.excluded.contains(worker)
                 && load.is_warm(*worker)
-                && load.workers[*worker].is_known()
+                && load.workers[*worker].has_known_slots()
         });
         let mut forecasts: Vec<WorkerForecast> =
             candidates.map(|worker| load.forecast(request, worker)).collect();
         let fleet_slots = forecasts.iter().map(|forecast| forecast.slots).sum();
         forecasts.retain(|forecast| only.is_none_or(|worker| worker == forecast.worker));
         let job = ReservationRequest { request: request.id, slots: request.slots, fleet_slots };
-        Some(Reservable { job, forecasts, full_value_until: self.admission.full_value_until(request) })
+        Some(ReservationPlan { job, forecasts, full_value_until: self.admission.full_value_until(request) })
     }
 }
 
-/// A large job and the workers that might serve it.
+/// A large job and the forecasts of the workers that might serve it.
 #[derive(Clone, Debug)]
-pub(crate) struct Reservable {
+pub(crate) struct ReservationPlan {
     pub(crate) job: ReservationRequest,
     pub(crate) forecasts: Vec<WorkerForecast>,
     pub(crate) full_value_until: Time,
 }
 
-impl Reservable {
-    /// Reserves a part of one of these workers; returns when the job is expected to start.
+impl ReservationPlan {
+    /// Reserves slots of one of these workers. Returns the expected start of the job.
     pub(crate) fn reserve(&self, now: Time, reservations: &mut Reservations) -> Option<Time> {
         let latest_start = |forecast: &WorkerForecast| self.full_value_until - forecast.run_time;
         let reservation = reservations.reserve(now, self.job, &self.forecasts, latest_start);
--- a/crates/pebblepost-dispatch/src/probing.rs
+++ b/crates/pebblepost-dispatch/src/probing.rs
@@ -1,6 +1,6 @@
-//! Probing: which worker is drawn next for a request.
+//! Probing: selects the next worker to probe for a request.
 //!
-//! Owns no state; draws from the pools of the worker table with the node's generator.
+//! Owns no state. Draws from the pools of the worker table with the dispatcher's random generator.
 
 use crate::affinity::{self, KeyPopularity, NO_KEY};
 use crate::api::Time;
@@ -12,73 +12,77 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// Random draws tried in a pool before it is taken to hold nobody eligible.
-const DRAWS: usize = 8;
-/// The subset that draws come from is such that each connection is used this often.
-const USES_PER_CONNECTION: f64 = 4.0;
-/// Smallest subset: as many workers as are probed for a job, with one in four failing.
-const MIN_SUBSET: f64 = 8.0;
-/// Open connections that the price of connections is stated for.
-const CONNECTIONS_PER_PRICE: f64 = 100.0;
-/// A worker seen without capacity this fraction of a mean job ago has none now.
-const FULL_FOR_JOBS: f64 = 0.03;
+/// Number of random draws from a pool before it is taken to hold no eligible worker.
+const MAX_RANDOM_DRAWS: usize = 8;
+/// The subset of workers is sized such that each connection is used this often within its keep-alive time.
+const TARGET_USES_PER_CONNECTION: f64 = 4.0;
+/// Minimum size of the subset: as many workers as are probed for a job, with one in four failing.
+const MIN_SUBSET_WORKERS: f64 = 8.0;
+/// Number of open connections that the configured price of connections refers to.
+const CONNECTIONS_PER_PRICE_UNIT: f64 = 100.0;
+/// A report of no capacity counts for this fraction of a mean service time.
+const FULL_REPORT_VALIDITY_SERVICE_TIMES: f64 = 0.03;
 
-/// Draws workers for requests.
+/// View of a dispatcher's state that draws workers for requests.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Draw<'a> {
+pub(crate) struct WorkerSampler<'a> {
     pub(crate) placement: Placement<'a>,
     pub(crate) popularity: &'a KeyPopularity,
-    /// Requests a second that arrive at this node.
+    /// Requests per second that arrive at this dispatcher.
     pub(crate) arrivals_per_second: f64,
 }
 
-impl Draw<'_> {
-    /// A random worker for a request, unhealthy ones left out as long as there are others.
-    pub(crate) fn next(&self, request: &Request, from: Locality, random: &mut Pcg64Mcg) -> Option<usize> {
+impl WorkerSampler<'_> {
+    /// Draws a random worker for a request. Unhealthy workers are drawn only if there are no others.
+    pub(crate) fn draw(&self, request: &Request, from: Locality, random: &mut Pcg64Mcg) -> Option<usize> {
         let load = self.placement.load();
         let pool = load.workers.pool(request.class)?;
         if retry::is_bound_to_scope(load.settings, request) {
-            return self.in_scope(request, pool, random);
+            return self.draw_in_scope(request, pool, random);
         }
         let candidates = &pool[from];
         if candidates.is_empty() {
             return None;
         }
-        let directed = self
-            .reserved(request)
-            .or_else(|| self.earliest_end(request, candidates))
-            .or_else(|| self.by_key(request, pool));
-        directed.or_else(|| self.at_random(request, candidates, random))
+        let preferred = self
+            .reserved_worker(request)
+            .or_else(|| self.worker_with_earliest_end(request, candidates))
+            .or_else(|| self.preferred_by_key(request, pool));
+        preferred.or_else(|| self.draw_at_random(request, candidates, random))
     }
 
-    /// One of the workers that drop a repeat of what earlier attempts may have run.
-    fn in_scope(&self, request: &Request, pool: &Pool, random: &mut Pcg64Mcg) -> Option<usize> {
-        let fresh = pool.iter().filter(|worker| request.is_fresh(*worker));
-        let group: Vec<usize> = fresh.filter(|worker| self.placement.is_eligible(request, *worker)).collect();
-        (!group.is_empty()).then(|| group[random.random_range(0..group.len())])
+    /// Draws one of the workers that drop a repeat of what earlier attempts may have run.
+    fn draw_in_scope(&self, request: &Request, pool: &Pool, random: &mut Pcg64Mcg) -> Option<usize> {
+        let untried = pool.iter().filter(|worker| request.is_untried(*worker));
+        let eligible: Vec<usize> =
+            untried.filter(|worker| self.placement.is_eligible(request, *worker)).collect();
+        (!eligible.is_empty()).then(|| eligible[random.random_range(0..eligible.len())])
     }
 
-    /// Exception: a large job goes back to the worker that is reserved for it.
-    fn reserved(&self, request: &Request) -> Option<usize> {
+    /// Exception: a large job is sent back to the worker with its reservation.
+    fn reserved_worker(&self, request: &Request) -> Option<usize> {
         let reservation = self.placement.reservations.get(request.id)?;
         let worker = reservation.worker;
-        (request.drawn.is_empty() && request.is_fresh(worker)).then_some(worker)
+        (request.drawn.is_empty() && request.is_untried(worker)).then_some(worker)
     }
 
-    /// Exception: the further probes for a large job go where it is expected to end first.
-    fn earliest_end(&self, request: &Request, candidates: &[usize]) -> Option<usize> {
+    /// Exception: further probes for a large job go to the worker where it is expected to end first.
+    fn worker_with_earliest_end(&self, request: &Request, candidates: &[usize]) -> Option<usize> {
         if !request.is_large || request.drawn.is_empty() {
             return None;
         }
         let load = self.placement.load();
         let end = |worker: &usize| load.forecast(request, *worker).expected_end(load.now, request.slots);
-        let full_since = self.full_since(request);
-        let promising = candidates.iter().copied();
-        promising.filter(|worker| self.is_promising(request, *worker, full_since)).min_by_key(end)
+        let full_report_cutoff = self.full_report_cutoff(request);
+        let suitable = candidates
+            .iter()
+            .copied()
+            .filter(|worker| self.is_suitable(request, *worker, full_report_cutoff));
+        suitable.min_by_key(end)
     }
 
-    /// Exception: a job that is about something is drawn for in an order that its key gives all nodes.
-    fn by_key(&self, request: &Request, pool: &Pool) -> Option<usize> {
+    /// Exception: workers for a job with a key are drawn in an order that the key gives at every dispatcher.
+    fn preferred_by_key(&self, request: &Request, pool: &Pool) -> Option<usize> {
         if request.key == NO_KEY {
             return None;
         }
@@ -88,21 +92,23 @@
             let weight = load.service.kind(worker.kind).map_or(1.0, |kind| kind.slots.round().max(1.0));
             affinity::rank(request.key, worker.name, weight)
         };
-        let full_since = self.full_since(request);
-        let promising = pool.iter().filter(|worker| self.is_promising(request, *worker, full_since));
-        let replicas = self.popularity.workers_per_key(request.key, pool.len());
-        let first = affinity::first_by_rank(promising, replicas, rank);
+        let full_report_cutoff = self.full_report_cutoff(request);
+        let suitable = pool.iter().filter(|worker| self.is_suitable(request, *worker, full_report_cutoff));
+        let workers_per_key = self.popularity.workers_per_key(request.key, pool.len());
+        let first = affinity::first_by_rank(suitable, workers_per_key, rank);
         let locality = |worker: &usize| load.workers.locality(*worker, load.settings);
         first.into_iter().min_by_key(|worker| (locality(worker), rank(worker)))
     }
 
-    fn at_random(&self, request: &Request, candidates: &[usize], random: &mut Pcg64Mcg) -> Option<usize> {
+    fn draw_at_random(
+        &self, request: &Request, candidates: &[usize], random: &mut Pcg64Mcg,
+    ) -> Option<usize> {
         let load = self.placement.load();
         let all = candidates.len();
         for (size, with_unhealthy) in [(self.subset_size(all), false), (all, false), (all, true)] {
-            for _ in 0..DRAWS {
+            for _ in 0..MAX_RANDOM_DRAWS {
                 let worker = candidates[random.random_range(0..size)];
-                if request.is_fresh(worker)
+                if request.is_untried(worker)
                     && !load.is_too_small(worker, request.slots)
                     && (with_unhealthy || self.placement.is_healthy(request, worker))
                 {
@@ -113,41 +119,43 @@
         None
     }
 
-    /// A worker reported to be full since then has no capacity now: a client that repeats at once goes on to
-    /// others.
-    fn full_since(&self, request: &Request) -> Time {
+    /// Returns the time since when a report of no capacity still holds. It holds briefly, so that a client
+    /// that repeats at once is passed on to other workers.
+    fn full_report_cutoff(&self, request: &Request) -> Time {
         let load = self.placement.load();
-        if self.placement.admission.judges_by_waits(request) {
+        if self.placement.admission.uses_observed_waits(request) {
             load.now
         } else {
-            load.now - from_seconds(FULL_FOR_JOBS * load.service.mean())
+            load.now - from_seconds(FULL_REPORT_VALIDITY_SERVICE_TIMES * load.service.mean_seconds())
         }
     }
 
-    /// Whether a worker is fresh, healthy, large enough and not known to be full.
-    fn is_promising(&self, request: &Request, worker: usize, full_since: Time) -> bool {
+    /// Returns whether a worker is untried, healthy, large enough and not known to be full.
+    fn is_suitable(&self, request: &Request, worker: usize, full_report_cutoff: Time) -> bool {
         let load = self.placement.load();
         let is_full = || {
-            load.workers[worker].reported_at > full_since && !load.has_capacity(worker, request.slots, 0.0)
+            load.workers[worker].reported_at > full_report_cutoff
+                && !load.has_capacity(worker, request.slots, 0.0)
         };
         self.placement.is_healthy(request, worker)
             && !load.is_too_small(worker, request.slots)
-            && request.is_fresh(worker)
+            && request.is_untried(worker)
             && !is_full()
     }
 
-    /// Exception: where handshakes are priced, draws come from the first workers of this node's order.
+    /// Exception: where handshakes have a price, workers are drawn from the first ones in this dispatcher's
+    /// order. Returns the number of these.
     pub(crate) fn subset_size(&self, workers: usize) -> usize {
         let settings = self.placement.load().settings;
         let prices = &settings.prices;
         if prices.handshake <= 0.0 {
             return workers;
         }
-        let reused = self.arrivals_per_second * seconds(settings.keepalive) / USES_PER_CONNECTION;
-        let connection_price =
-            prices.connection * f64::from(settings.nodes) / (CONNECTIONS_PER_PRICE * workers.max(1) as f64);
-        // Infinite where connections cost nothing.
-        let affordable = prices.handshake / USES_PER_CONNECTION / connection_price;
-        (reused.min(affordable).max(MIN_SUBSET) as usize).min(workers)
+        let reused = self.arrivals_per_second * seconds(settings.keepalive) / TARGET_USES_PER_CONNECTION;
+        let connection_price = prices.connection * f64::from(settings.nodes)
+            / (CONNECTIONS_PER_PRICE_UNIT * workers.max(1) as f64);
+        // Infinite where connections have no price.
+        let affordable = prices.handshake / TARGET_USES_PER_CONNECTION / connection_price;
+        (reused.min(affordable).max(MIN_SUBSET_WORKERS) as usize).min(workers)
     }
 }
--- a/crates/pebblepost-dispatch/src/request_flow.rs
+++ b/crates/pebblepost-dispatch/src/request_flow.rs
@@ -1,8 +1,9 @@
-//! The way of a request from its arrival to its answer.
+//! Request lifecycle from arrival to answer.
 //!
-//! Owns the order of the steps: rounds of probes, attempts, backoff, the answer. Which worker is drawn, who
-//! gets a job, whether it is worth queueing and whether it may be sent again is decided in `probing`,
-//! `placement`, `admission` and `retry`; what is learned on the way is taken in by `node_state`.
+//! Controls the order of the steps: probe rounds, attempts, backoff and the answer. The decisions themselves
+//! are in `probing` (which worker is drawn), `placement` (which worker gets the job), `admission` (whether
+//! the job is worth queueing) and `retry` (whether it may be sent again). Observations made on the way are
+//! recorded in `node_state`.
 
 use crate::api::{Action, AttemptNo, RequestId, Status, Time, WorkerState};
 use crate::connections::Connection;
@@ -18,40 +19,40 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Workers excluded from a round before those that take no part are replaced no more.
-const MAX_REPLACED: usize = 2 * CHOICES;
-/// Remote workers probed if all local ones are full: more if most of them have capacity, as a free worker is
-/// worth a few probes; fewer in a crowd.
+/// Number of excluded workers of a request up to which a worker that takes no part is replaced by another.
+const MAX_EXCLUDED_WORKERS_FOR_REPLACEMENT: usize = 2 * CHOICES;
+/// Number of remote workers probed when all local ones are full. A free worker is worth a few probes while
+/// most remote workers have capacity; under congestion fewer probes are sent.
 const SPILLOVER_PROBES: usize = 3;
-const SPILLOVER_PROBES_IN_CROWD: usize = 1;
-/// Fraction of remote workers with capacity below which there is a crowd.
-const CROWD_CAPACITY: f64 = 0.5;
-/// A backoff doubles up to this often.
+const SPILLOVER_PROBES_IF_CONGESTED: usize = 1;
+/// The remote zones are congested if at most this fraction of the remote workers probed has capacity.
+const MAX_CONGESTED_REMOTE_FRACTION: f64 = 0.5;
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// The first backoff, as a part of the time that a request may wait.
-const BACKOFF_PART: Range<f64> = 0.1..0.2;
-/// A backoff that waits for a reservation is this part of the usual one at least.
-const MIN_BACKOFF_PART: u32 = 8;
+/// Range of the first backoff, as a fraction of the request's wait budget.
+const FIRST_BACKOFF_BUDGET_FRACTION: Range<f64> = 0.1..0.2;
+/// The backoff of a request that waits for a reservation is at least the usual backoff divided by this.
+const MIN_RESERVED_BACKOFF_DIVISOR: u32 = 8;
 
-/// Clients are advised to come back after so many mean jobs.
-const RETRY_AFTER_JOBS: Range<f64> = 0.5..1.5;
-/// An attempt that has not started is looked at after this part of the time that its request may wait.
-const START_CHECK_PART: u32 = 4;
+/// Range of the `retry_after` advice to clients, in mean service times.
+const RETRY_AFTER_MEAN_SERVICE_TIMES: Range<f64> = 0.5..1.5;
+/// An attempt that has not started is checked after the request's wait budget divided by this.
+const START_CHECK_BUDGET_DIVISOR: u32 = 4;
 
-/// What happens to requests at one time.
+/// Handles requests at one point in time.
 #[derive(Debug)]
 pub(crate) struct RequestFlow<'a> {
     pub(crate) now: Time,
     pub(crate) state: &'a mut NodeState,
     pub(crate) random: &'a mut Pcg64Mcg,
-    /// What is to be done, in order.
+    /// Actions for the caller, in order.
     pub(crate) actions: &'a mut Vec<Action>,
 }
 
 impl RequestFlow<'_> {
-    // Rounds of probes.
+    // Probe rounds.
 
-    /// A request came from a client.
+    /// Handles a new request from a client.
     pub(crate) fn request_arrived(&mut self, arrival: &Arrival) {
         let id = arrival.id;
         if arrival.class >= self.state.settings.classes.len() || self.state.requests.contains(id) {
@@ -67,7 +68,7 @@
         self.start_round(id);
     }
 
-    /// Whether a request is late already, or needs more slots than any worker has.
+    /// Returns whether a request is already late, or needs more slots than any worker has.
     fn is_never_placeable(&self, id: RequestId) -> bool {
         let Some(request) = self.state.requests.get(id) else { return false };
         let admission = self.state.admission(self.now);
@@ -77,14 +78,14 @@
                 && self.state.workers.pool(request.class).is_some_and(|pool| pool.iter().all(is_too_small))
     }
 
-    /// Starts a round of probes with the random first one.
+    /// Starts a probe round with one random worker.
     fn start_round(&mut self, id: RequestId) {
         let Some(request) = self.state.requests.get_mut(id) else { return };
         request.start_round();
         if !self.state.settings.probing_enabled {
-            // Exception: where probes are not allowed, d random workers are compared by own load.
+            // Exception: where probes are not allowed, d random workers are compared by the load known here.
             self.draw(id, CHOICES, Locality::Local);
-            return self.choose(id);
+            return self.place_on_least_busy(id);
         }
         if self.draw_one(id) == 0 {
             return self.back_off(id);
@@ -92,7 +93,7 @@
         self.set_step_timer(id, self.probe_timeout());
     }
 
-    /// Probes one more worker, a remote one if there is no local one; returns how many were drawn.
+    /// Probes one more worker, a remote one if there is no local one. Returns the number of workers drawn.
     fn draw_one(&mut self, id: RequestId) -> usize {
         match self.draw(id, 1, Locality::Local) {
             0 => self.draw(id, 1, Locality::Remote),
@@ -100,18 +101,18 @@
         }
     }
 
-    /// Draws up to `count` workers that take part and probes them; returns how many there were.
+    /// Draws and probes up to `count` workers that take part. Returns the number of workers drawn.
     fn draw(&mut self, id: RequestId, count: usize, from: Locality) -> usize {
         let probing = self.state.settings.probing_enabled;
         let mut drawn = 0;
         while drawn < count {
             let Some(request) = self.state.requests.get(id) else { return drawn };
             let cost = request.cost;
-            let Some(worker) = self.state.draw(self.now).next(request, from, self.random) else {
+            let Some(worker) = self.state.sampler(self.now).draw(request, from, self.random) else {
                 return drawn;
             };
             self.state.record_draw(self.now, worker);
-            // Before the probe: a worker that takes no part costs none.
+            // Decided before the probe, so that no probe is spent on a worker that takes no part.
             let admitted = self.slow_start_admits(cost, worker);
             let Some(request) = self.state.requests.get_mut(id) else { return drawn };
             if !admitted && probing {
@@ -132,7 +133,8 @@
         drawn
     }
 
-    /// Whether a worker that was drawn takes part, if it is warming up.
+    /// Returns whether a drawn worker takes part in the round. A worker that is warming up does so only with
+    /// the probability that slow start gives it.
     fn slow_start_admits(&mut self, cost: f64, worker: usize) -> bool {
         let Some(warming) = self.state.warming_worker(self.now, worker) else { return true };
         let probability = warming.admission_probability(cost, &self.state.settings);
@@ -145,7 +147,8 @@
         self.actions.push(Action::Probe { worker: worker.id });
     }
 
-    /// A probe is given up on after its usual round trip; its answer still counts if it comes later.
+    /// Returns the time after which a round goes on without the answer to a probe: the upper bound of the
+    /// usual round trip. A later answer is still recorded.
     fn probe_timeout(&self) -> Duration {
         self.state.probe_round_trip.upper_bound().max(2 * self.state.settings.tick)
     }
@@ -158,7 +161,7 @@
         }
     }
 
-    /// A probe was answered or failed.
+    /// Handles the answer to a probe, or its failure.
     pub(crate) fn probe_ended(&mut self, index: usize, status: Status, latency: Duration, report: &[f32]) {
         let answered = status == Status::Ok;
         let worker = &mut self.state.workers[index];
@@ -182,7 +185,7 @@
                 }
             }
             Some(ProbePurpose::MissedStart { request, attempt }) if answered => {
-                self.start_missed(request, attempt);
+                self.handle_missed_start(request, attempt);
             }
             Some(ProbePurpose::ReportAge { jobs_found }) if answered => {
                 let shown = self.state.load(self.now).reported_jobs(index) > jobs_found;
@@ -203,7 +206,7 @@
         }
         match phase {
             Phase::FirstProbe => self.first_probe_answered(id, worker),
-            phase if phase.is_probing_further() && !awaits_probes => self.choose(id),
+            phase if phase.is_probing_further() && !awaits_probes => self.place_on_least_busy(id),
             _ => {}
         }
     }
@@ -220,12 +223,15 @@
         self.probe_further(id);
     }
 
-    /// A worker that takes no part in the choice says nothing of a crowd: another is probed in its place.
+    /// Handles a failed probe. A worker that takes no part in the choice is no sign of congestion, so another
+    /// one is probed in its place.
     fn probe_failed(&mut self, id: RequestId, worker: usize) {
         let Some(request) = self.state.requests.get_mut(id) else { return };
         request.drawn.retain(|drawn| *drawn != worker);
         request.excluded.push(worker);
-        if request.phase.is_probing_further() && request.excluded.len() <= MAX_REPLACED {
+        if request.phase.is_probing_further()
+            && request.excluded.len() <= MAX_EXCLUDED_WORKERS_FOR_REPLACEMENT
+        {
             self.draw_one(id);
         }
         let Some(request) = self.state.requests.get(id) else { return };
@@ -234,7 +240,7 @@
                 self.state.reservations.release(id);
                 self.probe_further(id);
             }
-            phase if phase.is_probing_further() && !request.awaits_probes() => self.choose(id),
+            phase if phase.is_probing_further() && !request.awaits_probes() => self.place_on_least_busy(id),
             _ => {}
         }
     }
@@ -245,13 +251,13 @@
         request.phase = Phase::FurtherProbes;
         let awaits_probes = request.awaits_probes();
         if self.draw(id, CHOICES - 1, Locality::Local) == 0 && !awaits_probes {
-            return self.choose(id);
+            return self.place_on_least_busy(id);
         }
         self.set_step_timer(id, self.probe_timeout());
     }
 
-    /// Places a request at the least busy of all that were probed; ties at random.
-    fn choose(&mut self, id: RequestId) {
+    /// Places a request on the least busy of the probed workers; ties are broken at random.
+    fn place_on_least_busy(&mut self, id: RequestId) {
         let Some(request) = self.state.requests.get(id) else { return };
         let placement = self.state.placement(self.now);
         let tied = placement.least_busy(request);
@@ -259,23 +265,23 @@
         if let Some(worker) = best.filter(|worker| placement.accepts_least_busy(request, *worker)) {
             return self.send(id, worker);
         }
-        let judges_by_waits = placement.admission.judges_by_waits(request);
+        let uses_observed_waits = placement.admission.uses_observed_waits(request);
         let is_misleading = best.is_some_and(|worker| placement.load().is_misleading(worker));
-        let may_spill = !is_misleading && !judges_by_waits && request.phase != Phase::SpilloverProbes;
+        let may_spill = !is_misleading && !uses_observed_waits && request.phase != Phase::SpilloverProbes;
         if may_spill && self.spill_over(id) {
             return;
         }
         self.queue_or_back_off(id, best);
     }
 
-    /// Exception: all local workers are full, by credible reports: remote ones are probed. Returns whether
+    /// Exception: if all local workers are full by credible reports, remote ones are probed. Returns whether
     /// there are any.
     fn spill_over(&mut self, id: RequestId) -> bool {
         if let Some(request) = self.state.requests.get_mut(id) {
             request.phase = Phase::SpilloverProbes;
         }
-        let is_crowd = self.state.remote_capacity <= CROWD_CAPACITY;
-        let probes = if is_crowd { SPILLOVER_PROBES_IN_CROWD } else { SPILLOVER_PROBES };
+        let is_congested = self.state.remote_capacity_fraction <= MAX_CONGESTED_REMOTE_FRACTION;
+        let probes = if is_congested { SPILLOVER_PROBES_IF_CONGESTED } else { SPILLOVER_PROBES };
         let spilled = self.draw(id, probes, Locality::Remote) > 0;
         if spilled {
             self.set_step_timer(id, self.probe_timeout());
@@ -283,13 +289,13 @@
         spilled
     }
 
-    /// Exception: a full worker gets the job into its queue if it would end in time there. Where late answers
-    /// keep some value, it queues where it is expected to wait least in the fleet.
+    /// Exception: a full worker gets the job into its queue if the job would end in time there. Where late
+    /// answers keep some value, the job is queued at the worker of the fleet with the shortest expected wait.
     fn queue_or_back_off(&mut self, id: RequestId, best: Option<usize>) {
         let Some(request) = self.state.requests.get(id) else { return };
         let placement = self.state.placement(self.now);
-        let judges_by_waits = placement.admission.judges_by_waits(request);
-        let best = if judges_by_waits { placement.shortest_queue(request).or(best) } else { best };
+        let uses_observed_waits = placement.admission.uses_observed_waits(request);
+        let best = if uses_observed_waits { placement.shortest_queue(request).or(best) } else { best };
         let queues = |worker: &usize| {
             placement.admission.should_queue(request, *worker) || placement.load().is_misleading(*worker)
         };
@@ -299,27 +305,28 @@
         }
     }
 
-    /// Ends a round that found nobody. A large job looks again at what it holds; others are rejected at once.
-    /// If no report came, a new round follows, once; where late answers count fully, while there is time.
+    /// Ends a round in which no worker was found. A large job looks for a reservation again; other requests
+    /// are rejected at once. If no load report came in, one more round follows. Where late answers keep their
+    /// full value, rounds go on while there is time.
     fn back_off(&mut self, id: RequestId) {
         let Some(request) = self.state.requests.get(id) else { return };
         let placement = self.state.placement(self.now);
         let latest_start = placement.admission.latest_start(request);
         let budget = placement.admission.wait_budget(request);
-        let late_counts = placement.admission.late_value(request) >= 1.0;
-        let reservable = placement.reservable(request, None);
-        let base = budget.mul_f64(self.random.random_range(BACKOFF_PART));
-        let reserved = reservable.and_then(|job| job.reserve(self.now, &mut self.state.reservations));
+        let late_has_full_value = placement.admission.late_value(request) >= 1.0;
+        let reservation_plan = placement.reservation_plan(request, None);
+        let base = budget.mul_f64(self.random.random_range(FIRST_BACKOFF_BUDGET_FRACTION));
+        let reserved = reservation_plan.and_then(|plan| plan.reserve(self.now, &mut self.state.reservations));
         let Some(request) = self.state.requests.get_mut(id) else { return };
         let backoff = match reserved {
-            Some(start) => start.since(self.now).clamp(base / MIN_BACKOFF_PART, base),
+            Some(start) => start.since(self.now).clamp(base / MIN_RESERVED_BACKOFF_DIVISOR, base),
             None => base * (1 << request.backoffs.min(MAX_BACKOFF_DOUBLINGS)),
         };
-        let is_repeated = request.backoffs > 0 || !request.answered.is_empty();
-        let is_over = !late_counts && reserved.is_none() && is_repeated;
+        let had_report_or_backoff = request.backoffs > 0 || !request.answered.is_empty();
+        let gives_up = !late_has_full_value && reserved.is_none() && had_report_or_backoff;
         request.enter(Phase::Backoff);
         request.backoffs += 1;
-        if is_over || self.now + backoff >= latest_start {
+        if gives_up || self.now + backoff >= latest_start {
             return self.reject(id);
         }
         self.set_step_timer(id, backoff);
@@ -334,12 +341,13 @@
         let placement = state.placement(self.now);
         let mut attempt = placement.attempt(request, index);
         let start_check_delay = Self::start_check_delay(state, self.now, request, &attempt);
-        // What it waits for is not given away meanwhile.
-        let reservable = if attempt.queued { placement.reservable(request, Some(index)) } else { None };
+        // A queued job keeps its claim: the slots it waits for stay reserved.
+        let reservation_plan =
+            if attempt.queued { placement.reservation_plan(request, Some(index)) } else { None };
         let expected_end = placement.load().expected_end(request, index);
         state.reservations.release(id);
-        if let Some(job) = reservable {
-            job.reserve(self.now, &mut state.reservations);
+        if let Some(plan) = reservation_plan {
+            plan.reserve(self.now, &mut state.reservations);
         }
         let worker = &mut state.workers[index];
         // Exception: connections idle for longer than proved safe are closed first.
@@ -351,35 +359,36 @@
         let Some(request) = state.requests.get_mut(id) else { return };
         worker.own_jobs.push(OwnJob { sent: self.now, slots: request.slots, started: false, expected_end });
         worker.recent_keys.record(request.key);
-        let no = AttemptNo(request.attempts.len() as u8);
+        let number = AttemptNo(request.attempts.len() as u8);
         request.enter(Phase::InFlight);
         request.attempts.push(attempt);
         self.actions.push(Action::Send { id, worker: worker.id, timeout: None });
         state.workers.queued_attempts += usize::from(attempt.queued);
-        self.set_attempt_timers(id, no, start_check_delay, attempt.queued);
+        self.set_attempt_timers(id, number, start_check_delay, attempt.queued);
     }
 
     fn set_attempt_timers(
-        &mut self, id: RequestId, no: AttemptNo, start_check_delay: Duration, queued: bool,
+        &mut self, id: RequestId, number: AttemptNo, start_check_delay: Duration, queued: bool,
     ) {
         let settings = &self.state.settings;
         let (probing, start_reported) = (settings.probing_enabled, settings.start_reported);
         if probing && start_reported {
-            let token = Timer::StartCheck { request: id, attempt: no }.token();
+            let token = Timer::StartCheck { request: id, attempt: number }.token();
             self.actions.push(Action::SetTimer { at: self.now + start_check_delay, token });
         }
-        if self.state.report_age.is_checked_by_send() && probing && !queued {
-            let token = Timer::ReportAgeCheck { request: id, attempt: no }.token();
+        if self.state.report_age.record_send() && probing && !queued {
+            let token = Timer::ReportAgeCheck { request: id, attempt: number }.token();
             self.actions.push(Action::SetTimer { at: self.now + self.state.report_age.get(), token });
         }
     }
 
-    /// After this time an attempt that has not started is looked at.
+    /// Returns the time after which an attempt that has not started is checked.
     fn start_check_delay(state: &NodeState, now: Time, request: &Request, attempt: &Attempt) -> Duration {
         let admission = state.admission(now);
         let usual = state.start_delay.upper_bound();
-        let delay =
-            usual.max(admission.wait_budget(request) / START_CHECK_PART).max(2 * state.report_age.lag());
+        let delay = usual
+            .max(admission.wait_budget(request) / START_CHECK_BUDGET_DIVISOR)
+            .max(2 * state.report_age.lag());
         if attempt.queued {
             delay + 2 * from_seconds(admission.load.queue_wait(attempt.worker))
         } else {
@@ -387,11 +396,11 @@
         }
     }
 
-    /// An attempt has not started, though its worker answers probes. If there is capacity, it is lost; one
-    /// that may be repeated is cancelled and sent again.
-    fn start_missed(&mut self, id: RequestId, no: AttemptNo) {
+    /// Handles an attempt that has not started although its worker answers probes. If the worker has
+    /// capacity, the job is lost; if it may be repeated, it is cancelled and sent again.
+    fn handle_missed_start(&mut self, id: RequestId, number: AttemptNo) {
         let Some(request) = self.state.requests.get(id) else { return };
-        let attempt = request.attempts.get(usize::from(no.0));
+        let attempt = request.attempts.get(usize::from(number.0));
         let Some(attempt) = attempt.filter(|attempt| attempt.in_flight && attempt.started.is_none()) else {
             return;
         };
@@ -409,13 +418,13 @@
             && self.now < self.state.admission(self.now).latest_start(request)
             && request.phase == Phase::InFlight;
         if may_retry {
-            self.actions.push(Action::Cancel { id, attempt: no });
+            self.actions.push(Action::Cancel { id, attempt: number });
         }
         let (class, attempt) = (request.class, *attempt);
         self.state.record_missed_start(self.now, class, &attempt);
     }
 
-    /// An attempt has ended: the request is over, sent again or rejected.
+    /// Handles the end of an attempt: the request is finished, sent again or rejected.
     pub(crate) fn attempt_ended(&mut self, end: &AttemptEnd) {
         let (id, status) = (end.request, end.status);
         let Some(attempt) = self.state.requests.in_flight_mut(id, end.attempt) else { return };
@@ -423,7 +432,7 @@
         let attempt = *attempt;
         self.state.record_attempt_end(self.now, &attempt, end);
         self.state.reservations.release(id);
-        self.wake(self.state.reservations.holders(attempt.worker));
+        self.restart_backed_off(self.state.reservations.holders(attempt.worker));
         let never_ran = self.state.settings.never_ran(status);
         let Some(request) = self.state.requests.get_mut(id) else { return };
         if end.closed || request.phase == Phase::Answered {
@@ -444,7 +453,7 @@
         self.start_round(id);
     }
 
-    /// Whether a request may be sent again and is still worth starting.
+    /// Returns whether a request may be sent again and is still worth starting.
     fn may_retry(&self, id: RequestId) -> bool {
         self.state.requests.get(id).is_some_and(|request| {
             retry::may_send(&self.state.settings, self.now, request)
@@ -454,11 +463,13 @@
 
     // Answers.
 
-    /// Ends a request that no worker gets: rejected if a client may try again, failed otherwise.
+    /// Ends a request that no worker takes: `Refuse` if a client retry is harmless, `Fail` otherwise.
     pub(crate) fn reject(&mut self, id: RequestId) {
         let Some(request) = self.state.requests.get(id) else { return };
         let settings = &self.state.settings;
-        let advice = from_seconds(self.state.service.mean() * self.random.random_range(RETRY_AFTER_JOBS));
+        let advice = from_seconds(
+            self.state.service.mean_seconds() * self.random.random_range(RETRY_AFTER_MEAN_SERVICE_TIMES),
+        );
         let retry_after = settings.retry_after_enabled.then_some(advice.min(settings.max_retry_after));
         let answer = if self.state.admission(self.now).is_retry_harmless(request) {
             Action::Refuse { id, retry_after }
@@ -468,7 +479,7 @@
         self.finish(id, Some(answer));
     }
 
-    /// Ends a request: at most one answer, and its attempts are cancelled.
+    /// Ends a request with at most one answer and cancels its attempts.
     pub(crate) fn finish(&mut self, id: RequestId, answer: Option<Action>) {
         let cancelling = self.state.settings.cancelling_enabled;
         let Some(request) = self.state.requests.get_mut(id) else { return };
@@ -476,7 +487,8 @@
             self.actions.extend(answer);
             let attempts = request.attempts.iter().enumerate();
             let cancelled = attempts.filter(|(_, attempt)| attempt.in_flight && cancelling);
-            self.actions.extend(cancelled.map(|(no, _)| Action::Cancel { id, attempt: AttemptNo(no as u8) }));
+            self.actions
+                .extend(cancelled.map(|(number, _)| Action::Cancel { id, attempt: AttemptNo(number as u8) }));
         }
         request.phase = Phase::Answered;
         if !request.is_in_flight() {
@@ -487,7 +499,7 @@
 
     // Timers.
 
-    /// The probes or the backoff of this step are over.
+    /// Handles the end of a probe time-out or a backoff. Time-outs of earlier steps are ignored.
     pub(crate) fn step_timed_out(&mut self, id: RequestId, step: u32) {
         let Some(request) = self.state.requests.get_mut(id) else { return };
         if !Timer::is_step(step, request.step) {
@@ -495,7 +507,8 @@
         }
         match request.phase {
             Phase::FirstProbe => {
-                // A worker that is reserved for it and says nothing is lost to it; the others come next.
+                // If the worker with the request's reservation does not answer in time, the reservation is
+                // released and other workers are probed.
                 request
                     .excluded
                     .extend(self.state.reservations.get(id).map(|reservation| reservation.worker));
@@ -505,29 +518,29 @@
             Phase::FurtherProbes | Phase::SpilloverProbes if request.answered.is_empty() => {
                 self.back_off(id);
             }
-            Phase::FurtherProbes | Phase::SpilloverProbes => self.choose(id),
+            Phase::FurtherProbes | Phase::SpilloverProbes => self.place_on_least_busy(id),
             Phase::Backoff => self.start_round(id),
             Phase::InFlight | Phase::Answered => {}
         }
     }
 
     /// Probes the worker of an attempt that has not started.
-    pub(crate) fn check_start(&mut self, id: RequestId, no: AttemptNo) {
-        let Some(attempt) = self.state.requests.in_flight_mut(id, no) else { return };
+    pub(crate) fn check_start(&mut self, id: RequestId, number: AttemptNo) {
+        let Some(attempt) = self.state.requests.in_flight_mut(id, number) else { return };
         if attempt.started.is_none() {
             let worker = attempt.worker;
-            self.check(worker, ProbePurpose::MissedStart { request: id, attempt: no });
+            self.probe_if_ready(worker, ProbePurpose::MissedStart { request: id, attempt: number });
         }
     }
 
-    /// Probes the worker of an attempt to learn the age of reports.
-    pub(crate) fn check_report_age(&mut self, id: RequestId, no: AttemptNo) {
-        let Some(attempt) = self.state.requests.in_flight_mut(id, no) else { return };
+    /// Probes the worker of an attempt to measure the age of its reports.
+    pub(crate) fn check_report_age(&mut self, id: RequestId, number: AttemptNo) {
+        let Some(attempt) = self.state.requests.in_flight_mut(id, number) else { return };
         let (worker, jobs_found) = (attempt.worker, attempt.reported_jobs);
-        self.check(worker, ProbePurpose::ReportAge { jobs_found });
+        self.probe_if_ready(worker, ProbePurpose::ReportAge { jobs_found });
     }
 
-    fn check(&mut self, worker: usize, purpose: ProbePurpose) {
+    fn probe_if_ready(&mut self, worker: usize, purpose: ProbePurpose) {
         if self.state.workers[worker].state == WorkerState::Ready {
             self.probe(worker, purpose);
         }
@@ -535,9 +548,9 @@
 
     // Workers.
 
-    /// Jobs that held a part of a worker start a new round: a slot came free there, or it can serve them no
-    /// more.
-    pub(crate) fn wake(&mut self, holders: Vec<RequestId>) {
+    /// Starts a new round for requests in backoff that hold a reservation at a worker, because a slot became
+    /// free there or the worker can no longer serve them.
+    pub(crate) fn restart_backed_off(&mut self, holders: Vec<RequestId>) {
         for id in holders {
             if self.state.requests.get(id).is_some_and(|request| request.phase == Phase::Backoff) {
                 self.start_round(id);
@@ -545,8 +558,8 @@
         }
     }
 
-    /// Rule of closing on drains, where stated: when the drain is known, and whenever an attempt or a probe
-    /// ends there.
+    /// Closes idle connections to a draining worker where the settings require it: when the drain becomes
+    /// known, and whenever an attempt or a probe ends there.
     pub(crate) fn close_idle_if_draining(&mut self, worker: usize) {
         let worker = &self.state.workers[worker];
         if self.state.settings.close_idle_within.is_some() && worker.state == WorkerState::Draining {
--- a/crates/pebblepost-dispatch/src/request_table.rs
+++ b/crates/pebblepost-dispatch/src/request_table.rs
@@ -1,37 +1,37 @@
-//! Requests of a node and their attempts.
+//! Request table of a dispatcher: requests that are not finished, and their attempts.
 //!
-//! Owns what is known of each request that is not yet over; decides nothing.
+//! Owns the state of each request; decides nothing.
 
 use crate::api::{AttemptNo, RequestId, Time};
 use crate::report_quality::LoadLevel;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Where a request stands.
+/// Phase of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// The first probe is out.
+    /// The first probe is unanswered.
     FirstProbe,
-    /// The d-1 further probes are out.
+    /// The d-1 further probes are unanswered.
     FurtherProbes,
-    /// Probes of remote workers are out, as all probed before were full.
+    /// Probes of remote workers are unanswered, because all workers probed before were full.
     SpilloverProbes,
     /// An attempt is in flight.
     InFlight,
-    /// Waits before it is probed for again.
+    /// Waits before the next probe round.
     Backoff,
-    /// Answered; kept until its attempts have ended.
+    /// Answered. Kept until its attempts have ended.
     Answered,
 }
 
 impl Phase {
-    /// Whether probes after the first one are out.
+    /// Returns whether probes after the first one are unanswered.
     pub(crate) fn is_probing_further(self) -> bool {
         matches!(self, Self::FurtherProbes | Self::SpilloverProbes)
     }
 }
 
-/// One attempt of a request.
+/// An attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     /// Index of its worker.
@@ -40,13 +40,13 @@
     pub(crate) slots: f64,
     pub(crate) in_flight: bool,
     pub(crate) started: Option<Time>,
-    /// How long its connection had been idle before; `None`: a new one.
+    /// Time for which its connection had been idle before, or `None` for a new connection.
     pub(crate) connection_idle: Option<Duration>,
-    /// Whether it found no free slot.
+    /// Whether the attempt found no free slot.
     pub(crate) queued: bool,
-    /// Load of the worker by the report that it was sent on.
+    /// Load level of the worker by the report on which the attempt was sent.
     pub(crate) load_level: LoadLevel,
-    /// Jobs at the worker, by that report.
+    /// Number of jobs at the worker by that report.
     pub(crate) reported_jobs: f64,
 }
 
@@ -58,14 +58,14 @@
     pub(crate) sent: Time,
 }
 
-/// A request that arrives.
+/// A request on arrival.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
     pub(crate) id: RequestId,
     pub(crate) class: usize,
     pub(crate) tenant: usize,
     pub(crate) time_left: Duration,
-    /// Whether it is a client's retry.
+    /// Whether this is a client's retry.
     pub(crate) is_retry: bool,
     pub(crate) slots: f64,
     pub(crate) memory: f64,
@@ -74,7 +74,7 @@
     pub(crate) key: u64,
 }
 
-/// A request that is not yet over.
+/// A request that is not finished.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) id: RequestId,
@@ -88,27 +88,27 @@
     pub(crate) memory: f64,
     /// Hint of its work, in seconds on a worker of speed 1.
     pub(crate) work: Option<f64>,
-    /// Its work in mean jobs: by its hint where there is one, else by its class.
+    /// Work as a multiple of a mean job: by its hint where there is one, otherwise by its class.
     pub(crate) cost: f64,
-    /// Whether it is large among the recent jobs.
+    /// Whether the job is large among the recent ones.
     pub(crate) is_large: bool,
-    /// What it is about; see [`crate::affinity`].
+    /// Affinity key; see [`crate::affinity`].
     pub(crate) key: u64,
     pub(crate) phase: Phase,
-    /// Counts the steps of the request, so that timers and probe results of earlier ones are known as such.
+    /// Number of the current step. Timers and probe results of earlier steps are told apart by it.
     pub(crate) step: u32,
     pub(crate) backoffs: u32,
-    /// Workers drawn in this round of probes, and those of them that have answered.
+    /// Workers drawn in this probe round, and those of them that have answered.
     pub(crate) drawn: Vec<usize>,
     pub(crate) answered: Vec<usize>,
-    /// Workers that rejected it, did not answer its probe or take no part.
+    /// Workers that rejected the request, did not answer its probe or take no part.
     pub(crate) excluded: Vec<usize>,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) first_run: Option<FirstRun>,
 }
 
 impl Request {
-    /// A request before its first probe.
+    /// Creates a request before its first probe.
     pub(crate) fn new(arrival: &Arrival, arrived: Time, deadline: Time, cost: f64, is_large: bool) -> Self {
         Self {
             id: arrival.id,
@@ -133,40 +133,40 @@
         }
     }
 
-    /// Its first attempt that is in flight.
+    /// Returns the first attempt that is in flight.
     pub(crate) fn attempt_in_flight(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.in_flight)
     }
 
-    /// Whether an attempt is in flight.
+    /// Returns whether an attempt is in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.attempt_in_flight().is_some()
     }
 
-    /// Whether probes of this round are out.
+    /// Returns whether probes of this round are unanswered.
     pub(crate) fn awaits_probes(&self) -> bool {
         self.drawn.len() > self.answered.len()
     }
 
-    /// Whether a worker has neither been drawn in this round nor excluded.
-    pub(crate) fn is_fresh(&self, worker: usize) -> bool {
+    /// Returns whether a worker has neither been drawn in this round nor excluded.
+    pub(crate) fn is_untried(&self, worker: usize) -> bool {
         !self.drawn.contains(&worker) && !self.excluded.contains(&worker)
     }
 
-    /// Enters a step in this phase.
+    /// Starts a new step in this phase.
     pub(crate) fn enter(&mut self, phase: Phase) {
         self.step += 1;
         self.phase = phase;
     }
 
-    /// Starts a round of probes with nobody drawn.
+    /// Starts a probe round with no worker drawn.
     pub(crate) fn start_round(&mut self) {
         self.enter(Phase::FirstProbe);
         self.drawn.clear();
         self.answered.clear();
     }
 
-    /// Takes in that an attempt may have run.
+    /// Records that an attempt may have run.
     pub(crate) fn record_possible_run(&mut self, worker: usize, sent: Time) {
         if self.first_run.is_none_or(|first| sent < first.sent) {
             self.first_run = Some(FirstRun { worker, sent });
@@ -174,7 +174,7 @@
     }
 }
 
-/// All requests of a node that are not yet over.
+/// Requests of a dispatcher that are not finished.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     requests: HashMap<RequestId, Request>,
@@ -201,7 +201,7 @@
         self.requests.remove(&id);
     }
 
-    /// An attempt that is in flight.
+    /// Returns an attempt if it is in flight.
     pub(crate) fn in_flight_mut(&mut self, id: RequestId, attempt: AttemptNo) -> Option<&mut Attempt> {
         let attempt = self.requests.get_mut(&id)?.attempts.get_mut(usize::from(attempt.0));
         attempt.filter(|attempt| attempt.in_flight)
--- a/crates/pebblepost-dispatch/src/reservation.rs
+++ b/crates/pebblepost-dispatch/src/reservation.rs
@@ -1,12 +1,11 @@
-//! Reservations for large jobs: which part of a worker is held free for one until it starts.
+//! Reservations for large jobs: slots of a worker that are kept free for a job until it starts.
 //!
-//! Owns the reservations of one node. It never chooses the worker of a job, retries or rejects, and reads no
-//! clock.
+//! Owns the reservations of one dispatcher. Never retries or rejects a job, and reads no clock.
 //!
 //! The method is EASY backfill (Lifka, "The ANL/IBM SP scheduling system", 1995) with one reservation for
-//! each large job: small jobs go on using a worker as long as they leave what is reserved free by the time
-//! the large one starts. Dispatchers share nothing, so a reservation binds only the jobs of its own node;
-//! what others do shows in reports.
+//! each large job: small jobs keep using a worker as long as they leave the reserved slots free by the time
+//! the large job starts. Dispatchers share no state, so a reservation binds only the jobs of its own
+//! dispatcher; the jobs of others show in load reports.
 //!
 //! Units: slots as workers report them, times on the caller's clock.
 
@@ -14,38 +13,38 @@
 use crate::api::{RequestId, Time};
 use crate::forecast::WorkerForecast;
 
-/// Reservations kept at once, whatever a flood of large jobs asks for.
+/// Maximum number of reservations at once, however many large jobs arrive.
 const MAX_RESERVATIONS: usize = 64;
 
-/// A part of a worker that is reserved for a large job.
+/// Slots of a worker that are reserved for a large job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
     /// The job.
     pub request: RequestId,
-    /// The worker, by its index.
+    /// Index of the worker.
     pub worker: usize,
     /// Reserved slots.
     pub slots: f64,
     /// When the job is expected to start.
     pub expected_start: Time,
-    /// From when on the job would be late.
+    /// Latest start at which the job is still in time.
     pub latest_start: Time,
     /// When the job is expected to end.
     pub expected_end: Time,
 }
 
-/// What a large job asks for.
+/// Reservation that a large job asks for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReservationRequest {
     /// The job.
     pub request: RequestId,
-    /// Slots that it takes.
+    /// Slots that the job takes.
     pub slots: f64,
-    /// Slots of all workers that might serve it.
+    /// Slots of all workers that might serve the job.
     pub fleet_slots: f64,
 }
 
-/// The reservations of one node.
+/// Reservations of one dispatcher.
 #[derive(Clone, Debug)]
 pub struct Reservations {
     max_reserved_fraction: f64,
@@ -53,17 +52,17 @@
 }
 
 impl Reservations {
-    /// No reservation. `max_reserved_fraction`: see [`ReservationSettings`].
+    /// Creates an empty set. For `max_reserved_fraction` see [`ReservationSettings`].
     pub fn new(max_reserved_fraction: f64) -> Self {
         Self { max_reserved_fraction, reservations: Vec::new() }
     }
 
-    /// The reservation of a job.
+    /// Returns the reservation of a job.
     pub fn get(&self, request: RequestId) -> Option<&Reservation> {
         self.reservations.iter().find(|reservation| reservation.request == request)
     }
 
-    /// Jobs that hold a part of a worker, the one that has to start first in front.
+    /// Returns the jobs with a reservation at a worker, the one with the earliest latest start first.
     pub fn holders(&self, worker: usize) -> Vec<RequestId> {
         let mut here: Vec<&Reservation> =
             self.reservations.iter().filter(|reservation| reservation.worker == worker).collect();
@@ -71,7 +70,7 @@
         here.iter().map(|reservation| reservation.request).collect()
     }
 
-    /// Whether anything is reserved at a worker.
+    /// Returns whether anything is reserved at a worker.
     pub fn has_any_at(&self, worker: usize) -> bool {
         self.reservations.iter().any(|reservation| reservation.worker == worker)
     }
@@ -81,7 +80,7 @@
         self.reservations.retain(|reservation| reservation.request != request);
     }
 
-    /// Releases all reservations at workers that can no longer serve them; returns whose they were.
+    /// Releases all reservations at the workers for which `lost` is true. Returns the jobs that held them.
     pub fn release_where(&mut self, lost: impl Fn(usize) -> bool) -> Vec<RequestId> {
         let released = self
             .reservations
@@ -93,8 +92,9 @@
         released
     }
 
-    /// Reserves slots for a large job where it is expected to end first, among the workers where it starts no
-    /// later than `latest_start` says. `None`: there is no such worker, or too much is reserved already.
+    /// Reserves slots for a large job at the worker where it is expected to end first, among those where it
+    /// starts no later than `latest_start`. Returns `None` if there is no such worker or too much is reserved
+    /// already. An earlier reservation of the job is released in any case.
     pub fn reserve(
         &mut self, now: Time, job: ReservationRequest, forecasts: &[WorkerForecast],
         latest_start: impl Fn(&WorkerForecast) -> Time,
@@ -109,8 +109,9 @@
         }
         let offers = forecasts.iter().filter_map(|forecast| {
             let worker = forecast.worker;
-            // Behind those that hold a part of it already.
-            let expected_start = forecast.expected_start(now, slots + self.slots_at(worker, request))?;
+            // The job starts after those that hold a reservation at the worker already.
+            let expected_start =
+                forecast.expected_start(now, slots + self.reserved_slots_at(worker, request))?;
             let latest_start = latest_start(forecast);
             let expected_end = expected_start + forecast.run_time;
             (expected_start <= latest_start).then_some(Reservation {
@@ -127,10 +128,10 @@
         Some(best)
     }
 
-    /// Whether another job may take `slots` at a worker for `forecast.run_time`: it ends, or leaves what is
-    /// reserved free, early enough. Early enough is half of what a large job can wait beyond its expected
-    /// start, as reports, hints and other dispatchers may be wrong. A reservation past its latest start does
-    /// not count.
+    /// Returns whether another job may take `slots` at a worker for `forecast.run_time`: it ends, or leaves
+    /// the reserved slots free, early enough. That is within half of the time that a large job can wait
+    /// beyond its expected start, because reports, hints and the forecast of other dispatchers may be wrong.
+    /// A reservation past its latest start does not count.
     pub fn allows(&self, now: Time, request: RequestId, slots: f64, forecast: &WorkerForecast) -> bool {
         let mut binding: Vec<&Reservation> =
             self.reservations.iter().filter(|reservation| reservation.worker == forecast.worker).collect();
@@ -146,8 +147,8 @@
         })
     }
 
-    /// Slots reserved at a worker, without those of `except`.
-    fn slots_at(&self, worker: usize, except: RequestId) -> f64 {
+    /// Returns the slots reserved at a worker, without those of `except`.
+    fn reserved_slots_at(&self, worker: usize, except: RequestId) -> f64 {
         let others = self
             .reservations
             .iter()
--- a/crates/pebblepost-dispatch/src/retry.rs
+++ b/crates/pebblepost-dispatch/src/retry.rs
@@ -1,13 +1,13 @@
 //! Retries: whether a request may get another attempt, and where, by the rules of its class.
 //!
-//! Owns no state. An attempt that may have run binds the next ones: to the window of deduplication, and to
-//! the workers that share it.
+//! Owns no state. An attempt that may have run limits the next ones to the deduplication window and to the
+//! workers that share it.
 
 use crate::api::{DeduplicationScope, Idempotency, Settings, Time};
 use crate::request_table::{FirstRun, Phase, Request};
 use crate::worker_table::WorkerTable;
 
-/// Whether another attempt is allowed at all.
+/// Returns whether another attempt is allowed.
 pub(crate) fn may_send(settings: &Settings, now: Time, request: &Request) -> bool {
     has_attempts_left(settings, request)
         && request.phase != Phase::Answered
@@ -16,12 +16,12 @@
         && may_repeat(settings, now, request)
 }
 
-/// Whether the cap on attempts leaves another one.
+/// Returns whether the limit on attempts permits another one.
 pub(crate) fn has_attempts_left(settings: &Settings, request: &Request) -> bool {
     (request.attempts.len() as u32) < settings.max_attempts
 }
 
-/// Whether another attempt does no harm, if earlier ones have run.
+/// Returns whether another attempt does no harm if earlier ones have run.
 pub(crate) fn may_repeat(settings: &Settings, now: Time, request: &Request) -> bool {
     let possible_run = || {
         let attempt = request.attempt_in_flight()?;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Whether earlier attempts bind the next ones to the workers of a zone or a cell.
+/// Returns whether earlier attempts limit the next ones to the workers of a zone or a cell.
 pub(crate) fn is_bound_to_scope(settings: &Settings, request: &Request) -> bool {
     use DeduplicationScope::{Cell, Zone};
     let scoped = matches!(
@@ -44,7 +44,7 @@
     scoped && (request.first_run.is_some() || request.is_in_flight())
 }
 
-/// Whether a worker drops a repeat of what earlier attempts may have run.
+/// Returns whether a worker drops a repeat of what earlier attempts may have run.
 pub(crate) fn is_in_scope(
     settings: &Settings, workers: &WorkerTable, request: &Request, worker: usize,
 ) -> bool {
--- a/crates/pebblepost-dispatch/src/timers.rs
+++ b/crates/pebblepost-dispatch/src/timers.rs
@@ -1,6 +1,6 @@
-//! Timers of a node and their tokens.
+//! Timers of a dispatcher and their tokens.
 //!
-//! Owns the layout of a [`TimerToken`]: the kind in the highest 8 bits, a number of 24 bits (the step of a
+//! Defines the layout of a [`TimerToken`]: the kind in the highest 8 bits, a number of 24 bits (the step of a
 //! request or the number of an attempt), and the request in the lowest 32.
 
 use crate::api::{AttemptNo, RequestId, TimerToken};
@@ -15,38 +15,38 @@
 const REPORT_AGE_CHECK: u64 = 3;
 const START_CHECK: u64 = 4;
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// The client of a request is about to give up.
+    /// The deadline of a request's client is close.
     RequestDeadline(RequestId),
-    /// The probes or the backoff of a request are over.
+    /// The time for the probes or the backoff of a request is over.
     StepTimeout {
         /// The request.
         request: RequestId,
-        /// The step that it was in; see [`Timer::is_step`].
+        /// The step in which the timer was set; see [`Timer::is_step`].
         step: u32,
     },
-    /// Discovery is to be asked.
+    /// The membership must be polled.
     DiscoveryPoll,
-    /// Time to look whether reports show an attempt.
+    /// Checks whether load reports show an attempt.
     ReportAgeCheck {
         /// The request.
         request: RequestId,
-        /// Its attempt.
+        /// The attempt.
         attempt: AttemptNo,
     },
-    /// Time to look why an attempt has not started.
+    /// Checks why an attempt has not started.
     StartCheck {
         /// The request.
         request: RequestId,
-        /// Its attempt.
+        /// The attempt.
         attempt: AttemptNo,
     },
 }
 
 impl Timer {
-    /// The token that comes back when the timer is due.
+    /// Returns the token that comes back when the timer is due.
     pub(crate) fn token(self) -> TimerToken {
         let (kind, number, request) = match self {
             Self::RequestDeadline(request) => (REQUEST_DEADLINE, 0, request.0),
@@ -59,7 +59,7 @@
         TimerToken(kind << KIND_SHIFT | number << NUMBER_SHIFT | u64::from(request))
     }
 
-    /// The timer of a token; `None` if it is none of this module's.
+    /// Returns the timer of a token, or `None` if the token has no known kind.
     pub(crate) fn from_token(token: TimerToken) -> Option<Self> {
         let request = RequestId(token.0 as u32);
         let number = (token.0 >> NUMBER_SHIFT) as u32 & NUMBER_MASK;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether the step of a timer that came back is this one; tokens hold its lowest 24 bits.
+    /// Returns whether a step read from a token is `step`. Tokens hold the lowest 24 bits only.
     pub(crate) fn is_step(from_token: u32, step: u32) -> bool {
         step & NUMBER_MASK == from_token
     }
--- a/crates/pebblepost-dispatch/src/worker_table.rs
+++ b/crates/pebblepost-dispatch/src/worker_table.rs
@@ -1,4 +1,4 @@
-//! Workers as a node knows them: membership, last load reports, own jobs, and the pools that draws come from.
+//! Worker table of a dispatcher: membership, last load reports, own jobs and the pools to draw from.
 //!
 //! Owns this state and keeps it consistent; decides nothing.
 
@@ -16,10 +16,10 @@
 use std::ops::{Index, IndexMut};
 use std::time::Duration;
 
-/// Where a worker stands, as seen from the node. All are local where crossing zones has no price.
+/// Locality of a worker relative to the dispatcher. All workers are local where crossing zones has no price.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Locality {
-    /// In the node's zone.
+    /// In the dispatcher's zone.
     Local,
     /// In another zone.
     Remote,
@@ -52,8 +52,8 @@
     }
 }
 
-/// Ready workers that may be drawn for a class, in this node's order. If all are remote, they are its local
-/// ones.
+/// Ready workers that may be drawn for a class, in this dispatcher's order. If all of them are remote, they
+/// are listed as local.
 pub(crate) type Pool = PerLocality<Vec<usize>>;
 
 impl Pool {
@@ -66,24 +66,24 @@
     }
 }
 
-/// A job that this node sent to a worker and that is in flight.
+/// A job in flight that this dispatcher sent to a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OwnJob {
     pub(crate) sent: Time,
     pub(crate) slots: f64,
-    /// Whether it is known to have started.
+    /// Whether the job is known to have started.
     pub(crate) started: bool,
     pub(crate) expected_end: Time,
 }
 
-/// Slots and jobs that a report cannot have counted.
+/// Load that a report cannot have counted.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct UnreportedLoad {
     pub(crate) slots: f64,
     pub(crate) jobs: f64,
 }
 
-/// Connections to a worker that broke or were refused since it was last heard.
+/// Connections to a worker that broke or were refused since its last report.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ConnectionFailures {
     count: u32,
@@ -98,37 +98,39 @@
         self.count += 1;
     }
 
-    /// Whether they last for so long. One broken connection is no outage: any may break.
+    /// Returns whether the failures have lasted for `duration`. A single failure is not an outage, because
+    /// any connection may break.
     pub(crate) fn is_outage(&self, now: Time, duration: Duration) -> bool {
         self.count > 1 && now >= self.since + duration
     }
 }
 
-/// What a probe is for.
+/// Purpose of a probe.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ProbePurpose {
-    /// A request that is to be placed, in this step of its.
+    /// Places a request, in the given step of it.
     Placement {
         /// The request.
         request: RequestId,
         /// Its step.
         step: u32,
     },
-    /// To learn whether reports show by now a job that found so many at the worker.
+    /// Measures the age of reports: whether a report shows a job that was sent when the worker reported
+    /// `jobs_found` jobs.
     ReportAge {
-        /// Jobs that it found.
+        /// Number of jobs reported before the job was sent.
         jobs_found: f64,
     },
-    /// To learn whether there is capacity, though this attempt has not started.
+    /// Checks whether the worker has capacity although this attempt has not started.
     MissedStart {
         /// The request.
         request: RequestId,
-        /// Its attempt.
+        /// The attempt.
         attempt: AttemptNo,
     },
 }
 
-/// A worker.
+/// A worker as known to the dispatcher.
 #[derive(Debug, Default)]
 pub(crate) struct Worker {
     pub(crate) id: WorkerId,
@@ -136,44 +138,44 @@
     pub(crate) kind: KindId,
     pub(crate) cell: CellId,
     pub(crate) state: WorkerState,
-    /// The same at every node.
+    /// A number that is the same at every dispatcher.
     pub(crate) name: u64,
-    /// Its latest start, if known to be recent.
+    /// Time of its latest start, if known to be recent.
     pub(crate) started: Option<Time>,
     pub(crate) connection_failures: ConnectionFailures,
-    /// Place in this node's own seeded order of workers.
+    /// Random rank in this dispatcher's seeded order of workers.
     rank: u64,
-    /// All its slots: the most seen free.
+    /// Total slots: the highest number reported free.
     pub(crate) slots: f64,
-    /// All its memory units: the most seen free.
+    /// Total memory units: the highest number reported free.
     pub(crate) memory: f64,
-    /// Figures of the last report.
+    /// Values of the last report.
     pub(crate) free_slots: f64,
     pub(crate) free_memory: f64,
     pub(crate) queued_jobs: f64,
     pub(crate) jobs: f64,
-    /// Reports so far, and when the last one came.
+    /// Number of reports received, and the time of the last one.
     pub(crate) reports: u32,
     pub(crate) reported_at: Time,
     pub(crate) own_jobs: Vec<OwnJob>,
     pub(crate) queue_wait: QueueWait,
     pub(crate) recent_keys: RecentKeys,
     pub(crate) idle_connections: IdleConnections,
-    /// What each probe that is out is for, the oldest in front.
+    /// Purpose of each unanswered probe, the oldest first.
     pub(crate) probes: VecDeque<ProbePurpose>,
     pub(crate) outliers: OutlierDetector,
 }
 
 impl Worker {
-    /// Reports after which its slots are known.
-    const REPORTS_TO_KNOW: u32 = 2;
+    /// Number of reports after which the slots are taken as known.
+    const MIN_REPORTS_FOR_SLOTS: u32 = 2;
 
-    /// Whether enough reports came to know its slots.
-    pub(crate) fn is_known(&self) -> bool {
-        self.reports >= Self::REPORTS_TO_KNOW
+    /// Returns whether enough reports came in to know the worker's slots.
+    pub(crate) fn has_known_slots(&self) -> bool {
+        self.reports >= Self::MIN_REPORTS_FOR_SLOTS
     }
 
-    /// Own load that a report as old as `lag` cannot have counted.
+    /// Returns the own load that a report as old as `lag` cannot have counted.
     pub(crate) fn unreported_load(&self, lag: Duration) -> UnreportedLoad {
         let from = self.reported_at - lag;
         let unreported = self.own_jobs.iter().rev().take_while(|job| job.sent > from);
@@ -183,25 +185,26 @@
         })
     }
 
-    /// Own jobs that hold slots: those that wait do as well, unless others may pass them.
+    /// Returns the slots held by own jobs. Queued jobs hold slots as well, unless other jobs may overtake
+    /// them.
     pub(crate) fn slot_holders(&self, queue_in_order: bool) -> impl Iterator<Item = SlotRelease> {
         let holds = move |job: &&OwnJob| queue_in_order || job.started || job.slots <= 1.0;
         self.own_jobs.iter().filter(holds).map(|job| SlotRelease { at: job.expected_end, slots: job.slots })
     }
 
-    /// Own jobs that have not started.
+    /// Returns the own jobs that have not started.
     pub(crate) fn unstarted_jobs(&self) -> impl Iterator<Item = &OwnJob> {
         self.own_jobs.iter().filter(|job| !job.started)
     }
 
-    /// An attempt or a probe ended so.
+    /// Records how an attempt or a probe ended.
     pub(crate) fn record_status(&mut self, now: Time, status: Status) {
         if matches!(status, Status::ConnectFailed | Status::Reset) {
             self.connection_failures.record(now);
         }
     }
 
-    /// Whether a class may be sent there, whatever its state: a rule of placement.
+    /// Returns whether a class may be sent to the worker by the placement rules, whatever its state.
     pub(crate) fn is_permitted(&self, class: &Class) -> bool {
         class.kind.is_none_or(|kind| kind == self.kind)
             && class.only_kinds.as_ref().is_none_or(|kinds| kinds.contains(&self.kind))
@@ -214,17 +217,17 @@
     }
 }
 
-/// All workers of a node.
+/// All workers known to a dispatcher.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerTable {
     workers: Vec<Worker>,
     by_id: HashMap<WorkerId, usize>,
-    /// By class.
+    /// Pools by class.
     pools: Vec<Pool>,
     any_class: Pool,
-    /// Ready workers.
+    /// Number of ready workers.
     pub(crate) ready: PerLocality<f64>,
-    /// Own attempts in flight that found no free slot.
+    /// Number of own attempts in flight that found no free slot.
     pub(crate) queued_attempts: usize,
 }
 
@@ -243,22 +246,22 @@
 }
 
 impl WorkerTable {
-    /// Index of a worker.
+    /// Returns the index of a worker.
     pub(crate) fn index_of(&self, id: WorkerId) -> Option<usize> {
         self.by_id.get(&id).copied()
     }
 
-    /// Workers that a class may be drawn from; `None` before the first membership.
+    /// Returns the workers that a class may be drawn from, or `None` before the first membership update.
     pub(crate) fn pool(&self, class: usize) -> Option<&Pool> {
         self.pools.get(class)
     }
 
-    /// Ready workers, whatever the class.
+    /// Returns the ready workers, whatever the class.
     pub(crate) fn any_class_pool(&self) -> &Pool {
         &self.any_class
     }
 
-    /// All ready workers.
+    /// Returns the number of ready workers.
     pub(crate) fn ready_workers(&self) -> f64 {
         self.ready.local + self.ready.remote
     }
@@ -267,7 +270,8 @@
         self.workers[worker].locality(settings)
     }
 
-    /// Takes in an entry of the membership; returns the worker's index. `seed`: of this node's order.
+    /// Applies an entry of the membership and returns the worker's index. `seed` determines this dispatcher's
+    /// order of workers.
     pub(crate) fn update(&mut self, entry: &Entry, seed: u64) -> usize {
         let index = *self.by_id.entry(entry.worker).or_insert_with(|| {
             let rank = Pcg64Mcg::seed_from_u64(seed ^ u64::from(entry.worker.0)).random();
@@ -278,14 +282,14 @@
         (worker.zone, worker.kind, worker.cell) = (entry.zone, entry.kind, entry.cell);
         (worker.state, worker.name) = (entry.state, entry.name);
         if entry.started > worker.started {
-            // A new process: what was learned of the old one is void.
+            // The process is new, so what was learned of the old one no longer holds.
             worker.started = entry.started;
             (worker.outliers, worker.recent_keys, worker.queue_wait) = Default::default();
         }
         index
     }
 
-    /// Workers that a complete membership does not list are gone.
+    /// Marks workers that a complete membership does not list as gone.
     pub(crate) fn remove_unlisted(&mut self, entries: &[Entry]) {
         let listed: HashSet<WorkerId> = entries.iter().map(|entry| entry.worker).collect();
         for worker in self.workers.iter_mut().filter(|worker| !listed.contains(&worker.id)) {
@@ -293,7 +297,7 @@
         }
     }
 
-    /// Builds the pools anew, after changes of the membership or the classes.
+    /// Rebuilds the pools after changes of the membership or the classes.
     pub(crate) fn rebuild_pools(&mut self, settings: &Settings) {
         let mut ordered: Vec<usize> = (0..self.workers.len()).collect();
         ordered.retain(|worker| self.workers[*worker].state == WorkerState::Ready);
