--- a/crates/pebblepost-dispatch/examples/embed.rs
+++ b/crates/pebblepost-dispatch/examples/embed.rs
@@ -1,4 +1,5 @@
-//! A dispatcher inside a program: events in, actions out. The "workers" here are three counters.
+//! Embeds a dispatcher in a program: events in, actions out. Three counters of free slots stand in for
+//! workers.
 
 use pebblepost_dispatch::api::{
     Action, CellId, ClassId, Entry, KindId, ListKind, RequestId, Status, TenantId, Time, WorkerId,
@@ -59,7 +60,7 @@
                     placed += 1;
                     println!("request {} goes to worker {}", id.0, worker.0);
                 }
-                Action::SetTimer { .. } => {} // A real node hands the token back when it is due.
+                Action::SetTimer { .. } => {} // A real caller returns the token when the timer is due.
                 other => println!("{other:?}"),
             }
         }
@@ -70,7 +71,7 @@
 #[cfg(test)]
 mod tests {
     #[test]
-    fn the_example_runs() {
+    fn example_places_all_jobs() {
         super::main();
     }
 }
--- a/crates/pebblepost-dispatch/src/api/action.rs
+++ b/crates/pebblepost-dispatch/src/api/action.rs
@@ -1,58 +1,58 @@
-//! Actions: what a node asks its caller to do.
+//! Actions: what a dispatcher asks its caller to do.
 
 use super::ids::{AttemptNo, RequestId, Time, TimerToken, WorkerId};
 use std::time::Duration;
 
-/// Something the caller must do, in the order given.
+/// Instruction to the caller. Actions must be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the request's next attempt.
+    /// Starts the request's next attempt.
     Send {
         /// The request.
         id: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// Attempt time-out; `None`: until the client gives up.
+        /// Time-out of the attempt; `None`: until the client gives up.
         timeout: Option<Duration>,
     },
-    /// Final answer: rejected; a retry is harmless.
+    /// Gives the final answer: rejected. The client may safely retry.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away.
+        /// Time after which the client may retry.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed; the request may have run.
+    /// Gives the final answer: failed. The request may have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// End the wait on one attempt.
+    /// Stops waiting for an attempt.
     Cancel {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Ask a worker for its load.
+    /// Asks a worker for its load.
     Probe {
         /// The worker.
         worker: WorkerId,
     },
-    /// Close the idle connections to a worker.
+    /// Closes the idle connections to a worker.
     CloseIdle {
         /// The worker.
         worker: WorkerId,
     },
-    /// Ask for [`Event::TimerDue`](crate::api::Event::TimerDue) at or after `at`.
+    /// Requests an [`Event::TimerDue`](crate::api::Event::TimerDue) at or after `at`.
     SetTimer {
-        /// When.
+        /// Earliest time of the event.
         at: Time,
-        /// Comes back with the event.
+        /// Token that comes back with the event.
         token: TimerToken,
     },
-    /// Subscribe to list changes.
+    /// Subscribes to changes of the membership.
     Watch,
-    /// Ask for the complete list once.
+    /// Fetches the complete membership once.
     Fetch,
 }
--- a/crates/pebblepost-dispatch/src/api/class.rs
+++ b/crates/pebblepost-dispatch/src/api/class.rs
@@ -3,7 +3,7 @@
 use super::ids::{KindId, ZoneId};
 use std::time::Duration;
 
-/// Which workers drop a repeat of a keyed request.
+/// Workers that share deduplication: any of them drops a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every worker.
@@ -14,16 +14,16 @@
     Cell,
 }
 
-/// What running a request twice would do.
+/// Effect of running a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: safe to repeat.
+    /// None: the request is safe to repeat.
     Idempotent,
-    /// The workers of `group` drop a repeat for `window` after the first send that may have run.
+    /// Repeats are dropped by the workers of `scope`, for `window` after the first send that may have run.
     Deduplicated {
-        /// Who drops repeats.
+        /// Workers that drop repeats.
         scope: DeduplicationScope,
-        /// For how long.
+        /// Time for which repeats are dropped.
         window: Duration,
     },
     /// The effect would happen twice.
@@ -35,9 +35,9 @@
 pub struct Class {
     /// Answers within this time (plus `latency_stretch` times the job's own work) have full value.
     pub latency_target: Duration,
-    /// Total time a client waits.
+    /// Total time for which a client waits.
     pub deadline: Duration,
-    /// How far it may be repeated without harm.
+    /// Effect of running a request of this class twice.
     pub idempotency: Idempotency,
     /// Value of a request answered within the latency target.
     pub value: f64,
@@ -45,23 +45,23 @@
     pub late_value: f64,
     /// Multiple of the job's own work that is added to the latency target.
     pub latency_stretch: f64,
-    /// The machine kind it needs; `None`: any.
+    /// Machine kind that jobs of this class need; `None`: any.
     pub kind: Option<KindId>,
-    /// The only machine kinds it may be sent to, at any attempt; `None`: any, empty: nowhere.
+    /// Machine kinds that requests may be sent to, at any attempt; `None`: any, empty: none.
     pub only_kinds: Option<Vec<KindId>>,
-    /// The only zones it may be sent to, at any attempt; `None`: any, empty: nowhere.
+    /// Zones that requests may be sent to, at any attempt; `None`: any, empty: none.
     pub only_zones: Option<Vec<ZoneId>>,
     /// Priority at sites whose workers serve by priority.
     pub priority: i32,
-    /// The answer is streamed ([`Event::StreamOpened`](crate::api::Event::StreamOpened)).
+    /// Whether the answer is streamed ([`Event::StreamOpened`](crate::api::Event::StreamOpened)).
     pub streamed: bool,
 }
 
 /// A tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its fraction of the service.
+    /// Agreed fraction of the service.
     pub quota_share: f64,
-    /// Requests a second, over all nodes, within its share.
+    /// Requests per second, over all dispatchers, within the quota share.
     pub quota_per_s: f64,
 }
--- a/crates/pebblepost-dispatch/src/api/event.rs
+++ b/crates/pebblepost-dispatch/src/api/event.rs
@@ -1,4 +1,4 @@
-//! Events: what happens to a node.
+//! Events: what happens to a dispatcher.
 
 use super::ids::{
     AttemptNo, CellId, ClassId, KindId, RequestId, TenantId, Time, TimerToken, WorkerId, ZoneId,
@@ -8,16 +8,16 @@
 /// State of a worker in the membership.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
-    /// Takes work.
+    /// Accepts work.
     #[default]
     Ready,
-    /// Completes its work; takes nothing new.
+    /// Completes its work and accepts nothing new.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One entry of the membership.
+/// Entry of the membership.
 #[derive(Clone, Copy, Debug)]
 pub struct Entry {
     /// The worker.
@@ -30,22 +30,22 @@
     pub cell: CellId,
     /// Its state.
     pub state: WorkerState,
-    /// A number of its own that is the same at every node.
+    /// Number of the worker that is the same at every dispatcher.
     pub name: u64,
-    /// Its latest start, if known to be recent.
+    /// Time of its latest start, if known to be recent.
     pub started: Option<Time>,
 }
 
-/// What an [`Event::Members`] carries.
+/// Content of an [`Event::Members`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Delta,
     /// The complete list.
     Full,
-    /// The complete list as this node last stored it, perhaps stale.
+    /// The complete list as this dispatcher last stored it; possibly stale.
     Cached,
-    /// A call to discovery failed or the subscription broke; no entries.
+    /// No entries: a call to discovery failed, or the subscription broke.
     Failed,
 }
 
@@ -54,81 +54,83 @@
 pub enum Status {
     /// Served.
     Ok,
-    /// The worker returned an error; may have run.
+    /// The worker returned an error. The attempt may have run.
     Error,
-    /// Rejected; never ran, unless [`Settings::full_may_have_run`](crate::api::Settings::full_may_have_run).
+    /// Rejected. The attempt never ran, unless
+    /// [`Settings::full_may_have_run`](crate::api::Settings::full_may_have_run).
     Full,
-    /// No answer in time; may have run, or may yet.
+    /// No answer in time. The attempt may have run, or may still run.
     Timeout,
-    /// No connection; never ran.
+    /// The connection could not be opened. The attempt never ran.
     ConnectFailed,
-    /// Connection broke; may have run.
+    /// The connection broke. The attempt may have run.
     Reset,
-    /// Cancelled; may have run.
+    /// Cancelled. The attempt may have run.
     Cancelled,
-    /// Not sent; never ran.
+    /// Not sent. The attempt never ran.
     Moot,
 }
 
-/// Load report values, in the order of [`Settings::report_fields`](crate::api::Settings::report_fields);
-/// empty when absent.
+/// Values of a load report in the order of [`Settings::report_fields`](crate::api::Settings::report_fields);
+/// empty if there is no report.
 pub type Report = Vec<f32>;
 
-/// Something that happened.
+/// Input of a dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The membership, or changes to it.
+    /// The membership or changes to it arrived.
     Members {
-        /// What it carries.
+        /// Content of the update.
         kind: ListKind,
         /// The entries.
         entries: Vec<Entry>,
     },
-    /// A client request; it must get one final answer.
+    /// A client request arrived. It must get exactly one final answer. A request of an unknown class, or with
+    /// an id that is in use, fails at once.
     Request {
-        /// Its id.
+        /// Id of the request.
         id: RequestId,
-        /// Its class.
+        /// Class of the request.
         class: ClassId,
-        /// Its tenant.
+        /// Tenant of the request.
         tenant: TenantId,
         /// Time left before the client gives up.
         time_left: Duration,
-        /// A client's retry, where clients say so.
+        /// Whether this is a client's retry, where clients say so.
         repeat: bool,
-        /// Slots the job takes.
+        /// Slots that the job takes.
         slots: f32,
-        /// Memory units the job takes.
+        /// Memory units that the job takes.
         memory: f32,
-        /// Hint of its work, as time on a worker of speed 1.
+        /// Hint of the job's work, as time on a worker of speed 1.
         work: Option<Duration>,
-        /// Key of what it is about: workers keep for a while what jobs of one key need. 0: nothing.
+        /// Affinity key: workers cache for a while what the jobs of a key need. 0: no key.
         key: u64,
     },
-    /// An attempt's job has started to run.
+    /// The job of an attempt started to run.
     Started {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// An attempt's job has progressed.
+    /// The job of an attempt made progress.
     Progress {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
-        /// Fraction done.
+        /// Fraction of the job that is done.
         done: f32,
     },
-    /// An attempt's answer has begun; it belongs to the client now.
+    /// The answer of an attempt began. From now on the client reads it.
     StreamOpened {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// An attempt has ended.
+    /// An attempt ended.
     Outcome {
         /// The request.
         id: RequestId,
@@ -140,12 +142,12 @@
         status: Status,
         /// Time since the send.
         latency: Duration,
-        /// The request is over; no answer is due.
+        /// Whether the request is finished, so that no answer is due.
         closed: bool,
-        /// Load report, where attached.
+        /// Load report, if attached.
         report: Report,
     },
-    /// A probe has ended.
+    /// A probe ended. The results of a worker's probes must come in the order of the probes.
     Probed {
         /// The worker.
         worker: WorkerId,
@@ -153,17 +155,17 @@
         status: Status,
         /// Time since the probe.
         latency: Duration,
-        /// Load report, where attached.
+        /// Load report, if attached.
         report: Report,
     },
-    /// The client is gone; no answer is due.
+    /// The client disconnected; no answer is due.
     ClientGone {
         /// The request.
         id: RequestId,
     },
-    /// A timer is due.
+    /// A timer expired.
     TimerDue {
-        /// The timer.
+        /// Token of the timer.
         token: TimerToken,
     },
 }
--- a/crates/pebblepost-dispatch/src/api/ids.rs
+++ b/crates/pebblepost-dispatch/src/api/ids.rs
@@ -1,14 +1,14 @@
-//! Time, and the numbers that name things.
+//! Time and identifiers.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A point on the caller's monotonic clock, in nanoseconds from an arbitrary start.
+/// Point on the caller's monotonic clock, in nanoseconds from an arbitrary start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// Time passed since `earlier`; zero if `earlier` is later.
+    /// Returns the time passed since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
@@ -16,27 +16,28 @@
 
 impl Add<Duration> for Time {
     type Output = Time;
-    fn add(self, span: Duration) -> Time {
-        Time(self.0.saturating_add(u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)))
+    fn add(self, duration: Duration) -> Time {
+        Time(self.0.saturating_add(u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)))
     }
 }
 
 impl Sub<Duration> for Time {
     type Output = Time;
-    fn sub(self, span: Duration) -> Time {
-        Time(self.0.saturating_sub(u64::try_from(span.as_nanos()).unwrap_or(u64::MAX)))
+    fn sub(self, duration: Duration) -> Time {
+        Time(self.0.saturating_sub(u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)))
     }
 }
 
-/// A worker, as named by discovery. The number carries no information.
+/// Id of a worker, as assigned by discovery. The number carries no information.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u32);
 
-/// A client request. Never reused by a node between two starts.
+/// Id of a client request. A dispatcher never reuses one between two starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
-/// Attempts of one request, numbered from 0 in the order of their [`Action::Send`](crate::api::Action::Send).
+/// Number of an attempt of a request, counted from 0 in the order of
+/// [`Action::Send`](crate::api::Action::Send).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNo(pub u8);
 
@@ -56,10 +57,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u16);
 
-/// A small set of workers that share which keys they have seen.
+/// A small set of workers that share which deduplication keys they have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u16);
 
-/// A timer of the node; the value comes back in [`Event::TimerDue`](crate::api::Event::TimerDue).
+/// Token of a timer, which comes back in [`Event::TimerDue`](crate::api::Event::TimerDue).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TimerToken(pub u64);
--- a/crates/pebblepost-dispatch/src/api/mod.rs
+++ b/crates/pebblepost-dispatch/src/api/mod.rs
@@ -1,9 +1,9 @@
-//! The interface of the decision module: the configuration of a node ([`Settings`]), what happens to it
-//! ([`Event`]) and what it asks for ([`Action`]).
+//! Interface of the decision module: the configuration of a dispatcher ([`Settings`]), what happens to it
+//! ([`Event`]) and what it asks its caller to do ([`Action`]).
 //!
 //! Owns no state and decides nothing.
 //!
-//! Classes, tenants, zones and kinds are indices: names never reach the decisions.
+//! Classes, tenants, zones and kinds are indices; the decisions never see names.
 
 mod action;
 mod class;
--- a/crates/pebblepost-dispatch/src/api/settings.rs
+++ b/crates/pebblepost-dispatch/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! Configuration of a node.
+//! Configuration of a dispatcher.
 
 use super::class::{Class, Tenant};
 use super::event::Status;
@@ -13,13 +13,13 @@
     FreeSlots,
     /// Free memory units.
     FreeMemory,
-    /// Requests waiting.
+    /// Number of queued requests.
     Queue,
-    /// Requests at the worker, running or waiting.
+    /// Number of requests at the worker, running or queued.
     InFlight,
     /// Busy fraction of the cores.
     Utilization,
-    /// A value the decisions do not use.
+    /// A value that the decisions do not use.
     Other,
 }
 
@@ -34,24 +34,25 @@
     None,
 }
 
-/// How the node learns of workers.
+/// How the dispatcher learns of workers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
     /// Changes are pushed.
     Push,
-    /// Only after [`Action::Watch`](crate::api::Action::Watch) or
+    /// Changes arrive only after [`Action::Watch`](crate::api::Action::Watch) or
     /// [`Action::Fetch`](crate::api::Action::Fetch).
     Poll,
 }
 
-/// Settings of the reservations.
+/// Settings of the reservations for large jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReservationSettings {
-    /// If off, large jobs are placed as all others are.
+    /// If false, large jobs are placed as all others are.
     pub enabled: bool,
-    /// A job is large from so many standard deviations above the recent mean of its logarithm on.
+    /// A job is large if the logarithm of its size is at least this many standard deviations above the recent
+    /// mean.
     pub size_deviations: f64,
-    /// Fraction of all slots that may be reserved at once; the rest is left to small jobs.
+    /// Maximum fraction of all slots reserved at once. The rest is left to small jobs.
     pub max_reserved_fraction: f64,
 }
 
@@ -61,23 +62,24 @@
     }
 }
 
-/// A setting outside its range.
+/// Error for a setting out of its range.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("{key} is {value}: {allowed} is allowed")]
 pub struct InvalidSetting {
-    /// The key of the setting, as the settings file names it.
+    /// Key of the setting in the settings file.
     pub key: &'static str,
-    /// Its value.
+    /// Value of the setting.
     pub value: f64,
-    /// The allowed range.
+    /// Allowed range.
     pub allowed: &'static str,
 }
 
 impl ReservationSettings {
-    /// Checks the ranges.
+    /// Checks that the settings are in their ranges.
     ///
     /// # Errors
-    /// Names the first setting that is out of its range.
+    ///
+    /// Returns the first setting that is out of its range.
     pub fn check(&self) -> Result<(), InvalidSetting> {
         let invalid = |key, value, allowed| Err(InvalidSetting { key, value, allowed });
         if !(0.5..=6.0).contains(&self.size_deviations) {
@@ -90,92 +92,91 @@
     }
 }
 
-/// Prices of what a node does, in points of the operators' objective, by unit.
+/// Prices in points of the operators' objective, each for one unit of what a dispatcher causes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prices {
-    /// A new connection for each request.
+    /// Price of one new connection for each request.
     pub handshake: f64,
-    /// 100 open connections a worker.
+    /// Price of 100 open connections per worker.
     pub connection: f64,
-    /// Each request crossing zones once.
+    /// Price of each request crossing zones once.
     pub cross_zone: f64,
-    /// All value ending unserved after its latency target.
+    /// Price of all value that ends unserved after its latency target.
     pub late_fail: f64,
-    /// Work wasted, as much as was asked for.
+    /// Price of as much wasted work as was asked for.
     pub waste: f64,
-    /// One probe a request.
+    /// Price of one probe per request.
     pub probe: f64,
 }
 
-/// Configuration of a node at its start.
+/// Configuration of a dispatcher at its start.
 #[derive(Clone, Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "each is a key of the operators' settings")]
 pub struct Settings {
-    /// Number of nodes.
+    /// Number of dispatchers.
     pub nodes: u32,
-    /// Zone of this node.
+    /// Zone of this dispatcher.
     pub zone: ZoneId,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Value of a request beyond its tenant's share, as a fraction.
+    /// Fraction of its value that a request beyond its tenant's quota share has.
     pub over_quota_value: f64,
-    /// How the membership is learned.
+    /// How the dispatcher learns of the membership.
     pub discovery: Discovery,
-    /// [`Action::Probe`](crate::api::Action::Probe) is allowed.
+    /// Whether [`Action::Probe`](crate::api::Action::Probe) is allowed.
     pub probing_enabled: bool,
-    /// [`Action::Cancel`](crate::api::Action::Cancel) is allowed.
+    /// Whether [`Action::Cancel`](crate::api::Action::Cancel) is allowed.
     pub cancelling_enabled: bool,
-    /// Two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at once (hedged attempts).
     pub hedging_enabled: bool,
-    /// Clients receive the `retry_after` of [`Action::Refuse`](crate::api::Action::Refuse).
+    /// Whether clients receive the `retry_after` of [`Action::Refuse`](crate::api::Action::Refuse).
     pub retry_after_enabled: bool,
     /// Longest `retry_after` that a client honours.
     pub max_retry_after: Duration,
-    /// Most attempts for a request.
+    /// Maximum number of attempts for a request.
     pub max_attempts: u32,
     /// Idle connections close after this time.
     pub keepalive: Duration,
-    /// Values of a load report, in order.
+    /// Fields of a load report, in order.
     pub report_fields: Vec<ReportField>,
-    /// When load reports come.
+    /// When workers report their load.
     pub report_source: ReportSource,
     /// Interval of progress reports; `None`: workers send none.
     pub progress: Option<Duration>,
-    /// Workers report when a job starts ([`Event::Started`](crate::api::Event::Started)).
+    /// Whether workers report when a job starts ([`Event::Started`](crate::api::Event::Started)).
     pub start_reported: bool,
-    /// Sends to a worker must cease this long after its drain or removal was announced.
+    /// Time after the announcement of a worker's drain or removal by which sends to it must stop.
     pub drain_grace: Duration,
-    /// Idle connections to a draining worker must be closed within this time; `None`: no such rule.
+    /// Time within which idle connections to a draining worker must be closed; `None`: no such rule.
     pub close_idle_within: Option<Duration>,
-    /// A worker may answer [`Status::Full`] to work that it had begun.
+    /// Whether a worker may answer [`Status::Full`] to work that it had begun.
     pub full_may_have_run: bool,
-    /// A final answer is valid this long after the deadline.
+    /// Time after the deadline for which a final answer is still valid.
     pub answer_slack: Duration,
-    /// Longest time without asking discovery ([`Discovery::Poll`]).
+    /// Maximum time between two polls of discovery ([`Discovery::Poll`]).
     pub max_discovery_interval: Duration,
-    /// A worker that has just started has at least this fraction of its capacity.
+    /// Minimum fraction of its capacity that a worker has right after its start.
     pub cold_capacity: f64,
-    /// A worker has its full capacity after this time (slow start).
+    /// Time after which a started worker has its full capacity (slow start).
     pub warm_up_time: Duration,
-    /// A worker that warms up falls over under this multiple of its present capacity,
+    /// Multiple of its present capacity that overloads a warming worker if sustained for `overload_time`.
     pub overload_multiple: f64,
-    /// sustained for this time.
+    /// Time for which a load of `overload_multiple` must last to overload a worker.
     pub overload_time: Duration,
-    /// Prices of the operators.
+    /// Prices set by the operators.
     pub prices: Prices,
-    /// Resolution of the caller's timers: shortest time between two calls.
+    /// Resolution of the caller's timers: the shortest time between two calls.
     pub tick: Duration,
-    /// Workers serve their queues in order: what waits there keeps its turn. Otherwise whatever fits may
-    /// start.
+    /// Whether workers serve their queues in order. Otherwise any queued job that fits may start.
     pub queues_in_order: bool,
     /// Reservations for large jobs.
     pub reservations: ReservationSettings,
 }
 
 impl Settings {
-    /// Whether an outcome proves that the attempt never ran.
+    /// Returns whether a status proves that the attempt never ran.
     pub fn never_ran(&self, status: Status) -> bool {
         match status {
             Status::Full => !self.full_may_have_run,
--- a/crates/pebblepost-dispatch/src/bin/pebblepost-dispatch-adapter.rs
+++ b/crates/pebblepost-dispatch/src/bin/pebblepost-dispatch-adapter.rs
@@ -1,4 +1,4 @@
-//! Hosts many dispatchers on the byte protocol of the operators' simulator: batches on standard input,
+//! Runs many dispatchers behind the byte protocol of the operators' simulator: batches on standard input,
 //! replies on standard output. Makes no decisions.
 
 #![forbid(unsafe_code)]
@@ -29,7 +29,7 @@
             return Err(io::Error::other(WireError::Truncated("batch")));
         }
         for (instance, message) in parse_batch(&header, &body).map_err(io::Error::other)? {
-            host.take_in(header.now, instance, message).map_err(io::Error::other)?;
+            host.handle_message(header.now, instance, message).map_err(io::Error::other)?;
         }
         output.write_all(&host.reply.take())?;
         output.flush()?;
@@ -37,17 +37,17 @@
     Ok(())
 }
 
-/// The instances of one process and the reply to the present batch.
+/// Instances of this process and the reply to the current batch.
 #[derive(Default)]
 struct Host {
-    /// By their numbers; `None`: launched once and shut down since.
+    /// Instances by number; `None`: launched once and shut down since.
     instances: HashMap<u32, Option<Dispatcher>>,
     actions: Vec<Action>,
     reply: Reply,
 }
 
 impl Host {
-    fn take_in(&mut self, now: Time, instance: u32, message: Message) -> Result<(), WireError> {
+    fn handle_message(&mut self, now: Time, instance: u32, message: Message) -> Result<(), WireError> {
         if let Message::Launch(seed, settings) = message {
             self.instances.insert(instance, Some(Dispatcher::new(*settings, seed, now)));
             return Ok(());
@@ -63,7 +63,7 @@
     }
 }
 
-/// The next header; `None` at the clean end of input.
+/// Reads the next header. Returns `None` at the clean end of input.
 fn read_header(input: &mut impl Read) -> io::Result<Option<BatchHeader>> {
     let mut header = Vec::with_capacity(BATCH_HEADER);
     input.take(BATCH_HEADER as u64).read_to_end(&mut header)?;
--- a/crates/pebblepost-dispatch/src/wire/mod.rs
+++ b/crates/pebblepost-dispatch/src/wire/mod.rs
@@ -1,12 +1,12 @@
-//! The byte protocol of the operators' simulator, translated into [`crate::api`].
+//! Byte protocol of the operators' simulator, translated into [`crate::api`].
 //!
-//! Little-endian and unpadded; a record is a code (u8), the size of its fields (u32) and the fields. Unknown
-//! codes of valid length and unknown settings keys are skipped. Names of records and settings are the
-//! protocol's own; the code beside them uses the terms of [`crate::api`].
+//! Numbers are little-endian and unpadded. A record is a code (u8), the size of its fields (u32) and the
+//! fields. Unknown codes of valid length and unknown settings keys are skipped. Names of records and settings
+//! are those of the protocol; the code uses the terms of [`crate::api`].
 //!
-//! * `records`: events that come in.
-//! * `settings`: the settings text of a launch.
-//! * `reply`: actions that go out.
+//! * `records`: incoming events.
+//! * `settings`: settings text of a launch.
+//! * `reply`: outgoing actions.
 
 mod reader;
 mod records;
@@ -19,25 +19,25 @@
 
 use thiserror::Error;
 
-/// Why a message could not be understood.
+/// Error in an incoming message.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum WireError {
-    /// Fewer bytes than the fields need.
+    /// The message has fewer bytes than its fields need.
     #[error("truncated {0}")]
     Truncated(&'static str),
-    /// More bytes than the fields need, or a count that does not add up.
+    /// The message has more bytes than its fields need, or a count that does not match its length.
     #[error("wrong length of {0}")]
     WrongLength(&'static str),
-    /// A value outside its range.
-    #[error("bad value {1} in {0}")]
+    /// A value is out of its range.
+    #[error("value {1} in {0} is out of range")]
     BadValue(&'static str, u64),
-    /// A settings line without its value, or with one that does not parse.
-    #[error("unparsable setting {0}")]
+    /// A settings line has no value, or one that does not parse.
+    #[error("invalid setting {0}")]
     Setting(String),
-    /// A setting outside its range.
+    /// A setting is out of its range.
     #[error("{0}")]
     Range(String),
-    /// An event for an instance that was never launched.
+    /// An event is for an instance that was never launched.
     #[error("unknown instance {0}")]
     UnknownInstance(u32),
 }
--- a/crates/pebblepost-dispatch/src/wire/reader.rs
+++ b/crates/pebblepost-dispatch/src/wire/reader.rs
@@ -1,13 +1,13 @@
-//! Fields of a record, read in order.
+//! Reader of the fields of a record.
 
 use super::{Result, WireError};
 use crate::api::{AttemptNo, Report, RequestId, Status, WorkerId};
 use std::time::Duration;
 
-/// What is left of the bytes of a record.
+/// Unread bytes of a record.
 pub(super) struct Reader<'a> {
     pub(super) bytes: &'a [u8],
-    /// Name of the record, for errors.
+    /// Name of the record, for error messages.
     pub(super) what: &'static str,
 }
 
--- a/crates/pebblepost-dispatch/src/wire/records.rs
+++ b/crates/pebblepost-dispatch/src/wire/records.rs
@@ -1,4 +1,4 @@
-//! Records that come in: events for the instances of a batch.
+//! Incoming records: events for the instances of a batch.
 
 use super::reader::Reader;
 use super::settings::parse_settings;
@@ -20,33 +20,33 @@
 const INTERIM: u8 = 100;
 const OPENED: u8 = 110;
 
-/// What an INTERIM record says.
+/// Kinds of INTERIM records.
 const NOTE_STARTED: u8 = 1;
 const NOTE_PROGRESS: u8 = 2;
 
-/// Bits of a DEMAND record.
+/// Flags of a DEMAND record.
 const HINT_VALID: u8 = 1;
 const CLIENT_RETRY: u8 = 2;
 
-/// Size of an entry of a DIRECTORY_UPDATE record.
+/// Size of an entry in a DIRECTORY_UPDATE record.
 const ENTRY_BYTES: usize = 23;
 
-/// Bytes before the records of a batch: clock, size, count.
+/// Size of the batch header, which holds the clock, the size and the count.
 pub const BATCH_HEADER: usize = 16;
 
 /// Header of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchHeader {
-    /// The clock.
+    /// Time on the caller's clock.
     pub now: Time,
-    /// Bytes that follow.
+    /// Number of bytes that follow.
     pub size: usize,
-    /// Records that follow.
+    /// Number of records that follow.
     pub count: usize,
 }
 
 impl BatchHeader {
-    /// Reads the header.
+    /// Parses the header.
     pub fn parse(bytes: &[u8; BATCH_HEADER]) -> Self {
         let mut reader = Reader { bytes, what: "header" };
         let now = Time(reader.u64().unwrap_or_default());
@@ -56,21 +56,22 @@
     }
 }
 
-/// What a record says to an instance.
+/// Content of a record.
 #[derive(Clone, Debug)]
 pub enum Message {
-    /// The instance starts, with its seed and settings.
+    /// Starts the instance with a seed and settings.
     Launch(u64, Box<Settings>),
-    /// The instance is stopped.
+    /// Stops the instance.
     Shutdown,
-    /// Something happened.
+    /// Passes an event to the instance.
     Event(Event),
 }
 
-/// Reads the records of a batch: the instance each is for and what it says.
+/// Parses the records of a batch. Returns the instance of each record and its message.
 ///
 /// # Errors
-/// If a record is truncated, of the wrong length or holds a value out of its range.
+///
+/// Fails if a record is truncated, has the wrong length or holds a value out of its range.
 pub fn parse_batch(header: &BatchHeader, body: &[u8]) -> Result<Vec<(u32, Message)>> {
     let mut batch = Reader { bytes: body, what: "batch" };
     let mut messages = Vec::new();
@@ -105,16 +106,16 @@
     let instance = reader.u32()?;
     let message = match code {
         TICK_DUE => Message::Event(Event::TimerDue { token: TimerToken(reader.u64()?) }),
-        DEMAND => Message::Event(demand(&mut reader)?),
+        DEMAND => Message::Event(parse_demand(&mut reader)?),
         SHUTDOWN => Message::Shutdown,
         LEFT => Message::Event(Event::ClientGone { id: reader.request()? }),
-        DIRECTORY_UPDATE => Message::Event(directory(&mut reader)?),
+        DIRECTORY_UPDATE => Message::Event(parse_directory(&mut reader)?),
         SAMPLED => {
             let (worker, status, latency) = (reader.worker()?, reader.status()?, reader.duration()?);
             Message::Event(Event::Probed { worker, status, latency, report: reader.report()? })
         }
-        FROM_PEER => return Ok(None), // Instances share nothing: messages of peers are dropped.
-        RESPONSE => Message::Event(response(&mut reader)?),
+        FROM_PEER => return Ok(None), // Instances share no state, so messages of peers are dropped.
+        RESPONSE => Message::Event(parse_response(&mut reader)?),
         LAUNCH => {
             let seed = reader.u64()?;
             let size = reader.u32()? as usize;
@@ -140,7 +141,7 @@
     Ok(Some((instance, message)))
 }
 
-fn demand(reader: &mut Reader) -> Result<Event> {
+fn parse_demand(reader: &mut Reader) -> Result<Event> {
     let id = reader.request()?;
     let class = ClassId(reader.u16()?);
     let (hint, key) = (reader.duration()?, reader.u64()?);
@@ -162,14 +163,14 @@
     })
 }
 
-fn response(reader: &mut Reader) -> Result<Event> {
+fn parse_response(reader: &mut Reader) -> Result<Event> {
     let (id, attempt, latency) = (reader.request()?, reader.attempt()?, reader.duration()?);
     let closed = reader.u8()? != 0;
     let (worker, status, _remark) = (reader.worker()?, reader.status()?, reader.u32()?);
     Ok(Event::Outcome { id, attempt, worker, status, latency, closed, report: reader.report()? })
 }
 
-fn directory(reader: &mut Reader) -> Result<Event> {
+fn parse_directory(reader: &mut Reader) -> Result<Event> {
     let kind = match reader.u8()? {
         0 => ListKind::Delta,
         1 => ListKind::Full,
--- a/crates/pebblepost-dispatch/src/wire/reply.rs
+++ b/crates/pebblepost-dispatch/src/wire/reply.rs
@@ -1,4 +1,4 @@
-//! Actions that go out: the reply to a batch.
+//! Outgoing actions: the reply to a batch.
 
 use crate::api::Action;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 const WATCH: u8 = 110;
 const FETCH: u8 = 120;
 
-/// A reply under construction.
+/// Reply under construction.
 #[derive(Debug, Default)]
 pub struct Reply {
     count: u32,
@@ -21,7 +21,7 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Appends an action of an instance.
     pub fn push(&mut self, instance: u32, action: &Action) {
         let (code, fields) = encode(action);
         self.body.push(code);
@@ -31,7 +31,7 @@
         self.count += 1;
     }
 
-    /// The reply's bytes, header first; leaves an empty reply.
+    /// Returns the reply's bytes, header first, and leaves an empty reply.
     pub fn take(&mut self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(8 + self.body.len());
         bytes.extend(self.count.to_le_bytes());
@@ -42,8 +42,8 @@
     }
 }
 
-fn nanos(duration: Option<Duration>) -> [u8; 8] {
-    // Zero means absent, so an immediate time-out is the shortest that can be said.
+fn encode_nanos(duration: Option<Duration>) -> [u8; 8] {
+    // Zero means absent, so an immediate time-out is sent as 1 ns.
     let nanos =
         duration.map_or(0, |duration| u64::try_from(duration.as_nanos()).unwrap_or(i64::MAX as u64).max(1));
     nanos.to_le_bytes()
@@ -52,11 +52,11 @@
 fn encode(action: &Action) -> (u8, Vec<u8>) {
     match *action {
         Action::Send { id, worker, timeout } => {
-            let parts: [&[u8]; 3] = [&id.0.to_le_bytes(), &nanos(timeout), &worker.0.to_le_bytes()];
+            let parts: [&[u8]; 3] = [&id.0.to_le_bytes(), &encode_nanos(timeout), &worker.0.to_le_bytes()];
             (SEND, parts.concat())
         }
         Action::Refuse { id, retry_after } => {
-            let parts: [&[u8]; 2] = [&id.0.to_le_bytes(), &nanos(retry_after)];
+            let parts: [&[u8]; 2] = [&id.0.to_le_bytes(), &encode_nanos(retry_after)];
             (REFUSE, parts.concat())
         }
         Action::Fail { id } => (FAIL, id.0.to_le_bytes().to_vec()),
--- a/crates/pebblepost-dispatch/tests/wire.rs
+++ b/crates/pebblepost-dispatch/tests/wire.rs
@@ -209,7 +209,7 @@
         ("an unknown instance", batch(1, &[demand(9, 1)]), "unknown instance 9"),
         ("an unknown instance killed", batch(1, &[record(30, &[&9u32.to_le_bytes()])]), "unknown instance 9"),
         ("a wrong length", batch(1, &[record(40, &[&[0; 9]])]), "wrong length of LEFT"),
-        ("a bad setting", batch(1, &[launch(1, "tick=soon")]), "unparsable setting tick=soon"),
+        ("a bad setting", batch(1, &[launch(1, "tick=soon")]), "invalid setting tick=soon"),
     ];
     for (name, input, message) in cases {
         let output = adapter(&input);
