--- a/crates/pebblepost-membership/tests/membership/simulation.rs
+++ b/crates/pebblepost-membership/tests/membership/simulation.rs
@@ -59,7 +59,7 @@
 #[test]
 fn datagram_loss_causes_false_deaths_without_refutation() {
     let mut network = Network::new(40, 1, Settings { refutes_suspicions: false, ..Settings::default() });
-    network.run_until_converged(JOIN_TIMEOUT).expect("joining");
+    network.run_until_converged(JOIN_TIMEOUT).expect("the members find one another");
     network.loss = 0.1;
     network.run_for(PERIOD * 200);
     assert!(!network.false_deaths().is_empty());
@@ -186,9 +186,19 @@
         (mean, max, bytes as f64 / size as f64)
     };
     let (small, large) = (load(20), load(200));
-    assert!(large.0 < small.0 * 1.15, "mean datagrams {} and {}", small.0, large.0);
-    assert!(large.1 < small.1 * 1.5, "maximum of datagrams {} and {}", small.1, large.1);
-    assert!(large.2 < small.2 * 1.3, "bytes {} and {}", small.2, large.2);
+    assert!(
+        large.0 < small.0 * 1.15,
+        "mean datagrams per period: {} with 20 members, {} with 200",
+        small.0,
+        large.0
+    );
+    assert!(
+        large.1 < small.1 * 1.5,
+        "maximum of datagrams per period: {} with 20 members, {} with 200",
+        small.1,
+        large.1
+    );
+    assert!(large.2 < small.2 * 1.3, "bytes per member: {} with 20 members, {} with 200", small.2, large.2);
 }
 
 #[test]
@@ -199,6 +209,6 @@
     let datagrams = network.nodes.iter().map(|node| node.sent_datagrams).max().unwrap_or(0);
     let bytes = network.nodes.iter().map(|node| node.sent_bytes).max().unwrap_or(0);
     println!("{} datagrams, {} bytes per period at most", datagrams as f64 / 60.0, bytes / 60);
-    assert!(datagrams < 60 * 3, "{datagrams}");
-    assert!(bytes < 60 * 3 * 1_200, "{bytes}");
+    assert!(datagrams < 60 * 3, "{datagrams} datagrams in 60 periods");
+    assert!(bytes < 60 * 3 * 1_200, "{bytes} bytes in 60 periods");
 }
--- a/crates/pebblepost-rollout/src/placement.rs
+++ b/crates/pebblepost-rollout/src/placement.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// At most one in this many transcribers of a service loads concurrently, because more concurrent loads slow each
-/// other down.
+/// At most one in this many transcribers of a service loads at the same time. More concurrent loads slow each other
+/// down.
 const CONCURRENT_LOADS_DIVISOR: usize = 3;
 
 /// Target for the number of models whose jobs a transcriber serves with its loaded versions, on average.
@@ -39,7 +39,7 @@
 #[derive(Default)]
 struct ServiceCounts<'a> {
     /// Ready transcribers from which the limit on concurrent loads is computed.
-    counted: usize,
+    counted_transcribers: usize,
     /// Transcribers whose pending order occupies a slot.
     loading: usize,
     loading_by_zone: BTreeMap<&'a str, usize>,
@@ -77,7 +77,7 @@
 
 impl ServiceCounts<'_> {
     fn has_free_slot(&self) -> bool {
-        self.loading < self.counted.div_ceil(CONCURRENT_LOADS_DIVISOR).max(1)
+        self.loading < self.counted_transcribers.div_ceil(CONCURRENT_LOADS_DIVISOR).max(1)
     }
 
     fn model(&self, model: &str) -> ModelCounts {
@@ -86,8 +86,8 @@
 
     /// Returns how many transcribers are to serve the jobs of a model.
     ///
-    /// Where several models share the transcribers, this is only a part of them. Otherwise the transcribers would be
-    /// busy with loads most of the time.
+    /// Where more than two models share the transcribers, this is only a part of them. Otherwise loads would keep the
+    /// transcribers busy.
     fn target_serving(&self, model: &str) -> usize {
         let transcribers = self.model(model).transcribers;
         let models = self.by_model.len().max(1);
@@ -164,7 +164,7 @@
         for transcriber in self.transcribers.values() {
             let service = services.entry(&transcriber.backend).or_default();
             let is_counted = transcriber.is_ready && self.now >= transcriber.counts_from;
-            service.counted += usize::from(is_counted);
+            service.counted_transcribers += usize::from(is_counted);
             let loading =
                 transcriber.pending_order.as_ref().filter(|pending| pending.occupies_slot(self.now));
             if loading.is_some() {
--- a/crates/pebblepost-rollout/src/planner.rs
+++ b/crates/pebblepost-rollout/src/planner.rs
@@ -33,7 +33,8 @@
 ///
 /// It brings the transcribers that have loaded a model to the newest named version of that model:
 ///
-/// * A transcriber has at most one order pending, and only a third of a service's transcribers load concurrently.
+/// * A transcriber has at most one order pending, and at most a third of a service's transcribers (rounded up) load
+///   concurrently.
 /// * No order is sent for a version that is not the newest named one.
 /// * Where the batch jobs of a model allow a version lag, transcribers may skip versions as long as their loaded
 ///   version still serves those jobs.
