--- a/crates/pebblepost-agent/src/agent.rs
+++ b/crates/pebblepost-agent/src/agent.rs
@@ -120,7 +120,7 @@
     fn on_batch(&mut self, batch: FeedBatch) {
         let FeedBatch { sequence, mut updates } = batch;
         let changes = self.feed.apply_all(&updates);
-        if changes.configuration {
+        if changes.configuration_changed {
             self.subscribed_generation.set(self.feed.generation());
         }
         if changes.resync_needed {
--- a/crates/pebblepost-batch-runner/tests/batch_runner/support.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/support.rs
@@ -343,7 +343,7 @@
         });
         let feed = Rc::new(RefCell::new(FeedState::default()));
         let update = ConfigurationUpdate::Full { generation: 7, document: document.as_bytes().to_vec() };
-        assert!(feed.borrow_mut().apply(&FeedUpdate::Configuration(update)).configuration);
+        assert!(feed.borrow_mut().apply(&FeedUpdate::Configuration(update)).configuration_changed);
         let runner = BatchRunner::start_with_random(&settings, client, feed.clone(), random);
         RunnerUnderTest { runner, feed }
     }
--- a/crates/pebblepost-feed/src/state.rs
+++ b/crates/pebblepost-feed/src/state.rs
@@ -139,7 +139,7 @@
             Ok(configuration) => {
                 log::info!("configuration applied generation={}", configuration.generation());
                 self.configuration = Some(Arc::new(configuration));
-                FeedChanges { configuration: true, ..FeedChanges::default() }
+                FeedChanges { configuration_changed: true, ..FeedChanges::default() }
             }
             Err(ConfigurationUpdateError::BaseMismatch) => {
                 FeedChanges { resync_needed: true, ..FeedChanges::default() }
@@ -187,7 +187,7 @@
                 announcements.iter().map(|announcement| announcement.id.as_str()).collect();
             changed.append(&mut self.instances.terminate_absent(&ids));
         }
-        FeedChanges { instances: changed, ..FeedChanges::default() }
+        FeedChanges { changed_instances: changed, ..FeedChanges::default() }
     }
 
     fn apply_store_groups(&mut self, groups: &[StoreGroup]) -> FeedChanges {
@@ -199,7 +199,7 @@
                 changed.push(group.group);
             }
         }
-        FeedChanges { store_groups: changed, ..FeedChanges::default() }
+        FeedChanges { changed_store_groups: changed, ..FeedChanges::default() }
     }
 
     fn apply_named_versions(&mut self, versions: &[ModelVersion]) -> FeedChanges {
@@ -210,7 +210,7 @@
                 has_newer_version = true;
             }
         }
-        FeedChanges { named_versions: has_newer_version, ..FeedChanges::default() }
+        FeedChanges { named_versions_changed: has_newer_version, ..FeedChanges::default() }
     }
 
     fn instances_update(&self) -> FeedUpdate {
--- a/crates/pebblepost-feed/tests/compression.rs
+++ b/crates/pebblepost-feed/tests/compression.rs
@@ -26,7 +26,7 @@
     let ConfigurationUpdate::Compressed { compressed, .. } = &update else { panic!("not compressed") };
     assert!(compressed.len() * 3 < document.len(), "{} of {} bytes", compressed.len(), document.len());
     let mut state = FeedState::default();
-    assert!(state.apply(&FeedUpdate::Configuration(update)).configuration);
+    assert!(state.apply(&FeedUpdate::Configuration(update)).configuration_changed);
     assert_eq!(state.configuration().unwrap().document(), &document[..]);
 }
 
--- a/crates/pebblepost-feed/tests/feed.rs
+++ b/crates/pebblepost-feed/tests/feed.rs
@@ -52,11 +52,11 @@
 fn only_a_newer_configuration_replaces_the_current_one() {
     let mut state = FeedState::default();
     assert_eq!(state.generation(), 0);
-    assert!(state.apply(&full(5)).configuration);
-    assert!(!state.apply(&full(4)).any());
-    assert!(!state.apply(&full(5)).any());
+    assert!(state.apply(&full(5)).configuration_changed);
+    assert!(!state.apply(&full(4)).has_changes());
+    assert!(!state.apply(&full(5)).has_changes());
     assert_eq!(state.generation(), 5);
-    assert!(state.apply(&full(9)).configuration);
+    assert!(state.apply(&full(9)).configuration_changed);
     assert_eq!(state.configuration().unwrap().generation(), 9);
 }
 
@@ -68,10 +68,10 @@
     state.apply(&full(5));
     assert_eq!(state.apply(&patch(4, 7)), resync);
     assert_eq!(state.generation(), 5);
-    assert!(state.apply(&patch(5, 7)).configuration);
+    assert!(state.apply(&patch(5, 7)).configuration_changed);
     assert_eq!(state.configuration().unwrap().route("h", "/p/x").unwrap().name, "r");
     // A patch that was applied already needs no resync, although its base is not the current generation.
-    assert!(!state.apply(&patch(5, 7)).any());
+    assert!(!state.apply(&patch(5, 7)).has_changes());
 }
 
 #[test]
@@ -79,7 +79,7 @@
     let mut state = state_after_updates(&[full(5)]);
     let document = b"{".to_vec();
     let update = FeedUpdate::Configuration(ConfigurationUpdate::Full { generation: 6, document });
-    assert!(!state.apply(&update).any());
+    assert!(!state.apply(&update).has_changes());
     assert_eq!(state.generation(), 5);
 }
 
@@ -130,9 +130,9 @@
 fn changes_list_the_changed_instances() {
     let mut state = FeedState::default();
     let first = announcement(instance("i", 1, InstanceState::Ready));
-    assert_eq!(state.apply(&first).instances, ["i"]);
-    assert!(!state.apply(&first).any());
-    assert_eq!(state.apply(&announcement(instance("i", 2, InstanceState::Ready))).instances, ["i"]);
+    assert_eq!(state.apply(&first).changed_instances, ["i"]);
+    assert!(!state.apply(&first).has_changes());
+    assert_eq!(state.apply(&announcement(instance("i", 2, InstanceState::Ready))).changed_instances, ["i"]);
 }
 
 #[rstest]
@@ -162,10 +162,10 @@
     assert!(!state.instances_are_complete());
     let instances = vec![instance("c", 1, InstanceState::Ready), instance("d", 1, InstanceState::Ready)];
     let changes = state.apply(&FeedUpdate::Instances { complete: true, instances });
-    assert_eq!(changes.instances, ["d", "a", "b"]);
+    assert_eq!(changes.changed_instances, ["d", "a", "b"]);
     assert!(state.instances_are_complete());
     assert_eq!(ids(&state), ["c", "d"]);
-    assert!(!state.apply(&announcement(instance("a", 9, InstanceState::Ready))).any());
+    assert!(!state.apply(&announcement(instance("a", 9, InstanceState::Ready))).has_changes());
 }
 
 #[test]
@@ -192,11 +192,11 @@
     };
     let update = |group: &StoreGroup| FeedUpdate::StoreGroups(vec![group.clone()]);
     let mut state = FeedState::default();
-    assert_eq!(state.apply(&update(&group(2, 1))).store_groups, [3]);
-    assert!(!state.apply(&update(&group(1, 2))).any());
-    assert!(!state.apply(&update(&group(2, 1))).any());
-    assert_eq!(state.apply(&update(&group(2, 2))).store_groups, [3]);
-    assert_eq!(state.apply(&update(&group(5, 0))).store_groups, [3]);
+    assert_eq!(state.apply(&update(&group(2, 1))).changed_store_groups, [3]);
+    assert!(!state.apply(&update(&group(1, 2))).has_changes());
+    assert!(!state.apply(&update(&group(2, 1))).has_changes());
+    assert_eq!(state.apply(&update(&group(2, 2))).changed_store_groups, [3]);
+    assert_eq!(state.apply(&update(&group(5, 0))).changed_store_groups, [3]);
     assert_eq!(state.store_group(3), Some(&group(5, 0)));
     assert_eq!(state.store_groups().count(), 1);
 }
@@ -205,8 +205,8 @@
 fn named_versions_never_decrease() {
     let mut state = FeedState::default();
     assert_eq!(state.named_version("m"), 1);
-    assert!(state.apply(&FeedUpdate::NamedVersions(vec![version("m", 3)])).named_versions);
-    assert!(!state.apply(&FeedUpdate::NamedVersions(vec![version("m", 2)])).any());
+    assert!(state.apply(&FeedUpdate::NamedVersions(vec![version("m", 3)])).named_versions_changed);
+    assert!(!state.apply(&FeedUpdate::NamedVersions(vec![version("m", 2)])).has_changes());
     assert_eq!(state.named_version("m"), 3);
 }
 
--- a/crates/pebblepost-feed/tests/snapshots.rs
+++ b/crates/pebblepost-feed/tests/snapshots.rs
@@ -86,10 +86,15 @@
     let mut digest = Fnv1a::default();
     for step in 0..UPDATES_PER_SEQUENCE {
         let changes = state.apply(&update(&mut random, step));
-        let flags = [changes.configuration, changes.named_versions, changes.resync_needed, changes.any()];
+        let flags = [
+            changes.configuration_changed,
+            changes.named_versions_changed,
+            changes.resync_needed,
+            changes.has_changes(),
+        ];
         digest.update(&flags.map(u8::from));
-        digest.update(changes.instances.join(",").as_bytes());
-        digest.update(&changes.store_groups.serialize_bin());
+        digest.update(changes.changed_instances.join(",").as_bytes());
+        digest.update(&changes.changed_store_groups.serialize_bin());
         digest.update(&state.snapshot().serialize_bin());
         digest.update(&state.proxy_count().to_le_bytes());
     }
--- a/crates/pebblepost-proxy/src/feed/updater.rs
+++ b/crates/pebblepost-proxy/src/feed/updater.rs
@@ -60,7 +60,7 @@
 
     fn apply_changes(&self, changes: &FeedChanges) {
         let feed = self.cache.state();
-        for id in &changes.instances {
+        for id in &changes.changed_instances {
             let Some(instance) = feed.instance(id) else { continue };
             self.backends.update_instance(instance);
             if instance.state == InstanceState::Ready {
@@ -71,7 +71,7 @@
                 self.client.remove_target(&Target { instance: id.clone(), address });
             }
         }
-        if let Some(configuration) = feed.configuration().filter(|_| changes.configuration) {
+        if let Some(configuration) = feed.configuration().filter(|_| changes.configuration_changed) {
             info!("configuration in force generation={}", configuration.generation());
             self.backends.configure(&feed, configuration);
         }
