--- a/crates/pebblepost-batch-store/src/store/handlers/assignment.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/assignment.rs
@@ -51,7 +51,7 @@
             group.replica.configure(now, &record);
         }
         if outcome != EpochChangeOutcome::NotRequested {
-            group.replica.epoch_change_ended(now);
+            group.replica.on_epoch_change_ended(now);
         }
         self.process_replica_outputs(now, group_id);
     }
@@ -73,7 +73,7 @@
     pub(crate) fn time_out_epoch_changes(&mut self, now: Duration) {
         for group_id in self.epoch_changes.take_timed_out(now) {
             if let Some(group) = self.groups.get_mut(&group_id) {
-                group.replica.epoch_change_ended(now);
+                group.replica.on_epoch_change_ended(now);
             }
             self.process_replica_outputs(now, group_id);
         }
@@ -120,7 +120,7 @@
         if is_assigned || group.replica.record().epoch > assignment.epoch {
             return;
         }
-        if group.replica.confirmed_epoch() >= assignment.epoch {
+        if group.replica.acknowledged_epoch() >= assignment.epoch {
             group.replica.request_removal(now);
             return self.process_replica_outputs(now, group_id);
         }
--- a/crates/pebblepost-batch-store/src/store/mod.rs
+++ b/crates/pebblepost-batch-store/src/store/mod.rs
@@ -156,7 +156,7 @@
         for write in self.outbox.take_synced(ticket) {
             let group = self.groups.get_mut(&write.group_id);
             if let Some(group) = group.filter(|group| group.incarnation == write.incarnation) {
-                group.replica.persisted(now, write.token);
+                group.replica.on_persisted(now, write.token);
             }
             self.process_replica_outputs(now, write.group_id);
         }
--- a/crates/pebblepost-batch-store/src/store/state/group.rs
+++ b/crates/pebblepost-batch-store/src/store/state/group.rs
@@ -86,7 +86,7 @@
         }
         let now_ms = self.clock(now).now_ms(now);
         match self.replica.propose(now, Command::barrier(now_ms).encode()) {
-            Ok(index) => self.barrier.proposed(index),
+            Ok(index) => self.barrier.set_index(index),
             Err(error) => log::debug!("barrier not proposed error={error:?}"),
         }
     }
--- a/crates/pebblepost-control/src/node/control_group.rs
+++ b/crates/pebblepost-control/src/node/control_group.rs
@@ -169,8 +169,8 @@
         while let Some(pending) = self.writes.pop_front_if(|pending| pending.number <= write) {
             match pending.owner {
                 WriteOwner::Bootstrap => {}
-                WriteOwner::Register { token } => self.register.persisted(now, token),
-                WriteOwner::Replica { token } => self.replica.persisted(now, token),
+                WriteOwner::Register { token } => self.register.on_persisted(now, token),
+                WriteOwner::Replica { token } => self.replica.on_persisted(now, token),
             }
         }
     }
@@ -326,7 +326,7 @@
 
     fn change_ended(&mut self, now: Duration) {
         if self.proposer.take() == Some(Proposer::Replica) {
-            self.replica.epoch_change_ended(now);
+            self.replica.on_epoch_change_ended(now);
         }
         if let Some(QueuedChange { expected_epoch, record }) = self.queued.take() {
             self.propose_epoch(now, expected_epoch, record);
--- a/crates/pebblepost-control/src/node/leadership.rs
+++ b/crates/pebblepost-control/src/node/leadership.rs
@@ -126,7 +126,7 @@
             return;
         };
         if let Ok(index) = self.group.propose(now, &Command::barrier()) {
-            primary.barrier.proposed(index);
+            primary.barrier.set_index(index);
         }
     }
 
--- a/crates/pebblepost-replication/src/barrier.rs
+++ b/crates/pebblepost-replication/src/barrier.rs
@@ -17,7 +17,7 @@
     }
 
     /// The barrier was appended at this index.
-    pub fn proposed(&mut self, index: u64) {
+    pub fn set_index(&mut self, index: u64) {
         self.index = Some(index);
     }
 
--- a/crates/pebblepost-replication/src/register.rs
+++ b/crates/pebblepost-replication/src/register.rs
@@ -141,8 +141,8 @@
     }
 
     /// A write is on disk.
-    pub fn persisted(&mut self, _now: Duration, token: u64) {
-        self.acceptor.persisted(token, &mut self.outputs);
+    pub fn on_persisted(&mut self, _now: Duration, token: u64) {
+        self.acceptor.on_persisted(token, &mut self.outputs);
     }
 
     /// Time passed: retries and timeouts. To be called every 50 ms or so.
--- a/crates/pebblepost-replication/src/register/acceptor.rs
+++ b/crates/pebblepost-replication/src/register/acceptor.rs
@@ -116,7 +116,7 @@
     }
 
     /// A write is on disk: the replies that waited for it are sent.
-    pub(super) fn persisted(&mut self, token: u64, outputs: &mut Vec<RegisterOutput>) {
+    pub(super) fn on_persisted(&mut self, token: u64, outputs: &mut Vec<RegisterOutput>) {
         self.persisted_token = self.persisted_token.max(token);
         while let Some(reply) = self.pending_replies.pop_front_if(|reply| reply.token <= self.persisted_token)
         {
--- a/crates/pebblepost-replication/src/register/output.rs
+++ b/crates/pebblepost-replication/src/register/output.rs
@@ -16,7 +16,7 @@
         /// Encoded message.
         message: Vec<u8>,
     },
-    /// Write the witness state; call [`Register::persisted`](super::Register::persisted) with the
+    /// Write the witness state; call [`Register::on_persisted`](super::Register::on_persisted) with the
     /// token once it is on disk.
     Persist {
         /// Identifies the write; rises.
--- a/crates/pebblepost-replication/src/replica/api.rs
+++ b/crates/pebblepost-replication/src/replica/api.rs
@@ -44,7 +44,7 @@
     }
 
     /// A requested change of the epoch has ended, with or without success.
-    pub fn epoch_change_ended(&mut self, now: Duration) {
+    pub fn on_epoch_change_ended(&mut self, now: Duration) {
         self.advance(now);
         let heartbeat_interval = self.settings.heartbeat_interval;
         let backoff = heartbeat_interval + self.random.duration_below(heartbeat_interval * 2);
@@ -77,7 +77,7 @@
     }
 
     /// All writes up to this token are on disk.
-    pub fn persisted(&mut self, now: Duration, token: u64) {
+    pub fn on_persisted(&mut self, now: Duration, token: u64) {
         self.advance(now);
         self.writes.complete(token);
         self.commit_as_primary();
--- a/crates/pebblepost-replication/src/replica/output.rs
+++ b/crates/pebblepost-replication/src/replica/output.rs
@@ -14,7 +14,7 @@
         /// Encoded message.
         message: Vec<u8>,
     },
-    /// Append records to disk, then call [`Replica::persisted`](super::Replica::persisted) with
+    /// Append records to disk, then call [`Replica::on_persisted`](super::Replica::on_persisted) with
     /// the token.
     Persist {
         /// Identifies the write; rises.
@@ -24,7 +24,7 @@
     },
     /// Ask the configuration manager for `record` to follow epoch `expected`; answer with
     /// [`Replica::configure`](super::Replica::configure) (whatever is in force then) and after that
-    /// with [`Replica::epoch_change_ended`](super::Replica::epoch_change_ended).
+    /// with [`Replica::on_epoch_change_ended`](super::Replica::on_epoch_change_ended).
     ChangeEpoch {
         /// Epoch that the record builds on.
         expected: u64,
--- a/crates/pebblepost-replication/src/replica/primary_term.rs
+++ b/crates/pebblepost-replication/src/replica/primary_term.rs
@@ -29,7 +29,7 @@
         for progress in primary.progress.iter_mut() {
             progress.start_epoch(last_index);
             if !contains(&in_sync, progress.member.disk) {
-                // It is added on what it acknowledges in this epoch only: see `confirmed_epoch`.
+                // It is added on what it acknowledges in this epoch only: see `acknowledged_epoch`.
                 progress.lease_start = None;
             }
         }
--- a/crates/pebblepost-replication/src/replica/removal.rs
+++ b/crates/pebblepost-replication/src/replica/removal.rs
@@ -18,11 +18,11 @@
     /// Newest epoch in which this replica may have acknowledged that it holds something. Only a
     /// change that builds on this epoch or an earlier one can count on what it holds, unless the
     /// record names it.
-    pub fn confirmed_epoch(&self) -> u64 {
-        self.removal.confirmed_epoch()
+    pub fn acknowledged_epoch(&self) -> u64 {
+        self.removal.acknowledged_epoch()
     }
 
-    /// Asks the primary to stop counting on this replica; [`Self::confirmed_epoch`] falls below the
+    /// Asks the primary to stop counting on this replica; [`Self::acknowledged_epoch`] falls below the
     /// current epoch once it has agreed. To be repeated until then; requests are sent at intervals.
     pub fn request_removal(&mut self, now: Duration) {
         self.advance(now);
--- a/crates/pebblepost-replication/src/replica/removal_state.rs
+++ b/crates/pebblepost-replication/src/replica/removal_state.rs
@@ -7,7 +7,7 @@
 pub(super) struct RemovalState {
     /// Newest epoch in which this replica acknowledged a heartbeat or an entry, in a former
     /// incarnation too.
-    confirmed_epoch: u64,
+    acknowledged_epoch: u64,
     last_number: u64,
     /// Number of the newest request, if nothing was confirmed since.
     open_request: Option<u64>,
@@ -18,20 +18,20 @@
     /// After a start: a former incarnation may have confirmed something in the recovered epoch.
     pub(super) fn new(recovered_epoch: u64) -> Self {
         Self {
-            confirmed_epoch: recovered_epoch,
+            acknowledged_epoch: recovered_epoch,
             last_number: 0,
             open_request: None,
             next_request_at: Duration::ZERO,
         }
     }
 
-    pub(super) fn confirmed_epoch(&self) -> u64 {
-        self.confirmed_epoch
+    pub(super) fn acknowledged_epoch(&self) -> u64 {
+        self.acknowledged_epoch
     }
 
     /// Something is about to be acknowledged to the primary of this epoch.
     pub(super) fn on_confirmation(&mut self, epoch: u64) {
-        self.confirmed_epoch = epoch;
+        self.acknowledged_epoch = epoch;
         self.open_request = None;
     }
 
@@ -50,7 +50,7 @@
     /// The primary of this epoch has granted a request.
     pub(super) fn on_granted(&mut self, epoch: u64, number: u64) {
         if self.open_request == Some(number) {
-            self.confirmed_epoch = epoch.saturating_sub(1);
+            self.acknowledged_epoch = epoch.saturating_sub(1);
         }
     }
 }
--- a/crates/pebblepost-replication/tests/replication/barrier.rs
+++ b/crates/pebblepost-replication/tests/replication/barrier.rs
@@ -41,7 +41,7 @@
     let mut barrier = TermBarrier::default();
     assert!(!barrier.is_committed(u64::MAX), "it is not in the log yet");
     let index = group.propose(2, BARRIER).expect("replica 2 is the primary");
-    barrier.proposed(index);
+    barrier.set_index(index);
     assert!(barrier.is_committed(group.replica(2).commit_index()));
     lead_by_replica_3(&mut group);
     assert_eq!(group.entries(3), vec![BARRIER.to_vec()]);
@@ -51,7 +51,7 @@
 fn a_barrier_is_committed_with_its_index() {
     let mut barrier = TermBarrier::default();
     assert!(!barrier.is_proposed());
-    barrier.proposed(7);
+    barrier.set_index(7);
     assert!(barrier.is_proposed());
     assert!(!barrier.is_committed(6));
     assert!(barrier.is_committed(7));
--- a/crates/pebblepost-replication/tests/replication/group/mod.rs
+++ b/crates/pebblepost-replication/tests/replication/group/mod.rs
@@ -167,7 +167,7 @@
                 ReplicaOutput::Persist { token, records } => {
                     if !self.hanging.contains(&disk) {
                         self.disks[disk as usize - 1].extend(records);
-                        self.replica(disk).persisted(now, token);
+                        self.replica(disk).on_persisted(now, token);
                     }
                 }
                 ReplicaOutput::ChangeEpoch { expected, record } => self.change_epoch(disk, expected, record),
@@ -209,7 +209,7 @@
         if !self.partitioned.contains(&disk) {
             self.replica(disk).configure(now, &current);
         }
-        self.replica(disk).epoch_change_ended(now);
+        self.replica(disk).on_epoch_change_ended(now);
     }
 
     pub fn restart(&mut self, disk: u64, recovered: Vec<DiskRecord>) {
--- a/crates/pebblepost-replication/tests/replication/register.rs
+++ b/crates/pebblepost-replication/tests/replication/register.rs
@@ -83,7 +83,7 @@
                 RegisterOutput::Send { to, message } => messages.push_back((disk, to.disk.0, message)),
                 RegisterOutput::Persist { token, state } => {
                     self.states[index] = Some(state);
-                    self.register(disk).persisted(now, token);
+                    self.register(disk).on_persisted(now, token);
                 }
                 RegisterOutput::Chosen(record) => self.chosen[index].push(record),
                 RegisterOutput::Rejected { epoch } => self.rejected[index].push(epoch),
--- a/crates/pebblepost-replication/tests/replication/removal.rs
+++ b/crates/pebblepost-replication/tests/replication/removal.rs
@@ -30,7 +30,7 @@
     group.set_targets(&[1, 2]);
     request_removal(&mut group, 3);
     let epoch = group.current.epoch;
-    assert!(group.replica(3).confirmed_epoch() >= epoch, "it is still counted on");
+    assert!(group.replica(3).acknowledged_epoch() >= epoch, "it is still counted on");
     group.decide_deferred();
     assert!(group.current.is_in_sync(member(3).disk));
     assert_eq!(group.entries(3), [b"one"]);
@@ -46,11 +46,11 @@
     group.set_targets(&[1, 2, 3]);
     group.advance(1_000);
     assert_eq!(group.current.epoch, 1);
-    assert_eq!(group.replica(3).confirmed_epoch(), 1);
+    assert_eq!(group.replica(3).acknowledged_epoch(), 1);
     group.set_targets(&[1, 2]);
     group.advance(1_000);
     request_removal(&mut group, 3);
-    assert_eq!(group.replica(3).confirmed_epoch(), 0);
+    assert_eq!(group.replica(3).acknowledged_epoch(), 0);
     assert!(group.is_acting(1));
 }
 
@@ -63,7 +63,7 @@
     assert_eq!(group.current.in_sync, [member(1), member(2)]);
     let epoch = group.current.epoch;
     assert_eq!(group.replica(3).record().epoch, epoch, "it knows");
-    assert!(group.replica(3).confirmed_epoch() < epoch);
+    assert!(group.replica(3).acknowledged_epoch() < epoch);
 }
 
 #[rstest]
@@ -80,7 +80,7 @@
     // While the change that adds 4 is undecided, 3 holds everything and acknowledges heartbeats of this epoch.
     group.set_targets(&[1, 2, 3, 4]);
     group.advance(500);
-    assert_eq!(group.replica(3).confirmed_epoch(), epoch);
+    assert_eq!(group.replica(3).acknowledged_epoch(), epoch);
     group.partitioned = vec![3];
     group.decide_deferred();
     assert_eq!(group.current.in_sync, [member(1), member(2), member(4)]);
@@ -98,7 +98,7 @@
         for output in replica.take_outputs() {
             match output {
                 ReplicaOutput::ChangeEpoch { record, .. } => asked.push(record),
-                ReplicaOutput::Persist { token, .. } => replica.persisted(now, token),
+                ReplicaOutput::Persist { token, .. } => replica.on_persisted(now, token),
                 _ => {}
             }
         }
--- a/crates/pebblepost-replication/tests/replication/simulation/machines.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/machines.rs
@@ -123,8 +123,8 @@
         let Some(process) = &mut machine.process else { return };
         let local = process.local(now);
         match waiter {
-            Waiter::Register(token) => process.register.persisted(local, token),
-            Waiter::Replica(token) => process.replica.persisted(local, token),
+            Waiter::Register(token) => process.register.on_persisted(local, token),
+            Waiter::Replica(token) => process.replica.on_persisted(local, token),
             Waiter::Checkpoint => {}
         }
         self.drain(slot);
--- a/crates/pebblepost-replication/tests/replication/simulation/outputs.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/outputs.rs
@@ -59,7 +59,7 @@
         if process.change_in_flight && !process.register.is_proposing() {
             process.change_in_flight = false;
             let local = process.local(now);
-            process.replica.epoch_change_ended(local);
+            process.replica.on_epoch_change_ended(local);
         }
     }
 
@@ -90,7 +90,7 @@
         let Some(process) = &mut self.slots[slot].process else { return };
         let local = process.local(now);
         if process.register.is_proposing() {
-            process.replica.epoch_change_ended(local);
+            process.replica.on_epoch_change_ended(local);
             return;
         }
         process.change_in_flight = true;
