--- a/crates/pebblepost-replication/src/codec.rs
+++ b/crates/pebblepost-replication/src/codec.rs
@@ -1,10 +1,12 @@
-//! Encoding of messages. Decoding never panics and never allocates more than was received: a list
-//! of `nanoserde` itself reserves memory for any length that a message claims.
+//! Encoding and decoding of messages.
+//!
+//! Decoding never panics, and allocates in proportion to the bytes received. The `Vec` decoding of
+//! `nanoserde` is not used, because it reserves memory for any length that a message claims.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use pebblepost_messages::{DiskId, Member};
 
-/// Bytes that are encoded and decoded as a whole.
+/// A byte string with a length prefix, copied as a whole when encoded and decoded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Blob(pub Vec<u8>);
 
@@ -24,7 +26,7 @@
     }
 }
 
-/// A list whose decoding reserves no memory ahead.
+/// A list that is decoded without reserving memory for the length that the message claims.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Sequence<T>(pub Vec<T>);
 
@@ -40,12 +42,11 @@
     }
 }
 
-/// Decodes a complete message; `None` if it can't be decoded.
+/// Decodes a complete message. Returns `None` if it is malformed.
 pub(crate) fn decode<M: DeBin>(bytes: &[u8]) -> Option<M> {
     M::deserialize_bin(bytes).ok()
 }
 
-/// Decodes a list of members.
 pub(crate) fn decode_members(offset: &mut usize, bytes: &[u8]) -> Result<Vec<Member>, DeBinErr> {
     decode_list(offset, bytes, decode_member)
 }
@@ -77,7 +78,7 @@
     Ok(items)
 }
 
-/// A length that the remaining bytes can hold (an item takes one byte or more).
+/// Decodes a length and checks it against the remaining bytes; every item takes at least one byte.
 fn decode_length(offset: &mut usize, bytes: &[u8]) -> Result<usize, DeBinErr> {
     let length = usize::de_bin(offset, bytes)?;
     let remaining = bytes.len().saturating_sub(*offset);
--- a/crates/pebblepost-replication/src/record.rs
+++ b/crates/pebblepost-replication/src/record.rs
@@ -1,22 +1,22 @@
-//! The epoch record: which replica is primary, which are in sync, which witnesses decide.
+//! The epoch record: the primary, the in-sync replicas and the witnesses of a group.
 
 use crate::codec::decode_members;
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use pebblepost_messages::{DiskId, Member};
 use std::collections::BTreeSet;
 
-/// One epoch of a replicated group.
+/// The configuration of a replicated group in one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin)]
 pub struct EpochRecord {
-    /// Number of the epoch; 0 before the first primary.
+    /// Number of the epoch; 0 before the first primary is elected.
     pub epoch: u64,
-    /// Disk of the primary; `DiskId(0)` in epoch 0.
+    /// Disk of the primary replica; `DiskId(0)` in epoch 0.
     pub primary: DiskId,
-    /// The in-sync replicas, the primary among them.
+    /// The in-sync replicas, including the primary.
     pub in_sync: Vec<Member>,
-    /// The witnesses; empty where another configuration manager decides.
+    /// The witnesses that decide on epochs; empty if another configuration manager decides.
     pub witnesses: Vec<Member>,
-    /// The witnesses before a change that is not finished; empty otherwise.
+    /// The former witness set while a change of it is unfinished; empty otherwise.
     pub former_witnesses: Vec<Member>,
 }
 
@@ -33,36 +33,36 @@
 }
 
 impl EpochRecord {
-    /// Whether a disk is an in-sync replica.
+    /// Returns whether a disk is that of an in-sync replica.
     pub fn is_in_sync(&self, disk: DiskId) -> bool {
         contains(&self.in_sync, disk)
     }
 
-    /// Whether a disk is a witness, of the former set too.
+    /// Returns whether a disk is that of a witness, of the current or the former set.
     pub fn is_witness(&self, disk: DiskId) -> bool {
         contains(&self.witnesses, disk) || contains(&self.former_witnesses, disk)
     }
 
-    /// All witnesses, those of the former set too, each once.
+    /// Returns the witnesses of the current and the former set, each once.
     pub fn all_witnesses(&self) -> impl Iterator<Item = &Member> {
         let former = self.former_witnesses.iter();
         self.witnesses.iter().chain(former.filter(|member| !contains(&self.witnesses, member.disk)))
     }
 
-    /// The primary, if it is in the list of in-sync replicas.
+    /// Returns the primary if it is in the list of in-sync replicas.
     pub fn primary_member(&self) -> Option<&Member> {
         self.in_sync.iter().find(|member| member.disk == self.primary)
     }
 
-    /// Whether these disks are a quorum: a majority of the witnesses and, while a change of the
-    /// witness set is unfinished, a majority of the former ones as well (joint consensus).
+    /// Returns whether these disks form a quorum: a majority of the witnesses and, while a change of
+    /// the witness set is unfinished, also a majority of the former witnesses (joint consensus).
     pub fn has_quorum(&self, disks: &BTreeSet<DiskId>) -> bool {
         has_majority(&self.witnesses, disks)
             && (self.former_witnesses.is_empty() || has_majority(&self.former_witnesses, disks))
     }
 
-    /// Whether `next` is a valid successor: the next epoch, and at most one step of one change of
-    /// the witness set.
+    /// Returns whether `next` is a valid successor: it has the next epoch number, and either keeps the
+    /// witness set, starts a change of it, or finishes the change in progress.
     pub fn may_be_followed_by(&self, next: &EpochRecord) -> bool {
         let unchanged = next.witnesses == self.witnesses && next.former_witnesses == self.former_witnesses;
         let starts = self.former_witnesses.is_empty()
@@ -76,19 +76,19 @@
     }
 }
 
-/// The losses that a group must survive without losing what it acknowledged.
+/// The failures that a group must survive without losing acknowledged entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tolerance {
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at once.
     pub machines: usize,
-    /// Zones that may be lost at once.
+    /// Number of zones that may be lost at once.
     pub zones: usize,
-    /// Regions that may be lost at once.
+    /// Number of regions that may be lost at once.
     pub regions: usize,
 }
 
 impl Tolerance {
-    /// Whether one replica at least is left of a set after the losses.
+    /// Returns whether at least one replica of a set survives these failures.
     pub fn is_met_by(&self, replicas: &[Member]) -> bool {
         let distinct = |key: fn(&Member) -> &String| replicas.iter().map(key).collect::<BTreeSet<_>>().len();
         replicas.len() > self.machines
@@ -97,12 +97,11 @@
     }
 }
 
-/// Whether a list of members contains a disk.
 pub(crate) fn contains(members: &[Member], disk: DiskId) -> bool {
     members.iter().any(|member| member.disk == disk)
 }
 
-/// Whether these disks are those of a majority of the members.
+/// Returns whether `disks` includes those of a majority of the members.
 pub(crate) fn has_majority(members: &[Member], disks: &BTreeSet<DiskId>) -> bool {
     let count = members.iter().filter(|member| disks.contains(&member.disk)).count();
     count * 2 > members.len()
--- a/crates/pebblepost-replication/src/register/acceptor.rs
+++ b/crates/pebblepost-replication/src/register/acceptor.rs
@@ -1,6 +1,6 @@
-//! The acceptor and learner: promises and acceptances, sent only once they are on disk.
+//! The acceptor and learner. It sends promises and acceptances only after they are on disk.
 //!
-//! Owns the witness state and the newest chosen record. It never starts a proposal.
+//! It owns the witness state and the newest chosen record, and never starts a proposal.
 
 use super::message::{ChosenRecord, RegisterMessage};
 use super::output::RegisterOutput;
@@ -11,7 +11,7 @@
 use pebblepost_messages::{DiskId, Member};
 use std::collections::VecDeque;
 
-/// A reply that waits for a write.
+/// A reply that is sent once the write with this token is on disk.
 #[derive(Debug)]
 struct PendingReply {
     token: u64,
@@ -27,7 +27,7 @@
     state: WitnessState,
     /// The newest record known to be chosen.
     chosen: Option<ChosenRecord>,
-    /// Token of the newest write that was asked for.
+    /// Token of the newest write that was requested.
     issued_token: u64,
     /// Token of the newest write that is on disk.
     persisted_token: u64,
@@ -35,10 +35,10 @@
 }
 
 impl Acceptor {
-    /// An acceptor with this state. A founding record (epoch 0) counts as chosen.
+    /// Creates an acceptor with this state. An accepted initial record (epoch 0) counts as chosen.
     pub(super) fn new(local_disk: DiskId, state: WitnessState, guards: RegisterGuards) -> Self {
-        let founding = state.accepted.clone().filter(|record| record.epoch == 0);
-        let chosen = founding.map(|record| ChosenRecord { number: ProposalNumber::default(), record });
+        let initial_record = state.accepted.clone().filter(|record| record.epoch == 0);
+        let chosen = initial_record.map(|record| ChosenRecord { number: ProposalNumber::default(), record });
         Self {
             local_disk,
             guards,
@@ -50,17 +50,17 @@
         }
     }
 
-    /// The state as it is, or will be, on disk.
+    /// Returns the state, including changes whose write is still in flight.
     pub(super) fn state(&self) -> &WitnessState {
         &self.state
     }
 
-    /// The newest record known to be chosen.
     pub(super) fn chosen(&self) -> Option<&ChosenRecord> {
         self.chosen.as_ref()
     }
 
-    /// Answers a prepare request. A known chosen record goes along for proposers that lag behind.
+    /// Answers a prepare request. The reply includes the newest chosen record, for proposers that lag
+    /// behind.
     pub(super) fn prepare(
         &mut self, from: &Member, number: ProposalNumber, known: &EpochRecord,
         outputs: &mut Vec<RegisterOutput>,
@@ -104,7 +104,7 @@
         self.reply(from, RegisterMessage::Accepted { number }, outputs);
     }
 
-    /// Takes note of a chosen record. It is stored as accepted, so that it is known after a restart.
+    /// Learns a chosen record. It is also stored as accepted, so that it is known after a restart.
     pub(super) fn learn(&mut self, chosen: ChosenRecord, outputs: &mut Vec<RegisterOutput>) {
         self.store_chosen(&chosen, outputs);
         let known_epoch = self.chosen.as_ref().map(|known| known.record.epoch);
@@ -115,7 +115,7 @@
         self.chosen = Some(chosen);
     }
 
-    /// A write is on disk: the replies that waited for it are sent.
+    /// Sends the replies that waited for the writes up to this token.
     pub(super) fn on_persisted(&mut self, token: u64, outputs: &mut Vec<RegisterOutput>) {
         self.persisted_token = self.persisted_token.max(token);
         while let Some(reply) = self.pending_replies.pop_front_if(|reply| reply.token <= self.persisted_token)
@@ -134,8 +134,11 @@
         self.persist(outputs);
     }
 
-    /// A disk without any record has promised nothing and answers only where the record at hand
-    /// names it as a witness. A proposer always answers itself, so that no number is used twice.
+    /// Returns whether this member may answer a request that carries `record`.
+    ///
+    /// A disk without any record has promised nothing, and answers only if `record` names it as a
+    /// witness. A proposer always answers itself: its promise puts the proposal number on its disk, so
+    /// that no number is used twice.
     fn may_answer(&self, from: &Member, record: &EpochRecord) -> bool {
         self.state.accepted.is_some() || from.disk == self.local_disk || record.is_witness(self.local_disk)
     }
@@ -151,9 +154,9 @@
         outputs.push(RegisterOutput::Persist { token: self.issued_token, state: self.state.clone() });
     }
 
-    /// Sends a reply once all that it tells of is on disk.
+    /// Sends a reply once the state that it reports is on disk.
     fn reply(&mut self, to: &Member, message: RegisterMessage, outputs: &mut Vec<RegisterOutput>) {
-        if self.persisted_token >= self.issued_token || !self.guards.persisted_before_reply {
+        if self.persisted_token >= self.issued_token || !self.guards.persists_before_reply {
             outputs.push(RegisterOutput::send(to.clone(), &message));
         } else {
             self.pending_replies.push_back(PendingReply {
--- a/crates/pebblepost-replication/src/register/attempt.rs
+++ b/crates/pebblepost-replication/src/register/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a proposer: who was asked under its number, who answered.
+//! One attempt of a proposer: its proposal number, and the replies of the witnesses.
 
 use super::proposal_number::ProposalNumber;
 use crate::record::EpochRecord;
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a witness had accepted when it promised.
+/// What a witness had accepted when it made its promise.
 #[derive(Debug)]
 pub(super) struct Promise {
     pub(super) accepted_number: ProposalNumber,
@@ -14,13 +14,13 @@
 }
 
 impl Promise {
-    /// The accepted record and its number, if there is one.
+    /// Returns the accepted record and its proposal number, if any.
     fn accepted_under(&self) -> Option<(ProposalNumber, &EpochRecord)> {
         self.accepted.as_ref().map(|record| (self.accepted_number, record))
     }
 }
 
-/// The promises of one attempt, by the disk that made them.
+/// The promises of one attempt, by the disk of the witness.
 #[derive(Debug, Default)]
 pub(super) struct Promises(BTreeMap<DiskId, Promise>);
 
@@ -29,18 +29,17 @@
         self.0.insert(disk, promise);
     }
 
-    /// The disks that promised.
     pub(super) fn disks(&self) -> BTreeSet<DiskId> {
         self.0.keys().copied().collect()
     }
 
-    /// The record accepted under the highest number, and that number.
+    /// Returns the record accepted under the highest proposal number, and that number.
     pub(super) fn highest_accepted(&self) -> Option<(ProposalNumber, &EpochRecord)> {
         let accepted = self.0.values().filter_map(Promise::accepted_under);
         accepted.max_by_key(|(number, _)| *number)
     }
 
-    /// The disks that had accepted a record under this number.
+    /// Returns the disks that had accepted a record under this proposal number.
     pub(super) fn disks_accepted_under(&self, number: ProposalNumber) -> BTreeSet<DiskId> {
         let is_accepted =
             |promise: &Promise| promise.accepted_under().is_some_and(|accepted| accepted.0 == number);
@@ -51,9 +50,10 @@
 /// The two phases of Paxos.
 #[derive(Debug)]
 pub(super) enum Phase {
-    /// Promises are collected. `known` is the record whose witnesses were asked first.
+    /// Collects promises. `known` is the record whose witnesses were asked first.
     Prepare { known: EpochRecord, promises: Promises },
-    /// Acceptances are collected. `previous` is the record that it follows, where it is new.
+    /// Collects acceptances. `previous` is the predecessor of `record`, or `None` if `record` was
+    /// accepted before and is only completed.
     Accept { record: EpochRecord, previous: Option<EpochRecord>, accepted_by: BTreeSet<DiskId> },
 }
 
@@ -62,7 +62,7 @@
 pub(super) struct Attempt {
     pub(super) number: ProposalNumber,
     pub(super) deadline: Duration,
-    /// Disks that were sent the prepare request.
+    /// Disks to which the prepare request was sent.
     pub(super) prepared: BTreeSet<DiskId>,
     pub(super) phase: Phase,
 }
--- a/crates/pebblepost-replication/src/register/message.rs
+++ b/crates/pebblepost-replication/src/register/message.rs
@@ -1,10 +1,10 @@
-//! Messages between the members of a register. The order of variants and fields is the wire form.
+//! Messages between the members of a register. The order of variants and fields is the wire format.
 
 use super::proposal_number::ProposalNumber;
 use crate::record::EpochRecord;
 use nanoserde::{DeBin, SerBin};
 
-/// A record that is known to be chosen, with a proposal number under which it was.
+/// A record that is known to be chosen, with a proposal number under which it was chosen.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ChosenRecord {
     pub number: ProposalNumber,
@@ -27,8 +27,8 @@
     Accept { number: ProposalNumber, record: EpochRecord },
     /// Answer to an accept request.
     Accepted { number: ProposalNumber },
-    /// A higher number was promised.
+    /// Answer to a prepare or accept request whose number is lower than one that was promised.
     Rejected { number: ProposalNumber, promised: ProposalNumber, chosen: Option<ChosenRecord> },
-    /// A record was chosen.
+    /// Announces a chosen record.
     Learn(ChosenRecord),
 }
--- a/crates/pebblepost-replication/src/register/operation.rs
+++ b/crates/pebblepost-replication/src/register/operation.rs
@@ -1,33 +1,33 @@
-//! What a proposer is asked to achieve, over as many attempts as its time allows.
+//! An operation of a proposer: a goal that is retried until its deadline.
 
 use crate::record::EpochRecord;
 use std::time::Duration;
 
-/// How long an operation is retried.
+/// Time after which an operation that has not succeeded fails.
 const OPERATION_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Backoff after the first failed attempt, doubled with each further one.
+/// Upper limit of the backoff after the first failed attempt; doubled with each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
-/// Number of times that the backoff is doubled at most.
+/// Number of times that the limit of the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
-/// How long after the start of an operation the next refresh may follow.
+/// Interval between the starts of two refresh operations; longer than one operation can last.
 pub(super) const REFRESH_INTERVAL: Duration = OPERATION_TIMEOUT.saturating_add(Duration::from_millis(500));
 
 /// The goal of an operation.
 #[derive(Clone, Debug)]
 pub(super) enum Goal {
-    /// To know the newest chosen record.
+    /// Learn the newest chosen record.
     Refresh,
-    /// To have a record chosen after epoch `expected`.
+    /// Have `record` chosen as the successor of the record of epoch `expected`.
     Propose { expected: u64, record: EpochRecord },
 }
 
-/// A goal, and how far it got.
+/// An operation in progress.
 #[derive(Debug)]
 pub(super) struct Operation {
     pub(super) goal: Goal,
     pub(super) deadline: Duration,
-    /// When the next attempt starts, while none is in progress.
+    /// Time at which the next attempt starts if none is in progress.
     pub(super) retry_at: Duration,
     failed_attempts: u32,
 }
@@ -37,7 +37,7 @@
         Self { goal, deadline: now + OPERATION_TIMEOUT, retry_at: now, failed_attempts: 0 }
     }
 
-    /// Counts a failed attempt; the upper limit of the backoff that follows it.
+    /// Counts a failed attempt and returns the upper limit of the backoff that follows.
     pub(super) fn fail_attempt(&mut self) -> Duration {
         let max_backoff = INITIAL_BACKOFF * (1 << self.failed_attempts.min(MAX_BACKOFF_DOUBLINGS));
         self.failed_attempts += 1;
--- a/crates/pebblepost-replication/src/register/proposer.rs
+++ b/crates/pebblepost-replication/src/register/proposer.rs
@@ -1,7 +1,7 @@
 //! The proposer: attempts, retries, and completion of records that are accepted but not chosen.
 //!
-//! Owns the operation in progress. It never answers for the local acceptor, which it only reads and
-//! hands chosen records to.
+//! It owns the operation in progress. It only reads the state of the local acceptor and passes chosen
+//! records to it; it never promises or accepts on its behalf.
 
 use super::acceptor::Acceptor;
 use super::attempt::{Attempt, Phase, Promise, Promises};
@@ -16,12 +16,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long one phase of an attempt may take before the next attempt.
+/// Time that one phase of an attempt may take before the attempt fails.
 const PHASE_TIMEOUT: Duration = Duration::from_millis(250);
-/// The first refresh after a restart comes at random within this time.
-const REFRESH_JITTER: Duration = Duration::from_millis(200);
+/// Upper limit of the random delay before the first refresh after a restart.
+const MAX_REFRESH_JITTER: Duration = Duration::from_millis(200);
 
-/// What an event works on beside the proposer itself.
+/// The state that an event uses besides the proposer itself.
 pub(super) struct Context<'a> {
     pub(super) now: Duration,
     pub(super) acceptor: &'a mut Acceptor,
@@ -38,14 +38,14 @@
     }
 }
 
-/// When the newest chosen record is asked for, if it is unknown since the start.
+/// Schedule of the refresh after a restart, while the newest chosen record is not known.
 #[derive(Debug)]
 struct RefreshSchedule {
     is_needed: bool,
     due_at: Option<Duration>,
 }
 
-/// What follows once a quorum has promised.
+/// The next step once a quorum has promised, or a record is chosen.
 enum Decision {
     Finish,
     Reject,
@@ -53,7 +53,7 @@
     Write { record: EpochRecord, previous: Option<EpochRecord> },
 }
 
-/// The proposer of one member.
+/// The proposer of the local member.
 #[derive(Debug)]
 pub(super) struct Proposer {
     local: Member,
@@ -67,8 +67,8 @@
 }
 
 impl Proposer {
-    /// A proposer that has seen this counter. `needs_refresh`: the local disk has held a state
-    /// before, so that the newest chosen record may be elsewhere.
+    /// Creates a proposer that has seen proposal numbers up to `highest_counter`. `needs_refresh` is
+    /// set if the local disk held a state: the members may have chosen a newer record since.
     pub(super) fn new(
         local: Member, guards: RegisterGuards, highest_counter: u64, needs_refresh: bool, random: Random,
     ) -> Self {
@@ -83,24 +83,25 @@
         }
     }
 
-    /// Whether an operation is in progress.
+    /// Returns whether an operation is in progress.
     pub(super) fn is_busy(&self) -> bool {
         self.operation.is_some()
     }
 
-    /// Whether the operation in progress is a proposal.
+    /// Returns whether the operation in progress is a proposal.
     pub(super) fn is_proposing(&self) -> bool {
         matches!(&self.operation, Some(Operation { goal: Goal::Propose { .. }, .. }))
     }
 
-    /// Starts an operation in place of the one in progress.
+    /// Starts an operation, which replaces the one in progress.
     pub(super) fn start(&mut self, context: &mut Context<'_>, goal: Goal) {
         self.operation = Some(Operation::new(goal, context.now));
         self.attempt = None;
         self.begin_attempt(context);
     }
 
-    /// Starts the refresh, ends and retries attempts whose time has come.
+    /// Starts a refresh that is due, ends what has reached its deadline, and starts retries that are
+    /// due.
     pub(super) fn tick(&mut self, context: &mut Context<'_>) {
         self.refresh_when_due(context);
         let Some(operation) = &self.operation else { return };
@@ -117,7 +118,7 @@
         }
     }
 
-    /// A witness has promised.
+    /// Handles the promise of a witness.
     pub(super) fn on_promise(
         &mut self, context: &mut Context<'_>, from: DiskId, number: ProposalNumber, promise: Promise,
     ) {
@@ -127,7 +128,8 @@
         self.check_promises(context);
     }
 
-    /// A witness has accepted.
+    /// Handles the acceptance of a witness. A new record needs a quorum of its own witnesses and a
+    /// quorum of its predecessor's.
     pub(super) fn on_accepted(&mut self, context: &mut Context<'_>, from: DiskId, number: ProposalNumber) {
         let Some(attempt) = self.attempt.as_mut().filter(|attempt| attempt.number == number) else { return };
         let Phase::Accept { record, previous, accepted_by } = &mut attempt.phase else { return };
@@ -139,20 +141,21 @@
         }
     }
 
-    /// A witness has promised a higher number.
+    /// Handles the rejection by a witness that has promised a higher number.
     pub(super) fn on_rejected(&mut self, now: Duration, number: ProposalNumber) {
         if self.attempt.as_ref().is_some_and(|attempt| attempt.number == number) {
             self.back_off(now);
         }
     }
 
-    /// Takes note of a number that some witness has promised.
+    /// Records a number that a witness has promised, so that later attempts use a higher one.
     pub(super) fn observe(&mut self, promised: ProposalNumber) {
         self.highest_counter = self.highest_counter.max(promised.counter);
     }
 
-    /// Ends a proposal that another record overtook, or that turns out to be chosen.
-    pub(super) fn end_if_overtaken(&mut self, context: &mut Context<'_>) {
+    /// Ends the proposal in progress if a record of its epoch or a later one is known to be chosen.
+    /// The proposal succeeds if that is the proposed record, and fails otherwise.
+    pub(super) fn end_if_superseded(&mut self, context: &mut Context<'_>) {
         let Some(Operation { goal: Goal::Propose { expected, record }, .. }) = &self.operation else {
             return;
         };
@@ -172,7 +175,7 @@
             return;
         }
         match self.refresh.due_at {
-            None => self.refresh.due_at = Some(context.now + self.random.duration_below(REFRESH_JITTER)),
+            None => self.refresh.due_at = Some(context.now + self.random.duration_below(MAX_REFRESH_JITTER)),
             Some(due_at) if context.now >= due_at => {
                 self.refresh.due_at = Some(context.now + REFRESH_INTERVAL);
                 self.start(context, Goal::Refresh);
@@ -182,7 +185,7 @@
     }
 
     fn is_quorum(&self, record: &EpochRecord, disks: &BTreeSet<DiskId>) -> bool {
-        if self.guards.former_majority {
+        if self.guards.requires_former_majority {
             record.has_quorum(disks)
         } else {
             has_majority(&record.witnesses, disks)
@@ -190,7 +193,7 @@
     }
 
     fn begin_attempt(&mut self, context: &mut Context<'_>) {
-        let Some(known) = newest_known(context.acceptor) else {
+        let Some(known) = newest_known_record(context.acceptor) else {
             self.fail_operation(context);
             return;
         };
@@ -202,14 +205,14 @@
             prepared: BTreeSet::new(),
             phase: Phase::Prepare { known: known.clone(), promises: Promises::default() },
         });
-        // Itself always: a number is on its own disk before anything is proposed under it, so that
-        // no later incarnation uses it again.
+        // The local acceptor is always asked: the number must be on the local disk before anything is
+        // proposed under it, so that no later incarnation of this process uses it again.
         let local = self.local.clone();
         self.send_prepare(context, &known, std::iter::once(&local));
         self.send_prepare(context, &known, known.all_witnesses());
     }
 
-    /// Sends the prepare request to those that have not been sent it yet.
+    /// Sends the prepare request to those members to which it has not been sent yet.
     fn send_prepare<'a>(
         &mut self, context: &mut Context<'_>, known: &EpochRecord, members: impl Iterator<Item = &'a Member>,
     ) {
@@ -222,7 +225,8 @@
         }
     }
 
-    /// Asks the witnesses of the newest record seen as well, and goes on once they are a quorum.
+    /// Also asks the witnesses of the newest record seen, and continues once a quorum of them has
+    /// promised.
     fn check_promises(&mut self, context: &mut Context<'_>) {
         let Some(Attempt { phase: Phase::Prepare { known, promises }, .. }) = &self.attempt else { return };
         let chosen = context.chosen();
@@ -264,11 +268,11 @@
         if !is_known {
             self.announce(context, ChosenRecord { number, record: accepted.clone() });
         }
-        self.decide_after(accepted)
+        self.decide_after_chosen(accepted)
     }
 
-    /// What the goal asks for once the newest chosen record is known.
-    fn decide_after(&self, chosen: EpochRecord) -> Decision {
+    /// Returns the step that the goal requires after `chosen`, the newest chosen record.
+    fn decide_after_chosen(&self, chosen: EpochRecord) -> Decision {
         let Some(Operation { goal, .. }) = &self.operation else { return Decision::Finish };
         match goal {
             Goal::Refresh => Decision::Finish,
@@ -283,12 +287,12 @@
         }
     }
 
-    /// Phase 2: asks the witnesses of the record, and of the one before it, to accept.
+    /// Starts phase 2: asks the witnesses of the record and of its predecessor to accept the record.
     fn send_accept(&mut self, context: &mut Context<'_>, record: EpochRecord, previous: Option<EpochRecord>) {
         let Some(attempt) = &mut self.attempt else { return };
         attempt.deadline = context.now + PHASE_TIMEOUT;
         let records = std::iter::once(&record).chain(previous.as_ref());
-        let receivers = by_disk(records.flat_map(EpochRecord::all_witnesses));
+        let receivers = unique_by_disk(records.flat_map(EpochRecord::all_witnesses));
         let accept = RegisterMessage::Accept { number: attempt.number, record: record.clone() };
         attempt.phase = Phase::Accept { record, previous, accepted_by: BTreeSet::new() };
         for member in receivers.into_values() {
@@ -298,17 +302,17 @@
 
     fn on_chosen(&mut self, context: &mut Context<'_>, number: ProposalNumber, record: EpochRecord) {
         self.announce(context, ChosenRecord { number, record: record.clone() });
-        match self.decide_after(record) {
+        match self.decide_after_chosen(record) {
             Decision::Finish => self.finish_operation(),
             Decision::Reject => self.fail_operation(context),
             Decision::Retry | Decision::Write { .. } => self.begin_attempt(context),
         }
     }
 
-    /// Sends a chosen record to its witnesses and replicas, and learns it here.
+    /// Sends a chosen record to its witnesses and in-sync replicas, and passes it to the local learner.
     fn announce(&self, context: &mut Context<'_>, chosen: ChosenRecord) {
         let replicas = chosen.record.in_sync.iter();
-        let mut receivers = by_disk(chosen.record.all_witnesses().chain(replicas));
+        let mut receivers = unique_by_disk(chosen.record.all_witnesses().chain(replicas));
         receivers.remove(&self.local.disk);
         let learn = RegisterMessage::Learn(chosen.clone());
         for member in receivers.into_values() {
@@ -340,8 +344,8 @@
     }
 }
 
-/// The newest record known to the acceptor, chosen or not: its witnesses are asked first.
-fn newest_known(acceptor: &Acceptor) -> Option<EpochRecord> {
+/// Returns the newest record known to the acceptor, chosen or not. Its witnesses are asked first.
+fn newest_known_record(acceptor: &Acceptor) -> Option<EpochRecord> {
     let state = acceptor.state();
     match (acceptor.chosen(), &state.accepted) {
         (Some(chosen), Some(accepted)) if state.accepted_number > chosen.number => Some(accepted.clone()),
@@ -350,7 +354,7 @@
     }
 }
 
-/// Each member once, in the order of the disks; the last one given counts.
-fn by_disk<'a>(members: impl Iterator<Item = &'a Member>) -> BTreeMap<DiskId, Member> {
+/// Returns each member once, ordered by disk. Of several entries for a disk, the last one counts.
+fn unique_by_disk<'a>(members: impl Iterator<Item = &'a Member>) -> BTreeMap<DiskId, Member> {
     members.map(|member| (member.disk, member.clone())).collect()
 }
--- a/crates/pebblepost-replication/src/replica.rs
+++ b/crates/pebblepost-replication/src/replica.rs
@@ -1,23 +1,30 @@
-//! A replica of a group: its log, its role, its lease.
+//! A replica of a group with its log, role and lease.
 //!
-//! Primary-backup replication: an entry is committed once every in-sync replica of the current epoch
-//! has it on disk; the primary acts while all of them acknowledge its heartbeats. A replica that has
-//! not heard from the primary for the election timeout asks the configuration manager for the next
-//! epoch with itself as primary. The replica never decides about epochs itself, never reads a clock
-//! and does no I/O: times are those of the caller's monotonic clock, and what it wants done is taken by
+//! This is primary-backup replication. An entry is committed once every in-sync replica of the current
+//! epoch has it on disk. The primary acts, that is, accepts proposals and answers reads, while all
+//! in-sync replicas acknowledge its heartbeats. A replica that has not heard from the primary for the
+//! election timeout campaigns: it asks the configuration manager for the next epoch with itself as
+//! primary. The replica never decides on epochs itself. It reads no clock and does no I/O: times are
+//! those of the caller's monotonic clock, and the caller takes the required actions from
 //! [`Replica::take_outputs`].
 //!
-//! State, each type with the rules that need nothing else: `log`, `write_queue`, `progress`,
+//! A *term* is an unbroken run of epochs with the same primary. The *targets* are the members that
+//! should hold the group. A *joiner* is a replica that the primary brings up to date before it proposes
+//! it as in sync.
+//!
+//! State, each type with the rules that depend on nothing else: `log`, `write_queue`, `progress`,
 //! `progress_tracker`, `heartbeat_log`, `snapshot`, `term_history`, `pending_change`,
-//! `election_state`, `founders`, `removal_state`, `role`. `core` holds them together.
+//! `election_state`, `bootstrap_replies`, `removal_state`, `role`. `core` combines them.
 //!
 //! Decisions, one concern each, as methods of [`Replica`]: `receive` (which messages are accepted),
 //! `epoch`, `primary_term`, `lease`, `heartbeat`, `commit`, `log_sender`, `log_receiver`, `catch_up`,
-//! `reconfiguration`, `handover`, `removal`, `election`, `resumption`, `founding`.
+//! `reconfiguration`, `handover`, `removal`, `election`, `resumption`, `bootstrap`.
 //!
-//! Border: `api`, `settings`, `output`, `disk_record`, `message`, `state_machine`, `recovery`.
+//! Interface: `api`, `settings`, `output`, `disk_record`, `message`, `state_machine`, `recovery`.
 
 mod api;
+mod bootstrap;
+mod bootstrap_replies;
 mod catch_up;
 mod commit;
 mod core;
@@ -25,8 +32,6 @@
 mod election;
 mod election_state;
 mod epoch;
-mod founders;
-mod founding;
 mod handover;
 mod heartbeat;
 mod heartbeat_log;
--- a/crates/pebblepost-replication/src/replica/api.rs
+++ b/crates/pebblepost-replication/src/replica/api.rs
@@ -1,4 +1,4 @@
-//! What a caller does with a replica.
+//! The public methods of a replica.
 
 use super::core::Replica;
 use super::disk_record::DiskRecord;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 impl<S: StateMachine> Replica<S> {
-    /// The epoch record in force, from the configuration manager; older ones are ignored.
+    /// Passes in the epoch record in force, from the configuration manager. Older records are ignored.
     pub fn configure(&mut self, now: Duration, record: &EpochRecord) {
         self.advance(now);
         if record.epoch > self.record.epoch {
@@ -23,27 +23,27 @@
         }
     }
 
-    /// The machines that should hold the group (the primary adds and drops replicas towards that).
-    /// Empty: whoever is in sync stays, and whoever asks to join is added.
+    /// Sets the members that should hold the group. The primary adds and drops replicas accordingly.
+    /// If the list is empty, in-sync replicas stay and every replica that asks to join is added.
     pub fn set_targets(&mut self, now: Duration, targets: Vec<Member>) {
         self.advance(now);
         self.targets = targets;
     }
 
-    /// The replicas that the caller has heard from lately. A replica that stands for election leaves
-    /// out the others, if enough remain; without this it leaves out the former primary only.
+    /// Sets the replicas that the caller has recently heard from. A replica that campaigns leaves out
+    /// the others if enough remain. If this was never called, it leaves out only the former primary.
     pub fn set_reachable(&mut self, disks: BTreeSet<DiskId>) {
         self.election.reachable = Some(disks);
     }
 
-    /// Sends the newest epoch record to a replica that has just connected.
+    /// Sends the newest epoch record to a replica. The caller calls this when a connection to it opens.
     pub fn announce_epoch(&mut self, to: &Member) {
         if self.record.epoch > 0 {
             self.send_epoch(to);
         }
     }
 
-    /// A requested change of the epoch has ended, with or without success.
+    /// Handles the end of a requested change of the epoch, with or without success.
     pub fn on_epoch_change_ended(&mut self, now: Duration) {
         self.advance(now);
         let heartbeat_interval = self.settings.heartbeat_interval;
@@ -51,11 +51,12 @@
         self.pending_change.on_request_ended(now, backoff);
     }
 
-    /// Appends an entry; its index. Committed later.
+    /// Appends an entry and returns its index. The entry is committed once
+    /// [`ReplicaOutput::Committed`] reports this index; before that it may still be lost.
     ///
     /// # Errors
     ///
-    /// Fails where this replica does not act as primary, or too few replicas are in sync.
+    /// Fails if this replica does not act as primary, or if too few replicas are in sync.
     pub fn propose(&mut self, now: Duration, entry: Vec<u8>) -> Result<u64, ProposeError> {
         self.advance(now);
         let is_primary = self.primary().is_some();
@@ -68,7 +69,7 @@
         Ok(self.append_as_primary(entry))
     }
 
-    /// A message arrived. What can't be decoded is dropped.
+    /// Handles a message. A malformed message is dropped.
     pub fn receive(&mut self, now: Duration, from: &Member, message: &[u8]) {
         self.advance(now);
         if let Some(message) = decode::<ReplicaMessage>(message) {
@@ -76,14 +77,14 @@
         }
     }
 
-    /// All writes up to this token are on disk.
+    /// Handles the completion of all writes up to this token.
     pub fn on_persisted(&mut self, now: Duration, token: u64) {
         self.advance(now);
         self.writes.complete(token);
         self.commit_as_primary();
     }
 
-    /// Time passed. To be called every 50 ms or so.
+    /// Handles timeouts. The caller calls this about every 50 ms.
     pub fn tick(&mut self, now: Duration) {
         self.advance(now);
         self.extend_timeouts_after_stall();
@@ -94,29 +95,29 @@
         }
     }
 
-    /// Whether this replica is primary, has committed everything of earlier epochs and holds its
-    /// lease: it may propose, and answer reads.
+    /// Returns whether this replica acts as primary: it is primary, has committed all entries of
+    /// earlier epochs and holds its lease. It may then accept proposals and answer reads.
     pub fn is_acting(&self, now: Duration) -> bool {
         let Some(primary) = self.primary() else { return false };
         !primary.is_draining() && !self.pending_change.hands_over() && self.holds_lease(now)
     }
 
-    /// The application's state, committed entries only.
+    /// Returns the state of the application, which reflects committed entries only.
     pub fn state(&self) -> &S {
         &self.state_machine
     }
 
-    /// Newest epoch record known.
+    /// Returns the newest epoch record known.
     pub fn record(&self) -> &EpochRecord {
         &self.record
     }
 
-    /// Index of the newest committed entry.
+    /// Returns the index of the newest committed entry.
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// How far each known replica holds the log on disk, for displays.
+    /// Returns the index up to which each known replica holds the log on disk, for status displays.
     pub fn progress(&self) -> Vec<(DiskId, u64)> {
         let mut progress = vec![(self.local.disk, self.writes.persisted_index())];
         if let Some(primary) = self.primary() {
@@ -126,9 +127,11 @@
         progress
     }
 
-    /// Records that say all that the disk has to hold now (a snapshot at the commit index, the
-    /// entries after it, the epoch), for compaction. `None`: the state machine is damaged, and what
-    /// the disk holds is the only copy that another program may still be able to read.
+    /// Returns records that can replace the contents of the disk, for compaction: a snapshot at the
+    /// commit index, the entries after it and the epoch.
+    ///
+    /// Returns `None` if the state machine is damaged: the disk then holds the only copy that another
+    /// version of the program may be able to read.
     pub fn checkpoint(&self) -> Option<Vec<DiskRecord>> {
         if self.state_machine.is_damaged() {
             return None;
@@ -145,7 +148,7 @@
         Some(records)
     }
 
-    /// Takes what the caller must do.
+    /// Takes the outputs that the caller must carry out, in order.
     pub fn take_outputs(&mut self) -> Vec<ReplicaOutput> {
         if let Some((token, records)) = self.writes.flush(self.now, self.log.last_index()) {
             self.outputs.push(ReplicaOutput::Persist { token, records });
--- a/crates/pebblepost-replication/src/replica/catch_up.rs
+++ b/crates/pebblepost-replication/src/replica/catch_up.rs
@@ -1,4 +1,5 @@
-//! Catch-up of replicas that are not in sync: requests to join, and snapshots where entries are gone.
+//! Catch-up of replicas that are not in sync: requests to join, and snapshots if the primary no longer
+//! keeps the entries that a replica lacks.
 
 use super::core::Replica;
 use super::disk_record::DiskRecord;
@@ -9,17 +10,18 @@
 use crate::codec::Blob;
 use pebblepost_messages::{DiskId, Member};
 
-/// Heartbeat intervals without contact to the primary before a replica asks to join.
-const JOIN_AFTER_HEARTBEATS: u32 = 3;
+/// Time without contact to the primary after which a replica asks to join, and interval between two
+/// such requests, in heartbeat intervals.
+const JOIN_REQUEST_INTERVAL_HEARTBEATS: u32 = 3;
 
-/// The primary's side.
+/// Methods of the primary.
 impl<S: StateMachine> Replica<S> {
-    /// A replica that is not in sync asks for the log.
+    /// Handles the request of a replica that is not in sync to be sent the log.
     pub(super) fn on_join_request(&mut self, from: &Member, epoch: u64, last_index: u64, last_epoch: u64) {
         if epoch < self.record.epoch {
             self.send_epoch(from);
         }
-        if !self.is_epoch_open() || epoch > self.record.epoch || !self.is_target(from.disk) {
+        if !self.is_epoch_announced() || epoch > self.record.epoch || !self.is_target(from.disk) {
             return;
         }
         let agreed = self.log.last_index_at_most(last_index, last_epoch);
@@ -31,7 +33,7 @@
         }
     }
 
-    /// Starts to send a snapshot at the commit index.
+    /// Starts to send a snapshot of the state at the commit index.
     pub(super) fn start_snapshot(&mut self, disk: DiskId) {
         let index = self.commit_index;
         let index_epoch = self.log.epoch_at(index).unwrap_or(0);
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Sends the next chunk of a snapshot if it is due.
+    /// Sends the next chunk of the snapshot if it is due.
     pub(super) fn send_snapshot_chunk(&mut self, disk: DiskId) {
         let epoch = self.record.epoch;
         let Some(progress) = self.progress_mut(disk) else { return };
@@ -67,16 +69,17 @@
     }
 }
 
-/// The joining replica's side.
+/// Methods of the joining replica.
 impl<S: StateMachine> Replica<S> {
-    /// Asks the primary for the log; every other time all members, in case the primary has changed.
+    /// Asks the primary for the log if there was no contact. Every second request goes to all members,
+    /// in case the primary has changed.
     pub(super) fn request_join_when_due(&mut self) {
-        let interval = self.settings.heartbeat_interval * JOIN_AFTER_HEARTBEATS;
+        let interval = self.settings.heartbeat_interval * JOIN_REQUEST_INTERVAL_HEARTBEATS;
         let is_target = self.is_target(self.local.disk);
         let now = self.now;
         let Some(follower) = self.follower_mut() else { return };
-        let has_contact = follower.last_contact_at.is_some_and(|at| now.saturating_sub(at) < interval);
-        if has_contact || now < follower.next_join_request_at {
+        let has_recent_contact = follower.last_contact_at.is_some_and(|at| now.saturating_sub(at) < interval);
+        if has_recent_contact || now < follower.next_join_request_at {
             return;
         }
         follower.next_join_request_at = now + interval;
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Adds a chunk to the arriving snapshot; how many bytes of it are here.
+    /// Adds a chunk to the incoming snapshot and returns the number of bytes received so far.
     fn collect_chunk(&mut self, index: u64, offset: u64, bytes: &[u8]) -> u64 {
         let Some(follower) = self.follower_mut() else { return 0 };
         if follower.snapshot.as_ref().is_none_or(|snapshot| snapshot.index != index) {
@@ -143,13 +146,14 @@
             return;
         };
         if self.log.epoch_at(index) == Some(index_epoch) {
-            // The log has it all: what follows in it must stay.
+            // The log already holds everything that the snapshot covers. The entries after it must be
+            // kept, so the log is not reset.
             self.on_matched(index);
             self.commit_to(index);
             return;
         }
         self.state_machine.restore(&snapshot.data);
-        self.is_log_incomplete = false;
+        self.may_lack_entries = false;
         self.log.reset(index, index_epoch);
         self.writes.truncate_from(1);
         self.writes.push(DiskRecord::Snapshot { index, epoch: index_epoch, state: snapshot.data });
--- a/crates/pebblepost-replication/src/replica/commit.rs
+++ b/crates/pebblepost-replication/src/replica/commit.rs
@@ -1,4 +1,4 @@
-//! Commitment: an entry is committed once every counting replica has it on disk.
+//! Commitment: an entry is committed once this replica and every required member have it on disk.
 
 use super::core::Replica;
 use super::output::ReplicaOutput;
@@ -6,20 +6,22 @@
 use pebblepost_messages::Member;
 
 impl<S: StateMachine> Replica<S> {
-    /// The other replicas whose disks count: those in sync, and those that an undecided change would
-    /// add.
-    pub(super) fn counting_members(&self) -> impl Iterator<Item = &Member> {
-        let joiners = self.pending_change.joiners().iter().filter(|_| self.guards.commit_waits_for_joiner);
+    /// Returns the other replicas whose acknowledgements commits and the lease require: those in sync,
+    /// and those that an undecided change would add.
+    pub(super) fn required_members(&self) -> impl Iterator<Item = &Member> {
+        let joiners =
+            self.pending_change.joiners().iter().filter(|_| self.guards.commit_requires_pending_joiners);
         self.record.in_sync.iter().chain(joiners).filter(|member| member.disk != self.local.disk)
     }
 
-    /// Commits what every counting replica has on disk, this one included.
+    /// Commits what this replica and every required member have on disk.
     pub(super) fn commit_as_primary(&mut self) {
-        let is_term_open = self.primary().is_some_and(|primary| primary.is_term_open);
-        if !is_term_open || !self.settings.tolerance.is_met_by(&self.record.in_sync) {
+        let has_announced_first_epoch =
+            self.primary().is_some_and(|primary| primary.has_announced_first_epoch);
+        if !has_announced_first_epoch || !self.settings.tolerance.is_met_by(&self.record.in_sync) {
             return;
         }
-        let index = if self.guards.commit_waits_for_all {
+        let index = if self.guards.commit_requires_all_in_sync {
             self.lowest_persisted_index()
         } else {
             self.highest_matched_index().min(self.writes.persisted_index())
@@ -27,7 +29,7 @@
         self.commit_to(index);
     }
 
-    /// Applies entries up to an index, as far as they are here.
+    /// Commits and applies the entries up to `index` that are in the log.
     pub(super) fn commit_to(&mut self, index: u64) {
         let index = index.min(self.log.last_index());
         if index <= self.commit_index {
@@ -44,23 +46,25 @@
         self.trim_log();
     }
 
-    /// How far all counting replicas hold the log; a follower knows of itself only.
+    /// Returns the index up to which this replica and all required members hold the log on disk. A
+    /// follower knows only its own index.
     fn lowest_persisted_index(&self) -> u64 {
         let persisted_index = self.writes.persisted_index();
         let Some(primary) = self.primary() else { return persisted_index };
         let matched = |member: &Member| primary.progress.matched(member.disk).unwrap_or(0);
-        self.counting_members().map(matched).min().unwrap_or(u64::MAX).min(persisted_index)
+        self.required_members().map(matched).min().unwrap_or(u64::MAX).min(persisted_index)
     }
 
-    /// Only for tests of the guard: the most advanced other replica is enough.
+    /// Returns the index that the most advanced other replica holds. Used only if tests disable the
+    /// rule that all in-sync replicas are required.
     fn highest_matched_index(&self) -> u64 {
         let Some(primary) = self.primary() else { return 0 };
         let matched = |member: &Member| primary.progress.matched(member.disk);
-        self.counting_members().filter_map(matched).max().unwrap_or(0)
+        self.required_members().filter_map(matched).max().unwrap_or(0)
     }
 
-    /// Drops old entries from memory; an in-sync replica that needs them must not be left to a
-    /// snapshot.
+    /// Drops old entries from memory, except those that an in-sync replica may still need: it must not
+    /// have to be sent a snapshot.
     fn trim_log(&mut self) {
         let max_bytes = self.settings.max_log_bytes;
         if self.log.bytes() <= max_bytes {
--- a/crates/pebblepost-replication/src/replica/core.rs
+++ b/crates/pebblepost-replication/src/replica/core.rs
@@ -1,8 +1,8 @@
-//! The replica's state, and the steps that all its concerns share.
+//! The state of a replica, and helpers that several concerns share.
 
+use super::bootstrap_replies::BootstrapReplies;
 use super::disk_record::DiskRecord;
 use super::election_state::ElectionState;
-use super::founders::Founders;
 use super::log::{Log, LogEntry};
 use super::message::ReplicaMessage;
 use super::output::ReplicaOutput;
@@ -29,38 +29,38 @@
     pub(super) settings: ReplicaSettings,
     pub(super) guards: ReplicaGuards,
     pub(super) state_machine: S,
-    /// The newest time that the caller gave.
+    /// The latest time that the caller passed in.
     pub(super) now: Duration,
     pub(super) last_tick: Duration,
-    /// Newest epoch record known.
+    /// The newest epoch record known.
     pub(super) record: EpochRecord,
     pub(super) term: TermHistory,
-    /// The record counts on entries that this replica may not hold: it does not stand for election.
-    pub(super) is_log_incomplete: bool,
+    /// The epoch record relies on entries that this replica may lack, so it does not campaign.
+    pub(super) may_lack_entries: bool,
     pub(super) log: Log,
-    /// Entries up to here are committed and applied.
+    /// Entries up to this index are committed and applied.
     pub(super) commit_index: u64,
     pub(super) writes: WriteQueue,
-    /// The machines that should hold the group; empty: no preference.
+    /// The members that should hold the group; empty if there is no preference.
     pub(super) targets: Vec<Member>,
     pub(super) role: Role,
     pub(super) pending_change: PendingChange,
     pub(super) election: ElectionState,
-    pub(super) founders: Founders,
+    pub(super) bootstrap_replies: BootstrapReplies,
     pub(super) removal: RemovalState,
     pub(super) random: Random,
     pub(super) outputs: Vec<ReplicaOutput>,
 }
 
 impl<S: StateMachine> Replica<S> {
-    /// A replica with what its disk held (records in the order written).
+    /// Creates a replica from the records that its disk held, in the order in which they were written.
     pub fn new(
         local: Member, settings: ReplicaSettings, state_machine: S, recovered: Vec<DiskRecord>, now: Duration,
     ) -> Self {
         Self::with_guards(local, settings, state_machine, recovered, now, ReplicaGuards::default())
     }
 
-    /// As [`Replica::new`], with guards taken out.
+    /// Like [`Replica::new`], with some safety rules disabled.
     #[doc(hidden)]
     pub fn with_guards(
         local: Member, settings: ReplicaSettings, mut state_machine: S, recovered: Vec<DiskRecord>,
@@ -79,18 +79,18 @@
             role: Role::Follower(Follower::default()),
             pending_change: PendingChange::default(),
             election: ElectionState::new(recovered.record.epoch, now, settings.election_timeout),
-            founders: Founders::new(now),
+            bootstrap_replies: BootstrapReplies::new(now),
             removal: RemovalState::new(recovered.record.epoch),
             random: Random::new(local.disk.0 ^ u64::from(now.subsec_nanos())),
             outputs: Vec::new(),
             term: recovered.term,
-            is_log_incomplete: recovered.has_gap,
+            may_lack_entries: recovered.has_gap,
             record: recovered.record,
             log: recovered.log,
             local,
         };
         let was_primary = replica.record.epoch > 0 && replica.is_recorded_primary();
-        if was_primary && !guards.new_epoch_after_restart {
+        if was_primary && !guards.requires_new_epoch_after_restart {
             replica.become_primary();
         } else if was_primary {
             replica.resume_own_term();
@@ -98,12 +98,12 @@
         replica
     }
 
-    /// Whether the epoch record names this replica as primary.
+    /// Returns whether the epoch record names this replica as primary.
     pub(super) fn is_recorded_primary(&self) -> bool {
         self.record.primary == self.local.disk
     }
 
-    /// The primary's state, where this replica is primary.
+    /// Returns the primary's state if this replica is primary.
     pub(super) fn primary(&self) -> Option<&Primary> {
         match &self.role {
             Role::Primary(primary) => Some(primary),
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The primary's state, where this replica is primary.
+    /// Returns the primary's state if this replica is primary.
     pub(super) fn primary_mut(&mut self) -> Option<&mut Primary> {
         match &mut self.role {
             Role::Primary(primary) => Some(primary),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The follower's state, where this replica is not primary.
+    /// Returns the follower's state if this replica is not primary.
     pub(super) fn follower_mut(&mut self) -> Option<&mut Follower> {
         match &mut self.role {
             Role::Follower(follower) => Some(follower),
@@ -127,27 +127,27 @@
         }
     }
 
-    /// The progress of another replica, where this one is primary and sends to it.
+    /// Returns the progress of another replica if this one is primary and tracks it.
     pub(super) fn progress_mut(&mut self, disk: DiskId) -> Option<&mut Progress> {
         self.primary_mut()?.progress.get_mut(disk)
     }
 
-    /// Whether this replica is primary, and the current epoch is announced.
-    pub(super) fn is_epoch_open(&self) -> bool {
-        self.primary().is_some_and(|primary| primary.is_epoch_open)
+    /// Returns whether this replica is primary and has announced the current epoch.
+    pub(super) fn is_epoch_announced(&self) -> bool {
+        self.primary().is_some_and(|primary| primary.is_epoch_announced)
     }
 
-    /// Whether a disk should hold the group.
+    /// Returns whether the replica on this disk should hold the group.
     pub(super) fn is_target(&self, disk: DiskId) -> bool {
         self.targets.is_empty() || contains(&self.targets, disk)
     }
 
-    /// Takes note of the time; it never goes back.
+    /// Sets the current time, which never decreases.
     pub(super) fn advance(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
 
-    /// Appends an entry to the log and queues it for the disk; its index.
+    /// Appends an entry to the log, queues it for the disk and returns its index.
     pub(super) fn append_to_log(&mut self, entry: LogEntry) -> u64 {
         let index = self.log.push(entry);
         if let Some(entry) = self.log.entry(index) {
--- a/crates/pebblepost-replication/src/replica/disk_record.rs
+++ b/crates/pebblepost-replication/src/replica/disk_record.rs
@@ -1,24 +1,24 @@
-//! The stored form of a replica. The order of variants and fields is what disks hold.
+//! The stored format of a replica. It depends on the order of variants and fields.
 
 use super::log::LogEntry;
 use crate::codec::Blob;
 use crate::record::EpochRecord;
 use nanoserde::{DeBin, SerBin};
 
-/// A record for the disk. The caller appends them in order; a new replica is given all of them,
-/// in that order.
+/// A record to be stored. The caller appends records to the disk in order, and passes all of them in
+/// that order to [`Replica::new`](super::Replica::new) after a restart.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum DiskRecord {
-    /// An entry. It replaces entries at this index and above.
+    /// An entry of the log. It replaces entries at this index and above.
     Entry {
         /// Index, from 1.
         index: u64,
         /// Epoch in which it was first appended.
         epoch: u64,
-        /// The entry.
+        /// Data of the entry.
         entry: Vec<u8>,
     },
-    /// The state up to an index; replaces all entries before.
+    /// The state of the application up to an index. It replaces all records of entries before it.
     Snapshot {
         /// Index of the last entry in it.
         index: u64,
@@ -27,7 +27,7 @@
         /// The state.
         state: Vec<u8>,
     },
-    /// Newest epoch record that this replica acts by; it accepts nothing from an older epoch.
+    /// An epoch record that this replica has entered. It accepts nothing from an older epoch.
     Epoch(EpochRecord),
     /// This replica has acted as primary of an epoch.
     Acted {
@@ -37,7 +37,7 @@
 }
 
 impl DiskRecord {
-    /// The record of an entry of the log.
+    /// Creates the record of an entry of the log.
     pub(super) fn entry(index: u64, entry: &LogEntry) -> Self {
         let Blob(data) = &entry.data;
         Self::Entry { index, epoch: entry.epoch, entry: data.clone() }
--- a/crates/pebblepost-replication/src/replica/election.rs
+++ b/crates/pebblepost-replication/src/replica/election.rs
@@ -1,60 +1,66 @@
-//! Standing for election once the primary has not been heard from for the election timeout.
+//! Campaigning: a replica requests an epoch with itself as primary once it has not heard from the
+//! primary for the election timeout.
 
 use super::core::Replica;
 use super::state_machine::StateMachine;
 use pebblepost_messages::Member;
 use std::time::Duration;
 
-/// Heartbeat intervals between two candidates, in the order of the in-sync list.
-const STAGGER_HEARTBEATS: u32 = 2;
+/// Delay between two candidates in the order of the in-sync list, in heartbeat intervals.
+const CANDIDATE_STAGGER_HEARTBEATS: u32 = 2;
 
 impl<S: StateMachine> Replica<S> {
     pub(super) fn tick_as_follower(&mut self) {
         if self.record.epoch == 0 {
             self.tick_before_first_primary();
         } else if self.record.is_in_sync(self.local.disk) {
-            self.stand_when_due();
+            self.campaign_when_due();
         } else {
             self.request_join_when_due();
         }
     }
 
-    /// Whether this replica may stand for election now, as the candidate of this rank.
-    pub(super) fn may_stand(&self, rank: usize) -> bool {
+    /// Returns whether this replica may campaign now, as the candidate of this rank.
+    pub(super) fn may_campaign(&self, rank: usize) -> bool {
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-        let stagger =
-            self.settings.heartbeat_interval.saturating_mul(STAGGER_HEARTBEATS.saturating_mul(rank));
-        let all_present = || self.record.in_sync.iter().all(|member| self.is_present(member));
-        let skips_timeout = !self.guards.election_timeout || (self.is_resuming() && all_present());
-        let not_before = if skips_timeout { Duration::ZERO } else { self.election.stand_not_before };
+        let stagger = self
+            .settings
+            .heartbeat_interval
+            .saturating_mul(CANDIDATE_STAGGER_HEARTBEATS.saturating_mul(rank));
+        let are_all_reachable =
+            || self.record.in_sync.iter().all(|member| self.is_local_or_reachable(member));
+        let skips_timeout =
+            !self.guards.waits_for_election_timeout || (self.is_resuming() && are_all_reachable());
+        let not_before = if skips_timeout { Duration::ZERO } else { self.election.campaign_not_before };
         self.pending_change.may_request(self.now)
             && self.now >= not_before + stagger
-            && !self.is_unable(self.now)
-            && (!self.is_log_incomplete || !self.guards.complete_log_before_standing)
+            && !self.is_unable_to_lead(self.now)
+            && (!self.may_lack_entries || !self.guards.campaign_requires_complete_log)
     }
 
-    /// Stands for election once the timeout has passed, one replica after the other in the order of
-    /// the in-sync list.
-    fn stand_when_due(&mut self) {
-        if !self.may_stand(self.rank()) {
+    /// Campaigns once the timeout has passed. Candidates are staggered in the order of the in-sync
+    /// list, so that they don't compete.
+    fn campaign_when_due(&mut self) {
+        if !self.may_campaign(self.rank()) {
             return;
         }
         let in_sync = self.in_sync_after_election();
         self.request_epoch(self.local.disk, in_sync);
     }
 
-    /// How many others stand before this one.
+    /// Returns the number of candidates that campaign before this one.
     fn rank(&self) -> usize {
         if self.is_resuming() {
             return 0;
         }
         let others = self.record.in_sync.iter().filter(|member| member.disk != self.record.primary);
-        let present = others.filter(|member| self.is_present(member));
-        present.take_while(|member| member.disk != self.local.disk).count()
+        let candidates = others.filter(|member| self.is_local_or_reachable(member));
+        candidates.take_while(|member| member.disk != self.local.disk).count()
     }
 
-    /// The in-sync replicas of the epoch for which this one stands: those that are present, without
-    /// the former primary. Where that is not enough, more of them.
+    /// Returns the in-sync replicas of the epoch that this replica requests: the reachable ones without
+    /// the former primary. If these are too few for the tolerance, unreachable ones are included, and
+    /// then the former primary.
     fn in_sync_after_election(&self) -> Vec<Member> {
         let is_former_primary =
             |member: &Member| member.disk == self.record.primary && member.disk != self.local.disk;
@@ -62,16 +68,18 @@
             members.iter().filter(|member| !is_former_primary(member)).cloned().collect()
         };
         let in_sync = &self.record.in_sync;
-        let present: Vec<Member> = in_sync.iter().filter(|member| self.is_present(member)).cloned().collect();
-        // A primary that was never heard from may have been restarted like this replica.
-        let may_be_back = !self.election.had_primary_contact && self.election.reachable.is_some();
-        let preferred = if may_be_back { present } else { others(&present) };
+        let reachable: Vec<Member> =
+            in_sync.iter().filter(|member| self.is_local_or_reachable(member)).cloned().collect();
+        // If no primary was heard from since this process started, the primary may have been restarted
+        // as well, and is kept if it is reachable.
+        let may_be_restarted = !self.election.had_primary_contact && self.election.reachable.is_some();
+        let preferred = if may_be_restarted { reachable } else { others(&reachable) };
         let choices = [preferred, others(in_sync)];
         let is_enough = |choice: &Vec<Member>| self.settings.tolerance.is_met_by(choice);
         choices.into_iter().find(is_enough).unwrap_or_else(|| in_sync.clone())
     }
 
-    fn is_present(&self, member: &Member) -> bool {
+    fn is_local_or_reachable(&self, member: &Member) -> bool {
         member.disk == self.local.disk || self.election.is_reachable(member.disk)
     }
 }
--- a/crates/pebblepost-replication/src/replica/election_state.rs
+++ b/crates/pebblepost-replication/src/replica/election_state.rs
@@ -1,33 +1,36 @@
-//! When a replica may stand for election, and when it may act as primary.
+//! Times before which a replica must not campaign, and must not act as primary.
 
 use pebblepost_messages::DiskId;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// When this replica may stand for election, and when it may act as primary.
+/// State that decides when this replica may campaign, and when it may act as primary.
 #[derive(Debug)]
 pub(super) struct ElectionState {
-    /// It does not stand before: the primary it heard from may act until then.
-    pub(super) stand_not_before: Duration,
-    /// It does not act as primary before: the one whose heartbeat it acknowledged, maybe in a former
-    /// incarnation, may act until then.
+    /// The replica does not campaign before this time, because the primary that it heard from may act
+    /// until then.
+    pub(super) campaign_not_before: Duration,
+    /// The replica does not act as primary before this time, because the primary whose heartbeat it
+    /// acknowledged, maybe in a former incarnation, may act until then.
     pub(super) act_not_before: Duration,
-    /// The primary of this epoch stopped for good.
+    /// Epoch whose primary has reported that it stepped down.
     pub(super) stepped_down_epoch: Option<u64>,
-    /// A primary was heard from since the start of the process.
+    /// A primary was heard from since this process started.
     pub(super) had_primary_contact: bool,
-    /// The epoch in which this replica was the acting primary before its process was restarted.
+    /// The epoch in which this replica was primary before its process was restarted, if it may resume
+    /// without waiting for the election timeout.
     pub(super) resumed_epoch: Option<u64>,
-    /// The replicas that the caller has heard from lately, if it says so.
+    /// The replicas that the caller has recently heard from; `None` if it never reported them.
     pub(super) reachable: Option<BTreeSet<DiskId>>,
 }
 
 impl ElectionState {
-    /// After a start: a former incarnation may have acknowledged a heartbeat just before.
+    /// Creates the state at the start of a process. A former incarnation may have acknowledged a
+    /// heartbeat just before, so the replica waits for the election timeout.
     pub(super) fn new(recovered_epoch: u64, now: Duration, election_timeout: Duration) -> Self {
         let act_not_before = if recovered_epoch > 0 { now + election_timeout } else { Duration::ZERO };
         Self {
-            stand_not_before: now + election_timeout,
+            campaign_not_before: now + election_timeout,
             act_not_before,
             stepped_down_epoch: None,
             had_primary_contact: false,
@@ -36,13 +39,13 @@
         }
     }
 
-    /// A heartbeat is acknowledged: its primary may act until then.
+    /// Records the acknowledgement of a heartbeat, whose primary may act until `not_before`.
     pub(super) fn on_lease_granted(&mut self, not_before: Duration) {
-        self.stand_not_before = self.stand_not_before.max(not_before);
+        self.campaign_not_before = self.campaign_not_before.max(not_before);
         self.act_not_before = not_before;
     }
 
-    /// Whether no primary before the one of `epoch` can still act.
+    /// Returns whether no primary of an epoch before `epoch` can still act.
     pub(super) fn may_act(&self, now: Duration, epoch: u64) -> bool {
         let has_stepped_down = self.stepped_down_epoch.is_some_and(|stepped_down| stepped_down + 1 == epoch);
         has_stepped_down || now >= self.act_not_before
--- a/crates/pebblepost-replication/src/replica/handover.rs
+++ b/crates/pebblepost-replication/src/replica/handover.rs
@@ -1,17 +1,17 @@
-//! Handing the primary's role over, where the primary itself is not a target any more.
+//! Handover of the primary role, when the primary is no longer a target.
 
 use super::core::Replica;
 use super::state_machine::StateMachine;
 use pebblepost_messages::{DiskId, Member};
 
 impl<S: StateMachine> Replica<S> {
-    /// Steps towards a successor among the others: first the log drains, then the change is
-    /// requested. False where no successor can be named.
+    /// Advances the handover to a successor among the other replicas: first waits, up to a timeout,
+    /// until the log is committed, then requests the change. Returns false if no successor can be named.
     pub(super) fn hand_over(&mut self, in_sync: &[Member]) -> bool {
         let others: Vec<Member> =
             in_sync.iter().filter(|member| member.disk != self.local.disk).cloned().collect();
         let Some(successor) = self.successor_among(&others) else { return false };
-        // Only who leads can promise that no older primary acts any more.
+        // Only a primary that holds its lease can guarantee that no older primary acts any more.
         if !self.settings.tolerance.is_met_by(&others) || !self.holds_lease(self.now) {
             return false;
         }
@@ -25,7 +25,7 @@
         true
     }
 
-    /// The most advanced replica that is a target.
+    /// Returns the most advanced replica that is a target.
     fn successor_among(&self, others: &[Member]) -> Option<DiskId> {
         let primary = self.primary()?;
         let targets = others.iter().filter(|member| self.is_target(member.disk));
--- a/crates/pebblepost-replication/src/replica/heartbeat.rs
+++ b/crates/pebblepost-replication/src/replica/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: sent by the primary, acknowledged by the others, which thereby grant it a lease.
+//! Heartbeats of the primary. A replica that acknowledges a heartbeat grants the primary a lease.
 
 use super::core::Replica;
 use super::message::ReplicaMessage;
@@ -10,7 +10,7 @@
     pub(super) fn send_heartbeats_when_due(&mut self) {
         let (now, interval) = (self.now, self.settings.heartbeat_interval);
         let Some(primary) = self.primary_mut() else { return };
-        if !primary.is_epoch_open || !primary.heartbeats.start_if_due(now, interval) {
+        if !primary.is_epoch_announced || !primary.heartbeats.start_if_due(now, interval) {
             return;
         }
         for disk in primary.progress.disks() {
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Sends the newest heartbeat to a tracked replica, again if need be.
+    /// Sends the newest heartbeat to a tracked replica, even if it was sent before.
     pub(super) fn send_heartbeat(&mut self, disk: DiskId) {
         let (epoch, commit_index) = (self.record.epoch, self.commit_index);
         let Some(primary) = self.primary_mut() else { return };
@@ -29,7 +29,7 @@
         self.send(member, &ReplicaMessage::Heartbeat { epoch, number, commit_index });
     }
 
-    /// Renews the lease, and finds out which appends were lost.
+    /// Handles the acknowledgement of a heartbeat: renews the lease and resends lost appends.
     pub(super) fn on_heartbeat_ack(&mut self, from: DiskId, number: u64, matched: u64) {
         let now = self.now;
         let Some(primary) = self.primary_mut() else { return };
@@ -46,7 +46,8 @@
         self.commit_to(commit_index.min(self.matched_index()));
     }
 
-    /// From the acknowledgement on, this replica neither stands nor acts for the election timeout.
+    /// Acknowledges the pending heartbeat. From then on, this replica neither campaigns nor acts as
+    /// primary for the election timeout.
     pub(super) fn acknowledge_heartbeat(&mut self) {
         let (epoch, persisted_index) = (self.record.epoch, self.acknowledgeable_index());
         let Some(follower) = self.follower_mut() else { return };
@@ -54,11 +55,11 @@
         let matched = follower.matched;
         let persisted = matched.min(persisted_index);
         self.election.on_lease_granted(self.now + self.settings.election_timeout);
-        self.removal.on_confirmation(epoch);
+        self.removal.on_acknowledgement(epoch);
         self.send_to_primary(&ReplicaMessage::HeartbeatAck { epoch, number, matched, persisted });
     }
 
-    /// The primary was heard from.
+    /// Records that a message from the primary arrived.
     pub(super) fn on_primary_contact(&mut self) {
         let now = self.now;
         self.election.had_primary_contact = true;
--- a/crates/pebblepost-replication/src/replica/heartbeat_log.rs
+++ b/crates/pebblepost-replication/src/replica/heartbeat_log.rs
@@ -1,10 +1,10 @@
-//! The heartbeats of a primary: when the next is due, when the last ones were sent.
+//! The heartbeats of a primary: when the next one is due, and when the recent ones were sent.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Number of heartbeats whose sending time is kept.
-const MAX_HEARTBEATS: usize = 64;
+/// Number of heartbeats whose send time is kept.
+const MAX_RECORDED_HEARTBEATS: usize = 64;
 
 #[derive(Debug)]
 struct SentHeartbeat {
@@ -21,22 +21,22 @@
 }
 
 impl HeartbeatLog {
-    /// No heartbeat was sent; the first is due at once.
+    /// Creates an empty log; the first heartbeat is due at once.
     pub(super) fn new(now: Duration) -> Self {
         Self { due_at: now, newest_number: 0, sent: VecDeque::new() }
     }
 
-    /// Number of the newest heartbeat; 0 before the first.
+    /// Returns the number of the newest heartbeat; 0 before the first one.
     pub(super) fn newest_number(&self) -> u64 {
         self.newest_number
     }
 
-    /// The next heartbeat is due now.
+    /// Makes the next heartbeat due now.
     pub(super) fn set_due(&mut self, now: Duration) {
         self.due_at = now;
     }
 
-    /// Starts the next heartbeat if it is due; whether it was.
+    /// Starts the next heartbeat if it is due. Returns whether it was.
     pub(super) fn start_if_due(&mut self, now: Duration, interval: Duration) -> bool {
         if now < self.due_at {
             return false;
@@ -44,13 +44,13 @@
         self.due_at = now + interval;
         self.newest_number += 1;
         self.sent.push_back(SentHeartbeat { number: self.newest_number, sent_at: now });
-        if self.sent.len() > MAX_HEARTBEATS {
+        if self.sent.len() > MAX_RECORDED_HEARTBEATS {
             self.sent.pop_front();
         }
         true
     }
 
-    /// When a heartbeat was sent, unless that is long ago.
+    /// Returns the time at which a heartbeat was sent, if it is one of the recent ones.
     pub(super) fn sent_at(&self, number: u64) -> Option<Duration> {
         self.sent.iter().find(|heartbeat| heartbeat.number == number).map(|heartbeat| heartbeat.sent_at)
     }
--- a/crates/pebblepost-replication/src/replica/log.rs
+++ b/crates/pebblepost-replication/src/replica/log.rs
@@ -1,6 +1,7 @@
-//! The log of a replica in memory: a base that the state machine covers, and the entries after it.
+//! The in-memory log of a replica: a base index, up to which entries are no longer kept, and the
+//! entries after it.
 //!
-//! Indexes start at 1. The log never reads or writes a disk.
+//! Indexes start at 1. The log does no disk I/O.
 
 use crate::codec::Blob;
 use nanoserde::{DeBin, SerBin};
@@ -13,7 +14,7 @@
     pub data: Blob,
 }
 
-/// The last entries of the log.
+/// The most recent entries of the log.
 #[derive(Debug, Default)]
 pub(super) struct Log {
     base_index: u64,
@@ -23,7 +24,7 @@
 }
 
 impl Log {
-    /// Index of the newest entry that is not kept; 0 at first.
+    /// Returns the index of the newest entry that is no longer kept; 0 at first.
     pub(super) fn base_index(&self) -> u64 {
         self.base_index
     }
@@ -36,12 +37,12 @@
         self.entries.back().map_or(self.base_epoch, |entry| entry.epoch)
     }
 
-    /// Bytes of the kept entries.
+    /// Returns the size of the kept entries in bytes.
     pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Epoch of the entry at an index; of the base too.
+    /// Returns the epoch of the entry at an index, which may be the base index.
     pub(super) fn epoch_at(&self, index: u64) -> Option<u64> {
         if index == self.base_index {
             return Some(self.base_epoch);
@@ -54,14 +55,14 @@
         self.entries.get(usize::try_from(position).ok()?)
     }
 
-    /// Entries from an index on, with their indexes.
+    /// Iterates over the kept entries from an index, with their indexes.
     pub(super) fn entries_from(&self, index: u64) -> impl Iterator<Item = (u64, &LogEntry)> {
         let first = index.max(self.base_index + 1);
         let skip_count = usize::try_from(first - self.base_index - 1).unwrap_or(usize::MAX);
         (first..).zip(self.entries.iter().skip(skip_count))
     }
 
-    /// Appends an entry; its index.
+    /// Appends an entry and returns its index.
     pub(super) fn push(&mut self, entry: LogEntry) -> u64 {
         self.bytes += entry.data.0.len();
         self.entries.push_back(entry);
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Drops the oldest entries up to `max_index` until at most `max_bytes` are kept.
+    /// Drops the oldest entries, at most up to `max_index`, until at most `max_bytes` are kept.
     pub(super) fn trim(&mut self, max_index: u64, max_bytes: usize) {
         while self.bytes > max_bytes && self.base_index < max_index {
             let Some(entry) = self.entries.pop_front() else { return };
@@ -86,13 +87,14 @@
         }
     }
 
-    /// Empties the log: a state covers everything up to `index`.
+    /// Empties the log, because a snapshot covers everything up to `index`.
     pub(super) fn reset(&mut self, index: u64, epoch: u64) {
         *self = Self { base_index: index, base_epoch: epoch, ..Self::default() };
     }
 
-    /// Newest index up to `max_index` whose epoch is at most `max_epoch`; `None` if it is not
-    /// kept. Logs that differ can agree no further than this.
+    /// Returns the newest index up to `max_index` whose epoch is at most `max_epoch`, or `None` if it
+    /// is no longer kept. A log that ends at `max_index` and `max_epoch` agrees with this one at most
+    /// up to the returned index.
     pub(super) fn last_index_at_most(&self, max_index: u64, max_epoch: u64) -> Option<u64> {
         let mut index = max_index.min(self.last_index());
         while self.epoch_at(index)? > max_epoch {
--- a/crates/pebblepost-replication/src/replica/log_receiver.rs
+++ b/crates/pebblepost-replication/src/replica/log_receiver.rs
@@ -1,4 +1,4 @@
-//! Receiving the log: the follower's side of appends.
+//! Log replication at the follower: handling and acknowledging appends.
 
 use super::core::Replica;
 use super::log::LogEntry;
@@ -8,7 +8,7 @@
 use pebblepost_messages::Member;
 
 impl<S: StateMachine> Replica<S> {
-    /// The log agrees with the primary's up to here.
+    /// Returns the index up to which the log agrees with the primary's.
     pub(super) fn matched_index(&self) -> u64 {
         match &self.role {
             Role::Follower(follower) => follower.matched,
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Entries of the primary, which follow the one at `previous_index`.
+    /// Handles entries of the primary that follow the one at `previous_index`.
     pub(super) fn on_append(
         &mut self, from: &Member, previous_index: u64, previous_epoch: u64, commit_index: u64,
         entries: Vec<LogEntry>,
@@ -26,14 +26,17 @@
             self.reject_append(from, previous_index);
             return;
         }
-        // The primary counts on no more than what it found here.
-        self.is_log_incomplete = false;
+        // The primary has found out what this log holds, and relies on nothing more.
+        self.may_lack_entries = false;
         let mut index = previous_index;
         for entry in entries {
             index += 1;
             if !self.store_entry(index, entry) {
-                // A primary never sends this; what it holds can't be trusted here.
-                log::error!("append rejected: conflict with committed entry index={index}");
+                // A correct primary never sends a conflict with a committed entry, so its entries can't
+                // be trusted.
+                log::error!(
+                    "append rejected: entry of the primary conflicts with a committed entry index={index}"
+                );
                 return;
             }
         }
@@ -43,28 +46,28 @@
         self.commit_to(commit_index.min(self.matched_index()));
     }
 
-    /// Sends the acknowledgements that are due, of what is on disk only.
+    /// Sends the acknowledgements that are due. They cover only what is on disk.
     pub(super) fn flush_as_follower(&mut self) {
-        if !self.writes.is_epoch_persisted() && self.guards.persisted_before_ack {
+        if !self.writes.is_epoch_persisted() && self.guards.persists_before_ack {
             return;
         }
         self.acknowledge_entries();
         self.acknowledge_heartbeat();
     }
 
-    /// How far the log may be acknowledged: as far as it is on disk.
+    /// Returns the index up to which the log may be acknowledged because it is on disk.
     pub(super) fn acknowledgeable_index(&self) -> u64 {
-        if self.guards.persisted_before_ack { self.writes.persisted_index() } else { u64::MAX }
+        if self.guards.persists_before_ack { self.writes.persisted_index() } else { u64::MAX }
     }
 
-    /// Whether the log agrees with the primary's up to an index. What has been dropped from memory
-    /// is committed, and agrees.
+    /// Returns whether the log agrees with the primary's up to an index. Entries that were dropped from
+    /// memory are committed and therefore agree.
     fn agrees_at(&self, index: u64, epoch: u64) -> bool {
         index < self.log.base_index() || self.log.epoch_at(index) == Some(epoch)
     }
 
-    /// Stores the primary's entry at its index; what differs from there on is replaced. False if
-    /// that would change committed entries.
+    /// Stores an entry of the primary at its index, and drops a conflicting entry there with all that
+    /// follow. Returns false if that would change committed entries.
     fn store_entry(&mut self, index: u64, entry: LogEntry) -> bool {
         if index <= self.log.base_index() || self.log.epoch_at(index) == Some(entry.epoch) {
             return true;
@@ -99,7 +102,7 @@
         }
         follower.acknowledged = index;
         follower.is_ack_due &= !is_complete;
-        self.removal.on_confirmation(epoch);
+        self.removal.on_acknowledgement(epoch);
         self.send_to_primary(&ReplicaMessage::Appended { epoch, index });
     }
 }
--- a/crates/pebblepost-replication/src/replica/log_sender.rs
+++ b/crates/pebblepost-replication/src/replica/log_sender.rs
@@ -1,4 +1,4 @@
-//! Sending the log: the primary's side of appends.
+//! Log replication at the primary: sending appends and handling the replies.
 
 use super::core::Replica;
 use super::log::LogEntry;
@@ -9,7 +9,7 @@
 use pebblepost_messages::DiskId;
 
 impl<S: StateMachine> Replica<S> {
-    /// Appends a proposed entry; its index.
+    /// Appends a proposed entry and returns its index.
     pub(super) fn append_as_primary(&mut self, entry: Vec<u8>) -> u64 {
         let (now, last_index) = (self.now, self.log.last_index());
         if let Some(primary) = self.primary_mut() {
@@ -18,7 +18,7 @@
         self.append_to_log(LogEntry { epoch: self.record.epoch, data: Blob(entry) })
     }
 
-    /// A replica holds the log on disk up to `index`.
+    /// Handles the acknowledgement that a replica holds the log on disk up to `index`.
     pub(super) fn on_appended(&mut self, from: DiskId, index: u64) {
         let now = self.now;
         if index > self.log.last_index() {
@@ -29,15 +29,17 @@
         self.commit_as_primary();
     }
 
-    /// Makes up for a lost acknowledgement.
-    pub(super) fn on_repeated_ack(&mut self, from: DiskId, index: u64) {
+    /// Handles the persisted index in a heartbeat acknowledgement, which makes up for a lost
+    /// acknowledgement of entries.
+    pub(super) fn on_persisted_report(&mut self, from: DiskId, index: u64) {
         let is_higher = self.progress_mut(from).is_some_and(|progress| index > progress.matched.unwrap_or(0));
         if is_higher {
             self.on_appended(from, index);
         }
     }
 
-    /// A replica does not hold the entry that an append builds on: an earlier one is tried.
+    /// Handles the rejection of an append because the replica lacks the entry before it. Probes from an
+    /// earlier index, or starts a snapshot if the entries are no longer kept.
     pub(super) fn on_append_rejected(
         &mut self, from: DiskId, previous_index: u64, hint_index: u64, hint_epoch: u64,
     ) {
@@ -53,7 +55,8 @@
         }
     }
 
-    /// Sends what is due to a tracked replica: a probe, a chunk of a snapshot or a window of appends.
+    /// Sends the messages that are due to a tracked replica: a probe, a snapshot chunk or a window of
+    /// appends.
     pub(super) fn send_due(&mut self, disk: DiskId) {
         let base_index = self.log.base_index();
         let Some(progress) = self.progress_mut(disk) else { return };
@@ -85,7 +88,8 @@
         }
     }
 
-    /// Sends entries from the replica's next index on, as many as fit; the index of the last.
+    /// Sends as many entries as fit into one message, from the replica's next index, and returns the
+    /// index of the last one.
     fn send_append(&mut self, disk: DiskId) -> u64 {
         let Some(progress) = self.progress_mut(disk) else { return 0 };
         let (member, previous_index) = (progress.member.clone(), progress.next_index - 1);
--- a/crates/pebblepost-replication/src/replica/message.rs
+++ b/crates/pebblepost-replication/src/replica/message.rs
@@ -1,4 +1,4 @@
-//! Messages between replicas. The order of variants and fields is the wire form.
+//! Messages between replicas. The order of variants and fields is the wire format.
 
 use super::log::LogEntry;
 use crate::codec::{Blob, Sequence};
@@ -6,13 +6,13 @@
 use nanoserde::{DeBin, SerBin};
 use pebblepost_messages::DiskId;
 
-/// Largest payload of one message; a single larger entry is sent alone.
+/// Maximum payload of one message, except that a larger entry is sent in a message of its own.
 pub(super) const MAX_PAYLOAD_BYTES: usize = 256 * 1024;
 
 /// A message between replicas.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum ReplicaMessage {
-    /// From the primary: entries that follow the entry at `previous_index`.
+    /// Sent by the primary: entries that follow the entry at `previous_index`.
     Append {
         epoch: u64,
         previous_index: u64,
@@ -20,38 +20,40 @@
         commit_index: u64,
         entries: Sequence<LogEntry>,
     },
-    /// The log agrees with the primary's up to `index`, and is on disk.
+    /// Acknowledges that the log agrees with the primary's up to `index` and is on disk.
     Appended { epoch: u64, index: u64 },
-    /// The log does not hold the entry that an append builds on. It may agree up to the hint at
-    /// most.
+    /// Rejects an append because the log does not hold the entry at `previous_index`. The logs agree at
+    /// most up to the hint.
     AppendRejected { epoch: u64, previous_index: u64, hint_index: u64, hint_epoch: u64 },
-    /// From the primary, at regular intervals.
+    /// Sent by the primary at regular intervals.
     Heartbeat { epoch: u64, number: u64, commit_index: u64 },
-    /// Acknowledges a heartbeat; the log agrees with the primary's up to `matched`, and is on disk
-    /// up to `persisted` of that (as in an acknowledgement that may have been lost).
+    /// Acknowledges a heartbeat. The log agrees with the primary's up to `matched`, and that part of it
+    /// is on disk up to `persisted`, which repeats an [`Self::Appended`] that may have been lost.
     HeartbeatAck { epoch: u64, number: u64, matched: u64, persisted: u64 },
-    /// A replica that is not in sync asks for the log.
+    /// Sent by a replica that is not in sync: asks for the log.
     JoinRequest { epoch: u64, last_index: u64, last_epoch: u64 },
-    /// A chunk of a snapshot.
+    /// Sent by the primary: a chunk of a snapshot.
     SnapshotChunk { epoch: u64, index: u64, index_epoch: u64, total: u64, offset: u64, bytes: Blob },
-    /// Asks for the rest of a snapshot from `offset` on.
+    /// Acknowledges the first `offset` bytes of a snapshot and asks for the rest.
     SnapshotReceived { epoch: u64, index: u64, offset: u64 },
     /// The newest epoch record that the sender knows.
     NewEpoch { record: EpochRecord },
-    /// The sender knows this epoch only, and was sent something of a newer one.
+    /// Asks for the newest epoch record; the sender knows only this epoch and received a message of a
+    /// newer one.
     EpochRequest { epoch: u64 },
-    /// The primary of this epoch has stopped for good in favour of its successor.
+    /// The primary of this epoch has stepped down in favour of its successor.
     SteppedDown { epoch: u64 },
-    /// The disk of the primary of this epoch is lost, and its process with it: the sender has taken
-    /// its place at its address, with another disk.
+    /// The primary of this epoch has lost its disk, and its process has ended: the sender has replaced
+    /// it at its address, with another disk.
     PrimaryReplaced { epoch: u64, primary: DiskId },
-    /// Before the first primary: asks whether a founder is up.
-    FounderProbe,
-    /// Answer to [`Self::FounderProbe`]: whether the founder holds nothing yet.
-    FounderProbeAck { is_empty: bool },
-    /// A replica that is not in sync is to be removed: asks whether the primary still counts on it.
+    /// Before the first primary is elected: asks a member of the initial configuration whether it is up.
+    BootstrapQuery,
+    /// Answer to [`Self::BootstrapQuery`]: whether the sender holds no data yet.
+    BootstrapQueryReply { is_empty: bool },
+    /// Sent by a replica that is not in sync and is to be removed: asks the primary to stop relying on
+    /// its data.
     RemovalRequest { epoch: u64, number: u64 },
-    /// Answer to the request with this number: neither the record nor an undecided change names the
-    /// replica.
+    /// Grants the removal request with this number: neither the record nor an undecided change names
+    /// the replica.
     RemovalGranted { epoch: u64, number: u64 },
 }
--- a/crates/pebblepost-replication/src/replica/primary_term.rs
+++ b/crates/pebblepost-replication/src/replica/primary_term.rs
@@ -1,4 +1,4 @@
-//! The term of a primary: how it starts, goes on in the next epoch, and ends.
+//! The term of a primary: its start, its continuation in the next epoch, and its end.
 
 use super::core::Replica;
 use super::disk_record::DiskRecord;
@@ -16,32 +16,34 @@
         self.track_in_sync();
     }
 
-    /// Stays primary in the next epoch: the log is the same, so what is acknowledged stays so.
+    /// Stays primary in the next epoch. The log does not change, so acknowledged entries stay
+    /// acknowledged.
     pub(super) fn continue_as_primary(&mut self, former: &EpochRecord) {
         let last_index = self.log.last_index();
         let epoch = self.record.epoch;
         let in_sync = self.record.in_sync.clone();
         let Some(primary) = self.primary_mut() else { return };
-        let has_acted = primary.is_announced;
-        primary.is_epoch_open = false;
+        let has_acted = primary.has_reported_acting;
+        primary.is_epoch_announced = false;
         primary.draining_since = None;
         primary.epoch_receivers.clone_from(&former.in_sync);
         for progress in primary.progress.iter_mut() {
             progress.start_epoch(last_index);
             if !contains(&in_sync, progress.member.disk) {
-                // It is added on what it acknowledges in this epoch only: see `acknowledged_epoch`.
+                // A replica that the new epoch dropped is added again only on the strength of
+                // acknowledgements in the new epoch; see `acknowledged_epoch`.
                 progress.lease_start = None;
             }
         }
         self.track_in_sync();
         if has_acted {
-            self.record_acting(epoch);
+            self.persist_acted(epoch);
         }
     }
 
-    /// Ends the term, if there was one; the successor learns that this replica acts no more.
+    /// Ends the term if this replica acted in it, and tells the successor that it stepped down.
     pub(super) fn stop_as_primary(&mut self, former: &EpochRecord) {
-        if !self.primary().is_some_and(|primary| primary.is_announced) {
+        if !self.primary().is_some_and(|primary| primary.has_reported_acting) {
             return;
         }
         self.outputs.push(ReplicaOutput::SteppedDown);
@@ -49,30 +51,30 @@
     }
 
     pub(super) fn tick_as_primary(&mut self) {
-        if self.is_unable(self.now) {
+        if self.is_unable_to_lead(self.now) {
             return;
         }
         self.send_heartbeats_when_due();
         self.drop_unresponsive_joiners();
-        self.announce_targets_when_due();
+        self.announce_epoch_to_targets_when_due();
         self.plan_change();
     }
 
-    /// Opens the epoch once its record is on disk, and sends what is due. Sends nothing while it is
-    /// unable to lead.
+    /// Announces the epoch once its record is on disk, and sends the messages that are due. Sends no
+    /// entries and no snapshots while this replica is unable to lead.
     pub(super) fn flush_as_primary(&mut self) {
-        self.open_epoch();
-        if self.is_epoch_open() && !self.is_unable(self.now) {
+        self.announce_epoch_when_persisted();
+        if self.is_epoch_announced() && !self.is_unable_to_lead(self.now) {
             let last_index = self.log.last_index();
             let Some(primary) = self.primary() else { return };
             for disk in primary.progress.due(last_index) {
                 self.send_due(disk);
             }
         }
-        self.announce_when_acting();
+        self.report_acting_once();
     }
 
-    /// Tracks the progress of another replica from `next_index` on, unless it is tracked.
+    /// Starts to track the progress of another replica from `next_index`, unless it is tracked already.
     pub(super) fn track(&mut self, member: Member, next_index: u64) {
         let now = self.now;
         if member.disk == self.local.disk {
@@ -90,21 +92,22 @@
         }
     }
 
-    /// Nothing is sent in an epoch before its record is on disk: a later incarnation of this replica
-    /// must know that the epoch is used up.
-    fn open_epoch(&mut self) {
-        if !self.writes.is_epoch_persisted() && self.guards.new_epoch_after_restart {
+    /// Announces the epoch if its record is on disk. Nothing is sent in an epoch before that: after a
+    /// restart this replica must know that it may have sent messages in this epoch.
+    fn announce_epoch_when_persisted(&mut self) {
+        if !self.writes.is_epoch_persisted() && self.guards.requires_new_epoch_after_restart {
             return;
         }
         let now = self.now;
-        if self.primary().is_none_or(|primary| primary.is_epoch_open) {
+        if self.primary().is_none_or(|primary| primary.is_epoch_announced) {
             return;
         }
-        // Who was dropped by this epoch is sent its record, and nothing that it would acknowledge.
+        // Replicas that this epoch dropped are sent its record, but nothing that they would
+        // acknowledge.
         self.drop_unresponsive_joiners();
         let Some(primary) = self.primary_mut() else { return };
-        primary.is_epoch_open = true;
-        primary.is_term_open = true;
+        primary.is_epoch_announced = true;
+        primary.has_announced_first_epoch = true;
         primary.heartbeats.set_due(now);
         let mut receivers = std::mem::take(&mut primary.epoch_receivers);
         receivers.extend(primary.progress.iter().map(|progress| progress.member.clone()));
@@ -118,19 +121,19 @@
         self.commit_as_primary();
     }
 
-    fn announce_when_acting(&mut self) {
+    fn report_acting_once(&mut self) {
         if !self.is_acting(self.now) {
             return;
         }
         let epoch = self.record.epoch;
-        let Some(primary) = self.primary_mut().filter(|primary| !primary.is_announced) else { return };
-        primary.is_announced = true;
+        let Some(primary) = self.primary_mut().filter(|primary| !primary.has_reported_acting) else { return };
+        primary.has_reported_acting = true;
         self.outputs.push(ReplicaOutput::BecamePrimary { epoch });
-        self.record_acting(epoch);
+        self.persist_acted(epoch);
     }
 
-    /// A later incarnation of this replica must know that it acted.
-    fn record_acting(&mut self, epoch: u64) {
+    /// Writes to disk that this replica acts in this epoch, so that it knows this after a restart.
+    fn persist_acted(&mut self, epoch: u64) {
         self.term.on_acted(epoch);
         self.writes.push(DiskRecord::Acted { epoch });
     }
--- a/crates/pebblepost-replication/src/replica/progress.rs
+++ b/crates/pebblepost-replication/src/replica/progress.rs
@@ -1,19 +1,20 @@
-//! What the primary knows of the progress of another replica.
+//! The progress of another replica as tracked by the primary.
 
 use super::snapshot::OutgoingSnapshot;
 use pebblepost_messages::Member;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Appends that may be in flight to one replica.
-const MAX_IN_FLIGHT: usize = 16;
-/// Number of heartbeats after which the acknowledgement of a watermark's heartbeat counts as lost.
-const MAX_WATERMARK_AGE: u64 = 20;
+/// Maximum number of appends in flight to one replica.
+const MAX_APPENDS_IN_FLIGHT: usize = 16;
+/// Number of later heartbeats after which the acknowledgement of a watermark's heartbeat counts as
+/// lost.
+const MAX_WATERMARK_AGE_HEARTBEATS: u64 = 20;
 
 /// How entries are sent to a replica.
 #[derive(Debug)]
 pub(super) enum SendState {
-    /// One append at a time, until the logs are known to agree.
+    /// One append at a time, until the index at which the logs agree is known.
     Probe,
     /// One chunk of a snapshot at a time.
     Snapshot(OutgoingSnapshot),
@@ -21,38 +22,39 @@
     Replicate,
 }
 
-/// How far sending had come when a heartbeat was sent. What was sent before it arrives before it.
+/// The send position at the time at which a heartbeat was sent. Links are ordered: anything sent before
+/// the heartbeat arrives before it, or is lost.
 #[derive(Clone, Copy, Debug)]
 struct Watermark {
     heartbeat: u64,
     position: u64,
 }
 
-/// Another replica, as the primary sees it.
+/// The state that the primary keeps for another replica.
 #[derive(Debug)]
 pub(super) struct Progress {
     pub(super) member: Member,
-    /// Its log agrees and is on disk up to here; `None` before that is known in this epoch.
+    /// Index up to which its log agrees with the primary's and is on disk; `None` until that is known.
     pub(super) matched: Option<u64>,
-    /// Next entry to send.
+    /// Index of the next entry to send.
     pub(super) next_index: u64,
     pub(super) state: SendState,
-    /// The next probe, or chunk of the snapshot, is to be sent.
+    /// Whether the next probe, or the next chunk of the snapshot, is due.
     pub(super) is_send_due: bool,
-    /// Last indexes of the appends in flight.
+    /// Index of the last entry of each append in flight.
     pub(super) in_flight: VecDeque<u64>,
-    /// When the newest heartbeat that it acknowledged was sent: its lease runs from there.
+    /// Time at which the newest acknowledged heartbeat was sent. The lease that it grants starts there.
     pub(super) lease_start: Option<Duration>,
-    /// When it last acknowledged a heartbeat, or was added.
+    /// Time at which it last acknowledged a heartbeat, or was added.
     pub(super) last_ack_at: Duration,
-    /// Since when it has not acknowledged any entry although some are pending.
+    /// Time since which it has acknowledged no further entry although some are pending.
     pub(super) pending_since: Duration,
-    /// The heartbeat whose acknowledgement shows whether something was lost.
+    /// The heartbeat whose acknowledgement shows whether a message before it was lost.
     watermark: Option<Watermark>,
 }
 
 impl Progress {
-    /// A replica that is probed from `next_index` on.
+    /// Creates the progress of a replica that is probed from `next_index`.
     pub(super) fn new(member: Member, next_index: u64, now: Duration) -> Self {
         Self {
             member,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Starts over at `next_index`: one append, then the rest once it is acknowledged.
+    /// Restarts at `next_index`: sends one append, and the rest once that is acknowledged.
     pub(super) fn probe_from(&mut self, next_index: u64) {
         self.next_index = next_index;
         self.state = SendState::Probe;
@@ -76,14 +78,14 @@
         self.in_flight.clear();
     }
 
-    /// Starts to send a snapshot in place of entries.
+    /// Starts to send a snapshot instead of entries.
     pub(super) fn send_snapshot(&mut self, snapshot: OutgoingSnapshot) {
         self.state = SendState::Snapshot(snapshot);
         self.is_send_due = true;
         self.in_flight.clear();
     }
 
-    /// The snapshot on its way to it.
+    /// Returns the snapshot in transfer to it, if any.
     pub(super) fn snapshot(&self) -> Option<&OutgoingSnapshot> {
         match &self.state {
             SendState::Snapshot(snapshot) => Some(snapshot),
@@ -91,13 +93,13 @@
         }
     }
 
-    /// Whether one append at a time is sent.
+    /// Returns whether appends are sent one at a time.
     pub(super) fn is_probing(&self) -> bool {
         matches!(self.state, SendState::Probe)
     }
 
-    /// It holds a snapshot up to `index` as far as `offset`: the next chunk follows, or the entries
-    /// after the snapshot.
+    /// Handles the acknowledgement of the first `offset` bytes of the snapshot at `index`. The next
+    /// chunk becomes due, or the entries after the snapshot if it is complete.
     pub(super) fn on_snapshot_received(&mut self, index: u64, offset: u64) {
         let SendState::Snapshot(snapshot) = &mut self.state else { return };
         if snapshot.index != index {
@@ -110,19 +112,21 @@
         }
     }
 
-    /// A heartbeat is sent to it. One that is not acknowledged yet stays the watermark, however
-    /// long the round trip takes, unless its acknowledgement must be lost.
+    /// Records that a heartbeat is sent to it. The watermark stays at an earlier unacknowledged
+    /// heartbeat, so that a long round trip does not move it, until the acknowledgement of that
+    /// heartbeat counts as lost.
     pub(super) fn on_heartbeat_sent(&mut self, heartbeat: u64) {
-        let is_pending =
-            |watermark: &Watermark| heartbeat.saturating_sub(watermark.heartbeat) < MAX_WATERMARK_AGE;
+        let is_pending = |watermark: &Watermark| {
+            heartbeat.saturating_sub(watermark.heartbeat) < MAX_WATERMARK_AGE_HEARTBEATS
+        };
         if self.watermark.as_ref().is_none_or(|watermark| !is_pending(watermark)) {
             self.watermark = Some(Watermark { heartbeat, position: self.send_position() });
         }
     }
 
-    /// It acknowledged a heartbeat that was sent at `sent_at`, with its log agreeing up to
-    /// `matched`. Renews its lease, and sends again whatever was sent before the watermark and has
-    /// not arrived.
+    /// Handles the acknowledgement of a heartbeat that was sent at `sent_at`, with the log agreeing up
+    /// to `matched`. Renews the lease, and resends what was sent before the watermark and has not
+    /// arrived.
     pub(super) fn on_heartbeat_ack(
         &mut self, heartbeat: u64, sent_at: Duration, matched: u64, now: Duration,
     ) {
@@ -131,8 +135,8 @@
         self.resend_lost(heartbeat, matched);
     }
 
-    /// The next epoch begins: what was sent in the one before is rejected, and not acknowledged any
-    /// more.
+    /// Starts the next epoch. Messages of the previous epoch are rejected and no longer acknowledged,
+    /// so they are sent again.
     pub(super) fn start_epoch(&mut self, last_index: u64) {
         self.watermark = None;
         if self.snapshot().is_some() {
@@ -142,12 +146,12 @@
         }
     }
 
-    /// Whether another append may be sent.
+    /// Returns whether another append may be sent.
     pub(super) fn has_window(&self) -> bool {
-        self.in_flight.len() < MAX_IN_FLIGHT
+        self.in_flight.len() < MAX_APPENDS_IN_FLIGHT
     }
 
-    /// Whether a message is to be sent to it now.
+    /// Returns whether a message to it is due.
     pub(super) fn is_due(&self, last_index: u64) -> bool {
         match self.state {
             SendState::Probe | SendState::Snapshot(_) => self.is_send_due,
@@ -155,13 +159,13 @@
         }
     }
 
-    /// An append up to this index was sent.
+    /// Records that an append up to this index was sent.
     pub(super) fn on_append_sent(&mut self, last_index: u64) {
         self.next_index = last_index + 1;
         self.in_flight.push_back(last_index);
     }
 
-    /// Its log agrees and is on disk up to `index`.
+    /// Handles the acknowledgement that its log agrees and is on disk up to `index`.
     pub(super) fn on_appended(&mut self, index: u64, now: Duration) {
         if self.matched.is_none_or(|matched| matched < index) {
             self.matched = Some(index);
@@ -175,25 +179,26 @@
         self.next_index = self.next_index.max(index + 1);
     }
 
-    /// Starts its timeouts anew.
+    /// Restarts its timeouts.
     pub(super) fn reset_timeouts(&mut self, now: Duration) {
         self.last_ack_at = now;
         self.pending_since = now;
     }
 
-    /// Whether it has left a heartbeat or an entry unacknowledged for longer than `max_lag`.
+    /// Returns whether it has left heartbeats or an entry unacknowledged for longer than `max_lag`.
     pub(super) fn is_lagging(&self, now: Duration, last_index: u64, max_lag: Duration) -> bool {
         let is_behind = self.matched.is_none_or(|matched| matched < last_index);
         let is_timed_out = now.saturating_sub(self.last_ack_at) > max_lag;
         is_timed_out || (is_behind && now.saturating_sub(self.pending_since) > max_lag)
     }
 
-    /// Whether its lease, counted from the sending of a heartbeat that it acknowledged, runs.
+    /// Returns whether the lease that it grants is unexpired, counted from the time at which the
+    /// heartbeat that it acknowledged was sent.
     pub(super) fn grants_lease(&self, now: Duration, lease: Duration) -> bool {
         self.lease_start.is_some_and(|start| now.saturating_sub(start) < lease)
     }
 
-    /// How far sending has come: changes whenever something moves.
+    /// Returns the send position, which changes with every transfer that makes progress.
     fn send_position(&self) -> u64 {
         self.snapshot().map_or(self.next_index, |snapshot| snapshot.offset as u64)
     }
--- a/crates/pebblepost-replication/src/replica/receive.rs
+++ b/crates/pebblepost-replication/src/replica/receive.rs
@@ -1,4 +1,4 @@
-//! Messages of other replicas: which are accepted, and which concern handles them.
+//! Dispatch of messages from other replicas: which are accepted, and which concern handles them.
 
 use super::core::Replica;
 use super::message::ReplicaMessage;
@@ -28,8 +28,8 @@
             ReplicaMessage::EpochRequest { epoch } => self.on_epoch_request(from, epoch),
             ReplicaMessage::SteppedDown { epoch } => self.election.stepped_down_epoch = Some(epoch),
             ReplicaMessage::PrimaryReplaced { epoch, primary } => self.on_primary_replaced(epoch, primary),
-            ReplicaMessage::FounderProbe => self.on_founder_probe(from),
-            ReplicaMessage::FounderProbeAck { is_empty } => self.on_founder_probe_ack(from, is_empty),
+            ReplicaMessage::BootstrapQuery => self.on_bootstrap_query(from),
+            ReplicaMessage::BootstrapQueryReply { is_empty } => self.on_bootstrap_query_reply(from, is_empty),
             ReplicaMessage::RemovalRequest { epoch, number } => self.on_removal_request(from, epoch, number),
             ReplicaMessage::RemovalGranted { epoch, number } => self.on_removal_granted(epoch, number),
             to_primary => self.dispatch_to_primary(from, to_primary),
@@ -50,7 +50,7 @@
                 if epoch == self.record.epoch =>
             {
                 self.on_heartbeat_ack(from.disk, number, matched);
-                self.on_repeated_ack(from.disk, persisted);
+                self.on_persisted_report(from.disk, persisted);
             }
             ReplicaMessage::SnapshotReceived { epoch, index, offset } if epoch == self.record.epoch => {
                 self.on_snapshot_received(from.disk, index, offset);
@@ -62,8 +62,9 @@
         }
     }
 
-    /// Whether a message of an epoch comes from the primary that this replica follows. Senders of
-    /// an older epoch are sent the newer one; where this replica lags behind, it asks for it.
+    /// Returns whether a message of this epoch comes from the primary that this replica follows. Sends
+    /// the newer epoch record to a sender of an older epoch, and requests the record from a sender of
+    /// a newer one.
     fn is_from_primary(&mut self, from: &Member, epoch: u64) -> bool {
         let is_follower = matches!(self.role, Role::Follower(_));
         if epoch > self.record.epoch {
@@ -73,7 +74,7 @@
         }
         if epoch < self.record.epoch {
             self.send_epoch(from);
-            return !self.guards.old_epochs_rejected && is_follower;
+            return !self.guards.rejects_old_epochs && is_follower;
         }
         from.disk == self.record.primary && is_follower
     }
--- a/crates/pebblepost-replication/src/replica/reconfiguration.rs
+++ b/crates/pebblepost-replication/src/replica/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Changes of the membership that the primary requests: drops, joins, replacements.
+//! Changes of the membership that the primary requests: removed, added and replaced replicas.
 
 use super::core::Replica;
 use super::output::ReplicaOutput;
@@ -7,35 +7,37 @@
 use crate::record::{EpochRecord, contains};
 use pebblepost_messages::{DiskId, Member};
 
-/// A joiner that has not answered for this many times `max_replica_lag` is dropped.
-const DROP_AFTER_LAGS: u32 = 3;
+/// Time without an acknowledgement after which a joiner is dropped, in multiples of `max_replica_lag`.
+const JOINER_TIMEOUT_LAGS: u32 = 3;
 
 impl<S: StateMachine> Replica<S> {
-    /// Drops joiners that don't answer or are not targets any more.
+    /// Stops tracking joiners that have not acknowledged a heartbeat in time or are no longer targets.
+    /// In-sync replicas, and joiners that an undecided change names, stay tracked.
     pub(super) fn drop_unresponsive_joiners(&mut self) {
-        let timeout = self.settings.max_replica_lag * DROP_AFTER_LAGS;
+        let timeout = self.settings.max_replica_lag * JOINER_TIMEOUT_LAGS;
         let now = self.now;
-        let counting = self.record.in_sync.iter().chain(self.pending_change.joiners());
-        let counting: Vec<DiskId> = counting.map(|member| member.disk).collect();
+        let required = self.record.in_sync.iter().chain(self.pending_change.joiners());
+        let required: Vec<DiskId> = required.map(|member| member.disk).collect();
         let targets = self.targets.clone();
         let Some(primary) = self.primary_mut() else { return };
         primary.progress.retain(|progress| {
             let disk = progress.member.disk;
             let is_target = targets.is_empty() || contains(&targets, disk);
-            counting.contains(&disk) || (is_target && now.saturating_sub(progress.last_ack_at) <= timeout)
+            required.contains(&disk) || (is_target && now.saturating_sub(progress.last_ack_at) <= timeout)
         });
     }
 
-    /// Targets that have not asked for the log may not know the epoch.
-    pub(super) fn announce_targets_when_due(&mut self) {
+    /// Sends the epoch record to targets that have not asked for the log, because they may not know the
+    /// epoch.
+    pub(super) fn announce_epoch_to_targets_when_due(&mut self) {
         let (now, interval) = (self.now, self.settings.max_replica_lag);
         let local_disk = self.local.disk;
         let targets = self.targets.clone();
         let Some(primary) = self.primary_mut() else { return };
-        if !primary.is_epoch_open || now < primary.announce_targets_at {
+        if !primary.is_epoch_announced || now < primary.next_target_announcement_at {
             return;
         }
-        primary.announce_targets_at = now + interval;
+        primary.next_target_announcement_at = now + interval;
         let is_untracked =
             |target: &&Member| target.disk != local_disk && !primary.progress.contains(target.disk);
         let untracked: Vec<Member> = targets.iter().filter(is_untracked).cloned().collect();
@@ -44,9 +46,12 @@
         }
     }
 
-    /// Requests the next epoch where the membership should differ.
+    /// Requests the next epoch if the membership differs from what it should be.
     pub(super) fn plan_change(&mut self) {
-        if !self.is_epoch_open() || !self.pending_change.may_request(self.now) || self.is_as_desired() {
+        if !self.is_epoch_announced()
+            || !self.pending_change.may_request(self.now)
+            || self.is_membership_as_desired()
+        {
             return;
         }
         let in_sync = self.desired_in_sync();
@@ -57,42 +62,46 @@
         if !hands_over && let Some(primary) = self.primary_mut() {
             primary.draining_since = None;
         }
-        if in_sync != self.record.in_sync || self.pending_change.is_restricting() {
+        if in_sync != self.record.in_sync || self.pending_change.restricts_primary() {
             self.request_epoch(self.local.disk, in_sync);
         }
     }
 
-    /// Requests the next epoch from the configuration manager.
+    /// Requests the next epoch with this primary and these in-sync replicas from the configuration
+    /// manager.
     pub(super) fn request_epoch(&mut self, primary: DiskId, in_sync: Vec<Member>) {
         let expected = self.record.epoch;
         if self.primary().is_some() {
             let hands_over = primary != self.local.disk;
-            self.pending_change.count_in(&self.record, &in_sync, hands_over);
+            self.pending_change.add_requested_change(&self.record, &in_sync, hands_over);
         }
         self.pending_change.on_request();
         let record = EpochRecord { epoch: expected + 1, primary, in_sync, ..self.record.clone() };
         self.outputs.push(ReplicaOutput::ChangeEpoch { expected, record });
     }
 
-    /// Whether the membership is as it should be: the common case, checked cheaply.
-    fn is_as_desired(&self) -> bool {
+    /// Returns whether the membership is as it should be. This is a cheap check for the common case.
+    fn is_membership_as_desired(&self) -> bool {
         let Some(primary) = self.primary() else { return true };
-        let is_fine = |member: &Member| self.is_target(member.disk) && !self.is_lagging(member.disk);
+        let is_responsive_target =
+            |member: &Member| self.is_target(member.disk) && !self.is_lagging(member.disk);
         let has_joiners = primary.progress.iter().any(|other| !self.record.is_in_sync(other.member.disk));
         !primary.is_draining()
             && !has_joiners
-            && !self.pending_change.is_restricting()
-            && self.record.in_sync.iter().all(is_fine)
+            && !self.pending_change.restricts_primary()
+            && self.record.in_sync.iter().all(is_responsive_target)
     }
 
-    /// The in-sync replicas as they should be; as they are where nothing better is possible.
+    /// Returns the in-sync replicas as they should be: responsive targets and joiners that are ready.
+    /// If these are too few for the tolerance, responsive replicas that are not targets are kept, too;
+    /// if that is not enough either, the set stays as it is.
     fn desired_in_sync(&self) -> Vec<Member> {
-        let alive = self.record.in_sync.iter().filter(|member| !self.is_lagging(member.disk));
-        let alive: Vec<Member> = alive.cloned().collect();
+        let responsive = self.record.in_sync.iter().filter(|member| !self.is_lagging(member.disk));
+        let responsive: Vec<Member> = responsive.cloned().collect();
         let is_kept = |member: &&Member| member.disk == self.local.disk || self.is_target(member.disk);
-        let kept: Vec<Member> = alive.iter().filter(is_kept).cloned().collect();
+        let kept: Vec<Member> = responsive.iter().filter(is_kept).cloned().collect();
         let ready = self.ready_joiners();
-        let choices = [[kept, ready.clone()].concat(), [alive, ready].concat()];
+        let choices = [[kept, ready.clone()].concat(), [responsive, ready].concat()];
         let is_enough = |choice: &Vec<Member>| self.settings.tolerance.is_met_by(choice);
         choices.into_iter().find(is_enough).unwrap_or_else(|| self.record.in_sync.clone())
     }
@@ -103,14 +112,15 @@
         primary.progress.get(disk).is_some_and(|other| other.is_lagging(self.now, last_index, max_lag))
     }
 
-    /// Replicas that are not in sync and hold all that may have been acknowledged.
+    /// Returns the replicas that are not in sync but hold every entry that may have been acknowledged.
     fn ready_joiners(&self) -> Vec<Member> {
         let Some(primary) = self.primary() else { return Vec::new() };
-        let joiners = primary.progress.iter().filter(|other| self.is_ready(other, primary.takeover_index));
+        let joiners =
+            primary.progress.iter().filter(|other| self.is_ready_to_join(other, primary.takeover_index));
         joiners.map(|joiner| joiner.member.clone()).collect()
     }
 
-    fn is_ready(&self, joiner: &Progress, takeover_index: u64) -> bool {
+    fn is_ready_to_join(&self, joiner: &Progress, takeover_index: u64) -> bool {
         let disk = joiner.member.disk;
         let required_index = self.commit_index.max(takeover_index);
         let holds_all = joiner.matched.is_some_and(|matched| matched >= required_index);
@@ -118,6 +128,6 @@
             && self.is_target(disk)
             && !self.is_lagging(disk)
             && joiner.grants_lease(self.now, self.settings.lease)
-            && (holds_all || !self.guards.joiner_is_caught_up)
+            && (holds_all || !self.guards.requires_caught_up_joiner)
     }
 }
--- a/crates/pebblepost-replication/src/replica/recovery.rs
+++ b/crates/pebblepost-replication/src/replica/recovery.rs
@@ -1,4 +1,4 @@
-//! Reads back what a replica's disk held.
+//! Recovery of a replica from the records on its disk.
 
 use super::disk_record::DiskRecord;
 use super::log::{Log, LogEntry};
@@ -7,19 +7,19 @@
 use crate::codec::Blob;
 use crate::record::EpochRecord;
 
-/// Log and epoch as recovered; the state machine is restored on the way.
+/// The recovered state, except for that of the state machine, which is restored in place.
 #[derive(Debug, Default)]
 pub(super) struct Recovered {
     pub(super) log: Log,
     pub(super) record: EpochRecord,
-    /// Index that the restored snapshot covers.
+    /// Last index that the restored snapshot covers.
     pub(super) applied_index: u64,
     pub(super) term: TermHistory,
-    /// Entries are missing: those after them were left out.
+    /// Whether entries are missing. Those after the gap are discarded.
     pub(super) has_gap: bool,
 }
 
-/// Replays the records of the disk, in the order written.
+/// Replays the records of the disk, in the order in which they were written.
 pub(super) fn recover<S: StateMachine>(records: Vec<DiskRecord>, state_machine: &mut S) -> Recovered {
     let mut recovered = Recovered::default();
     for record in records {
@@ -44,7 +44,7 @@
     recovered
 }
 
-/// Puts an entry at its index; false where entries before it are missing.
+/// Puts an entry at its index. Returns false if entries before it are missing.
 fn replay_entry(log: &mut Log, index: u64, entry: LogEntry) -> bool {
     if index <= log.base_index() {
         return true;
--- a/crates/pebblepost-replication/src/replica/removal.rs
+++ b/crates/pebblepost-replication/src/replica/removal.rs
@@ -1,9 +1,9 @@
-//! Removal of a replica: first the primary stops counting on it.
+//! Removal of a replica, which first asks the primary to stop relying on its data.
 //!
 //! A primary proposes a joiner on the strength of its acknowledgements, and the configuration manager
-//! may decide that proposal much later. A replica that has acknowledged something in the current epoch
-//! may therefore drop its data only once the primary of that epoch has answered that no undecided
-//! change names it.
+//! may decide on that proposal much later. A replica that has acknowledged anything in the current
+//! epoch may therefore drop its data only after the primary of that epoch has answered that no
+//! undecided change names it.
 
 use super::core::Replica;
 use super::message::ReplicaMessage;
@@ -11,19 +11,20 @@
 use pebblepost_messages::Member;
 use std::time::Duration;
 
-/// Heartbeat intervals between two requests.
+/// Interval between two requests, in heartbeat intervals.
 const REQUEST_INTERVAL_HEARTBEATS: u32 = 10;
 
 impl<S: StateMachine> Replica<S> {
-    /// Newest epoch in which this replica may have acknowledged that it holds something. Only a
-    /// change that builds on this epoch or an earlier one can count on what it holds, unless the
-    /// record names it.
+    /// Returns the newest epoch in which this replica may have acknowledged that it holds data. Unless
+    /// the epoch record names this replica, only a change that builds on this epoch or an earlier one
+    /// can rely on its data.
     pub fn acknowledged_epoch(&self) -> u64 {
         self.removal.acknowledged_epoch()
     }
 
-    /// Asks the primary to stop counting on this replica; [`Self::acknowledged_epoch`] falls below the
-    /// current epoch once it has agreed. To be repeated until then; requests are sent at intervals.
+    /// Asks the primary to stop relying on the data of this replica. Once it has agreed,
+    /// [`Self::acknowledged_epoch`] is below the current epoch. The caller repeats the call until then;
+    /// the number of messages is limited by an interval.
     pub fn request_removal(&mut self, now: Duration) {
         self.advance(now);
         if !self.removal.is_request_due(self.now) || self.record.is_in_sync(self.local.disk) {
@@ -36,8 +37,8 @@
         self.send(primary, &message);
     }
 
-    /// A replica is to be removed. Its progress is dropped, unless the record or an undecided change
-    /// names it.
+    /// Handles the request of a replica that is to be removed. Stops tracking it and grants the request,
+    /// unless the record or an undecided change names it.
     pub(super) fn on_removal_request(&mut self, from: &Member, epoch: u64, number: u64) {
         let is_counted = self.record.is_in_sync(from.disk) || self.pending_change.adds(from.disk);
         if epoch != self.record.epoch || is_counted {
@@ -48,7 +49,7 @@
         self.send(from.clone(), &ReplicaMessage::RemovalGranted { epoch, number });
     }
 
-    /// The primary does not count on this replica any more.
+    /// Handles the answer that the primary no longer relies on the data of this replica.
     pub(super) fn on_removal_granted(&mut self, epoch: u64, number: u64) {
         if epoch == self.record.epoch {
             self.removal.on_granted(epoch, number);
--- a/crates/pebblepost-replication/src/replica/removal_state.rs
+++ b/crates/pebblepost-replication/src/replica/removal_state.rs
@@ -1,21 +1,22 @@
-//! What a replica has confirmed, and its requests to be removed.
+//! The epoch that a replica has acknowledged, and its requests to be removed.
 
 use std::time::Duration;
 
-/// Confirmations and removal requests of this replica.
+/// Acknowledgements and removal requests of this replica.
 #[derive(Debug)]
 pub(super) struct RemovalState {
-    /// Newest epoch in which this replica acknowledged a heartbeat or an entry, in a former
-    /// incarnation too.
+    /// Newest epoch in which this replica, in this or a former incarnation, may have acknowledged a
+    /// heartbeat or an entry.
     acknowledged_epoch: u64,
     last_number: u64,
-    /// Number of the newest request, if nothing was confirmed since.
+    /// Number of the newest request, unless the replica has acknowledged anything since.
     open_request: Option<u64>,
     next_request_at: Duration,
 }
 
 impl RemovalState {
-    /// After a start: a former incarnation may have confirmed something in the recovered epoch.
+    /// Creates the state at the start of a process. A former incarnation may have acknowledged data in
+    /// the recovered epoch.
     pub(super) fn new(recovered_epoch: u64) -> Self {
         Self {
             acknowledged_epoch: recovered_epoch,
@@ -29,8 +30,9 @@
         self.acknowledged_epoch
     }
 
-    /// Something is about to be acknowledged to the primary of this epoch.
-    pub(super) fn on_confirmation(&mut self, epoch: u64) {
+    /// Records that a heartbeat or an entry is about to be acknowledged to the primary of this epoch.
+    /// This invalidates the newest request.
+    pub(super) fn on_acknowledgement(&mut self, epoch: u64) {
         self.acknowledged_epoch = epoch;
         self.open_request = None;
     }
@@ -39,7 +41,7 @@
         now >= self.next_request_at
     }
 
-    /// Starts the next request; its number.
+    /// Starts the next request and returns its number.
     pub(super) fn start_request(&mut self, now: Duration, interval: Duration) -> u64 {
         self.next_request_at = now + interval;
         self.last_number += 1;
@@ -47,7 +49,8 @@
         self.last_number
     }
 
-    /// The primary of this epoch has granted a request.
+    /// Handles the grant of a request by the primary of this epoch. A grant of an older request, or of
+    /// one that an acknowledgement has invalidated, is ignored.
     pub(super) fn on_granted(&mut self, epoch: u64, number: u64) {
         if self.open_request == Some(number) {
             self.acknowledged_epoch = epoch.saturating_sub(1);
--- a/crates/pebblepost-replication/src/replica/resumption.rs
+++ b/crates/pebblepost-replication/src/replica/resumption.rs
@@ -1,4 +1,5 @@
-//! Shortcuts after the certain end of a primary's process: nobody waits for a lease that has ended.
+//! Takeover without waiting for the election timeout, when the process of a primary is known to have
+//! ended and its lease with it.
 
 use super::core::Replica;
 use super::message::ReplicaMessage;
@@ -6,41 +7,43 @@
 use pebblepost_messages::{DiskId, Member};
 use std::time::Duration;
 
-/// Heartbeat intervals that a restarted primary waits for the other in-sync replicas to be heard
-/// from.
-const RESUME_HEARTBEATS: u32 = 2;
+/// Time that a restarted primary waits until it has heard from the other in-sync replicas, in heartbeat
+/// intervals.
+const RESUME_WAIT_HEARTBEATS: u32 = 2;
 
 impl<S: StateMachine> Replica<S> {
-    /// After a start as the recorded primary: the former incarnation held the only lease there was,
-    /// so that nobody has to be waited for but the other replicas. Another primary may have been
-    /// chosen meanwhile; then this one's epoch is rejected.
+    /// Prepares a replica that starts as the recorded primary to resume its term.
+    ///
+    /// Its former incarnation held the only lease, so it has to wait only for the other replicas. If
+    /// another primary was chosen meanwhile, the epoch that this replica requests is rejected.
     pub(super) fn resume_own_term(&mut self) {
         if !self.has_primary_acted() {
             return;
         }
         self.election.resumed_epoch = Some(self.record.epoch);
         self.election.act_not_before = Duration::ZERO;
-        self.election.stand_not_before = self.now + self.settings.heartbeat_interval * RESUME_HEARTBEATS;
+        self.election.campaign_not_before =
+            self.now + self.settings.heartbeat_interval * RESUME_WAIT_HEARTBEATS;
     }
 
-    /// Whether this replica was the primary and has been restarted.
+    /// Returns whether this replica is the recorded primary after a restart and may resume its term.
     pub(super) fn is_resuming(&self) -> bool {
         self.is_recorded_primary() && self.election.resumed_epoch == Some(self.record.epoch)
     }
 
-    /// The primary's machine has come back with another disk: its process has ended, and its lease
-    /// with it.
+    /// Handles the message that the primary's machine came back with another disk. The process of the
+    /// primary has ended, and its lease with it.
     pub(super) fn on_primary_replaced(&mut self, epoch: u64, primary: DiskId) {
         let is_current = epoch == self.record.epoch && primary == self.record.primary;
         if !is_current || primary == self.local.disk || !self.has_primary_acted() {
             return;
         }
         self.election.act_not_before = Duration::ZERO;
-        self.election.stand_not_before = self.election.stand_not_before.min(self.now);
+        self.election.campaign_not_before = self.election.campaign_not_before.min(self.now);
     }
 
-    /// Tells the in-sync replicas that the recorded primary is gone, where this one has taken its
-    /// place.
+    /// Tells the in-sync replicas that the recorded primary is gone, if this replica has replaced it at
+    /// its address.
     pub(super) fn announce_replacement(&mut self) {
         let Some(primary) = self.record.primary_member() else { return };
         if primary.address != self.local.address || primary.disk == self.local.disk {
@@ -54,10 +57,10 @@
         }
     }
 
-    /// Whether the primary of the current epoch has acted in its term: then the leases of all
-    /// primaries before it have ended.
+    /// Returns whether the primary of the current epoch has acted in its term. If so, the leases of all
+    /// earlier primaries have ended.
     fn has_primary_acted(&self) -> bool {
         let has_acted = self.record.epoch > 0 && self.term.has_primary_acted(self.log.last_epoch());
-        has_acted || !self.guards.takeover_needs_acted_term
+        has_acted || !self.guards.early_takeover_requires_acted_term
     }
 }
--- a/crates/pebblepost-replication/src/replica/role.rs
+++ b/crates/pebblepost-replication/src/replica/role.rs
@@ -1,4 +1,4 @@
-//! What a replica does in the current epoch, and the state that goes with it.
+//! The role of a replica in the current epoch, with its state.
 
 use super::heartbeat_log::HeartbeatLog;
 use super::progress_tracker::ProgressTracker;
@@ -6,32 +6,34 @@
 use pebblepost_messages::Member;
 use std::time::Duration;
 
-/// What a replica does in the current epoch.
+/// The role of a replica in the current epoch.
 #[derive(Debug)]
 pub(super) enum Role {
     Follower(Follower),
     Primary(Box<Primary>),
 }
 
-/// State of a primary, for the whole of its term.
+/// State of a primary; it is kept for the whole term.
 #[derive(Debug)]
 pub(super) struct Primary {
-    /// End of the log at the start of the term: all of it may have been acknowledged by a
-    /// predecessor.
+    /// Last index of the log at the start of the term. A predecessor may have acknowledged all entries
+    /// up to it.
     pub(super) takeover_index: u64,
-    /// The record of the current epoch is on disk, and the epoch announced.
-    pub(super) is_epoch_open: bool,
-    /// The first epoch of this term was open once; heartbeats and proposals were possible.
-    pub(super) is_term_open: bool,
-    /// [`ReplicaOutput::BecamePrimary`](super::ReplicaOutput::BecamePrimary) was given out.
-    pub(super) is_announced: bool,
-    /// Since when no new entries are accepted, as the role is about to be handed over.
+    /// Whether the record of the current epoch is on disk and was announced.
+    pub(super) is_epoch_announced: bool,
+    /// Whether the first epoch of this term was announced. Heartbeats and proposals were possible from
+    /// then on.
+    pub(super) has_announced_first_epoch: bool,
+    /// Whether [`ReplicaOutput::BecamePrimary`](super::ReplicaOutput::BecamePrimary) was put out in this
+    /// term.
+    pub(super) has_reported_acting: bool,
+    /// Time since which no new entries are accepted because the role is about to be handed over.
     pub(super) draining_since: Option<Duration>,
     pub(super) progress: ProgressTracker,
-    /// Who else is sent the epoch record when it opens.
+    /// Members, besides the tracked replicas, to which the epoch record is sent when it is announced.
     pub(super) epoch_receivers: Vec<Member>,
-    /// When the epoch record is next sent to targets that have not joined.
-    pub(super) announce_targets_at: Duration,
+    /// Time at which the epoch record is next sent to targets that are not tracked.
+    pub(super) next_target_announcement_at: Duration,
     pub(super) heartbeats: HeartbeatLog,
 }
 
@@ -39,13 +41,13 @@
     pub(super) fn new(takeover_index: u64, now: Duration) -> Self {
         Self {
             takeover_index,
-            is_epoch_open: false,
-            is_term_open: false,
-            is_announced: false,
+            is_epoch_announced: false,
+            has_announced_first_epoch: false,
+            has_reported_acting: false,
             draining_since: None,
             progress: ProgressTracker::default(),
             epoch_receivers: Vec::new(),
-            announce_targets_at: now,
+            next_target_announcement_at: now,
             heartbeats: HeartbeatLog::new(now),
         }
     }
@@ -58,23 +60,23 @@
 /// State of a follower in one epoch.
 #[derive(Debug, Default)]
 pub(super) struct Follower {
-    /// The log agrees with the primary's up to here.
+    /// Index up to which the log agrees with the primary's.
     pub(super) matched: u64,
-    /// Newest index that was acknowledged.
+    /// Newest index that was acknowledged to the primary.
     pub(super) acknowledged: u64,
-    /// An append is to be answered, even if nothing new is on disk.
+    /// Whether an append must be acknowledged even if nothing new is on disk.
     pub(super) is_ack_due: bool,
-    /// A heartbeat whose acknowledgement waits for the epoch record to be on disk.
+    /// Number of a heartbeat whose acknowledgement waits until the epoch record is on disk.
     pub(super) pending_heartbeat: Option<u64>,
     pub(super) snapshot: Option<IncomingSnapshot>,
-    /// When the primary was last heard from.
+    /// Time at which the primary was last heard from in this epoch.
     pub(super) last_contact_at: Option<Duration>,
     pub(super) next_join_request_at: Duration,
     pub(super) join_request_count: u32,
 }
 
 impl Follower {
-    /// The log agrees with the primary's up to `index`; the primary is to be answered.
+    /// Records that the log agrees with the primary's up to `index`, which must be acknowledged.
     pub(super) fn on_matched(&mut self, index: u64) {
         self.matched = self.matched.max(index);
         self.is_ack_due = true;
--- a/crates/pebblepost-replication/src/replica/settings.rs
+++ b/crates/pebblepost-replication/src/replica/settings.rs
@@ -3,22 +3,24 @@
 use crate::record::Tolerance;
 use std::time::Duration;
 
-/// Timing and limits of a group; the same at all its replicas.
+/// Timing and limits of a group. All its replicas must use the same values.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaSettings {
-    /// Losses that the group must survive.
+    /// Failures that the group must survive.
     pub tolerance: Tolerance,
     /// Interval between two heartbeats of the primary.
     pub heartbeat_interval: Duration,
-    /// How long an acknowledged heartbeat lets the primary act, counted from its sending.
+    /// Time that the primary may act after it sent a heartbeat that was acknowledged.
     pub lease: Duration,
-    /// Election timeout: how long a replica waits after a heartbeat before it stands for election;
-    /// more than `lease`.
+    /// Time that a replica waits after it acknowledged a heartbeat before it campaigns. It must be longer
+    /// than `lease`, so that the former primary has stopped acting by then.
     pub election_timeout: Duration,
-    /// A replica that has not acknowledged an entry or a heartbeat for this long is dropped.
+    /// Time without the acknowledgement of a heartbeat or a pending entry after which a replica is
+    /// dropped from the in-sync set.
     pub max_replica_lag: Duration,
-    /// A primary whose own disk has not completed a write for this long stops acting.
+    /// Time after which a write to the own disk counts as stalled; the primary then stops acting.
     pub write_timeout: Duration,
-    /// Bytes of entries kept in memory, to bring replicas up to date without a snapshot.
+    /// Size in bytes of the entries kept in memory, from which lagging replicas are brought up to date
+    /// without a snapshot. Entries that an in-sync replica still needs are kept beyond that.
     pub max_log_bytes: usize,
 }
--- a/crates/pebblepost-replication/src/replica/snapshot.rs
+++ b/crates/pebblepost-replication/src/replica/snapshot.rs
@@ -1,8 +1,8 @@
-//! Snapshots in transfer, chunk by chunk.
+//! Snapshots that are transferred in chunks.
 
 use super::message::MAX_PAYLOAD_BYTES;
 
-/// A snapshot on its way to another replica.
+/// A snapshot in transfer to another replica.
 #[derive(Debug)]
 pub(super) struct OutgoingSnapshot {
     /// Index of the last entry that it covers.
@@ -10,18 +10,18 @@
     /// Epoch of that entry.
     pub(super) index_epoch: u64,
     pub(super) data: Vec<u8>,
-    /// Bytes that the receiver holds.
+    /// Number of bytes that the receiver has acknowledged.
     pub(super) offset: usize,
 }
 
 impl OutgoingSnapshot {
-    /// The next chunk.
+    /// Returns the next chunk.
     pub(super) fn chunk(&self) -> &[u8] {
         let end = self.data.len().min(self.offset + MAX_PAYLOAD_BYTES);
         &self.data[self.offset..end]
     }
 
-    /// The receiver holds this many bytes; whether that is all.
+    /// Records that the receiver holds this many bytes. Returns whether the transfer is complete.
     pub(super) fn on_received(&mut self, offset: u64) -> bool {
         let offset = usize::try_from(offset).unwrap_or(usize::MAX);
         let is_complete = offset >= self.data.len();
@@ -32,7 +32,7 @@
     }
 }
 
-/// A snapshot that is arriving.
+/// A snapshot that is being received.
 #[derive(Debug)]
 pub(super) struct IncomingSnapshot {
     /// Index of the last entry that it covers.
@@ -45,7 +45,7 @@
         Self { index, data: Vec::new() }
     }
 
-    /// Adds a chunk if it follows the bytes that are here; how many are here then.
+    /// Adds a chunk if it directly follows the bytes received so far. Returns their new number.
     pub(super) fn add_chunk(&mut self, offset: u64, bytes: &[u8]) -> u64 {
         if offset == self.data.len() as u64 {
             self.data.extend_from_slice(bytes);
--- a/crates/pebblepost-replication/src/replica/term_history.rs
+++ b/crates/pebblepost-replication/src/replica/term_history.rs
@@ -1,18 +1,19 @@
-//! Terms: unbroken runs of epochs with the same primary, and who acted in them.
+//! Terms, which are unbroken runs of epochs with the same primary, and whether that primary acted.
 
 use crate::record::EpochRecord;
 
-/// What a replica knows of the current term, and of its own past as primary.
+/// What a replica knows about the current term, and about its own earlier terms as primary.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TermHistory {
-    /// First epoch of the unbroken term of the recorded primary, as far as this replica knows.
+    /// First epoch of the term of the recorded primary, as far as this replica knows.
     pub(super) first_epoch: u64,
-    /// Newest epoch in which this replica itself acted as primary; 0 if none is known.
+    /// Newest epoch in which this replica acted as primary; 0 if none is known.
     pub(super) acted_in: u64,
 }
 
 impl TermHistory {
-    /// The record `next` follows `former`.
+    /// Records the change from the record `former` to `next`. A new term starts unless the same primary
+    /// continues in the directly following epoch.
     pub(super) fn enter(&mut self, former: &EpochRecord, next: &EpochRecord) {
         let is_same_epoch = next.epoch == former.epoch;
         let is_continued =
@@ -22,13 +23,13 @@
         }
     }
 
-    /// This replica has acted as primary of an epoch.
+    /// Records that this replica acted as primary of an epoch.
     pub(super) fn on_acted(&mut self, epoch: u64) {
         self.acted_in = epoch;
     }
 
-    /// Whether the primary is known to have acted in its term: by an entry of the term in the log,
-    /// whose newest one is of `last_epoch`, or by what this replica remembers of itself.
+    /// Returns whether the primary is known to have acted in its term: the log, whose newest entry is of
+    /// `last_epoch`, holds an entry of the term, or this replica itself acted in it.
     pub(super) fn has_primary_acted(&self, last_epoch: u64) -> bool {
         last_epoch.max(self.acted_in) >= self.first_epoch
     }
--- a/crates/pebblepost-replication/tests/replication/group/mod.rs
+++ b/crates/pebblepost-replication/tests/replication/group/mod.rs
@@ -1,4 +1,4 @@
-//! Some replicas without disks or links, and a configuration manager.
+//! A group of replicas with in-memory disks, direct message delivery and a configuration manager.
 
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::{EpochRecord, Tolerance};
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Keeps all entries; its snapshot is as large as they are together.
+/// A state machine that keeps all entries. Its snapshot is about as large as all entries together.
 #[derive(Debug, Default)]
 pub struct Entries(pub Vec<Vec<u8>>);
 
@@ -57,22 +57,22 @@
     }
 }
 
-/// Replicas of disks 1, 2, ..., and a configuration manager that grants every change that builds
-/// on the newest epoch.
+/// Replicas on disks 1, 2, ..., and a configuration manager that grants every change that builds on
+/// the newest epoch.
 pub struct Group {
     pub now: Duration,
     pub tolerance: usize,
     pub replicas: Vec<Replica<Entries>>,
     pub disks: Vec<Vec<DiskRecord>>,
-    /// Disks whose writes don't end.
-    pub hanging: Vec<u64>,
-    /// Machines that are partitioned from all others.
+    /// Disks whose writes never complete.
+    pub stalled_disks: Vec<u64>,
+    /// Replicas that are partitioned from all others and from the configuration manager.
     pub partitioned: Vec<u64>,
     pub current: EpochRecord,
     pub became_primary: Vec<u64>,
-    pub stopped: Vec<u64>,
+    pub stepped_down: Vec<u64>,
     pub largest_message: usize,
-    /// Changes that were asked for are not decided yet.
+    /// Whether requested changes are deferred until [`Self::decide_deferred`].
     pub defers_changes: bool,
     deferred: Vec<(u64, EpochRecord)>,
 }
@@ -87,11 +87,11 @@
             tolerance,
             replicas: (1..=count).map(new).collect(),
             disks: vec![Vec::new(); count as usize],
-            hanging: Vec::new(),
+            stalled_disks: Vec::new(),
             partitioned: Vec::new(),
             current: current.clone(),
             became_primary: Vec::new(),
-            stopped: Vec::new(),
+            stepped_down: Vec::new(),
             largest_message: 0,
             defers_changes: false,
             deferred: Vec::new(),
@@ -117,7 +117,7 @@
         self.replica(disk).is_acting(now)
     }
 
-    /// The replicas that act.
+    /// Returns the replicas that act as primary.
     pub fn acting(&mut self) -> Vec<u64> {
         let disks = 1..=self.replicas.len() as u64;
         disks.filter(|disk| self.is_acting(*disk)).collect()
@@ -165,7 +165,7 @@
                     messages.push_back((disk, to.disk.0, message));
                 }
                 ReplicaOutput::Persist { token, records } => {
-                    if !self.hanging.contains(&disk) {
+                    if !self.stalled_disks.contains(&disk) {
                         self.disks[disk as usize - 1].extend(records);
                         self.replica(disk).on_persisted(now, token);
                     }
@@ -173,13 +173,13 @@
                 ReplicaOutput::ChangeEpoch { expected, record } => self.change_epoch(disk, expected, record),
                 ReplicaOutput::Committed { .. } => {}
                 ReplicaOutput::BecamePrimary { .. } => self.became_primary.push(disk),
-                ReplicaOutput::SteppedDown => self.stopped.push(disk),
+                ReplicaOutput::SteppedDown => self.stepped_down.push(disk),
             }
         }
         changed
     }
 
-    /// Decides the changes that were deferred.
+    /// Decides on the deferred changes.
     pub fn decide_deferred(&mut self) {
         self.defers_changes = false;
         for (disk, record) in std::mem::take(&mut self.deferred) {
@@ -188,7 +188,7 @@
         self.deliver_all();
     }
 
-    /// Sets the targets at all replicas.
+    /// Sets the targets of all replicas.
     pub fn set_targets(&mut self, targets: &[u64]) {
         let now = self.now;
         let targets: Vec<Member> = targets.iter().map(|disk| member(*disk)).collect();
--- a/crates/pebblepost-replication/tests/replication/pinned_bytes.rs
+++ b/crates/pebblepost-replication/tests/replication/pinned_bytes.rs
@@ -1,7 +1,7 @@
-//! The bytes of messages and records, and whole simulated runs, are those that were approved.
+//! The bytes of messages and records, and the outputs of whole simulated runs, match the approved ones.
 //!
-//! Programs of different versions talk to one another and read one another's disks: none of this
-//! may change by a renaming.
+//! Programs of different versions exchange messages and read each other's disks, so renaming an item
+//! must not change any of these bytes.
 
 use crate::group::{Group, member, record};
 use crate::simulation::transcript::{Transcript, Variant};
@@ -44,7 +44,8 @@
     }
 }
 
-/// The state of a witness that has promised round 9 and accepted a record in round 8, by its parts.
+/// Returns the state of a witness that has promised counter 9 and accepted a record under counter 8,
+/// with the proposal numbers decoded from bytes.
 fn full_witness_state() -> WitnessState {
     let mut state = WitnessState { accepted: Some(full_record()), ..WitnessState::default() };
     let numbers = [9, 0x0102_0304_0506_0708, 8, 2_u64];
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn stored_forms_are_read_and_written_as_before() {
+fn stored_formats_are_unchanged() {
     let approved = include_str!("../approved/stored_forms.txt");
     assert_pinned("epoch-record", &full_record(), approved);
     assert_pinned("witness-state", &full_witness_state(), approved);
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn removal_requests_are_sent_as_before() {
+fn encoding_of_removal_requests_is_unchanged() {
     let mut group = Group::new(3, 1, record(1, &[1, 2]));
     let now = group.now;
     group.replica(3).request_removal(now);
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn seeded_runs_send_store_and_report_as_before() {
+fn outputs_of_seeded_runs_are_unchanged() {
     let mut text = String::new();
     let mut variants: BTreeMap<(&str, u16), Variant> = BTreeMap::new();
     for (machines, tolerance, seeds) in [(3, 1, 0..4), (5, 2, 0..2)] {
--- a/crates/pebblepost-replication/tests/replication/register.rs
+++ b/crates/pebblepost-replication/tests/replication/register.rs
@@ -1,4 +1,4 @@
-//! The epoch register by itself: what it proposes, refuses, recovers and survives.
+//! The epoch register: proposals, rejections, recovery and lost messages.
 
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
@@ -15,7 +15,7 @@
     disks.iter().map(|disk| member(*disk)).collect()
 }
 
-fn founding() -> EpochRecord {
+fn initial_record() -> EpochRecord {
     EpochRecord { witnesses: members(&[1, 2, 3]), ..EpochRecord::default() }
 }
 
@@ -24,7 +24,7 @@
     EpochRecord { epoch: of.epoch + 1, primary: DiskId(primary), in_sync, ..of.clone() }
 }
 
-/// Registers of disks 1, 2, ... with writes that are durable at once, and what they put out.
+/// Registers on disks 1, 2, ..., whose writes are durable at once, and a log of their outputs.
 struct Group {
     now: Duration,
     registers: Vec<Register>,
@@ -36,7 +36,7 @@
 
 impl Group {
     fn new(count: u64) -> Self {
-        let founder = |disk| (disk <= 3).then(founding);
+        let founder = |disk| (disk <= 3).then(initial_record);
         let registers = (1..=count).map(|disk| Register::new(member(disk), None, founder(disk), disk));
         let count = count as usize;
         Self {
@@ -59,7 +59,7 @@
         self.deliver_all();
     }
 
-    /// Carries out everything until nothing is under way.
+    /// Carries out outputs and delivers messages until none are left.
     fn deliver_all(&mut self) {
         let mut messages: VecDeque<(u64, u64, Vec<u8>)> = VecDeque::new();
         loop {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Advances the time, tick by tick.
+    /// Advances the time in ticks of 50 ms.
     fn advance(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds / 50 {
             self.now += Duration::from_millis(50);
@@ -101,17 +101,17 @@
         }
     }
 
-    /// The process restarts with what its disk holds.
+    /// Restarts a register from the state on its disk.
     fn restart(&mut self, disk: u64) {
         let recovered = self.states[disk as usize - 1].clone();
-        *self.register(disk) = Register::new(member(disk), recovered, Some(founding()), 99);
+        *self.register(disk) = Register::new(member(disk), recovered, Some(initial_record()), 99);
     }
 }
 
 #[rstest]
-fn a_proposal_is_chosen_and_everybody_learns() {
+fn a_chosen_proposal_is_learned_by_all_members() {
     let mut group = Group::new(3);
-    let first = successor(&founding(), 2);
+    let first = successor(&initial_record(), 2);
     group.propose(2, &first);
     for disk in 1..=3 {
         assert_eq!(group.register(disk).chosen(), Some(&first), "disk {disk}");
@@ -122,11 +122,11 @@
 #[rstest]
 fn a_proposal_on_an_old_epoch_is_rejected() {
     let mut group = Group::new(3);
-    let first = successor(&founding(), 2);
+    let first = successor(&initial_record(), 2);
     group.partitioned = vec![1];
     group.propose(2, &first);
     group.partitioned.clear();
-    let other = successor(&founding(), 1);
+    let other = successor(&initial_record(), 1);
     group.propose(1, &other);
     group.advance(1_500);
     assert_eq!(group.rejected[0], vec![1]);
@@ -134,8 +134,8 @@
 }
 
 #[rstest]
-#[case::two_epochs_on(|record: &mut EpochRecord| record.epoch += 1)]
-#[case::witnesses_without_former(|record: &mut EpochRecord| record.witnesses = members(&[1, 2, 4]))]
+#[case::skipped_epoch(|record: &mut EpochRecord| record.epoch += 1)]
+#[case::new_witnesses_without_former(|record: &mut EpochRecord| record.witnesses = members(&[1, 2, 4]))]
 #[case::wrong_former(|record: &mut EpochRecord| {
     record.witnesses = members(&[1, 2, 4]);
     record.former_witnesses = members(&[1, 2]);
@@ -143,20 +143,20 @@
 #[case::no_witnesses(|record: &mut EpochRecord| {
     record.former_witnesses = std::mem::take(&mut record.witnesses);
 })]
-fn an_illegal_change_is_rejected(#[case] change: fn(&mut EpochRecord)) {
+fn an_invalid_change_is_rejected(#[case] change: fn(&mut EpochRecord)) {
     let mut group = Group::new(4);
-    let mut record = successor(&founding(), 1);
+    let mut record = successor(&initial_record(), 1);
     change(&mut record);
     group.register(1).propose(Duration::ZERO, 0, record.clone());
     group.deliver_all();
     assert_eq!(group.rejected[0], vec![record.epoch]);
-    assert_eq!(group.register(1).chosen(), Some(&founding()));
+    assert_eq!(group.register(1).chosen(), Some(&initial_record()));
 }
 
 #[rstest]
-fn witnesses_change_in_two_steps_and_not_in_the_middle_of_another_change() {
+fn the_witness_set_changes_in_two_steps_and_one_change_at_a_time() {
     let mut group = Group::new(5);
-    let mut start = successor(&founding(), 1);
+    let mut start = successor(&initial_record(), 1);
     start.former_witnesses = start.witnesses.clone();
     start.witnesses = members(&[1, 2, 4]);
     group.propose(1, &start);
@@ -177,24 +177,25 @@
 }
 
 #[rstest]
-fn without_a_majority_nothing_is_chosen_and_the_proposal_ends() {
+fn a_proposal_without_a_majority_fails() {
     let mut group = Group::new(3);
     group.partitioned = vec![2, 3];
-    group.propose(1, &successor(&founding(), 1));
+    group.propose(1, &successor(&initial_record(), 1));
     group.advance(1_500);
     assert_eq!(group.rejected[0], vec![1]);
-    assert_eq!(group.register(1).chosen(), Some(&founding()));
+    assert_eq!(group.register(1).chosen(), Some(&initial_record()));
 }
 
-/// A record that one witness accepted is completed by the next proposer before anything else.
+/// The next proposer completes a record that one witness accepted before it proposes its own.
 #[rstest]
 fn a_record_accepted_by_one_witness_is_completed() {
     let mut group = Group::new(3);
-    let first = successor(&founding(), 1);
+    let first = successor(&initial_record(), 1);
     group.register(1).propose(Duration::ZERO, 0, first.clone());
     let mut messages = VecDeque::new();
     for wave in 0..4 {
-        // Prepares, writes, promises, accepts; the accepts reach the proposer itself only.
+        // The waves are prepare requests, writes, promises and accept requests. Accept requests reach
+        // only the proposer itself.
         (1..=3).for_each(|disk| group.collect(disk, &mut messages));
         for (from, to, message) in std::mem::take(&mut messages) {
             if wave < 3 || to == 1 {
@@ -204,12 +205,12 @@
     }
     (1..=3).for_each(|disk| group.collect(disk, &mut messages));
     assert_eq!(group.states[0].as_ref().and_then(|state| state.accepted.clone()), Some(first.clone()));
-    assert_eq!(group.states[1].as_ref().and_then(|state| state.accepted.clone()), Some(founding()));
-    assert_eq!(group.states[2].as_ref().and_then(|state| state.accepted.clone()), Some(founding()));
+    assert_eq!(group.states[1].as_ref().and_then(|state| state.accepted.clone()), Some(initial_record()));
+    assert_eq!(group.states[2].as_ref().and_then(|state| state.accepted.clone()), Some(initial_record()));
 
-    // Disk 2 hears disk 1 but not disk 3: it finds the record and completes it.
+    // Disk 2 reaches disk 1 but not disk 3. It finds the record at disk 1 and completes it.
     group.partitioned = vec![3];
-    group.propose(2, &successor(&founding(), 2));
+    group.propose(2, &successor(&initial_record(), 2));
     group.advance(1_500);
     assert_eq!(group.register(2).chosen(), Some(&first));
     assert_eq!(group.rejected[1], vec![1]);
@@ -218,9 +219,9 @@
 }
 
 #[rstest]
-fn a_witness_that_restarts_learns_what_is_chosen() {
+fn a_restarted_witness_learns_the_chosen_record() {
     let mut group = Group::new(3);
-    let first = successor(&founding(), 2);
+    let first = successor(&initial_record(), 2);
     group.propose(2, &first);
     (1..=3).for_each(|disk| group.restart(disk));
     assert_eq!(group.register(1).chosen(), None);
@@ -234,8 +235,8 @@
 fn a_disk_without_a_record_does_not_answer_until_a_record_names_it() {
     let mut group = Group::new(5);
     group.partitioned = vec![2, 3];
-    group.propose(1, &successor(&founding(), 1));
-    group.propose(5, &successor(&founding(), 5));
+    group.propose(1, &successor(&initial_record(), 1));
+    group.propose(5, &successor(&initial_record(), 5));
     assert_eq!(group.rejected[4], vec![1]);
     assert!(group.states[3].is_none() && group.states[4].is_none());
 }
@@ -243,7 +244,7 @@
 #[rstest]
 fn a_new_member_learns_the_chosen_record() {
     let mut group = Group::new(4);
-    let first = successor(&founding(), 2);
+    let first = successor(&initial_record(), 2);
     group.propose(2, &first);
     let new_member = member(4);
     group.register(1).announce_chosen(&new_member);
@@ -252,7 +253,7 @@
 }
 
 #[rstest]
-fn undecodable_messages_are_dropped() {
+fn malformed_messages_are_dropped() {
     let mut group = Group::new(1);
     let mut bytes = Vec::new();
     for length in 0..200_u8 {
@@ -264,5 +265,5 @@
         }
         bytes.push(length.wrapping_mul(151) | 0xc0);
     }
-    assert_eq!(group.register(1).chosen(), Some(&founding()));
+    assert_eq!(group.register(1).chosen(), Some(&initial_record()));
 }
--- a/crates/pebblepost-replication/tests/replication/removal.rs
+++ b/crates/pebblepost-replication/tests/replication/removal.rs
@@ -1,4 +1,4 @@
-//! Removal of replicas, and replicas that may lack what they are counted on for.
+//! Removal of replicas, and replicas that may lack entries that the epoch record relies on.
 
 use crate::group::{Entries, Group, member, record, settings};
 use pebblepost_replication::guards::ReplicaGuards;
@@ -9,7 +9,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Asks for the removal of a replica, a few times.
+/// Requests the removal of a replica several times.
 fn request_removal(group: &mut Group, disk: u64) {
     for _ in 0..5 {
         let now = group.now;
@@ -20,29 +20,29 @@
 }
 
 #[rstest]
-fn a_joiner_is_not_removed_while_a_change_that_adds_it_may_be_decided() {
+fn a_joiner_is_not_removed_while_a_change_that_adds_it_is_undecided() {
     let mut group = Group::new(3, 1, record(1, &[1, 2]));
     group.set_targets(&[1, 2, 3]);
     assert!(group.propose(1, b"one").is_ok());
     group.defers_changes = true;
     group.advance(1_000);
-    // The operator thinks otherwise, and the joiner is to drop what it holds.
+    // The operator reverts the targets, and the joiner is asked to drop its data.
     group.set_targets(&[1, 2]);
     request_removal(&mut group, 3);
     let epoch = group.current.epoch;
-    assert!(group.replica(3).acknowledged_epoch() >= epoch, "it is still counted on");
+    assert!(group.replica(3).acknowledged_epoch() >= epoch, "the undecided change relies on replica 3");
     group.decide_deferred();
     assert!(group.current.is_in_sync(member(3).disk));
     assert_eq!(group.entries(3), [b"one"]);
 }
 
 #[rstest]
-fn a_joiner_that_is_no_target_any_more_is_removed() {
+fn a_joiner_that_is_no_longer_a_target_is_removed() {
     let mut group = Group::new(3, 1, record(1, &[1, 2]));
     assert!(group.propose(1, b"one").is_ok());
-    // It acknowledges heartbeats, but its disk takes no entries: it is never proposed.
+    // Replica 3 acknowledges heartbeats, but its disk completes no writes, so it is never proposed.
     group.restart(3, vec![DiskRecord::Epoch(record(1, &[1, 2]))]);
-    group.hanging = vec![3];
+    group.stalled_disks = vec![3];
     group.set_targets(&[1, 2, 3]);
     group.advance(1_000);
     assert_eq!(group.current.epoch, 1);
@@ -55,19 +55,19 @@
 }
 
 #[rstest]
-fn a_replica_that_was_dropped_acknowledges_nothing_in_the_next_epoch() {
+fn a_dropped_replica_acknowledges_nothing_in_the_next_epoch() {
     let mut group = Group::new(3, 1, record(1, &[1, 2, 3]));
     assert!(group.propose(1, b"one").is_ok());
     group.set_targets(&[1, 2]);
     group.advance(2_000);
     assert_eq!(group.current.in_sync, [member(1), member(2)]);
     let epoch = group.current.epoch;
-    assert_eq!(group.replica(3).record().epoch, epoch, "it knows");
+    assert_eq!(group.replica(3).record().epoch, epoch, "replica 3 knows the epoch that dropped it");
     assert!(group.replica(3).acknowledged_epoch() < epoch);
 }
 
 #[rstest]
-fn a_joiner_is_added_on_what_it_confirmed_in_the_present_epoch_only() {
+fn a_joiner_is_added_only_on_acknowledgements_of_the_current_epoch() {
     let mut group = Group::new(4, 1, record(1, &[1, 2]));
     group.set_targets(&[1, 2]);
     group.advance(2_000);
@@ -77,19 +77,22 @@
     group.defers_changes = true;
     group.set_targets(&[1, 2, 4]);
     group.advance(500);
-    // While the change that adds 4 is undecided, 3 holds everything and acknowledges heartbeats of this epoch.
+    // While the change that adds replica 4 is undecided, replica 3 holds all entries and acknowledges
+    // heartbeats of this epoch.
     group.set_targets(&[1, 2, 3, 4]);
     group.advance(500);
     assert_eq!(group.replica(3).acknowledged_epoch(), epoch);
     group.partitioned = vec![3];
     group.decide_deferred();
     assert_eq!(group.current.in_sync, [member(1), member(2), member(4)]);
-    // It may drop its copy now, as the next epoch goes beyond what it confirmed: nobody may count on it.
+    // The new epoch is higher than the one that replica 3 acknowledged. Replica 3 may drop its data now,
+    // so it must not be added.
     group.advance(450);
     assert!(!group.current.is_in_sync(member(3).disk));
 }
 
-/// The records that a replica asks for within some seconds of silence.
+/// Returns the epoch records that a replica requests within 10 s in which it hears from no other
+/// replica.
 fn requested_epochs<S: StateMachine>(replica: &mut Replica<S>) -> Vec<EpochRecord> {
     let mut asked = Vec::new();
     for step in 0..200 {
@@ -107,29 +110,29 @@
 }
 
 #[rstest]
-#[case::held_to(true)]
-#[case::taken_out(false)]
-fn an_empty_replica_that_is_counted_as_in_sync_does_not_stand(#[case] complete_log_before_standing: bool) {
-    let guards = ReplicaGuards { complete_log_before_standing, ..ReplicaGuards::default() };
+#[case::rule_enabled(true)]
+#[case::rule_disabled(false)]
+fn an_empty_replica_recorded_as_in_sync_does_not_campaign(#[case] campaign_requires_complete_log: bool) {
+    let guards = ReplicaGuards { campaign_requires_complete_log, ..ReplicaGuards::default() };
     let state = Entries::default();
     let mut replica = Replica::with_guards(member(2), settings(1), state, Vec::new(), Duration::ZERO, guards);
-    // Primary 1 and its disk are lost. What replica 2 once confirmed is gone as well.
+    // Primary 1 and its disk are lost, and so is the data that replica 2 once acknowledged.
     replica.configure(Duration::ZERO, &record(3, &[1, 2]));
-    assert_eq!(requested_epochs(&mut replica).is_empty(), complete_log_before_standing);
+    assert_eq!(requested_epochs(&mut replica).is_empty(), campaign_requires_complete_log);
 }
 
 #[rstest]
-fn in_the_first_epoch_empty_replicas_stand() {
+fn empty_replicas_campaign_in_the_first_epoch() {
     let mut replica = Replica::new(member(2), settings(1), Entries::default(), Vec::new(), Duration::ZERO);
     replica.configure(Duration::ZERO, &record(1, &[1, 2, 3]));
     assert_eq!(requested_epochs(&mut replica).first().map(|asked| asked.primary), Some(member(2).disk));
 }
 
 #[rstest]
-fn an_empty_replica_that_the_primary_fills_stands_after_that() {
+fn an_empty_replica_campaigns_after_the_primary_brought_it_up_to_date() {
     let mut group = Group::new(2, 1, record(1, &[1, 2]));
     assert!(group.propose(1, b"one").is_ok());
-    // A new term of a primary that finds out for itself what the others hold.
+    // In a new term, the primary finds out anew what the other replicas hold.
     group.current = EpochRecord { epoch: 4, ..record(4, &[1, 2]) };
     let current = group.current.clone();
     let (now, kept) = (group.now, group.disks[0].clone());
@@ -144,7 +147,7 @@
 }
 
 #[rstest]
-fn a_replica_whose_disk_lacks_entries_does_not_stand() {
+fn a_replica_with_a_gap_in_its_log_does_not_campaign() {
     let entry = |index| DiskRecord::Entry { index, epoch: 1, entry: vec![1] };
     let whole = vec![DiskRecord::Epoch(record(1, &[1, 2])), entry(1), entry(2), entry(3)];
     let with_gap = vec![whole[0].clone(), whole[1].clone(), whole[3].clone()];
@@ -154,7 +157,7 @@
     assert_eq!(requested_epochs(&mut lacking), []);
 }
 
-/// A state that can't read its entries.
+/// A state machine that can't decode its entries.
 #[derive(Debug, Default)]
 struct Damaged;
 
@@ -173,7 +176,7 @@
 }
 
 #[rstest]
-fn a_damaged_replica_neither_stands_nor_overwrites_its_disk() {
+fn a_damaged_replica_neither_campaigns_nor_overwrites_its_disk() {
     let recovered = vec![DiskRecord::Epoch(record(1, &[1, 2]))];
     let mut replica = Replica::new(member(2), settings(1), Damaged, recovered, Duration::ZERO);
     assert_eq!(requested_epochs(&mut replica), []);
--- a/crates/pebblepost-replication/tests/replication/replica.rs
+++ b/crates/pebblepost-replication/tests/replication/replica.rs
@@ -1,4 +1,4 @@
-//! The replica by itself: acting, recovery, catching up, limits.
+//! Groups of replicas without a network: acting, recovery, catch-up and limits.
 
 use crate::group::{Group, member, record};
 use pebblepost_replication::replica::{DiskRecord, ProposeError};
@@ -8,10 +8,10 @@
 fn an_entry_is_committed_once_all_in_sync_replicas_hold_it() {
     let mut group = Group::new(3, 1, record(1, &[1, 2, 3]));
     assert_eq!(group.became_primary, vec![1]);
-    group.hanging = vec![3];
+    group.stalled_disks = vec![3];
     assert_eq!(group.propose(1, b"one"), Ok(1));
     assert_eq!(group.replica(1).commit_index(), 0);
-    // The disk of 3 hangs for too long: it is dropped, and the others commit.
+    // The disk of replica 3 is stalled for too long: the replica is dropped, and the others commit.
     group.advance(1_000);
     assert_eq!(group.replica(1).commit_index(), 1);
     assert_eq!(group.current.in_sync, vec![member(1), member(2)]);
@@ -25,14 +25,14 @@
 }
 
 #[rstest]
-fn with_too_few_replicas_proposals_are_rejected() {
+fn proposals_are_rejected_with_too_few_in_sync_replicas() {
     let mut group = Group::new(1, 1, record(1, &[1]));
     assert_eq!(group.propose(1, b"one"), Err(ProposeError::TooFewReplicas));
     assert!(!group.is_acting(1));
 }
 
 #[rstest]
-fn a_partitioned_primary_stops_before_its_successor_acts() {
+fn a_partitioned_primary_stops_acting_before_its_successor_acts() {
     let mut group = Group::new(3, 1, record(1, &[1, 2, 3]));
     group.propose(1, b"one").expect("the primary acts");
     group.partitioned = vec![1];
@@ -47,15 +47,15 @@
     assert_eq!(handover, vec![1, 2]);
     group.partitioned.clear();
     group.advance(500);
-    assert_eq!(group.stopped, vec![1]);
+    assert_eq!(group.stepped_down, vec![1]);
     group.advance(1_000);
-    assert_eq!(group.current.in_sync.len(), 3, "the old primary is in sync again");
+    assert_eq!(group.current.in_sync.len(), 3, "the former primary is in sync again");
 }
 
 #[rstest]
-fn a_primary_whose_disk_hangs_stops_and_another_takes_over() {
+fn a_primary_with_a_stalled_disk_is_replaced() {
     let mut group = Group::new(3, 1, record(1, &[1, 2, 3]));
-    group.hanging = vec![1];
+    group.stalled_disks = vec![1];
     group.propose(1, b"undecided").expect("the primary acts");
     group.advance(500);
     assert!(!group.is_acting(1));
@@ -67,7 +67,7 @@
 #[rstest]
 #[case::from_the_records(false)]
 #[case::from_a_checkpoint(true)]
-fn after_a_restart_of_all_nothing_is_lost(#[case] from_checkpoint: bool) {
+fn entries_survive_a_restart_of_all_replicas(#[case] from_checkpoint: bool) {
     let mut group = Group::new(3, 1, record(1, &[1, 2, 3]));
     let entries: Vec<Vec<u8>> = (0..20_u8).map(|number| vec![number; 10]).collect();
     for entry in &entries {
@@ -79,7 +79,7 @@
         group.restart(disk, records);
     }
     group.advance(400);
-    assert_eq!(group.acting(), [1], "the former primary need not wait for itself, all others wait");
+    assert_eq!(group.acting(), [1], "only the former primary skips the election timeout");
     group.advance(1_500);
     assert_eq!(group.acting(), [1]);
     assert_eq!(group.entries(1), entries);
@@ -89,7 +89,7 @@
 #[rstest]
 #[case::from_the_records(false)]
 #[case::from_a_checkpoint(true)]
-fn after_a_restart_without_the_primary_the_others_wait(#[case] from_checkpoint: bool) {
+fn restarted_followers_wait_for_the_election_timeout(#[case] from_checkpoint: bool) {
     let mut group = Group::new(3, 1, record(1, &[1, 2, 3]));
     let entries: Vec<Vec<u8>> = (0..20_u8).map(|number| vec![number; 10]).collect();
     for entry in &entries {
@@ -102,7 +102,7 @@
         group.restart(disk, records);
     }
     group.advance(400);
-    assert!(!group.is_acting(2) && !group.is_acting(3), "nobody follows before the election timeout");
+    assert!(!group.is_acting(2) && !group.is_acting(3), "a successor acts before the election timeout");
     group.advance(1_500);
     let acting: Vec<u64> = group.acting().into_iter().filter(|disk| *disk != 1).collect();
     assert_eq!(acting.len(), 1);
@@ -111,14 +111,14 @@
 }
 
 #[rstest]
-fn a_log_with_a_gap_is_read_up_to_it_and_filled_by_the_primary_only() {
+fn a_log_is_recovered_up_to_a_gap_and_completed_only_by_the_primary() {
     let entry = |index| DiskRecord::Entry { index, epoch: 1, entry: vec![index as u8] };
     let records = vec![DiskRecord::Epoch(record(1, &[1])), entry(1), entry(2), entry(4)];
     let mut alone = Group::new(1, 0, record(1, &[1]));
     alone.restart(1, records.clone());
     alone.advance(1_500);
     assert_eq!(alone.replica(1).progress(), [(member(1).disk, 2)]);
-    // It acknowledged what is missing now: alone it would lead with an old state.
+    // The replica acknowledged the entries that are missing now. As primary it would serve an old state.
     assert_eq!(alone.acting(), [0; 0]);
 
     let mut group = Group::new(2, 1, record(1, &[1, 2]));
@@ -132,11 +132,11 @@
     assert_eq!(group.entries(2), [[1], [2], [3], [4]]);
     group.partitioned = vec![1];
     group.advance(3_000);
-    assert_eq!(group.current.primary, member(2).disk, "now it may lead");
+    assert_eq!(group.current.primary, member(2).disk, "replica 2 may campaign once its log is complete");
 }
 
 #[rstest]
-fn a_new_replica_gets_a_snapshot_in_chunks() {
+fn a_new_replica_receives_a_snapshot_in_chunks() {
     let mut group = Group::new(3, 1, record(1, &[1, 2]));
     group.partitioned = vec![3];
     for number in 0..10_u8 {
@@ -163,7 +163,7 @@
 }
 
 #[rstest]
-fn targets_move_the_group_and_the_primary_hands_over() {
+fn new_targets_move_the_group_and_the_primary_hands_over() {
     let mut group = Group::new(4, 1, record(1, &[1, 2]));
     group.propose(1, b"one").expect("the primary acts");
     let now = group.now;
@@ -176,11 +176,11 @@
     let primary = group.current.primary.0;
     assert!(group.is_acting(primary));
     assert_eq!(group.entries(primary), vec![b"one".to_vec()]);
-    assert_eq!(group.stopped, vec![1]);
+    assert_eq!(group.stepped_down, vec![1]);
 }
 
 #[rstest]
-fn undecodable_messages_are_dropped() {
+fn malformed_messages_are_dropped() {
     let mut group = Group::new(3, 1, record(1, &[1, 2, 3]));
     let mut bytes = Vec::new();
     for length in 0..200_u8 {
--- a/crates/pebblepost-replication/tests/replication/resumption.rs
+++ b/crates/pebblepost-replication/tests/replication/resumption.rs
@@ -1,4 +1,5 @@
-//! A primary that ended for certain: who may stand at once, and who has to wait.
+//! Campaigns after the process of the primary is known to have ended: which replicas may campaign at
+//! once, and which have to wait for the election timeout.
 
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::guards::ReplicaGuards;
@@ -8,9 +9,9 @@
 use std::time::Duration;
 
 #[derive(Debug, Default)]
-struct Nothing;
+struct NoopStateMachine;
 
-impl StateMachine for Nothing {
+impl StateMachine for NoopStateMachine {
     fn apply(&mut self, _index: u64, _entry: &[u8]) {}
 
     fn snapshot(&self) -> Vec<u8> {
@@ -20,16 +21,16 @@
     fn restore(&mut self, _snapshot: &[u8]) {}
 }
 
-const GRACE: u64 = 700;
-/// After so many milliseconds a primary that was restarted leaves out who was not heard.
-const RESUME: u64 = 200;
+const ELECTION_TIMEOUT_MS: u64 = 700;
+/// Milliseconds after which a restarted primary leaves out the replicas that it has not heard from.
+const RESUME_WAIT_MS: u64 = 200;
 
 fn settings() -> ReplicaSettings {
     ReplicaSettings {
         tolerance: Tolerance { machines: 1, ..Tolerance::default() },
         heartbeat_interval: Duration::from_millis(100),
         lease: Duration::from_millis(500),
-        election_timeout: Duration::from_millis(GRACE),
+        election_timeout: Duration::from_millis(ELECTION_TIMEOUT_MS),
         max_replica_lag: Duration::from_millis(600),
         write_timeout: Duration::from_millis(400),
         max_log_bytes: 1_000,
@@ -40,7 +41,7 @@
     Member { disk: DiskId(disk), node: format!("n{disk}"), address: disk.to_string(), ..Member::default() }
 }
 
-/// An epoch of the replicas 1, 2 and 3.
+/// Returns an epoch record with replicas 1, 2 and 3 in sync.
 fn epoch(epoch: u64, primary: u64) -> EpochRecord {
     let in_sync = (1..=3).map(member).collect();
     EpochRecord { epoch, primary: DiskId(primary), in_sync, ..EpochRecord::default() }
@@ -50,17 +51,21 @@
     DiskRecord::Entry { index, epoch, entry: vec![1] }
 }
 
-/// Replica 1, restarted at time 0 with what its disk held, while these others are heard.
-fn restarted(records: Vec<DiskRecord>, heard: &[u64], guards: ReplicaGuards) -> Replica<Nothing> {
+/// Returns replica 1, restarted at time 0 with the records of its disk, while these other replicas are
+/// reachable.
+fn restarted(
+    records: Vec<DiskRecord>, reachable: &[u64], guards: ReplicaGuards,
+) -> Replica<NoopStateMachine> {
     let me = member(1);
-    let mut replica = Replica::with_guards(me, settings(), Nothing, records, Duration::ZERO, guards);
-    replica.set_reachable(heard.iter().map(|disk| DiskId(*disk)).collect());
+    let mut replica = Replica::with_guards(me, settings(), NoopStateMachine, records, Duration::ZERO, guards);
+    replica.set_reachable(reachable.iter().map(|disk| DiskId(*disk)).collect());
     replica
 }
 
-/// When the replica asks for an epoch of its own, and which in-sync replicas it names.
-fn stands(replica: &mut Replica<Nothing>) -> Option<(u64, Vec<u64>)> {
-    for milliseconds in (0..2 * GRACE).step_by(50) {
+/// Returns the time in milliseconds at which the replica first campaigns, and the in-sync replicas that
+/// it names.
+fn first_campaign(replica: &mut Replica<NoopStateMachine>) -> Option<(u64, Vec<u64>)> {
+    for milliseconds in (0..2 * ELECTION_TIMEOUT_MS).step_by(50) {
         replica.tick(Duration::from_millis(milliseconds));
         for output in replica.take_outputs() {
             if let ReplicaOutput::ChangeEpoch { record, .. } = output {
@@ -72,22 +77,22 @@
 }
 
 #[rstest]
-#[case::all_are_heard(&[2, 3], 0, &[1, 2, 3])]
-#[case::one_is_missing(&[2], RESUME, &[1, 2])]
-#[case::nobody_is_heard(&[], RESUME, &[1, 2, 3])]
-fn a_restarted_primary_goes_on_at_once(
-    #[case] heard: &[u64], #[case] expected_at: u64, #[case] expected: &[u64],
+#[case::all_reachable(&[2, 3], 0, &[1, 2, 3])]
+#[case::one_unreachable(&[2], RESUME_WAIT_MS, &[1, 2])]
+#[case::none_reachable(&[], RESUME_WAIT_MS, &[1, 2, 3])]
+fn a_restarted_primary_campaigns_before_the_election_timeout(
+    #[case] reachable: &[u64], #[case] expected_at: u64, #[case] expected: &[u64],
 ) {
     let records = vec![DiskRecord::Epoch(epoch(1, 1)), entry(1, 1)];
-    let mut replica = restarted(records, heard, ReplicaGuards::default());
-    assert_eq!(stands(&mut replica), Some((expected_at, expected.to_vec())));
+    let mut replica = restarted(records, reachable, ReplicaGuards::default());
+    assert_eq!(first_campaign(&mut replica), Some((expected_at, expected.to_vec())));
 }
 
 #[test]
-fn a_term_over_several_epochs_is_one() {
+fn a_term_spans_consecutive_epochs_of_the_same_primary() {
     let records = vec![DiskRecord::Epoch(epoch(1, 1)), entry(1, 1), DiskRecord::Epoch(epoch(2, 1))];
     let mut replica = restarted(records, &[2, 3], ReplicaGuards::default());
-    assert_eq!(stands(&mut replica).map(|stood| stood.0), Some(0));
+    assert_eq!(first_campaign(&mut replica).map(|(at, _)| at), Some(0));
 }
 
 #[rstest]
@@ -96,19 +101,22 @@
     DiskRecord::Epoch(epoch(1, 1)), entry(1, 1), DiskRecord::Epoch(epoch(2, 2)), DiskRecord::Epoch(epoch(3, 1)),
 ])]
 #[case::epochs_missed(vec![DiskRecord::Epoch(epoch(1, 1)), entry(1, 1), DiskRecord::Epoch(epoch(3, 1))])]
-fn a_primary_that_may_not_have_acted_waits_for_the_lease_of_the_one_before(#[case] records: Vec<DiskRecord>) {
+fn a_restarted_primary_that_may_not_have_acted_waits_for_the_election_timeout(
+    #[case] records: Vec<DiskRecord>,
+) {
     let mut replica = restarted(records.clone(), &[2, 3], ReplicaGuards::default());
-    let stood_at = stands(&mut replica).map(|stood| stood.0);
-    assert!(stood_at.is_some_and(|at| at >= GRACE), "{stood_at:?}");
-    let unguarded = ReplicaGuards { takeover_needs_acted_term: false, ..ReplicaGuards::default() };
+    let campaign_at = first_campaign(&mut replica).map(|(at, _)| at);
+    assert!(campaign_at.is_some_and(|at| at >= ELECTION_TIMEOUT_MS), "{campaign_at:?}");
+    let unguarded = ReplicaGuards { early_takeover_requires_acted_term: false, ..ReplicaGuards::default() };
     let mut replica = restarted(records, &[2, 3], unguarded);
-    assert_eq!(stands(&mut replica).map(|stood| stood.0), Some(0), "the guard is what makes it wait");
+    assert_eq!(first_campaign(&mut replica).map(|(at, _)| at), Some(0), "only the safety rule makes it wait");
 }
 
-/// What a new replica at the address of replica 2 sends to replica 1 about this epoch.
+/// Returns the messages that a new replica at the address of replica 2 sends to replica 1 about this
+/// epoch.
 fn messages_of_successor_of_2(record: &EpochRecord) -> Vec<Vec<u8>> {
     let me = Member { disk: DiskId(9), ..member(2) };
-    let mut successor = Replica::new(me, settings(), Nothing, Vec::new(), Duration::ZERO);
+    let mut successor = Replica::new(me, settings(), NoopStateMachine, Vec::new(), Duration::ZERO);
     successor.configure(Duration::ZERO, record);
     successor.tick(Duration::from_millis(1));
     let to_1 = |output| match output {
@@ -119,10 +127,10 @@
 }
 
 #[rstest]
-#[case::of_the_epoch_in_force(epoch(1, 2), entry(1, 1), true)]
-#[case::of_an_epoch_that_is_not_in_force(epoch(2, 2), entry(1, 1), false)]
-#[case::of_another_primary(epoch(1, 3), entry(1, 1), false)]
-fn a_replica_need_not_wait_for_a_primary_whose_disk_was_replaced(
+#[case::current_epoch(epoch(1, 2), entry(1, 1), true)]
+#[case::other_epoch(epoch(2, 2), entry(1, 1), false)]
+#[case::other_primary(epoch(1, 3), entry(1, 1), false)]
+fn a_replica_campaigns_at_once_after_the_disk_of_the_primary_was_replaced(
     #[case] announced: EpochRecord, #[case] last: DiskRecord, #[case] at_once: bool,
 ) {
     let records = vec![DiskRecord::Epoch(epoch(1, 2)), last];
@@ -130,18 +138,18 @@
     for message in messages_of_successor_of_2(&announced) {
         replica.receive(Duration::ZERO, &Member { disk: DiskId(9), ..member(2) }, &message);
     }
-    let stood = stands(&mut replica);
-    assert_eq!(stood.as_ref().is_some_and(|stood| stood.0 == 0), at_once, "{stood:?}");
-    assert!(!at_once || stood.is_some_and(|stood| stood.1 == [1, 3]));
+    let campaign = first_campaign(&mut replica);
+    assert_eq!(campaign.as_ref().is_some_and(|(at, _)| *at == 0), at_once, "{campaign:?}");
+    assert!(!at_once || campaign.is_some_and(|(_, in_sync)| in_sync == [1, 3]));
 }
 
 #[test]
-fn a_replaced_primary_that_may_not_have_acted_is_waited_for() {
+fn replacement_of_a_primary_that_may_not_have_acted_does_not_skip_the_election_timeout() {
     let records = vec![DiskRecord::Epoch(epoch(1, 3)), entry(1, 1), DiskRecord::Epoch(epoch(2, 2))];
     let mut replica = restarted(records, &[3], ReplicaGuards::default());
     for message in messages_of_successor_of_2(&epoch(2, 2)) {
         replica.receive(Duration::ZERO, &Member { disk: DiskId(9), ..member(2) }, &message);
     }
-    let stood_at = stands(&mut replica).map(|stood| stood.0);
-    assert!(stood_at.is_some_and(|at| at >= GRACE), "{stood_at:?}");
+    let campaign_at = first_campaign(&mut replica).map(|(at, _)| at);
+    assert!(campaign_at.is_some_and(|at| at >= ELECTION_TIMEOUT_MS), "{campaign_at:?}");
 }
--- a/crates/pebblepost-replication/tests/replication/schedules.rs
+++ b/crates/pebblepost-replication/tests/replication/schedules.rs
@@ -1,4 +1,4 @@
-//! Many simulated schedules: nothing acknowledged is lost, whatever fails within the tolerance.
+//! Many simulated schedules: no acknowledged entry is lost while failures stay within the tolerance.
 
 use crate::simulation::{Options, Plan, run_all};
 use rstest::rstest;
@@ -35,7 +35,7 @@
 #[case::five_tolerated_3(5, 2, Plan::Tolerated, 100, 50)]
 #[case::five_targets_1(5, 2, Plan::Targets, 0, 300)]
 #[case::five_targets_of_two_1(5, 1, Plan::Targets, 0, 300)]
-fn schedules_break_nothing(
+fn simulated_schedules_violate_no_rule(
     #[case] machines: usize, #[case] tolerance: usize, #[case] plan: Plan, #[case] first_seed: u64,
     #[case] count: u64,
 ) {
--- a/crates/pebblepost-replication/tests/replication/simulation/checker.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever happens.
+//! Checks of the safety rules that must hold in every schedule.
 
 use super::violation::Violation;
 use pebblepost_replication::record::EpochRecord;
@@ -6,10 +6,10 @@
 
 #[derive(Debug, Default)]
 pub struct Checker {
-    /// What was applied at each index, by whichever replica came first.
+    /// The value that was first applied at each index, by any replica.
     applied: Vec<u64>,
     /// Highest index that was acknowledged to a client.
-    acknowledged_to: u64,
+    highest_acknowledged_index: u64,
     pub acknowledged: u64,
     chosen: BTreeMap<u64, EpochRecord>,
     pub violation: Option<Violation>,
@@ -25,7 +25,7 @@
         self.fail(Violation::Safety(found));
     }
 
-    /// A replica applied entries: they are the same at all replicas.
+    /// Checks entries that a replica applied: all replicas must apply the same ones.
     pub fn applied(&mut self, who: &str, from: usize, values: &[u64]) {
         for (index, value) in values.iter().enumerate().skip(from) {
             match self.applied.get(index) {
@@ -38,25 +38,25 @@
         }
     }
 
-    /// A client got its acknowledgement.
+    /// Checks an acknowledgement to a client: the entry must be the one that is applied at its index.
     pub fn acknowledged(&mut self, who: &str, index: u64, value: u64) {
         let applied = self.applied.get(index as usize - 1);
         if applied != Some(&value) {
             self.fail_safety(format!("{who} acknowledged {value} at {index}, where {applied:?} is applied"));
         }
-        self.acknowledged_to = self.acknowledged_to.max(index);
+        self.highest_acknowledged_index = self.highest_acknowledged_index.max(index);
         self.acknowledged += 1;
     }
 
-    /// A replica answers reads: it knows all that was acknowledged.
+    /// Checks an acting replica, which answers reads: it must hold all acknowledged entries.
     pub fn acting(&mut self, who: &str, length: usize) {
-        if (length as u64) < self.acknowledged_to {
-            let to = self.acknowledged_to;
+        if (length as u64) < self.highest_acknowledged_index {
+            let to = self.highest_acknowledged_index;
             self.fail_safety(format!("{who} acts with {length} entries, {to} were acknowledged"));
         }
     }
 
-    /// A record became known as chosen: there is one for each epoch.
+    /// Checks a chosen record: only one may be chosen for each epoch.
     pub fn chosen(&mut self, who: &str, record: &EpochRecord) {
         let known = self.chosen.entry(record.epoch).or_insert_with(|| record.clone());
         if known != record {
--- a/crates/pebblepost-replication/tests/replication/simulation/disk.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/disk.rs
@@ -1,16 +1,17 @@
-//! A disk: writes become durable in order, after a time; what is not durable may be lost.
+//! A simulated disk. Writes become durable in order after a latency; a crash may lose those that are
+//! not durable.
 
 use super::random::Random;
 use pebblepost_replication::register::WitnessState;
 use pebblepost_replication::replica::DiskRecord;
 use std::collections::VecDeque;
 
-/// Who waits for a write.
+/// The component that waits for a write, with the token of the write.
 #[derive(Clone, Copy, Debug)]
 pub enum Waiter {
     Register(u64),
     Replica(u64),
-    /// A checkpoint: replaces what the replica wrote before.
+    /// A checkpoint, which replaces the earlier records of the replica.
     Checkpoint,
 }
 
@@ -26,18 +27,18 @@
     replica: Vec<DiskRecord>,
     pending: VecDeque<(Waiter, Stored)>,
     pub busy_until: u64,
-    pub hangs_until: u64,
+    pub stalled_until: u64,
 }
 
 impl SimulatedDisk {
-    /// Takes a write; when it will be durable if nothing intervenes.
+    /// Queues a write, and returns the time at which it becomes durable unless a fault intervenes.
     pub fn write(&mut self, now: u64, latency: u64, waiter: Waiter, stored: Stored) -> u64 {
         self.pending.push_back((waiter, stored));
-        self.busy_until = self.busy_until.max(now).max(self.hangs_until) + latency;
+        self.busy_until = self.busy_until.max(now).max(self.stalled_until) + latency;
         self.busy_until
     }
 
-    /// The oldest write is durable.
+    /// Makes the oldest pending write durable.
     pub fn complete_one(&mut self) -> Option<Waiter> {
         let (waiter, stored) = self.pending.pop_front()?;
         match stored {
@@ -52,8 +53,8 @@
         Some(waiter)
     }
 
-    /// The process or the machine dies: some of the unfinished writes are there, the rest never
-    /// happened.
+    /// Crashes the disk: a random number of the oldest pending writes become durable, and the rest are
+    /// lost.
     pub fn lose_pending(&mut self, random: &mut Random) {
         let kept = random.index(self.pending.len() + 1);
         for _ in 0..kept {
--- a/crates/pebblepost-replication/tests/replication/simulation/faults.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults and when they happen.
+//! Faults, and the schedules in which they happen.
 
 use super::Plan;
 use super::random::Random;
@@ -12,10 +12,10 @@
     Kill(usize),
     KillAll,
     Wipe(usize),
-    /// The machine is removed; another one with an empty disk is added at a new address.
+    /// Removes a machine, and adds another one with an empty disk at a new address.
     Replace(usize),
     Freeze(usize),
-    Thaw(usize),
+    Unfreeze(usize),
     Partition {
         from: usize,
         to: usize,
@@ -25,28 +25,28 @@
         to: usize,
     },
     Loss(u64),
-    DiskHangs(usize, u64),
-    /// What the machine sends takes this much longer.
+    StallDisk(usize, u64),
+    /// Delays the messages that the machine sends by this time.
     Slow(usize, u64),
-    /// Messages of the replicas to the machine are lost.
+    /// Sets whether messages of other replicas to the machine are lost.
     DropInbound(usize, bool),
     Targets(Vec<usize>),
-    /// A client's acknowledgement is followed at once by a loss: the acting machine is wiped.
+    /// Wipes the acting machine, which may just have acknowledged an entry to a client.
     WipeActing,
     KillActing,
-    /// Disks are lost once the group is repaired; since then it should be.
+    /// Loses disks once the group is repaired, which is expected within a time from `since`.
     LoseOnceRepaired {
         losses: u32,
         since: u64,
     },
 }
 
-/// Time that a machine counts as lost after its return.
-const CATCH_UP: u64 = 4_500 * MILLISECOND;
-/// When the first fault may happen: after the founding, or shortly before its end.
-const FIRST_FAULT: u64 = 700 * MILLISECOND;
+/// Time after its return for which a machine still counts as lost.
+const CATCH_UP_TIME: u64 = 4_500 * MILLISECOND;
+/// Earliest time of the first fault: after the first primary was elected, or shortly before.
+const FIRST_FAULT_AT: u64 = 700 * MILLISECOND;
 
-/// Schedules the faults of a world; when they end.
+/// Schedules the faults of a world, and returns the time at which they end.
 pub fn plan(world: &mut World) -> u64 {
     match world.options.plan {
         Plan::Random => plan_random(world, true),
@@ -62,7 +62,8 @@
     }
 }
 
-/// Time between two faults: sometimes long enough for the group to recover, sometimes not.
+/// Returns a random time between two faults, which may or may not be long enough for the group to
+/// recover.
 fn pause(random: &mut Random) -> u64 {
     if random.permille(300) {
         random.range(0, 60) * MILLISECOND
@@ -81,7 +82,7 @@
 
 fn plan_random(world: &mut World, loses_disks: bool) -> u64 {
     let mut lost_disks = 0;
-    let mut at = FIRST_FAULT + world.random.range(0, 1_500) * MILLISECOND;
+    let mut at = FIRST_FAULT_AT + world.random.range(0, 1_500) * MILLISECOND;
     let count = world.random.range(3, 12);
     for _ in 0..count {
         let may_lose = loses_disks && lost_disks < world.options.tolerance;
@@ -91,7 +92,7 @@
     at + 200 * MILLISECOND
 }
 
-/// Schedules one fault and its end; whether a disk is lost by it.
+/// Schedules one fault and its end. Returns whether it loses a disk.
 fn plan_one(world: &mut World, at: u64, may_lose: bool) -> bool {
     let machines = world.options.machines;
     let slot = world.random.index(machines);
@@ -108,7 +109,7 @@
         }
         4 | 5 => {
             world.schedule_at(at, Event::Fault(Fault::Freeze(slot)));
-            world.schedule_at(at + length, Event::Fault(Fault::Thaw(slot)));
+            world.schedule_at(at + length, Event::Fault(Fault::Unfreeze(slot)));
         }
         6 | 7 => plan_isolation(world, at, slot, length),
         8 => {
@@ -123,7 +124,7 @@
             world.schedule_at(at, Event::Fault(Fault::Loss(share)));
             world.schedule_at(at + length, Event::Fault(Fault::Loss(0)));
         }
-        10 => world.schedule_at(at, Event::Fault(Fault::DiskHangs(slot, length))),
+        10 => world.schedule_at(at, Event::Fault(Fault::StallDisk(slot, length))),
         15 | 16 => {
             let extra = duration(&mut world.random);
             world.schedule_at(at, Event::Fault(Fault::Slow(slot, extra)));
@@ -169,11 +170,11 @@
     }
 }
 
-/// At most as many machines as tolerated are lost at a time.
+/// Schedules losses of machines, at most as many at a time as tolerated.
 fn plan_tolerated(world: &mut World) -> u64 {
     let mut present: Vec<usize> = (0..world.options.machines).collect();
     let mut spare = world.options.machines;
-    // When each machine that may be lost together counts as back.
+    // For each machine that may be lost at the same time: when it no longer counts as lost.
     let mut lost_until = vec![0; world.options.tolerance];
     let mut at = 2 * SECOND;
     for _ in 0..world.random.range(4, 7) {
@@ -184,22 +185,22 @@
         let position = world.random.index(present.len());
         let slot = present[position];
         let length = duration(&mut world.random);
-        if spare < super::world::MAX_REPLACED && world.random.permille(400) {
+        if spare < super::world::MAX_SLOTS_AFTER_REPLACEMENT && world.random.permille(400) {
             world.schedule_at(at, Event::Fault(Fault::Replace(slot)));
             present[position] = spare;
             spare += 1;
-            lost_until[index] = at + CATCH_UP;
+            lost_until[index] = at + CATCH_UP_TIME;
         } else {
             let fault = if world.random.permille(600) { Fault::Wipe(slot) } else { Fault::Kill(slot) };
             plan_stop(world, at, fault, slot, length);
-            lost_until[index] = at + length + CATCH_UP;
+            lost_until[index] = at + length + CATCH_UP_TIME;
         }
-        at += world.random.range(0, 2 * CATCH_UP);
+        at += world.random.range(0, 2 * CATCH_UP_TIME);
     }
-    at + CATCH_UP
+    at + CATCH_UP_TIME
 }
 
-/// The targets change a few times.
+/// Schedules three changes of the targets.
 fn plan_targets(world: &mut World, end: u64) {
     let machines = world.options.machines;
     for _ in 0..3 {
@@ -211,8 +212,8 @@
     }
 }
 
-/// Machines are stopped or partitioned one at a time, long enough to be dropped, and return; the
-/// injected faults do the rest.
+/// Schedules that machines are stopped or partitioned, long enough to be dropped from the group, and
+/// return. The resulting changes of the configuration trigger the injected faults.
 fn plan_transitions(world: &mut World) -> u64 {
     let spare = world.add_slot(false);
     world.schedule(SECOND, Event::Fault(Fault::Start(spare)));
@@ -238,7 +239,8 @@
     is_due && world.random.permille(INJECTION_PERMILLE)
 }
 
-/// A machine proposes an epoch record: soon after, links between random machines break.
+/// Injects a fault when an epoch record is proposed: soon after, messages are lost or links between
+/// random machines break.
 pub fn inject_at_proposal(world: &mut World) {
     if !injects_fault(world) {
         return;
@@ -262,8 +264,8 @@
     }
 }
 
-/// A joiner is proposed: it receives no more entries, an entry is proposed at once, and soon all
-/// the others are down for a while.
+/// Injects a fault when a joiner is proposed: it receives no more entries, an entry is proposed at
+/// once, and soon after all other machines are down for a while.
 pub fn inject_at_join(world: &mut World, primary: usize, joiner: usize) {
     if !injects_fault(world) {
         return;
@@ -280,8 +282,8 @@
     }
 }
 
-/// A change of the witnesses starts: the primary and the new witness are partitioned from the
-/// others, among them the witness that counted as gone.
+/// Injects a fault when a change of the witness set starts: the primary and the new witness are
+/// partitioned from the other machines, including the witness that counted as gone.
 pub fn inject_at_witness_change(world: &mut World, primary: usize, new_witness: usize) {
     if !injects_fault(world) {
         return;
@@ -300,8 +302,8 @@
     }
 }
 
-/// A record was chosen: everything loses power.
-pub fn inject_at_choice(world: &mut World) {
+/// Injects a fault when a record is chosen: soon after, all machines stop.
+pub fn inject_at_chosen_record(world: &mut World) {
     if !injects_fault(world) || world.random.permille(600) {
         return;
     }
@@ -321,11 +323,11 @@
         Fault::Wipe(slot) => world.wipe(slot),
         Fault::Replace(slot) => replace(world, slot),
         Fault::Freeze(slot) => world.slots[slot].is_frozen = world.slots[slot].process.is_some(),
-        Fault::Thaw(slot) => world.thaw(slot),
+        Fault::Unfreeze(slot) => world.unfreeze(slot),
         Fault::Partition { from, to } => world.partitions[from][to] += 1,
         Fault::Heal { from, to } => world.partitions[from][to] = world.partitions[from][to].saturating_sub(1),
         Fault::Loss(share) => world.loss_permille = share,
-        Fault::DiskHangs(slot, length) => world.slots[slot].disk.hangs_until = world.now + length,
+        Fault::StallDisk(slot, length) => world.slots[slot].disk.stalled_until = world.now + length,
         Fault::Slow(slot, extra) => world.slots[slot].extra_delay = extra,
         Fault::DropInbound(slot, drops_inbound) => world.slots[slot].drops_inbound = drops_inbound,
         Fault::Targets(targets) => world.set_targets(&targets),
@@ -353,15 +355,15 @@
     world.schedule(delay, Event::Fault(Fault::Start(successor)));
 }
 
-/// Ends all faults: everything that exists runs and is connected.
-pub fn heal_everything(world: &mut World) {
+/// Ends all faults, so that all remaining machines run and are connected.
+pub fn end_all_faults(world: &mut World) {
     world.partitions.iter_mut().flatten().for_each(|cut| *cut = 0);
     world.loss_permille = 0;
     for slot in 0..world.slots.len() {
-        world.slots[slot].disk.hangs_until = 0;
+        world.slots[slot].disk.stalled_until = 0;
         world.slots[slot].extra_delay = 0;
         world.slots[slot].drops_inbound = false;
-        world.thaw(slot);
+        world.unfreeze(slot);
         world.start(slot);
     }
 }
--- a/crates/pebblepost-replication/tests/replication/simulation/list_machine.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/list_machine.rs
@@ -5,7 +5,7 @@
 #[derive(Debug, Default)]
 pub struct ListMachine {
     pub values: Vec<u64>,
-    /// How the library broke its contract.
+    /// A violation of the contract of [`StateMachine`] by the library, if any.
     pub violation: Option<String>,
 }
 
