--- a/crates/pebblepost-replication/tests/replication/simulation/machines.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/machines.rs
@@ -1,4 +1,4 @@
-//! Machines: their processes, disks and clocks, and who acts.
+//! The machines with their processes, disks and clocks, and the check that at most one acts.
 
 use super::disk::{Stored, Waiter};
 use super::process::Process;
@@ -18,16 +18,16 @@
         machine.incarnation += 1;
         machine.is_frozen = false;
         machine.inbox.clear();
-        let founding = machine.is_founder.then(|| self.founding.clone());
+        let initial_record = machine.is_bootstrap_member.then(|| self.initial_record.clone());
         let me = (*machine.member).clone();
         let recovered = machine.disk.recovered();
-        machine.process = Some(Process::new(&self.options, me, recovered, founding, self.now, seed));
+        machine.process = Some(Process::new(&self.options, me, recovered, initial_record, self.now, seed));
         let incarnation = machine.incarnation;
         self.schedule(seed % TICK, Event::Tick { slot, incarnation });
         self.drain(slot);
     }
 
-    /// Stops the process; the disk keeps what was durable and some of the rest.
+    /// Stops the process. The disk keeps all durable writes and some of the pending ones.
     pub fn stop(&mut self, slot: usize) {
         let machine = &mut self.slots[slot];
         machine.process = None;
@@ -37,20 +37,20 @@
         machine.disk.lose_pending(&mut self.random);
     }
 
-    /// Stops the machine and empties its disk: what comes back is a new replica.
+    /// Stops the machine and empties its disk. It comes back as a new replica with another disk.
     pub fn wipe(&mut self, slot: usize) {
         self.stop(slot);
         self.slots[slot].disk.wipe();
-        if self.options.wiped_disk_keeps_identity {
+        if self.options.wiped_machine_keeps_disk_identity {
             return;
         }
         let disk = self.new_disk();
         let machine = &mut self.slots[slot];
-        machine.is_founder = false;
+        machine.is_bootstrap_member = false;
         machine.member = Rc::new(member(slot, disk));
     }
 
-    pub fn thaw(&mut self, slot: usize) {
+    pub fn unfreeze(&mut self, slot: usize) {
         if !std::mem::take(&mut self.slots[slot].is_frozen) {
             return;
         }
@@ -110,8 +110,8 @@
         if machine.incarnation != incarnation {
             return;
         }
-        if now < machine.disk.hangs_until {
-            let until = machine.disk.hangs_until;
+        if now < machine.disk.stalled_until {
+            let until = machine.disk.stalled_until;
             self.schedule_at(until, Event::Synced { slot, incarnation });
             return;
         }
@@ -130,7 +130,7 @@
         self.drain(slot);
     }
 
-    /// Machines that act now; a frozen one can't do anything.
+    /// Returns the machines that act as primary now. A frozen machine does not act.
     pub fn acting(&self) -> Vec<usize> {
         let is_acting = |slot: &Slot| {
             let process = slot.process.as_ref().filter(|_| !slot.is_frozen);
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The machines that should hold the group.
+    /// Sets the machines that should hold the group.
     pub fn set_targets(&mut self, targets: &[usize]) {
         debug_assert_eq!(self.options.plan, Plan::Targets);
         let members: Vec<Member> = targets.iter().map(|slot| (*self.slots[*slot].member).clone()).collect();
--- a/crates/pebblepost-replication/tests/replication/simulation/mod.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/mod.rs
@@ -22,37 +22,37 @@
 use std::time::Duration;
 use violation::Violation;
 
-/// What a schedule is run with.
+/// Parameters of a schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Machines at the start, all founders.
+    /// Number of machines at the start, all members of the initial configuration.
     pub machines: usize,
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at once.
     pub tolerance: usize,
     pub plan: Plan,
     pub register_guards: RegisterGuards,
     pub replica_guards: ReplicaGuards,
-    /// Fault of the caller: a wiped machine comes back under its old identity.
-    pub wiped_disk_keeps_identity: bool,
+    /// Caller error: a wiped machine comes back under the identity of its old disk.
+    pub wiped_machine_keeps_disk_identity: bool,
 }
 
-/// Which faults a schedule has.
+/// The faults of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
-    /// Any number of machines stops, freezes or is partitioned at any time; at most as many disks
-    /// as tolerated are lost over the whole schedule.
+    /// Any number of machines are stopped, frozen or partitioned at any time. Over the whole schedule,
+    /// at most as many disks as tolerated are lost.
     Random,
-    /// At most as many machines as tolerated are lost at once, each counting 4.5 s after
-    /// its return; disks are lost and machines are replaced again and again.
+    /// At most as many machines as tolerated are lost at once, where a machine counts as lost until
+    /// 4.5 s after its return. Disks are lost and machines are replaced repeatedly.
     Tolerated,
-    /// The targets of the group change, beside the faults of `Random` without lost disks.
+    /// The targets of the group change, in addition to the faults of `Random` without lost disks.
     Targets,
-    /// Faults are injected at the moments when the group changes: records proposed, records chosen,
-    /// joiners added, witnesses replaced. No disks are lost; one spare machine is there.
+    /// Faults are injected when the configuration changes: when a record is proposed or chosen, a
+    /// joiner is proposed or a witness is replaced. No disks are lost. There is one spare machine.
     Transitions,
-    /// The next disks are lost at the moment at which the group counts itself as repaired.
+    /// The next disks are lost as soon as the group counts as repaired.
     SecondLoss,
-    /// Machines that missed changes come back while those that hold them are gone.
+    /// Machines that missed changes come back while the machines that hold them are down.
     StaleMinority,
 }
 
@@ -64,12 +64,12 @@
             plan,
             register_guards: RegisterGuards::default(),
             replica_guards: ReplicaGuards::default(),
-            wiped_disk_keeps_identity: false,
+            wiped_machine_keeps_disk_identity: false,
         }
     }
 }
 
-/// The timing of the simulated group.
+/// Returns the settings of the simulated group.
 pub fn settings(tolerance: usize) -> ReplicaSettings {
     ReplicaSettings {
         tolerance: Tolerance { machines: tolerance, zones: 0, regions: 0 },
@@ -88,7 +88,7 @@
     world.run()
 }
 
-/// Runs many schedules and panics at the first that breaks something.
+/// Runs many schedules, and panics at the first that violates a rule.
 pub fn run_all(options: Options, first_seed: u64, count: u64) {
     let mut acknowledged = 0;
     for seed in first_seed..first_seed + count {
@@ -100,7 +100,7 @@
     assert!(acknowledged > count * 10, "only {acknowledged} acknowledged in {count} schedules");
 }
 
-/// The first seed of so many that breaks a safety rule.
+/// Returns the first of `count` seeds that violates a safety rule, and the violation.
 pub fn first_violation(options: Options, first_seed: u64, count: u64) -> Option<(u64, Violation)> {
     (first_seed..first_seed + count).find_map(|seed| {
         let violation = run(options, seed).err().filter(Violation::is_safety);
--- a/crates/pebblepost-replication/tests/replication/simulation/network.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The network: ordered links with delay, loss and partitions.
+//! The simulated network: ordered links with delay, loss and partitions.
 
 use super::world::{Event, HELLO_INTERVAL, MILLISECOND, Payload, World, slot_of};
 use pebblepost_messages::Member;
@@ -30,7 +30,7 @@
         self.schedule_at(at, Event::Deliver { to, from, payload });
     }
 
-    /// Sends to a disk: a machine that lost it takes nothing that was meant for its predecessor.
+    /// Sends a message to the replica on a disk. A machine that has lost that disk does not receive it.
     pub(super) fn send(&mut self, from: usize, to: &Member, payload: Payload) {
         let slot = slot_of(to);
         if self.slots[slot].member.disk == to.disk {
--- a/crates/pebblepost-replication/tests/replication/simulation/outputs.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/outputs.rs
@@ -1,4 +1,4 @@
-//! What the processes ask for is carried out, and checked.
+//! Carries out and checks the outputs of the processes.
 
 use super::disk::{Stored, Waiter};
 use super::faults;
@@ -8,7 +8,7 @@
 use pebblepost_replication::replica::ReplicaOutput;
 
 impl World {
-    /// Carries out what a process asks for.
+    /// Carries out the outputs of a process until there are none left.
     pub(super) fn drain(&mut self, slot: usize) {
         loop {
             let Some(process) = &mut self.slots[slot].process else { return };
@@ -18,17 +18,17 @@
                 break;
             }
             for output in from_register {
-                self.carry_out_register(slot, output);
+                self.apply_register_output(slot, output);
             }
-            self.end_change(slot);
+            self.report_ended_change(slot);
             for output in from_replica {
-                self.carry_out_replica(slot, output);
+                self.apply_replica_output(slot, output);
             }
         }
         self.check_applied(slot);
     }
 
-    pub(super) fn carry_out_register(&mut self, slot: usize, output: RegisterOutput) {
+    pub(super) fn apply_register_output(&mut self, slot: usize, output: RegisterOutput) {
         if let Some(transcript) = &mut self.transcript {
             transcript.register(self.now, slot, &output);
         }
@@ -46,14 +46,14 @@
                     let local = process.local(now);
                     process.replica.configure(local, &record);
                 }
-                faults::inject_at_choice(self);
+                faults::inject_at_chosen_record(self);
             }
             RegisterOutput::Rejected { .. } => {}
         }
     }
 
-    /// Tells the replica that the change it asked for has ended.
-    pub(super) fn end_change(&mut self, slot: usize) {
+    /// Reports to the replica that the change that it requested has ended.
+    pub(super) fn report_ended_change(&mut self, slot: usize) {
         let now = self.now;
         let Some(process) = &mut self.slots[slot].process else { return };
         if process.change_in_flight && !process.register.is_proposing() {
@@ -63,7 +63,7 @@
         }
     }
 
-    pub(super) fn carry_out_replica(&mut self, slot: usize, output: ReplicaOutput) {
+    pub(super) fn apply_replica_output(&mut self, slot: usize, output: ReplicaOutput) {
         if let Some(transcript) = &mut self.transcript {
             transcript.replica(self.now, slot, &output);
         }
@@ -74,7 +74,9 @@
             ReplicaOutput::Persist { token, records } => {
                 self.write(slot, Waiter::Replica(token), Stored::Replica(records));
             }
-            ReplicaOutput::ChangeEpoch { expected, record } => self.ask_register(slot, expected, record),
+            ReplicaOutput::ChangeEpoch { expected, record } => {
+                self.propose_to_register(slot, expected, record)
+            }
             ReplicaOutput::Committed { index } => self.acknowledge(slot, index),
             ReplicaOutput::BecamePrimary { .. } => self.check_acting(),
             ReplicaOutput::SteppedDown => {
@@ -85,7 +87,7 @@
         }
     }
 
-    pub(super) fn ask_register(&mut self, slot: usize, expected: u64, record: EpochRecord) {
+    pub(super) fn propose_to_register(&mut self, slot: usize, expected: u64, record: EpochRecord) {
         let now = self.now;
         let Some(process) = &mut self.slots[slot].process else { return };
         let local = process.local(now);
--- a/crates/pebblepost-replication/tests/replication/simulation/process.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/process.rs
@@ -1,4 +1,4 @@
-//! A process: a register and a replica, and what a control program does around them.
+//! A process with a register, a replica and the part of the control program that drives them.
 
 use super::list_machine::ListMachine;
 use super::witness_change::next_witness_change;
@@ -10,22 +10,22 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A member not heard from for this long counts as gone, to the driver of the witness set.
-const GONE_AFTER: Duration = Duration::from_millis(1500);
-/// A member not heard from for this long has reconnected.
-const RECONNECTED_AFTER: Duration = Duration::from_millis(700);
+/// Time without a message after which a member counts as gone and is replaced as a witness.
+const GONE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Gap between two hello messages after which a member counts as reconnected.
+const RECONNECT_GAP: Duration = Duration::from_millis(700);
 
 pub struct Process {
     pub me: Member,
     pub register: Register,
     pub replica: Replica<ListMachine>,
-    /// The replica waits for the register's answer.
+    /// Whether the replica waits for the answer of the register to a requested change.
     pub change_in_flight: bool,
-    /// Entries proposed by clients since the start of the process.
+    /// Values proposed by clients since the start of the process and not acknowledged yet, by index.
     pub proposals: BTreeMap<u64, u64>,
-    /// Applied entries that were checked.
+    /// Number of applied entries that were checked.
     pub checked: usize,
-    heard: BTreeMap<DiskId, (Member, Duration)>,
+    reachable: BTreeMap<DiskId, (Member, Duration)>,
     clock_offset: u64,
     witness_count: usize,
 }
@@ -33,18 +33,18 @@
 impl Process {
     pub fn new(
         options: &Options, me: Member, recovered: (Option<WitnessState>, Vec<DiskRecord>),
-        founding: Option<EpochRecord>, now: u64, seed: u64,
+        initial_record: Option<EpochRecord>, now: u64, seed: u64,
     ) -> Self {
         let clock_offset = seed % 1_000_000_000;
         let local = Duration::from_micros(now + clock_offset);
         let guards = options.register_guards;
-        let register = Register::with_guards(me.clone(), recovered.0, founding.clone(), seed, guards);
+        let register = Register::with_guards(me.clone(), recovered.0, initial_record.clone(), seed, guards);
         let guards = options.replica_guards;
         let settings = settings(options.tolerance);
         let state = ListMachine::default();
         let mut replica = Replica::with_guards(me.clone(), settings, state, recovered.1, local, guards);
-        if let Some(founding) = &founding {
-            replica.configure(local, founding);
+        if let Some(initial_record) = &initial_record {
+            replica.configure(local, initial_record);
         }
         Self {
             me,
@@ -53,27 +53,27 @@
             change_in_flight: false,
             proposals: BTreeMap::new(),
             checked: 0,
-            heard: BTreeMap::new(),
+            reachable: BTreeMap::new(),
             clock_offset,
             witness_count: 2 * options.tolerance + 1,
         }
     }
 
-    /// The process's own monotonic clock.
+    /// Returns the time of the monotonic clock of this process.
     pub fn local(&self, now: u64) -> Duration {
         Duration::from_micros(now + self.clock_offset)
     }
 
-    /// A greeting of a connected member; whoever was away is announced the newest record.
+    /// Handles a hello message. Sends the newest chosen record to a member that has reconnected.
     pub fn on_hello(&mut self, now: u64, from: &Member) {
         let local = self.local(now);
-        let last = self.heard.insert(from.disk, (from.clone(), local));
-        if last.is_none_or(|(_, at)| local - at > RECONNECTED_AFTER) {
+        let last = self.reachable.insert(from.disk, (from.clone(), local));
+        if last.is_none_or(|(_, at)| local - at > RECONNECT_GAP) {
             self.register.announce_chosen(from);
         }
     }
 
-    /// Replaces witnesses that are gone, one at a time; the new witness where a change starts.
+    /// Replaces witnesses that are gone, one at a time. Returns the new witness if a change starts.
     pub fn drive_witnesses(&mut self, now: u64) -> Option<Member> {
         let local = self.local(now);
         let is_free = !self.change_in_flight && !self.register.is_proposing();
@@ -81,15 +81,15 @@
             return None;
         }
         let record = self.replica.record();
-        let is_up = |(_, at): &&(Member, Duration)| local - *at < GONE_AFTER;
+        let is_up = |(_, at): &&(Member, Duration)| local - *at < GONE_TIMEOUT;
         let witnesses_up = record.witnesses.iter().all(|witness| {
-            witness.disk == self.me.disk || self.heard.get(&witness.disk).as_ref().is_some_and(is_up)
+            witness.disk == self.me.disk || self.reachable.get(&witness.disk).as_ref().is_some_and(is_up)
         });
         if witnesses_up && record.former_witnesses.is_empty() {
             return None;
         }
         let mut reachable: Vec<Member> =
-            self.heard.values().filter(is_up).map(|(member, _)| member.clone()).collect();
+            self.reachable.values().filter(is_up).map(|(member, _)| member.clone()).collect();
         reachable.push(self.me.clone());
         let next = next_witness_change(record, &reachable, self.witness_count)?;
         let new_witness = next.witnesses.iter().find(|member| !record.is_witness(member.disk)).cloned();
--- a/crates/pebblepost-replication/tests/replication/simulation/random.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/random.rs
@@ -1,4 +1,4 @@
-//! A seeded generator.
+//! A seeded random number generator.
 
 #[derive(Clone, Debug)]
 pub struct Random(u64);
@@ -19,7 +19,7 @@
         self.0.wrapping_mul(0x2545_f491_4f6c_dd1d)
     }
 
-    /// A number from `low` to `high`, `high` excluded.
+    /// Returns a number from `low` to below `high`.
     pub fn range(&mut self, low: u64, high: u64) -> u64 {
         low + (self.next() >> 16) % high.saturating_sub(low).max(1)
     }
@@ -28,7 +28,7 @@
         self.range(0, count as u64) as usize
     }
 
-    /// True in so many of a thousand cases.
+    /// Returns true with a probability of `share` in 1,000.
     pub fn permille(&mut self, share: u64) -> bool {
         self.range(0, 1000) < share
     }
--- a/crates/pebblepost-replication/tests/replication/simulation/repeated_loss.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/repeated_loss.rs
@@ -1,4 +1,5 @@
-//! Schedules in which one loss follows the repair of another, or the return of a machine that missed everything.
+//! Schedules in which a loss follows the repair of another loss, or the return of machines that missed
+//! all changes.
 
 use super::Plan;
 use super::faults::Fault;
@@ -6,23 +7,24 @@
 use super::world::{Event, MILLISECOND, SECOND, World};
 use pebblepost_messages::Member;
 
-/// Losses of a schedule, each after the repair of the one before.
+/// Number of losses of a schedule, each after the repair of the previous one.
 const LOSSES: u32 = 5;
-/// How often it is checked whether the group is repaired.
+/// Interval between two checks whether the group is repaired.
 const CHECK_INTERVAL: u64 = MILLISECOND;
-/// Time in which a loss has to be repaired once the machines are back.
+/// Time within which a loss has to be repaired once the machines are back.
 const REPAIR_TIMEOUT: u64 = 4_500 * MILLISECOND;
-/// When the first loss happens, at the earliest.
+/// Earliest time of the first loss.
 const FIRST_LOSS_AT: u64 = 2 * SECOND;
 
-/// As many disks as tolerated are lost, and again at the moment at which the group counts itself as repaired.
+/// Schedules the loss of as many disks as tolerated, repeated as soon as the group counts as repaired.
+/// Returns the end of the faults.
 pub fn plan_second_loss(world: &mut World) -> u64 {
     let at = FIRST_LOSS_AT + world.random.range(0, 500) * MILLISECOND;
     world.schedule_at(at, Event::Fault(Fault::LoseOnceRepaired { losses: LOSSES, since: at }));
     at + u64::from(LOSSES) * (REPAIR_TIMEOUT + SECOND)
 }
 
-/// Loses disks if the group is repaired, and checks again later.
+/// Loses disks if the group is repaired, and schedules the next check.
 pub fn lose_once_repaired(world: &mut World, losses: u32, since: u64) {
     if !is_repaired(world) {
         if world.now.saturating_sub(since) > REPAIR_TIMEOUT {
@@ -36,13 +38,13 @@
         return;
     }
     let mut back_at = world.now;
-    for slot in victims(world) {
+    for slot in choose_disks_to_lose(world) {
         let length = world.random.range(50, 1_500) * MILLISECOND;
-        // Now and then clients come to something between the repair and the next loss.
+        // In some runs there is time for client requests between the repair and the next loss.
         let at = world.now + world.random.range(0, 2) * world.random.range(0, 300) * MILLISECOND;
         world.schedule_at(at, Event::Fault(Fault::Wipe(slot)));
         world.schedule_at(at + length, Event::Fault(Fault::Start(slot)));
-        // What it is sent takes its time, now and then.
+        // In some runs the messages that the machine sends are delayed.
         let extra = world.random.range(0, 2) * world.random.range(0, 150) * MILLISECOND;
         world.schedule_at(at, Event::Fault(Fault::Slow(slot, extra)));
         back_at = back_at.max(at + length);
@@ -54,24 +56,26 @@
     );
 }
 
-/// How many machines hold the group where disks are lost right after a repair: no more than must.
+/// Returns the minimum number of machines that must hold the group. Schedules that lose disks right
+/// after a repair use no more than that.
 fn holder_count(world: &World) -> usize {
     world.options.tolerance + 1
 }
 
-/// The machines that hold the group, as they are now, where that is not all of them.
+/// Returns the current members of the machines that should hold the group, or `None` if all should.
 pub fn holders(world: &World) -> Option<Vec<Member>> {
     let is_tight = world.options.plan == Plan::SecondLoss;
     is_tight.then(|| world.slots[..holder_count(world)].iter().map(|slot| (*slot.member).clone()).collect())
 }
 
-/// As many holders as tolerated.
-fn victims(world: &mut World) -> Vec<usize> {
+/// Returns random machines among those that hold the group, as many as may be lost.
+fn choose_disks_to_lose(world: &mut World) -> Vec<usize> {
     let spared = world.random.index(holder_count(world));
     (0..holder_count(world)).filter(|slot| *slot != spared).collect()
 }
 
-/// Whether the acting machine's record counts on as many disks as it should, and on none that is lost.
+/// Returns whether the epoch record of the acting primary names the required number of replicas and
+/// witnesses, and none whose disk is lost or whose process is down.
 fn is_repaired(world: &World) -> bool {
     let Some(acting) = world.acting().first().copied() else { return false };
     let Some(process) = &world.slots[acting].process else { return false };
@@ -85,8 +89,9 @@
         && record.witnesses.iter().chain(&record.in_sync).all(is_there)
 }
 
-/// A minority is partitioned and misses everything; one of the others loses its disk, the rest stop, and the partition heals:
-/// those who missed it must not lead.
+/// Schedules partitions of a minority, which misses all changes. Then one of the other machines loses
+/// its disk, the rest stop, and the partition ends. The minority must not become primary with its old
+/// state. Returns the end of the faults.
 pub fn plan_stale_minority(world: &mut World) -> u64 {
     let machines = world.options.machines;
     let mut at = FIRST_LOSS_AT;
--- a/crates/pebblepost-replication/tests/replication/simulation/report.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/report.rs
@@ -1,10 +1,10 @@
-//! What a world looks like, for reports of violations.
+//! Description of the simulated world for reports of violations.
 
 use super::world::{Slot, World};
 use pebblepost_messages::Member;
 
 impl World {
-    /// What each machine knows, for reports.
+    /// Describes the epoch record and the progress that each running machine knows.
     pub fn describe(&self) -> String {
         let describe = |slot: &Slot| {
             let process = slot.process.as_ref()?;
--- a/crates/pebblepost-replication/tests/replication/simulation/transcript.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/transcript.rs
@@ -1,4 +1,4 @@
-//! Digests of everything that the processes of a simulated run send, store and report.
+//! Digests of all outputs of the processes of a simulated run.
 
 use nanoserde::SerBin;
 use pebblepost_replication::register::RegisterOutput;
@@ -6,14 +6,14 @@
 use pebblepost_stable_hash::Fnv1a;
 use std::collections::BTreeMap;
 
-/// What is known of one kind of message or record, by the tag that it starts with.
+/// Count and digest of one kind of message or record, identified by the tag that it starts with.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Variant {
     pub count: u64,
     pub digest: Fnv1a,
 }
 
-/// The run in the order in which it happened, and each variant by itself.
+/// Digest of all outputs of a run in order, and of each message or record variant separately.
 #[derive(Clone, Debug, Default)]
 pub struct Transcript {
     pub outputs: u64,
--- a/crates/pebblepost-replication/tests/replication/simulation/violation.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/violation.rs
@@ -1,8 +1,8 @@
-//! Rules that a schedule broke.
+//! Violations of the rules that the simulation checks.
 
 use std::fmt;
 
-/// What a schedule broke.
+/// The violation of a rule by a schedule.
 #[derive(Clone, Debug)]
 pub enum Violation {
     /// Something happened that must never happen.
@@ -12,7 +12,7 @@
 }
 
 impl Violation {
-    /// The same, with the time at which it was found.
+    /// Adds the time at which the violation was found.
     pub fn at(self, milliseconds: u64) -> Self {
         match self {
             Self::Safety(found) => Self::Safety(format!("at {milliseconds} ms: {found}")),
--- a/crates/pebblepost-replication/tests/replication/simulation/witness_change.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/witness_change.rs
@@ -1,11 +1,11 @@
-//! The next step of a change of the witness set, as a group's configuration manager takes it.
+//! The next step of a change of the witness set, as the control program of a group requests it.
 
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
 
-/// The record that replaces one witness that is gone by a machine that is up, or that ends such a
-/// change; `None` if nothing is to be done. `reachable` are the machines heard from lately, `count`
-/// is the number of witnesses that there should be.
+/// Returns the record that replaces an unreachable witness with a reachable machine, or that finishes
+/// such a change; `None` if no change is needed. `reachable` are the machines recently heard from, and
+/// `count` is the desired number of witnesses.
 pub fn next_witness_change(record: &EpochRecord, reachable: &[Member], count: usize) -> Option<EpochRecord> {
     let mut next = record.clone();
     next.epoch += 1;
--- a/crates/pebblepost-replication/tests/replication/simulation/world.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The world: its machines, its queue of events, clients.
+//! The simulated world: machines, event queue and clients. Times are in microseconds.
 
 use super::Options;
 use super::checker::Checker;
@@ -19,12 +19,13 @@
 pub const TICK: u64 = 50 * MILLISECOND;
 pub const HELLO_INTERVAL: u64 = 300 * MILLISECOND;
 const CLIENT_PERIOD: u64 = 50 * MILLISECOND;
-/// Clients ask so many times less often once the faults are over.
-const CALM_CLIENTS: u64 = 4;
-/// After the end of the faults: until a primary acts, and until the end.
-const RECOVERY: u64 = 3 * SECOND;
-const CALM: u64 = RECOVERY + 600 * MILLISECOND;
-/// A replica writes a checkpoint when its disk holds more records.
+/// Factor by which the time between client requests is longer once the faults are over.
+const CLIENT_PERIOD_FACTOR_AFTER_FAULTS: u64 = 4;
+/// Time after the end of the faults within which a primary must act.
+const RECOVERY_TIMEOUT: u64 = 3 * SECOND;
+/// Time from the end of the faults to the end of the run.
+const TIME_AFTER_FAULTS: u64 = RECOVERY_TIMEOUT + 600 * MILLISECOND;
+/// Number of records on disk above which a replica writes a checkpoint.
 pub const CHECKPOINT_RECORDS: usize = 60;
 
 #[derive(Clone)]
@@ -42,23 +43,23 @@
     Client,
     Fault(Fault),
     FaultsEnd,
-    MustAct,
+    RecoveryDeadline,
     End,
 }
 
-/// A machine: address, disk, process.
+/// A machine with its address, disk and process.
 #[expect(clippy::struct_excessive_bools, reason = "independent conditions of a simulated machine")]
 pub struct Slot {
     pub member: Rc<Member>,
     pub disk: SimulatedDisk,
     pub process: Option<Process>,
     pub incarnation: u64,
-    pub is_founder: bool,
+    pub is_bootstrap_member: bool,
     pub is_removed: bool,
     pub is_frozen: bool,
     pub extra_delay: u64,
     pub drops_inbound: bool,
-    /// What arrived while the machine was frozen.
+    /// Events that arrived while the machine was frozen.
     pub(super) inbox: Vec<Event>,
 }
 
@@ -71,27 +72,27 @@
     pub random: Random,
     pub now: u64,
     pub slots: Vec<Slot>,
-    /// Cuts from one machine to another, counted.
+    /// Number of active partitions from one machine to another.
     pub partitions: Vec<Vec<u32>>,
     pub loss_permille: u64,
     pub checker: Checker,
-    /// What the processes put out, where that is asked for.
+    /// Digests of the outputs of the processes, if they are recorded.
     pub transcript: Option<Transcript>,
     pub(super) queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     pub(super) events: Vec<Option<Event>>,
     pub(super) free: Vec<usize>,
     pub(super) sequence: u64,
     pub(super) last_delivery: Vec<Vec<u64>>,
-    pub(super) founding: EpochRecord,
+    pub(super) initial_record: EpochRecord,
     pub(super) next_value: u64,
     pub(super) faults_end: u64,
     pub(super) acknowledged_at_end: u64,
 }
 
-/// Most machines of one schedule, spares included.
+/// Maximum number of machines of one schedule, including spares.
 pub const MAX_SLOTS: usize = 12;
-/// Slots that replacements may fill.
-pub const MAX_REPLACED: usize = 11;
+/// Number of slots up to which machines may be replaced.
+pub const MAX_SLOTS_AFTER_REPLACEMENT: usize = 11;
 
 impl World {
     pub fn new(options: Options, seed: u64) -> Self {
@@ -109,20 +110,20 @@
             free: Vec::new(),
             sequence: 0,
             last_delivery: vec![vec![0; MAX_SLOTS]; MAX_SLOTS],
-            founding: EpochRecord::default(),
+            initial_record: EpochRecord::default(),
             next_value: 1,
             faults_end: 0,
             acknowledged_at_end: 0,
         };
-        world.set_up();
+        world.schedule_initial_events();
         world
     }
 
-    fn set_up(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for _ in 0..self.options.machines {
             self.add_slot(true);
         }
-        self.founding.witnesses = self.slots.iter().map(|slot| (*slot.member).clone()).collect();
+        self.initial_record.witnesses = self.slots.iter().map(|slot| (*slot.member).clone()).collect();
         for slot in 0..self.slots.len() {
             let delay = self.random.range(0, 200 * MILLISECOND);
             self.schedule(delay, Event::Fault(Fault::Start(slot)));
@@ -132,20 +133,20 @@
         self.faults_end = faults::plan(self);
         let end = self.faults_end;
         self.schedule_at(end, Event::FaultsEnd);
-        self.schedule_at(end + RECOVERY, Event::MustAct);
-        self.schedule_at(end + CALM, Event::End);
+        self.schedule_at(end + RECOVERY_TIMEOUT, Event::RecoveryDeadline);
+        self.schedule_at(end + TIME_AFTER_FAULTS, Event::End);
     }
 
-    /// Adds a machine with an empty disk at a new address; it is not started yet.
-    pub fn add_slot(&mut self, is_founder: bool) -> usize {
+    /// Adds a machine with an empty disk at a new address, without starting it.
+    pub fn add_slot(&mut self, is_bootstrap_member: bool) -> usize {
         let slot = self.slots.len();
-        let disk = if is_founder { DiskId(slot as u64 + 1) } else { self.new_disk() };
+        let disk = if is_bootstrap_member { DiskId(slot as u64 + 1) } else { self.new_disk() };
         self.slots.push(Slot {
             member: Rc::new(member(slot, disk)),
             disk: SimulatedDisk::default(),
             process: None,
             incarnation: 0,
-            is_founder,
+            is_bootstrap_member,
             is_removed: false,
             is_frozen: false,
             extra_delay: 0,
@@ -202,7 +203,7 @@
             Event::Client => self.client(),
             Event::Fault(fault) => faults::apply(self, fault),
             Event::FaultsEnd => self.end_faults(),
-            Event::MustAct => self.must_act(),
+            Event::RecoveryDeadline => self.check_recovered(),
             Event::End => {}
         }
     }
@@ -212,18 +213,18 @@
     }
 
     fn end_faults(&mut self) {
-        faults::heal_everything(self);
+        faults::end_all_faults(self);
         self.acknowledged_at_end = self.checker.acknowledged;
     }
 
-    fn must_act(&mut self) {
+    fn check_recovered(&mut self) {
         if self.acting().is_empty() {
             let found = format!("nobody acts: {}", self.describe());
             self.checker.fail(Violation::Liveness(found));
         }
     }
 
-    /// Clients propose through whoever acts.
+    /// Lets clients propose entries to every replica that acts as primary.
     fn client(&mut self) {
         self.check_acting();
         for slot in self.acting() {
@@ -233,7 +234,11 @@
             }
             self.drain(slot);
         }
-        let period = if self.are_faults_over() { CLIENT_PERIOD * CALM_CLIENTS } else { CLIENT_PERIOD };
+        let period = if self.are_faults_over() {
+            CLIENT_PERIOD * CLIENT_PERIOD_FACTOR_AFTER_FAULTS
+        } else {
+            CLIENT_PERIOD
+        };
         let delay = self.random.range(period / 4, period * 2);
         self.schedule(delay, Event::Client);
     }
