--- a/crates/pebblepost-replication/tests/replication/removal.rs
+++ b/crates/pebblepost-replication/tests/replication/removal.rs
@@ -94,19 +94,19 @@
 /// Returns the epoch records that a replica requests within 10 s in which it hears from no other
 /// replica.
 fn requested_epochs<S: StateMachine>(replica: &mut Replica<S>) -> Vec<EpochRecord> {
-    let mut asked = Vec::new();
+    let mut requested = Vec::new();
     for step in 0..200 {
         let now = SECOND + Duration::from_millis(50) * step;
         replica.tick(now);
         for output in replica.take_outputs() {
             match output {
-                ReplicaOutput::ChangeEpoch { record, .. } => asked.push(record),
+                ReplicaOutput::ChangeEpoch { record, .. } => requested.push(record),
                 ReplicaOutput::Persist { token, .. } => replica.on_persisted(now, token),
                 _ => {}
             }
         }
     }
-    asked
+    requested
 }
 
 #[rstest]
@@ -125,7 +125,10 @@
 fn empty_replicas_campaign_in_the_first_epoch() {
     let mut replica = Replica::new(member(2), settings(1), Entries::default(), Vec::new(), Duration::ZERO);
     replica.configure(Duration::ZERO, &record(1, &[1, 2, 3]));
-    assert_eq!(requested_epochs(&mut replica).first().map(|asked| asked.primary), Some(member(2).disk));
+    assert_eq!(
+        requested_epochs(&mut replica).first().map(|requested| requested.primary),
+        Some(member(2).disk)
+    );
 }
 
 #[rstest]
@@ -149,12 +152,12 @@
 #[rstest]
 fn a_replica_with_a_gap_in_its_log_does_not_campaign() {
     let entry = |index| DiskRecord::Entry { index, epoch: 1, entry: vec![1] };
-    let whole = vec![DiskRecord::Epoch(record(1, &[1, 2])), entry(1), entry(2), entry(3)];
-    let with_gap = vec![whole[0].clone(), whole[1].clone(), whole[3].clone()];
-    let mut sound = Replica::new(member(2), settings(1), Entries::default(), whole, Duration::ZERO);
-    assert!(!requested_epochs(&mut sound).is_empty());
-    let mut lacking = Replica::new(member(2), settings(1), Entries::default(), with_gap, Duration::ZERO);
-    assert_eq!(requested_epochs(&mut lacking), []);
+    let complete = vec![DiskRecord::Epoch(record(1, &[1, 2])), entry(1), entry(2), entry(3)];
+    let with_gap = vec![complete[0].clone(), complete[1].clone(), complete[3].clone()];
+    let mut intact = Replica::new(member(2), settings(1), Entries::default(), complete, Duration::ZERO);
+    assert!(!requested_epochs(&mut intact).is_empty());
+    let mut incomplete = Replica::new(member(2), settings(1), Entries::default(), with_gap, Duration::ZERO);
+    assert_eq!(requested_epochs(&mut incomplete), []);
 }
 
 /// A state machine that can't decode its entries.
--- a/crates/pebblepost-replication/tests/replication/replica.rs
+++ b/crates/pebblepost-replication/tests/replication/replica.rs
@@ -74,7 +74,7 @@
         group.propose(1, entry).expect("the primary acts");
     }
     for disk in 1..=3 {
-        let checkpoint = group.replica(disk).checkpoint().expect("a sound state");
+        let checkpoint = group.replica(disk).checkpoint().expect("the state machine is not damaged");
         let records = if from_checkpoint { checkpoint } else { group.disks[disk as usize - 1].clone() };
         group.restart(disk, records);
     }
@@ -97,7 +97,7 @@
     }
     group.partitioned.push(1);
     for disk in 2..=3 {
-        let checkpoint = group.replica(disk).checkpoint().expect("a sound state");
+        let checkpoint = group.replica(disk).checkpoint().expect("the state machine is not damaged");
         let records = if from_checkpoint { checkpoint } else { group.disks[disk as usize - 1].clone() };
         group.restart(disk, records);
     }
--- a/crates/pebblepost-replication/tests/replication/simulation/checker.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/checker.rs
@@ -21,16 +21,16 @@
         self.violation.get_or_insert(violation);
     }
 
-    pub fn fail_safety(&mut self, found: String) {
-        self.fail(Violation::Safety(found));
+    pub fn fail_safety(&mut self, description: String) {
+        self.fail(Violation::Safety(description));
     }
 
     /// Checks entries that a replica applied: all replicas must apply the same ones.
-    pub fn applied(&mut self, who: &str, from: usize, values: &[u64]) {
+    pub fn applied(&mut self, node: &str, from: usize, values: &[u64]) {
         for (index, value) in values.iter().enumerate().skip(from) {
             match self.applied.get(index) {
                 Some(known) if known != value => {
-                    self.fail_safety(format!("{who} applied {value} at {}, others {known}", index + 1));
+                    self.fail_safety(format!("{node} applied {value} at {}, others {known}", index + 1));
                 }
                 Some(_) => {}
                 None => self.applied.push(*value),
@@ -39,29 +39,29 @@
     }
 
     /// Checks an acknowledgement to a client: the entry must be the one that is applied at its index.
-    pub fn acknowledged(&mut self, who: &str, index: u64, value: u64) {
+    pub fn acknowledged(&mut self, node: &str, index: u64, value: u64) {
         let applied = self.applied.get(index as usize - 1);
         if applied != Some(&value) {
-            self.fail_safety(format!("{who} acknowledged {value} at {index}, where {applied:?} is applied"));
+            self.fail_safety(format!("{node} acknowledged {value} at {index}, where {applied:?} is applied"));
         }
         self.highest_acknowledged_index = self.highest_acknowledged_index.max(index);
         self.acknowledged += 1;
     }
 
     /// Checks an acting replica, which answers reads: it must hold all acknowledged entries.
-    pub fn acting(&mut self, who: &str, length: usize) {
+    pub fn acting(&mut self, node: &str, length: usize) {
         if (length as u64) < self.highest_acknowledged_index {
             let to = self.highest_acknowledged_index;
-            self.fail_safety(format!("{who} acts with {length} entries, {to} were acknowledged"));
+            self.fail_safety(format!("{node} acts with {length} entries, {to} were acknowledged"));
         }
     }
 
     /// Checks a chosen record: only one may be chosen for each epoch.
-    pub fn chosen(&mut self, who: &str, record: &EpochRecord) {
+    pub fn chosen(&mut self, node: &str, record: &EpochRecord) {
         let known = self.chosen.entry(record.epoch).or_insert_with(|| record.clone());
         if known != record {
-            let found = format!("{who} learned {record:?}, others {known:?}");
-            self.fail_safety(found);
+            let description = format!("{node} learned {record:?}, others {known:?}");
+            self.fail_safety(description);
         }
     }
 }
--- a/crates/pebblepost-replication/tests/replication/simulation/machines.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/machines.rs
@@ -19,9 +19,10 @@
         machine.is_frozen = false;
         machine.inbox.clear();
         let initial_record = machine.is_bootstrap_member.then(|| self.initial_record.clone());
-        let me = (*machine.member).clone();
+        let member = (*machine.member).clone();
         let recovered = machine.disk.recovered();
-        machine.process = Some(Process::new(&self.options, me, recovered, initial_record, self.now, seed));
+        machine.process =
+            Some(Process::new(&self.options, member, recovered, initial_record, self.now, seed));
         let incarnation = machine.incarnation;
         self.schedule(seed % TICK, Event::Tick { slot, incarnation });
         self.drain(slot);
@@ -79,15 +80,15 @@
         let holders = repeated_loss::holders(self);
         let machine = &mut self.slots[slot];
         let Some(process) = &mut machine.process else { return };
-        let local = process.local(now);
-        process.register.tick(local);
+        let local_time = process.local_time(now);
+        process.register.tick(local_time);
         if let Some(holders) = holders {
-            process.replica.set_targets(local, holders);
+            process.replica.set_targets(local_time, holders);
         }
-        process.replica.tick(local);
+        process.replica.tick(local_time);
         let new_witness = process.drive_witnesses(now);
         if machine.disk.replica_records() > CHECKPOINT_RECORDS {
-            let records = process.replica.checkpoint().expect("a sound state");
+            let records = process.replica.checkpoint().expect("the state machine is not damaged");
             self.write(slot, Waiter::Checkpoint, Stored::Replica(records));
         }
         if let Some(new_witness) = new_witness {
@@ -121,10 +122,10 @@
         }
         let Some(waiter) = machine.disk.complete_one() else { return };
         let Some(process) = &mut machine.process else { return };
-        let local = process.local(now);
+        let local_time = process.local_time(now);
         match waiter {
-            Waiter::Register(token) => process.register.on_persisted(local, token),
-            Waiter::Replica(token) => process.replica.on_persisted(local, token),
+            Waiter::Register(token) => process.register.on_persisted(local_time, token),
+            Waiter::Replica(token) => process.replica.on_persisted(local_time, token),
             Waiter::Checkpoint => {}
         }
         self.drain(slot);
@@ -134,7 +135,7 @@
     pub fn acting(&self) -> Vec<usize> {
         let is_acting = |slot: &Slot| {
             let process = slot.process.as_ref().filter(|_| !slot.is_frozen);
-            process.is_some_and(|process| process.replica.is_acting(process.local(self.now)))
+            process.is_some_and(|process| process.replica.is_acting(process.local_time(self.now)))
         };
         (0..self.slots.len()).filter(|slot| is_acting(&self.slots[*slot])).collect()
     }
@@ -142,8 +143,8 @@
     pub(super) fn check_acting(&mut self) {
         let acting = self.acting();
         if acting.len() > 1 {
-            let found = format!("two primaries act: {acting:?}: {}", self.describe());
-            self.checker.fail_safety(found);
+            let description = format!("two primaries act: {acting:?}: {}", self.describe());
+            self.checker.fail_safety(description);
         }
         for slot in acting {
             let machine = &self.slots[slot];
@@ -160,8 +161,8 @@
         for slot in 0..self.slots.len() {
             let now = self.now;
             if let Some(process) = &mut self.slots[slot].process {
-                let local = process.local(now);
-                process.replica.set_targets(local, members.clone());
+                let local_time = process.local_time(now);
+                process.replica.set_targets(local_time, members.clone());
             }
         }
     }
--- a/crates/pebblepost-replication/tests/replication/simulation/network.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/network.rs
@@ -46,10 +46,10 @@
         }
         let now = self.now;
         let Some(process) = &mut machine.process else { return };
-        let local = process.local(now);
+        let local_time = process.local_time(now);
         match payload {
-            Payload::Register(message) => process.register.receive(local, &from, &message),
-            Payload::Replica(message) => process.replica.receive(local, &from, &message),
+            Payload::Register(message) => process.register.receive(local_time, &from, &message),
+            Payload::Replica(message) => process.replica.receive(local_time, &from, &message),
             Payload::Hello => process.on_hello(now, &from),
         }
         self.drain(to);
--- a/crates/pebblepost-replication/tests/replication/simulation/outputs.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/outputs.rs
@@ -43,8 +43,8 @@
                 self.checker.chosen(&self.slots[slot].member.node, &record);
                 let now = self.now;
                 if let Some(process) = &mut self.slots[slot].process {
-                    let local = process.local(now);
-                    process.replica.configure(local, &record);
+                    let local_time = process.local_time(now);
+                    process.replica.configure(local_time, &record);
                 }
                 faults::inject_at_chosen_record(self);
             }
@@ -58,8 +58,8 @@
         let Some(process) = &mut self.slots[slot].process else { return };
         if process.change_in_flight && !process.register.is_proposing() {
             process.change_in_flight = false;
-            let local = process.local(now);
-            process.replica.on_epoch_change_ended(local);
+            let local_time = process.local_time(now);
+            process.replica.on_epoch_change_ended(local_time);
         }
     }
 
@@ -90,15 +90,15 @@
     pub(super) fn propose_to_register(&mut self, slot: usize, expected: u64, record: EpochRecord) {
         let now = self.now;
         let Some(process) = &mut self.slots[slot].process else { return };
-        let local = process.local(now);
+        let local_time = process.local_time(now);
         if process.register.is_proposing() {
-            process.replica.on_epoch_change_ended(local);
+            process.replica.on_epoch_change_ended(local_time);
             return;
         }
         process.change_in_flight = true;
         let joiner = record.in_sync.iter().find(|member| !process.replica.record().is_in_sync(member.disk));
         let joiner = joiner.filter(|_| expected > 0).map(slot_of);
-        process.register.propose(local, expected, record);
+        process.register.propose(local_time, expected, record);
         faults::inject_at_proposal(self);
         if let Some(joiner) = joiner {
             faults::inject_at_join(self, slot, joiner);
@@ -110,7 +110,7 @@
         let Some(process) = &mut self.slots[slot].process else { return };
         while let Some(first) = process.proposals.first_entry().filter(|first| *first.key() <= index) {
             let (index, value) = first.remove_entry();
-            self.checker.acknowledged(&process.me.node, index, value);
+            self.checker.acknowledged(&process.member.node, index, value);
         }
     }
 
@@ -118,9 +118,9 @@
         let Some(process) = &mut self.slots[slot].process else { return };
         let state = process.replica.state();
         if state.values.len() < process.checked {
-            self.checker.fail_safety(format!("{} lost applied entries", process.me.node));
+            self.checker.fail_safety(format!("{} lost applied entries", process.member.node));
         }
-        self.checker.applied(&process.me.node, process.checked, &state.values);
+        self.checker.applied(&process.member.node, process.checked, &state.values);
         process.checked = state.values.len();
         if let Some(violation) = &state.violation {
             self.checker.fail_safety(violation.clone());
--- a/crates/pebblepost-replication/tests/replication/simulation/repeated_loss.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/repeated_loss.rs
@@ -28,8 +28,8 @@
 pub fn lose_once_repaired(world: &mut World, losses: u32, since: u64) {
     if !is_repaired(world) {
         if world.now.saturating_sub(since) > REPAIR_TIMEOUT {
-            let found = format!("not repaired: {}", world.describe());
-            world.checker.fail(Violation::Liveness(found));
+            let description = format!("not repaired: {}", world.describe());
+            world.checker.fail(Violation::Liveness(description));
         }
         world.schedule(CHECK_INTERVAL, Event::Fault(Fault::LoseOnceRepaired { losses, since }));
         return;
--- a/crates/pebblepost-replication/tests/replication/simulation/violation.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/violation.rs
@@ -15,8 +15,8 @@
     /// Adds the time at which the violation was found.
     pub fn at(self, milliseconds: u64) -> Self {
         match self {
-            Self::Safety(found) => Self::Safety(format!("at {milliseconds} ms: {found}")),
-            Self::Liveness(found) => Self::Liveness(format!("at {milliseconds} ms: {found}")),
+            Self::Safety(description) => Self::Safety(format!("at {milliseconds} ms: {description}")),
+            Self::Liveness(description) => Self::Liveness(format!("at {milliseconds} ms: {description}")),
         }
     }
 
@@ -28,8 +28,8 @@
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Safety(found) => write!(f, "safety: {found}"),
-            Self::Liveness(found) => write!(f, "liveness: {found}"),
+            Self::Safety(description) => write!(f, "safety: {description}"),
+            Self::Liveness(description) => write!(f, "liveness: {description}"),
         }
     }
 }
--- a/crates/pebblepost-replication/tests/replication/simulation/world.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/world.rs
@@ -188,8 +188,8 @@
             }
         }
         if self.checker.acknowledged == self.acknowledged_at_end {
-            let found = format!("nothing acknowledged after the faults: {}", self.describe());
-            return Err(Violation::Liveness(found));
+            let description = format!("nothing acknowledged after the faults: {}", self.describe());
+            return Err(Violation::Liveness(description));
         }
         Ok(Summary { acknowledged: self.checker.acknowledged })
     }
@@ -219,8 +219,8 @@
 
     fn check_recovered(&mut self) {
         if self.acting().is_empty() {
-            let found = format!("nobody acts: {}", self.describe());
-            self.checker.fail(Violation::Liveness(found));
+            let description = format!("nobody acts: {}", self.describe());
+            self.checker.fail(Violation::Liveness(description));
         }
     }
 
@@ -246,8 +246,8 @@
     pub fn propose(&mut self, slot: usize) {
         let (now, value) = (self.now, self.next_value);
         let Some(process) = &mut self.slots[slot].process else { return };
-        let local = process.local(now);
-        if let Ok(index) = process.replica.propose(local, value.to_le_bytes().to_vec()) {
+        let local_time = process.local_time(now);
+        if let Ok(index) = process.replica.propose(local_time, value.to_le_bytes().to_vec()) {
             process.proposals.insert(index, value);
             self.next_value += 1;
         }
