--- a/crates/pebblepost-batch-store/src/program/event_loop.rs
+++ b/crates/pebblepost-batch-store/src/program/event_loop.rs
@@ -149,12 +149,12 @@
         match event {
             Event::Opened(link, sender) => {
                 self.inbound_links.opened(link, sender);
-                self.store.link_opened(link);
+                self.store.handle_link_opened(link);
             }
-            Event::Received(link, message) => self.store.receive(now, link, message),
+            Event::Received(link, message) => self.store.handle_message(now, link, message),
             Event::Closed(link) => {
                 self.inbound_links.closed(link);
-                self.store.link_closed(link);
+                self.store.handle_link_closed(link);
             }
         }
     }
@@ -164,7 +164,7 @@
         match event {
             ControlEvent::Connected(address) => {
                 log::info!("connected to control plane address={address}");
-                self.store.control_connected();
+                self.store.handle_control_connected();
             }
             ControlEvent::Disconnected => log::info!("link to control plane lost"),
             ControlEvent::Message(FromControl::Feed(batch)) => {
@@ -172,7 +172,7 @@
                 self.control.send(&acknowledgement);
             }
             ControlEvent::Message(FromControl::GroupChanged { request, group, current, .. }) => {
-                self.store.group_changed(now, request, group, &current);
+                self.store.handle_epoch_change_answer(now, request, group, &current);
             }
             ControlEvent::Message(_) => {}
         }
@@ -183,7 +183,7 @@
             Completion::Synced(ticket) => {
                 if let Some(ticket) = self.journal.synced(ticket) {
                     let now = self.now();
-                    self.store.synced(now, ticket);
+                    self.store.handle_synced(now, ticket);
                 }
             }
             Completion::WriteFailed(reason) => log::debug!("disk rejects writes reason={reason}"),
--- a/crates/pebblepost-batch-store/src/program/settings.rs
+++ b/crates/pebblepost-batch-store/src/program/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the store, derived from the settings of the machine.
 
 use crate::store::StoreSettings;
-use pebblepost_batch::admission::Budget;
+use pebblepost_batch::admission::MemoryBudget;
 use pebblepost_batch::state::Retention;
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::Tolerance;
@@ -55,7 +55,7 @@
             ended: job_retention + ENDED_JOB_MARGIN,
             open: job_retention + OPEN_JOB_MARGIN,
         },
-        budget: Budget::new(settings.limits.memory_bytes, ring_bytes(settings)),
+        budget: MemoryBudget::new(settings.limits.memory_bytes, ring_bytes(settings)),
     }
 }
 
--- a/crates/pebblepost-batch-store/src/program/subscription.rs
+++ b/crates/pebblepost-batch-store/src/program/subscription.rs
@@ -39,9 +39,9 @@
     pub(super) fn apply(&self, now: Duration, batch: &FeedBatch, store: &mut Store) -> ToControl {
         for update in &batch.updates {
             match update {
-                FeedUpdate::StoreGroups(groups) => store.assign(now, groups),
+                FeedUpdate::StoreGroups(groups) => store.apply_assignments(now, groups),
                 FeedUpdate::Configuration(update) => self.raise_generation(update),
-                FeedUpdate::NamedVersions(versions) => store.name_versions(versions),
+                FeedUpdate::NamedVersions(versions) => store.apply_named_versions(versions),
                 FeedUpdate::Instances { .. } | FeedUpdate::ProxyCount(_) => {}
             }
         }
--- a/crates/pebblepost-batch-store/src/store/handlers/assignment.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/assignment.rs
@@ -14,7 +14,7 @@
 
 impl Store {
     /// A link to the control primary is up, and this machine has announced itself over it.
-    pub fn control_connected(&mut self) {
+    pub fn handle_control_connected(&mut self) {
         for message in self.epoch_changes.repeated_messages() {
             self.outbox.send_to_control(message);
         }
@@ -22,7 +22,7 @@
     }
 
     /// The feed of the control plane assigns groups to machines.
-    pub fn assign(&mut self, now: Duration, assignments: &[StoreGroup]) {
+    pub fn apply_assignments(&mut self, now: Duration, assignments: &[StoreGroup]) {
         for assignment in assignments.iter().filter(|assignment| assignment.group < STORE_GROUPS) {
             if !self.membership.assign(assignment) {
                 continue;
@@ -38,7 +38,9 @@
     }
 
     /// The control plane has answered a change of an epoch.
-    pub fn group_changed(&mut self, now: Duration, request: u64, group_id: u32, current: &GroupEpoch) {
+    pub fn handle_epoch_change_answer(
+        &mut self, now: Duration, request: u64, group_id: u32, current: &GroupEpoch,
+    ) {
         let outcome = self.epoch_changes.answered(request, group_id, current);
         let record = match &outcome {
             EpochChangeOutcome::Accepted(record) => Some(record.clone()),
@@ -125,7 +127,7 @@
             return self.process_replica_outputs(now, group_id);
         }
         log::info!("unassigned replica dropped group={group_id} epoch={}", assignment.epoch);
-        self.stop_group(group_id);
+        self.end_term(group_id);
         self.groups.remove(&group_id);
         self.epoch_changes.remove(group_id);
         self.outbox.void_records(group_id);
--- a/crates/pebblepost-batch-store/src/store/handlers/leases.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/leases.rs
@@ -5,7 +5,7 @@
 use crate::store::state::group::Group;
 use crate::store::state::lease_outcomes::LeaseOutcomes;
 use crate::store::state::outbox::LinkId;
-use pebblepost_batch::scheduler::{ItemProgress, ProxyId, ProxyLease};
+use pebblepost_batch::scheduler::{ItemProgress, LeaseReference, ProxyId};
 use pebblepost_messages::batch::{ActiveLease, FromStore, ItemOutcome, ItemResult, Job, ResultState};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     /// primary are deferred.
     pub(crate) fn process_outcomes(&mut self, now: Duration, outcomes: LeaseOutcomes) {
         let LeaseOutcomes { lease, group_id, job, outcomes } = outcomes;
-        let is_primary = self.scheduler.has_group(group_id);
+        let is_primary = self.scheduler.has_term(group_id);
         for outcome in outcomes {
             match outcome {
                 ItemOutcome::Finished(result) if is_primary => self.item_finished(group_id, &job, result),
@@ -52,11 +52,11 @@
     /// Takes in a report of all leases that a proxy holds. Those of groups of which this machine is not yet
     /// primary are deferred.
     pub(crate) fn process_lease_report(&mut self, now: Duration, link: LinkId, leases: Vec<ActiveLease>) {
-        let is_scheduled = |lease: &ActiveLease| self.scheduler.has_group(lease.store_group);
+        let is_scheduled = |lease: &ActiveLease| self.scheduler.has_term(lease.store_group);
         let (current, deferred): (Vec<_>, Vec<_>) = leases.into_iter().partition(is_scheduled);
         self.deferred.set_reported_leases(link, deferred);
         self.restore_leases(now, link, current);
-        self.scheduler.lease_report_received(now, ProxyId(link.0));
+        self.scheduler.record_lease_report(now, ProxyId(link.0));
     }
 
     /// Takes in what proxies sent before this machine became primary of a group.
@@ -105,7 +105,7 @@
     }
 
     fn item_returned(
-        &mut self, lease: ProxyLease, group_id: u32, job: &str, item: &str, progress: ItemProgress,
+        &mut self, lease: LeaseReference, group_id: u32, job: &str, item: &str, progress: ItemProgress,
     ) {
         let stored = self.groups.get(&group_id).and_then(|group| group.state().job(job));
         if let Some(item) = stored.and_then(|stored| stored.pending_index(item)) {
--- a/crates/pebblepost-batch-store/src/store/handlers/maintenance.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/maintenance.rs
@@ -33,7 +33,7 @@
     /// Gives expired items that no proxy runs a dead letter as their result.
     fn dead_letter_expired_items(&mut self, now: Duration) {
         for expired in self.scheduler.take_expired_items(now) {
-            if let Some(group) = self.groups.get_mut(&expired.group) {
+            if let Some(group) = self.groups.get_mut(&expired.store_group) {
                 dead_letter(group, &expired);
             }
         }
--- a/crates/pebblepost-batch-store/src/store/handlers/replica_outputs.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/replica_outputs.rs
@@ -39,30 +39,30 @@
                 self.request_epoch_change(now, group_id, expected, record);
             }
             ReplicaOutput::Committed { index } => self.committed(now, group_id, index),
-            ReplicaOutput::BecamePrimary { epoch } => self.start_group(now, group_id, epoch),
-            ReplicaOutput::SteppedDown => self.stop_group(group_id),
+            ReplicaOutput::BecamePrimary { epoch } => self.start_term(now, group_id, epoch),
+            ReplicaOutput::SteppedDown => self.end_term(group_id),
         }
     }
 
     /// Starts this machine's term as primary of a group.
-    fn start_group(&mut self, now: Duration, group_id: u32, epoch: u64) {
-        if self.scheduler.has_group(group_id) {
+    fn start_term(&mut self, now: Duration, group_id: u32, epoch: u64) {
+        if self.scheduler.has_term(group_id) {
             return;
         }
         let Some(group) = self.groups.get_mut(&group_id) else { return };
         log::info!("became primary group={group_id} epoch={epoch} jobs={}", group.state().jobs().count());
         group.propose_barrier(now);
         let clock = group.clock(now);
-        self.scheduler.start_group(now, group_id, epoch, &clock, group.state());
+        self.scheduler.start_term(now, group_id, epoch, &clock, group.state());
         self.process_deferred_messages(now, group_id);
     }
 
     /// Ends this machine's term as primary of a group: what it proposed is undecided.
-    pub(crate) fn stop_group(&mut self, group_id: u32) {
-        if self.scheduler.has_group(group_id) {
+    pub(crate) fn end_term(&mut self, group_id: u32) {
+        if self.scheduler.has_term(group_id) {
             log::info!("stopped being primary group={group_id}");
         }
-        self.scheduler.stop_group(group_id);
+        self.scheduler.end_term(group_id);
         let Some(group) = self.groups.get_mut(&group_id) else { return };
         group.end_term();
         let uncommitted = group.take_uncommitted();
--- a/crates/pebblepost-batch-store/src/store/handlers/version_lag.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/version_lag.rs
@@ -6,7 +6,7 @@
 
 impl Store {
     /// The feed of the control plane names the newest versions of models.
-    pub fn name_versions(&mut self, versions: &[ModelVersion]) {
+    pub fn apply_named_versions(&mut self, versions: &[ModelVersion]) {
         versions.iter().for_each(|version| self.version_lags.name_version(version));
     }
 
--- a/crates/pebblepost-batch-store/src/store/mod.rs
+++ b/crates/pebblepost-batch-store/src/store/mod.rs
@@ -17,8 +17,8 @@
 pub use state::recovery::RecoveryError;
 
 use nanoserde::SerBin;
-use pebblepost_batch::admission::Budget;
-use pebblepost_batch::scheduler::{ProxyId, ProxyLease, Scheduler};
+use pebblepost_batch::admission::MemoryBudget;
+use pebblepost_batch::scheduler::{LeaseReference, ProxyId, Scheduler};
 use pebblepost_batch::state::{BatchState, Retention};
 use pebblepost_messages::Member;
 use pebblepost_messages::batch::{STORE_GROUPS, ToStore};
@@ -53,7 +53,7 @@
     /// How long jobs are stored.
     pub retention: Retention,
     /// Limit on the memory of jobs.
-    pub budget: Budget,
+    pub budget: MemoryBudget,
 }
 
 /// A storage machine.
@@ -113,15 +113,15 @@
     }
 
     /// Another program opened a link to this store.
-    pub fn link_opened(&mut self, link: LinkId) {
+    pub fn handle_link_opened(&mut self, link: LinkId) {
         self.connections.insert(link, RemoteProgram::Unidentified);
     }
 
     /// A link that was opened to this store is lost.
-    pub fn link_closed(&mut self, link: LinkId) {
+    pub fn handle_link_closed(&mut self, link: LinkId) {
         if let Some(RemoteProgram::Proxy(node)) = self.connections.remove(link) {
             log::info!("proxy disconnected node={node}");
-            self.scheduler.disconnect_proxy(ProxyId(link.0));
+            self.scheduler.mark_proxy_disconnected(ProxyId(link.0));
         }
         self.deferred.remove_link(link);
         for group in self.groups.values_mut() {
@@ -130,7 +130,7 @@
     }
 
     /// A message arrived over a link that was opened to this store.
-    pub fn receive(&mut self, now: Duration, link: LinkId, message: ToStore) {
+    pub fn handle_message(&mut self, now: Duration, link: LinkId, message: ToStore) {
         match (message, self.connections.get(link)) {
             (ToStore::KeepAlive, _) | (_, None) => {}
             (ToStore::Status, _) => self.reply_status(now, link),
@@ -152,7 +152,7 @@
     }
 
     /// All appends up to this ticket are on disk.
-    pub fn synced(&mut self, now: Duration, ticket: u64) {
+    pub fn handle_synced(&mut self, now: Duration, ticket: u64) {
         for write in self.outbox.take_synced(ticket) {
             let group = self.groups.get_mut(&write.group_id);
             if let Some(group) = group.filter(|group| group.incarnation == write.incarnation) {
@@ -221,7 +221,7 @@
             ToStore::End { call, store_group, job } => self.end_job(now, caller(call), store_group, job),
             ToStore::RequestWork { max_items } => self.lease_work(now, link, max_items),
             ToStore::Outcomes { store_group, job, lease, outcomes } => {
-                let lease = ProxyLease { proxy: ProxyId(link.0), number: lease };
+                let lease = LeaseReference { proxy: ProxyId(link.0), number: lease };
                 self.process_outcomes(now, LeaseOutcomes { lease, group_id: store_group, job, outcomes });
             }
             ToStore::ActiveLeases(leases) => self.process_lease_report(now, link, leases),
@@ -259,7 +259,7 @@
     fn proxy_connected(&mut self, link: LinkId, node: String, zone: &str) {
         log::info!("proxy connected node={node} zone={zone}");
         self.connections.insert(link, RemoteProgram::Proxy(node));
-        self.scheduler.connect_proxy(ProxyId(link.0));
+        self.scheduler.mark_proxy_connected(ProxyId(link.0));
     }
 
     fn peer_connected(&mut self, now: Duration, link: LinkId, member: Member) {
--- a/crates/pebblepost-batch-store/src/store/state/lease_outcomes.rs
+++ b/crates/pebblepost-batch-store/src/store/state/lease_outcomes.rs
@@ -1,12 +1,12 @@
 //! The outcomes of items of one lease.
 
-use pebblepost_batch::scheduler::ProxyLease;
+use pebblepost_batch::scheduler::LeaseReference;
 use pebblepost_messages::batch::ItemOutcome;
 
 /// The outcomes of items of one lease, as a proxy sent them.
 #[derive(Debug)]
 pub(crate) struct LeaseOutcomes {
-    pub(crate) lease: ProxyLease,
+    pub(crate) lease: LeaseReference,
     pub(crate) group_id: u32,
     pub(crate) job: String,
     pub(crate) outcomes: Vec<ItemOutcome>,
--- a/crates/pebblepost-batch-store/src/store/state/outbox.rs
+++ b/crates/pebblepost-batch-store/src/store/state/outbox.rs
@@ -49,7 +49,7 @@
     },
     /// Send a message to the control primary, if there is a link to it.
     ToControl(ToControl),
-    /// Append records to the ring, then call `Store::synced` with the ticket.
+    /// Append records to the ring, then call `Store::handle_synced` with the ticket.
     Append {
         /// Number of the append, in ascending order.
         ticket: u64,
--- a/crates/pebblepost-batch-store/tests/integration/simulation/world.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/world.rs
@@ -7,7 +7,7 @@
 use super::disk::Disk;
 use super::proxy::{Outgoing, Proxy};
 use super::transcript;
-use pebblepost_batch::admission::Budget;
+use pebblepost_batch::admission::MemoryBudget;
 use pebblepost_batch::state::Retention;
 use pebblepost_batch_store::store::{LinkId, Store, StoreOutput, StoreSettings};
 use pebblepost_messages::batch::{FromStore, ToStore};
@@ -344,7 +344,7 @@
                 max_log_bytes: 20_000,
             },
             retention: Retention { ended: Duration::from_secs(130), open: Duration::from_secs(720) },
-            budget: Budget::new(self.plan.max_bytes, u64::MAX),
+            budget: MemoryBudget::new(self.plan.max_bytes, u64::MAX),
         }
     }
 
@@ -386,33 +386,33 @@
             }
             Event::Synced { incarnation, number, .. } if incarnation == machine.incarnation => {
                 if let Some(ticket) = machine.disk.sync(number) {
-                    store.synced(now, ticket);
+                    store.handle_synced(now, ticket);
                 }
             }
             Event::FromProxy { link, message, .. }
                 if machine.proxies.contains_key(&link) && !machine.is_partitioned =>
             {
-                store.receive(now, LinkId(link), message);
+                store.handle_message(now, LinkId(link), message);
             }
             Event::FromPeer { from, from_incarnation, message, .. } if !machine.is_partitioned => {
                 let link = *machine.peers.entry(from_incarnation).or_insert_with(|| {
                     self.last_link += 1;
-                    store.link_opened(LinkId(self.last_link));
-                    store.receive(now, LinkId(self.last_link), ToStore::PeerHello { member: from });
+                    store.handle_link_opened(LinkId(self.last_link));
+                    store.handle_message(now, LinkId(self.last_link), ToStore::PeerHello { member: from });
                     self.last_link
                 });
-                store.receive(now, LinkId(link), message);
+                store.handle_message(now, LinkId(link), message);
             }
             Event::GroupChanged { incarnation, request, group, current, .. }
                 if incarnation == machine.incarnation =>
             {
-                store.group_changed(now, request, group, &current);
+                store.handle_epoch_change_answer(now, request, group, &current);
             }
             Event::LinkClosed { incarnation, link, .. } if incarnation == machine.incarnation => {
-                store.link_closed(LinkId(link))
+                store.handle_link_closed(LinkId(link))
             }
             Event::Feed { groups, .. } if machine.is_connected_to_control && !machine.is_partitioned => {
-                store.assign(now, &groups);
+                store.apply_assignments(now, &groups);
             }
             _ => {}
         }
@@ -498,7 +498,7 @@
         let connected = &mut self.machines[machine];
         connected.proxies.insert(link, proxy);
         if let Some(store) = &mut connected.store {
-            store.link_opened(LinkId(link));
+            store.handle_link_opened(LinkId(link));
         }
         let messages = self.proxies[proxy].connected(proxy, &address, link);
         self.send(proxy, messages);
@@ -523,7 +523,7 @@
         connected.is_connected_to_control = true;
         self.control.announce(&connected.member);
         if let Some(store) = &mut connected.store {
-            store.control_connected();
+            store.handle_control_connected();
         }
         self.publish();
         self.carry_out(machine);
--- a/crates/pebblepost-batch-store/tests/integration/stored_form.rs
+++ b/crates/pebblepost-batch-store/tests/integration/stored_form.rs
@@ -3,7 +3,7 @@
 
 use crate::approval::{approve, approved};
 use nanoserde::{DeBin, SerBin};
-use pebblepost_batch::admission::Budget;
+use pebblepost_batch::admission::MemoryBudget;
 use pebblepost_batch::command::{Change, Command};
 use pebblepost_batch::state::{BatchState, Retention};
 use pebblepost_batch_store::store::{GroupRecord, LinkId, Store, StoreOutput, StoreSettings};
@@ -81,7 +81,7 @@
             max_log_bytes: 20_000,
         },
         retention: Retention { ended: Duration::from_secs(130), open: Duration::from_secs(720) },
-        budget: Budget::new(1_000_000, u64::MAX),
+        budget: MemoryBudget::new(1_000_000, u64::MAX),
     }
 }
 
@@ -107,8 +107,8 @@
         bytes.lines().filter_map(|line| line.split_once(' ')).map(|(_, bytes)| from_hex(bytes)).collect();
     let now = Duration::ZERO;
     let mut store = Store::new(now, settings(), &records).expect("records that can be read");
-    store.link_opened(LinkId(1));
-    store.receive(now, LinkId(1), ToStore::ProxyHello { node: "p".to_owned(), zone: "a".to_owned() });
+    store.handle_link_opened(LinkId(1));
+    store.handle_message(now, LinkId(1), ToStore::ProxyHello { node: "p".to_owned(), zone: "a".to_owned() });
     let group = StoreGroup {
         group: 6,
         epoch: 1,
@@ -116,23 +116,23 @@
         in_sync: vec![member(1)],
         targets: vec![member(1)],
     };
-    store.assign(now, &[group]);
+    store.apply_assignments(now, &[group]);
     let mut statuses = Vec::new();
     for step in 1..=80 {
         let now = Duration::from_millis(step * 50);
         store.tick(now);
         for output in store.take_outputs(now) {
             match output {
-                StoreOutput::Append { ticket, .. } => store.synced(now, ticket),
+                StoreOutput::Append { ticket, .. } => store.handle_synced(now, ticket),
                 StoreOutput::ToControl(ToControl::ChangeGroup { request, group, proposed, .. }) => {
-                    store.group_changed(now, request, group, &proposed);
+                    store.handle_epoch_change_answer(now, request, group, &proposed);
                 }
                 _ => {}
             }
         }
     }
     let now = Duration::from_millis(4_010);
-    store.receive(now, LinkId(1), ToStore::Status);
+    store.handle_message(now, LinkId(1), ToStore::Status);
     for output in store.take_outputs(now) {
         if let StoreOutput::Reply { message: FromStore::Status(status), .. } = output {
             statuses.push(String::from_utf8(status).expect("text"));
--- a/crates/pebblepost-batch/src/admission.rs
+++ b/crates/pebblepost-batch/src/admission.rs
@@ -10,14 +10,14 @@
 
 /// Limit on the bytes that the batch jobs of one machine may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget {
+pub struct MemoryBudget {
     max_bytes: u64,
 }
 
-impl Budget {
+impl MemoryBudget {
     /// The budget of a machine with this memory limit and this capacity of its on-disk ring, in bytes.
-    pub fn new(memory_bytes: u64, ring_bytes: u64) -> Budget {
-        Budget { max_bytes: memory_bytes.min(ring_bytes) / 100 * SHARE_PERCENT }
+    pub fn new(memory_bytes: u64, ring_bytes: u64) -> MemoryBudget {
+        MemoryBudget { max_bytes: memory_bytes.min(ring_bytes) / 100 * SHARE_PERCENT }
     }
 
     /// The limit in bytes.
--- a/crates/pebblepost-batch/src/scheduler/job_queue.rs
+++ b/crates/pebblepost-batch/src/scheduler/job_queue.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpiredItems {
     /// Group of batch jobs.
-    pub group: u32,
+    pub store_group: u32,
     /// Id of the job.
     pub job: String,
     /// Indices of the items.
@@ -69,7 +69,7 @@
         for (id, schedule) in &mut self.jobs {
             let items = schedule.take_expired(now);
             if !items.is_empty() {
-                expired.push(ExpiredItems { group: schedule.group(), job: id.clone(), items });
+                expired.push(ExpiredItems { store_group: schedule.group(), job: id.clone(), items });
             }
         }
         expired.sort_by(|left, right| left.job.cmp(&right.job));
--- a/crates/pebblepost-batch/src/scheduler/job_schedule.rs
+++ b/crates/pebblepost-batch/src/scheduler/job_schedule.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Sample groups started beyond those that the trainer waits for, so that stragglers do not delay it.
-pub const OVERSAMPLING_MARGIN: usize = 2;
+pub const EXTRA_SAMPLE_GROUPS: usize = 2;
 /// Share of the time until the results are due after which all other groups are started, in percent.
 const OVERSAMPLING_AFTER_PERCENT: i64 = 60;
 
@@ -25,7 +25,7 @@
 /// Which sample groups of a job may be started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SampleGroups {
-    /// Those that the trainer waits for, and [`OVERSAMPLING_MARGIN`] more.
+    /// Those that the trainer waits for, and [`EXTRA_SAMPLE_GROUPS`] more.
     Required,
     /// All, once the results are nearly due.
     Oversampled,
@@ -115,7 +115,7 @@
         if let Some(started) = self.items.first_started() {
             return Some(started);
         }
-        let required = self.desired_groups.saturating_add(OVERSAMPLING_MARGIN);
+        let required = self.desired_groups.saturating_add(EXTRA_SAMPLE_GROUPS);
         let is_oversampling = self.desired_groups > 0 && self.items.started_count() >= required;
         let may_oversample = allowed == SampleGroups::Oversampled
             && signed(whole_millis(now)) >= self.deadlines.oversampled_at_ms;
--- a/crates/pebblepost-batch/src/scheduler/lease_table.rs
+++ b/crates/pebblepost-batch/src/scheduler/lease_table.rs
@@ -18,7 +18,7 @@
 
 /// A lease as a proxy names it: under the number that it got from this primary or from an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ProxyLease {
+pub struct LeaseReference {
     /// The proxy.
     pub proxy: ProxyId,
     /// Number of the lease.
@@ -114,7 +114,7 @@
     }
 
     /// Whether the lease that a proxy names is this one.
-    pub(super) fn is_named_by(&self, key: LeaseKey, named: ProxyLease) -> bool {
+    pub(super) fn is_named_by(&self, key: LeaseKey, named: LeaseReference) -> bool {
         self.leases.get(&key).is_some_and(|lease| {
             let is_same_number = lease.holder.origin == LeaseOrigin::Reported || key.number == named.number;
             lease.holder.proxy == named.proxy && is_same_number
--- a/crates/pebblepost-batch/src/scheduler/mod.rs
+++ b/crates/pebblepost-batch/src/scheduler/mod.rs
@@ -19,8 +19,8 @@
 
 pub use item_table::ItemProgress;
 pub use job_queue::ExpiredItems;
-pub use job_schedule::OVERSAMPLING_MARGIN;
-pub use lease_table::{ProxyId, ProxyLease};
+pub use job_schedule::EXTRA_SAMPLE_GROUPS;
+pub use lease_table::{LeaseReference, ProxyId};
 
 use crate::clock::GroupClock;
 use crate::job::StoredJob;
@@ -48,10 +48,10 @@
 
 impl Scheduler {
     /// Starts this machine's term as primary of a group, with its replicated state.
-    pub fn start_group(
+    pub fn start_term(
         &mut self, now: Duration, group: u32, epoch: u64, clock: &GroupClock, state: &BatchState,
     ) {
-        self.stop_group(group);
+        self.end_term(group);
         let has_open_jobs = state.jobs().any(|job| !job.is_complete());
         let takeover = Takeover::new(now, has_open_jobs, self.leases.connected());
         self.terms.insert(group, Term::new(epoch, takeover));
@@ -64,14 +64,14 @@
     }
 
     /// Ends this machine's term as primary of a group.
-    pub fn stop_group(&mut self, group: u32) {
+    pub fn end_term(&mut self, group: u32) {
         self.terms.remove(&group);
         self.leases.remove_group(group);
         self.queue.remove_group(group);
     }
 
     /// Whether this machine is in a term as primary of a group.
-    pub fn has_group(&self, group: u32) -> bool {
+    pub fn has_term(&self, group: u32) -> bool {
         self.terms.contains_key(&group)
     }
 
@@ -96,12 +96,12 @@
     }
 
     /// A proxy has connected.
-    pub fn connect_proxy(&mut self, proxy: ProxyId) {
+    pub fn mark_proxy_connected(&mut self, proxy: ProxyId) {
         self.leases.connect(proxy);
     }
 
     /// The link to a proxy is lost: its leases are not renewed any more, and expire.
-    pub fn disconnect_proxy(&mut self, proxy: ProxyId) {
+    pub fn mark_proxy_disconnected(&mut self, proxy: ProxyId) {
         self.idle.remove(&proxy);
         self.leases.disconnect(proxy);
         for term in self.terms.values_mut() {
@@ -157,7 +157,7 @@
     }
 
     /// A proxy returns an item that it did not finish. Ignored if the item is under another lease by now.
-    pub fn return_item(&mut self, lease: ProxyLease, job: &str, item: usize, progress: ItemProgress) {
+    pub fn return_item(&mut self, lease: LeaseReference, job: &str, item: usize, progress: ItemProgress) {
         self.release_item(job, item, progress, |leases, key| leases.is_named_by(key, lease));
     }
 
@@ -188,7 +188,7 @@
     }
 
     /// A proxy has reported all leases that it holds.
-    pub fn lease_report_received(&mut self, now: Duration, proxy: ProxyId) {
+    pub fn record_lease_report(&mut self, now: Duration, proxy: ProxyId) {
         for term in self.terms.values_mut() {
             term.takeover.report_received(now, proxy);
         }
--- a/crates/pebblepost-batch/tests/integration/decisions.rs
+++ b/crates/pebblepost-batch/tests/integration/decisions.rs
@@ -3,7 +3,7 @@
 use crate::support::{append_results, apply, approve, job, ms, result};
 use pebblepost_batch::clock::GroupClock;
 use pebblepost_batch::command::Change;
-use pebblepost_batch::scheduler::{ItemProgress, ProxyId, ProxyLease, Scheduler};
+use pebblepost_batch::scheduler::{ItemProgress, LeaseReference, ProxyId, Scheduler};
 use pebblepost_batch::state::BatchState;
 use pebblepost_messages::batch::{PartialText, WorkLease};
 use pebblepost_stable_hash::Fnv1a;
@@ -57,11 +57,11 @@
         self.random.random_range(0..GROUPS)
     }
 
-    fn start_group(&mut self, group: u32) {
+    fn start_term(&mut self, group: u32) {
         self.epoch += 1;
         let (now, clock) = (self.now(), self.clock());
         let state = &self.states[group as usize];
-        self.scheduler.start_group(now, group, self.epoch, &clock, state);
+        self.scheduler.start_term(now, group, self.epoch, &clock, state);
     }
 
     fn add_job(&mut self) {
@@ -78,7 +78,7 @@
         let (now, clock) = (self.now(), self.clock());
         let state = &mut self.states[group as usize];
         apply(state, self.now_ms, Change::AddJob(job));
-        if self.scheduler.has_group(group) {
+        if self.scheduler.has_term(group) {
             let stored = state.job(&id).expect("just added");
             self.scheduler.add_job(now, group, &clock, stored);
         }
@@ -137,7 +137,12 @@
             failed_scorer_attempts: self.random.random_range(0..3),
             partial: PartialText { last_event: 1, message: b"part".to_vec(), versions: vec![3] },
         };
-        self.scheduler.return_item(ProxyLease { proxy, number: lease.lease }, &lease.job, index, progress);
+        self.scheduler.return_item(
+            LeaseReference { proxy, number: lease.lease },
+            &lease.job,
+            index,
+            progress,
+        );
     }
 
     fn report_leases(&mut self) {
@@ -145,7 +150,7 @@
         if let Some((_, lease, _, index)) = self.granted_item() {
             self.scheduler.restore_lease(now, proxy, &lease.job, &[index]);
         }
-        self.scheduler.lease_report_received(now, proxy);
+        self.scheduler.record_lease_report(now, proxy);
     }
 
     fn renew(&mut self) {
@@ -159,7 +164,7 @@
 
     fn expire(&mut self) {
         for expired in self.scheduler.take_expired_items(self.now()) {
-            self.digest.number(u64::from(expired.group));
+            self.digest.number(u64::from(expired.store_group));
             self.digest.bytes(expired.job.as_bytes());
             expired.items.iter().for_each(|item| self.digest.number(*item as u64));
         }
@@ -196,15 +201,15 @@
             34 => self.end_job(),
             35 => {
                 let proxy = self.proxy();
-                self.scheduler.connect_proxy(proxy);
+                self.scheduler.mark_proxy_connected(proxy);
             }
             36 => {
                 let proxy = self.proxy();
-                self.scheduler.disconnect_proxy(proxy);
+                self.scheduler.mark_proxy_disconnected(proxy);
             }
             37 => {
                 let group = self.group();
-                self.start_group(group);
+                self.start_term(group);
             }
             38 => {
                 if let Some((_, lease, _, index)) = self.granted_item() {
@@ -222,8 +227,8 @@
 fn decisions_are_the_approved_ones() {
     let lines = (1..=12).map(|seed| {
         let mut run = Run::new(seed);
-        (0..PROXIES).for_each(|proxy| run.scheduler.connect_proxy(ProxyId(proxy)));
-        (0..GROUPS).for_each(|group| run.start_group(group));
+        (0..PROXIES).for_each(|proxy| run.scheduler.mark_proxy_connected(ProxyId(proxy)));
+        (0..GROUPS).for_each(|group| run.start_term(group));
         (0..4_000).for_each(|_| run.step());
         format!("{seed} {:016x} {} {}", run.digest.finish(), run.granted.len(), run.jobs)
     });
--- a/crates/pebblepost-batch/tests/integration/scheduler.rs
+++ b/crates/pebblepost-batch/tests/integration/scheduler.rs
@@ -3,7 +3,7 @@
 use crate::support::{append_results, apply, job, ms, result};
 use pebblepost_batch::clock::GroupClock;
 use pebblepost_batch::command::Change;
-use pebblepost_batch::scheduler::{ItemProgress, OVERSAMPLING_MARGIN, ProxyId, ProxyLease, Scheduler};
+use pebblepost_batch::scheduler::{EXTRA_SAMPLE_GROUPS, ItemProgress, LeaseReference, ProxyId, Scheduler};
 use pebblepost_batch::state::BatchState;
 use pebblepost_messages::batch::{Job, PartialText, WorkLease};
 use rstest::rstest;
@@ -21,9 +21,9 @@
 impl Primary {
     fn new(jobs: Vec<Job>) -> Primary {
         let mut scheduler = Scheduler::default();
-        scheduler.connect_proxy(FIRST);
-        scheduler.connect_proxy(SECOND);
-        scheduler.start_group(ms(0), GROUP, 5, &GroupClock::default(), &BatchState::default());
+        scheduler.mark_proxy_connected(FIRST);
+        scheduler.mark_proxy_connected(SECOND);
+        scheduler.start_term(ms(0), GROUP, 5, &GroupClock::default(), &BatchState::default());
         let mut primary = Primary { state: BatchState::default(), scheduler };
         jobs.into_iter().for_each(|job| primary.add(0, job));
         primary
@@ -111,7 +111,7 @@
     let partial = PartialText { last_event: 2, message: b"a\nb".to_vec(), versions: vec![7] };
     let progress = ItemProgress { failed_attempts: 1, failed_scorer_attempts: 2, partial: partial.clone() };
     let index = primary.index("j", "j-1");
-    primary.scheduler.return_item(ProxyLease { proxy: FIRST, number: lease }, "j", index, progress);
+    primary.scheduler.return_item(LeaseReference { proxy: FIRST, number: lease }, "j", index, progress);
     let leases = primary.leases(0, SECOND, 1);
     let leased = &leases[0].items[0];
     assert_eq!(leases[0].items.len(), 1);
@@ -124,7 +124,7 @@
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
     let lease = primary.leases(0, FIRST, 1)[0].lease;
     primary.scheduler.return_item(
-        ProxyLease { proxy: SECOND, number: lease },
+        LeaseReference { proxy: SECOND, number: lease },
         "j",
         0,
         ItemProgress::default(),
@@ -137,21 +137,21 @@
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
     let first = primary.leases(0, FIRST, 1)[0].lease;
     primary.scheduler.return_item(
-        ProxyLease { proxy: FIRST, number: first },
+        LeaseReference { proxy: FIRST, number: first },
         "j",
         0,
         ItemProgress::default(),
     );
     let second = primary.leases(0, FIRST, 1)[0].lease;
     primary.scheduler.return_item(
-        ProxyLease { proxy: FIRST, number: first },
+        LeaseReference { proxy: FIRST, number: first },
         "j",
         0,
         ItemProgress::default(),
     );
     assert!(primary.take(0, SECOND, 1).is_empty());
     primary.scheduler.return_item(
-        ProxyLease { proxy: FIRST, number: second },
+        LeaseReference { proxy: FIRST, number: second },
         "j",
         0,
         ItemProgress::default(),
@@ -164,7 +164,7 @@
     let desired = 4;
     let mut primary = Primary::new(vec![job("j", 10, 1, desired)]);
     let begun = primary.take(0, FIRST, 100).len();
-    assert_eq!(begun, 4 + OVERSAMPLING_MARGIN);
+    assert_eq!(begun, 4 + EXTRA_SAMPLE_GROUPS);
     assert!(primary.take(2_900, FIRST, 100).is_empty());
     assert!(primary.scheduler.take_idle_proxies(ms(2_900), |_| true).is_empty());
     assert_eq!(primary.scheduler.take_idle_proxies(ms(3_000), |_| true), [FIRST]);
@@ -176,7 +176,7 @@
     let mut early = job("early", 10, 1, 1);
     early.terms.run_deadline_ms = 1_000;
     let mut primary = Primary::new(vec![early, job("late", 2, 1, 2)]);
-    primary.take(0, FIRST, 1 + OVERSAMPLING_MARGIN);
+    primary.take(0, FIRST, 1 + EXTRA_SAMPLE_GROUPS);
     let leases = primary.leases(700, FIRST, 5);
     assert!(leases.iter().all(|lease| lease.job == "late"));
     assert_eq!(primary.leases(700, FIRST, 1)[0].job, "early");
@@ -205,7 +205,7 @@
     primary.take(0, FIRST, 2);
     let renewed = primary.scheduler.renew_leases(ms(400), |_| true);
     assert_eq!(renewed, [(FIRST, vec![GROUP])]);
-    primary.scheduler.disconnect_proxy(FIRST);
+    primary.scheduler.mark_proxy_disconnected(FIRST);
     assert!(primary.scheduler.renew_leases(ms(800), |_| true).is_empty());
     primary.scheduler.expire_leases(ms(1_899));
     assert!(primary.take(1_899, SECOND, 2).is_empty());
@@ -241,7 +241,7 @@
     assert!(primary.take(0, FIRST, 9).is_empty());
     assert_eq!((primary.scheduler.job_count(), primary.scheduler.leased_item_count()), (0, 0));
     primary.scheduler.return_item(
-        ProxyLease { proxy: FIRST, number: lease },
+        LeaseReference { proxy: FIRST, number: lease },
         "j",
         0,
         ItemProgress::default(),
@@ -288,7 +288,7 @@
     assert!(primary.scheduler.take_expired_items(ms(20_001)).is_empty());
     assert!(primary.take(20_001, SECOND, 9).is_empty());
     primary.scheduler.return_item(
-        ProxyLease { proxy: FIRST, number: lease },
+        LeaseReference { proxy: FIRST, number: lease },
         "j",
         0,
         ItemProgress::default(),
@@ -302,8 +302,8 @@
     apply(&mut state, 0, Change::AddJob(job("j", 2, 2, 2)));
     apply(&mut state, 100, append_results("j", vec![result("j-0", "text")]));
     let mut scheduler = Scheduler::default();
-    proxies.iter().for_each(|proxy| scheduler.connect_proxy(*proxy));
-    scheduler.start_group(ms(1_000), GROUP, 6, &GroupClock::new(ms(1_000), 100), &state);
+    proxies.iter().for_each(|proxy| scheduler.mark_proxy_connected(*proxy));
+    scheduler.start_term(ms(1_000), GROUP, 6, &GroupClock::new(ms(1_000), 100), &state);
     Primary { state, scheduler }
 }
 
@@ -317,11 +317,11 @@
 #[rstest]
 fn new_primary_stops_waiting_once_all_proxies_have_reported() {
     let mut primary = taken_over(&[FIRST, SECOND]);
-    primary.scheduler.lease_report_received(ms(1_249), FIRST);
+    primary.scheduler.record_lease_report(ms(1_249), FIRST);
     primary.scheduler.restore_lease(ms(1_250), FIRST, "j", &[1, 2]);
-    primary.scheduler.lease_report_received(ms(1_250), SECOND);
+    primary.scheduler.record_lease_report(ms(1_250), SECOND);
     assert!(primary.take(1_250, SECOND, 9).is_empty(), "the report of the first came too early to count");
-    primary.scheduler.lease_report_received(ms(1_300), FIRST);
+    primary.scheduler.record_lease_report(ms(1_300), FIRST);
     assert_eq!(primary.take(1_300, SECOND, 9), [["j-3"]]);
     let renewed = primary.scheduler.renew_leases(ms(1_400), |_| true);
     assert_eq!(renewed, [(FIRST, vec![GROUP]), (SECOND, vec![GROUP])]);
@@ -338,7 +338,12 @@
 fn restored_lease_is_returned_under_its_earlier_number() {
     let mut primary = taken_over(&[FIRST]);
     primary.scheduler.restore_lease(ms(1_100), FIRST, "j", &[1]);
-    primary.scheduler.return_item(ProxyLease { proxy: FIRST, number: 77 }, "j", 1, ItemProgress::default());
+    primary.scheduler.return_item(
+        LeaseReference { proxy: FIRST, number: 77 },
+        "j",
+        1,
+        ItemProgress::default(),
+    );
     assert_eq!(primary.take(1_600, FIRST, 1), [["j-1"]]);
 }
 
@@ -346,9 +351,9 @@
 fn reconnected_proxy_restores_its_leases() {
     let mut primary = Primary::new(vec![job("j", 1, 2, 1)]);
     primary.take(0, FIRST, 2);
-    primary.scheduler.disconnect_proxy(FIRST);
+    primary.scheduler.mark_proxy_disconnected(FIRST);
     let again = ProxyId(7);
-    primary.scheduler.connect_proxy(again);
+    primary.scheduler.mark_proxy_connected(again);
     primary.scheduler.restore_lease(ms(300), again, "j", &[0]);
     primary.scheduler.renew_leases(ms(1_400), |_| true);
     primary.scheduler.expire_leases(ms(1_600));
@@ -361,7 +366,7 @@
     let lease = primary.leases(0, FIRST, 1)[0].lease;
     primary.scheduler.restore_lease(ms(10), SECOND, "j", &[0]);
     primary.scheduler.return_item(
-        ProxyLease { proxy: FIRST, number: lease },
+        LeaseReference { proxy: FIRST, number: lease },
         "j",
         0,
         ItemProgress::default(),
@@ -373,8 +378,8 @@
 fn stopped_group_is_removed() {
     let mut primary = Primary::new(vec![job("j", 1, 2, 1)]);
     primary.take(0, FIRST, 1);
-    primary.scheduler.stop_group(GROUP);
+    primary.scheduler.end_term(GROUP);
     assert!(primary.take(0, SECOND, 9).is_empty());
-    assert!(!primary.scheduler.has_group(GROUP));
+    assert!(!primary.scheduler.has_term(GROUP));
     assert!(!primary.scheduler.finish_item("j", 0));
 }
--- a/crates/pebblepost-batch/tests/integration/state.rs
+++ b/crates/pebblepost-batch/tests/integration/state.rs
@@ -1,7 +1,7 @@
 //! The replicated state under random entries and under chosen ones.
 
 use crate::support::{append_results, apply, item_id, job, ms, result};
-use pebblepost_batch::admission::Budget;
+use pebblepost_batch::admission::MemoryBudget;
 use pebblepost_batch::clock::GroupClock;
 use pebblepost_batch::command::Change;
 use pebblepost_batch::state::{BatchState, Retention};
@@ -199,7 +199,7 @@
 
 #[rstest]
 fn budget_rejects_jobs_beyond_it() {
-    let budget = Budget::new(1_000_000, 2_000_000);
+    let budget = MemoryBudget::new(1_000_000, 2_000_000);
     assert_eq!(budget.max_bytes(), 600_000);
     let small = job("j", 1, 10, 1);
     assert!(budget.admits(0, &small));
