--- a/crates/pebblepost-batch/src/admission.rs
+++ b/crates/pebblepost-batch/src/admission.rs
@@ -1,31 +1,35 @@
-//! Admission of batch jobs by the memory that they are estimated to take.
+//! Admission of batch jobs by their estimated memory.
 //!
-//! Owns no state: the caller passes the bytes that are in use.
+//! The module holds no state: the caller passes the number of bytes in use.
 
 use crate::job::estimated_job_bytes;
 use pebblepost_messages::batch::Job;
 
-/// Share of the smaller of memory and disk that batch jobs may take, in percent.
-const SHARE_PERCENT: u64 = 60;
+/// Maximum share of the memory limit or the ring's capacity, whichever is smaller, that batch jobs may
+/// use, in percent.
+const MAX_CAPACITY_PERCENT: u64 = 60;
 
-/// Limit on the bytes that the batch jobs of one machine may take.
+/// The limit on the estimated memory of the batch jobs on one machine.
 #[derive(Clone, Copy, Debug)]
 pub struct MemoryBudget {
     max_bytes: u64,
 }
 
 impl MemoryBudget {
-    /// The budget of a machine with this memory limit and this capacity of its on-disk ring, in bytes.
+    /// Derives the budget from a machine's memory limit and the capacity of its on-disk ring, both in
+    /// bytes.
     pub fn new(memory_bytes: u64, ring_bytes: u64) -> MemoryBudget {
-        MemoryBudget { max_bytes: memory_bytes.min(ring_bytes) / 100 * SHARE_PERCENT }
+        MemoryBudget { max_bytes: memory_bytes.min(ring_bytes) / 100 * MAX_CAPACITY_PERCENT }
     }
 
-    /// The limit in bytes.
+    /// Returns the limit in bytes.
     pub fn max_bytes(&self) -> u64 {
         self.max_bytes
     }
 
-    /// Whether a job fits beside `used_bytes`, which count stored and proposed jobs.
+    /// Returns whether a job fits into the budget.
+    ///
+    /// `used_bytes` is the estimated memory of the stored jobs and of those proposed but not committed.
     pub fn admits(&self, used_bytes: u64, job: &Job) -> bool {
         used_bytes.saturating_add(estimated_job_bytes(job)) <= self.max_bytes
     }
--- a/crates/pebblepost-batch/src/clock.rs
+++ b/crates/pebblepost-batch/src/clock.rs
@@ -1,30 +1,33 @@
-//! The time of a group of jobs: milliseconds that never go back, stamped on its log entries.
+//! The time of a store group: a monotonic count of milliseconds that is stamped on its log entries.
 //!
-//! The time stands still while no machine advances it, so it never runs ahead of the real time since a
-//! job was accepted: no item is dead-lettered and no job deleted too early.
+//! The time does not advance while no machine advances it. Time stamps therefore never run ahead of the
+//! real time since a job was accepted, so no item is dead-lettered and no job is deleted too early.
 
 use std::time::Duration;
 
-/// One machine's estimate of a group's time.
+/// A machine's local estimate of a store group's time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GroupClock {
-    base_ms: u64,
-    anchored_at: Duration,
+    observed_ms: u64,
+    /// Local time at which `observed_ms` was current.
+    observed_at: Duration,
 }
 
 impl GroupClock {
-    /// An estimate that starts from the newest time stamp seen.
+    /// Creates an estimate that continues from the newest observed time stamp.
     pub fn new(now: Duration, stamp_ms: u64) -> GroupClock {
-        GroupClock { base_ms: stamp_ms, anchored_at: now }
+        GroupClock { observed_ms: stamp_ms, observed_at: now }
     }
 
-    /// The group's time at `now`.
+    /// Returns the store group's time at the local time `now`.
     pub fn now_ms(&self, now: Duration) -> u64 {
-        let elapsed = now.saturating_sub(self.anchored_at);
-        self.base_ms.saturating_add(whole_millis(elapsed))
+        let elapsed = now.saturating_sub(self.observed_at);
+        self.observed_ms.saturating_add(whole_millis(elapsed))
     }
 
-    /// Catches up with the newest time stamp of the applied entries; one behind the estimate is ignored.
+    /// Advances the estimate to the newest time stamp of the applied entries.
+    ///
+    /// A time stamp that is not ahead of the estimate is ignored, so the time never goes back.
     pub fn observe(&mut self, now: Duration, stamp_ms: u64) {
         if stamp_ms > self.now_ms(now) {
             *self = GroupClock::new(now, stamp_ms);
@@ -32,7 +35,7 @@
     }
 }
 
-/// Whole milliseconds of a duration, at most `u64::MAX`.
+/// Converts a duration to whole milliseconds, saturating at `u64::MAX`.
 pub(crate) fn whole_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/pebblepost-batch/src/job.rs
+++ b/crates/pebblepost-batch/src/job.rs
@@ -1,30 +1,31 @@
-//! One stored batch job: its pending items, its results and its estimated memory.
+//! A stored batch job with its pending items, its results and its estimated memory.
 //!
-//! Each result has a fixed position, so that readers continue from an offset. The job never changes by
-//! itself: [`crate::state`] applies committed entries to it.
+//! Each result keeps its position, so that readers can continue from an offset. A job changes only when
+//! [`crate::state`] applies a committed entry.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use pebblepost_messages::batch::{Item, ItemResult, Job, ResultPage};
 use std::collections::HashMap;
 
-/// Estimated memory of a pending item beside its bodies, in bytes.
+/// Estimated memory of a pending item, excluding its bodies.
 const ITEM_OVERHEAD_BYTES: u64 = 4096;
-/// Copies of a body that are estimated to exist at once: state, log, checkpoint.
+/// Estimated number of simultaneous copies of a body: in the state, the log and a checkpoint.
 const BODY_COPIES: u64 = 3;
-/// Estimated memory of a result beside its text, in bytes.
+/// Estimated memory of a result, excluding its text.
 const RESULT_OVERHEAD_BYTES: u64 = 256;
-/// Copies of a result's text that are estimated to exist at once: state, checkpoint, ring.
+/// Estimated number of simultaneous copies of a result's text: in the state, a checkpoint and the ring.
 const RESULT_COPIES: u64 = 3;
-/// Estimated size of a result in a page beside its text and score, in bytes.
+/// Estimated size of a result in a page, excluding its text and score.
 const PAGE_ENTRY_OVERHEAD_BYTES: usize = 200;
 
-/// The part of a job that snapshots contain. The binary form is stored: fields keep their order.
+/// The part of a job that is written to snapshots. The binary form is stored: fields must keep their order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 struct JobRecord {
     submitted_at_ms: u64,
     has_ended: bool,
     item_count: u64,
-    /// Items with a result keep only their id and sample group; there are none once the job has ended.
+    /// Items that have a result keep only their id and sample group. The list is empty once the job has
+    /// ended.
     job: Job,
     results: Vec<ItemResult>,
 }
@@ -33,13 +34,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoredJob {
     record: JobRecord,
-    /// Index of each item without a result, by its id.
+    /// Indices of the items without a result, by item id.
     pending: HashMap<String, usize>,
     estimated_bytes: u64,
 }
 
 impl StoredJob {
-    /// A job that was just accepted, at the group's time `submitted_at_ms`.
+    /// Creates a job that was accepted at the store group's time `submitted_at_ms`.
     pub(crate) fn new(submitted_at_ms: u64, job: Job) -> StoredJob {
         let item_count = job.items.len() as u64;
         let pending = index_items(&job.items);
@@ -48,55 +49,59 @@
         StoredJob { record, pending, estimated_bytes }
     }
 
-    /// Id of the job.
+    /// Returns the id of the job.
     pub fn id(&self) -> &str {
         &self.record.job.id
     }
 
-    /// The job. Items with a result keep only their id and sample group, and a job that has ended has
-    /// no items any more.
+    /// Returns the job as submitted, except that items with a result keep only their id and sample
+    /// group, and that a job that has ended has no items.
     pub fn job(&self) -> &Job {
         &self.record.job
     }
 
-    /// The group's time at which the job was accepted, in milliseconds.
+    /// Returns the store group's time at which the job was accepted, in milliseconds.
     pub fn submitted_at_ms(&self) -> u64 {
         self.record.submitted_at_ms
     }
 
-    /// Whether the job was ended by its owner.
+    /// Returns whether the owner of the job has ended it.
     pub fn has_ended(&self) -> bool {
         self.record.has_ended
     }
 
-    /// Number of items that were submitted.
+    /// Returns the number of submitted items.
     pub fn item_count(&self) -> u64 {
         self.record.item_count
     }
 
-    /// Results so far, by position.
+    /// Returns the results so far, in the order of their positions.
     pub fn results(&self) -> &[ItemResult] {
         &self.record.results
     }
 
-    /// Whether no result can be appended any more: the job has ended, or each item has one.
+    /// Returns whether no further result can be appended, because the job has ended or every item has a
+    /// result.
     pub fn is_complete(&self) -> bool {
         self.record.has_ended || self.pending.is_empty()
     }
 
-    /// Index of an item without a result, by its id; `None` once the job has ended.
+    /// Returns the index of an item by its id, or `None` if the item is unknown or has a result, or the
+    /// job has ended.
     pub fn pending_index(&self, item: &str) -> Option<usize> {
         self.pending.get(item).copied()
     }
 
-    /// Item at an index, if it has no result yet.
+    /// Returns the item at an index, if it has no result.
     pub fn pending_item(&self, index: usize) -> Option<&Item> {
         let item = self.record.job.items.get(index)?;
         (self.pending.get(&item.id) == Some(&index)).then_some(item)
     }
 
-    /// Results from position `start` on: at least one if there is one, and more while they are
-    /// estimated to stay within `max_bytes` together.
+    /// Returns results from position `start` on.
+    ///
+    /// The page contains at least one result if there is one, and further results while their
+    /// estimated total size stays within `max_bytes`.
     pub fn page(&self, start: u64, max_bytes: usize) -> ResultPage {
         let first = usize::try_from(start).unwrap_or(usize::MAX).min(self.record.results.len());
         let rest = &self.record.results[first..];
@@ -110,13 +115,15 @@
         ResultPage { total: self.record.item_count, start, results }
     }
 
-    /// Estimated memory of the job in bytes.
+    /// Returns the estimated memory of the job in bytes.
     pub fn estimated_bytes(&self) -> u64 {
         self.estimated_bytes
     }
 
-    /// Appends a result at the next position. No effect if the job has ended, or the item is unknown or
-    /// has a result: the first one counts.
+    /// Appends a result at the next position.
+    ///
+    /// The result is ignored if the job has ended, the item is unknown, or the item already has a result:
+    /// the first result of an item is final.
     pub(crate) fn append_result(&mut self, result: ItemResult) {
         if self.record.has_ended {
             return;
@@ -138,12 +145,12 @@
         self.estimated_bytes = self.record.results.iter().map(estimated_result_bytes).sum();
     }
 
-    /// Appends the job to a snapshot.
+    /// Appends the encoded job to a snapshot.
     pub(crate) fn write(&self, snapshot: &mut Vec<u8>) {
         self.record.ser_bin(snapshot);
     }
 
-    /// Reads a job from a snapshot and advances the offset past it.
+    /// Decodes a job from a snapshot at `offset` and advances `offset` past it.
     pub(crate) fn read(offset: &mut usize, snapshot: &[u8]) -> Result<StoredJob, DeBinErr> {
         let record = JobRecord::de_bin(offset, snapshot)?;
         let mut pending = index_items(&record.job.items);
@@ -157,7 +164,7 @@
     }
 }
 
-/// Estimated memory of a job whose items are all pending, in bytes.
+/// Estimates the memory of a job whose items are all pending, in bytes.
 pub fn estimated_job_bytes(job: &Job) -> u64 {
     job.items.iter().map(estimated_item_bytes).sum()
 }
@@ -175,7 +182,7 @@
     PAGE_ENTRY_OVERHEAD_BYTES + result.message.len() + result.score.len()
 }
 
-/// Index of each item by its id; of several items with one id, the first counts.
+/// Maps item ids to indices. If several items share an id, the first one is used.
 fn index_items(items: &[Item]) -> HashMap<String, usize> {
     let mut indices = HashMap::with_capacity(items.len());
     for (index, item) in items.iter().enumerate() {
--- a/crates/pebblepost-batch/src/lib.rs
+++ b/crates/pebblepost-batch/src/lib.rs
@@ -1,17 +1,17 @@
 //! Replicated state and scheduling of batch jobs, without I/O or clock.
 //!
-//! Batch jobs are spread over groups; each group is a replicated state machine of its own. Layers,
-//! each of which knows only those above it in this list:
+//! Batch jobs are partitioned into store groups. Each store group is a separate replicated state
+//! machine. The modules form layers; each depends only on those above it in this list:
 //!
-//! * [`job`]: one stored job: its items, results at fixed positions, and an estimate of its memory.
-//! * [`command`]: the entries of a group's replicated log.
-//! * [`state`]: the replicated state machine that applies them.
-//! * [`admission`]: whether another job fits into the memory budget.
-//! * [`clock`]: the time of a group, which is stamped on its log entries and never goes back.
-//! * [`scheduler`]: soft state of a primary: which items are pending, and which proxy leases which.
+//! * [`job`]: one stored job with its items, its results at fixed positions and its estimated memory.
+//! * [`command`]: the entries of a store group's replicated log.
+//! * [`state`]: the replicated state machine that applies the entries.
+//! * [`admission`]: the check whether another job fits into the memory budget.
+//! * [`clock`]: the monotonic time of a store group, which is stamped on its log entries.
+//! * [`scheduler`]: the soft state of a primary: pending items and the leases of proxies.
 //!
-//! The crate never sends, stores or waits: the caller passes the time since an arbitrary start of its
-//! monotonic clock, and carries out what the functions return.
+//! The crate performs no I/O and never blocks. The caller passes the time since an arbitrary start of
+//! its monotonic clock and acts on the returned values.
 
 pub mod admission;
 pub mod clock;
--- a/crates/pebblepost-batch/src/scheduler/grant.rs
+++ b/crates/pebblepost-batch/src/scheduler/grant.rs
@@ -1,4 +1,4 @@
-//! The leases that one request of a proxy for work is answered with.
+//! The leases that are granted in response to one request for work.
 
 use super::job_schedule::JobSchedule;
 use super::lease_table::LeaseKey;
@@ -6,12 +6,13 @@
 use pebblepost_messages::batch::{LeasedItem, WorkLease};
 use std::time::Duration;
 
-/// Bytes of bodies and partial texts beyond which an answer gets no further sample group.
-const MAX_BYTES: usize = 4 * 1024 * 1024;
-/// Items that a proxy is granted beyond its request so that a sample group stays whole.
-const MAX_EXTRA_ITEMS: usize = 8;
+/// Total size of bodies and partial texts from which on no further sample group is added to a response.
+/// The last sample group added may exceed it.
+const GRANT_SOFT_LIMIT_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum number of items granted beyond the request, so that the last sample group is not split.
+const MAX_EXTRA_ITEMS_PER_GRANT: usize = 8;
 
-/// Collects leases until the request is met or the answer is large enough.
+/// Collects leases until the requested number of items or [`GRANT_SOFT_LIMIT_BYTES`] is reached.
 #[derive(Debug)]
 pub(super) struct Grant {
     max_items: usize,
@@ -20,32 +21,34 @@
 }
 
 impl Grant {
-    /// An empty answer to a request for at most `max_items`.
+    /// Creates an empty grant for a request for at most `max_items` items.
     pub(super) fn new(max_items: usize) -> Grant {
         Grant { max_items, item_count: 0, leases: Vec::new() }
     }
 
-    /// Whether another sample group may be added.
+    /// Returns whether another sample group may be added.
     pub(super) fn has_capacity(&self) -> bool {
-        self.item_count < self.max_items && self.body_bytes() < MAX_BYTES
+        self.item_count < self.max_items && self.body_bytes() < GRANT_SOFT_LIMIT_BYTES
     }
 
-    /// Items that the next sample group may add at most.
-    pub(super) fn max_items_of_group(&self) -> usize {
-        self.max_items - self.item_count + MAX_EXTRA_ITEMS
+    /// Returns the maximum number of items that the next sample group may add.
+    ///
+    /// Must be called only while [`Grant::has_capacity`] returns true; otherwise the subtraction may
+    /// underflow.
+    pub(super) fn max_items_of_next_sample_group(&self) -> usize {
+        self.max_items - self.item_count + MAX_EXTRA_ITEMS_PER_GRANT
     }
 
-    /// Whether nothing was granted.
+    /// Returns whether no lease was granted.
     pub(super) fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
 
-    /// Whether fewer items were granted than were asked for.
-    pub(super) fn falls_short(&self) -> bool {
+    /// Returns whether fewer items were granted than requested, or none at all.
+    pub(super) fn is_incomplete(&self) -> bool {
         self.leases.is_empty() || self.item_count < self.max_items
     }
 
-    /// Adds a lease.
     pub(super) fn add(&mut self, now: Duration, lease: &NewLease<'_>) {
         self.item_count += lease.items.len();
         self.leases.push(lease.message(now));
@@ -61,7 +64,7 @@
     }
 }
 
-/// A lease of items of one job, with what its message is made of.
+/// A new lease of items of one job and the state that its message is built from.
 #[derive(Debug)]
 pub(super) struct NewLease<'a> {
     pub(super) key: LeaseKey,
@@ -77,7 +80,7 @@
         let job = self.job.job();
         WorkLease {
             lease: self.key.number,
-            store_group: self.key.group,
+            store_group: self.key.store_group,
             epoch: self.epoch,
             job: job.id.clone(),
             terms: job.terms.clone(),
--- a/crates/pebblepost-batch/src/scheduler/item_table.rs
+++ b/crates/pebblepost-batch/src/scheduler/item_table.rs
@@ -1,31 +1,31 @@
-//! The state of each item of one job, by sample group.
+//! The scheduling state of the items of one job, by sample group.
 //!
-//! Owns which items are pending, leased and finished, and which sample groups have been started. It knows
-//! no time and no proxies.
+//! The table records which items are pending, leased or finished, and which sample groups have been
+//! started. It does not depend on time or on proxies.
 
 use crate::job::StoredJob;
 use pebblepost_messages::batch::PartialText;
 use std::collections::{BTreeSet, HashMap};
 
-/// What earlier leases of an unfinished item achieved.
+/// Progress that earlier item attempts made on an unfinished item.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ItemProgress {
-    /// Failed attempts at the text.
+    /// Number of failed attempts to generate the text.
     pub failed_attempts: u32,
-    /// Failed attempts at the scorer's call.
+    /// Number of failed calls to the scorer.
     pub failed_scorer_attempts: u32,
-    /// Text so far.
+    /// Text generated so far.
     pub partial: PartialText,
 }
 
-/// State of an item.
+/// Scheduling state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ItemState {
-    /// It has no result, and no proxy runs it.
+    /// The item has no result and is not leased.
     Pending,
-    /// It is under the lease with this number.
+    /// The item is leased under this lease number.
     Leased(u64),
-    /// A result was proposed or committed.
+    /// A result of the item was proposed or committed.
     Finished,
 }
 
@@ -36,7 +36,7 @@
     progress: Option<Box<ItemProgress>>,
 }
 
-/// Items that share their prompt.
+/// A set of items that share a prompt.
 #[derive(Debug, Default)]
 struct SampleGroup {
     items: Vec<usize>,
@@ -49,15 +49,17 @@
 pub(super) struct ItemTable {
     items: Vec<ItemSlot>,
     sample_groups: Vec<SampleGroup>,
-    /// Sample groups that were started and have pending items.
+    /// Started sample groups with pending items.
     started: BTreeSet<usize>,
-    /// Sample groups of which no item was ever leased or finished.
+    /// Sample groups none of whose items was ever leased or finished.
     not_started: BTreeSet<usize>,
 }
 
 impl ItemTable {
-    /// The items of a job. Those with one group name form a sample group; an item without a group name
-    /// forms one of its own.
+    /// Creates the table of a job's items.
+    ///
+    /// Items with the same group name form a sample group. An item with an empty group name forms a
+    /// sample group of its own.
     pub(super) fn new(job: &StoredJob) -> ItemTable {
         let mut table = ItemTable::default();
         let mut by_name: HashMap<&str, usize> = HashMap::new();
@@ -82,22 +84,22 @@
         table
     }
 
-    /// The first sample group that was started and has pending items.
+    /// Returns the first started sample group with pending items.
     pub(super) fn first_started(&self) -> Option<usize> {
         self.started.first().copied()
     }
 
-    /// The first sample group that was not started.
+    /// Returns the first sample group that was not started.
     pub(super) fn first_not_started(&self) -> Option<usize> {
         self.not_started.first().copied()
     }
 
-    /// Number of sample groups that were started.
+    /// Returns the number of started sample groups.
     pub(super) fn started_count(&self) -> usize {
         self.sample_groups.len() - self.not_started.len()
     }
 
-    /// Leases the pending items of a sample group, at most `max_items`; their indices.
+    /// Leases up to `max_items` pending items of a sample group and returns their indices.
     pub(super) fn lease_sample_group(
         &mut self, sample_group: usize, lease: u64, max_items: usize,
     ) -> Vec<usize> {
@@ -111,7 +113,7 @@
         indices
     }
 
-    /// What is known of an item.
+    /// Returns the progress of an item; the default value if none is recorded.
     pub(super) fn progress(&self, item: usize) -> ItemProgress {
         let progress = self.items.get(item).and_then(|slot| slot.progress.as_deref());
         progress.cloned().unwrap_or_default()
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Number of the lease that an item is under.
+    /// Returns the number of the lease that an item is under, if it is leased.
     pub(super) fn lease_of(&self, item: usize) -> Option<u64> {
         match self.items.get(item)?.state {
             ItemState::Leased(lease) => Some(lease),
@@ -131,34 +133,34 @@
         }
     }
 
-    /// Makes an item pending again, if it is under this lease.
+    /// Makes an item pending again, unless it is no longer under this lease.
     pub(super) fn release(&mut self, item: usize, lease: u64) {
         if self.lease_of(item) == Some(lease) {
             self.set_state(item, ItemState::Pending);
         }
     }
 
-    /// Puts an item that is not finished under a lease; whether it did.
+    /// Assigns an unfinished item to a lease. Returns whether the item was assigned.
     pub(super) fn assign(&mut self, item: usize, lease: u64) -> bool {
-        let is_open = self.items.get(item).is_some_and(|slot| slot.state != ItemState::Finished);
-        if is_open {
+        let is_unfinished = self.items.get(item).is_some_and(|slot| slot.state != ItemState::Finished);
+        if is_unfinished {
             self.set_state(item, ItemState::Leased(lease));
         }
-        is_open
+        is_unfinished
     }
 
-    /// Finishes an item; the state that it had, `None` for an index without an item.
+    /// Finishes an item and returns its previous state, or `None` if the index is out of range.
     pub(super) fn finish(&mut self, item: usize) -> Option<ItemState> {
         let slot = self.items.get_mut(item)?;
-        let former = slot.state;
-        if former != ItemState::Finished {
+        let previous = slot.state;
+        if previous != ItemState::Finished {
             slot.progress = None;
             self.set_state(item, ItemState::Finished);
         }
-        Some(former)
+        Some(previous)
     }
 
-    /// Finishes all pending items; their indices.
+    /// Finishes all pending items and returns their indices.
     pub(super) fn finish_pending(&mut self) -> Vec<usize> {
         let is_pending = |index: &usize| self.items[*index].state == ItemState::Pending;
         let pending: Vec<usize> = (0..self.items.len()).filter(is_pending).collect();
@@ -179,16 +181,16 @@
         self.index_sample_group(sample_group);
     }
 
-    /// Brings the sets of started and not started groups up to date with a sample group.
+    /// Updates the sets `started` and `not_started` for a sample group.
     fn index_sample_group(&mut self, sample_group: usize) {
         let group = &self.sample_groups[sample_group];
         let (is_started, has_pending) = (group.is_started, group.pending_items > 0);
-        set_member(&mut self.not_started, sample_group, !is_started);
-        set_member(&mut self.started, sample_group, is_started && has_pending);
+        set_membership(&mut self.not_started, sample_group, !is_started);
+        set_membership(&mut self.started, sample_group, is_started && has_pending);
     }
 }
 
-fn set_member(set: &mut BTreeSet<usize>, member: usize, is_member: bool) {
+fn set_membership(set: &mut BTreeSet<usize>, member: usize, is_member: bool) {
     if is_member {
         set.insert(member);
     } else {
--- a/crates/pebblepost-batch/src/scheduler/job_queue.rs
+++ b/crates/pebblepost-batch/src/scheduler/job_queue.rs
@@ -1,15 +1,15 @@
-//! The jobs that are scheduled on this machine, in the order in which they are leased.
+//! The jobs that are scheduled on this machine, in leasing order.
 //!
-//! Owns the [`JobSchedule`]s and their order; it knows no leases.
+//! The queue owns the [`JobSchedule`]s and their order. It does not depend on leases.
 
 use super::job_schedule::{JobRank, JobSchedule};
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Items that expired before anybody finished them.
+/// Items of one job that expired without a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExpiredItems {
-    /// Group of batch jobs.
+    /// Store group of the job.
     pub store_group: u32,
     /// Id of the job.
     pub job: String,
@@ -17,7 +17,7 @@
     pub items: Vec<usize>,
 }
 
-/// Scheduled jobs.
+/// The scheduled jobs and their order.
 #[derive(Debug, Default)]
 pub(super) struct JobQueue {
     jobs: HashMap<String, JobSchedule>,
@@ -41,7 +41,7 @@
         self.jobs.values()
     }
 
-    /// The jobs in the order in which they are leased, as of now.
+    /// Returns the current ranks of all jobs, in leasing order.
     pub(super) fn ranks(&self) -> BTreeSet<JobRank> {
         self.ranks.clone()
     }
@@ -51,25 +51,25 @@
         self.jobs.insert(job.to_owned(), schedule);
     }
 
-    /// Removes a job; whether it was there.
+    /// Removes a job. Returns whether it was scheduled.
     pub(super) fn remove(&mut self, job: &str) -> bool {
         let Some(schedule) = self.jobs.remove(job) else { return false };
         self.ranks.remove(schedule.rank());
         true
     }
 
-    pub(super) fn remove_group(&mut self, group: u32) {
-        self.jobs.retain(|_, schedule| schedule.group() != group);
-        self.ranks.retain(|rank| rank.group != group);
+    pub(super) fn remove_store_group(&mut self, store_group: u32) {
+        self.jobs.retain(|_, schedule| schedule.store_group() != store_group);
+        self.ranks.retain(|rank| rank.store_group != store_group);
     }
 
-    /// Finishes the pending items that have expired, and returns them by the id of their job.
+    /// Finishes the pending items that have expired and returns them, ordered by job id.
     pub(super) fn take_expired(&mut self, now: Duration) -> Vec<ExpiredItems> {
         let mut expired = Vec::new();
         for (id, schedule) in &mut self.jobs {
             let items = schedule.take_expired(now);
             if !items.is_empty() {
-                expired.push(ExpiredItems { store_group: schedule.group(), job: id.clone(), items });
+                expired.push(ExpiredItems { store_group: schedule.store_group(), job: id.clone(), items });
             }
         }
         expired.sort_by(|left, right| left.job.cmp(&right.job));
--- a/crates/pebblepost-batch/src/scheduler/job_schedule.rs
+++ b/crates/pebblepost-batch/src/scheduler/job_schedule.rs
@@ -1,42 +1,46 @@
-//! The schedule of one job: its deadlines and which sample group of it is leased next.
+//! The schedule of one job: its deadlines and the choice of the sample group that is leased next.
 //!
-//! Owns the deadlines and the [`ItemTable`] of the job. It knows no proxies and no other jobs.
+//! The schedule owns the deadlines and the [`ItemTable`] of the job. It does not depend on proxies or
+//! on other jobs.
 
 use super::item_table::ItemTable;
 use crate::clock::{GroupClock, whole_millis};
 use crate::job::StoredJob;
 use std::time::Duration;
 
-/// Sample groups started beyond those that the trainer waits for, so that stragglers do not delay it.
+/// Number of sample groups started beyond those that the trainer waits for, so that stragglers do not
+/// delay it.
 pub const EXTRA_SAMPLE_GROUPS: usize = 2;
-/// Share of the time until the results are due after which all other groups are started, in percent.
-const OVERSAMPLING_AFTER_PERCENT: i64 = 60;
+/// Share of the time from submission to the due time after which all remaining sample groups may be
+/// started, in percent.
+const OVERSAMPLING_START_PERCENT: i64 = 60;
 
-/// Rank of a job: jobs are leased in ascending order, earliest deadline first.
+/// Rank of a job in leasing order. Jobs are leased in ascending order: earliest due time first, then
+/// lowest priority value. The order of the fields defines this order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct JobRank {
-    /// When its results are due, in milliseconds of the caller's monotonic clock.
+    /// Time at which the results are due, in milliseconds of the caller's monotonic clock.
     due_at_ms: i64,
     priority: u32,
-    pub(super) group: u32,
+    pub(super) store_group: u32,
     pub(super) job: String,
 }
 
 /// Which sample groups of a job may be started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum SampleGroups {
-    /// Those that the trainer waits for, and [`EXTRA_SAMPLE_GROUPS`] more.
+pub(super) enum EligibleSampleGroups {
+    /// As many as the trainer waits for, and [`EXTRA_SAMPLE_GROUPS`] more.
     Required,
-    /// All, once the results are nearly due.
+    /// All, once [`OVERSAMPLING_START_PERCENT`] of the time from submission to the due time has passed.
     Oversampled,
 }
 
-/// Deadlines of a job, in milliseconds of the caller's monotonic clock; negative if they passed before
-/// its start.
+/// Deadlines of a job, in milliseconds of the caller's monotonic clock. A deadline before the start of
+/// that clock is negative.
 #[derive(Debug)]
 struct Deadlines {
     due_at_ms: i64,
-    oversampled_at_ms: i64,
+    oversampling_starts_at_ms: i64,
     expires_at_ms: i64,
 }
 
@@ -48,8 +52,8 @@
         let run_deadline_ms = signed(terms.run_deadline_ms);
         Deadlines {
             due_at_ms: submitted_at_ms.saturating_add(run_deadline_ms),
-            oversampled_at_ms: submitted_at_ms
-                .saturating_add(run_deadline_ms / 100 * OVERSAMPLING_AFTER_PERCENT),
+            oversampling_starts_at_ms: submitted_at_ms
+                .saturating_add(run_deadline_ms / 100 * OVERSAMPLING_START_PERCENT),
             expires_at_ms: submitted_at_ms.saturating_add(signed(terms.queue_ttl_ms)),
         }
     }
@@ -60,27 +64,28 @@
 pub(super) struct JobSchedule {
     rank: JobRank,
     deadlines: Deadlines,
-    /// The job was stored before this machine became primary: proxies may hold leases of it.
+    /// Whether the job was stored before this machine became primary, so that proxies may hold leases
+    /// that an earlier primary granted.
     pub(super) is_taken_over: bool,
-    /// Sample groups that the trainer waits for; 0 for all.
-    desired_groups: usize,
+    /// Number of sample groups that the trainer waits for; 0 means all.
+    desired_sample_groups: usize,
     pub(super) items: ItemTable,
 }
 
 impl JobSchedule {
-    pub(super) fn new(now: Duration, group: u32, clock: &GroupClock, job: &StoredJob) -> JobSchedule {
+    pub(super) fn new(now: Duration, store_group: u32, clock: &GroupClock, job: &StoredJob) -> JobSchedule {
         let deadlines = Deadlines::new(now, clock, job);
         let rank = JobRank {
             due_at_ms: deadlines.due_at_ms,
             priority: job.job().terms.priority,
-            group,
+            store_group,
             job: job.id().to_owned(),
         };
         JobSchedule {
             rank,
             deadlines,
             is_taken_over: false,
-            desired_groups: usize::try_from(job.job().desired_groups).unwrap_or(usize::MAX),
+            desired_sample_groups: usize::try_from(job.job().desired_groups).unwrap_or(usize::MAX),
             items: ItemTable::new(job),
         }
     }
@@ -89,43 +94,45 @@
         &self.rank
     }
 
-    /// Group of jobs that the job belongs to.
-    pub(super) fn group(&self) -> u32 {
-        self.rank.group
+    pub(super) fn store_group(&self) -> u32 {
+        self.rank.store_group
     }
 
-    /// Milliseconds until the results are due.
+    /// Returns the milliseconds until the results are due; 0 if that time has passed.
     pub(super) fn due_in_ms(&self, now: Duration) -> u64 {
         millis_until(now, self.deadlines.due_at_ms)
     }
 
-    /// Milliseconds until pending items expire.
+    /// Returns the milliseconds until pending items expire; 0 if they have expired.
     pub(super) fn expires_in_ms(&self, now: Duration) -> u64 {
         millis_until(now, self.deadlines.expires_at_ms)
     }
 
-    /// Whether pending items have expired: they are not leased any more, but dead-lettered.
+    /// Returns whether pending items have expired. Expired items are dead-lettered instead of leased.
     pub(super) fn has_expired(&self, now: Duration) -> bool {
         self.expires_in_ms(now) == 0
     }
 
-    /// The next sample group to lease items of: one that was started, or else the first that was not,
-    /// unless enough groups were started for `allowed`.
-    pub(super) fn next_sample_group(&self, now: Duration, allowed: SampleGroups) -> Option<usize> {
+    /// Returns the sample group to lease items from next.
+    ///
+    /// Started sample groups with pending items come first. Otherwise it is the first one that was not
+    /// started, unless `eligible` does not permit starting another.
+    pub(super) fn next_sample_group(&self, now: Duration, eligible: EligibleSampleGroups) -> Option<usize> {
         if let Some(started) = self.items.first_started() {
             return Some(started);
         }
-        let required = self.desired_groups.saturating_add(EXTRA_SAMPLE_GROUPS);
-        let is_oversampling = self.desired_groups > 0 && self.items.started_count() >= required;
-        let may_oversample = allowed == SampleGroups::Oversampled
-            && signed(whole_millis(now)) >= self.deadlines.oversampled_at_ms;
-        if is_oversampling && !may_oversample {
+        let required_groups = self.desired_sample_groups.saturating_add(EXTRA_SAMPLE_GROUPS);
+        let has_required_groups =
+            self.desired_sample_groups > 0 && self.items.started_count() >= required_groups;
+        let may_oversample = eligible == EligibleSampleGroups::Oversampled
+            && signed(whole_millis(now)) >= self.deadlines.oversampling_starts_at_ms;
+        if has_required_groups && !may_oversample {
             return None;
         }
         self.items.first_not_started()
     }
 
-    /// Finishes the pending items that have expired; their indices.
+    /// Finishes the pending items if they have expired and returns their indices.
     pub(super) fn take_expired(&mut self, now: Duration) -> Vec<usize> {
         if !self.has_expired(now) {
             return Vec::new();
@@ -134,10 +141,12 @@
     }
 }
 
+/// Converts milliseconds to a signed value, saturating at `i64::MAX`.
 fn signed(millis: u64) -> i64 {
     i64::try_from(millis).unwrap_or(i64::MAX)
 }
 
+/// Returns the milliseconds from `now` until `at_ms`; 0 if that time has passed.
 fn millis_until(now: Duration, at_ms: i64) -> u64 {
     u64::try_from(at_ms.saturating_sub(signed(whole_millis(now)))).unwrap_or(0)
 }
--- a/crates/pebblepost-batch/src/scheduler/lease_table.rs
+++ b/crates/pebblepost-batch/src/scheduler/lease_table.rs
@@ -1,47 +1,48 @@
 //! Leases of items to proxies.
 //!
-//! Owns which proxy holds which lease, when it was renewed last, and which proxies are connected. It
-//! knows nothing of jobs but their ids: the caller makes the items of an expired lease pending again.
+//! The table records the holder and the last renewal of each lease, and which proxies are connected. It
+//! refers to jobs by id only: the caller makes the items of an expired lease pending again.
 
 use pebblepost_messages::batch::LEASE_MS;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long a lease lasts after its last renewal.
+/// Duration of a lease, counted from its last renewal.
 const LEASE_DURATION: Duration = Duration::from_millis(LEASE_MS);
-/// Age at which a lease expires in spite of renewals: a proxy that still holds it has lost track of it.
+/// Age at which a lease expires even if it is renewed. A proxy that holds a lease for this long is
+/// assumed to have lost track of it.
 const MAX_LEASE_AGE: Duration = Duration::from_secs(30);
 
-/// A connected proxy: the number of its link.
+/// Identifies a proxy by the number of its link. A proxy that reconnects gets another id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProxyId(pub u64);
 
-/// A lease as a proxy names it: under the number that it got from this primary or from an earlier one.
+/// A lease as a proxy refers to it: by the number that this primary or an earlier one assigned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseReference {
-    /// The proxy.
+    /// Proxy that holds the lease.
     pub proxy: ProxyId,
     /// Number of the lease.
     pub number: u64,
 }
 
-/// Identity of a lease: its group of jobs and its number in it.
+/// Identifies a lease by its store group and its number within that store group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct LeaseKey {
-    pub(super) group: u32,
+    pub(super) store_group: u32,
     pub(super) number: u64,
 }
 
-/// How a proxy came to hold a lease.
+/// How a lease came into this table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LeaseOrigin {
-    /// This primary granted it.
+    /// This primary granted the lease.
     Granted,
-    /// The proxy reported it; it knows it under another number.
+    /// The proxy reported a lease that it already held and refers to it by its earlier number.
     Reported,
 }
 
-/// Who holds a lease.
+/// The holder of a lease.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseHolder {
     pub(super) proxy: ProxyId,
@@ -64,7 +65,7 @@
     }
 }
 
-/// A lease that expired with items unfinished.
+/// A lease that expired with unfinished items.
 #[derive(Debug)]
 pub(super) struct ExpiredLease {
     pub(super) key: LeaseKey,
@@ -72,7 +73,7 @@
     pub(super) items: BTreeSet<usize>,
 }
 
-/// All leases of this machine, and the proxies that may hold them.
+/// The leases of the store groups that this machine is primary of, and the connected proxies.
 #[derive(Debug, Default)]
 pub(super) struct LeaseTable {
     leases: BTreeMap<LeaseKey, Lease>,
@@ -81,20 +82,20 @@
 }
 
 impl LeaseTable {
-    pub(super) fn connect(&mut self, proxy: ProxyId) {
+    pub(super) fn mark_connected(&mut self, proxy: ProxyId) {
         self.connected.insert(proxy);
     }
 
-    pub(super) fn disconnect(&mut self, proxy: ProxyId) {
+    pub(super) fn mark_disconnected(&mut self, proxy: ProxyId) {
         self.connected.remove(&proxy);
     }
 
-    /// Proxies that are connected.
-    pub(super) fn connected(&self) -> BTreeSet<ProxyId> {
+    /// Returns the connected proxies.
+    pub(super) fn connected_proxies(&self) -> BTreeSet<ProxyId> {
         self.connected.clone()
     }
 
-    /// Number of items under a lease.
+    /// Returns the number of leased items.
     pub(super) fn item_count(&self) -> usize {
         self.item_count
     }
@@ -113,20 +114,23 @@
         self.leases.insert(key, lease);
     }
 
-    /// Whether the lease that a proxy names is this one.
-    pub(super) fn is_named_by(&self, key: LeaseKey, named: LeaseReference) -> bool {
+    /// Returns whether a proxy's reference denotes the lease `key`.
+    ///
+    /// For a reported lease any number matches, as the proxy knows it by an earlier one.
+    pub(super) fn matches_reference(&self, key: LeaseKey, reference: LeaseReference) -> bool {
         self.leases.get(&key).is_some_and(|lease| {
-            let is_same_number = lease.holder.origin == LeaseOrigin::Reported || key.number == named.number;
-            lease.holder.proxy == named.proxy && is_same_number
+            let is_same_number =
+                lease.holder.origin == LeaseOrigin::Reported || key.number == reference.number;
+            lease.holder.proxy == reference.proxy && is_same_number
         })
     }
 
-    /// Whether the holder of a lease is connected.
+    /// Returns whether the lease exists and its holder is connected.
     pub(super) fn has_connected_holder(&self, key: LeaseKey) -> bool {
         self.leases.get(&key).is_some_and(|lease| self.connected.contains(&lease.holder.proxy))
     }
 
-    /// Takes an item out of a lease; a lease without items is removed.
+    /// Removes an item from a lease, and the lease if it has no other items.
     pub(super) fn remove_item(&mut self, key: LeaseKey, item: usize) {
         let Some(lease) = self.leases.get_mut(&key) else { return };
         if lease.items.remove(&item) {
@@ -137,32 +141,33 @@
         }
     }
 
-    pub(super) fn remove_group(&mut self, group: u32) {
-        self.retain(|key, _| key.group != group);
+    pub(super) fn remove_store_group(&mut self, store_group: u32) {
+        self.retain(|key, _| key.store_group != store_group);
     }
 
     pub(super) fn remove_job(&mut self, job: &str) {
         self.retain(|_, lease| lease.job != job);
     }
 
-    /// Removes the leases that have expired, and returns them.
+    /// Removes and returns the leases that have expired.
     pub(super) fn take_expired(&mut self, now: Duration) -> Vec<ExpiredLease> {
         let expired = self.leases.iter().filter(|(_, lease)| lease.has_expired(now));
         let keys: Vec<LeaseKey> = expired.map(|(key, _)| *key).collect();
         keys.into_iter().filter_map(|key| self.take(key)).collect()
     }
 
-    /// Renews the leases of connected proxies in the groups for which this machine is acting primary;
-    /// the groups by proxy.
+    /// Renews the leases of connected proxies in the store groups that this machine is acting primary of.
+    ///
+    /// Returns the store groups with renewed leases, by proxy.
     pub(super) fn renew(
         &mut self, now: Duration, is_acting: impl Fn(u32) -> bool,
     ) -> BTreeMap<ProxyId, BTreeSet<u32>> {
         let mut renewed: BTreeMap<ProxyId, BTreeSet<u32>> = BTreeMap::new();
         for (key, lease) in &mut self.leases {
             let proxy = lease.holder.proxy;
-            if self.connected.contains(&proxy) && is_acting(key.group) {
+            if self.connected.contains(&proxy) && is_acting(key.store_group) {
                 lease.renewed_at = now;
-                renewed.entry(proxy).or_default().insert(key.group);
+                renewed.entry(proxy).or_default().insert(key.store_group);
             }
         }
         renewed
--- a/crates/pebblepost-batch/src/scheduler/mod.rs
+++ b/crates/pebblepost-batch/src/scheduler/mod.rs
@@ -1,13 +1,12 @@
-//! Soft state of a machine for the groups of jobs that it is primary of: which items are pending, and
-//! which proxy leases which.
+//! Soft state of a primary: the pending items of its store groups and the leases of proxies.
 //!
-//! Nothing of it is replicated. A new primary builds it from the replicated state and from the leases that
-//! proxies report. An item may therefore run more than once: the first result that is committed counts.
+//! This state is not replicated. A new primary rebuilds it from the replicated state and from the leases
+//! that proxies report. An item may therefore run more than once; the first committed result is final.
 //!
-//! One file for each concern: `term` (this machine's term as primary of a group), `takeover` (the
-//! wait for lease reports), `job_queue` (jobs in their order), `job_schedule` (deadlines of a job),
-//! `item_table` (states of its items), `lease_table` (who holds what) and `grant` (the answer to a
-//! request for work). This file joins them.
+//! The submodules are `term` (this machine's term as primary of a store group), `takeover` (the wait for
+//! lease reports), `job_queue` (the jobs in leasing order), `job_schedule` (the deadlines of a job),
+//! `item_table` (the states of its items), `lease_table` (the holders of leases) and `grant` (the
+//! response to a request for work). [`Scheduler`] combines them.
 
 mod grant;
 mod item_table;
@@ -28,7 +27,7 @@
 use grant::{Grant, NewLease};
 use item_table::ItemState;
 use job_queue::JobQueue;
-use job_schedule::{JobSchedule, SampleGroups};
+use job_schedule::{EligibleSampleGroups, JobSchedule};
 use lease_table::{LeaseHolder, LeaseKey, LeaseOrigin, LeaseTable};
 use pebblepost_messages::batch::WorkLease;
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,99 +35,108 @@
 use takeover::Takeover;
 use term::Term;
 
-/// Schedules the items of all groups that this machine is primary of.
+/// Schedules the items of all store groups that this machine is primary of.
 #[derive(Debug, Default)]
 pub struct Scheduler {
     terms: BTreeMap<u32, Term>,
     queue: JobQueue,
     leases: LeaseTable,
-    /// Proxies whose last request for work was not met in full.
+    /// Proxies that were granted fewer items than they last requested.
     idle: BTreeSet<ProxyId>,
 }
 
 impl Scheduler {
-    /// Starts this machine's term as primary of a group, with its replicated state.
+    /// Starts this machine's term as primary of a store group and schedules the group's open jobs.
+    ///
+    /// A term of the same store group that is still running ends first. `epoch` is the epoch in which
+    /// the term begins, and `state` the replicated state of the store group.
     pub fn start_term(
-        &mut self, now: Duration, group: u32, epoch: u64, clock: &GroupClock, state: &BatchState,
+        &mut self, now: Duration, store_group: u32, epoch: u64, clock: &GroupClock, state: &BatchState,
     ) {
-        self.end_term(group);
+        self.end_term(store_group);
         let has_open_jobs = state.jobs().any(|job| !job.is_complete());
-        let takeover = Takeover::new(now, has_open_jobs, self.leases.connected());
-        self.terms.insert(group, Term::new(epoch, takeover));
+        let takeover = Takeover::new(now, has_open_jobs, self.leases.connected_proxies());
+        self.terms.insert(store_group, Term::new(epoch, takeover));
         for job in state.jobs() {
-            self.add_job(now, group, clock, job);
+            self.add_job(now, store_group, clock, job);
             if let Some(schedule) = self.queue.get_mut(job.id()) {
                 schedule.is_taken_over = true;
             }
         }
     }
 
-    /// Ends this machine's term as primary of a group.
-    pub fn end_term(&mut self, group: u32) {
-        self.terms.remove(&group);
-        self.leases.remove_group(group);
-        self.queue.remove_group(group);
+    /// Ends this machine's term as primary of a store group and drops its jobs and leases.
+    pub fn end_term(&mut self, store_group: u32) {
+        self.terms.remove(&store_group);
+        self.leases.remove_store_group(store_group);
+        self.queue.remove_store_group(store_group);
     }
 
-    /// Whether this machine is in a term as primary of a group.
-    pub fn has_term(&self, group: u32) -> bool {
-        self.terms.contains_key(&group)
+    /// Returns whether this machine is in a term as primary of a store group.
+    pub fn has_term(&self, store_group: u32) -> bool {
+        self.terms.contains_key(&store_group)
     }
 
-    /// Epoch in which this machine's term as primary of a group began; its leases carry it.
-    pub fn epoch(&self, group: u32) -> Option<u64> {
-        self.terms.get(&group).map(|term| term.epoch)
+    /// Returns the epoch in which this machine's term as primary of a store group began, which the leases
+    /// of the term carry. Returns `None` outside a term.
+    pub fn epoch(&self, store_group: u32) -> Option<u64> {
+        self.terms.get(&store_group).map(|term| term.epoch)
     }
 
-    /// Schedules a job that was committed. Idempotent.
-    pub fn add_job(&mut self, now: Duration, group: u32, clock: &GroupClock, job: &StoredJob) {
+    /// Schedules a committed job. A job that is complete or already scheduled is ignored.
+    pub fn add_job(&mut self, now: Duration, store_group: u32, clock: &GroupClock, job: &StoredJob) {
         if job.is_complete() || self.queue.contains(job.id()) {
             return;
         }
-        self.queue.insert(job.id(), JobSchedule::new(now, group, clock, job));
+        self.queue.insert(job.id(), JobSchedule::new(now, store_group, clock, job));
     }
 
-    /// Removes a job that has ended: nothing more of it is leased.
+    /// Removes a job and its leases; no more of its items are leased.
     pub fn remove_job(&mut self, job: &str) {
         if self.queue.remove(job) {
             self.leases.remove_job(job);
         }
     }
 
-    /// A proxy has connected.
+    /// Records that a proxy has connected.
     pub fn mark_proxy_connected(&mut self, proxy: ProxyId) {
-        self.leases.connect(proxy);
+        self.leases.mark_connected(proxy);
     }
 
-    /// The link to a proxy is lost: its leases are not renewed any more, and expire.
+    /// Records that the link to a proxy is lost. Its leases are kept, but no longer renewed, and expire.
     pub fn mark_proxy_disconnected(&mut self, proxy: ProxyId) {
         self.idle.remove(&proxy);
-        self.leases.disconnect(proxy);
+        self.leases.mark_disconnected(proxy);
         for term in self.terms.values_mut() {
             term.takeover.remove_proxy(proxy);
         }
     }
 
-    /// Leases items to a proxy: at most `max_items`, and a few more to keep a sample group whole.
-    /// `states` gives the replicated state of a group, if this machine is its acting primary.
+    /// Leases items to a proxy.
+    ///
+    /// At most `max_items` items are leased, and a few more if that keeps a sample group whole.
+    /// Oversampled sample groups are leased only if no required one can be leased. `states` returns the
+    /// replicated state of a store group, or `None` if this machine is not its acting primary.
     pub fn lease_items<'state>(
         &mut self, now: Duration, proxy: ProxyId, max_items: usize,
         states: impl Fn(u32) -> Option<&'state BatchState>,
     ) -> Vec<WorkLease> {
         let mut grant = Grant::new(max_items);
-        for allowed in [SampleGroups::Required, SampleGroups::Oversampled] {
+        for eligible in [EligibleSampleGroups::Required, EligibleSampleGroups::Oversampled] {
             for rank in self.queue.ranks() {
                 if !grant.has_capacity() {
                     break;
                 }
-                let Some(job) = states(rank.group).and_then(|state| state.job(&rank.job)) else { continue };
-                self.lease_items_of_job(now, proxy, allowed, job, &mut grant);
+                let Some(job) = states(rank.store_group).and_then(|state| state.job(&rank.job)) else {
+                    continue;
+                };
+                self.lease_items_of_job(now, proxy, eligible, job, &mut grant);
             }
             if !grant.is_empty() {
                 break;
             }
         }
-        if grant.falls_short() {
+        if grant.is_incomplete() {
             self.idle.insert(proxy);
         } else {
             self.idle.remove(&proxy);
@@ -136,66 +144,76 @@
         grant.into_leases()
     }
 
-    /// An item got a result: its lease is over. Whether the result is to be proposed: the job is
-    /// scheduled here, and the item had no result yet.
+    /// Marks an item as finished by a result and removes it from its lease.
+    ///
+    /// Returns whether the result must be proposed: the job is scheduled here and the item was not
+    /// finished before.
     pub fn finish_item(&mut self, job: &str, item: usize) -> bool {
         let Some(schedule) = self.queue.get_mut(job) else { return false };
-        let group = schedule.group();
+        let store_group = schedule.store_group();
         match schedule.items.finish(item) {
             None | Some(ItemState::Finished) => false,
             Some(ItemState::Pending) => true,
             Some(ItemState::Leased(number)) => {
-                self.leases.remove_item(LeaseKey { group, number }, item);
+                self.leases.remove_item(LeaseKey { store_group, number }, item);
                 true
             }
         }
     }
 
-    /// The result of a leased item is invalid: the item is pending again, and its progress is dropped.
+    /// Rejects an invalid result of a leased item: the item becomes pending again without its progress.
     pub fn reject_result(&mut self, job: &str, item: usize) {
         self.release_item(job, item, ItemProgress::default(), |_, _| true);
     }
 
-    /// A proxy returns an item that it did not finish. Ignored if the item is under another lease by now.
+    /// Makes an item pending again that a proxy returns unfinished.
+    ///
+    /// The return is ignored if the item is no longer under this lease.
     pub fn return_item(&mut self, lease: LeaseReference, job: &str, item: usize, progress: ItemProgress) {
-        self.release_item(job, item, progress, |leases, key| leases.is_named_by(key, lease));
+        self.release_item(job, item, progress, |leases, key| leases.matches_reference(key, lease));
     }
 
-    /// A proxy reports a lease that it got from an earlier primary, or before its link was lost: it is
-    /// continued under a new number, but for items that another connected proxy leases.
+    /// Restores a lease that a proxy reports: an earlier primary granted it, or it was granted before the
+    /// proxy's link was lost.
+    ///
+    /// The lease continues under a new number. Items that are under a lease of a connected proxy are left
+    /// out.
     pub fn restore_lease(&mut self, now: Duration, proxy: ProxyId, job: &str, items: &[usize]) {
         let Some(schedule) = self.queue.get_mut(job) else { return };
-        let Some(term) = self.terms.get_mut(&schedule.group()) else { return };
-        let key = term.next_lease_key(schedule.group());
+        let Some(term) = self.terms.get_mut(&schedule.store_group()) else { return };
+        let key = term.next_lease_key(schedule.store_group());
         let mut restored = Vec::new();
         for item in items.iter().copied() {
-            let former = schedule.items.lease_of(item).map(|number| LeaseKey { group: key.group, number });
-            if former.is_some_and(|former| self.leases.has_connected_holder(former)) {
+            let previous =
+                schedule.items.lease_of(item).map(|number| LeaseKey { store_group: key.store_group, number });
+            if previous.is_some_and(|previous| self.leases.has_connected_holder(previous)) {
                 continue;
             }
             if schedule.items.assign(item, key.number) {
                 restored.push(item);
             }
-            if let Some(former) = former {
-                self.leases.remove_item(former, item);
+            if let Some(previous) = previous {
+                self.leases.remove_item(previous, item);
             }
         }
         if !restored.is_empty() {
-            term.use_lease_key();
+            term.consume_lease_key();
             let holder = LeaseHolder { proxy, origin: LeaseOrigin::Reported };
             self.leases.insert(now, key, holder, job, restored);
         }
     }
 
-    /// A proxy has reported all leases that it holds.
+    /// Records that a proxy has reported all leases that it holds. Once all connected proxies have, a
+    /// takeover wait ends early.
     pub fn record_lease_report(&mut self, now: Duration, proxy: ProxyId) {
         for term in self.terms.values_mut() {
-            term.takeover.report_received(now, proxy);
+            term.takeover.record_report(now, proxy);
         }
     }
 
-    /// Makes the items of expired leases pending again. A lease expires if it was not renewed in time,
-    /// or is older than any item may take.
+    /// Makes the items of expired leases pending again.
+    ///
+    /// A lease expires if it was not renewed in time or has reached its maximum age.
     pub fn expire_leases(&mut self, now: Duration) {
         for expired in self.leases.take_expired(now) {
             let Some(schedule) = self.queue.get_mut(&expired.job) else { continue };
@@ -205,8 +223,10 @@
         }
     }
 
-    /// Renews the leases of connected proxies in the groups that this machine is acting primary of; the
-    /// groups by proxy. A lease that has expired is not renewed.
+    /// Renews the leases of connected proxies in the store groups that this machine is acting primary of.
+    ///
+    /// Returns the store groups with renewed leases, by proxy. Expired leases are removed first and are
+    /// not renewed.
     pub fn renew_leases(
         &mut self, now: Duration, is_acting: impl Fn(u32) -> bool,
     ) -> Vec<(ProxyId, Vec<u32>)> {
@@ -215,12 +235,14 @@
         renewed.map(|(proxy, groups)| (proxy, groups.into_iter().collect())).collect()
     }
 
-    /// Pending items that have expired; they count as finished from now on.
+    /// Finishes the pending items that have expired and returns them. The caller must propose their dead
+    /// letters.
     pub fn take_expired_items(&mut self, now: Duration) -> Vec<ExpiredItems> {
         self.queue.take_expired(now)
     }
 
-    /// Proxies whose last request for work was not met in full, if there is work by now.
+    /// Takes the proxies that were granted fewer items than they last requested, if items are available
+    /// now. Each is returned once, until its next request falls short again.
     pub fn take_idle_proxies(&mut self, now: Duration, is_acting: impl Fn(u32) -> bool) -> Vec<ProxyId> {
         if self.idle.is_empty() || !self.has_pending_items(now, is_acting) {
             return Vec::new();
@@ -228,44 +250,45 @@
         std::mem::take(&mut self.idle).into_iter().collect()
     }
 
-    /// Whether an item could be leased now in a group that this machine is acting primary of.
+    /// Returns whether an item can be leased now in a store group that this machine is acting primary of.
     pub fn has_pending_items(&self, now: Duration, is_acting: impl Fn(u32) -> bool) -> bool {
         let can_lease = |schedule: &JobSchedule| {
-            self.terms.get(&schedule.group()).is_some_and(|term| may_lease(now, schedule, term))
-                && is_acting(schedule.group())
-                && schedule.next_sample_group(now, SampleGroups::Oversampled).is_some()
+            self.terms.get(&schedule.store_group()).is_some_and(|term| is_leasable(now, schedule, term))
+                && is_acting(schedule.store_group())
+                && schedule.next_sample_group(now, EligibleSampleGroups::Oversampled).is_some()
         };
         self.queue.schedules().any(can_lease)
     }
 
-    /// Number of scheduled jobs.
+    /// Returns the number of scheduled jobs.
     pub fn job_count(&self) -> usize {
         self.queue.len()
     }
 
-    /// Number of items under a lease.
+    /// Returns the number of leased items.
     pub fn leased_item_count(&self) -> usize {
         self.leases.item_count()
     }
 
-    /// Leases sample groups of one job as long as there is capacity in the answer.
+    /// Adds leases of sample groups of one job to a grant while it has capacity.
     fn lease_items_of_job(
-        &mut self, now: Duration, proxy: ProxyId, allowed: SampleGroups, job: &StoredJob, grant: &mut Grant,
+        &mut self, now: Duration, proxy: ProxyId, eligible: EligibleSampleGroups, job: &StoredJob,
+        grant: &mut Grant,
     ) {
         let Some(schedule) = self.queue.get_mut(job.id()) else { return };
-        let Some(term) = self.terms.get_mut(&schedule.group()) else { return };
-        if !may_lease(now, schedule, term) {
+        let Some(term) = self.terms.get_mut(&schedule.store_group()) else { return };
+        if !is_leasable(now, schedule, term) {
             return;
         }
         while grant.has_capacity() {
-            let Some(sample_group) = schedule.next_sample_group(now, allowed) else { break };
-            let key = term.next_lease_key(schedule.group());
-            let max_items = grant.max_items_of_group();
+            let Some(sample_group) = schedule.next_sample_group(now, eligible) else { break };
+            let key = term.next_lease_key(schedule.store_group());
+            let max_items = grant.max_items_of_next_sample_group();
             let indices = schedule.items.lease_sample_group(sample_group, key.number, max_items);
             if indices.is_empty() {
                 break;
             }
-            term.use_lease_key();
+            term.consume_lease_key();
             let lease = NewLease { key, epoch: term.epoch, schedule, job, items: &indices };
             grant.add(now, &lease);
             let holder = LeaseHolder { proxy, origin: LeaseOrigin::Granted };
@@ -273,14 +296,14 @@
         }
     }
 
-    /// Makes a leased item pending again if its lease is accepted.
+    /// Makes a leased item pending again with this progress, if `is_accepted` returns true for its lease.
     fn release_item(
         &mut self, job: &str, item: usize, progress: ItemProgress,
         is_accepted: impl Fn(&LeaseTable, LeaseKey) -> bool,
     ) {
         let Some(schedule) = self.queue.get_mut(job) else { return };
         let Some(number) = schedule.items.lease_of(item) else { return };
-        let key = LeaseKey { group: schedule.group(), number };
+        let key = LeaseKey { store_group: schedule.store_group(), number };
         if !is_accepted(&self.leases, key) {
             return;
         }
@@ -290,8 +313,9 @@
     }
 }
 
-/// Whether items of a job may be leased: it has not expired, and its takeover is over.
-fn may_lease(now: Duration, schedule: &JobSchedule, term: &Term) -> bool {
+/// Returns whether items of a job may be leased: the job has not expired and is not waiting for a
+/// takeover.
+fn is_leasable(now: Duration, schedule: &JobSchedule, term: &Term) -> bool {
     let is_taking_over = schedule.is_taken_over && term.takeover.is_waiting(now);
     !is_taking_over && !schedule.has_expired(now)
 }
--- a/crates/pebblepost-batch/src/state.rs
+++ b/crates/pebblepost-batch/src/state.rs
@@ -1,7 +1,7 @@
-//! The replicated state of one group of jobs.
+//! The replicated state of one store group: its stored jobs.
 //!
-//! Owns the stored jobs. It changes by committed log entries only, in the same way on every replica, and
-//! reads no clock: the time comes with the entries.
+//! The state changes only by committed log entries, deterministically on every replica. It reads no
+//! clock; the time is part of each entry.
 
 use crate::clock::whole_millis;
 use crate::command::{Change, Command, JobResults};
@@ -12,16 +12,17 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long jobs are stored.
+/// Retention periods of stored jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct Retention {
-    /// Retention of a job that has ended, from its submission on.
+    /// Retention period of a job that has ended, counted from its submission.
     pub ended: Duration,
-    /// Retention of a job that nobody ends, from the expiry of its items (`queue_ttl_ms`) on.
+    /// Retention period of a job that has not ended, counted from the expiry of its items
+    /// (`queue_ttl_ms` after its submission).
     pub open: Duration,
 }
 
-/// Jobs of one group.
+/// The replicated state machine of one store group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BatchState {
     clock_ms: u64,
@@ -31,27 +32,27 @@
 }
 
 impl BatchState {
-    /// The newest time stamp of an applied entry, in milliseconds of the group's time.
+    /// Returns the newest time stamp of the applied entries, in milliseconds.
     pub fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
 
-    /// A stored job by its id.
+    /// Returns the stored job with this id.
     pub fn job(&self, id: &str) -> Option<&StoredJob> {
         self.jobs.get(id)
     }
 
-    /// All stored jobs, by id.
+    /// Iterates over all stored jobs in the order of their ids.
     pub fn jobs(&self) -> impl Iterator<Item = &StoredJob> {
         self.jobs.values()
     }
 
-    /// Estimated memory of all jobs in bytes.
+    /// Returns the estimated memory of all stored jobs in bytes.
     pub fn estimated_bytes(&self) -> u64 {
         self.estimated_bytes
     }
 
-    /// Ids of the jobs whose retention time has passed at the group's time `now_ms`.
+    /// Returns the ids of the jobs whose retention period has passed at the store group's time `now_ms`.
     pub fn jobs_past_retention(&self, now_ms: u64, retention: Retention) -> Vec<String> {
         let is_past = |job: &&StoredJob| now_ms > retained_until_ms(job, retention);
         self.jobs.values().filter(is_past).map(|job| job.id().to_owned()).collect()
@@ -79,12 +80,12 @@
         }
     }
 
-    /// Changes a job, if it is stored, and updates the estimate of the memory.
+    /// Applies a change to a job, if it is stored, and updates the total of the estimated memory.
     fn change_job(&mut self, id: &str, change: impl FnOnce(&mut StoredJob)) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let before = job.estimated_bytes();
+        let previous_bytes = job.estimated_bytes();
         change(job);
-        self.estimated_bytes = self.estimated_bytes.saturating_sub(before) + job.estimated_bytes();
+        self.estimated_bytes = self.estimated_bytes.saturating_sub(previous_bytes) + job.estimated_bytes();
     }
 
     fn read(snapshot: &[u8]) -> Result<BatchState, DeBinErr> {
@@ -106,7 +107,7 @@
         let command = match Command::decode(entry) {
             Ok(command) => command,
             Err(error) => {
-                log::error!("log entry not decodable index={index} error={error}");
+                log::error!("log entry not decodable, state marked damaged index={index} error={error}");
                 self.is_damaged = true;
                 return;
             }
@@ -134,7 +135,7 @@
         *self = match BatchState::read(snapshot) {
             Ok(state) => state,
             Err(error) => {
-                log::error!("snapshot not decodable error={error}");
+                log::error!("snapshot not decodable, state marked damaged error={error}");
                 BatchState { is_damaged: true, ..BatchState::default() }
             }
         };
@@ -145,7 +146,7 @@
     }
 }
 
-/// End of a job's retention, in milliseconds of the group's time.
+/// Returns when a job's retention period ends, in milliseconds of the store group's time.
 fn retained_until_ms(job: &StoredJob, retention: Retention) -> u64 {
     let retained_ms = match job.has_ended() {
         true => whole_millis(retention.ended),
--- a/crates/pebblepost-batch/tests/integration/decisions.rs
+++ b/crates/pebblepost-batch/tests/integration/decisions.rs
@@ -1,4 +1,4 @@
-//! What the scheduler decides over random sequences of events, as approved digests of whole runs.
+//! Decisions of the scheduler in random sequences of events, compared with approved digests of whole runs.
 
 use crate::support::{append_results, apply, approve, job, ms, result};
 use pebblepost_batch::clock::GroupClock;
@@ -12,18 +12,19 @@
 use rstest::rstest;
 use std::time::Duration;
 
-const GROUPS: u32 = 2;
-const PROXIES: u64 = 3;
+const STORE_GROUPS: u32 = 2;
+const PROXY_COUNT: u64 = 3;
 
-/// A primary of two groups under random events.
+/// A primary of two store groups under random events.
 struct Run {
     random: StdRng,
     digest: Fnv1a,
     now_ms: u64,
     states: Vec<BatchState>,
     scheduler: Scheduler,
+    /// All leases granted so far.
     granted: Vec<(ProxyId, WorkLease)>,
-    jobs: u64,
+    job_count: u64,
     epoch: u64,
 }
 
@@ -33,10 +34,10 @@
             random: StdRng::seed_from_u64(seed),
             digest: Fnv1a::default(),
             now_ms: 0,
-            states: (0..GROUPS).map(|_| BatchState::default()).collect(),
+            states: (0..STORE_GROUPS).map(|_| BatchState::default()).collect(),
             scheduler: Scheduler::default(),
             granted: Vec::new(),
-            jobs: 0,
+            job_count: 0,
             epoch: 0,
         }
     }
@@ -49,12 +50,12 @@
         GroupClock::new(self.now(), self.now_ms)
     }
 
-    fn proxy(&mut self) -> ProxyId {
-        ProxyId(self.random.random_range(0..PROXIES))
+    fn random_proxy(&mut self) -> ProxyId {
+        ProxyId(self.random.random_range(0..PROXY_COUNT))
     }
 
-    fn group(&mut self) -> u32 {
-        self.random.random_range(0..GROUPS)
+    fn random_store_group(&mut self) -> u32 {
+        self.random.random_range(0..STORE_GROUPS)
     }
 
     fn start_term(&mut self, group: u32) {
@@ -65,9 +66,9 @@
     }
 
     fn add_job(&mut self) {
-        let group = self.group();
-        self.jobs += 1;
-        let id = format!("job-{}", self.jobs);
+        let group = self.random_store_group();
+        self.job_count += 1;
+        let id = format!("job-{}", self.job_count);
         let groups = self.random.random_range(1..8);
         let per_group = self.random.random_range(1..5);
         let desired = self.random.random_range(0..6);
@@ -79,16 +80,16 @@
         let state = &mut self.states[group as usize];
         apply(state, self.now_ms, Change::AddJob(job));
         if self.scheduler.has_term(group) {
-            let stored = state.job(&id).expect("just added");
+            let stored = state.job(&id).expect("the job was added");
             self.scheduler.add_job(now, group, &clock, stored);
         }
     }
 
-    fn lease(&mut self) {
-        let (now, proxy) = (self.now(), self.proxy());
-        let most_items = self.random.random_range(0..12);
+    fn lease_items(&mut self) {
+        let (now, proxy) = (self.now(), self.random_proxy());
+        let max_items = self.random.random_range(0..12);
         let states = &self.states;
-        let leases = self.scheduler.lease_items(now, proxy, most_items, |group| states.get(group as usize));
+        let leases = self.scheduler.lease_items(now, proxy, max_items, |group| states.get(group as usize));
         for lease in leases {
             self.digest.number(lease.lease);
             self.digest.number(u64::from(lease.store_group));
@@ -106,8 +107,9 @@
         }
     }
 
-    /// A lease granted before, one of its items, and the index of the item if it is pending.
-    fn granted_item(&mut self) -> Option<(ProxyId, WorkLease, String, usize)> {
+    /// Picks a random granted lease and one of its items, with the item's index. Returns `None` if no
+    /// lease was granted, the item has a result or its job has ended.
+    fn random_granted_item(&mut self) -> Option<(ProxyId, WorkLease, String, usize)> {
         if self.granted.is_empty() {
             return None;
         }
@@ -120,8 +122,8 @@
         Some((proxy, lease, id, index))
     }
 
-    fn finish(&mut self) {
-        let Some((_, lease, item, index)) = self.granted_item() else { return };
+    fn finish_item(&mut self) {
+        let Some((_, lease, item, index)) = self.random_granted_item() else { return };
         let is_first = self.scheduler.finish_item(&lease.job, index);
         self.digest.number(u64::from(is_first));
         if is_first {
@@ -131,7 +133,7 @@
     }
 
     fn return_item(&mut self) {
-        let Some((proxy, lease, _, index)) = self.granted_item() else { return };
+        let Some((proxy, lease, _, index)) = self.random_granted_item() else { return };
         let progress = ItemProgress {
             failed_attempts: self.random.random_range(0..3),
             failed_scorer_attempts: self.random.random_range(0..3),
@@ -146,14 +148,14 @@
     }
 
     fn report_leases(&mut self) {
-        let (now, proxy) = (self.now(), self.proxy());
-        if let Some((_, lease, _, index)) = self.granted_item() {
+        let (now, proxy) = (self.now(), self.random_proxy());
+        if let Some((_, lease, _, index)) = self.random_granted_item() {
             self.scheduler.restore_lease(now, proxy, &lease.job, &[index]);
         }
         self.scheduler.record_lease_report(now, proxy);
     }
 
-    fn renew(&mut self) {
+    fn renew_leases(&mut self) {
         let acting: [bool; 2] = [self.random.random_bool(0.9), self.random.random_bool(0.9)];
         let now = self.now();
         for (proxy, groups) in self.scheduler.renew_leases(now, |group| acting[group as usize]) {
@@ -162,7 +164,7 @@
         }
     }
 
-    fn expire(&mut self) {
+    fn take_expired_items(&mut self) {
         for expired in self.scheduler.take_expired_items(self.now()) {
             self.digest.number(u64::from(expired.store_group));
             self.digest.bytes(expired.job.as_bytes());
@@ -170,7 +172,7 @@
         }
     }
 
-    fn wake_idle(&mut self) {
+    fn take_idle_proxies(&mut self) {
         let now = self.now();
         let has_work = self.scheduler.has_pending_items(now, |_| true);
         self.digest.number(u64::from(has_work));
@@ -180,7 +182,7 @@
     }
 
     fn end_job(&mut self) {
-        let id = format!("job-{}", self.random.random_range(0..self.jobs.max(1)));
+        let id = format!("job-{}", self.random.random_range(0..self.job_count.max(1)));
         for state in &mut self.states {
             apply(state, self.now_ms, Change::EndJob { job: id.clone() });
         }
@@ -191,28 +193,28 @@
         self.now_ms += self.random.random_range(0..80);
         match self.random.random_range(0..40) {
             0..4 => self.add_job(),
-            4..14 => self.lease(),
-            14..22 => self.finish(),
+            4..14 => self.lease_items(),
+            14..22 => self.finish_item(),
             22..26 => self.return_item(),
             26..28 => self.report_leases(),
-            28..32 => self.renew(),
-            32 => self.expire(),
-            33 => self.wake_idle(),
+            28..32 => self.renew_leases(),
+            32 => self.take_expired_items(),
+            33 => self.take_idle_proxies(),
             34 => self.end_job(),
             35 => {
-                let proxy = self.proxy();
+                let proxy = self.random_proxy();
                 self.scheduler.mark_proxy_connected(proxy);
             }
             36 => {
-                let proxy = self.proxy();
+                let proxy = self.random_proxy();
                 self.scheduler.mark_proxy_disconnected(proxy);
             }
             37 => {
-                let group = self.group();
+                let group = self.random_store_group();
                 self.start_term(group);
             }
             38 => {
-                if let Some((_, lease, _, index)) = self.granted_item() {
+                if let Some((_, lease, _, index)) = self.random_granted_item() {
                     self.scheduler.reject_result(&lease.job, index);
                 }
             }
@@ -224,13 +226,13 @@
 }
 
 #[rstest]
-fn decisions_are_the_approved_ones() {
+fn decisions_match_the_approved_digests() {
     let lines = (1..=12).map(|seed| {
         let mut run = Run::new(seed);
-        (0..PROXIES).for_each(|proxy| run.scheduler.mark_proxy_connected(ProxyId(proxy)));
-        (0..GROUPS).for_each(|group| run.start_term(group));
+        (0..PROXY_COUNT).for_each(|proxy| run.scheduler.mark_proxy_connected(ProxyId(proxy)));
+        (0..STORE_GROUPS).for_each(|group| run.start_term(group));
         (0..4_000).for_each(|_| run.step());
-        format!("{seed} {:016x} {} {}", run.digest.finish(), run.granted.len(), run.jobs)
+        format!("{seed} {:016x} {} {}", run.digest.finish(), run.granted.len(), run.job_count)
     });
     approve("decisions.txt", &lines.collect::<Vec<_>>());
 }
--- a/crates/pebblepost-batch/tests/integration/main.rs
+++ b/crates/pebblepost-batch/tests/integration/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the replicated state and of the scheduler of batch jobs.
+//! Tests of the replicated state and the scheduler of batch jobs.
 
 mod decisions;
 mod scheduler;
--- a/crates/pebblepost-batch/tests/integration/scheduler.rs
+++ b/crates/pebblepost-batch/tests/integration/scheduler.rs
@@ -1,4 +1,4 @@
-//! Which items the scheduler leases, in which order, and what becomes of leases.
+//! Tests of the scheduler: the order in which items are leased, and the life cycle of leases.
 
 use crate::support::{append_results, apply, job, ms, result};
 use pebblepost_batch::clock::GroupClock;
@@ -8,11 +8,11 @@
 use pebblepost_messages::batch::{Job, PartialText, WorkLease};
 use rstest::rstest;
 
-const GROUP: u32 = 3;
-const FIRST: ProxyId = ProxyId(1);
-const SECOND: ProxyId = ProxyId(2);
+const STORE_GROUP: u32 = 3;
+const FIRST_PROXY: ProxyId = ProxyId(1);
+const SECOND_PROXY: ProxyId = ProxyId(2);
 
-/// A primary of one group of jobs, with two proxies.
+/// A primary of one store group with two proxies.
 struct Primary {
     state: BatchState,
     scheduler: Scheduler,
@@ -21,29 +21,29 @@
 impl Primary {
     fn new(jobs: Vec<Job>) -> Primary {
         let mut scheduler = Scheduler::default();
-        scheduler.mark_proxy_connected(FIRST);
-        scheduler.mark_proxy_connected(SECOND);
-        scheduler.start_term(ms(0), GROUP, 5, &GroupClock::default(), &BatchState::default());
+        scheduler.mark_proxy_connected(FIRST_PROXY);
+        scheduler.mark_proxy_connected(SECOND_PROXY);
+        scheduler.start_term(ms(0), STORE_GROUP, 5, &GroupClock::default(), &BatchState::default());
         let mut primary = Primary { state: BatchState::default(), scheduler };
         jobs.into_iter().for_each(|job| primary.add(0, job));
         primary
     }
 
-    fn add(&mut self, now: u64, job: Job) {
+    fn add(&mut self, now_ms: u64, job: Job) {
         let id = job.id.clone();
-        apply(&mut self.state, now, Change::AddJob(job));
-        let stored = self.state.job(&id).expect("just added");
-        self.scheduler.add_job(ms(now), GROUP, &GroupClock::default(), stored);
+        apply(&mut self.state, now_ms, Change::AddJob(job));
+        let stored = self.state.job(&id).expect("the job was added");
+        self.scheduler.add_job(ms(now_ms), STORE_GROUP, &GroupClock::default(), stored);
     }
 
-    fn leases(&mut self, now: u64, proxy: ProxyId, most: usize) -> Vec<WorkLease> {
-        self.scheduler.lease_items(ms(now), proxy, most, |_| Some(&self.state))
+    fn leases(&mut self, now_ms: u64, proxy: ProxyId, max_items: usize) -> Vec<WorkLease> {
+        self.scheduler.lease_items(ms(now_ms), proxy, max_items, |_| Some(&self.state))
     }
 
-    /// Ids of the items leased, by lease.
-    fn take(&mut self, now: u64, proxy: ProxyId, most: usize) -> Vec<Vec<String>> {
+    /// Leases items and returns their ids, by lease.
+    fn lease_ids(&mut self, now_ms: u64, proxy: ProxyId, max_items: usize) -> Vec<Vec<String>> {
         let ids = |lease: WorkLease| lease.items.into_iter().map(|leased| leased.item.id).collect();
-        self.leases(now, proxy, most).into_iter().map(ids).collect()
+        self.leases(now_ms, proxy, max_items).into_iter().map(ids).collect()
     }
 
     fn index(&self, job: &str, item: &str) -> usize {
@@ -59,16 +59,16 @@
 #[rstest]
 fn leases_whole_sample_groups_in_order() {
     let mut primary = Primary::new(vec![job("j", 3, 2, 3)]);
-    assert_eq!(primary.take(0, FIRST, 3), [["j-0", "j-1"], ["j-2", "j-3"]]);
-    assert_eq!(primary.take(0, SECOND, 9), [["j-4", "j-5"]]);
-    assert!(primary.take(0, SECOND, 9).is_empty());
+    assert_eq!(primary.lease_ids(0, FIRST_PROXY, 3), [["j-0", "j-1"], ["j-2", "j-3"]]);
+    assert_eq!(primary.lease_ids(0, SECOND_PROXY, 9), [["j-4", "j-5"]]);
+    assert!(primary.lease_ids(0, SECOND_PROXY, 9).is_empty());
 }
 
 #[rstest]
 fn splits_a_sample_group_that_exceeds_the_capacity() {
     let mut primary = Primary::new(vec![job("j", 1, 30, 1)]);
-    assert_eq!(primary.take(0, FIRST, 4)[0].len(), 12);
-    assert_eq!(primary.take(0, SECOND, 100)[0].len(), 18);
+    assert_eq!(primary.lease_ids(0, FIRST_PROXY, 4)[0].len(), 12);
+    assert_eq!(primary.lease_ids(0, SECOND_PROXY, 100)[0].len(), 18);
 }
 
 #[rstest]
@@ -78,9 +78,9 @@
     submitted.model = "m".to_owned();
     submitted.min_version = 4;
     primary.add(0, submitted);
-    let leases = primary.leases(1_500, FIRST, 1);
+    let leases = primary.leases(1_500, FIRST_PROXY, 1);
     let lease = &leases[0];
-    assert_eq!((lease.store_group, lease.epoch, lease.job.as_str()), (GROUP, 5, "j"));
+    assert_eq!((lease.store_group, lease.epoch, lease.job.as_str()), (STORE_GROUP, 5, "j"));
     assert_eq!((lease.model.as_str(), lease.min_version), ("m", 4));
     assert_eq!((lease.due_in_ms, lease.expires_in_ms), (3_500, 18_500));
     assert_eq!(lease.items[0].partial, PartialText::default());
@@ -89,30 +89,30 @@
 #[rstest]
 #[case::by_due_time(5_000, 1, 4_000, 2, "b")]
 #[case::by_priority(5_000, 2, 5_000, 1, "b")]
-#[case::due_time_goes_first(4_000, 9, 5_000, 0, "a")]
-fn leases_jobs_by_deadline_then_priority(
+#[case::due_time_before_priority(4_000, 9, 5_000, 0, "a")]
+fn leases_jobs_by_due_time_then_priority(
     #[case] due_a: u64, #[case] priority_a: u32, #[case] due_b: u64, #[case] priority_b: u32,
     #[case] first: &str,
 ) {
-    let with = |id: &str, due: u64, priority: u32| {
+    let job_due = |id: &str, due: u64, priority: u32| {
         let mut job = job(id, 1, 1, 1);
         job.terms.run_deadline_ms = due;
         job.terms.priority = priority;
         job
     };
-    let mut primary = Primary::new(vec![with("a", due_a, priority_a), with("b", due_b, priority_b)]);
-    assert_eq!(primary.leases(0, FIRST, 1)[0].job, first);
+    let mut primary = Primary::new(vec![job_due("a", due_a, priority_a), job_due("b", due_b, priority_b)]);
+    assert_eq!(primary.leases(0, FIRST_PROXY, 1)[0].job, first);
 }
 
 #[rstest]
 fn leases_returned_items_first_with_their_progress() {
     let mut primary = Primary::new(vec![job("j", 3, 2, 3)]);
-    let lease = primary.leases(0, FIRST, 2)[0].lease;
+    let lease = primary.leases(0, FIRST_PROXY, 2)[0].lease;
     let partial = PartialText { last_event: 2, message: b"a\nb".to_vec(), versions: vec![7] };
     let progress = ItemProgress { failed_attempts: 1, failed_scorer_attempts: 2, partial: partial.clone() };
     let index = primary.index("j", "j-1");
-    primary.scheduler.return_item(LeaseReference { proxy: FIRST, number: lease }, "j", index, progress);
-    let leases = primary.leases(0, SECOND, 1);
+    primary.scheduler.return_item(LeaseReference { proxy: FIRST_PROXY, number: lease }, "j", index, progress);
+    let leases = primary.leases(0, SECOND_PROXY, 1);
     let leased = &leases[0].items[0];
     assert_eq!(leases[0].items.len(), 1);
     assert_eq!((leased.item.id.as_str(), &leased.partial), ("j-1", &partial));
@@ -122,53 +122,53 @@
 #[rstest]
 fn ignores_a_return_by_another_proxy() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
-    let lease = primary.leases(0, FIRST, 1)[0].lease;
+    let lease = primary.leases(0, FIRST_PROXY, 1)[0].lease;
     primary.scheduler.return_item(
-        LeaseReference { proxy: SECOND, number: lease },
+        LeaseReference { proxy: SECOND_PROXY, number: lease },
         "j",
         0,
         ItemProgress::default(),
     );
-    assert!(primary.take(0, SECOND, 1).is_empty());
+    assert!(primary.lease_ids(0, SECOND_PROXY, 1).is_empty());
 }
 
 #[rstest]
 fn ignores_a_return_under_an_earlier_lease() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
-    let first = primary.leases(0, FIRST, 1)[0].lease;
+    let first = primary.leases(0, FIRST_PROXY, 1)[0].lease;
     primary.scheduler.return_item(
-        LeaseReference { proxy: FIRST, number: first },
+        LeaseReference { proxy: FIRST_PROXY, number: first },
         "j",
         0,
         ItemProgress::default(),
     );
-    let second = primary.leases(0, FIRST, 1)[0].lease;
+    let second = primary.leases(0, FIRST_PROXY, 1)[0].lease;
     primary.scheduler.return_item(
-        LeaseReference { proxy: FIRST, number: first },
+        LeaseReference { proxy: FIRST_PROXY, number: first },
         "j",
         0,
         ItemProgress::default(),
     );
-    assert!(primary.take(0, SECOND, 1).is_empty());
+    assert!(primary.lease_ids(0, SECOND_PROXY, 1).is_empty());
     primary.scheduler.return_item(
-        LeaseReference { proxy: FIRST, number: second },
+        LeaseReference { proxy: FIRST_PROXY, number: second },
         "j",
         0,
         ItemProgress::default(),
     );
-    assert_eq!(primary.take(0, SECOND, 1), [["j-0"]]);
+    assert_eq!(primary.lease_ids(0, SECOND_PROXY, 1), [["j-0"]]);
 }
 
 #[rstest]
 fn oversamples_only_when_results_are_nearly_due() {
     let desired = 4;
     let mut primary = Primary::new(vec![job("j", 10, 1, desired)]);
-    let begun = primary.take(0, FIRST, 100).len();
-    assert_eq!(begun, 4 + EXTRA_SAMPLE_GROUPS);
-    assert!(primary.take(2_900, FIRST, 100).is_empty());
+    let started = primary.lease_ids(0, FIRST_PROXY, 100).len();
+    assert_eq!(started, 4 + EXTRA_SAMPLE_GROUPS);
+    assert!(primary.lease_ids(2_900, FIRST_PROXY, 100).is_empty());
     assert!(primary.scheduler.take_idle_proxies(ms(2_900), |_| true).is_empty());
-    assert_eq!(primary.scheduler.take_idle_proxies(ms(3_000), |_| true), [FIRST]);
-    assert_eq!(primary.take(3_000, FIRST, 100).len(), 10 - begun);
+    assert_eq!(primary.scheduler.take_idle_proxies(ms(3_000), |_| true), [FIRST_PROXY]);
+    assert_eq!(primary.lease_ids(3_000, FIRST_PROXY, 100).len(), 10 - started);
 }
 
 #[rstest]
@@ -176,57 +176,57 @@
     let mut early = job("early", 10, 1, 1);
     early.terms.run_deadline_ms = 1_000;
     let mut primary = Primary::new(vec![early, job("late", 2, 1, 2)]);
-    primary.take(0, FIRST, 1 + EXTRA_SAMPLE_GROUPS);
-    let leases = primary.leases(700, FIRST, 5);
+    primary.lease_ids(0, FIRST_PROXY, 1 + EXTRA_SAMPLE_GROUPS);
+    let leases = primary.leases(700, FIRST_PROXY, 5);
     assert!(leases.iter().all(|lease| lease.job == "late"));
-    assert_eq!(primary.leases(700, FIRST, 1)[0].job, "early");
+    assert_eq!(primary.leases(700, FIRST_PROXY, 1)[0].job, "early");
 }
 
 #[rstest]
-fn finishes_an_item_once() {
+fn item_is_finished_only_once() {
     let mut primary = Primary::new(vec![job("j", 1, 2, 1)]);
     assert!(primary.finish("j", "j-0"));
     assert!(!primary.finish("j", "j-0"));
-    assert_eq!(primary.take(0, FIRST, 9), [["j-1"]]);
+    assert_eq!(primary.lease_ids(0, FIRST_PROXY, 9), [["j-1"]]);
 }
 
 #[rstest]
-fn rejected_result_makes_the_item_pending() {
+fn item_with_a_rejected_result_is_pending_again() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
-    primary.take(0, FIRST, 1);
+    primary.lease_ids(0, FIRST_PROXY, 1);
     primary.scheduler.reject_result("j", 0);
     assert_eq!(primary.scheduler.leased_item_count(), 0);
-    assert_eq!(primary.take(0, SECOND, 1), [["j-0"]]);
+    assert_eq!(primary.lease_ids(0, SECOND_PROXY, 1), [["j-0"]]);
 }
 
 #[rstest]
 fn leases_of_a_disconnected_proxy_expire() {
     let mut primary = Primary::new(vec![job("j", 1, 2, 1)]);
-    primary.take(0, FIRST, 2);
+    primary.lease_ids(0, FIRST_PROXY, 2);
     let renewed = primary.scheduler.renew_leases(ms(400), |_| true);
-    assert_eq!(renewed, [(FIRST, vec![GROUP])]);
-    primary.scheduler.mark_proxy_disconnected(FIRST);
+    assert_eq!(renewed, [(FIRST_PROXY, vec![STORE_GROUP])]);
+    primary.scheduler.mark_proxy_disconnected(FIRST_PROXY);
     assert!(primary.scheduler.renew_leases(ms(800), |_| true).is_empty());
     primary.scheduler.expire_leases(ms(1_899));
-    assert!(primary.take(1_899, SECOND, 2).is_empty());
+    assert!(primary.lease_ids(1_899, SECOND_PROXY, 2).is_empty());
     primary.scheduler.expire_leases(ms(1_900));
-    assert_eq!(primary.take(1_900, SECOND, 2), [["j-0", "j-1"]]);
-    assert!(primary.finish("j", "j-0"), "a late result is taken");
+    assert_eq!(primary.lease_ids(1_900, SECOND_PROXY, 2), [["j-0", "j-1"]]);
+    assert!(primary.finish("j", "j-0"), "a result after the lease expired is accepted");
 }
 
 #[rstest]
 fn renews_nothing_while_not_acting() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
-    primary.take(0, FIRST, 1);
+    primary.lease_ids(0, FIRST_PROXY, 1);
     assert!(primary.scheduler.renew_leases(ms(400), |_| false).is_empty());
-    assert!(primary.scheduler.renew_leases(ms(1_600), |_| true).is_empty(), "it has ended by then");
-    assert_eq!(primary.take(1_600, SECOND, 1), [["j-0"]]);
+    assert!(primary.scheduler.renew_leases(ms(1_600), |_| true).is_empty(), "the lease has expired");
+    assert_eq!(primary.lease_ids(1_600, SECOND_PROXY, 1), [["j-0"]]);
 }
 
 #[rstest]
 fn expires_a_lease_at_its_maximum_age() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
-    primary.take(0, FIRST, 1);
+    primary.lease_ids(0, FIRST_PROXY, 1);
     for step in 0..160 {
         primary.scheduler.renew_leases(ms(step * 400), |_| true);
     }
@@ -236,59 +236,59 @@
 #[rstest]
 fn does_not_lease_a_removed_job() {
     let mut primary = Primary::new(vec![job("j", 2, 1, 2)]);
-    let lease = primary.leases(0, FIRST, 1)[0].lease;
+    let lease = primary.leases(0, FIRST_PROXY, 1)[0].lease;
     primary.scheduler.remove_job("j");
-    assert!(primary.take(0, FIRST, 9).is_empty());
+    assert!(primary.lease_ids(0, FIRST_PROXY, 9).is_empty());
     assert_eq!((primary.scheduler.job_count(), primary.scheduler.leased_item_count()), (0, 0));
     primary.scheduler.return_item(
-        LeaseReference { proxy: FIRST, number: lease },
+        LeaseReference { proxy: FIRST_PROXY, number: lease },
         "j",
         0,
         ItemProgress::default(),
     );
-    assert!(primary.take(0, FIRST, 9).is_empty());
+    assert!(primary.lease_ids(0, FIRST_PROXY, 9).is_empty());
 }
 
 #[rstest]
 fn notifies_an_idle_proxy_of_new_work_once() {
     let mut primary = Primary::new(vec![]);
-    assert!(primary.take(0, FIRST, 1).is_empty());
+    assert!(primary.lease_ids(0, FIRST_PROXY, 1).is_empty());
     assert!(primary.scheduler.take_idle_proxies(ms(0), |_| true).is_empty());
     primary.add(10, job("j", 1, 1, 1));
-    assert_eq!(primary.scheduler.take_idle_proxies(ms(10), |_| true), [FIRST]);
+    assert_eq!(primary.scheduler.take_idle_proxies(ms(10), |_| true), [FIRST_PROXY]);
     assert!(primary.scheduler.take_idle_proxies(ms(10), |_| true).is_empty());
 }
 
 #[rstest]
 fn does_not_notify_an_idle_proxy_while_not_acting() {
     let mut primary = Primary::new(vec![]);
-    primary.take(0, FIRST, 1);
+    primary.lease_ids(0, FIRST_PROXY, 1);
     primary.add(10, job("j", 1, 1, 1));
     assert!(primary.scheduler.take_idle_proxies(ms(10), |_| false).is_empty());
-    assert_eq!(primary.scheduler.take_idle_proxies(ms(10), |_| true), [FIRST]);
+    assert_eq!(primary.scheduler.take_idle_proxies(ms(10), |_| true), [FIRST_PROXY]);
 }
 
 #[rstest]
-fn limits_the_bytes_of_one_answer() {
-    let mut bulky = job("j", 4, 1, 4);
-    bulky.items.iter_mut().for_each(|item| item.body = vec![0; 3 * 1024 * 1024]);
-    let mut primary = Primary::new(vec![bulky]);
-    assert_eq!(primary.take(0, FIRST, 4).len(), 2);
-    assert_eq!(primary.scheduler.take_idle_proxies(ms(0), |_| true), [FIRST]);
-    assert_eq!(primary.take(0, FIRST, 4).len(), 2);
+fn limits_the_bytes_of_one_grant() {
+    let mut large_job = job("j", 4, 1, 4);
+    large_job.items.iter_mut().for_each(|item| item.body = vec![0; 3 * 1024 * 1024]);
+    let mut primary = Primary::new(vec![large_job]);
+    assert_eq!(primary.lease_ids(0, FIRST_PROXY, 4).len(), 2);
+    assert_eq!(primary.scheduler.take_idle_proxies(ms(0), |_| true), [FIRST_PROXY]);
+    assert_eq!(primary.lease_ids(0, FIRST_PROXY, 4).len(), 2);
 }
 
 #[rstest]
 fn expires_only_pending_items_past_their_ttl() {
     let mut primary = Primary::new(vec![job("j", 3, 1, 3)]);
-    let lease = primary.leases(0, FIRST, 1)[0].lease;
+    let lease = primary.leases(0, FIRST_PROXY, 1)[0].lease;
     assert!(primary.scheduler.take_expired_items(ms(19_999)).is_empty());
     let expired = primary.scheduler.take_expired_items(ms(20_000));
     assert_eq!(expired.iter().map(|expired| expired.items.as_slice()).collect::<Vec<_>>(), [[1, 2]]);
     assert!(primary.scheduler.take_expired_items(ms(20_001)).is_empty());
-    assert!(primary.take(20_001, SECOND, 9).is_empty());
+    assert!(primary.lease_ids(20_001, SECOND_PROXY, 9).is_empty());
     primary.scheduler.return_item(
-        LeaseReference { proxy: FIRST, number: lease },
+        LeaseReference { proxy: FIRST_PROXY, number: lease },
         "j",
         0,
         ItemProgress::default(),
@@ -296,90 +296,93 @@
     assert_eq!(primary.scheduler.take_expired_items(ms(20_002)).len(), 1);
 }
 
-/// A scheduler that takes over a job of four items, the first of which has a result.
-fn taken_over(proxies: &[ProxyId]) -> Primary {
+/// Creates a primary that has taken over a job of four items, the first of which has a result.
+fn primary_after_takeover(proxies: &[ProxyId]) -> Primary {
     let mut state = BatchState::default();
     apply(&mut state, 0, Change::AddJob(job("j", 2, 2, 2)));
     apply(&mut state, 100, append_results("j", vec![result("j-0", "text")]));
     let mut scheduler = Scheduler::default();
     proxies.iter().for_each(|proxy| scheduler.mark_proxy_connected(*proxy));
-    scheduler.start_term(ms(1_000), GROUP, 6, &GroupClock::new(ms(1_000), 100), &state);
+    scheduler.start_term(ms(1_000), STORE_GROUP, 6, &GroupClock::new(ms(1_000), 100), &state);
     Primary { state, scheduler }
 }
 
 #[rstest]
-fn new_primary_waits_before_it_leases_jobs_taken_over() {
-    let mut primary = taken_over(&[FIRST, SECOND]);
-    assert!(primary.take(1_399, FIRST, 9).is_empty());
-    assert_eq!(primary.take(1_400, FIRST, 9), [vec!["j-1"], vec!["j-2", "j-3"]]);
+fn new_primary_waits_before_leasing_jobs_taken_over() {
+    let mut primary = primary_after_takeover(&[FIRST_PROXY, SECOND_PROXY]);
+    assert!(primary.lease_ids(1_399, FIRST_PROXY, 9).is_empty());
+    assert_eq!(primary.lease_ids(1_400, FIRST_PROXY, 9), [vec!["j-1"], vec!["j-2", "j-3"]]);
 }
 
 #[rstest]
 fn new_primary_stops_waiting_once_all_proxies_have_reported() {
-    let mut primary = taken_over(&[FIRST, SECOND]);
-    primary.scheduler.record_lease_report(ms(1_249), FIRST);
-    primary.scheduler.restore_lease(ms(1_250), FIRST, "j", &[1, 2]);
-    primary.scheduler.record_lease_report(ms(1_250), SECOND);
-    assert!(primary.take(1_250, SECOND, 9).is_empty(), "the report of the first came too early to count");
-    primary.scheduler.record_lease_report(ms(1_300), FIRST);
-    assert_eq!(primary.take(1_300, SECOND, 9), [["j-3"]]);
+    let mut primary = primary_after_takeover(&[FIRST_PROXY, SECOND_PROXY]);
+    primary.scheduler.record_lease_report(ms(1_249), FIRST_PROXY);
+    primary.scheduler.restore_lease(ms(1_250), FIRST_PROXY, "j", &[1, 2]);
+    primary.scheduler.record_lease_report(ms(1_250), SECOND_PROXY);
+    assert!(
+        primary.lease_ids(1_250, SECOND_PROXY, 9).is_empty(),
+        "a report within the first 250 ms of the wait is not counted"
+    );
+    primary.scheduler.record_lease_report(ms(1_300), FIRST_PROXY);
+    assert_eq!(primary.lease_ids(1_300, SECOND_PROXY, 9), [["j-3"]]);
     let renewed = primary.scheduler.renew_leases(ms(1_400), |_| true);
-    assert_eq!(renewed, [(FIRST, vec![GROUP]), (SECOND, vec![GROUP])]);
+    assert_eq!(renewed, [(FIRST_PROXY, vec![STORE_GROUP]), (SECOND_PROXY, vec![STORE_GROUP])]);
 }
 
 #[rstest]
 fn new_primary_leases_new_jobs_at_once() {
-    let mut primary = taken_over(&[FIRST]);
+    let mut primary = primary_after_takeover(&[FIRST_PROXY]);
     primary.add(1_100, job("new", 1, 1, 1));
-    assert_eq!(primary.take(1_100, FIRST, 9), [["new-0"]]);
+    assert_eq!(primary.lease_ids(1_100, FIRST_PROXY, 9), [["new-0"]]);
 }
 
 #[rstest]
 fn restored_lease_is_returned_under_its_earlier_number() {
-    let mut primary = taken_over(&[FIRST]);
-    primary.scheduler.restore_lease(ms(1_100), FIRST, "j", &[1]);
+    let mut primary = primary_after_takeover(&[FIRST_PROXY]);
+    primary.scheduler.restore_lease(ms(1_100), FIRST_PROXY, "j", &[1]);
     primary.scheduler.return_item(
-        LeaseReference { proxy: FIRST, number: 77 },
+        LeaseReference { proxy: FIRST_PROXY, number: 77 },
         "j",
         1,
         ItemProgress::default(),
     );
-    assert_eq!(primary.take(1_600, FIRST, 1), [["j-1"]]);
+    assert_eq!(primary.lease_ids(1_600, FIRST_PROXY, 1), [["j-1"]]);
 }
 
 #[rstest]
 fn reconnected_proxy_restores_its_leases() {
     let mut primary = Primary::new(vec![job("j", 1, 2, 1)]);
-    primary.take(0, FIRST, 2);
-    primary.scheduler.mark_proxy_disconnected(FIRST);
-    let again = ProxyId(7);
-    primary.scheduler.mark_proxy_connected(again);
-    primary.scheduler.restore_lease(ms(300), again, "j", &[0]);
+    primary.lease_ids(0, FIRST_PROXY, 2);
+    primary.scheduler.mark_proxy_disconnected(FIRST_PROXY);
+    let reconnected = ProxyId(7);
+    primary.scheduler.mark_proxy_connected(reconnected);
+    primary.scheduler.restore_lease(ms(300), reconnected, "j", &[0]);
     primary.scheduler.renew_leases(ms(1_400), |_| true);
     primary.scheduler.expire_leases(ms(1_600));
-    assert_eq!(primary.take(1_600, SECOND, 2), [["j-1"]]);
+    assert_eq!(primary.lease_ids(1_600, SECOND_PROXY, 2), [["j-1"]]);
 }
 
 #[rstest]
 fn does_not_restore_a_lease_of_another_connected_proxy() {
     let mut primary = Primary::new(vec![job("j", 1, 1, 1)]);
-    let lease = primary.leases(0, FIRST, 1)[0].lease;
-    primary.scheduler.restore_lease(ms(10), SECOND, "j", &[0]);
+    let lease = primary.leases(0, FIRST_PROXY, 1)[0].lease;
+    primary.scheduler.restore_lease(ms(10), SECOND_PROXY, "j", &[0]);
     primary.scheduler.return_item(
-        LeaseReference { proxy: FIRST, number: lease },
+        LeaseReference { proxy: FIRST_PROXY, number: lease },
         "j",
         0,
         ItemProgress::default(),
     );
-    assert_eq!(primary.take(20, SECOND, 1), [["j-0"]]);
+    assert_eq!(primary.lease_ids(20, SECOND_PROXY, 1), [["j-0"]]);
 }
 
 #[rstest]
-fn stopped_group_is_removed() {
+fn end_of_a_term_removes_jobs_and_leases() {
     let mut primary = Primary::new(vec![job("j", 1, 2, 1)]);
-    primary.take(0, FIRST, 1);
-    primary.scheduler.end_term(GROUP);
-    assert!(primary.take(0, SECOND, 9).is_empty());
-    assert!(!primary.scheduler.has_term(GROUP));
+    primary.lease_ids(0, FIRST_PROXY, 1);
+    primary.scheduler.end_term(STORE_GROUP);
+    assert!(primary.lease_ids(0, SECOND_PROXY, 9).is_empty());
+    assert!(!primary.scheduler.has_term(STORE_GROUP));
     assert!(!primary.scheduler.finish_item("j", 0));
 }
--- a/crates/pebblepost-batch/tests/integration/state.rs
+++ b/crates/pebblepost-batch/tests/integration/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state under random entries and under chosen ones.
+//! Tests of the replicated state with random and with chosen log entries.
 
 use crate::support::{append_results, apply, item_id, job, ms, result};
 use pebblepost_batch::admission::MemoryBudget;
@@ -15,11 +15,11 @@
 
 const RETENTION: Retention = Retention { ended: Duration::from_secs(120), open: Duration::from_secs(120) };
 
-/// What readers saw of each job: its results by position.
-type Seen = BTreeMap<String, Vec<ItemResult>>;
+/// Results of each job that readers have seen, by position.
+type SeenResults = BTreeMap<String, Vec<ItemResult>>;
 
-/// What is wrong with what a reader sees now, given what readers saw before.
-fn violation(seen: &Seen, id: &str, results: &[ItemResult]) -> Option<String> {
+/// Checks the results of a job against those seen before. Returns a description of the violation, if any.
+fn find_violation(seen: &SeenResults, id: &str, results: &[ItemResult]) -> Option<String> {
     let ids: BTreeSet<&String> = results.iter().map(|result| &result.id).collect();
     if ids.len() != results.len() {
         return Some(format!("job {id} lists an item twice"));
@@ -52,7 +52,7 @@
     for seed in 0..300 {
         let mut random = StdRng::seed_from_u64(seed);
         let mut state = BatchState::default();
-        let mut seen = Seen::new();
+        let mut seen = SeenResults::new();
         for step in 0..200 {
             let change = random_change(&mut random);
             if let Change::DeleteJobs { jobs } = &change {
@@ -60,7 +60,11 @@
             }
             apply(&mut state, step * 7, change);
             for stored in state.jobs() {
-                assert_eq!(violation(&seen, stored.id(), stored.results()), None, "seed {seed} step {step}");
+                assert_eq!(
+                    find_violation(&seen, stored.id(), stored.results()),
+                    None,
+                    "seed {seed} step {step}"
+                );
                 seen.insert(stored.id().to_owned(), stored.results().to_vec());
             }
             if random.random_range(0..10) == 0 {
@@ -74,13 +78,13 @@
 }
 
 #[rstest]
-#[case::an_item_twice(&["a"], &["a", "b", "a"], "twice")]
-#[case::another_result_at_a_position(&["a", "b"], &["a", "c"], "changed")]
-#[case::a_result_is_gone(&["a", "b"], &["a"], "changed")]
-fn read_checker_detects(#[case] before: &[&str], #[case] after: &[&str], #[case] word: &str) {
+#[case::duplicate_item(&["a"], &["a", "b", "a"], "twice")]
+#[case::changed_result(&["a", "b"], &["a", "c"], "changed")]
+#[case::missing_result(&["a", "b"], &["a"], "changed")]
+fn checker_detects_invalid_reads(#[case] before: &[&str], #[case] after: &[&str], #[case] word: &str) {
     let list = |ids: &[&str]| ids.iter().map(|id| result(id, "text")).collect::<Vec<_>>();
-    let seen = Seen::from([("j".to_owned(), list(before))]);
-    let found = violation(&seen, "j", &list(after));
+    let seen = SeenResults::from([("j".to_owned(), list(before))]);
+    let found = find_violation(&seen, "j", &list(after));
     assert!(found.is_some_and(|found| found.contains(word)));
 }
 
@@ -95,7 +99,7 @@
 }
 
 #[rstest]
-fn first_result_of_an_item_counts() {
+fn first_result_of_an_item_is_final() {
     let mut state = BatchState::default();
     apply(&mut state, 1, Change::AddJob(job("j", 1, 2, 1)));
     apply(&mut state, 2, append_results("j", vec![result("j-1", "first"), result("j-1", "second")]));
@@ -104,7 +108,7 @@
         3,
         append_results("j", vec![result("j-1", "third"), result("other", "x"), result("j-0", "zero")]),
     );
-    let stored = state.job("j").expect("the job is there");
+    let stored = state.job("j").expect("the job is stored");
     assert_eq!(stored.results(), [result("j-1", "first"), result("j-0", "zero")]);
     assert!(stored.is_complete());
 }
@@ -114,21 +118,21 @@
     let mut state = BatchState::default();
     apply(&mut state, 1, Change::AddJob(job("j", 1, 2, 1)));
     apply(&mut state, 2, append_results("j", vec![result("j-0", "text")]));
-    let stored = state.job("j").expect("the job is there");
+    let stored = state.job("j").expect("the job is stored");
     assert_eq!(stored.pending_index("j-0"), None);
     let index = stored.pending_index("j-1").expect("a pending item");
     assert_eq!(stored.pending_item(index).map(|item| item.body.clone()), Some(vec![1; 8]));
 }
 
 #[rstest]
-fn ended_job_keeps_results_and_accepts_no_more() {
+fn ended_job_keeps_its_results_and_ignores_later_ones() {
     let mut state = BatchState::default();
     apply(&mut state, 1, Change::AddJob(job("j", 1, 3, 1)));
     apply(&mut state, 2, append_results("j", vec![result("j-2", "text")]));
     apply(&mut state, 3, Change::EndJob { job: "j".to_owned() });
     apply(&mut state, 4, Change::EndJob { job: "j".to_owned() });
     apply(&mut state, 5, append_results("j", vec![result("j-0", "late")]));
-    let stored = state.job("j").expect("the job is there");
+    let stored = state.job("j").expect("the job is stored");
     assert_eq!(stored.results(), [result("j-2", "text")]);
     assert_eq!(stored.item_count(), 3);
     assert!(stored.job().items.is_empty());
@@ -140,18 +144,18 @@
 #[case::at_least_one(1, 1, &["j-1"])]
 #[case::at_the_end(3, 25, &[])]
 #[case::beyond_the_end(9, 25, &[])]
-fn page_is_limited_by_bytes(#[case] start: u64, #[case] most: usize, #[case] expected: &[&str]) {
+fn page_is_limited_by_bytes(#[case] start: u64, #[case] max_hundred_bytes: usize, #[case] expected: &[&str]) {
     let mut state = BatchState::default();
     apply(&mut state, 1, Change::AddJob(job("j", 1, 4, 1)));
     let results = (0..3).map(|index| result(&item_id("j", index), &"x".repeat(800)));
     apply(&mut state, 2, append_results("j", results.collect()));
-    let page = state.job("j").expect("the job is there").page(start, most * 100);
+    let page = state.job("j").expect("the job is stored").page(start, max_hundred_bytes * 100);
     let ids: Vec<&str> = page.results.iter().map(|result| result.id.as_str()).collect();
     assert_eq!((page.total, page.start, ids.as_slice()), (4, start, expected));
 }
 
 #[rstest]
-fn jobs_are_retained_as_configured() {
+fn jobs_are_listed_for_deletion_after_their_retention_period() {
     let mut state = BatchState::default();
     apply(&mut state, 1_000, Change::AddJob(job("ended", 1, 1, 1)));
     apply(&mut state, 1_000, Change::AddJob(job("open", 1, 1, 1)));
@@ -164,11 +168,11 @@
 }
 
 #[rstest]
-fn estimated_bytes_shrink_with_results_and_ends() {
+fn estimated_bytes_decrease_with_results_and_when_a_job_ends() {
     let mut state = BatchState::default();
-    let mut bulky = job("j", 1, 4, 1);
-    bulky.items.iter_mut().for_each(|item| item.body = vec![7; 10_000]);
-    apply(&mut state, 1, Change::AddJob(bulky));
+    let mut large_job = job("j", 1, 4, 1);
+    large_job.items.iter_mut().for_each(|item| item.body = vec![7; 10_000]);
+    apply(&mut state, 1, Change::AddJob(large_job));
     let open = state.estimated_bytes();
     apply(&mut state, 2, append_results("j", vec![result("j-0", "text")]));
     let with_result = state.estimated_bytes();
@@ -198,7 +202,7 @@
 }
 
 #[rstest]
-fn budget_rejects_jobs_beyond_it() {
+fn budget_rejects_jobs_that_exceed_it() {
     let budget = MemoryBudget::new(1_000_000, 2_000_000);
     assert_eq!(budget.max_bytes(), 600_000);
     let small = job("j", 1, 10, 1);
--- a/crates/pebblepost-batch/tests/integration/stored_form.rs
+++ b/crates/pebblepost-batch/tests/integration/stored_form.rs
@@ -1,4 +1,5 @@
-//! Log entries and snapshots by their bytes: those of earlier versions are read, and the same are written.
+//! The binary form of log entries and snapshots: the bytes written by earlier versions are decoded, and
+//! the encoded bytes do not change.
 
 use crate::support::{apply, approve, approved, from_hex, hex};
 use pebblepost_batch::command::{Change, Command, JobResults};
@@ -7,7 +8,7 @@
 use pebblepost_replication::replica::StateMachine;
 use rstest::rstest;
 
-/// A job with all fields set.
+/// Creates a job in which every field is set.
 fn full_job(id: &str) -> Job {
     let item = |number: u8| Item {
         id: format!("{id}-{number}"),
@@ -72,7 +73,7 @@
     ]
 }
 
-/// A state with an open job, one that has ended and one without results.
+/// Creates a state with an open job, a job that has ended and a job without results.
 fn full_state() -> BatchState {
     let mut state = BatchState::default();
     let mut commands =
@@ -94,22 +95,22 @@
 }
 
 #[rstest]
-fn entries_of_earlier_versions_are_read() {
+fn entries_of_earlier_versions_are_decoded() {
     let approved = approved("commands.txt");
     for (name, change) in changes() {
-        let command = Command::decode(&from_hex(&approved[name])).expect("an entry that can be read");
+        let command = Command::decode(&from_hex(&approved[name])).expect("the approved entry decodes");
         assert_eq!(command, Command { now_ms: 1_234_567_890_123, change }, "{name}");
     }
 }
 
 #[rstest]
-fn snapshots_have_the_approved_bytes() {
+fn snapshots_encode_to_the_approved_bytes() {
     let snapshot = hex(&full_state().snapshot());
     approve("snapshot.txt", &[format!("snapshot {snapshot}")]);
 }
 
 #[rstest]
-fn snapshots_of_earlier_versions_are_read() {
+fn snapshots_of_earlier_versions_are_restored() {
     let snapshot = from_hex(&approved("snapshot.txt")["snapshot"]);
     let mut restored = BatchState::default();
     restored.restore(&snapshot);
@@ -120,7 +121,7 @@
 }
 
 #[rstest]
-#[case::entry(&[1, 2, 3])]
+#[case::truncated_entry(&[1, 2, 3])]
 #[case::unknown_change(&[0, 0, 0, 0, 0, 0, 0, 0, 9, 0])]
 fn rejects_undecodable_entries(#[case] bytes: &[u8]) {
     assert!(Command::decode(bytes).is_err());
