--- a/crates/pebblepost-batch-store/src/lib.rs
+++ b/crates/pebblepost-batch-store/src/lib.rs
@@ -1,7 +1,7 @@
 //! Program of the storage machines, which replicate batch jobs and lease their items to proxies.
 //!
-//! * [`store`]: what the program does, without I/O or clock.
-//! * `program`: links, disk, timers and signals; it carries out the outputs of [`store`].
+//! * [`store`]: the logic of a storage machine, without I/O or clock.
+//! * `program`: the links, disk, timers and signals; it executes the outputs of [`store`].
 
 mod program;
 pub mod store;
--- a/crates/pebblepost-batch-store/src/program/event.rs
+++ b/crates/pebblepost-batch-store/src/program/event.rs
@@ -1,4 +1,4 @@
-//! What the tasks that serve inbound links send to the event loop.
+//! Events that the tasks serving inbound links send to the event loop.
 
 use crate::store::LinkId;
 use pebblepost_link::Sender;
@@ -7,10 +7,10 @@
 /// An event of an inbound link.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// Another program opened a link.
+    /// A link was opened by another program.
     Opened(LinkId, Sender),
-    /// A message arrived over a link.
+    /// A message was received over a link.
     Received(LinkId, ToStore),
-    /// A link is lost.
+    /// A link was lost.
     Closed(LinkId),
 }
--- a/crates/pebblepost-batch-store/src/program/event_loop.rs
+++ b/crates/pebblepost-batch-store/src/program/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that passes events to the store and carries out its outputs.
+//! The event loop, which passes inputs to the store and executes its outputs.
 
 use super::event::Event;
 use super::inbound_links::{self, InboundLinks};
@@ -19,15 +19,15 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Capacity of the queue of events; a task that finds it full waits.
+/// Capacity of the event queue. A task that sends to a full queue waits.
 const EVENT_QUEUE_CAPACITY: usize = 32;
-/// Most queued events that are handled in one turn.
+/// Maximum number of queued events handled in one turn, in addition to the input that started it.
 const MAX_EVENTS_PER_TURN: usize = 64;
-/// Time for the last messages to be sent before the process ends.
-const FLUSH_TIME: Duration = Duration::from_millis(50);
+/// Time allowed for sending the last messages before the process exits.
+const SHUTDOWN_FLUSH_TIME: Duration = Duration::from_millis(50);
 
-/// What wakes the loop up.
-enum Wake {
+/// An input that starts a turn of the loop.
+enum Input {
     Event(Event),
     Control(ControlEvent),
     Disk(Completion),
@@ -36,7 +36,7 @@
     ReloadSettings,
 }
 
-/// What the loop waits for.
+/// The sources of inputs.
 struct Inputs {
     events: mpsc::Receiver<Event>,
     control_events: mpsc::Receiver<ControlEvent>,
@@ -46,27 +46,27 @@
 }
 
 impl Inputs {
-    async fn next(&mut self, next_tick: Instant) -> Wake {
+    async fn next(&mut self, next_tick: Instant) -> Input {
         tokio::select! {
-            Some(event) = self.events.recv() => Wake::Event(event),
-            Some(event) = self.control_events.recv() => Wake::Control(event),
-            Some(completion) = self.completions.recv() => Wake::Disk(completion),
-            () = sleep_until(next_tick) => Wake::Tick,
-            Some(()) = self.terminate.recv() => Wake::Terminate,
-            Some(()) = self.hang_up.recv() => Wake::ReloadSettings,
+            Some(event) = self.events.recv() => Input::Event(event),
+            Some(event) = self.control_events.recv() => Input::Control(event),
+            Some(completion) = self.completions.recv() => Input::Disk(completion),
+            () = sleep_until(next_tick) => Input::Tick,
+            Some(()) = self.terminate.recv() => Input::Terminate,
+            Some(()) = self.hang_up.recv() => Input::ReloadSettings,
         }
     }
 
-    /// An event of a link or of the disk that is queued already.
-    fn try_next(&mut self) -> Option<Wake> {
+    /// Returns an event of a link or of the disk, if one is already queued.
+    fn try_next(&mut self) -> Option<Input> {
         if let Ok(event) = self.events.try_recv() {
-            return Some(Wake::Event(event));
+            return Some(Input::Event(event));
         }
-        self.completions.try_recv().ok().map(Wake::Disk)
+        self.completions.try_recv().ok().map(Input::Disk)
     }
 }
 
-/// The loop.
+/// The event loop of a storage machine.
 pub(super) struct EventLoop {
     store: Store,
     started_at: Instant,
@@ -80,19 +80,21 @@
 }
 
 impl EventLoop {
-    /// Starts the tasks round the loop; to be called within a `LocalSet`.
+    /// Starts the listener, the control client and the tasks that serve links.
+    ///
+    /// Must be called within a `LocalSet`.
     ///
     /// # Errors
     ///
-    /// If the signal handlers or the listener can't be set up.
+    /// Returns an error if the signal handlers or the listener cannot be set up.
     pub(super) async fn start(
         settings: &Settings, store: Store, disk: Disk, completions: mpsc::UnboundedReceiver<Completion>,
     ) -> Result<EventLoop> {
-        let terminate = signal(SignalKind::terminate()).wrap_err("awaiting SIGTERM")?;
-        let hang_up = signal(SignalKind::hangup()).wrap_err("awaiting SIGHUP")?;
+        let terminate = signal(SignalKind::terminate()).wrap_err("installing the SIGTERM handler")?;
+        let hang_up = signal(SignalKind::hangup()).wrap_err("installing the SIGHUP handler")?;
         let listener = inbound_links::listen(listen_address(settings)).await?;
         let (sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
-        spawn_local(inbound_links::accept(listener, sender));
+        spawn_local(inbound_links::accept_links(listener, sender));
         let subscription = Subscription::new(settings);
         let (subscriber, announcement) = (subscription.clone(), store.announcement());
         let on_connect = move || vec![subscriber.message(), announcement.clone()];
@@ -112,35 +114,35 @@
         })
     }
 
-    /// Runs until a graceful shutdown after SIGTERM is over.
+    /// Runs until the graceful shutdown that SIGTERM starts is complete.
     pub(super) async fn run(mut self) {
         loop {
-            let wake = self.inputs.next(self.timers.next_tick()).await;
-            self.handle(wake);
+            let input = self.inputs.next(self.timers.next_tick()).await;
+            self.handle(input);
             self.handle_queued_events();
             self.run_due_timers();
-            self.carry_out_outputs();
-            if self.timers.is_shut_down(|| self.store.is_in_sync_replica()) {
-                sleep(FLUSH_TIME).await;
+            self.execute_outputs();
+            if self.timers.is_shutdown_complete(|| self.store.is_in_sync_replica()) {
+                sleep(SHUTDOWN_FLUSH_TIME).await;
                 log::info!("storage machine stopped");
                 return;
             }
         }
     }
 
-    /// The store's time.
+    /// Returns the time as passed to the store: the time since the loop was created.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    fn handle(&mut self, wake: Wake) {
-        match wake {
-            Wake::Event(event) => self.handle_event(event),
-            Wake::Control(event) => self.handle_control(event),
-            Wake::Disk(completion) => self.handle_completion(completion),
-            Wake::Tick => {}
-            Wake::Terminate => self.start_shutdown(),
-            Wake::ReloadSettings => self.reload_settings(),
+    fn handle(&mut self, input: Input) {
+        match input {
+            Input::Event(event) => self.handle_event(event),
+            Input::Control(event) => self.handle_control(event),
+            Input::Disk(completion) => self.handle_completion(completion),
+            Input::Tick => {}
+            Input::Terminate => self.start_shutdown(),
+            Input::ReloadSettings => self.reload_settings(),
         }
     }
 
@@ -148,12 +150,12 @@
         let now = self.now();
         match event {
             Event::Opened(link, sender) => {
-                self.inbound_links.opened(link, sender);
+                self.inbound_links.add(link, sender);
                 self.store.handle_link_opened(link);
             }
             Event::Received(link, message) => self.store.handle_message(now, link, message),
             Event::Closed(link) => {
-                self.inbound_links.closed(link);
+                self.inbound_links.remove(link);
                 self.store.handle_link_closed(link);
             }
         }
@@ -181,19 +183,19 @@
     fn handle_completion(&mut self, completion: Completion) {
         match completion {
             Completion::Synced(ticket) => {
-                if let Some(ticket) = self.journal.synced(ticket) {
+                if let Some(ticket) = self.journal.handle_synced(ticket) {
                     let now = self.now();
                     self.store.handle_synced(now, ticket);
                 }
             }
-            Completion::WriteFailed(reason) => log::debug!("disk rejects writes reason={reason}"),
+            Completion::WriteFailed(reason) => log::debug!("disk write failed reason={reason}"),
         }
     }
 
     fn handle_queued_events(&mut self) {
         for _ in 0..MAX_EVENTS_PER_TURN {
-            let Some(wake) = self.inputs.try_next() else { return };
-            self.handle(wake);
+            let Some(input) = self.inputs.try_next() else { return };
+            self.handle(input);
         }
     }
 
@@ -202,18 +204,18 @@
         if self.timers.is_tick_due(now, self.store.has_replicas()) {
             let store_now = self.now();
             self.store.tick(store_now);
-            self.timers.ticked(now, self.store.has_replicas());
+            self.timers.record_tick(now, self.store.has_replicas());
         }
-        if self.timers.take_keep_alive(now) {
-            self.inbound_links.keep_alive();
-            self.peer_links.keep_alive();
+        if self.timers.start_keep_alive_if_due(now) {
+            self.inbound_links.send_keep_alives();
+            self.peer_links.send_keep_alives();
         }
-        if self.timers.take_reload(now, self.control.is_connected()) {
+        if self.timers.start_reload_if_due(now, self.control.is_connected()) {
             self.reload_settings();
         }
     }
 
-    fn carry_out_outputs(&mut self) {
+    fn execute_outputs(&mut self) {
         if self.journal.is_checkpoint_due() {
             log::debug!("checkpoint due");
             self.store.checkpoint();
--- a/crates/pebblepost-batch-store/src/program/inbound_links.rs
+++ b/crates/pebblepost-batch-store/src/program/inbound_links.rs
@@ -1,4 +1,4 @@
-//! Links that other programs open to this one: listening, reading and sending.
+//! Links that other programs open to this machine: listening, receiving and sending.
 
 use super::event::Event;
 use crate::store::LinkId;
@@ -12,63 +12,67 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Limit on the size of a message, which may be a whole batch job, in bytes.
+/// Maximum size of a message. A message may contain a whole batch job.
 pub(super) const MAX_FRAME_BYTES: usize = 48 * 1024 * 1024;
-/// Limit on the bytes queued for one inbound link.
-const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
-/// A link over which nothing arrives for this time is closed.
+/// Maximum number of bytes queued for sending over one inbound link.
+const MAX_QUEUED_BYTES_PER_LINK: usize = 16 * 1024 * 1024;
+/// Time without incoming data after which a link is closed.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Time limit of connecting.
+/// Time limit for opening a link.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Attempts to listen while the port is still in use.
+/// Maximum number of attempts to bind the listener, as the port may still be in use.
 const MAX_LISTEN_ATTEMPTS: u32 = 50;
-/// Time between attempts to listen.
+/// Time between attempts to bind the listener.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
 struct Link {
     sender: Sender,
-    /// Something was sent since keep-alives were due last.
-    is_used: bool,
+    /// Whether a message was sent since the last round of keep-alives.
+    was_used: bool,
 }
 
-/// The sending sides of inbound links.
+/// The senders of the inbound links.
 #[derive(Debug, Default)]
 pub(super) struct InboundLinks {
     links: BTreeMap<LinkId, Link>,
 }
 
 impl InboundLinks {
-    pub(super) fn opened(&mut self, id: LinkId, sender: Sender) {
-        self.links.insert(id, Link { sender, is_used: false });
+    pub(super) fn add(&mut self, id: LinkId, sender: Sender) {
+        self.links.insert(id, Link { sender, was_used: false });
     }
 
-    pub(super) fn closed(&mut self, id: LinkId) {
+    pub(super) fn remove(&mut self, id: LinkId) {
         self.links.remove(&id);
     }
 
     pub(super) fn send(&mut self, id: LinkId, message: &FromStore) {
         if let Some(link) = self.links.get_mut(&id) {
-            link.is_used = true;
+            link.was_used = true;
             link.sender.send(message);
         }
     }
 
     /// Sends a keep-alive over each link that was not used since the last call.
-    pub(super) fn keep_alive(&mut self) {
+    pub(super) fn send_keep_alives(&mut self) {
         for link in self.links.values_mut() {
-            if !std::mem::take(&mut link.is_used) {
+            if !std::mem::take(&mut link.was_used) {
                 link.sender.send(&FromStore::KeepAlive);
             }
         }
     }
 }
 
-/// Starts to listen; retries while the port is in use.
+/// Binds the listener, and retries if that fails, for instance because the port is still in use.
+///
+/// # Errors
+///
+/// Returns the error of the last attempt after [`MAX_LISTEN_ATTEMPTS`] attempts.
 pub(super) async fn listen(address: SocketAddr) -> Result<Listener> {
     let limits = LinkLimits {
         max_frame_bytes: MAX_FRAME_BYTES,
-        max_queued_bytes: MAX_QUEUED_BYTES,
+        max_queued_bytes: MAX_QUEUED_BYTES_PER_LINK,
         connect_timeout: CONNECT_TIMEOUT,
         read_timeout: READ_TIMEOUT,
     };
@@ -77,15 +81,15 @@
         match Listener::bind(address, limits) {
             Ok(listener) => return Ok(listener),
             Err(error) if attempts == MAX_LISTEN_ATTEMPTS => return Err(error.into()),
-            Err(error) => log::warn!("not listening yet error={error:#}"),
+            Err(error) => log::warn!("listener not bound, retrying error={error:#}"),
         }
         attempts += 1;
         sleep(LISTEN_RETRY_INTERVAL).await;
     }
 }
 
-/// Accepts links and reads from them, each in a task of its own.
-pub(super) async fn accept(mut listener: Listener, events: mpsc::Sender<Event>) {
+/// Accepts links and spawns a task for each that receives its messages.
+pub(super) async fn accept_links(mut listener: Listener, events: mpsc::Sender<Event>) {
     let mut last_link = 0;
     loop {
         let (sender, receiver) = match listener.accept().await {
@@ -96,11 +100,12 @@
             }
         };
         last_link += 1;
-        spawn_local(serve(LinkId(last_link), sender, receiver, events.clone()));
+        spawn_local(serve_link(LinkId(last_link), sender, receiver, events.clone()));
     }
 }
 
-async fn serve(id: LinkId, sender: Sender, mut receiver: Receiver, events: mpsc::Sender<Event>) {
+/// Sends the events of one link to the event loop until the link is lost.
+async fn serve_link(id: LinkId, sender: Sender, mut receiver: Receiver, events: mpsc::Sender<Event>) {
     if events.send(Event::Opened(id, sender)).await.is_err() {
         return;
     }
--- a/crates/pebblepost-batch-store/src/program/journal.rs
+++ b/crates/pebblepost-batch-store/src/program/journal.rs
@@ -1,28 +1,29 @@
-//! The records of the store on the ring: which appends and which checkpoint are in flight.
+//! Writing the store's records to the ring: tracks the appends and the checkpoint in flight.
 
 use pebblepost_ring::Disk;
 use std::collections::VecDeque;
 
-/// A checkpoint is due after this many bytes, or after a share of the ring if that is less.
+/// Upper limit on the number of bytes written between checkpoints. The limit in use is a share of the
+/// ring, clamped to the upper and the lower limit.
 const MAX_BYTES_BETWEEN_CHECKPOINTS: u64 = 64 * 1024 * 1024;
-/// Lower limit on the bytes between checkpoints.
+/// Lower limit on the number of bytes written between checkpoints.
 const MIN_BYTES_BETWEEN_CHECKPOINTS: u64 = 4 * 1024 * 1024;
-/// One in this many parts of the ring may be written between checkpoints.
-const CHECKPOINT_DIVISOR: u64 = 4;
+/// The ring's capacity is divided by this to get the share that may be written between checkpoints.
+const CHECKPOINT_CAPACITY_DIVISOR: u64 = 4;
 
-/// An append that is not on disk yet, under the disk's and the store's ticket.
+/// An append that is not yet on disk, with the tickets that the disk and the store use for it.
 #[derive(Debug)]
 struct PendingAppend {
     disk_ticket: u64,
     store_ticket: u64,
 }
 
-/// The ring and what is being written to it.
+/// The ring and the writes in flight.
 #[derive(Debug)]
 pub(super) struct Journal {
     disk: Disk,
     pending: VecDeque<PendingAppend>,
-    /// The disk's ticket of a checkpoint that is not on disk yet.
+    /// Disk ticket of the checkpoint in flight.
     pending_checkpoint: Option<u64>,
 }
 
@@ -31,19 +32,21 @@
         Journal { disk, pending: VecDeque::new(), pending_checkpoint: None }
     }
 
-    /// Appends records under a ticket of the store.
+    /// Appends records and associates the append with a ticket of the store.
     pub(super) fn append(&mut self, store_ticket: u64, records: Vec<Vec<u8>>) {
         let disk_ticket = self.disk.append(records);
         self.pending.push_back(PendingAppend { disk_ticket, store_ticket });
     }
 
-    /// Replaces all records.
+    /// Replaces all records on the ring.
     pub(super) fn checkpoint(&mut self, records: Vec<Vec<u8>>) {
         self.pending_checkpoint = Some(self.disk.checkpoint(records));
     }
 
-    /// All writes up to a ticket of the disk are on disk; the newest ticket of the store among them.
-    pub(super) fn synced(&mut self, disk_ticket: u64) -> Option<u64> {
+    /// Records that all writes up to a disk ticket are on disk.
+    ///
+    /// Returns the newest store ticket among the completed appends, if any.
+    pub(super) fn handle_synced(&mut self, disk_ticket: u64) -> Option<u64> {
         if self.pending_checkpoint.is_some_and(|checkpoint| checkpoint <= disk_ticket) {
             self.pending_checkpoint = None;
         }
@@ -54,9 +57,10 @@
         synced
     }
 
-    /// Whether a checkpoint is due: none is in flight, and enough was written since the last one.
+    /// Returns whether a checkpoint is due: none is in flight, and enough bytes were written since the
+    /// last one.
     pub(super) fn is_checkpoint_due(&self) -> bool {
-        let share = self.disk.capacity() / CHECKPOINT_DIVISOR;
+        let share = self.disk.capacity() / CHECKPOINT_CAPACITY_DIVISOR;
         let max_bytes = share.clamp(MIN_BYTES_BETWEEN_CHECKPOINTS, MAX_BYTES_BETWEEN_CHECKPOINTS);
         self.pending_checkpoint.is_none() && self.disk.bytes_since_checkpoint() > max_bytes
     }
--- a/crates/pebblepost-batch-store/src/program/mod.rs
+++ b/crates/pebblepost-batch-store/src/program/mod.rs
@@ -1,8 +1,8 @@
-//! The process of a storage machine: links, disk, timers and signals round the [`Store`].
+//! The process of a storage machine: the links, disk, timers and signals that drive the [`Store`].
 //!
-//! Everything runs on one thread. Tasks read the links and send [`event::Event`]s to the
-//! [`event_loop::EventLoop`], which passes them to the store and carries out its outputs. No decision
-//! about jobs or groups is made here.
+//! Everything runs on one thread. Tasks receive messages over the links and send [`event::Event`]s to the
+//! [`event_loop::EventLoop`], which passes them to the store and executes its outputs. This module makes
+//! no decisions about jobs or store groups.
 
 mod event;
 mod event_loop;
@@ -24,12 +24,12 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// Runs the storage machine until SIGTERM.
+/// Runs a storage machine until the graceful shutdown that SIGTERM starts is complete.
 ///
 /// # Errors
 ///
-/// If the runtime, the disk, the listener or the signal handlers can't be set up, or a record on the disk
-/// is not in this program's format.
+/// Returns an error if the runtime, the disk, the listener or the signal handlers cannot be set up, or if
+/// a record on the disk cannot be decoded.
 pub fn run(settings: Settings) -> Result<()> {
     let runtime = Builder::new_current_thread().enable_all().build().wrap_err("starting the runtime")?;
     let (completed, completions) = mpsc::unbounded_channel();
@@ -43,7 +43,7 @@
         opened.records.len()
     );
     let store = Store::new(Duration::ZERO, store_settings, &opened.records)
-        .map_err(|error| eyre!("reading the records of the disk {:x}: {error}", opened.identity))?;
+        .map_err(|error| eyre!("decoding the records of disk {:x}: {error}", opened.identity))?;
     drop(opened);
     let local = LocalSet::new();
     local.block_on(&runtime, async move {
@@ -54,9 +54,9 @@
 }
 
 fn open_disk(settings: &Settings, completed: mpsc::UnboundedSender<Completion>) -> Result<(Disk, Recovered)> {
-    let folder = settings.data_dir.as_ref().ok_or_else(|| eyre!("the settings name no data_dir"))?;
+    let folder = settings.data_dir.as_ref().ok_or_else(|| eyre!("the setting data_dir is missing"))?;
     let on_completion = move |completion| {
-        // The receiver is gone only at the end of the program.
+        // Sending fails only if the event loop has ended, and then completions are not needed.
         completed.send(completion).ok();
     };
     Disk::open(folder, settings::ring_bytes(settings), None, Box::new(on_completion))
--- a/crates/pebblepost-batch-store/src/program/settings.rs
+++ b/crates/pebblepost-batch-store/src/program/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the store, derived from the settings of the machine.
+//! The store's settings, derived from the settings of the machine.
 
 use crate::store::StoreSettings;
 use pebblepost_batch::admission::MemoryBudget;
@@ -11,34 +11,37 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often a primary sends beacons.
-const BEACON_PERIOD: Duration = Duration::from_millis(200);
-/// How long a confirmed beacon lets a primary act.
-const LEASE_DURATION: Duration = Duration::from_millis(900);
-/// How long a replica waits after a beacon before it stands for primary; longer than the lease.
+/// Interval between heartbeats of a primary.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// How long an acknowledged heartbeat lets a primary act.
+const PRIMARY_LEASE_DURATION: Duration = Duration::from_millis(900);
+/// How long a replica waits after a heartbeat before it starts an election. It is longer than the lease, so
+/// that the lease of the earlier primary has expired by then.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(1_100);
-/// A replica that has not confirmed an entry for this time is dropped.
-const MAX_REPLICATION_LAG: Duration = Duration::from_millis(600);
-/// A primary whose own write takes this long stops acting.
-const MAX_LOCAL_WRITE_TIME: Duration = Duration::from_millis(600);
-/// Committed log entries that are retained for replicas that lag behind, in bytes.
-const RETAINED_LOG_BYTES: usize = 4 * 1024 * 1024;
-/// Retention of an ended job beyond the configured one.
-const ENDED_JOB_MARGIN: Duration = Duration::from_secs(10);
-/// Retention of a job that nobody ends beyond the configured one.
-const OPEN_JOB_MARGIN: Duration = Duration::from_secs(600);
+/// Time after which a replica that has not acknowledged an entry or a heartbeat is dropped from the
+/// in-sync replicas.
+const MAX_REPLICA_LAG: Duration = Duration::from_millis(600);
+/// Time after which a primary stops acting if its own disk has not completed a write.
+const LOCAL_WRITE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Maximum size of the log entries kept in memory, with which lagging replicas catch up without a
+/// snapshot.
+const MAX_LOG_BYTES: usize = 4 * 1024 * 1024;
+/// Time added to the configured retention period for a job that has ended.
+const ENDED_JOB_RETENTION_MARGIN: Duration = Duration::from_secs(10);
+/// Time added to the configured retention period for a job that has not ended.
+const OPEN_JOB_RETENTION_MARGIN: Duration = Duration::from_secs(600);
 
-/// Where this machine listens for other programs.
+/// Returns the address on which this machine listens for links of other programs.
 pub(super) fn listen_address(settings: &Settings) -> SocketAddr {
     SocketAddr::new(settings.ip, settings.store_link_port())
 }
 
-/// Limit on the size of the ring in bytes: three quarters of the disk limit.
+/// Returns the maximum size of the ring in bytes, which is three quarters of the disk limit.
 pub(super) fn ring_bytes(settings: &Settings) -> u64 {
     settings.limits.disk_bytes / 4 * 3
 }
 
-/// Settings of the store.
+/// Derives the settings of the store from those of the machine and the recovered disk.
 pub(super) fn store_settings(settings: &Settings, opened: &Recovered) -> StoreSettings {
     let job_retention = settings.bounds.job_retention;
     StoreSettings {
@@ -52,8 +55,8 @@
         bootstrap: settings.bootstrap && opened.records.is_empty(),
         replica: replica_settings(settings),
         retention: Retention {
-            ended: job_retention + ENDED_JOB_MARGIN,
-            open: job_retention + OPEN_JOB_MARGIN,
+            ended: job_retention + ENDED_JOB_RETENTION_MARGIN,
+            open: job_retention + OPEN_JOB_RETENTION_MARGIN,
         },
         budget: MemoryBudget::new(settings.limits.memory_bytes, ring_bytes(settings)),
     }
@@ -67,11 +70,11 @@
             zones: tolerance.zones,
             regions: tolerance.regions,
         },
-        heartbeat_interval: BEACON_PERIOD,
-        lease: LEASE_DURATION,
+        heartbeat_interval: HEARTBEAT_INTERVAL,
+        lease: PRIMARY_LEASE_DURATION,
         election_timeout: ELECTION_TIMEOUT,
-        max_replica_lag: MAX_REPLICATION_LAG,
-        write_timeout: MAX_LOCAL_WRITE_TIME,
-        max_log_bytes: RETAINED_LOG_BYTES,
+        max_replica_lag: MAX_REPLICA_LAG,
+        write_timeout: LOCAL_WRITE_TIMEOUT,
+        max_log_bytes: MAX_LOG_BYTES,
     }
 }
--- a/crates/pebblepost-batch-store/src/program/subscription.rs
+++ b/crates/pebblepost-batch-store/src/program/subscription.rs
@@ -8,7 +8,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The subscriber and the version of the configuration that it acknowledges; clones share the version.
+/// Identity of the subscriber and the generation of the configuration that it acknowledges.
+///
+/// Clones share the generation.
 #[derive(Clone, Debug)]
 pub(super) struct Subscription {
     node: String,
@@ -25,7 +27,7 @@
         }
     }
 
-    /// First message on each new connection to the control plane.
+    /// Returns the first message on each new connection to the control plane.
     pub(super) fn message(&self) -> ToControl {
         ToControl::Subscribe {
             node: self.node.clone(),
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Applies a batch of updates; its acknowledgement.
+    /// Applies a batch of updates and returns its acknowledgement.
     pub(super) fn apply(&self, now: Duration, batch: &FeedBatch, store: &mut Store) -> ToControl {
         for update in &batch.updates {
             match update {
--- a/crates/pebblepost-batch-store/src/program/timers.rs
+++ b/crates/pebblepost-batch-store/src/program/timers.rs
@@ -1,20 +1,20 @@
-//! When the event loop does what it does by time.
+//! The timers of the event loop.
 
 use tokio::time::{Duration, Instant};
 
-/// Time between ticks while the store has replicas.
-const BUSY_TICK_PERIOD: Duration = Duration::from_millis(50);
-/// Time between ticks of a store without replicas.
-const IDLE_TICK_PERIOD: Duration = Duration::from_millis(500);
-/// Time after which a keep-alive is sent over links that were not used.
+/// Interval between ticks of a store with replicas.
+const ACTIVE_TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between ticks of a store without replicas.
+const IDLE_TICK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which keep-alives are sent over links that were not used within it.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the settings are read again without a link to the control plane: they may change without a
-/// signal.
-const RELOAD_PERIOD: Duration = Duration::from_secs(2);
-/// Time for other machines to take over, after SIGTERM.
+/// Interval at which the settings are reloaded while there is no link to the control plane, as they may
+/// change without a signal.
+const SETTINGS_RELOAD_INTERVAL: Duration = Duration::from_secs(2);
+/// Time after SIGTERM within which other machines must have taken over; the process exits after it.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// Points in time of the event loop.
+/// Times of the next periodic work and the deadline of a graceful shutdown.
 #[derive(Debug)]
 pub(super) struct Timers {
     next_tick: Instant,
@@ -28,31 +28,34 @@
         Timers {
             next_tick: now,
             next_keep_alive: now + KEEP_ALIVE_INTERVAL,
-            next_reload: now + RELOAD_PERIOD,
+            next_reload: now + SETTINGS_RELOAD_INTERVAL,
             shutdown_deadline: None,
         }
     }
 
-    /// When the loop has to wake up, if nothing happens before.
+    /// Returns when the next tick is due.
     pub(super) fn next_tick(&self) -> Instant {
         self.next_tick
     }
 
-    /// Whether a tick is due. A store that has got replicas does not wait for the end of an idle period.
+    /// Returns whether a tick is due.
+    ///
+    /// If the store has replicas now, the next tick is due after at most [`ACTIVE_TICK_INTERVAL`], even if
+    /// it was scheduled with [`IDLE_TICK_INTERVAL`].
     pub(super) fn is_tick_due(&mut self, now: Instant, has_replicas: bool) -> bool {
         if has_replicas {
-            self.next_tick = self.next_tick.min(now + BUSY_TICK_PERIOD);
+            self.next_tick = self.next_tick.min(now + ACTIVE_TICK_INTERVAL);
         }
         now >= self.next_tick
     }
 
-    /// A tick is over.
-    pub(super) fn ticked(&mut self, now: Instant, has_replicas: bool) {
-        self.next_tick = now + if has_replicas { BUSY_TICK_PERIOD } else { IDLE_TICK_PERIOD };
+    /// Schedules the next tick after one was run.
+    pub(super) fn record_tick(&mut self, now: Instant, has_replicas: bool) {
+        self.next_tick = now + if has_replicas { ACTIVE_TICK_INTERVAL } else { IDLE_TICK_INTERVAL };
     }
 
-    /// Whether keep-alives are due; the next period starts now if they are.
-    pub(super) fn take_keep_alive(&mut self, now: Instant) -> bool {
+    /// Returns whether keep-alives are due, and starts the next interval if they are.
+    pub(super) fn start_keep_alive_if_due(&mut self, now: Instant) -> bool {
         let is_due = now >= self.next_keep_alive;
         if is_due {
             self.next_keep_alive = now + KEEP_ALIVE_INTERVAL;
@@ -60,23 +63,25 @@
         is_due
     }
 
-    /// Whether the settings are to be read again; the next period starts now if they are, or if there is
-    /// a link to the control plane.
-    pub(super) fn take_reload(&mut self, now: Instant, is_connected: bool) -> bool {
+    /// Returns whether the settings must be reloaded.
+    ///
+    /// The next interval starts if they must, or while there is a link to the control plane.
+    pub(super) fn start_reload_if_due(&mut self, now: Instant, is_connected: bool) -> bool {
         let is_due = !is_connected && now >= self.next_reload;
         if is_connected || is_due {
-            self.next_reload = now + RELOAD_PERIOD;
+            self.next_reload = now + SETTINGS_RELOAD_INTERVAL;
         }
         is_due
     }
 
-    /// A graceful shutdown has started; a repeated start changes nothing.
+    /// Sets the deadline of a graceful shutdown. Further calls have no effect.
     pub(super) fn start_shutdown(&mut self, now: Instant) {
         self.shutdown_deadline.get_or_insert(now + SHUTDOWN_TIMEOUT);
     }
 
-    /// Whether a shutdown is over: its time has passed, or no machine relies on this one any more.
-    pub(super) fn is_shut_down(&self, is_needed: impl FnOnce() -> bool) -> bool {
+    /// Returns whether a graceful shutdown is complete: its deadline has passed, or other machines no
+    /// longer need this one.
+    pub(super) fn is_shutdown_complete(&self, is_needed: impl FnOnce() -> bool) -> bool {
         self.shutdown_deadline.is_some_and(|deadline| Instant::now() >= deadline || !is_needed())
     }
 }
--- a/crates/pebblepost-batch-store/src/store/handlers/assignment.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/assignment.rs
@@ -1,4 +1,4 @@
-//! Effects of assignments of groups and of answers to changes of epochs on the replicas of this machine.
+//! Assignments of store groups and answers to epoch changes, applied to the replicas of this machine.
 
 use crate::store::Store;
 use crate::store::state::epoch_changes::{EpochChangeOutcome, epoch_record_of};
@@ -9,11 +9,14 @@
 use pebblepost_replication::record::EpochRecord;
 use std::time::Duration;
 
-/// A replica of a group that is assigned to others is dropped if it got no message for this time.
+/// Time without a message after which a replica may be dropped if its store group is assigned to other
+/// machines.
 const UNUSED_REPLICA_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Store {
-    /// A link to the control primary is up, and this machine has announced itself over it.
+    /// Handles a new link to the primary of the control plane, over which this machine was announced.
+    ///
+    /// Unanswered epoch changes are requested again, and version lags are reported again.
     pub fn handle_control_connected(&mut self) {
         for message in self.epoch_changes.repeated_messages() {
             self.outbox.send_to_control(message);
@@ -21,10 +24,12 @@
         self.report_version_lags();
     }
 
-    /// The feed of the control plane assigns groups to machines.
+    /// Applies assignments of store groups to machines from the feed of the control plane.
+    ///
+    /// Assignments older than the known ones, and those of unknown store groups, are ignored.
     pub fn apply_assignments(&mut self, now: Duration, assignments: &[StoreGroup]) {
         for assignment in assignments.iter().filter(|assignment| assignment.group < STORE_GROUPS) {
-            if !self.membership.assign(assignment) {
+            if !self.membership.update_assignment(assignment) {
                 continue;
             }
             let group_id = assignment.group;
@@ -37,11 +42,11 @@
         }
     }
 
-    /// The control plane has answered a change of an epoch.
+    /// Handles the answer of the control plane to an epoch change; `current` is the epoch in force.
     pub fn handle_epoch_change_answer(
         &mut self, now: Duration, request: u64, group_id: u32, current: &GroupEpoch,
     ) {
-        let outcome = self.epoch_changes.answered(request, group_id, current);
+        let outcome = self.epoch_changes.handle_answer(request, group_id, current);
         let record = match &outcome {
             EpochChangeOutcome::Accepted(record) => Some(record.clone()),
             EpochChangeOutcome::Rejected | EpochChangeOutcome::NotRequested => {
@@ -58,7 +63,7 @@
         self.process_replica_outputs(now, group_id);
     }
 
-    /// Requests a change of a group's epoch from the control plane.
+    /// Requests an epoch change of a store group from the control plane.
     pub(crate) fn request_epoch_change(
         &mut self, now: Duration, group_id: u32, expected: u64, record: EpochRecord,
     ) {
@@ -71,7 +76,7 @@
         self.outbox.send_to_control(message);
     }
 
-    /// Lets replicas request changes of their epoch again whose answer timed out.
+    /// Abandons the epoch changes whose answer timed out, so that the replicas can request them again.
     pub(crate) fn time_out_epoch_changes(&mut self, now: Duration) {
         for group_id in self.epoch_changes.take_timed_out(now) {
             if let Some(group) = self.groups.get_mut(&group_id) {
@@ -81,7 +86,7 @@
         }
     }
 
-    /// Hands the newest assignment of a group on to its replica.
+    /// Passes the newest assignment of a store group to its replica.
     pub(crate) fn configure_group(&mut self, now: Duration, group_id: u32) {
         let Some(assignment) = self.membership.assignment(group_id) else { return };
         let record = epoch_record(assignment);
@@ -91,7 +96,8 @@
         group.replica.set_targets(now, targets);
     }
 
-    /// Hands the targets of all groups on to their replicas again: a machine drains, or does no longer.
+    /// Passes the assignments of all store groups to their replicas again, after a machine has started or
+    /// stopped draining.
     pub(crate) fn reconfigure_groups(&mut self, now: Duration) {
         for group_id in self.group_ids() {
             self.configure_group(now, group_id);
@@ -99,13 +105,13 @@
         }
     }
 
-    /// Drops replicas whose group is assigned to other machines.
+    /// Drops replicas whose store group is assigned to other machines.
     ///
-    /// What a replica has confirmed may still count towards a quorum: a change that adds the replica may be
-    /// in flight to the control plane, however long. Such a change builds on an epoch in which the replica
-    /// confirmed something. The replica is therefore kept until the control plane has gone beyond that epoch,
-    /// or the primary of that epoch answers that it requested no such change; and until no machine has sent
-    /// it anything for [`UNUSED_REPLICA_TIMEOUT`].
+    /// Acknowledgements of a replica may still count towards a quorum: an epoch change that adds the replica
+    /// may be in flight to the control plane for any length of time. Such a change is based on an epoch in
+    /// which the replica acknowledged something. A replica is therefore dropped only once the control plane
+    /// has moved past that epoch, or the primary of that epoch has answered that it requested no such
+    /// change. In addition, no machine must have sent it a message for [`UNUSED_REPLICA_TIMEOUT`].
     pub(crate) fn drop_unassigned_replicas(&mut self, now: Duration) {
         let is_unused = |group: &Group| now.saturating_sub(group.last_message_at) >= UNUSED_REPLICA_TIMEOUT;
         let unused = self.groups.iter().filter(|(_, group)| is_unused(group));
--- a/crates/pebblepost-batch-store/src/store/handlers/job_calls.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/job_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of proxies about jobs: submit, end, read results, read the body of an item.
+//! Calls of proxies that concern jobs: submit, end, read results, read the body of an item.
 
 use crate::store::Store;
 use crate::store::state::group::{Group, PendingRead};
@@ -8,16 +8,19 @@
 use pebblepost_messages::batch::{FromStore, Job, JobResponse, ResultPage, SubmitOutcome, store_group_of};
 use std::time::Duration;
 
-/// Limit on the texts of a page of results in bytes, so that it stays under a megabyte as JSON.
+/// Maximum estimated size of a page of results, so that it stays below a megabyte as JSON.
 const MAX_PAGE_BYTES: usize = 700_000;
-/// Retry time of a caller whose job exceeds the memory budget, in milliseconds.
+/// Delay after which a caller may retry a job that exceeded the memory budget.
 const REJECTED_RETRY_AFTER_MS: u64 = 1_000;
 
 impl Store {
-    /// Stores a job. Idempotent: calls with the id of a stored or proposed job are accepted with it.
-    pub(crate) fn submit(&mut self, now: Duration, caller: Caller, group_id: u32, job: Job) {
+    /// Stores a job.
+    ///
+    /// The call is idempotent: with the id of a stored job it is accepted at once, and with the id of a
+    /// proposed job it is accepted once that job is committed.
+    pub(crate) fn submit_job(&mut self, now: Duration, caller: Caller, group_id: u32, job: Job) {
         if store_group_of(&job.id) != group_id {
-            log::error!("submitted job is not of its group job={} group={group_id}", job.id);
+            log::error!("job submitted to the wrong store group job={} group={group_id}", job.id);
             return self.reply_submitted(&[caller], SubmitOutcome::NotPrimary);
         }
         let used_bytes = self.estimated_bytes();
@@ -33,7 +36,8 @@
             return;
         }
         if !budget.admits(used_bytes, &job) {
-            // A rejection promises that the job never runs.
+            // A rejection guarantees that the job never runs. Before the barrier is committed, an entry of
+            // an earlier primary that stores this job may still be committed.
             let outcome = match group.is_past_barrier() {
                 true => SubmitOutcome::Rejected { retry_after_ms: REJECTED_RETRY_AFTER_MS },
                 false => SubmitOutcome::Unknown,
@@ -52,7 +56,7 @@
         self.process_replica_outputs(now, group_id);
     }
 
-    /// Ends a job. Idempotent.
+    /// Ends a job. The call is idempotent.
     pub(crate) fn end_job(&mut self, now: Duration, caller: Caller, group_id: u32, job: String) {
         let Some(group) = self.acting_group(now, group_id) else {
             return self.reply_ended(&[caller], &JobResponse::Unavailable);
@@ -76,21 +80,21 @@
         self.process_replica_outputs(now, group_id);
     }
 
-    /// Answers with the body of a pending item.
+    /// Replies with the body of a pending item.
     pub(crate) fn read_body(&mut self, now: Duration, caller: Caller, group_id: u32, job: &str, item: &str) {
         let answer = match self.acting_group(now, group_id) {
             None => JobResponse::Unavailable,
-            Some(group) => body_of(group.state().job(job), item),
+            Some(group) => pending_body(group.state().job(job), item),
         };
         self.outbox.reply(caller.link, FromStore::Body { call: caller.call, answer });
     }
 
-    /// Answers a read, or keeps it until there is a result.
+    /// Answers a read, or keeps it pending until there is a result or its deadline has passed.
     pub(crate) fn read_results(&mut self, now: Duration, group_id: u32, read: PendingRead) {
         let Some(group) = self.acting_group(now, group_id) else {
             return self.reply_results(read.caller, JobResponse::Unavailable);
         };
-        match page_for(group.state().job(&read.job), &read) {
+        match results_page(group.state().job(&read.job), &read) {
             JobResponse::Found(page) if page.results.is_empty() && now < read.deadline => {
                 let is_open = group.state().job(&read.job).is_some_and(|job| !job.is_complete());
                 if is_open {
@@ -103,13 +107,13 @@
         }
     }
 
-    /// Answers the reads of some jobs, which got results or have ended.
+    /// Answers the pending reads of jobs that got results or have ended.
     pub(crate) fn answer_reads_of(&mut self, now: Duration, group_id: u32, jobs: &[String]) {
         self.answer_reads(now, group_id, |read| jobs.contains(&read.job));
     }
 
-    /// Answers the reads whose deadline has passed.
-    pub(crate) fn answer_overdue_reads(&mut self, now: Duration, group_id: u32) {
+    /// Answers the pending reads whose deadline has passed.
+    pub(crate) fn answer_expired_reads(&mut self, now: Duration, group_id: u32) {
         self.answer_reads(now, group_id, |read| now >= read.deadline);
     }
 
@@ -130,7 +134,7 @@
         self.outbox.reply(caller.link, FromStore::Results { call: caller.call, answer });
     }
 
-    /// Estimated memory of the jobs on this machine in bytes, proposed ones among them.
+    /// Returns the estimated memory of the stored and proposed jobs on this machine in bytes.
     pub(crate) fn estimated_bytes(&self) -> u64 {
         self.groups.values().map(Group::estimated_bytes).sum()
     }
@@ -144,14 +148,14 @@
     }
 }
 
-fn page_for(job: Option<&StoredJob>, read: &PendingRead) -> JobResponse<ResultPage> {
+fn results_page(job: Option<&StoredJob>, read: &PendingRead) -> JobResponse<ResultPage> {
     match job {
         Some(job) => JobResponse::Found(job.page(read.start, MAX_PAGE_BYTES)),
         None => JobResponse::NotFound,
     }
 }
 
-fn body_of(job: Option<&StoredJob>, item: &str) -> JobResponse<Vec<u8>> {
+fn pending_body(job: Option<&StoredJob>, item: &str) -> JobResponse<Vec<u8>> {
     let found = job.and_then(|job| job.pending_item(job.pending_index(item)?));
     found.map_or(JobResponse::NotFound, |item| JobResponse::Found(item.body.clone()))
 }
--- a/crates/pebblepost-batch-store/src/store/handlers/leases.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of items to proxies: requests for work, outcomes, reports of active leases, renewal.
+//! Work leases of proxies: requests for work, outcomes of items, lease reports and renewal.
 
 use crate::store::Store;
 use crate::store::state::deferred::DeferredResult;
@@ -10,15 +10,15 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Most epochs of one term for which leases are renewed.
+/// Maximum number of epochs of one term for which leases are renewed; the newest are used.
 const MAX_RENEWED_EPOCHS: u64 = 8;
-/// Most items that one answer leases.
-const MAX_LEASED_ITEMS: u32 = 512;
+/// Maximum number of items that a proxy may request at once.
+const MAX_REQUESTED_ITEMS: u32 = 512;
 
 impl Store {
     /// Answers a request for work.
     pub(crate) fn lease_work(&mut self, now: Duration, link: LinkId, max_items: u32) {
-        let max_items = usize::try_from(max_items.min(MAX_LEASED_ITEMS)).unwrap_or(0);
+        let max_items = usize::try_from(max_items.min(MAX_REQUESTED_ITEMS)).unwrap_or(0);
         let groups = &self.groups;
         let states = |group_id: u32| {
             let group = groups.get(&group_id).filter(|group| group.is_acting(now));
@@ -28,14 +28,16 @@
         self.outbox.reply(link, FromStore::Work(leases));
     }
 
-    /// Takes in the outcomes of items of one lease. Results for a group of which this machine is not yet
-    /// primary are deferred.
+    /// Processes the outcomes of items of one lease.
+    ///
+    /// Results for a store group that this machine replicates without being primary are deferred until it
+    /// becomes primary.
     pub(crate) fn process_outcomes(&mut self, now: Duration, outcomes: LeaseOutcomes) {
         let LeaseOutcomes { lease, group_id, job, outcomes } = outcomes;
         let is_primary = self.scheduler.has_term(group_id);
         for outcome in outcomes {
             match outcome {
-                ItemOutcome::Finished(result) if is_primary => self.item_finished(group_id, &job, result),
+                ItemOutcome::Finished(result) if is_primary => self.finish_item(group_id, &job, result),
                 ItemOutcome::Finished(result) if self.groups.contains_key(&group_id) => {
                     let result = DeferredResult { group_id, job: job.clone(), result };
                     self.deferred.push_result(now, result);
@@ -43,14 +45,15 @@
                 ItemOutcome::Finished(_) => {}
                 ItemOutcome::Returned { id, failed_attempts, failed_scorer_attempts, partial } => {
                     let progress = ItemProgress { failed_attempts, failed_scorer_attempts, partial };
-                    self.item_returned(lease, group_id, &job, &id, progress);
+                    self.return_item(lease, group_id, &job, &id, progress);
                 }
             }
         }
     }
 
-    /// Takes in a report of all leases that a proxy holds. Those of groups of which this machine is not yet
-    /// primary are deferred.
+    /// Processes a proxy's report of all leases that it holds.
+    ///
+    /// Leases of store groups that this machine is not primary of are deferred until it becomes primary.
     pub(crate) fn process_lease_report(&mut self, now: Duration, link: LinkId, leases: Vec<ActiveLease>) {
         let is_scheduled = |lease: &ActiveLease| self.scheduler.has_term(lease.store_group);
         let (current, deferred): (Vec<_>, Vec<_>) = leases.into_iter().partition(is_scheduled);
@@ -59,17 +62,17 @@
         self.scheduler.record_lease_report(now, ProxyId(link.0));
     }
 
-    /// Takes in what proxies sent before this machine became primary of a group.
+    /// Processes the messages that proxies sent before this machine became primary of a store group.
     pub(crate) fn process_deferred_messages(&mut self, now: Duration, group_id: u32) {
         for (link, leases) in self.deferred.take_reported_leases(group_id) {
             self.restore_leases(now, link, leases);
         }
         for deferred in self.deferred.take_results(group_id) {
-            self.item_finished(group_id, &deferred.job, deferred.result);
+            self.finish_item(group_id, &deferred.job, deferred.result);
         }
     }
 
-    /// Renews the leases of all groups of which this machine is acting primary.
+    /// Renews the leases of all store groups that this machine is acting primary of.
     pub(crate) fn renew_leases(&mut self, now: Duration) {
         let groups = &self.groups;
         let is_acting = |group_id: u32| groups.get(&group_id).is_some_and(|group| group.is_acting(now));
@@ -78,7 +81,9 @@
         }
     }
 
-    /// Notifies proxies whose last request for work was not met that there is work now.
+    /// Notifies proxies that were granted fewer items than they last requested when there is work for them.
+    ///
+    /// A machine that is shutting down sends no such notices.
     pub(crate) fn notify_idle_proxies(&mut self, now: Duration) {
         let groups = &self.groups;
         let is_shutting_down = self.is_shutting_down;
@@ -90,12 +95,15 @@
         }
     }
 
-    fn item_finished(&mut self, group_id: u32, job: &str, result: ItemResult) {
+    fn finish_item(&mut self, group_id: u32, job: &str, result: ItemResult) {
         let Some(group) = self.groups.get_mut(&group_id) else { return };
         let Some(stored) = group.state().job(job) else { return };
         let Some(item) = stored.pending_index(&result.id) else { return };
         if !has_allowed_versions(stored.job(), &result) {
-            log::error!("result has versions that the job does not allow job={job} item={}", result.id);
+            log::error!(
+                "result rejected: weight versions not allowed by the job job={job} item={}",
+                result.id
+            );
             self.scheduler.reject_result(job, item);
             return;
         }
@@ -104,7 +112,7 @@
         }
     }
 
-    fn item_returned(
+    fn return_item(
         &mut self, lease: LeaseReference, group_id: u32, job: &str, item: &str, progress: ItemProgress,
     ) {
         let stored = self.groups.get(&group_id).and_then(|group| group.state().job(job));
@@ -113,19 +121,21 @@
         }
     }
 
-    /// Restores reported leases. Those of jobs that have ended are cancelled; the others are renewed at
-    /// once, as they may not have been renewed for a while.
+    /// Restores reported leases.
+    ///
+    /// Leases of jobs that have ended or are not stored are cancelled. The others are renewed immediately,
+    /// as they may not have been renewed for a while.
     fn restore_leases(&mut self, now: Duration, link: LinkId, leases: Vec<ActiveLease>) {
         let mut ended_jobs = Vec::new();
         let mut restored = BTreeSet::new();
         for lease in leases {
             let Some(group) = self.acting_group(now, lease.store_group) else { continue };
-            let open = group.state().job(&lease.job).filter(|job| !job.has_ended());
-            let Some(open) = open else {
+            let open_job = group.state().job(&lease.job).filter(|job| !job.has_ended());
+            let Some(open_job) = open_job else {
                 ended_jobs.push(lease.job);
                 continue;
             };
-            let items: Vec<usize> = lease.items.iter().filter_map(|id| open.pending_index(id)).collect();
+            let items: Vec<usize> = lease.items.iter().filter_map(|id| open_job.pending_index(id)).collect();
             restored.insert(lease.store_group);
             self.scheduler.restore_lease(now, ProxyId(link.0), &lease.job, &items);
         }
@@ -142,8 +152,8 @@
         self.outbox.reply(link, FromStore::Renew { groups });
     }
 
-    /// A group with each epoch of this machine's current term as primary: proxies may have recorded their
-    /// leases under any of them.
+    /// Returns a store group with each epoch of this machine's current term as primary, limited to the newest
+    /// [`MAX_RENEWED_EPOCHS`]. Proxies may have recorded their leases under any of these epochs.
     fn renewed_epochs(&self, group_id: u32) -> Vec<(u32, u64)> {
         let current = self.groups.get(&group_id).map_or(0, |group| group.replica.record().epoch);
         let first = self.scheduler.epoch(group_id).unwrap_or(current);
@@ -152,7 +162,8 @@
     }
 }
 
-/// Whether the versions that made a text are allowed by its job; a dead letter has no text.
+/// Returns whether a job allows the weight versions that generated a result's text. A dead letter has no
+/// text and is always allowed.
 fn has_allowed_versions(job: &Job, result: &ItemResult) -> bool {
     let are_new_enough = result.versions.iter().all(|version| *version >= job.min_version);
     let is_single = !job.terms.single_version || result.versions.len() <= 1;
--- a/crates/pebblepost-batch-store/src/store/handlers/maintenance.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/maintenance.rs
@@ -1,4 +1,4 @@
-//! Periodic work: renewal of leases, dead-lettering of expired items, deletion of jobs past retention.
+//! Periodic work: lease renewal, dead-lettering of expired items, deletion of jobs past their retention.
 
 use crate::store::Store;
 use crate::store::state::group::Group;
@@ -9,19 +9,20 @@
 use std::time::Duration;
 
 impl Store {
-    /// Does the periodic work that is due.
+    /// Runs the periodic work that is due.
     pub(crate) fn run_maintenance(&mut self, now: Duration) {
-        if self.maintenance.renewal.start_if_due(now) {
+        if self.maintenance.lease_renewal.start_if_due(now) {
             self.renew_leases(now);
         }
         self.dead_letter_expired_items(now);
-        if self.maintenance.retention.start_if_due(now) {
+        if self.maintenance.retention_check.start_if_due(now) {
             self.propose_missing_barriers(now);
             self.delete_jobs_past_retention(now);
         }
     }
 
-    /// With too few replicas in sync, the barrier of a term can't be proposed at its start.
+    /// Proposes the barriers of terms that lack one: with too few replicas in sync, a barrier cannot be
+    /// proposed at the start of the term.
     fn propose_missing_barriers(&mut self, now: Duration) {
         for group_id in self.group_ids() {
             let Some(group) = self.acting_group(now, group_id) else { continue };
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Gives expired items that no proxy runs a dead letter as their result.
+    /// Buffers a dead letter as the result of each pending item that has expired.
     fn dead_letter_expired_items(&mut self, now: Duration) {
         for expired in self.scheduler.take_expired_items(now) {
             if let Some(group) = self.groups.get_mut(&expired.store_group) {
--- a/crates/pebblepost-batch-store/src/store/handlers/mod.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/mod.rs
@@ -1,4 +1,4 @@
-//! Handlers of the store: methods of [`Store`](super::Store), a file for each kind of input.
+//! Input handlers: methods of [`Store`](super::Store), one file for each kind of input.
 
 mod assignment;
 mod job_calls;
--- a/crates/pebblepost-batch-store/src/store/handlers/replica_outputs.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/replica_outputs.rs
@@ -1,4 +1,4 @@
-//! Effects of the outputs of the replicas: messages, writes, changes of epochs, commits, terms as primary.
+//! Outputs of the replicas: messages, writes, epoch changes, commits, and terms as primary.
 
 use crate::store::Store;
 use crate::store::state::outbox::ReplicaWrite;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl Store {
-    /// Carries out the outputs of a group's replica, until there are no more.
+    /// Processes the outputs of a store group's replica until there are none left.
     pub(crate) fn process_replica_outputs(&mut self, now: Duration, group_id: u32) {
         loop {
             let outputs = self.groups.get_mut(&group_id).map(|group| group.replica.take_outputs());
@@ -38,13 +38,13 @@
             ReplicaOutput::ChangeEpoch { expected, record } => {
                 self.request_epoch_change(now, group_id, expected, record);
             }
-            ReplicaOutput::Committed { index } => self.committed(now, group_id, index),
+            ReplicaOutput::Committed { index } => self.handle_committed(now, group_id, index),
             ReplicaOutput::BecamePrimary { epoch } => self.start_term(now, group_id, epoch),
             ReplicaOutput::SteppedDown => self.end_term(group_id),
         }
     }
 
-    /// Starts this machine's term as primary of a group.
+    /// Starts this machine's term as primary of a store group, unless one is running.
     fn start_term(&mut self, now: Duration, group_id: u32, epoch: u64) {
         if self.scheduler.has_term(group_id) {
             return;
@@ -57,14 +57,17 @@
         self.process_deferred_messages(now, group_id);
     }
 
-    /// Ends this machine's term as primary of a group: what it proposed is undecided.
+    /// Ends this machine's term as primary of a store group.
+    ///
+    /// Its uncommitted proposals may or may not be committed later, so their callers are answered that the
+    /// outcome is unknown or the store unavailable.
     pub(crate) fn end_term(&mut self, group_id: u32) {
         if self.scheduler.has_term(group_id) {
             log::info!("stopped being primary group={group_id}");
         }
         self.scheduler.end_term(group_id);
         let Some(group) = self.groups.get_mut(&group_id) else { return };
-        group.end_term();
+        group.reset_barrier();
         let uncommitted = group.take_uncommitted();
         let reads = std::mem::take(&mut group.pending_reads);
         for proposal in uncommitted {
@@ -79,7 +82,7 @@
         }
     }
 
-    fn committed(&mut self, now: Duration, group_id: u32, index: u64) {
+    fn handle_committed(&mut self, now: Duration, group_id: u32, index: u64) {
         let Some(group) = self.groups.get_mut(&group_id) else { return };
         let clock = group.clock(now);
         for proposal in group.proposals.take_committed(index) {
@@ -108,9 +111,9 @@
         self.report_version_lag(&model, min_version);
     }
 
-    /// Has all proxies cancel what runs of a job.
+    /// Tells all proxies to cancel the running items of a job.
     fn cancel_job(&mut self, job: &str) {
-        for link in self.connections.proxies() {
+        for link in self.connections.proxy_links() {
             self.outbox.reply(link, FromStore::Cancel { jobs: vec![job.to_owned()] });
         }
     }
--- a/crates/pebblepost-batch-store/src/store/handlers/status.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/status.rs
@@ -1,4 +1,4 @@
-//! State of the store for operators, as JSON. Its keys are part of the operators' interface.
+//! The status of the store as JSON for operators. The keys are part of the operators' interface.
 
 use crate::store::Store;
 use crate::store::state::group::Group;
@@ -12,16 +12,16 @@
         self.outbox.reply(link, FromStore::Status(status));
     }
 
-    /// State of the store, a JSON object.
+    /// Returns the status of the store as a JSON object.
     pub fn status(&self, now: Duration) -> String {
         let groups: Vec<String> =
             self.groups.iter().map(|(group_id, group)| group_status(now, *group_id, group)).collect();
         format!(
             "{{\"node\":{},\"disk\":\"{:016x}\",\"proxies\":{},\"peers\":{},\"held_bytes\":{},\
              \"most_bytes\":{},\"scheduled_jobs\":{},\"leased_items\":{},\"groups\":[{}]}}",
-            quoted(&self.settings.member.node),
+            json_string(&self.settings.member.node),
             self.settings.member.disk.0,
-            self.connections.proxies().len(),
+            self.connections.proxy_links().len(),
             self.connections.peer_count(),
             self.estimated_bytes(),
             self.settings.budget.max_bytes(),
@@ -34,7 +34,7 @@
 
 fn group_status(now: Duration, group_id: u32, group: &Group) -> String {
     let record = group.replica.record();
-    let in_sync: Vec<String> = record.in_sync.iter().map(|member| quoted(&member.node)).collect();
+    let in_sync: Vec<String> = record.in_sync.iter().map(|member| json_string(&member.node)).collect();
     let progress = group.replica.progress();
     let progress: Vec<String> =
         progress.iter().map(|(disk, index)| format!("\"{:016x}\":{index}", disk.0)).collect();
@@ -52,8 +52,8 @@
     )
 }
 
-/// A JSON string.
-fn quoted(text: &str) -> String {
+/// Encodes text as a JSON string.
+fn json_string(text: &str) -> String {
     let mut quoted = String::from("\"");
     for character in text.chars() {
         match character {
--- a/crates/pebblepost-batch-store/src/store/mod.rs
+++ b/crates/pebblepost-batch-store/src/store/mod.rs
@@ -1,14 +1,15 @@
-//! A storage machine without I/O or clock: it replicates groups of batch jobs and leases their items.
+//! The logic of a storage machine, without I/O or clock: it replicates store groups of batch jobs and
+//! leases their items to proxies.
 //!
 //! The caller passes messages, completed writes and the time since an arbitrary start of its monotonic
-//! clock, calls [`Store::take_outputs`] once per turn, and carries out the outputs in order.
+//! clock. It calls [`Store::take_outputs`] once per turn and executes the outputs in order.
 //!
-//! * `state`: types of one concern each: `Group` (the replica of a group, its proposals and pending reads),
-//!   `Membership` (assignments of groups to machines), `EpochChanges` (requests to the control plane),
-//!   `Connections` (links), `DeferredMessages` (what arrived before a term as primary), `VersionLags`,
-//!   `Maintenance` and `Outbox`. The [`Scheduler`] decides on leases.
-//! * `handlers`: methods of [`Store`], a file for each kind of input.
-//! * This file: [`Store`] itself, which joins the state and passes messages to the handlers.
+//! * `state`: types with one concern each: `Group` (the replica of a store group, its proposals and
+//!   pending reads), `Membership` (assignments of store groups to machines), `EpochChanges` (requests to
+//!   the control plane), `Connections` (links), `DeferredMessages` (messages that arrived before a term as
+//!   primary), `VersionLags`, `Maintenance` and `Outbox`. The [`Scheduler`] decides on leases.
+//! * `handlers`: methods of [`Store`], one file for each kind of input.
+//! * This file: [`Store`] itself, which combines the state and dispatches messages to the handlers.
 
 mod handlers;
 mod state;
@@ -38,25 +39,25 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest time that a read waits for a result, in milliseconds.
+/// Maximum time that a read waits for a result.
 const MAX_READ_WAIT_MS: u64 = 10_000;
 
 /// Settings of a store.
 #[derive(Clone, Debug)]
 pub struct StoreSettings {
-    /// This machine and its disk.
+    /// This machine, identified by its disk.
     pub member: Member,
-    /// The disk was empty and this is the first start of the whole system.
+    /// Whether the disk was empty and this is the first start of the whole system.
     pub bootstrap: bool,
-    /// Timing and limits of the replicas.
+    /// Timeouts and limits of the replicas.
     pub replica: ReplicaSettings,
-    /// How long jobs are stored.
+    /// Retention periods of jobs.
     pub retention: Retention,
-    /// Limit on the memory of jobs.
+    /// Limit on the estimated memory of jobs.
     pub budget: MemoryBudget,
 }
 
-/// A storage machine.
+/// The state of a storage machine.
 #[derive(Debug)]
 pub struct Store {
     settings: StoreSettings,
@@ -69,17 +70,17 @@
     version_lags: VersionLags,
     maintenance: Maintenance,
     outbox: Outbox,
-    /// Replicas created so far.
+    /// Number of replicas created so far.
     last_incarnation: u64,
     is_shutting_down: bool,
 }
 
 impl Store {
-    /// A store with the records that its disk held, in the order written.
+    /// Creates a store from the records on its disk, in the order in which they were written.
     ///
     /// # Errors
     ///
-    /// If a record is not in this program's format.
+    /// Returns an error if a record cannot be decoded.
     pub fn new(now: Duration, settings: StoreSettings, records: &[Vec<u8>]) -> Result<Store, RecoveryError> {
         let recovered = recovery::read_records(records)?;
         let mut store = Store {
@@ -102,22 +103,24 @@
         Ok(store)
     }
 
-    /// This machine and its disk.
+    /// Returns this machine, identified by its disk.
     pub fn member(&self) -> &Member {
         &self.settings.member
     }
 
-    /// First message on each new connection to the control plane, after the subscription.
+    /// Returns the message that follows the subscription on each new connection to the control plane.
     pub fn announcement(&self) -> ToControl {
         ToControl::StoreHello { member: self.settings.member.clone(), bootstrap: self.settings.bootstrap }
     }
 
-    /// Another program opened a link to this store.
+    /// Handles a link that another program opened to this store.
     pub fn handle_link_opened(&mut self, link: LinkId) {
         self.connections.insert(link, RemoteProgram::Unidentified);
     }
 
-    /// A link that was opened to this store is lost.
+    /// Handles the loss of a link that was opened to this store.
+    ///
+    /// Pending reads and deferred lease reports of the link are dropped.
     pub fn handle_link_closed(&mut self, link: LinkId) {
         if let Some(RemoteProgram::Proxy(node)) = self.connections.remove(link) {
             log::info!("proxy disconnected node={node}");
@@ -129,13 +132,15 @@
         }
     }
 
-    /// A message arrived over a link that was opened to this store.
+    /// Handles a message that arrived over a link that was opened to this store.
+    ///
+    /// Messages that the hello of the link does not permit are ignored.
     pub fn handle_message(&mut self, now: Duration, link: LinkId, message: ToStore) {
         match (message, self.connections.get(link)) {
             (ToStore::KeepAlive, _) | (_, None) => {}
             (ToStore::Status, _) => self.reply_status(now, link),
-            (ToStore::ProxyHello { node, zone }, _) => self.proxy_connected(link, node, &zone),
-            (ToStore::PeerHello { member }, _) => self.peer_connected(now, link, member),
+            (ToStore::ProxyHello { node, zone }, _) => self.handle_proxy_hello(link, node, &zone),
+            (ToStore::PeerHello { member }, _) => self.handle_peer_hello(now, link, member),
             (ToStore::Replication { to, store_group, message }, Some(RemoteProgram::Peer(peer))) => {
                 let peer = peer.clone();
                 if to == self.settings.member.disk {
@@ -144,14 +149,16 @@
             }
             (ToStore::ShuttingDown, Some(RemoteProgram::Peer(peer))) => {
                 let disk = peer.disk;
-                self.peer_shutting_down(now, disk);
+                self.handle_peer_shutdown(now, disk);
             }
             (message, Some(RemoteProgram::Proxy(_))) => self.receive_from_proxy(now, link, message),
-            (_, Some(_)) => log::warn!("message over a link without a matching hello link={}", link.0),
+            (_, Some(_)) => {
+                log::warn!("message ignored: does not match the hello of the sender link={}", link.0)
+            }
         }
     }
 
-    /// All appends up to this ticket are on disk.
+    /// Handles the completion of all appends up to a ticket: their records are on disk.
     pub fn handle_synced(&mut self, now: Duration, ticket: u64) {
         for write in self.outbox.take_synced(ticket) {
             let group = self.groups.get_mut(&write.group_id);
@@ -162,26 +169,29 @@
         }
     }
 
-    /// Time has passed; to be called every 50 ms or so while [`Store::has_replicas`], else now and then.
+    /// Runs the work that is due at `now`.
+    ///
+    /// Should be called about every 50 ms while [`Store::has_replicas`] returns true, and less often
+    /// otherwise.
     pub fn tick(&mut self, now: Duration) {
         for group_id in self.group_ids() {
             if let Some(group) = self.groups.get_mut(&group_id) {
                 group.replica.tick(now);
             }
             self.process_replica_outputs(now, group_id);
-            self.answer_overdue_reads(now, group_id);
+            self.answer_expired_reads(now, group_id);
         }
         self.drop_unassigned_replicas(now);
         self.time_out_epoch_changes(now);
         self.run_maintenance(now);
     }
 
-    /// Whether the store has a replica of any group, and needs frequent ticks.
+    /// Returns whether the store has a replica of any store group and needs frequent ticks.
     pub fn has_replicas(&self) -> bool {
         !self.groups.is_empty()
     }
 
-    /// Ends a turn: proposes the results that arrived in it; the outputs.
+    /// Ends a turn: proposes the results that arrived in it and returns the outputs.
     pub fn take_outputs(&mut self, now: Duration) -> Vec<StoreOutput> {
         for group_id in self.group_ids() {
             if let Some(group) = self.groups.get_mut(&group_id) {
@@ -193,8 +203,10 @@
         self.outbox.take_outputs()
     }
 
-    /// Puts out a checkpoint: all that the disk has to contain now. None while the state of a group is
-    /// damaged, as its records on disk must be preserved.
+    /// Adds a checkpoint to the outputs, which replaces all records on disk.
+    ///
+    /// There is no checkpoint while the state of a store group is damaged, as the records on disk must be
+    /// preserved then.
     pub fn checkpoint(&mut self) {
         let mut records = Vec::new();
         for (group_id, group) in &self.groups {
@@ -209,7 +221,9 @@
     fn receive_from_proxy(&mut self, now: Duration, link: LinkId, message: ToStore) {
         let caller = |call: u64| Caller { link, call };
         match message {
-            ToStore::Submit { call, store_group, job } => self.submit(now, caller(call), store_group, job),
+            ToStore::Submit { call, store_group, job } => {
+                self.submit_job(now, caller(call), store_group, job)
+            }
             ToStore::Read { call, store_group, job, start, wait_ms } => {
                 let deadline = now + Duration::from_millis(wait_ms.min(MAX_READ_WAIT_MS));
                 let read = PendingRead { caller: caller(call), job, start, deadline };
@@ -225,7 +239,7 @@
                 self.process_outcomes(now, LeaseOutcomes { lease, group_id: store_group, job, outcomes });
             }
             ToStore::ActiveLeases(leases) => self.process_lease_report(now, link, leases),
-            _ => log::warn!("message that proxies do not send link={}", link.0),
+            _ => log::warn!("message ignored: not one that proxies send link={}", link.0),
         }
     }
 
@@ -247,7 +261,7 @@
         self.process_replica_outputs(now, group_id);
     }
 
-    /// Creates the replica of a group, with the records that the disk held of it.
+    /// Creates the replica of a store group from its records on disk.
     fn open_group(&mut self, now: Duration, group_id: u32, recovered: Vec<DiskRecord>) {
         let local = self.settings.member.clone();
         let replica = Replica::new(local, self.settings.replica, BatchState::default(), recovered, now);
@@ -256,13 +270,13 @@
         self.configure_group(now, group_id);
     }
 
-    fn proxy_connected(&mut self, link: LinkId, node: String, zone: &str) {
+    fn handle_proxy_hello(&mut self, link: LinkId, node: String, zone: &str) {
         log::info!("proxy connected node={node} zone={zone}");
         self.connections.insert(link, RemoteProgram::Proxy(node));
         self.scheduler.mark_proxy_connected(ProxyId(link.0));
     }
 
-    fn peer_connected(&mut self, now: Duration, link: LinkId, member: Member) {
+    fn handle_peer_hello(&mut self, now: Duration, link: LinkId, member: Member) {
         log::info!("storage machine connected node={}", member.node);
         if self.membership.stop_draining(member.disk) {
             self.reconfigure_groups(now);
@@ -271,7 +285,7 @@
         self.connections.insert(link, RemoteProgram::Peer(member));
     }
 
-    /// The group, if this machine is its acting primary.
+    /// Returns the store group, if this machine is its acting primary.
     fn acting_group(&mut self, now: Duration, group_id: u32) -> Option<&mut Group> {
         self.groups.get_mut(&group_id).filter(|group| group.is_acting(now))
     }
--- a/crates/pebblepost-batch-store/src/store/state/connections.rs
+++ b/crates/pebblepost-batch-store/src/store/state/connections.rs
@@ -1,4 +1,4 @@
-//! The links that other programs opened to this store, and who is at their other end.
+//! The links that other programs opened to this store, and the programs at the other end.
 
 use super::outbox::LinkId;
 use pebblepost_messages::Member;
@@ -7,9 +7,9 @@
 /// The program at the other end of a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RemoteProgram {
-    /// It has not sent a hello message.
+    /// The program has not sent a hello message.
     Unidentified,
-    /// A proxy, by the name of its machine.
+    /// A proxy with the name of its machine.
     Proxy(String),
     /// Another storage machine.
     Peer(Member),
@@ -22,7 +22,7 @@
 }
 
 impl Connections {
-    /// Adds a link, or notes who is at its other end.
+    /// Adds a link, or sets the program at the other end of a known one.
     pub(crate) fn insert(&mut self, link: LinkId, remote: RemoteProgram) {
         self.links.insert(link, remote);
     }
@@ -31,18 +31,18 @@
         self.links.remove(&link)
     }
 
-    /// Who is at the other end of an open link.
+    /// Returns the program at the other end of an open link.
     pub(crate) fn get(&self, link: LinkId) -> Option<&RemoteProgram> {
         self.links.get(&link)
     }
 
-    /// Links of all proxies.
-    pub(crate) fn proxies(&self) -> Vec<LinkId> {
+    /// Returns the links of all proxies.
+    pub(crate) fn proxy_links(&self) -> Vec<LinkId> {
         let is_proxy = |remote: &RemoteProgram| matches!(remote, RemoteProgram::Proxy(_));
         self.links.iter().filter(|(_, remote)| is_proxy(remote)).map(|(link, _)| *link).collect()
     }
 
-    /// Number of links that other storage machines opened.
+    /// Returns the number of links that other storage machines opened.
     pub(crate) fn peer_count(&self) -> usize {
         self.links.values().filter(|remote| matches!(remote, RemoteProgram::Peer(_))).count()
     }
--- a/crates/pebblepost-batch-store/src/store/state/epoch_changes.rs
+++ b/crates/pebblepost-batch-store/src/store/state/epoch_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of epochs that were requested from the control plane and are not answered yet.
+//! Epoch changes that were requested from the control plane and are not yet answered.
 
 use pebblepost_messages::control::{GroupEpoch, ToControl};
 use pebblepost_messages::{DiskId, Member};
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 /// Time after which an unanswered change is abandoned.
-const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+const EPOCH_CHANGE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A change that is not answered.
+/// A requested change without an answer.
 #[derive(Debug)]
 struct EpochChange {
     request: u64,
@@ -18,18 +18,18 @@
     requested_at: Duration,
 }
 
-/// Result of a change.
+/// The outcome of a requested change.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum EpochChangeOutcome {
     /// The proposed record is in force.
     Accepted(EpochRecord),
     /// Another record is in force.
     Rejected,
-    /// No change with this number is waiting for an answer.
+    /// No change with this request number is pending.
     NotRequested,
 }
 
-/// Unanswered changes, at most one of each group.
+/// The pending changes, at most one for each store group.
 #[derive(Debug, Default)]
 pub(crate) struct EpochChanges {
     last_request: u64,
@@ -37,7 +37,8 @@
 }
 
 impl EpochChanges {
-    /// Adds a change in place of an earlier one of the group; the message that requests it.
+    /// Adds a change, which replaces a pending one of the store group, and returns the message that requests
+    /// it.
     pub(crate) fn request(
         &mut self, now: Duration, group_id: u32, expected_epoch: u64, record: EpochRecord,
     ) -> ToControl {
@@ -48,13 +49,13 @@
         message
     }
 
-    /// Messages that request all unanswered changes again, on a new connection.
+    /// Returns the messages that request all pending changes again, for a new connection.
     pub(crate) fn repeated_messages(&self) -> Vec<ToControl> {
         self.pending.iter().map(|(group_id, change)| change.message(*group_id)).collect()
     }
 
-    /// Takes in an answer.
-    pub(crate) fn answered(
+    /// Processes the answer to a request and removes the change that it concerns.
+    pub(crate) fn handle_answer(
         &mut self, request: u64, group_id: u32, current: &GroupEpoch,
     ) -> EpochChangeOutcome {
         if self.pending.get(&group_id).is_none_or(|change| change.request != request) {
@@ -68,14 +69,15 @@
         }
     }
 
-    /// Abandons the change of a group whose replica is dropped.
+    /// Abandons the pending change of a store group whose replica is dropped.
     pub(crate) fn remove(&mut self, group_id: u32) {
         self.pending.remove(&group_id);
     }
 
-    /// Abandons the changes whose answer is overdue; their groups.
+    /// Abandons the changes whose answer timed out and returns their store groups.
     pub(crate) fn take_timed_out(&mut self, now: Duration) -> Vec<u32> {
-        let is_timed_out = |change: &EpochChange| now.saturating_sub(change.requested_at) >= REQUEST_TIMEOUT;
+        let is_timed_out =
+            |change: &EpochChange| now.saturating_sub(change.requested_at) >= EPOCH_CHANGE_TIMEOUT;
         let timed_out = self.pending.iter().filter(|(_, change)| is_timed_out(change));
         let group_ids: Vec<u32> = timed_out.map(|(group_id, _)| *group_id).collect();
         for group_id in &group_ids {
@@ -96,13 +98,13 @@
     }
 }
 
-/// The part of an epoch record that the control plane stores.
+/// Returns the part of an epoch record that the control plane stores.
 fn group_epoch(record: &EpochRecord) -> GroupEpoch {
     let in_sync = record.in_sync.iter().map(|member| member.disk).collect();
     GroupEpoch { epoch: record.epoch, primary: record.primary, in_sync }
 }
 
-/// The record of an epoch; `None` unless all its members are known.
+/// Builds the record of an epoch. Returns `None` if one of its members is unknown.
 pub(crate) fn epoch_record_of(epoch: &GroupEpoch, members: &BTreeMap<DiskId, Member>) -> Option<EpochRecord> {
     let in_sync: Option<Vec<Member>> = epoch.in_sync.iter().map(|disk| members.get(disk).cloned()).collect();
     Some(EpochRecord {
--- a/crates/pebblepost-batch-store/src/store/state/group.rs
+++ b/crates/pebblepost-batch-store/src/store/state/group.rs
@@ -1,4 +1,4 @@
-//! One group of batch jobs on this machine: its replica, and what waits for it.
+//! One store group on this machine: its replica, proposals, pending reads and buffered results.
 
 use super::proposals::{Caller, Proposal, Proposals};
 use pebblepost_batch::clock::GroupClock;
@@ -10,32 +10,32 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A read that waits for a result.
+/// A read of results that waits until there is one.
 #[derive(Debug)]
 pub(crate) struct PendingRead {
     pub(crate) caller: Caller,
     pub(crate) job: String,
     /// Position of the first result to return.
     pub(crate) start: u64,
-    /// When it is answered without a result.
+    /// Time at which the read is answered even without a result.
     pub(crate) deadline: Duration,
 }
 
-/// One group of batch jobs on this machine.
+/// One store group on this machine.
 #[derive(Debug)]
 pub(crate) struct Group {
     pub(crate) replica: Replica<BatchState>,
-    /// Number of this replica among all that this process has created; a group may be dropped and opened
-    /// again.
+    /// Sequence number of this replica among all that this process has created. It distinguishes replicas
+    /// of a store group that was dropped and opened again.
     pub(crate) incarnation: u64,
-    /// When another machine last sent a message for the group, or it was opened.
+    /// Time of the last message of another machine for this store group; initially the time of its opening.
     pub(crate) last_message_at: Duration,
     pub(crate) proposals: Proposals,
     pub(crate) pending_reads: Vec<PendingRead>,
     clock: GroupClock,
-    /// The first entry of this machine's term as primary.
+    /// Barrier of this machine's term as primary.
     barrier: TermBarrier,
-    /// Results that are not proposed yet, by job.
+    /// Results that are not yet proposed, by job.
     buffered_results: BTreeMap<String, Vec<ItemResult>>,
 }
 
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Whether this machine is acting primary of the group: its lease lets it answer.
+    /// Returns whether this machine is acting primary of the store group: it is primary and its lease is
+    /// valid.
     pub(crate) fn is_acting(&self, now: Duration) -> bool {
         self.replica.is_acting(now)
     }
@@ -63,13 +64,13 @@
         self.replica.state()
     }
 
-    /// The group's time, brought up to date with the committed entries.
+    /// Returns the store group's clock, updated with the time stamps of the committed entries.
     pub(crate) fn clock(&mut self, now: Duration) -> GroupClock {
         self.clock.observe(now, self.replica.state().clock_ms());
         self.clock
     }
 
-    /// Proposes a change.
+    /// Proposes a change and records the proposal under its log index.
     pub(crate) fn propose(
         &mut self, now: Duration, change: Change, proposal: Proposal,
     ) -> Result<(), ProposeError> {
@@ -79,7 +80,7 @@
         Ok(())
     }
 
-    /// Proposes the barrier of this machine's term, unless it was.
+    /// Proposes the barrier of this machine's term, unless it was already proposed.
     pub(crate) fn propose_barrier(&mut self, now: Duration) {
         if self.barrier.is_proposed() {
             return;
@@ -91,35 +92,39 @@
         }
     }
 
-    /// Whether nothing that former primaries left undecided can be decided any more: a job that is not stored was not
-    /// accepted.
+    /// Returns whether the barrier of this term is committed.
+    ///
+    /// From then on no uncommitted entry of an earlier primary can be committed, so a job that is not stored
+    /// was not accepted.
     pub(crate) fn is_past_barrier(&self) -> bool {
         self.barrier.is_committed(self.replica.commit_index())
     }
 
-    /// Ends this machine's term.
-    pub(crate) fn end_term(&mut self) {
+    /// Resets the barrier at the end of this machine's term.
+    pub(crate) fn reset_barrier(&mut self) {
         self.barrier = TermBarrier::default();
     }
 
-    /// Removes all that is not committed, results not proposed yet among it: it is undecided.
+    /// Drops the buffered results, and removes and returns all uncommitted proposals.
     pub(crate) fn take_uncommitted(&mut self) -> Vec<Proposal> {
         self.buffered_results.clear();
         self.proposals.take_all()
     }
 
-    /// Estimated memory of the stored and the proposed jobs in bytes.
+    /// Returns the estimated memory of the stored and proposed jobs in bytes.
     pub(crate) fn estimated_bytes(&self) -> u64 {
         self.state().estimated_bytes() + self.proposals.estimated_bytes()
     }
 
-    /// Buffers a result until it is proposed.
+    /// Buffers a result for the next proposal of results.
     pub(crate) fn buffer_result(&mut self, job: &str, result: ItemResult) {
         self.buffered_results.entry(job.to_owned()).or_default().push(result);
     }
 
-    /// Proposes the buffered results as one entry, unless earlier ones are in flight: those that arrive
-    /// meanwhile are proposed together.
+    /// Proposes the buffered results as one entry.
+    ///
+    /// While earlier results are in flight nothing is proposed, so that the results that arrive in the
+    /// meantime are batched into one entry.
     pub(crate) fn propose_results(&mut self, now: Duration) {
         if self.buffered_results.is_empty() || self.proposals.has_results() || !self.is_acting(now) {
             return;
--- a/crates/pebblepost-batch-store/src/store/state/lease_outcomes.rs
+++ b/crates/pebblepost-batch-store/src/store/state/lease_outcomes.rs
@@ -1,9 +1,9 @@
-//! The outcomes of items of one lease.
+//! Outcomes of items of one lease.
 
 use pebblepost_batch::scheduler::LeaseReference;
 use pebblepost_messages::batch::ItemOutcome;
 
-/// The outcomes of items of one lease, as a proxy sent them.
+/// Outcomes of items of one lease, as reported by a proxy.
 #[derive(Debug)]
 pub(crate) struct LeaseOutcomes {
     pub(crate) lease: LeaseReference,
--- a/crates/pebblepost-batch-store/src/store/state/membership.rs
+++ b/crates/pebblepost-batch-store/src/store/state/membership.rs
@@ -1,13 +1,13 @@
-//! Which machines replicate which group, as assigned by the control plane, and which of them shut down.
+//! Assignments of store groups to machines by the control plane, and the machines that are shutting down.
 //!
-//! Owns the assignments and the known machines. It decides nothing about replicas: the
-//! handlers of assignments hand these on to them.
+//! This module holds the assignments and the known machines. It makes no decisions about replicas; the
+//! handlers of assignments pass this information to them.
 
 use pebblepost_messages::feed::StoreGroup;
 use pebblepost_messages::{DiskId, Member};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Assignments, known machines and machines in graceful shutdown.
+/// Assignments of store groups, known machines, and machines in graceful shutdown.
 #[derive(Debug)]
 pub(crate) struct Membership {
     /// This machine.
@@ -28,8 +28,10 @@
         }
     }
 
-    /// Takes in an assignment and the machines in it; whether it is as new as the one known.
-    pub(crate) fn assign(&mut self, assignment: &StoreGroup) -> bool {
+    /// Stores an assignment, unless a newer one is known, and adds the machines in it.
+    ///
+    /// Returns whether the assignment was stored.
+    pub(crate) fn update_assignment(&mut self, assignment: &StoreGroup) -> bool {
         self.add_members_of(assignment);
         let known = self.assignments.get(&assignment.group);
         if known.is_some_and(|known| known.epoch > assignment.epoch) {
@@ -39,48 +41,51 @@
         true
     }
 
-    /// The newest assignment of a group.
+    /// Returns the newest assignment of a store group.
     pub(crate) fn assignment(&self, group_id: u32) -> Option<&StoreGroup> {
         self.assignments.get(&group_id)
     }
 
-    /// Whether this machine replicates a group, or is to.
+    /// Returns whether the newest assignment of a store group includes this machine.
     pub(crate) fn is_assigned(&self, group_id: u32) -> bool {
         self.assignments.get(&group_id).is_some_and(|assignment| self.includes_local(assignment))
     }
 
-    /// Whether this machine is a replica in an assignment, or is to become one.
+    /// Returns whether this machine is an in-sync replica or a target in an assignment.
     pub(crate) fn includes_local(&self, assignment: &StoreGroup) -> bool {
         let mut members = assignment.in_sync.iter().chain(&assignment.targets);
         members.any(|member| member.disk == self.local.disk)
     }
 
-    /// Adds a machine, or replaces what was known of it.
+    /// Adds a machine, or replaces the known one with the same disk.
     pub(crate) fn add_member(&mut self, member: Member) {
         self.members.insert(member.disk, member);
     }
 
-    /// A machine by its disk.
+    /// Returns a machine by its disk.
     pub(crate) fn member(&self, disk: DiskId) -> Option<&Member> {
         self.members.get(&disk)
     }
 
-    /// All known machines.
+    /// Returns all known machines, by disk.
     pub(crate) fn members(&self) -> &BTreeMap<DiskId, Member> {
         &self.members
     }
 
-    /// A machine is shutting down.
+    /// Marks a machine as shutting down.
     pub(crate) fn start_draining(&mut self, disk: DiskId) {
         self.draining.insert(disk);
     }
 
-    /// A machine has started again; whether it was shutting down.
+    /// Marks a machine as no longer shutting down. Returns whether it was.
     pub(crate) fn stop_draining(&mut self, disk: DiskId) -> bool {
         self.draining.remove(&disk)
     }
 
-    /// The machines that should replicate a group. In place of one that is shutting down, any other may.
+    /// Returns the machines that should replicate a store group.
+    ///
+    /// If one of the assigned machines is shutting down, all other known replicas and targets of any store
+    /// group become targets, and the machines that are shutting down are left out.
     pub(crate) fn targets(&self, assignment: &StoreGroup) -> Vec<Member> {
         let is_draining = |member: &Member| self.draining.contains(&member.disk);
         let mut targets = assignment.targets.clone();
@@ -96,7 +101,7 @@
         targets
     }
 
-    /// All other machines that replicate a group, or are to.
+    /// Returns all other machines that are in-sync replicas or targets of any store group.
     pub(crate) fn peers(&self) -> Vec<Member> {
         let mut peers: Vec<Member> = Vec::new();
         let assigned = self.assignments.values().flat_map(|other| other.in_sync.iter().chain(&other.targets));
--- a/crates/pebblepost-batch-store/src/store/state/mod.rs
+++ b/crates/pebblepost-batch-store/src/store/state/mod.rs
@@ -1,4 +1,4 @@
-//! State of the store: types of one concern each, which do not know the store.
+//! State of the store: types with one concern each, which do not depend on the store.
 
 pub(crate) mod connections;
 pub(crate) mod deferred;
--- a/crates/pebblepost-batch-store/src/store/state/outbox.rs
+++ b/crates/pebblepost-batch-store/src/store/state/outbox.rs
@@ -1,4 +1,4 @@
-//! What the caller of a store must do, in order, and the writes that are not on disk yet.
+//! Outputs that the caller of a store must execute in order, and the writes that are not yet on disk.
 
 use nanoserde::{DeBin, SerBin};
 use pebblepost_messages::Member;
@@ -7,30 +7,31 @@
 use pebblepost_replication::replica::DiskRecord;
 use std::collections::VecDeque;
 
-/// Number of a link that another program opened to this store.
+/// Identifies a link that another program opened to this store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// A record on the ring: of one group of batch jobs. The binary form is stored: fields keep their order.
+/// A record of one store group on the ring. The binary form is stored: fields must keep their order.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct GroupRecord {
-    /// The group.
+    /// Store group of the record.
     pub group: u32,
-    /// The record. `None`: this machine dropped its replica of the group, and earlier records are void.
+    /// The record, or `None` if this machine dropped its replica of the store group, which voids the earlier
+    /// records.
     pub record: Option<DiskRecord>,
 }
 
-/// A write of one replica that is not on disk yet.
+/// A write of one replica that is not yet on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReplicaWrite {
     pub(crate) group_id: u32,
-    /// Incarnation of the replica; a group may be dropped and opened again.
+    /// Incarnation of the replica, as the store group may be dropped and opened again.
     pub(crate) incarnation: u64,
-    /// Token of the replica for this write.
+    /// Token by which the replica identifies this write.
     pub(crate) token: u64,
 }
 
-/// Something the caller must do, in order.
+/// An output of the store. The caller must execute outputs in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreOutput {
     /// Send a message over a link that was opened to this store.
@@ -49,32 +50,32 @@
     },
     /// Send a message to the control primary, if there is a link to it.
     ToControl(ToControl),
-    /// Append records to the ring, then call `Store::handle_synced` with the ticket.
+    /// Append records to the ring, then call `Store::handle_synced` with the ticket once they are on disk.
     Append {
-        /// Number of the append, in ascending order.
+        /// Number of the append. Tickets ascend.
         ticket: u64,
         /// Encoded records.
         records: Vec<Vec<u8>>,
     },
-    /// Replace all that is on the ring.
+    /// Replace all records on the ring.
     Checkpoint {
         /// Encoded records.
         records: Vec<Vec<u8>>,
     },
 }
 
-/// An append whose writes are not on disk yet.
+/// An append whose writes are not yet on disk.
 #[derive(Debug)]
 struct PendingAppend {
     ticket: u64,
     writes: Vec<ReplicaWrite>,
 }
 
-/// Outputs that wait to be taken. The records of one turn are appended together.
+/// Queued outputs. The records of one turn are combined into one append.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     outputs: Vec<StoreOutput>,
-    /// Records and writes of this turn.
+    /// Encoded records of this turn.
     turn_records: Vec<Vec<u8>>,
     turn_writes: Vec<ReplicaWrite>,
     pending_appends: VecDeque<PendingAppend>,
@@ -94,7 +95,7 @@
         self.outputs.push(StoreOutput::ToControl(message));
     }
 
-    /// Adds the records of a write to the append of this turn.
+    /// Adds the records of a replica's write to the append of this turn.
     pub(crate) fn persist(&mut self, write: ReplicaWrite, records: Vec<DiskRecord>) {
         let group = write.group_id;
         let encoded =
@@ -103,18 +104,20 @@
         self.turn_writes.push(write);
     }
 
-    /// Voids the records of a group whose replica is dropped.
+    /// Voids the records of a store group whose replica is dropped.
     pub(crate) fn void_records(&mut self, group: u32) {
         self.turn_records.push(GroupRecord { group, record: None }.serialize_bin());
     }
 
-    /// Replaces all that is on disk. The append of this turn goes first, so that its ticket comes back.
+    /// Queues a checkpoint, which replaces all records on disk.
+    ///
+    /// The append of this turn is queued before it, so that its ticket is still reported as synced.
     pub(crate) fn checkpoint(&mut self, records: Vec<Vec<u8>>) {
-        self.append_turn();
+        self.queue_turn_append();
         self.outputs.push(StoreOutput::Checkpoint { records });
     }
 
-    /// Removes the writes that are on disk: those of all appends up to this ticket.
+    /// Removes and returns the writes of all appends up to a ticket, which are on disk.
     pub(crate) fn take_synced(&mut self, ticket: u64) -> Vec<ReplicaWrite> {
         let mut synced = Vec::new();
         while let Some(append) = self.pending_appends.pop_front_if(|append| append.ticket <= ticket) {
@@ -123,13 +126,13 @@
         synced
     }
 
-    /// Ends the turn; the outputs.
+    /// Ends the turn and returns the queued outputs.
     pub(crate) fn take_outputs(&mut self) -> Vec<StoreOutput> {
-        self.append_turn();
+        self.queue_turn_append();
         std::mem::take(&mut self.outputs)
     }
 
-    fn append_turn(&mut self) {
+    fn queue_turn_append(&mut self) {
         if self.turn_records.is_empty() && self.turn_writes.is_empty() {
             return;
         }
--- a/crates/pebblepost-batch-store/src/store/state/periodic.rs
+++ b/crates/pebblepost-batch-store/src/store/state/periodic.rs
@@ -1,14 +1,14 @@
-//! When periodic work was done last, and whether it is due.
+//! Schedules of the periodic work.
 
 use pebblepost_messages::batch::RENEW_MS;
 use std::time::Duration;
 
-/// How often leases are renewed.
-const RENEWAL_PERIOD: Duration = Duration::from_millis(RENEW_MS);
-/// How often jobs past their retention are looked for.
-const RETENTION_PERIOD: Duration = Duration::from_secs(5);
+/// Interval at which leases are renewed.
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(RENEW_MS);
+/// Interval at which missing barriers are proposed and jobs past their retention are deleted.
+const RETENTION_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Work that is done at most once in a period.
+/// The schedule of work that runs at most once per interval.
 #[derive(Debug)]
 pub(crate) struct PeriodicTask {
     period: Duration,
@@ -20,7 +20,7 @@
         PeriodicTask { period, last_run: Duration::ZERO }
     }
 
-    /// Whether the work is due; the next period starts now if it is.
+    /// Returns whether the work is due, and starts the next interval if it is.
     pub(crate) fn start_if_due(&mut self, now: Duration) -> bool {
         let is_due = now.saturating_sub(self.last_run) >= self.period;
         if is_due {
@@ -30,18 +30,18 @@
     }
 }
 
-/// The periodic work of a store.
+/// The schedules of a store's periodic work.
 #[derive(Debug)]
 pub(crate) struct Maintenance {
-    pub(crate) renewal: PeriodicTask,
-    pub(crate) retention: PeriodicTask,
+    pub(crate) lease_renewal: PeriodicTask,
+    pub(crate) retention_check: PeriodicTask,
 }
 
 impl Default for Maintenance {
     fn default() -> Maintenance {
         Maintenance {
-            renewal: PeriodicTask::new(RENEWAL_PERIOD),
-            retention: PeriodicTask::new(RETENTION_PERIOD),
+            lease_renewal: PeriodicTask::new(LEASE_RENEWAL_INTERVAL),
+            retention_check: PeriodicTask::new(RETENTION_CHECK_INTERVAL),
         }
     }
 }
--- a/crates/pebblepost-batch-store/src/store/state/proposals.rs
+++ b/crates/pebblepost-batch-store/src/store/state/proposals.rs
@@ -1,9 +1,9 @@
-//! Log entries that this machine proposed as primary and that are not committed, and who waits for them.
+//! Uncommitted log entries that this machine proposed as primary, and the callers that wait for them.
 
 use super::outbox::LinkId;
 use std::collections::BTreeMap;
 
-/// A call that waits for its answer.
+/// Identifies a call that waits for an answer: its link and its number on that link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Caller {
     pub(crate) link: LinkId,
@@ -13,7 +13,7 @@
 /// A proposed change.
 #[derive(Debug)]
 pub(crate) enum Proposal {
-    /// Stores a job of this estimated size.
+    /// Stores a job with this estimated memory.
     AddJob { job: String, estimated_bytes: u64, callers: Vec<Caller> },
     /// Appends results to these jobs.
     AppendResults { jobs: Vec<String> },
@@ -34,18 +34,18 @@
         self.by_index.insert(index, proposal);
     }
 
-    /// Removes the proposals that are committed up to an index, in their order.
+    /// Removes and returns the proposals up to a committed index, in log order.
     pub(crate) fn take_committed(&mut self, index: u64) -> Vec<Proposal> {
         let uncommitted = self.by_index.split_off(&index.saturating_add(1));
         std::mem::replace(&mut self.by_index, uncommitted).into_values().collect()
     }
 
-    /// Removes all proposals, in their order.
+    /// Removes and returns all proposals, in log order.
     pub(crate) fn take_all(&mut self) -> Vec<Proposal> {
         std::mem::take(&mut self.by_index).into_values().collect()
     }
 
-    /// Callers that wait until a job is stored, if it is proposed.
+    /// Returns the callers that wait until a job is stored, if it is proposed.
     pub(crate) fn submit_callers(&mut self, id: &str) -> Option<&mut Vec<Caller>> {
         self.by_index.values_mut().find_map(|proposal| match proposal {
             Proposal::AddJob { job, callers, .. } if job == id => Some(callers),
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Callers that wait until a job has ended, if its end is proposed.
+    /// Returns the callers that wait until a job has ended, if its end is proposed.
     pub(crate) fn end_callers(&mut self, id: &str) -> Option<&mut Vec<Caller>> {
         self.by_index.values_mut().find_map(|proposal| match proposal {
             Proposal::EndJob { job, callers } if job == id => Some(callers),
@@ -61,12 +61,12 @@
         })
     }
 
-    /// Whether results are proposed.
+    /// Returns whether uncommitted results are proposed.
     pub(crate) fn has_results(&self) -> bool {
         self.by_index.values().any(|proposal| matches!(proposal, Proposal::AppendResults { .. }))
     }
 
-    /// Estimated memory of the proposed jobs in bytes.
+    /// Returns the estimated memory of the proposed jobs in bytes.
     pub(crate) fn estimated_bytes(&self) -> u64 {
         let bytes = |proposal: &Proposal| match proposal {
             Proposal::AddJob { estimated_bytes, .. } => *estimated_bytes,
--- a/crates/pebblepost-batch-store/src/store/state/version_lags.rs
+++ b/crates/pebblepost-batch-store/src/store/state/version_lags.rs
@@ -1,12 +1,12 @@
-//! How many versions behind the newest named one the jobs of each model allow.
+//! Version lags: how many weight versions behind the newest named one the jobs of each model allow.
 
 use pebblepost_messages::feed::ModelVersion;
 use std::collections::BTreeMap;
 
-/// The version that transcribers hold before any is named.
-const FIRST_VERSION: u64 = 1;
+/// Weight version that transcribers serve before any version is named.
+const INITIAL_VERSION: u64 = 1;
 
-/// Newest named versions, and the lag that the last job of each model allows.
+/// The newest named version of each model, and the lag that its last stored job allows.
 #[derive(Debug, Default)]
 pub(crate) struct VersionLags {
     newest: BTreeMap<String, u64>,
@@ -14,21 +14,21 @@
 }
 
 impl VersionLags {
-    /// A version was named.
-    pub(crate) fn name_version(&mut self, version: &ModelVersion) {
+    /// Records a named version.
+    pub(crate) fn record_named_version(&mut self, version: &ModelVersion) {
         let newest = self.newest.entry(version.model.clone()).or_default();
         *newest = (*newest).max(version.generation);
     }
 
-    /// A job was stored that allows this version and newer ones; the versions behind that it allows.
-    pub(crate) fn observe(&mut self, model: &str, min_version: u64) -> u64 {
-        let newest = self.newest.get(model).copied().unwrap_or(FIRST_VERSION);
-        let lag = newest.saturating_sub(min_version.max(FIRST_VERSION));
+    /// Records a stored job that allows `min_version` and newer versions. Returns the lag that it allows.
+    pub(crate) fn record_job(&mut self, model: &str, min_version: u64) -> u64 {
+        let newest = self.newest.get(model).copied().unwrap_or(INITIAL_VERSION);
+        let lag = newest.saturating_sub(min_version.max(INITIAL_VERSION));
         self.allowed.insert(model.to_owned(), lag);
         lag
     }
 
-    /// The lag that the newest job of each model allows, by model.
+    /// Iterates over the models with the lag that the last stored job of each allows.
     pub(crate) fn allowed(&self) -> impl Iterator<Item = (&str, u64)> {
         self.allowed.iter().map(|(model, lag)| (model.as_str(), *lag))
     }
