--- a/crates/pebblepost-batch-store/src/program/inbound_links.rs
+++ b/crates/pebblepost-batch-store/src/program/inbound_links.rs
@@ -95,7 +95,7 @@
         let (sender, receiver) = match listener.accept().await {
             Ok(link) => link,
             Err(error) => {
-                log::warn!("link not accepted error={error:#}");
+                log::warn!("inbound link not accepted error={error:#}");
                 continue;
             }
         };
--- a/crates/pebblepost-batch-store/src/store/handlers/replica_outputs.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/replica_outputs.rs
@@ -63,7 +63,7 @@
     /// outcome is unknown or the store unavailable.
     pub(crate) fn end_term(&mut self, group_id: u32) {
         if self.scheduler.has_term(group_id) {
-            log::info!("stopped being primary group={group_id}");
+            log::info!("stepped down as primary group={group_id}");
         }
         self.scheduler.end_term(group_id);
         let Some(group) = self.groups.get_mut(&group_id) else { return };
