--- a/crates/pebblepost-replication/tests/replication/simulation/checker.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever happens.
+//! Checks of the safety rules that must hold in every schedule.
 
 use super::violation::Violation;
 use pebblepost_replication::record::EpochRecord;
@@ -6,10 +6,10 @@
 
 #[derive(Debug, Default)]
 pub struct Checker {
-    /// What was applied at each index, by whichever replica came first.
+    /// The value that was first applied at each index, by any replica.
     applied: Vec<u64>,
     /// Highest index that was acknowledged to a client.
-    acknowledged_to: u64,
+    highest_acknowledged_index: u64,
     pub acknowledged: u64,
     chosen: BTreeMap<u64, EpochRecord>,
     pub violation: Option<Violation>,
@@ -21,16 +21,16 @@
         self.violation.get_or_insert(violation);
     }
 
-    pub fn fail_safety(&mut self, found: String) {
-        self.fail(Violation::Safety(found));
+    pub fn fail_safety(&mut self, description: String) {
+        self.fail(Violation::Safety(description));
     }
 
-    /// A replica applied entries: they are the same at all replicas.
-    pub fn applied(&mut self, who: &str, from: usize, values: &[u64]) {
+    /// Checks entries that a replica applied: all replicas must apply the same ones.
+    pub fn applied(&mut self, node: &str, from: usize, values: &[u64]) {
         for (index, value) in values.iter().enumerate().skip(from) {
             match self.applied.get(index) {
                 Some(known) if known != value => {
-                    self.fail_safety(format!("{who} applied {value} at {}, others {known}", index + 1));
+                    self.fail_safety(format!("{node} applied {value} at {}, others {known}", index + 1));
                 }
                 Some(_) => {}
                 None => self.applied.push(*value),
@@ -38,30 +38,30 @@
         }
     }
 
-    /// A client got its acknowledgement.
-    pub fn acknowledged(&mut self, who: &str, index: u64, value: u64) {
+    /// Checks an acknowledgement to a client: the entry must be the one that is applied at its index.
+    pub fn acknowledged(&mut self, node: &str, index: u64, value: u64) {
         let applied = self.applied.get(index as usize - 1);
         if applied != Some(&value) {
-            self.fail_safety(format!("{who} acknowledged {value} at {index}, where {applied:?} is applied"));
+            self.fail_safety(format!("{node} acknowledged {value} at {index}, where {applied:?} is applied"));
         }
-        self.acknowledged_to = self.acknowledged_to.max(index);
+        self.highest_acknowledged_index = self.highest_acknowledged_index.max(index);
         self.acknowledged += 1;
     }
 
-    /// A replica answers reads: it knows all that was acknowledged.
-    pub fn acting(&mut self, who: &str, length: usize) {
-        if (length as u64) < self.acknowledged_to {
-            let to = self.acknowledged_to;
-            self.fail_safety(format!("{who} acts with {length} entries, {to} were acknowledged"));
+    /// Checks an acting replica, which answers reads: it must hold all acknowledged entries.
+    pub fn acting(&mut self, node: &str, length: usize) {
+        if (length as u64) < self.highest_acknowledged_index {
+            let to = self.highest_acknowledged_index;
+            self.fail_safety(format!("{node} acts with {length} entries, {to} were acknowledged"));
         }
     }
 
-    /// A record became known as chosen: there is one for each epoch.
-    pub fn chosen(&mut self, who: &str, record: &EpochRecord) {
+    /// Checks a chosen record: only one may be chosen for each epoch.
+    pub fn chosen(&mut self, node: &str, record: &EpochRecord) {
         let known = self.chosen.entry(record.epoch).or_insert_with(|| record.clone());
         if known != record {
-            let found = format!("{who} learned {record:?}, others {known:?}");
-            self.fail_safety(found);
+            let description = format!("{node} learned {record:?}, others {known:?}");
+            self.fail_safety(description);
         }
     }
 }
