--- a/crates/pebblepost-configuration/src/error.rs
+++ b/crates/pebblepost-configuration/src/error.rs
@@ -122,7 +122,7 @@
     #[error("must begin and end with a slash")]
     MissingSlash,
     /// A traffic split has no entries, and no other backend is given.
-    #[error("names no service")]
+    #[error("has no entries, and no `backend` is given")]
     NoBackend,
     /// All weights of a traffic split are 0.
     #[error("has weights that sum to 0")]
--- a/crates/pebblepost-configuration/src/parse/object_reader.rs
+++ b/crates/pebblepost-configuration/src/parse/object_reader.rs
@@ -9,7 +9,7 @@
 
 /// Upper bound on times. Longer ones are reduced to it, because `Duration` cannot hold every number that a document
 /// may contain.
-const MAX_SECONDS: f64 = 1e9;
+const MAX_DURATION_SECONDS: f64 = 1e9;
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
 /// A reader of the fields of an object.
@@ -113,5 +113,5 @@
 }
 
 fn duration(seconds: f64) -> Duration {
-    Duration::from_secs_f64(seconds.min(MAX_SECONDS))
+    Duration::from_secs_f64(seconds.min(MAX_DURATION_SECONDS))
 }
--- a/crates/pebblepost-configuration/tests/error_texts.rs
+++ b/crates/pebblepost-configuration/tests/error_texts.rs
@@ -53,7 +53,7 @@
 #[case::empty_split_without_backend(
     r#"{"generation":1,"services":[{"name":"s"}],"routes":[{"name":"r","hostname":"h","path_prefix":"/","kind":"",
         "traffic_split":[]}]}"#,
-    "route 'r': `traffic_split` names no service"
+    "route 'r': `traffic_split` has no entries, and no `backend` is given"
 )]
 fn invalid_document_gives_this_error_text(#[case] document: &str, #[case] expected: &str) {
     assert_eq!(parse_error(document), expected);
--- a/crates/pebblepost-feed/src/changes.rs
+++ b/crates/pebblepost-feed/src/changes.rs
@@ -7,7 +7,7 @@
     pub configuration_changed: bool,
     /// Ids of the instances that are new or changed in any way.
     pub changed_instances: Vec<String>,
-    /// Numbers of the store groups that are new, or that have another assignment under the same or a newer epoch.
+    /// Numbers of the store groups that are new, or that changed under the same or a newer epoch.
     pub changed_store_groups: Vec<u32>,
     /// Whether a newer version of a model was named.
     pub named_versions_changed: bool,
--- a/crates/pebblepost-feed/src/compression.rs
+++ b/crates/pebblepost-feed/src/compression.rs
@@ -28,7 +28,7 @@
         uncompressed_bytes: u64,
     },
     /// The bytes are not a complete deflate stream, or decompress to more than the announced length.
-    #[error("the compressed document is damaged or longer than the announced length")]
+    #[error("the compressed document is damaged, or decompresses to more than the announced length")]
     Corrupted,
     /// The document is shorter than the announced length.
     #[error("the document has {actual_bytes} bytes, but {expected_bytes} were announced")]
