--- a/crates/pebblepost-control/src/api/response.rs
+++ b/crates/pebblepost-control/src/api/response.rs
@@ -72,7 +72,7 @@
     pub fn change_rejected(error: &ChangeError) -> HttpResponse {
         let status = match error {
             ChangeError::VersionMismatch { .. } => 412,
-            ChangeError::Forgotten { .. } => 503,
+            ChangeError::HistoryEvicted { .. } => 503,
             ChangeError::InvalidDocument(_)
             | ChangeError::NothingToPatch
             | ChangeError::StaleGeneration { .. } => 400,
--- a/crates/pebblepost-control/src/feed/publisher.rs
+++ b/crates/pebblepost-control/src/feed/publisher.rs
@@ -101,7 +101,7 @@
 
 impl FeedPublisher {
     /// A publisher that continues from the `state` replicated as a standby. The transcribers count as
-    /// incomplete until [`Self::complete_instances`].
+    /// incomplete until [`Self::mark_instances_complete`].
     pub fn new(now: Duration, state: FeedState) -> FeedPublisher {
         FeedPublisher {
             inherited_count: state.proxy_count(),
@@ -151,8 +151,8 @@
     }
 
     /// A message of any kind arrived from a subscriber.
-    pub fn message_received(&mut self, now: Duration, connection: ConnectionId) {
-        self.subscriptions.message_received(now, connection);
+    pub fn record_message(&mut self, now: Duration, connection: ConnectionId) {
+        self.subscriptions.record_message(now, connection);
     }
 
     /// Processes an acknowledgement.
@@ -184,7 +184,7 @@
     }
 
     /// Declares the published transcribers complete: one that is not among them has terminated.
-    pub fn complete_instances(&mut self, now: Duration) {
+    pub fn mark_instances_complete(&mut self, now: Duration) {
         self.state.set_instances_complete();
         self.pending.all_instances = true;
         self.published(now, Urgency::Coalesced);
@@ -243,7 +243,7 @@
     }
 
     /// Sends pending updates if they are due.
-    pub fn flush_due(&mut self, now: Duration) {
+    pub fn flush_if_due(&mut self, now: Duration) {
         if self.pending.due_at().is_some_and(|due| due <= now) {
             self.flush(now);
         }
@@ -255,7 +255,7 @@
             self.inherited_count = 0;
             self.proxy_count_changed(now);
         }
-        self.flush_due(now);
+        self.flush_if_due(now);
         for connection in self.subscriptions.timed_out(now) {
             self.actions.push(FeedAction::Disconnect { connection });
             self.unsubscribe(now, connection);
--- a/crates/pebblepost-control/src/feed/subscriptions.rs
+++ b/crates/pebblepost-control/src/feed/subscriptions.rs
@@ -23,7 +23,7 @@
     /// Version of the configuration that it has acknowledged.
     pub generation: u64,
     /// Number of flushes that it has not acknowledged.
-    pub lag: u64,
+    pub unacknowledged_flushes: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -99,7 +99,7 @@
         self.by_connection.into_keys().collect()
     }
 
-    pub(super) fn message_received(&mut self, now: Duration, connection: ConnectionId) {
+    pub(super) fn record_message(&mut self, now: Duration, connection: ConnectionId) {
         if let Some(subscription) = self.by_connection.get_mut(&connection) {
             subscription.last_message = now;
         }
@@ -160,7 +160,7 @@
             node: subscription.node.clone(),
             role: subscription.role,
             generation: subscription.acknowledged_generation,
-            lag: newest_flush.saturating_sub(subscription.acknowledged_flush),
+            unacknowledged_flushes: newest_flush.saturating_sub(subscription.acknowledged_flush),
         };
         self.by_connection.values().map(status).collect()
     }
--- a/crates/pebblepost-control/src/load_order.rs
+++ b/crates/pebblepost-control/src/load_order.rs
@@ -5,7 +5,7 @@
 
 /// Body of `POST /order`. The fencing token is the epoch in which the sender is primary: transcribers reject orders
 /// with a lower one than they have seen.
-pub fn body(order: &LoadOrder, holder: &str, fencing_token: u64) -> Vec<u8> {
+pub fn encode_body(order: &LoadOrder, holder: &str, fencing_token: u64) -> Vec<u8> {
     let mode = match order.mode {
         LoadMode::Wait => "wait",
         LoadMode::Truncate => "truncate",
--- a/crates/pebblepost-control/src/membership/peers.rs
+++ b/crates/pebblepost-control/src/membership/peers.rs
@@ -21,7 +21,7 @@
     /// The machine and its disk.
     pub member: Member,
     /// Time since its last message.
-    pub silent_for: Duration,
+    pub last_message_age: Duration,
 }
 
 #[derive(Clone, Debug)]
@@ -60,7 +60,7 @@
     }
 
     /// A message arrived from a process.
-    pub fn message_received(&mut self, now: Duration, member: &Member) {
+    pub fn record_message(&mut self, now: Duration, member: &Member) {
         if member.disk == self.me.disk {
             return;
         }
@@ -78,7 +78,7 @@
     }
 
     /// Adds link addresses that another process advertised. Invalid ones and those beyond the limit are ignored.
-    pub fn add_seeds(&mut self, addresses: &[String]) {
+    pub fn add_candidates(&mut self, addresses: &[String]) {
         for address in addresses {
             let is_own = *address == self.me.address;
             let has_capacity = self.candidates.len() < MAX_CANDIDATES;
@@ -102,16 +102,16 @@
 
     /// This process, then all known ones by disk.
     pub fn statuses(&self, now: Duration) -> Vec<PeerStatus> {
-        let mut statuses = vec![PeerStatus { member: self.me.clone(), silent_for: Duration::ZERO }];
+        let mut statuses = vec![PeerStatus { member: self.me.clone(), last_message_age: Duration::ZERO }];
         statuses.extend(self.known.values().map(|known| PeerStatus {
             member: known.member.clone(),
-            silent_for: now.saturating_sub(known.last_message),
+            last_message_age: now.saturating_sub(known.last_message),
         }));
         statuses
     }
 
     /// Time since the last message of another process; `None` if it is not known.
-    pub fn silent_for(&self, now: Duration, disk: DiskId) -> Option<Duration> {
+    pub fn last_message_age(&self, now: Duration, disk: DiskId) -> Option<Duration> {
         self.known.get(&disk).map(|known| now.saturating_sub(known.last_message))
     }
 
--- a/crates/pebblepost-control/src/membership/witnesses.rs
+++ b/crates/pebblepost-control/src/membership/witnesses.rs
@@ -20,7 +20,7 @@
 /// The next record that changes the witness set, or `None` if the set is complete.
 ///
 /// One witness is replaced or added at a time, in two steps: a record with both sets, then one without the former set.
-pub fn next_change(
+pub fn next_witness_change(
     record: &EpochRecord, peers: &[PeerStatus], set_size: usize, evidence: FailureEvidence,
 ) -> Option<EpochRecord> {
     if !record.former_witnesses.is_empty() {
@@ -66,7 +66,7 @@
 }
 
 fn is_live(peer: &PeerStatus) -> bool {
-    peer.silent_for < WITNESS_TIMEOUT
+    peer.last_message_age < WITNESS_TIMEOUT
 }
 
 /// Whether another disk answers at the witness's address.
--- a/crates/pebblepost-control/src/node/control_node.rs
+++ b/crates/pebblepost-control/src/node/control_node.rs
@@ -91,7 +91,7 @@
     }
 
     /// Whether this process acts as primary, or another primary is known to be live.
-    pub fn knows_primary(&self, now: Duration) -> bool {
+    pub fn is_primary_known(&self, now: Duration) -> bool {
         self.is_acting(now) || self.live_primary(now).is_some()
     }
 
@@ -128,6 +128,6 @@
     /// The primary, if it is another process that has sent something lately.
     pub(super) fn live_primary(&self, now: Duration) -> Option<&Member> {
         let primary = self.other_primary()?;
-        (self.peers.silent_for(now, primary.disk)? < PRIMARY_TIMEOUT).then_some(primary)
+        (self.peers.last_message_age(now, primary.disk)? < PRIMARY_TIMEOUT).then_some(primary)
     }
 }
--- a/crates/pebblepost-control/src/node/leadership.rs
+++ b/crates/pebblepost-control/src/node/leadership.rs
@@ -91,7 +91,7 @@
         self.plan_storage(now);
         self.advance_rollout(now);
         let Some(primary) = &mut self.primary else { return };
-        primary.feed.flush_due(now);
+        primary.feed.flush_if_due(now);
         for action in primary.feed.take_actions() {
             match action {
                 FeedAction::Send { connection, sequence, updates } => {
@@ -162,7 +162,7 @@
         let record = self.group.record();
         let peers = self.peers.statuses(now);
         let set_size = self.settings.witness_set_size();
-        if let Some(next) = witnesses::next_change(record, &peers, set_size, evidence) {
+        if let Some(next) = witnesses::next_witness_change(record, &peers, set_size, evidence) {
             let expected_epoch = record.epoch;
             log::info!("proposing other witnesses epoch={expected_epoch}");
             self.group.propose_witnesses(now, expected_epoch, next);
--- a/crates/pebblepost-control/src/node/links.rs
+++ b/crates/pebblepost-control/src/node/links.rs
@@ -60,7 +60,7 @@
         let Some(primary) = &mut self.primary else { return };
         primary.feed.unsubscribe(now, connection);
         if let Some(disk) = link.store {
-            primary.storage.disconnected(disk);
+            primary.storage.record_disconnect(disk);
         }
     }
 
@@ -125,12 +125,12 @@
 
     fn record_sign_of_life(&mut self, now: Duration, connection: ConnectionId) {
         if let Some(peer) = self.inbound.peer(connection) {
-            self.peers.message_received(now, peer);
+            self.peers.record_message(now, peer);
         }
         if let Some(primary) = &mut self.primary {
-            primary.feed.message_received(now, connection);
+            primary.feed.record_message(now, connection);
             if let Some(disk) = self.inbound.store(connection) {
-                primary.storage.message_received(now, disk);
+                primary.storage.record_message(now, disk);
             }
         }
     }
@@ -157,9 +157,9 @@
     fn connect_store(&mut self, now: Duration, connection: ConnectionId, member: Member, bootstrap: bool) {
         let Some(primary) = &mut self.primary else { return };
         if let Some(former) = self.inbound.set_store(connection, member.disk) {
-            primary.storage.disconnected(former);
+            primary.storage.record_disconnect(former);
         }
-        primary.storage.hello(now, member, bootstrap);
+        primary.storage.announce_disk(now, member, bootstrap);
         primary.storage_plan.schedule(now);
     }
 
--- a/crates/pebblepost-control/src/node/peering.rs
+++ b/crates/pebblepost-control/src/node/peering.rs
@@ -22,9 +22,9 @@
     pub(super) fn handle_peer_message(&mut self, now: Duration, address: &str, message: FromControl) {
         match message {
             FromControl::Feed(batch) => self.replicate_feed(now, address, &batch),
-            FromControl::Members(members) => self.peers.add_seeds(&members),
+            FromControl::Members(members) => self.peers.add_candidates(&members),
             FromControl::Redirect { members, .. } => {
-                self.peers.add_seeds(&members);
+                self.peers.add_candidates(&members);
                 self.peer_links.subscription_rejected(now, address);
             }
             // Shared updates arrive as part of their batch: the runtime assembles them.
@@ -37,7 +37,7 @@
 
     /// Another control process introduces itself on an inbound link.
     pub(super) fn handle_peer_hello(&mut self, now: Duration, connection: ConnectionId, member: Member) {
-        self.peers.message_received(now, &member);
+        self.peers.record_message(now, &member);
         if self.peer_links.is_connected(&member.address) {
             self.group.introduce(&member);
         } else {
--- a/crates/pebblepost-control/src/node/primary.rs
+++ b/crates/pebblepost-control/src/node/primary.rs
@@ -69,7 +69,7 @@
             lapsed_since: None,
             published_groups: BTreeMap::new(),
             planned_generation: 0,
-            instances_complete_at: Some(registry.grace_until()),
+            instances_complete_at: Some(registry.grace_period_end()),
         };
         primary.publish(now, state);
         for instance in registry.live() {
@@ -101,7 +101,7 @@
     pub(super) fn complete_instances_if_due(&mut self, now: Duration) {
         if self.instances_complete_at.is_some_and(|due| now >= due) {
             self.instances_complete_at = None;
-            self.feed.complete_instances(now);
+            self.feed.mark_instances_complete(now);
         }
     }
 
@@ -137,7 +137,7 @@
                         order.model,
                         order.generation
                     );
-                    let body = load_order::body(&order, node, self.epoch);
+                    let body = load_order::encode_body(&order, node, self.epoch);
                     outputs.push(Output::SendOrder { order, body, send_by });
                 }
                 (PlanOutput::SendOrder(order), _) => {
--- a/crates/pebblepost-control/src/node/requests.rs
+++ b/crates/pebblepost-control/src/node/requests.rs
@@ -64,7 +64,7 @@
         if self.deferred.is_empty() {
             return;
         }
-        let is_primary_known = self.knows_primary(now);
+        let is_primary_known = self.is_primary_known(now);
         for (connection, messages) in self.deferred.take_links(now, is_primary_known) {
             if self.is_acting(now) {
                 messages.into_iter().for_each(|message| self.handle_message(now, connection, message));
--- a/crates/pebblepost-control/src/node/status.rs
+++ b/crates/pebblepost-control/src/node/status.rs
@@ -38,7 +38,7 @@
                 "node": subscriber.node,
                 "role": role_name(subscriber.role),
                 "generation": subscriber.generation,
-                "behind": subscriber.lag,
+                "behind": subscriber.unacknowledged_flushes,
             })
         });
         list(subscribers)
--- a/crates/pebblepost-control/src/registry.rs
+++ b/crates/pebblepost-control/src/registry.rs
@@ -44,7 +44,7 @@
     /// Identities of terminated incarnations, oldest first.
     terminated_order: VecDeque<String>,
     /// No incarnation expires before this time.
-    grace_until: Duration,
+    grace_period_end: Duration,
 }
 
 impl Registry {
@@ -56,7 +56,7 @@
             by_address: HashMap::new(),
             terminated: BTreeMap::new(),
             terminated_order: VecDeque::new(),
-            grace_until: Duration::ZERO,
+            grace_period_end: Duration::ZERO,
         }
     }
 
@@ -65,12 +65,12 @@
         for registration in self.live.values_mut() {
             registration.last_heartbeat = now;
         }
-        self.grace_until = now + self.time_to_live();
+        self.grace_period_end = now + self.time_to_live();
     }
 
     /// End of the grace period: an incarnation without a heartbeat until then has terminated.
-    pub fn grace_until(&self) -> Duration {
-        self.grace_until
+    pub fn grace_period_end(&self) -> Duration {
+        self.grace_period_end
     }
 
     /// The incarnations terminated last, newest first.
@@ -143,7 +143,7 @@
 
     /// Terminates the incarnations whose time to live has passed without a heartbeat.
     pub fn expire(&mut self, now: Duration) -> RegistryChange {
-        if now < self.grace_until {
+        if now < self.grace_period_end {
             return RegistryChange::default();
         }
         let time_to_live = self.time_to_live();
--- a/crates/pebblepost-control/src/runtime/driver.rs
+++ b/crates/pebblepost-control/src/runtime/driver.rs
@@ -97,8 +97,8 @@
     }
 
     /// Whether this process acts as primary, or another primary is known to be live.
-    pub(super) fn knows_primary(&self) -> bool {
-        self.node.knows_primary(self.start.elapsed())
+    pub(super) fn is_primary_known(&self) -> bool {
+        self.node.is_primary_known(self.start.elapsed())
     }
 
     pub(super) fn handle(&mut self, input: Input) {
--- a/crates/pebblepost-control/src/runtime/http.rs
+++ b/crates/pebblepost-control/src/runtime/http.rs
@@ -68,7 +68,7 @@
     /// Most connections.
     pub max_connections: usize,
     /// Memory of all bodies together, in bytes.
-    pub max_body_memory: usize,
+    pub max_body_memory_bytes: usize,
 }
 
 /// Queue of requests.
@@ -122,7 +122,7 @@
         .keep_alive_timeout(IDLE_TIMEOUT)
         .max_read_buf_size::<MAX_HEAD_BYTES>();
     let connections = Arc::new(Connections { open: AtomicUsize::new(0), max: limits.max_connections });
-    let body_budget = BodyBudget::new(limits.max_body_memory);
+    let body_budget = BodyBudget::new(limits.max_body_memory_bytes);
     let service = App::new()
         .with_state(Shared { requests, connections: Arc::clone(&connections), body_budget })
         .at("/config", fn_service(handle))
--- a/crates/pebblepost-control/src/runtime/server.rs
+++ b/crates/pebblepost-control/src/runtime/server.rs
@@ -81,7 +81,7 @@
     let memory = usize::try_from(limits.memory_bytes).unwrap_or(usize::MAX);
     HttpLimits {
         max_connections: max_request_connections(limits.max_fds),
-        max_body_memory: (memory / BODY_MEMORY_DIVISOR).max(MAX_BODY_BYTES),
+        max_body_memory_bytes: (memory / BODY_MEMORY_DIVISOR).max(MAX_BODY_BYTES),
     }
 }
 
--- a/crates/pebblepost-control/src/runtime/timers.rs
+++ b/crates/pebblepost-control/src/runtime/timers.rs
@@ -58,13 +58,13 @@
     /// Schedules the next tick; whether the settings should be reloaded.
     pub(super) fn ticked(&mut self, driver: &Driver) -> bool {
         if Instant::now() >= self.next_tick {
-            let is_standby = !driver.is_primary() && driver.knows_primary();
+            let is_standby = !driver.is_primary() && driver.is_primary_known();
             let interval = if is_standby { STANDBY_TICK_INTERVAL } else { TICK_INTERVAL };
             self.next_tick = Instant::now() + interval;
         }
-        let knows_primary = driver.knows_primary();
-        let is_reload_due = !knows_primary && Instant::now() >= self.reload_at;
-        if knows_primary || is_reload_due {
+        let is_primary_known = driver.is_primary_known();
+        let is_reload_due = !is_primary_known && Instant::now() >= self.reload_at;
+        if is_primary_known || is_reload_due {
             self.reload_at = Instant::now() + RELOAD_INTERVAL;
         }
         is_reload_due
--- a/crates/pebblepost-control/src/state.rs
+++ b/crates/pebblepost-control/src/state.rs
@@ -15,7 +15,9 @@
 mod state_machine;
 mod storage;
 
-pub use change_history::{AcceptedChange, BYTES_PER_CHANGE, ChangeHistory, ChangeRecord, MAX_CHANGES};
+pub use change_history::{
+    AcceptedChange, BYTES_PER_CHANGE, ChangeHistory, ChangeLookup, MAX_RECORDED_CHANGES,
+};
 pub use configuration::LastPatch;
 pub use control_state::ControlState;
 pub use storage::{GroupAssignment, RetirementState};
--- a/crates/pebblepost-control/src/state/change_history.rs
+++ b/crates/pebblepost-control/src/state/change_history.rs
@@ -5,9 +5,9 @@
 
 /// Most changes kept, of [`BYTES_PER_CHANGE`] each, in memory and in snapshots: two days and a half with 13,000 changes
 /// each.
-pub const MAX_CHANGES: usize = 32 * 1024;
+pub const MAX_RECORDED_CHANGES: usize = 32 * 1024;
 /// Oldest changes dropped together once there are more, so that dropping costs nothing on average.
-const DROPPED_TOGETHER: usize = MAX_CHANGES / 8;
+const DROPPED_TOGETHER: usize = MAX_RECORDED_CHANGES / 8;
 /// Bytes of a change, in memory and in the stored form.
 pub const BYTES_PER_CHANGE: usize = size_of::<AcceptedChange>();
 
@@ -24,7 +24,7 @@
 
 /// What is known of a change that is submitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ChangeRecord {
+pub enum ChangeLookup {
     /// Exactly this change was accepted.
     Accepted {
         /// Version that it produced.
@@ -33,7 +33,7 @@
     /// This change was never accepted.
     NotAccepted,
     /// The change that was accepted on the same base is kept no more: it may have been this one.
-    Forgotten,
+    Evicted,
 }
 
 /// The newest accepted changes, oldest first: each is based on the version that the one before produced. Part of the
@@ -47,22 +47,22 @@
     /// Records that `change` produced the version `generation`. Drops the oldest changes beyond the capacity.
     pub fn record(&mut self, change: &ConfigurationChange, generation: u64) {
         self.changes.push(AcceptedChange { base: change.base, generation, digest: change.digest() });
-        if self.changes.len() > MAX_CHANGES {
+        if self.changes.len() > MAX_RECORDED_CHANGES {
             self.changes.drain(..DROPPED_TOGETHER);
         }
     }
 
     /// Whether exactly this change was accepted before.
-    pub fn lookup(&self, change: &ConfigurationChange) -> ChangeRecord {
-        let Some(oldest) = self.changes.first() else { return ChangeRecord::NotAccepted };
+    pub fn lookup(&self, change: &ConfigurationChange) -> ChangeLookup {
+        let Some(oldest) = self.changes.first() else { return ChangeLookup::NotAccepted };
         if change.base < oldest.base {
-            return ChangeRecord::Forgotten;
+            return ChangeLookup::Evicted;
         }
         match self.accepted_on(change.base) {
             Some(accepted) if accepted.digest == change.digest() => {
-                ChangeRecord::Accepted { generation: accepted.generation }
+                ChangeLookup::Accepted { generation: accepted.generation }
             }
-            _ => ChangeRecord::NotAccepted,
+            _ => ChangeLookup::NotAccepted,
         }
     }
 
--- a/crates/pebblepost-control/src/state/command.rs
+++ b/crates/pebblepost-control/src/state/command.rs
@@ -170,7 +170,7 @@
     },
     /// The change is based on a version so old that it is not known any more whether it was accepted (503).
     #[error("not known any more whether the change on version {base} was accepted")]
-    Forgotten {
+    HistoryEvicted {
         /// The version that it is based on.
         base: u64,
     },
--- a/crates/pebblepost-control/src/state/configuration.rs
+++ b/crates/pebblepost-control/src/state/configuration.rs
@@ -1,6 +1,6 @@
 //! The replicated configuration: the current version and how it was produced.
 
-use super::change_history::{ChangeHistory, ChangeRecord};
+use super::change_history::{ChangeHistory, ChangeLookup};
 use super::command::{ChangeError, ChangeMethod, ConfigurationChange, Outcome};
 use pebblepost_configuration::Configuration;
 use std::sync::Arc;
@@ -68,8 +68,8 @@
     /// Why a change that is not based on the current version can't be accepted.
     fn base_error(&self, change: &ConfigurationChange) -> ChangeError {
         match self.history.lookup(change) {
-            ChangeRecord::Forgotten => ChangeError::Forgotten { base: change.base },
-            ChangeRecord::Accepted { .. } | ChangeRecord::NotAccepted => {
+            ChangeLookup::Evicted => ChangeError::HistoryEvicted { base: change.base },
+            ChangeLookup::Accepted { .. } | ChangeLookup::NotAccepted => {
                 ChangeError::VersionMismatch { current: self.generation() }
             }
         }
@@ -77,7 +77,7 @@
 
     /// Applies a change. A change that was accepted before has the same outcome again.
     pub(super) fn apply(&mut self, change: ConfigurationChange) -> Outcome {
-        if let ChangeRecord::Accepted { generation } = self.history.lookup(&change) {
+        if let ChangeLookup::Accepted { generation } = self.history.lookup(&change) {
             return Outcome::ConfigurationAccepted { generation };
         }
         let configuration = match self.validate(&change) {
--- a/crates/pebblepost-control/src/state/control_state.rs
+++ b/crates/pebblepost-control/src/state/control_state.rs
@@ -1,6 +1,6 @@
 //! The parts of the control state, what may be read of them, and how commands change them.
 
-use super::change_history::ChangeRecord;
+use super::change_history::ChangeLookup;
 use super::command::{ChangeError, Command, ConfigurationChange, Outcome};
 use super::configuration::{ConfigurationState, LastPatch};
 use super::shutdowns::Shutdowns;
@@ -54,8 +54,8 @@
     /// The version that exactly this change produced, if it was accepted before.
     pub fn accepted_generation(&self, change: &ConfigurationChange) -> Option<u64> {
         match self.configuration.history().lookup(change) {
-            ChangeRecord::Accepted { generation } => Some(generation),
-            ChangeRecord::NotAccepted | ChangeRecord::Forgotten => None,
+            ChangeLookup::Accepted { generation } => Some(generation),
+            ChangeLookup::NotAccepted | ChangeLookup::Evicted => None,
         }
     }
 
--- a/crates/pebblepost-control/src/storage/nodes.rs
+++ b/crates/pebblepost-control/src/storage/nodes.rs
@@ -45,7 +45,7 @@
     }
 
     /// A storage node announces its disk on a new link.
-    pub fn hello(&mut self, now: Duration, member: Member, bootstrap: bool) {
+    pub fn announce_disk(&mut self, now: Duration, member: Member, bootstrap: bool) {
         let announced = self.announced.entry(member.disk).or_insert_with(|| {
             self.last_joined = now;
             AnnouncedDisk {
@@ -63,14 +63,14 @@
     }
 
     /// A message arrived from a storage node.
-    pub fn message_received(&mut self, now: Duration, disk: DiskId) {
+    pub fn record_message(&mut self, now: Duration, disk: DiskId) {
         if let Some(announced) = self.announced.get_mut(&disk) {
             announced.last_message = now;
         }
     }
 
     /// A link of a storage node is closed, maybe by the read time-out: the failure time-out runs from the last message.
-    pub fn disconnected(&mut self, disk: DiskId) {
+    pub fn record_disconnect(&mut self, disk: DiskId) {
         if let Some(announced) = self.announced.get_mut(&disk) {
             announced.connections = announced.connections.saturating_sub(1);
         }
--- a/crates/pebblepost-control/src/storage/placement.rs
+++ b/crates/pebblepost-control/src/storage/placement.rs
@@ -1,7 +1,7 @@
 //! Placement of groups on disks: rendezvous hashing with bounded load, spread over failure domains, moving as few
 //! replicas as possible.
 
-use crate::hash::{fnv1a, mix};
+use crate::hash::{finalize_splitmix64, fnv1a};
 use crate::state::command::InitialAssignment;
 use pebblepost_messages::batch::STORE_GROUPS;
 use pebblepost_messages::{DiskId, Member};
@@ -17,11 +17,11 @@
 
 /// Rendezvous score of a disk for a group: the highest scores get the replicas.
 pub fn score(group: u32, disk: DiskId) -> u64 {
-    mix(fnv1a(&[&group.to_le_bytes(), &disk.0.to_le_bytes()]))
+    finalize_splitmix64(fnv1a(&[&group.to_le_bytes(), &disk.0.to_le_bytes()]))
 }
 
 /// First assignment of all groups, with primaries spread evenly.
-pub fn assign_all(usable: &BTreeMap<DiskId, Member>, tolerance: &Tolerance) -> Vec<InitialAssignment> {
+pub fn assign_all_groups(usable: &BTreeMap<DiskId, Member>, tolerance: &Tolerance) -> Vec<InitialAssignment> {
     let mut placement = Placement::new(std::iter::empty(), usable);
     let mut primaries: BTreeMap<DiskId, usize> = BTreeMap::new();
     let mut assignments = Vec::new();
--- a/crates/pebblepost-control/src/storage/planner.rs
+++ b/crates/pebblepost-control/src/storage/planner.rs
@@ -103,7 +103,7 @@
             self.usable().into_iter().filter(|(disk, _)| takes_part(disk)).collect();
         let members: Vec<Member> = usable.values().cloned().collect();
         let is_enough = members.len() >= self.replication_factor() && self.tolerance.is_met_by(&members);
-        is_enough.then(|| Command::BootstrapGroups(placement::assign_all(&usable, self.tolerance)))
+        is_enough.then(|| Command::BootstrapGroups(placement::assign_all_groups(&usable, self.tolerance)))
     }
 
     /// Replaces unusable targets; if there are none and no move is under way, moves one replica to an idle disk.
--- a/crates/pebblepost-control/tests/control/change_history.rs
+++ b/crates/pebblepost-control/tests/control/change_history.rs
@@ -6,7 +6,9 @@
 use crate::support::http_request;
 use pebblepost_control::api::HttpResponse;
 use pebblepost_control::state::command::{ChangeError, ChangeMethod, Command, ConfigurationChange};
-use pebblepost_control::state::{BYTES_PER_CHANGE, ChangeHistory, ChangeRecord, ControlState, MAX_CHANGES};
+use pebblepost_control::state::{
+    BYTES_PER_CHANGE, ChangeHistory, ChangeLookup, ControlState, MAX_RECORDED_CHANGES,
+};
 use pebblepost_replication::replica::StateMachine;
 use rstest::rstest;
 use std::time::Duration;
@@ -45,27 +47,27 @@
     let generations = 2 * CHANGES_A_DAY;
     let history = history(generations);
     for generation in 1..=generations {
-        assert_eq!(history.lookup(&change(generation)), ChangeRecord::Accepted { generation });
+        assert_eq!(history.lookup(&change(generation)), ChangeLookup::Accepted { generation });
     }
 }
 
 #[rstest]
 fn a_change_older_than_the_history_is_neither_accepted_nor_rejected() {
-    let generations = MAX_CHANGES as u64 + 1;
+    let generations = MAX_RECORDED_CHANGES as u64 + 1;
     let history = history(generations);
-    let is_forgotten = |generation: &u64| history.lookup(&change(*generation)) == ChangeRecord::Forgotten;
+    let is_forgotten = |generation: &u64| history.lookup(&change(*generation)) == ChangeLookup::Evicted;
     let forgotten = (1..=generations).filter(is_forgotten).count();
-    assert_eq!(forgotten, MAX_CHANGES / 8);
-    assert_eq!(history.lookup(&change(generations)), ChangeRecord::Accepted { generation: generations });
+    assert_eq!(forgotten, MAX_RECORDED_CHANGES / 8);
+    assert_eq!(history.lookup(&change(generations)), ChangeLookup::Accepted { generation: generations });
 }
 
 #[rstest]
 fn another_change_on_a_remembered_version_was_never_accepted() {
     let history = history(5);
     let other = ConfigurationChange { body: configuration(3, 11), ..change(3) };
-    assert_eq!(history.lookup(&other), ChangeRecord::NotAccepted);
+    assert_eq!(history.lookup(&other), ChangeLookup::NotAccepted);
     let ahead = ConfigurationChange { base: 9, ..change(3) };
-    assert_eq!(history.lookup(&ahead), ChangeRecord::NotAccepted);
+    assert_eq!(history.lookup(&ahead), ChangeLookup::NotAccepted);
 }
 
 #[rstest]
@@ -73,7 +75,7 @@
     let before = state(1).snapshot().len();
     let after = state(2).snapshot().len();
     assert_eq!(after - before, BYTES_PER_CHANGE, "the documents are of equal length");
-    const { assert!(MAX_CHANGES * BYTES_PER_CHANGE < 1024 * 1024, "at most a megabyte") };
+    const { assert!(MAX_RECORDED_CHANGES * BYTES_PER_CHANGE < 1024 * 1024, "at most a megabyte") };
 }
 
 #[rstest]
@@ -85,7 +87,7 @@
     assert!(!state.is_damaged());
     assert_eq!(state.accepted_generation(&change(3)), Some(3));
     let forgotten = state.validate(&change(2)).expect_err("the change is too old");
-    assert_eq!(forgotten, ChangeError::Forgotten { base: 1 });
+    assert_eq!(forgotten, ChangeError::HistoryEvicted { base: 1 });
     assert_eq!(HttpResponse::change_rejected(&forgotten).status, 503);
     let outdated = ConfigurationChange { body: configuration(7, 10), ..change(3) };
     let rejected = state.validate(&outdated).expect_err("version 3 is current");
--- a/crates/pebblepost-control/tests/control/failover.rs
+++ b/crates/pebblepost-control/tests/control/failover.rs
@@ -246,10 +246,11 @@
     let mut cluster = Cluster::acting();
     cluster.run(Duration::from_secs(1));
     let former = cluster.primary();
-    assert!((0..3).all(|node| cluster.node(node).knows_primary(cluster.now)));
+    assert!((0..3).all(|node| cluster.node(node).is_primary_known(cluster.now)));
     cluster.isolate(former);
     cluster.run(Duration::from_secs(4));
-    let knowing: Vec<usize> = (0..3).filter(|node| cluster.node(*node).knows_primary(cluster.now)).collect();
+    let knowing: Vec<usize> =
+        (0..3).filter(|node| cluster.node(*node).is_primary_known(cluster.now)).collect();
     assert_eq!(knowing, (0..3).filter(|node| *node != former).collect::<Vec<_>>());
 }
 
--- a/crates/pebblepost-control/tests/control/feed_sharing.rs
+++ b/crates/pebblepost-control/tests/control/feed_sharing.rs
@@ -127,7 +127,7 @@
         patch: Some(patch),
     };
     publisher.publish_configuration(FLUSH, 4, || next);
-    publisher.flush_due(FLUSH);
+    publisher.flush_if_due(FLUSH);
     let batches = sent(&mut publisher);
     assert_eq!((batches.len(), allocations(&batches)), (301, 1));
 }
@@ -141,7 +141,7 @@
     publisher.subscribe(Duration::ZERO, 1, "edge-1".into(), SubscriberRole::Agent, 3);
     sent(&mut publisher);
     publisher.publish_configuration(Duration::ZERO, 4, || next);
-    publisher.flush_due(Duration::ZERO);
+    publisher.flush_if_due(Duration::ZERO);
     let (_, updates) = sent(&mut publisher).pop().expect("a batch");
     let compressed = compress_updates(&updates).expect("it is long enough");
     assert!(
--- a/crates/pebblepost-control/tests/control/http.rs
+++ b/crates/pebblepost-control/tests/control/http.rs
@@ -17,7 +17,8 @@
 
 /// Connection limit in these tests.
 const MAX_CONNECTIONS: usize = 4;
-const LIMITS: HttpLimits = HttpLimits { max_connections: MAX_CONNECTIONS, max_body_memory: MAX_BODY_BYTES };
+const LIMITS: HttpLimits =
+    HttpLimits { max_connections: MAX_CONNECTIONS, max_body_memory_bytes: MAX_BODY_BYTES };
 
 /// Sends a request to a server with this handler; the submitted requests and the response.
 fn exchange(respond: fn(&HttpRequest) -> HttpResponse, request: &'static [u8]) -> (Vec<HttpRequest>, String) {
@@ -238,7 +239,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
         let address = listener.local_addr().expect("its address");
         let (requests, incoming) = mpsc::channel(8);
-        let limits = HttpLimits { max_body_memory: 100_000, ..LIMITS };
+        let limits = HttpLimits { max_body_memory_bytes: 100_000, ..LIMITS };
         spawn_local(serve(listener, requests, limits));
         spawn_local(respond_to_all(incoming, echo, Rc::default()));
         // A body that is still to come holds most of the memory.
--- a/crates/pebblepost-control/tests/control/load_orders.rs
+++ b/crates/pebblepost-control/tests/control/load_orders.rs
@@ -151,7 +151,7 @@
         generation: 2,
         mode,
     };
-    let mut body = load_order::body(&order, "node-7", 41);
+    let mut body = load_order::encode_body(&order, "node-7", 41);
     let value = simd_json::to_owned_value(&mut body).expect("JSON");
     let expected = simd_json::json!({
         "op": "generation", "model": "m", "generation": 2, "mode": name, "holder": "node-7", "fence_token": 41
--- a/crates/pebblepost-control/tests/control/membership.rs
+++ b/crates/pebblepost-control/tests/control/membership.rs
@@ -3,7 +3,7 @@
 use pebblepost_control::membership::bootstrap::{bootstrap_disk, bootstrap_record};
 use pebblepost_control::membership::{
     PeerStatus,
-    witnesses::{FailureEvidence, next_change},
+    witnesses::{FailureEvidence, next_witness_change},
 };
 use pebblepost_control::storage::placement;
 use pebblepost_messages::{DiskId, Member};
@@ -18,7 +18,7 @@
 }
 
 fn standing(disk: u64, silence_ms: u64) -> PeerStatus {
-    PeerStatus { member: member(disk), silent_for: Duration::from_millis(silence_ms) }
+    PeerStatus { member: member(disk), last_message_age: Duration::from_millis(silence_ms) }
 }
 
 fn record(witnesses: &[u64]) -> EpochRecord {
@@ -38,17 +38,18 @@
 #[rstest]
 fn witnesses_stay_while_all_are_live() {
     let known = [standing(1, 0), standing(2, 100), standing(3, 1400), standing(4, 0)];
-    assert_eq!(next_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout), None);
+    assert_eq!(next_witness_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout), None);
 }
 
 #[rstest]
 fn failed_witness_is_replaced_in_two_steps() {
     let known = [standing(1, 0), standing(2, 100), standing(3, 1600), standing(4, 0)];
-    let first = next_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout).expect("a change");
+    let first =
+        next_witness_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout).expect("a change");
     assert_eq!((first.epoch, disks(&first.witnesses)), (6, vec![1, 2, 4]));
     assert_eq!(disks(&first.former_witnesses), [1, 2, 3]);
     assert!(record(&[1, 2, 3]).may_be_followed_by(&first));
-    let second = next_change(&first, &known, 3, FailureEvidence::Timeout).expect("its completion");
+    let second = next_witness_change(&first, &known, 3, FailureEvidence::Timeout).expect("its completion");
     assert_eq!((second.epoch, disks(&second.witnesses)), (7, vec![1, 2, 4]));
     assert!(second.former_witnesses.is_empty());
     assert!(first.may_be_followed_by(&second));
@@ -57,7 +58,7 @@
 #[rstest]
 fn witness_is_not_replaced_without_a_live_candidate() {
     let known = [standing(1, 0), standing(2, 100), standing(3, 1600), standing(4, 1600)];
-    assert_eq!(next_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout), None);
+    assert_eq!(next_witness_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout), None);
 }
 
 #[rstest]
@@ -65,7 +66,8 @@
     let mut fresh = standing(9, 0);
     fresh.member.address = member(3).address;
     let known = [standing(1, 0), standing(2, 100), standing(3, 300), fresh];
-    let change = next_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout).expect("a change");
+    let change =
+        next_witness_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout).expect("a change");
     assert_eq!(disks(&change.witnesses), [1, 2, 9]);
 }
 
@@ -74,18 +76,20 @@
     let mut fresh = standing(9, 0);
     fresh.member.address = member(3).address;
     let known = [standing(1, 0), standing(2, 9_000), fresh, standing(4, 0)];
-    let change = next_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Replacement).expect("a change");
+    let change =
+        next_witness_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Replacement).expect("a change");
     assert_eq!(disks(&change.witnesses), [1, 2, 4], "2 may not have found this primary yet");
-    assert_eq!(next_change(&record(&[1, 2, 4]), &known, 3, FailureEvidence::Replacement), None);
+    assert_eq!(next_witness_change(&record(&[1, 2, 4]), &known, 3, FailureEvidence::Replacement), None);
 }
 
 #[rstest]
 fn witness_set_is_extended_to_its_size() {
     let known = [standing(1, 0), standing(2, 100), standing(3, 300)];
-    let change = next_change(&record(&[1, 2]), &known, 3, FailureEvidence::Timeout).expect("a change");
+    let change =
+        next_witness_change(&record(&[1, 2]), &known, 3, FailureEvidence::Timeout).expect("a change");
     assert_eq!(disks(&change.witnesses), [1, 2, 3]);
     assert_eq!(
-        next_change(&record(&[1, 2, 3]), &known, 5, FailureEvidence::Timeout),
+        next_witness_change(&record(&[1, 2, 3]), &known, 5, FailureEvidence::Timeout),
         None,
         "nobody is left to add"
     );
@@ -123,7 +127,7 @@
             (DiskId(disk), Member { node: format!("s{disk}"), zone, ..member(disk) })
         })
         .collect();
-    let assignments = placement::assign_all(&usable, &tolerance);
+    let assignments = placement::assign_all_groups(&usable, &tolerance);
     let mut load: BTreeMap<DiskId, usize> = usable.keys().map(|disk| (*disk, 0)).collect();
     for group in &assignments {
         assert_eq!(group.replicas.len(), replication_factor);
