--- a/crates/pebblepost-control/src/node.rs
+++ b/crates/pebblepost-control/src/node.rs
@@ -1,15 +1,16 @@
-//! A control process without I/O: whatever happens is an [`Input`], whatever has to be done is an [`Output`].
+//! A control node without I/O. Events are passed in as [`Input`]s; the actions to carry out are returned as
+//! [`Output`]s.
 //!
-//! [`ControlNode`] owns one part per concern and routes between them; the parts know nothing of each other:
+//! [`ControlNode`] owns one component per concern and routes between them. Components don't depend on each other:
 //!
-//! * `control_group`: the epoch register and the replica of the control state.
-//! * `inbound_links`, `peer_links`: links opened by other programs, and to other control processes.
-//! * `pending_requests`: HTTP requests that wait for a commit or for acknowledgements.
-//! * `deferred`: requests and links that wait for a primary to be known.
-//! * `primary`: what only a primary has; `order_lease`, `group_changes` and `storage_plan` are parts of it.
+//! * `control_group`: the epoch register and the local replica of the control state.
+//! * `inbound_links`, `peer_links`: links opened by other programs, and to other control nodes.
+//! * `pending_requests`: HTTP requests whose response waits for a commit or for acknowledgements.
+//! * `deferred`: requests and messages that wait until a primary is known.
+//! * `primary`: state that only a primary has, with its components `order_lease`, `group_changes` and `storage_plan`.
 //!
-//! The files `dispatch`, `requests`, `links`, `peering` and `leadership` are the routing. No part reads a clock, draws
-//! random numbers of its own or does I/O.
+//! The modules `dispatch`, `requests`, `links`, `peering` and `leadership` implement the routing. No component reads a
+//! clock, does I/O or draws random numbers other than those derived from [`NodeSettings::random_seed`].
 
 mod control_group;
 mod control_node;
--- a/crates/pebblepost-control/src/node/control_group.rs
+++ b/crates/pebblepost-control/src/node/control_group.rs
@@ -1,5 +1,5 @@
-//! This process's part in the control group: the epoch register, the replica of the control state, and how both use
-//! links and disk.
+//! This node's membership in the control group: the epoch register, the local replica of the control state, and how
+//! both use links and the disk.
 
 use super::events::Output;
 use super::settings::NodeSettings;
@@ -18,25 +18,25 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 const LEASE_DURATION: Duration = Duration::from_millis(700);
-/// Added to the lease before another replica takes over.
-const TAKEOVER_GRACE: Duration = Duration::from_millis(900);
+/// Time after a heartbeat of the primary before another replica may stand for election. It is longer than the lease.
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(900);
 const MAX_REPLICA_LAG: Duration = Duration::from_millis(500);
-const MAX_WRITE_TIME: Duration = Duration::from_millis(500);
-/// Bytes of entries kept in memory, from which replicas catch up without a snapshot.
+const DISK_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Limit on the log entries kept in memory, in bytes. Replicas catch up from them without a snapshot.
 const MAX_LOG_BYTES: usize = 4 * 1024 * 1024;
 
-/// Something that the rest of the process has to react to.
+/// A change of the control group that other components have to handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GroupEvent {
     /// Entries up to this index are committed and applied.
     Committed { index: u64 },
-    /// This process is primary of this epoch.
+    /// This node became primary of an epoch.
     BecamePrimary { epoch: u64 },
-    /// This process is no longer primary.
+    /// This node lost the primary role.
     SteppedDown,
 }
 
-/// Whose records a write contains, and the token to acknowledge it with.
+/// Component that requested a write, and the token with which completion is reported to it.
 #[derive(Clone, Copy, Debug)]
 enum WriteOwner {
     Bootstrap,
@@ -50,23 +50,23 @@
     owner: WriteOwner,
 }
 
-/// Who has proposed the change of the epoch that is in progress.
+/// Origin of the epoch change that is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Proposer {
-    /// The replica: another in-sync set or primary.
+    /// The replica proposed another in-sync set or another primary.
     Replica,
-    /// The primary: other witnesses.
+    /// The primary proposed another witness set.
     Witnesses,
 }
 
-/// A change of the epoch that waits for the one in progress.
+/// An epoch change that waits until the one in progress has ended.
 #[derive(Clone, Debug)]
 struct QueuedChange {
     expected_epoch: u64,
     record: EpochRecord,
 }
 
-/// The epoch register and the replica of this process.
+/// The epoch register and the control state replica of this node.
 #[derive(Debug)]
 pub(super) struct ControlGroup {
     replica: Replica<ControlState>,
@@ -78,13 +78,13 @@
     last_write: u64,
     proposer: Option<Proposer>,
     queued: Option<QueuedChange>,
-    /// Outputs taken from the replica and not processed yet.
+    /// Outputs that were taken from the replica but not processed yet.
     replica_outputs: VecDeque<ReplicaOutput>,
 }
 
 impl ControlGroup {
-    /// A member with the records recovered from its disk. `bootstrap` is the record that the group was bootstrapped with, where this
-    /// process knows it.
+    /// Creates a member from the records recovered from its disk. `bootstrap` is the epoch record with which the group
+    /// was bootstrapped, if this node knows it.
     pub(super) fn new(
         now: Duration, settings: &NodeSettings, recovered: RecoveredState, bootstrap: Option<EpochRecord>,
     ) -> ControlGroup {
@@ -93,9 +93,9 @@
             tolerance: settings.tolerance,
             heartbeat_interval: HEARTBEAT_INTERVAL,
             lease: LEASE_DURATION,
-            election_timeout: TAKEOVER_GRACE,
+            election_timeout: ELECTION_TIMEOUT,
             max_replica_lag: MAX_REPLICA_LAG,
-            write_timeout: MAX_WRITE_TIME,
+            write_timeout: DISK_WRITE_TIMEOUT,
             max_log_bytes: MAX_LOG_BYTES,
         };
         let state = ControlState::default();
@@ -119,42 +119,46 @@
         }
     }
 
-    /// The replicated state, as far as it is committed here.
+    /// Returns the replicated state with all entries applied that are known here to be committed.
     pub(super) fn state(&self) -> &ControlState {
         self.replica.state()
     }
 
-    /// The newest epoch record known here.
+    /// Returns the newest epoch record known to this node.
     pub(super) fn record(&self) -> &EpochRecord {
         self.replica.record()
     }
 
-    /// Whether this process is primary and its lease is valid.
+    /// Returns whether this node is primary and its lease is valid.
     pub(super) fn is_acting(&self, now: Duration) -> bool {
         self.replica.is_acting(now)
     }
 
-    /// When the lease of this primary expires unless it is renewed; `None` where it does not act.
+    /// Returns when this primary's lease expires unless renewed, or `None` if this node is not the acting primary.
     pub(super) fn lease_expires_at(&self, now: Duration) -> Option<Duration> {
         self.replica.lease_expires_at(now)
     }
 
-    /// Index of the newest committed entry.
-    pub(super) fn committed(&self) -> u64 {
+    /// Returns the index of the newest committed entry.
+    pub(super) fn commit_index(&self) -> u64 {
         self.replica.commit_index()
     }
 
-    /// Appends a command to the replicated log; the index of its entry.
+    /// Appends a command to the replicated log and returns the index of its entry. The command takes effect only once
+    /// that entry is committed.
+    ///
+    /// # Errors
+    /// If this node is not the primary, or too few replicas can store the entry.
     pub(super) fn propose(&mut self, now: Duration, command: &Command) -> Result<u64, ProposeError> {
         self.replica.propose(now, command.encode())
     }
 
-    /// Persists the record that the group is bootstrapped with.
+    /// Persists the epoch record with which the group is bootstrapped.
     pub(super) fn persist_bootstrap(&mut self, record: EpochRecord, outputs: &mut Vec<Output>) {
-        self.append(WriteOwner::Bootstrap, vec![ControlRecord::Bootstrap(record)], outputs);
+        self.append_records(WriteOwner::Bootstrap, vec![ControlRecord::Bootstrap(record)], outputs);
     }
 
-    /// Sets the disks of the processes that have sent something lately.
+    /// Sets the disks of the control nodes from which a message arrived recently.
     pub(super) fn set_reachable(&mut self, disks: BTreeSet<DiskId>) {
         self.replica.set_reachable(disks);
     }
@@ -164,8 +168,8 @@
         self.replica.tick(now);
     }
 
-    /// Writes up to this number are durable.
-    pub(super) fn persisted(&mut self, now: Duration, write: u64) {
+    /// Reports to the register and the replica that all writes up to number `write` are durable.
+    pub(super) fn handle_persisted(&mut self, now: Duration, write: u64) {
         while let Some(pending) = self.writes.pop_front_if(|pending| pending.number <= write) {
             match pending.owner {
                 WriteOwner::Bootstrap => {}
@@ -175,10 +179,11 @@
         }
     }
 
-    /// An encoded [`PeerMessage`] arrived from another member.
+    /// Processes an encoded [`PeerMessage`] from another member. Messages that can't be decoded or are addressed to
+    /// another disk are dropped.
     pub(super) fn receive(&mut self, now: Duration, from: &Member, bytes: &[u8]) {
         let Ok(message) = PeerMessage::deserialize_bin(bytes) else {
-            log::warn!("peer message can't be decoded peer={}", from.address);
+            log::warn!("peer message dropped: cannot be decoded peer={} bytes={}", from.address, bytes.len());
             return;
         };
         if message.to != self.me.disk {
@@ -190,7 +195,7 @@
         }
     }
 
-    /// Asks for another in-sync replica to become primary, if there is one.
+    /// Requests that another in-sync replica takes over as primary. Has no effect if this replica is the only one.
     pub(super) fn hand_over(&mut self, now: Duration) {
         let mut others = self.replica.record().in_sync.clone();
         others.retain(|member| member.disk != self.me.disk);
@@ -200,18 +205,18 @@
         }
     }
 
-    /// Sends the newest epoch to a process that has just connected.
-    pub(super) fn introduce(&mut self, to: &Member) {
+    /// Sends the newest epoch record to another node.
+    pub(super) fn announce_epoch(&mut self, to: &Member) {
         self.register.announce_chosen(to);
         self.replica.announce_epoch(to);
     }
 
-    /// Whether a change of the epoch is in progress.
+    /// Returns whether an epoch change is in progress or queued.
     pub(super) fn is_changing(&self) -> bool {
         self.proposer.is_some() || self.queued.is_some()
     }
 
-    /// Proposes a record with other witnesses, unless a change is in progress.
+    /// Proposes a record with another witness set, unless an epoch change is in progress.
     pub(super) fn propose_witnesses(&mut self, now: Duration, expected_epoch: u64, record: EpochRecord) {
         if self.proposer.is_none() {
             self.proposer = Some(Proposer::Witnesses);
@@ -219,7 +224,7 @@
         }
     }
 
-    /// The records that replace the disk's log; `None` while it must not be replaced.
+    /// Returns the records that replace the log on disk, or `None` while the log must not be replaced.
     pub(super) fn checkpoint(&self) -> Option<Vec<ControlRecord>> {
         let bootstrap = self.bootstrap.clone().map(ControlRecord::Bootstrap);
         let witness = self.witness.clone().map(ControlRecord::Witness);
@@ -227,7 +232,8 @@
         Some(bootstrap.into_iter().chain(witness).chain(replica).collect())
     }
 
-    /// Processes the outputs of the register and the replica up to the next event; `None` once there are no more.
+    /// Processes outputs of the register and the replica until one of them yields an event. Returns `None` once no
+    /// outputs are left.
     pub(super) fn poll(&mut self, now: Duration, outputs: &mut Vec<Output>) -> Option<GroupEvent> {
         loop {
             while let Some(output) = self.replica_outputs.pop_front() {
@@ -257,11 +263,11 @@
             }
             ReplicaOutput::Persist { token, records } => {
                 let records = records.into_iter().map(ControlRecord::Replica).collect();
-                self.append(WriteOwner::Replica { token }, records, outputs);
+                self.append_records(WriteOwner::Replica { token }, records, outputs);
                 None
             }
             ReplicaOutput::ChangeEpoch { expected, record } => {
-                self.propose_epoch(now, expected, record);
+                self.propose_replica_change(now, expected, record);
                 None
             }
             ReplicaOutput::Committed { index } => Some(GroupEvent::Committed { index }),
@@ -282,22 +288,23 @@
             RegisterOutput::Persist { token, state } => {
                 self.witness = Some(state.clone());
                 let record = ControlRecord::Witness(state);
-                self.append(WriteOwner::Register { token }, vec![record], outputs);
+                self.append_records(WriteOwner::Register { token }, vec![record], outputs);
             }
-            RegisterOutput::Chosen(record) => self.epoch_chosen(now, &record),
-            // A later proposal may be in progress already.
+            RegisterOutput::Chosen(record) => self.handle_chosen_epoch(now, &record),
+            // The rejection may belong to an earlier proposal than the one in progress.
             RegisterOutput::Rejected { .. } if self.register.is_proposing() => {}
             RegisterOutput::Rejected { .. } => {
                 if let Some(chosen) = self.register.chosen().cloned() {
                     self.replica.configure(now, &chosen);
                 }
-                self.change_ended(now);
+                self.finish_epoch_change(now);
             }
         }
     }
 
-    /// Proposes the replica's record, with the witnesses that are in force now.
-    fn propose_epoch(&mut self, now: Duration, expected_epoch: u64, mut record: EpochRecord) {
+    /// Proposes an epoch record of the replica, with the witness set of the chosen epoch. The change is queued while
+    /// another one is in progress; a change queued earlier is replaced.
+    fn propose_replica_change(&mut self, now: Duration, expected_epoch: u64, mut record: EpochRecord) {
         if self.proposer.is_some() {
             self.queued = Some(QueuedChange { expected_epoch, record });
             return;
@@ -310,7 +317,7 @@
         self.register.propose(now, expected_epoch, record);
     }
 
-    fn epoch_chosen(&mut self, now: Duration, record: &EpochRecord) {
+    fn handle_chosen_epoch(&mut self, now: Duration, record: &EpochRecord) {
         log::info!(
             "epoch chosen epoch={} primary={:016x} in_sync={} witnesses={}",
             record.epoch,
@@ -320,20 +327,20 @@
         );
         self.replica.configure(now, record);
         if self.proposer.is_some() && !self.register.is_proposing() {
-            self.change_ended(now);
+            self.finish_epoch_change(now);
         }
     }
 
-    fn change_ended(&mut self, now: Duration) {
+    fn finish_epoch_change(&mut self, now: Duration) {
         if self.proposer.take() == Some(Proposer::Replica) {
             self.replica.epoch_change_ended(now);
         }
         if let Some(QueuedChange { expected_epoch, record }) = self.queued.take() {
-            self.propose_epoch(now, expected_epoch, record);
+            self.propose_replica_change(now, expected_epoch, record);
         }
     }
 
-    fn append(&mut self, owner: WriteOwner, records: Vec<ControlRecord>, outputs: &mut Vec<Output>) {
+    fn append_records(&mut self, owner: WriteOwner, records: Vec<ControlRecord>, outputs: &mut Vec<Output>) {
         self.last_write += 1;
         self.writes.push_back(PendingWrite { number: self.last_write, owner });
         outputs.push(Output::Append { write: self.last_write, records });
--- a/crates/pebblepost-control/src/node/control_node.rs
+++ b/crates/pebblepost-control/src/node/control_node.rs
@@ -1,4 +1,4 @@
-//! The parts of a control process, and what other modules may ask it.
+//! The components of a control node, and queries of its state.
 
 use super::control_group::ControlGroup;
 use super::deferred::DeferredRequests;
@@ -17,11 +17,12 @@
 use pebblepost_replication::record::EpochRecord;
 use std::time::Duration;
 
-/// Time without a message after which another primary counts as failed, and requests are not redirected to it: a caller
-/// would wait for a second there. Twice the pause between its messages.
+/// Time without a message after which another primary counts as failed and requests are no longer redirected to it,
+/// because a caller would wait there for its time-out of one second. Twice the interval between a primary's
+/// messages.
 const PRIMARY_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A control process without I/O.
+/// A control node without I/O.
 #[derive(Debug)]
 pub struct ControlNode {
     pub(super) settings: NodeSettings,
@@ -32,18 +33,18 @@
     pub(super) deferred: DeferredRequests,
     pub(super) pending: PendingRequests,
     pub(super) registry: Registry,
-    /// Number of proxies that the primary's feed published last.
+    /// Number of proxies that the primary's feed published most recently.
     pub(super) proxy_count: u32,
     pub(super) primary: Option<Primary>,
-    /// Link addresses of control processes that were advertised last.
+    /// Link addresses of control nodes as they were last advertised.
     pub(super) advertised: Vec<String>,
-    /// When periodic checks are due.
-    pub(super) housekeeping_at: Duration,
+    /// Time at which the periodic checks are due.
+    pub(super) next_periodic_checks: Duration,
     pub(super) outputs: Vec<Output>,
 }
 
 impl ControlNode {
-    /// A process with the records recovered from its disk.
+    /// Creates a node from the records recovered from its disk.
     pub fn new(now: Duration, settings: NodeSettings, recovered: RecoveredState) -> ControlNode {
         let is_first_start = settings.may_bootstrap && recovered.bootstrap.is_none();
         let derived =
@@ -60,7 +61,7 @@
             proxy_count: 0,
             primary: None,
             advertised: Vec::new(),
-            housekeeping_at: now,
+            next_periodic_checks: now,
             outputs: Vec::new(),
             settings,
         };
@@ -70,52 +71,52 @@
         node
     }
 
-    /// Takes the pending outputs, in order.
+    /// Removes and returns the pending outputs, in the order in which they have to be carried out.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// When [`Input::Tick`](super::Input::Tick) is needed earlier than usual.
+    /// Returns the time at which an [`Input::Tick`](super::Input::Tick) is needed in addition to the periodic ones.
     pub fn due_at(&self) -> Option<Duration> {
         self.primary.as_ref().and_then(|primary| primary.feed.due_at())
     }
 
-    /// Whether this process is primary and its lease is valid.
+    /// Returns whether this node is primary and its lease is valid.
     pub fn is_acting(&self, now: Duration) -> bool {
         self.primary.is_some() && self.group.is_acting(now)
     }
 
-    /// Whether this process is primary, with a valid lease or without.
+    /// Returns whether this node is primary, regardless of its lease.
     pub fn is_primary(&self) -> bool {
         self.primary.is_some()
     }
 
-    /// Whether this process acts as primary, or another primary is known to be live.
+    /// Returns whether this node is the acting primary, or another primary is known to be live.
     pub fn is_primary_known(&self, now: Duration) -> bool {
         self.is_acting(now) || self.live_primary(now).is_some()
     }
 
-    /// The replicated state, as far as it is committed here.
+    /// Returns the replicated state with all entries applied that are known here to be committed.
     pub fn state(&self) -> &ControlState {
         self.group.state()
     }
 
-    /// The newest epoch record known here.
+    /// Returns the newest epoch record known to this node.
     pub fn record(&self) -> &EpochRecord {
         self.group.record()
     }
 
-    /// The registrations known here.
+    /// Returns the registry of instances known to this node.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// The records that replace the disk's log; `None` while it must not be replaced.
+    /// Returns the records that replace the log on disk, or `None` while the log must not be replaced.
     pub fn checkpoint(&self) -> Option<Vec<ControlRecord>> {
         self.group.checkpoint()
     }
 
-    /// The primary, if it is another process.
+    /// Returns the primary of the newest epoch record, if it is another node.
     pub(super) fn other_primary(&self) -> Option<&Member> {
         let record = self.group.record();
         let primary = record.primary;
@@ -125,7 +126,7 @@
         members_of(record).find(|member| member.disk == primary)
     }
 
-    /// The primary, if it is another process that has sent something lately.
+    /// Returns the primary if it is another node from which a message arrived within [`PRIMARY_TIMEOUT`].
     pub(super) fn live_primary(&self, now: Duration) -> Option<&Member> {
         let primary = self.other_primary()?;
         (self.peers.last_message_age(now, primary.disk)? < PRIMARY_TIMEOUT).then_some(primary)
--- a/crates/pebblepost-control/src/node/deferred.rs
+++ b/crates/pebblepost-control/src/node/deferred.rs
@@ -1,4 +1,5 @@
-//! What arrives while no primary is known waits here for a short time, so that it is served as soon as there is one.
+//! Messages and requests that arrive while no primary is known. They are held back for a short time, so that they can
+//! be served or redirected as soon as there is one.
 
 use super::events::RequestId;
 use crate::api::HttpRequest;
@@ -7,22 +8,25 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest wait of a link: this process may be the one that is partitioned.
-const MAX_LINK_WAIT: Duration = Duration::from_millis(400);
-/// Longest wait of an HTTP request: a caller goes elsewhere after a second of silence, and a takeover takes less.
-const MAX_REQUEST_WAIT: Duration = Duration::from_millis(800);
-/// Most registrations of transcribers that wait. They come again, so they leave room for others.
-const MAX_REGISTRATIONS: usize = 256;
-/// Most HTTP requests that wait.
-const MAX_REQUESTS: usize = 512;
+/// Time for which the messages of a link are deferred. It is short because this node itself may be partitioned from the
+/// others.
+const LINK_DEFERRAL_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time for which an HTTP request is deferred. A caller tries another node after one second without a response, and a
+/// takeover takes less.
+const REQUEST_DEFERRAL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Number of deferred requests from which on no registrations are deferred. Transcribers repeat them, so the remaining
+/// capacity is reserved for other requests.
+const MAX_DEFERRED_REQUESTS_FOR_REGISTRATION: usize = 256;
+/// Limit on deferred HTTP requests.
+const MAX_DEFERRED_REQUESTS: usize = 512;
 
 #[derive(Debug)]
 struct Deferred<T> {
-    content: T,
+    payload: T,
     since: Duration,
 }
 
-/// Links of agents and storage nodes with their messages, and HTTP requests, that wait for a primary.
+/// Messages of agents and storage nodes by link, and HTTP requests, that wait for a primary.
 #[derive(Debug, Default)]
 pub(super) struct DeferredRequests {
     links: BTreeMap<ConnectionId, Deferred<Vec<ToControl>>>,
@@ -30,29 +34,34 @@
 }
 
 impl DeferredRequests {
-    /// Defers a message of a link.
+    /// Defers a message of a link. The time limit of a link runs from its first deferred message.
     pub(super) fn defer_message(&mut self, now: Duration, connection: ConnectionId, message: ToControl) {
-        let first = || Deferred { content: Vec::new(), since: now };
-        self.links.entry(connection).or_insert_with(first).content.push(message);
+        let first = || Deferred { payload: Vec::new(), since: now };
+        self.links.entry(connection).or_insert_with(first).payload.push(message);
     }
 
-    /// Defers an HTTP request. There has to be capacity.
+    /// Defers an HTTP request. The caller has to check [`Self::has_capacity`] first.
     pub(super) fn defer_request(&mut self, now: Duration, id: RequestId, request: HttpRequest) {
-        self.requests.insert(id, Deferred { content: request, since: now });
+        self.requests.insert(id, Deferred { payload: request, since: now });
     }
 
-    /// Whether another HTTP request may be deferred.
+    /// Returns whether there is capacity to defer this HTTP request.
     pub(super) fn has_capacity(&self, request: &HttpRequest) -> bool {
-        let max = if request.is_registration() { MAX_REGISTRATIONS } else { MAX_REQUESTS };
+        let max = if request.is_registration() {
+            MAX_DEFERRED_REQUESTS_FOR_REGISTRATION
+        } else {
+            MAX_DEFERRED_REQUESTS
+        };
         self.requests.len() < max
     }
 
-    /// A link was closed.
-    pub(super) fn disconnected(&mut self, connection: ConnectionId) {
+    /// Drops the messages of a closed link.
+    pub(super) fn remove_link(&mut self, connection: ConnectionId) {
         self.links.remove(&connection);
     }
 
-    /// Whether a link waits. Nothing may be sent on it meanwhile: it would pass for the primary's response.
+    /// Returns whether messages of a link are deferred. Nothing may be sent on such a link, because the other end
+    /// would take it for the primary's response.
     pub(super) fn contains_link(&self, connection: ConnectionId) -> bool {
         self.links.contains_key(&connection)
     }
@@ -61,21 +70,27 @@
         self.links.is_empty() && self.requests.is_empty()
     }
 
-    /// Takes the links that need not wait any more: all of them, or those that have waited long enough.
-    pub(super) fn take_links(&mut self, now: Duration, all: bool) -> Vec<(ConnectionId, Vec<ToControl>)> {
-        take(&mut self.links, now, MAX_LINK_WAIT, all)
+    /// Removes and returns the messages of all links if `release_all` is set, otherwise of those that have reached
+    /// their time limit.
+    pub(super) fn take_links(
+        &mut self, now: Duration, release_all: bool,
+    ) -> Vec<(ConnectionId, Vec<ToControl>)> {
+        take(&mut self.links, now, LINK_DEFERRAL_TIMEOUT, release_all)
     }
 
-    /// Takes the HTTP requests that need not wait any more: all of them, or those that have waited long enough.
-    pub(super) fn take_requests(&mut self, now: Duration, all: bool) -> Vec<(RequestId, HttpRequest)> {
-        take(&mut self.requests, now, MAX_REQUEST_WAIT, all)
+    /// Removes and returns all HTTP requests if `release_all` is set, otherwise those that have reached their time
+    /// limit.
+    pub(super) fn take_requests(
+        &mut self, now: Duration, release_all: bool,
+    ) -> Vec<(RequestId, HttpRequest)> {
+        take(&mut self.requests, now, REQUEST_DEFERRAL_TIMEOUT, release_all)
     }
 }
 
 fn take<K: Ord + Copy, T>(
-    waiting: &mut BTreeMap<K, Deferred<T>>, now: Duration, max_wait: Duration, all: bool,
+    waiting: &mut BTreeMap<K, Deferred<T>>, now: Duration, max_wait: Duration, release_all: bool,
 ) -> Vec<(K, T)> {
-    let is_due = |deferred: &Deferred<T>| all || now.saturating_sub(deferred.since) >= max_wait;
+    let is_due = |deferred: &Deferred<T>| release_all || now.saturating_sub(deferred.since) >= max_wait;
     let due = waiting.extract_if(.., |_, deferred| is_due(deferred));
-    due.map(|(key, deferred)| (key, deferred.content)).collect()
+    due.map(|(key, deferred)| (key, deferred.payload)).collect()
 }
--- a/crates/pebblepost-control/src/node/events.rs
+++ b/crates/pebblepost-control/src/node/events.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of a control process.
+//! Inputs and outputs of a control node.
 
 use crate::api::{HttpRequest, HttpResponse};
 use crate::feed::{ConnectionId, SharedUpdates};
@@ -9,15 +9,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Number of an HTTP request of this process.
+/// Number that identifies an HTTP request within this node.
 pub type RequestId = u64;
 
-/// An event that a control process reacts to.
+/// An event that a control node reacts to.
 #[derive(Debug)]
 pub enum Input {
     /// An HTTP request arrived.
     Request {
-        /// Its number.
+        /// Number of the request.
         id: RequestId,
         /// The request.
         request: HttpRequest,
@@ -34,33 +34,33 @@
         /// The link.
         connection: ConnectionId,
     },
-    /// The link to another control process is up.
+    /// The link to another control node is up.
     PeerConnected {
-        /// Its address, as it was dialed.
+        /// Address of that node, as it was dialed.
         address: String,
     },
-    /// A message arrived on the link to another control process.
+    /// A message arrived on the link to another control node.
     PeerMessage {
-        /// Its address, as it was dialed.
+        /// Address of that node, as it was dialed.
         address: String,
         /// The message.
         message: FromControl,
     },
-    /// The link to another control process was closed.
+    /// The link to another control node was closed.
     PeerDisconnected {
-        /// Its address, as it was dialed.
+        /// Address of that node, as it was dialed.
         address: String,
     },
     /// Records are durable.
     Persisted {
-        /// Number of the newest write that is durable, with all before it.
+        /// Number of the newest durable write. All earlier writes are durable as well.
         write: u64,
     },
-    /// A transcriber answered a load order.
+    /// A load order was answered, or could not be sent.
     OrderAnswered {
-        /// The order.
+        /// The load order.
         order: LoadOrder,
-        /// The answer.
+        /// The outcome.
         answer: OrderOutcome,
     },
     /// A transcriber's load report arrived, or could not be fetched.
@@ -70,11 +70,11 @@
         /// The report, if it arrived.
         report: Option<TranscriberReport>,
     },
-    /// The settings name other seeds.
+    /// The settings were reloaded with these seeds.
     SeedsChanged(Vec<SocketAddr>),
-    /// The process shuts down: a primary hands over.
+    /// The node shuts down. A primary hands over to another replica.
     Terminate,
-    /// Time has passed.
+    /// Runs what is due at the current time.
     Tick,
 }
 
@@ -87,7 +87,8 @@
         id: RequestId,
         /// The response.
         response: HttpResponse,
-        /// Time after which the response must not leave any more, for what is true under the lease only.
+        /// Time after which the response must not be sent. Set for responses that are valid only while the lease is
+        /// held.
         send_by: Option<Duration>,
     },
     /// Send a message on an inbound link.
@@ -103,7 +104,7 @@
         connection: ConnectionId,
         /// Sequence number of the batch on the link.
         sequence: u64,
-        /// Its updates, in one allocation for all links that are sent the same.
+        /// Updates of the batch. Links that are sent the same updates share one allocation.
         updates: SharedUpdates,
     },
     /// Close an inbound link once everything sent on it is written.
@@ -111,38 +112,39 @@
         /// The link.
         connection: ConnectionId,
     },
-    /// Send a message on the link to another control process, if it is up.
+    /// Send a message on the link to another control node, if it is up.
     SendPeer {
-        /// Its address.
+        /// Address of that node.
         address: String,
         /// The message.
         message: ToControl,
     },
-    /// Keep links to exactly these addresses.
+    /// Maintain links to exactly these addresses: dial the new ones and close all others.
     DialPeers(BTreeSet<String>),
-    /// Dial this address without waiting for the backoff, if a link to it is kept and not up: its process is running.
+    /// Dial this address immediately instead of after the backoff, if a link to it is maintained but not up. The node
+    /// there is known to be running.
     DialPeerNow(String),
     /// Append records to the disk; answered by [`Input::Persisted`].
     Append {
-        /// Number of the write, rising.
+        /// Number of the write. Numbers increase by one.
         write: u64,
         /// The records.
         records: Vec<ControlRecord>,
     },
     /// Send a load order to a transcriber; answered by [`Input::OrderAnswered`].
     SendOrder {
-        /// The order.
+        /// The load order.
         order: LoadOrder,
-        /// Its body, JSON.
+        /// Body of the request, JSON.
         body: Vec<u8>,
-        /// When the lease under which it was decided expires: the order must not be sent later.
+        /// Expiry of the lease under which the load order was issued. It must not be sent later.
         send_by: Duration,
     },
     /// Fetch a transcriber's load report; answered by [`Input::LoadReported`].
     FetchLoadReport {
         /// Identity of the transcriber.
         instance: String,
-        /// Its address.
+        /// Address of the transcriber.
         address: String,
     },
 }
--- a/crates/pebblepost-control/src/node/group_changes.rs
+++ b/crates/pebblepost-control/src/node/group_changes.rs
@@ -1,20 +1,20 @@
-//! Requests of storage nodes to change a group's epoch that wait for their commit.
+//! Requests of storage nodes to change the epoch of a store group, until their entries are committed.
 
 use crate::feed::ConnectionId;
 use std::collections::BTreeMap;
 
-/// A request to change a group's epoch.
+/// A request to change the epoch of a store group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct GroupChangeRequest {
     /// Link of the storage node.
     pub(super) connection: ConnectionId,
-    /// Number of the request on that link.
+    /// Number of the request, unique on that link.
     pub(super) request: u64,
-    /// The group.
+    /// The store group.
     pub(super) group: u32,
 }
 
-/// Requests by the index of their entry.
+/// Pending requests by the index of their log entry.
 #[derive(Debug, Default)]
 pub(super) struct GroupChangeRequests {
     by_index: BTreeMap<u64, GroupChangeRequest>,
@@ -25,7 +25,7 @@
         self.by_index.insert(index, request);
     }
 
-    /// Takes the requests whose entries are committed, with the index of their entry.
+    /// Removes and returns the requests whose entries are committed, by the index of their entry.
     pub(super) fn take_committed(&mut self, committed: u64) -> BTreeMap<u64, GroupChangeRequest> {
         let later = self.by_index.split_off(&(committed + 1));
         std::mem::replace(&mut self.by_index, later)
--- a/crates/pebblepost-control/src/node/inbound_links.rs
+++ b/crates/pebblepost-control/src/node/inbound_links.rs
@@ -1,4 +1,4 @@
-//! Links that other programs have opened to this process.
+//! Links that other programs have opened to this node.
 
 use super::events::Output;
 use crate::feed::ConnectionId;
@@ -7,15 +7,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// An inbound link of a control process on which nothing was sent for this long gets a keep-alive. Subscribers get
-/// theirs from the feed.
+/// Time without an outgoing message after which a keep-alive is sent on an inbound link of a control node. The feed
+/// sends the keep-alives of subscribers.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(700);
 
 #[derive(Debug, Default)]
 struct InboundLink {
-    /// The control process at the other end.
+    /// The control node at the other end, once it has identified itself.
     peer: Option<Member>,
-    /// Disk of the storage node at the other end.
+    /// Disk of the storage node at the other end, once it has identified itself.
     store: Option<DiskId>,
     last_sent: Duration,
 }
@@ -34,44 +34,44 @@
 }
 
 impl InboundLinks {
-    /// A message arrived on a link, maybe the first one.
-    pub(super) fn open(&mut self, connection: ConnectionId) {
+    /// Adds a link unless it is known already.
+    pub(super) fn add(&mut self, connection: ConnectionId) {
         self.links.entry(connection).or_default();
     }
 
-    /// Removes a link, if it is known.
-    pub(super) fn close(&mut self, connection: ConnectionId) -> Option<ClosedLink> {
+    /// Removes a link and returns what was known of it.
+    pub(super) fn remove(&mut self, connection: ConnectionId) -> Option<ClosedLink> {
         self.links.remove(&connection).map(|link| ClosedLink { store: link.store })
     }
 
-    /// The control process at the other end of a link, once it has introduced itself.
+    /// Returns the control node at the other end of a link, once it has identified itself.
     pub(super) fn peer(&self, connection: ConnectionId) -> Option<&Member> {
         self.links.get(&connection).and_then(|link| link.peer.as_ref())
     }
 
-    /// Disk of the storage node at the other end of a link, once it has introduced itself.
+    /// Returns the disk of the storage node at the other end of a link, once it has identified itself.
     pub(super) fn store(&self, connection: ConnectionId) -> Option<DiskId> {
         self.links.get(&connection).and_then(|link| link.store)
     }
 
-    /// The control process at the other end has introduced itself.
+    /// Records the control node at the other end of a link.
     pub(super) fn set_peer(&mut self, connection: ConnectionId, member: Member) {
         if let Some(link) = self.links.get_mut(&connection) {
             link.peer = Some(member);
         }
     }
 
-    /// The storage node at the other end has introduced itself; the disk that it named before.
+    /// Records the disk of the storage node at the other end of a link, and returns the disk recorded before.
     pub(super) fn set_store(&mut self, connection: ConnectionId, disk: DiskId) -> Option<DiskId> {
         self.links.get_mut(&connection).and_then(|link| link.store.replace(disk))
     }
 
-    /// All links.
+    /// Returns all links.
     pub(super) fn connections(&self) -> impl Iterator<Item = ConnectionId> {
         self.links.keys().copied()
     }
 
-    /// Links of storage nodes.
+    /// Returns the links of storage nodes.
     pub(super) fn stores(&self) -> impl Iterator<Item = ConnectionId> {
         let stores = self.links.iter().filter(|(_, link)| link.store.is_some());
         stores.map(|(connection, _)| *connection)
@@ -80,18 +80,18 @@
     pub(super) fn send(
         &mut self, now: Duration, connection: ConnectionId, message: FromControl, outputs: &mut Vec<Output>,
     ) {
-        self.note_sent(now, connection);
+        self.record_sent(now, connection);
         outputs.push(Output::Send { connection, message });
     }
 
-    /// Something is sent on a link: it needs no keep-alive for some time.
-    pub(super) fn note_sent(&mut self, now: Duration, connection: ConnectionId) {
+    /// Records that a message is sent on a link, which postpones its next keep-alive.
+    pub(super) fn record_sent(&mut self, now: Duration, connection: ConnectionId) {
         if let Some(link) = self.links.get_mut(&connection) {
             link.last_sent = now;
         }
     }
 
-    /// Sends keep-alives on idle links of control processes.
+    /// Sends keep-alives on idle links of control nodes.
     pub(super) fn send_keep_alives(&mut self, now: Duration, outputs: &mut Vec<Output>) {
         for (connection, link) in &mut self.links {
             if link.peer.is_some() && now.saturating_sub(link.last_sent) >= KEEP_ALIVE_INTERVAL {
--- a/crates/pebblepost-control/src/node/leadership.rs
+++ b/crates/pebblepost-control/src/node/leadership.rs
@@ -1,4 +1,4 @@
-//! Becoming primary, acting as primary, stepping down.
+//! Taking over as primary, the duties of a primary, and stepping down.
 
 use super::control_node::ControlNode;
 use super::events::Output;
@@ -11,11 +11,12 @@
 use pebblepost_messages::control::FromControl;
 use std::time::Duration;
 
-/// Time that a new primary gives witnesses to send something before a time-out counts as failure.
+/// Time after a takeover in which the silence of a witness does not count as its failure.
 const WITNESS_GRACE: Duration = Duration::from_secs(2);
 
 impl ControlNode {
-    /// This process is primary of an epoch, maybe already of an earlier one.
+    /// Starts to act as primary of an epoch. If this node was primary of the previous epoch already, only the epoch
+    /// changes.
     pub(super) fn become_primary(&mut self, now: Duration, epoch: u64) {
         if let Some(primary) = &mut self.primary {
             primary.epoch = epoch;
@@ -28,10 +29,10 @@
         let primary = Primary::new(now, epoch, &self.settings, state, &self.registry, self.proxy_count);
         self.primary = Some(primary);
         self.propose_barrier(now);
-        self.introduce_epoch(now);
+        self.announce_epoch_to_peers(now);
     }
 
-    /// This process is no longer primary.
+    /// Drops the primary state, aborts waiting requests and redirects subscribers.
     pub(super) fn step_down(&mut self, now: Duration) {
         let Some(primary) = self.primary.take() else { return };
         log::info!("stepped down epoch={}", primary.epoch);
@@ -41,15 +42,15 @@
         self.redirect_all(now, subscribers);
     }
 
-    /// Entries up to an index are committed and applied.
-    pub(super) fn committed(&mut self, now: Duration, index: u64) {
+    /// Publishes and answers what follows from the commit of all entries up to `index`.
+    pub(super) fn handle_committed(&mut self, now: Duration, index: u64) {
         if let Some(primary) = &mut self.primary {
             primary.publish(now, self.group.state());
         }
         self.respond_to_committed(index);
         self.respond_to_group_changes(now, index);
         if let Some(primary) = &mut self.primary {
-            primary.storage_plan.committed(now, index);
+            primary.storage_plan.record_committed(now, index);
         }
     }
 
@@ -72,8 +73,8 @@
         primary.feed.tick(now);
     }
 
-    /// Periodic checks of a primary.
-    pub(super) fn primary_housekeeping(&mut self, now: Duration) {
+    /// Runs the periodic checks of a primary: its lease, expired registrations and witnesses.
+    pub(super) fn run_primary_checks(&mut self, now: Duration) {
         self.redirect_if_lapsed(now);
         if !self.is_acting(now) {
             return;
@@ -86,7 +87,7 @@
         self.maintain_witnesses(now);
     }
 
-    /// Processes the outputs of the primary's parts.
+    /// Processes the outputs of the primary's components.
     pub(super) fn advance_primary(&mut self, now: Duration) {
         self.plan_storage(now);
         self.advance_rollout(now);
@@ -95,7 +96,7 @@
         for action in primary.feed.take_actions() {
             match action {
                 FeedAction::Send { connection, sequence, updates } => {
-                    self.inbound.note_sent(now, connection);
+                    self.inbound.record_sent(now, connection);
                     self.outputs.push(Output::SendFeed { connection, sequence, updates });
                 }
                 FeedAction::KeepAlive { connection } => self.send(now, connection, FromControl::KeepAlive),
@@ -104,23 +105,26 @@
         }
     }
 
-    /// The replicated copy of the registrations may lack the newest shutdowns, or all of them after a restart.
+    /// Applies the replicated graceful shutdowns to the registry, whose copy from the former primary's feed may lack
+    /// the newest ones, or all of them after a restart.
     fn apply_shutdowns(&mut self) {
         for (instance, phase) in self.group.state().shutdowns().iter() {
             self.registry.apply_shutdown(instance, phase);
         }
     }
 
-    /// Sends the epoch to all processes, also those without a replica: requests and links wait there for a primary.
-    fn introduce_epoch(&mut self, now: Duration) {
+    /// Sends the epoch to all known control nodes, including those without a replica, where requests and links may wait
+    /// for a primary.
+    fn announce_epoch_to_peers(&mut self, now: Duration) {
         for peer in self.peers.statuses(now) {
             if peer.member.disk != self.settings.me.disk {
-                self.group.introduce(&peer.member);
+                self.group.announce_epoch(&peer.member);
             }
         }
     }
 
-    /// Proposes the barrier of this term, unless it was: with too few disks that may fail at first.
+    /// Proposes the barrier of this term unless it was proposed already. A proposal fails while too few replicas are
+    /// available, so it is repeated on each tick.
     fn propose_barrier(&mut self, now: Duration) {
         let Some(primary) = self.primary.as_mut().filter(|primary| !primary.barrier.is_proposed()) else {
             return;
@@ -130,26 +134,27 @@
         }
     }
 
-    /// Whether nothing that former primaries left undecided can be decided any more: what was not taken stays so.
-    pub(super) fn is_past_barrier(&self) -> bool {
-        let committed = self.group.committed();
+    /// Returns whether the barrier of this term is committed. From then on no uncommitted entry of a former primary
+    /// can be committed any more.
+    pub(super) fn is_barrier_committed(&self) -> bool {
+        let committed = self.group.commit_index();
         self.primary.as_ref().is_some_and(|primary| primary.barrier.is_committed(committed))
     }
 
     fn acquire_order_lease(&mut self, now: Duration) {
         let Some(primary) = &mut self.primary else { return };
-        let Some(command) = primary.order_lease.acquisition(now, self.group.state()) else { return };
+        let Some(command) = primary.order_lease.due_acquisition(now, self.group.state()) else { return };
         if self.group.propose(now, &command).is_ok() {
-            primary.order_lease.proposed();
+            primary.order_lease.mark_proposed();
         }
     }
 
-    /// A primary without a valid lease may be partitioned: its subscribers have to look for another one, as they would
-    /// be sent nothing new here.
+    /// Redirects all subscribers if the lease has been invalid for too long. This primary may be partitioned then,
+    /// and would send its subscribers nothing new.
     fn redirect_if_lapsed(&mut self, now: Duration) {
         let is_acting = self.is_acting(now);
         let Some(primary) = &mut self.primary else { return };
-        if primary.has_lapsed(now, is_acting) {
+        if primary.update_lapsed(now, is_acting) {
             let subscribers: Vec<ConnectionId> = primary.feed.connections().collect();
             self.redirect_all(now, subscribers);
         }
@@ -164,18 +169,18 @@
         let set_size = self.settings.witness_set_size();
         if let Some(next) = witnesses::next_witness_change(record, &peers, set_size, evidence) {
             let expected_epoch = record.epoch;
-            log::info!("proposing other witnesses epoch={expected_epoch}");
+            log::info!("proposing witness set change epoch={expected_epoch}");
             self.group.propose_witnesses(now, expected_epoch, next);
         }
     }
 
-    /// Proposes the next changes of storage, if a plan is due.
+    /// Proposes the next changes of the store groups, if a plan is due.
     fn plan_storage(&mut self, now: Duration) {
         if !self.is_acting(now) {
             return;
         }
         let Some(primary) = &mut self.primary else { return };
-        if !primary.storage_plan.start(now) {
+        if !primary.storage_plan.start_if_due(now) {
             return;
         }
         let tolerance = &self.settings.tolerance;
@@ -183,7 +188,7 @@
         for command in planner.plan() {
             log::info!("proposing command: {command}");
             if let Ok(index) = self.group.propose(now, &command) {
-                primary.storage_plan.proposed(index);
+                primary.storage_plan.record_proposed(index);
             }
         }
         if primary.storage_plan.is_in_flight() {
--- a/crates/pebblepost-control/src/node/links.rs
+++ b/crates/pebblepost-control/src/node/links.rs
@@ -1,4 +1,4 @@
-//! Messages on inbound links: subscribers of the feed, storage nodes, other control processes, operators.
+//! Messages on inbound links from feed subscribers, storage nodes, other control nodes and operators.
 
 use super::control_node::ControlNode;
 use super::events::Output;
@@ -12,8 +12,8 @@
 
 impl ControlNode {
     pub(super) fn handle_message(&mut self, now: Duration, connection: ConnectionId, message: ToControl) {
-        self.inbound.open(connection);
-        self.record_sign_of_life(now, connection);
+        self.inbound.add(connection);
+        self.record_activity(now, connection);
         match message {
             message @ (ToControl::Subscribe { .. } | ToControl::StoreHello { .. })
                 if !self.is_acting(now) =>
@@ -29,7 +29,7 @@
                 }
             }
             ToControl::StoreHello { member, bootstrap } => {
-                self.connect_store(now, connection, member, bootstrap);
+                self.register_store(now, connection, member, bootstrap);
             }
             ToControl::ChangeGroup { request, group, expected_epoch, proposed } => {
                 let request = GroupChangeRequest { connection, request, group };
@@ -55,8 +55,8 @@
     }
 
     pub(super) fn handle_disconnected(&mut self, now: Duration, connection: ConnectionId) {
-        self.deferred.disconnected(connection);
-        let Some(link) = self.inbound.close(connection) else { return };
+        self.deferred.remove_link(connection);
+        let Some(link) = self.inbound.remove(connection) else { return };
         let Some(primary) = &mut self.primary else { return };
         primary.feed.unsubscribe(now, connection);
         if let Some(disk) = link.store {
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Sends where the primary is. Links of other programs are closed then; those of control processes carry
-    /// replication as well and stay open.
+    /// Sends the address of the primary, if known, and closes the link. Links of control nodes stay open, because they
+    /// also carry replication.
     pub(super) fn redirect(&mut self, now: Duration, connection: ConnectionId) {
         let primary = self.live_primary(now).map(|primary| primary.address.clone());
         let members = self.peers.advertised(now, self.group.record());
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Redirects subscribers and storage nodes when this process has nothing new to send them.
+    /// Redirects `subscribers` and all storage nodes, because this node can't serve them any more.
     pub(super) fn redirect_all(
         &mut self, now: Duration, subscribers: impl IntoIterator<Item = ConnectionId>,
     ) {
@@ -91,14 +91,14 @@
         self.inbound.send(now, connection, message, &mut self.outputs);
     }
 
-    /// Sends one program the link addresses of the control processes.
+    /// Sends the link addresses of the control nodes on one link.
     pub(super) fn send_members(&mut self, now: Duration, connection: ConnectionId) {
         let members = FromControl::Members(self.peers.advertised(now, self.group.record()));
         self.send(now, connection, members);
     }
 
-    /// Sends all programs the link addresses of the control processes when they have changed, so that no program is
-    /// left with addresses of replaced processes only.
+    /// Sends the link addresses of the control nodes on all links when they have changed. Otherwise a program could
+    /// be left with the addresses of replaced nodes only.
     pub(super) fn advertise_members(&mut self, now: Duration) {
         let members = self.peers.advertised(now, self.group.record());
         if members == self.advertised {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Responds to storage nodes whose changes of a group up to the entry `committed` are committed.
+    /// Responds to the group changes of storage nodes whose entries up to index `committed` are committed.
     pub(super) fn respond_to_group_changes(&mut self, now: Duration, committed: u64) {
         let Some(primary) = &mut self.primary else { return };
         for (index, request) in primary.group_changes.take_committed(committed) {
@@ -123,7 +123,7 @@
         }
     }
 
-    fn record_sign_of_life(&mut self, now: Duration, connection: ConnectionId) {
+    fn record_activity(&mut self, now: Duration, connection: ConnectionId) {
         if let Some(peer) = self.inbound.peer(connection) {
             self.peers.record_message(now, peer);
         }
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Only the acting primary can serve the message: redirects the program there, or defers the message.
+    /// Redirects a link whose message only the acting primary can serve, or defers the message while no primary is
+    /// known.
     fn redirect_or_defer_message(&mut self, now: Duration, connection: ConnectionId, message: ToControl) {
         let is_peer = self.inbound.peer(connection).is_some();
         if is_peer || self.live_primary(now).is_some() {
@@ -154,13 +155,13 @@
         self.send_members(now, connection);
     }
 
-    fn connect_store(&mut self, now: Duration, connection: ConnectionId, member: Member, bootstrap: bool) {
+    fn register_store(&mut self, now: Duration, connection: ConnectionId, member: Member, bootstrap: bool) {
         let Some(primary) = &mut self.primary else { return };
         if let Some(former) = self.inbound.set_store(connection, member.disk) {
             primary.storage.record_disconnect(former);
         }
         primary.storage.announce_disk(now, member, bootstrap);
-        primary.storage_plan.schedule(now);
+        primary.storage_plan.schedule_now(now);
     }
 
     fn change_group(
--- a/crates/pebblepost-control/src/node/peer_links.rs
+++ b/crates/pebblepost-control/src/node/peer_links.rs
@@ -1,4 +1,4 @@
-//! Links from this process to other control processes, and the subscription to the primary's feed on one of them.
+//! Links from this node to other control nodes, and the subscription to the primary's feed on one of them.
 
 use super::events::Output;
 use pebblepost_messages::Member;
@@ -6,44 +6,45 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A link on which nothing was sent for this long gets a keep-alive.
+/// Time without an outgoing message after which a standby sends a keep-alive on a link.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(700);
-/// The same for a primary: the others must know soon that it has failed, also those that hold no replica and so get no
-/// heartbeats of the replication.
+/// Time without an outgoing message after which a primary sends a keep-alive on a link. It is shorter because other
+/// nodes have to detect the failure of a primary soon, including those without a replica, which get no replication
+/// heartbeats.
 const PRIMARY_KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(200);
-/// Backoff after a process that seemed to be the primary rejected the subscription.
+/// Backoff after a node rejected a subscription because it is not the primary.
 const SUBSCRIBE_BACKOFF: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Default)]
 struct PeerLink {
     is_subscribed: bool,
-    /// No subscription before this time.
+    /// Time before which no subscription is attempted.
     subscribe_at: Duration,
     last_sent: Duration,
 }
 
-/// All links to other control processes.
+/// All links to other control nodes.
 #[derive(Debug, Default)]
 pub(super) struct PeerLinks {
     /// Links that are up, by address.
     links: BTreeMap<String, PeerLink>,
-    /// Addresses to keep links to.
-    dialed: BTreeSet<String>,
+    /// Addresses to which links are maintained.
+    link_addresses: BTreeSet<String>,
 }
 
 impl PeerLinks {
-    /// A link is up; introduces this process.
-    pub(super) fn connected(&mut self, now: Duration, address: &str, me: &Member, outputs: &mut Vec<Output>) {
+    /// Adds a link that is up, and identifies this node on it.
+    pub(super) fn add(&mut self, now: Duration, address: &str, me: &Member, outputs: &mut Vec<Output>) {
         let message = ToControl::PeerHello { member: me.clone() };
         outputs.push(Output::SendPeer { address: address.to_owned(), message });
         self.links.insert(address.to_owned(), PeerLink { last_sent: now, ..PeerLink::default() });
     }
 
-    pub(super) fn disconnected(&mut self, address: &str) {
+    pub(super) fn remove(&mut self, address: &str) {
         self.links.remove(address);
     }
 
-    /// Whether a link is up.
+    /// Returns whether the link to `address` is up.
     pub(super) fn is_connected(&self, address: &str) -> bool {
         self.links.contains_key(address)
     }
@@ -60,14 +61,15 @@
             node: me.node.clone(),
             zone: me.zone.clone(),
             role: SubscriberRole::Standby,
-            // The configuration comes by replication.
+            // The highest version asks for no configuration: a standby receives it by replication.
             generation: u64::MAX,
         };
         outputs.push(Output::SendPeer { address: address.to_owned(), message });
     }
 
-    /// The process at `address` is not primary; subscribes again after a backoff if it still seems to be.
-    pub(super) fn subscription_rejected(&mut self, now: Duration, address: &str) {
+    /// Records that the node at `address` rejected the subscription because it is not the primary. The next attempt
+    /// follows after a backoff.
+    pub(super) fn record_rejected_subscription(&mut self, now: Duration, address: &str) {
         if let Some(link) = self.links.get_mut(address) {
             link.is_subscribed = false;
             link.subscribe_at = now + SUBSCRIBE_BACKOFF;
@@ -94,10 +96,10 @@
         }
     }
 
-    /// Changes the addresses to keep links to, if they differ.
-    pub(super) fn dial(&mut self, addresses: BTreeSet<String>, outputs: &mut Vec<Output>) {
-        if addresses != self.dialed {
-            self.dialed.clone_from(&addresses);
+    /// Sets the addresses to which links are maintained, and requests the change if they differ from the current ones.
+    pub(super) fn set_addresses(&mut self, addresses: BTreeSet<String>, outputs: &mut Vec<Output>) {
+        if addresses != self.link_addresses {
+            self.link_addresses.clone_from(&addresses);
             outputs.push(Output::DialPeers(addresses));
         }
     }
--- a/crates/pebblepost-control/src/node/peering.rs
+++ b/crates/pebblepost-control/src/node/peering.rs
@@ -1,4 +1,4 @@
-//! Links between control processes: introductions, and the standby's subscription to the primary's feed.
+//! Links between control nodes: the exchange of identities, and the standby's subscription to the primary's feed.
 
 use super::control_node::ControlNode;
 use super::events::Output;
@@ -10,13 +10,13 @@
 
 impl ControlNode {
     pub(super) fn handle_peer_connected(&mut self, now: Duration, address: &str) {
-        self.peer_links.connected(now, address, &self.settings.me, &mut self.outputs);
+        self.peer_links.add(now, address, &self.settings.me, &mut self.outputs);
         for peer in self.peers.statuses(now) {
             if peer.member.address == address {
-                self.group.introduce(&peer.member);
+                self.group.announce_epoch(&peer.member);
             }
         }
-        self.follow_primary(now);
+        self.subscribe_to_primary(now);
     }
 
     pub(super) fn handle_peer_message(&mut self, now: Duration, address: &str, message: FromControl) {
@@ -25,9 +25,9 @@
             FromControl::Members(members) => self.peers.add_candidates(&members),
             FromControl::Redirect { members, .. } => {
                 self.peers.add_candidates(&members);
-                self.peer_links.subscription_rejected(now, address);
+                self.peer_links.record_rejected_subscription(now, address);
             }
-            // Shared updates arrive as part of their batch: the runtime assembles them.
+            // The runtime has merged shared updates into the batch that refers to them.
             FromControl::GroupChanged { .. }
             | FromControl::KeepAlive
             | FromControl::Status(_)
@@ -35,24 +35,24 @@
         }
     }
 
-    /// Another control process introduces itself on an inbound link.
+    /// Handles the identity that another control node sends first on an inbound link.
     pub(super) fn handle_peer_hello(&mut self, now: Duration, connection: ConnectionId, member: Member) {
         self.peers.record_message(now, &member);
         if self.peer_links.is_connected(&member.address) {
-            self.group.introduce(&member);
+            self.group.announce_epoch(&member);
         } else {
             self.outputs.push(Output::DialPeerNow(member.address.clone()));
         }
         self.inbound.set_peer(connection, member);
         self.send_members(now, connection);
         if self.primary.is_none() {
-            // It may be the one that this process waits for to become primary.
+            // The new peer may be the last reachable one that an election needs.
             self.tick_group(now);
         }
     }
 
-    /// Subscribes to the feed of the primary, if that is another process.
-    pub(super) fn follow_primary(&mut self, now: Duration) {
+    /// Subscribes to the feed of the primary, if that is another node.
+    pub(super) fn subscribe_to_primary(&mut self, now: Duration) {
         if self.primary.is_some() {
             return;
         }
@@ -60,8 +60,8 @@
         self.peer_links.subscribe(now, &address, &self.settings.me, &mut self.outputs);
     }
 
-    /// Replicates the soft state from the primary's feed, so that this process can continue from it as primary.
-    /// Everything else comes by the replicated log.
+    /// Applies a batch of the primary's feed to the local soft state (registrations, number of proxies), from which
+    /// this node continues if it becomes primary. All other state arrives through the replicated log.
     fn replicate_feed(&mut self, now: Duration, address: &str, batch: &FeedBatch) {
         if self.primary.is_some() {
             return;
--- a/crates/pebblepost-control/src/node/pending_requests.rs
+++ b/crates/pebblepost-control/src/node/pending_requests.rs
@@ -1,19 +1,20 @@
-//! HTTP requests whose response waits for a commit, or for a commit and the subscribers' acknowledgements.
+//! HTTP requests whose response waits for a commit, or for a commit and the acknowledgements of all feed subscribers.
 
 use super::events::RequestId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest wait of a graceful shutdown for the subscribers' acknowledgements.
-const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest wait for a commit.
+/// Time after which the response to a graceful shutdown no longer waits for acknowledgements of subscribers.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time after which a request is answered although its entry is not committed.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(4);
 
 #[derive(Debug)]
 enum Wait {
-    /// For the commit of an entry.
+    /// Waits for the commit of an entry.
     Commit { index: u64, deadline: Duration },
-    /// For the commit of an entry, and until every subscriber acts by a flush of the feed or the deadline has passed.
+    /// Waits for the commit of an entry, and until every subscriber has acknowledged a flush of the feed or the
+    /// deadline has passed.
     Shutdown { index: u64, flush: u64, acknowledge_deadline: Duration },
 }
 
@@ -21,11 +22,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CommittedRequest {
     pub(super) id: RequestId,
-    /// Index of its entry.
+    /// Index of the entry that the request proposed.
     pub(super) index: u64,
 }
 
-/// All requests that wait, in the order of their arrival.
+/// All waiting requests, in the order of their arrival.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests {
     waits: BTreeMap<RequestId, Wait>,
@@ -37,7 +38,7 @@
     }
 
     pub(super) fn await_shutdown(&mut self, now: Duration, id: RequestId, index: u64, flush: u64) {
-        let acknowledge_deadline = now + ACKNOWLEDGE_TIMEOUT;
+        let acknowledge_deadline = now + ACKNOWLEDGEMENT_TIMEOUT;
         self.waits.insert(id, Wait::Shutdown { index, flush, acknowledge_deadline });
     }
 
@@ -45,7 +46,7 @@
         self.waits.is_empty()
     }
 
-    /// Takes the requests that waited for the commit of entries up to `committed`.
+    /// Removes and returns the requests that waited for the commit of an entry up to index `committed`.
     pub(super) fn take_committed(&mut self, committed: u64) -> Vec<CommittedRequest> {
         let is_done = |_: &RequestId, wait: &mut Wait| matches!(wait, Wait::Commit { index, .. } if *index <= committed);
         let done = self.waits.extract_if(.., is_done);
@@ -55,7 +56,8 @@
         done.map(request).collect()
     }
 
-    /// Takes the graceful shutdowns that are committed, and acknowledged by all subscribers or long enough in waiting.
+    /// Removes and returns the graceful shutdowns that are committed and are acknowledged by all subscribers or have
+    /// reached their acknowledgement deadline.
     pub(super) fn take_shutdowns(
         &mut self, now: Duration, committed: u64, is_acknowledged: impl Fn(u64) -> bool,
     ) -> Vec<RequestId> {
@@ -67,7 +69,7 @@
         })
     }
 
-    /// Takes the requests that were not committed in time.
+    /// Removes and returns the requests that were not committed in time.
     pub(super) fn take_expired(&mut self, now: Duration) -> Vec<RequestId> {
         self.take(|wait| match wait {
             Wait::Commit { deadline, .. } => now >= *deadline,
@@ -75,7 +77,7 @@
         })
     }
 
-    /// Takes all requests.
+    /// Removes and returns all requests.
     pub(super) fn take_all(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.waits).into_keys().collect()
     }
--- a/crates/pebblepost-control/src/node/primary.rs
+++ b/crates/pebblepost-control/src/node/primary.rs
@@ -1,11 +1,11 @@
-//! What a primary has beside the replicated state: the feed, liveness of storage nodes, the planner of version
-//! roll-outs and the lease on its orders.
+//! State that a primary has in addition to the replicated state: the feed, the liveness of storage nodes, the planner
+//! of roll-outs and the lease on load orders.
 
 use super::events::Output;
 use super::group_changes::GroupChangeRequests;
 use super::order_lease::OrderLease;
 use super::settings::NodeSettings;
-use super::storage_plan::StoragePlan;
+use super::storage_plan::StoragePlanSchedule;
 use crate::feed::{FeedPublisher, PublishedConfiguration, PublishedPatch, Urgency};
 use crate::load_order;
 use crate::registry::{Registry, RegistryChange};
@@ -20,36 +20,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time without a valid lease after which a primary redirects its subscribers.
+/// Time without a valid lease after which a primary redirects its subscribers to other control nodes.
 const LAPSED_LEASE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// State of a primary. It ends when the process steps down.
+/// State of a primary. It is dropped when the node steps down.
 #[derive(Debug)]
 pub(super) struct Primary {
     pub(super) epoch: u64,
-    /// When this process became primary.
+    /// Time at which this node became primary.
     pub(super) since: Duration,
     pub(super) feed: FeedPublisher,
     pub(super) storage: StorageNodes,
-    pub(super) storage_plan: StoragePlan,
+    pub(super) storage_plan: StoragePlanSchedule,
     pub(super) group_changes: GroupChangeRequests,
     pub(super) planner: Planner,
     pub(super) order_lease: OrderLease,
-    /// The first entry of this term.
+    /// Commit state of the first entry of this term.
     pub(super) barrier: TermBarrier,
-    /// Transcribers that have rejected the fencing token of this term: another holder has used a higher one.
+    /// Instances that rejected the fencing token of this term, because another holder has used a higher one.
     fenced: BTreeSet<String>,
-    /// Since when the lease of this primary is not valid.
+    /// Time since which the lease of this primary is not valid; `None` while it is.
     lapsed_since: Option<Duration>,
+    /// Store groups as they were last published.
     published_groups: BTreeMap<u32, StoreGroup>,
-    /// Version of the configuration that the planner has.
-    planned_generation: u64,
-    /// When the published transcribers become complete; `None` if they are.
+    /// Version of the configuration that the planner was last updated for.
+    planner_generation: u64,
+    /// Time at which the list of published instances counts as complete; `None` once it does.
     instances_complete_at: Option<Duration>,
 }
 
 impl Primary {
-    /// A primary that continues from the replicated `state` and the `registry` and `proxy_count` of a standby.
+    /// Creates a primary that continues from the replicated `state` and from the `registry` and `proxy_count` that it
+    /// received as a standby.
     pub(super) fn new(
         now: Duration, epoch: u64, settings: &NodeSettings, state: &ControlState, registry: &Registry,
         proxy_count: u32,
@@ -58,17 +60,17 @@
         let mut primary = Primary {
             epoch,
             since: now,
-            feed: FeedPublisher::new(now, first_feed(registry, proxy_count)),
+            feed: FeedPublisher::new(now, inherited_feed_state(registry, proxy_count)),
             storage: StorageNodes::new(now),
-            storage_plan: StoragePlan::new(now),
+            storage_plan: StoragePlanSchedule::new(now),
             group_changes: GroupChangeRequests::default(),
-            planner: Planner::new(order_lease.expected_at(now, state)),
+            planner: Planner::new(order_lease.expected_holder_at(now, state)),
             order_lease,
             barrier: TermBarrier::default(),
             fenced: BTreeSet::new(),
             lapsed_since: None,
             published_groups: BTreeMap::new(),
-            planned_generation: 0,
+            planner_generation: 0,
             instances_complete_at: Some(registry.grace_period_end()),
         };
         primary.publish(now, state);
@@ -78,17 +80,17 @@
         primary
     }
 
-    /// Publishes what has changed in the replicated state.
+    /// Publishes the changes of the replicated state to the feed, and passes newly named versions to the planner.
     pub(super) fn publish(&mut self, now: Duration, state: &ControlState) {
         self.feed.publish_configuration(now, state.generation(), || published_configuration(state));
         self.publish_groups(now, state);
         let has_newer_versions = self.publish_named_versions(now, state);
-        if has_newer_versions || self.planned_generation != state.generation() {
+        if has_newer_versions || self.planner_generation != state.generation() {
             self.update_planned_versions(now, state);
         }
     }
 
-    /// Publishes what has changed in the registry.
+    /// Publishes changed instances to the feed, and passes them to the planner.
     pub(super) fn publish_registry_change(&mut self, now: Duration, change: &RegistryChange) {
         let urgency = if change.has_shutdown { Urgency::Immediate } else { Urgency::Coalesced };
         self.feed.publish_instances(now, &change.instances, urgency);
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Declares the published transcribers complete once the registry's grace period has passed.
+    /// Marks the list of published instances as complete once the registry's grace period has passed.
     pub(super) fn complete_instances_if_due(&mut self, now: Duration) {
         if self.instances_complete_at.is_some_and(|due| now >= due) {
             self.instances_complete_at = None;
@@ -105,8 +107,9 @@
         }
     }
 
-    /// Whether the lease has not been valid for so long that subscribers should be redirected.
-    pub(super) fn has_lapsed(&mut self, now: Duration, is_acting: bool) -> bool {
+    /// Records whether the lease is valid (`is_acting`), and returns whether it has been invalid for
+    /// [`LAPSED_LEASE_TIMEOUT`], so that subscribers have to be redirected.
+    pub(super) fn update_lapsed(&mut self, now: Duration, is_acting: bool) -> bool {
         if is_acting {
             self.lapsed_since = None;
             return false;
@@ -115,15 +118,21 @@
         now.saturating_sub(since) >= LAPSED_LEASE_TIMEOUT
     }
 
-    /// A transcriber answered a load order. One that has seen a higher fencing token gets no more orders with this one.
+    /// Processes the outcome of a load order. An instance that has seen a higher fencing token gets no further load
+    /// orders in this term.
     pub(super) fn order_answered(&mut self, now: Duration, order: &LoadOrder, answer: OrderOutcome) {
         if answer == OrderOutcome::Fenced && self.fenced.insert(order.instance.clone()) {
-            log::warn!("load order fenced instance={} fencing_token={}", order.instance, self.epoch);
+            log::warn!(
+                "load order rejected: stale fencing token instance={} fencing_token={}",
+                order.instance,
+                self.epoch
+            );
         }
         self.planner.order_answered(now, order, answer);
     }
 
-    /// Processes the outputs of the roll-out planner. Load orders are sent under a lease only, and not after its end.
+    /// Processes the outputs of the roll-out planner. Load orders are sent only under a valid lease, which is given
+    /// by its expiry; without one they are reported back to the planner as rejected.
     pub(super) fn advance_rollout(
         &mut self, now: Duration, lease_expires_at: Option<Duration>, node: &str, registry: &mut Registry,
         outputs: &mut Vec<Output>,
@@ -163,7 +172,7 @@
         self.feed.publish_groups(now, groups);
     }
 
-    /// Whether there were newer versions than those published.
+    /// Publishes newly named versions, and returns whether there were any.
     fn publish_named_versions(&mut self, now: Duration, state: &ControlState) -> bool {
         let named = state.named_versions().iter();
         let newer = named.filter(|(model, named)| self.feed.state().named_version(model) < **named);
@@ -176,7 +185,7 @@
     }
 
     fn update_planned_versions(&mut self, now: Duration, state: &ControlState) {
-        self.planned_generation = state.generation();
+        self.planner_generation = state.generation();
         for (model, generation) in state.named_versions() {
             let is_single = state
                 .configuration()
@@ -186,8 +195,8 @@
     }
 }
 
-/// The feed as a standby has replicated it.
-fn first_feed(registry: &Registry, proxy_count: u32) -> FeedState {
+/// Returns the feed state as this node received it while it was a standby.
+fn inherited_feed_state(registry: &Registry, proxy_count: u32) -> FeedState {
     let mut feed = FeedState::default();
     let instances = registry.live().chain(registry.recently_terminated()).cloned().collect();
     feed.apply(&FeedUpdate::Instances { complete: false, instances });
@@ -205,7 +214,7 @@
     }
 }
 
-/// The groups in the form of the feed, with the addresses of their disks.
+/// Returns the store groups in the form of the feed, with the addresses of their disks.
 fn feed_groups(state: &ControlState) -> impl Iterator<Item = StoreGroup> {
     let member = |disk: &DiskId| {
         let unknown = || Member { disk: *disk, ..Member::default() };
--- a/crates/pebblepost-control/src/node/requests.rs
+++ b/crates/pebblepost-control/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! HTTP requests: answered at once, after a commit, or redirected to the primary.
+//! HTTP requests. They are answered immediately or after a commit, or are redirected to the primary.
 
 use super::control_node::ControlNode;
 use super::events::{Output, RequestId};
@@ -23,21 +23,21 @@
         }
     }
 
-    /// Responds to the requests whose entries up to `committed` are committed.
+    /// Responds to the requests whose entries up to index `committed` are committed.
     pub(super) fn respond_to_committed(&mut self, committed: u64) {
         for request in self.pending.take_committed(committed) {
-            let response = response_to(self.state().outcome(request.index));
+            let response = outcome_response(self.state().outcome(request.index));
             self.respond(request.id, response);
         }
     }
 
-    /// Responds to graceful shutdowns that are committed and acknowledged by all subscribers, or have waited for
-    /// subscribers long enough.
+    /// Responds to graceful shutdowns that are committed and are acknowledged by all subscribers or have reached their
+    /// acknowledgement deadline.
     pub(super) fn respond_to_shutdowns(&mut self, now: Duration) {
         if self.pending.is_empty() || !self.is_acting(now) {
             return;
         }
-        let committed = self.group.committed();
+        let committed = self.group.commit_index();
         let Some(primary) = &self.primary else { return };
         let is_acknowledged = |flush| primary.feed.is_acknowledged(flush);
         for id in self.pending.take_shutdowns(now, committed, is_acknowledged) {
@@ -45,21 +45,21 @@
         }
     }
 
-    /// Responds to requests that were not committed in time; whether they take effect is unknown.
+    /// Responds to requests that were not committed in time. Whether they take effect is unknown.
     pub(super) fn expire_requests(&mut self, now: Duration) {
         for id in self.pending.take_expired(now) {
             self.respond(id, HttpResponse::unavailable("not known in time whether it was taken"));
         }
     }
 
-    /// Responds to all waiting requests when this process steps down; whether they take effect is unknown.
+    /// Responds to all waiting requests when this node steps down. Whether they take effect is unknown.
     pub(super) fn abort_requests(&mut self) {
         for id in self.pending.take_all() {
             self.respond(id, HttpResponse::unavailable("the primary changed; it may or may not be taken"));
         }
     }
 
-    /// Serves deferred messages and requests, or redirects them, once a primary is known or they have waited too long.
+    /// Serves or redirects deferred messages and requests, once a primary is known or their time limit is reached.
     pub(super) fn serve_deferred(&mut self, now: Duration) {
         if self.deferred.is_empty() {
             return;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Redirects a request to the primary, if one is known to be live.
+    /// Redirects a request to the primary if one is known to be live, and responds with 503 otherwise.
     fn redirect_request(&mut self, now: Duration, id: RequestId, request: &HttpRequest) {
         let address = self.live_primary(now).and_then(|primary| primary.address.parse().ok());
         let response = match address {
@@ -99,7 +99,8 @@
         self.respond(id, response);
     }
 
-    /// Address of the HTTP interface of the process with a link address: ports are the same on all machines.
+    /// Returns the address of the HTTP interface of the node with this link address. Ports are the same on all
+    /// machines.
     fn control_address_of(&self, link: SocketAddr) -> SocketAddr {
         SocketAddr::new(link.ip(), self.settings.control_address.port())
     }
@@ -147,7 +148,7 @@
 
     fn register(&mut self, now: Duration, id: RequestId, mut instance: Instance) {
         if self.state().shutdowns().phase(&instance.id) == Some(ShutdownPhase::Draining) {
-            // Only a former primary may have received that it drains.
+            // The instance may have reported to a former primary only that it drains.
             instance.state = InstanceState::Draining;
         }
         let is_draining = instance.state == InstanceState::Draining;
@@ -167,7 +168,8 @@
         self.record_shutdown(now, id, instance, ShutdownPhase::Terminated);
     }
 
-    /// A graceful shutdown is acknowledged once later primaries know of it and every subscriber acts by it.
+    /// Records a graceful shutdown. It is acknowledged once it is committed, so that later primaries know of it, and
+    /// every subscriber has acknowledged the update.
     fn record_shutdown(&mut self, now: Duration, id: RequestId, instance: String, phase: ShutdownPhase) {
         let recorded = self.state().shutdowns().phase(&instance);
         let proposed = if recorded.is_some_and(|recorded| recorded >= phase) {
@@ -180,7 +182,7 @@
         let flush = primary.feed.newest_flush();
         match proposed {
             Ok(index) => self.pending.await_shutdown(now, id, index, flush),
-            Err(error) => self.respond(id, not_proposed(error)),
+            Err(error) => self.respond(id, propose_error_response(error)),
         }
     }
 
@@ -201,9 +203,10 @@
         self.propose_and_wait(now, id, &Command::Retire { node, min_remaining });
     }
 
-    /// A rejection has to stay true, so it waits for the barrier of the term.
+    /// Rejects a retirement. Before the barrier of the term is committed the response is 503 instead, because an
+    /// entry of a former primary could still make the rejection wrong.
     fn reject_retirement(&mut self, now: Duration, id: RequestId, error: RetirementError) {
-        if self.is_past_barrier() {
+        if self.is_barrier_committed() {
             self.respond_under_lease(now, id, HttpResponse::retirement_rejected(error));
         } else {
             self.respond(id, HttpResponse::unavailable("not known yet what former primaries have taken"));
@@ -218,11 +221,11 @@
         self.respond_under_lease(now, id, response);
     }
 
-    /// Proposes a command; the response follows when it is committed.
+    /// Proposes a command. The response is sent when its entry is committed.
     fn propose_and_wait(&mut self, now: Duration, id: RequestId, command: &Command) {
         match self.group.propose(now, command) {
             Ok(index) => self.pending.await_commit(now, id, index),
-            Err(error) => self.respond(id, not_proposed(error)),
+            Err(error) => self.respond(id, propose_error_response(error)),
         }
     }
 
@@ -230,7 +233,8 @@
         self.outputs.push(Output::Respond { id, response, send_by: None });
     }
 
-    /// Responds with what is true as long as this process is the primary: a read, or a rejection by the present state.
+    /// Sends a response that is valid only while this node holds the lease: the result of a read, or a rejection that
+    /// depends on the current state.
     fn respond_under_lease(&mut self, now: Duration, id: RequestId, response: HttpResponse) {
         match self.group.lease_expires_at(now) {
             Some(expires_at) => {
@@ -241,15 +245,15 @@
     }
 }
 
-fn not_proposed(error: ProposeError) -> HttpResponse {
+fn propose_error_response(error: ProposeError) -> HttpResponse {
     match error {
         ProposeError::NotPrimary => HttpResponse::unavailable("not the primary any more"),
         ProposeError::TooFewReplicas => HttpResponse::unavailable("too few disks can take it now"),
     }
 }
 
-/// Response to the request that proposed a committed command.
-fn response_to(outcome: Option<&Outcome>) -> HttpResponse {
+/// Returns the response to the request whose command had this outcome.
+fn outcome_response(outcome: Option<&Outcome>) -> HttpResponse {
     match outcome {
         Some(Outcome::ConfigurationAccepted { .. } | Outcome::VersionNamed | Outcome::Retiring) => {
             HttpResponse::ok()
--- a/crates/pebblepost-control/src/node/settings.rs
+++ b/crates/pebblepost-control/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a control process: its machine and its deployment.
+//! Settings of a control node.
 
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::Tolerance;
@@ -6,31 +6,31 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Settings of a control process.
+/// Settings of a control node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// This machine and its disk.
+    /// Identity of this node: its disk, machine name and link address.
     pub me: Member,
     /// Address of the HTTP interface. The port is the same on all machines.
     pub control_address: SocketAddr,
     /// Port of links between programs, the same on all machines.
     pub link_port: u16,
-    /// Control addresses of the seeds.
+    /// Addresses of the seeds' HTTP interfaces.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this disk bootstraps the group if it is empty.
+    /// Whether this node bootstraps the control group if nothing was written to its disk yet.
     pub may_bootstrap: bool,
-    /// Failures that the deployment has to survive.
+    /// Number of machines, zones and regions whose failure the deployment has to survive.
     pub tolerance: Tolerance,
-    /// Interval of a transcriber's heartbeats.
+    /// Interval at which instances send heartbeats.
     pub heartbeat_interval: Duration,
-    /// Time after which load orders of a former primary have no effect any more.
+    /// Time after which load orders of a former primary can no longer take effect.
     pub order_lease: Duration,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub random_seed: u64,
 }
 
 impl NodeSettings {
-    /// From the settings file, for a process whose disk has the identity `disk`.
+    /// Derives the settings of a node whose disk has the identity `disk` from the settings file.
     pub fn new(
         settings: &Settings, control_address: SocketAddr, disk: DiskId, may_bootstrap: bool, random_seed: u64,
     ) -> NodeSettings {
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Number of witnesses of which a majority survives the tolerated failures.
+    /// Returns the smallest number of witnesses of which a majority survives the tolerated failures.
     pub(super) fn witness_set_size(&self) -> usize {
         2 * self.tolerance.machines.max(self.tolerance.zones).max(self.tolerance.regions) + 1
     }
 
-    /// Link addresses of the seeds.
+    /// Returns the link addresses of the seeds.
     pub(super) fn seed_links(&self) -> impl Iterator<Item = String> + use<> {
         let port = self.link_port;
         let seeds = self.seeds.clone();
--- a/crates/pebblepost-control/src/node/status.rs
+++ b/crates/pebblepost-control/src/node/status.rs
@@ -1,4 +1,4 @@
-//! The operator's status of a control process, JSON. Keys and values are part of the operator's interface.
+//! Status report of a control node for operators, JSON. Its keys and values are part of the operators' interface.
 
 use super::control_node::ControlNode;
 use crate::state::{GroupAssignment, RetirementState};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl ControlNode {
-    /// The status of this process, JSON.
+    /// Returns the status of this node as JSON.
     pub fn status(&self, now: Duration) -> String {
         let record = self.group.record();
         let status = simd_json::json!({
@@ -60,7 +60,7 @@
         list(groups)
     }
 
-    /// What the control group's redundancy waits for, or `nothing`.
+    /// Returns what is missing for the full redundancy of the control group, or `nothing`.
     fn waits_for(&self) -> &'static str {
         let record = self.group.record();
         if !self.settings.tolerance.is_met_by(&record.in_sync) {
@@ -93,12 +93,12 @@
     }
 }
 
-/// Disks that may still be lost with nothing acknowledged lost.
+/// Returns how many disks may fail without the loss of acknowledged data.
 fn losses_left(in_sync: usize) -> usize {
     in_sync.saturating_sub(1)
 }
 
-/// What the redundancy of a group of batch jobs waits for, or `nothing`.
+/// Returns what is missing for the full redundancy of a store group, or `nothing`.
 fn group_waits_for(assignment: &GroupAssignment) -> String {
     let in_sync = &assignment.epoch.in_sync;
     let joining = assignment.targets.iter().filter(|target| !in_sync.contains(target)).count();
