--- a/crates/pebblepost-control/src/feed.rs
+++ b/crates/pebblepost-control/src/feed.rs
@@ -1,8 +1,8 @@
-//! Publication of the feed: configuration, transcribers, groups and named versions, to agents, storage nodes and
-//! standbys.
+//! Publication of the feed: configuration, instances, store groups and named versions are sent to agents, storage nodes
+//! and standbys.
 //!
-//! Owns who subscribes, what was sent to whom and what was acknowledged, while this process is primary. It has a copy
-//! of what is published; the sources (replicated state, registry) are changed elsewhere.
+//! Owns the subscriptions of a primary: what was sent to each subscriber and what it has acknowledged. It holds a
+//! copy of the published data; the sources (replicated state and registry) are changed elsewhere.
 
 mod pending;
 mod publisher;
--- a/crates/pebblepost-control/src/feed/pending.rs
+++ b/crates/pebblepost-control/src/feed/pending.rs
@@ -4,47 +4,50 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Shortest time over which updates that are not urgent are coalesced into one flush.
+/// Minimum time over which updates that are not urgent are coalesced into one flush.
 const MIN_COALESCE_DELAY: Duration = Duration::from_millis(20);
-/// Time for each subscriber: a flush costs a message to each, and its acknowledgement, so that this bounds the share of
-/// the processor that flushes take.
+/// Coalescing time per subscriber. A flush costs one message and one acknowledgement per subscriber, so this bounds the
+/// share of processor time that flushes take.
 const COALESCE_DELAY_PER_SUBSCRIBER: Duration = Duration::from_micros(250);
 
-/// When an update is sent.
+/// Urgency with which an update is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Urgency {
-    /// With the next flush, at once.
+    /// The update is flushed immediately.
     Immediate,
-    /// Coalesced with other updates.
+    /// The update is coalesced with others for a short time.
     Coalesced,
 }
 
-/// Updates since the last flush. Later ones replace earlier ones of the same item.
+/// Updates since the last flush. A later update of an item replaces an earlier one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingUpdates {
+    /// Whether the configuration has changed.
     pub(super) configuration: bool,
+    /// Whether the number of proxies has changed.
     pub(super) proxy_count: bool,
-    /// All transcribers are to be sent, as a complete list.
+    /// Whether all instances are sent, as a complete list.
     pub(super) all_instances: bool,
     instances: BTreeMap<String, Instance>,
     groups: BTreeMap<u32, StoreGroup>,
     named_versions: BTreeMap<String, u64>,
-    due: Option<Duration>,
+    flush_at: Option<Duration>,
 }
 
 impl PendingUpdates {
-    /// When the next flush is due; `None` if nothing is pending.
+    /// Returns when the next flush is due, or `None` if nothing is pending.
     pub(super) fn due_at(&self) -> Option<Duration> {
-        self.due
+        self.flush_at
     }
 
-    /// Makes sure that a flush to this many subscribers takes place in time for an update of this urgency.
+    /// Schedules the flush of an update of this urgency, unless an earlier flush is scheduled already. `subscribers`
+    /// is the number of recipients, which determines the coalescing time.
     pub(super) fn schedule(&mut self, now: Duration, urgency: Urgency, subscribers: usize) {
         let at = match urgency {
             Urgency::Immediate => now,
             Urgency::Coalesced => now + coalesce_delay(subscribers),
         };
-        self.due = Some(self.due.map_or(at, |due| due.min(at)));
+        self.flush_at = Some(self.flush_at.map_or(at, |flush_at| flush_at.min(at)));
     }
 
     pub(super) fn add_instances(&mut self, instances: &[Instance]) {
@@ -61,7 +64,7 @@
         self.named_versions.extend(versions.into_iter().map(|version| (version.model, version.generation)));
     }
 
-    /// The updates of single items, in the order in which they are sent.
+    /// Returns the updates of single items, in the order in which they are sent.
     pub(super) fn items(&self) -> Vec<FeedUpdate> {
         let mut updates = Vec::new();
         if !self.instances.is_empty() {
--- a/crates/pebblepost-control/src/feed/publisher.rs
+++ b/crates/pebblepost-control/src/feed/publisher.rs
@@ -1,7 +1,7 @@
-//! Turns changes into batches for the subscribers.
+//! Sends changes to the subscribers in batches.
 //!
-//! Changes are coalesced and sent together with a flush. Flushes are numbered; an acknowledgement tells up to which
-//! flush a subscriber acts.
+//! Changes are coalesced until a flush sends them together. Flushes are numbered, and an acknowledgement confirms all
+//! flushes up to a number.
 
 use super::pending::{PendingUpdates, Urgency};
 use super::subscriptions::{ConnectionId, SubscriberStatus, Subscription, Subscriptions};
@@ -15,42 +15,43 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time in which agents that have not reconnected to a new primary still count as proxies.
-const INHERITED_COUNT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time after a takeover in which the former primary's number of proxies is a lower bound, because agents may not have
+/// reconnected yet.
+const INHERITED_PROXY_COUNT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Sequence number of a subscription's first batch.
 const FIRST_SEQUENCE: u64 = 1;
 
-/// A patch in the form in which it is sent.
+/// A configuration patch as it is sent to subscribers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PublishedPatch {
-    /// Version that it is based on.
+    /// Version that the patch is based on.
     pub base: u64,
     /// The patch, JSON.
     pub patch: Vec<u8>,
 }
 
-/// A configuration in the forms in which it is sent.
+/// A configuration in all forms in which it is sent to subscribers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PublishedConfiguration {
-    /// Its version, 0 for none.
+    /// Version of the configuration, 0 for none.
     pub generation: u64,
     /// The complete document.
     pub document: Vec<u8>,
-    /// The patch that produced it, if it was produced by one.
+    /// The patch that produced this version, if it was produced by one.
     pub patch: Option<PublishedPatch>,
 }
 
-/// Updates of a batch, in one allocation for all subscribers that are sent the same.
+/// Updates of a batch. Subscribers that are sent the same updates share one allocation.
 pub type SharedUpdates = Rc<[FeedUpdate]>;
 
-/// How a batch carries the configuration.
+/// Form in which a batch contains the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ConfigurationForm {
-    /// Not at all: the subscriber has it.
+    /// The configuration is omitted, because the subscriber has it.
     Absent,
-    /// As a patch of the version that the subscriber has.
+    /// A patch of the version that the subscriber has.
     Patch,
-    /// As the complete document.
+    /// The complete document.
     Complete,
 }
 
@@ -59,21 +60,21 @@
 pub enum FeedAction {
     /// Send a batch to a subscriber.
     Send {
-        /// Its connection.
+        /// Connection of the subscriber.
         connection: ConnectionId,
         /// Sequence number of the batch on the connection.
         sequence: u64,
-        /// Its updates.
+        /// Updates of the batch.
         updates: SharedUpdates,
     },
     /// Send a keep-alive to a subscriber.
     KeepAlive {
-        /// Its connection.
+        /// Connection of the subscriber.
         connection: ConnectionId,
     },
     /// Disconnect a subscriber that has timed out.
     Disconnect {
-        /// Its connection.
+        /// Connection of the subscriber.
         connection: ConnectionId,
     },
 }
@@ -84,28 +85,28 @@
     /// Everything published except the configuration.
     state: FeedState,
     configuration: PublishedConfiguration,
-    /// The complete configuration as it is sent to subscribers whose version the patch does not fit; compressed when
-    /// it is first needed.
+    /// The complete configuration for subscribers to whose version the patch does not apply. It is compressed when
+    /// first needed.
     compressed: OnceCell<ConfigurationUpdate>,
-    /// Snapshots of what is published now, for new subscribers.
+    /// Snapshots of the published data for new subscribers, built when first needed.
     snapshots: BTreeMap<ConfigurationForm, SharedUpdates>,
     subscriptions: Subscriptions,
     pending: PendingUpdates,
     /// Number of the newest flush.
     newest_flush: u64,
-    /// Number of proxies that the former primary counted; 0 once it has timed out.
-    inherited_count: u32,
-    inherited_until: Duration,
+    /// Number of proxies that the former primary counted, 0 once it has expired.
+    inherited_proxy_count: u32,
+    inherited_count_expires_at: Duration,
     actions: Vec<FeedAction>,
 }
 
 impl FeedPublisher {
-    /// A publisher that continues from the `state` replicated as a standby. The transcribers count as
-    /// incomplete until [`Self::mark_instances_complete`].
+    /// Creates a publisher that continues from the feed `state` that this node received as a standby. The list of
+    /// instances counts as incomplete until [`Self::mark_instances_complete`].
     pub fn new(now: Duration, state: FeedState) -> FeedPublisher {
         FeedPublisher {
-            inherited_count: state.proxy_count(),
-            inherited_until: now + INHERITED_COUNT_TIMEOUT,
+            inherited_proxy_count: state.proxy_count(),
+            inherited_count_expires_at: now + INHERITED_PROXY_COUNT_TIMEOUT,
             state,
             configuration: PublishedConfiguration::default(),
             compressed: OnceCell::new(),
@@ -117,19 +118,20 @@
         }
     }
 
-    /// Everything published except the configuration.
+    /// Returns everything published except the configuration.
     pub fn state(&self) -> &FeedState {
         &self.state
     }
 
-    /// Ends the publication: what was published, and the subscribers.
+    /// Ends the publication, and returns the published state and the connections of the subscribers.
     pub fn into_parts(self) -> (FeedState, Vec<ConnectionId>) {
         (self.state, self.subscriptions.into_connections())
     }
 
-    /// Adds a subscriber that has the configuration `generation`, and sends it a snapshot. Updates that wait for the
-    /// next flush are in the snapshot, and are sent to it again with the flush: when all subscribers come at once, none
-    /// of them causes a flush to the others.
+    /// Adds a subscriber that has the configuration `generation`, and sends it a snapshot.
+    ///
+    /// Pending updates are part of the snapshot and are sent again with the next flush. A subscription therefore
+    /// needs no flush of its own to the other subscribers, even when all of them subscribe at once.
     pub fn subscribe(
         &mut self, now: Duration, connection: ConnectionId, node: String, role: SubscriberRole,
         generation: u64,
@@ -139,18 +141,18 @@
         let updates = self.snapshot_for(generation);
         self.send(now, connection, FIRST_SEQUENCE, updates);
         if role == SubscriberRole::Agent {
-            self.proxy_count_changed(now);
+            self.schedule_proxy_count(now);
         }
     }
 
     /// Removes a subscriber.
     pub fn unsubscribe(&mut self, now: Duration, connection: ConnectionId) {
         if self.subscriptions.remove(connection) == Some(SubscriberRole::Agent) {
-            self.proxy_count_changed(now);
+            self.schedule_proxy_count(now);
         }
     }
 
-    /// A message of any kind arrived from a subscriber.
+    /// Records that a message arrived from a subscriber, which restarts its time-out.
     pub fn record_message(&mut self, now: Duration, connection: ConnectionId) {
         self.subscriptions.record_message(now, connection);
     }
@@ -160,7 +162,7 @@
         self.subscriptions.acknowledge(now, connection, reply, self.newest_flush);
     }
 
-    /// Publishes a configuration, at once, if `generation` is newer than the published one.
+    /// Publishes a configuration immediately, if `generation` is newer than the published one.
     pub fn publish_configuration(
         &mut self, now: Duration, generation: u64, configuration: impl FnOnce() -> PublishedConfiguration,
     ) {
@@ -170,57 +172,57 @@
         self.configuration = configuration();
         self.compressed = OnceCell::new();
         self.pending.configuration = true;
-        self.published(now, Urgency::Immediate);
+        self.invalidate_and_schedule(now, Urgency::Immediate);
     }
 
-    /// Publishes transcribers.
+    /// Publishes new or changed instances.
     pub fn publish_instances(&mut self, now: Duration, instances: &[Instance], urgency: Urgency) {
         if instances.is_empty() {
             return;
         }
         self.state.apply(&FeedUpdate::Instances { complete: false, instances: instances.to_vec() });
         self.pending.add_instances(instances);
-        self.published(now, urgency);
+        self.invalidate_and_schedule(now, urgency);
     }
 
-    /// Declares the published transcribers complete: one that is not among them has terminated.
+    /// Marks the list of published instances as complete. Subscribers treat instances that are not in it as terminated.
     pub fn mark_instances_complete(&mut self, now: Duration) {
         self.state.set_instances_complete();
         self.pending.all_instances = true;
-        self.published(now, Urgency::Coalesced);
+        self.invalidate_and_schedule(now, Urgency::Coalesced);
     }
 
-    /// Publishes groups of batch jobs, at once: jobs wait for them.
+    /// Publishes store groups immediately, because jobs wait for them.
     pub fn publish_groups(&mut self, now: Duration, groups: Vec<StoreGroup>) {
         if groups.is_empty() {
             return;
         }
         self.state.apply(&FeedUpdate::StoreGroups(groups.clone()));
         self.pending.add_groups(groups);
-        self.published(now, Urgency::Immediate);
+        self.invalidate_and_schedule(now, Urgency::Immediate);
     }
 
-    /// Publishes named versions, at once.
+    /// Publishes named versions immediately.
     pub fn publish_named_versions(&mut self, now: Duration, versions: Vec<ModelVersion>) {
         if versions.is_empty() {
             return;
         }
         self.state.apply(&FeedUpdate::NamedVersions(versions.clone()));
         self.pending.add_named_versions(versions);
-        self.published(now, Urgency::Immediate);
+        self.invalidate_and_schedule(now, Urgency::Immediate);
     }
 
-    /// Number of the newest flush.
+    /// Returns the number of the newest flush.
     pub fn newest_flush(&self) -> u64 {
         self.newest_flush
     }
 
-    /// Whether every subscriber has acknowledged everything up to a flush.
+    /// Returns whether every subscriber has acknowledged all flushes up to `flush`.
     pub fn is_acknowledged(&self, flush: u64) -> bool {
         self.subscriptions.is_acknowledged(flush)
     }
 
-    /// Sends all pending updates now.
+    /// Sends all pending updates to all subscribers. Has no effect if none are pending.
     pub fn flush(&mut self, now: Duration) {
         if self.pending.due_at().is_none() {
             return;
@@ -235,7 +237,7 @@
             let sequence = subscription.sequence_of(self.newest_flush);
             let form = self.configuration_form(subscription.sent_generation());
             let batch = batches.entry(form).or_insert_with(|| {
-                self.configuration_in(form).into_iter().chain(common.iter().cloned()).collect()
+                self.configuration_update(form).into_iter().chain(common.iter().cloned()).collect()
             });
             let updates = Rc::clone(batch);
             self.send(now, connection, sequence, updates);
@@ -249,11 +251,12 @@
         }
     }
 
-    /// Sends what is due and keep-alives, and disconnects subscribers that have timed out.
+    /// Sends updates that are due and keep-alives, disconnects subscribers that have timed out, and expires the
+    /// inherited number of proxies.
     pub fn tick(&mut self, now: Duration) {
-        if now >= self.inherited_until && self.inherited_count > 0 {
-            self.inherited_count = 0;
-            self.proxy_count_changed(now);
+        if now >= self.inherited_count_expires_at && self.inherited_proxy_count > 0 {
+            self.inherited_proxy_count = 0;
+            self.schedule_proxy_count(now);
         }
         self.flush_if_due(now);
         for connection in self.subscriptions.timed_out(now) {
@@ -261,33 +264,33 @@
             self.unsubscribe(now, connection);
         }
         for connection in self.subscriptions.idle(now) {
-            self.subscriptions.keep_alive_sent(now, connection);
+            self.subscriptions.record_keep_alive(now, connection);
             self.actions.push(FeedAction::KeepAlive { connection });
         }
     }
 
-    /// When pending updates have to be sent.
+    /// Returns when pending updates are due, or `None` if there are none.
     pub fn due_at(&self) -> Option<Duration> {
         self.pending.due_at()
     }
 
-    /// Connections of all subscribers.
+    /// Returns the connections of all subscribers.
     pub fn connections(&self) -> impl Iterator<Item = ConnectionId> {
         self.subscriptions.connections()
     }
 
-    /// All subscribers, for the operator's status.
+    /// Returns the status of all subscribers for operators.
     pub fn subscribers(&self) -> Vec<SubscriberStatus> {
         self.subscriptions.statuses(self.newest_flush)
     }
 
-    /// Takes the pending actions, in order.
+    /// Removes and returns the pending actions, in the order in which they have to be carried out.
     pub fn take_actions(&mut self) -> Vec<FeedAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Something was published: earlier snapshots are outdated, and a flush is due.
-    fn published(&mut self, now: Duration, urgency: Urgency) {
+    /// Discards the outdated snapshots and schedules a flush after a change of the published data.
+    fn invalidate_and_schedule(&mut self, now: Duration, urgency: Urgency) {
         self.snapshots.clear();
         self.schedule(now, urgency);
     }
@@ -296,18 +299,18 @@
         self.pending.schedule(now, urgency, self.subscriptions.len());
     }
 
-    fn proxy_count_changed(&mut self, now: Duration) {
+    fn schedule_proxy_count(&mut self, now: Duration) {
         self.pending.proxy_count = true;
         self.schedule(now, Urgency::Coalesced);
     }
 
-    /// Number of proxies, by which they divide quotas among themselves; at least 1.
+    /// Returns the number of proxies, at least 1. Proxies divide quotas by it.
     fn proxy_count(&self) -> u32 {
         let agents = u32::try_from(self.subscriptions.agent_count()).unwrap_or(u32::MAX);
-        agents.max(self.inherited_count).max(1)
+        agents.max(self.inherited_proxy_count).max(1)
     }
 
-    /// The updates that all subscribers get.
+    /// Returns the updates of a flush that are the same for all subscribers.
     fn common_updates(&mut self, pending: &PendingUpdates) -> Vec<FeedUpdate> {
         let mut updates = Vec::new();
         if pending.all_instances {
@@ -324,7 +327,8 @@
         updates
     }
 
-    /// How the configuration is sent to a subscriber that has version `known`: as a patch if that fits.
+    /// Returns the form of the configuration for a subscriber that has version `known`. A patch is used if it applies
+    /// to that version.
     fn configuration_form(&self, known: u64) -> ConfigurationForm {
         if known >= self.configuration.generation {
             return ConfigurationForm::Absent;
@@ -335,8 +339,8 @@
         }
     }
 
-    /// The configuration in this form.
-    fn configuration_in(&self, form: ConfigurationForm) -> Option<FeedUpdate> {
+    /// Returns the update with the configuration in this form.
+    fn configuration_update(&self, form: ConfigurationForm) -> Option<FeedUpdate> {
         let PublishedConfiguration { generation, document, patch } = &self.configuration;
         let generation = *generation;
         let update = match (form, patch) {
@@ -351,21 +355,21 @@
         Some(FeedUpdate::Configuration(update))
     }
 
-    /// All that a new subscriber with the configuration `generation` needs.
+    /// Returns a snapshot of the published data for a subscriber that has the configuration `generation`.
     fn snapshot_for(&mut self, generation: u64) -> SharedUpdates {
         let form = self.configuration_form(generation);
         if let Some(snapshot) = self.snapshots.get(&form) {
             return Rc::clone(snapshot);
         }
-        let is_of_state = |update: &FeedUpdate| !matches!(update, FeedUpdate::Configuration(_));
-        let state = self.state.snapshot().into_iter().filter(is_of_state);
-        let snapshot: SharedUpdates = self.configuration_in(form).into_iter().chain(state).collect();
+        let is_not_configuration = |update: &FeedUpdate| !matches!(update, FeedUpdate::Configuration(_));
+        let state = self.state.snapshot().into_iter().filter(is_not_configuration);
+        let snapshot: SharedUpdates = self.configuration_update(form).into_iter().chain(state).collect();
         self.snapshots.insert(form, Rc::clone(&snapshot));
         snapshot
     }
 
     fn send(&mut self, now: Duration, connection: ConnectionId, sequence: u64, updates: SharedUpdates) {
-        self.subscriptions.batch_sent(now, connection, self.configuration.generation);
+        self.subscriptions.record_batch(now, connection, self.configuration.generation);
         self.actions.push(FeedAction::Send { connection, sequence, updates });
     }
 }
--- a/crates/pebblepost-control/src/feed/subscriptions.rs
+++ b/crates/pebblepost-control/src/feed/subscriptions.rs
@@ -5,24 +5,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Number of an inbound connection of this process, never reused.
+/// Number that identifies an inbound connection of this node. Numbers are never reused.
 pub type ConnectionId = u64;
 
-/// A subscriber that was sent nothing for this long gets a keep-alive.
+/// Time without an outgoing message after which a subscriber is sent a keep-alive.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// A subscriber that sent nothing for this long is disconnected.
+/// Time without an incoming message after which a subscriber is disconnected.
 const SUBSCRIBER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A subscriber, for the operator's status.
+/// Status of a subscriber for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubscriberStatus {
     /// Name of the machine.
     pub node: String,
-    /// Its role.
+    /// Role of the subscriber.
     pub role: SubscriberRole,
     /// Version of the configuration that it has acknowledged.
     pub generation: u64,
-    /// Number of flushes that it has not acknowledged.
+    /// Number of flushes that it has not acknowledged yet.
     pub unacknowledged_flushes: u64,
 }
 
@@ -30,7 +30,7 @@
 pub(super) struct Subscription {
     node: String,
     role: SubscriberRole,
-    /// Flush that the first batch, the snapshot, corresponds to.
+    /// Number of the flush up to which the first batch, the snapshot, contains all updates.
     first_flush: u64,
     acknowledged_flush: u64,
     sent_generation: u64,
@@ -40,7 +40,7 @@
 }
 
 impl Subscription {
-    /// A subscription whose subscriber has the configuration `generation` already.
+    /// Creates the subscription of a subscriber that has the configuration `generation` already.
     pub(super) fn new(
         now: Duration, node: String, role: SubscriberRole, first_flush: u64, generation: u64,
     ) -> Subscription {
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Sequence number, on this subscription, of the batch that a flush sends; from 1.
+    /// Returns the sequence number, on this subscription, of the batch that a flush sends. The first one is 1.
     pub(super) fn sequence_of(&self, flush: u64) -> u64 {
         flush - self.first_flush + 1
     }
 
-    /// Version of the configuration that was sent last.
+    /// Returns the version of the configuration that was sent last.
     pub(super) fn sent_generation(&self) -> u64 {
         self.sent_generation
     }
@@ -78,7 +78,7 @@
         self.by_connection.insert(connection, subscription);
     }
 
-    /// Removes a subscription; its role if there was one.
+    /// Removes a subscription, and returns its subscriber's role if there was one.
     pub(super) fn remove(&mut self, connection: ConnectionId) -> Option<SubscriberRole> {
         self.by_connection.remove(&connection).map(|subscription| subscription.role)
     }
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Processes an acknowledgement. Sequence 0 acknowledges the configuration only.
+    /// Processes an acknowledgement. Sequence number 0 acknowledges the configuration only.
     pub(super) fn acknowledge(
         &mut self, now: Duration, connection: ConnectionId, reply: &FeedReply, newest_flush: u64,
     ) {
@@ -119,13 +119,13 @@
         subscription.last_message = now;
     }
 
-    /// Whether every subscriber has acknowledged everything up to a flush.
+    /// Returns whether every subscriber has acknowledged all flushes up to `flush`.
     pub(super) fn is_acknowledged(&self, flush: u64) -> bool {
         self.by_connection.values().all(|subscription| subscription.acknowledged_flush >= flush)
     }
 
-    /// Records that a batch was sent with the configuration up to `generation`.
-    pub(super) fn batch_sent(&mut self, now: Duration, connection: ConnectionId, generation: u64) {
+    /// Records that a batch was sent, after which the subscriber has the configuration `generation`.
+    pub(super) fn record_batch(&mut self, now: Duration, connection: ConnectionId, generation: u64) {
         if let Some(subscription) = self.by_connection.get_mut(&connection) {
             subscription.last_sent = now;
             subscription.sent_generation = subscription.sent_generation.max(generation);
@@ -133,23 +133,23 @@
     }
 
     /// Records that a keep-alive was sent.
-    pub(super) fn keep_alive_sent(&mut self, now: Duration, connection: ConnectionId) {
+    pub(super) fn record_keep_alive(&mut self, now: Duration, connection: ConnectionId) {
         if let Some(subscription) = self.by_connection.get_mut(&connection) {
             subscription.last_sent = now;
         }
     }
 
-    /// Subscribers that sent nothing for too long.
+    /// Returns the subscribers that have timed out.
     pub(super) fn timed_out(&self, now: Duration) -> Vec<ConnectionId> {
         self.matching(|subscription| now.saturating_sub(subscription.last_message) >= SUBSCRIBER_TIMEOUT)
     }
 
-    /// Subscribers that are due a keep-alive.
+    /// Returns the subscribers for which a keep-alive is due.
     pub(super) fn idle(&self, now: Duration) -> Vec<ConnectionId> {
         self.matching(|subscription| now.saturating_sub(subscription.last_sent) >= KEEP_ALIVE_INTERVAL)
     }
 
-    /// Number of subscribers that are agents, each beside one proxy.
+    /// Returns the number of subscribed agents, which is the number of connected proxies.
     pub(super) fn agent_count(&self) -> usize {
         let is_agent = |subscription: &&Subscription| subscription.role == SubscriberRole::Agent;
         self.by_connection.values().filter(is_agent).count()
--- a/crates/pebblepost-control/src/load_order.rs
+++ b/crates/pebblepost-control/src/load_order.rs
@@ -1,10 +1,10 @@
-//! Load orders to transcribers: their body, and what the configuration requires of a model.
+//! Load orders to transcribers: their encoding, and the requirements of the configuration on roll-outs.
 
 use pebblepost_configuration::{Configuration, RouteKind};
 use pebblepost_rollout::{LoadMode, LoadOrder};
 
-/// Body of `POST /order`. The fencing token is the epoch in which the sender is primary: transcribers reject orders
-/// with a lower one than they have seen.
+/// Encodes the body of `POST /order`. The fencing token is the epoch in which the sender is primary. Transcribers
+/// reject load orders with a lower token than they have seen.
 pub fn encode_body(order: &LoadOrder, holder: &str, fencing_token: u64) -> Vec<u8> {
     let mode = match order.mode {
         LoadMode::Wait => "wait",
@@ -22,7 +22,7 @@
     simd_json::to_string(&value).unwrap_or_default().into_bytes()
 }
 
-/// Whether a batch route requires that each text of a model is produced by a single version.
+/// Returns whether a route for batch jobs that serves `model` requires that each text is produced by a single version.
 pub fn requires_single_version(configuration: &Configuration, model: &str) -> bool {
     let serves_model = |backend: &str| {
         let service = configuration.service(backend);
--- a/crates/pebblepost-control/src/membership.rs
+++ b/crates/pebblepost-control/src/membership.rs
@@ -1,8 +1,7 @@
-//! Membership of the control group: how it is bootstrapped, which control processes are known, which of them are
-//! witnesses.
+//! Membership of the control group: its bootstrap, the known control nodes, and the choice of witnesses.
 //!
-//! Owns what this process knows of its peers. It decides nothing alone: changes of the witness set go through the
-//! epoch register.
+//! Owns what this node knows of its peers. Changes of the witness set are only proposed here; the epoch register
+//! decides on them.
 
 pub mod bootstrap;
 mod message;
--- a/crates/pebblepost-control/src/membership/bootstrap.rs
+++ b/crates/pebblepost-control/src/membership/bootstrap.rs
@@ -1,7 +1,7 @@
-//! Bootstrap: disk identities of the first members and the first epoch record.
+//! Bootstrap of the control group: the disk identities of the first members, and the first epoch record.
 //!
-//! The disks of the seeds have identities derived from the seeds' addresses, so all of them know the same first record
-//! without agreeing on it. Every other disk draws a random identity and has to be added to the group.
+//! The disk identities of the seeds are derived from their addresses, so all seeds start from the same epoch record
+//! without communication. Every other disk gets a random identity and has to be added to the group.
 
 use crate::hash::fnv1a;
 use pebblepost_messages::{DiskId, Member};
@@ -9,19 +9,20 @@
 use pebblepost_settings::Settings;
 use std::net::SocketAddr;
 
-/// Identity of a seed's disk.
+/// Returns the identity of a seed's disk, derived from the seed's address.
 pub fn bootstrap_disk(seed: SocketAddr) -> DiskId {
     DiskId(fnv1a(&[seed.to_string().as_bytes()]))
 }
 
-/// Identity with which this machine's disk is formatted if it is empty: a seed's, or a random one (`None`).
+/// Returns the identity with which the disk of this machine is formatted if it is empty: that of a seed, or `None`
+/// for a random one.
 pub fn identity_to_format(settings: &Settings) -> Option<DiskId> {
     let own = settings.control_address?;
     (settings.bootstrap && settings.seeds.contains(&own)).then(|| bootstrap_disk(own))
 }
 
-/// The record that all seeds start from: no primary yet, all of them in sync and witnesses. Names and zones of the
-/// members are not known at this point and left empty.
+/// Returns the epoch record from which all seeds start. It names no primary, and all seeds as in-sync replicas and
+/// witnesses. The names and zones of the members are not known at this point and are left empty.
 pub fn bootstrap_record(seeds: &[SocketAddr], control_link_port: u16) -> EpochRecord {
     let member = |seed: &SocketAddr| Member {
         disk: bootstrap_disk(*seed),
--- a/crates/pebblepost-control/src/membership/peers.rs
+++ b/crates/pebblepost-control/src/membership/peers.rs
@@ -1,4 +1,4 @@
-//! The control processes known to this one, and the addresses at which it looks for them.
+//! The control nodes known to this node, and the addresses that it dials to find others.
 
 use pebblepost_messages::{DiskId, Member};
 use pebblepost_replication::record::EpochRecord;
@@ -6,21 +6,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time without a message after which a process that is in no epoch record is forgotten.
-const EXPIRE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Time without a message after which a process is no longer advertised to others.
-const ADVERTISE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time without a message after which a process counts as unreachable; longer than the keep-alive interval.
+/// Time without a message after which a node that is not in the epoch record is removed.
+const PEER_EXPIRY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time without a message after which a node is no longer advertised to others.
+const ADVERTISEMENT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time without a message after which a node counts as unreachable. It is longer than the keep-alive interval.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(1100);
-/// Most addresses dialed beside those of the epoch record and the settings.
-const MAX_CANDIDATES: usize = 64;
+/// Limit on the addresses learned from other nodes that are dialed in addition to those of the epoch record and the
+/// settings.
+const MAX_CANDIDATE_ADDRESSES: usize = 64;
 
-/// A control process as seen from here.
+/// A control node as seen by this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// The machine and its disk.
+    /// Identity of the node.
     pub member: Member,
-    /// Time since its last message.
+    /// Time since the last message of the node.
     pub last_message_age: Duration,
 }
 
@@ -30,20 +31,20 @@
     last_message: Duration,
 }
 
-/// The control processes known here.
+/// The control nodes known to this node.
 #[derive(Clone, Debug)]
 pub struct Peers {
     me: Member,
     /// Link addresses of the seeds.
     seeds: BTreeSet<String>,
-    /// Link addresses that other processes advertised.
+    /// Link addresses that other nodes have advertised.
     candidates: BTreeSet<String>,
     known: BTreeMap<DiskId, Peer>,
     started_at: Duration,
 }
 
 impl Peers {
-    /// At the start only the link addresses of the seeds are known.
+    /// Creates the state of a node that has just started and knows only the link addresses of the seeds.
     pub fn new(now: Duration, me: Member, seeds: impl IntoIterator<Item = String>) -> Peers {
         Peers {
             me,
@@ -59,7 +60,7 @@
         self.seeds = seeds.into_iter().collect();
     }
 
-    /// A message arrived from a process.
+    /// Records that a message arrived from a node, and its current identity.
     pub fn record_message(&mut self, now: Duration, member: &Member) {
         if member.disk == self.me.disk {
             return;
@@ -77,30 +78,31 @@
         }
     }
 
-    /// Adds link addresses that another process advertised. Invalid ones and those beyond the limit are ignored.
+    /// Adds link addresses that another node advertised. Invalid addresses and those beyond the limit are ignored.
     pub fn add_candidates(&mut self, addresses: &[String]) {
         for address in addresses {
             let is_own = *address == self.me.address;
-            let has_capacity = self.candidates.len() < MAX_CANDIDATES;
+            let has_capacity = self.candidates.len() < MAX_CANDIDATE_ADDRESSES;
             if !is_own && has_capacity && address.parse::<SocketAddr>().is_ok() {
                 self.candidates.insert(address.clone());
             }
         }
     }
 
-    /// Forgets processes that are in no record and were silent for long, and candidates at which nobody answered.
+    /// Removes silent nodes that are not in the epoch record, and advertised addresses at which no known node is.
     pub fn expire(&mut self, now: Duration, record: &EpochRecord) {
         let is_member = |disk: &DiskId| members_of(record).any(|member| member.disk == *disk);
-        self.known
-            .retain(|disk, known| now.saturating_sub(known.last_message) < EXPIRE_TIMEOUT || is_member(disk));
-        if now.saturating_sub(self.started_at) < EXPIRE_TIMEOUT {
+        self.known.retain(|disk, known| {
+            now.saturating_sub(known.last_message) < PEER_EXPIRY_TIMEOUT || is_member(disk)
+        });
+        if now.saturating_sub(self.started_at) < PEER_EXPIRY_TIMEOUT {
             return;
         }
         let answered: BTreeSet<&String> = self.known.values().map(|known| &known.member.address).collect();
         self.candidates.retain(|address| answered.contains(address));
     }
 
-    /// This process, then all known ones by disk.
+    /// Returns the status of this node, then that of all known nodes ordered by disk.
     pub fn statuses(&self, now: Duration) -> Vec<PeerStatus> {
         let mut statuses = vec![PeerStatus { member: self.me.clone(), last_message_age: Duration::ZERO }];
         statuses.extend(self.known.values().map(|known| PeerStatus {
@@ -110,19 +112,19 @@
         statuses
     }
 
-    /// Time since the last message of another process; `None` if it is not known.
+    /// Returns the time since the last message of another node, or `None` if the node is not known.
     pub fn last_message_age(&self, now: Duration, disk: DiskId) -> Option<Duration> {
         self.known.get(&disk).map(|known| now.saturating_sub(known.last_message))
     }
 
-    /// Disks of the processes that sent something lately.
+    /// Returns the disks of the nodes that count as reachable.
     pub fn reachable(&self, now: Duration) -> BTreeSet<DiskId> {
         let is_reachable = |known: &Peer| now.saturating_sub(known.last_message) < UNREACHABLE_TIMEOUT;
         let reachable = self.known.iter().filter(|(_, known)| is_reachable(known));
         reachable.map(|(disk, _)| *disk).collect()
     }
 
-    /// Link addresses to dial: seeds, candidates, known processes and members of the record.
+    /// Returns the link addresses to dial: seeds, advertised addresses, known nodes and members of the epoch record.
     pub fn addresses_to_dial(&self, record: &EpochRecord) -> BTreeSet<String> {
         let known = self.known.values().map(|known| &known.member.address);
         let members = members_of(record).map(|member| &member.address);
@@ -130,9 +132,10 @@
         all.filter(|address| **address != self.me.address).cloned().collect()
     }
 
-    /// Link addresses to advertise to other programs: this process, members of the record and live processes.
+    /// Returns the link addresses to advertise to other programs: this node, members of the epoch record and live
+    /// nodes.
     pub fn advertised(&self, now: Duration, record: &EpochRecord) -> Vec<String> {
-        let is_live = |known: &&Peer| now.saturating_sub(known.last_message) < ADVERTISE_TIMEOUT;
+        let is_live = |known: &&Peer| now.saturating_sub(known.last_message) < ADVERTISEMENT_TIMEOUT;
         let live = self.known.values().filter(is_live).map(|known| known.member.address.clone());
         let members = members_of(record).map(|member| member.address.clone());
         let mut advertised: BTreeSet<String> = live.chain(members).collect();
@@ -141,7 +144,7 @@
     }
 }
 
-/// All members that an epoch record names; one with several roles is repeated.
+/// Returns all members that an epoch record names. A member with several roles is repeated.
 pub fn members_of(record: &EpochRecord) -> impl Iterator<Item = &Member> {
     record.in_sync.iter().chain(&record.witnesses).chain(&record.former_witnesses)
 }
--- a/crates/pebblepost-control/src/membership/witnesses.rs
+++ b/crates/pebblepost-control/src/membership/witnesses.rs
@@ -1,4 +1,4 @@
-//! The witness set of the epoch register: the primary replaces failed witnesses and extends the set to its size.
+//! The witness set of the epoch register. The primary replaces failed witnesses, and extends the set to its full size.
 
 use super::peers::PeerStatus;
 use pebblepost_messages::{DiskId, Member};
@@ -8,18 +8,20 @@
 /// Time without a message after which a witness is replaced.
 pub const WITNESS_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What counts as evidence that a witness has failed.
+/// Evidence that is required to consider a witness as failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureEvidence {
-    /// Only that another disk answers at its address: a new primary has not had the time to hear from everyone.
+    /// Another disk answers at the address of the witness. A new primary relies on this evidence only, because it has
+    /// not received messages from all nodes yet.
     Replacement,
-    /// A time-out as well.
+    /// Another disk answers at the address of the witness, or the witness has timed out.
     Timeout,
 }
 
-/// The next record that changes the witness set, or `None` if the set is complete.
+/// Returns the next epoch record that changes the witness set, or `None` if no change is needed or possible.
 ///
-/// One witness is replaced or added at a time, in two steps: a record with both sets, then one without the former set.
+/// One witness is replaced or added at a time, in two steps: a record with the new and the former set, then one without
+/// the former set.
 pub fn next_witness_change(
     record: &EpochRecord, peers: &[PeerStatus], set_size: usize, evidence: FailureEvidence,
 ) -> Option<EpochRecord> {
@@ -57,7 +59,7 @@
     Some(witnesses)
 }
 
-/// A live machine that is no witness. In-sync replicas are preferred, then the lowest disk.
+/// Returns a live node that is not a witness yet. In-sync replicas are preferred, then the lowest disk identity.
 fn candidate<'a>(record: &EpochRecord, peers: &'a [PeerStatus]) -> Option<&'a Member> {
     let is_in_sync = |disk: DiskId| record.in_sync.iter().any(|member| member.disk == disk);
     let is_witness = |disk: DiskId| record.witnesses.iter().any(|witness| witness.disk == disk);
@@ -69,7 +71,7 @@
     peer.last_message_age < WITNESS_TIMEOUT
 }
 
-/// Whether another disk answers at the witness's address.
+/// Returns whether another disk answers at the address of the witness.
 fn is_replaced(witness: &Member, peers: &[PeerStatus]) -> bool {
     peers.iter().any(|peer| {
         peer.member.disk != witness.disk && peer.member.address == witness.address && is_live(peer)
--- a/crates/pebblepost-control/src/registry.rs
+++ b/crates/pebblepost-control/src/registry.rs
@@ -1,29 +1,29 @@
-//! Service registry of transcribers: which incarnations exist, and in which state.
+//! Service registry: the known instances of transcribers and their states.
 //!
-//! Soft state, never stored: the primary maintains it from heartbeats, standbys replicate it from the primary's feed.
-//! A terminated incarnation never becomes live again.
+//! The registry is soft state and never stored. The primary maintains it from heartbeats, and standbys replicate it
+//! from the primary's feed. A terminated instance never becomes live again.
 
 use crate::state::shutdowns::ShutdownPhase;
 use pebblepost_messages::feed::{Instance, InstanceState};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::time::Duration;
 
-/// Terminated incarnations that are remembered.
-const MAX_TERMINATED: usize = 4096;
-/// The incarnations terminated last that a new primary publishes.
-const MAX_RECENTLY_TERMINATED: usize = 64;
-/// Heartbeats that an incarnation may miss before it counts as terminated. That is final, so the limit has to outlast
-/// temporary network partitions.
-const MISSED_HEARTBEATS_LIMIT: u32 = 12;
-/// Lower bound of the time without heartbeats after which an incarnation counts as terminated.
+/// Limit on the terminated instances kept in the registry. The oldest ones are evicted.
+const MAX_TERMINATED_INSTANCES: usize = 4096;
+/// Number of the most recently terminated instances that a new primary publishes.
+const MAX_PUBLISHED_TERMINATED_INSTANCES: usize = 64;
+/// Number of heartbeats that an instance may miss before it counts as terminated. Termination is final, so this time
+/// has to be longer than temporary network partitions.
+const MAX_MISSED_HEARTBEATS: u32 = 12;
+/// Lower bound on the time without heartbeats after which an instance counts as terminated.
 const MIN_TIME_TO_LIVE: Duration = Duration::from_secs(15);
 
-/// What an operation on the registry changed.
+/// The changes that an operation made to the registry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RegistryChange {
-    /// The incarnations that changed, as they are now.
+    /// The changed instances in their new state.
     pub instances: Vec<Instance>,
-    /// Whether one of them has begun to drain or has terminated: proxies have to know at once.
+    /// Whether one of them started to drain or terminated, which proxies have to know immediately.
     pub has_shutdown: bool,
 }
 
@@ -33,22 +33,22 @@
     last_heartbeat: Duration,
 }
 
-/// The registry.
+/// The service registry.
 #[derive(Clone, Debug)]
 pub struct Registry {
     heartbeat_interval: Duration,
     live: BTreeMap<String, Registration>,
-    /// Identities of live incarnations by address.
+    /// Identities of live instances by address.
     by_address: HashMap<String, String>,
     terminated: BTreeMap<String, Instance>,
-    /// Identities of terminated incarnations, oldest first.
+    /// Identities of terminated instances, oldest first.
     terminated_order: VecDeque<String>,
-    /// No incarnation expires before this time.
+    /// No instance expires before this time.
     grace_period_end: Duration,
 }
 
 impl Registry {
-    /// An empty registry for transcribers that send a heartbeat each `heartbeat_interval`.
+    /// Creates an empty registry for instances that send a heartbeat every `heartbeat_interval`.
     pub fn new(heartbeat_interval: Duration) -> Registry {
         Registry {
             heartbeat_interval,
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Resets the time of each incarnation's last heartbeat: this process only begins to receive them.
+    /// Starts the grace period of a new primary. It resets the time of each instance's last heartbeat, because this
+    /// node received no heartbeats before.
     pub fn start_grace_period(&mut self, now: Duration) {
         for registration in self.live.values_mut() {
             registration.last_heartbeat = now;
@@ -68,28 +69,29 @@
         self.grace_period_end = now + self.time_to_live();
     }
 
-    /// End of the grace period: an incarnation without a heartbeat until then has terminated.
+    /// Returns the end of the grace period. An instance that sends no heartbeat until then counts as terminated.
     pub fn grace_period_end(&self) -> Duration {
         self.grace_period_end
     }
 
-    /// The incarnations terminated last, newest first.
+    /// Returns the most recently terminated instances, newest first.
     pub fn recently_terminated(&self) -> impl Iterator<Item = &Instance> {
-        let newest = self.terminated_order.iter().rev().take(MAX_RECENTLY_TERMINATED);
+        let newest = self.terminated_order.iter().rev().take(MAX_PUBLISHED_TERMINATED_INSTANCES);
         newest.filter_map(|id| self.terminated.get(id))
     }
 
-    /// Incarnations that have not terminated.
+    /// Returns the instances that have not terminated.
     pub fn live(&self) -> impl Iterator<Item = &Instance> {
         self.live.values().map(|registration| &registration.instance)
     }
 
-    /// An incarnation, live or terminated.
+    /// Returns an instance, live or terminated.
     pub fn instance(&self, id: &str) -> Option<&Instance> {
         self.live.get(id).map(|registration| &registration.instance).or_else(|| self.terminated.get(id))
     }
 
-    /// Processes a registration or heartbeat. One that is not newer than the last only counts as a sign of life.
+    /// Processes a registration or heartbeat. One whose sequence number is not above the last one only renews the
+    /// time to live.
     pub fn register(&mut self, now: Duration, instance: Instance) -> RegistryChange {
         if self.terminated.contains_key(&instance.id) {
             return RegistryChange::default();
@@ -103,7 +105,7 @@
         self.upsert(now, instance)
     }
 
-    /// Terminates an incarnation. An unknown one is recorded too: its registration may arrive later.
+    /// Terminates an instance. An unknown instance is recorded as well, because its registration may arrive later.
     pub fn deregister(&mut self, id: &str) -> RegistryChange {
         if self.terminated.contains_key(id) {
             return RegistryChange::default();
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Records that a transcriber is known to have loaded a version of a model.
+    /// Records that an instance has loaded a version of a model. Unknown models and older versions are ignored.
     pub fn version_loaded(&mut self, id: &str, model: &str, generation: u64) -> RegistryChange {
         let Some(registration) = self.live.get_mut(id) else { return RegistryChange::default() };
         let models = &mut registration.instance.models;
@@ -141,7 +143,8 @@
         RegistryChange { instances: vec![registration.instance.clone()], has_shutdown: false }
     }
 
-    /// Terminates the incarnations whose time to live has passed without a heartbeat.
+    /// Terminates the instances whose time to live has passed without a heartbeat. No instance expires during the grace
+    /// period.
     pub fn expire(&mut self, now: Duration) -> RegistryChange {
         if now < self.grace_period_end {
             return RegistryChange::default();
@@ -156,7 +159,7 @@
         RegistryChange { instances, has_shutdown }
     }
 
-    /// Replicates what the primary's feed publishes. Live incarnations absent from a `complete` list have terminated.
+    /// Applies an update of the primary's feed. Live instances that are absent from a `complete` list are terminated.
     pub fn replicate(&mut self, now: Duration, complete: bool, instances: &[Instance]) {
         if complete {
             let listed: HashSet<&str> = instances.iter().map(|instance| instance.id.as_str()).collect();
@@ -167,11 +170,11 @@
             }
         }
         for instance in instances {
-            self.replicate_one(now, instance);
+            self.replicate_instance(now, instance);
         }
     }
 
-    fn replicate_one(&mut self, now: Duration, instance: &Instance) {
+    fn replicate_instance(&mut self, now: Duration, instance: &Instance) {
         if self.terminated.contains_key(&instance.id) {
             return;
         }
@@ -183,16 +186,16 @@
     }
 
     fn time_to_live(&self) -> Duration {
-        (self.heartbeat_interval * MISSED_HEARTBEATS_LIMIT).max(MIN_TIME_TO_LIVE)
+        (self.heartbeat_interval * MAX_MISSED_HEARTBEATS).max(MIN_TIME_TO_LIVE)
     }
 
     fn upsert(&mut self, now: Duration, instance: Instance) -> RegistryChange {
-        let mut change = self.terminate_former_at(&instance);
+        let mut change = self.terminate_former_at_address(&instance);
         let known = self.live.get(&instance.id).map(|registration| registration.instance.clone());
         let merged = known.as_ref().map_or_else(|| instance.clone(), |known| merge(known, instance.clone()));
         change.has_shutdown |= merged.state == InstanceState::Draining
             && known.as_ref().is_none_or(|known| known.state != InstanceState::Draining);
-        if known.as_ref().is_none_or(|known| is_visible_change(known, &merged)) {
+        if known.as_ref().is_none_or(|known| needs_publication(known, &merged)) {
             change.instances.push(merged.clone());
         }
         if let Some(known) = known.filter(|known| known.address != merged.address) {
@@ -203,8 +206,9 @@
         change
     }
 
-    /// An address that is used by a new incarnation shows that the former one there has terminated.
-    fn terminate_former_at(&mut self, instance: &Instance) -> RegistryChange {
+    /// Terminates the former instance at the address of a new one, because an address is used by one instance at a
+    /// time.
+    fn terminate_former_at_address(&mut self, instance: &Instance) -> RegistryChange {
         let former = self.by_address.get(&instance.address).filter(|id| **id != instance.id).cloned();
         former.map_or_else(RegistryChange::default, |id| self.deregister(&id))
     }
@@ -217,7 +221,7 @@
         }
         self.terminated.insert(instance.id.clone(), instance.clone());
         self.terminated_order.push_back(instance.id.clone());
-        if self.terminated_order.len() > MAX_TERMINATED
+        if self.terminated_order.len() > MAX_TERMINATED_INSTANCES
             && let Some(oldest) = self.terminated_order.pop_front()
         {
             self.terminated.remove(&oldest);
@@ -226,7 +230,7 @@
     }
 }
 
-/// Merges a newer registration into the known one: draining is final, versions only rise.
+/// Merges a newer registration into the known one. An instance that drains stays so, and model versions never decrease.
 fn merge(known: &Instance, mut newer: Instance) -> Instance {
     if known.state == InstanceState::Draining {
         newer.state = InstanceState::Draining;
@@ -238,9 +242,9 @@
     newer
 }
 
-/// Whether subscribers need to be sent the difference. They count the remaining warm-up time down themselves, so only
-/// its end is published.
-fn is_visible_change(known: &Instance, merged: &Instance) -> bool {
+/// Returns whether the difference has to be published. Subscribers count down the remaining warm-up time themselves, so
+/// only its end is published.
+fn needs_publication(known: &Instance, merged: &Instance) -> bool {
     let published = |instance: &Instance| Instance {
         sequence: 0,
         warm_up_remaining_ms: u32::from(instance.warm_up_remaining_ms > 0),
--- a/crates/pebblepost-control/src/state.rs
+++ b/crates/pebblepost-control/src/state.rs
@@ -1,9 +1,9 @@
 //! The replicated control state.
 //!
-//! Owns everything that outlives a primary: the configuration, named versions, storage assignments, the holder of the
-//! order lease and graceful shutdowns. It is changed only by [`Command`](command::Command)s of the replicated log,
-//! deterministically, so concurrent requests are serialized by the log. It never does I/O, reads no clock and draws no
-//! random numbers.
+//! Owns everything that has to survive a change of the primary: the configuration, named versions, storage
+//! assignments, the holder of the order lease and graceful shutdowns. Only [`Command`](command::Command)s of the
+//! replicated log change it, so the log serializes concurrent requests. Commands are applied deterministically:
+//! without I/O, clocks or random numbers.
 
 mod change_history;
 pub mod command;
--- a/crates/pebblepost-control/src/state/change_history.rs
+++ b/crates/pebblepost-control/src/state/change_history.rs
@@ -1,14 +1,16 @@
-//! The configuration changes accepted last, by which a retried change is recognized (idempotent retries).
+//! History of accepted configuration changes, by which the retry of a change is recognized, so that retries are
+//! idempotent.
 
 use super::command::ConfigurationChange;
 use nanoserde::{DeBin, SerBin};
 
-/// Most changes kept, of [`BYTES_PER_CHANGE`] each, in memory and in snapshots: two days and a half with 13,000 changes
-/// each.
+/// Limit on the recorded changes, of [`BYTES_PER_CHANGE`] each, in memory and in snapshots. It covers two and a half
+/// days at 13,000 changes a day.
 pub const MAX_RECORDED_CHANGES: usize = 32 * 1024;
-/// Oldest changes dropped together once there are more, so that dropping costs nothing on average.
-const DROPPED_TOGETHER: usize = MAX_RECORDED_CHANGES / 8;
-/// Bytes of a change, in memory and in the stored form.
+/// Number of the oldest changes evicted at once when the limit is exceeded, so that the amortized cost of eviction is
+/// negligible.
+const EVICTION_BATCH_CHANGES: usize = MAX_RECORDED_CHANGES / 8;
+/// Size of a recorded change in bytes, in memory and in the stored form.
 pub const BYTES_PER_CHANGE: usize = size_of::<AcceptedChange>();
 
 /// A configuration change that was accepted.
@@ -22,43 +24,44 @@
     pub digest: u64,
 }
 
-/// What is known of a change that is submitted.
+/// Result of looking up a submitted change in the history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeLookup {
-    /// Exactly this change was accepted.
+    /// Exactly this change was accepted before.
     Accepted {
-        /// Version that it produced.
+        /// Version that the change produced.
         generation: u64,
     },
     /// This change was never accepted.
     NotAccepted,
-    /// The change that was accepted on the same base is kept no more: it may have been this one.
+    /// The change that was accepted on the same base is evicted. Whether it was this change is unknown.
     Evicted,
 }
 
-/// The newest accepted changes, oldest first: each is based on the version that the one before produced. Part of the
-/// snapshot: fields are stored in this order.
+/// The newest accepted changes, oldest first. Each is based on the version that the previous one produced.
+///
+/// Part of the snapshot: fields are stored in this order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct ChangeHistory {
     changes: Vec<AcceptedChange>,
 }
 
 impl ChangeHistory {
-    /// Records that `change` produced the version `generation`. Drops the oldest changes beyond the capacity.
+    /// Records that `change` produced the version `generation`. Evicts the oldest changes when the limit is exceeded.
     pub fn record(&mut self, change: &ConfigurationChange, generation: u64) {
         self.changes.push(AcceptedChange { base: change.base, generation, digest: change.digest() });
         if self.changes.len() > MAX_RECORDED_CHANGES {
-            self.changes.drain(..DROPPED_TOGETHER);
+            self.changes.drain(..EVICTION_BATCH_CHANGES);
         }
     }
 
-    /// Whether exactly this change was accepted before.
+    /// Looks up whether exactly this change was accepted before.
     pub fn lookup(&self, change: &ConfigurationChange) -> ChangeLookup {
         let Some(oldest) = self.changes.first() else { return ChangeLookup::NotAccepted };
         if change.base < oldest.base {
             return ChangeLookup::Evicted;
         }
-        match self.accepted_on(change.base) {
+        match self.find_by_base(change.base) {
             Some(accepted) if accepted.digest == change.digest() => {
                 ChangeLookup::Accepted { generation: accepted.generation }
             }
@@ -66,8 +69,8 @@
         }
     }
 
-    /// The change that was accepted on a version, if it is kept.
-    fn accepted_on(&self, base: u64) -> Option<&AcceptedChange> {
+    /// Returns the change that was accepted on the version `base`, if it is recorded.
+    fn find_by_base(&self, base: u64) -> Option<&AcceptedChange> {
         let position = self.changes.binary_search_by_key(&base, |accepted| accepted.base).ok()?;
         self.changes.get(position)
     }
--- a/crates/pebblepost-control/src/state/command.rs
+++ b/crates/pebblepost-control/src/state/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log, and their outcomes when they are applied.
+//! Commands of the replicated log, and the outcomes of applying them.
 
 use super::shutdowns::ShutdownPhase;
 use crate::hash::fnv1a;
@@ -9,7 +9,7 @@
 use std::fmt;
 use thiserror::Error;
 
-/// How a configuration change is expressed.
+/// Form of a configuration change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub enum ChangeMethod {
     /// The complete new document (`PUT`).
@@ -24,27 +24,27 @@
 pub struct ConfigurationChange {
     /// Version that the change is based on (`If-Match`).
     pub base: u64,
-    /// How the change is expressed.
+    /// Form of the change.
     pub method: ChangeMethod,
     /// The document or the patch, JSON.
     pub body: Vec<u8>,
 }
 
 impl ConfigurationChange {
-    /// Digest by which a retry of exactly this change is recognized.
+    /// Returns the digest by which a retry of exactly this change is recognized.
     pub fn digest(&self) -> u64 {
         fnv1a(&[&[self.method as u8], &self.base.to_le_bytes(), &self.body])
     }
 }
 
-/// First assignment of a group of batch jobs to storage nodes.
+/// Initial assignment of a store group to storage nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct InitialAssignment {
-    /// The group.
+    /// Number of the store group.
     pub group: u32,
-    /// Disk of its primary.
+    /// Disk of the primary.
     pub primary: DiskId,
-    /// Disks of its replicas, the primary's among them.
+    /// Disks of all replicas, including the primary's.
     pub replicas: Vec<DiskId>,
 }
 
@@ -60,70 +60,71 @@
         /// The version.
         generation: u64,
     },
-    /// Assigns all groups of batch jobs for the first time.
+    /// Makes the initial assignment of all store groups.
     BootstrapGroups(Vec<InitialAssignment>),
-    /// Starts a new epoch of a group, on request of a storage node.
+    /// Starts a new epoch of a store group at the request of a storage node.
     ChangeGroup {
-        /// Disk of the requesting storage node; it has to be in sync.
+        /// Disk of the requesting storage node, which has to be in sync.
         proposer: DiskId,
-        /// The group.
+        /// Number of the store group.
         group: u32,
         /// Epoch that the change is based on.
         expected_epoch: u64,
         /// The new epoch.
         proposed: GroupEpoch,
     },
-    /// Adds a disk of a storage node, or updates its address.
+    /// Adds a disk of a storage node, or updates what is known of it.
     AddStore(Member),
     /// Removes a disk that is lost or unused.
     RemoveStore(DiskId),
-    /// Starts to move all groups off a storage node.
+    /// Starts the retirement of a storage node: all store groups are moved to other nodes.
     Retire {
         /// Name of the storage node.
         node: String,
-        /// Storage nodes that have to remain without it.
+        /// Number of storage nodes that have to remain without it.
         min_remaining: u32,
     },
-    /// Marks a retiring storage node as empty.
+    /// Completes the retirement of a storage node that holds no replicas any more.
     CompleteRetirement {
         /// Name of the storage node.
         node: String,
     },
-    /// Sets the disks that a group should be moved to.
+    /// Sets the disks to which a store group is moved.
     SetTargets {
-        /// The group.
+        /// Number of the store group.
         group: u32,
-        /// Their disks.
+        /// The disks.
         targets: Vec<DiskId>,
     },
-    /// Makes a primary the holder of the singleton role that sends load orders to transcribers.
+    /// Makes a primary the holder of the exclusive right to send load orders to transcribers.
     AcquireOrderLease {
-        /// Disk of that primary.
+        /// Disk of the primary.
         holder: DiskId,
     },
-    /// Records the graceful shutdown of a transcriber. It is acknowledged once this is committed.
+    /// Records the graceful shutdown of a transcriber. The shutdown is acknowledged only after the commit of this
+    /// command.
     RecordShutdown {
-        /// Identity of the incarnation.
+        /// Identity of the instance.
         instance: String,
-        /// Phase that it has reached.
+        /// Phase that the shutdown has reached.
         phase: ShutdownPhase,
     },
 }
 
 impl Command {
-    /// A command without effect, for the barrier of a term. Its stored form is one that builds before it can read: the
-    /// first assignment of no group at all.
+    /// Returns a command without effect, which is the barrier of a term. It is encoded as an initial assignment of no
+    /// groups, because builds that predate the barrier have to decode it.
     pub fn barrier() -> Command {
         Command::BootstrapGroups(Vec::new())
     }
 
-    /// The stored form.
+    /// Encodes the command in its stored form.
     pub fn encode(&self) -> Vec<u8> {
         SerBin::serialize_bin(self)
     }
 }
 
-/// Short form for logs.
+/// Formats the command for log lines, without the bodies of changes.
 impl fmt::Display for Command {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -159,38 +160,39 @@
     }
 }
 
-/// Why a configuration change is rejected. The texts are sent to the operator.
+/// Reason why a configuration change is rejected. The message is sent to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// The change is based on another version than the current one (412).
+    /// The change is not based on the current version (412).
     #[error("version {current} is current")]
     VersionMismatch {
         /// The current version, 0 for none.
         current: u64,
     },
-    /// The change is based on a version so old that it is not known any more whether it was accepted (503).
+    /// The change is based on a version that is no longer in the change history, so whether it was accepted before is
+    /// unknown (503).
     #[error("not known any more whether the change on version {base} was accepted")]
     HistoryEvicted {
-        /// The version that it is based on.
+        /// Version that the change is based on.
         base: u64,
     },
-    /// The document or the patch can't be parsed or breaks a rule of the format.
+    /// The document or the patch can't be parsed or is invalid.
     #[error(transparent)]
     InvalidDocument(#[from] ConfigurationError),
     /// A patch was sent before any document.
     #[error("there is no configuration to patch")]
     NothingToPatch,
-    /// The new document's version does not follow the current one.
+    /// The version of the new document is not above the current one.
     #[error("generation {generation} is not above the current {current}")]
     StaleGeneration {
-        /// Version that the new document names.
+        /// Version of the new document.
         generation: u64,
         /// The current version.
         current: u64,
     },
 }
 
-/// Why a storage node can't be retired. The texts are sent to the operator.
+/// Reason why a storage node can't be retired. The message is sent to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RetirementError {
     /// No storage node has that name.
@@ -201,31 +203,31 @@
     TooFewRemaining,
 }
 
-/// What a command did when it was applied, for the request that proposed it.
+/// Outcome of an applied command, from which the request that proposed it is answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The configuration was changed, now or earlier by the same change.
+    /// The configuration was changed by this change, now or when it was first submitted.
     ConfigurationAccepted {
         /// Version that the change produced.
         generation: u64,
     },
     /// The configuration was not changed.
     ConfigurationRejected(ChangeError),
-    /// The version is named.
+    /// The version was named.
     VersionNamed,
-    /// State of a group after a requested change.
+    /// State of a store group after a requested change of its epoch.
     GroupChanged {
         /// Whether the proposed epoch is in force.
         accepted: bool,
         /// The epoch in force.
         current: GroupEpoch,
     },
-    /// The storage node retires, or did already.
+    /// The storage node is retiring or retired.
     Retiring,
-    /// The storage node does not retire.
+    /// The retirement was rejected.
     RetirementRejected(RetirementError),
-    /// Applied; no request waits for the result.
+    /// The command was applied, and no request waits for its result.
     Applied,
-    /// The entry can't be decoded; the state is damaged.
+    /// The entry can't be decoded, so the state counts as damaged.
     Undecodable,
 }
--- a/crates/pebblepost-control/src/state/configuration.rs
+++ b/crates/pebblepost-control/src/state/configuration.rs
@@ -1,27 +1,27 @@
-//! The replicated configuration: the current version and how it was produced.
+//! The replicated configuration: its current version and the history of changes.
 
 use super::change_history::{ChangeHistory, ChangeLookup};
 use super::command::{ChangeError, ChangeMethod, ConfigurationChange, Outcome};
 use pebblepost_configuration::Configuration;
 use std::sync::Arc;
 
-/// A patch and the version that it was applied to, kept so that subscribers can be sent the patch alone.
+/// The patch that produced the current version. It is kept so that subscribers can be sent the patch alone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LastPatch {
     /// Version that the patch is based on.
     pub base: u64,
-    /// Version that it produced.
+    /// Version that the patch produced.
     pub generation: u64,
     /// The patch, JSON.
     pub patch: Vec<u8>,
 }
 
-/// The current configuration and the changes that led to it.
+/// The current configuration and the history of changes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ConfigurationState {
     current: Option<Arc<Configuration>>,
     history: ChangeHistory,
-    /// Not part of the snapshot: without it, subscribers are sent the complete document.
+    /// Not part of the snapshot. While it is absent, subscribers are sent the complete document.
     last_patch: Option<LastPatch>,
 }
 
@@ -34,7 +34,7 @@
         self.current.as_ref()
     }
 
-    /// Version of the configuration, 0 for none.
+    /// Returns the version of the configuration, 0 for none.
     pub(super) fn generation(&self) -> u64 {
         self.current.as_ref().map_or(0, |configuration| configuration.generation())
     }
@@ -47,7 +47,7 @@
         self.last_patch.as_ref()
     }
 
-    /// The configuration that `change` would produce.
+    /// Returns the configuration that `change` would produce.
     pub(super) fn validate(&self, change: &ConfigurationChange) -> Result<Configuration, ChangeError> {
         let current = self.generation();
         if change.base != current {
@@ -65,7 +65,7 @@
         Ok(configuration)
     }
 
-    /// Why a change that is not based on the current version can't be accepted.
+    /// Returns why a change that is not based on the current version is rejected.
     fn base_error(&self, change: &ConfigurationChange) -> ChangeError {
         match self.history.lookup(change) {
             ChangeLookup::Evicted => ChangeError::HistoryEvicted { base: change.base },
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Applies a change. A change that was accepted before has the same outcome again.
+    /// Applies a change. The retry of an accepted change has the same outcome and no further effect.
     pub(super) fn apply(&mut self, change: ConfigurationChange) -> Outcome {
         if let ChangeLookup::Accepted { generation } = self.history.lookup(&change) {
             return Outcome::ConfigurationAccepted { generation };
--- a/crates/pebblepost-control/src/state/control_state.rs
+++ b/crates/pebblepost-control/src/state/control_state.rs
@@ -1,4 +1,4 @@
-//! The parts of the control state, what may be read of them, and how commands change them.
+//! The control state: its components, queries, and the application of commands.
 
 use super::change_history::ChangeLookup;
 use super::command::{ChangeError, Command, ConfigurationChange, Outcome};
@@ -10,11 +10,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Outcomes kept for the requests that proposed the commands. They are read when the entry is committed; one that is gone
-/// by then is answered as unknown (503).
-const MAX_OUTCOMES: usize = 1024;
+/// Limit on the retained outcomes. They are read by the requests that proposed the commands when their entries are
+/// committed. A request whose outcome was evicted by then is answered as unknown (503).
+const MAX_RETAINED_OUTCOMES: usize = 1024;
 
-/// An entry that was applied here.
+/// A log entry that was applied by this replica.
 #[derive(Clone, Debug)]
 struct AppliedEntry {
     index: u64,
@@ -29,29 +29,29 @@
     pub(super) storage: StorageState,
     pub(super) order_lease_holder: DiskId,
     pub(super) shutdowns: Shutdowns,
-    /// The entries applied last. Local: not part of the snapshot.
+    /// The most recently applied entries. Local to this replica and not part of the snapshot.
     applied: VecDeque<AppliedEntry>,
-    /// Whether an entry or a snapshot could not be decoded.
+    /// Whether a log entry or a snapshot could not be decoded.
     pub(super) is_damaged: bool,
 }
 
 impl ControlState {
-    /// The configuration, if one was accepted.
+    /// Returns the configuration, if one was accepted.
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.configuration.current()
     }
 
-    /// Version of the configuration, 0 for none.
+    /// Returns the version of the configuration, 0 for none.
     pub fn generation(&self) -> u64 {
         self.configuration.generation()
     }
 
-    /// The patch that produced the current version, if it was produced by one.
+    /// Returns the patch that produced the current version, if it was produced by one.
     pub fn last_patch(&self) -> Option<&LastPatch> {
         self.configuration.last_patch()
     }
 
-    /// The version that exactly this change produced, if it was accepted before.
+    /// Returns the version that exactly this change produced, if it was accepted before.
     pub fn accepted_generation(&self, change: &ConfigurationChange) -> Option<u64> {
         match self.configuration.history().lookup(change) {
             ChangeLookup::Accepted { generation } => Some(generation),
@@ -59,56 +59,56 @@
         }
     }
 
-    /// The configuration that `change` would produce.
+    /// Returns the configuration that `change` would produce.
     ///
     /// # Errors
-    /// If the change is not based on the current version, or is invalid, or may have been accepted so long ago that this
-    /// is not known any more.
+    /// If the change is not based on the current version, is invalid, or is based on a version that was evicted from
+    /// the change history.
     pub fn validate(&self, change: &ConfigurationChange) -> Result<Configuration, ChangeError> {
         self.configuration.validate(change)
     }
 
-    /// Named version of each model.
+    /// Returns the named version of each model.
     pub fn named_versions(&self) -> &BTreeMap<String, u64> {
         &self.named_versions
     }
 
-    /// Assignments of the groups of batch jobs.
+    /// Returns the assignments of the store groups.
     pub fn groups(&self) -> &BTreeMap<u32, GroupAssignment> {
         &self.storage.groups
     }
 
-    /// Known disks of storage nodes.
+    /// Returns the known disks of storage nodes.
     pub fn stores(&self) -> &BTreeMap<DiskId, Member> {
         &self.storage.stores
     }
 
-    /// Disks that a storage node has or had.
+    /// Returns the disks that a storage node has or had.
     pub fn disks_of(&self, node: &str) -> Vec<DiskId> {
         self.storage.disks_of(node)
     }
 
-    /// Storage nodes that retire or are retired.
+    /// Returns the storage nodes that are retiring or retired.
     pub fn retirements(&self) -> &BTreeMap<String, RetirementState> {
         &self.storage.retirements
     }
 
-    /// Disk of the primary that may have sent load orders last; 0 for none.
+    /// Returns the disk of the last primary that was allowed to send load orders, 0 for none.
     pub fn order_lease_holder(&self) -> DiskId {
         self.order_lease_holder
     }
 
-    /// Graceful shutdowns of transcribers.
+    /// Returns the recorded graceful shutdowns of instances.
     pub fn shutdowns(&self) -> &Shutdowns {
         &self.shutdowns
     }
 
-    /// Outcome of the entry at an index, if it was applied here and is among the newest ones.
+    /// Returns the outcome of the entry at `index`, if this replica applied it and the outcome is still retained.
     pub fn outcome(&self, index: u64) -> Option<&Outcome> {
         self.applied.iter().rev().find(|entry| entry.index == index).map(|entry| &entry.outcome)
     }
 
-    /// Applies a command and returns what it did.
+    /// Applies a command and returns its outcome.
     pub(super) fn apply_command(&mut self, command: Command) -> Outcome {
         match command {
             Command::ChangeConfiguration(change) => self.configuration.apply(change),
@@ -133,20 +133,20 @@
         }
     }
 
-    /// An empty state that counts as damaged.
+    /// Returns an empty state that counts as damaged.
     pub(super) fn damaged() -> ControlState {
         ControlState { is_damaged: true, ..ControlState::default() }
     }
 
-    /// Keeps the outcome of the entry at an index for the request that proposed it.
+    /// Retains the outcome of the entry at `index` for the request that proposed it.
     pub(super) fn record_outcome(&mut self, index: u64, outcome: Outcome) {
         self.applied.push_back(AppliedEntry { index, outcome });
-        if self.applied.len() > MAX_OUTCOMES {
+        if self.applied.len() > MAX_RETAINED_OUTCOMES {
             self.applied.pop_front();
         }
     }
 
-    /// Versions only rise.
+    /// Names a version of a model. A version below the named one has no effect.
     fn name_version(&mut self, model: String, generation: u64) -> Outcome {
         let named = self.named_versions.entry(model).or_default();
         *named = generation.max(*named);
--- a/crates/pebblepost-control/src/state/disk_record.rs
+++ b/crates/pebblepost-control/src/state/disk_record.rs
@@ -1,4 +1,4 @@
-//! Records of a control process in its disk log, and what is recovered from them at start.
+//! Records in the disk log of a control node, and the state that is recovered from them at start.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use pebblepost_replication::record::EpochRecord;
@@ -8,34 +8,34 @@
 /// A record on disk. The order of the variants is part of the stored form.
 #[derive(Clone, Debug, PartialEq, SerBin, DeBin)]
 pub enum ControlRecord {
-    /// The epoch record that the control group was bootstrapped with; on disks of bootstrap members only.
+    /// The epoch record with which the control group was bootstrapped. It is only on the disks of bootstrap members.
     Bootstrap(EpochRecord),
-    /// State of the epoch register's witness; replaces the one before.
+    /// State of the epoch register's witness. Replaces any earlier one.
     Witness(WitnessState),
     /// Part of the replica's state.
     Replica(DiskRecord),
 }
 
 impl ControlRecord {
-    /// The stored form.
+    /// Encodes the record in its stored form.
     pub fn encode(&self) -> Vec<u8> {
         SerBin::serialize_bin(self)
     }
 }
 
-/// What the records of a disk amount to.
+/// State recovered from the records of a disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RecoveredState {
-    /// The epoch record that the control group was bootstrapped with.
+    /// The epoch record with which the control group was bootstrapped.
     pub bootstrap: Option<EpochRecord>,
-    /// Newest state of the witness.
+    /// Newest state of the epoch register's witness.
     pub witness: Option<WitnessState>,
-    /// The replica's records in the order they were written.
+    /// Records of the replica in the order in which they were written.
     pub replica: Vec<DiskRecord>,
 }
 
 impl RecoveredState {
-    /// Decodes the records of a disk, given in the order they were written.
+    /// Decodes the records of a disk, given in the order in which they were written.
     ///
     /// # Errors
     /// If a record is not in the stored form of [`ControlRecord`].
--- a/crates/pebblepost-control/src/state/snapshot.rs
+++ b/crates/pebblepost-control/src/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! The stored form of the control state.
+//! Snapshots: the stored form of the control state.
 
 use super::change_history::ChangeHistory;
 use super::configuration::ConfigurationState;
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Why a snapshot can't be restored.
+/// Reason why a snapshot can't be restored.
 #[derive(Debug, Error)]
 pub(super) enum SnapshotError {
     #[error("the snapshot can't be decoded: {0}")]
@@ -20,8 +20,8 @@
     InvalidConfiguration(#[from] ConfigurationError),
 }
 
-/// The first part of a snapshot; the order of fields is its stored form. Parts that were added later follow it
-/// ([`Shutdowns`]), and are missing in snapshots that older versions wrote.
+/// The first part of a snapshot. The order of its fields is the stored form. Parts that were added later
+/// ([`Shutdowns`]) follow it, and are absent in snapshots written by older versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 struct Snapshot {
     document: Option<Vec<u8>>,
@@ -33,7 +33,7 @@
     order_lease_holder: DiskId,
 }
 
-/// Encodes the replicated part of the state.
+/// Encodes the replicated part of the control state.
 pub(super) fn encode(state: &ControlState) -> Vec<u8> {
     let storage = &state.storage;
     let snapshot = Snapshot {
@@ -50,7 +50,7 @@
     bytes
 }
 
-/// Decodes a snapshot of this or an older version.
+/// Decodes a snapshot written by this version or an older one.
 pub(super) fn decode(bytes: &[u8]) -> Result<ControlState, SnapshotError> {
     let mut offset = 0;
     let snapshot = Snapshot::de_bin(&mut offset, bytes)?;
--- a/crates/pebblepost-control/src/state/state_machine.rs
+++ b/crates/pebblepost-control/src/state/state_machine.rs
@@ -1,4 +1,4 @@
-//! The control state as the state machine of the replicated log.
+//! Implementation of the replicated log's state machine by the control state.
 
 use super::command::{Command, Outcome};
 use super::control_state::ControlState;
@@ -11,7 +11,10 @@
         let outcome = match Command::deserialize_bin(entry) {
             Ok(command) => self.apply_command(command),
             Err(error) => {
-                log::error!("control state: entry not applied index={index} error={error}");
+                log::error!(
+                    "control state: log entry cannot be decoded index={index} bytes={} error={error}",
+                    entry.len()
+                );
                 self.is_damaged = true;
                 Outcome::Undecodable
             }
@@ -25,7 +28,7 @@
 
     fn restore(&mut self, snapshot: &[u8]) {
         *self = snapshot::decode(snapshot).unwrap_or_else(|error| {
-            log::error!("control state: snapshot not restored error={error}");
+            log::error!("control state: snapshot cannot be restored bytes={} error={error}", snapshot.len());
             ControlState::damaged()
         });
     }
--- a/crates/pebblepost-control/src/state/storage.rs
+++ b/crates/pebblepost-control/src/state/storage.rs
@@ -1,4 +1,4 @@
-//! The replicated view of storage: known disks, the assignment of groups to them, retirements.
+//! The replicated state of storage: known disks, the assignment of store groups to them, and retirements.
 
 use super::command::{InitialAssignment, Outcome, RetirementError};
 use nanoserde::{DeBin, SerBin};
@@ -9,24 +9,24 @@
 /// Progress of a storage node's retirement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub enum RetirementState {
-    /// The node still has replicas.
+    /// Store groups are being moved off the node.
     #[default]
     Running,
-    /// The node has no replicas and may be shut down for good.
+    /// The node holds no replicas and may be shut down permanently.
     Completed,
 }
 
-/// Assignment of a group of batch jobs.
+/// Assignment of a store group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct GroupAssignment {
-    /// The replicas in force.
+    /// The current epoch, with its in-sync replicas and primary.
     pub epoch: GroupEpoch,
-    /// Disks that the group should be moved to.
+    /// Disks to which the group is moved.
     pub targets: Vec<DiskId>,
 }
 
 impl GroupAssignment {
-    /// Whether a disk has a replica of the group or is to get one.
+    /// Returns whether a disk has an in-sync replica of the group or is a target.
     pub fn references(&self, disk: DiskId) -> bool {
         self.epoch.in_sync.contains(&disk) || self.targets.contains(&disk)
     }
@@ -41,13 +41,13 @@
 }
 
 impl StorageState {
-    /// Disks that a storage node has or had.
+    /// Returns the disks that a storage node has or had.
     pub(super) fn disks_of(&self, node: &str) -> Vec<DiskId> {
         let of_node = self.stores.values().filter(|member| member.node == node);
         of_node.map(|member| member.disk).collect()
     }
 
-    /// Assigns all groups. Only the first of several such commands has an effect.
+    /// Makes the initial assignment of all groups. It has no effect if there are groups already.
     pub(super) fn bootstrap_groups(&mut self, assignments: Vec<InitialAssignment>) -> Outcome {
         if !self.groups.is_empty() {
             return Outcome::Applied;
@@ -59,8 +59,8 @@
         Outcome::Applied
     }
 
-    /// Compare-and-swap on the group's epoch. Only an in-sync replica knows which replicas are complete, so only
-    /// one of them may propose the next in-sync set and primary.
+    /// Changes the epoch of a group by compare-and-swap. Only an in-sync replica knows which replicas are complete,
+    /// so only in-sync replicas may propose the next in-sync set and primary.
     pub(super) fn change_group(
         &mut self, proposer: DiskId, group: u32, expected_epoch: u64, proposed: GroupEpoch,
     ) -> Outcome {
@@ -74,7 +74,7 @@
             current.epoch == expected_epoch && expected_epoch.checked_add(1) == Some(proposed.epoch);
         let is_authorized =
             current.in_sync.contains(&proposer) && proposed.in_sync.contains(&proposed.primary);
-        // A change that was proposed before its node was found to be empty may be applied after that.
+        // A change may be applied after the retirement of a node that it includes, although it was proposed before.
         let includes_retired = proposed.in_sync.iter().any(|disk| self.is_retired(*disk));
         if !follows || !is_authorized || includes_retired {
             return Outcome::GroupChanged { accepted: false, current };
@@ -102,7 +102,8 @@
         Outcome::Applied
     }
 
-    /// Starts a retirement. Concurrent retirements are serialized by the log: each counts those before it.
+    /// Starts a retirement if at least `min_remaining` other nodes are not retiring. The log serializes concurrent
+    /// retirements, so each one takes all earlier ones into account.
     pub(super) fn retire(&mut self, node: String, min_remaining: u32) -> Outcome {
         if self.retirements.contains_key(&node) {
             return Outcome::Retiring;
@@ -119,7 +120,7 @@
         Outcome::Retiring
     }
 
-    /// Completes a retirement, unless a group references the node again by now.
+    /// Completes a retirement. It has no effect if a group references the node again.
     pub(super) fn complete_retirement(&mut self, node: &str) -> Outcome {
         let disks = self.disks_of(node);
         let is_referenced =
@@ -133,7 +134,7 @@
         Outcome::Applied
     }
 
-    /// Whether a disk belongs to a storage node that the operator may have shut down for good.
+    /// Returns whether a disk belongs to a retired storage node, which the operator may have shut down permanently.
     fn is_retired(&self, disk: DiskId) -> bool {
         let node = self.stores.get(&disk).map(|member| &member.node);
         let retirement = node.and_then(|node| self.retirements.get(node));
--- a/crates/pebblepost-control/src/storage.rs
+++ b/crates/pebblepost-control/src/storage.rs
@@ -1,8 +1,8 @@
-//! Storage of batch jobs as the acting primary sees it: which storage nodes are live, and which changes of the group
-//! assignments the primary should propose.
+//! Management of the storage nodes of batch jobs by the acting primary: their liveness, and the changes of the group
+//! assignments that the primary should propose.
 //!
-//! Owns the soft state on storage nodes only. Assignments live in the replicated state; nothing here changes them, the
-//! planner returns commands.
+//! Owns only the soft state of storage nodes. The assignments are part of the replicated state; the planner changes
+//! them by the commands that it returns.
 
 mod nodes;
 pub mod placement;
--- a/crates/pebblepost-control/src/storage/nodes.rs
+++ b/crates/pebblepost-control/src/storage/nodes.rs
@@ -1,21 +1,22 @@
-//! Liveness of storage nodes, from their links to the primary.
+//! Liveness of storage nodes, derived from their links to the primary.
 
 use pebblepost_messages::{DiskId, Member};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time since the last message after which a storage node counts as failed: it gets no groups and loses those it has.
+/// Time since the last message after which a disconnected storage node counts as failed. It is assigned no groups
+/// then and loses those that it has.
 const FAILURE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time that storage nodes have to connect to a new primary before they count as failed.
-const NEW_PRIMARY_GRACE: Duration = Duration::from_millis(4000);
+const NEW_PRIMARY_GRACE_PERIOD: Duration = Duration::from_millis(4000);
 /// Time without a message after which the disk of a storage node without groups is removed.
-const REMOVE_TIMEOUT: Duration = Duration::from_secs(120);
+const DISK_REMOVAL_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A disk that a storage node has announced.
+/// A disk that a storage node has announced to this primary.
 #[derive(Clone, Debug)]
 pub(super) struct AnnouncedDisk {
     pub(super) member: Member,
-    /// The node may take part in the first assignment of the groups.
+    /// Whether the node takes part in the initial assignment of groups.
     pub(super) bootstrap: bool,
     last_message: Duration,
     last_hello: Duration,
@@ -32,19 +33,19 @@
 #[derive(Clone, Debug)]
 pub struct StorageNodes {
     announced: BTreeMap<DiskId, AnnouncedDisk>,
-    /// When the newest disk was announced for the first time.
+    /// Time at which a disk was last announced for the first time.
     last_joined: Duration,
-    /// When this process became primary.
+    /// Time at which this node became primary.
     primary_since: Duration,
 }
 
 impl StorageNodes {
-    /// A process that becomes primary knows of no storage node; they have some time to connect.
+    /// Creates the state of a new primary, which knows no storage nodes until they connect.
     pub fn new(now: Duration) -> StorageNodes {
         StorageNodes { announced: BTreeMap::new(), last_joined: now, primary_since: now }
     }
 
-    /// A storage node announces its disk on a new link.
+    /// Records that a storage node announced its disk on a new link.
     pub fn announce_disk(&mut self, now: Duration, member: Member, bootstrap: bool) {
         let announced = self.announced.entry(member.disk).or_insert_with(|| {
             self.last_joined = now;
@@ -62,36 +63,37 @@
         announced.connections += 1;
     }
 
-    /// A message arrived from a storage node.
+    /// Records that a message arrived from a storage node.
     pub fn record_message(&mut self, now: Duration, disk: DiskId) {
         if let Some(announced) = self.announced.get_mut(&disk) {
             announced.last_message = now;
         }
     }
 
-    /// A link of a storage node is closed, maybe by the read time-out: the failure time-out runs from the last message.
+    /// Records that a link of a storage node was closed. The failure time-out runs from the last message instead of
+    /// this event, because the link may have been closed by the read time-out.
     pub fn record_disconnect(&mut self, disk: DiskId) {
         if let Some(announced) = self.announced.get_mut(&disk) {
             announced.connections = announced.connections.saturating_sub(1);
         }
     }
 
-    /// Whether a disk's node counts as live.
+    /// Returns whether the node of a disk counts as live.
     pub fn is_live(&self, now: Duration, disk: DiskId) -> bool {
         match self.announced.get(&disk) {
             Some(announced) => {
                 announced.is_connected() || now.saturating_sub(announced.last_message) < FAILURE_TIMEOUT
             }
-            None => now.saturating_sub(self.primary_since) < NEW_PRIMARY_GRACE,
+            None => now.saturating_sub(self.primary_since) < NEW_PRIMARY_GRACE_PERIOD,
         }
     }
 
-    /// Whether a disk is connected.
+    /// Returns whether a disk is connected.
     pub(super) fn is_connected(&self, disk: DiskId) -> bool {
         self.announced.get(&disk).is_some_and(AnnouncedDisk::is_connected)
     }
 
-    /// Whether a disk's node has reconnected with another disk: this one is lost for good.
+    /// Returns whether the node of a disk has reconnected with another disk, so that this disk is permanently lost.
     pub(super) fn is_replaced(&self, member: &Member) -> bool {
         let own = self.announced.get(&member.disk).map(|known| known.last_hello);
         let is_later = |known: &AnnouncedDisk| own.is_none_or(|own| own < known.last_hello);
@@ -100,33 +102,33 @@
         self.announced.values().any(|known| known.is_connected() && is_other(known) && is_later(known))
     }
 
-    /// Whether a disk has been disconnected for so long that it may be removed.
+    /// Returns whether a disk has been disconnected for so long that it may be removed.
     pub(super) fn is_removable(&self, now: Duration, disk: DiskId) -> bool {
         match self.announced.get(&disk) {
             Some(announced) => {
-                !announced.is_connected() && now.saturating_sub(announced.last_message) > REMOVE_TIMEOUT
+                !announced.is_connected() && now.saturating_sub(announced.last_message) > DISK_REMOVAL_TIMEOUT
             }
-            None => self.primary_for(now) > REMOVE_TIMEOUT,
+            None => self.time_as_primary(now) > DISK_REMOVAL_TIMEOUT,
         }
     }
 
-    /// Connected disks, by identity.
+    /// Returns the connected disks, ordered by identity.
     pub(super) fn connected(&self) -> impl Iterator<Item = &AnnouncedDisk> {
         self.announced.values().filter(|announced| announced.is_connected())
     }
 
-    /// A disk that was announced, connected or not.
+    /// Returns a disk that was announced to this primary, whether it is still connected or not.
     pub(super) fn announced(&self, disk: DiskId) -> Option<&AnnouncedDisk> {
         self.announced.get(&disk)
     }
 
-    /// Time since the newest disk was announced for the first time.
-    pub(super) fn since_last_joined(&self, now: Duration) -> Duration {
+    /// Returns the time since a disk was last announced for the first time.
+    pub(super) fn time_since_last_join(&self, now: Duration) -> Duration {
         now.saturating_sub(self.last_joined)
     }
 
-    /// Time for which this process has been primary.
-    pub(super) fn primary_for(&self, now: Duration) -> Duration {
+    /// Returns the time for which this node has been primary.
+    pub(super) fn time_as_primary(&self, now: Duration) -> Duration {
         now.saturating_sub(self.primary_since)
     }
 }
--- a/crates/pebblepost-control/src/storage/placement.rs
+++ b/crates/pebblepost-control/src/storage/placement.rs
@@ -1,5 +1,5 @@
-//! Placement of groups on disks: rendezvous hashing with bounded load, spread over failure domains, moving as few
-//! replicas as possible.
+//! Placement of store groups on disks. It uses rendezvous hashing with bounded load, spreads replicas over failure
+//! domains and moves as few replicas as possible.
 
 use crate::hash::{finalize_splitmix64, fnv1a};
 use crate::state::command::InitialAssignment;
@@ -9,18 +9,18 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Replicas that each group needs to survive the tolerated failures.
+/// Returns the number of replicas that each group needs to survive the tolerated failures.
 pub fn replication_factor(tolerance: &Tolerance) -> usize {
     let domains = tolerance.zones.max(tolerance.regions);
     tolerance.machines.max(domains) + 1
 }
 
-/// Rendezvous score of a disk for a group: the highest scores get the replicas.
+/// Returns the rendezvous score of a disk for a group. Disks with the highest scores are preferred for its replicas.
 pub fn score(group: u32, disk: DiskId) -> u64 {
     finalize_splitmix64(fnv1a(&[&group.to_le_bytes(), &disk.0.to_le_bytes()]))
 }
 
-/// First assignment of all groups, with primaries spread evenly.
+/// Computes the initial assignment of all groups, with primaries spread evenly over the disks.
 pub fn assign_all_groups(usable: &BTreeMap<DiskId, Member>, tolerance: &Tolerance) -> Vec<InitialAssignment> {
     let mut placement = Placement::new(std::iter::empty(), usable);
     let mut primaries: BTreeMap<DiskId, usize> = BTreeMap::new();
@@ -37,7 +37,7 @@
     assignments
 }
 
-/// A replica that may move to another disk.
+/// A possible move of a replica to another disk.
 #[derive(Clone, Copy, Debug)]
 struct Move {
     group: u32,
@@ -53,7 +53,7 @@
 }
 
 impl Placement {
-    /// The current targets without the disks that are not usable.
+    /// Creates a placement from the current targets, without the disks that are not usable.
     pub fn new<'a>(
         targets: impl Iterator<Item = (u32, &'a [DiskId])>, usable: &BTreeMap<DiskId, Member>,
     ) -> Placement {
@@ -66,12 +66,12 @@
         placement
     }
 
-    /// Target disks of a group.
+    /// Returns the target disks of a group.
     pub fn targets(&self, group: u32) -> &[DiskId] {
         self.targets.get(&group).map_or(&[], Vec::as_slice)
     }
 
-    /// Adds usable disks to a group until it has `replicas`, or no disk is left.
+    /// Adds usable disks to a group until it has `replicas` targets or no suitable disk is left.
     pub fn fill(&mut self, group: u32, replicas: usize, usable: &BTreeMap<DiskId, Member>) {
         let mut chosen = self.targets(group).to_vec();
         while chosen.len() < replicas {
@@ -81,8 +81,8 @@
         self.set(group, chosen);
     }
 
-    /// Moves one replica from a disk with the most groups to one with the fewest, if they differ by two or more.
-    /// Returns the group that changed.
+    /// Moves one replica from a disk with the most groups to one with the fewest, if their numbers differ by at least
+    /// two. Returns the changed group.
     pub fn rebalance(&mut self, usable: &BTreeMap<DiskId, Member>) -> Option<u32> {
         let min_load = self.load.values().copied().min()?;
         let max_load = self.load.values().copied().max()?;
@@ -94,8 +94,8 @@
         let pairs = idle.iter().flat_map(|to| busy.iter().map(move |from| (*from, *to)));
         let best = pairs
             .filter_map(|(from, to)| self.best_move(from, to, usable))
-            .max_by_key(|best| (gain(best), best.group))?;
-        self.set(best.group, moved(self.targets(best.group), best.from, best.to));
+            .max_by_key(|best| (score_gain(best), best.group))?;
+        self.set(best.group, with_replaced(self.targets(best.group), best.from, best.to));
         Some(best.group)
     }
 
@@ -103,19 +103,21 @@
         self.load.iter().filter(|(_, count)| **count == load).map(|(disk, _)| *disk).collect()
     }
 
-    /// The replica that fits best on `to` of those on `from` that can move without losing a zone.
+    /// Returns the move from `from` to `to` with the highest score on `to`, among the groups that are spread over as
+    /// many zones afterwards.
     fn best_move(&self, from: DiskId, to: DiskId, usable: &BTreeMap<DiskId, Member>) -> Option<Move> {
         let can_move = |targets: &Vec<DiskId>| {
             targets.contains(&from)
                 && !targets.contains(&to)
-                && zone_count(&moved(targets, from, to), usable) >= zone_count(targets, usable)
+                && zone_count(&with_replaced(targets, from, to), usable) >= zone_count(targets, usable)
         };
         let candidates = self.targets.iter().filter(|(_, targets)| can_move(targets));
         let group = candidates.map(|(group, _)| *group).max_by_key(|group| score(*group, to))?;
         Some(Move { group, from, to })
     }
 
-    /// The best further disk for a group: another node, region and zone than those chosen, few groups, high score.
+    /// Returns the best further disk for a group. It is on another node than the `chosen` disks. Another region is
+    /// preferred, then another zone, then few groups, then a high score.
     fn best_candidate(
         &self, group: u32, chosen: &[DiskId], usable: &BTreeMap<DiskId, Member>,
     ) -> Option<DiskId> {
@@ -147,17 +149,17 @@
     }
 }
 
-/// Rise of the rendezvous score by a move.
-fn gain(candidate: &Move) -> u64 {
+/// Returns the increase of the rendezvous score by a move.
+fn score_gain(candidate: &Move) -> u64 {
     score(candidate.group, candidate.to).saturating_sub(score(candidate.group, candidate.from))
 }
 
-/// The targets with one disk exchanged for another.
-fn moved(targets: &[DiskId], from: DiskId, to: DiskId) -> Vec<DiskId> {
+/// Returns the targets with the disk `from` replaced by `to`.
+fn with_replaced(targets: &[DiskId], from: DiskId, to: DiskId) -> Vec<DiskId> {
     targets.iter().map(|disk| if *disk == from { to } else { *disk }).collect()
 }
 
-/// Number of zones that a set of replicas is spread over.
+/// Returns the number of zones that a set of replicas is spread over.
 fn zone_count(disks: &[DiskId], usable: &BTreeMap<DiskId, Member>) -> usize {
     let zones: BTreeSet<&String> =
         disks.iter().filter_map(|disk| usable.get(disk)).map(|member| &member.zone).collect();
--- a/crates/pebblepost-control/src/storage/planner.rs
+++ b/crates/pebblepost-control/src/storage/planner.rs
@@ -1,5 +1,5 @@
-//! Which changes of storage the primary should propose next: new disks, first assignment, re-replication after
-//! failures, rebalancing, retirements, removal of lost disks.
+//! Planner of the store groups. It decides which changes the primary should propose next: new disks, the initial
+//! assignment, re-replication after failures, rebalancing, retirements and the removal of lost disks.
 
 use super::nodes::StorageNodes;
 use super::placement::{self, Placement};
@@ -10,49 +10,51 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time without a new disk before the groups are assigned for the first time.
+/// Time without a new disk before the initial assignment of groups.
 const BOOTSTRAP_DELAY: Duration = Duration::from_millis(300);
-/// Time in which only nodes that announced themselves for bootstrap take part in the first assignment.
-const BOOTSTRAP_MEMBERS_ONLY: Duration = Duration::from_secs(5);
+/// Time after a takeover in which only nodes that announced themselves for bootstrap take part in the initial
+/// assignment.
+const BOOTSTRAP_NODES_ONLY_PERIOD: Duration = Duration::from_secs(5);
 
-/// A decision at one moment, on the replicated state and the liveness of storage nodes.
+/// Planner at one point in time, based on the replicated state and the liveness of storage nodes.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupPlanner<'a> {
-    /// Time of the decision.
+    /// Current time.
     pub now: Duration,
     /// The replicated state.
     pub state: &'a ControlState,
     /// Liveness of storage nodes.
     pub nodes: &'a StorageNodes,
-    /// Failures that the groups have to survive.
+    /// Failures that store groups have to survive.
     pub tolerance: &'a Tolerance,
 }
 
 impl GroupPlanner<'_> {
-    /// The next commands to propose. They are of one kind, as later kinds build on the earlier ones being applied.
+    /// Returns the next commands to propose. They are all of one kind, because commands of a later kind depend on the
+    /// applied effect of those of an earlier kind.
     pub fn plan(&self) -> Vec<Command> {
-        let joins = self.joins();
-        if !joins.is_empty() {
-            return joins;
+        let store_additions = self.store_additions();
+        if !store_additions.is_empty() {
+            return store_additions;
         }
         if self.state.groups().is_empty() {
-            return self.bootstrap().into_iter().collect();
+            return self.initial_assignment().into_iter().collect();
         }
-        let retargets = self.retargets();
-        if !retargets.is_empty() {
-            return retargets;
+        let target_changes = self.target_changes();
+        if !target_changes.is_empty() {
+            return target_changes;
         }
-        let completions = self.completed_retirements();
+        let completions = self.retirement_completions();
         if !completions.is_empty() {
             return completions;
         }
-        self.removals()
+        self.store_removals()
     }
 
-    /// Whether a storage node may be retired; `Ok` also if it retires already.
+    /// Checks whether a storage node may be retired. Succeeds if its retirement has started already.
     ///
     /// # Errors
-    /// If the node is unknown, or the remaining ones would not survive the tolerated failures.
+    /// If the node is unknown, or the remaining nodes could not survive the tolerated failures.
     pub fn check_retirement(&self, node: &str) -> Result<(), RetirementError> {
         if self.state.retirements().contains_key(node) {
             return Ok(());
@@ -61,11 +63,11 @@
             return Err(RetirementError::UnknownNode);
         }
         let remaining: Vec<Member> =
-            self.usable().into_values().filter(|member| member.node != node).collect();
+            self.usable_disks().into_values().filter(|member| member.node != node).collect();
         if self.tolerance.is_met_by(&remaining) { Ok(()) } else { Err(RetirementError::TooFewRemaining) }
     }
 
-    /// Storage nodes that have to remain when one is retired.
+    /// Returns the number of storage nodes that have to remain when one is retired.
     pub fn min_remaining(&self) -> u32 {
         u32::try_from(self.replication_factor()).unwrap_or(u32::MAX)
     }
@@ -74,8 +76,8 @@
         placement::replication_factor(self.tolerance)
     }
 
-    /// Disks that may get replicas: live, not replaced, and not of a retiring node.
-    fn usable(&self) -> BTreeMap<DiskId, Member> {
+    /// Returns the disks that may be assigned replicas. They are live, not replaced, and not of a retiring node.
+    fn usable_disks(&self) -> BTreeMap<DiskId, Member> {
         let usable = |(disk, member): &(&DiskId, &Member)| {
             self.nodes.is_live(self.now, **disk)
                 && !self.nodes.is_replaced(member)
@@ -84,31 +86,32 @@
         self.state.stores().iter().filter(usable).map(|(disk, member)| (*disk, member.clone())).collect()
     }
 
-    fn joins(&self) -> Vec<Command> {
+    fn store_additions(&self) -> Vec<Command> {
         let is_new = |member: &&Member| self.state.stores().get(&member.disk) != Some(*member);
         let connected = self.nodes.connected().map(|announced| &announced.member);
         connected.filter(is_new).map(|member| Command::AddStore(member.clone())).collect()
     }
 
-    fn bootstrap(&self) -> Option<Command> {
-        if self.nodes.since_last_joined(self.now) < BOOTSTRAP_DELAY {
+    fn initial_assignment(&self) -> Option<Command> {
+        if self.nodes.time_since_last_join(self.now) < BOOTSTRAP_DELAY {
             return None;
         }
-        let any_node = self.nodes.primary_for(self.now) >= BOOTSTRAP_MEMBERS_ONLY;
+        let any_node = self.nodes.time_as_primary(self.now) >= BOOTSTRAP_NODES_ONLY_PERIOD;
         let takes_part = |disk: &DiskId| {
             let announced = self.nodes.announced(*disk);
             announced.is_some_and(|announced| announced.is_connected() && (announced.bootstrap || any_node))
         };
         let usable: BTreeMap<DiskId, Member> =
-            self.usable().into_iter().filter(|(disk, _)| takes_part(disk)).collect();
+            self.usable_disks().into_iter().filter(|(disk, _)| takes_part(disk)).collect();
         let members: Vec<Member> = usable.values().cloned().collect();
         let is_enough = members.len() >= self.replication_factor() && self.tolerance.is_met_by(&members);
         is_enough.then(|| Command::BootstrapGroups(placement::assign_all_groups(&usable, self.tolerance)))
     }
 
-    /// Replaces unusable targets; if there are none and no move is under way, moves one replica to an idle disk.
-    fn retargets(&self) -> Vec<Command> {
-        let usable = self.usable();
+    /// Replaces unusable targets. If there are none and all groups have reached their targets, moves one replica to a
+    /// disk with fewer groups.
+    fn target_changes(&self) -> Vec<Command> {
+        let usable = self.usable_disks();
         let replication_factor = self.replication_factor();
         let groups = self.state.groups();
         let current = groups.iter().map(|(group, assignment)| (*group, assignment.targets.as_slice()));
@@ -128,21 +131,21 @@
         changed.into_iter().map(command).collect()
     }
 
-    /// Whether each group's in-sync replicas are its targets.
+    /// Returns whether the in-sync replicas of every group are its targets.
     fn targets_are_reached(&self) -> bool {
         let mut assignments = self.state.groups().values();
         assignments.all(|assignment| same_disks(&assignment.epoch.in_sync, &assignment.targets))
     }
 
-    fn completed_retirements(&self) -> Vec<Command> {
+    fn retirement_completions(&self) -> Vec<Command> {
         let retirements = self.state.retirements().iter();
         let running = retirements.filter(|(_, state)| **state == RetirementState::Running);
-        let empty = running.filter(|(node, _)| self.is_empty(node));
+        let empty = running.filter(|(node, _)| self.can_complete_retirement(node));
         empty.map(|(node, _)| Command::CompleteRetirement { node: node.clone() }).collect()
     }
 
-    /// Whether no group references a node, and each has its full number of replicas elsewhere.
-    fn is_empty(&self, node: &str) -> bool {
+    /// Returns whether no group references a node, and all groups have their full number of in-sync replicas elsewhere.
+    fn can_complete_retirement(&self, node: &str) -> bool {
         let disks = self.state.disks_of(node);
         let replication_factor = self.replication_factor();
         self.state.groups().values().all(|assignment| {
@@ -151,8 +154,8 @@
         })
     }
 
-    /// Disks that no group references and that were replaced, or disconnected for long.
-    fn removals(&self) -> Vec<Command> {
+    /// Returns the removal of disks that no group references and that were replaced or disconnected for long.
+    fn store_removals(&self) -> Vec<Command> {
         let assignments = self.state.groups().values();
         let referenced: BTreeSet<DiskId> = assignments
             .flat_map(|assignment| assignment.epoch.in_sync.iter().chain(&assignment.targets))
