--- a/crates/pebblepost-control/src/api.rs
+++ b/crates/pebblepost-control/src/api.rs
@@ -1,7 +1,6 @@
-//! The HTTP interface without I/O: requests, the operations they ask for, responses.
+//! The HTTP interface without I/O: requests, the operations that they request, and responses.
 //!
-//! Owns no state. Paths, headers, status codes and bodies are the interface to operators and transcribers and keep
-//! their form.
+//! Owns no state. Paths, headers, status codes and bodies are a stable interface to operators and transcribers.
 
 pub mod registration;
 mod request;
--- a/crates/pebblepost-control/src/api/registration.rs
+++ b/crates/pebblepost-control/src/api/registration.rs
@@ -1,4 +1,4 @@
-//! Body of `PUT /instances/ID`, by which a transcriber registers and sends its heartbeats.
+//! Body of `PUT /instances/ID`, with which an instance of a transcriber registers and sends heartbeats.
 
 use pebblepost_messages::feed::{Instance, InstanceState, ModelVersion};
 use simd_json::BorrowedValue;
@@ -8,12 +8,12 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Longest identity, name or address.
+/// Limit on the length of an identity, name or address, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// Most models of one transcriber.
+/// Limit on the models of one instance.
 const MAX_MODELS: usize = 256;
 
-/// Why a registration is rejected. The texts are sent to the transcriber.
+/// Reason why a registration is rejected. The message is sent to the transcriber.
 #[derive(Debug, PartialEq, Error)]
 pub enum RegistrationError {
     /// The body is not JSON.
@@ -40,18 +40,18 @@
         /// The value received.
         address: String,
     },
-    /// The state is unknown.
+    /// The state is not a known one.
     #[error("state: {state} is neither ready nor draining")]
     UnknownState {
         /// The value received.
         state: String,
     },
-    /// The list of models exceeds its limit.
+    /// The list of models is longer than its limit.
     #[error("models: too many")]
     TooManyModels,
 }
 
-/// Parses the body of a registration of the incarnation `id`.
+/// Parses the body of a registration of the instance `id`.
 ///
 /// # Errors
 /// If the body is not JSON, or a field is missing, too long or invalid.
@@ -86,7 +86,7 @@
     Ok(text.into())
 }
 
-/// A number that is not negative. Fractions are truncated.
+/// Returns a number field as a non-negative integer. Fractions are truncated.
 fn number(value: &BorrowedValue<'_>, field: &str) -> Option<u64> {
     let number = value.get(field)?;
     number.as_u64().or_else(|| number.as_f64().map(|fraction| fraction.max(0.0) as u64))
--- a/crates/pebblepost-control/src/api/request.rs
+++ b/crates/pebblepost-control/src/api/request.rs
@@ -1,4 +1,4 @@
-//! Requests and the operations that they ask for.
+//! HTTP requests and the operations that they request.
 
 use super::registration;
 use super::response::HttpResponse;
@@ -6,32 +6,32 @@
 use pebblepost_messages::feed::Instance;
 use simd_json::prelude::{ValueAsScalar, ValueObjectAccess, ValueObjectAccessAsScalar};
 
-/// Largest request body: a configuration may have 32 MiB.
+/// Limit on the size of a request body. A configuration may have 32 MiB.
 pub const MAX_BODY_BYTES: usize = 33 * 1024 * 1024;
-/// Longest identity or node name in a path.
+/// Limit on the length of an identity or node name in a path, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
 /// An HTTP request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HttpRequest {
-    /// Method.
+    /// HTTP method.
     pub method: String,
     /// Path without its query.
     pub path: String,
-    /// The header `If-Match`.
+    /// Value of the header `If-Match`.
     pub if_match: Option<String>,
-    /// Body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
 impl HttpRequest {
-    /// Whether this is a transcriber's registration or heartbeat, which it sends again and again.
+    /// Returns whether this is a registration or heartbeat, which an instance repeats regularly.
     pub fn is_registration(&self) -> bool {
         self.method == "PUT" && self.path.starts_with("/instances/")
     }
 }
 
-/// What a request asks for.
+/// Operation that a request asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// `PUT /config`, `PATCH /config`: change the configuration.
@@ -45,19 +45,19 @@
         /// The version.
         generation: u64,
     },
-    /// `PUT /instances/ID`: register a transcriber, or a heartbeat of one.
+    /// `PUT /instances/ID`: register an instance of a transcriber, or renew its registration by a heartbeat.
     Register(Instance),
-    /// `DELETE /instances/ID`: deregister a transcriber.
+    /// `DELETE /instances/ID`: deregister an instance of a transcriber.
     Deregister {
-        /// Its identity.
+        /// Identity of the instance.
         id: String,
     },
     /// `POST /retire/NODE`: retire a storage node.
     Retire {
-        /// Its name.
+        /// Name of the storage node.
         node: String,
     },
-    /// `GET /retire/NODE`: progress of a retirement.
+    /// `GET /retire/NODE`: read the progress of a retirement.
     ReadRetirement {
         /// Name of the storage node.
         node: String,
@@ -68,7 +68,7 @@
     /// Parses a request.
     ///
     /// # Errors
-    /// If the path is unknown (404) or the request invalid (400); the error is the response.
+    /// If the path is unknown (404) or the request is invalid (400). The error is the response to send.
     pub fn parse(request: &HttpRequest) -> Result<Operation, HttpResponse> {
         let path = request.path.trim_start_matches('/');
         let (resource, name) = path.split_once('/').unwrap_or((path, ""));
--- a/crates/pebblepost-control/src/lib.rs
+++ b/crates/pebblepost-control/src/lib.rs
@@ -1,15 +1,17 @@
-//! Control plane: a replicated group of processes that owns the configuration, the registry of transcribers, the
-//! assignment of batch storage and the roll-out of weight versions.
+//! Control plane: a replicated group of control nodes that owns the configuration, the registry of instances, the
+//! assignment of store groups and the roll-out of weight versions.
 //!
-//! Each layer uses only those above it in this list, so state never depends on decisions nor decisions on I/O:
+//! Each module uses only those above it in this list, so state does not depend on decisions, and decisions do not
+//! depend on I/O:
 //!
-//! * [`hash`]: stable hashes.
+//! * [`hash`]: stable hash functions.
 //! * [`state`]: the replicated state, its commands and stored forms.
 //! * [`membership`], [`registry`], [`feed`], [`storage`], [`load_order`], [`api`]: one concern each, without I/O.
-//! * [`node`]: a control process without I/O; routes between the concerns.
-//! * [`runtime`]: sockets, disk, clocks and the loop.
+//! * [`node`]: a control node without I/O; routes between these modules.
+//! * [`runtime`]: sockets, disk, clocks and the event loop.
 //!
-//! It never serves inference requests: proxies act by the feed alone and continue without the control plane.
+//! The control plane is not on the path of inference requests. Proxies depend on the feed alone and continue to work
+//! while the control plane is unavailable.
 
 pub mod api;
 pub mod feed;
--- a/crates/pebblepost-control/src/runtime.rs
+++ b/crates/pebblepost-control/src/runtime.rs
@@ -1,8 +1,9 @@
-//! Everything that does I/O: listeners, links, the disk, HTTP, signals, clocks, and the loop around
+//! All I/O of a control node: listeners, links, the disk, HTTP, signals, clocks, and the event loop around
 //! [`ControlNode`](crate::node::ControlNode).
 //!
-//! Owns sockets, tasks and timers, and decides nothing: it passes inputs in and carries outputs out. The loop and its links
-//! run on one thread, on a `LocalSet`; the HTTP server and the disk have a thread each.
+//! Owns sockets, tasks and timers and makes no decisions. It passes inputs to the control node and carries out its
+//! outputs. The event loop and the links run on one thread, on a `LocalSet`. The HTTP server and the disk have a
+//! thread each.
 
 pub mod body_budget;
 mod disk;
--- a/crates/pebblepost-control/src/runtime/body_budget.rs
+++ b/crates/pebblepost-control/src/runtime/body_budget.rs
@@ -1,10 +1,10 @@
-//! Memory that the bodies of all requests may take together: a configuration may have 32 MiB, and a process that exceeds
-//! its memory is ended.
+//! Limit on the memory that the bodies of all HTTP requests use together. A configuration may have 32 MiB, and the
+//! system kills a process that exceeds its memory limit.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// The budget.
+/// Memory budget shared by all requests.
 #[derive(Debug)]
 pub struct BodyBudget {
     max_bytes: usize,
@@ -12,18 +12,18 @@
 }
 
 impl BodyBudget {
-    /// A budget of this many bytes.
+    /// Creates a budget of `max_bytes`.
     pub fn new(max_bytes: usize) -> Arc<BodyBudget> {
         Arc::new(BodyBudget { max_bytes, used_bytes: AtomicUsize::new(0) })
     }
 
-    /// Bytes in use.
+    /// Returns the number of reserved bytes.
     pub fn used_bytes(&self) -> usize {
         self.used_bytes.load(Ordering::Relaxed)
     }
 }
 
-/// What one request takes of the budget, until it is answered.
+/// Share of the budget that one request has reserved. It is released when this value is dropped.
 #[derive(Debug)]
 pub struct BodyReservation {
     budget: Arc<BodyBudget>,
@@ -31,12 +31,13 @@
 }
 
 impl BodyReservation {
-    /// A reservation of nothing yet.
+    /// Creates an empty reservation.
     pub fn new(budget: &Arc<BodyBudget>) -> BodyReservation {
         BodyReservation { budget: Arc::clone(budget), bytes: 0 }
     }
 
-    /// Takes more of the budget; whether there is as much.
+    /// Reserves `bytes` more, and returns whether the budget suffices. The bytes are reserved in either case, until
+    /// this reservation is dropped.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let used = self.budget.used_bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
         self.bytes += bytes;
--- a/crates/pebblepost-control/src/runtime/driver.rs
+++ b/crates/pebblepost-control/src/runtime/driver.rs
@@ -1,9 +1,10 @@
-//! Passes inputs to the control node and carries out its outputs: responses, links, the disk, calls to transcribers.
+//! Driver of the control node. It passes inputs to the node and carries out its outputs: responses, messages on links,
+//! writes to the disk and calls to transcribers.
 
-use super::encoded_updates::EncodedUpdates;
+use super::encoded_updates::EncodedUpdateCache;
 use super::event::{Event, EventSender};
 use super::http::{IncomingRequest, OutgoingResponse};
-use super::link_tasks::keep_peer_link;
+use super::link_tasks::maintain_peer_link;
 use super::transcriber_tasks::{TranscriberCalls, fetch_load_report, send_order};
 use crate::feed::{ConnectionId, SharedUpdates};
 use crate::node::{ControlNode, Input, Output, RequestId};
@@ -20,48 +21,49 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::Instant;
 
-/// Bytes written since the last checkpoint after which the next one is due, if a fraction of the capacity is not less.
+/// Number of bytes written since the last checkpoint after which the next one is due, unless the limit derived from the
+/// disk's capacity is lower.
 const MAX_BYTES_SINCE_CHECKPOINT: u64 = 8 * 1024 * 1024;
-/// The capacity is divided by this for that fraction.
+/// A checkpoint is also due after the disk's capacity divided by this number.
 const CHECKPOINT_CAPACITY_DIVISOR: u64 = 4;
 
-/// Limits of the client for load orders and load reports.
+/// Limits of the HTTP client for load orders and load reports.
 const CLIENT_LIMITS: ClientLimits = ClientLimits {
     connect_timeout: Duration::from_millis(400),
     max_connections_per_transcriber: 2,
-    // Longer than the pause between two reports of a transcriber that loads, and short enough that idle connections don't
-    // use up the descriptors.
+    // Longer than the interval at which the reports of a loading transcriber are fetched, and short enough that idle
+    // connections don't exhaust the file descriptors.
     idle_timeout: Duration::from_millis(600),
     max_body_bytes: 256 * 1024,
 };
 
-/// A write of the node that is not durable yet.
+/// A write that is not durable yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingWrite {
-    /// The disk's ticket.
+    /// Ticket that the disk assigned to the write.
     ticket: u64,
-    /// The node's number.
+    /// Number that the control node assigned to the write.
     write: u64,
 }
 
-/// The control node and everything that it acts on.
+/// The control node and the resources on which its outputs are carried out.
 #[derive(Debug)]
 pub(super) struct Driver {
-    /// Zero of the node's clock.
+    /// Zero point of the control node's clock.
     start: Instant,
     node: ControlNode,
     disk: Disk,
     events: EventSender,
     client: Client,
-    /// Calls to transcribers that may be in progress at once.
+    /// Permits that limit the concurrent calls to transcribers.
     call_permits: Rc<Semaphore>,
     responders: BTreeMap<RequestId, oneshot::Sender<OutgoingResponse>>,
     last_request: RequestId,
     inbound: HashMap<ConnectionId, Sender>,
-    encoded_updates: EncodedUpdates,
+    encoded_updates: EncodedUpdateCache,
     peers: HashMap<String, Sender>,
-    /// Tasks that keep links to other control processes, by address.
-    dials: HashMap<String, AbortHandle>,
+    /// Tasks that maintain links to other control nodes, by address.
+    dial_tasks: HashMap<String, AbortHandle>,
     writes: VecDeque<PendingWrite>,
 }
 
@@ -79,31 +81,31 @@
             responders: BTreeMap::new(),
             last_request: 0,
             inbound: HashMap::new(),
-            encoded_updates: EncodedUpdates::default(),
+            encoded_updates: EncodedUpdateCache::default(),
             peers: HashMap::new(),
-            dials: HashMap::new(),
+            dial_tasks: HashMap::new(),
             writes: VecDeque::new(),
         }
     }
 
-    /// When a tick is needed earlier than usual.
+    /// Returns when a tick is needed in addition to the periodic ones.
     pub(super) fn due_at(&self) -> Option<Instant> {
         self.node.due_at().map(|due| self.start + due)
     }
 
-    /// Whether this process is primary.
+    /// Returns whether this node is primary, regardless of its lease.
     pub(super) fn is_primary(&self) -> bool {
         self.node.is_primary()
     }
 
-    /// Whether this process acts as primary, or another primary is known to be live.
+    /// Returns whether this node is the acting primary, or another primary is known to be live.
     pub(super) fn is_primary_known(&self) -> bool {
         self.node.is_primary_known(self.start.elapsed())
     }
 
     pub(super) fn handle(&mut self, input: Input) {
         self.node.handle(self.start.elapsed(), input);
-        self.carry_out();
+        self.execute_outputs();
     }
 
     pub(super) fn handle_request(&mut self, incoming: IncomingRequest) {
@@ -122,7 +124,7 @@
                 self.handle(Input::PeerConnected { address });
             }
             Event::Input(input) => {
-                self.forget_closed_link(&input);
+                self.remove_closed_link(&input);
                 self.handle(input);
             }
         }
@@ -139,12 +141,12 @@
                     self.handle(Input::Persisted { write });
                 }
             }
-            Completion::WriteFailed(reason) => log::warn!("disk rejects writes reason={reason}"),
+            Completion::WriteFailed(reason) => log::warn!("disk write failed reason={reason}"),
         }
     }
 
-    /// Carries out the node's outputs.
-    pub(super) fn carry_out(&mut self) {
+    /// Carries out the pending outputs of the control node.
+    pub(super) fn execute_outputs(&mut self) {
         for output in self.node.take_outputs() {
             match output {
                 Output::Respond { id, response, send_by } => {
@@ -182,7 +184,8 @@
         }
     }
 
-    /// A redirect goes out before everything that waits: this process has nothing more to say on the link.
+    /// Sends a message on an inbound link. A redirect replaces all queued messages, because nothing else has to be
+    /// sent on the link.
     fn send(&self, connection: ConnectionId, message: &FromControl) {
         let Some(sender) = self.inbound.get(&connection) else { return };
         match message {
@@ -211,7 +214,7 @@
         }
     }
 
-    fn forget_closed_link(&mut self, input: &Input) {
+    fn remove_closed_link(&mut self, input: &Input) {
         match input {
             Input::Disconnected { connection } => {
                 self.inbound.remove(connection);
@@ -235,12 +238,12 @@
         }
     }
 
-    /// Keeps links to exactly these addresses.
+    /// Starts tasks for links to new addresses, and closes links to all addresses that are not listed.
     fn dial(&mut self, addresses: &BTreeSet<String>) {
         let dropped: Vec<String> =
-            self.dials.keys().filter(|address| !addresses.contains(*address)).cloned().collect();
+            self.dial_tasks.keys().filter(|address| !addresses.contains(*address)).cloned().collect();
         for address in dropped {
-            if let Some(task) = self.dials.remove(&address) {
+            if let Some(task) = self.dial_tasks.remove(&address) {
                 task.abort();
             }
             if let Some(sender) = self.peers.remove(&address) {
@@ -249,26 +252,26 @@
             }
         }
         for address in addresses {
-            if !self.dials.contains_key(address) {
-                self.keep_link(address);
+            if !self.dial_tasks.contains_key(address) {
+                self.spawn_peer_link(address);
             }
         }
     }
 
-    /// Skips the backoff of a link that is not up.
+    /// Dials an address immediately instead of after the backoff, if its link is not up.
     fn dial_now(&mut self, address: &str) {
         if self.peers.contains_key(address) {
             return;
         }
-        if let Some(task) = self.dials.remove(address) {
+        if let Some(task) = self.dial_tasks.remove(address) {
             task.abort();
-            self.keep_link(address);
+            self.spawn_peer_link(address);
         }
     }
 
-    fn keep_link(&mut self, address: &str) {
+    fn spawn_peer_link(&mut self, address: &str) {
         let Ok(parsed) = address.parse() else { return };
-        let task = spawn_local(keep_peer_link(parsed, self.events.clone()));
-        self.dials.insert(address.to_owned(), task.abort_handle());
+        let task = spawn_local(maintain_peer_link(parsed, self.events.clone()));
+        self.dial_tasks.insert(address.to_owned(), task.abort_handle());
     }
 }
--- a/crates/pebblepost-control/src/runtime/encoded_updates.rs
+++ b/crates/pebblepost-control/src/runtime/encoded_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the feed in the form in which they are written, encoded once for all subscribers that are sent the same.
+//! Cache of encoded feed updates, so that updates for several subscribers are encoded only once.
 
 use crate::feed::SharedUpdates;
 use pebblepost_feed::compression::compress_updates;
@@ -7,32 +7,32 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Updates remembered: those of a flush and of snapshots, each with and without the configuration.
-const MAX_REMEMBERED: usize = 6;
+/// Limit on the cached messages: those of a flush and of snapshots, each with and without the configuration.
+const MAX_CACHED_MESSAGES: usize = 6;
 
 #[derive(Debug)]
-struct Encoded {
+struct CachedMessage {
     updates: SharedUpdates,
     message: Option<EncodedMessage>,
 }
 
-/// The updates encoded last, newest first.
+/// The most recently encoded updates, newest first.
 #[derive(Debug, Default)]
-pub(super) struct EncodedUpdates {
-    remembered: VecDeque<Encoded>,
+pub(super) struct EncodedUpdateCache {
+    cached: VecDeque<CachedMessage>,
 }
 
-impl EncodedUpdates {
-    /// The message that carries these updates for all subscribers; `None` if they are so few that each batch carries
-    /// them itself.
+impl EncodedUpdateCache {
+    /// Returns the message that contains these updates for all subscribers, from the cache if possible. Returns
+    /// `None` if the updates are too few to be sent separately from the batches.
     pub(super) fn message(&mut self, updates: &SharedUpdates) -> Option<EncodedMessage> {
-        let known = self.remembered.iter().find(|encoded| Rc::ptr_eq(&encoded.updates, updates));
+        let known = self.cached.iter().find(|encoded| Rc::ptr_eq(&encoded.updates, updates));
         if let Some(encoded) = known {
             return encoded.message.clone();
         }
         let message = encode(updates);
-        self.remembered.truncate(MAX_REMEMBERED - 1);
-        self.remembered.push_front(Encoded { updates: Rc::clone(updates), message: message.clone() });
+        self.cached.truncate(MAX_CACHED_MESSAGES - 1);
+        self.cached.push_front(CachedMessage { updates: Rc::clone(updates), message: message.clone() });
         message
     }
 }
--- a/crates/pebblepost-control/src/runtime/error.rs
+++ b/crates/pebblepost-control/src/runtime/error.rs
@@ -1,4 +1,4 @@
-//! Why the program could not start.
+//! Errors that prevent the program from starting.
 
 use nanoserde::DeBinErr;
 use std::error::Error as StdError;
@@ -10,22 +10,22 @@
 /// An error that ends the program.
 #[derive(Debug, Error)]
 pub enum ControlError {
-    /// A setting that this role requires is absent.
-    #[error("settings: {setting} is missing")]
+    /// A setting that a control node requires is absent.
+    #[error("settings: required key {setting} is missing")]
     MissingSetting {
-        /// Its key.
+        /// Key of the setting.
         setting: &'static str,
     },
     /// The disk can't be opened.
-    #[error("opening the disk at {}", .path.display())]
+    #[error("cannot open the disk at {}", .path.display())]
     OpenDisk {
-        /// Its directory.
+        /// Directory of the disk.
         path: PathBuf,
         /// The cause.
         source: Box<dyn StdError + Send + Sync>,
     },
-    /// The records on disk are not in a known form.
-    #[error("reading the records at {}", .path.display())]
+    /// The records on disk can't be decoded.
+    #[error("cannot decode the disk records at {}", .path.display())]
     DecodeRecords {
         /// Directory of the disk.
         path: PathBuf,
@@ -33,26 +33,26 @@
         source: DeBinErr,
     },
     /// The asynchronous runtime can't be started.
-    #[error("starting the runtime")]
+    #[error("cannot start the asynchronous runtime")]
     StartRuntime(#[source] io::Error),
     /// The thread of the HTTP server can't be started.
-    #[error("starting the HTTP server")]
+    #[error("cannot start the HTTP server thread")]
     StartHttp(#[source] io::Error),
     /// The link address can't be bound.
     #[error(transparent)]
     BindLinks(Box<dyn StdError + Send + Sync>),
     /// The address of the HTTP interface can't be bound.
-    #[error("listening at {address}")]
+    #[error("cannot bind the HTTP address {address}")]
     BindHttp {
         /// The address.
         address: SocketAddr,
         /// The cause.
         source: io::Error,
     },
-    /// A signal can't be listened for.
-    #[error("listening for {signal}")]
+    /// The handler of a signal can't be installed.
+    #[error("cannot install the handler of {signal}")]
     ListenForSignal {
-        /// Its name.
+        /// Name of the signal.
         signal: &'static str,
         /// The cause.
         source: io::Error,
--- a/crates/pebblepost-control/src/runtime/event.rs
+++ b/crates/pebblepost-control/src/runtime/event.rs
@@ -1,30 +1,30 @@
-//! What tasks report to the loop.
+//! Events that tasks send to the event loop.
 
 use crate::feed::ConnectionId;
 use crate::node::Input;
 use pebblepost_link::Sender;
 use tokio::sync::mpsc;
 
-/// A report of a task.
+/// An event from a task.
 #[derive(Debug)]
 pub enum Event {
     /// Another program has opened a link.
     LinkOpened {
         /// The link.
         connection: ConnectionId,
-        /// Its sending half.
+        /// Sending half of the link.
         sender: Sender,
     },
-    /// The link to another control process is up.
+    /// The link to another control node is up.
     PeerConnected {
-        /// Its address.
+        /// Address of that node.
         address: String,
-        /// Its sending half.
+        /// Sending half of the link.
         sender: Sender,
     },
-    /// An input of the control node.
+    /// An input for the control node.
     Input(Input),
 }
 
-/// Where tasks send their reports.
+/// Sender of events to the event loop.
 pub type EventSender = mpsc::Sender<Event>;
--- a/crates/pebblepost-control/src/runtime/http.rs
+++ b/crates/pebblepost-control/src/runtime/http.rs
@@ -1,7 +1,7 @@
-//! HTTP server of the control plane: `xitca-web` on a single-threaded runtime.
+//! HTTP server of the control plane, based on `xitca-web` and a single-threaded runtime.
 //!
-//! `xitca-web`'s own server starts threads and listens for signals itself, so only its application and its HTTP/1
-//! service are used: the listener and its tasks live on the caller's `LocalSet`.
+//! The server of `xitca-web` starts threads and installs signal handlers, so only its application and its HTTP/1
+//! service are used. The listener and the connection tasks run on the caller's `LocalSet`.
 
 use super::body_budget::{BodyBudget, BodyReservation};
 use crate::api::{HttpRequest, HttpResponse, MAX_BODY_BYTES};
@@ -25,31 +25,32 @@
 use xitca_web::service::{Service, ServiceExt, fn_service};
 use xitca_web::{App, WebContext};
 
-/// Largest head of a request.
+/// Limit on the size of a request's head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Time for a request's head.
+/// Time limit for receiving the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(3);
-/// A connection without a request for this long is closed.
+/// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Percentage of the connections that are kept open between requests. With more of them each is closed after its
-/// response, so that others find a place: thousands of transcribers must not shut an operator out.
-const KEPT_CONNECTIONS_PERCENT: usize = 85;
+/// Percentage of the maximum number of connections up to which connections are kept open between requests. Above it
+/// each connection is closed after its response to free capacity, so that thousands of transcribers can't lock out an
+/// operator.
+const KEEP_ALIVE_CONNECTIONS_PERCENT: usize = 85;
 /// Delay after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The HTTP service could not be built.
+/// Error of building the HTTP service.
 #[derive(Debug, Error)]
-#[error("starting the HTTP service: {reason}")]
+#[error("cannot build the HTTP service: {reason}")]
 pub struct StartError {
     reason: String,
 }
 
-/// A request, and where its response goes.
+/// A request, and the sender of its response.
 #[derive(Debug)]
 pub struct IncomingRequest {
     /// The request.
     pub request: HttpRequest,
-    /// Where its response goes.
+    /// Sender of the response.
     pub responder: oneshot::Sender<OutgoingResponse>,
 }
 
@@ -58,23 +59,23 @@
 pub struct OutgoingResponse {
     /// The response.
     pub response: HttpResponse,
-    /// It is replaced by 503 if it can't be written by then: another process may be the primary.
+    /// Time after which a 503 response is sent instead, because another node may be the primary by then.
     pub send_by: Option<Instant>,
 }
 
 /// Limits of the server.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpLimits {
-    /// Most connections.
+    /// Limit on open connections.
     pub max_connections: usize,
-    /// Memory of all bodies together, in bytes.
+    /// Limit on the memory of all request bodies together.
     pub max_body_memory_bytes: usize,
 }
 
-/// Queue of requests.
+/// Sender of requests to the event loop.
 pub type RequestSender = mpsc::Sender<IncomingRequest>;
 
-/// The open connections and their limits.
+/// Number of open connections, and its limit.
 #[derive(Debug)]
 struct Connections {
     open: AtomicUsize,
@@ -86,31 +87,32 @@
         self.open.load(Ordering::Relaxed) >= self.max
     }
 
-    /// Whether so many are open that a connection is closed after its response.
-    fn is_crowded(&self) -> bool {
-        self.open.load(Ordering::Relaxed) * 100 > self.max * KEPT_CONNECTIONS_PERCENT
+    /// Returns whether so many connections are open that each is closed after its response.
+    fn is_above_keep_alive_limit(&self) -> bool {
+        self.open.load(Ordering::Relaxed) * 100 > self.max * KEEP_ALIVE_CONNECTIONS_PERCENT
     }
 
-    fn opened(&self) {
+    fn increment(&self) {
         self.open.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn closed(&self) {
+    fn decrement(&self) {
         self.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// What the handlers share.
+/// State shared by the request handlers.
 #[derive(Clone, Debug)]
-struct Shared {
+struct SharedState {
     requests: RequestSender,
     connections: Arc<Connections>,
     body_budget: Arc<BodyBudget>,
 }
 
-/// Serves requests without end. Connections beyond the limit are closed at once, and those beyond most
-/// of it after their response. Runs on the caller's
-/// `LocalSet`.
+/// Serves requests, and never returns unless it fails to start. Runs on the caller's `LocalSet`.
+///
+/// Connections beyond the limit are closed immediately, and those above `KEEP_ALIVE_CONNECTIONS_PERCENT` of the limit
+/// after their response.
 ///
 /// # Errors
 /// If the service can't be built.
@@ -124,7 +126,7 @@
     let connections = Arc::new(Connections { open: AtomicUsize::new(0), max: limits.max_connections });
     let body_budget = BodyBudget::new(limits.max_body_memory_bytes);
     let service = App::new()
-        .with_state(Shared { requests, connections: Arc::clone(&connections), body_budget })
+        .with_state(SharedState { requests, connections: Arc::clone(&connections), body_budget })
         .at("/config", fn_service(handle))
         .at("/version-put", fn_service(handle))
         .at("/instances/{id}", fn_service(handle))
@@ -137,7 +139,7 @@
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                log::warn!("accepting an HTTP connection failed error={error}");
+                log::warn!("HTTP connection not accepted error={error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
@@ -145,21 +147,21 @@
         if connections.is_full() {
             continue;
         }
-        // Without it responses are later, but right.
+        // Without this option responses may be delayed, but are still correct.
         stream.set_nodelay(true).ok();
         let service = Rc::clone(&service);
         let connections = Arc::clone(&connections);
-        connections.opened();
+        connections.increment();
         spawn_local(async move {
             if let Err(error) = service.call((TcpStream::from(stream), peer)).await {
                 log::debug!("HTTP connection failed peer={peer} error={error:?}");
             }
-            connections.closed();
+            connections.decrement();
         });
     }
 }
 
-async fn handle(mut context: WebContext<'_, Shared>) -> Result<WebResponse, xitca_web::error::Error> {
+async fn handle(mut context: WebContext<'_, SharedState>) -> Result<WebResponse, xitca_web::error::Error> {
     let request = context.take_request();
     let shared = context.state().clone();
     let mut reservation = BodyReservation::new(&shared.body_budget);
@@ -168,13 +170,17 @@
         Err(response) => response,
     };
     let mut web_response = respond(context, response);
-    if shared.connections.is_crowded() {
+    if shared.connections.is_above_keep_alive_limit() {
         web_response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(web_response)
 }
 
-/// Reads a request with its body; the error is the response to it.
+/// Reads a request with its body.
+///
+/// # Errors
+/// If the body is too large (413) or incomplete (400), or the body memory is exhausted (503). The error is the response
+/// to send.
 async fn read(
     request: Request<RequestExt<RequestBody>>, reservation: &mut BodyReservation,
 ) -> Result<HttpRequest, HttpResponse> {
@@ -189,12 +195,12 @@
         method: head.method.as_str().into(),
         path: head.uri.path().into(),
         if_match: if_match.map(String::from),
-        // The memory of a longer body is taken as it arrives.
+        // Memory for a longer body is allocated as the body arrives, within the reservation.
         body: Vec::with_capacity(length.unwrap_or(0).min(MAX_HEAD_BYTES)),
     };
     let mut body = std::pin::pin!(body);
     while let Some(chunk) = body.as_mut().data().await {
-        let chunk = chunk.map_err(|_| HttpResponse::bad_request("the body broke off"))?;
+        let chunk = chunk.map_err(|_| HttpResponse::bad_request("the request body is incomplete"))?;
         if request.body.len() + chunk.len() > MAX_BODY_BYTES {
             return Err(too_large());
         }
@@ -206,9 +212,9 @@
     Ok(request)
 }
 
-/// Submits a request to the loop and waits for the response.
+/// Submits a request to the event loop and waits for the response.
 async fn submit(requests: &RequestSender, request: HttpRequest) -> HttpResponse {
-    let shutting_down = || HttpResponse::unavailable("this process is ending");
+    let shutting_down = || HttpResponse::unavailable("this control node is shutting down");
     let (responder, response) = oneshot::channel();
     if requests.send(IncomingRequest { request, responder }).await.is_err() {
         return shutting_down();
@@ -217,18 +223,18 @@
 }
 
 impl OutgoingResponse {
-    /// The response, unless it is too late for it. The last check before it is written.
+    /// Returns the response, or 503 if its deadline has passed. This is the last check before the response is written.
     fn in_time(self) -> HttpResponse {
         let is_late = self.send_by.is_some_and(|send_by| Instant::now() >= send_by);
         if is_late {
-            HttpResponse::unavailable("the lease ended before the answer was sent")
+            HttpResponse::unavailable("the lease expired before the response was sent")
         } else {
             self.response
         }
     }
 }
 
-fn respond(context: WebContext<'_, Shared>, response: HttpResponse) -> WebResponse {
+fn respond(context: WebContext<'_, SharedState>, response: HttpResponse) -> WebResponse {
     let HttpResponse { status, location, retry_after_s, body } = response;
     let mut web_response = context.into_response(ResponseBody::bytes(body));
     *web_response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/pebblepost-control/src/runtime/http_thread.rs
+++ b/crates/pebblepost-control/src/runtime/http_thread.rs
@@ -1,8 +1,8 @@
 //! The thread of the HTTP server.
 //!
-//! Thousands of transcribers send heartbeats to a primary. Served on the loop's own thread they would make heartbeats of
-//! the replication wait, and a primary that is busy would lose its lease by that. With two threads the system's scheduler
-//! gives the loop its share of the processor whatever the other one has to do.
+//! Thousands of transcribers send heartbeats to a primary. Served on the thread of the event loop they would delay
+//! the heartbeats of the replication, and a busy primary would lose its lease. With two threads the scheduler of the
+//! operating system gives the event loop its share of processor time regardless of the load on the HTTP server.
 
 use super::error::ControlError;
 use super::http::{HttpLimits, RequestSender, serve};
@@ -10,15 +10,15 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-/// Name of the thread, as debuggers show it.
+/// Name of the thread as shown by debuggers.
 const THREAD_NAME: &str = "http";
-/// Stack of the thread. The server's tasks are on the heap.
+/// Stack size of the thread. The tasks of the server are allocated on the heap.
 const STACK_BYTES: usize = 512 * 1024;
 
-/// Starts the server on a thread of its own, which ends with the process.
+/// Starts the server on its own thread, which runs until the process exits.
 ///
 /// # Errors
-/// If the listener can't be handed over, or the thread or its runtime can't be started.
+/// If the listener can't be moved to the new runtime, or the thread or its runtime can't be started.
 pub(super) fn start(
     listener: TcpListener, requests: RequestSender, limits: HttpLimits,
 ) -> Result<(), ControlError> {
--- a/crates/pebblepost-control/src/runtime/link_tasks.rs
+++ b/crates/pebblepost-control/src/runtime/link_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that read links: inbound ones of other programs, and those to other control processes.
+//! Tasks that read inbound links of other programs, and maintain links to other control nodes.
 
 use super::event::{Event, EventSender};
 use crate::feed::ConnectionId;
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Limits of all links of a control process.
+/// Limits of all links of a control node.
 pub(super) const LINK_LIMITS: LinkLimits = LinkLimits {
     max_frame_bytes: 48 * 1024 * 1024,
     max_queued_bytes: 64 * 1024 * 1024,
@@ -19,14 +19,14 @@
     read_timeout: Duration::from_millis(2500),
 };
 
-/// Backoff after the first failure of a link to another control process; doubled with each further one.
-const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Upper bound of the backoff.
-const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// Backoff after the first failure of a link to another control node. It is doubled with each further failure.
+const RECONNECT_BACKOFF_MIN: Duration = Duration::from_millis(50);
+/// Upper bound on the backoff.
+const RECONNECT_BACKOFF_MAX: Duration = Duration::from_millis(800);
 /// Delay after an inbound link could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts links of other programs, without end.
+/// Accepts links of other programs. Never returns.
 pub(super) async fn accept_links(mut listener: Listener, events: EventSender) {
     let mut connection: ConnectionId = 0;
     loop {
@@ -36,17 +36,18 @@
                 spawn_local(read_link(connection, sender, receiver, events.clone()));
             }
             Err(error) => {
-                log::warn!("{error:#}");
+                log::warn!("inbound link not accepted: {error:#}");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Keeps a link to another control process up until the task is aborted.
-pub(super) async fn keep_peer_link(address: SocketAddr, events: EventSender) {
+/// Maintains a link to another control node, and reconnects with a backoff, until the task is aborted or the event
+/// loop has ended.
+pub(super) async fn maintain_peer_link(address: SocketAddr, events: EventSender) {
     let name = address.to_string();
-    let mut backoff = MIN_BACKOFF;
+    let mut backoff = RECONNECT_BACKOFF_MIN;
     loop {
         match connect(address, LINK_LIMITS).await {
             Ok((sender, receiver)) => {
@@ -55,17 +56,17 @@
                     return;
                 }
                 if read_peer_link(&name, receiver, &events).await {
-                    backoff = MIN_BACKOFF;
+                    backoff = RECONNECT_BACKOFF_MIN;
                 }
                 let disconnected = Input::PeerDisconnected { address: name.clone() };
                 if events.send(Event::Input(disconnected)).await.is_err() {
                     return;
                 }
             }
-            Err(error) => log::debug!("{error:#}"),
+            Err(error) => log::debug!("link to control node not connected: {error:#}"),
         }
         sleep(backoff).await;
-        backoff = (backoff * 2).min(MAX_BACKOFF);
+        backoff = (backoff * 2).min(RECONNECT_BACKOFF_MAX);
     }
 }
 
@@ -77,8 +78,8 @@
         let input = match receiver.receive::<ToControl>().await {
             Ok(message) => Input::Message { connection, message },
             Err(error) => {
-                log::debug!("{error:#}");
-                // The loop may have ended.
+                log::debug!("inbound link closed connection={connection}: {error:#}");
+                // The event loop may have ended.
                 events.send(Event::Input(Input::Disconnected { connection })).await.ok();
                 return;
             }
@@ -89,7 +90,7 @@
     }
 }
 
-/// Reads until the link ends; whether any message arrived.
+/// Reads messages until the link is closed or fails. Returns whether any message arrived.
 async fn read_peer_link(address: &str, mut receiver: Receiver, events: &EventSender) -> bool {
     let mut has_received = false;
     let mut assembler = FeedAssembler::default();
@@ -101,7 +102,7 @@
                     Ok(Some(message)) => message,
                     Ok(None) => continue,
                     Err(error) => {
-                        log::warn!("peer link closed peer={address}: {error}");
+                        log::warn!("link to control node closed: invalid feed peer={address} error={error}");
                         return has_received;
                     }
                 };
@@ -111,7 +112,7 @@
                 }
             }
             Err(error) => {
-                log::debug!("{error:#}");
+                log::debug!("link to control node closed peer={address}: {error:#}");
                 return has_received;
             }
         }
--- a/crates/pebblepost-control/src/runtime/listen.rs
+++ b/crates/pebblepost-control/src/runtime/listen.rs
@@ -1,4 +1,4 @@
-//! Binding of the two listening addresses. A former process may still hold them, so binding is retried.
+//! Binding of the two listening addresses. A previous process may still hold them, so binding is retried.
 
 use super::error::ControlError;
 use super::link_tasks::LINK_LIMITS;
@@ -9,21 +9,25 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::sleep;
 
-/// Attempts to bind an address.
-const BIND_ATTEMPTS: u32 = 100;
+/// Limit on the attempts to bind an address.
+const MAX_BIND_ATTEMPTS: u32 = 100;
 /// Delay between attempts.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Connections that may wait to be accepted: after a restart of all control processes thousands of transcribers come at
-/// once, and a connection that finds no place is tried again by its system after seconds only.
-const HTTP_BACKLOG: u32 = 4096;
+/// Limit on the connections that wait to be accepted. After a restart of all control nodes thousands of transcribers
+/// connect at once, and the operating system of a client retries a connection that found the backlog full only after
+/// seconds.
+const HTTP_LISTEN_BACKLOG: u32 = 4096;
 
 /// Binds the address for links.
+///
+/// # Errors
+/// If the address can't be bound after [`MAX_BIND_ATTEMPTS`].
 pub(super) async fn bind_links(address: SocketAddr) -> Result<Listener, ControlError> {
-    for _ in 1..BIND_ATTEMPTS {
+    for _ in 1..MAX_BIND_ATTEMPTS {
         match Listener::bind(address, LINK_LIMITS) {
             Ok(listener) => return Ok(listener),
-            Err(error) => log::debug!("{error:#}"),
+            Err(error) => log::debug!("link address not bound: {error:#}"),
         }
         sleep(BIND_RETRY_DELAY).await;
     }
@@ -31,11 +35,14 @@
 }
 
 /// Binds the address of the HTTP interface.
+///
+/// # Errors
+/// If the address can't be bound after [`MAX_BIND_ATTEMPTS`].
 pub(super) async fn bind_http(address: SocketAddr) -> Result<TcpListener, ControlError> {
-    for _ in 1..BIND_ATTEMPTS {
+    for _ in 1..MAX_BIND_ATTEMPTS {
         match listen(address) {
             Ok(listener) => return Ok(listener),
-            Err(error) => log::debug!("bind failed address={address} error={error}"),
+            Err(error) => log::debug!("HTTP address not bound address={address} error={error}"),
         }
         sleep(BIND_RETRY_DELAY).await;
     }
@@ -46,5 +53,5 @@
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(HTTP_BACKLOG)
+    socket.listen(HTTP_LISTEN_BACKLOG)
 }
--- a/crates/pebblepost-control/src/runtime/server.rs
+++ b/crates/pebblepost-control/src/runtime/server.rs
@@ -1,4 +1,4 @@
-//! The program: joins disk, listeners and control node, and runs the loop until SIGTERM.
+//! The program: sets up the disk, the listeners and the control node, and runs the event loop until SIGTERM.
 
 use super::disk::{OpenedDisk, open_disk};
 use super::driver::Driver;
@@ -22,23 +22,24 @@
 
 /// Capacity of the queue of HTTP requests.
 const MAX_QUEUED_REQUESTS: usize = 256;
-/// Capacity of the queue of events of links and calls.
+/// Capacity of the queue of events from links and from calls to transcribers.
 const MAX_QUEUED_EVENTS: usize = 1024;
 
-/// Bodies of requests may take the memory of the process divided by this, or one body of the largest size.
+/// Request bodies may use the memory of the process divided by this number, but at least one body of the largest size.
 const BODY_MEMORY_DIVISOR: usize = 4;
-/// Percentage of the machine's link that the feed may take.
+/// Percentage of the machine's network bandwidth that the feed may use.
 const FEED_LINK_PERCENT: u64 = 60;
 
-/// File descriptors for the disk and the process itself.
+/// File descriptors reserved for the disk and the process itself.
 const RESERVED_DESCRIPTORS: usize = 200;
-/// Percentage of the other descriptors for connections of HTTP requests: each transcriber keeps one to the primary.
+/// Percentage of the other file descriptors for connections of HTTP requests. Each transcriber keeps one open to the
+/// primary.
 const REQUEST_DESCRIPTORS_PERCENT: usize = 62;
-/// Percentage of the other descriptors for calls to transcribers in progress, for orders and reports. As many
-/// connections may be idle for a short time; links have the rest.
+/// Percentage of the other file descriptors for load orders and load reports in progress. The same number of
+/// connections may be idle for a short time. The remaining descriptors are for links.
 const CALL_DESCRIPTORS_PERCENT: usize = 10;
 
-/// Runs a control process until SIGTERM.
+/// Runs a control node until SIGTERM.
 ///
 /// # Errors
 /// If a required setting is missing, the disk can't be opened or read, or an address can't be bound.
@@ -61,22 +62,23 @@
         let max_calls = max_calls(settings.limits.max_fds);
         Server { start, node, disk, completions, links, http_listener, http_limits, max_calls }.serve().await
     });
-    // Tasks that still wait for a peer end with the runtime.
+    // Ends tasks that still wait for a peer.
     runtime.shutdown_background();
     ended
 }
 
-/// Most connections of HTTP requests in a process that may have `max_descriptors`.
+/// Returns the limit on connections of HTTP requests in a process that may open `max_descriptors` file descriptors.
 pub fn max_request_connections(max_descriptors: usize) -> usize {
     (max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) * REQUEST_DESCRIPTORS_PERCENT / 100).max(1)
 }
 
-/// Bytes a second that the feed may take of the machine's link. The rest is for replication, heartbeats and HTTP.
+/// Returns the bandwidth that the feed may use, in bytes per second. The rest of the machine's bandwidth is for
+/// replication, heartbeats and HTTP.
 pub fn feed_rate(link_bytes_per_second: u64) -> u64 {
     link_bytes_per_second / 100 * FEED_LINK_PERCENT
 }
 
-/// Limits of the HTTP server on a machine with these limits.
+/// Returns the limits of the HTTP server on a machine with the given limits.
 pub fn http_limits(limits: &MachineLimits) -> HttpLimits {
     let memory = usize::try_from(limits.memory_bytes).unwrap_or(usize::MAX);
     HttpLimits {
@@ -85,7 +87,7 @@
     }
 }
 
-/// Most calls to transcribers in progress, in a process that may have `max_descriptors`.
+/// Returns the limit on concurrent calls to transcribers in a process that may open `max_descriptors` file descriptors.
 fn max_calls(max_descriptors: usize) -> usize {
     (max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) * CALL_DESCRIPTORS_PERCENT / 100).max(1)
 }
@@ -98,7 +100,7 @@
     links: Listener,
     http_listener: TcpListener,
     http_limits: HttpLimits,
-    /// Most calls to transcribers in progress.
+    /// Limit on concurrent calls to transcribers.
     max_calls: usize,
 }
 
@@ -113,7 +115,7 @@
         http_thread::start(http_listener, request_sender, http_limits)?;
         spawn_local(link_tasks::accept_links(links, event_sender.clone()));
         let mut driver = Driver::new(start, node, disk, event_sender, max_calls);
-        driver.carry_out();
+        driver.execute_outputs();
         let mut timers = Timers::new();
         loop {
             timers.shorten_shutdown(&driver);
@@ -128,17 +130,17 @@
                     driver.handle(Input::Terminate);
                     timers.start_shutdown();
                 }
-                () = sleep_until(timers.shutdown_or_tick()), if timers.is_shutting_down() => return Ok(()),
+                () = sleep_until(timers.shutdown_or_next_tick()), if timers.is_shutting_down() => return Ok(()),
                 Some(completion) = completions.recv() => driver.handle_completion(completion),
                 Some(event) = events.recv() => driver.handle_event(event),
                 Some(incoming) = requests.recv() => driver.handle_request(incoming),
                 () = sleep_until(wake) => {
                     driver.handle(Input::Tick);
-                    if timers.ticked(&driver) {
-                        reload(&mut driver);
+                    if timers.schedule_next_tick(&driver) {
+                        reload_settings(&mut driver);
                     }
                 }
-                _ = hangup.recv() => reload(&mut driver),
+                _ = hangup.recv() => reload_settings(&mut driver),
             }
         }
     }
@@ -148,8 +150,8 @@
     signal(kind).map_err(|source| ControlError::ListenForSignal { signal: name, source })
 }
 
-/// Reloads the settings file: it may name other seeds.
-fn reload(driver: &mut Driver) {
+/// Reloads the settings file, which may name other seeds.
+fn reload_settings(driver: &mut Driver) {
     match Settings::from_environment() {
         Ok(settings) => {
             log::debug!("settings reloaded seeds={}", settings.seeds.len());
--- a/crates/pebblepost-control/src/runtime/timers.rs
+++ b/crates/pebblepost-control/src/runtime/timers.rs
@@ -1,25 +1,25 @@
-//! Timers of the loop: ticks, reloads of the settings, the end of a shutdown.
+//! Timers of the event loop: ticks, reloads of the settings, and the end of a shutdown.
 
 use super::driver::Driver;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Tick interval of a primary, and while none is known.
+/// Tick interval of a primary, and of any node while no primary is known.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Tick interval of a standby, whose timers are coarser.
+/// Tick interval of a standby, whose time-outs need less precision.
 const STANDBY_TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time that a primary takes to hand over after SIGTERM.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time to write the last messages after a hand-over.
-const FLUSH_TIME: Duration = Duration::from_millis(30);
-/// How often the settings are reloaded while no primary is known: the file may change without a signal.
+/// Time limit for the handover of a primary after SIGTERM.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(700);
+/// Delay between the handover and the end of the process, in which the last messages are written.
+const SHUTDOWN_FLUSH_DELAY: Duration = Duration::from_millis(30);
+/// Interval at which the settings are reloaded while no primary is known, because the file may change without a signal.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Timers of the loop.
+/// Timers of the event loop.
 pub(super) struct Timers {
     next_tick: Instant,
-    reload_at: Instant,
-    /// When the process ends, once it shuts down.
+    settings_reload_at: Instant,
+    /// Time at which the process ends, if it is shutting down.
     shutdown_at: Option<Instant>,
 }
 
@@ -27,27 +27,27 @@
     pub(super) fn new() -> Timers {
         Timers {
             next_tick: Instant::now() + TICK_INTERVAL,
-            reload_at: Instant::now() + RELOAD_INTERVAL,
+            settings_reload_at: Instant::now() + RELOAD_INTERVAL,
             shutdown_at: None,
         }
     }
 
     pub(super) fn start_shutdown(&mut self) {
-        self.shutdown_at = Some(Instant::now() + HAND_OVER_TIMEOUT);
+        self.shutdown_at = Some(Instant::now() + HANDOVER_TIMEOUT);
     }
 
     pub(super) fn is_shutting_down(&self) -> bool {
         self.shutdown_at.is_some()
     }
 
-    /// After the hand-over only the last messages have to be written.
+    /// Shortens the shutdown after the handover, when only the last messages have to be written.
     pub(super) fn shorten_shutdown(&mut self, driver: &Driver) {
         if self.is_shutting_down() && !driver.is_primary() {
-            self.shutdown_at = self.shutdown_at.map(|at| at.min(Instant::now() + FLUSH_TIME));
+            self.shutdown_at = self.shutdown_at.map(|at| at.min(Instant::now() + SHUTDOWN_FLUSH_DELAY));
         }
     }
 
-    pub(super) fn shutdown_or_tick(&self) -> Instant {
+    pub(super) fn shutdown_or_next_tick(&self) -> Instant {
         self.shutdown_at.unwrap_or(self.next_tick)
     }
 
@@ -55,17 +55,17 @@
         driver.due_at().map_or(self.next_tick, |due| due.min(self.next_tick))
     }
 
-    /// Schedules the next tick; whether the settings should be reloaded.
-    pub(super) fn ticked(&mut self, driver: &Driver) -> bool {
+    /// Schedules the next tick if the current one was periodic, and returns whether the settings have to be reloaded.
+    pub(super) fn schedule_next_tick(&mut self, driver: &Driver) -> bool {
         if Instant::now() >= self.next_tick {
             let is_standby = !driver.is_primary() && driver.is_primary_known();
             let interval = if is_standby { STANDBY_TICK_INTERVAL } else { TICK_INTERVAL };
             self.next_tick = Instant::now() + interval;
         }
         let is_primary_known = driver.is_primary_known();
-        let is_reload_due = !is_primary_known && Instant::now() >= self.reload_at;
+        let is_reload_due = !is_primary_known && Instant::now() >= self.settings_reload_at;
         if is_primary_known || is_reload_due {
-            self.reload_at = Instant::now() + RELOAD_INTERVAL;
+            self.settings_reload_at = Instant::now() + RELOAD_INTERVAL;
         }
         is_reload_due
     }
--- a/crates/pebblepost-control/src/runtime/transcriber_tasks.rs
+++ b/crates/pebblepost-control/src/runtime/transcriber_tasks.rs
@@ -10,31 +10,32 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 use tokio::time::Instant;
 
-/// Time for the whole exchange of a load order or of a load report.
+/// Time limit for the whole exchange of a load order or a load report.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What calls to transcribers share. So many are in progress at once as there are permits: each needs a descriptor.
+/// Resources shared by calls to transcribers. The number of permits limits the concurrent calls, because each needs a
+/// file descriptor.
 #[derive(Clone, Debug)]
 pub struct TranscriberCalls {
-    /// The client.
+    /// HTTP client of the calls.
     pub client: Client,
-    /// Permits to call.
+    /// Permits for concurrent calls.
     pub permits: Rc<Semaphore>,
-    /// Where the answers go.
+    /// Sender of the results to the event loop.
     pub events: EventSender,
 }
 
 impl TranscriberCalls {
-    /// Waits until another call may begin. The semaphore is never closed.
+    /// Waits until another call may start. Never returns `None`, because the semaphore is never closed.
     async fn permit(&self) -> Option<SemaphorePermit<'_>> {
         self.permits.acquire().await.ok()
     }
 }
 
-/// Sends a load order to a transcriber and reports the answer.
+/// Sends a load order to a transcriber and reports its outcome to the event loop.
 ///
-/// An order that can't be written by `send_by`, when the lease ends, is not sent at all, as another process may hold the
-/// lease by then.
+/// A load order that can't be written by `send_by`, the expiry of the lease, is not sent at all, because another node
+/// may hold the lease after that.
 pub async fn send_order(calls: TranscriberCalls, order: LoadOrder, body: Vec<u8>, send_by: Instant) {
     let _permit = calls.permit().await;
     let target = target(&order.instance, &order.address).filter(|_| Instant::now() < send_by);
@@ -47,11 +48,11 @@
         None => OrderOutcome::Rejected,
     };
     log::debug!("load order answered instance={} answer={answer:?}", order.instance);
-    // The loop may have ended.
+    // The event loop may have ended.
     calls.events.send(Event::Input(Input::OrderAnswered { order, answer })).await.ok();
 }
 
-/// Fetches a transcriber's load report and reports it.
+/// Fetches the load report of a transcriber and passes it to the event loop.
 pub async fn fetch_load_report(calls: TranscriberCalls, instance: String, address: String) {
     let _permit = calls.permit().await;
     let report = match target(&instance, &address) {
@@ -63,7 +64,7 @@
         models: load.models,
         running: load.running,
     });
-    // The loop may have ended.
+    // The event loop may have ended.
     calls.events.send(Event::Input(Input::LoadReported { instance, report })).await.ok();
 }
 
