--- a/crates/pebblepost-control/src/node/requests.rs
+++ b/crates/pebblepost-control/src/node/requests.rs
@@ -209,7 +209,10 @@
         if self.is_barrier_committed() {
             self.respond_under_lease(now, id, HttpResponse::retirement_rejected(error));
         } else {
-            self.respond(id, HttpResponse::unavailable("not known yet what former primaries have taken"));
+            self.respond(
+                id,
+                HttpResponse::unavailable("the outcome of entries of former primaries is not known yet"),
+            );
         }
     }
 
@@ -240,15 +243,17 @@
             Some(expires_at) => {
                 self.outputs.push(Output::Respond { id, response, send_by: Some(expires_at) });
             }
-            None => self.respond(id, HttpResponse::unavailable("not the primary any more")),
+            None => self.respond(id, HttpResponse::unavailable("this control node is no longer the primary")),
         }
     }
 }
 
 fn propose_error_response(error: ProposeError) -> HttpResponse {
     match error {
-        ProposeError::NotPrimary => HttpResponse::unavailable("not the primary any more"),
-        ProposeError::TooFewReplicas => HttpResponse::unavailable("too few disks can take it now"),
+        ProposeError::NotPrimary => HttpResponse::unavailable("this control node is no longer the primary"),
+        ProposeError::TooFewReplicas => {
+            HttpResponse::unavailable("too few replicas are available to store the change")
+        }
     }
 }
 
@@ -261,7 +266,9 @@
         Some(Outcome::ConfigurationRejected(error)) => HttpResponse::change_rejected(error),
         Some(Outcome::RetirementRejected(error)) => HttpResponse::retirement_rejected(*error),
         Some(Outcome::GroupChanged { .. } | Outcome::Applied | Outcome::Undecodable) | None => {
-            HttpResponse::unavailable("not known whether it was taken")
+            HttpResponse::unavailable(
+                "the outcome of the request is unknown: it may or may not have taken effect",
+            )
         }
     }
 }
