--- a/crates/pebblepost-control/src/feed/publisher.rs
+++ b/crates/pebblepost-control/src/feed/publisher.rs
@@ -234,7 +234,7 @@
         let connections: Vec<ConnectionId> = self.subscriptions.connections().collect();
         for connection in connections {
             let Some(subscription) = self.subscriptions.get(connection) else { continue };
-            let sequence = subscription.sequence_of(self.newest_flush);
+            let sequence = subscription.batch_sequence(self.newest_flush);
             let form = self.configuration_form(subscription.sent_generation());
             let batch = batches.entry(form).or_insert_with(|| {
                 self.configuration_update(form).into_iter().chain(common.iter().cloned()).collect()
--- a/crates/pebblepost-control/src/feed/subscriptions.rs
+++ b/crates/pebblepost-control/src/feed/subscriptions.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns the sequence number, on this subscription, of the batch that a flush sends. The first one is 1.
-    pub(super) fn sequence_of(&self, flush: u64) -> u64 {
+    pub(super) fn batch_sequence(&self, flush: u64) -> u64 {
         flush - self.first_flush + 1
     }
 
--- a/crates/pebblepost-control/src/node/leadership.rs
+++ b/crates/pebblepost-control/src/node/leadership.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Time after a takeover in which the silence of a witness does not count as its failure.
-const WITNESS_GRACE: Duration = Duration::from_secs(2);
+const WITNESS_GRACE_PERIOD: Duration = Duration::from_secs(2);
 
 impl ControlNode {
     /// Starts to act as primary of an epoch. If this node was primary of the previous epoch already, only the epoch
@@ -162,7 +162,7 @@
 
     fn maintain_witnesses(&mut self, now: Duration) {
         let Some(primary) = self.primary.as_ref().filter(|_| !self.group.is_changing()) else { return };
-        let is_new = now.saturating_sub(primary.since) < WITNESS_GRACE;
+        let is_new = now.saturating_sub(primary.since) < WITNESS_GRACE_PERIOD;
         let evidence = if is_new { FailureEvidence::Replacement } else { FailureEvidence::Timeout };
         let record = self.group.record();
         let peers = self.peers.statuses(now);
--- a/crates/pebblepost-control/src/storage/planner.rs
+++ b/crates/pebblepost-control/src/storage/planner.rs
@@ -124,7 +124,7 @@
             targets.len() >= replication_factor && !same_disks(targets, &groups[group].targets)
         };
         let mut changed: Vec<u32> = groups.keys().copied().filter(has_changed).collect();
-        if changed.is_empty() && self.targets_are_reached() {
+        if changed.is_empty() && self.are_targets_reached() {
             changed.extend(placement.rebalance(&usable));
         }
         let command = |group: u32| Command::SetTargets { group, targets: placement.targets(group).to_vec() };
@@ -132,7 +132,7 @@
     }
 
     /// Returns whether the in-sync replicas of every group are its targets.
-    fn targets_are_reached(&self) -> bool {
+    fn are_targets_reached(&self) -> bool {
         let mut assignments = self.state.groups().values();
         assignments.all(|assignment| same_disks(&assignment.epoch.in_sync, &assignment.targets))
     }
