--- a/crates/pebblepost-control/tests/control/api.rs
+++ b/crates/pebblepost-control/tests/control/api.rs
@@ -1,13 +1,13 @@
-//! Approved transcripts of HTTP requests and responses.
+//! HTTP requests to the control plane: the responses match approved transcripts, and standbys redirect.
 
 use crate::support::cluster::Cluster;
 use crate::support::documents::{configuration, patch, registration};
-use crate::support::shown;
+use crate::support::format_response;
 use pebblepost_control::api::HttpRequest;
 use rstest::rstest;
 use std::time::Duration;
 
-/// Lines with a request and its response each.
+/// Sends requests to a cluster and records a line with each request and its response.
 struct Transcript {
     cluster: Cluster,
     lines: Vec<String>,
@@ -18,6 +18,7 @@
         Transcript { cluster, lines: Vec::new() }
     }
 
+    /// Sends a request to the primary.
     fn request(&mut self, method: &str, path: &str, if_match: Option<&str>, body: &[u8]) {
         let primary = self.cluster.primary();
         self.request_at(primary, method, path, if_match, body);
@@ -31,20 +32,21 @@
             body: body.to_vec(),
         };
         let response = self.cluster.request(node, request);
-        let shown = response.map_or_else(|| "no response".into(), |response| shown(&response));
-        let on = if_match.map(|version| format!(" If-Match: {version}")).unwrap_or_default();
-        self.lines.push(format!("{method} {path}{on} -> {shown}"));
+        let line = response.map_or_else(|| "no response".into(), |response| format_response(&response));
+        let precondition = if_match.map(|version| format!(" If-Match: {version}")).unwrap_or_default();
+        self.lines.push(format!("{method} {path}{precondition} -> {line}"));
     }
 
-    fn check(&self, approved: &str) {
+    /// Panics unless the recorded lines equal the approved ones.
+    fn assert_matches(&self, approved: &str) {
         let lines = self.lines.join("\n");
         assert_eq!(lines.trim(), approved.trim(), "\n--- got ---\n{lines}\n-----------");
     }
 }
 
 #[rstest]
-fn configuration_requests() {
-    let mut transcript = Transcript::new(Cluster::acting());
+fn configuration_requests_match_the_approved_transcript() {
+    let mut transcript = Transcript::new(Cluster::with_primary());
     transcript.request("GET", "/config", None, b"");
     transcript.request("PATCH", "/config", Some("0"), &patch(3, 900));
     transcript.request("PUT", "/config", None, &configuration(3, 1500));
@@ -62,28 +64,28 @@
     transcript.request("PATCH", "/config", Some("x"), &patch(10, 901));
     transcript.request("DELETE", "/config", None, b"");
     transcript.request("GET", "/nothing", None, b"");
-    transcript.check(include_str!("transcripts/configuration_calls.txt"));
+    transcript.assert_matches(include_str!("transcripts/configuration_calls.txt"));
     let document = transcript.cluster.node(transcript.cluster.primary()).state().configuration().cloned();
     assert_eq!(document.expect("a configuration").generation(), 9);
 }
 
 #[rstest]
-fn registrations_and_versions() {
-    let mut transcript = Transcript::new(Cluster::acting());
-    let ready = registration("10.9.0.1:8080", "ready", 1, 1);
-    let draining = registration("10.9.0.1:8080", "draining", 1, 2);
+fn registration_and_version_requests_match_the_approved_transcript() {
+    let mut transcript = Transcript::new(Cluster::with_primary());
+    let ready = registration("10.9.0.1:8080", "ready", 1);
+    let draining = registration("10.9.0.1:8080", "draining", 2);
     transcript.request("PUT", "/instances/i-1", None, &ready);
     transcript.request("PUT", "/instances/i-1", None, b"{}");
     transcript.request("PUT", "/instances/i-1", None, &draining);
     transcript.request("DELETE", "/instances/i-1", None, b"");
     transcript.request("DELETE", "/instances/i-1", None, b"");
-    transcript.request("PUT", "/instances/i-1", None, &registration("10.9.0.1:8080", "ready", 1, 9));
+    transcript.request("PUT", "/instances/i-1", None, &registration("10.9.0.1:8080", "ready", 9));
     transcript.request("POST", "/version-put", None, b"{\"model\":\"m\",\"generation\":2}");
     transcript.request("POST", "/version-put", None, b"{\"model\":\"m\",\"generation\":2}");
     transcript.request("POST", "/version-put", None, b"{\"model\":\"m\"}");
     transcript.request("POST", "/retire/storage-1", None, b"{\"duration_s\":10}");
     transcript.request("GET", "/retire/storage-1", None, b"");
-    transcript.check(include_str!("transcripts/registrations_and_versions.txt"));
+    transcript.assert_matches(include_str!("transcripts/registrations_and_versions.txt"));
     let core = transcript.cluster.node(transcript.cluster.primary());
     assert_eq!(core.registry().live().count(), 0);
     assert_eq!(core.state().named_versions().get("m"), Some(&2));
@@ -91,18 +93,12 @@
 
 #[rstest]
 fn standbys_redirect_to_the_primary() {
-    let mut cluster = Cluster::acting();
+    let mut cluster = Cluster::with_primary();
     cluster.run(Duration::from_millis(500));
     let primary = cluster.primary();
     let mut transcript = Transcript::new(cluster);
     let standby = (0..3).find(|node| *node != primary).expect("a standby");
-    transcript.request_at(
-        standby,
-        "PUT",
-        "/instances/i-1",
-        None,
-        &registration("10.9.0.1:8080", "ready", 1, 1),
-    );
+    transcript.request_at(standby, "PUT", "/instances/i-1", None, &registration("10.9.0.1:8080", "ready", 1));
     let expected = format!("http://10.0.0.{}:8262/instances/i-1", primary + 1);
     assert!(transcript.lines[0].contains(&format!("-> 307 Location: {expected}")), "{:?}", transcript.lines);
     transcript.cluster.kill(primary);
--- a/crates/pebblepost-control/tests/control/deferred_requests.rs
+++ b/crates/pebblepost-control/tests/control/deferred_requests.rs
@@ -1,4 +1,5 @@
-//! Links and requests that arrive before there is a primary.
+//! Links and requests that arrive while no primary is known. A process defers them until it knows one or a time limit
+//! has passed.
 
 use crate::support::cluster::Cluster;
 use crate::support::documents::registration;
@@ -8,54 +9,56 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// Time within which a deferred link or request is served once a primary acts.
-const SOON: Duration = Duration::from_millis(20);
+/// Limit on the time from the election of a primary until deferred links and requests are answered.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(20);
 
+/// Connects an agent to a node and subscribes it.
 fn subscribe(cluster: &mut Cluster, node: usize) -> usize {
-    let program = cluster.connect(node);
+    let client = cluster.connect(node);
     let message = ToControl::Subscribe {
-        node: format!("edge-{program}"),
+        node: format!("edge-{client}"),
         zone: "zone-0".into(),
         role: SubscriberRole::Agent,
         generation: 0,
     };
-    cluster.send(program, message);
-    program
+    cluster.send(client, message);
+    client
 }
 
-/// A storage node that subscribes and introduces itself.
+/// Connects a storage node, which subscribes and introduces itself.
 fn connect_store(cluster: &mut Cluster, node: usize) -> usize {
-    let program = subscribe(cluster, node);
+    let client = subscribe(cluster, node);
     let member = Member { disk: DiskId(71), node: "storage-1".into(), ..Member::default() };
-    cluster.send(program, ToControl::StoreHello { member, bootstrap: true });
-    program
+    cluster.send(client, ToControl::StoreHello { member, bootstrap: true });
+    client
 }
 
-/// Runs until shortly before a primary acts: less than the longest wait of deferred links.
-fn about_to_elect() -> Cluster {
-    let election_time = Cluster::acting().now;
+/// Returns a cluster 200 ms before its first election ends. The time that remains is below the limit for deferred
+/// links.
+fn cluster_before_election() -> Cluster {
+    let elected_at = Cluster::with_primary().now;
     let mut cluster = Cluster::bootstrapping();
-    cluster.run(election_time - Duration::from_millis(200));
+    cluster.run(elected_at - Duration::from_millis(200));
     assert!(cluster.acting_nodes().is_empty());
     cluster
 }
 
-fn register() -> HttpRequest {
-    let body = registration("10.9.0.1:8080", "ready", 1, 1);
+fn registration_request() -> HttpRequest {
+    let body = registration("10.9.0.1:8080", "ready", 1);
     HttpRequest { method: "PUT".into(), path: "/instances/i-1".into(), if_match: None, body }
 }
 
 #[rstest]
-fn deferred_link_is_served_by_the_primary_and_redirected_elsewhere() {
-    let mut cluster = about_to_elect();
-    let programs: Vec<usize> = (0..3).map(|node| subscribe(&mut cluster, node)).collect();
-    cluster.run_until_acting();
-    cluster.run(SOON);
+fn deferred_link_is_served_by_the_primary_and_redirected_by_standbys() {
+    let mut cluster = cluster_before_election();
+    let clients: Vec<usize> = (0..3).map(|node| subscribe(&mut cluster, node)).collect();
+    cluster.run_until_primary_acts();
+    cluster.run(MAX_ANSWER_DELAY);
     let primary = cluster.primary();
     let address = cluster.node(primary).record().primary_member().expect("a primary").address.clone();
-    for (node, program) in programs.into_iter().enumerate() {
-        let received = cluster.received(program);
-        let first = received.first().expect("an response as soon as there is a primary");
+    for (node, client) in clients.into_iter().enumerate() {
+        let received = cluster.received(client);
+        let first = received.first().expect("a response as soon as a primary acts");
         match first {
             FromControl::Redirect { primary: Some(named), .. } => {
                 assert!(node != primary && *named == address, "{received:?}");
@@ -68,23 +71,23 @@
 
 #[rstest]
 fn deferred_messages_are_processed_in_order() {
-    let mut cluster = about_to_elect();
-    let programs: Vec<usize> = (0..3).map(|node| connect_store(&mut cluster, node)).collect();
-    cluster.run_until_acting();
+    let mut cluster = cluster_before_election();
+    let clients: Vec<usize> = (0..3).map(|node| connect_store(&mut cluster, node)).collect();
+    cluster.run_until_primary_acts();
     cluster.run(Duration::from_secs(2));
     let primary = cluster.primary();
-    let received = cluster.received(programs[primary]);
+    let received = cluster.received(clients[primary]);
     assert!(received.iter().any(|message| matches!(message, FromControl::Feed(_))), "{received:?}");
     assert!(cluster.node(primary).state().stores().contains_key(&DiskId(71)));
 }
 
 #[rstest]
-fn deferred_request_is_served_by_the_primary_and_redirected_elsewhere() {
-    let mut cluster = about_to_elect();
-    let ids: Vec<u64> = (0..3).map(|node| cluster.send_request(node, register())).collect();
-    assert!(ids.iter().all(|id| cluster.response(*id).is_none()), "nobody knows a primary yet");
-    cluster.run_until_acting();
-    cluster.run(SOON);
+fn deferred_request_is_served_by_the_primary_and_redirected_by_standbys() {
+    let mut cluster = cluster_before_election();
+    let ids: Vec<u64> = (0..3).map(|node| cluster.send_request(node, registration_request())).collect();
+    assert!(ids.iter().all(|id| cluster.response(*id).is_none()), "no process knows a primary yet");
+    cluster.run_until_primary_acts();
+    cluster.run(MAX_ANSWER_DELAY);
     let primary = cluster.primary();
     for (node, id) in ids.into_iter().enumerate() {
         let status = cluster.response(id).map(|response| response.status);
@@ -93,20 +96,28 @@
 }
 
 #[rstest]
-fn isolated_process_defers_only_for_a_short_time() {
-    let mut cluster = Cluster::acting();
+fn isolated_process_answers_deferred_links_and_requests_after_a_time_limit() {
+    let mut cluster = Cluster::with_primary();
     cluster.run(Duration::from_secs(1));
     let standby = (0..3).find(|node| *node != cluster.primary()).expect("a standby");
     cluster.isolate(standby);
     cluster.run(Duration::from_secs(2));
-    let program = subscribe(&mut cluster, standby);
-    let id = cluster.send_request(standby, register());
+    let client = subscribe(&mut cluster, standby);
+    let id = cluster.send_request(standby, registration_request());
     cluster.run(Duration::from_millis(300));
-    assert_eq!(cluster.received(program), [], "nothing may be taken for a primary's word");
+    assert_eq!(
+        cluster.received(client),
+        [],
+        "a deferred link gets no message, which the client could take for one of a primary"
+    );
     cluster.run(Duration::from_millis(300));
-    let received = cluster.received(program);
+    let received = cluster.received(client);
     assert!(matches!(received[..], [FromControl::Redirect { primary: None, .. }]), "{received:?}");
-    assert_eq!(cluster.response(id), None, "a takeover may still come in time for the caller");
+    assert_eq!(
+        cluster.response(id),
+        None,
+        "requests are deferred for longer than links: a primary may still take over in time for the caller"
+    );
     cluster.run(Duration::from_millis(300));
     assert_eq!(cluster.response(id).map(|response| response.status), Some(503));
 }
--- a/crates/pebblepost-control/tests/control/http.rs
+++ b/crates/pebblepost-control/tests/control/http.rs
@@ -1,4 +1,5 @@
-//! The HTTP server with real connections: what it submits and what it responds.
+//! The HTTP server on real connections: the requests that it submits, its responses, and its limits on connections and
+//! on memory for bodies.
 
 use pebblepost_control::api::{HttpRequest, HttpResponse, MAX_BODY_BYTES};
 use pebblepost_control::runtime::body_budget::{BodyBudget, BodyReservation};
@@ -15,12 +16,12 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::Instant;
 
-/// Connection limit in these tests.
+/// Connection limit of the server in these tests.
 const MAX_CONNECTIONS: usize = 4;
 const LIMITS: HttpLimits =
     HttpLimits { max_connections: MAX_CONNECTIONS, max_body_memory_bytes: MAX_BODY_BYTES };
 
-/// Sends a request to a server with this handler; the submitted requests and the response.
+/// Sends a request to a server with this handler. Returns the submitted requests and the response.
 fn exchange(respond: fn(&HttpRequest) -> HttpResponse, request: &'static [u8]) -> (Vec<HttpRequest>, String) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async move {
@@ -36,7 +37,7 @@
     })
 }
 
-/// Responds to requests and records them.
+/// Answers all requests with `respond` and records them in `seen`.
 async fn respond_to_all(
     mut incoming: mpsc::Receiver<IncomingRequest>, respond: fn(&HttpRequest) -> HttpResponse,
     seen: Rc<RefCell<Vec<HttpRequest>>>,
@@ -47,16 +48,17 @@
     }
 }
 
+/// Sends a request on a new connection and reads the response to its end, without the `date` header.
 async fn send(address: SocketAddr, request: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_all(request).await.expect("sent");
     let mut response = Vec::new();
-    stream.read_to_end(&mut response).await.expect("an response");
+    stream.read_to_end(&mut response).await.expect("a response");
     let text = String::from_utf8(response).expect("text");
     text.lines().filter(|line| !line.starts_with("date:")).collect::<Vec<_>>().join("\n")
 }
 
-/// A response that shows the submitted request.
+/// Returns a response whose body shows the submitted request.
 fn echo(request: &HttpRequest) -> HttpResponse {
     let text = format!(
         "{} {} {:?} {}",
@@ -73,11 +75,11 @@
 }
 
 #[rstest]
-#[case::length(
+#[case::content_length(
     b"PUT /config HTTP/1.1\r\nHost: a\r\nIf-Match: 5\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabc",
     "PUT /config Some(\"5\") abc"
 )]
-#[case::chunks(
+#[case::chunked(
     b"PATCH /config HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
     "PATCH /config None abc"
 )]
@@ -89,7 +91,7 @@
     b"GET /retire/storage-1 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
     "GET /retire/storage-1 None "
 )]
-fn requests_are_submitted_complete(#[case] request: &'static [u8], #[case] expected: &str) {
+fn complete_requests_are_submitted(#[case] request: &'static [u8], #[case] expected: &str) {
     let (requests, response) = exchange(echo, request);
     assert_eq!(requests.len(), 1);
     assert!(response.starts_with("HTTP/1.1 200 OK"), "{response}");
@@ -108,15 +110,15 @@
 }
 
 #[rstest]
-fn unknown_path_is_not_found() {
+fn unknown_path_is_answered_404() {
     let (requests, response) = exchange(echo, b"GET /else HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     assert!(response.starts_with("HTTP/1.1 404 "), "{response}");
     assert!(requests.is_empty());
 }
 
 #[rstest]
-fn too_large_body_is_rejected_by_its_length() {
-    const { assert!(MAX_BODY_BYTES >= 32 * 1024 * 1024, "a configuration may have 32 MiB") };
+fn body_above_the_limit_is_rejected_by_its_content_length() {
+    const { assert!(MAX_BODY_BYTES >= 32 * 1024 * 1024, "a configuration may take 32 MiB") };
     let (requests, response) = exchange(
         echo,
         b"PUT /config HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\nConnection: close\r\n\r\n",
@@ -132,12 +134,13 @@
     assert!(requests.is_empty());
 }
 
-/// Opens connections, of which each begins a request, then ends it on each; how many were served.
+/// Opens connections that each send the first part of a request, then sends the rest on each. Returns how many of them
+/// got a response.
 async fn served_connections(address: SocketAddr, count: usize) -> usize {
     let mut open = Vec::new();
     for _ in 0..count {
         let mut stream = TcpStream::connect(address).await.expect("a connection");
-        // A connection that was closed at once may refuse the bytes.
+        // The write may fail if the server closed the connection at once.
         stream.write_all(b"GET /config HTTP/1.1\r\n").await.ok();
         open.push(stream);
     }
@@ -168,7 +171,7 @@
 }
 
 /// Opens a connection, sends a request on it and reads the head of the response.
-async fn open(address: SocketAddr) -> (TcpStream, String) {
+async fn open_with_request(address: SocketAddr) -> (TcpStream, String) {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_all(b"GET /config HTTP/1.1\r\nHost: a\r\n\r\n").await.expect("sent");
     let mut head = [0; 512];
@@ -177,7 +180,7 @@
 }
 
 #[rstest]
-fn a_crowded_server_closes_connections_after_their_response_and_serves_newcomers() {
+fn server_near_its_connection_limit_closes_new_connections_after_their_response() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
@@ -187,12 +190,12 @@
         spawn_local(respond_to_all(incoming, echo, Rc::default()));
         let mut kept = Vec::new();
         for _ in 0..MAX_CONNECTIONS - 1 {
-            let (stream, head) = open(address).await;
+            let (stream, head) = open_with_request(address).await;
             assert!(!head.contains("connection: close"), "{head}");
             kept.push(stream);
         }
         for _ in 0..10 {
-            let (mut stream, head) = open(address).await;
+            let (mut stream, head) = open_with_request(address).await;
             assert!(head.starts_with("HTTP/1.1 200"), "{head}");
             assert!(head.contains("connection: close"), "{head}");
             let mut rest = Vec::new();
@@ -201,19 +204,18 @@
     });
 }
 
-/// A control process has 4,096 descriptors, and each of a thousand transcribers keeps a
-/// connection.
+/// A control process has 4,096 descriptors, and each of a thousand transcribers keeps a connection open.
 #[rstest]
-fn connection_limit_follows_the_descriptors() {
+fn connection_limit_is_derived_from_the_descriptor_limit() {
     assert!(max_request_connections(4096) > 1_500);
-    assert!(max_request_connections(4096) < 2_500, "orders and links need descriptors too");
+    assert!(max_request_connections(4096) < 2_500, "load orders and links need descriptors as well");
     assert_eq!(max_request_connections(0), 1);
 }
 
 #[rstest]
 #[case::before_the_lease_ends(true, "200 OK")]
 #[case::after_the_lease_ended(false, "503 Service Unavailable")]
-fn a_response_leaves_before_its_lease_ends_or_not_at_all(#[case] in_time: bool, #[case] status: &str) {
+fn response_after_the_end_of_its_lease_is_replaced_by_503(#[case] in_time: bool, #[case] status: &str) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let text = LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
@@ -233,7 +235,7 @@
 }
 
 #[rstest]
-fn bodies_beyond_the_memory_for_them_are_rejected_and_leave_no_trace() {
+fn bodies_above_the_memory_budget_are_rejected_and_release_their_reservation() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
@@ -242,11 +244,11 @@
         let limits = HttpLimits { max_body_memory_bytes: 100_000, ..LIMITS };
         spawn_local(serve(listener, requests, limits));
         spawn_local(respond_to_all(incoming, echo, Rc::default()));
-        // A body that is still to come holds most of the memory.
-        let mut slow = TcpStream::connect(address).await.expect("a connection");
+        // A body that has arrived in part reserves most of the memory budget.
+        let mut pending = TcpStream::connect(address).await.expect("a connection");
         let head = b"PUT /config HTTP/1.1\r\nhost: a\r\nif-match: 0\r\ncontent-length: 90001\r\n\r\n";
-        slow.write_all(head).await.expect("sent");
-        slow.write_all(&[b' '; 90_000]).await.expect("sent");
+        pending.write_all(head).await.expect("sent");
+        pending.write_all(&[b' '; 90_000]).await.expect("sent");
         let large = [
             &b"PUT /config HTTP/1.1\r\nhost: a\r\nif-match: 0\r\nconnection: close\r\ncontent-length: 20000\r\n\r\n"[..],
             &[b' '; 20_000],
@@ -259,23 +261,23 @@
         assert!(rejected.contains("retry-after: 1"), "{rejected}");
         let small = send(address, b"GET /config HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n").await;
         assert!(small.starts_with("HTTP/1.1 200"), "{small}");
-        slow.write_all(b" ").await.expect("sent");
+        pending.write_all(b" ").await.expect("sent");
         let mut first = [0; 12];
-        slow.read_exact(&mut first).await.expect("a response");
+        pending.read_exact(&mut first).await.expect("a response");
         assert_eq!(&first, b"HTTP/1.1 200");
-        drop(slow);
+        drop(pending);
         let served = send(address, &large).await;
         assert!(served.starts_with("HTTP/1.1 200"), "{served}");
     });
 }
 
 #[test]
-fn a_reservation_gives_back_what_it_took() {
+fn dropped_reservation_releases_its_bytes() {
     let budget = BodyBudget::new(10);
     let mut first = BodyReservation::new(&budget);
     assert!(first.grow(6));
     let mut second = BodyReservation::new(&budget);
-    assert!(!second.grow(5), "11 of 10 bytes");
+    assert!(!second.grow(5), "11 bytes exceed the budget of 10");
     drop(second);
     assert!(first.grow(4));
     drop(first);
--- a/crates/pebblepost-control/tests/control/main.rs
+++ b/crates/pebblepost-control/tests/control/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the control plane: parts without I/O, whole groups on a simulated network, and the HTTP server with real
-//! connections.
+//! Tests of the control plane: single components without I/O, whole groups of control processes on a simulated network,
+//! and the HTTP server on real connections.
 
 mod api;
 mod change_history;
--- a/crates/pebblepost-control/tests/control/membership.rs
+++ b/crates/pebblepost-control/tests/control/membership.rs
@@ -1,4 +1,4 @@
-//! Witness sets, bootstrap identities and the first assignment of groups.
+//! Changes of the witness set, the record derived at bootstrap, and the initial assignment of groups.
 
 use pebblepost_control::membership::bootstrap::{bootstrap_disk, bootstrap_record};
 use pebblepost_control::membership::{
@@ -17,8 +17,9 @@
     Member { disk: DiskId(disk), address: format!("10.0.0.{disk}:7300"), ..Member::default() }
 }
 
-fn standing(disk: u64, silence_ms: u64) -> PeerStatus {
-    PeerStatus { member: member(disk), last_message_age: Duration::from_millis(silence_ms) }
+/// Returns the status of a peer whose last message arrived this many milliseconds ago.
+fn peer_status(disk: u64, last_message_age_ms: u64) -> PeerStatus {
+    PeerStatus { member: member(disk), last_message_age: Duration::from_millis(last_message_age_ms) }
 }
 
 fn record(witnesses: &[u64]) -> EpochRecord {
@@ -37,19 +38,20 @@
 
 #[rstest]
 fn witnesses_stay_while_all_are_live() {
-    let known = [standing(1, 0), standing(2, 100), standing(3, 1400), standing(4, 0)];
+    let known = [peer_status(1, 0), peer_status(2, 100), peer_status(3, 1400), peer_status(4, 0)];
     assert_eq!(next_witness_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout), None);
 }
 
 #[rstest]
 fn failed_witness_is_replaced_in_two_steps() {
-    let known = [standing(1, 0), standing(2, 100), standing(3, 1600), standing(4, 0)];
+    let known = [peer_status(1, 0), peer_status(2, 100), peer_status(3, 1600), peer_status(4, 0)];
     let first =
         next_witness_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout).expect("a change");
     assert_eq!((first.epoch, disks(&first.witnesses)), (6, vec![1, 2, 4]));
     assert_eq!(disks(&first.former_witnesses), [1, 2, 3]);
     assert!(record(&[1, 2, 3]).may_be_followed_by(&first));
-    let second = next_witness_change(&first, &known, 3, FailureEvidence::Timeout).expect("its completion");
+    let second = next_witness_change(&first, &known, 3, FailureEvidence::Timeout)
+        .expect("the change that completes the replacement");
     assert_eq!((second.epoch, disks(&second.witnesses)), (7, vec![1, 2, 4]));
     assert!(second.former_witnesses.is_empty());
     assert!(first.may_be_followed_by(&second));
@@ -57,15 +59,15 @@
 
 #[rstest]
 fn witness_is_not_replaced_without_a_live_candidate() {
-    let known = [standing(1, 0), standing(2, 100), standing(3, 1600), standing(4, 1600)];
+    let known = [peer_status(1, 0), peer_status(2, 100), peer_status(3, 1600), peer_status(4, 1600)];
     assert_eq!(next_witness_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout), None);
 }
 
 #[rstest]
-fn another_disk_at_the_address_replaces_a_witness_at_once() {
-    let mut fresh = standing(9, 0);
-    fresh.member.address = member(3).address;
-    let known = [standing(1, 0), standing(2, 100), standing(3, 300), fresh];
+fn witness_is_replaced_at_once_when_its_address_reports_another_disk() {
+    let mut replacement = peer_status(9, 0);
+    replacement.member.address = member(3).address;
+    let known = [peer_status(1, 0), peer_status(2, 100), peer_status(3, 300), replacement];
     let change =
         next_witness_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Timeout).expect("a change");
     assert_eq!(disks(&change.witnesses), [1, 2, 9]);
@@ -73,30 +75,34 @@
 
 #[rstest]
 fn new_primary_replaces_only_witnesses_whose_disk_was_replaced() {
-    let mut fresh = standing(9, 0);
-    fresh.member.address = member(3).address;
-    let known = [standing(1, 0), standing(2, 9_000), fresh, standing(4, 0)];
+    let mut replacement = peer_status(9, 0);
+    replacement.member.address = member(3).address;
+    let known = [peer_status(1, 0), peer_status(2, 9_000), replacement, peer_status(4, 0)];
     let change =
         next_witness_change(&record(&[1, 2, 3]), &known, 3, FailureEvidence::Replacement).expect("a change");
-    assert_eq!(disks(&change.witnesses), [1, 2, 4], "2 may not have found this primary yet");
+    assert_eq!(
+        disks(&change.witnesses),
+        [1, 2, 4],
+        "a new primary has no evidence against witness 2, which may not have connected yet"
+    );
     assert_eq!(next_witness_change(&record(&[1, 2, 4]), &known, 3, FailureEvidence::Replacement), None);
 }
 
 #[rstest]
-fn witness_set_is_extended_to_its_size() {
-    let known = [standing(1, 0), standing(2, 100), standing(3, 300)];
+fn witness_set_is_extended_to_its_target_size() {
+    let known = [peer_status(1, 0), peer_status(2, 100), peer_status(3, 300)];
     let change =
         next_witness_change(&record(&[1, 2]), &known, 3, FailureEvidence::Timeout).expect("a change");
     assert_eq!(disks(&change.witnesses), [1, 2, 3]);
     assert_eq!(
         next_witness_change(&record(&[1, 2, 3]), &known, 5, FailureEvidence::Timeout),
         None,
-        "nobody is left to add"
+        "no candidate is left"
     );
 }
 
 #[rstest]
-fn all_seeds_derive_the_same_record() {
+fn bootstrap_record_does_not_depend_on_the_order_of_the_seeds() {
     let seeds: Vec<SocketAddr> = ["10.1.0.14:8262", "10.2.0.17:8262", "10.3.0.21:8262"]
         .iter()
         .map(|seed| seed.parse().unwrap())
@@ -118,7 +124,7 @@
 #[case(5, Tolerance { machines: 1, zones: 0, regions: 0 }, 2)]
 #[case(6, Tolerance { machines: 2, zones: 1, regions: 0 }, 3)]
 #[case(9, Tolerance { machines: 1, zones: 2, regions: 0 }, 3)]
-fn first_assignment_is_spread_and_even(
+fn initial_assignment_is_balanced_and_spread_over_zones(
     #[case] machines: u64, #[case] tolerance: Tolerance, #[case] replication_factor: usize,
 ) {
     let usable: BTreeMap<DiskId, Member> = (1..=machines)
@@ -128,16 +134,16 @@
         })
         .collect();
     let assignments = placement::assign_all_groups(&usable, &tolerance);
-    let mut load: BTreeMap<DiskId, usize> = usable.keys().map(|disk| (*disk, 0)).collect();
+    let mut replica_counts: BTreeMap<DiskId, usize> = usable.keys().map(|disk| (*disk, 0)).collect();
     for group in &assignments {
         assert_eq!(group.replicas.len(), replication_factor);
         assert!(group.replicas.contains(&group.primary));
         let zones: BTreeSet<&String> = group.replicas.iter().map(|disk| &usable[disk].zone).collect();
-        assert_eq!(zones.len(), replication_factor.min(3), "spread over zones");
+        assert_eq!(zones.len(), replication_factor.min(3), "replicas are spread over zones");
         for disk in &group.replicas {
-            *load.get_mut(disk).unwrap() += 1;
+            *replica_counts.get_mut(disk).unwrap() += 1;
         }
     }
-    let (least, most) = (load.values().min().unwrap(), load.values().max().unwrap());
-    assert!(most - least <= 2, "{load:?}");
+    let (least, most) = (replica_counts.values().min().unwrap(), replica_counts.values().max().unwrap());
+    assert!(most - least <= 2, "replicas by disk: {replica_counts:?}");
 }
--- a/crates/pebblepost-control/tests/control/order_deadline.rs
+++ b/crates/pebblepost-control/tests/control/order_deadline.rs
@@ -1,4 +1,4 @@
-//! Load orders and responses that can't be sent before the lease ends.
+//! Load orders that cannot be sent before the lease of the primary ends.
 
 use pebblepost_control::node::Input;
 use pebblepost_control::runtime::{
@@ -38,7 +38,7 @@
             mode: LoadMode::Wait,
         };
         let (events, mut received) = mpsc::channel(1);
-        let lease_end = Instant::now().checked_sub(Duration::from_millis(1)).expect("a moment ago");
+        let lease_end = Instant::now().checked_sub(Duration::from_millis(1)).expect("an instant in the past");
         let permits = Rc::new(Semaphore::new(1));
         let calls = TranscriberCalls { client: Client::new(limits()), permits, events };
         send_order(calls, order, b"{}".to_vec(), lease_end).await;
@@ -46,9 +46,9 @@
             Some(Event::Input(Input::OrderAnswered { answer, .. })) => {
                 assert_eq!(answer, OrderOutcome::Rejected);
             }
-            _ => panic!("the answer was not told"),
+            _ => panic!("expected an OrderAnswered input"),
         }
         let connected = poll_fn(|context| Poll::Ready(listener.poll_accept(context).is_ready())).await;
-        assert!(!connected, "the transcriber was not called");
+        assert!(!connected, "the transcriber was called after the deadline of the order");
     });
 }
--- a/crates/pebblepost-control/tests/control/state.rs
+++ b/crates/pebblepost-control/tests/control/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: outcomes of commands, snapshots.
+//! The replicated state: outcomes of commands, and snapshots.
 
 use crate::support::documents::{configuration, patch};
 use nanoserde::SerBin;
@@ -12,7 +12,7 @@
 use pebblepost_replication::replica::StateMachine;
 use rstest::rstest;
 
-/// A state and the number of entries applied to it.
+/// A state, and the index of the last log entry applied to it.
 #[derive(Default)]
 struct Log {
     state: ControlState,
@@ -35,8 +35,8 @@
     Member { disk: DiskId(number), node: node.into(), ..Member::default() }
 }
 
-/// One line for an outcome, as the transcript names it.
-fn shown(outcome: &Outcome) -> String {
+/// Formats an outcome as it stands in the approved transcript, which has names of its own for the outcomes.
+fn outcome_line(outcome: &Outcome) -> String {
     match outcome {
         Outcome::ConfigurationAccepted { generation } => {
             format!("ConfigurationTaken {{ generation: {generation} }}")
@@ -60,7 +60,7 @@
 }
 
 #[rstest]
-fn transcript_of_entries() {
+fn outcomes_of_log_entries_match_the_approved_transcript() {
     let mut log = Log::default();
     let group = |primary, replicas: &[u64]| InitialAssignment {
         group: 0,
@@ -79,13 +79,19 @@
         proposed,
     };
     let mut lines: Vec<String> = vec![
-        format!("patch before any: {}", shown(&log.change(0, ChangeMethod::Patch, patch(2, 10)))),
-        format!("first: {}", shown(&log.change(0, ChangeMethod::Replace, configuration(2, 10)))),
-        format!("first again: {}", shown(&log.change(0, ChangeMethod::Replace, configuration(2, 10)))),
-        format!("other on the same: {}", shown(&log.change(0, ChangeMethod::Replace, configuration(2, 11)))),
-        format!("patch: {}", shown(&log.change(2, ChangeMethod::Patch, patch(5, 12)))),
-        format!("first again, late: {}", shown(&log.change(0, ChangeMethod::Replace, configuration(2, 10)))),
-        format!("not above: {}", shown(&log.change(5, ChangeMethod::Patch, patch(5, 13)))),
+        format!("patch before any: {}", outcome_line(&log.change(0, ChangeMethod::Patch, patch(2, 10)))),
+        format!("first: {}", outcome_line(&log.change(0, ChangeMethod::Replace, configuration(2, 10)))),
+        format!("first again: {}", outcome_line(&log.change(0, ChangeMethod::Replace, configuration(2, 10)))),
+        format!(
+            "other on the same: {}",
+            outcome_line(&log.change(0, ChangeMethod::Replace, configuration(2, 11)))
+        ),
+        format!("patch: {}", outcome_line(&log.change(2, ChangeMethod::Patch, patch(5, 12)))),
+        format!(
+            "first again, late: {}",
+            outcome_line(&log.change(0, ChangeMethod::Replace, configuration(2, 10)))
+        ),
+        format!("not above: {}", outcome_line(&log.change(5, ChangeMethod::Patch, patch(5, 13)))),
     ];
     let commands = [
         ("named", Command::NameVersion { model: "m".into(), generation: 3 }),
@@ -115,7 +121,9 @@
         ("retire another", Command::Retire { node: "a".into(), min_remaining: 2 }),
         ("completed too early", Command::CompleteRetirement { node: "b".into() }),
     ];
-    lines.extend(commands.iter().map(|(what, command)| format!("{what}: {}", shown(&log.apply(command)))));
+    lines.extend(
+        commands.iter().map(|(what, command)| format!("{what}: {}", outcome_line(&log.apply(command)))),
+    );
     lines.push(format!("retirements: {:?}", log.state.retirements()));
     let transcript = lines.join("\n");
     let approved = include_str!("transcripts/state_entries.txt");
@@ -147,7 +155,7 @@
 }
 
 #[rstest]
-fn snapshot_is_complete() {
+fn snapshot_restores_the_complete_state() {
     let mut log = Log::default();
     log.change(0, ChangeMethod::Replace, configuration(2, 10));
     log.change(2, ChangeMethod::Patch, patch(5, 12));
@@ -167,7 +175,11 @@
     assert_eq!(copy.retirements(), log.state.retirements());
     assert_eq!(copy.shutdowns(), log.state.shutdowns());
     let first = ConfigurationChange { base: 0, method: ChangeMethod::Replace, body: configuration(2, 10) };
-    assert_eq!(copy.accepted_generation(&first), Some(2), "repeats are known after a snapshot, too");
+    assert_eq!(
+        copy.accepted_generation(&first),
+        Some(2),
+        "a snapshot keeps the history of changes, so repeats are recognized"
+    );
 }
 
 #[rstest]
@@ -183,46 +195,50 @@
 }
 
 #[rstest]
-fn undecodable_snapshot_marks_the_state_damaged() {
+fn truncated_snapshot_marks_the_state_damaged() {
     let mut log = Log::default();
     log.change(0, ChangeMethod::Replace, configuration(2, 10));
     let snapshot = log.state.snapshot();
     for length in 0..snapshot.len() {
         let mut copy = ControlState::default();
         copy.restore(&snapshot[..length]);
-        // Without the parts that were added later it is a snapshot of an older version.
-        let is_older = copy.generation() == 2;
-        assert!(copy.is_damaged() != is_older, "{length} of {} bytes", snapshot.len());
+        // Cut before the parts that were added later, it is a valid snapshot of an older version.
+        let is_older_version = copy.generation() == 2;
+        assert!(
+            copy.is_damaged() != is_older_version,
+            "a snapshot cut to {length} of {} bytes",
+            snapshot.len()
+        );
     }
 }
 
 #[rstest]
-fn snapshot_of_an_older_version_is_restored() {
+fn older_snapshot_without_shutdowns_is_restored() {
     let mut log = Log::default();
     log.change(0, ChangeMethod::Replace, configuration(2, 10));
-    let mut nothing_left = Vec::new();
-    Shutdowns::default().ser_bin(&mut nothing_left);
+    let mut no_shutdowns = Vec::new();
+    Shutdowns::default().ser_bin(&mut no_shutdowns);
     let snapshot = log.state.snapshot();
     let mut copy = ControlState::default();
-    copy.restore(&snapshot[..snapshot.len() - nothing_left.len()]);
+    copy.restore(&snapshot[..snapshot.len() - no_shutdowns.len()]);
     assert!(!copy.is_damaged());
     assert_eq!(copy.snapshot(), snapshot);
 }
 
 #[rstest]
-fn shutdown_phases_only_advance_and_the_oldest_are_dropped() {
-    const MOST: u32 = 4096;
+fn shutdown_phases_only_advance_and_the_oldest_records_are_evicted() {
+    const MAX_RECORDED_SHUTDOWNS: u32 = 4096;
     let mut log = Log::default();
-    let note = |log: &mut Log, number: u32, phase| {
+    let record = |log: &mut Log, number: u32, phase| {
         log.apply(&Command::RecordShutdown { instance: format!("i-{number}"), phase });
     };
-    note(&mut log, 0, ShutdownPhase::Draining);
-    note(&mut log, 0, ShutdownPhase::Terminated);
-    note(&mut log, 0, ShutdownPhase::Draining);
+    record(&mut log, 0, ShutdownPhase::Draining);
+    record(&mut log, 0, ShutdownPhase::Terminated);
+    record(&mut log, 0, ShutdownPhase::Draining);
     assert_eq!(log.state.shutdowns().phase("i-0"), Some(ShutdownPhase::Terminated));
-    (1..=MOST).for_each(|number| note(&mut log, number, ShutdownPhase::Terminated));
+    (1..=MAX_RECORDED_SHUTDOWNS).for_each(|number| record(&mut log, number, ShutdownPhase::Terminated));
     assert_eq!(log.state.shutdowns().phase("i-0"), None);
-    assert_eq!(log.state.shutdowns().iter().count(), MOST as usize);
+    assert_eq!(log.state.shutdowns().iter().count(), MAX_RECORDED_SHUTDOWNS as usize);
 }
 
 #[rstest]
@@ -233,17 +249,18 @@
     }
     let replicas = vec![DiskId(1), DiskId(2)];
     log.apply(&Command::BootstrapGroups(vec![InitialAssignment { group: 0, primary: DiskId(1), replicas }]));
-    let exchange = |with: u64| Command::ChangeGroup {
+    let replace_replica = |added: u64| Command::ChangeGroup {
         proposer: DiskId(1),
         group: 0,
         expected_epoch: 1,
-        proposed: GroupEpoch { epoch: 2, primary: DiskId(1), in_sync: vec![DiskId(1), DiskId(with)] },
+        proposed: GroupEpoch { epoch: 2, primary: DiskId(1), in_sync: vec![DiskId(1), DiskId(added)] },
     };
     log.apply(&Command::Retire { node: "c".into(), min_remaining: 2 });
     log.apply(&Command::CompleteRetirement { node: "c".into() });
     assert_eq!(log.state.retirements()["c"], RetirementState::Completed);
-    // The primary had report_requests for it before: with c gone, disk 1 would hold the only copy.
-    let outcome = log.apply(&exchange(3));
+    // The primary proposed this change before the retirement of c completed. If it were accepted, disk 1 would hold the
+    // only copy once c is gone.
+    let outcome = log.apply(&replace_replica(3));
     assert!(matches!(outcome, Outcome::GroupChanged { accepted: false, .. }), "{outcome:?}");
     assert_eq!(log.state.groups()[&0].epoch.in_sync, [DiskId(1), DiskId(2)]);
 }
--- a/crates/pebblepost-control/tests/control/status.rs
+++ b/crates/pebblepost-control/tests/control/status.rs
@@ -1,4 +1,4 @@
-//! The operator's status: how much redundancy is left, and what it waits for.
+//! The status for operators: how many further losses are tolerated, and what the group waits for.
 
 use crate::support::cluster::Cluster;
 use pebblepost_control::node::ControlNode;
@@ -7,7 +7,7 @@
 use simd_json::prelude::{ValueAsScalar, ValueObjectAccess, ValueObjectAccessAsScalar};
 use std::time::Duration;
 
-/// The losses that are left, and what is waited for.
+/// Returns the fields `losses_left` and `waits_for` of the status of a node.
 fn redundancy(cluster: &Cluster, node: &ControlNode) -> (u64, String) {
     let mut status = node.status(cluster.now).into_bytes();
     let status: OwnedValue = simd_json::to_owned_value(&mut status).expect("JSON");
@@ -16,16 +16,16 @@
 }
 
 #[rstest]
-fn status_tells_how_many_losses_are_left_and_what_is_waited_for() {
-    let mut cluster = Cluster::acting();
+fn status_reports_losses_left_and_waits_for() {
+    let mut cluster = Cluster::with_primary();
     cluster.run(Duration::from_secs(3));
     let primary = cluster.primary();
     assert_eq!(redundancy(&cluster, cluster.node(primary)), (2, "nothing".into()));
-    let others: Vec<usize> = (0..3).filter(|node| *node != primary).collect();
-    cluster.kill(others[0]);
+    let standbys: Vec<usize> = (0..3).filter(|node| *node != primary).collect();
+    cluster.kill(standbys[0]);
     cluster.run(Duration::from_secs(2));
     assert_eq!(redundancy(&cluster, cluster.node(primary)), (1, "nothing".into()));
-    cluster.start(others[0]);
+    cluster.start(standbys[0]);
     cluster.run(Duration::from_secs(3));
     assert_eq!(redundancy(&cluster, cluster.node(primary)).0, 2);
 }
--- a/crates/pebblepost-control/tests/control/stored_forms.rs
+++ b/crates/pebblepost-control/tests/control/stored_forms.rs
@@ -1,4 +1,4 @@
-//! Stored forms and peer messages, byte for byte: the approved bytes are decoded, and encoded again.
+//! Encodings of stored data and of peer messages: they equal the approved bytes, and the approved bytes can be decoded.
 
 use crate::support::documents::{configuration, patch};
 use nanoserde::{DeBin, SerBin};
@@ -17,11 +17,11 @@
 
 const APPROVED: &str = include_str!("transcripts/stored_forms.txt");
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     let byte = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
     (0..text.len()).step_by(2).map(byte).collect()
 }
@@ -90,7 +90,7 @@
     ]
 }
 
-fn records() -> Vec<(&'static str, ControlRecord)> {
+fn disk_records() -> Vec<(&'static str, ControlRecord)> {
     let witness = WitnessState {
         promised: ProposalNumber { counter: 9, proposer: DiskId(2) },
         accepted_number: ProposalNumber { counter: 8, proposer: DiskId(1) },
@@ -115,7 +115,7 @@
     ]
 }
 
-/// The state after all commands.
+/// Returns the state after all commands.
 fn state() -> ControlState {
     let mut state = ControlState::default();
     for (index, (_, command)) in commands().iter().enumerate() {
@@ -125,12 +125,14 @@
     state
 }
 
+/// Returns the approved bytes with this name.
 fn approved(name: &str) -> Vec<u8> {
     let line = APPROVED.lines().find_map(|line| line.strip_prefix(&format!("{name} = ")));
-    unhex(line.unwrap_or_else(|| panic!("{name} is not approved")))
+    decode_hex(line.unwrap_or_else(|| panic!("no approved bytes for {name}")))
 }
 
-fn assert_read<T: DeBin + PartialEq + Debug>(named: Vec<(&'static str, T)>) {
+/// Panics unless the approved bytes decode to these values.
+fn assert_decodes<T: DeBin + PartialEq + Debug>(named: Vec<(&'static str, T)>) {
     for (name, value) in named {
         assert_eq!(T::deserialize_bin(&approved(name)).ok(), Some(value), "{name}");
     }
@@ -140,10 +142,10 @@
 fn stored_forms_are_written_byte_for_byte() {
     let mut transcript = String::new();
     let mut write = |name: &str, bytes: &[u8]| {
-        writeln!(transcript, "{name} = {}", hex(bytes)).expect("a text grows");
+        writeln!(transcript, "{name} = {}", encode_hex(bytes)).expect("writing to a string");
     };
     commands().iter().for_each(|(name, command)| write(name, &command.encode()));
-    records().iter().for_each(|(name, record)| write(name, &record.encode()));
+    disk_records().iter().for_each(|(name, record)| write(name, &record.encode()));
     peer_messages().iter().for_each(|(name, message)| write(name, &message.serialize_bin()));
     write("snapshot", &state().snapshot());
     write("snapshot of nothing", &ControlState::default().snapshot());
@@ -152,11 +154,11 @@
 
 #[rstest]
 fn approved_stored_forms_are_decoded() {
-    assert_read(commands());
-    assert_read(records());
-    assert_read(peer_messages());
-    let encoded: Vec<Vec<u8>> = records().iter().map(|(name, _)| approved(name)).collect();
-    let recovered = RecoveredState::decode(&encoded).expect("the records are read");
+    assert_decodes(commands());
+    assert_decodes(disk_records());
+    assert_decodes(peer_messages());
+    let encoded: Vec<Vec<u8>> = disk_records().iter().map(|(name, _)| approved(name)).collect();
+    let recovered = RecoveredState::decode(&encoded).expect("the approved records can be decoded");
     assert_eq!(recovered.replica.len(), 4);
     assert_eq!(recovered.bootstrap, Some(epoch_record()));
 }
--- a/crates/pebblepost-control/tests/control/support/callers.rs
+++ b/crates/pebblepost-control/tests/control/support/callers.rs
@@ -1,56 +1,58 @@
-//! Callers of the control plane as the operators' protocol describes them: they follow two redirects, and after a
-//! failure, a 5xx or a second of silence they go to another process, with pauses that grow.
+//! Callers of the control plane that behave as the operators' protocol describes: they follow at most two redirects.
+//! After a failed connection, a 5xx response or one second without a response they retry at another process, with
+//! exponential backoff.
 
 use super::cluster::Cluster;
 use super::http_request;
 use super::random::Random;
 use std::time::Duration;
 
-/// Silence after which a caller goes elsewhere.
-const SILENCE: Duration = Duration::from_secs(1);
-/// Pause after the first failure; doubled with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// Pause between an acknowledgement and the next order.
-const PAUSE_BETWEEN_ORDERS: Duration = Duration::from_millis(50);
+/// Time without a response after which a caller retries at another process.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Backoff after the first failure; each further consecutive failure doubles it.
+const RETRY_BACKOFF_MIN: Duration = Duration::from_millis(100);
+const RETRY_BACKOFF_MAX: Duration = Duration::from_millis(800);
+/// Pause between an acknowledgement and the next request.
+const PAUSE_BETWEEN_REQUESTS: Duration = Duration::from_millis(50);
 const MAX_REDIRECTS: u32 = 2;
-const MACHINES: usize = 3;
+const CONTROL_PROCESSES: usize = 3;
 
 #[derive(Clone, Copy)]
 enum Call {
-    /// Nothing is under way; the next call goes to this machine at this time.
-    Pausing { node: usize, until: Duration },
-    /// A call waits for its response.
-    Waiting { node: usize, request: Option<u64>, silent_at: Duration, redirects: u32 },
+    /// No call is in flight; the next one goes to this node at this time.
+    Idle { node: usize, until: Duration },
+    /// A call is in flight. `request` is `None` if it went to an unresponsive node.
+    Waiting { node: usize, request: Option<u64>, timeout_at: Duration, redirects: u32 },
 }
 
-/// One caller, with one order at a time: to name the next version of a model of its own.
+/// A caller that names the next version of its own model, with one request in flight at a time.
 pub struct Caller {
     model: String,
     generation: u64,
     call: Call,
-    failures: u32,
+    consecutive_failures: u32,
 }
 
 impl Caller {
     pub fn new(number: usize, now: Duration) -> Caller {
-        let call = Call::Pausing { node: number % MACHINES, until: now };
-        Caller { model: format!("model-{number}"), generation: 2, call, failures: 0 }
+        let call = Call::Idle { node: number % CONTROL_PROCESSES, until: now };
+        Caller { model: format!("model-{number}"), generation: 2, call, consecutive_failures: 0 }
     }
 
-    /// Does what is due. Whether its order was acknowledged now.
+    /// Processes the response in flight or sends the next request if it is due. Returns whether a request was
+    /// acknowledged in this step.
     pub fn act(&mut self, cluster: &mut Cluster, random: &mut Random) -> bool {
         match self.call {
-            Call::Pausing { node, until } if cluster.now >= until => {
+            Call::Idle { node, until } if cluster.now >= until => {
                 self.send(cluster, random, node, 0);
                 false
             }
-            Call::Pausing { .. } => false,
-            Call::Waiting { node, request, silent_at, redirects } => {
+            Call::Idle { .. } => false,
+            Call::Waiting { node, request, timeout_at, redirects } => {
                 let response = request.and_then(|request| cluster.response(request).cloned());
                 match response {
                     Some(response) if response.status == 200 => {
-                        self.acknowledged(cluster.now, random);
+                        self.record_acknowledgement(cluster.now, random);
                         return true;
                     }
                     Some(response) if response.status == 307 && redirects < MAX_REDIRECTS => {
@@ -58,10 +60,12 @@
                         let next = cluster.node_at_control_address(&location).expect("a known address");
                         self.send(cluster, random, next, redirects + 1);
                     }
-                    Some(_) => self.failed(cluster.now, random, node),
-                    // Its connection was reset.
-                    None if cluster.refuses(node) => self.failed(cluster.now, random, node),
-                    None if cluster.now >= silent_at => self.failed(cluster.now, random, node),
+                    Some(_) => self.record_failure(cluster.now, random, node),
+                    // The connection was reset.
+                    None if cluster.refuses_connections(node) => {
+                        self.record_failure(cluster.now, random, node)
+                    }
+                    None if cluster.now >= timeout_at => self.record_failure(cluster.now, random, node),
                     None => {}
                 }
                 false
@@ -70,29 +74,30 @@
     }
 
     fn send(&mut self, cluster: &mut Cluster, random: &mut Random, node: usize, redirects: u32) {
-        if cluster.refuses(node) {
-            return self.failed(cluster.now, random, node);
+        if cluster.refuses_connections(node) {
+            return self.record_failure(cluster.now, random, node);
         }
         let body = format!("{{\"model\":\"{}\",\"generation\":{}}}", self.model, self.generation);
-        let order = http_request("POST", "/version-put", None, body.into_bytes());
-        let request = (!cluster.is_silent(node)).then(|| cluster.send_request(node, order));
-        let silent_at = cluster.now + SILENCE;
-        self.call = Call::Waiting { node, request, silent_at, redirects };
+        let version_put = http_request("POST", "/version-put", None, body.into_bytes());
+        let request = (!cluster.is_unresponsive(node)).then(|| cluster.send_request(node, version_put));
+        let timeout_at = cluster.now + RESPONSE_TIMEOUT;
+        self.call = Call::Waiting { node, request, timeout_at, redirects };
     }
 
-    /// The next order goes to any process.
-    fn acknowledged(&mut self, now: Duration, random: &mut Random) {
-        let node = random.below(MACHINES as u64) as usize;
+    /// Schedules the next request, at a random process.
+    fn record_acknowledgement(&mut self, now: Duration, random: &mut Random) {
+        let node = random.below(CONTROL_PROCESSES as u64) as usize;
         self.generation += 1;
-        self.failures = 0;
-        self.call = Call::Pausing { node, until: now + PAUSE_BETWEEN_ORDERS };
+        self.consecutive_failures = 0;
+        self.call = Call::Idle { node, until: now + PAUSE_BETWEEN_REQUESTS };
     }
 
-    fn failed(&mut self, now: Duration, random: &mut Random, node: usize) {
-        let others = MACHINES as u64 - 1;
-        let next = (node + 1 + random.below(others) as usize) % MACHINES;
-        let pause = (FIRST_PAUSE * 2_u32.saturating_pow(self.failures)).min(LONGEST_PAUSE);
-        self.failures += 1;
-        self.call = Call::Pausing { node: next, until: now + pause };
+    fn record_failure(&mut self, now: Duration, random: &mut Random, node: usize) {
+        let others = CONTROL_PROCESSES as u64 - 1;
+        let next = (node + 1 + random.below(others) as usize) % CONTROL_PROCESSES;
+        let backoff =
+            (RETRY_BACKOFF_MIN * 2_u32.saturating_pow(self.consecutive_failures)).min(RETRY_BACKOFF_MAX);
+        self.consecutive_failures += 1;
+        self.call = Call::Idle { node: next, until: now + backoff };
     }
 }
--- a/crates/pebblepost-control/tests/control/support/documents.rs
+++ b/crates/pebblepost-control/tests/control/support/documents.rs
@@ -1,6 +1,6 @@
-//! Configurations and registrations for tests.
+//! JSON documents for tests: configurations, patches and registrations.
 
-/// A complete configuration with one route.
+/// Returns a complete configuration with one route.
 pub fn configuration(generation: u64, timeout_ms: u64) -> Vec<u8> {
     format!(
         concat!(
@@ -15,7 +15,7 @@
     .into_bytes()
 }
 
-/// A patch of the route's time-out.
+/// Returns a patch that replaces the route of [`configuration`] by one with this time-out.
 pub fn patch(generation: u64, timeout_ms: u64) -> Vec<u8> {
     format!(
         concat!(
@@ -28,21 +28,22 @@
     .into_bytes()
 }
 
-/// A registration of a transcriber.
-pub fn registration(address: &str, state: &str, generation: u64, sequence: u64) -> Vec<u8> {
+/// Returns a registration of a transcriber that has loaded version 1 of the model `m`. `sequence` orders its
+/// heartbeats.
+pub fn registration(address: &str, state: &str, sequence: u64) -> Vec<u8> {
     format!(
         concat!(
             "{{\"backend\":\"models\",\"address\":\"{}\",\"zone\":\"a\",\"generation\":\"v1\",\"slots\":12,",
             "\"state\":\"{}\",\"cold_remaining_ms\":0,\"stage\":\"both\",",
-            "\"models\":[{{\"name\":\"m\",\"generation\":{},\"lora_adapters\":[]}}],\"sequence\":{}}}"
+            "\"models\":[{{\"name\":\"m\",\"generation\":1,\"lora_adapters\":[]}}],\"sequence\":{}}}"
         ),
-        address, state, generation, sequence
+        address, state, sequence
     )
     .into_bytes()
 }
 
-/// Routes whose names have nothing in common, JSON.
-fn many_routes(routes: u64) -> String {
+/// Returns a JSON list of routes. Their names are pseudo-random, so that compression gains nothing from similar names.
+fn many_routes(count: u64) -> String {
     let route = |number: u64| {
         let name = number.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         format!(
@@ -54,19 +55,19 @@
             name = name
         )
     };
-    let routes: Vec<String> = (1..=routes).map(route).collect();
+    let routes: Vec<String> = (1..=count).map(route).collect();
     format!("[{}]", routes.join(","))
 }
 
-/// A configuration with many routes.
-pub fn large_configuration(generation: u64, routes: u64) -> Vec<u8> {
-    let routes = many_routes(routes);
+/// Returns a complete configuration with many routes.
+pub fn large_configuration(generation: u64, route_count: u64) -> Vec<u8> {
+    let routes = many_routes(route_count);
     let service = "{\"name\":\"desk\",\"health_path\":\"/healthz\",\"max_conns\":96}";
     format!("{{\"generation\":{generation},\"routes\":{routes},\"services\":[{service}]}}").into_bytes()
 }
 
-/// A patch that adds many routes.
-pub fn large_patch(generation: u64, routes: u64) -> Vec<u8> {
-    let routes = many_routes(routes);
+/// Returns a patch that adds many routes.
+pub fn large_patch(generation: u64, route_count: u64) -> Vec<u8> {
+    let routes = many_routes(route_count);
     format!("{{\"generation\":{generation},\"upsert\":{{\"routes\":{routes}}}}}").into_bytes()
 }
--- a/crates/pebblepost-control/tests/control/support/network.rs
+++ b/crates/pebblepost-control/tests/control/support/network.rs
@@ -1,4 +1,4 @@
-//! Links between the simulated machines, and, where a test asks for it, the network interfaces that they share.
+//! Links between the simulated machines and, in tests that ask for it, a model of their network interfaces.
 
 use super::cluster::{Cluster, Event};
 use nanoserde::SerBin;
@@ -13,36 +13,36 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Network delay between any two machines, one way.
-const DELAY: Duration = Duration::from_millis(1);
-/// Interval of attempts to open links.
-pub(super) const REDIAL: Duration = Duration::from_millis(100);
+/// One-way network delay between any two machines.
+const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
+/// Interval at which nodes try to open missing links to their peers.
+pub(super) const DIAL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The other end of a connection that a node accepted.
+/// The remote end of a connection that a node accepted.
 #[derive(Clone)]
-pub(super) enum OtherEnd {
+pub(super) enum RemoteEnd {
     Node { node: usize, address: String },
-    Program { program: usize },
+    Client { client: usize },
 }
 
-/// How the feed is sent over the interfaces.
+/// Rate of the network interfaces, and how the feed is sent over them.
 #[derive(Clone, Copy, Debug)]
 pub struct InterfaceModel {
     pub bytes_per_second: u64,
-    /// The feed is paced.
+    /// Whether the feed is paced.
     pub is_paced: bool,
-    /// Shared updates are compressed.
+    /// Whether shared updates are compressed.
     pub is_compressed: bool,
 }
 
-/// The network interfaces of the machines: each sends one message after the other at its rate.
+/// The network interfaces of the machines. Each sends one message at a time at its rate.
 pub(super) struct Interfaces {
     model: InterfaceModel,
-    /// The moment at which the simulated time is zero.
-    epoch: Instant,
+    /// The instant that corresponds to a simulated time of zero.
+    start: Instant,
     machines: Vec<Interface>,
-    /// The updates whose size was worked out last.
-    last_size: Option<(SharedUpdates, usize)>,
+    /// The updates whose size was computed last, and that size in bytes. One batch goes to many subscribers.
+    last_feed_size: Option<(SharedUpdates, usize)>,
 }
 
 struct Interface {
@@ -55,20 +55,20 @@
         let rate = feed_rate(model.bytes_per_second);
         let interface = |_| Interface { free_at: Duration::ZERO, pacer: Pacer::new(rate) };
         let machines = (0..machines).map(interface).collect();
-        Interfaces { model, epoch: Instant::now(), machines, last_size: None }
+        Interfaces { model, start: Instant::now(), machines, last_feed_size: None }
     }
 
-    /// When `bytes` of the feed may go to the interface of a machine.
-    fn feed_may_leave_at(&self, now: Duration, machine: usize, bytes: usize) -> Duration {
+    /// Returns the time at which the pacer lets `bytes` of the feed go to the interface of a machine.
+    fn paced_send_time(&self, now: Duration, machine: usize, bytes: usize) -> Duration {
         if !self.model.is_paced {
             return now;
         }
-        let granted = self.machines[machine].pacer.reserve(self.epoch + now, bytes);
-        granted.saturating_duration_since(self.epoch).max(now)
+        let granted = self.machines[machine].pacer.reserve(self.start + now, bytes);
+        granted.saturating_duration_since(self.start).max(now)
     }
 
-    /// When a message that goes to the interface of a machine now has left it.
-    fn send(&mut self, now: Duration, machine: usize, bytes: usize) -> Duration {
+    /// Queues a message at the interface of a machine and returns the time at which it is sent completely.
+    fn enqueue(&mut self, now: Duration, machine: usize, bytes: usize) -> Duration {
         let interface = &mut self.machines[machine];
         let nanoseconds = bytes as u64 * 1_000_000_000 / self.model.bytes_per_second;
         interface.free_at = interface.free_at.max(now) + Duration::from_nanos(nanoseconds);
@@ -76,7 +76,7 @@
     }
 
     fn feed_bytes(&mut self, updates: &SharedUpdates) -> usize {
-        if let Some((known, bytes)) = &self.last_size
+        if let Some((known, bytes)) = &self.last_feed_size
             && Rc::ptr_eq(known, updates)
         {
             return *bytes;
@@ -84,30 +84,30 @@
         let compressed = compress_updates(updates).filter(|_| self.model.is_compressed);
         let plain = || updates.to_vec().serialize_bin().len();
         let bytes = compressed.map_or_else(plain, |compressed| compressed.compressed.len());
-        self.last_size = Some((Rc::clone(updates), bytes));
+        self.last_feed_size = Some((Rc::clone(updates), bytes));
         bytes
     }
 }
 
 impl Cluster {
-    /// Gives each machine a network interface.
+    /// Gives each machine a network interface. Until then messages take [`ONE_WAY_DELAY`] only.
     pub fn model_interfaces(&mut self, model: InterfaceModel) {
         self.interfaces = Some(Interfaces::new(model, self.nodes.len()));
     }
 
-    /// A message has come to the interface of its sender.
+    /// Sends a message over the interface of `node`; `arrival` is the event at its receiver.
     pub(super) fn transmit(&mut self, node: usize, bytes: usize, arrival: Event) {
         let now = self.now;
-        let left_at = self.interfaces.as_mut().map_or(now, |interfaces| interfaces.send(now, node, bytes));
-        self.at(left_at + DELAY, arrival);
+        let sent_at = self.interfaces.as_mut().map_or(now, |interfaces| interfaces.enqueue(now, node, bytes));
+        self.schedule_event(sent_at + ONE_WAY_DELAY, arrival);
     }
 
-    /// Sends something from a node, over its interface if that is modelled.
-    fn leave(&mut self, node: usize, bytes: impl FnOnce() -> usize, arrival: Event) {
+    /// Sends a message of a node, over its interface if the interfaces are modelled.
+    fn send_message(&mut self, node: usize, bytes: impl FnOnce() -> usize, arrival: Event) {
         if self.interfaces.is_some() {
             self.transmit(node, bytes(), arrival);
         } else {
-            self.at(self.now + DELAY, arrival);
+            self.schedule_event(self.now + ONE_WAY_DELAY, arrival);
         }
     }
 
@@ -115,83 +115,87 @@
         &mut self, index: usize, connection: u64, sequence: u64, updates: &SharedUpdates,
     ) {
         let batch = FeedBatch { sequence, updates: updates.to_vec() };
-        let Some(arrival) = self.arrival(index, connection, FromControl::Feed(batch)) else { return };
+        let Some(arrival) = self.arrival_event(index, connection, FromControl::Feed(batch)) else { return };
         let now = self.now;
         match &mut self.interfaces {
             Some(interfaces) => {
                 let bytes = interfaces.feed_bytes(updates);
-                let at = interfaces.feed_may_leave_at(now, index, bytes);
-                self.at(at, Event::Transmit { node: index, bytes, arrival: Box::new(arrival) });
+                let paced_at = interfaces.paced_send_time(now, index, bytes);
+                self.schedule_event(
+                    paced_at,
+                    Event::Transmit { node: index, bytes, arrival: Box::new(arrival) },
+                );
             }
-            None => self.at(now + DELAY, arrival),
+            None => self.schedule_event(now + ONE_WAY_DELAY, arrival),
         }
     }
 
-    pub(super) fn send_back(&mut self, index: usize, connection: u64, message: FromControl) {
+    pub(super) fn send_on_accepted_connection(
+        &mut self, index: usize, connection: u64, message: FromControl,
+    ) {
         let bytes = message.serialize_bin().len();
-        if let Some(arrival) = self.arrival(index, connection, message) {
-            self.leave(index, || bytes, arrival);
+        if let Some(arrival) = self.arrival_event(index, connection, message) {
+            self.send_message(index, || bytes, arrival);
         }
     }
 
     pub(super) fn send_peer(&mut self, index: usize, address: &str, message: ToControl) {
-        let Some((node, connection)) = self.nodes[index].opened.get(address).copied() else { return };
+        let Some((node, connection)) = self.nodes[index].outbound_links.get(address).copied() else { return };
         let bytes = message.serialize_bin().len();
         let incarnation = self.nodes[node].incarnation;
         let input = Input::Message { connection, message };
-        self.leave(index, || bytes, Event::Input { node, incarnation, input });
+        self.send_message(index, || bytes, Event::Input { node, incarnation, input });
     }
 
-    /// The arrival of a message that a node sends on a connection that it accepted; `None` if it is lost.
-    fn arrival(&self, index: usize, connection: u64, message: FromControl) -> Option<Event> {
+    /// Returns the event at the receiver of a message that a node sends on a connection that it accepted, or `None` if
+    /// the message is lost.
+    fn arrival_event(&self, index: usize, connection: u64, message: FromControl) -> Option<Event> {
         match self.connections.get(&(index, connection))? {
-            OtherEnd::Node { .. } if self.send_blocked.contains(&index) => None,
-            OtherEnd::Node { node, address } => {
+            RemoteEnd::Node { .. } if self.send_blocked.contains(&index) => None,
+            RemoteEnd::Node { node, address } => {
                 let incarnation = self.nodes[*node].incarnation;
                 let input = Input::PeerMessage { address: address.clone(), message };
                 Some(Event::Input { node: *node, incarnation, input })
             }
-            OtherEnd::Program { program } => {
-                Some(Event::ToProgram { program: *program, message: Some(message) })
-            }
+            RemoteEnd::Client { client } => Some(Event::ToClient { client: *client, message: Some(message) }),
         }
     }
 
-    pub(super) fn deliver(&mut self, node: usize, input: Input) {
+    pub(super) fn schedule_input(&mut self, node: usize, input: Input) {
         let incarnation = self.nodes[node].incarnation;
-        self.at(self.now + DELAY, Event::Input { node, incarnation, input });
+        self.schedule_event(self.now + ONE_WAY_DELAY, Event::Input { node, incarnation, input });
     }
 
-    pub(super) fn close(&mut self, index: usize, connection: u64) {
+    pub(super) fn close_connection(&mut self, index: usize, connection: u64) {
         match self.connections.remove(&(index, connection)) {
-            Some(OtherEnd::Node { node, address }) => {
-                self.nodes[node].opened.remove(&address);
-                self.deliver(node, Input::PeerDisconnected { address });
+            Some(RemoteEnd::Node { node, address }) => {
+                self.nodes[node].outbound_links.remove(&address);
+                self.schedule_input(node, Input::PeerDisconnected { address });
             }
-            Some(OtherEnd::Program { program }) => {
-                self.at(self.now + DELAY, Event::ToProgram { program, message: None });
+            Some(RemoteEnd::Client { client }) => {
+                self.schedule_event(self.now + ONE_WAY_DELAY, Event::ToClient { client, message: None });
             }
             None => {}
         }
     }
 
-    pub(super) fn redial(&mut self) {
+    pub(super) fn dial_peers(&mut self) {
         for index in 0..self.nodes.len() {
-            let addresses: Vec<String> = self.nodes[index].dialed.iter().cloned().collect();
+            let addresses: Vec<String> = self.nodes[index].peers_to_dial.iter().cloned().collect();
             for address in addresses {
                 let Some(other) = self.node_at(&address) else { continue };
-                let linked = self.nodes[index].opened.contains_key(&address);
-                let is_apart = |node| self.partitioned.contains(node) || self.isolated.contains(node);
-                let apart = is_apart(&index) || is_apart(&other);
-                if linked || apart || !self.is_up(index) || !self.is_up(other) {
+                let is_connected = self.nodes[index].outbound_links.contains_key(&address);
+                let is_cut_off = |node| self.partitioned.contains(node) || self.isolated.contains(node);
+                let is_unreachable = is_cut_off(&index) || is_cut_off(&other);
+                if is_connected || is_unreachable || !self.is_up(index) || !self.is_up(other) {
                     continue;
                 }
                 self.last_connection += 1;
                 let connection = self.last_connection;
-                self.nodes[index].opened.insert(address.clone(), (other, connection));
-                let end = OtherEnd::Node { node: index, address: address.clone() };
+                self.nodes[index].outbound_links.insert(address.clone(), (other, connection));
+                let end = RemoteEnd::Node { node: index, address: address.clone() };
                 self.connections.insert((other, connection), end);
-                self.deliver(index, Input::PeerConnected { address });
+                self.schedule_input(index, Input::PeerConnected { address });
             }
         }
     }
@@ -205,25 +209,25 @@
         let accepted: Vec<(usize, u64)> =
             self.connections.keys().filter(|(node, _)| *node == index).copied().collect();
         for (node, connection) in accepted {
-            self.close(node, connection);
-            self.deliver(node, Input::Disconnected { connection });
+            self.close_connection(node, connection);
+            self.schedule_input(node, Input::Disconnected { connection });
         }
     }
 
     pub(super) fn disconnect_peers(&mut self, index: usize) {
-        for (address, (node, connection)) in std::mem::take(&mut self.nodes[index].opened) {
+        for (address, (node, connection)) in std::mem::take(&mut self.nodes[index].outbound_links) {
             self.connections.remove(&(node, connection));
-            self.deliver(node, Input::Disconnected { connection });
-            self.deliver(index, Input::PeerDisconnected { address });
+            self.schedule_input(node, Input::Disconnected { connection });
+            self.schedule_input(index, Input::PeerDisconnected { address });
         }
-        let from_peer = |((node, _), end): &(&(usize, u64), &OtherEnd)| {
-            *node == index && matches!(end, OtherEnd::Node { .. })
+        let from_peer = |((node, _), end): &(&(usize, u64), &RemoteEnd)| {
+            *node == index && matches!(end, RemoteEnd::Node { .. })
         };
         let accepted: Vec<(usize, u64)> =
             self.connections.iter().filter(from_peer).map(|(key, _)| *key).collect();
         for (node, connection) in accepted {
-            self.close(node, connection);
-            self.deliver(node, Input::Disconnected { connection });
+            self.close_connection(node, connection);
+            self.schedule_input(node, Input::Disconnected { connection });
         }
     }
 }
--- a/crates/pebblepost-control/tests/control/support/random.rs
+++ b/crates/pebblepost-control/tests/control/support/random.rs
@@ -1,6 +1,6 @@
-//! Pseudo-random numbers.
+//! A seeded generator of pseudo-random numbers, so that simulations can be repeated.
 
-/// A small generator (SplitMix64).
+/// The SplitMix64 generator; the field is its state.
 pub struct Random(pub u64);
 
 impl Random {
@@ -11,6 +11,7 @@
         mixed ^ (mixed >> 31)
     }
 
+    /// Returns a number below `bound`. Panics if `bound` is 0.
     pub fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
--- a/crates/pebblepost-control/tests/control/support/store.rs
+++ b/crates/pebblepost-control/tests/control/support/store.rs
@@ -1,4 +1,4 @@
-//! A minimal storage node that moves its groups to their targets.
+//! A minimal storage node that changes the replicas of its groups to the targets set by the control plane.
 
 use super::cluster::Cluster;
 use pebblepost_messages::control::{FromControl, GroupEpoch, SubscriberRole, ToControl};
@@ -6,18 +6,27 @@
 use pebblepost_messages::{DiskId, Member};
 use std::collections::BTreeMap;
 
-/// A storage node.
 pub struct Store {
-    pub program: usize,
+    pub client: usize,
     pub member: Member,
     pub groups: BTreeMap<u32, StoreGroup>,
+    /// Whether this is the first start of the whole system. Only then does the node take part in the initial assignment.
     bootstrap: bool,
-    requests: u64,
+    last_request: u64,
 }
 
 impl Store {
-    /// A node with a disk, connected to the primary.
-    pub fn start(cluster: &mut Cluster, number: u64, bootstrap: bool) -> Store {
+    /// Starts a storage node that takes part in the initial assignment of groups, and connects it to the primary.
+    pub fn start_for_bootstrap(cluster: &mut Cluster, number: u64) -> Store {
+        Store::start(cluster, number, true)
+    }
+
+    /// Starts a storage node that is added to a running system, and connects it to the primary.
+    pub fn start_added(cluster: &mut Cluster, number: u64) -> Store {
+        Store::start(cluster, number, false)
+    }
+
+    fn start(cluster: &mut Cluster, number: u64, bootstrap: bool) -> Store {
         let member = Member {
             disk: DiskId(0xd000 + number),
             node: format!("storage-{number}"),
@@ -26,26 +35,26 @@
             region: "region".into(),
         };
         let primary = cluster.primary();
-        let program = cluster.connect(primary);
-        let store = Store { program, member, groups: BTreeMap::new(), bootstrap, requests: 0 };
+        let client = cluster.connect(primary);
+        let store = Store { client, member, groups: BTreeMap::new(), bootstrap, last_request: 0 };
         store.introduce(cluster);
         store
     }
 
-    /// The same node with an empty disk, connected to the primary.
+    /// Starts the same node with a new, empty disk and connects it to the primary.
     pub fn start_wiped(&self, cluster: &mut Cluster) -> Store {
         let member = Member { disk: DiskId(self.member.disk.0 + 0x100), ..self.member.clone() };
         let primary = cluster.primary();
-        let program = cluster.connect(primary);
-        let store = Store { program, member, groups: BTreeMap::new(), bootstrap: false, requests: 0 };
+        let client = cluster.connect(primary);
+        let store = Store { client, member, groups: BTreeMap::new(), bootstrap: false, last_request: 0 };
         store.introduce(cluster);
         store
     }
 
-    /// Reconnects to the primary.
+    /// Reconnects the node to the primary and introduces it again.
     pub fn reconnect(&self, cluster: &mut Cluster) {
         let primary = cluster.primary();
-        cluster.reconnect(self.program, primary);
+        cluster.reconnect(self.client, primary);
         self.introduce(cluster);
     }
 
@@ -56,14 +65,15 @@
             role: SubscriberRole::Store,
             generation: 0,
         };
-        cluster.send(self.program, subscribe);
+        cluster.send(self.client, subscribe);
         let hello = ToControl::StoreHello { member: self.member.clone(), bootstrap: self.bootstrap };
-        cluster.send(self.program, hello);
+        cluster.send(self.client, hello);
     }
 
-    /// Applies the feed, and moves the groups that it is primary of to their targets.
+    /// Applies the feed and proposes the next change for each group of which this node is primary and whose replicas in
+    /// sync differ from the targets.
     pub fn act(&mut self, cluster: &mut Cluster) {
-        for message in cluster.received(self.program) {
+        for message in cluster.received(self.client) {
             if let FromControl::Feed(batch) = message {
                 for update in batch.updates {
                     if let FeedUpdate::StoreGroups(groups) = update {
@@ -71,37 +81,37 @@
                     }
                 }
                 let reply = FeedReply::Acknowledge { sequence: batch.sequence, generation: 0 };
-                cluster.send(self.program, ToControl::Reply(reply));
+                cluster.send(self.client, ToControl::Reply(reply));
             }
         }
-        cluster.send(self.program, ToControl::KeepAlive);
-        let moves: Vec<StoreGroup> =
-            self.groups.values().filter(|group| self.moves(group)).cloned().collect();
-        for group in moves {
-            self.requests += 1;
-            let message = self.change(&group);
-            cluster.send(self.program, message);
+        cluster.send(self.client, ToControl::KeepAlive);
+        let unfinished: Vec<StoreGroup> =
+            self.groups.values().filter(|group| self.needs_change(group)).cloned().collect();
+        for group in unfinished {
+            self.last_request += 1;
+            let message = self.next_change(&group);
+            cluster.send(self.client, message);
         }
     }
 
-    fn moves(&self, group: &StoreGroup) -> bool {
+    fn needs_change(&self, group: &StoreGroup) -> bool {
         group.primary.disk == self.member.disk && disks(&group.in_sync) != disks(&group.targets)
     }
 
-    fn change(&self, group: &StoreGroup) -> ToControl {
+    fn next_change(&self, group: &StoreGroup) -> ToControl {
         let targets = disks(&group.targets);
-        // A primary that is no target hands over to a replica that was added before.
+        // A primary that is not a target first adds the targets, and then hands over to one of them.
         let mut in_sync = targets.clone();
-        let stays = targets.contains(&self.member.disk);
-        let added = targets.iter().all(|disk| disks(&group.in_sync).contains(disk));
+        let is_target = targets.contains(&self.member.disk);
+        let are_targets_in_sync = targets.iter().all(|disk| disks(&group.in_sync).contains(disk));
         let mut primary = self.member.disk;
-        if !stays && !added {
+        if !is_target && !are_targets_in_sync {
             in_sync.push(primary);
-        } else if !stays {
+        } else if !is_target {
             primary = targets[0];
         }
         ToControl::ChangeGroup {
-            request: self.requests,
+            request: self.last_request,
             group: group.group,
             expected_epoch: group.epoch,
             proposed: GroupEpoch { epoch: group.epoch + 1, primary, in_sync },
--- a/crates/pebblepost-control/tests/control/support/trace.rs
+++ b/crates/pebblepost-control/tests/control/support/trace.rs
@@ -1,5 +1,5 @@
-//! Digest of everything that control processes do in a run: times, numbers and encoded bytes in their order, no
-//! names of the code.
+//! Digest of all outputs of the control processes in a run: times, numbers and encoded bytes in their order. It
+//! contains no identifiers of the code, so renaming these does not change it.
 
 use nanoserde::SerBin;
 use pebblepost_control::node::Output;
@@ -9,7 +9,7 @@
 use pebblepost_stable_hash::Fnv1a;
 use std::time::Duration;
 
-/// An FNV-1a hash and how many outputs went into it.
+/// An FNV-1a hash of outputs, and their number.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Trace {
     hash: Fnv1a,
@@ -17,22 +17,22 @@
 }
 
 impl Trace {
-    /// The digest as approved files show it.
-    pub fn shown(&self) -> String {
+    /// Formats the digest as it stands in the approved transcripts.
+    pub fn summary(&self) -> String {
         format!("{:016x} after {} outputs", self.hash.finish(), self.outputs)
     }
 
-    /// Hashes bytes and their length.
+    /// Adds bytes and their length to the hash.
     pub fn bytes(&mut self, bytes: &[u8]) {
         self.hash.bytes(bytes);
     }
 
-    /// Hashes a number.
+    /// Adds a number to the hash.
     pub fn number(&mut self, number: u64) {
         self.hash.number(number);
     }
 
-    /// Hashes an output of a process at some time.
+    /// Adds an output that a process produced at this time to the hash.
     pub fn output(&mut self, now: Duration, node: usize, output: &Output) {
         self.outputs += 1;
         self.number(now.as_micros() as u64);
