--- a/crates/pebblepost-dispatch/tests/deploy_file.rs
+++ b/crates/pebblepost-dispatch/tests/deploy_file.rs
@@ -1,11 +1,12 @@
-//! The deploy file names the sources that decide: operators read there what a change of decisions touches.
+//! The list `policy` in the deploy file names exactly the sources that make decisions. Operators read there which
+//! changes affect decisions.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Sources without decisions: the interface, and the byte protocol of the simulator.
-const NOT_DECIDING: [&str; 12] = [
+/// Sources that make no decisions: the public interface and the simulator's byte protocol.
+const NON_POLICY_SOURCES: [&str; 12] = [
     "lib.rs",
     "api/action.rs",
     "api/class.rs",
@@ -21,43 +22,52 @@
 ];
 const MAX_LINE_CHARS: usize = 110;
 
-fn repository() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).ancestors().nth(2).expect("a workspace").to_path_buf()
+fn repository_root() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .ancestors()
+        .nth(2)
+        .expect("the crate lies two folders below the root")
+        .to_path_buf()
 }
 
-/// Paths listed under `policy`, from the repository's root.
-fn listed() -> BTreeSet<String> {
-    let text = fs::read_to_string(repository().join("deploy/balancer.toml")).expect("a deploy file");
-    let (_, list) = text.split_once("policy = [").expect("a key `policy`");
+/// Returns the paths listed under `policy`, relative to the repository's root.
+fn listed_policy_sources() -> BTreeSet<String> {
+    let text =
+        fs::read_to_string(repository_root().join("deploy/balancer.toml")).expect("a readable deploy file");
+    let (_, list) = text.split_once("policy = [").expect("the key `policy`");
     let (list, _) = list.split_once(']').expect("the end of the list");
     list.split('"').skip(1).step_by(2).map(str::to_owned).collect()
 }
 
-/// All sources of a folder and of the folders in it, but for programs.
-fn sources(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
+/// Returns all sources below a folder, except those of binaries (`bin`).
+fn collect_sources(folder: &Path) -> Vec<PathBuf> {
+    let entries =
+        fs::read_dir(folder).expect("a readable folder").map(|entry| entry.expect("a readable entry").path());
     let (folders, files): (Vec<_>, Vec<_>) = entries.partition(|path| path.is_dir());
-    let below = folders.iter().filter(|path| !path.ends_with("bin")).flat_map(|path| sources(path));
-    files.into_iter().chain(below).collect()
+    let nested = folders.iter().filter(|path| !path.ends_with("bin")).flat_map(|path| collect_sources(path));
+    files.into_iter().chain(nested).collect()
 }
 
 #[test]
-fn lists_every_source_that_decides_and_no_other() {
+fn policy_lists_exactly_the_sources_that_make_decisions() {
     let folder = "crates/pebblepost-dispatch/src";
-    let root = repository();
-    let deciding: BTreeSet<String> = sources(&root.join(folder))
+    let root = repository_root();
+    let policy_sources: BTreeSet<String> = collect_sources(&root.join(folder))
         .iter()
-        .map(|path| path.strip_prefix(&root).expect("below the root").display().to_string())
-        .filter(|path| !NOT_DECIDING.iter().any(|name| *path == format!("{folder}/{name}")))
+        .map(|path| path.strip_prefix(&root).expect("a path below the root").display().to_string())
+        .filter(|path| !NON_POLICY_SOURCES.iter().any(|name| *path == format!("{folder}/{name}")))
         .collect();
-    assert_eq!(listed(), deciding);
+    assert_eq!(listed_policy_sources(), policy_sources);
 }
 
 #[test]
-fn sources_that_decide_have_no_long_lines() {
-    for path in listed() {
-        let text = fs::read_to_string(repository().join(&path)).expect("a listed source");
+fn policy_sources_have_no_long_lines() {
+    for path in listed_policy_sources() {
+        let text = fs::read_to_string(repository_root().join(&path)).expect("a readable source");
         let longest = text.lines().map(|line| line.chars().count()).max().unwrap_or(0);
-        assert!(longest <= MAX_LINE_CHARS, "{path}: {longest} characters");
+        assert!(
+            longest <= MAX_LINE_CHARS,
+            "{path}: longest line has {longest} characters, limit {MAX_LINE_CHARS}"
+        );
     }
 }
--- a/crates/pebblepost-dispatch/tests/dispatcher/classes.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/classes.rs
@@ -1,36 +1,36 @@
-//! Classes that are added while a node runs.
+//! Classes that are added at run time.
 
 use crate::node::*;
 use pebblepost_dispatch::api::*;
 use std::time::Duration;
 
-fn unsafe_class() -> Class {
-    let mut class = settings().classes.remove(UNSAFE);
+fn non_idempotent_class() -> Class {
+    let mut class = settings().classes.remove(NON_IDEMPOTENT);
     class.latency_target = Duration::from_millis(80);
     class
 }
 
 #[test]
-fn appends_an_added_class() {
+fn assigns_consecutive_ids_to_added_classes() {
     let mut node = Node::new(settings(), 4);
-    let added = node.dispatcher.add_class(unsafe_class());
+    let added = node.dispatcher.add_class(non_idempotent_class());
     assert_eq!(added, Some(ClassId(3)));
-    assert_eq!(node.dispatcher.add_class(unsafe_class()), Some(ClassId(4)));
+    assert_eq!(node.dispatcher.add_class(non_idempotent_class()), Some(ClassId(4)));
 }
 
 #[test]
-fn serves_requests_of_an_added_class() {
+fn sends_requests_of_an_added_class() {
     let mut node = Node::new(settings(), 4);
     node.request(1, 3);
-    assert!(node.actions.contains(&Action::Fail { id: RequestId(1) }), "the class is not known yet");
+    assert!(node.actions.contains(&Action::Fail { id: RequestId(1) }), "a request of an unknown class fails");
     node.actions.clear();
-    let added = node.dispatcher.add_class(unsafe_class()).map(|class| usize::from(class.0));
+    let added = node.dispatcher.add_class(non_idempotent_class()).map(|class| usize::from(class.0));
     node.request(2, added.unwrap());
     let probed = node.actions.iter().find_map(|action| match action {
         Action::Probe { worker } => Some(worker.0),
         _ => None,
     });
-    let worker = probed.expect("its first probe");
+    let worker = probed.expect("a probe for the request");
     node.report(worker, 4.0, 0.0);
     node.report(worker, 4.0, 0.0);
     let sent = Action::Send { id: RequestId(2), worker: WorkerId(worker), timeout: None };
@@ -39,14 +39,14 @@
 
 #[test]
 fn keeps_estimates_when_a_class_is_added() {
-    let (mut with, mut without) = (Node::new(settings(), 4), Node::new(settings(), 4));
-    with.dispatcher.add_class(unsafe_class());
-    with.dispatcher.set_nodes(4);
-    for node in [&mut with, &mut without] {
+    let (mut extended, mut unchanged) = (Node::new(settings(), 4), Node::new(settings(), 4));
+    extended.dispatcher.add_class(non_idempotent_class());
+    extended.dispatcher.set_nodes(4);
+    for node in [&mut extended, &mut unchanged] {
         for worker in 0..4 {
             node.report(worker, 3.0, 0.0);
         }
-        node.request(1, SAFE);
+        node.request(1, IDEMPOTENT);
     }
-    assert_eq!(with.actions, without.actions);
+    assert_eq!(extended.actions, unchanged.actions);
 }
--- a/crates/pebblepost-dispatch/tests/dispatcher/fleet.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/fleet.rs
@@ -88,7 +88,7 @@
         report_fields: vec![ReportField::FreeSlots],
         ..settings()
     };
-    (settings.classes[SAFE].latency_target, settings.classes[SAFE].latency_stretch) =
+    (settings.classes[IDEMPOTENT].latency_target, settings.classes[IDEMPOTENT].latency_stretch) =
         (Duration::from_millis(600), 2.0);
     let mut nodes: Vec<Node> =
         (0..fleet.nodes).map(|i| Node::seeded(settings.clone(), 6, seed + u64::from(i))).collect();
@@ -96,7 +96,7 @@
         if !fleet.fresh {
             (0..6).for_each(|worker| (0..3).for_each(|_| node.report_free(worker, SLOTS as f32)));
         }
-        node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
+        node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
     }
     let mut cold = ColdWorker { jobs: vec![], reports: vec![], sent: vec![], worst: 0.0, fullest: 0.0 };
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -115,16 +115,16 @@
             let place = if fleet.uneven { place.powi(3) } else { place };
             let index = (place * f64::from(fleet.nodes)) as usize;
             let node = &mut nodes[index];
-            node.hinted(id, (work * 1e3) as u64, 1.0);
+            node.request_with_hint(id, (work * 1e3) as u64, 1.0);
             for _ in 0..4 {
-                for worker in node.probes() {
+                for worker in node.take_probes() {
                     node.report_free(worker, if worker == 0 { cold.report(at, age) as f32 } else { 0.0 });
                 }
             }
             if node.sends().contains(&(id, 0)) {
                 cold.submit(fleet, at, work, index, id);
             } else {
-                node.event(Event::ClientGone { id: RequestId(id) });
+                node.handle(Event::ClientGone { id: RequestId(id) });
             }
         }
     }
@@ -163,11 +163,11 @@
 #[test]
 fn probes_others_than_those_just_reported_full() {
     let mut node = Node::seeded(settings(), 8, 3);
-    node.learn_all(2.0);
+    node.report_all_workers(2.0);
     let mut seen = Vec::new();
-    node.request_about(1, SAFE, 77);
+    node.request_with_key(1, IDEMPOTENT, 77);
     for _ in 0..8 {
-        let probed = node.probes();
+        let probed = node.take_probes();
         if probed.is_empty() {
             break;
         }
@@ -176,9 +176,9 @@
             node.report(worker, 0.0, 4.0);
         }
     }
-    assert_eq!(node.finals(), vec![(1, "refuse")], "all full: refused at once");
-    node.request_about(2, SAFE, 77);
-    let again = node.probes();
+    assert_eq!(node.final_answers(), vec![(1, "refuse")], "all full: refused at once");
+    node.request_with_key(2, IDEMPOTENT, 77);
+    let again = node.take_probes();
     assert!(
         !again.is_empty() && again.iter().all(|worker| !seen.contains(worker)),
         "{again:?} after {seen:?}"
@@ -197,20 +197,20 @@
     };
     let mut node = Node::seeded(settings, 6, 11);
     (0..6).for_each(|worker| (0..3).for_each(|_| node.report_free(worker, SLOTS as f32)));
-    node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
+    node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
     let (mut probed, mut sent) = (0, 0);
     for id in 1..400 {
-        node.hinted(id, 20, 1.0);
+        node.request_with_hint(id, 20, 1.0);
         for _ in 0..4 {
-            for worker in node.probes() {
+            for worker in node.take_probes() {
                 probed += usize::from(worker == 0);
                 node.report_free(worker, if worker == 0 { SLOTS as f32 } else { 0.0 });
             }
         }
         let to_cold = node.sends().iter().filter(|(_, worker)| *worker == 0).count();
-        node.advance(Duration::from_millis(200));
+        node.advance_clock(Duration::from_millis(200));
         match to_cold {
-            0 => node.event(Event::ClientGone { id: RequestId(id) }),
+            0 => node.handle(Event::ClientGone { id: RequestId(id) }),
             _ => node.outcome(id, 0, 0, Status::Ok, true),
         }
         sent += to_cold;
--- a/crates/pebblepost-dispatch/tests/dispatcher/main.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/main.rs
@@ -1,4 +1,4 @@
-//! The dispatcher by hand-driven events: decisions are judged by the actions alone.
+//! Tests of the dispatcher. Each test feeds events to it and checks only the actions that it returns.
 
 mod classes;
 mod fleet;
--- a/crates/pebblepost-dispatch/tests/dispatcher/requests.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/requests.rs
@@ -7,19 +7,19 @@
 #[test]
 fn fails_a_non_idempotent_job_that_may_have_run() {
     let mut node = Node::new(settings(), 4);
-    let worker = node.place(1, UNSAFE);
+    let worker = node.send_to_first_probed(1, NON_IDEMPOTENT);
     node.outcome(1, 0, worker, Status::Reset, false);
-    assert_eq!(node.finals(), vec![(1, "fail")]);
-    node.wait(Duration::from_secs(10));
+    assert_eq!(node.final_answers(), vec![(1, "fail")]);
+    node.run_for(Duration::from_secs(10));
     assert!(node.sends().is_empty());
 }
 
 #[test]
 fn retries_a_non_idempotent_job_that_never_ran() {
     let mut node = Node::new(settings(), 4);
-    let worker = node.place(1, UNSAFE);
+    let worker = node.send_to_first_probed(1, NON_IDEMPOTENT);
     node.outcome(1, 0, worker, Status::Full, false);
-    let again = node.probes();
+    let again = node.take_probes();
     assert_eq!(again.len(), 1, "a fresh random probe");
     assert_ne!(again[0], worker);
     node.report(again[0], 2.0, 0.0);
@@ -29,9 +29,9 @@
 #[test]
 fn retries_a_deduplicated_job_in_its_zone_and_window() {
     let mut node = Node::new(settings(), 8);
-    let worker = node.place(1, KEYED);
+    let worker = node.send_to_first_probed(1, DEDUPLICATED);
     node.outcome(1, 0, worker, Status::Error, false);
-    for probed in node.probes() {
+    for probed in node.take_probes() {
         assert_eq!(probed % 2, worker % 2, "workers of even and odd number lie in different zones");
         node.report(probed, 2.0, 0.0);
     }
@@ -40,13 +40,13 @@
     assert_eq!(sent[0].1 % 2, worker % 2);
 
     let mut settings = settings();
-    settings.classes[KEYED].idempotency =
+    settings.classes[DEDUPLICATED].idempotency =
         Idempotency::Deduplicated { scope: DeduplicationScope::Zone, window: Duration::from_millis(50) };
     let mut node = Node::new(settings, 8);
-    let worker = node.place(1, KEYED);
-    node.advance(Duration::from_millis(60));
+    let worker = node.send_to_first_probed(1, DEDUPLICATED);
+    node.advance_clock(Duration::from_millis(60));
     node.outcome(1, 0, worker, Status::Error, false);
-    assert_eq!(node.finals(), vec![(1, "fail")], "past the window it may run twice");
+    assert_eq!(node.final_answers(), vec![(1, "fail")], "past the window it may run twice");
 }
 
 /// hamilton-signing kept 110 connections open at each server, which it pays for, to save handshakes.
@@ -61,11 +61,11 @@
         let mut node = Node::new(settings, 64);
         let mut seen = std::collections::BTreeSet::new();
         for id in 0..400 {
-            node.request(id, SAFE);
-            let worker = node.probes()[0];
+            node.request(id, IDEMPOTENT);
+            let worker = node.take_probes()[0];
             node.report(worker, 2.0, 0.0);
             node.outcome(id, 0, worker, Status::Ok, true);
-            node.wait(Duration::from_millis(250));
+            node.run_for(Duration::from_millis(250));
             if id >= 200 {
                 seen.insert(worker);
             }
@@ -85,15 +85,15 @@
         settings.report_fields = vec![ReportField::InFlight, ReportField::FreeSlots];
         let report = |node: &mut Node, worker: u32, held: f32, free: f32| {
             let (worker, latency) = (WorkerId(worker), Duration::from_millis(1));
-            node.event(Event::Probed { worker, status: Status::Ok, latency, report: vec![held, free] });
+            node.handle(Event::Probed { worker, status: Status::Ok, latency, report: vec![held, free] });
         };
         let mut node = Node::new(settings, 4);
         for worker in (0..4).chain(0..4) {
             report(&mut node, worker, 0.0, 4.0);
         }
-        node.request(1, SAFE);
+        node.request(1, IDEMPOTENT);
         for _ in 0..4 {
-            node.probes().into_iter().for_each(|worker| report(&mut node, worker, held, 0.0));
+            node.take_probes().into_iter().for_each(|worker| report(&mut node, worker, held, 0.0));
         }
         node.sends().len()
     };
@@ -108,14 +108,14 @@
         let mut settings = settings();
         settings.start_reported = true;
         let mut node = Node::new(settings, 2);
-        node.learn_all(2.0);
+        node.report_all_workers(2.0);
         for id in 0..100 {
-            node.wait(Duration::from_millis(2));
-            let worker = node.place(id, UNSAFE);
-            node.advance(Duration::from_millis(started_after));
-            node.event(Event::Started { id: RequestId(id), attempt: AttemptNo(0) });
-            node.advance(Duration::from_millis(3000 - started_after));
-            node.event(Event::Outcome {
+            node.run_for(Duration::from_millis(2));
+            let worker = node.send_to_first_probed(id, NON_IDEMPOTENT);
+            node.advance_clock(Duration::from_millis(started_after));
+            node.handle(Event::Started { id: RequestId(id), attempt: AttemptNo(0) });
+            node.advance_clock(Duration::from_millis(3000 - started_after));
+            node.handle(Event::Outcome {
                 id: RequestId(id),
                 attempt: AttemptNo(0),
                 worker: WorkerId(worker),
@@ -127,9 +127,9 @@
         }
         // Whether a request queues where all slots are busy and one job waits.
         node.actions.clear();
-        node.request(1000, UNSAFE);
+        node.request(1000, NON_IDEMPOTENT);
         for _ in 0..4 {
-            node.probes().into_iter().for_each(|worker| node.report(worker, 0.0, 1.0));
+            node.take_probes().into_iter().for_each(|worker| node.report(worker, 0.0, 1.0));
         }
         node.sends().len()
     };
@@ -141,20 +141,20 @@
 #[test]
 fn places_a_job_where_it_ends_in_time_by_its_hint() {
     let mut settings = settings();
-    (settings.start_reported, settings.classes[SAFE].latency_stretch) = (true, 2.0);
+    (settings.start_reported, settings.classes[IDEMPOTENT].latency_stretch) = (true, 2.0);
     let mut node = Node::new(settings, 2);
-    node.learn_all(2.0);
-    (0..200).for_each(|id| run_hinted(&mut node, id, |_| 150));
+    node.report_all_workers(2.0);
+    (0..200).for_each(|id| run_hinted_job(&mut node, id, |_| 150));
     // Jobs run half longer than hinted: one of 3 s ends in time, and may even wait; one of 4 s never does.
     let goes = |node: &mut Node, id, ms, queue| {
-        node.hinted(id, ms, 1.0);
+        node.request_with_hint(id, ms, 1.0);
         for _ in 0..3 {
-            node.probes()
+            node.take_probes()
                 .into_iter()
                 .for_each(|worker| node.report(worker, if queue > 0.0 { 0.0 } else { 2.0 }, queue));
         }
         let sent = node.sends().len();
-        node.event(Event::ClientGone { id: RequestId(id) });
+        node.handle(Event::ClientGone { id: RequestId(id) });
         sent
     };
     assert_eq!((goes(&mut node, 1000, 3000, 0.0), goes(&mut node, 1001, 4000, 0.0)), (1, 0));
@@ -167,21 +167,21 @@
     let sent_after = |ms: u64| {
         let mut settings = settings();
         (settings.start_reported, settings.report_fields) = (true, vec![ReportField::FreeSlots]);
-        (settings.nodes, settings.classes[SAFE].latency_target) = (1, Duration::from_millis(600));
+        (settings.nodes, settings.classes[IDEMPOTENT].latency_target) = (1, Duration::from_millis(600));
         let mut node = Node::new(settings, 1);
         let full = |node: &mut Node, free: f32| {
-            node.probes().into_iter().for_each(|worker| node.report_free(worker, free));
+            node.take_probes().into_iter().for_each(|worker| node.report_free(worker, free));
         };
         for id in 0..4 {
-            node.hinted(id, 100, 1.0);
+            node.request_with_hint(id, 100, 1.0);
             full(&mut node, 2.0);
             if id < 2 {
                 node.outcome(id, 0, 0, Status::Ok, true);
             }
         }
         // Two are out; neither has started.
-        node.advance(Duration::from_millis(ms));
-        node.hinted(9, 100, 1.0);
+        node.advance_clock(Duration::from_millis(ms));
+        node.request_with_hint(9, 100, 1.0);
         (0..3).for_each(|_| full(&mut node, 0.0));
         node.sends().len()
     };
@@ -194,14 +194,14 @@
     let first = |seed: u64, key: u64, failed: Option<u32>| {
         let mut node = Node::seeded(settings(), 8, seed);
         if let Some(worker) = failed {
-            node.request_about(1, UNSAFE, key);
-            node.probes();
+            node.request_with_key(1, NON_IDEMPOTENT, key);
+            node.take_probes();
             node.report(worker, 2.0, 0.0);
             node.outcome(1, 0, worker, Status::Error, false);
             node.actions.clear();
         }
-        node.request_about(2, SAFE, key);
-        node.probes()[0]
+        node.request_with_key(2, IDEMPOTENT, key);
+        node.take_probes()[0]
     };
     let all: Vec<u32> = (1..=64).map(|key| first(7, key, None)).collect();
     assert_eq!(all, (1..=64).map(|key| first(8, key, None)).collect::<Vec<_>>());
@@ -216,12 +216,12 @@
     let mut settings = settings();
     settings.start_reported = true;
     let mut node = Node::new(settings, 1);
-    node.place(1, SAFE);
-    node.event(Event::Started { id: RequestId(1), attempt: AttemptNo(0) });
+    node.send_to_first_probed(1, IDEMPOTENT);
+    node.handle(Event::Started { id: RequestId(1), attempt: AttemptNo(0) });
     node.outcome(1, 0, 0, Status::Ok, true);
-    node.wait(Duration::from_secs(4));
-    node.place(2, UNSAFE);
-    node.wait(Duration::from_millis(300));
+    node.run_for(Duration::from_secs(4));
+    node.send_to_first_probed(2, NON_IDEMPOTENT);
+    node.run_for(Duration::from_millis(300));
     node.report(0, 2.0, 0.0);
     let touched =
         node.actions.iter().any(|action| matches!(action, Action::Cancel { .. } | Action::Send { .. }));
@@ -236,13 +236,13 @@
             let mut settings = settings();
             settings.probing_enabled = probing;
             settings.prices.cross_zone = crossing; // Its own zone is 0: all that is permitted lies away.
-            settings.classes[SAFE].only_zones = Some(vec![ZoneId(1)]);
+            settings.classes[IDEMPOTENT].only_zones = Some(vec![ZoneId(1)]);
             let mut node = Node::new(settings, 6);
             let mut sent = 0;
             for id in 0..60 {
-                node.request(id, SAFE);
+                node.request(id, IDEMPOTENT);
                 for status in [Status::Full, Status::Error, Status::Timeout] {
-                    for worker in node.probes() {
+                    for worker in node.take_probes() {
                         assert_eq!(worker % 2, 1, "probed to be sent to");
                         node.report(worker, 2.0, 0.0);
                     }
@@ -252,7 +252,7 @@
                         node.outcome(of, node.attempts[&of] - 1, worker, status, false);
                     }
                 }
-                node.wait(Duration::from_millis(200));
+                node.run_for(Duration::from_millis(200));
                 node.actions.clear();
             }
             assert!(sent > 60, "{sent} attempts");
@@ -270,12 +270,13 @@
     ];
     for (kinds, zones) in cases {
         let mut settings = settings();
-        (settings.classes[UNSAFE].only_kinds, settings.classes[UNSAFE].only_zones) = (kinds, zones);
+        (settings.classes[NON_IDEMPOTENT].only_kinds, settings.classes[NON_IDEMPOTENT].only_zones) =
+            (kinds, zones);
         let mut node = Node::new(settings, 6);
-        node.request(1, UNSAFE);
-        node.wait(Duration::from_secs(5));
-        assert!(node.probes().is_empty() && node.sends().is_empty());
-        assert_eq!(node.finals(), vec![(1, "refuse")]);
+        node.request(1, NON_IDEMPOTENT);
+        node.run_for(Duration::from_secs(5));
+        assert!(node.take_probes().is_empty() && node.sends().is_empty());
+        assert_eq!(node.final_answers(), vec![(1, "refuse")]);
     }
 }
 
@@ -283,11 +284,11 @@
 #[test]
 fn sends_nothing_to_a_worker_that_left_the_permitted_zone() {
     let mut settings = settings();
-    settings.classes[SAFE].only_zones = Some(vec![ZoneId(1)]);
+    settings.classes[IDEMPOTENT].only_zones = Some(vec![ZoneId(1)]);
     let mut node = Node::new(settings, 2);
-    node.request(1, SAFE);
-    assert_eq!(node.probes(), [1]);
-    node.event(Event::Members {
+    node.request(1, IDEMPOTENT);
+    assert_eq!(node.take_probes(), [1]);
+    node.handle(Event::Members {
         kind: ListKind::Delta,
         entries: vec![Entry {
             worker: WorkerId(1),
@@ -300,9 +301,9 @@
         }],
     });
     node.report(1, 2.0, 0.0);
-    node.wait(Duration::from_secs(5));
+    node.run_for(Duration::from_secs(5));
     assert!(node.sends().is_empty());
-    assert_eq!(node.finals(), vec![(1, "refuse")]);
+    assert_eq!(node.final_answers(), vec![(1, "refuse")]);
 }
 
 /// hamilton-signing: sign-submit was sent again after 'full', on every day.
@@ -311,37 +312,37 @@
     let mut settings = settings();
     settings.full_may_have_run = true;
     let mut node = Node::new(settings.clone(), 8);
-    let worker = node.place(1, UNSAFE);
+    let worker = node.send_to_first_probed(1, NON_IDEMPOTENT);
     node.outcome(1, 0, worker, Status::Full, false);
-    assert_eq!(node.finals(), vec![(1, "fail")], "neither sent again nor refused, and at once");
-    node.wait(Duration::from_secs(5));
-    assert!(node.probes().is_empty() && node.sends().is_empty());
+    assert_eq!(node.final_answers(), vec![(1, "fail")], "neither sent again nor refused, and at once");
+    node.run_for(Duration::from_secs(5));
+    assert!(node.take_probes().is_empty() && node.sends().is_empty());
 
-    let worker = node.place(2, KEYED);
-    node.advance(Duration::from_millis(20));
+    let worker = node.send_to_first_probed(2, DEDUPLICATED);
+    node.advance_clock(Duration::from_millis(20));
     node.outcome(2, 0, worker, Status::Full, false);
-    for probed in node.probes() {
+    for probed in node.take_probes() {
         assert_eq!(probed % 2, worker % 2, "inside the zone of the first attempt");
         node.report(probed, 2.0, 0.0);
     }
     let sent = node.sends();
     assert_eq!((sent.len(), sent[0].1 % 2), (1, worker % 2));
     node.outcome(2, 1, sent[0].1, Status::ConnectFailed, false);
-    node.wait(Duration::from_secs(5));
-    assert_eq!(node.finals(), vec![(2, "fail")]);
+    node.run_for(Duration::from_secs(5));
+    assert_eq!(node.final_answers(), vec![(2, "fail")]);
 
-    let worker = node.place(3, SAFE);
+    let worker = node.send_to_first_probed(3, IDEMPOTENT);
     node.outcome(3, 0, worker, Status::Full, false);
-    assert_eq!(node.probes().len(), 1, "a safe job goes on");
+    assert_eq!(node.take_probes().len(), 1, "a safe job goes on");
 
-    settings.classes[KEYED].idempotency =
+    settings.classes[DEDUPLICATED].idempotency =
         Idempotency::Deduplicated { scope: DeduplicationScope::All, window: Duration::from_millis(50) };
     let mut node = Node::new(settings, 8);
-    let worker = node.place(4, KEYED);
-    node.advance(Duration::from_millis(60));
+    let worker = node.send_to_first_probed(4, DEDUPLICATED);
+    node.advance_clock(Duration::from_millis(60));
     node.outcome(4, 0, worker, Status::Full, false);
-    node.wait(Duration::from_millis(10));
-    assert_eq!((node.sends().len(), node.finals()), (0, vec![(4, "refuse")]), "its window is over");
+    node.run_for(Duration::from_millis(10));
+    assert_eq!((node.sends().len(), node.final_answers()), (0, vec![(4, "refuse")]), "its window is over");
 }
 
 /// Twelve servers that had restarted at once fell within a second, seconds before
@@ -356,25 +357,25 @@
         let mut settings = settings();
         settings.nodes = 1000;
         let mut node = Node::new(settings, 1);
-        node.learn_all(3.0);
-        node.wait(Duration::from_secs(1));
-        node.request(1000, SAFE);
-        node.probes();
+        node.report_all_workers(3.0);
+        node.run_for(Duration::from_secs(1));
+        node.request(1000, IDEMPOTENT);
+        node.take_probes();
         let (worker, latency) = (WorkerId(0), Duration::from_millis(1));
         for _ in 0..failures {
-            node.event(Event::Probed { worker, status: ended, latency, report: vec![] });
+            node.handle(Event::Probed { worker, status: ended, latency, report: vec![] });
         }
-        node.wait(Duration::from_secs(5));
+        node.run_for(Duration::from_secs(5));
         node.actions.clear();
         let mut sent = 0;
         for id in 0..300 {
-            node.request(id, SAFE);
+            node.request(id, IDEMPOTENT);
             node.report(0, 3.0, 0.0);
             for (id, worker) in node.sends() {
                 sent += 1;
                 node.outcome(id, 0, worker, Status::Ok, true);
             }
-            node.wait(Duration::from_millis(20));
+            node.run_for(Duration::from_millis(20));
         }
         assert!(sent <= most && (most < 300 || sent > 200), "{ended:?}: {sent} of 300");
     }
@@ -386,7 +387,7 @@
     let mut node = Node::new(settings(), 4);
     let event = |id, left, repeat| Event::Request {
         id: RequestId(id),
-        class: ClassId(SAFE as u16),
+        class: ClassId(IDEMPOTENT as u16),
         tenant: TenantId(0),
         time_left: Duration::from_millis(left),
         repeat,
@@ -395,11 +396,11 @@
         work: None,
         key: 0,
     };
-    node.event(event(1, 3000, true)); // Two of its five seconds are gone; the aim is 250 ms.
-    assert_eq!(node.finals(), vec![(1, "refuse")]);
-    assert!(node.probes().is_empty());
-    node.event(event(2, 4990, true));
-    assert_eq!(node.probes().len(), 1);
+    node.handle(event(1, 3000, true)); // Two of its five seconds are gone; the aim is 250 ms.
+    assert_eq!(node.final_answers(), vec![(1, "refuse")]);
+    assert!(node.take_probes().is_empty());
+    node.handle(event(2, 4990, true));
+    assert_eq!(node.take_probes().len(), 1);
 }
 
 /// Fleet days: a node that sees a hundredth of the traffic took a full worker's queue to be empty when it had sent
@@ -413,11 +414,11 @@
             report_fields: vec![ReportField::FreeSlots],
             ..settings()
         };
-        (settings.classes[SAFE].latency_stretch, settings.classes[SAFE].latency_target) =
+        (settings.classes[IDEMPOTENT].latency_stretch, settings.classes[IDEMPOTENT].latency_target) =
             (2.0, Duration::from_millis(500));
         let mut node = Node::new(settings, 1);
         (0..3).for_each(|_| node.report_free(0, 2.0));
-        node.hinted(1, 100, 1.0);
+        node.request_with_hint(1, 100, 1.0);
         (0..3).for_each(|_| node.report_free(0, 0.0));
         node.sends().len()
     };
@@ -430,11 +431,11 @@
     let second = |ms: u64| {
         let fields = vec![ReportField::FreeSlots];
         let mut settings = Settings { nodes: 7, start_reported: true, report_fields: fields, ..settings() };
-        settings.classes[SAFE].latency_stretch = 2.0;
+        settings.classes[IDEMPOTENT].latency_stretch = 2.0;
         let mut node = Node::new(settings, 1);
         (0..3).for_each(|_| node.report_free(0, 2.0));
         for (id, hint) in [(1, 200), (2, ms)] {
-            node.hinted(id, hint, 1.0);
+            node.request_with_hint(id, hint, 1.0);
             (0..3).for_each(|_| node.report_free(0, 0.0));
         }
         node.sends().len()
--- a/crates/pebblepost-dispatch/tests/dispatcher/reservations.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/reservations.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const SEC: Duration = Duration::from_secs(1);
+const SECOND: Duration = Duration::from_secs(1);
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -22,7 +22,7 @@
         slots,
         free_slots: free,
         own_jobs,
-        other_job_time: SEC,
+        other_job_time: SECOND,
         queued_slots: 0.0,
         longest_wait: Duration::ZERO,
         queue_in_order: true,
@@ -115,14 +115,14 @@
     // One slot is free now, the other in a second; the large one wants both and may start after three.
     let busy = forecast(0, 2.0, 1.0, &[(1000, 1.0)], 2000);
     let held = reserve(&mut reservations, 1, 2.0, std::slice::from_ref(&busy), 3000).expect("a reservation");
-    assert_eq!((held.worker, held.expected_start), (0, START + SEC));
+    assert_eq!((held.worker, held.expected_start), (0, START + SECOND));
     let small = |run| forecast(0, 2.0, 1.0, &[(1000, 1.0)], run);
     let may = |reservations: &Reservations, run| reservations.allows(START, RequestId(9), 1.0, &small(run));
     assert!(may(&reservations, 800) && may(&reservations, 1900), "ends before half of the slack is gone");
     assert!(!may(&reservations, 2500));
     assert!(reservations.allows(START, RequestId(1), 2.0, &small(9000)), "its own job is not kept out");
     // A wrong hint holds nothing for ever: past its latest start the reservation counts no more.
-    assert!(reservations.allows(START + 4 * SEC, RequestId(9), 1.0, &small(2500)));
+    assert!(reservations.allows(START + 4 * SECOND, RequestId(9), 1.0, &small(2500)));
     reservations.release(RequestId(1));
     assert!(may(&reservations, 2500));
 }
@@ -137,9 +137,14 @@
         START,
         RequestId(2),
         1.0,
-        &WorkerForecast { run_time: 60 * SEC, ..wide.clone() }
+        &WorkerForecast { run_time: 60 * SECOND, ..wide.clone() }
+    ));
+    assert!(!reservations.allows(
+        START,
+        RequestId(2),
+        4.0,
+        &WorkerForecast { run_time: 60 * SECOND, ..wide }
     ));
-    assert!(!reservations.allows(START, RequestId(2), 4.0, &WorkerForecast { run_time: 60 * SEC, ..wide }));
 }
 
 #[test]
@@ -232,14 +237,15 @@
     settings.queues_in_order = in_order;
     (settings.start_reported, settings.nodes, settings.report_fields) =
         (true, 1, vec![ReportField::FreeSlots]);
-    (settings.classes[SAFE].latency_target, settings.classes[SAFE].latency_stretch) = (ms(600), 2.0);
+    (settings.classes[IDEMPOTENT].latency_target, settings.classes[IDEMPOTENT].latency_stretch) =
+        (ms(600), 2.0);
     let mut node = Node::seeded(settings, workers, seed);
     for id in 0..120 {
-        node.hinted(id, 200, 1.0);
+        node.request_with_hint(id, 200, 1.0);
         answer(&mut node, &|_| slots);
         let (_, worker) = node.sends()[0];
         started(&mut node, id);
-        node.advance(ms(200));
+        node.advance_clock(ms(200));
         node.outcome(id, 0, worker, Status::Ok, true);
     }
     node.actions.clear();
@@ -247,14 +253,14 @@
 }
 
 fn started(node: &mut Node, id: u32) {
-    node.event(Event::Started { id: RequestId(id), attempt: AttemptNo(0) });
+    node.handle(Event::Started { id: RequestId(id), attempt: AttemptNo(0) });
 }
 
 /// Answers all probes with the free slots that each worker has.
 fn answer(node: &mut Node, free: &dyn Fn(u32) -> f32) -> Vec<u32> {
     let mut asked = vec![];
     loop {
-        let probes = node.probes();
+        let probes = node.take_probes();
         if probes.is_empty() {
             return asked;
         }
@@ -262,7 +268,7 @@
             asked.push(worker);
             let latency = ms(1);
             let report = vec![free(worker)];
-            node.event(Event::Probed { worker: WorkerId(worker), status: Status::Ok, latency, report });
+            node.handle(Event::Probed { worker: WorkerId(worker), status: Status::Ok, latency, report });
         }
     }
 }
@@ -270,7 +276,7 @@
 /// Lets time pass, with every probe answered.
 fn pass(node: &mut Node, span: u64, free: &dyn Fn(u32) -> f32) {
     for _ in 0..span / 2 {
-        node.wait(ms(2));
+        node.run_for(ms(2));
         answer(node, free);
     }
 }
@@ -280,14 +286,14 @@
 }
 
 fn answer_of(node: &Node, id: u32) -> Option<&'static str> {
-    node.finals().into_iter().find(|(i, _)| *i == id).map(|(_, what)| what)
+    node.final_answers().into_iter().find(|(i, _)| *i == id).map(|(_, what)| what)
 }
 
 #[test]
 fn reserves_for_a_large_job_that_finds_all_busy() {
     for seed in 0..8 {
         let mut node = seasoned(4, seed);
-        node.hinted(LARGE, 2000, 1.0);
+        node.request_with_hint(LARGE, 2000, 1.0);
         answer(&mut node, &|_| 0.0);
         pass(&mut node, 600, &|_| 0.0);
         assert_eq!(answer_of(&node, LARGE), None, "seed {seed}");
@@ -300,8 +306,8 @@
 fn rejects_a_job_too_large_for_any_worker_without_probes() {
     for (work, slots) in [(2000, 4.0), (9000, 1.0)] {
         let mut node = seasoned(4, 1);
-        node.hinted(LARGE, work, slots);
-        assert_eq!((node.finals(), node.probes()), (vec![(LARGE, "refuse")], vec![]));
+        node.request_with_hint(LARGE, work, slots);
+        assert_eq!((node.final_answers(), node.take_probes()), (vec![(LARGE, "refuse")], vec![]));
         assert!(
             node.actions.iter().any(|action| matches!(action, Action::Refuse { retry_after: Some(_), .. })),
             "with advice"
@@ -311,7 +317,7 @@
 
 /// A wide job of two slots that waits at a worker, and which worker that is.
 fn waiting(node: &mut Node) -> u32 {
-    node.hinted(LARGE, 1500, 2.0);
+    node.request_with_hint(LARGE, 1500, 2.0);
     answer(node, &|_| 1.0);
     pass(node, 40, &|_| 1.0);
     send_of(node, LARGE).expect("queued where it will be served in time")
@@ -328,7 +334,7 @@
         let mut there = 0;
         for id in 1000..1100 {
             // As long as a job may be that is not large: it would hold its slot beyond the large one's start.
-            node.hinted(id, 900, 1.0);
+            node.request_with_hint(id, 900, 1.0);
             answer(&mut node, &|_| 1.0);
             there += usize::from(send_of(&node, id) == Some(held));
             if let Some(worker) = send_of(&node, id) {
@@ -348,18 +354,21 @@
         let held = waiting(&mut node);
         node.actions.clear();
         match what {
-            0 => node.event(Event::ClientGone { id: RequestId(LARGE) }),
+            0 => node.handle(Event::ClientGone { id: RequestId(LARGE) }),
             1 => node.outcome(LARGE, 0, held, Status::Full, false),
             2 => node.outcome(LARGE, 0, held, Status::ConnectFailed, false),
             _ => {
-                node.list(ListKind::Delta, &[(held, WorkerState::Draining, None)]);
+                node.apply_member_list(ListKind::Delta, &[(held, WorkerState::Draining, None)]);
                 node.outcome(LARGE, 0, held, Status::Full, false);
             }
         }
         if what == 0 {
             node.actions.clear();
             node.outcome(LARGE, 0, held, Status::Cancelled, true);
-            assert!(node.probes().is_empty() && node.sends().is_empty(), "nothing for a departed client");
+            assert!(
+                node.take_probes().is_empty() && node.sends().is_empty(),
+                "nothing for a departed client"
+            );
             continue;
         }
         answer(&mut node, &|worker| if worker == held { 0.0 } else { 2.0 });
@@ -374,7 +383,7 @@
     for silent in [false, true] {
         let mut node = seasoned(3, 5);
         // Large for one slot, and a queue everywhere that is too long: it looks at one worker again and again.
-        node.hinted(LARGE, 2000, 1.0);
+        node.request_with_hint(LARGE, 2000, 1.0);
         let mut last = 0;
         for _ in 0..40 {
             if let Some(worker) = answer(&mut node, &|_| 0.0).last() {
@@ -383,22 +392,22 @@
             if send_of(&node, LARGE).is_some() {
                 break;
             }
-            node.wait(ms(2));
+            node.run_for(ms(2));
         }
         if let Some(worker) = send_of(&node, LARGE) {
             last = worker;
             node.outcome(LARGE, 0, worker, Status::Timeout, false);
         }
         if !silent {
-            node.list(ListKind::Delta, &[(last, WorkerState::Ready, Some(node.now))]);
+            node.apply_member_list(ListKind::Delta, &[(last, WorkerState::Ready, Some(node.now))]);
         }
         node.actions.clear();
         for _ in 0..1500 {
-            for worker in node.probes() {
+            for worker in node.take_probes() {
                 if silent && worker == last {
                     node.probe_failed(worker);
                 } else {
-                    node.event(Event::Probed {
+                    node.handle(Event::Probed {
                         worker: WorkerId(worker),
                         status: Status::Ok,
                         latency: ms(1),
@@ -406,7 +415,7 @@
                     });
                 }
             }
-            node.wait(ms(2));
+            node.run_for(ms(2));
         }
         let ended =
             send_of(&node, LARGE).is_some_and(|worker| worker != last) || answer_of(&node, LARGE).is_some();
@@ -418,7 +427,7 @@
 fn answers_both_nodes_that_reserved_the_same_worker() {
     let (mut resumed, mut lost) = (seasoned(1, 1), seasoned(1, 2));
     for node in [&mut resumed, &mut lost] {
-        node.hinted(LARGE, 2000, 2.0);
+        node.request_with_hint(LARGE, 2000, 2.0);
         answer(node, &|_| 0.0);
     }
     // The worker frees up; the first to see it takes it, and the other sees it full until its time is over.
@@ -430,7 +439,7 @@
     if let Some(worker) = send_of(&lost, LARGE) {
         lost.outcome(LARGE, 0, worker, Status::Cancelled, true);
     }
-    lost.hinted(2000, 200, 1.0);
+    lost.request_with_hint(2000, 200, 1.0);
     answer(&mut lost, &|_| 2.0);
     assert!(send_of(&lost, 2000).is_some());
 }
@@ -438,28 +447,28 @@
 #[test]
 fn rejects_a_reserved_job_that_can_no_longer_be_in_time() {
     let mut node = seasoned(2, 4);
-    node.hinted(LARGE, 2000, 2.0);
+    node.request_with_hint(LARGE, 2000, 2.0);
     let from = node.now;
     for _ in 0..2500 {
-        node.probes().into_iter().for_each(|worker| node.probe_failed(worker));
-        node.wait(ms(2));
+        node.take_probes().into_iter().for_each(|worker| node.probe_failed(worker));
+        node.run_for(ms(2));
         if answer_of(&node, LARGE).is_some() {
             break;
         }
     }
     assert_eq!(answer_of(&node, LARGE), Some("refuse"));
-    assert!(node.last_final_at.since(from) < ms(2700), "not kept until the client gives up");
+    assert!(node.last_final_answer_at.since(from) < ms(2700), "not kept until the client gives up");
 }
 
 /// Where whatever fits may start, a wide job that finds one slot at each probed looks at a worker it believes free.
 fn looking() -> (Node, u32) {
     let mut node = seasoned_of(2.0, false, 4, 3);
-    node.hinted(LARGE, 1500, 2.0);
+    node.request_with_hint(LARGE, 1500, 2.0);
     answer(&mut node, &|_| 1.0);
     assert_eq!(answer_of(&node, LARGE), None, "not refused while a worker may have room");
     let mut later = node
-        .wait_for(|action| matches!(action, Action::Probe { .. }), ms(500))
-        .map(|_| node.probes())
+        .run_until(|action| matches!(action, Action::Probe { .. }), ms(500))
+        .map(|_| node.take_probes())
         .expect("a look");
     (node, later.remove(0))
 }
@@ -468,18 +477,18 @@
 fn sends_a_wide_job_to_its_reserved_worker() {
     let (mut node, held) = looking();
     let latency = ms(1);
-    node.event(Event::Probed { worker: WorkerId(held), status: Status::Ok, latency, report: vec![2.0] });
+    node.handle(Event::Probed { worker: WorkerId(held), status: Status::Ok, latency, report: vec![2.0] });
     assert_eq!(send_of(&node, LARGE), Some(held));
 }
 
 #[test]
 fn small_jobs_skip_a_worker_where_they_would_delay_a_wide_one() {
     let mut node = seasoned_of(3.0, false, 1, 3);
-    node.hinted(LARGE, 4600, 2.0);
+    node.request_with_hint(LARGE, 4600, 2.0);
     answer(&mut node, &|_| 1.0);
     assert_eq!(send_of(&node, LARGE), Some(0));
-    node.wait(ms(50));
-    node.hinted(1000, 900, 1.0);
+    node.run_for(ms(50));
+    node.request_with_hint(1000, 900, 1.0);
     answer(&mut node, &|_| 1.0);
     assert_eq!(send_of(&node, 1000), None);
 }
@@ -488,16 +497,16 @@
 fn drops_a_reserved_worker_that_does_not_answer_its_probe() {
     let (mut node, held) = looking();
     for _ in 0..1000 {
-        for worker in node.probes() {
+        for worker in node.take_probes() {
             assert_ne!(worker, held, "it said nothing");
-            node.event(Event::Probed {
+            node.handle(Event::Probed {
                 worker: WorkerId(worker),
                 status: Status::Ok,
                 latency: ms(1),
                 report: vec![1.0],
             });
         }
-        node.wait(ms(2));
+        node.run_for(ms(2));
     }
     assert_eq!(answer_of(&node, LARGE), Some("refuse"));
 }
@@ -506,13 +515,13 @@
 fn starts_a_new_round_when_the_reserved_worker_drains() {
     let mut node = seasoned_of(2.0, false, 4, 3);
     let probed = |node: &mut Node| answer(node, &|_| 1.0);
-    node.hinted(LARGE, 1500, 2.0);
+    node.request_with_hint(LARGE, 1500, 2.0);
     let seen = probed(&mut node);
     let lost: Vec<_> = (0..4)
         .filter(|worker| !seen.contains(worker))
         .map(|worker| (worker, WorkerState::Draining, None))
         .collect();
     assert_eq!(lost.len(), 2, "the held one is among those not probed");
-    node.list(ListKind::Delta, &lost);
-    assert!(!node.probes().is_empty(), "no time has passed");
+    node.apply_member_list(ListKind::Delta, &lost);
+    assert!(!node.take_probes().is_empty(), "no time has passed");
 }
--- a/crates/pebblepost-dispatch/tests/dispatcher/workers.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/workers.rs
@@ -9,8 +9,8 @@
     for state in [WorkerState::Draining, WorkerState::Gone] {
         let mut node = Node::new(settings(), 2);
         node.request(1, 0);
-        let worker = node.probes()[0];
-        node.list(ListKind::Delta, &[(worker, state, None)]);
+        let worker = node.take_probes()[0];
+        node.apply_member_list(ListKind::Delta, &[(worker, state, None)]);
         node.report(worker, 2.0, 0.0);
         assert!(node.sends().iter().all(|(_, to)| *to != worker));
     }
@@ -19,11 +19,11 @@
 #[test]
 fn treats_a_worker_missing_from_a_full_list_as_gone() {
     let mut node = Node::new(settings(), 2);
-    node.list(ListKind::Full, &[(0, WorkerState::Ready, None)]);
+    node.apply_member_list(ListKind::Full, &[(0, WorkerState::Ready, None)]);
     for id in 0..20 {
         node.request(id, 0);
     }
-    assert!(node.probes().iter().all(|worker| *worker == 0));
+    assert!(node.take_probes().iter().all(|worker| *worker == 0));
 }
 
 /// pusat-shah-alam big-1: connections idle for over a second were dropped unseen; what was sent on one got
@@ -32,19 +32,19 @@
 fn lowers_the_idle_limit_when_a_send_does_not_start_despite_capacity() {
     let mut settings = settings();
     settings.start_reported = true;
-    settings.classes[SAFE].latency_target = Duration::from_secs(2);
+    settings.classes[IDEMPOTENT].latency_target = Duration::from_secs(2);
     let mut node = Node::new(settings, 1);
     let started = |node: &mut Node, id| {
-        node.event(Event::Started { id: RequestId(id), attempt: AttemptNo(0) });
+        node.handle(Event::Started { id: RequestId(id), attempt: AttemptNo(0) });
         node.outcome(id, 0, 0, Status::Ok, true);
     };
-    node.place(1, SAFE);
+    node.send_to_first_probed(1, IDEMPOTENT);
     started(&mut node, 1);
-    node.wait(Duration::from_secs(4));
-    node.place(2, SAFE);
-    assert_eq!(closes(&node), 0, "so far a connection is taken to last");
-    node.wait(Duration::from_millis(900));
-    let looks = |node: &mut Node| node.probes().len(); // Some are to learn the age of reports.
+    node.run_for(Duration::from_secs(4));
+    node.send_to_first_probed(2, IDEMPOTENT);
+    assert_eq!(count_idle_closes(&node), 0, "so far a connection is taken to last");
+    node.run_for(Duration::from_millis(900));
+    let looks = |node: &mut Node| node.take_probes().len(); // Some are to learn the age of reports.
     let asked = looks(&mut node);
     assert!(asked > 0, "not started: it is looked at");
     (0..asked).for_each(|_| node.report(0, 0.0, 2.0));
@@ -52,25 +52,25 @@
     assert!(!called_back(&node), "a full worker explains it");
 
     node.outcome(2, 0, 0, Status::Ok, true);
-    node.wait(Duration::from_secs(4));
-    node.place(3, SAFE);
-    node.wait(Duration::from_millis(900));
+    node.run_for(Duration::from_secs(4));
+    node.send_to_first_probed(3, IDEMPOTENT);
+    node.run_for(Duration::from_millis(900));
     (0..looks(&mut node)).for_each(|_| node.report(0, 2.0, 0.0));
     assert_eq!(node.actions.last(), Some(&Action::Cancel { id: RequestId(3), attempt: AttemptNo(0) }));
     node.outcome(3, 0, 0, Status::Cancelled, false);
-    assert_eq!(node.probes(), [0], "and sent again, once that is confirmed");
+    assert_eq!(node.take_probes(), [0], "and sent again, once that is confirmed");
     node.report(0, 2.0, 0.0);
     assert_eq!(node.sends(), [(3, 0)]);
     node.outcome(3, 1, 0, Status::Ok, true);
 
-    node.wait(Duration::from_millis(2500)); // Over half of what was lost.
-    node.request(4, UNSAFE);
+    node.run_for(Duration::from_millis(2500)); // Over half of what was lost.
+    node.request(4, NON_IDEMPOTENT);
     node.report(0, 2.0, 0.0);
-    assert_eq!((closes(&node), node.sends()), (1, vec![(4, 0)]), "on a new connection");
+    assert_eq!((count_idle_closes(&node), node.sends()), (1, vec![(4, 0)]), "on a new connection");
     started(&mut node, 4);
-    node.wait(Duration::from_secs(1));
-    node.place(5, SAFE);
-    assert_eq!(closes(&node), 0, "a younger one is used again");
+    node.run_for(Duration::from_secs(1));
+    node.send_to_first_probed(5, IDEMPOTENT);
+    assert_eq!(count_idle_closes(&node), 0, "a younger one is used again");
 }
 
 /// An idle connection to a draining server was still open after 1.02 s.
@@ -86,36 +86,36 @@
     settings.close_idle_within = Some(Duration::from_secs(1));
     let mut node = Node::new(settings.clone(), 1);
     let draining = [(0, WorkerState::Draining, None)];
-    node.place(1, SAFE);
-    node.place(2, UNSAFE);
-    node.request(3, SAFE); // Its probe is out.
+    node.send_to_first_probed(1, IDEMPOTENT);
+    node.send_to_first_probed(2, NON_IDEMPOTENT);
+    node.request(3, IDEMPOTENT); // Its probe is out.
     assert_eq!(closes(&mut node), 0, "a ready worker keeps its connections");
-    node.list(ListKind::Delta, &draining);
+    node.apply_member_list(ListKind::Delta, &draining);
     assert_eq!(closes(&mut node), 1, "at the notice");
     node.report(0, 2.0, 0.0);
     assert!(node.sends().is_empty());
     assert_eq!(closes(&mut node), 1, "the probe has ended");
     node.outcome(1, 0, 0, Status::Ok, true);
     assert_eq!(closes(&mut node), 1, "an attempt has ended");
-    node.wait(Duration::from_secs(6));
+    node.run_for(Duration::from_secs(6));
     node.outcome(2, 0, 0, Status::Cancelled, true);
     assert_eq!(closes(&mut node), 1, "also one whose request was answered before");
-    node.request(4, SAFE);
-    node.wait(Duration::from_secs(6));
-    assert!(node.probes().is_empty(), "no probe opens a connection there");
-    node.list(ListKind::Full, &[(0, WorkerState::Ready, None)]);
-    node.place(5, SAFE);
+    node.request(4, IDEMPOTENT);
+    node.run_for(Duration::from_secs(6));
+    assert!(node.take_probes().is_empty(), "no probe opens a connection there");
+    node.apply_member_list(ListKind::Full, &[(0, WorkerState::Ready, None)]);
+    node.send_to_first_probed(5, IDEMPOTENT);
     node.outcome(5, 0, 0, Status::Ok, true);
     assert_eq!(closes(&mut node), 0, "it takes work again");
-    node.list(ListKind::Full, &draining);
+    node.apply_member_list(ListKind::Full, &draining);
     assert_eq!(closes(&mut node), 1);
 
     let mut restarted = Node::new(settings, 0);
-    restarted.list(ListKind::Cached, &draining);
+    restarted.apply_member_list(ListKind::Cached, &draining);
     assert_eq!(closes(&mut restarted), 1, "a restarted node learns it from its cached list");
 
     let mut node = Node::new(crate::node::settings(), 1);
-    node.list(ListKind::Delta, &draining);
+    node.apply_member_list(ListKind::Delta, &draining);
     assert_eq!(closes(&mut node), 0, "where the rule is not stated");
 }
 
@@ -123,23 +123,23 @@
 #[test]
 fn sends_no_probe_to_a_draining_worker() {
     let mut node = Node::new(settings(), 1);
-    node.place(1, SAFE);
-    node.list(ListKind::Delta, &[(0, WorkerState::Draining, None)]);
-    node.wait(Duration::from_secs(4));
-    assert!(node.probes().is_empty());
+    node.send_to_first_probed(1, IDEMPOTENT);
+    node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Draining, None)]);
+    node.run_for(Duration::from_secs(4));
+    assert!(node.take_probes().is_empty());
 }
 
 #[test]
 fn limits_a_warming_worker_to_its_usable_slots_without_queueing() {
     let mut node = Node::new(Settings { cold_capacity: 0.1, ..settings() }, 1);
-    node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
-    node.request(1, SAFE);
+    node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
+    node.request(1, IDEMPOTENT);
     node.report(0, 3.0, 0.0);
     assert_eq!(node.sends().len(), 1);
     node.actions.clear();
     // One of three slots is taken; at a tenth of its capacity that is all it may hold.
-    node.request(2, SAFE);
-    node.wait(Duration::from_millis(1));
+    node.request(2, IDEMPOTENT);
+    node.run_for(Duration::from_millis(1));
     node.report(0, 2.0, 0.0);
     assert!(node.sends().is_empty());
 }
@@ -149,17 +149,17 @@
 fn counts_own_jobs_as_busy_slots_whatever_a_report_says() {
     let mut node =
         Node::new(Settings { cold_capacity: 0.1, warm_up_time: Duration::from_secs(200), ..settings() }, 1);
-    node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
-    node.request(1, SAFE);
+    node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
+    node.request(1, IDEMPOTENT);
     node.report(0, 3.0, 0.0);
     assert_eq!(node.sends().len(), 1);
-    node.advance(Duration::from_secs(2)); // Long past the age reports are taken to have.
+    node.advance_clock(Duration::from_secs(2)); // Long past the age reports are taken to have.
     node.actions.clear();
-    node.request(2, SAFE);
+    node.request(2, IDEMPOTENT);
     node.report(0, 3.0, 0.0);
     assert!(node.sends().is_empty());
     node.outcome(1, 0, 0, Status::Ok, true);
-    node.request(3, SAFE);
+    node.request(3, IDEMPOTENT);
     node.report(0, 3.0, 0.0);
     node.report(0, 3.0, 0.0);
     assert_eq!(node.sends().len(), 1, "room again once that job has ended");
@@ -173,17 +173,17 @@
         let mut settings = settings();
         settings.nodes = nodes;
         let mut node = Node::new(settings, 1);
-        node.learn_all(3.0);
-        node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
+        node.report_all_workers(3.0);
+        node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
         let mut sent = 0;
         for id in 0..300 {
-            node.request(id, SAFE);
+            node.request(id, IDEMPOTENT);
             node.report(0, 3.0, 0.0);
             for (id, worker) in node.sends() {
                 sent += 1;
                 node.outcome(id, 0, worker, Status::Ok, true);
             }
-            node.wait(Duration::from_millis(20));
+            node.run_for(Duration::from_millis(20));
         }
         assert!(fair.contains(&sent), "{sent} of 300 went to a cold worker that {nodes} nodes share");
     }
@@ -198,12 +198,15 @@
         settings.nodes = 1;
         let mut node = Node::new(settings, 2);
         if kind_known {
-            node.learn_all(3.0); // Three slots, of which a cold worker gets two.
+            node.report_all_workers(3.0); // Three slots, of which a cold worker gets two.
         }
-        node.list(ListKind::Delta, &[(0, WorkerState::Gone, None), (1, WorkerState::Gone, None)]);
-        node.list(ListKind::Delta, &[(2, WorkerState::Ready, Some(START))]);
-        node.wait(Duration::from_secs(1));
-        node.request(1, SAFE);
+        node.apply_member_list(
+            ListKind::Delta,
+            &[(0, WorkerState::Gone, None), (1, WorkerState::Gone, None)],
+        );
+        node.apply_member_list(ListKind::Delta, &[(2, WorkerState::Ready, Some(START))]);
+        node.run_for(Duration::from_secs(1));
+        node.request(1, IDEMPOTENT);
         node.report(2, free, 0.0);
         assert_eq!(!node.sends().is_empty(), sends, "{free} free, kind known: {kind_known}");
     }
@@ -211,7 +214,7 @@
 
 /// Asks with a hint of work at a node of one worker, which reports three free slots; was it sent?
 fn with_work(node: &mut Node, id: u32, ms: u64) -> usize {
-    node.hinted(id, ms, 1.0);
+    node.request_with_hint(id, ms, 1.0);
     node.report(0, 3.0, 0.0);
     let sent = node.sends();
     if let Some((id, worker)) = sent.first() {
@@ -226,11 +229,11 @@
     let mut settings = settings();
     settings.nodes = 1000;
     let mut node = Node::new(settings, 1);
-    node.learn_all(3.0);
+    node.report_all_workers(3.0);
     (0..40).for_each(|id| assert_eq!(with_work(&mut node, id, 1000), 1));
-    node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(node.now))]);
+    node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(node.now))]);
     let step = |id| {
-        node.wait(Duration::from_millis(20));
+        node.run_for(Duration::from_millis(20));
         with_work(&mut node, id, 1)
     };
     let sent: usize = (40..340).map(step).sum();
@@ -242,16 +245,16 @@
 fn sends_no_job_that_alone_overloads_a_warming_worker() {
     let mut settings = Settings { nodes: 1, warm_up_time: Duration::from_secs(200), ..settings() };
     settings.overload_time = Duration::from_millis(500);
-    settings.classes[SAFE].latency_stretch = 3.0; // Both end in time there.
+    settings.classes[IDEMPOTENT].latency_stretch = 3.0; // Both end in time there.
     let mut node = Node::new(settings, 1);
-    node.learn_all(3.0);
+    node.report_all_workers(3.0);
     let ms = |id: u32| if id.is_multiple_of(8) { 1800 } else { 40 };
     let warm: usize = (0..80).map(|id| with_work(&mut node, id, ms(id))).sum();
     assert_eq!(warm, 80, "warm workers take both");
-    node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(node.now))]);
+    node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(node.now))]);
     let mut cold = [0; 2];
     for id in 80..280_u32 {
-        node.wait(Duration::from_millis(100));
+        node.run_for(Duration::from_millis(100));
         cold[usize::from(id.is_multiple_of(8))] += with_work(&mut node, id, ms(id));
     }
     assert!(cold[0] > 5 && cold[1] == 0, "light and heavy: {cold:?}");
@@ -260,32 +263,32 @@
 #[test]
 fn ejects_a_failing_worker_then_tries_it_again() {
     let mut node = Node::new(settings(), 2);
-    let worker = node.place(1, UNSAFE);
+    let worker = node.send_to_first_probed(1, NON_IDEMPOTENT);
     node.outcome(1, 0, worker, Status::Error, false);
     node.actions.clear();
     for id in 2..12 {
-        node.request(id, SAFE);
+        node.request(id, IDEMPOTENT);
     }
-    assert!(node.probes().iter().all(|probed| *probed != worker));
-    node.advance(Duration::from_secs(120));
+    assert!(node.take_probes().iter().all(|probed| *probed != worker));
+    node.advance_clock(Duration::from_secs(120));
     node.fire_timers();
     node.actions.clear();
     for id in 20..40 {
-        node.request(id, SAFE);
+        node.request(id, IDEMPOTENT);
     }
-    assert!(node.probes().contains(&worker));
+    assert!(node.take_probes().contains(&worker));
 }
 
 #[test]
 fn goes_on_without_a_lost_probe() {
     let mut node = Node::new(settings(), 4);
-    node.request(1, SAFE);
-    let lost = node.probes()[0];
-    node.wait(Duration::from_millis(20));
-    let next = node.probes();
+    node.request(1, IDEMPOTENT);
+    let lost = node.take_probes()[0];
+    node.run_for(Duration::from_millis(20));
+    let next = node.take_probes();
     assert!(!next.is_empty() && !next.contains(&lost), "others are drawn before the probe times out");
     node.report(next[0], 2.0, 0.0);
-    node.wait(Duration::from_millis(20));
+    node.run_for(Duration::from_millis(20));
     assert_eq!(node.sends(), vec![(1, next[0])]);
     node.probe_failed(lost);
     assert_eq!(node.sends().len(), 1);
@@ -295,14 +298,14 @@
 fn uses_ejected_workers_if_all_are_ejected() {
     let mut node = Node::new(settings(), 2);
     for id in 0..4 {
-        node.request(id, UNSAFE);
-        let worker = node.probes()[0];
+        node.request(id, NON_IDEMPOTENT);
+        let worker = node.take_probes()[0];
         node.report(worker, 2.0, 0.0);
         node.outcome(id, 0, worker, Status::Error, false);
     }
     node.actions.clear();
-    node.request(99, SAFE);
-    assert!(!node.probes().is_empty());
+    node.request(99, IDEMPOTENT);
+    assert!(!node.take_probes().is_empty());
 }
 
 /// Harbor: workers that stale reports called free refused more sends than those called busy.
@@ -312,11 +315,11 @@
     settings.overload_time = Duration::from_secs(2000);
     settings.start_reported = true;
     let mut node = Node::new(settings, 8);
-    node.learn_all(2.0);
+    node.report_all_workers(2.0);
     let (mut free, mut busy) = (0, 0);
     for id in 0..400 {
-        node.request(id, UNSAFE);
-        let mut probed = node.probes();
+        node.request(id, NON_IDEMPOTENT);
+        let mut probed = node.take_probes();
         for turn in 0..40 {
             node.actions.clear();
             for (i, worker) in probed.iter().enumerate() {
@@ -333,17 +336,17 @@
                     node.outcome(id, no, worker, Status::Full, false);
                 } else {
                     busy += u32::from(id >= 300);
-                    node.event(Event::Started { id: RequestId(id), attempt: AttemptNo(no) });
+                    node.handle(Event::Started { id: RequestId(id), attempt: AttemptNo(no) });
                     node.outcome(id, no, worker, Status::Ok, true);
                 }
             }
-            probed = node.probes();
+            probed = node.take_probes();
             if probed.is_empty() {
                 break;
             }
         }
         node.actions.clear();
-        node.advance(Duration::from_millis(200));
+        node.advance_clock(Duration::from_millis(200));
     }
     assert!(busy > 4 * free, "in the last 100 requests: {busy} to called-busy, {free} to called-free");
 }
@@ -353,25 +356,25 @@
 #[test]
 fn ejects_a_worker_that_fails_a_probe() {
     let mut node = Node::new(settings(), 8);
-    node.learn_all(2.0);
-    node.request(0, SAFE);
-    let lost = node.probes()[0];
+    node.report_all_workers(2.0);
+    node.request(0, IDEMPOTENT);
+    let lost = node.take_probes()[0];
     node.probe_failed(lost);
     let draws = |node: &mut Node, from: u32| {
         node.actions.clear();
-        (from..from + 100).for_each(|id| node.request(id, SAFE));
-        node.probes().contains(&lost)
+        (from..from + 100).for_each(|id| node.request(id, IDEMPOTENT));
+        node.take_probes().contains(&lost)
     };
     assert!(!draws(&mut node, 1));
-    node.advance(Duration::from_millis(1100));
+    node.advance_clock(Duration::from_millis(1100));
     assert!(draws(&mut node, 200), "it is tried again after a second");
     node.probe_failed(lost);
-    node.advance(Duration::from_millis(1100));
+    node.advance_clock(Duration::from_millis(1100));
     assert!(!draws(&mut node, 400), "a second failure in a row counts double");
     node.report(lost, 2.0, 0.0);
-    node.advance(Duration::from_secs(1));
+    node.advance_clock(Duration::from_secs(1));
     node.probe_failed(lost);
-    node.advance(Duration::from_millis(1100));
+    node.advance_clock(Duration::from_millis(1100));
     assert!(draws(&mut node, 600), "an answer clears what was held against it");
 }
 
@@ -379,27 +382,27 @@
 #[test]
 fn learns_the_speed_of_a_kind_from_twenty_jobs() {
     let mut settings = settings();
-    (settings.start_reported, settings.classes[SAFE].latency_stretch) = (true, 2.0);
+    (settings.start_reported, settings.classes[IDEMPOTENT].latency_stretch) = (true, 2.0);
     let mut node = Node::new(settings, 2);
-    node.learn_all(2.0);
-    (0..20).for_each(|id| run_hinted(&mut node, id, |_| 200));
+    node.report_all_workers(2.0);
+    (0..20).for_each(|id| run_hinted_job(&mut node, id, |_| 200));
     // At twice its hint it runs for 2 s and is wanted within 2.25 s; the three that wait at either worker take longer.
-    node.hinted(99, 1000, 1.0);
-    (0..3).for_each(|_| node.probes().into_iter().for_each(|worker| node.report(worker, 0.0, 3.0)));
-    assert_eq!(node.finals(), vec![(99, "refuse")]);
+    node.request_with_hint(99, 1000, 1.0);
+    (0..3).for_each(|_| node.take_probes().into_iter().for_each(|worker| node.report(worker, 0.0, 3.0)));
+    assert_eq!(node.final_answers(), vec![(99, "refuse")]);
 }
 
 /// Fleet days: jobs sent to a cold worker by the pace of a warm one ended late, half of them at a tenth to a fifth of it.
 #[test]
 fn sends_a_warming_worker_jobs_that_end_in_time_at_its_speed() {
     let mut settings = Settings { cold_capacity: 0.12, nodes: 1, start_reported: true, ..settings() };
-    (settings.classes[SAFE].latency_stretch, settings.classes[SAFE].latency_target) =
+    (settings.classes[IDEMPOTENT].latency_stretch, settings.classes[IDEMPOTENT].latency_target) =
         (2.0, Duration::from_millis(600));
     let mut node = Node::new(settings, 1);
-    node.learn_all(5.0);
+    node.report_all_workers(5.0);
     assert_eq!(with_work(&mut node, 1, 400), 1, "a warm one takes it");
-    node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(node.now))]);
-    node.wait(Duration::from_secs(1));
+    node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(node.now))]);
+    node.run_for(Duration::from_secs(1));
     // At 0.16 of its capacity at the least: 0.4 s of work take 1.5 s there and are wanted within 1.4 s.
     assert_eq!((with_work(&mut node, 2, 400), with_work(&mut node, 3, 100)), (0, 1));
     // Its speed is likely more than that: 0.25 s take 1.0 s, and are wanted within 1.1 s.
@@ -411,13 +414,13 @@
 fn fills_all_slots_of_a_worker_with_a_third_of_its_capacity() {
     let settings = Settings { cold_capacity: 0.35, nodes: 1, overload_multiple: 3.0, ..settings() };
     let mut node = Node::new(settings, 1);
-    node.learn_all(4.0);
-    node.list(ListKind::Delta, &[(0, WorkerState::Ready, Some(node.now))]);
+    node.report_all_workers(4.0);
+    node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(node.now))]);
     let mut held = 0;
     for id in 1..40 {
-        node.wait(Duration::from_millis(100));
-        node.request(id, SAFE);
-        node.probes().into_iter().for_each(|worker| node.report(worker, 4.0 - held as f32, 0.0));
+        node.run_for(Duration::from_millis(100));
+        node.request(id, IDEMPOTENT);
+        node.take_probes().into_iter().for_each(|worker| node.report(worker, 4.0 - held as f32, 0.0));
         held = node.sends().len();
     }
     assert_eq!(held, 4);
@@ -427,7 +430,7 @@
 #[test]
 fn sends_a_warm_worker_a_job_that_may_end_late() {
     let mut settings = settings();
-    (settings.start_reported, settings.classes[SAFE].latency_stretch) = (true, 2.0);
+    (settings.start_reported, settings.classes[IDEMPOTENT].latency_stretch) = (true, 2.0);
     let mut node = Node::new(settings, 0);
     let entry = |worker: u32| Entry {
         worker: WorkerId(worker),
@@ -438,13 +441,13 @@
         name: worker.into(),
         started: None,
     };
-    node.event(Event::Members { kind: ListKind::Full, entries: vec![entry(0), entry(1)] });
-    node.learn_all(2.0);
+    node.handle(Event::Members { kind: ListKind::Full, entries: vec![entry(0), entry(1)] });
+    node.report_all_workers(2.0);
     // The first kind is as fast as hinted, the second takes four times as long.
-    (0..100).for_each(|id| run_hinted(&mut node, id, |worker| if worker == 0 { 100 } else { 400 }));
-    node.hinted(200, 1000, 1.0);
+    (0..100).for_each(|id| run_hinted_job(&mut node, id, |worker| if worker == 0 { 100 } else { 400 }));
+    node.request_with_hint(200, 1000, 1.0);
     for _ in 0..3 {
-        node.probes().into_iter().for_each(|worker| {
+        node.take_probes().into_iter().for_each(|worker| {
             node.report(worker, if worker == 0 { 0.0 } else { 2.0 }, 90.0 * f32::from(worker == 0))
         });
     }
@@ -473,10 +476,10 @@
 /// Sends a job where all that are probed have so many free slots; returns who was, and what came of it.
 fn tried(node: &mut Node, id: u32, class: usize, tenant: u16, free: f32) -> (Vec<u32>, Vec<(u32, u32)>) {
     node.actions.clear();
-    node.request_of(id, class, 7 * u64::from(free > 0.0), tenant);
+    node.request_with_tenant(id, class, 7 * u64::from(free > 0.0), tenant);
     let mut probed = vec![];
     for _ in 0..4 {
-        let asked = node.probes();
+        let asked = node.take_probes();
         asked.iter().for_each(|worker| node.report_free(*worker, free));
         probed.extend(asked);
     }
@@ -488,7 +491,7 @@
 fn queues_in_the_shortest_queue_where_late_answers_have_value() {
     let (mut node, mut got) = (late_counts(8, &[]), [0; 8]);
     for id in 0..16 {
-        let (probed, sent) = tried(&mut node, id, SAFE, 0, 0.0);
+        let (probed, sent) = tried(&mut node, id, IDEMPOTENT, 0, 0.0);
         assert!(probed.len() <= 2);
         got[sent[0].1 as usize] += 1;
     }
@@ -499,12 +502,15 @@
 #[test]
 fn rejects_a_job_at_once_beyond_the_observed_waits() {
     let mut node = late_counts(4, &[]);
-    (0..4).for_each(|id| drop(tried(&mut node, id, SAFE, 0, 0.0)));
-    node.advance(Duration::from_secs(1));
-    (0..4).for_each(|id| node.event(Event::Started { id: RequestId(id), attempt: AttemptNo(0) }));
-    assert_eq!((tried(&mut node, 10, SAFE, 0, 0.0).0.len(), node.finals()), (2, vec![(10, "refuse")]));
-    node.advance(Duration::from_secs(4));
-    assert_eq!(tried(&mut node, 11, SAFE, 0, 0.0).1.len(), 1, "those waits are long past");
+    (0..4).for_each(|id| drop(tried(&mut node, id, IDEMPOTENT, 0, 0.0)));
+    node.advance_clock(Duration::from_secs(1));
+    (0..4).for_each(|id| node.handle(Event::Started { id: RequestId(id), attempt: AttemptNo(0) }));
+    assert_eq!(
+        (tried(&mut node, 10, IDEMPOTENT, 0, 0.0).0.len(), node.final_answers()),
+        (2, vec![(10, "refuse")])
+    );
+    node.advance_clock(Duration::from_secs(4));
+    assert_eq!(tried(&mut node, 11, IDEMPOTENT, 0, 0.0).1.len(), 1, "those waits are long past");
 }
 
 /// Traffic beyond a tenant's share, which is worth little, took the place of all others alike.
@@ -512,11 +518,11 @@
 fn queues_tenants_over_their_share_for_less() {
     let mut node = late_counts(1, &[0.2, 0.8]);
     for id in 0..400 {
-        tried(&mut node, id, SAFE, u16::from(id % 2 == 0), 0.0);
-        node.event(Event::ClientGone { id: RequestId(id) });
+        tried(&mut node, id, IDEMPOTENT, u16::from(id % 2 == 0), 0.0);
+        node.handle(Event::ClientGone { id: RequestId(id) });
         node.outcome(id, 0, 0, Status::Cancelled, true);
     }
-    let mut sent = |id: u32, tenant| tried(&mut node, id, SAFE, tenant, 0.0).1.len();
+    let mut sent = |id: u32, tenant| tried(&mut node, id, IDEMPOTENT, tenant, 0.0).1.len();
     let over: usize = (1000..1009).map(|id| sent(id, 0)).sum();
     let within: usize = (2000..2009).map(|id| sent(id, 1)).sum();
     assert!(over < within, "{over} of who is over its share and then {within} of who is not");
@@ -526,18 +532,18 @@
 #[test]
 fn ejects_a_class_whose_jobs_do_not_start_at_a_worker() {
     let mut node = late_counts(8, &[]);
-    let worker = tried(&mut node, 1, UNSAFE, 0, 2.0).1[0].1;
-    assert_eq!(tried(&mut node, 2, UNSAFE, 0, 2.0).1, [(2, worker)]);
+    let worker = tried(&mut node, 1, NON_IDEMPOTENT, 0, 2.0).1[0].1;
+    assert_eq!(tried(&mut node, 2, NON_IDEMPOTENT, 0, 2.0).1, [(2, worker)]);
     node.actions.clear();
-    node.wait(Duration::from_millis(400));
-    let looked = node.probes();
+    node.run_for(Duration::from_millis(400));
+    let looked = node.take_probes();
     assert!(looked.contains(&worker), "neither has started: the worker is looked at");
     looked.into_iter().for_each(|worker| node.report_free(worker, 2.0));
     let again =
         node.actions.iter().any(|action| matches!(action, Action::Cancel { .. } | Action::Send { .. }));
     assert!(!again, "what must not run twice is left alone");
-    assert_eq!(tried(&mut node, 3, SAFE, 0, 2.0).1, [(3, worker)], "its slots are free for others");
-    assert!(!tried(&mut node, 4, UNSAFE, 0, 2.0).0.contains(&worker), "this class goes elsewhere");
+    assert_eq!(tried(&mut node, 3, IDEMPOTENT, 0, 2.0).1, [(3, worker)], "its slots are free for others");
+    assert!(!tried(&mut node, 4, NON_IDEMPOTENT, 0, 2.0).0.contains(&worker), "this class goes elsewhere");
 }
 
 /// Resets and silent connections: each broken probe kept a worker out of the draws for a second and more, and
@@ -546,15 +552,15 @@
 fn does_not_eject_for_a_broken_connection() {
     let kept_out = |status, heard: bool| {
         let mut node = Node::new(settings(), 8);
-        node.learn_all(2.0);
-        node.request(0, SAFE);
-        let (worker, latency) = (node.probes()[0], Duration::from_millis(500));
-        node.advance(latency);
+        node.report_all_workers(2.0);
+        node.request(0, IDEMPOTENT);
+        let (worker, latency) = (node.take_probes()[0], Duration::from_millis(500));
+        node.advance_clock(latency);
         (0..u32::from(heard)).for_each(|_| node.report(worker, 2.0, 0.0));
-        node.event(Event::Probed { worker: WorkerId(worker), status, latency, report: vec![] });
+        node.handle(Event::Probed { worker: WorkerId(worker), status, latency, report: vec![] });
         node.actions.clear();
-        (1..100).for_each(|id| node.request(id, SAFE));
-        !node.probes().contains(&worker)
+        (1..100).for_each(|id| node.request(id, IDEMPOTENT));
+        !node.take_probes().contains(&worker)
     };
     assert!(!kept_out(Status::Reset, false) && !kept_out(Status::Timeout, true));
     assert!(kept_out(Status::Timeout, false) && kept_out(Status::ConnectFailed, false));
--- a/crates/pebblepost-dispatch/tests/simulation/mod.rs
+++ b/crates/pebblepost-dispatch/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
-//! A seeded simulation of dispatchers and workers that answers the decision module's own actions.
+//! A seeded simulation of workers and discovery that responds to the actions of one or more dispatchers.
 //!
-//! Events go in and actions come out as records of the bench's wire protocol, so that the trace is a sequence of
-//! bytes that depends on no name in the code.
+//! Events and actions are records of the simulator's wire protocol. The trace is therefore a sequence of bytes that
+//! does not depend on names in the code.
 
 use pebblepost_dispatch::Dispatcher;
 use pebblepost_dispatch::api::Time;
@@ -16,7 +16,7 @@
 const SECOND: u64 = 1_000_000_000;
 const START: u64 = 1_000 * SECOND;
 
-/// Codes of the actions on the wire, in the order in which the approved file counts them.
+/// Record codes of the actions, in the order in which the approved file counts them.
 pub const ACTION_CODES: [u8; 9] = [10, 20, 30, 40, 50, 60, 70, 110, 120];
 const SEND: u8 = 10;
 const REFUSE: u8 = 20;
@@ -26,6 +26,19 @@
 const PROBE: u8 = 60;
 const WATCH: u8 = 110;
 
+const EVENT_TIMER_DUE: u8 = 10;
+const EVENT_REQUEST: u8 = 20;
+const EVENT_CLIENT_GONE: u8 = 40;
+const EVENT_MEMBERS: u8 = 50;
+const EVENT_PROBED: u8 = 60;
+const EVENT_OUTCOME: u8 = 80;
+const EVENT_LAUNCH: u8 = 90;
+const EVENT_NOTE: u8 = 100;
+const EVENT_STREAM_OPENED: u8 = 110;
+
+const NOTE_STARTED: u8 = 1;
+const NOTE_PROGRESS: u8 = 2;
+
 const ERROR: u8 = 0;
 const OK: u8 = 1;
 const FULL: u8 = 2;
@@ -44,59 +57,62 @@
 const LIST_CACHED: u8 = 2;
 const LIST_FAILED: u8 = 3;
 
-/// What one simulated run is made of.
+/// Parameters of one simulated run.
 #[derive(Clone, Copy, Debug)]
-#[expect(clippy::struct_excessive_bools, reason = "each turns one feature of a scenario on")]
+#[expect(clippy::struct_excessive_bools, reason = "each flag enables one feature of a scenario")]
 pub struct Scenario {
     pub name: &'static str,
-    /// Lines of the launch message, added to the usual ones.
+    /// Settings of the launch record in addition to those that all scenarios share.
     pub settings: &'static str,
-    /// Values of a load report: `f` free slots, `m` free memory, `w` waiting, `a` active, `c` processor use.
-    pub report: &'static str,
-    /// Reports come with outcomes, too.
-    pub piggyback: bool,
+    /// Fields of a load report: `f` free slots, `m` free memory, `w` waiting jobs, `a` active jobs, `c` CPU use.
+    pub report_fields: &'static str,
+    /// Outcomes carry load reports as well.
+    pub piggybacked_reports: bool,
     pub nodes: usize,
     pub workers: u32,
+    /// Slots of a worker with an even index. Those with an odd index have one more.
     pub slots: u32,
     pub zones: u16,
     pub kinds: u16,
     pub classes: u16,
     pub tenants: u16,
-    /// Requests a second over all nodes.
-    pub rate: f64,
+    /// Arrival rate over all nodes.
+    pub requests_per_second: f64,
     pub seconds: u64,
     pub mean_work_ms: f64,
-    /// Longest queue of a worker; who comes after is rejected.
-    pub queue_limit: usize,
-    /// Memory units of a worker; each busy slot takes one.
+    /// Maximum queue length of a worker. Further jobs are rejected.
+    pub max_queued_jobs: usize,
+    /// Memory units of a worker. Each busy slot takes one.
     pub memory_units: u32,
-    /// Age that load reports may reach.
-    pub report_every_ms: u64,
-    pub hints: bool,
-    /// Some jobs take several slots, or far more work than most.
+    /// Maximum age of a load report.
+    pub report_interval_ms: u64,
+    /// Requests carry hints of their work.
+    pub work_hints: bool,
+    /// Some jobs take several slots or far more work than most.
     pub large_jobs: bool,
-    /// Keys that jobs are about; 0: none.
-    pub keys: u64,
-    /// Faults of probes, connections and jobs, in a thousand.
-    pub faults: u32,
-    /// Workers restart, drain, come and go; discovery fails.
+    /// Number of distinct job keys; 0 for jobs without keys.
+    pub key_count: u64,
+    /// Number of probes and attempts out of a thousand that are hit by a fault.
+    pub faults_per_thousand: u32,
+    /// Workers restart, drain, leave and return, and discovery fails.
     pub churn: bool,
-    /// Mean time between two changes.
-    pub change_every_ms: u64,
-    /// A worker hangs on jobs of one class for a while.
-    pub hangs: bool,
-    /// Nodes restart and lose what they have learned.
+    /// Mean time between two changes by `churn` or `class_hangs`.
+    pub mean_change_interval_ms: u64,
+    /// Workers hang on jobs of one class for a while.
+    pub class_hangs: bool,
+    /// Nodes restart and lose all learned state.
     pub node_restarts: bool,
-    pub asked_discovery: bool,
-    pub streamed: bool,
+    /// Nodes poll discovery instead of being subscribed from the start.
+    pub polled_discovery: bool,
+    pub streamed_responses: bool,
     pub starts_notified: bool,
 }
 
-pub const CALM: Scenario = Scenario {
+pub const BASELINE: Scenario = Scenario {
     name: "calm",
     settings: "",
-    report: "fw",
-    piggyback: false,
+    report_fields: "fw",
+    piggybacked_reports: false,
     nodes: 2,
     workers: 8,
     slots: 4,
@@ -104,22 +120,22 @@
     kinds: 1,
     classes: 3,
     tenants: 0,
-    rate: 100.0,
+    requests_per_second: 100.0,
     seconds: 12,
     mean_work_ms: 120.0,
-    queue_limit: 16,
+    max_queued_jobs: 16,
     memory_units: 8,
-    report_every_ms: 0,
-    hints: false,
+    report_interval_ms: 0,
+    work_hints: false,
     large_jobs: false,
-    keys: 0,
-    faults: 0,
+    key_count: 0,
+    faults_per_thousand: 0,
     churn: false,
-    change_every_ms: 600,
-    hangs: false,
+    mean_change_interval_ms: 600,
+    class_hangs: false,
     node_restarts: false,
-    asked_discovery: false,
-    streamed: false,
+    polled_discovery: false,
+    streamed_responses: false,
     starts_notified: false,
 };
 
@@ -130,6 +146,7 @@
     attempt: u8,
     slots: u32,
     work_ns: u64,
+    /// Identifies the job when it ends.
     serial: u64,
 }
 
@@ -142,11 +159,14 @@
     slots: u32,
     running: Vec<Job>,
     waiting: VecDeque<Job>,
+    /// Jobs accepted while their class hangs. They never start.
     hanging: Vec<Job>,
-    hangs_on: Option<(u16, u64)>,
-    refuses_until: u64,
-    snapshot: Vec<f32>,
-    snapshot_at: u64,
+    /// Class that hangs and the time at which the hang ends.
+    hung_class: Option<(u16, u64)>,
+    connections_refused_until: u64,
+    /// Values of the last load report and when it was taken.
+    report: Vec<f32>,
+    reported_at: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -184,13 +204,13 @@
     NodeRestarts,
 }
 
-/// What a run leaves: the digest of its actions, and how many there were of each kind.
+/// Record of a run: the digest of its actions, their number by kind, and the events.
 #[derive(Clone, Debug)]
 pub struct Trace {
     pub digest: Fnv1a,
     pub bytes: u64,
     pub counts: [u64; ACTION_CODES.len()],
-    /// Every record that went in, with its time.
+    /// Encoded events in order, with their times.
     pub events: Vec<(u64, Vec<u8>)>,
 }
 
@@ -198,9 +218,11 @@
     scenario: Scenario,
     random: Pcg64Mcg,
     now: u64,
+    /// Future steps by time and serial number, which orders simultaneous steps.
     steps: BTreeMap<(u64, u64), Step>,
     serial: u64,
     nodes: Vec<Dispatcher>,
+    /// Number of restarts of each node. Timers of an earlier incarnation are dropped.
     incarnations: Vec<u64>,
     subscribed: Vec<bool>,
     workers: Vec<Worker>,
@@ -215,13 +237,13 @@
     }
 }
 
-fn record(code: u8, parts: &[&[u8]]) -> Vec<u8> {
+fn encode_record(code: u8, parts: &[&[u8]]) -> Vec<u8> {
     let fields = parts.concat();
     [&[code][..], &(fields.len() as u32).to_le_bytes(), &fields].concat()
 }
 
-/// Reads one record as the adapter does.
-pub fn parse_one(now: u64, record: &[u8]) -> Message {
+/// Decodes one record as the adapter does.
+pub fn decode_record(now: u64, record: &[u8]) -> Message {
     let mut header = [0; BATCH_HEADER];
     header[..8].copy_from_slice(&now.to_le_bytes());
     header[8..12].copy_from_slice(&(record.len() as u32).to_le_bytes());
@@ -230,7 +252,7 @@
     messages.into_iter().next().expect("one message").1
 }
 
-fn number<const N: usize>(fields: &[u8], from: usize) -> [u8; N] {
+fn field_bytes<const N: usize>(fields: &[u8], from: usize) -> [u8; N] {
     fields[from..from + N].try_into().expect("a complete field")
 }
 
@@ -244,7 +266,7 @@
             serial: 0,
             nodes: Vec::new(),
             incarnations: vec![0; scenario.nodes],
-            subscribed: vec![!scenario.asked_discovery; scenario.nodes],
+            subscribed: vec![!scenario.polled_discovery; scenario.nodes],
             workers: Vec::new(),
             requests: BTreeMap::new(),
             next_request: 0,
@@ -260,32 +282,32 @@
                 running: Vec::new(),
                 waiting: VecDeque::new(),
                 hanging: Vec::new(),
-                hangs_on: None,
-                refuses_until: 0,
-                snapshot: Vec::new(),
-                snapshot_at: 0,
+                hung_class: None,
+                connections_refused_until: 0,
+                report: Vec::new(),
+                reported_at: 0,
             });
         }
         for node in 0..scenario.nodes {
             let dispatcher = simulation.launch(node, seed * 1_000 + node as u64);
             simulation.nodes.push(dispatcher);
-            simulation.after(0, Step::List { node, kind: LIST_CACHED });
+            simulation.schedule_after(0, Step::List { node, kind: LIST_CACHED });
         }
-        simulation.after(10 * MILLISECOND, Step::Arrival);
-        if scenario.churn || scenario.hangs {
-            simulation.after(SECOND, Step::Change);
+        simulation.schedule_after(10 * MILLISECOND, Step::Arrival);
+        if scenario.churn || scenario.class_hangs {
+            simulation.schedule_after(SECOND, Step::Change);
         }
         if scenario.node_restarts {
-            simulation.after(4 * SECOND, Step::NodeRestarts);
+            simulation.schedule_after(4 * SECOND, Step::NodeRestarts);
         }
         simulation
     }
 
-    /// Plays the scenario to its end and until every request is answered.
+    /// Runs the scenario to its end and until no step is left.
     pub fn run(mut self) -> Trace {
         while let Some(((at, _), step)) = self.steps.pop_first() {
             self.now = at;
-            self.step(step);
+            self.run_step(step);
         }
         self.trace
     }
@@ -298,24 +320,24 @@
             &(text.len() as u32).to_le_bytes(),
             text.as_bytes(),
         ];
-        let bytes = record(90, &parts);
-        let message = parse_one(self.now, &bytes);
+        let bytes = encode_record(EVENT_LAUNCH, &parts);
+        let message = decode_record(self.now, &bytes);
         self.trace.events.push((self.now, bytes));
         match message {
             Message::Launch(seed, settings) => Dispatcher::new(*settings, seed, Time(self.now)),
-            other => panic!("no launch: {other:?}"),
+            other => panic!("expected a launch message, got {other:?}"),
         }
     }
 
     fn settings_text(&self, node: usize) -> String {
         let scenario = &self.scenario;
-        let names: Vec<&str> = scenario.report.chars().map(report_name).collect();
+        let names: Vec<&str> = scenario.report_fields.chars().map(report_name).collect();
         let mut lines = vec![
             format!("instances={}", scenario.nodes),
             format!("locality={}", node % usize::from(scenario.zones)),
             format!("report.names={}", names.join(",")),
-            format!("report.source={}", if scenario.piggyback { "piggyback" } else { "pull" }),
-            format!("discovery={}", if scenario.asked_discovery { "ask" } else { "push" }),
+            format!("report.source={}", if scenario.piggybacked_reports { "piggyback" } else { "pull" }),
+            format!("discovery={}", if scenario.polled_discovery { "ask" } else { "push" }),
             format!("domain.tellsStart={}", scenario.starts_notified),
             format!("classes.count={}", scenario.classes),
             format!("tenants.count={}", scenario.tenants),
@@ -337,17 +359,18 @@
             lines.push(format!("classes.{class}.effect={effect}\nclasses.{class}.group={group}"));
             lines.push(format!("classes.{class}.window=2500000000\nclasses.{class}.deadline=4000000000"));
             lines.push(format!("classes.{class}.onTime={}", 250_000_000 * (1 + u64::from(class))));
-            lines.push(format!("classes.{class}.streamed={}", scenario.streamed));
+            lines.push(format!("classes.{class}.streamed={}", scenario.streamed_responses));
         }
         lines.push(scenario.settings.to_owned());
         lines.join("\n")
     }
 
-    fn after(&mut self, delay: u64, step: Step) {
+    fn schedule_after(&mut self, delay: u64, step: Step) {
         self.serial += 1;
         self.steps.insert((self.now + delay, self.serial), step);
     }
 
+    /// Returns the time after which no request arrives and no new change begins.
     fn end(&self) -> u64 {
         START + self.scenario.seconds * SECOND
     }
@@ -360,18 +383,19 @@
         self.random.random_range(200..900) * MICROSECOND
     }
 
-    fn fault(&mut self) -> bool {
-        self.scenario.faults > 0 && self.random.random_range(0..1000) < self.scenario.faults
+    fn draw_fault(&mut self) -> bool {
+        self.scenario.faults_per_thousand > 0
+            && self.random.random_range(0..1000) < self.scenario.faults_per_thousand
     }
 
-    /// Hands one record to a node, notes what it does and carries it out.
-    fn event(&mut self, node: usize, code: u8, fields: &[&[u8]]) {
+    /// Passes one event to a node, records its actions in the trace and executes them.
+    fn handle_event(&mut self, node: usize, code: u8, fields: &[&[u8]]) {
         let instance = (node as u32).to_le_bytes();
         let parts: Vec<&[u8]> = [&instance[..]].into_iter().chain(fields.iter().copied()).collect();
-        let bytes = record(code, &parts);
-        let message = parse_one(self.now, &bytes);
+        let bytes = encode_record(code, &parts);
+        let message = decode_record(self.now, &bytes);
         self.trace.events.push((self.now, bytes));
-        let Message::Event(event) = message else { panic!("no event: {message:?}") };
+        let Message::Event(event) = message else { panic!("expected an event, got {message:?}") };
         let mut actions = Vec::new();
         self.nodes[node].handle(Time(self.now), event, &mut actions);
         let mut reply = Reply::default();
@@ -381,98 +405,98 @@
         self.trace.bytes += bytes.len() as u64;
         let mut rest = &bytes[8..];
         while !rest.is_empty() {
-            let size = u32::from_le_bytes(number(rest, 1)) as usize;
-            self.carry_out(node, rest[0], &rest[9..5 + size]);
+            let size = u32::from_le_bytes(field_bytes(rest, 1)) as usize;
+            self.execute_action(node, rest[0], &rest[9..5 + size]);
             rest = &rest[5 + size..];
         }
     }
 
-    fn carry_out(&mut self, node: usize, code: u8, fields: &[u8]) {
-        let kind = ACTION_CODES.iter().position(|known| *known == code).expect("a known action");
+    fn execute_action(&mut self, node: usize, code: u8, fields: &[u8]) {
+        let kind = ACTION_CODES.iter().position(|known| *known == code).expect("a known action code");
         self.trace.counts[kind] += 1;
         let delay = self.network_delay();
         match code {
             SEND => {
-                let request = u32::from_le_bytes(number(fields, 0));
-                let worker = u32::from_le_bytes(number(fields, 12));
+                let request = u32::from_le_bytes(field_bytes(fields, 0));
+                let worker = u32::from_le_bytes(field_bytes(fields, 12));
                 let sent = self.now;
-                let known = self.requests.get_mut(&(node, request)).expect("a known request");
-                known.attempts.push(Attempt { worker, sent, ended: false });
-                let attempt = (known.attempts.len() - 1) as u8;
-                self.after(delay, Step::JobArrives { node, request, attempt });
+                let request_state = self.requests.get_mut(&(node, request)).expect("a known request");
+                request_state.attempts.push(Attempt { worker, sent, ended: false });
+                let attempt = (request_state.attempts.len() - 1) as u8;
+                self.schedule_after(delay, Step::JobArrives { node, request, attempt });
             }
             REFUSE | FAIL => {
-                let request = u32::from_le_bytes(number(fields, 0));
+                let request = u32::from_le_bytes(field_bytes(fields, 0));
                 self.requests.get_mut(&(node, request)).expect("a known request").ended = true;
             }
             CANCEL => {
-                let request = u32::from_le_bytes(number(fields, 0));
-                self.after(delay, Step::CancelArrives { node, request, attempt: fields[4] });
+                let request = u32::from_le_bytes(field_bytes(fields, 0));
+                self.schedule_after(delay, Step::CancelArrives { node, request, attempt: fields[4] });
             }
             SET_TIMER => {
-                let at = u64::from_le_bytes(number(fields, 0)).max(self.now);
-                let token = u64::from_le_bytes(number(fields, 8));
+                let at = u64::from_le_bytes(field_bytes(fields, 0)).max(self.now);
+                let token = u64::from_le_bytes(field_bytes(fields, 8));
                 let incarnation = self.incarnations[node];
-                self.after(at - self.now, Step::Timer { node, token, incarnation });
+                self.schedule_after(at - self.now, Step::Timer { node, token, incarnation });
             }
             PROBE => {
-                let worker = u32::from_le_bytes(number(fields, 0));
-                self.after(delay, Step::ProbeArrives { node, worker, sent: self.now });
+                let worker = u32::from_le_bytes(field_bytes(fields, 0));
+                self.schedule_after(delay, Step::ProbeArrives { node, worker, sent: self.now });
             }
             WATCH => {
                 let failed = self.random.random_bool(0.4);
                 let kind = if failed { LIST_FAILED } else { LIST_FULL };
-                self.after(100 * MILLISECOND, Step::List { node, kind });
+                self.schedule_after(100 * MILLISECOND, Step::List { node, kind });
             }
             _ => {}
         }
     }
 
-    fn step(&mut self, step: Step) {
+    fn run_step(&mut self, step: Step) {
         match step {
-            Step::Arrival => self.arrival(),
+            Step::Arrival => self.request_arrives(),
             Step::ProbeArrives { node, worker, sent } => self.probe_arrives(node, worker, sent),
             Step::ProbeEnds { node, worker, sent, status } => {
-                let report = if status == OK { self.report(worker) } else { vec![0] };
+                let report = if status == OK { self.encode_report(worker) } else { vec![0] };
                 let latency = (self.now - sent).to_le_bytes();
-                self.event(node, 60, &[&worker.to_le_bytes(), &[status], &latency, &report]);
+                self.handle_event(node, EVENT_PROBED, &[&worker.to_le_bytes(), &[status], &latency, &report]);
             }
             Step::JobArrives { node, request, attempt } => self.job_arrives(node, request, attempt),
             Step::JobEnds { worker, serial } => self.job_ends(worker, serial),
             Step::Outcome { node, request, attempt, status } => self.outcome(node, request, attempt, status),
             Step::CancelArrives { node, request, attempt } => self.cancel_arrives(node, request, attempt),
-            Step::Started { node, request, attempt } => self.note(node, request, attempt),
+            Step::Started { node, request, attempt } => self.report_progress(node, request, attempt),
             Step::StreamOpened { node, request, attempt } => {
                 let Some(worker) = self.open_attempt(node, request, attempt) else { return };
                 let fields: [&[u8]; 4] =
                     [&request.to_le_bytes(), &[attempt], &worker.to_le_bytes(), &5_u64.to_le_bytes()];
-                self.event(node, 110, &fields);
+                self.handle_event(node, EVENT_STREAM_OPENED, &fields);
             }
             Step::ClientLeaves { node, request } => {
-                let Some(known) = self.requests.get_mut(&(node, request)) else { return };
-                if !known.ended {
-                    known.ended = true;
-                    self.event(node, 40, &[&request.to_le_bytes()]);
+                let Some(request_state) = self.requests.get_mut(&(node, request)) else { return };
+                if !request_state.ended {
+                    request_state.ended = true;
+                    self.handle_event(node, EVENT_CLIENT_GONE, &[&request.to_le_bytes()]);
                 }
             }
             Step::Timer { node, token, incarnation } => {
                 if self.incarnations[node] == incarnation {
-                    self.event(node, 10, &[&token.to_le_bytes()]);
+                    self.handle_event(node, EVENT_TIMER_DUE, &[&token.to_le_bytes()]);
                 }
             }
-            Step::List { node, kind } => self.list(node, kind, None),
-            Step::Change => self.change(),
+            Step::List { node, kind } => self.send_member_list(node, kind, None),
+            Step::Change => self.apply_random_change(),
             Step::WorkerReturns { worker } => self.worker_returns(worker),
             Step::NodeRestarts => self.node_restarts(),
         }
     }
 
-    fn arrival(&mut self) {
+    fn request_arrives(&mut self) {
         if self.now >= self.end() {
             return;
         }
-        let gap = self.draw_exponential(1.0 / self.scenario.rate);
-        self.after((gap * SECOND as f64) as u64, Step::Arrival);
+        let gap = self.draw_exponential(1.0 / self.scenario.requests_per_second);
+        self.schedule_after((gap * SECOND as f64) as u64, Step::Arrival);
         let scenario = self.scenario;
         let node = self.random.random_range(0..scenario.nodes);
         let class = self.random.random_range(0..scenario.classes);
@@ -487,24 +511,27 @@
         let work_ns = (work * MILLISECOND as f64) as u64;
         let request = self.next_request;
         self.next_request += 1;
-        // Few keys are asked for often, many seldom.
-        let key = if scenario.keys == 0 || self.random.random_bool(0.2) {
+        // A few keys are popular, most are rare.
+        let key = if scenario.key_count == 0 || self.random.random_bool(0.2) {
             0
         } else {
-            let place: f64 = self.random.random_range(0.0..1.0);
-            1 + (place * place * scenario.keys as f64) as u64
+            let uniform: f64 = self.random.random_range(0.0..1.0);
+            1 + (uniform * uniform * scenario.key_count as f64) as u64
         };
         let tenant: u16 =
             if scenario.tenants > 0 { self.random.random_range(0..scenario.tenants) } else { 0 };
         let time_left = if self.random.random_bool(0.1) { SECOND / 2 } else { 4 * SECOND };
         let repeat = self.random.random_bool(0.1);
-        let known = Request { class, slots, work_ns, ended: false, attempts: Vec::new() };
-        self.requests.insert((node, request), known);
-        let marks = u8::from(scenario.hints) | u8::from(repeat) << 1;
-        // Hints are rough.
-        let hint =
-            if scenario.hints { (work_ns as f64 * self.random.random_range(0.7..1.3)) as u64 } else { 0 };
-        let memory = if scenario.report.contains('m') { 1.0_f32 } else { 0.0 };
+        let request_state = Request { class, slots, work_ns, ended: false, attempts: Vec::new() };
+        self.requests.insert((node, request), request_state);
+        let flags = u8::from(scenario.work_hints) | u8::from(repeat) << 1;
+        // A hint is off by up to 30 %.
+        let hint = if scenario.work_hints {
+            (work_ns as f64 * self.random.random_range(0.7..1.3)) as u64
+        } else {
+            0
+        };
+        let memory = if scenario.report_fields.contains('m') { 1.0_f32 } else { 0.0 };
         let fields: [&[u8]; 9] = [
             &request.to_le_bytes(),
             &class.to_le_bytes(),
@@ -512,170 +539,175 @@
             &key.to_le_bytes(),
             &tenant.to_le_bytes(),
             &time_left.to_le_bytes(),
-            &[marks],
+            &[flags],
             &(slots as f32).to_le_bytes(),
             &memory.to_le_bytes(),
         ];
         if self.random.random_bool(0.03) {
             let delay = self.random.random_range(0..SECOND);
-            self.after(delay, Step::ClientLeaves { node, request });
+            self.schedule_after(delay, Step::ClientLeaves { node, request });
         }
-        self.event(node, 20, &fields);
+        self.handle_event(node, EVENT_REQUEST, &fields);
     }
 
     fn probe_arrives(&mut self, node: usize, worker: u32, sent: u64) {
         let delay = self.network_delay();
-        let known = &self.workers[worker as usize];
-        if known.state == GONE || self.now < known.refuses_until {
-            return self.after(delay, Step::ProbeEnds { node, worker, sent, status: CONNECT_FAILED });
+        let worker_state = &self.workers[worker as usize];
+        if worker_state.state == GONE || self.now < worker_state.connections_refused_until {
+            return self
+                .schedule_after(delay, Step::ProbeEnds { node, worker, sent, status: CONNECT_FAILED });
         }
-        if !self.fault() {
-            return self.after(delay, Step::ProbeEnds { node, worker, sent, status: OK });
+        if !self.draw_fault() {
+            return self.schedule_after(delay, Step::ProbeEnds { node, worker, sent, status: OK });
         }
         let (status, delay) = [(TIMEOUT, 100 * MILLISECOND), (RESET, delay), (OK, 60 * MILLISECOND)]
             [self.random.random_range(0..3)];
-        self.after(delay, Step::ProbeEnds { node, worker, sent, status });
+        self.schedule_after(delay, Step::ProbeEnds { node, worker, sent, status });
     }
 
-    fn report(&mut self, worker: u32) -> Vec<u8> {
+    /// Encodes the load report of a worker, and takes a new one if the last is too old.
+    fn encode_report(&mut self, worker: u32) -> Vec<u8> {
         let now = self.now;
-        let age = self.scenario.report_every_ms * MILLISECOND;
+        let max_age = self.scenario.report_interval_ms * MILLISECOND;
         let units = self.scenario.memory_units;
-        let known = &mut self.workers[worker as usize];
-        if known.snapshot.is_empty() || now >= known.snapshot_at + age {
-            let busy = known.busy_slots();
+        let worker_state = &mut self.workers[worker as usize];
+        if worker_state.report.is_empty() || now >= worker_state.reported_at + max_age {
+            let busy = worker_state.busy_slots();
             let value = |field: char| match field {
-                'f' => known.slots.saturating_sub(busy) as f32,
+                'f' => worker_state.slots.saturating_sub(busy) as f32,
                 'm' => units.saturating_sub(busy) as f32,
-                'w' => known.waiting.len() as f32,
-                'a' => (known.running.len() + known.waiting.len()) as f32,
-                _ => busy as f32 / known.slots as f32,
+                'w' => worker_state.waiting.len() as f32,
+                'a' => (worker_state.running.len() + worker_state.waiting.len()) as f32,
+                _ => busy as f32 / worker_state.slots as f32,
             };
-            known.snapshot = self.scenario.report.chars().map(value).collect();
-            known.snapshot_at = now;
+            worker_state.report = self.scenario.report_fields.chars().map(value).collect();
+            worker_state.reported_at = now;
         }
-        let values = known.snapshot.iter().flat_map(|value| value.to_le_bytes());
-        [known.snapshot.len() as u8].into_iter().chain(values).collect()
+        let values = worker_state.report.iter().flat_map(|value| value.to_le_bytes());
+        [worker_state.report.len() as u8].into_iter().chain(values).collect()
     }
 
+    /// Returns the worker of an attempt without an outcome.
     fn open_attempt(&self, node: usize, request: u32, attempt: u8) -> Option<u32> {
-        let known = self.requests.get(&(node, request))?.attempts.get(usize::from(attempt))?;
-        (!known.ended).then_some(known.worker)
+        let attempt = self.requests.get(&(node, request))?.attempts.get(usize::from(attempt))?;
+        (!attempt.ended).then_some(attempt.worker)
     }
 
     fn job_arrives(&mut self, node: usize, request: u32, attempt: u8) {
         let Some(worker) = self.open_attempt(node, request, attempt) else { return };
         let delay = self.network_delay();
         let outcome = |status| Step::Outcome { node, request, attempt, status };
-        let known = &self.workers[worker as usize];
-        if known.state == GONE || self.now < known.refuses_until {
-            return self.after(delay, outcome(CONNECT_FAILED));
+        let worker_state = &self.workers[worker as usize];
+        if worker_state.state == GONE || self.now < worker_state.connections_refused_until {
+            return self.schedule_after(delay, outcome(CONNECT_FAILED));
         }
-        if self.fault() {
+        if self.draw_fault() {
             let faults = [
                 (ERROR, 20 * MILLISECOND),
                 (TIMEOUT, 900 * MILLISECOND),
-                (RESET, 1_500 * MILLISECOND), // The connection was lost: nothing is heard until it breaks.
+                (RESET, 1_500 * MILLISECOND), // A lost connection: no answer until the reset.
                 (RESET, delay),
                 (MOOT, delay),
             ];
             let (status, delay) = faults[self.random.random_range(0..faults.len())];
-            return self.after(delay, outcome(status));
+            return self.schedule_after(delay, outcome(status));
         }
         let Request { class, slots, work_ns, .. } = self.requests[&(node, request)];
         self.serial += 1;
         let job = Job { node, request, attempt, slots, work_ns, serial: self.serial };
-        let limit = self.scenario.queue_limit;
-        let known = &mut self.workers[worker as usize];
-        if known.hangs_on.is_some_and(|(hung, until)| hung == class && self.now < until) {
-            known.hanging.push(job);
-        } else if slots > known.slots
-            || known.waiting.len() >= limit && known.busy_slots() + slots > known.slots
+        let limit = self.scenario.max_queued_jobs;
+        let worker_state = &mut self.workers[worker as usize];
+        if worker_state.hung_class.is_some_and(|(hung, until)| hung == class && self.now < until) {
+            worker_state.hanging.push(job);
+        } else if slots > worker_state.slots
+            || worker_state.waiting.len() >= limit && worker_state.busy_slots() + slots > worker_state.slots
         {
-            self.after(delay, outcome(FULL));
+            self.schedule_after(delay, outcome(FULL));
         } else {
-            known.waiting.push_back(job);
+            worker_state.waiting.push_back(job);
             self.start_jobs(worker);
         }
     }
 
-    /// Starts the jobs that fit, in order.
+    /// Starts queued jobs in order while the first one fits. A first job that does not fit is removed from the queue
+    /// and gets no outcome.
     fn start_jobs(&mut self, worker: u32) {
         loop {
             let now = self.now;
-            let known = &mut self.workers[worker as usize];
-            let busy = known.busy_slots();
-            let fits = known.waiting.front().is_some_and(|job| busy + job.slots <= known.slots);
-            let Some(job) = known.waiting.pop_front().filter(|_| fits) else {
+            let worker_state = &mut self.workers[worker as usize];
+            let busy = worker_state.busy_slots();
+            let fits = worker_state.waiting.front().is_some_and(|job| busy + job.slots <= worker_state.slots);
+            let Some(job) = worker_state.waiting.pop_front().filter(|_| fits) else {
                 return;
             };
-            known.running.push(job);
-            let age = (now - known.started) as f64 / (6 * SECOND) as f64;
-            let warm = (0.2 + 0.8 * age).min(1.0);
-            let speed = warm * (1.0 + 0.5 * f64::from(known.kind));
-            let took = (job.work_ns as f64 / speed) as u64;
+            worker_state.running.push(job);
+            let age = (now - worker_state.started) as f64 / (6 * SECOND) as f64;
+            let warm_capacity = (0.2 + 0.8 * age).min(1.0);
+            let speed = warm_capacity * (1.0 + 0.5 * f64::from(worker_state.kind));
+            let run_time_ns = (job.work_ns as f64 / speed) as u64;
             let Job { node, request, attempt, serial, .. } = job;
-            self.after(took, Step::JobEnds { worker, serial });
+            self.schedule_after(run_time_ns, Step::JobEnds { worker, serial });
             let delay = self.network_delay();
             if self.scenario.starts_notified {
-                self.after(delay, Step::Started { node, request, attempt });
+                self.schedule_after(delay, Step::Started { node, request, attempt });
             }
-            if self.scenario.streamed && self.random.random_bool(0.5) {
-                self.after(delay + MILLISECOND, Step::StreamOpened { node, request, attempt });
+            if self.scenario.streamed_responses && self.random.random_bool(0.5) {
+                self.schedule_after(delay + MILLISECOND, Step::StreamOpened { node, request, attempt });
             }
         }
     }
 
-    fn note(&mut self, node: usize, request: u32, attempt: u8) {
+    fn report_progress(&mut self, node: usize, request: u32, attempt: u8) {
         let Some(worker) = self.open_attempt(node, request, attempt) else { return };
-        for (note, done) in [(1_u8, 0.0_f32), (2, 0.25)] {
+        for (note, done) in [(NOTE_STARTED, 0.0_f32), (NOTE_PROGRESS, 0.25)] {
             let fields: [&[u8]; 5] =
                 [&request.to_le_bytes(), &[attempt], &worker.to_le_bytes(), &[note], &done.to_le_bytes()];
-            self.event(node, 100, &fields);
+            self.handle_event(node, EVENT_NOTE, &fields);
         }
     }
 
     fn job_ends(&mut self, worker: u32, serial: u64) {
-        let known = &mut self.workers[worker as usize];
-        let Some(at) = known.running.iter().position(|job| job.serial == serial) else { return };
-        let job = known.running.remove(at);
+        let worker_state = &mut self.workers[worker as usize];
+        let Some(at) = worker_state.running.iter().position(|job| job.serial == serial) else { return };
+        let job = worker_state.running.remove(at);
         self.start_jobs(worker);
         let delay = self.network_delay();
         let Job { node, request, attempt, .. } = job;
-        self.after(delay, Step::Outcome { node, request, attempt, status: OK });
+        self.schedule_after(delay, Step::Outcome { node, request, attempt, status: OK });
     }
 
     fn outcome(&mut self, node: usize, request: u32, attempt: u8, status: u8) {
         let Some(worker) = self.open_attempt(node, request, attempt) else { return };
-        let report = if self.scenario.piggyback && matches!(status, OK | ERROR | FULL) {
-            self.report(worker)
+        let report = if self.scenario.piggybacked_reports && matches!(status, OK | ERROR | FULL) {
+            self.encode_report(worker)
         } else {
             vec![0]
         };
-        let known = self.requests.get_mut(&(node, request)).expect("a known request");
-        let ended = &mut known.attempts[usize::from(attempt)];
-        ended.ended = true;
-        let latency = (self.now - ended.sent).to_le_bytes();
-        known.ended |= status == OK;
-        let closed = u8::from(known.ended);
+        let request_state = self.requests.get_mut(&(node, request)).expect("a known request");
+        let attempt_state = &mut request_state.attempts[usize::from(attempt)];
+        attempt_state.ended = true;
+        let latency = (self.now - attempt_state.sent).to_le_bytes();
+        request_state.ended |= status == OK;
+        let closed = u8::from(request_state.ended);
         let head: [&[u8]; 4] = [&request.to_le_bytes(), &[attempt], &latency, &[closed]];
         let tail: [&[u8]; 4] = [&worker.to_le_bytes(), &[status], &[0; 4], &report];
-        self.event(node, 80, &[&head[..], &tail[..]].concat());
+        self.handle_event(node, EVENT_OUTCOME, &[&head[..], &tail[..]].concat());
     }
 
     fn cancel_arrives(&mut self, node: usize, request: u32, attempt: u8) {
         let Some(worker) = self.open_attempt(node, request, attempt) else { return };
-        let other = |job: &Job| (job.node, job.request, job.attempt) != (node, request, attempt);
-        let known = &mut self.workers[worker as usize];
-        known.running.retain(other);
-        known.waiting.retain(other);
-        known.hanging.retain(other);
+        let is_other = |job: &Job| (job.node, job.request, job.attempt) != (node, request, attempt);
+        let worker_state = &mut self.workers[worker as usize];
+        worker_state.running.retain(is_other);
+        worker_state.waiting.retain(is_other);
+        worker_state.hanging.retain(is_other);
         self.start_jobs(worker);
         let delay = self.network_delay();
-        self.after(delay, Step::Outcome { node, request, attempt, status: CANCELLED });
+        self.schedule_after(delay, Step::Outcome { node, request, attempt, status: CANCELLED });
     }
 
-    fn list(&mut self, node: usize, kind: u8, only: Option<u32>) {
+    /// Sends a member list of one worker, or of all of them if `only_worker` is `None`.
+    fn send_member_list(&mut self, node: usize, kind: u8, only_worker: Option<u32>) {
         if kind == LIST_FAILED {
             self.subscribed[node] = false;
         } else if kind == LIST_FULL {
@@ -683,110 +715,117 @@
         }
         let mut entries = Vec::new();
         let mut count = 0_u32;
-        for (worker, known) in self.workers.iter().enumerate() {
-            let skipped = only.is_some_and(|only| only as usize != worker);
-            // Whoever is gone is not on complete lists.
-            if kind == LIST_FAILED || skipped || (kind != LIST_DELTA && known.state == GONE) {
+        for (worker, worker_state) in self.workers.iter().enumerate() {
+            let skipped = only_worker.is_some_and(|only| only as usize != worker);
+            // Complete lists leave out the workers that are gone.
+            if kind == LIST_FAILED || skipped || (kind != LIST_DELTA && worker_state.state == GONE) {
                 continue;
             }
             count += 1;
             entries.extend((worker as u32).to_le_bytes());
-            entries.extend(known.zone.to_le_bytes());
-            entries.extend(known.kind.to_le_bytes());
+            entries.extend(worker_state.zone.to_le_bytes());
+            entries.extend(worker_state.kind.to_le_bytes());
             entries.extend(((worker % 4) as u16).to_le_bytes());
-            entries.push(known.state);
+            entries.push(worker_state.state);
             entries.extend(1_f32.to_le_bytes());
-            entries.extend(known.started.to_le_bytes());
+            entries.extend(worker_state.started.to_le_bytes());
         }
-        self.event(node, 50, &[&[kind], &1_u32.to_le_bytes(), &count.to_le_bytes(), &entries]);
+        self.handle_event(
+            node,
+            EVENT_MEMBERS,
+            &[&[kind], &1_u32.to_le_bytes(), &count.to_le_bytes(), &entries],
+        );
     }
 
-    fn lose_jobs(&mut self, worker: u32) {
-        let known = &mut self.workers[worker as usize];
-        let mut lost = std::mem::take(&mut known.running);
-        lost.extend(known.waiting.drain(..));
-        lost.append(&mut known.hanging);
+    /// Resets the connections of all jobs at a worker.
+    fn reset_jobs(&mut self, worker: u32) {
+        let worker_state = &mut self.workers[worker as usize];
+        let mut lost = std::mem::take(&mut worker_state.running);
+        lost.extend(worker_state.waiting.drain(..));
+        lost.append(&mut worker_state.hanging);
         for Job { node, request, attempt, .. } in lost {
             let delay = self.network_delay();
-            self.after(delay, Step::Outcome { node, request, attempt, status: RESET });
+            self.schedule_after(delay, Step::Outcome { node, request, attempt, status: RESET });
         }
     }
 
-    /// Something happens to a worker or to discovery.
-    fn change(&mut self) {
+    /// Applies one random change to a worker or to discovery.
+    fn apply_random_change(&mut self) {
         if self.now >= self.end() {
             return;
         }
-        let every = self.scenario.change_every_ms;
-        let gap = self.random.random_range(every / 2..every * 3 / 2) * MILLISECOND;
-        self.after(gap, Step::Change);
+        let interval_ms = self.scenario.mean_change_interval_ms;
+        let gap = self.random.random_range(interval_ms / 2..interval_ms * 3 / 2) * MILLISECOND;
+        self.schedule_after(gap, Step::Change);
         let now = self.now;
         let worker = self.random.random_range(0..self.workers.len()) as u32;
-        if self.scenario.hangs && self.random.random_bool(0.5) {
+        if self.scenario.class_hangs && self.random.random_bool(0.5) {
             let class = self.random.random_range(0..self.scenario.classes);
-            let known = &mut self.workers[worker as usize];
-            known.hangs_on = Some((class, now + 3 * SECOND));
+            let worker_state = &mut self.workers[worker as usize];
+            worker_state.hung_class = Some((class, now + 3 * SECOND));
             return;
         }
         if !self.scenario.churn {
             return;
         }
-        let pause = self.random.random_range(every / 2..every * 6) * MILLISECOND;
+        let downtime = self.random.random_range(interval_ms / 2..interval_ms * 6) * MILLISECOND;
         match self.random.random_range(0..6) {
             0 => {
                 self.workers[worker as usize].state = DRAINING;
-                self.after(pause, Step::WorkerReturns { worker });
+                self.schedule_after(downtime, Step::WorkerReturns { worker });
             }
             1 => {
                 self.workers[worker as usize].state = GONE;
-                self.lose_jobs(worker);
-                self.after(pause, Step::WorkerReturns { worker });
+                self.reset_jobs(worker);
+                self.schedule_after(downtime, Step::WorkerReturns { worker });
             }
             2 => {
-                // A new process in the same place, of which the list says nothing.
-                let known = &mut self.workers[worker as usize];
-                (known.refuses_until, known.started) = (now + pause, now + pause);
-                self.lose_jobs(worker);
+                // The worker restarts, and no member list announces it.
+                let worker_state = &mut self.workers[worker as usize];
+                (worker_state.connections_refused_until, worker_state.started) =
+                    (now + downtime, now + downtime);
+                self.reset_jobs(worker);
                 return;
             }
             3 => {
                 let node = self.random.random_range(0..self.nodes.len());
-                return self.list(node, LIST_FAILED, None);
+                return self.send_member_list(node, LIST_FAILED, None);
             }
             _ => {
                 self.workers[worker as usize].started = now;
-                self.lose_jobs(worker);
+                self.reset_jobs(worker);
             }
         }
-        self.announce(worker);
+        self.announce_worker(worker);
     }
 
-    fn announce(&mut self, worker: u32) {
+    /// Announces a changed worker to the subscribed nodes.
+    fn announce_worker(&mut self, worker: u32) {
         for node in 0..self.nodes.len() {
             if self.subscribed[node] {
                 let complete = self.random.random_bool(0.2);
                 let kind = if complete { LIST_FULL } else { LIST_DELTA };
-                self.list(node, kind, (!complete).then_some(worker));
+                self.send_member_list(node, kind, (!complete).then_some(worker));
             }
         }
     }
 
     fn worker_returns(&mut self, worker: u32) {
         let now = self.now;
-        let known = &mut self.workers[worker as usize];
-        if known.state == GONE {
-            known.started = now;
+        let worker_state = &mut self.workers[worker as usize];
+        if worker_state.state == GONE {
+            worker_state.started = now;
         }
-        known.state = READY;
-        self.announce(worker);
+        worker_state.state = READY;
+        self.announce_worker(worker);
     }
 
     fn node_restarts(&mut self) {
         let node = self.random.random_range(0..self.nodes.len());
         self.incarnations[node] += 1;
-        let own: Vec<u32> =
+        let lost_requests: Vec<u32> =
             self.requests.range((node, 0)..=(node, u32::MAX)).map(|((_, request), _)| *request).collect();
-        for request in own {
+        for request in lost_requests {
             self.requests.remove(&(node, request));
         }
         for worker in &mut self.workers {
@@ -794,12 +833,12 @@
             worker.waiting.retain(|job| job.node != node);
             worker.hanging.retain(|job| job.node != node);
         }
-        self.subscribed[node] = !self.scenario.asked_discovery;
+        self.subscribed[node] = !self.scenario.polled_discovery;
         let seed = self.random.random();
         self.nodes[node] = self.launch(node, seed);
-        self.list(node, LIST_CACHED, None);
+        self.send_member_list(node, LIST_CACHED, None);
         if self.now + 4 * SECOND < self.end() {
-            self.after(4 * SECOND, Step::NodeRestarts);
+            self.schedule_after(4 * SECOND, Step::NodeRestarts);
         }
     }
 }
