--- a/crates/pebblepost-dispatch/tests/dispatcher/probing.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/probing.rs
@@ -35,16 +35,16 @@
 #[test]
 fn spreads_first_probes_over_all_workers() {
     let mut node = Node::new(settings(), 6);
-    let mut seen = std::collections::BTreeSet::new();
+    let mut probed_workers = std::collections::BTreeSet::new();
     for id in 0..200 {
         node.request(id, 0);
         let worker = node.take_probes()[0];
-        seen.insert(worker);
+        probed_workers.insert(worker);
         node.report(worker, 2.0, 0.0);
         node.outcome(id, 0, worker, Status::Ok, true);
         node.actions.clear();
     }
-    assert_eq!(seen.len(), 6);
+    assert_eq!(probed_workers.len(), 6);
 }
 
 /// Guards against repeated probing under overload: each job went through four rounds of probes, which lowered the
--- a/crates/pebblepost-dispatch/tests/dispatcher/reservations.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/reservations.rs
@@ -1,4 +1,4 @@
-//! Room for large jobs: the reservations by themselves, and the node that keeps them.
+//! Reservations for large jobs: forecasts, job sizes and reservations by themselves, then a node that uses them.
 
 use crate::node::*;
 use pebblepost_dispatch::api::*;
@@ -15,8 +15,10 @@
     Duration::from_millis(n)
 }
 
-fn forecast(worker: usize, slots: f64, free: f64, own: &[(u64, f64)], run: u64) -> WorkerForecast {
-    let own_jobs = own.iter().map(|(at, slots)| SlotRelease { at: START + ms(*at), slots: *slots }).collect();
+/// Creates a forecast. `own_jobs` holds the expected end, in milliseconds after `START`, and the slots of each own job.
+fn forecast(worker: usize, slots: f64, free: f64, own_jobs: &[(u64, f64)], run_ms: u64) -> WorkerForecast {
+    let own_jobs =
+        own_jobs.iter().map(|(at, slots)| SlotRelease { at: START + ms(*at), slots: *slots }).collect();
     WorkerForecast {
         worker,
         slots,
@@ -26,16 +28,17 @@
         queued_slots: 0.0,
         longest_wait: Duration::ZERO,
         queue_in_order: true,
-        run_time: ms(run),
+        run_time: ms(run_ms),
     }
 }
 
+/// Reserves slots for a job that must start within `latest_ms` milliseconds.
 fn reserve(
-    reservations: &mut Reservations, id: u32, slots: f64, forecasts: &[WorkerForecast], latest: u64,
+    reservations: &mut Reservations, id: u32, slots: f64, forecasts: &[WorkerForecast], latest_ms: u64,
 ) -> Option<Reservation> {
     let fleet_slots = forecasts.iter().map(|forecast| forecast.slots).sum();
     let job = ReservationRequest { request: RequestId(id), slots, fleet_slots };
-    reservations.reserve(START, job, forecasts, |_| START + ms(latest))
+    reservations.reserve(START, job, forecasts, |_| START + ms(latest_ms))
 }
 
 fn half_reservable() -> ReservationSettings {
@@ -46,145 +49,179 @@
     Reservations::new(half_reservable().max_reserved_fraction)
 }
 
-/// Jobs of 0.4 s in the mean, on machines of speed 1.
-const TYPICAL: TypicalJob = TypicalJob { service_seconds: 0.4, seconds_per_hinted_second: 1.0 };
+/// Jobs of 0.4 s on average, at workers that take as long as hinted.
+const TYPICAL_JOB: TypicalJob = TypicalJob { service_seconds: 0.4, seconds_per_hinted_second: 1.0 };
 
 #[test]
-fn forecasts_slots_by_own_and_other_jobs() {
-    let opens = |forecast: &WorkerForecast, slots| {
+fn forecasts_the_start_from_own_jobs_and_jobs_of_other_nodes() {
+    let start_ms = |forecast: &WorkerForecast, slots| {
         forecast.expected_start(START, slots).map(|at| at.since(START).as_millis())
     };
-    let own = [(400, 1.0), (900, 1.0)];
-    assert_eq!(opens(&forecast(0, 2.0, 1.0, &own[..1], 0), 1.0), Some(0));
-    assert_eq!(opens(&forecast(0, 2.0, 0.0, &own, 0), 1.0), Some(400));
-    assert_eq!(opens(&forecast(0, 2.0, 0.0, &own, 0), 2.0), Some(900));
-    assert_eq!(opens(&forecast(0, 2.0, 0.0, &own, 0), 3.0), None, "wider than the worker");
-    // Two slots of others, a second each in the mean: the first is free after half of that, both after one more.
-    assert_eq!(opens(&forecast(0, 2.0, 0.0, &[], 0), 1.0), Some(500));
-    assert_eq!(opens(&forecast(0, 2.0, 0.0, &[], 0), 2.0), Some(1500));
-    let crowded =
+    let own_jobs = [(400, 1.0), (900, 1.0)];
+    assert_eq!(start_ms(&forecast(0, 2.0, 1.0, &own_jobs[..1], 0), 1.0), Some(0));
+    assert_eq!(start_ms(&forecast(0, 2.0, 0.0, &own_jobs, 0), 1.0), Some(400));
+    assert_eq!(start_ms(&forecast(0, 2.0, 0.0, &own_jobs, 0), 2.0), Some(900));
+    assert_eq!(
+        start_ms(&forecast(0, 2.0, 0.0, &own_jobs, 0), 3.0),
+        None,
+        "a job of three slots never fits a worker of two"
+    );
+    // Two slots hold jobs of other nodes of 1 s on average. The first is expected to be free after 0.5 s and the second
+    // 1 s later.
+    assert_eq!(start_ms(&forecast(0, 2.0, 0.0, &[], 0), 1.0), Some(500));
+    assert_eq!(start_ms(&forecast(0, 2.0, 0.0, &[], 0), 2.0), Some(1500));
+    let queued =
         WorkerForecast { queued_slots: 2.0, longest_wait: ms(4000), ..forecast(0, 2.0, 0.0, &[], 0) };
-    assert_eq!(opens(&crowded, 1.0), Some(4000), "no sooner than who came first has waited");
+    assert_eq!(
+        start_ms(&queued, 1.0),
+        Some(4000),
+        "the start is no sooner than the wait of the first job in the queue"
+    );
 }
 
 #[test]
-fn classifies_large_jobs_by_recent_sizes_and_hints_only() {
+fn classifies_hinted_jobs_as_large_relative_to_recent_sizes() {
     let mut sizes = JobSizes::new(half_reservable());
-    let mut size = |work| sizes.record(work, 1.0, TYPICAL);
+    let mut is_large = |work| sizes.record(work, 1.0, TYPICAL_JOB);
     for n in 0..200 {
-        assert!(!size(Some(if n % 2 == 0 { 0.3 } else { 0.5 })), "all alike");
+        assert!(!is_large(Some(if n % 2 == 0 { 0.3 } else { 0.5 })), "jobs of similar sizes are not large");
     }
-    assert!(size(Some(4.0)));
-    assert!(!size(None) && !size(Some(0.0)) && !size(Some(f64::NAN)));
-    // When all are as large, none is.
+    assert!(is_large(Some(4.0)));
+    assert!(!is_large(None) && !is_large(Some(0.0)) && !is_large(Some(f64::NAN)));
+    // If all recent jobs are of the same size, none is large.
     for _ in 0..600 {
-        size(Some(4.0));
+        is_large(Some(4.0));
     }
-    assert!(!size(Some(4.0)));
-    let mut off = JobSizes::new(ReservationSettings { enabled: false, ..ReservationSettings::default() });
-    assert!((0..300).all(|n| !off.record(Some(if n % 50 == 49 { 9.0 } else { 0.3 }), 1.0, TYPICAL)));
+    assert!(!is_large(Some(4.0)));
+    let mut disabled =
+        JobSizes::new(ReservationSettings { enabled: false, ..ReservationSettings::default() });
+    assert!((0..300).all(|n| !disabled.record(Some(if n % 50 == 49 { 9.0 } else { 0.3 }), 1.0, TYPICAL_JOB)));
 }
 
 #[test]
-fn classifies_jobs_of_many_slots_as_large() {
+fn classifies_jobs_of_more_slots_than_usual_as_large() {
     let mut sizes = JobSizes::new(half_reservable());
     for _ in 0..100 {
-        assert!(!sizes.record(Some(0.3), 1.0, TYPICAL));
+        assert!(!sizes.record(Some(0.3), 1.0, TYPICAL_JOB));
     }
-    assert!(sizes.record(Some(0.1), 2.0, TYPICAL) && !sizes.record(None, 2.0, TYPICAL));
+    assert!(sizes.record(Some(0.1), 2.0, TYPICAL_JOB) && !sizes.record(None, 2.0, TYPICAL_JOB));
     for _ in 0..600 {
-        sizes.record(Some(0.3), 2.0, TYPICAL);
+        sizes.record(Some(0.3), 2.0, TYPICAL_JOB);
     }
-    assert!(!sizes.record(Some(0.3), 2.0, TYPICAL), "where all take two, two are usual");
+    assert!(
+        !sizes.record(Some(0.3), 2.0, TYPICAL_JOB),
+        "if all recent jobs take two slots, a job of two slots is not large"
+    );
 }
 
 #[test]
-fn forecasts_no_start_of_a_job_of_all_slots_in_an_unordered_queue() {
-    let opens = |in_order, slots, free| {
+fn forecasts_no_start_for_a_job_of_all_slots_in_an_unordered_queue() {
+    let has_start = |in_order, slots, free| {
         WorkerForecast { queue_in_order: in_order, ..forecast(0, 2.0, free, &[], 0) }
             .expected_start(START, slots)
             .is_some()
     };
-    assert!(opens(true, 2.0, 0.0) && opens(false, 1.0, 0.0) && opens(false, 2.0, 2.0));
-    assert!(!opens(false, 2.0, 1.0));
+    assert!(has_start(true, 2.0, 0.0) && has_start(false, 1.0, 0.0) && has_start(false, 2.0, 2.0));
+    assert!(!has_start(false, 2.0, 1.0));
 }
 
 #[test]
-fn backfills_small_jobs_that_end_before_the_reservation() {
+fn backfills_small_jobs_that_end_early_enough_for_the_reservation() {
     let mut reservations = reservations();
-    // One slot is free now, the other in a second; the large one wants both and may start after three.
+    // One slot is free now and the other in 1 s. The large job takes both and may start after 3 s.
     let busy = forecast(0, 2.0, 1.0, &[(1000, 1.0)], 2000);
-    let held = reserve(&mut reservations, 1, 2.0, std::slice::from_ref(&busy), 3000).expect("a reservation");
-    assert_eq!((held.worker, held.expected_start), (0, START + SECOND));
-    let small = |run| forecast(0, 2.0, 1.0, &[(1000, 1.0)], run);
-    let may = |reservations: &Reservations, run| reservations.allows(START, RequestId(9), 1.0, &small(run));
-    assert!(may(&reservations, 800) && may(&reservations, 1900), "ends before half of the slack is gone");
-    assert!(!may(&reservations, 2500));
-    assert!(reservations.allows(START, RequestId(1), 2.0, &small(9000)), "its own job is not kept out");
-    // A wrong hint holds nothing for ever: past its latest start the reservation counts no more.
+    let reservation =
+        reserve(&mut reservations, 1, 2.0, std::slice::from_ref(&busy), 3000).expect("a reservation");
+    assert_eq!((reservation.worker, reservation.expected_start), (0, START + SECOND));
+    let small = |run_ms| forecast(0, 2.0, 1.0, &[(1000, 1.0)], run_ms);
+    let allows =
+        |reservations: &Reservations, run_ms| reservations.allows(START, RequestId(9), 1.0, &small(run_ms));
+    assert!(
+        allows(&reservations, 800) && allows(&reservations, 1900),
+        "small jobs that end within half of the slack are allowed"
+    );
+    assert!(!allows(&reservations, 2500));
+    assert!(
+        reservations.allows(START, RequestId(1), 2.0, &small(9000)),
+        "a reservation must not keep out its own job"
+    );
+    // A reservation past its latest start does not count, so that a wrong hint cannot reserve slots forever.
     assert!(reservations.allows(START + 4 * SECOND, RequestId(9), 1.0, &small(2500)));
     reservations.release(RequestId(1));
-    assert!(may(&reservations, 2500));
+    assert!(allows(&reservations, 2500));
 }
 
 #[test]
-fn allows_long_jobs_beside_the_reserved_slots() {
+fn allows_long_jobs_that_leave_the_reserved_slots_free() {
     let mut reservations = reservations();
-    let wide = forecast(0, 5.0, 2.0, &[(1000, 3.0)], 1000);
-    reserve(&mut reservations, 1, 2.0, &[wide.clone(), forecast(1, 5.0, 0.0, &[], 9000)], 2000)
-        .expect("held");
+    let partly_free = forecast(0, 5.0, 2.0, &[(1000, 3.0)], 1000);
+    reserve(&mut reservations, 1, 2.0, &[partly_free.clone(), forecast(1, 5.0, 0.0, &[], 9000)], 2000)
+        .expect("a reservation");
     assert!(reservations.allows(
         START,
         RequestId(2),
         1.0,
-        &WorkerForecast { run_time: 60 * SECOND, ..wide.clone() }
+        &WorkerForecast { run_time: 60 * SECOND, ..partly_free.clone() }
     ));
     assert!(!reservations.allows(
         START,
         RequestId(2),
         4.0,
-        &WorkerForecast { run_time: 60 * SECOND, ..wide }
+        &WorkerForecast { run_time: 60 * SECOND, ..partly_free }
     ));
 }
 
 #[test]
-fn reserves_where_the_job_ends_first_and_starts_in_time() {
+fn reserves_the_worker_where_the_job_starts_in_time_and_ends_first() {
     let fleet = [forecast(0, 2.0, 0.0, &[(300, 2.0)], 4000), forecast(1, 3.0, 0.0, &[(900, 3.0)], 1000)];
-    assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 1000).map(|held| held.worker), Some(1));
-    assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 500).map(|held| held.worker), Some(0));
+    assert_eq!(
+        reserve(&mut reservations(), 1, 1.0, &fleet, 1000).map(|reservation| reservation.worker),
+        Some(1)
+    );
+    assert_eq!(
+        reserve(&mut reservations(), 1, 1.0, &fleet, 500).map(|reservation| reservation.worker),
+        Some(0)
+    );
     assert_eq!(reserve(&mut reservations(), 1, 1.0, &fleet, 200), None);
-    assert_eq!(reserve(&mut reservations(), 1, 4.0, &fleet, 5000), None, "too large for any");
+    assert_eq!(
+        reserve(&mut reservations(), 1, 4.0, &fleet, 5000),
+        None,
+        "a job of four slots fits no worker"
+    );
 }
 
 #[test]
-fn releases_the_reservations_of_a_lost_worker() {
+fn releases_all_reservations_of_a_removed_worker() {
     let mut reservations = reservations();
     let fleet = [forecast(0, 4.0, 0.0, &[], 100), forecast(1, 4.0, 0.0, &[], 900)];
-    reserve(&mut reservations, 1, 1.0, &fleet, 9000).expect("held");
-    reserve(&mut reservations, 2, 1.0, &fleet, 8000).expect("held");
+    reserve(&mut reservations, 1, 1.0, &fleet, 9000).expect("a reservation");
+    reserve(&mut reservations, 2, 1.0, &fleet, 8000).expect("a reservation");
     assert_eq!(
         reservations.holders(0),
         [RequestId(2), RequestId(1)],
-        "the one that must start first in front"
+        "jobs are ordered by their latest start"
     );
     assert_eq!(reservations.release_where(|worker| worker == 0), [RequestId(1), RequestId(2)]);
     assert!(!reservations.has_any_at(0) && reservations.get(RequestId(1)).is_none());
 }
 
 #[test]
-fn names_settings_out_of_range() {
-    let text = |settings: ReservationSettings| settings.check().map_err(|error| error.to_string());
-    let usual = ReservationSettings::default();
-    assert_eq!(text(usual), Ok(()));
-    let wrong = text(ReservationSettings { max_reserved_fraction: 0.9, ..usual });
-    assert_eq!(wrong, Err("room.mostHeld is 0.9: 0 to 0.5 is allowed".to_owned()));
-    assert!(text(ReservationSettings { size_deviations: f64::NAN, ..usual }).is_err());
+fn rejects_settings_out_of_range_by_name() {
+    let check = |settings: ReservationSettings| settings.check().map_err(|error| error.to_string());
+    let defaults = ReservationSettings::default();
+    assert_eq!(check(defaults), Ok(()));
+    let out_of_range = check(ReservationSettings { max_reserved_fraction: 0.9, ..defaults });
+    assert_eq!(out_of_range, Err("room.mostHeld is 0.9: 0 to 0.5 is allowed".to_owned()));
+    assert!(check(ReservationSettings { size_deviations: f64::NAN, ..defaults }).is_err());
     let parsed = pebblepost_dispatch::wire::parse_settings("room.mostHeld=0.9")
         .map(|_| ())
         .map_err(|error| error.to_string());
-    assert_eq!(parsed, wrong);
+    assert_eq!(parsed, out_of_range);
     assert!(
-        !pebblepost_dispatch::wire::parse_settings("room.enabled=false").expect("sound").reservations.enabled
+        !pebblepost_dispatch::wire::parse_settings("room.enabled=false")
+            .expect("valid settings")
+            .reservations
+            .enabled
     );
 }
 
@@ -192,47 +229,52 @@
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None,
         cases: 200, ..ProptestConfig::default() })]
 
-    /// Whatever comes: the small ones' floor stands, each job holds one part at most, and none that it cannot use.
+    /// For any arrivals, the slots for small jobs stay unreserved, each job has at most one reservation, and only at a
+    /// worker where it fits and starts in time.
     #[test]
-    fn limits_reservations_whatever_large_jobs_arrive(
+    fn limits_reservations_for_any_arrivals_of_large_jobs(
         jobs in prop::collection::vec((0_u32..80, 1_u8..5, 0_u64..4000, 0_u64..5000), 1..120),
         fleet in prop::collection::vec((1_u8..6, 0_u8..6, 50_u64..3000), 1..12),
     ) {
         let forecasts: Vec<WorkerForecast> = fleet.iter().enumerate().map(|(worker, (slots, free, run))| {
             forecast(worker, f64::from(*slots), f64::from((*free).min(*slots)), &[(700, 1.0)], *run)
         }).collect();
-        let all: f64 = forecasts.iter().map(|forecast| forecast.slots).sum();
+        let fleet_slots: f64 = forecasts.iter().map(|forecast| forecast.slots).sum();
         let settings = ReservationSettings::default();
         let mut reservations = Reservations::new(settings.max_reserved_fraction);
-        let mut held: BTreeMap<u32, Reservation> = BTreeMap::new();
+        let mut active: BTreeMap<u32, Reservation> = BTreeMap::new();
         for (id, slots, latest, at) in jobs {
             let now = START + ms(at);
             let slots = f64::from(slots);
             let latest = now + ms(latest);
-            held.retain(|_, held| held.latest_start >= now);
-            held.remove(&id);
-            let job = ReservationRequest { request: RequestId(id), slots, fleet_slots: all };
-            if let Some(made) = reservations.reserve(now, job, &forecasts, |_| latest) {
-                prop_assert!(made.expected_start <= made.latest_start && slots <= forecasts[made.worker].slots);
-                held.insert(id, made);
+            active.retain(|_, reservation| reservation.latest_start >= now);
+            active.remove(&id);
+            let job = ReservationRequest { request: RequestId(id), slots, fleet_slots };
+            if let Some(reservation) = reservations.reserve(now, job, &forecasts, |_| latest) {
+                prop_assert!(
+                    reservation.expected_start <= reservation.latest_start
+                        && slots <= forecasts[reservation.worker].slots
+                );
+                active.insert(id, reservation);
             }
-            let sum: f64 = held.values().map(|held| held.slots).sum();
-            let widest = held.values().map(|held| held.slots).fold(0.0, f64::max);
-            prop_assert!(sum <= (settings.max_reserved_fraction * all).max(widest));
+            let reserved: f64 = active.values().map(|reservation| reservation.slots).sum();
+            let largest = active.values().map(|reservation| reservation.slots).fold(0.0, f64::max);
+            prop_assert!(reserved <= (settings.max_reserved_fraction * fleet_slots).max(largest));
         }
     }
 }
 
-// ---- The node ----
+// Tests of a node that uses reservations.
 
+/// Request id of the large job.
 const LARGE: u32 = 500;
 
-/// A node that knows its workers (K of 2), their pace and the usual sizes: jobs of 0.2 s.
-fn seasoned(workers: u32, seed: u64) -> Node {
-    seasoned_of(2.0, true, workers, seed)
+/// Creates a node that knows its workers of two slots, their speed, and the usual job size of 0.2 s.
+fn trained_node(workers: u32, seed: u64) -> Node {
+    trained_node_with(2.0, true, workers, seed)
 }
 
-fn seasoned_of(slots: f32, in_order: bool, workers: u32, seed: u64) -> Node {
+fn trained_node_with(slots: f32, in_order: bool, workers: u32, seed: u64) -> Node {
     let mut settings = settings();
     settings.queues_in_order = in_order;
     (settings.start_reported, settings.nodes, settings.report_fields) =
@@ -242,7 +284,7 @@
     let mut node = Node::seeded(settings, workers, seed);
     for id in 0..120 {
         node.request_with_hint(id, 200, 1.0);
-        answer(&mut node, &|_| slots);
+        answer_probes(&mut node, &|_| slots);
         let (_, worker) = node.sends()[0];
         started(&mut node, id);
         node.advance_clock(ms(200));
@@ -256,16 +298,16 @@
     node.handle(Event::Started { id: RequestId(id), attempt: AttemptNo(0) });
 }
 
-/// Answers all probes with the free slots that each worker has.
-fn answer(node: &mut Node, free: &dyn Fn(u32) -> f32) -> Vec<u32> {
-    let mut asked = vec![];
+/// Answers all probes with the free slots of each worker. Returns the probed workers.
+fn answer_probes(node: &mut Node, free: &dyn Fn(u32) -> f32) -> Vec<u32> {
+    let mut probed = vec![];
     loop {
         let probes = node.take_probes();
         if probes.is_empty() {
-            return asked;
+            return probed;
         }
         for worker in probes {
-            asked.push(worker);
+            probed.push(worker);
             let latency = ms(1);
             let report = vec![free(worker)];
             node.handle(Event::Probed { worker: WorkerId(worker), status: Status::Ok, latency, report });
@@ -273,128 +315,130 @@
     }
 }
 
-/// Lets time pass, with every probe answered.
-fn pass(node: &mut Node, span: u64, free: &dyn Fn(u32) -> f32) {
-    for _ in 0..span / 2 {
+/// Advances the clock by `span_ms` milliseconds and answers every probe.
+fn run_answering_probes(node: &mut Node, span_ms: u64, free: &dyn Fn(u32) -> f32) {
+    for _ in 0..span_ms / 2 {
         node.run_for(ms(2));
-        answer(node, free);
+        answer_probes(node, free);
     }
 }
 
-fn send_of(node: &Node, id: u32) -> Option<u32> {
-    node.sends().into_iter().find(|(i, _)| *i == id).map(|(_, worker)| worker)
+/// Returns the worker to which a request was sent.
+fn sent_to(node: &Node, id: u32) -> Option<u32> {
+    node.sends().into_iter().find(|(request, _)| *request == id).map(|(_, worker)| worker)
 }
 
-fn answer_of(node: &Node, id: u32) -> Option<&'static str> {
-    node.final_answers().into_iter().find(|(i, _)| *i == id).map(|(_, what)| what)
+/// Returns the final answer to a request.
+fn final_answer_of(node: &Node, id: u32) -> Option<&'static str> {
+    node.final_answers().into_iter().find(|(request, _)| *request == id).map(|(_, answer)| answer)
 }
 
 #[test]
-fn reserves_for_a_large_job_that_finds_all_busy() {
+fn reserves_slots_for_a_large_job_when_all_workers_are_busy() {
     for seed in 0..8 {
-        let mut node = seasoned(4, seed);
+        let mut node = trained_node(4, seed);
         node.request_with_hint(LARGE, 2000, 1.0);
-        answer(&mut node, &|_| 0.0);
-        pass(&mut node, 600, &|_| 0.0);
-        assert_eq!(answer_of(&node, LARGE), None, "seed {seed}");
-        pass(&mut node, 600, &|worker| if worker == 1 { 1.0 } else { 0.0 });
-        assert!(send_of(&node, LARGE).is_some(), "seed {seed}");
+        answer_probes(&mut node, &|_| 0.0);
+        run_answering_probes(&mut node, 600, &|_| 0.0);
+        assert_eq!(final_answer_of(&node, LARGE), None, "seed {seed}");
+        run_answering_probes(&mut node, 600, &|worker| if worker == 1 { 1.0 } else { 0.0 });
+        assert!(sent_to(&node, LARGE).is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn rejects_a_job_too_large_for_any_worker_without_probes() {
+fn rejects_a_job_that_fits_no_worker_without_probes() {
     for (work, slots) in [(2000, 4.0), (9000, 1.0)] {
-        let mut node = seasoned(4, 1);
+        let mut node = trained_node(4, 1);
         node.request_with_hint(LARGE, work, slots);
         assert_eq!((node.final_answers(), node.take_probes()), (vec![(LARGE, "refuse")], vec![]));
         assert!(
             node.actions.iter().any(|action| matches!(action, Action::Refuse { retry_after: Some(_), .. })),
-            "with advice"
+            "the refusal must say when to retry"
         );
     }
 }
 
-/// A wide job of two slots that waits at a worker, and which worker that is.
-fn waiting(node: &mut Node) -> u32 {
+/// Sends a large job of two slots that has to queue. Returns its worker.
+fn queue_large_job(node: &mut Node) -> u32 {
     node.request_with_hint(LARGE, 1500, 2.0);
-    answer(node, &|_| 1.0);
-    pass(node, 40, &|_| 1.0);
-    send_of(node, LARGE).expect("queued where it will be served in time")
+    answer_probes(node, &|_| 1.0);
+    run_answering_probes(node, 40, &|_| 1.0);
+    sent_to(node, LARGE).expect("a worker where the job ends in time")
 }
 
 #[test]
-fn small_jobs_skip_a_worker_reserved_for_a_large_one() {
-    let place = |with_large: bool| {
-        let mut node = seasoned(4, 3);
-        let held = waiting(&mut node);
-        if !with_large {
-            node.outcome(LARGE, 0, held, Status::Ok, true);
+fn small_jobs_skip_a_worker_with_a_reservation_for_a_queued_large_job() {
+    let sent_to_reserved_worker = |with_large_job: bool| {
+        let mut node = trained_node(4, 3);
+        let reserved_worker = queue_large_job(&mut node);
+        if !with_large_job {
+            node.outcome(LARGE, 0, reserved_worker, Status::Ok, true);
         }
-        let mut there = 0;
+        let mut count = 0;
         for id in 1000..1100 {
-            // As long as a job may be that is not large: it would hold its slot beyond the large one's start.
+            // The longest job that is not large. It would occupy its slot beyond the expected start of the large job.
             node.request_with_hint(id, 900, 1.0);
-            answer(&mut node, &|_| 1.0);
-            there += usize::from(send_of(&node, id) == Some(held));
-            if let Some(worker) = send_of(&node, id) {
+            answer_probes(&mut node, &|_| 1.0);
+            count += usize::from(sent_to(&node, id) == Some(reserved_worker));
+            if let Some(worker) = sent_to(&node, id) {
                 node.outcome(id, 0, worker, Status::Cancelled, true);
             }
         }
-        there
+        count
     };
-    assert_eq!(place(true), 0);
-    assert!(place(false) > 5);
+    assert_eq!(sent_to_reserved_worker(true), 0);
+    assert!(sent_to_reserved_worker(false) > 5);
 }
 
 #[test]
-fn releases_the_reservation_when_client_or_worker_is_gone() {
-    for what in 0..4 {
-        let mut node = seasoned(4, 3);
-        let held = waiting(&mut node);
+fn releases_the_reservation_when_the_client_leaves_or_the_worker_rejects_the_job() {
+    for case in 0..4 {
+        let mut node = trained_node(4, 3);
+        let reserved_worker = queue_large_job(&mut node);
         node.actions.clear();
-        match what {
+        match case {
             0 => node.handle(Event::ClientGone { id: RequestId(LARGE) }),
-            1 => node.outcome(LARGE, 0, held, Status::Full, false),
-            2 => node.outcome(LARGE, 0, held, Status::ConnectFailed, false),
+            1 => node.outcome(LARGE, 0, reserved_worker, Status::Full, false),
+            2 => node.outcome(LARGE, 0, reserved_worker, Status::ConnectFailed, false),
             _ => {
-                node.apply_member_list(ListKind::Delta, &[(held, WorkerState::Draining, None)]);
-                node.outcome(LARGE, 0, held, Status::Full, false);
+                node.apply_member_list(ListKind::Delta, &[(reserved_worker, WorkerState::Draining, None)]);
+                node.outcome(LARGE, 0, reserved_worker, Status::Full, false);
             }
         }
-        if what == 0 {
+        if case == 0 {
             node.actions.clear();
-            node.outcome(LARGE, 0, held, Status::Cancelled, true);
+            node.outcome(LARGE, 0, reserved_worker, Status::Cancelled, true);
             assert!(
                 node.take_probes().is_empty() && node.sends().is_empty(),
-                "nothing for a departed client"
+                "neither probes nor sends after the client has left"
             );
             continue;
         }
-        answer(&mut node, &|worker| if worker == held { 0.0 } else { 2.0 });
-        pass(&mut node, 1000, &|worker| if worker == held { 0.0 } else { 2.0 });
-        let next = send_of(&node, LARGE).expect("moved within the time left");
-        assert_ne!(next, held);
+        answer_probes(&mut node, &|worker| if worker == reserved_worker { 0.0 } else { 2.0 });
+        run_answering_probes(&mut node, 1000, &|worker| if worker == reserved_worker { 0.0 } else { 2.0 });
+        let next = sent_to(&node, LARGE).expect("the job is sent to another worker in time");
+        assert_ne!(next, reserved_worker);
     }
 }
 
 #[test]
-fn releases_the_reservation_at_a_worker_that_restarts_or_is_silent() {
+fn releases_the_reservation_at_a_worker_that_restarts_or_does_not_answer() {
     for silent in [false, true] {
-        let mut node = seasoned(3, 5);
-        // Large for one slot, and a queue everywhere that is too long: it looks at one worker again and again.
+        let mut node = trained_node(3, 5);
+        // A large job of one slot. All workers are full, so the node probes its reserved worker repeatedly.
         node.request_with_hint(LARGE, 2000, 1.0);
         let mut last = 0;
         for _ in 0..40 {
-            if let Some(worker) = answer(&mut node, &|_| 0.0).last() {
+            if let Some(worker) = answer_probes(&mut node, &|_| 0.0).last() {
                 last = *worker;
             }
-            if send_of(&node, LARGE).is_some() {
+            if sent_to(&node, LARGE).is_some() {
                 break;
             }
             node.run_for(ms(2));
         }
-        if let Some(worker) = send_of(&node, LARGE) {
+        if let Some(worker) = sent_to(&node, LARGE) {
             last = worker;
             node.outcome(LARGE, 0, worker, Status::Timeout, false);
         }
@@ -417,88 +461,101 @@
             }
             node.run_for(ms(2));
         }
-        let ended =
-            send_of(&node, LARGE).is_some_and(|worker| worker != last) || answer_of(&node, LARGE).is_some();
+        let ended = sent_to(&node, LARGE).is_some_and(|worker| worker != last)
+            || final_answer_of(&node, LARGE).is_some();
         assert!(ended, "silent: {silent}");
     }
 }
 
 #[test]
-fn answers_both_nodes_that_reserved_the_same_worker() {
-    let (mut resumed, mut lost) = (seasoned(1, 1), seasoned(1, 2));
-    for node in [&mut resumed, &mut lost] {
+fn two_nodes_that_reserve_the_same_worker_both_answer() {
+    let (mut first, mut second) = (trained_node(1, 1), trained_node(1, 2));
+    for node in [&mut first, &mut second] {
         node.request_with_hint(LARGE, 2000, 2.0);
-        answer(node, &|_| 0.0);
+        answer_probes(node, &|_| 0.0);
     }
-    // The worker frees up; the first to see it takes it, and the other sees it full until its time is over.
-    pass(&mut resumed, 1000, &|_| 2.0);
-    assert!(send_of(&resumed, LARGE).is_some());
-    pass(&mut lost, 5000, &|_| 0.0);
-    assert!(send_of(&lost, LARGE).is_some() || answer_of(&lost, LARGE).is_some());
-    // Nothing is left behind: small ones have the worker.
-    if let Some(worker) = send_of(&lost, LARGE) {
-        lost.outcome(LARGE, 0, worker, Status::Cancelled, true);
+    // The first node to see the free worker sends its job. The second node sees a full worker until its job is late.
+    run_answering_probes(&mut first, 1000, &|_| 2.0);
+    assert!(sent_to(&first, LARGE).is_some());
+    run_answering_probes(&mut second, 5000, &|_| 0.0);
+    assert!(sent_to(&second, LARGE).is_some() || final_answer_of(&second, LARGE).is_some());
+    // No reservation is left: a small job gets the worker.
+    if let Some(worker) = sent_to(&second, LARGE) {
+        second.outcome(LARGE, 0, worker, Status::Cancelled, true);
     }
-    lost.request_with_hint(2000, 200, 1.0);
-    answer(&mut lost, &|_| 2.0);
-    assert!(send_of(&lost, 2000).is_some());
+    second.request_with_hint(2000, 200, 1.0);
+    answer_probes(&mut second, &|_| 2.0);
+    assert!(sent_to(&second, 2000).is_some());
 }
 
 #[test]
-fn rejects_a_reserved_job_that_can_no_longer_be_in_time() {
-    let mut node = seasoned(2, 4);
+fn rejects_a_job_with_a_reservation_that_can_no_longer_end_in_time() {
+    let mut node = trained_node(2, 4);
     node.request_with_hint(LARGE, 2000, 2.0);
-    let from = node.now;
+    let requested_at = node.now;
     for _ in 0..2500 {
         node.take_probes().into_iter().for_each(|worker| node.probe_failed(worker));
         node.run_for(ms(2));
-        if answer_of(&node, LARGE).is_some() {
+        if final_answer_of(&node, LARGE).is_some() {
             break;
         }
     }
-    assert_eq!(answer_of(&node, LARGE), Some("refuse"));
-    assert!(node.last_final_answer_at.since(from) < ms(2700), "not kept until the client gives up");
+    assert_eq!(final_answer_of(&node, LARGE), Some("refuse"));
+    assert!(
+        node.last_final_answer_at.since(requested_at) < ms(2700),
+        "the refusal must come within 2.7 s, well before the deadline"
+    );
 }
 
-/// Where whatever fits may start, a wide job that finds one slot at each probed looks at a worker it believes free.
-fn looking() -> (Node, u32) {
-    let mut node = seasoned_of(2.0, false, 4, 3);
+/// Creates a node with a large job of two slots and unordered queues. The probed workers have one free slot, so the
+/// node reserves another worker, which it expects to be free, and probes it. Returns the node and that worker.
+fn node_probing_reserved_worker() -> (Node, u32) {
+    let mut node = trained_node_with(2.0, false, 4, 3);
     node.request_with_hint(LARGE, 1500, 2.0);
-    answer(&mut node, &|_| 1.0);
-    assert_eq!(answer_of(&node, LARGE), None, "not refused while a worker may have room");
-    let mut later = node
+    answer_probes(&mut node, &|_| 1.0);
+    assert_eq!(
+        final_answer_of(&node, LARGE),
+        None,
+        "a job must not be rejected while a worker may have capacity"
+    );
+    let mut probed = node
         .run_until(|action| matches!(action, Action::Probe { .. }), ms(500))
         .map(|_| node.take_probes())
-        .expect("a look");
-    (node, later.remove(0))
+        .expect("a probe of the reserved worker");
+    (node, probed.remove(0))
 }
 
 #[test]
-fn sends_a_wide_job_to_its_reserved_worker() {
-    let (mut node, held) = looking();
+fn sends_a_large_job_to_its_reserved_worker() {
+    let (mut node, reserved_worker) = node_probing_reserved_worker();
     let latency = ms(1);
-    node.handle(Event::Probed { worker: WorkerId(held), status: Status::Ok, latency, report: vec![2.0] });
-    assert_eq!(send_of(&node, LARGE), Some(held));
+    node.handle(Event::Probed {
+        worker: WorkerId(reserved_worker),
+        status: Status::Ok,
+        latency,
+        report: vec![2.0],
+    });
+    assert_eq!(sent_to(&node, LARGE), Some(reserved_worker));
 }
 
 #[test]
-fn small_jobs_skip_a_worker_where_they_would_delay_a_wide_one() {
-    let mut node = seasoned_of(3.0, false, 1, 3);
+fn small_jobs_skip_a_worker_where_they_would_delay_a_queued_large_job() {
+    let mut node = trained_node_with(3.0, false, 1, 3);
     node.request_with_hint(LARGE, 4600, 2.0);
-    answer(&mut node, &|_| 1.0);
-    assert_eq!(send_of(&node, LARGE), Some(0));
+    answer_probes(&mut node, &|_| 1.0);
+    assert_eq!(sent_to(&node, LARGE), Some(0));
     node.run_for(ms(50));
     node.request_with_hint(1000, 900, 1.0);
-    answer(&mut node, &|_| 1.0);
-    assert_eq!(send_of(&node, 1000), None);
+    answer_probes(&mut node, &|_| 1.0);
+    assert_eq!(sent_to(&node, 1000), None);
 }
 
 #[test]
-fn drops_a_reserved_worker_that_does_not_answer_its_probe() {
-    let (mut node, held) = looking();
+fn stops_probing_a_reserved_worker_that_does_not_answer() {
+    let (mut node, reserved_worker) = node_probing_reserved_worker();
     for _ in 0..1000 {
         for worker in node.take_probes() {
-            assert_ne!(worker, held, "it said nothing");
+            assert_ne!(worker, reserved_worker, "the worker has not answered the last probe");
             node.handle(Event::Probed {
                 worker: WorkerId(worker),
                 status: Status::Ok,
@@ -508,20 +565,20 @@
         }
         node.run_for(ms(2));
     }
-    assert_eq!(answer_of(&node, LARGE), Some("refuse"));
+    assert_eq!(final_answer_of(&node, LARGE), Some("refuse"));
 }
 
 #[test]
-fn starts_a_new_round_when_the_reserved_worker_drains() {
-    let mut node = seasoned_of(2.0, false, 4, 3);
-    let probed = |node: &mut Node| answer(node, &|_| 1.0);
+fn starts_a_new_round_at_once_when_the_reserved_worker_drains() {
+    let mut node = trained_node_with(2.0, false, 4, 3);
+    let answer_with_one_slot = |node: &mut Node| answer_probes(node, &|_| 1.0);
     node.request_with_hint(LARGE, 1500, 2.0);
-    let seen = probed(&mut node);
-    let lost: Vec<_> = (0..4)
-        .filter(|worker| !seen.contains(worker))
+    let probed = answer_with_one_slot(&mut node);
+    let drained: Vec<_> = (0..4)
+        .filter(|worker| !probed.contains(worker))
         .map(|worker| (worker, WorkerState::Draining, None))
         .collect();
-    assert_eq!(lost.len(), 2, "the held one is among those not probed");
-    node.apply_member_list(ListKind::Delta, &lost);
-    assert!(!node.take_probes().is_empty(), "no time has passed");
+    assert_eq!(drained.len(), 2, "the reserved worker is one of the two that were not probed");
+    node.apply_member_list(ListKind::Delta, &drained);
+    assert!(!node.take_probes().is_empty(), "a new round must start at once");
 }
--- a/crates/pebblepost-dispatch/tests/dispatcher/rules.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/rules.rs
@@ -1,5 +1,10 @@
-//! Random event orders under varied settings: rules 1 to 3 and the cold part of rule 4, judged
-//! from the actions alone.
+//! Invariants of the actions under random orders of events and varied settings.
+//!
+//! 1. Each request gets one answer, in time.
+//! 2. A job is sent again only where its idempotency allows that, is refused only if a retry by the client is harmless,
+//!    and has overlapping attempts only if hedging is enabled.
+//! 3. Jobs go only to ready workers.
+//! 4. A warming worker gets no more jobs than its capacity at the time allows.
 
 use crate::node::{START, settings};
 use pebblepost_dispatch::Dispatcher;
@@ -14,12 +19,12 @@
     Request { class: u8, left_ms: u16, repeat: bool },
     AnswerProbe { pick: u16, status: u8, free: u8, queue: u8 },
     AnswerAttempt { pick: u16, status: u8 },
-    Note { pick: u16, done: f32 },
-    Pass { ms: u16 },
-    List { worker: u8, state: u8, fresh: bool },
-    FailedCall,
-    Leave { pick: u16 },
-    Nonsense { id: u32 },
+    Progress { pick: u16, done: f32 },
+    AdvanceClock { ms: u16 },
+    UpdateWorker { worker: u8, state: u8, restarted: bool },
+    FailDiscovery,
+    ClientGone { pick: u16 },
+    UnknownIds { id: u32 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -29,13 +34,13 @@
         10 => (any::<u16>(), 0..8u8, 0..4u8, 0..4u8)
             .prop_map(|(pick, status, free, queue)| Step::AnswerProbe { pick, status, free, queue }),
         5 => (any::<u16>(), 0..8u8).prop_map(|(pick, status)| Step::AnswerAttempt { pick, status }),
-        1 => (any::<u16>(), 0.0..1.0f32).prop_map(|(pick, done)| Step::Note { pick, done }),
-        4 => prop_oneof![0..20u16, 0..600u16].prop_map(|ms| Step::Pass { ms }),
+        1 => (any::<u16>(), 0.0..1.0f32).prop_map(|(pick, done)| Step::Progress { pick, done }),
+        4 => prop_oneof![0..20u16, 0..600u16].prop_map(|ms| Step::AdvanceClock { ms }),
         2 => (0..4u8, prop_oneof![3 => Just(1u8), 2 => 0..3u8], any::<bool>())
-            .prop_map(|(worker, state, fresh)| Step::List { worker, state, fresh }),
-        1 => Just(Step::FailedCall),
-        1 => any::<u16>().prop_map(|pick| Step::Leave { pick }),
-        1 => any::<u32>().prop_map(|id| Step::Nonsense { id }),
+            .prop_map(|(worker, state, restarted)| Step::UpdateWorker { worker, state, restarted }),
+        1 => Just(Step::FailDiscovery),
+        1 => any::<u16>().prop_map(|pick| Step::ClientGone { pick }),
+        1 => any::<u32>().prop_map(|id| Step::UnknownIds { id }),
     ]
 }
 
@@ -55,23 +60,25 @@
     class: usize,
     deadline: Time,
     ended: bool,
-    /// Attempts: worker, sent, outcome.
+    /// Worker, time of the send and outcome of each attempt.
     attempts: Vec<(u32, Time, Option<Status>)>,
 }
 
-/// The world as the bench would judge it.
-struct World {
+/// Clients, workers and discovery around one dispatcher. Checks the invariants on each of its actions.
+struct Harness {
     node: Dispatcher,
     settings: Settings,
     now: Time,
     timers: Vec<(Time, TimerToken)>,
     pending: BTreeMap<u32, PendingRequest>,
-    states: HashMap<u32, (WorkerState, Option<Time>)>,
+    /// State and announced start of each worker.
+    workers: HashMap<u32, (WorkerState, Option<Time>)>,
+    /// Workers of the unanswered probes.
     probes: Vec<u32>,
-    /// Draining workers to which connections may have become idle.
-    to_close: Vec<u32>,
+    /// Draining workers to which a connection may have become idle.
+    unclosed_workers: Vec<u32>,
     next_id: u32,
-    log: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 fn zone(worker: u32) -> u32 {
@@ -86,30 +93,30 @@
     worker % 4
 }
 
-impl World {
+impl Harness {
     fn new(settings: Settings, seed: u64) -> Self {
         let node = Dispatcher::new(settings.clone(), seed, START);
-        let workers = if seed.is_multiple_of(2) { 2 } else { 6 };
-        let states = (0..workers).map(|worker| (worker, (WorkerState::Ready, None))).collect();
-        let mut world = World {
+        let worker_count = if seed.is_multiple_of(2) { 2 } else { 6 };
+        let workers = (0..worker_count).map(|worker| (worker, (WorkerState::Ready, None))).collect();
+        let mut harness = Harness {
             node,
             settings,
             now: START,
             timers: vec![],
             pending: BTreeMap::new(),
-            states,
+            workers,
             probes: vec![],
-            to_close: vec![],
+            unclosed_workers: vec![],
             next_id: 0,
-            log: vec![],
+            actions: vec![],
         };
-        let entries = (0..workers).map(|worker| world.entry(worker)).collect();
-        world.event(Event::Members { kind: ListKind::Cached, entries });
-        world
+        let entries = (0..worker_count).map(|worker| harness.entry(worker)).collect();
+        harness.handle(Event::Members { kind: ListKind::Cached, entries });
+        harness
     }
 
     fn entry(&self, worker: u32) -> Entry {
-        let (state, started) = self.states[&worker];
+        let (state, started) = self.workers[&worker];
         Entry {
             worker: WorkerId(worker),
             zone: ZoneId(zone(worker) as u16),
@@ -121,45 +128,58 @@
         }
     }
 
-    fn event(&mut self, event: Event) {
-        let mut out = vec![];
-        self.node.handle(self.now, event.clone(), &mut out);
+    /// Passes an event to the dispatcher and checks its actions.
+    fn handle(&mut self, event: Event) {
+        let mut actions = vec![];
+        self.node.handle(self.now, event.clone(), &mut actions);
         let touched = match event {
             Event::Outcome { worker, .. } | Event::Probed { worker, .. } => vec![worker.0],
             Event::Members { entries, .. } => entries.iter().map(|entry| entry.worker.0).collect(),
             _ => vec![],
         };
-        let draining = |worker: &u32| self.states[worker].0 == WorkerState::Draining;
-        self.to_close = touched.into_iter().filter(draining).collect();
-        for action in &out {
-            self.judge(action);
+        let draining = |worker: &u32| self.workers[worker].0 == WorkerState::Draining;
+        self.unclosed_workers = touched.into_iter().filter(draining).collect();
+        for action in &actions {
+            self.check_action(action);
         }
-        let closes = self.settings.close_idle_within.is_some();
-        assert!(!closes || self.to_close.is_empty(), "idle connections to {:?}", self.to_close);
-        self.log.extend(out);
+        let must_close = self.settings.close_idle_within.is_some();
+        assert!(
+            !must_close || self.unclosed_workers.is_empty(),
+            "idle connections to the draining workers {:?} were not closed",
+            self.unclosed_workers
+        );
+        self.actions.extend(actions);
     }
 
-    fn judge(&mut self, action: &Action) {
+    fn check_action(&mut self, action: &Action) {
         match *action {
-            Action::Send { id, worker, .. } => self.judge_send(id.0, worker.0),
+            Action::Send { id, worker, .. } => self.check_send(id.0, worker.0),
             Action::Refuse { id, retry_after } => {
-                assert_eq!(retry_after.is_some(), self.settings.retry_after_enabled, "when to come back");
-                let effect = self.settings.classes[self.pending[&id.0].class].idempotency;
-                let request = self.pending.get_mut(&id.0).expect("refused a request it does not have");
-                let never =
+                assert_eq!(
+                    retry_after.is_some(),
+                    self.settings.retry_after_enabled,
+                    "retry_after is set exactly if enabled"
+                );
+                let idempotency = self.settings.classes[self.pending[&id.0].class].idempotency;
+                let request = self.pending.get_mut(&id.0).expect("a refused request is known");
+                let never_ran =
                     |outcome: &Option<Status>| outcome.is_some_and(|status| self.settings.never_ran(status));
-                let harmless = match effect {
+                let is_harmless = match idempotency {
                     Idempotency::Idempotent
                     | Idempotency::Deduplicated { scope: DeduplicationScope::All, .. } => true,
-                    _ => request.attempts.iter().all(|(.., outcome)| never(outcome)),
+                    _ => request.attempts.iter().all(|(.., outcome)| never_ran(outcome)),
                 };
-                assert!(harmless, "rule 2: refused {id:?} though it may have run: {:?}", request.attempts);
-                assert!(!request.ended, "rule 1: two answers for {id:?}");
+                assert!(
+                    is_harmless,
+                    "invariant 2: refused {id:?}, which may have run: {:?}",
+                    request.attempts
+                );
+                assert!(!request.ended, "invariant 1: two answers for {id:?}");
                 request.ended = true;
             }
             Action::Fail { id } => {
-                let request = self.pending.get_mut(&id.0).expect("failed a request it does not have");
-                assert!(!request.ended, "rule 1: two answers for {id:?}");
+                let request = self.pending.get_mut(&id.0).expect("a failed request is known");
+                assert!(!request.ended, "invariant 1: two answers for {id:?}");
                 request.ended = true;
             }
             Action::Cancel { id, attempt } => {
@@ -167,48 +187,53 @@
             }
             Action::SetTimer { at, token } => self.timers.push((at, token)),
             Action::Probe { worker } => {
-                assert_eq!(self.states[&worker.0].0, WorkerState::Ready, "probe opens a connection");
+                assert_eq!(
+                    self.workers[&worker.0].0,
+                    WorkerState::Ready,
+                    "probe of worker {}, which is not ready",
+                    worker.0
+                );
                 self.probes.push(worker.0);
             }
-            Action::CloseIdle { worker } => self.to_close.retain(|closing| *closing != worker.0),
+            Action::CloseIdle { worker } => self.unclosed_workers.retain(|closing| *closing != worker.0),
             Action::Watch | Action::Fetch => {}
         }
     }
 
-    /// A request for which no attempt can be made any more is answered in the same step.
-    fn judge_promptness(&self, id: u32) {
+    /// Checks that a request that allows no further attempt has been answered at once.
+    fn check_answered_at_once(&self, id: u32) {
         let request = &self.pending[&id];
         let open = request.attempts.iter().any(|(.., outcome)| outcome.is_none());
         let ran = |(.., outcome): &&(u32, Time, Option<Status>)| {
             outcome.is_some_and(|status| !self.settings.never_ran(status))
         };
-        let barred =
+        let is_retry_forbidden =
             match (self.settings.classes[request.class].idempotency, request.attempts.iter().find(ran)) {
                 (Idempotency::Idempotent, _) | (_, None) => false,
                 (Idempotency::NonIdempotent, Some(_)) => true,
                 (Idempotency::Deduplicated { window, .. }, Some((_, at, _))) => self.now >= *at + window,
             };
-        let used_up = request.attempts.len() as u32 >= self.settings.max_attempts;
+        let attempts_exhausted = request.attempts.len() as u32 >= self.settings.max_attempts;
         assert!(
-            request.ended || open || !(barred || used_up),
-            "not answered: {id} after {:?}",
+            request.ended || open || !(is_retry_forbidden || attempts_exhausted),
+            "invariant 1: request {id} not answered after its last attempt {:?}",
             request.attempts
         );
     }
 
-    fn judge_send(&mut self, id: u32, worker: u32) {
+    fn check_send(&mut self, id: u32, worker: u32) {
         let now = self.now;
-        let (state, _) = self.states[&worker];
-        assert_eq!(state, WorkerState::Ready, "rule 3: sent to {worker}");
+        let (state, _) = self.workers[&worker];
+        assert_eq!(state, WorkerState::Ready, "invariant 3: sent to worker {worker}, which is not ready");
         let class = &self.settings.classes[self.pending[&id].class];
-        let open = |zones: &Vec<ZoneId>| zones.contains(&ZoneId(zone(worker) as u16));
-        assert!(class.only_zones.as_ref().is_none_or(open), "placement: zone of {worker}");
-        let open = |kinds: &Vec<KindId>| kinds.contains(&KindId(kind(worker) as u16));
-        assert!(class.only_kinds.as_ref().is_none_or(open), "placement: kind of {worker}");
-        let request = self.pending.get_mut(&id).expect("sent a request it does not have");
-        assert!(!request.ended, "rule 1: sent after the end");
+        let permitted = |zones: &Vec<ZoneId>| zones.contains(&ZoneId(zone(worker) as u16));
+        assert!(class.only_zones.as_ref().is_none_or(permitted), "zone of worker {worker} is not permitted");
+        let permitted = |kinds: &Vec<KindId>| kinds.contains(&KindId(kind(worker) as u16));
+        assert!(class.only_kinds.as_ref().is_none_or(permitted), "kind of worker {worker} is not permitted");
+        let request = self.pending.get_mut(&id).expect("a sent request is known");
+        assert!(!request.ended, "invariant 1: sent after the answer");
         let open = request.attempts.iter().any(|(.., outcome)| outcome.is_none());
-        assert!(self.settings.hedging_enabled || !open, "rule 2: overlapping attempts");
+        assert!(self.settings.hedging_enabled || !open, "invariant 2: overlapping attempts without hedging");
         assert!((request.attempts.len() as u32) < self.settings.max_attempts);
         let settings = &self.settings;
         let may_have_run = |(.., outcome): &&(u32, Time, Option<Status>)| {
@@ -217,70 +242,77 @@
         if let Some((first, at, _)) = request.attempts.iter().find(may_have_run) {
             match self.settings.classes[request.class].idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => panic!("rule 2: an unsafe job sent twice"),
-                Idempotency::Deduplicated { scope: group, window } => {
-                    assert!(now < *at + window, "rule 2: after the window");
-                    match group {
+                Idempotency::NonIdempotent => {
+                    panic!("invariant 2: non-idempotent job sent again after it may have run")
+                }
+                Idempotency::Deduplicated { scope, window } => {
+                    assert!(now < *at + window, "invariant 2: retry after the deduplication window");
+                    match scope {
                         DeduplicationScope::All => {}
                         DeduplicationScope::Zone => {
-                            assert_eq!(zone(*first), zone(worker), "rule 2: outside the zone")
+                            assert_eq!(zone(*first), zone(worker), "invariant 2: retry outside the zone")
                         }
                         DeduplicationScope::Cell => {
-                            assert_eq!(cell(*first), cell(worker), "rule 2: outside the cell")
+                            assert_eq!(cell(*first), cell(worker), "invariant 2: retry outside the cell")
                         }
                     }
                 }
             }
         }
         request.attempts.push((worker, now, None));
-        // Rule 4: a cold worker never holds more of this node's jobs than three times its part of its slots,
-        // which are three at the most here, or one.
-        let (_, started) = self.states[&worker];
+        // Invariant 4: a warming worker never holds more of this node's jobs than one, or three times its usable slots,
+        // and never more than its slots. Workers report at most three slots here.
+        let (_, started) = self.workers[&worker];
         if started.is_some_and(|start| now < start + self.settings.warm_up_time) {
-            let here = |request: &PendingRequest| {
+            let jobs_in_flight = |request: &PendingRequest| {
                 let recent = |(at_worker, at, outcome): &&(u32, Time, Option<Status>)| {
                     *at_worker == worker && outcome.is_none() && started.is_some_and(|start| *at >= start)
                 };
                 request.attempts.iter().filter(recent).count()
             };
-            let out: usize = self.pending.values().map(here).sum();
+            let in_flight: usize = self.pending.values().map(jobs_in_flight).sum();
             let age = started.map_or(0.0, |start| now.since(start).as_secs_f64());
-            let cold_from = self.settings.cold_capacity;
-            let capacity = cold_from + (1.0 - cold_from) * age / self.settings.warm_up_time.as_secs_f64();
-            let share = (3.0 * (3.0 * capacity).min(1.0)).ceil().max(1.0);
+            let cold_capacity = self.settings.cold_capacity;
+            let capacity =
+                cold_capacity + (1.0 - cold_capacity) * age / self.settings.warm_up_time.as_secs_f64();
+            let max_in_flight = (3.0 * (3.0 * capacity).min(1.0)).ceil().max(1.0);
             assert!(
-                out as f64 <= share,
-                "rule 4: {out} jobs out at a worker of three slots, {capacity} warm"
+                in_flight as f64 <= max_in_flight,
+                "invariant 4: {in_flight} jobs in flight at a worker of three slots with {capacity} of its capacity, \
+                 limit {max_in_flight}"
             );
         }
     }
 
-    fn fire(&mut self) {
+    /// Fires all timers that are due, in order.
+    fn fire_timers(&mut self) {
         loop {
             self.timers.sort_by_key(|(at, _)| *at);
             match self.timers.first() {
                 Some((at, _)) if *at <= self.now => {
                     let (_, token) = self.timers.remove(0);
-                    self.event(Event::TimerDue { token });
+                    self.handle(Event::TimerDue { token });
                 }
                 _ => return,
             }
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    /// Advances the clock in ticks, fires timers and checks that no answer is overdue.
+    fn advance_clock(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while self.now < end {
             self.now = self.now + self.settings.tick;
-            self.fire();
-            let late = |request: &PendingRequest| {
+            self.fire_timers();
+            let is_overdue = |request: &PendingRequest| {
                 !request.ended && self.now > request.deadline + self.settings.answer_slack
             };
-            let overdue = self.pending.iter().find(|(_, request)| late(request));
-            assert!(overdue.is_none(), "rule 1: no answer in time: {overdue:?}");
+            let overdue = self.pending.iter().find(|(_, request)| is_overdue(request));
+            assert!(overdue.is_none(), "invariant 1: no answer in time: {overdue:?}");
         }
     }
 
+    /// Returns the request and the number of each attempt without an outcome.
     fn open_attempts(&self) -> Vec<(u32, usize)> {
         let open = |(id, request): (&u32, &PendingRequest)| {
             let id = *id;
@@ -299,7 +331,7 @@
         let time_left = Duration::from_millis(left_ms.into());
         let deadline = self.now + time_left;
         self.pending.insert(id, PendingRequest { class, deadline, ended: false, attempts: vec![] });
-        self.event(Event::Request {
+        self.handle(Event::Request {
             id: RequestId(id),
             class: ClassId(class as u16),
             tenant: TenantId(0),
@@ -319,7 +351,7 @@
         let worker = self.probes.remove(pick % self.probes.len());
         let report = if status == Status::Ok { report } else { Report::new() };
         let latency = Duration::from_millis(1);
-        self.event(Event::Probed { worker: WorkerId(worker), status, latency, report });
+        self.handle(Event::Probed { worker: WorkerId(worker), status, latency, report });
     }
 
     fn answer_attempt(&mut self, pick: usize, status: Status) {
@@ -328,7 +360,7 @@
             return;
         }
         let (id, no) = open[pick % open.len()];
-        let request = self.pending.get_mut(&id).expect("pending");
+        let request = self.pending.get_mut(&id).expect("a pending request");
         let (worker, sent, outcome) = &mut request.attempts[no];
         *outcome = Some(status);
         let (worker, latency) = (WorkerId(*worker), self.now.since(*sent));
@@ -337,65 +369,66 @@
         let attempt = AttemptNo(no as u8);
         let id = RequestId(id);
         let report = Report::new();
-        self.event(Event::Outcome { id, attempt, worker, status, latency, closed, report });
-        self.judge_promptness(id.0);
+        self.handle(Event::Outcome { id, attempt, worker, status, latency, closed, report });
+        self.check_answered_at_once(id.0);
     }
 
-    fn step(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         match *step {
             Step::Request { class, left_ms, repeat } => self.request(class.into(), left_ms, repeat),
             Step::AnswerProbe { pick, status, free, queue } => {
-                // Most probes are answered well.
+                // Three quarters of the probes succeed.
                 let status = if pick % 4 == 0 { STATUSES[usize::from(status)] } else { Status::Ok };
                 self.answer_probe(pick.into(), status, vec![free.into(), queue.into()]);
             }
             Step::AnswerAttempt { pick, status } => {
                 self.answer_attempt(pick.into(), STATUSES[usize::from(status)]);
             }
-            Step::Note { pick, done } => {
+            Step::Progress { pick, done } => {
                 let open = self.open_attempts();
                 if let Some(&(id, no)) = open.get(usize::from(pick) % open.len().max(1)) {
                     let (id, attempt) = (RequestId(id), AttemptNo(no as u8));
-                    self.event(Event::Started { id, attempt });
-                    self.event(Event::Progress { id, attempt, done });
+                    self.handle(Event::Started { id, attempt });
+                    self.handle(Event::Progress { id, attempt, done });
                 }
             }
-            Step::Pass { ms } => self.pass(ms.into()),
-            Step::List { worker, state, fresh } => {
+            Step::AdvanceClock { ms } => self.advance_clock(ms.into()),
+            Step::UpdateWorker { worker, state, restarted } => {
                 let state =
                     [WorkerState::Gone, WorkerState::Ready, WorkerState::Draining][usize::from(state)];
                 let worker = u32::from(worker);
-                let was = self.states.get(&worker).and_then(|(_, started)| *started);
-                self.states.insert(worker, (state, if fresh { Some(self.now) } else { was }));
+                let last_start = self.workers.get(&worker).and_then(|(_, started)| *started);
+                self.workers.insert(worker, (state, if restarted { Some(self.now) } else { last_start }));
                 let entries = vec![self.entry(worker)];
-                self.event(Event::Members { kind: ListKind::Delta, entries });
+                self.handle(Event::Members { kind: ListKind::Delta, entries });
             }
-            Step::FailedCall => self.event(Event::Members { kind: ListKind::Failed, entries: vec![] }),
-            Step::Leave { pick } => {
+            Step::FailDiscovery => self.handle(Event::Members { kind: ListKind::Failed, entries: vec![] }),
+            Step::ClientGone { pick } => {
                 let ids: Vec<u32> =
                     self.pending.iter().filter(|(_, request)| !request.ended).map(|(id, _)| *id).collect();
                 if let Some(id) = ids.get(usize::from(pick) % ids.len().max(1)) {
-                    self.pending.get_mut(id).expect("pending").ended = true;
-                    self.event(Event::ClientGone { id: RequestId(*id) });
+                    self.pending.get_mut(id).expect("a pending request").ended = true;
+                    self.handle(Event::ClientGone { id: RequestId(*id) });
                 }
             }
-            Step::Nonsense { id } => {
+            Step::UnknownIds { id } => {
+                // Requests have low numbers, so none has this bit.
                 let id = id | 1 << 31;
-                self.event(Event::ClientGone { id: RequestId(id) });
-                self.event(Event::TimerDue { token: TimerToken(u64::from(id) << 24 | 3) });
-                self.event(Event::Started { id: RequestId(id), attempt: AttemptNo(200) });
+                self.handle(Event::ClientGone { id: RequestId(id) });
+                self.handle(Event::TimerDue { token: TimerToken(u64::from(id) << 24 | 3) });
+                self.handle(Event::Started { id: RequestId(id), attempt: AttemptNo(200) });
             }
         }
     }
 }
 
-fn varied() -> impl Strategy<Value = Settings> {
-    let group = prop_oneof![
+fn varied_settings() -> impl Strategy<Value = Settings> {
+    let scope = prop_oneof![
         Just(DeduplicationScope::All),
         Just(DeduplicationScope::Zone),
         Just(DeduplicationScope::Cell)
     ];
-    (any::<[bool; 12]>(), group, 1..6u32, 50..1500u64).prop_map(|(flags, group, max_attempts, window)| {
+    (any::<[bool; 12]>(), scope, 1..6u32, 50..1500u64).prop_map(|(flags, scope, max_attempts, window)| {
         let mut settings = settings();
         settings.hedging_enabled = flags[0];
         settings.start_reported = flags[1];
@@ -404,12 +437,12 @@
         settings.prices.handshake = f64::from(u8::from(flags[4])) * 0.1;
         settings.prices.cross_zone = f64::from(u8::from(flags[5])) * 0.1;
         settings.max_attempts = max_attempts;
-        // Long aims leave time for several rounds.
+        // Long latency targets leave time for several rounds of probes.
         for class in settings.classes.iter_mut().filter(|_| flags[6]) {
             class.latency_target = Duration::from_secs(2);
         }
         settings.classes[1].idempotency =
-            Idempotency::Deduplicated { scope: group, window: Duration::from_millis(window) };
+            Idempotency::Deduplicated { scope, window: Duration::from_millis(window) };
         settings.classes[0].late_value = 0.5;
         settings.full_may_have_run = flags[9];
         settings.retry_after_enabled = flags[11];
@@ -420,13 +453,14 @@
     })
 }
 
-fn play(settings: Settings, seed: u64, steps: &[Step]) -> Vec<Action> {
-    let mut world = World::new(settings, seed);
+/// Runs the steps, then lets all deadlines pass. Returns all actions.
+fn run_steps(settings: Settings, seed: u64, steps: &[Step]) -> Vec<Action> {
+    let mut harness = Harness::new(settings, seed);
     for step in steps {
-        world.step(step);
+        harness.run_step(step);
     }
-    world.pass(7000); // All deadlines pass: everything is answered.
-    world.log
+    harness.advance_clock(7000); // Longer than every deadline, so that every request is answered.
+    harness.actions
 }
 
 fn runner(cases: u32) -> TestRunner {
@@ -435,14 +469,14 @@
 }
 
 #[test]
-fn keeps_the_rules_under_random_event_orders() {
-    let orders = (varied(), any::<u64>(), prop::collection::vec(step(), 1..200));
+fn holds_the_invariants_under_random_event_orders() {
+    let orders = (varied_settings(), any::<u64>(), prop::collection::vec(step(), 1..200));
     let kept = runner(300).run(&orders, |(settings, seed, steps)| {
-        play(settings, seed, &steps);
+        run_steps(settings, seed, &steps);
         Ok(())
     });
     kept.unwrap_or_else(|broken| panic!("{broken}"));
-    // The orders reach the interesting parts: jobs are sent, and sent again.
+    // Guards against an idle run: these steps send jobs and retry them.
     let steps: Vec<Step> = (0..300)
         .flat_map(|i| {
             [
@@ -453,38 +487,40 @@
             ]
         })
         .collect();
-    let sends =
-        play(settings(), 1, &steps).iter().filter(|action| matches!(action, Action::Send { .. })).count();
-    assert!(sends > 100, "{sends} sends");
+    let sends = run_steps(settings(), 1, &steps)
+        .iter()
+        .filter(|action| matches!(action, Action::Send { .. }))
+        .count();
+    assert!(sends > 100, "{sends} sends, expected more than 100");
 }
 
 #[test]
-fn gives_identical_actions_for_identical_events() {
-    let orders = (varied(), any::<u64>(), prop::collection::vec(step(), 1..120));
+fn returns_identical_actions_for_identical_events() {
+    let orders = (varied_settings(), any::<u64>(), prop::collection::vec(step(), 1..120));
     let same = runner(60).run(&orders, |(settings, seed, steps)| {
-        prop_assert_eq!(play(settings.clone(), seed, &steps), play(settings, seed, &steps));
+        prop_assert_eq!(run_steps(settings.clone(), seed, &steps), run_steps(settings, seed, &steps));
         Ok(())
     });
     same.unwrap_or_else(|broken| panic!("{broken}"));
 }
 
-/// Errors come at any time around the end of the window; repeats follow inside it only.
+/// Attempts fail at any time around the end of the deduplication window. Retries follow only within it.
 #[test]
-fn retries_deduplicated_jobs_in_their_window_only() {
+fn retries_deduplicated_jobs_only_in_their_window() {
     let mut settings = settings();
     settings.classes[1].latency_target = Duration::from_secs(2);
     settings.classes[1].idempotency =
         Idempotency::Deduplicated { scope: DeduplicationScope::All, window: Duration::from_millis(300) };
     let orders = (any::<u64>(), prop::collection::vec((0..600u16, any::<u16>()), 1..30));
-    let mut repeats = 0;
+    let mut retries = 0;
     let kept = runner(60).run(&orders, |(seed, times)| {
         let step = |&(ms, pick): &(u16, u16)| {
             let probe = Step::AnswerProbe { pick: pick | 1, status: 1, free: 3, queue: 0 };
             let request = Step::Request { class: 1, left_ms: 5000, repeat: false };
             let error = Step::AnswerAttempt { pick, status: 0 };
-            vec![request, probe.clone(), Step::Pass { ms }, error, probe.clone(), probe]
+            vec![request, probe.clone(), Step::AdvanceClock { ms }, error, probe.clone(), probe]
         };
-        play(settings.clone(), seed, &times.iter().flat_map(step).collect::<Vec<_>>());
+        run_steps(settings.clone(), seed, &times.iter().flat_map(step).collect::<Vec<_>>());
         Ok(())
     });
     kept.unwrap_or_else(|broken| panic!("{broken}"));
@@ -493,11 +529,17 @@
         let steps = order.iter().flat_map(|&(ms, pick)| {
             let probe = Step::AnswerProbe { pick, status: 1, free: 3, queue: 0 };
             let request = Step::Request { class: 1, left_ms: 5000, repeat: false };
-            [request, probe.clone(), Step::Pass { ms }, Step::AnswerAttempt { pick, status: 0 }, probe]
+            [
+                request,
+                probe.clone(),
+                Step::AdvanceClock { ms },
+                Step::AnswerAttempt { pick, status: 0 },
+                probe,
+            ]
         });
-        let actions = play(settings.clone(), seed, &steps.collect::<Vec<_>>());
-        repeats +=
+        let actions = run_steps(settings.clone(), seed, &steps.collect::<Vec<_>>());
+        retries +=
             actions.iter().filter(|action| matches!(action, Action::Send { .. })).count().saturating_sub(3);
     }
-    assert!(repeats > 0, "repeats are made at all");
+    assert!(retries > 0, "no job was retried within its window");
 }
--- a/crates/pebblepost-dispatch/tests/dispatcher/workers.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/workers.rs
@@ -1,4 +1,4 @@
-//! The module by hand-driven events: workers that are cold, leave, fail or fall silent.
+//! Workers that warm up, drain, leave, fail or do not answer, and queueing at full workers.
 
 use crate::node::*;
 use pebblepost_dispatch::api::*;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn treats_a_worker_missing_from_a_full_list_as_gone() {
+fn treats_a_worker_missing_from_a_full_member_list_as_gone() {
     let mut node = Node::new(settings(), 2);
     node.apply_member_list(ListKind::Full, &[(0, WorkerState::Ready, None)]);
     for id in 0..20 {
@@ -26,57 +26,62 @@
     assert!(node.take_probes().iter().all(|worker| *worker == 0));
 }
 
-/// pusat-shah-alam big-1: connections idle for over a second were dropped unseen; what was sent on one got
-/// no answer until the client gave up.
+/// Guards against idle connections that the network has dropped. Connections idle for over a second were dropped
+/// without notice, and a job sent on one got no answer until the client gave up.
 #[test]
-fn lowers_the_idle_limit_when_a_send_does_not_start_despite_capacity() {
+fn lowers_the_idle_limit_when_a_job_does_not_start_although_its_worker_has_capacity() {
     let mut settings = settings();
     settings.start_reported = true;
     settings.classes[IDEMPOTENT].latency_target = Duration::from_secs(2);
     let mut node = Node::new(settings, 1);
-    let started = |node: &mut Node, id| {
+    let start_and_serve = |node: &mut Node, id| {
         node.handle(Event::Started { id: RequestId(id), attempt: AttemptNo(0) });
         node.outcome(id, 0, 0, Status::Ok, true);
     };
     node.send_to_first_probed(1, IDEMPOTENT);
-    started(&mut node, 1);
+    start_and_serve(&mut node, 1);
     node.run_for(Duration::from_secs(4));
     node.send_to_first_probed(2, IDEMPOTENT);
-    assert_eq!(count_idle_closes(&node), 0, "so far a connection is taken to last");
+    assert_eq!(count_idle_closes(&node), 0, "before the first loss, idle connections are reused");
     node.run_for(Duration::from_millis(900));
-    let looks = |node: &mut Node| node.take_probes().len(); // Some are to learn the age of reports.
-    let asked = looks(&mut node);
-    assert!(asked > 0, "not started: it is looked at");
-    (0..asked).for_each(|_| node.report(0, 0.0, 2.0));
-    let called_back = |node: &Node| node.actions.iter().any(|action| matches!(action, Action::Cancel { .. }));
-    assert!(!called_back(&node), "a full worker explains it");
+    let probe_count = |node: &mut Node| node.take_probes().len(); // Some probes only measure the age of reports.
+    let probes = probe_count(&mut node);
+    assert!(probes > 0, "a job that has not started must cause a probe");
+    (0..probes).for_each(|_| node.report(0, 0.0, 2.0));
+    let has_cancelled =
+        |node: &Node| node.actions.iter().any(|action| matches!(action, Action::Cancel { .. }));
+    assert!(!has_cancelled(&node), "a job that waits at a full worker must not be cancelled");
 
     node.outcome(2, 0, 0, Status::Ok, true);
     node.run_for(Duration::from_secs(4));
     node.send_to_first_probed(3, IDEMPOTENT);
     node.run_for(Duration::from_millis(900));
-    (0..looks(&mut node)).for_each(|_| node.report(0, 2.0, 0.0));
+    (0..probe_count(&mut node)).for_each(|_| node.report(0, 2.0, 0.0));
     assert_eq!(node.actions.last(), Some(&Action::Cancel { id: RequestId(3), attempt: AttemptNo(0) }));
     node.outcome(3, 0, 0, Status::Cancelled, false);
-    assert_eq!(node.take_probes(), [0], "and sent again, once that is confirmed");
+    assert_eq!(node.take_probes(), [0], "the job is retried once its cancellation is confirmed");
     node.report(0, 2.0, 0.0);
     assert_eq!(node.sends(), [(3, 0)]);
     node.outcome(3, 1, 0, Status::Ok, true);
 
-    node.run_for(Duration::from_millis(2500)); // Over half of what was lost.
+    node.run_for(Duration::from_millis(2500)); // Over half of the idle time at which the job was lost.
     node.request(4, NON_IDEMPOTENT);
     node.report(0, 2.0, 0.0);
-    assert_eq!((count_idle_closes(&node), node.sends()), (1, vec![(4, 0)]), "on a new connection");
-    started(&mut node, 4);
+    assert_eq!(
+        (count_idle_closes(&node), node.sends()),
+        (1, vec![(4, 0)]),
+        "idle connections are closed before the send"
+    );
+    start_and_serve(&mut node, 4);
     node.run_for(Duration::from_secs(1));
     node.send_to_first_probed(5, IDEMPOTENT);
-    assert_eq!(count_idle_closes(&node), 0, "a younger one is used again");
+    assert_eq!(count_idle_closes(&node), 0, "a connection idle for a shorter time is reused");
 }
 
-/// An idle connection to a draining server was still open after 1.02 s.
+/// Guards against idle connections that outlast the limit: one to a draining server was still open after 1.02 s.
 #[test]
 fn closes_idle_connections_to_a_draining_worker() {
-    let closes = |node: &mut Node| {
+    let take_idle_closes = |node: &mut Node| {
         let close = |action: &&Action| matches!(action, Action::CloseIdle { worker: WorkerId(0) });
         let count = node.actions.iter().filter(close).count();
         node.actions.clear();
@@ -88,38 +93,42 @@
     let draining = [(0, WorkerState::Draining, None)];
     node.send_to_first_probed(1, IDEMPOTENT);
     node.send_to_first_probed(2, NON_IDEMPOTENT);
-    node.request(3, IDEMPOTENT); // Its probe is out.
-    assert_eq!(closes(&mut node), 0, "a ready worker keeps its connections");
+    node.request(3, IDEMPOTENT); // Its probe is in flight.
+    assert_eq!(take_idle_closes(&mut node), 0, "a ready worker keeps its connections");
     node.apply_member_list(ListKind::Delta, &draining);
-    assert_eq!(closes(&mut node), 1, "at the notice");
+    assert_eq!(take_idle_closes(&mut node), 1, "the member list announces the drain");
     node.report(0, 2.0, 0.0);
     assert!(node.sends().is_empty());
-    assert_eq!(closes(&mut node), 1, "the probe has ended");
+    assert_eq!(take_idle_closes(&mut node), 1, "the probe has ended and leaves a connection idle");
     node.outcome(1, 0, 0, Status::Ok, true);
-    assert_eq!(closes(&mut node), 1, "an attempt has ended");
+    assert_eq!(take_idle_closes(&mut node), 1, "an attempt has ended and leaves a connection idle");
     node.run_for(Duration::from_secs(6));
     node.outcome(2, 0, 0, Status::Cancelled, true);
-    assert_eq!(closes(&mut node), 1, "also one whose request was answered before");
+    assert_eq!(take_idle_closes(&mut node), 1, "an attempt has ended whose request was answered earlier");
     node.request(4, IDEMPOTENT);
     node.run_for(Duration::from_secs(6));
-    assert!(node.take_probes().is_empty(), "no probe opens a connection there");
+    assert!(node.take_probes().is_empty(), "a probe would open a connection to a draining worker");
     node.apply_member_list(ListKind::Full, &[(0, WorkerState::Ready, None)]);
     node.send_to_first_probed(5, IDEMPOTENT);
     node.outcome(5, 0, 0, Status::Ok, true);
-    assert_eq!(closes(&mut node), 0, "it takes work again");
+    assert_eq!(take_idle_closes(&mut node), 0, "a worker that is ready again keeps its connections");
     node.apply_member_list(ListKind::Full, &draining);
-    assert_eq!(closes(&mut node), 1);
+    assert_eq!(take_idle_closes(&mut node), 1);
 
     let mut restarted = Node::new(settings, 0);
     restarted.apply_member_list(ListKind::Cached, &draining);
-    assert_eq!(closes(&mut restarted), 1, "a restarted node learns it from its cached list");
+    assert_eq!(
+        take_idle_closes(&mut restarted),
+        1,
+        "a restarted node learns of the drain from its cached list"
+    );
 
     let mut node = Node::new(crate::node::settings(), 1);
     node.apply_member_list(ListKind::Delta, &draining);
-    assert_eq!(closes(&mut node), 0, "where the rule is not stated");
+    assert_eq!(take_idle_closes(&mut node), 0, "no close if close_idle_within is not set");
 }
 
-/// The second look at a report is no reason to open a connection to a worker that drains.
+/// Probes that measure the age of reports must not open connections to a draining worker.
 #[test]
 fn sends_no_probe_to_a_draining_worker() {
     let mut node = Node::new(settings(), 1);
@@ -130,30 +139,30 @@
 }
 
 #[test]
-fn limits_a_warming_worker_to_its_usable_slots_without_queueing() {
+fn sends_a_warming_worker_no_more_jobs_than_its_usable_slots() {
     let mut node = Node::new(Settings { cold_capacity: 0.1, ..settings() }, 1);
     node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
     node.request(1, IDEMPOTENT);
     node.report(0, 3.0, 0.0);
     assert_eq!(node.sends().len(), 1);
     node.actions.clear();
-    // One of three slots is taken; at a tenth of its capacity that is all it may hold.
+    // One of three slots is busy. At a tenth of its capacity, the worker may hold no second job.
     node.request(2, IDEMPOTENT);
     node.run_for(Duration::from_millis(1));
     node.report(0, 2.0, 0.0);
     assert!(node.sends().is_empty());
 }
 
-/// A report that calls a cold worker free although this node's own job fills its part is old.
+/// A report that shows free slots at a cold worker is outdated if this node's own job takes the usable slots.
 #[test]
-fn counts_own_jobs_as_busy_slots_whatever_a_report_says() {
+fn counts_own_jobs_as_busy_slots_even_if_a_report_shows_them_free() {
     let mut node =
         Node::new(Settings { cold_capacity: 0.1, warm_up_time: Duration::from_secs(200), ..settings() }, 1);
     node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(START))]);
     node.request(1, IDEMPOTENT);
     node.report(0, 3.0, 0.0);
     assert_eq!(node.sends().len(), 1);
-    node.advance_clock(Duration::from_secs(2)); // Long past the age reports are taken to have.
+    node.advance_clock(Duration::from_secs(2)); // Much longer than the estimated age of reports.
     node.actions.clear();
     node.request(2, IDEMPOTENT);
     node.report(0, 3.0, 0.0);
@@ -162,14 +171,14 @@
     node.request(3, IDEMPOTENT);
     node.report(0, 3.0, 0.0);
     node.report(0, 3.0, 0.0);
-    assert_eq!(node.sends().len(), 1, "room again once that job has ended");
+    assert_eq!(node.sends().len(), 1, "the slot is free again after that job");
 }
 
-/// Incident ia46aaf, and h64ffa1 of pusat-shah-alam with fresh reports: all nodes saw the same free
-/// slot of a cold worker.
+/// Guards against incidents ia46aaf and h64ffa1, the latter with fresh reports: all nodes saw the same free slot of a
+/// cold worker and sent to it.
 #[test]
-fn admits_an_even_share_of_each_node_to_a_warming_worker() {
-    for (nodes, fair) in [(1000, 0..=2), (50, 1..=6), (1, 30..=300)] {
+fn limits_each_node_to_an_equal_share_of_a_warming_worker() {
+    for (nodes, expected) in [(1000, 0..=2), (50, 1..=6), (1, 30..=300)] {
         let mut settings = settings();
         settings.nodes = nodes;
         let mut node = Node::new(settings, 1);
@@ -185,20 +194,23 @@
             }
             node.run_for(Duration::from_millis(20));
         }
-        assert!(fair.contains(&sent), "{sent} of 300 went to a cold worker that {nodes} nodes share");
+        assert!(
+            expected.contains(&sent),
+            "{sent} of 300 jobs went to a cold worker that {nodes} nodes share, expected {expected:?}"
+        );
     }
 }
 
-/// A cold server filled by others, never seen free by this node, was taken
-/// to have one slot, and that one free.
+/// Guards against a wrong number of slots: a cold server that other nodes had filled, and that this node had never
+/// seen free, was assumed to have one slot and that slot to be free.
 #[test]
-fn takes_the_slots_of_its_kind_for_a_worker_never_seen_free() {
-    for (free, kind_known, sends) in [(0.0, false, false), (1.0, true, false), (3.0, true, true)] {
+fn assumes_the_slots_of_its_kind_for_a_worker_never_seen_free() {
+    for (free, is_kind_known, is_sent) in [(0.0, false, false), (1.0, true, false), (3.0, true, true)] {
         let mut settings = Settings { cold_capacity: 0.1, ..settings() };
         settings.nodes = 1;
         let mut node = Node::new(settings, 2);
-        if kind_known {
-            node.report_all_workers(3.0); // Three slots, of which a cold worker gets two.
+        if is_kind_known {
+            node.report_all_workers(3.0); // Three slots, of which a cold worker may use two.
         }
         node.apply_member_list(
             ListKind::Delta,
@@ -208,12 +220,13 @@
         node.run_for(Duration::from_secs(1));
         node.request(1, IDEMPOTENT);
         node.report(2, free, 0.0);
-        assert_eq!(!node.sends().is_empty(), sends, "{free} free, kind known: {kind_known}");
+        assert_eq!(!node.sends().is_empty(), is_sent, "{free} slots free, kind known: {is_kind_known}");
     }
 }
 
-/// Asks with a hint of work at a node of one worker, which reports three free slots; was it sent?
-fn with_work(node: &mut Node, id: u32, ms: u64) -> usize {
+/// Requests a job hinted at `ms` milliseconds at a node whose only worker reports three free slots. Returns 1 if it
+/// was sent, in which case it is served at once, and otherwise 0.
+fn run_on_only_worker(node: &mut Node, id: u32, ms: u64) -> usize {
     node.request_with_hint(id, ms, 1.0);
     node.report(0, 3.0, 0.0);
     let sent = node.sends();
@@ -223,45 +236,45 @@
     sent.len()
 }
 
-/// Twelve light jobs within a second pushed a cold server over.
+/// Guards against light jobs that do not count: twelve of them within a second overloaded a cold server.
 #[test]
-fn counts_light_jobs_in_full_at_a_warming_worker() {
+fn limits_the_number_of_light_jobs_at_a_warming_worker() {
     let mut settings = settings();
     settings.nodes = 1000;
     let mut node = Node::new(settings, 1);
     node.report_all_workers(3.0);
-    (0..40).for_each(|id| assert_eq!(with_work(&mut node, id, 1000), 1));
+    (0..40).for_each(|id| assert_eq!(run_on_only_worker(&mut node, id, 1000), 1));
     node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(node.now))]);
-    let step = |id| {
+    let run_light_job = |id| {
         node.run_for(Duration::from_millis(20));
-        with_work(&mut node, id, 1)
+        run_on_only_worker(&mut node, id, 1)
     };
-    let sent: usize = (40..340).map(step).sum();
+    let sent: usize = (40..340).map(run_light_job).sum();
     assert!(sent <= 2, "{sent} of 300 light jobs went to a cold worker that 1000 nodes share");
 }
 
-/// A job that alone is half of what pushes a cold worker over is kept from it.
+/// A job that takes half of the overload budget of a cold worker is not sent to it.
 #[test]
 fn sends_no_job_that_alone_overloads_a_warming_worker() {
     let mut settings = Settings { nodes: 1, warm_up_time: Duration::from_secs(200), ..settings() };
     settings.overload_time = Duration::from_millis(500);
-    settings.classes[IDEMPOTENT].latency_stretch = 3.0; // Both end in time there.
+    settings.classes[IDEMPOTENT].latency_stretch = 3.0; // Light and heavy jobs end in time at the cold worker.
     let mut node = Node::new(settings, 1);
     node.report_all_workers(3.0);
     let ms = |id: u32| if id.is_multiple_of(8) { 1800 } else { 40 };
-    let warm: usize = (0..80).map(|id| with_work(&mut node, id, ms(id))).sum();
-    assert_eq!(warm, 80, "warm workers take both");
+    let sent_warm: usize = (0..80).map(|id| run_on_only_worker(&mut node, id, ms(id))).sum();
+    assert_eq!(sent_warm, 80, "a warm worker must get light and heavy jobs");
     node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(node.now))]);
-    let mut cold = [0; 2];
+    let mut sent_cold = [0; 2];
     for id in 80..280_u32 {
         node.run_for(Duration::from_millis(100));
-        cold[usize::from(id.is_multiple_of(8))] += with_work(&mut node, id, ms(id));
+        sent_cold[usize::from(id.is_multiple_of(8))] += run_on_only_worker(&mut node, id, ms(id));
     }
-    assert!(cold[0] > 5 && cold[1] == 0, "light and heavy: {cold:?}");
+    assert!(sent_cold[0] > 5 && sent_cold[1] == 0, "light and heavy jobs sent: {sent_cold:?}");
 }
 
 #[test]
-fn ejects_a_failing_worker_then_tries_it_again() {
+fn ejects_a_failing_worker_and_probes_it_again_later() {
     let mut node = Node::new(settings(), 2);
     let worker = node.send_to_first_probed(1, NON_IDEMPOTENT);
     node.outcome(1, 0, worker, Status::Error, false);
@@ -280,13 +293,16 @@
 }
 
 #[test]
-fn goes_on_without_a_lost_probe() {
+fn probes_other_workers_before_a_lost_probe_times_out() {
     let mut node = Node::new(settings(), 4);
     node.request(1, IDEMPOTENT);
     let lost = node.take_probes()[0];
     node.run_for(Duration::from_millis(20));
     let next = node.take_probes();
-    assert!(!next.is_empty() && !next.contains(&lost), "others are drawn before the probe times out");
+    assert!(
+        !next.is_empty() && !next.contains(&lost),
+        "other workers must be probed before the lost probe times out: {next:?}"
+    );
     node.report(next[0], 2.0, 0.0);
     node.run_for(Duration::from_millis(20));
     assert_eq!(node.sends(), vec![(1, next[0])]);
@@ -295,7 +311,7 @@
 }
 
 #[test]
-fn uses_ejected_workers_if_all_are_ejected() {
+fn probes_ejected_workers_if_all_are_ejected() {
     let mut node = Node::new(settings(), 2);
     for id in 0..4 {
         node.request(id, NON_IDEMPOTENT);
@@ -308,34 +324,34 @@
     assert!(!node.take_probes().is_empty());
 }
 
-/// Harbor: workers that stale reports called free refused more sends than those called busy.
+/// Guards against trust in stale reports: workers reported as free rejected more jobs than those reported as busy.
 #[test]
-fn reads_stale_reports_by_their_reliability() {
+fn learns_that_stale_reports_of_free_slots_are_unreliable() {
     let mut settings = settings();
     settings.overload_time = Duration::from_secs(2000);
     settings.start_reported = true;
     let mut node = Node::new(settings, 8);
     node.report_all_workers(2.0);
-    let (mut free, mut busy) = (0, 0);
+    let (mut sent_to_free, mut sent_to_busy) = (0, 0);
     for id in 0..400 {
         node.request(id, NON_IDEMPOTENT);
         let mut probed = node.take_probes();
         for turn in 0..40 {
             node.actions.clear();
             for (i, worker) in probed.iter().enumerate() {
-                let called_free = (turn + i + id as usize).is_multiple_of(2);
-                node.report(*worker, if called_free { 2.0 } else { 0.0 }, 0.0);
+                let reported_free = (turn + i + id as usize).is_multiple_of(2);
+                node.report(*worker, if reported_free { 2.0 } else { 0.0 }, 0.0);
             }
             let sent = node.sends();
             node.actions.retain(|action| !matches!(action, Action::Send { .. }));
             for (id, worker) in sent {
-                let called_free = node.last_free[&worker] > 0.0;
+                let reported_free = node.last_free[&worker] > 0.0;
                 let no = node.attempts[&id] - 1;
-                if called_free {
-                    free += u32::from(id >= 300);
+                if reported_free {
+                    sent_to_free += u32::from(id >= 300);
                     node.outcome(id, no, worker, Status::Full, false);
                 } else {
-                    busy += u32::from(id >= 300);
+                    sent_to_busy += u32::from(id >= 300);
                     node.handle(Event::Started { id: RequestId(id), attempt: AttemptNo(no) });
                     node.outcome(id, no, worker, Status::Ok, true);
                 }
@@ -348,37 +364,41 @@
         node.actions.clear();
         node.advance_clock(Duration::from_millis(200));
     }
-    assert!(busy > 4 * free, "in the last 100 requests: {busy} to called-busy, {free} to called-free");
+    assert!(
+        sent_to_busy > 4 * sent_to_free,
+        "sends of the last 100 requests: {sent_to_busy} to workers reported busy, {sent_to_free} to those reported free"
+    );
 }
 
-/// Fleet days: a node that had just started went on probing workers that drained or were gone, as an overbooked
-/// discovery told it of that seconds later; one probe in four found nobody.
+/// Guards against probes of workers that are gone. Overloaded discovery announced drained and removed workers seconds
+/// late; a node that had just started kept probing them, and one probe in four failed.
 #[test]
-fn ejects_a_worker_that_fails_a_probe() {
+fn ejects_a_worker_whose_probe_fails_longer_after_each_failure_in_a_row() {
     let mut node = Node::new(settings(), 8);
     node.report_all_workers(2.0);
     node.request(0, IDEMPOTENT);
     let lost = node.take_probes()[0];
     node.probe_failed(lost);
-    let draws = |node: &mut Node, from: u32| {
+    let is_probed = |node: &mut Node, first_id: u32| {
         node.actions.clear();
-        (from..from + 100).for_each(|id| node.request(id, IDEMPOTENT));
+        (first_id..first_id + 100).for_each(|id| node.request(id, IDEMPOTENT));
         node.take_probes().contains(&lost)
     };
-    assert!(!draws(&mut node, 1));
+    assert!(!is_probed(&mut node, 1));
     node.advance_clock(Duration::from_millis(1100));
-    assert!(draws(&mut node, 200), "it is tried again after a second");
+    assert!(is_probed(&mut node, 200), "the ejection must end after 1 s");
     node.probe_failed(lost);
     node.advance_clock(Duration::from_millis(1100));
-    assert!(!draws(&mut node, 400), "a second failure in a row counts double");
+    assert!(!is_probed(&mut node, 400), "a second failure in a row must double the ejection");
     node.report(lost, 2.0, 0.0);
     node.advance_clock(Duration::from_secs(1));
     node.probe_failed(lost);
     node.advance_clock(Duration::from_millis(1100));
-    assert!(draws(&mut node, 600), "an answer clears what was held against it");
+    assert!(is_probed(&mut node, 600), "an answered probe must clear the earlier failures");
 }
 
-/// Fleet days: a node saw forty jobs in all, and believed 1.09 times their hint where they ran for 1.49.
+/// Guards against learning too slowly: a node that saw only forty jobs estimated run times at 1.09 times the hint
+/// where they were 1.49 times the hint.
 #[test]
 fn learns_the_speed_of_a_kind_from_twenty_jobs() {
     let mut settings = settings();
@@ -386,49 +406,53 @@
     let mut node = Node::new(settings, 2);
     node.report_all_workers(2.0);
     (0..20).for_each(|id| run_hinted_job(&mut node, id, |_| 200));
-    // At twice its hint it runs for 2 s and is wanted within 2.25 s; the three that wait at either worker take longer.
+    // At twice its hint, the job runs for 2 s and is on time within 2.25 s. The three jobs that wait at either worker
+    // delay it by more.
     node.request_with_hint(99, 1000, 1.0);
     (0..3).for_each(|_| node.take_probes().into_iter().for_each(|worker| node.report(worker, 0.0, 3.0)));
     assert_eq!(node.final_answers(), vec![(99, "refuse")]);
 }
 
-/// Fleet days: jobs sent to a cold worker by the pace of a warm one ended late, half of them at a tenth to a fifth of it.
+/// Guards against run times of warm workers being assumed for cold ones: jobs sent to a cold worker ended late, half of
+/// them at workers with a tenth to a fifth of the warm speed.
 #[test]
-fn sends_a_warming_worker_jobs_that_end_in_time_at_its_speed() {
+fn sends_a_warming_worker_only_jobs_that_end_in_time_at_its_present_speed() {
     let mut settings = Settings { cold_capacity: 0.12, nodes: 1, start_reported: true, ..settings() };
     (settings.classes[IDEMPOTENT].latency_stretch, settings.classes[IDEMPOTENT].latency_target) =
         (2.0, Duration::from_millis(600));
     let mut node = Node::new(settings, 1);
     node.report_all_workers(5.0);
-    assert_eq!(with_work(&mut node, 1, 400), 1, "a warm one takes it");
+    assert_eq!(run_on_only_worker(&mut node, 1, 400), 1, "a warm worker must get the job");
     node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(node.now))]);
     node.run_for(Duration::from_secs(1));
-    // At 0.16 of its capacity at the least: 0.4 s of work take 1.5 s there and are wanted within 1.4 s.
-    assert_eq!((with_work(&mut node, 2, 400), with_work(&mut node, 3, 100)), (0, 1));
-    // Its speed is likely more than that: 0.25 s take 1.0 s, and are wanted within 1.1 s.
-    assert_eq!(with_work(&mut node, 4, 250), 1);
+    // The worker has at least 0.16 of its capacity. There, 0.4 s of work take 1.5 s and are on time within 1.4 s.
+    assert_eq!((run_on_only_worker(&mut node, 2, 400), run_on_only_worker(&mut node, 3, 100)), (0, 1));
+    // Its speed is probably higher than the minimum: 0.25 s of work take 1.0 s and are on time within 1.1 s.
+    assert_eq!(run_on_only_worker(&mut node, 4, 250), 1);
 }
 
-/// Fleet days: a cold worker that was expected to take one job at a time stood idle while warm ones turned jobs away.
+/// Guards against idle capacity: a cold worker that was assumed to run one job at a time had idle slots while warm
+/// workers rejected jobs.
 #[test]
-fn fills_all_slots_of_a_worker_with_a_third_of_its_capacity() {
+fn fills_all_slots_of_a_warming_worker_with_a_third_of_its_capacity() {
     let settings = Settings { cold_capacity: 0.35, nodes: 1, overload_multiple: 3.0, ..settings() };
     let mut node = Node::new(settings, 1);
     node.report_all_workers(4.0);
     node.apply_member_list(ListKind::Delta, &[(0, WorkerState::Ready, Some(node.now))]);
-    let mut held = 0;
+    let mut in_flight = 0;
     for id in 1..40 {
         node.run_for(Duration::from_millis(100));
         node.request(id, IDEMPOTENT);
-        node.take_probes().into_iter().for_each(|worker| node.report(worker, 4.0 - held as f32, 0.0));
-        held = node.sends().len();
+        node.take_probes().into_iter().for_each(|worker| node.report(worker, 4.0 - in_flight as f32, 0.0));
+        in_flight = node.sends().len();
     }
-    assert_eq!(held, 4);
+    assert_eq!(in_flight, 4);
 }
 
-/// A free worker that is warm is not passed over for being slow: hints are rough, and its slots would stand idle.
+/// A warm worker with free slots is used even if the job is expected to end late there: hints are inexact, and the
+/// slots would stay idle.
 #[test]
-fn sends_a_warm_worker_a_job_that_may_end_late() {
+fn sends_a_job_that_may_end_late_to_a_warm_worker_with_free_slots() {
     let mut settings = settings();
     (settings.start_reported, settings.classes[IDEMPOTENT].latency_stretch) = (true, 2.0);
     let mut node = Node::new(settings, 0);
@@ -443,7 +467,7 @@
     };
     node.handle(Event::Members { kind: ListKind::Full, entries: vec![entry(0), entry(1)] });
     node.report_all_workers(2.0);
-    // The first kind is as fast as hinted, the second takes four times as long.
+    // Worker 0 takes as long as hinted, worker 1 four times as long.
     (0..100).for_each(|id| run_hinted_job(&mut node, id, |worker| if worker == 0 { 100 } else { 400 }));
     node.request_with_hint(200, 1000, 1.0);
     for _ in 0..3 {
@@ -454,8 +478,9 @@
     assert_eq!(node.sends(), vec![(200, 1)]);
 }
 
-/// Reports tell no queue, starts are told, late answers keep half their worth. All workers are known.
-fn late_counts(workers: u32, tenants: &[f64]) -> Node {
+/// Creates a node whose late answers keep half of their value. Reports hold only free slots, starts are reported, and
+/// the slots of all workers are known.
+fn node_with_late_value(workers: u32, quota_shares: &[f64]) -> Node {
     let mut settings = Settings {
         start_reported: true,
         nodes: 1,
@@ -463,7 +488,7 @@
         ..settings()
     };
     settings.tenants =
-        tenants.iter().map(|&fraction| Tenant { quota_share: fraction, quota_per_s: 1.0 }).collect();
+        quota_shares.iter().map(|&quota_share| Tenant { quota_share, quota_per_s: 1.0 }).collect();
     settings
         .classes
         .iter_mut()
@@ -473,8 +498,10 @@
     node
 }
 
-/// Sends a job where all that are probed have so many free slots; returns who was, and what came of it.
-fn tried(node: &mut Node, id: u32, class: usize, tenant: u16, free: f32) -> (Vec<u32>, Vec<(u32, u32)>) {
+/// Makes a request and answers each of its probes with `free` slots. Returns the probed workers and the sends.
+fn request_and_answer_probes(
+    node: &mut Node, id: u32, class: usize, tenant: u16, free: f32,
+) -> (Vec<u32>, Vec<(u32, u32)>) {
     node.actions.clear();
     node.request_with_tenant(id, class, 7 * u64::from(free > 0.0), tenant);
     let mut probed = vec![];
@@ -486,82 +513,100 @@
     (probed, node.sends())
 }
 
-/// What found no room was held and probed for again, eleven probes a request; workers meanwhile ran dry.
+/// Guards against requests held back at full workers: they were probed for again and again, with eleven probes per
+/// request, while workers became idle.
 #[test]
-fn queues_in_the_shortest_queue_where_late_answers_have_value() {
-    let (mut node, mut got) = (late_counts(8, &[]), [0; 8]);
+fn queues_evenly_at_full_workers_if_late_answers_have_value() {
+    let (mut node, mut jobs_per_worker) = (node_with_late_value(8, &[]), [0; 8]);
     for id in 0..16 {
-        let (probed, sent) = tried(&mut node, id, IDEMPOTENT, 0, 0.0);
+        let (probed, sent) = request_and_answer_probes(&mut node, id, IDEMPOTENT, 0, 0.0);
         assert!(probed.len() <= 2);
-        got[sent[0].1 as usize] += 1;
+        jobs_per_worker[sent[0].1 as usize] += 1;
     }
-    assert_eq!(got, [2; 8], "at home and away");
+    assert_eq!(jobs_per_worker, [2; 8], "jobs per worker in both zones");
 }
 
-/// A job that queued beyond its time was answered late, and so was all that came after it.
+/// Guards against queues that make every job late: a job queued beyond its latency target was answered late, and so
+/// were all jobs behind it.
 #[test]
-fn rejects_a_job_at_once_beyond_the_observed_waits() {
-    let mut node = late_counts(4, &[]);
-    (0..4).for_each(|id| drop(tried(&mut node, id, IDEMPOTENT, 0, 0.0)));
+fn rejects_a_job_at_once_if_observed_waits_exceed_its_budget() {
+    let mut node = node_with_late_value(4, &[]);
+    (0..4).for_each(|id| drop(request_and_answer_probes(&mut node, id, IDEMPOTENT, 0, 0.0)));
     node.advance_clock(Duration::from_secs(1));
     (0..4).for_each(|id| node.handle(Event::Started { id: RequestId(id), attempt: AttemptNo(0) }));
     assert_eq!(
-        (tried(&mut node, 10, IDEMPOTENT, 0, 0.0).0.len(), node.final_answers()),
+        (request_and_answer_probes(&mut node, 10, IDEMPOTENT, 0, 0.0).0.len(), node.final_answers()),
         (2, vec![(10, "refuse")])
     );
     node.advance_clock(Duration::from_secs(4));
-    assert_eq!(tried(&mut node, 11, IDEMPOTENT, 0, 0.0).1.len(), 1, "those waits are long past");
+    assert_eq!(
+        request_and_answer_probes(&mut node, 11, IDEMPOTENT, 0, 0.0).1.len(),
+        1,
+        "an old observed wait must not count any more"
+    );
 }
 
-/// Traffic beyond a tenant's share, which is worth little, took the place of all others alike.
+/// Guards against tenants that crowd out others: traffic over a tenant's quota share has little value, but displaced
+/// that of all tenants equally.
 #[test]
-fn queues_tenants_over_their_share_for_less() {
-    let mut node = late_counts(1, &[0.2, 0.8]);
+fn queues_fewer_jobs_of_a_tenant_over_its_quota_share() {
+    let mut node = node_with_late_value(1, &[0.2, 0.8]);
     for id in 0..400 {
-        tried(&mut node, id, IDEMPOTENT, u16::from(id % 2 == 0), 0.0);
+        request_and_answer_probes(&mut node, id, IDEMPOTENT, u16::from(id % 2 == 0), 0.0);
         node.handle(Event::ClientGone { id: RequestId(id) });
         node.outcome(id, 0, 0, Status::Cancelled, true);
     }
-    let mut sent = |id: u32, tenant| tried(&mut node, id, IDEMPOTENT, tenant, 0.0).1.len();
-    let over: usize = (1000..1009).map(|id| sent(id, 0)).sum();
-    let within: usize = (2000..2009).map(|id| sent(id, 1)).sum();
-    assert!(over < within, "{over} of who is over its share and then {within} of who is not");
+    let mut sent =
+        |id: u32, tenant| request_and_answer_probes(&mut node, id, IDEMPOTENT, tenant, 0.0).1.len();
+    let over_share: usize = (1000..1009).map(|id| sent(id, 0)).sum();
+    let within_share: usize = (2000..2009).map(|id| sent(id, 1)).sum();
+    assert!(
+        over_share < within_share,
+        "sent {over_share} jobs of the tenant over its share and {within_share} of the tenant within its share"
+    );
 }
 
-/// All slots of a worker were held by jobs that it had never begun.
+/// Guards against jobs that never start: a worker counted as full because of jobs that it had not begun.
 #[test]
-fn ejects_a_class_whose_jobs_do_not_start_at_a_worker() {
-    let mut node = late_counts(8, &[]);
-    let worker = tried(&mut node, 1, NON_IDEMPOTENT, 0, 2.0).1[0].1;
-    assert_eq!(tried(&mut node, 2, NON_IDEMPOTENT, 0, 2.0).1, [(2, worker)]);
+fn ejects_a_worker_for_a_class_whose_jobs_do_not_start_there() {
+    let mut node = node_with_late_value(8, &[]);
+    let worker = request_and_answer_probes(&mut node, 1, NON_IDEMPOTENT, 0, 2.0).1[0].1;
+    assert_eq!(request_and_answer_probes(&mut node, 2, NON_IDEMPOTENT, 0, 2.0).1, [(2, worker)]);
     node.actions.clear();
     node.run_for(Duration::from_millis(400));
-    let looked = node.take_probes();
-    assert!(looked.contains(&worker), "neither has started: the worker is looked at");
-    looked.into_iter().for_each(|worker| node.report_free(worker, 2.0));
-    let again =
+    let probed = node.take_probes();
+    assert!(probed.contains(&worker), "a worker with two jobs that have not started must be probed");
+    probed.into_iter().for_each(|worker| node.report_free(worker, 2.0));
+    let cancelled_or_sent =
         node.actions.iter().any(|action| matches!(action, Action::Cancel { .. } | Action::Send { .. }));
-    assert!(!again, "what must not run twice is left alone");
-    assert_eq!(tried(&mut node, 3, IDEMPOTENT, 0, 2.0).1, [(3, worker)], "its slots are free for others");
-    assert!(!tried(&mut node, 4, NON_IDEMPOTENT, 0, 2.0).0.contains(&worker), "this class goes elsewhere");
+    assert!(!cancelled_or_sent, "non-idempotent jobs must be neither cancelled nor sent again");
+    assert_eq!(
+        request_and_answer_probes(&mut node, 3, IDEMPOTENT, 0, 2.0).1,
+        [(3, worker)],
+        "the worker must get jobs of other classes"
+    );
+    assert!(
+        !request_and_answer_probes(&mut node, 4, NON_IDEMPOTENT, 0, 2.0).0.contains(&worker),
+        "the worker must not be probed for the ejected class"
+    );
 }
 
-/// Resets and silent connections: each broken probe kept a worker out of the draws for a second and more, and
-/// five of nine got no work though they were idle.
+/// Guards against ejections for broken connections. Each probe that ended by a reset or a silent connection ejected its
+/// worker for a second or more, and five of nine workers got no jobs although they were idle.
 #[test]
-fn does_not_eject_for_a_broken_connection() {
-    let kept_out = |status, heard: bool| {
+fn does_not_eject_a_worker_for_a_broken_connection() {
+    let is_ejected = |status, has_reported_since: bool| {
         let mut node = Node::new(settings(), 8);
         node.report_all_workers(2.0);
         node.request(0, IDEMPOTENT);
         let (worker, latency) = (node.take_probes()[0], Duration::from_millis(500));
         node.advance_clock(latency);
-        (0..u32::from(heard)).for_each(|_| node.report(worker, 2.0, 0.0));
+        (0..u32::from(has_reported_since)).for_each(|_| node.report(worker, 2.0, 0.0));
         node.handle(Event::Probed { worker: WorkerId(worker), status, latency, report: vec![] });
         node.actions.clear();
         (1..100).for_each(|id| node.request(id, IDEMPOTENT));
         !node.take_probes().contains(&worker)
     };
-    assert!(!kept_out(Status::Reset, false) && !kept_out(Status::Timeout, true));
-    assert!(kept_out(Status::Timeout, false) && kept_out(Status::ConnectFailed, false));
+    assert!(!is_ejected(Status::Reset, false) && !is_ejected(Status::Timeout, true));
+    assert!(is_ejected(Status::Timeout, false) && is_ejected(Status::ConnectFailed, false));
 }
