--- a/crates/pebblepost-batch-store/src/store/handlers/assignment.rs
+++ b/crates/pebblepost-batch-store/src/store/handlers/assignment.rs
@@ -1,4 +1,4 @@
-//! Effects of assignments of groups and of answers to changes of epochs on the replicas of this machine.
+//! Assignments of store groups and answers to epoch changes, applied to the replicas of this machine.
 
 use crate::store::Store;
 use crate::store::state::epoch_changes::{EpochChangeOutcome, epoch_record_of};
@@ -9,22 +9,27 @@
 use pebblepost_replication::record::EpochRecord;
 use std::time::Duration;
 
-/// A replica of a group that is assigned to others is dropped if it got no message for this time.
+/// Time without a message after which a replica may be dropped if its store group is assigned to other
+/// machines.
 const UNUSED_REPLICA_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Store {
-    /// A link to the control primary is up, and this machine has announced itself over it.
-    pub fn control_connected(&mut self) {
+    /// Handles a new link to the primary of the control plane, over which this machine was announced.
+    ///
+    /// Unanswered epoch changes are requested again, and version lags are reported again.
+    pub fn handle_control_connected(&mut self) {
         for message in self.epoch_changes.repeated_messages() {
             self.outbox.send_to_control(message);
         }
         self.report_version_lags();
     }
 
-    /// The feed of the control plane assigns groups to machines.
-    pub fn assign(&mut self, now: Duration, assignments: &[StoreGroup]) {
+    /// Applies assignments of store groups to machines from the feed of the control plane.
+    ///
+    /// Assignments older than the known ones, and those of unknown store groups, are ignored.
+    pub fn apply_assignments(&mut self, now: Duration, assignments: &[StoreGroup]) {
         for assignment in assignments.iter().filter(|assignment| assignment.group < STORE_GROUPS) {
-            if !self.membership.assign(assignment) {
+            if !self.membership.update_assignment(assignment) {
                 continue;
             }
             let group_id = assignment.group;
@@ -37,9 +42,11 @@
         }
     }
 
-    /// The control plane has answered a change of an epoch.
-    pub fn group_changed(&mut self, now: Duration, request: u64, group_id: u32, current: &GroupEpoch) {
-        let outcome = self.epoch_changes.answered(request, group_id, current);
+    /// Handles the answer of the control plane to an epoch change; `current` is the epoch in force.
+    pub fn handle_epoch_change_answer(
+        &mut self, now: Duration, request: u64, group_id: u32, current: &GroupEpoch,
+    ) {
+        let outcome = self.epoch_changes.handle_answer(request, group_id, current);
         let record = match &outcome {
             EpochChangeOutcome::Accepted(record) => Some(record.clone()),
             EpochChangeOutcome::Rejected | EpochChangeOutcome::NotRequested => {
@@ -51,12 +58,12 @@
             group.replica.configure(now, &record);
         }
         if outcome != EpochChangeOutcome::NotRequested {
-            group.replica.epoch_change_ended(now);
+            group.replica.on_epoch_change_ended(now);
         }
         self.process_replica_outputs(now, group_id);
     }
 
-    /// Requests a change of a group's epoch from the control plane.
+    /// Requests an epoch change of a store group from the control plane.
     pub(crate) fn request_epoch_change(
         &mut self, now: Duration, group_id: u32, expected: u64, record: EpochRecord,
     ) {
@@ -69,17 +76,17 @@
         self.outbox.send_to_control(message);
     }
 
-    /// Lets replicas request changes of their epoch again whose answer timed out.
+    /// Abandons the epoch changes whose answer timed out, so that the replicas can request them again.
     pub(crate) fn time_out_epoch_changes(&mut self, now: Duration) {
         for group_id in self.epoch_changes.take_timed_out(now) {
             if let Some(group) = self.groups.get_mut(&group_id) {
-                group.replica.epoch_change_ended(now);
+                group.replica.on_epoch_change_ended(now);
             }
             self.process_replica_outputs(now, group_id);
         }
     }
 
-    /// Hands the newest assignment of a group on to its replica.
+    /// Passes the newest assignment of a store group to its replica.
     pub(crate) fn configure_group(&mut self, now: Duration, group_id: u32) {
         let Some(assignment) = self.membership.assignment(group_id) else { return };
         let record = epoch_record(assignment);
@@ -89,7 +96,8 @@
         group.replica.set_targets(now, targets);
     }
 
-    /// Hands the targets of all groups on to their replicas again: a machine drains, or does no longer.
+    /// Passes the assignments of all store groups to their replicas again, after a machine has started or
+    /// stopped draining.
     pub(crate) fn reconfigure_groups(&mut self, now: Duration) {
         for group_id in self.group_ids() {
             self.configure_group(now, group_id);
@@ -97,13 +105,13 @@
         }
     }
 
-    /// Drops replicas whose group is assigned to other machines.
+    /// Drops replicas whose store group is assigned to other machines.
     ///
-    /// What a replica has confirmed may still count towards a quorum: a change that adds the replica may be
-    /// in flight to the control plane, however long. Such a change builds on an epoch in which the replica
-    /// confirmed something. The replica is therefore kept until the control plane has gone beyond that epoch,
-    /// or the primary of that epoch answers that it requested no such change; and until no machine has sent
-    /// it anything for [`UNUSED_REPLICA_TIMEOUT`].
+    /// Acknowledgements of a replica may still count towards a quorum: an epoch change that adds the replica
+    /// may be in flight to the control plane for any length of time. Such a change is based on an epoch in
+    /// which the replica acknowledged something. A replica is therefore dropped only once the control plane
+    /// has moved past that epoch, or the primary of that epoch has answered that it requested no such
+    /// change. In addition, no machine must have sent it a message for [`UNUSED_REPLICA_TIMEOUT`].
     pub(crate) fn drop_unassigned_replicas(&mut self, now: Duration) {
         let is_unused = |group: &Group| now.saturating_sub(group.last_message_at) >= UNUSED_REPLICA_TIMEOUT;
         let unused = self.groups.iter().filter(|(_, group)| is_unused(group));
@@ -120,12 +128,12 @@
         if is_assigned || group.replica.record().epoch > assignment.epoch {
             return;
         }
-        if group.replica.confirmed_epoch() >= assignment.epoch {
+        if group.replica.acknowledged_epoch() >= assignment.epoch {
             group.replica.request_removal(now);
             return self.process_replica_outputs(now, group_id);
         }
         log::info!("unassigned replica dropped group={group_id} epoch={}", assignment.epoch);
-        self.stop_group(group_id);
+        self.end_term(group_id);
         self.groups.remove(&group_id);
         self.epoch_changes.remove(group_id);
         self.outbox.void_records(group_id);
--- a/crates/pebblepost-replication/tests/replication/simulation/machines.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/machines.rs
@@ -1,4 +1,4 @@
-//! Machines: their processes, disks and clocks, and who acts.
+//! The machines with their processes, disks and clocks, and the check that at most one acts.
 
 use super::disk::{Stored, Waiter};
 use super::process::Process;
@@ -18,16 +18,17 @@
         machine.incarnation += 1;
         machine.is_frozen = false;
         machine.inbox.clear();
-        let founding = machine.is_founder.then(|| self.founding.clone());
-        let me = (*machine.member).clone();
+        let initial_record = machine.is_bootstrap_member.then(|| self.initial_record.clone());
+        let member = (*machine.member).clone();
         let recovered = machine.disk.recovered();
-        machine.process = Some(Process::new(&self.options, me, recovered, founding, self.now, seed));
+        machine.process =
+            Some(Process::new(&self.options, member, recovered, initial_record, self.now, seed));
         let incarnation = machine.incarnation;
         self.schedule(seed % TICK, Event::Tick { slot, incarnation });
         self.drain(slot);
     }
 
-    /// Stops the process; the disk keeps what was durable and some of the rest.
+    /// Stops the process. The disk keeps all durable writes and some of the pending ones.
     pub fn stop(&mut self, slot: usize) {
         let machine = &mut self.slots[slot];
         machine.process = None;
@@ -37,20 +38,20 @@
         machine.disk.lose_pending(&mut self.random);
     }
 
-    /// Stops the machine and empties its disk: what comes back is a new replica.
+    /// Stops the machine and empties its disk. It comes back as a new replica with another disk.
     pub fn wipe(&mut self, slot: usize) {
         self.stop(slot);
         self.slots[slot].disk.wipe();
-        if self.options.wiped_disk_keeps_identity {
+        if self.options.wiped_machine_keeps_disk_identity {
             return;
         }
         let disk = self.new_disk();
         let machine = &mut self.slots[slot];
-        machine.is_founder = false;
+        machine.is_bootstrap_member = false;
         machine.member = Rc::new(member(slot, disk));
     }
 
-    pub fn thaw(&mut self, slot: usize) {
+    pub fn unfreeze(&mut self, slot: usize) {
         if !std::mem::take(&mut self.slots[slot].is_frozen) {
             return;
         }
@@ -79,15 +80,15 @@
         let holders = repeated_loss::holders(self);
         let machine = &mut self.slots[slot];
         let Some(process) = &mut machine.process else { return };
-        let local = process.local(now);
-        process.register.tick(local);
+        let local_time = process.local_time(now);
+        process.register.tick(local_time);
         if let Some(holders) = holders {
-            process.replica.set_targets(local, holders);
+            process.replica.set_targets(local_time, holders);
         }
-        process.replica.tick(local);
+        process.replica.tick(local_time);
         let new_witness = process.drive_witnesses(now);
         if machine.disk.replica_records() > CHECKPOINT_RECORDS {
-            let records = process.replica.checkpoint().expect("a sound state");
+            let records = process.replica.checkpoint().expect("the state machine is not damaged");
             self.write(slot, Waiter::Checkpoint, Stored::Replica(records));
         }
         if let Some(new_witness) = new_witness {
@@ -110,8 +111,8 @@
         if machine.incarnation != incarnation {
             return;
         }
-        if now < machine.disk.hangs_until {
-            let until = machine.disk.hangs_until;
+        if now < machine.disk.stalled_until {
+            let until = machine.disk.stalled_until;
             self.schedule_at(until, Event::Synced { slot, incarnation });
             return;
         }
@@ -121,20 +122,20 @@
         }
         let Some(waiter) = machine.disk.complete_one() else { return };
         let Some(process) = &mut machine.process else { return };
-        let local = process.local(now);
+        let local_time = process.local_time(now);
         match waiter {
-            Waiter::Register(token) => process.register.persisted(local, token),
-            Waiter::Replica(token) => process.replica.persisted(local, token),
+            Waiter::Register(token) => process.register.on_persisted(local_time, token),
+            Waiter::Replica(token) => process.replica.on_persisted(local_time, token),
             Waiter::Checkpoint => {}
         }
         self.drain(slot);
     }
 
-    /// Machines that act now; a frozen one can't do anything.
+    /// Returns the machines that act as primary now. A frozen machine does not act.
     pub fn acting(&self) -> Vec<usize> {
         let is_acting = |slot: &Slot| {
             let process = slot.process.as_ref().filter(|_| !slot.is_frozen);
-            process.is_some_and(|process| process.replica.is_acting(process.local(self.now)))
+            process.is_some_and(|process| process.replica.is_acting(process.local_time(self.now)))
         };
         (0..self.slots.len()).filter(|slot| is_acting(&self.slots[*slot])).collect()
     }
@@ -142,8 +143,8 @@
     pub(super) fn check_acting(&mut self) {
         let acting = self.acting();
         if acting.len() > 1 {
-            let found = format!("two primaries act: {acting:?}: {}", self.describe());
-            self.checker.fail_safety(found);
+            let description = format!("two primaries act: {acting:?}: {}", self.describe());
+            self.checker.fail_safety(description);
         }
         for slot in acting {
             let machine = &self.slots[slot];
@@ -153,15 +154,15 @@
         }
     }
 
-    /// The machines that should hold the group.
+    /// Sets the machines that should hold the group.
     pub fn set_targets(&mut self, targets: &[usize]) {
         debug_assert_eq!(self.options.plan, Plan::Targets);
         let members: Vec<Member> = targets.iter().map(|slot| (*self.slots[*slot].member).clone()).collect();
         for slot in 0..self.slots.len() {
             let now = self.now;
             if let Some(process) = &mut self.slots[slot].process {
-                let local = process.local(now);
-                process.replica.set_targets(local, members.clone());
+                let local_time = process.local_time(now);
+                process.replica.set_targets(local_time, members.clone());
             }
         }
     }
--- a/crates/pebblepost-replication/tests/replication/simulation/outputs.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/outputs.rs
@@ -1,4 +1,4 @@
-//! What the processes ask for is carried out, and checked.
+//! Carries out and checks the outputs of the processes.
 
 use super::disk::{Stored, Waiter};
 use super::faults;
@@ -8,7 +8,7 @@
 use pebblepost_replication::replica::ReplicaOutput;
 
 impl World {
-    /// Carries out what a process asks for.
+    /// Carries out the outputs of a process until there are none left.
     pub(super) fn drain(&mut self, slot: usize) {
         loop {
             let Some(process) = &mut self.slots[slot].process else { return };
@@ -18,17 +18,17 @@
                 break;
             }
             for output in from_register {
-                self.carry_out_register(slot, output);
+                self.apply_register_output(slot, output);
             }
-            self.end_change(slot);
+            self.report_ended_change(slot);
             for output in from_replica {
-                self.carry_out_replica(slot, output);
+                self.apply_replica_output(slot, output);
             }
         }
         self.check_applied(slot);
     }
 
-    pub(super) fn carry_out_register(&mut self, slot: usize, output: RegisterOutput) {
+    pub(super) fn apply_register_output(&mut self, slot: usize, output: RegisterOutput) {
         if let Some(transcript) = &mut self.transcript {
             transcript.register(self.now, slot, &output);
         }
@@ -43,27 +43,27 @@
                 self.checker.chosen(&self.slots[slot].member.node, &record);
                 let now = self.now;
                 if let Some(process) = &mut self.slots[slot].process {
-                    let local = process.local(now);
-                    process.replica.configure(local, &record);
+                    let local_time = process.local_time(now);
+                    process.replica.configure(local_time, &record);
                 }
-                faults::inject_at_choice(self);
+                faults::inject_at_chosen_record(self);
             }
             RegisterOutput::Rejected { .. } => {}
         }
     }
 
-    /// Tells the replica that the change it asked for has ended.
-    pub(super) fn end_change(&mut self, slot: usize) {
+    /// Reports to the replica that the change that it requested has ended.
+    pub(super) fn report_ended_change(&mut self, slot: usize) {
         let now = self.now;
         let Some(process) = &mut self.slots[slot].process else { return };
         if process.change_in_flight && !process.register.is_proposing() {
             process.change_in_flight = false;
-            let local = process.local(now);
-            process.replica.epoch_change_ended(local);
+            let local_time = process.local_time(now);
+            process.replica.on_epoch_change_ended(local_time);
         }
     }
 
-    pub(super) fn carry_out_replica(&mut self, slot: usize, output: ReplicaOutput) {
+    pub(super) fn apply_replica_output(&mut self, slot: usize, output: ReplicaOutput) {
         if let Some(transcript) = &mut self.transcript {
             transcript.replica(self.now, slot, &output);
         }
@@ -74,7 +74,9 @@
             ReplicaOutput::Persist { token, records } => {
                 self.write(slot, Waiter::Replica(token), Stored::Replica(records));
             }
-            ReplicaOutput::ChangeEpoch { expected, record } => self.ask_register(slot, expected, record),
+            ReplicaOutput::ChangeEpoch { expected, record } => {
+                self.propose_to_register(slot, expected, record)
+            }
             ReplicaOutput::Committed { index } => self.acknowledge(slot, index),
             ReplicaOutput::BecamePrimary { .. } => self.check_acting(),
             ReplicaOutput::SteppedDown => {
@@ -85,18 +87,18 @@
         }
     }
 
-    pub(super) fn ask_register(&mut self, slot: usize, expected: u64, record: EpochRecord) {
+    pub(super) fn propose_to_register(&mut self, slot: usize, expected: u64, record: EpochRecord) {
         let now = self.now;
         let Some(process) = &mut self.slots[slot].process else { return };
-        let local = process.local(now);
+        let local_time = process.local_time(now);
         if process.register.is_proposing() {
-            process.replica.epoch_change_ended(local);
+            process.replica.on_epoch_change_ended(local_time);
             return;
         }
         process.change_in_flight = true;
         let joiner = record.in_sync.iter().find(|member| !process.replica.record().is_in_sync(member.disk));
         let joiner = joiner.filter(|_| expected > 0).map(slot_of);
-        process.register.propose(local, expected, record);
+        process.register.propose(local_time, expected, record);
         faults::inject_at_proposal(self);
         if let Some(joiner) = joiner {
             faults::inject_at_join(self, slot, joiner);
@@ -108,7 +110,7 @@
         let Some(process) = &mut self.slots[slot].process else { return };
         while let Some(first) = process.proposals.first_entry().filter(|first| *first.key() <= index) {
             let (index, value) = first.remove_entry();
-            self.checker.acknowledged(&process.me.node, index, value);
+            self.checker.acknowledged(&process.member.node, index, value);
         }
     }
 
@@ -116,9 +118,9 @@
         let Some(process) = &mut self.slots[slot].process else { return };
         let state = process.replica.state();
         if state.values.len() < process.checked {
-            self.checker.fail_safety(format!("{} lost applied entries", process.me.node));
+            self.checker.fail_safety(format!("{} lost applied entries", process.member.node));
         }
-        self.checker.applied(&process.me.node, process.checked, &state.values);
+        self.checker.applied(&process.member.node, process.checked, &state.values);
         process.checked = state.values.len();
         if let Some(violation) = &state.violation {
             self.checker.fail_safety(violation.clone());
