--- a/crates/pebblepost-dispatch/tests/dispatcher/workers.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/workers.rs
@@ -255,7 +255,7 @@
 
 /// A job that takes half of the overload budget of a cold worker is not sent to it.
 #[test]
-fn sends_no_job_that_alone_overloads_a_warming_worker() {
+fn sends_a_warming_worker_no_job_of_half_its_overload_budget() {
     let mut settings = Settings { nodes: 1, warm_up_time: Duration::from_secs(200), ..settings() };
     settings.overload_time = Duration::from_millis(500);
     settings.classes[IDEMPOTENT].latency_stretch = 3.0; // Light and heavy jobs end in time at the cold worker.
