--- a/crates/pebblepost-batch-runner/src/capacity.rs
+++ b/crates/pebblepost-batch-runner/src/capacity.rs
@@ -1,6 +1,7 @@
-//! How many items this proxy executes at a time: its share of the transcribers' slots, and a few more.
+//! Limits how many items this proxy executes concurrently: its share of the transcribers' slots, plus a small
+//! margin.
 //!
-//! Owns the counts of items in flight and the wake-up of the task that requests work. Requests nothing itself.
+//! Stores the counts of items in flight and notifies the task that requests work. It does not request work itself.
 
 use crate::feed_view::FeedView;
 use pebblepost_configuration::{Configuration, RouteKind};
@@ -10,30 +11,29 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Texts in flight at most, in percent of this proxy's share of the slots.
-const TEXTS_PERCENT: u64 = 115;
-/// The limit of texts in flight is at least this, where there is any slot.
+/// Limit of texts in flight, in percent of this proxy's share of the slots.
+const TEXT_LIMIT_PERCENT_OF_SHARE: u64 = 115;
+/// Lower bound of the limit of texts in flight, if there is any slot.
 const MIN_TEXT_LIMIT: u32 = 4;
-/// Items in flight at most, those with a complete text that await their score included, as a multiple of the limit
-/// of texts.
-const ITEMS_PER_TEXT: u32 = 4;
-/// How long a computed limit is used, unless the feed changes.
-const LIMIT_REUSE: Duration = Duration::from_secs(1);
+/// Limit of all items in flight, including those whose complete text awaits its score, as a multiple of the limit of
+/// texts.
+const ITEM_LIMIT_PER_TEXT_LIMIT: u32 = 4;
+/// How long a computed limit is cached, unless the feed changes.
+const LIMIT_CACHE_TTL: Duration = Duration::from_secs(1);
 
-/// A limit with the time of its computation.
+/// A cached limit with the time at which it was computed.
 #[derive(Clone, Copy, Debug)]
 struct CachedLimit {
     computed_at: Instant,
     texts: u32,
 }
 
-/// Limits and counts the items in flight.
+/// Counts and limits the items in flight.
 pub(crate) struct Capacity {
     feed: FeedView,
     /// Items in flight whose text is incomplete.
-    texts: Cell<u32>,
-    /// All items in flight.
-    items: Cell<u32>,
+    texts_in_flight: Cell<u32>,
+    items_in_flight: Cell<u32>,
     cached_limit: Cell<Option<CachedLimit>>,
     changed: Notify,
 }
@@ -42,8 +42,8 @@
     pub(crate) fn new(feed: FeedView) -> Capacity {
         Capacity {
             feed,
-            texts: Cell::default(),
-            items: Cell::default(),
+            texts_in_flight: Cell::default(),
+            items_in_flight: Cell::default(),
             cached_limit: Cell::default(),
             changed: Notify::new(),
         }
@@ -54,22 +54,23 @@
         self.changed.notify_one();
     }
 
-    /// Waits until the capacity, or the work at the stores, may have changed.
+    /// Waits until the capacity, or the work available at the stores, may have changed.
     pub(crate) async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// The slots or the number of proxies may have changed.
+    /// Discards the cached limit after a change of the feed: the slots or the number of proxies may have changed.
     pub(crate) fn feed_changed(&self) {
         self.cached_limit.set(None);
         self.wake();
     }
 
-    /// Texts that may be in flight; computed anew once in [`LIMIT_REUSE`].
+    /// Returns the limit of texts in flight. It is recomputed at most once per [`LIMIT_CACHE_TTL`], and after each
+    /// change of the feed.
     pub(crate) fn text_limit(&self) -> u32 {
         let now = Instant::now();
         match self.cached_limit.get() {
-            Some(limit) if now < limit.computed_at + LIMIT_REUSE => limit.texts,
+            Some(limit) if now < limit.computed_at + LIMIT_CACHE_TTL => limit.texts,
             _ => {
                 let texts = self.compute_text_limit();
                 self.cached_limit.set(Some(CachedLimit { computed_at: now, texts }));
@@ -78,25 +79,26 @@
         }
     }
 
-    /// How many more items may be taken under this limit of texts.
-    pub(crate) fn free(&self, text_limit: u32) -> u32 {
-        let texts = text_limit.saturating_sub(self.texts.get());
-        let items = text_limit.saturating_mul(ITEMS_PER_TEXT).saturating_sub(self.items.get());
+    /// Returns how many more items may be taken under this limit of texts.
+    pub(crate) fn available(&self, text_limit: u32) -> u32 {
+        let texts = text_limit.saturating_sub(self.texts_in_flight.get());
+        let items =
+            text_limit.saturating_mul(ITEM_LIMIT_PER_TEXT_LIMIT).saturating_sub(self.items_in_flight.get());
         texts.min(items)
     }
 
-    /// Counts an item in flight. Items that were leased are always admitted: the limit applies when they are
-    /// requested.
+    /// Counts an item as in flight. Leased items are always admitted: the limit applies when work is requested.
     pub(crate) fn admit(self: &Rc<Self>) -> CapacityPermit {
-        self.texts.set(self.texts.get() + 1);
-        self.items.set(self.items.get() + 1);
+        self.texts_in_flight.set(self.texts_in_flight.get() + 1);
+        self.items_in_flight.set(self.items_in_flight.get() + 1);
         CapacityPermit { capacity: self.clone(), counts_as_text: true }
     }
 
     fn compute_text_limit(&self) -> u32 {
         let Some(configuration) = self.feed.configuration() else { return 0 };
-        let share =
-            self.feed.fair_share_of_slots(TEXTS_PERCENT, |service| runs_items(&configuration, service));
+        let share = self.feed.fair_share_of_slots(TEXT_LIMIT_PERCENT_OF_SHARE, |service| {
+            serves_batch_jobs(&configuration, service)
+        });
         if share == 0 {
             return 0;
         }
@@ -104,26 +106,26 @@
     }
 }
 
-/// Whether a route of batch jobs names the service.
-fn runs_items(configuration: &Configuration, service: &str) -> bool {
+/// Returns whether a batch job route sends requests to the service.
+fn serves_batch_jobs(configuration: &Configuration, service: &str) -> bool {
     configuration.routes().iter().any(|route| {
         route.kind == RouteKind::Rollout
             && route.backends.iter().any(|(name, weight)| name == service && *weight > 0)
     })
 }
 
-/// An item in flight; counted until it is dropped.
+/// Permit of an item in flight. The item is counted until the permit is dropped.
 pub(crate) struct CapacityPermit {
     capacity: Rc<Capacity>,
     counts_as_text: bool,
 }
 
 impl CapacityPermit {
-    /// The text of the item is complete: another may start.
+    /// Stops counting the item as a text in flight, because its text is complete. Another text may start.
     pub(crate) fn release_text(&mut self) {
         if self.counts_as_text {
             self.counts_as_text = false;
-            let texts = &self.capacity.texts;
+            let texts = &self.capacity.texts_in_flight;
             texts.set(texts.get().saturating_sub(1));
             self.capacity.wake();
         }
@@ -133,7 +135,7 @@
 impl Drop for CapacityPermit {
     fn drop(&mut self) {
         self.release_text();
-        let items = &self.capacity.items;
+        let items = &self.capacity.items_in_flight;
         items.set(items.get().saturating_sub(1));
         self.capacity.wake();
     }
--- a/crates/pebblepost-batch-runner/src/execution/attempt.rs
+++ b/crates/pebblepost-batch-runner/src/execution/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt at the text of an item, at one transcriber.
+//! Makes one attempt at the text of an item, at one transcriber.
 //!
-//! Sends the request, reads its events into the item's text and watches that the transcriber stays healthy. Whether
-//! there is another attempt is decided in [`super::item`].
+//! An attempt sends the request, appends the events of the response to the item's text, and health-checks the
+//! transcriber while it is silent. [`super::item`] decides whether another attempt follows.
 
 use crate::execution::priority::{DEFAULT_PRIORITY, priority};
 use crate::execution::request_headers::insert;
@@ -9,7 +9,7 @@
 use crate::lease_terms::LeaseTerms;
 use crate::placement::probing::Prober;
 use crate::placement::reservation::Reservation;
-use crate::text::TextError;
+use crate::text::AppendError;
 use bytes::Bytes;
 use http::header::HOST;
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
@@ -22,14 +22,15 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// A transcriber that sent nothing for this long is health-checked.
-const HEALTH_CHECK_AFTER: Duration = Duration::from_millis(500);
-/// Bounds of `Deadline-Ms`.
-const MIN_DEADLINE: Duration = Duration::from_secs(1);
-const MAX_DEADLINE: Duration = Duration::from_secs(20);
-/// An attempt without a response head by then, queued or lost, is retried elsewhere.
+/// A transcriber that has sent nothing for this long is health-checked.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Bounds of the `Deadline-Ms` header.
+const MIN_REQUEST_DEADLINE: Duration = Duration::from_secs(1);
+const MAX_REQUEST_DEADLINE: Duration = Duration::from_secs(20);
+/// An attempt without a response head within this time is retried at another transcriber: the request may be queued
+/// or lost.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(3000);
-/// An attempt without an event for this long is resumed elsewhere.
+/// An attempt without an event for this long is resumed at another transcriber.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How an attempt ended.
@@ -37,27 +38,28 @@
 pub(crate) enum AttemptOutcome {
     /// The text is complete.
     Complete,
-    /// Broken off or timed out; the events so far are kept.
+    /// The attempt was interrupted or timed out. The events received so far are kept.
     Interrupted,
     /// The transcriber holds another version than it reported (status 421).
     VersionMismatch,
-    /// The transcriber was full, or did not execute it for another reason.
+    /// The transcriber did not execute the request, because it was full or for another reason.
     Rejected,
-    /// The transcriber could not be reached: nothing was sent.
+    /// The transcriber could not be reached, so nothing was sent.
     NotSent,
-    /// An event did not follow the text, which is as before it.
+    /// An event does not follow the text. The event is dropped and the text is unchanged.
     UnexpectedEvent,
-    /// An event was made under a version that is not allowed: the text starts anew.
+    /// An event was generated under a version that is not allowed. The text is discarded and generated from the
+    /// start.
     VersionNotAllowed,
-    /// A failed attempt (status 500).
+    /// The attempt failed (status 500).
     Failed,
     /// The item can never be executed (status 422).
     Unprocessable,
-    /// Another response.
+    /// Any other response.
     Unknown,
 }
 
-/// Makes attempts.
+/// Makes attempts at texts.
 pub(crate) struct AttemptRunner {
     pub(crate) client: Client,
     pub(crate) prober: Rc<Prober>,
@@ -74,7 +76,7 @@
         let last_event = progress.borrow().text.last_event();
         let request = build_request(terms, item, reservation.version, last_event);
         let opening = self.client.open_stream(&reservation.target, request);
-        match self.while_healthy(reservation, HEAD_TIMEOUT, opening).await {
+        match self.run_with_health_checks(reservation, HEAD_TIMEOUT, opening).await {
             None => AttemptOutcome::Interrupted,
             Some(Err(ClientError::NotSent)) => AttemptOutcome::NotSent,
             Some(Err(_)) => AttemptOutcome::Interrupted,
@@ -84,29 +86,29 @@
             }
             Some(Ok(StreamResponse::Stream(head, stream))) => {
                 reservation.record_load(&head);
-                reservation.signal_start();
-                let version = stated_version(&head).or(reservation.version);
+                reservation.notify_started();
+                let version = reported_version(&head).or(reservation.version);
                 progress.borrow_mut().text.start_attempt(version);
                 self.read_events(reservation, stream, terms, progress).await
             }
         }
     }
 
-    /// Reads events until the stream ends.
+    /// Appends the events of the stream to the text until the stream ends.
     async fn read_events(
         &self, reservation: &Reservation, mut stream: EventStream, terms: &LeaseTerms,
         progress: &SharedProgress,
     ) -> AttemptOutcome {
         loop {
             let next_event = stream.next(EVENT_TIMEOUT);
-            let Some(next) = self.while_healthy(reservation, EVENT_TIMEOUT, next_event).await else {
+            let Some(next) = self.run_with_health_checks(reservation, EVENT_TIMEOUT, next_event).await else {
                 return AttemptOutcome::Interrupted;
             };
             match next {
                 Ok(Some(event)) => match progress.borrow_mut().text.append(&event, terms.versions) {
                     Ok(()) => {}
-                    Err(TextError::UnexpectedEventId) => return AttemptOutcome::UnexpectedEvent,
-                    Err(TextError::VersionTooOld | TextError::MixedVersions) => {
+                    Err(AppendError::UnexpectedEventId) => return AttemptOutcome::UnexpectedEvent,
+                    Err(AppendError::VersionTooOld | AppendError::MixedVersions) => {
                         return AttemptOutcome::VersionNotAllowed;
                     }
                 },
@@ -120,17 +122,19 @@
         }
     }
 
-    /// Waits for the transcriber to send something, until the limit. While it is silent it is health-checked every
-    /// [`HEALTH_CHECK_AFTER`]; `None` at the limit or as soon as a check fails.
-    async fn while_healthy<T>(
+    /// Waits for `operation`, which completes when the transcriber sends something.
+    ///
+    /// While the transcriber is silent it is health-checked every [`HEALTH_CHECK_INTERVAL`]. Returns `None` after
+    /// `limit`, or as soon as a health check fails.
+    async fn run_with_health_checks<T>(
         &self, reservation: &Reservation, limit: Duration, operation: impl Future<Output = T>,
     ) -> Option<T> {
         let deadline = Instant::now() + limit;
         let mut operation = pin!(operation);
         loop {
-            let next_check = deadline.min(Instant::now() + HEALTH_CHECK_AFTER);
+            let next_check = deadline.min(Instant::now() + HEALTH_CHECK_INTERVAL);
             if let Ok(output) = timeout_at(next_check, operation.as_mut()).await {
-                reservation.record_heard();
+                reservation.record_activity();
                 return Some(output);
             }
             if Instant::now() >= deadline {
@@ -139,7 +143,7 @@
             tokio::select! {
                 biased;
                 output = operation.as_mut() => return Some(output),
-                is_healthy = self.prober.is_healthy(reservation, HEALTH_CHECK_AFTER) => {
+                is_healthy = self.prober.is_healthy(reservation, HEALTH_CHECK_INTERVAL) => {
                     if !is_healthy {
                         return None;
                     }
@@ -159,7 +163,7 @@
     }
 }
 
-fn stated_version(head: &ResponseHead) -> Option<u64> {
+fn reported_version(head: &ResponseHead) -> Option<u64> {
     head.headers.get("weight-versions")?.to_str().ok()?.trim().parse().ok()
 }
 
@@ -189,6 +193,6 @@
         headers,
         body: Bytes::copy_from_slice(&item.body),
         request_id: item.id.clone(),
-        timeout: remaining.clamp(MIN_DEADLINE, MAX_DEADLINE),
+        timeout: remaining.clamp(MIN_REQUEST_DEADLINE, MAX_REQUEST_DEADLINE),
     }
 }
--- a/crates/pebblepost-batch-runner/src/execution/graceful_shutdown.rs
+++ b/crates/pebblepost-batch-runner/src/execution/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: items in flight get a while to finish, the others are returned to their stores.
+//! Graceful shutdown: items in flight get some time to finish, and the others are returned to their stores.
 
 use crate::change_signal::ChangeSignal;
 use crate::execution::outcomes::OutcomeReporter;
@@ -11,12 +11,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Percentage of the time to shut down in which items may finish.
-const FINISH_PERCENT: u32 = 50;
-/// How often the progress of the shutdown is checked.
+/// Part of the shutdown time in which items may finish, in percent.
+const FINISH_PERCENT_OF_LIMIT: u32 = 50;
+/// Interval at which the progress of the shutdown is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Shuts the execution down.
+/// Shuts down the execution of items.
 pub(crate) struct GracefulShutdown {
     pub(crate) flag: Rc<ShutdownFlag>,
     pub(crate) changes: Rc<ChangeSignal>,
@@ -27,18 +27,19 @@
 }
 
 impl GracefulShutdown {
-    /// Takes no new work, waits for items to finish, returns the others and sends all outcomes. Returns when done,
-    /// or after the limit.
+    /// Stops taking work, waits for items to finish, returns the others to their stores and sends all outcomes.
+    ///
+    /// Returns when all outcomes are sent, or after `limit`.
     pub(crate) async fn run(&self, limit: Duration) {
         let started_at = Instant::now();
         self.flag.set();
         self.changes.notify();
-        let finish_until = started_at + limit * FINISH_PERCENT / 100;
+        let finish_until = started_at + limit * FINISH_PERCENT_OF_LIMIT / 100;
         while !self.leases.borrow().is_empty() && Instant::now() < finish_until {
             sleep(CHECK_INTERVAL).await;
         }
         let unfinished = self.leases.borrow_mut().release_all();
-        log::info!("shutdown returns items count={}", unfinished.len());
+        log::info!("shutdown: returning unfinished items to their stores count={}", unfinished.len());
         for released in unfinished {
             self.outcomes.return_released(released);
         }
--- a/crates/pebblepost-batch-runner/src/execution/item.rs
+++ b/crates/pebblepost-batch-runner/src/execution/item.rs
@@ -1,8 +1,8 @@
-//! One item, from its first attempt to its outcome: attempts until the text is complete, then the call of its scorer
-//! until it is scored.
+//! Executes one item from its first attempt to its outcome: attempts until the text is complete, then scorer calls
+//! until the text is scored.
 //!
-//! Decides retries, their back-off and when an item becomes a dead letter. Nothing is sent while the lease is not
-//! valid.
+//! This module decides about retries and their backoff, and when an item becomes a dead letter. Nothing is sent
+//! while the lease is not valid.
 
 use crate::capacity::CapacityPermit;
 use crate::change_signal::ChangeSignal;
@@ -26,21 +26,21 @@
 
 /// How long to wait for the renewal of a lease before its status is checked again.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Back-off after an attempt that did not complete the text.
+/// Backoff after an attempt that did not complete the text.
 const RETRY_BACKOFF: Duration = Duration::from_millis(10);
 const REJECTED_BACKOFF: Duration = Duration::from_millis(50);
 const UNKNOWN_BACKOFF: Duration = Duration::from_millis(200);
-/// Back-off between calls of a scorer; doubles from the first to the longest.
+/// Bounds of the backoff between scorer calls, which doubles after each call.
 const FIRST_SCORER_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_SCORER_BACKOFF: Duration = Duration::from_millis(400);
-/// An item without a route is returned after this time.
-const NO_ROUTE_DELAY: Duration = Duration::from_millis(1000);
-/// How long a transcriber that broke an attempt off is ejected.
-const EJECTION_AFTER_BREAK: Duration = Duration::from_millis(700);
-/// A text starts anew after this many events that did not follow it.
-const MAX_UNEXPECTED_EVENTS: u32 = 2;
+/// Delay before an item without a route is returned to its store.
+const NO_ROUTE_RETURN_DELAY: Duration = Duration::from_millis(1000);
+/// How long a transcriber is ejected after it interrupted an attempt or could not be reached.
+const EJECTION_AFTER_INTERRUPTION: Duration = Duration::from_millis(700);
+/// Number of unexpected events after which a text is discarded and generated from the start.
+const UNEXPECTED_EVENTS_BEFORE_RESTART: u32 = 2;
 
-/// An item in flight.
+/// A leased item that is in flight.
 pub(crate) struct ItemTask {
     pub(crate) key: LeaseKey,
     pub(crate) terms: Rc<LeaseTerms>,
@@ -49,14 +49,15 @@
 }
 
 impl ItemTask {
-    /// Counts a failed attempt; whether that was the last one that the route allows.
+    /// Counts a failed attempt. Returns whether the route allows no further attempt.
     fn count_failed_attempt(&self) -> bool {
         let mut progress = self.progress.borrow_mut();
         progress.failed_attempts += 1;
         progress.failed_attempts >= self.terms.job.max_attempts.max(1)
     }
 
-    /// Counts a failed call of the scorer; whether that was the last one that both routes allow.
+    /// Counts a failed scorer call. Returns whether neither the scorer's route nor the job's route allows a further
+    /// call.
     fn count_failed_scorer_attempt(&self, max_attempts: u32) -> bool {
         let mut progress = self.progress.borrow_mut();
         progress.failed_scorer_attempts += 1;
@@ -79,18 +80,18 @@
     }
 }
 
-/// Why an item ends without a score.
+/// Reason why an item ends without a score.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Unscored {
-    /// It can't be completed, or not in time.
+enum UnscoredOutcome {
+    /// The item cannot be completed, or not in time.
     DeadLetter,
-    /// It goes back to its store: the proxy shuts down or knows no route.
+    /// The item is returned to its store, because the proxy is shutting down or knows no route for it.
     Returned,
-    /// Its lease has ended: nothing is reported.
+    /// The lease has ended, so nothing is reported.
     Abandoned,
 }
 
-/// Executes items.
+/// Executes items, and reports their outcomes.
 pub(crate) struct ItemExecutor {
     pub(crate) leases: Rc<RefCell<LeaseTable>>,
     pub(crate) placer: Rc<Placer>,
@@ -104,25 +105,25 @@
 }
 
 impl ItemExecutor {
-    /// Executes an item and reports its outcome. The first attempt goes to the reservation, if there is one.
+    /// Executes an item and reports its outcome. The first attempt uses the reservation, if there is one.
     pub(crate) async fn execute(
         self: Rc<Self>, task: ItemTask, reservation: Option<Reservation>, mut permit: CapacityPermit,
     ) {
-        match self.run(&task, reservation, &mut permit).await {
+        match self.complete_and_score(&task, reservation, &mut permit).await {
             Ok(score) => self.outcomes.finish(task.key, task.completed_result(score)),
-            Err(Unscored::DeadLetter) => {
-                log::debug!("dead letter item={}", task.item.id);
+            Err(UnscoredOutcome::DeadLetter) => {
+                log::debug!("item became a dead letter item={}", task.item.id);
                 self.outcomes.finish(task.key, task.dead_letter_result());
             }
-            Err(Unscored::Returned) => self.outcomes.return_item(task.key, &task.item.id),
-            Err(Unscored::Abandoned) => self.outcomes.abandon(task.key, &task.item.id),
+            Err(UnscoredOutcome::Returned) => self.outcomes.return_item(task.key, &task.item.id),
+            Err(UnscoredOutcome::Abandoned) => self.outcomes.abandon(task.key, &task.item.id),
         }
     }
 
-    /// The score of the complete text; empty for an item without a scorer.
-    async fn run(
+    /// Completes the text and returns its score, which is empty for an item without a scorer.
+    async fn complete_and_score(
         &self, task: &ItemTask, reservation: Option<Reservation>, permit: &mut CapacityPermit,
-    ) -> Result<String, Unscored> {
+    ) -> Result<String, UnscoredOutcome> {
         self.complete_text(task, reservation).await?;
         permit.release_text();
         self.score(task).await
@@ -131,8 +132,8 @@
     /// Makes attempts until the text is complete.
     async fn complete_text(
         &self, task: &ItemTask, mut reservation: Option<Reservation>,
-    ) -> Result<(), Unscored> {
-        let requirements = Requirements::of_text(&task.terms, &task.item.path);
+    ) -> Result<(), UnscoredOutcome> {
+        let requirements = Requirements::for_text(&task.terms, &task.item.path);
         let mut unexpected_events = 0;
         loop {
             let Some(current) = reservation.take() else {
@@ -150,37 +151,38 @@
             }
             let instance = &current.target.instance;
             log::debug!("attempt ended item={} instance={instance} outcome={outcome:?}", task.item.id);
-            if is_final(outcome, task) {
-                return Err(Unscored::DeadLetter);
+            if count_attempt_and_check_final(outcome, task) {
+                return Err(UnscoredOutcome::DeadLetter);
             }
             if outcome == AttemptOutcome::UnexpectedEvent {
                 unexpected_events += 1;
-                if unexpected_events >= MAX_UNEXPECTED_EVENTS {
+                if unexpected_events >= UNEXPECTED_EVENTS_BEFORE_RESTART {
                     task.progress.borrow_mut().text.clear();
                     unexpected_events = 0;
                 }
             }
             self.record_retry(outcome, task, &current);
-            // The slot is free again before the back-off.
+            // The slot is released before the backoff.
             drop(current);
             sleep(backoff_after(outcome)).await;
         }
     }
 
-    async fn place(&self, requirements: &Requirements<'_>) -> Result<Option<Reservation>, Unscored> {
+    async fn place(&self, requirements: &Requirements<'_>) -> Result<Option<Reservation>, UnscoredOutcome> {
         match self.placer.place(requirements, 1).await {
             Ok(mut reservations) => Ok(reservations.pop()),
-            Err(PlacementError::Expired) => Err(Unscored::DeadLetter),
-            Err(PlacementError::ShuttingDown) => Err(Unscored::Returned),
+            Err(PlacementError::Expired) => Err(UnscoredOutcome::DeadLetter),
+            Err(PlacementError::ShuttingDown) => Err(UnscoredOutcome::Returned),
             Err(PlacementError::NoRoute(_)) => {
-                // This proxy's configuration may be an old one: another proxy may know the route.
-                sleep(NO_ROUTE_DELAY).await;
-                Err(Unscored::Returned)
+                // This proxy's configuration may be outdated: another proxy may know the route.
+                sleep(NO_ROUTE_RETURN_DELAY).await;
+                Err(UnscoredOutcome::Returned)
             }
         }
     }
 
-    /// Records what an attempt that is to be retried says about its transcriber and about the text.
+    /// Records the effects of an attempt that will be retried on the metrics, on the state of its transcriber, and
+    /// on the text.
     fn record_retry(&self, outcome: AttemptOutcome, task: &ItemTask, reservation: &Reservation) {
         self.metrics.increment(match outcome {
             AttemptOutcome::Rejected => Metric::AttemptsRejected,
@@ -194,27 +196,27 @@
             AttemptOutcome::VersionMismatch | AttemptOutcome::Rejected => reservation.invalidate_report(),
             AttemptOutcome::VersionNotAllowed => task.progress.borrow_mut().text.clear(),
             AttemptOutcome::Interrupted | AttemptOutcome::NotSent => {
-                reservation.eject(EJECTION_AFTER_BREAK);
+                reservation.eject(EJECTION_AFTER_INTERRUPTION);
             }
             _ => {}
         }
     }
 
     /// Calls the scorer until it returns a score.
-    async fn score(&self, task: &ItemTask) -> Result<String, Unscored> {
+    async fn score(&self, task: &ItemTask) -> Result<String, UnscoredOutcome> {
         let Some(scorer) = &task.item.scorer else { return Ok(String::new()) };
         let mut backoff = FIRST_SCORER_BACKOFF;
         loop {
             self.wait_until_lease_is_valid(task.key).await?;
             if Instant::now() >= task.terms.expires_at {
-                return Err(Unscored::DeadLetter);
+                return Err(UnscoredOutcome::DeadLetter);
             }
             let is_lease_valid = || self.lease_status(task.key) == LeaseStatus::Valid;
             match self.scorers.call(scorer, &task.terms, is_lease_valid).await {
                 ScorerOutcome::Scored(score) => return Ok(score),
                 ScorerOutcome::Failed { max_attempts } => {
                     if task.count_failed_scorer_attempt(max_attempts) {
-                        return Err(Unscored::DeadLetter);
+                        return Err(UnscoredOutcome::DeadLetter);
                     }
                 }
                 ScorerOutcome::Retry => {
@@ -225,13 +227,16 @@
         }
     }
 
-    /// Waits until requests of the lease may be sent.
-    async fn wait_until_lease_is_valid(&self, key: LeaseKey) -> Result<(), Unscored> {
+    /// Waits until requests under the lease may be sent.
+    ///
+    /// # Errors
+    /// The lease has ended, or it has expired while the proxy is shutting down.
+    async fn wait_until_lease_is_valid(&self, key: LeaseKey) -> Result<(), UnscoredOutcome> {
         loop {
             match self.lease_status(key) {
                 LeaseStatus::Valid => return Ok(()),
-                LeaseStatus::Ended => return Err(Unscored::Abandoned),
-                LeaseStatus::Expired if self.shutdown.is_set() => return Err(Unscored::Returned),
+                LeaseStatus::Ended => return Err(UnscoredOutcome::Abandoned),
+                LeaseStatus::Expired if self.shutdown.is_set() => return Err(UnscoredOutcome::Returned),
                 LeaseStatus::Expired => self.changes.wait(LEASE_CHECK_INTERVAL).await,
             }
         }
@@ -242,8 +247,8 @@
     }
 }
 
-/// Whether there is no other attempt. Counts a failed one.
-fn is_final(outcome: AttemptOutcome, task: &ItemTask) -> bool {
+/// Counts the attempt if it failed. Returns whether no further attempt follows.
+fn count_attempt_and_check_final(outcome: AttemptOutcome, task: &ItemTask) -> bool {
     match outcome {
         AttemptOutcome::Unprocessable => true,
         AttemptOutcome::Failed => task.count_failed_attempt(),
--- a/crates/pebblepost-batch-runner/src/execution/lease.rs
+++ b/crates/pebblepost-batch-runner/src/execution/lease.rs
@@ -1,6 +1,7 @@
-//! The items of a lease: placed together where a transcriber has capacity, each with a task of its own.
+//! Starts the items of a lease: they are placed together where a transcriber has capacity, and each runs in its own
+//! task.
 //!
-//! Owns no state; leases and permits are below, an item's attempts in [`super::item`].
+//! This module has no state. Leases and permits are stored by the modules below; [`super::item`] makes the attempts.
 
 use crate::capacity::{Capacity, CapacityPermit};
 use crate::execution::item::{ItemExecutor, ItemTask};
@@ -20,16 +21,16 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// The first attempt of a group must start within this time, or the other items are placed anew.
+/// If the first attempt of a group does not start within this time, the other items are placed again.
 const FIRST_START_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// An item that awaits its placement.
+/// An item that waits to be placed.
 struct PendingItem {
     leased: LeasedItem,
     permit: CapacityPermit,
 }
 
-/// Executes leases.
+/// Starts the execution of leases.
 pub(crate) struct LeaseExecutor {
     pub(crate) leases: Rc<RefCell<LeaseTable>>,
     pub(crate) capacity: Rc<Capacity>,
@@ -41,7 +42,8 @@
 }
 
 impl LeaseExecutor {
-    /// Starts the execution of leases that a store gave. During a shutdown their items are returned at once.
+    /// Starts the execution of leases that a store granted. During a shutdown their items are returned
+    /// immediately.
     pub(crate) fn accept(self: &Rc<Self>, leases: Vec<WorkLease>) {
         for lease in leases {
             self.accept_one(lease);
@@ -68,34 +70,35 @@
 
     /// Places the items of a lease, as many at a time as one transcriber has capacity for, and starts them.
     ///
-    /// The first item of several goes ahead: a transcriber that rejects it rejects one item, not all, and one that
-    /// starts it has the common prompt in its prefix cache when the others come.
+    /// The first item of several is started alone: a transcriber that rejects it rejects one item and not all, and a
+    /// transcriber that starts it has the common prompt in its prefix cache when the others arrive.
     async fn place_items(
         self: Rc<Self>, key: LeaseKey, terms: Rc<LeaseTerms>, mut pending: VecDeque<PendingItem>,
     ) {
         while let Some(first) = pending.front() {
-            let requirements = Requirements::of_text(&terms, &first.leased.item.path);
+            let requirements = Requirements::for_text(&terms, &first.leased.item.path);
             let count = u32::try_from(pending.len()).unwrap_or(u32::MAX);
-            // Without a reservation each item finds out for itself why there is none.
+            // If there is no reservation, each item's task determines the reason itself.
             let placed = self.placer.place(&requirements, count).await.unwrap_or_default();
             let mut reservations = VecDeque::from(placed);
             let is_split = reservations.len() < pending.len();
             self.metrics.increment(if is_split { Metric::GroupsSplit } else { Metric::GroupsPlacedTogether });
             let batch =
                 if reservations.is_empty() { pending.len() } else { reservations.len().min(pending.len()) };
-            let on_start = reservations.front().filter(|_| reservations.len() > 1).map(Reservation::on_start);
-            let Some(on_start) = on_start else {
+            let first_start =
+                reservations.front().filter(|_| reservations.len() > 1).map(Reservation::started);
+            let Some(first_start) = first_start else {
                 self.start_items(key, &terms, pending.drain(..batch), &mut reservations);
                 continue;
             };
             self.start_items(key, &terms, pending.drain(..1), &mut reservations);
-            if matches!(timeout(FIRST_START_TIMEOUT, on_start).await, Ok(Ok(()))) {
+            if matches!(timeout(FIRST_START_TIMEOUT, first_start).await, Ok(Ok(()))) {
                 self.start_items(key, &terms, pending.drain(..batch - 1), &mut reservations);
             }
         }
     }
 
-    /// Starts a task for each item, with a reservation as long as there are any.
+    /// Starts a task for each item, with a reservation as long as there are any left.
     fn start_items(
         &self, key: LeaseKey, terms: &Rc<LeaseTerms>, pending: impl Iterator<Item = PendingItem>,
         reservations: &mut VecDeque<Reservation>,
--- a/crates/pebblepost-batch-runner/src/execution/mod.rs
+++ b/crates/pebblepost-batch-runner/src/execution/mod.rs
@@ -1,13 +1,14 @@
-//! Execution of leased items: from the request for work to the outcome.
+//! Execution of leased items, from the request for work to the outcome.
 //!
 //! * `work_requests`: requests items from the stores while there is capacity.
 //! * `lease`: places the items of a lease and starts their tasks.
-//! * `item`: one item: attempts until its text is complete, then its scorer's call.
-//! * `attempt`: one attempt at a text; `scorer`: one call of a scorer; [`priority`]: the `Priority` header.
-//! * `outcomes`: hands outcomes to the outbox.
-//! * `graceful_shutdown`: finishes or returns what is in flight.
+//! * `item`: executes one item: attempts until its text is complete, then its scorer calls.
+//! * `attempt`: makes one attempt at a text; `scorer`: makes one scorer call; [`priority`]: the `Priority` header.
+//! * `outcomes`: passes outcomes to the outbox.
+//! * `graceful_shutdown`: finishes or returns the items in flight.
 //!
-//! State is below (leases, loads, capacity, texts), and placement beside it; this folder sends the requests.
+//! The modules below hold the state (leases, loads, capacity, texts), and `placement` chooses transcribers. This
+//! module sends the requests.
 
 pub(crate) mod attempt;
 pub(crate) mod graceful_shutdown;
--- a/crates/pebblepost-batch-runner/src/execution/outcomes.rs
+++ b/crates/pebblepost-batch-runner/src/execution/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of items: out of the lease table and into the outbox.
+//! Reports outcomes of items: releases the items from the lease table and adds the outcomes to the outbox.
 
 use crate::lease_table::{LeaseKey, LeaseTable, ReleasedItem};
 use crate::store::outbox::{LeasedOutcome, Outbox, OutcomeKey};
@@ -6,7 +6,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Reports what became of items. An item that is not in flight any more is reported by nobody.
+/// Reports outcomes of items. An item that is no longer in flight is not reported.
 pub(crate) struct OutcomeReporter {
     pub(crate) leases: Rc<RefCell<LeaseTable>>,
     pub(crate) outbox: Rc<Outbox>,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns an unfinished item that was released before.
+    /// Returns an unfinished item that has already been released.
     pub(crate) fn return_released(&self, released: ReleasedItem) {
         let ReleasedItem { store_group, job, lease, item, progress } = released;
         let progress = progress.borrow();
@@ -41,7 +41,7 @@
         self.outbox.push(LeasedOutcome { key: OutcomeKey { store_group, job, lease }, outcome });
     }
 
-    /// Drops an item whose lease has ended, without a report.
+    /// Drops an item whose lease has ended, without reporting it.
     pub(crate) fn abandon(&self, key: LeaseKey, item: &str) {
         self.release(key, item);
     }
--- a/crates/pebblepost-batch-runner/src/execution/priority.rs
+++ b/crates/pebblepost-batch-runner/src/execution/priority.rs
@@ -1,15 +1,16 @@
-//! The `Priority` header of an item's request.
+//! The `Priority` header of an item's request. Lower values are admitted first.
 
 use std::time::Duration;
 
-/// `Priority` that a transcriber assumes for a request without one. 0 is admitted first.
+/// Priority that a transcriber assumes for a request without the header. Priority 0 is admitted first.
 pub const DEFAULT_PRIORITY: u16 = 5;
-/// `Priority` of the most urgent items on routes below the highest rank: behind other requests.
+/// Priority of the most urgent items on routes below the highest rank. These items come after other requests.
 const LOWER_RANK_PRIORITY: u16 = 6;
-/// Items that are due within each of these times go one step further ahead.
+/// An item moves one priority step ahead for each of these times that exceeds its time until due.
 const URGENCY_STEPS: [Duration; 2] = [Duration::from_secs(6), Duration::from_secs(3)];
 
-/// `Priority` of an item by the rank of its route (0 highest) and the time until its results are due.
+/// Returns the priority of an item from the rank of its route (0 is the highest) and the time until its results are
+/// due.
 pub fn priority(rank: u32, until_due: Duration) -> u16 {
     let steps_ahead = URGENCY_STEPS.iter().filter(|step| until_due < **step).count() as u16;
     match rank {
--- a/crates/pebblepost-batch-runner/src/execution/scorer.rs
+++ b/crates/pebblepost-batch-runner/src/execution/scorer.rs
@@ -1,7 +1,7 @@
-//! One call of the scorer of a complete text.
+//! Makes one scorer call for a complete text.
 //!
-//! Owns the limit of calls in flight by service: scorers are few, and others use them, too. Whether there is another
-//! call is decided in [`super::item`].
+//! Limits the calls in flight per service, because scorers are few and have other clients, too. [`super::item`]
+//! decides whether another call follows.
 
 use crate::execution::request_headers::insert;
 use crate::feed_view::FeedView;
@@ -21,25 +21,25 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Longest time of a call.
+/// Upper limit of the timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Calls in flight at a service at most, in percent of this proxy's share of its slots.
-const CALLS_PERCENT: u64 = 120;
-/// The limit of calls in flight is at least this.
+/// Limit of calls in flight at a service, in percent of this proxy's share of its slots.
+const CALL_LIMIT_PERCENT_OF_SHARE: u64 = 120;
+/// Lower bound of the limit of calls in flight.
 const MIN_CALL_LIMIT: u32 = 2;
-/// How long a transcriber that broke a call off is ejected.
-const EJECTION_AFTER_BREAK: Duration = Duration::from_millis(500);
+/// How long a transcriber is ejected after it interrupted a call.
+const EJECTION_AFTER_INTERRUPTION: Duration = Duration::from_millis(500);
 
-/// How a call ended.
+/// How a scorer call ended.
 pub(crate) enum ScorerOutcome {
-    /// The seal of a complete 2xx response.
+    /// The call succeeded. The score is the seal of the complete 2xx response.
     Scored(String),
-    /// Status 500, on a route that allows this many attempts.
+    /// The call failed (status 500).
     Failed {
-        /// Attempts that the route of the scorer allows.
+        /// Number of attempts that the scorer's route allows.
         max_attempts: u32,
     },
-    /// Anything else: to be retried.
+    /// Any other result; the call is to be retried.
     Retry,
 }
 
@@ -50,7 +50,7 @@
     freed: Notify,
 }
 
-/// A call in flight; counted until it is dropped.
+/// Permit of a call in flight. The call is counted until the permit is dropped.
 struct CallPermit {
     calls: Rc<ServiceCalls>,
 }
@@ -62,7 +62,7 @@
     }
 }
 
-/// Calls scorers.
+/// Calls scorers, with a limit of calls in flight per service.
 pub(crate) struct ScorerClient {
     client: Client,
     feed: FeedView,
@@ -78,7 +78,7 @@
         ScorerClient { client, feed, placer, metrics, calls_by_service: RefCell::default() }
     }
 
-    /// Calls the scorer once. Nothing is sent unless `is_lease_valid` holds just before.
+    /// Calls the scorer once. Nothing is sent unless `is_lease_valid` returns true immediately before sending.
     pub(crate) async fn call(
         &self, scorer: &Scorer, terms: &LeaseTerms, is_lease_valid: impl Fn() -> bool,
     ) -> ScorerOutcome {
@@ -86,7 +86,7 @@
         let Some(route) = configuration.route(&scorer.hostname, &scorer.path) else {
             return ScorerOutcome::Retry;
         };
-        let requirements = Requirements::of_scorer(terms, scorer);
+        let requirements = Requirements::for_scorer_call(terms, scorer);
         let service = route.backends.first().map_or("", |(name, _)| name.as_str());
         let _permit = self.acquire_permit(service).await;
         let Ok(reservations) = self.placer.place(&requirements, 1).await else {
@@ -123,12 +123,13 @@
         let instance = &reservation.target.instance;
         log::debug!("scorer call failed request={} instance={instance} cause={error:?}", scorer.id);
         if error != ClientError::TimedOut {
-            reservation.eject(EJECTION_AFTER_BREAK);
+            reservation.eject(EJECTION_AFTER_INTERRUPTION);
         }
         ScorerOutcome::Retry
     }
 
-    /// Waits until another call is allowed at a service, first come first served.
+    /// Waits until another call to a service is allowed. Waiting calls are admitted in the order in which they
+    /// arrived.
     async fn acquire_permit(&self, service: &str) -> CallPermit {
         let calls = self.calls_by_service.borrow_mut().entry(service.to_owned()).or_default().clone();
         while calls.in_flight.get() >= self.call_limit(service) {
@@ -139,7 +140,7 @@
     }
 
     fn call_limit(&self, service: &str) -> u32 {
-        self.feed.fair_share_of_slots(CALLS_PERCENT, |name| name == service).max(MIN_CALL_LIMIT)
+        self.feed.fair_share_of_slots(CALL_LIMIT_PERCENT_OF_SHARE, |name| name == service).max(MIN_CALL_LIMIT)
     }
 }
 
--- a/crates/pebblepost-batch-runner/src/feed_view.rs
+++ b/crates/pebblepost-batch-runner/src/feed_view.rs
@@ -1,6 +1,6 @@
-//! The state of the cluster as the proxy's feed reported it last.
+//! State of the cluster as last reported by the proxy's feed.
 //!
-//! A read-only view: the proxy owns the state and folds the feed into it.
+//! The view is read-only: the proxy owns the state and applies the feed updates to it.
 
 use pebblepost_configuration::Configuration;
 use pebblepost_feed::FeedState;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A view of the feed's state; cheap to clone.
+/// View of the feed's state. Cheap to clone.
 #[derive(Clone)]
 pub(crate) struct FeedView {
     state: Rc<RefCell<FeedState>>,
@@ -20,37 +20,38 @@
         FeedView { state }
     }
 
-    /// The state itself; must not be held over an await point.
+    /// Returns the state. The guard must not be held across an await point, because the proxy mutably borrows the
+    /// state to apply updates.
     pub(crate) fn state(&self) -> Ref<'_, FeedState> {
         self.state.borrow()
     }
 
-    /// The configuration in force, if one has come.
+    /// Returns the current configuration, or `None` if none has arrived yet.
     pub(crate) fn configuration(&self) -> Option<Arc<Configuration>> {
         self.state().configuration().cloned()
     }
 
-    /// Whether a transcriber takes new requests.
+    /// Returns whether a transcriber accepts new requests.
     pub(crate) fn is_ready(&self, instance: &str) -> bool {
         self.state().instance(instance).is_some_and(is_ready)
     }
 
-    /// Whether a transcriber is known and not gone.
+    /// Returns whether a transcriber is known and not terminated.
     pub(crate) fn is_present(&self, instance: &str) -> bool {
         self.state().instance(instance).is_some_and(|instance| instance.state != InstanceState::Terminated)
     }
 
-    /// Proxies that share the transcribers with this one, itself included.
+    /// Returns the number of proxies that share the transcribers, including this one.
     pub(crate) fn proxy_count(&self) -> u32 {
         self.state().proxy_count()
     }
 
-    /// Newest version of a model that is named anywhere; 0 for none.
+    /// Returns the newest version of a model that the feed names anywhere, or 0 if there is none.
     pub(crate) fn named_version(&self, model: &str) -> u64 {
         self.state().named_version(model)
     }
 
-    /// A percentage of this proxy's share of the ready slots of some services, rounded up.
+    /// Returns a percentage of this proxy's share of the ready slots of the selected services, rounded up.
     pub(crate) fn fair_share_of_slots(&self, percent: u64, is_service: impl Fn(&str) -> bool) -> u32 {
         let state = self.state();
         let slots: u64 = state
--- a/crates/pebblepost-batch-runner/src/identity.rs
+++ b/crates/pebblepost-batch-runner/src/identity.rs
@@ -1,10 +1,10 @@
-//! Who this proxy is: constant while the process runs.
+//! Identity of this proxy, constant while the process runs.
 
-/// The proxy's machine.
+/// Identity of the proxy's machine.
 #[derive(Debug)]
 pub(crate) struct ProxyIdentity {
     /// Name of the machine.
     pub(crate) node: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub(crate) zone: String,
 }
--- a/crates/pebblepost-batch-runner/src/job/api.rs
+++ b/crates/pebblepost-batch-runner/src/job/api.rs
@@ -1,10 +1,10 @@
-//! The calls of batch jobs: each goes to the primary of the job's store group, and again when the primary changes or
-//! can't be certain.
+//! HTTP calls of batch jobs. Each call is sent to the primary of the job's store group, and sent again when the
+//! primary changes or gives no definite answer.
 //!
-//! Owns no state. A call that may have been executed is never answered as if it had not been.
+//! This module has no state. A call that may have been executed is never answered as if it had not been.
 
 use crate::change_signal::ChangeSignal;
-use crate::job::http_response::{empty, json, octets, retry_after, text};
+use crate::job::http_response::{empty, json, octet_stream, plain_text, retry_after};
 use crate::job::{request, result_page};
 use crate::store::link::CallOutcome;
 use crate::store::links::StoreLinks;
@@ -18,17 +18,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long a submitted job is offered to primaries.
+/// How long a submission is tried at the primary of the job's store group and at its successors.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(3500);
-/// How long the other calls are retried, beyond the time for which the client lets them wait.
+/// How long the other calls are retried, in addition to the wait that the client requests.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Longest time that a read waits for a result.
+/// Maximum time that a read waits for a result.
 const MAX_READ_WAIT: Duration = Duration::from_millis(2000);
-/// Back-off before a store that was not certain is called again.
+/// Backoff before a store that gave no definite answer is called again.
 const RETRY_BACKOFF: Duration = Duration::from_millis(60);
-/// `Retry-After` of a job that no store was offered.
-const RETRY_AFTER_NOT_OFFERED: Duration = Duration::from_millis(500);
-/// Most bytes of a job's body.
+/// `Retry-After` of a submission that was sent to no store.
+const NOT_SUBMITTED_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Maximum size of a job's body.
 const MAX_JOB_BYTES: usize = 48 * 1024 * 1024;
 
 const JOBS_PREFIX: &str = "/lots/";
@@ -36,19 +36,19 @@
 const REQUEST_ID: &str = "request-id";
 const WAIT_MS: &str = "wait-ms";
 
-/// Whether a path is that of a call about a submitted job.
+/// Returns whether a path is that of a call about a submitted job.
 pub(crate) fn is_job_call(path: &str) -> bool {
     path.starts_with(JOBS_PREFIX) || path.starts_with(ITEMS_PREFIX)
 }
 
-/// Answers the calls of batch jobs.
+/// Answers the HTTP calls of batch jobs.
 pub(crate) struct JobApi {
     pub(crate) links: Rc<StoreLinks>,
     pub(crate) changes: Rc<ChangeSignal>,
 }
 
 impl JobApi {
-    /// Answers a call; `route` is the `rollout` route of a submission.
+    /// Answers a call. `route` is the `rollout` route of a submission.
     pub(crate) async fn answer(&self, route: Option<&Route>, request: Request<Bytes>) -> Response<Bytes> {
         let path = request.uri().path();
         if let Some(job) = path.strip_prefix(JOBS_PREFIX) {
@@ -75,27 +75,30 @@
         let deadline = Instant::now() + SUBMIT_TIMEOUT;
         let (parts, body) = request.into_parts();
         let Some(id) = header_text(&parts.headers, REQUEST_ID).filter(|id| !id.is_empty()) else {
-            return text(StatusCode::BAD_REQUEST, "the `Request-Id` is missing");
+            return plain_text(StatusCode::BAD_REQUEST, "header `Request-Id` is missing or empty");
         };
         if body.len() > MAX_JOB_BYTES {
             return empty(StatusCode::PAYLOAD_TOO_LARGE);
         }
         let job = match request::parse(id, terms_of(route), Vec::from(body)) {
             Ok(job) => job,
-            Err(error) => return text(StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => return plain_text(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         let (id, started_at) = (job.id.clone(), Instant::now());
-        let response = self.offer(job, deadline).await;
+        let response = self.submit_until_decided(job, deadline).await;
         let elapsed_ms = started_at.elapsed().as_millis();
-        log::info!("job submitted job={id} status={} elapsed_ms={elapsed_ms}", response.status().as_u16());
+        log::info!(
+            "job submission answered job={id} status={} elapsed_ms={elapsed_ms}",
+            response.status().as_u16()
+        );
         response
     }
 
-    /// Offers a job to the primary of its group, and to its successors, until one has accepted or rejected it.
-    async fn offer(&self, job: Job, deadline: Instant) -> Response<Bytes> {
+    /// Submits a job to the primary of its store group, and to its successors, until one accepts or rejects it.
+    async fn submit_until_decided(&self, job: Job, deadline: Instant) -> Response<Bytes> {
         let store_group = store_group_of(&job.id);
         let mut message = ToStore::Submit { call: 0, store_group, job };
-        let mut may_be_accepted = false;
+        let mut may_have_been_accepted = false;
         while Instant::now() < deadline {
             let outcome = match self.call_primary(store_group, &mut message, deadline).await {
                 CallOutcome::Reply(FromStore::Submitted { outcome, .. }) => outcome,
@@ -104,7 +107,7 @@
             };
             match outcome {
                 SubmitOutcome::Accepted => return json(StatusCode::ACCEPTED, Bytes::from_static(b"{}")),
-                SubmitOutcome::Rejected { .. } if may_be_accepted => {
+                SubmitOutcome::Rejected { .. } if may_have_been_accepted => {
                     return empty(StatusCode::GATEWAY_TIMEOUT);
                 }
                 SubmitOutcome::Rejected { retry_after_ms } => {
@@ -113,14 +116,14 @@
                 }
                 SubmitOutcome::NotPrimary => self.changes.wait(RETRY_BACKOFF).await,
                 SubmitOutcome::Unknown => {
-                    may_be_accepted = true;
+                    may_have_been_accepted = true;
                     sleep(RETRY_BACKOFF).await;
                 }
             }
         }
-        match may_be_accepted {
+        match may_have_been_accepted {
             true => empty(StatusCode::GATEWAY_TIMEOUT),
-            false => retry_after(StatusCode::SERVICE_UNAVAILABLE, RETRY_AFTER_NOT_OFFERED),
+            false => retry_after(StatusCode::SERVICE_UNAVAILABLE, NOT_SUBMITTED_RETRY_AFTER),
         }
     }
 
@@ -129,7 +132,12 @@
             None | Some("") => 0,
             Some(value) => match value.parse() {
                 Ok(start) => start,
-                Err(_) => return text(StatusCode::BAD_REQUEST, "`start_after` is no whole number"),
+                Err(_) => {
+                    return plain_text(
+                        StatusCode::BAD_REQUEST,
+                        "query parameter `start_after` is not an unsigned integer",
+                    );
+                }
             },
         };
         let wait = header_text(request.headers(), WAIT_MS)
@@ -144,7 +152,7 @@
             ToStore::Read { call: 0, store_group, job: job.to_owned(), start, wait_ms }
         };
         let deadline = started_at + wait + CALL_TIMEOUT;
-        let answer = self.call_until_certain(store_group, deadline, message, |reply| match reply {
+        let answer = self.call_until_definite(store_group, deadline, message, |reply| match reply {
             FromStore::Results { answer, .. } => answer,
             _ => JobResponse::Unavailable,
         });
@@ -153,24 +161,24 @@
 
     async fn item_body(&self, job: &str, request: &Request<Bytes>) -> Response<Bytes> {
         let Some(item) = query_value(request, "id").filter(|item| !item.is_empty()) else {
-            return text(StatusCode::BAD_REQUEST, "`id` is missing");
+            return plain_text(StatusCode::BAD_REQUEST, "query parameter `id` is missing or empty");
         };
         let store_group = store_group_of(job);
         let message =
             || ToStore::ItemBody { call: 0, store_group, job: job.to_owned(), item: item.to_owned() };
         let deadline = Instant::now() + CALL_TIMEOUT;
-        let answer = self.call_until_certain(store_group, deadline, message, |reply| match reply {
+        let answer = self.call_until_definite(store_group, deadline, message, |reply| match reply {
             FromStore::Body { answer, .. } => answer,
             _ => JobResponse::Unavailable,
         });
-        respond(answer.await, |body| octets(Bytes::from(body)))
+        respond(answer.await, |body| octet_stream(Bytes::from(body)))
     }
 
     async fn end(&self, job: &str) -> Response<Bytes> {
         let store_group = store_group_of(job);
         let message = || ToStore::End { call: 0, store_group, job: job.to_owned() };
         let deadline = Instant::now() + CALL_TIMEOUT;
-        let answer = self.call_until_certain(store_group, deadline, message, |reply| match reply {
+        let answer = self.call_until_definite(store_group, deadline, message, |reply| match reply {
             FromStore::Ended { answer: JobResponse::Found(false), .. } => JobResponse::Unavailable,
             FromStore::Ended { answer, .. } => answer,
             _ => JobResponse::Unavailable,
@@ -178,18 +186,19 @@
         respond(answer.await, |_| json(StatusCode::OK, Bytes::from_static(b"{}")))
     }
 
-    /// Calls the primary of a group, and its successors, until one is certain or the deadline has passed.
-    async fn call_until_certain<T>(
+    /// Calls the primary of a store group, and its successors, until one gives a definite answer or the deadline
+    /// passes.
+    async fn call_until_definite<T>(
         &self, group: u32, deadline: Instant, message: impl Fn() -> ToStore,
-        answer_in: impl Fn(FromStore) -> JobResponse<T>,
+        extract_answer: impl Fn(FromStore) -> JobResponse<T>,
     ) -> JobResponse<T> {
         while Instant::now() < deadline {
             match self.call_primary(group, &mut message(), deadline).await {
                 CallOutcome::NotSent => continue,
                 CallOutcome::NoReply => {}
-                CallOutcome::Reply(reply) => match answer_in(reply) {
+                CallOutcome::Reply(reply) => match extract_answer(reply) {
                     JobResponse::Unavailable => {}
-                    certain => return certain,
+                    definite_answer => return definite_answer,
                 },
             }
             self.changes.wait(RETRY_BACKOFF).await;
@@ -197,7 +206,8 @@
         JobResponse::Unavailable
     }
 
-    /// Calls the primary of a group. Where there is no link to it, waits for a change instead.
+    /// Calls the primary of a store group. If there is no link to it, waits for a change instead and returns
+    /// [`CallOutcome::NotSent`].
     async fn call_primary(&self, group: u32, message: &mut ToStore, deadline: Instant) -> CallOutcome {
         let Some(link) = self.links.primary_link(group) else {
             self.changes.wait(deadline.saturating_duration_since(Instant::now())).await;
@@ -207,7 +217,7 @@
     }
 }
 
-/// The response to an answer; 503 where no store was certain.
+/// Returns the response to an answer, which is 503 if no store gave a definite answer.
 fn respond<T>(answer: JobResponse<T>, found: impl FnOnce(T) -> Response<Bytes>) -> Response<Bytes> {
     match answer {
         JobResponse::Found(content) => found(content),
--- a/crates/pebblepost-batch-runner/src/job/mod.rs
+++ b/crates/pebblepost-batch-runner/src/job/mod.rs
@@ -1,10 +1,10 @@
-//! The HTTP face of batch jobs: jobs are submitted, their results read, and jobs ended.
+//! HTTP interface of batch jobs: clients submit jobs, read their results and end them.
 //!
-//! * `api`: the calls; each goes to the primary of the job's store group.
-//! * [`request`]: reads a submitted job; [`result_page`]: writes results.
-//! * `http_response`: responses without content of a job.
+//! * `api`: the calls; each is sent to the primary of the job's store group.
+//! * [`request`]: parses a submitted job; [`result_page`]: serializes results.
+//! * `http_response`: constructors of HTTP responses.
 //!
-//! Owns no state: jobs are the stores'. Executes nothing.
+//! This module has no state, because jobs are stored by the stores, and executes nothing.
 
 pub(crate) mod api;
 mod http_response;
--- a/crates/pebblepost-batch-runner/src/job/request.rs
+++ b/crates/pebblepost-batch-runner/src/job/request.rs
@@ -1,6 +1,6 @@
-//! Reads the JSON body of a submitted batch job.
+//! Parses the JSON body of a submitted batch job.
 //!
-//! Checks the form of the job only; whether it is accepted is the store's decision.
+//! Only the format of the job is checked. The store decides whether to accept the job.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -10,90 +10,90 @@
 use std::collections::HashSet;
 use thiserror::Error;
 
-/// Why a body is not a batch job. The text goes to the client.
+/// Reason why a body is not a valid batch job. The text is sent to the client.
 #[derive(Debug, Error)]
 pub enum JobError {
     /// The body is not valid JSON.
-    #[error("the body is not JSON: {0}")]
+    #[error("request body is not valid JSON: {0}")]
     NotJson(#[from] simd_json::Error),
     /// The body is JSON, but not an object.
-    #[error("the body is no object")]
+    #[error("request body is not a JSON object")]
     NotAnObject,
-    /// The list of items is missing.
-    #[error("`requests` is missing or no list")]
-    NoRequests,
+    /// The list of items is missing or not an array.
+    #[error("`requests` is missing or not an array")]
+    RequestsNotAnArray,
     /// A field of the job is invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
     /// An item is invalid.
     #[error("item {position}: {cause}")]
     Item {
-        /// Position of the item in the list, from 0.
+        /// Index of the item in the list, from 0.
         position: usize,
-        /// Why it is invalid.
+        /// Reason why the item is invalid.
         cause: ItemError,
     },
 }
 
-/// Why an item of a job is invalid.
+/// Reason why an item of a job is invalid.
 #[derive(Debug, Error)]
 pub enum ItemError {
     /// A field of the item is invalid.
     #[error(transparent)]
     Field(#[from] FieldError),
-    /// A field of its scorer is invalid.
+    /// A field of the item's scorer is invalid.
     #[error("scorer: {0}")]
     Scorer(FieldError),
     /// Another item of the job has the same id.
-    #[error("its id was used before")]
+    #[error("`id` is already used by another item of the job")]
     DuplicateId,
 }
 
-/// Why a field is invalid.
+/// Reason why a field is invalid.
 #[derive(Debug, Error)]
 pub enum FieldError {
-    /// A required text is missing or empty.
-    #[error("`{0}` is missing")]
+    /// A required string is missing or empty.
+    #[error("`{0}` is missing or empty")]
     Missing(&'static str),
-    /// It is not a text.
-    #[error("`{0}` is no text")]
-    NotText(&'static str),
-    /// It is not a whole number.
-    #[error("`{0}` is no whole number")]
-    NotWholeNumber(&'static str),
-    /// It is not valid base64.
-    #[error("`{0}` is no base64")]
+    /// The field is not a string.
+    #[error("`{0}` is not a string")]
+    NotAString(&'static str),
+    /// The field is not an unsigned integer.
+    #[error("`{0}` is not an unsigned integer")]
+    NotAnUnsignedInteger(&'static str),
+    /// The field is not valid base64.
+    #[error("`{0}` is not valid base64")]
     NotBase64(&'static str),
-    /// `path` is not a path.
-    #[error("`path` is no path")]
+    /// `path` does not start with `/` or is not valid in a URI.
+    #[error("`path` is not a URI path starting with `/`")]
     NotAPath,
     /// `headers` is not an object.
-    #[error("`headers` is no object")]
+    #[error("`headers` is not a JSON object")]
     HeadersNotAnObject,
-    /// The value of a header is not a text.
-    #[error("header `{0}` is no text")]
-    HeaderNotText(String),
+    /// The value of a header is not a string.
+    #[error("header `{0}` is not a string")]
+    HeaderNotAString(String),
 }
 
-/// Reads the body of a submitted job. Unknown fields are ignored.
+/// Parses the body of a submitted job. Unknown fields are ignored.
 ///
 /// # Errors
-/// The body is not JSON, or a required field is missing or invalid.
+/// The body is not a JSON object, a required field is missing, a field is invalid, or two items have the same id.
 pub fn parse(id: &str, terms: JobTerms, mut body: Vec<u8>) -> Result<Job, JobError> {
     let value = simd_json::to_borrowed_value(&mut body)?;
     if value.as_object().is_none() {
         return Err(JobError::NotAnObject);
     }
     let requests =
-        value.get("requests").and_then(|requests| requests.as_array()).ok_or(JobError::NoRequests)?;
+        value.get("requests").and_then(|requests| requests.as_array()).ok_or(JobError::RequestsNotAnArray)?;
     Ok(Job {
         id: id.to_owned(),
         terms,
         items: parse_items(requests)?,
-        step: whole_number(&value, "step")?,
+        step: unsigned_integer(&value, "step")?,
         model: text(&value, "model")?.unwrap_or_default().to_owned(),
-        min_version: whole_number(&value, "min_version")?,
-        desired_groups: u32::try_from(whole_number(&value, "desired")?).unwrap_or(u32::MAX),
+        min_version: unsigned_integer(&value, "min_version")?,
+        desired_groups: u32::try_from(unsigned_integer(&value, "desired")?).unwrap_or(u32::MAX),
     })
 }
 
@@ -116,7 +116,7 @@
         path: required_path(value)?,
         headers: parse_headers(value)?,
         body: base64_bytes(value, "body")?,
-        tokens: whole_number(value, "tokens")?,
+        tokens: unsigned_integer(value, "tokens")?,
         group: text(value, "group")?.unwrap_or_default().to_owned(),
         scorer: field(value, "scorer").map(parse_scorer).transpose().map_err(ItemError::Scorer)?,
     })
@@ -131,13 +131,13 @@
     })
 }
 
-/// Headers in the order of their names.
+/// Returns the headers, sorted by name.
 fn parse_headers(value: &BorrowedValue<'_>) -> Result<Vec<(String, String)>, FieldError> {
     let Some(headers) = field(value, "headers") else { return Ok(Vec::new()) };
     let headers = headers.as_object().ok_or(FieldError::HeadersNotAnObject)?;
     let mut pairs = Vec::with_capacity(headers.len());
     for (name, value) in headers.iter() {
-        let value = value.as_str().ok_or_else(|| FieldError::HeaderNotText(name.to_string()))?;
+        let value = value.as_str().ok_or_else(|| FieldError::HeaderNotAString(name.to_string()))?;
         pairs.push((name.to_string(), value.to_owned()));
     }
     pairs.sort_unstable();
@@ -161,22 +161,22 @@
 
 fn text<'a>(value: &'a BorrowedValue<'_>, name: &'static str) -> Result<Option<&'a str>, FieldError> {
     let Some(field) = field(value, name) else { return Ok(None) };
-    field.as_str().map(Some).ok_or(FieldError::NotText(name))
+    field.as_str().map(Some).ok_or(FieldError::NotAString(name))
 }
 
-/// A whole number; 0 where it is missing.
-fn whole_number(value: &BorrowedValue<'_>, name: &'static str) -> Result<u64, FieldError> {
+/// Returns an unsigned integer, or 0 if the field is missing.
+fn unsigned_integer(value: &BorrowedValue<'_>, name: &'static str) -> Result<u64, FieldError> {
     let Some(field) = field(value, name) else { return Ok(0) };
-    field.as_u64().ok_or(FieldError::NotWholeNumber(name))
+    field.as_u64().ok_or(FieldError::NotAnUnsignedInteger(name))
 }
 
-/// Bytes in base64; empty where they are missing.
+/// Returns the decoded bytes of a base64 field, or no bytes if it is missing.
 fn base64_bytes(value: &BorrowedValue<'_>, name: &'static str) -> Result<Vec<u8>, FieldError> {
     let Some(encoded) = text(value, name)? else { return Ok(Vec::new()) };
     STANDARD.decode(encoded).map_err(|_| FieldError::NotBase64(name))
 }
 
-/// A field; `None` where it is missing or `null`.
+/// Returns a field, or `None` if it is missing or `null`.
 fn field<'a, 'v>(value: &'a BorrowedValue<'v>, name: &str) -> Option<&'a BorrowedValue<'v>> {
     value.get(name).filter(|field| !matches!(field, BorrowedValue::Static(StaticNode::Null)))
 }
--- a/crates/pebblepost-batch-runner/src/job/result_page.rs
+++ b/crates/pebblepost-batch-runner/src/job/result_page.rs
@@ -1,13 +1,13 @@
-//! JSON of the answers about a batch job.
+//! JSON serialization of the results of a batch job.
 
 use bytes::Bytes;
 use pebblepost_messages::batch::{ItemResult, ResultPage, ResultState};
 use std::io::Write;
 
-/// Most bytes of results in one answer; at least one result is given.
+/// Maximum size of the results in one answer. At least one result is included, whatever its size.
 pub const MAX_PAGE_BYTES: usize = 1024 * 1024;
 
-/// The answer to `GET /lots/ID`.
+/// Returns the body of the answer to `GET /lots/ID`.
 pub fn to_json(page: &ResultPage) -> Bytes {
     let mut results = Vec::with_capacity(page.results.len() * 128);
     let mut count = 0;
@@ -25,7 +25,7 @@
     }
     let mut json = Vec::with_capacity(results.len() + 64);
     let next_token = page.start.saturating_add(count);
-    // Writing into a vector can't fail.
+    // Writing into a vector cannot fail.
     let _ = write!(json, "{{\"total\":{},\"next_token\":{next_token},\"results\":[", page.total);
     json.extend_from_slice(&results);
     json.extend_from_slice(b"]}");
@@ -54,7 +54,7 @@
     json.push(b'}');
 }
 
-/// Writes a JSON string.
+/// Writes a JSON string with its quotes, escaping `"`, `\` and control characters.
 fn write_string(text: &str, json: &mut Vec<u8>) {
     json.push(b'"');
     let mut plain = 0;
--- a/crates/pebblepost-batch-runner/src/lease_table.rs
+++ b/crates/pebblepost-batch-runner/src/lease_table.rs
@@ -1,7 +1,7 @@
-//! The active leases of this proxy: until when each is valid, and which of its items are in flight.
+//! Active leases of this proxy: until when each is valid, and which of its items are in flight.
 //!
-//! Owns the leases and the abort handles of their tasks. Sends nothing and reads no clock: the time is
-//! an argument.
+//! The table stores the leases and the abort handles of their tasks. It performs no I/O and does not read the clock:
+//! the current time is an argument.
 
 use crate::item_progress::{ItemProgress, SharedProgress};
 use pebblepost_messages::batch::{ActiveLease, LEASE_MS, RENEW_MS, WorkLease};
@@ -14,12 +14,13 @@
 
 /// How long a lease is valid after its last renewal.
 pub const LEASE_DURATION: Duration = Duration::from_millis(LEASE_MS);
-/// A lease that was not renewed for this long is announced to its store again.
+/// A lease that has not been renewed for this long is announced to its store again.
 pub const RENEWAL_OVERDUE_AFTER: Duration = Duration::from_millis(2 * RENEW_MS);
-/// A lease that has been expired for this long is abandoned: its items have been leased to others.
+/// A lease that has been expired for this long is abandoned, because its items have been leased to other proxies.
 pub const ABANDON_AFTER: Duration = Duration::from_secs(10);
-/// How long a cancelled job is remembered, so that a lease which crossed the cancel is not executed.
-const CANCELLED_RETENTION: Duration = Duration::from_secs(30);
+/// How long a cancelled job is remembered, so that a lease sent before the store processed the cancellation is not
+/// executed.
+const CANCELLED_JOB_RETENTION: Duration = Duration::from_secs(30);
 
 /// Identifies a lease within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,9 +31,9 @@
 pub enum LeaseStatus {
     /// Requests may be sent.
     Valid,
-    /// Not renewed in time: nothing may be sent, but a renewal makes the lease valid again.
+    /// The lease was not renewed in time. Nothing may be sent, but a renewal makes the lease valid again.
     Expired,
-    /// Cancelled, finished or abandoned: nothing may be sent any more.
+    /// The lease was cancelled, finished or abandoned. Nothing may be sent any more.
     Ended,
 }
 
@@ -80,7 +81,7 @@
     }
 }
 
-/// An item that was removed from the table, with what an outcome message about it needs.
+/// An item removed from the table, with the data that an outcome message needs.
 #[derive(Debug)]
 pub struct ReleasedItem {
     /// Store group of the job.
@@ -91,25 +92,26 @@
     pub lease: u64,
     /// Id of the item.
     pub item: String,
-    /// Its progress.
+    /// Progress of the item.
     pub progress: SharedProgress,
 }
 
-/// All active leases.
+/// All active leases of this proxy.
 #[derive(Debug, Default)]
 pub struct LeaseTable {
     leases: BTreeMap<LeaseKey, Lease>,
     next_key: u64,
-    /// Cancelled jobs, and when they were cancelled.
+    /// Cancelled jobs with the time of the cancellation.
     cancelled_jobs: HashMap<String, Instant>,
 }
 
 impl LeaseTable {
-    /// Adds a lease with the progress of its items, in their order. An item that is in flight already,
-    /// under an earlier lease, is aborted there; whichever progress is further is retained. `None` if the
-    /// job was cancelled.
+    /// Adds a lease with the progress of its items, in the order of the items.
+    ///
+    /// An item that is already in flight under an earlier lease is aborted there, and the further progress of the
+    /// two is kept. Returns `None` if the job was cancelled.
     pub fn add(&mut self, lease: &WorkLease, progress: Vec<ItemProgress>, now: Instant) -> Option<LeaseKey> {
-        self.cancelled_jobs.retain(|_, cancelled_at| now < *cancelled_at + CANCELLED_RETENTION);
+        self.cancelled_jobs.retain(|_, cancelled_at| now < *cancelled_at + CANCELLED_JOB_RETENTION);
         if self.cancelled_jobs.contains_key(&lease.job) {
             return None;
         }
@@ -137,7 +139,7 @@
         Some(key)
     }
 
-    /// The status of a lease.
+    /// Returns the status of a lease.
     pub fn status(&self, key: LeaseKey, now: Instant) -> LeaseStatus {
         match self.leases.get(&key) {
             None => LeaseStatus::Ended,
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Renews the leases that the primary of a store group gave, or adopted, in this epoch.
+    /// Renews the leases that the primary of a store group granted or adopted in this epoch.
     pub fn renew(&mut self, store_group: u32, epoch: u64, now: Instant) {
         for lease in self.leases.values_mut() {
             if lease.store_group == store_group && lease.epoch == epoch {
@@ -156,8 +158,8 @@
         }
     }
 
-    /// The leases of a store group, to be announced to its primary of this epoch. From now on that
-    /// primary may renew them.
+    /// Returns the leases of a store group for an announcement to its primary of this epoch, and allows that primary
+    /// to renew them from now on.
     pub fn announce(&mut self, store_group: u32, epoch: u64) -> Vec<ActiveLease> {
         let mut announced = Vec::new();
         for lease in self.leases.values_mut().filter(|lease| lease.store_group == store_group) {
@@ -168,12 +170,12 @@
         announced
     }
 
-    /// Whether the renewal of a lease of this store group is overdue.
+    /// Returns whether the renewal of any lease of this store group is overdue.
     pub fn is_renewal_overdue(&self, store_group: u32, now: Instant) -> bool {
         self.leases.values().any(|lease| lease.store_group == store_group && lease.is_renewal_overdue(now))
     }
 
-    /// The progress of an item, if it is in flight.
+    /// Returns the progress of an item, or `None` if it is not in flight.
     pub fn progress(&self, key: LeaseKey, item: &str) -> Option<SharedProgress> {
         Some(self.leases.get(&key)?.items.get(item)?.progress.clone())
     }
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Removes an item that is finished or returned; `None` if it was not in flight any more.
+    /// Removes a finished or returned item. Returns `None` if it is no longer in flight.
     pub fn release(&mut self, key: LeaseKey, item: &str) -> Option<ReleasedItem> {
         let lease = self.leases.get_mut(&key)?;
         let in_flight = lease.items.remove(item)?;
@@ -203,7 +205,7 @@
         Some(released)
     }
 
-    /// Ends the leases of cancelled jobs and aborts their tasks at once.
+    /// Ends the leases of cancelled jobs and aborts their tasks immediately.
     pub fn cancel(&mut self, jobs: &[String], now: Instant) {
         for job in jobs {
             self.cancelled_jobs.insert(job.clone(), now);
@@ -211,7 +213,7 @@
         self.end_leases(|lease| jobs.contains(&lease.job));
     }
 
-    /// Ends all leases and aborts their tasks; returns the unfinished items.
+    /// Ends all leases, aborts their tasks and returns the unfinished items.
     pub fn release_all(&mut self) -> Vec<ReleasedItem> {
         let mut released = Vec::new();
         for mut lease in std::mem::take(&mut self.leases).into_values() {
@@ -223,19 +225,19 @@
         released
     }
 
-    /// Ends the leases that have been expired for [`ABANDON_AFTER`]; returns how many.
+    /// Ends the leases that have been expired for [`ABANDON_AFTER`] and returns their number.
     pub fn remove_abandoned(&mut self, now: Instant) -> usize {
         let before = self.leases.len();
         self.end_leases(|lease| lease.is_abandoned(now));
         before - self.leases.len()
     }
 
-    /// Whether no lease is active.
+    /// Returns whether no lease is active.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
 
-    /// Removes the leases that have ended and aborts their tasks.
+    /// Removes the leases for which `has_ended` returns true and aborts their tasks.
     fn end_leases(&mut self, has_ended: impl Fn(&Lease) -> bool) {
         self.leases.retain(|_, lease| {
             let ended = has_ended(lease);
@@ -246,7 +248,7 @@
         });
     }
 
-    /// Aborts an item under whichever lease it is in flight; returns its progress.
+    /// Aborts an item under the lease under which it is in flight, and returns its progress.
     fn abort_item(&mut self, job: &str, item: &str) -> Option<ItemProgress> {
         let key = self
             .leases
--- a/crates/pebblepost-batch-runner/src/lease_terms.rs
+++ b/crates/pebblepost-batch-runner/src/lease_terms.rs
@@ -1,26 +1,26 @@
-//! What applies to all items of a lease.
+//! Terms that apply to all items of a lease.
 //!
-//! Immutable; the times are converted to this process's clock when the lease arrives.
+//! Times are converted to this process's clock when the lease arrives.
 
 use crate::text::VersionRequirement;
 use pebblepost_messages::batch::{JobTerms, WorkLease};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Added to the expiry of an item, so that it has surely passed by the store's clock, too.
+/// Added to the expiry of an item, so that the item has certainly expired by the store's clock as well.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(200);
 
-/// What applies to all items of a lease.
+/// Terms that apply to all items of a lease. Immutable.
 #[derive(Debug)]
 pub(crate) struct LeaseTerms {
     /// Terms of the job's route.
     pub(crate) job: JobTerms,
-    /// Model that makes the texts; empty for none.
+    /// Model that generates the texts; empty if none is named.
     pub(crate) model: String,
     pub(crate) versions: VersionRequirement,
-    /// When the results are due.
+    /// Time at which the results are due.
     pub(crate) due_at: Instant,
-    /// When unfinished items become dead letters.
+    /// Time at which unfinished items become dead letters.
     pub(crate) expires_at: Instant,
 }
 
--- a/crates/pebblepost-batch-runner/src/lib.rs
+++ b/crates/pebblepost-batch-runner/src/lib.rs
@@ -1,20 +1,21 @@
-//! Executes leased batch items at transcribers, and answers the calls of batch jobs, inside a proxy.
+//! Executes leased batch items at transcribers, and serves the HTTP calls of batch jobs, inside a proxy.
 //!
-//! Modules, from below. Each `use`s only those above it in this list:
+//! Modules, from the lowest layer up. Each module uses only modules above it in this list:
 //!
 //! * Foundations: [`random`], [`metrics`], `identity`, `feed_view`, `change_signal`, `shutdown`.
-//! * State: [`text`] and [`item_progress`] (what is known of an item), [`lease_table`] and `lease_terms` (what may be
-//!   sent), [`load_table`] (load of the transcribers), `capacity` (items in flight).
-//! * Decisions: [`placement`] (which transcriber takes a request).
-//! * Links: `store` (connections to the stores, outcomes on their way).
-//! * Input and output: [`execution`] (attempts, retries, scorers, shutdown), [`job`] (the HTTP face), and
-//!   `store_events`, which acts on the messages of the stores.
-//! * `runner` builds the parts, connects them and starts their tasks.
+//! * State: [`text`] and [`item_progress`] (progress of an item), [`lease_table`] and `lease_terms` (validity and
+//!   terms of leases), [`load_table`] (load of the transcribers), `capacity` (limit of items in flight).
+//! * Decisions: [`placement`] (which transcriber executes a request).
+//! * Links: `store` (connections to the stores, outcomes to be sent).
+//! * Input and output: [`execution`] (attempts, retries, scorer calls, shutdown), [`job`] (the HTTP interface), and
+//!   `store_events`, which handles the messages of the stores.
+//! * `runner` builds the components, connects them and starts their tasks.
 //!
-//! Owns the leases and the items in flight of one proxy, nothing on disk: jobs, items and results are the stores', the
-//! feed's state is the proxy's. Never changes a configuration and never gives a lease.
+//! The crate stores the leases and the items in flight of one proxy in memory only. Jobs, items and results are
+//! stored by the stores, and the feed's state belongs to the proxy. The crate never changes a configuration and
+//! never grants a lease.
 //!
-//! Everything runs on a current-thread `tokio` runtime (`spawn_local`), so nothing here is `Send`.
+//! All tasks run on a current-thread `tokio` runtime (`spawn_local`), so no type in this crate is `Send`.
 
 mod capacity;
 mod change_signal;
--- a/crates/pebblepost-batch-runner/src/metrics.rs
+++ b/crates/pebblepost-batch-runner/src/metrics.rs
@@ -1,47 +1,48 @@
-//! Counters of what a runner does, by cause: constant memory, one addition per event.
+//! Event counters of a runner, by cause. They take constant memory and one addition per event.
 //!
-//! Owns the counters since the start of the runner and the names under which an operator sees them.
+//! This module stores the counters since the start of the runner, and the names under which they are printed for
+//! operators.
 
 use std::cell::Cell;
 use std::fmt;
 
-/// A counter. Names in the operator's output are those of the table below.
+/// Event counter. The printed names are listed in [`NAMES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Metric {
     /// Groups of samples, or parts of them, that were placed together.
     GroupsPlacedTogether,
-    /// Groups of samples that were split over transcribers.
+    /// Groups of samples that were split over several transcribers.
     GroupsSplit,
-    /// Back-offs of a placement because every probed transcriber was full.
+    /// Backoffs of a placement because every probed transcriber was full.
     FullBackoffs,
-    /// Back-offs of a placement because no transcriber could be probed: none ready, or none with an
-    /// allowed version.
+    /// Backoffs of a placement because no transcriber could be probed: none was ready, or none had an allowed
+    /// version.
     NoCandidateBackoffs,
-    /// Attempts at items.
+    /// Attempts at texts of items.
     Attempts,
-    /// Attempts that the transcriber rejected: full, or executing an order.
+    /// Attempts that the transcriber rejected, because it was full or executing a load order.
     AttemptsRejected,
-    /// Attempts that the transcriber rejected as it holds another version.
+    /// Attempts that the transcriber rejected because it holds another version.
     AttemptsVersionMismatch,
     /// Attempts that could not be sent.
     AttemptsNotSent,
     /// Attempts that were interrupted or timed out.
     AttemptsInterrupted,
-    /// Attempts that ended in a failure of the transcriber.
+    /// Attempts that the transcriber failed to execute (status 500).
     AttemptsFailed,
     /// Attempts that ended in any other way without a complete text.
     AttemptsOther,
-    /// Calls of scorers.
+    /// Scorer calls.
     ScorerCalls,
-    /// Calls of scorers that the transcriber rejected.
+    /// Scorer calls that the transcriber rejected.
     ScorerCallsRejected,
-    /// Calls of scorers that failed.
+    /// Scorer calls that failed.
     ScorerCallsFailed,
-    /// Calls of scorers without a usable answer.
+    /// Scorer calls that ended without a complete response.
     ScorerCallsInterrupted,
 }
 
-/// Names in the operator's output, in the order of [`Metric`].
+/// Printed names, in the order of [`Metric`].
 const NAMES: [&str; Metric::ScorerCallsInterrupted as usize + 1] = [
     "groups_whole",
     "groups_split",
@@ -60,14 +61,13 @@
     "scorer_broken",
 ];
 
-/// The counters of one runner since its start.
+/// Counters of one runner since its start.
 #[derive(Debug, Default)]
 pub struct Metrics {
     values: [Cell<u64>; NAMES.len()],
 }
 
 impl Metrics {
-    /// Adds one to a counter.
     pub(crate) fn increment(&self, metric: Metric) {
         let value = &self.values[metric as usize];
         value.set(value.get() + 1);
@@ -75,7 +75,7 @@
 }
 
 impl fmt::Display for Metrics {
-    /// The counters that are not 0, as `name=value`.
+    /// Writes the non-zero counters as `name=value`, separated by spaces.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let counted = NAMES.iter().zip(&self.values).filter(|(_, value)| value.get() > 0);
         for (index, (name, value)) in counted.enumerate() {
--- a/crates/pebblepost-batch-runner/src/placement/candidates.rs
+++ b/crates/pebblepost-batch-runner/src/placement/candidates.rs
@@ -1,6 +1,6 @@
-//! Which transcribers may take a request, and the order in which they are probed.
+//! Selects the transcribers that may take a request, and the order in which they are probed.
 //!
-//! Reads the feed and the load table and draws random numbers; changes neither.
+//! Reads the feed and the load table without changing them, and draws random numbers.
 
 use crate::feed_view::FeedView;
 use crate::identity::ProxyIdentity;
@@ -16,7 +16,7 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// No route of the configuration in force matches the request.
+/// No route in the current configuration matches the request.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("no route matches the request")]
 pub(crate) struct NoRoute;
@@ -28,32 +28,32 @@
     pub(crate) slots: u32,
 }
 
-/// A candidate with its load.
+/// A candidate with its load, as reported or probed.
 pub(crate) struct ProbedCandidate {
     pub(crate) candidate: Candidate,
     pub(crate) load: ProbedLoad,
-    /// Version of the required model that it reported.
+    /// Version of the required model that the transcriber reported.
     pub(crate) version: Option<u64>,
 }
 
-/// A service of a route.
+/// A service of a route with its traffic weight.
 #[derive(Clone, Copy)]
 struct WeightedService<'a> {
     name: &'a str,
-    /// Above 0.
+    /// Greater than 0.
     weight: u64,
 }
 
-/// A candidate with what its position in the order depends on.
+/// A candidate with the properties that determine its position in the order.
 struct RankedCandidate {
     candidate: Candidate,
-    /// It is known to hold the model at an allowed version.
+    /// The transcriber is known to hold the model at an allowed version.
     is_serving: bool,
     is_remote: bool,
     rendezvous_hash: u64,
 }
 
-/// Selects candidates for the placements of one proxy.
+/// Selects the candidates for the placements of one proxy.
 pub(crate) struct CandidateSelector {
     pub(crate) feed: FeedView,
     pub(crate) loads: Rc<RefCell<LoadTable>>,
@@ -62,10 +62,14 @@
 }
 
 impl CandidateSelector {
-    /// Candidates of one service of the request's route, in the order in which they are probed. The service is
-    /// drawn by weight; one without candidates is passed over. Empty if no service has any.
+    /// Returns the candidates of one service of the request's route, in the order in which they are probed.
     ///
-    /// `full_rounds` is the number of earlier rounds that found every probed transcriber full.
+    /// The service is drawn at random by weight. A service without candidates is skipped; the result is empty if no
+    /// service has any, or if no configuration has arrived yet. `full_rounds` is the number of earlier rounds in
+    /// which every probed transcriber was full.
+    ///
+    /// # Errors
+    /// No route matches the request.
     pub(crate) fn select(
         &self, requirements: &Requirements<'_>, full_rounds: u32,
     ) -> Result<Vec<Candidate>, NoRoute> {
@@ -87,7 +91,7 @@
         Ok(Vec::new())
     }
 
-    /// Draws the index of a service; `None`, without a draw, if there is none.
+    /// Draws the index of a service by weight. Returns `None`, without drawing, if there is no service.
     fn draw_by_weight(&self, services: &[WeightedService<'_>]) -> Option<usize> {
         let total: u64 = services.iter().map(|service| service.weight).sum();
         if total == 0 {
@@ -101,9 +105,11 @@
         })
     }
 
-    /// Ready transcribers of a service that hold the model, reduced to this proxy's subset. Those of the own zone
-    /// come first, as traffic between zones is expensive; each part is in random order. Empty while no allowed
-    /// version is named anywhere.
+    /// Returns the ready transcribers of a service that hold the model, reduced to this proxy's subset.
+    ///
+    /// Transcribers in the proxy's own zone come first, because traffic between zones is expensive. Each of the two
+    /// parts is in random order. The result is empty while the feed names no allowed version and no transcriber is
+    /// known to serve one.
     fn candidates_of(
         &self, backend: &str, requirements: &Requirements<'_>, full_rounds: u32,
     ) -> Vec<Candidate> {
@@ -113,7 +119,8 @@
         ranked.sort_unstable_by_key(|ranked| (ranked.is_remote, ranked.rendezvous_hash));
         let serving = ranked.iter().filter(|ranked| ranked.is_serving).count();
         if serving == 0 {
-            // One is probed all the same: its announcement may lag behind its load of the version.
+            // One transcriber is probed nevertheless: it may have loaded the version before its announcement
+            // arrives.
             let may_serve = self.feed.named_version(requirements.model) >= requirements.min_version;
             ranked.truncate(usize::from(may_serve));
         } else {
@@ -139,7 +146,7 @@
         instances.filter_map(|instance| self.rank(instance, requirements, &loads)).collect()
     }
 
-    /// The candidate of an instance; `None` if it does not hold the model or its address is invalid.
+    /// Returns the candidate for an instance, or `None` if it does not hold the model or its address is invalid.
     fn rank(
         &self, instance: &Instance, requirements: &Requirements<'_>, loads: &LoadTable,
     ) -> Option<RankedCandidate> {
@@ -156,10 +163,11 @@
     }
 }
 
-/// Retains the serving candidates, `serving` in number, of a subset that contains about as many as `size` says.
+/// Retains the `serving` candidates that serve the model, reduced to a subset that contains about as many of them as
+/// `size` states.
 ///
-/// Which transcribers serve a model changes with every version. A subset of all transcribers changes less than a
-/// subset of the serving ones would, and so do the open connections.
+/// The set of transcribers that serve a model changes with every version. Subsetting all transcribers, not only the
+/// serving ones, keeps the subset and therefore the open connections more stable.
 fn retain_serving(ranked: &mut Vec<RankedCandidate>, size: SubsetSize, serving: usize) {
     let scaled = size.scaled_to_serving(ranked.len(), serving);
     let local = ranked.iter().filter(|ranked| !ranked.is_remote).count();
@@ -178,8 +186,8 @@
     retain_subset(ranked, size, |ranked| !ranked.is_remote);
 }
 
-/// The version of a model that a transcriber announced; `None` if it holds no such model. Where no model is
-/// needed, any version will do.
+/// Returns the version of a model that a transcriber announced, or `None` if it does not hold the model. If no model
+/// is required, every transcriber qualifies.
 fn announced_version(instance: &Instance, model: &str) -> Option<u64> {
     if model.is_empty() {
         return Some(u64::MAX);
--- a/crates/pebblepost-batch-runner/src/placement/mod.rs
+++ b/crates/pebblepost-batch-runner/src/placement/mod.rs
@@ -1,13 +1,13 @@
-//! Placement of groups of items, and of calls of scorers, on transcribers.
+//! Placement of groups of items, and of scorer calls, on transcribers.
 //!
-//! * `requirements`: what a request needs of its transcriber.
-//! * [`subset`]: which transcribers this proxy uses; `candidates`: in which order they are probed.
-//! * `probing`: load and versions of a candidate, by a probe where no report is fresh.
+//! * `requirements`: what a request requires of its transcriber.
+//! * [`subset`]: which transcribers this proxy uses; `candidates`: the order in which they are probed.
+//! * `probing`: load and versions of a candidate, from a fresh report or a probe.
 //! * [`choice`]: the placement rule.
-//! * `reservation`: the slot at a transcriber that a placement ends in.
-//! * `placer`: the loop over these, with its back-off.
+//! * `reservation`: the slot at a transcriber that a placement reserves.
+//! * `placer`: the placement loop over these modules, with its backoff.
 //!
-//! Decides where requests go; never sends one, probes apart.
+//! This module decides where requests go. It sends probes, but never the requests themselves.
 
 pub(crate) mod candidates;
 pub mod choice;
--- a/crates/pebblepost-batch-runner/src/placement/placer.rs
+++ b/crates/pebblepost-batch-runner/src/placement/placer.rs
@@ -1,5 +1,4 @@
-//! Finds transcribers for groups of items and for calls of scorers: rounds of random probes, with a back-off
-//! while all are full.
+//! Places groups of items and scorer calls: rounds of random probes, with a backoff while all transcribers are full.
 
 use crate::feed_view::FeedView;
 use crate::metrics::{Metric, Metrics};
@@ -15,20 +14,20 @@
 use thiserror::Error;
 use tokio::time::{Instant, sleep};
 
-/// Back-off after a round that found no place.
+/// Bounds of the random backoff after a round in which no transcriber had capacity.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Why a request was not placed.
+/// Reason why a request was not placed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum PlacementError {
-    /// No route of the configuration in force matches the request.
+    /// No route in the current configuration matches the request.
     #[error(transparent)]
     NoRoute(#[from] NoRoute),
-    /// The proxy shuts down.
-    #[error("the proxy shuts down")]
+    /// The proxy is shutting down.
+    #[error("the proxy is shutting down")]
     ShuttingDown,
-    /// The item has expired.
+    /// The expiry time of the item has passed.
     #[error("the item has expired")]
     Expired,
 }
@@ -44,10 +43,12 @@
 }
 
 impl Placer {
-    /// Reserves slots for up to this many items, at least one, all at one transcriber. Waits while there is none.
+    /// Reserves slots for up to `items` items, at least one, all at one transcriber. Waits until a transcriber has
+    /// capacity.
     ///
     /// # Errors
-    /// No route matches, the proxy shuts down (texts only) or the item has expired.
+    /// No route matches the request, the proxy is shutting down (only for [`RequestKind::Text`]), or the item has
+    /// expired.
     pub(crate) async fn place(
         &self, requirements: &Requirements<'_>, items: u32,
     ) -> Result<Vec<Reservation>, PlacementError> {
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Whether a request may still be sent to its reservation: the route still names the service, and the
-    /// transcriber is ready.
+    /// Returns whether a request may still be sent to its reserved transcriber: the route still names the service,
+    /// and the transcriber is still ready.
     pub(crate) fn is_still_allowed(
         &self, reservation: &Reservation, requirements: &Requirements<'_>,
     ) -> bool {
@@ -87,8 +88,8 @@
         names_service && self.feed.is_ready(&reservation.target.instance)
     }
 
-    /// Probes candidates until one accepts all items, [`MAX_PROBES`] at most, and reserves slots at the chosen
-    /// one. Empty if all are full.
+    /// Probes candidates until one accepts all items, at most [`MAX_PROBES`], and reserves slots at the chosen one.
+    /// Returns an empty list if all probed transcribers are full.
     async fn probe_and_reserve(
         &self, requirements: &Requirements<'_>, candidates: Vec<Candidate>, items: u32,
     ) -> Vec<Reservation> {
--- a/crates/pebblepost-batch-runner/src/placement/probing.rs
+++ b/crates/pebblepost-batch-runner/src/placement/probing.rs
@@ -1,6 +1,6 @@
-//! Load of a candidate, by a probe where no report is fresh, and health checks of a transcriber in use.
+//! Determines the load of a candidate, by a probe if no report is fresh, and health-checks transcribers in use.
 //!
-//! Owns no state; records what it learns in the load table.
+//! Has no state of its own; results are recorded in the load table.
 
 use crate::feed_view::FeedView;
 use crate::load_table::LoadTable;
@@ -14,12 +14,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A probe without an answer for this long has failed.
+/// A probe that is not answered within this time has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a transcriber whose probe failed is ejected.
+/// How long a transcriber is ejected after a failed probe.
 const EJECTION_AFTER_FAILED_PROBE: Duration = Duration::from_millis(500);
 
-/// Probes transcribers.
+/// Sends probes and health checks to transcribers.
 pub(crate) struct Prober {
     pub(crate) client: Client,
     pub(crate) feed: FeedView,
@@ -27,31 +27,32 @@
 }
 
 impl Prober {
-    /// The load of a candidate, as known or by a probe; `None` if it can't take the request.
+    /// Returns the load of a candidate, from a fresh report or by a probe, or `None` if the candidate cannot take
+    /// the request.
     pub(crate) async fn probe(
         &self, requirements: &Requirements<'_>, candidate: Candidate,
     ) -> Option<ProbedCandidate> {
         let id = candidate.target.instance.as_str();
-        let versions_matter = requirements.names_model();
-        let needs_report = self.needs_report(&candidate, versions_matter);
-        if needs_report && !self.request_report(&candidate.target, &candidate.backend).await {
+        let versions_matter = requirements.requires_model();
+        let must_probe = self.must_probe(&candidate, versions_matter);
+        if must_probe && !self.request_report(&candidate.target, &candidate.backend).await {
             return None;
         }
         let loads = self.loads.borrow();
         let version = loads.version(id, requirements.model);
-        if versions_matter && !self.serves_model(requirements, version, loads.is_executing_order(id)) {
+        if versions_matter && !self.serves_model(requirements, version, loads.is_executing_load_order(id)) {
             return None;
         }
-        let load = ProbedLoad { slots: candidate.slots, busy: loads.busy(id) };
+        let load = ProbedLoad { slots: candidate.slots, outstanding: loads.outstanding_requests(id) };
         drop(loads);
         Some(ProbedCandidate { candidate, load, version })
     }
 
-    /// Health check: whether the transcriber was heard from within this time, or answers a probe now. One that is
-    /// ejected is unhealthy without a probe.
+    /// Health check: returns whether the transcriber sent anything within `within`, or else answers a probe now. An
+    /// ejected transcriber counts as unhealthy and is not probed.
     pub(crate) async fn is_healthy(&self, reservation: &Reservation, within: Duration) -> bool {
         let now = Instant::now();
-        if reservation.was_heard_within(within, now) {
+        if reservation.was_active_within(within, now) {
             return true;
         }
         if self.loads.borrow().is_ejected(&reservation.target.instance, now) {
@@ -60,7 +61,8 @@
         self.request_report(&reservation.target, &reservation.backend).await
     }
 
-    /// Requests a report and records it; whether the transcriber answered.
+    /// Requests a load report and records it. Returns whether the transcriber answered; one that fails to answer is
+    /// ejected.
     async fn request_report(&self, target: &Target, backend: &str) -> bool {
         let id = target.instance.as_str();
         let result = self.client.load_report(target, PROBE_TIMEOUT).await;
@@ -68,8 +70,8 @@
         let mut loads = self.loads.borrow_mut();
         match result {
             Ok(Some(report)) => loads.record_report(id, &report, now),
-            // Healthy, but without a load: this proxy's own requests there are all that is known.
-            Ok(None) => loads.record_unreported_service(backend, now),
+            // The transcriber is healthy but reports no load, so only this proxy's own requests there are known.
+            Ok(None) => loads.record_service_without_reports(backend, now),
             Err(failure) => {
                 log::debug!("probe failed instance={id} cause={failure:?}");
                 loads.eject(id, now + EJECTION_AFTER_FAILED_PROBE);
@@ -79,22 +81,24 @@
         true
     }
 
-    /// Whether a transcriber with this version of the model starts new texts of it. An order holds back only texts
-    /// of the model that it changes, and a model at its newest named version is changed by no order.
+    /// Returns whether a transcriber that reports `version` of the model may start new texts of it.
+    ///
+    /// A load order in progress holds back only texts of the model that it changes. A model that is already at its
+    /// newest named version is not changed by any load order.
     fn serves_model(
-        &self, requirements: &Requirements<'_>, version: Option<u64>, is_executing_order: bool,
+        &self, requirements: &Requirements<'_>, version: Option<u64>, is_executing_load_order: bool,
     ) -> bool {
         let Some(version) = version.filter(|version| *version >= requirements.min_version) else {
             return false;
         };
-        !is_executing_order || version >= self.feed.named_version(requirements.model)
+        !is_executing_load_order || version >= self.feed.named_version(requirements.model)
     }
 
-    /// Whether a probe would show more than is known.
-    fn needs_report(&self, candidate: &Candidate, versions_matter: bool) -> bool {
+    /// Returns whether the known load is too old to be used without a probe.
+    fn must_probe(&self, candidate: &Candidate, versions_matter: bool) -> bool {
         let now = Instant::now();
         let loads = self.loads.borrow();
-        let is_unreported = !versions_matter && loads.is_unreported_service(&candidate.backend, now);
+        let is_unreported = !versions_matter && loads.is_service_without_reports(&candidate.backend, now);
         !is_unreported && !loads.is_fresh(&candidate.target.instance, versions_matter, now)
     }
 }
--- a/crates/pebblepost-batch-runner/src/placement/reservation.rs
+++ b/crates/pebblepost-batch-runner/src/placement/reservation.rs
@@ -1,6 +1,6 @@
-//! A slot at a transcriber that is reserved for one request.
+//! Reservation of a slot at a transcriber for one request.
 
-use crate::load_table::{LastHeard, LoadTable};
+use crate::load_table::{LastActivity, LoadTable};
 use crate::placement::candidates::ProbedCandidate;
 use pebblepost_transcriber::{ResponseHead, Target};
 use std::cell::{Cell, RefCell};
@@ -9,28 +9,28 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A reserved slot. Counts among the proxy's own requests at the transcriber until it is dropped.
+/// A reserved slot, counted as one of the proxy's own requests at the transcriber until it is dropped.
 pub(crate) struct Reservation {
     loads: Rc<RefCell<LoadTable>>,
     pub(crate) target: Target,
-    /// Service of the transcriber.
+    /// Name of the transcriber's service.
     pub(crate) backend: String,
-    /// Version of the model that the transcriber reported.
+    /// Version of the required model that the transcriber reported.
     pub(crate) version: Option<u64>,
-    last_heard: LastHeard,
+    last_activity: LastActivity,
     reserved_at: Instant,
-    /// Sent when the attempt has started here; dropped unsent where none does.
-    started: Cell<Option<oneshot::Sender<()>>>,
+    /// Signals that the attempt has started. Dropped without a signal if no attempt starts.
+    start_sender: Cell<Option<oneshot::Sender<()>>>,
 }
 
 impl Reservation {
-    /// Reserves this many slots.
+    /// Reserves `slots` slots at the probed transcriber and returns one reservation for each.
     pub(crate) fn reserve(
         loads: &Rc<RefCell<LoadTable>>, probed: &ProbedCandidate, slots: u32,
     ) -> Vec<Reservation> {
         let now = Instant::now();
         let target = &probed.candidate.target;
-        let last_heard = loads.borrow_mut().last_heard(&target.instance);
+        let last_activity = loads.borrow_mut().last_activity(&target.instance);
         let reserve_one = || {
             loads.borrow_mut().start_request(&target.instance, now);
             Reservation {
@@ -38,53 +38,53 @@
                 target: target.clone(),
                 backend: probed.candidate.backend.clone(),
                 version: probed.version,
-                last_heard: last_heard.clone(),
+                last_activity: last_activity.clone(),
                 reserved_at: now,
-                started: Cell::new(None),
+                start_sender: Cell::new(None),
             }
         };
         (0..slots).map(|_| reserve_one()).collect()
     }
 
-    /// Resolves when the attempt at this reservation has started; to an error if the reservation is dropped
-    /// before.
-    pub(crate) fn on_start(&self) -> oneshot::Receiver<()> {
-        let (started, on_start) = oneshot::channel();
-        self.started.set(Some(started));
-        on_start
+    /// Returns a receiver that resolves when the attempt on this reservation starts, or fails if the reservation is
+    /// dropped before that. A second call replaces the first receiver.
+    pub(crate) fn started(&self) -> oneshot::Receiver<()> {
+        let (start_sender, start_receiver) = oneshot::channel();
+        self.start_sender.set(Some(start_sender));
+        start_receiver
     }
 
-    /// The head of a stream has come: the transcriber executes the attempt.
-    pub(crate) fn signal_start(&self) {
-        if let Some(started) = self.started.take() {
-            // The receiver is gone if it has timed out.
-            let _ = started.send(());
+    /// Signals that the transcriber has sent the head of the stream and therefore executes the attempt.
+    pub(crate) fn notify_started(&self) {
+        if let Some(start_sender) = self.start_sender.take() {
+            // The receiver may have timed out and been dropped.
+            let _ = start_sender.send(());
         }
     }
 
-    /// Records that bytes came from the transcriber.
-    pub(crate) fn record_heard(&self) {
-        self.last_heard.record(Instant::now());
+    /// Records that the transcriber sent bytes.
+    pub(crate) fn record_activity(&self) {
+        self.last_activity.record(Instant::now());
     }
 
-    /// Whether the transcriber was heard from within this time.
-    pub(crate) fn was_heard_within(&self, time: Duration, now: Instant) -> bool {
-        self.last_heard.is_within(time, now)
+    /// Returns whether the transcriber sent anything within the last `time`.
+    pub(crate) fn was_active_within(&self, time: Duration, now: Instant) -> bool {
+        self.last_activity.is_within(time, now)
     }
 
-    /// Records the load that an answer carries.
+    /// Records the load in the head of a response, if it states one.
     pub(crate) fn record_load(&self, head: &ResponseHead) {
         if let Some(load) = &head.load {
             self.loads.borrow_mut().record_answer(&self.target.instance, load, Instant::now());
         }
     }
 
-    /// Ejects the transcriber for this long.
+    /// Ejects the transcriber for `time`.
     pub(crate) fn eject(&self, time: Duration) {
         self.loads.borrow_mut().eject(&self.target.instance, Instant::now() + time);
     }
 
-    /// The transcriber's last report has turned out stale.
+    /// Discards the transcriber's last report, which has proved stale.
     pub(crate) fn invalidate_report(&self) {
         self.loads.borrow_mut().invalidate_report(&self.target.instance);
     }
--- a/crates/pebblepost-batch-runner/src/random.rs
+++ b/crates/pebblepost-batch-runner/src/random.rs
@@ -1,13 +1,13 @@
-//! Random numbers for choices among transcribers and for the jitter of back-offs.
+//! Random numbers for choices among transcribers and for backoff jitter.
 //!
-//! Owns the state of one generator. All draws of a runner come from the same one, in the order of its
-//! decisions, so that a seed repeats a run.
+//! All random numbers of a runner come from one generator, in the order of its decisions, so that a run with the
+//! same seed is repeatable.
 
 use std::cell::Cell;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::time::Duration;
 
-/// A generator (xorshift64*), seeded by the operating system unless a seed is given.
+/// Random number generator (xorshift64*), seeded by the operating system unless a seed is given.
 #[derive(Debug)]
 pub struct Random {
     state: Cell<u64>,
@@ -20,12 +20,15 @@
 }
 
 impl Random {
-    /// A generator with a given seed.
+    /// Creates a generator with a given seed.
     pub fn seeded(seed: u64) -> Random {
         Random { state: Cell::new(seed | 1) }
     }
 
-    /// A number below `bound`, which must not be 0.
+    /// Returns a random number below `bound`.
+    ///
+    /// # Panics
+    /// Panics if `bound` is 0.
     pub fn below(&self, bound: u64) -> u64 {
         const MULTIPLIER: u64 = 0x2545_f491_4f6c_dd1d;
         let mut state = self.state.get();
@@ -36,7 +39,7 @@
         (state.wrapping_mul(MULTIPLIER) >> 11) % bound
     }
 
-    /// One of the elements; `None`, without a draw, if there is none.
+    /// Returns one of the elements at random, or `None`, without drawing a number, if there are none.
     pub fn pick<'a, T>(&self, elements: &'a [T]) -> Option<&'a T> {
         let length = u64::try_from(elements.len()).ok().filter(|length| *length > 0)?;
         elements.get(usize::try_from(self.below(length)).unwrap_or(0))
@@ -50,7 +53,7 @@
         }
     }
 
-    /// A time from `min` to `max`, both included, in steps of a microsecond.
+    /// Returns a random time from `min` to `max`, both included, in steps of one microsecond.
     pub fn duration_between(&self, min: Duration, max: Duration) -> Duration {
         let span = u64::try_from(max.saturating_sub(min).as_micros()).unwrap_or(0);
         min + Duration::from_micros(self.below(span + 1))
--- a/crates/pebblepost-batch-runner/src/runner.rs
+++ b/crates/pebblepost-batch-runner/src/runner.rs
@@ -1,4 +1,4 @@
-//! The runner of one proxy: builds the parts, connects them and starts their tasks.
+//! Batch runner of one proxy: builds the components, connects them and starts their tasks.
 
 use crate::capacity::Capacity;
 use crate::change_signal::ChangeSignal;
@@ -35,13 +35,13 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// The runner of one proxy; cheap to clone.
+/// Batch runner of one proxy. Cheap to clone; clones share all state.
 #[derive(Clone)]
 pub struct BatchRunner {
     components: Rc<Components>,
 }
 
-/// What the runner's public functions use.
+/// Components that the public functions of the runner use.
 struct Components {
     feed: FeedView,
     loads: Rc<RefCell<LoadTable>>,
@@ -60,13 +60,19 @@
 }
 
 impl BatchRunner {
-    /// Starts the runner's tasks (`spawn_local`): links to the stores that the feed names, requests for work, the
-    /// outbox. The proxy folds its feed into `feed` and calls [`BatchRunner::feed_changed`] after each change.
+    /// Starts the runner's tasks with `spawn_local`: links to the stores that the feed names, requests for work, and
+    /// the outbox.
+    ///
+    /// The proxy must apply its feed updates to `feed` and call [`BatchRunner::feed_changed`] after each change.
+    ///
+    /// # Panics
+    /// Panics outside a `tokio` `LocalSet`.
     pub fn start(settings: &Settings, client: Client, feed: Rc<RefCell<FeedState>>) -> BatchRunner {
         BatchRunner::start_with_random(settings, client, feed, Random::default())
     }
 
-    /// As [`BatchRunner::start`], with a generator of the caller's: a seeded one repeats a run.
+    /// Like [`BatchRunner::start`], but with the caller's random number generator. A seeded generator makes a run
+    /// repeatable.
     pub fn start_with_random(
         settings: &Settings, client: Client, feed: Rc<RefCell<FeedState>>, random: Random,
     ) -> BatchRunner {
@@ -86,41 +92,41 @@
         runner
     }
 
-    /// Acts on a change of the feed's state.
+    /// Updates links, loads, capacity and waiting tasks after a change of the feed's state.
     pub fn feed_changed(&self) {
         let components = &self.components;
-        components.store_events.follow_feed(&components.feed.state());
+        components.store_events.apply_feed_change(&components.feed.state());
         components.loads.borrow_mut().retain(|id| components.feed.is_present(id), Instant::now());
         components.capacity.feed_changed();
         components.changes.notify();
     }
 
-    /// Whether a path is that of a call about a submitted job (`/lots/ID`, `/items/ID`).
+    /// Returns whether a path is that of a call about a submitted job (`/lots/ID`, `/items/ID`).
     pub fn is_job_call(path: &str) -> bool {
         api::is_job_call(path)
     }
 
-    /// Answers a call: a `POST` under the prefix of a `rollout` route (`route` given), or a call about a submitted
-    /// job, whatever its host. The request's body is complete.
+    /// Answers a call: a `POST` under the prefix of a `rollout` route (with `route` given), or a call about a
+    /// submitted job, for any host. The body of the request must be complete.
     pub async fn answer(
         &self, route: Option<&Route>, request: http::Request<Bytes>,
     ) -> http::Response<Bytes> {
         self.components.job_api.answer(route, request).await
     }
 
-    /// The counters since the start.
+    /// Returns the counters since the start.
     pub fn metrics(&self) -> &Metrics {
         &self.components.metrics
     }
 
-    /// Graceful shutdown: takes no new work, and returns unfinished items with the text so far to their stores.
-    /// Returns when done, or after the limit.
+    /// Shuts down gracefully: takes no new work, and returns unfinished items with their text so far to their
+    /// stores. Returns when done, or after `limit`.
     pub async fn shut_down(&self, limit: Duration) {
         self.components.graceful_shutdown.run(limit).await;
     }
 }
 
-/// The state below all decisions, before the parts are built that share it.
+/// State that the components share, created before them.
 struct State {
     client: Client,
     feed: FeedView,
--- a/crates/pebblepost-batch-runner/src/shutdown.rs
+++ b/crates/pebblepost-batch-runner/src/shutdown.rs
@@ -1,6 +1,6 @@
-//! Whether the runner shuts down.
+//! Flag that the runner is shutting down.
 //!
-//! Owns the flag only; [`crate::execution`] decides what a shutdown does.
+//! [`crate::execution`] implements the shutdown itself.
 
 use std::cell::Cell;
 
@@ -16,7 +16,7 @@
         self.is_set.set(true);
     }
 
-    /// Whether the shutdown has begun.
+    /// Returns whether the shutdown has begun.
     pub(crate) fn is_set(&self) -> bool {
         self.is_set.get()
     }
--- a/crates/pebblepost-batch-runner/src/store/link.rs
+++ b/crates/pebblepost-batch-runner/src/store/link.rs
@@ -1,7 +1,7 @@
-//! A link to one storage machine, connected again whenever it is lost.
+//! Link to one storage machine, which reconnects whenever the connection is lost.
 //!
-//! Owns the connection, the numbers of its calls and the requests for work under way on it. Knows no leases and no
-//! items: messages other than the replies to calls go to [`LinkEvents`].
+//! The link stores the connection, the pending calls and the number of items requested on it. It does not depend on
+//! leases or items: messages other than replies to calls are passed to [`LinkEvents`].
 
 use crate::identity::ProxyIdentity;
 use crate::random::Random;
@@ -18,27 +18,27 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, MissedTickBehavior, interval_at, sleep, timeout_at};
 
-/// Limits of links to stores. A job is one frame.
-const LIMITS: LinkLimits = LinkLimits {
+/// Limits of links to stores. A job is sent as one frame.
+const STORE_LINK_LIMITS: LinkLimits = LinkLimits {
     max_frame_bytes: 64 * 1024 * 1024,
     max_queued_bytes: 80 * 1024 * 1024,
     connect_timeout: Duration::from_millis(400),
     read_timeout: Duration::from_millis(1500),
 };
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// Back-off before a link is connected again.
+/// Bounds of the random backoff before a reconnect.
 const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(300);
 
-/// What happens on a link.
+/// Receiver of the events of a link.
 pub(crate) trait LinkEvents: 'static {
-    /// The link is up and the proxy has introduced itself.
+    /// The link is up and the proxy's hello message has been sent.
     fn link_up(&self, link: &StoreLink);
-    /// The link was up and is lost.
+    /// An established link was lost.
     fn link_down(&self, link: &StoreLink);
     /// A keep-alive was sent.
     fn keep_alive_sent(&self, link: &StoreLink);
-    /// A message came that is no reply to a call.
+    /// A message that is not a reply to a call was received.
     fn message_received(&self, link: &StoreLink, message: FromStore);
 }
 
@@ -46,12 +46,12 @@
 pub(crate) struct StoreLink {
     pub(crate) address: SocketAddr,
     sender: RefCell<Option<Sender>>,
-    /// Callers that await a reply, by the number of their call.
+    /// Callers that wait for a reply, by the number of their call.
     pending_calls: RefCell<HashMap<u64, oneshot::Sender<FromStore>>>,
     next_call: Cell<u64>,
-    /// The machine may have items to lease.
+    /// Whether the machine may have items to lease.
     pub(crate) may_have_work: Cell<bool>,
-    /// Items that were requested and not answered yet.
+    /// Number of items requested and not yet answered.
     pub(crate) requested_items: Cell<u32>,
     task: RefCell<Option<AbortHandle>>,
 }
@@ -60,13 +60,13 @@
 pub(crate) enum CallOutcome {
     /// The store replied.
     Reply(FromStore),
-    /// The link was down: nothing was sent.
+    /// The link was down, so nothing was sent.
     NotSent,
-    /// The link was lost, or no reply came in time: the store may have executed the call.
+    /// The link was lost or no reply arrived in time. The store may have executed the call.
     NoReply,
 }
 
-/// Removes a call when its caller is gone.
+/// Removes a pending call when its caller drops it.
 struct PendingCall<'a> {
     link: &'a StoreLink,
     number: u64,
@@ -97,7 +97,7 @@
         link
     }
 
-    /// Closes the link for good.
+    /// Closes the link permanently.
     pub(crate) fn close(&self) {
         if let Some(task) = self.task.borrow_mut().take() {
             task.abort();
@@ -105,22 +105,24 @@
         self.reset();
     }
 
-    /// Whether messages can be sent.
+    /// Returns whether messages can be sent.
     pub(crate) fn is_up(&self) -> bool {
         self.sender.borrow().as_ref().is_some_and(|sender| !sender.is_closed())
     }
 
-    /// Queues a message; false if the link is down.
+    /// Queues a message. Returns false if it was not queued because the link is down.
     pub(crate) fn send(&self, message: &ToStore) -> bool {
         self.sender.borrow().as_ref().is_some_and(|sender| sender.send(message))
     }
 
-    /// Bytes that wait to be written.
+    /// Returns the number of bytes that are queued and not yet written.
     pub(crate) fn queued_bytes(&self) -> usize {
         self.sender.borrow().as_ref().map_or(0, Sender::queued_bytes)
     }
 
-    /// Makes a call: numbers the message, sends it and waits for the reply until the deadline.
+    /// Makes a call: sets the number of the message, sends it and waits for the reply until the deadline.
+    ///
+    /// If the future is dropped, the call is forgotten, but the store may still execute it.
     pub(crate) async fn call(&self, message: &mut ToStore, deadline: Instant) -> CallOutcome {
         let number = self.next_call.get();
         self.next_call.set(number + 1);
@@ -137,15 +139,15 @@
         }
     }
 
-    /// Hands a reply to its caller.
+    /// Passes a reply to its caller.
     fn complete_call(&self, number: u64, reply: FromStore) {
         if let Some(caller) = self.pending_calls.borrow_mut().remove(&number) {
-            // The caller may be gone.
+            // The caller may have stopped waiting.
             let _ = caller.send(reply);
         }
     }
 
-    /// Drops the connection, its calls and its requests for work.
+    /// Closes the connection and clears its pending calls and requests for work.
     fn reset(&self) {
         if let Some(sender) = self.sender.borrow_mut().take() {
             sender.close();
@@ -166,7 +168,7 @@
     }
 }
 
-/// The call that a message replies to; `None` if it is no reply.
+/// Returns the number of the call that a message replies to, or `None` if it is not a reply.
 fn call_number(message: &FromStore) -> Option<u64> {
     match message {
         FromStore::Submitted { call, .. }
@@ -177,7 +179,7 @@
     }
 }
 
-/// Connects, and connects again, until the task is aborted.
+/// Connects, and reconnects after each failure, until the task is aborted.
 async fn keep_connected<E: LinkEvents>(
     link: Rc<StoreLink>, identity: Rc<ProxyIdentity>, random: Rc<Random>, events: Rc<E>,
 ) {
@@ -197,7 +199,7 @@
 async fn run_connection<E: LinkEvents>(
     link: &StoreLink, identity: &ProxyIdentity, events: &E,
 ) -> Result<Infallible> {
-    let (sender, receiver) = connect(link.address, LIMITS).await?;
+    let (sender, receiver) = connect(link.address, STORE_LINK_LIMITS).await?;
     sender.send(&ToStore::ProxyHello { node: identity.node.clone(), zone: identity.zone.clone() });
     *link.sender.borrow_mut() = Some(sender.clone());
     events.link_up(link);
--- a/crates/pebblepost-batch-runner/src/store/links.rs
+++ b/crates/pebblepost-batch-runner/src/store/links.rs
@@ -1,6 +1,6 @@
-//! A link to each storage machine that is primary of a store group (a group of batch jobs).
+//! Links to the storage machines that are primary of a store group (a group of batch jobs).
 //!
-//! Owns the links and who is primary of which group. Decides nothing about leases or outcomes.
+//! This module stores the links and the primary of each store group. It makes no decisions about leases or outcomes.
 
 use crate::identity::ProxyIdentity;
 use crate::random::Random;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The primary of a store group, as the feed reported it last.
+/// Primary of a store group, as last reported by the feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Primary {
     address: SocketAddr,
@@ -25,13 +25,13 @@
     pub(crate) epoch: u64,
 }
 
-/// Links to all primaries.
+/// Links to all primaries of store groups.
 pub(crate) struct StoreLinks {
     identity: Rc<ProxyIdentity>,
     random: Rc<Random>,
     primaries: RefCell<BTreeMap<u32, Primary>>,
     links: RefCell<BTreeMap<SocketAddr, Rc<StoreLink>>>,
-    /// Rotates the order in which work is requested.
+    /// Start of the order in which the stores are next asked for work.
     next_rotation: Cell<usize>,
 }
 
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Takes over the primaries of the feed; returns the store groups whose primary or epoch has changed.
+    /// Stores the primaries that the feed names, and returns the store groups whose primary or epoch has changed. A
+    /// primary with an invalid address is ignored.
     pub(crate) fn update_primaries(&self, feed: &FeedState) -> Vec<u32> {
         let mut changed = Vec::new();
         let mut primaries = self.primaries.borrow_mut();
@@ -60,7 +61,7 @@
         changed
     }
 
-    /// Closes links to machines that are primary of no group, and starts links to those that are.
+    /// Closes links to machines that are no longer primary of any group, and starts links to new primaries.
     pub(crate) fn reconcile<E: LinkEvents>(&self, events: &Rc<E>) {
         let wanted: Vec<SocketAddr> =
             self.primaries.borrow().values().map(|primary| primary.address).collect();
@@ -79,13 +80,13 @@
         }
     }
 
-    /// The link to the primary of a group, if it is up.
+    /// Returns the link to the primary of a group, if the link is up.
     pub(crate) fn primary_link(&self, group: u32) -> Option<Rc<StoreLink>> {
         let address = self.primary(group)?.address;
         self.links.borrow().get(&address).filter(|link| link.is_up()).cloned()
     }
 
-    /// All links, starting one further each time.
+    /// Returns all links, with the start rotated by one on each call.
     pub(crate) fn rotated(&self) -> Vec<Rc<StoreLink>> {
         let mut links = self.all();
         if !links.is_empty() {
@@ -96,19 +97,19 @@
         links
     }
 
-    /// All links.
+    /// Returns all links, ordered by address.
     pub(crate) fn all(&self) -> Vec<Rc<StoreLink>> {
         self.links.borrow().values().cloned().collect()
     }
 
-    /// The groups that the machine at an address is primary of.
+    /// Returns the groups that the machine at an address is primary of.
     pub(crate) fn groups_of(&self, address: SocketAddr) -> Vec<GroupEpoch> {
         let primaries = self.primaries.borrow();
         let of_address = primaries.iter().filter(|(_, primary)| primary.address == address);
         of_address.map(|(group, primary)| GroupEpoch { store_group: *group, epoch: primary.epoch }).collect()
     }
 
-    /// Whether the machine at an address is primary of a group.
+    /// Returns whether the machine at an address is primary of a group.
     pub(crate) fn is_primary(&self, group: u32, address: SocketAddr) -> bool {
         self.primary(group).is_some_and(|primary| primary.address == address)
     }
--- a/crates/pebblepost-batch-runner/src/store/mod.rs
+++ b/crates/pebblepost-batch-runner/src/store/mod.rs
@@ -1,10 +1,10 @@
-//! Links to the stores, and the outcomes that go out on them.
+//! Links to the stores, and the outcomes that are sent on them.
 //!
-//! * [`link`]: one connection to a storage machine, and the calls under way on it.
+//! * [`link`]: one connection to a storage machine, and the pending calls on it.
 //! * [`links`]: a link to each machine that is primary of a store group.
-//! * [`outbox`]: outcomes that wait to be sent, and those sent lately.
+//! * [`outbox`]: outcomes that are waiting to be sent, and recently sent ones.
 //!
-//! What is done about a store's messages is decided above, through [`link::LinkEvents`].
+//! The messages of a store are handled by the layer above, through [`link::LinkEvents`].
 
 pub(crate) mod link;
 pub(crate) mod links;
--- a/crates/pebblepost-batch-runner/src/store/outbox.rs
+++ b/crates/pebblepost-batch-runner/src/store/outbox.rs
@@ -1,8 +1,8 @@
-//! Outcomes of items on their way to the stores.
+//! Outcomes of items that are being sent to the stores.
 //!
-//! Owns the outcomes that wait to be sent, batched for a few milliseconds, and a copy of those sent lately: the link
-//! may be lost before the store has them, or the store may lose them with its primary. Sending an outcome twice is
-//! idempotent.
+//! The outbox stores the pending outcomes, which are batched for a few milliseconds, and a copy of recently sent
+//! ones: the link may be lost before the store has received them, or the store may lose them together with its
+//! primary. Sending an outcome twice is idempotent.
 
 use crate::store::links::StoreLinks;
 use pebblepost_messages::batch::{ItemOutcome, ToStore};
@@ -13,16 +13,16 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// How long outcomes are gathered into one message.
+/// How long outcomes are collected before they are sent together.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
 /// How long a sent outcome is retained.
-const SENT_RETENTION: Duration = Duration::from_secs(6);
-/// Most bytes of sent outcomes that are retained.
-const MAX_SENT_BYTES: usize = 16 * 1024 * 1024;
-/// What an outcome takes beside its text and score, roughly.
-const FIXED_OUTCOME_BYTES: usize = 128;
+const SENT_OUTCOME_RETENTION: Duration = Duration::from_secs(6);
+/// Maximum size of the retained sent outcomes.
+const MAX_RETAINED_SENT_BYTES: usize = 16 * 1024 * 1024;
+/// Approximate size of an outcome apart from its text and score.
+const OUTCOME_OVERHEAD_BYTES: usize = 128;
 
-/// The lease under which an item was executed. Its outcomes go out in one message.
+/// The lease under which an item was executed. All pending outcomes of a lease are sent in one message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct OutcomeKey {
     pub(crate) store_group: u32,
@@ -30,7 +30,7 @@
     pub(crate) lease: u64,
 }
 
-/// The outcome of one item.
+/// Outcome of one item, with the lease under which it was executed.
 #[derive(Clone, Debug)]
 pub(crate) struct LeasedOutcome {
     pub(crate) key: OutcomeKey,
@@ -40,8 +40,10 @@
 impl LeasedOutcome {
     fn size_bytes(&self) -> usize {
         match &self.outcome {
-            ItemOutcome::Finished(result) => FIXED_OUTCOME_BYTES + result.message.len() + result.score.len(),
-            ItemOutcome::Returned { partial, .. } => FIXED_OUTCOME_BYTES + partial.message.len(),
+            ItemOutcome::Finished(result) => {
+                OUTCOME_OVERHEAD_BYTES + result.message.len() + result.score.len()
+            }
+            ItemOutcome::Returned { partial, .. } => OUTCOME_OVERHEAD_BYTES + partial.message.len(),
         }
     }
 }
@@ -58,7 +60,7 @@
     sent_bytes: usize,
 }
 
-/// Outcomes on their way to the stores.
+/// Outcomes that are being sent to the stores.
 #[derive(Default)]
 pub(crate) struct Outbox {
     state: RefCell<State>,
@@ -66,7 +68,7 @@
 }
 
 impl Outbox {
-    /// Sends pending outcomes whenever there are any; never returns.
+    /// Sends pending outcomes whenever there are any. Never returns.
     pub(crate) async fn run(self: Rc<Self>, links: Rc<StoreLinks>) {
         loop {
             self.wake.notified().await;
@@ -75,17 +77,17 @@
         }
     }
 
-    /// Adds an outcome.
+    /// Adds an outcome to be sent.
     pub(crate) fn push(&self, outcome: LeasedOutcome) {
         self.state.borrow_mut().pending.push(outcome);
         self.wake.notify_one();
     }
 
-    /// Makes the retained outcomes of these store groups pending again.
-    pub(crate) fn resend(&self, is_concerned: impl Fn(u32) -> bool) {
+    /// Makes the retained outcomes of the affected store groups pending again.
+    pub(crate) fn resend(&self, is_affected: impl Fn(u32) -> bool) {
         let state = &mut *self.state.borrow_mut();
         for sent in std::mem::take(&mut state.sent) {
-            if is_concerned(sent.outcome.key.store_group) {
+            if is_affected(sent.outcome.key.store_group) {
                 state.sent_bytes = state.sent_bytes.saturating_sub(sent.outcome.size_bytes());
                 state.pending.push(sent.outcome);
             } else {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Sends what can be sent now; what can't stays pending.
+    /// Sends the pending outcomes whose primary is connected. The others stay pending.
     pub(crate) fn flush(&self, links: &StoreLinks) {
         let pending = std::mem::take(&mut self.state.borrow_mut().pending);
         let mut messages: BTreeMap<OutcomeKey, Vec<LeasedOutcome>> = BTreeMap::new();
@@ -118,12 +120,13 @@
         self.drop_old();
     }
 
-    /// Whether nothing is pending.
+    /// Returns whether no outcome is pending.
     pub(crate) fn is_empty(&self) -> bool {
         self.state.borrow().pending.is_empty()
     }
 
-    /// Retains finished items. Returned ones are not sent twice: they may be leased to this proxy anew by then.
+    /// Retains the outcomes of finished items. Returned items are not sent twice, because they may have been leased
+    /// to this proxy again by then.
     fn retain_sent(&self, outcomes: Vec<LeasedOutcome>) {
         let state = &mut *self.state.borrow_mut();
         let sent_at = Instant::now();
@@ -138,7 +141,7 @@
         let state = &mut *self.state.borrow_mut();
         let now = Instant::now();
         while let Some(oldest) = state.sent.front() {
-            if now < oldest.sent_at + SENT_RETENTION && state.sent_bytes <= MAX_SENT_BYTES {
+            if now < oldest.sent_at + SENT_OUTCOME_RETENTION && state.sent_bytes <= MAX_RETAINED_SENT_BYTES {
                 break;
             }
             state.sent_bytes = state.sent_bytes.saturating_sub(oldest.outcome.size_bytes());
--- a/crates/pebblepost-batch-runner/src/store_events.rs
+++ b/crates/pebblepost-batch-runner/src/store_events.rs
@@ -1,7 +1,7 @@
-//! What is done about the events of store links and about changed primaries: leases are announced, outcomes sent
-//! again, new leases handed to execution.
+//! Handles events of store links and changes of primaries: leases are announced, outcomes are sent again, and new
+//! leases are passed to execution.
 //!
-//! Owns no state; connects the store links with leases, outbox, capacity and execution.
+//! This module has no state; it connects the store links with leases, outbox, capacity and execution.
 
 use crate::capacity::Capacity;
 use crate::change_signal::ChangeSignal;
@@ -17,11 +17,11 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// A new primary may learn of its epoch later than this proxy. The leases are announced to it again after each of
-/// these times, one after the other.
-const REPEATED_ANNOUNCEMENTS: [Duration; 2] = [Duration::from_millis(150), Duration::from_millis(250)];
+/// Delays, one after the other, after which leases are announced again to a new primary, because the primary may
+/// learn of its epoch later than this proxy.
+const REANNOUNCEMENT_DELAYS: [Duration; 2] = [Duration::from_millis(150), Duration::from_millis(250)];
 
-/// Acts on the events of store links.
+/// Handles the events of store links.
 pub(crate) struct StoreEvents {
     pub(crate) links: Rc<StoreLinks>,
     pub(crate) leases: Rc<RefCell<LeaseTable>>,
@@ -32,9 +32,9 @@
 }
 
 impl StoreEvents {
-    /// Follows the primaries of the feed: links are started and closed, outcomes of the changed groups sent again and
-    /// leases announced to their primaries.
-    pub(crate) fn follow_feed(self: &Rc<Self>, feed: &FeedState) {
+    /// Applies the primaries that the feed names: starts and closes links, sends outcomes of the changed store
+    /// groups again, and announces leases to their primaries.
+    pub(crate) fn apply_feed_change(self: &Rc<Self>, feed: &FeedState) {
         let changed = self.links.update_primaries(feed);
         if changed.is_empty() {
             return;
@@ -43,18 +43,19 @@
         self.links.reconcile(self);
         self.outbox.resend(|group| changed.contains(&group));
         for link in self.links.all() {
-            let leads_changed = changed.iter().any(|group| self.links.is_primary(*group, link.address));
-            if link.is_up() && leads_changed {
+            let is_primary_of_changed =
+                changed.iter().any(|group| self.links.is_primary(*group, link.address));
+            if link.is_up() && is_primary_of_changed {
                 self.announce_leases(&link);
-                self.repeat_announcement(link);
+                self.spawn_reannouncements(link);
             }
         }
     }
 
-    fn repeat_announcement(self: &Rc<Self>, link: Rc<StoreLink>) {
+    fn spawn_reannouncements(self: &Rc<Self>, link: Rc<StoreLink>) {
         let events = self.clone();
         tokio::task::spawn_local(async move {
-            for delay in REPEATED_ANNOUNCEMENTS {
+            for delay in REANNOUNCEMENT_DELAYS {
                 sleep(delay).await;
                 if link.is_up() {
                     events.announce_leases(&link);
@@ -63,7 +64,7 @@
         });
     }
 
-    /// Announces the leases of all groups that the machine is primary of, so that it renews them.
+    /// Announces the leases of all store groups that the machine is primary of, so that it renews them.
     fn announce_leases(&self, link: &StoreLink) {
         let mut announced = Vec::new();
         {
@@ -119,7 +120,7 @@
         self.changes.notify();
     }
 
-    /// Removes abandoned leases, and announces those whose renewal is overdue.
+    /// Removes abandoned leases, and announces the leases again if the renewal of one is overdue.
     fn keep_alive_sent(&self, link: &StoreLink) {
         let now = Instant::now();
         let is_overdue = {
--- a/crates/pebblepost-batch-runner/src/text.rs
+++ b/crates/pebblepost-batch-runner/src/text.rs
@@ -1,76 +1,76 @@
-//! The generated text of an item, assembled from the events of one or more attempts, and the weight
-//! versions that made it.
+//! Generated text of an item, assembled from the events of one or more attempts, and the weight versions under which
+//! it was generated.
 //!
-//! Owns the text and the checks of an event against it. Reads no sockets and knows no leases.
+//! Checks that each event may be appended. Performs no I/O and does not depend on leases.
 
 use pebblepost_messages::batch::PartialText;
 use pebblepost_transcriber::StreamEvent;
 use thiserror::Error;
 
-/// Why an event can't be appended to a text.
+/// Reason why an event cannot be appended to a text.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum TextError {
-    /// The id of the event is not the successor of the last event's id.
-    #[error("the event id does not follow the last one")]
+pub enum AppendError {
+    /// The id of the event does not follow the id of the last event.
+    #[error("event id does not follow the id of the last event")]
     UnexpectedEventId,
-    /// The event was made under a version below the required minimum.
-    #[error("the event was made under a version older than allowed")]
+    /// The event was generated under a version below the required minimum.
+    #[error("event was generated under a version below the required minimum")]
     VersionTooOld,
-    /// The event was made under another version than the text, and a single one is required.
-    #[error("the event was made under another version than the text")]
+    /// The event was generated under another version than the text, but a single version is required.
+    #[error("event was generated under another version than the text, which requires a single version")]
     MixedVersions,
 }
 
-/// Weight versions that may make a text.
+/// Weight versions under which a text may be generated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionRequirement {
-    /// Oldest version allowed.
+    /// Oldest allowed version.
     pub min_version: u64,
-    /// The whole text must be made under a single version.
+    /// Whether the whole text must be generated under a single version.
     pub single_version: bool,
 }
 
 impl VersionRequirement {
-    /// Whether a text made under these versions may be used.
+    /// Returns whether a text generated under these versions may be used.
     fn allows(&self, versions: &[u64]) -> bool {
         versions.iter().all(|version| *version >= self.min_version)
             && (!self.single_version || versions.len() <= 1)
     }
 }
 
-/// Lengths of a text at an earlier moment.
+/// Length of a text at an earlier time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Watermark {
+struct TextLength {
     message_bytes: usize,
     version_count: usize,
 }
 
-/// A text as far as its events have arrived.
+/// A text with the events that have arrived so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Text {
+pub struct GeneratedText {
     content: PartialText,
-    /// Version under which the current attempt makes events; `None` if the transcriber does not say.
+    /// Version under which the current attempt generates events; `None` if the transcriber does not state it.
     attempt_version: Option<u64>,
-    /// The text before its last event.
-    before_last_event: Watermark,
+    /// Length of the text before its last event.
+    before_last_event: TextLength,
 }
 
-impl Text {
-    /// Resumes a stored text; an empty one if its versions do not meet the requirement.
-    pub fn from_partial(partial: PartialText, requirement: VersionRequirement) -> Text {
+impl GeneratedText {
+    /// Creates a text from a stored one. The result is empty if the versions of the stored text are not allowed.
+    pub fn from_partial(partial: PartialText, requirement: VersionRequirement) -> GeneratedText {
         if !requirement.allows(&partial.versions) || partial.last_event == 0 {
-            return Text::default();
+            return GeneratedText::default();
         }
-        let before_last_event = watermark(&partial);
-        Text { content: partial, attempt_version: None, before_last_event }
+        let before_last_event = length_of(&partial);
+        GeneratedText { content: partial, attempt_version: None, before_last_event }
     }
 
-    /// Id of the last event; 0 if there is none.
+    /// Returns the id of the last event, or 0 if there is none.
     pub fn last_event(&self) -> u64 {
         self.content.last_event
     }
 
-    /// Whether an attempt under this version may resume the text.
+    /// Returns whether an attempt under this version may resume the text.
     pub fn can_resume_under(&self, version: Option<u64>, requirement: VersionRequirement) -> bool {
         match version {
             Some(version) if requirement.single_version => {
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Drops all events.
+    /// Removes all events.
     pub fn clear(&mut self) {
-        *self = Text::default();
+        *self = GeneratedText::default();
     }
 
-    /// Notes that an attempt under this version starts.
+    /// Records that an attempt under this version starts.
     pub fn start_attempt(&mut self, version: Option<u64>) {
         self.attempt_version = version;
     }
@@ -93,15 +93,17 @@
     /// Appends the next event.
     ///
     /// # Errors
-    /// The event does not follow the last one, or its version is not allowed; the text is then unchanged.
-    pub fn append(&mut self, event: &StreamEvent, requirement: VersionRequirement) -> Result<(), TextError> {
+    /// The event does not follow the last one, or its version is not allowed. The text is then unchanged.
+    pub fn append(
+        &mut self, event: &StreamEvent, requirement: VersionRequirement,
+    ) -> Result<(), AppendError> {
         if event.id != self.content.last_event + 1 {
-            return Err(TextError::UnexpectedEventId);
+            return Err(AppendError::UnexpectedEventId);
         }
         let version = event.weight_version.or(self.attempt_version);
         self.check_version(version, requirement)?;
         self.attempt_version = version;
-        self.before_last_event = watermark(&self.content);
+        self.before_last_event = length_of(&self.content);
         if self.content.last_event > 0 {
             self.content.message.push(b'\n');
         }
@@ -113,15 +115,17 @@
         Ok(())
     }
 
-    /// The text so far, for another attempt to resume.
+    /// Returns the text so far, which another attempt can resume.
     pub fn partial(&self) -> PartialText {
         self.content.clone()
     }
 
-    /// The text without its last event. A complete text is stored this way, as an attempt that resumes
-    /// it needs an event to make. Empty if the last event came under an earlier lease.
+    /// Returns the text without its last event. A complete text is stored in this form, because an attempt that
+    /// resumes it must have at least one event to generate.
+    ///
+    /// The result is empty if the last event arrived under an earlier lease.
     pub fn partial_before_last_event(&self) -> PartialText {
-        let Watermark { message_bytes, version_count } = self.before_last_event;
+        let TextLength { message_bytes, version_count } = self.before_last_event;
         if self.content.last_event <= 1 || message_bytes == self.content.message.len() {
             return PartialText::default();
         }
@@ -132,18 +136,20 @@
         }
     }
 
-    fn check_version(&self, version: Option<u64>, requirement: VersionRequirement) -> Result<(), TextError> {
+    fn check_version(
+        &self, version: Option<u64>, requirement: VersionRequirement,
+    ) -> Result<(), AppendError> {
         let Some(version) = version else { return Ok(()) };
         if version < requirement.min_version {
-            return Err(TextError::VersionTooOld);
+            return Err(AppendError::VersionTooOld);
         }
         if requirement.single_version && self.content.versions.iter().any(|other| *other != version) {
-            return Err(TextError::MixedVersions);
+            return Err(AppendError::MixedVersions);
         }
         Ok(())
     }
 }
 
-fn watermark(partial: &PartialText) -> Watermark {
-    Watermark { message_bytes: partial.message.len(), version_count: partial.versions.len() }
+fn length_of(partial: &PartialText) -> TextLength {
+    TextLength { message_bytes: partial.message.len(), version_count: partial.versions.len() }
 }
--- a/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
@@ -13,7 +13,7 @@
 use pebblepost_batch_runner::placement::choice::{ProbedLoad, QueueLimit, choose};
 use pebblepost_batch_runner::placement::subset::{self, SubsetSize, rendezvous_hash};
 use pebblepost_batch_runner::random::Random;
-use pebblepost_batch_runner::text::{Text, VersionRequirement};
+use pebblepost_batch_runner::text::{GeneratedText, VersionRequirement};
 use pebblepost_messages::batch::{
     FromStore, Item, ItemOutcome, LeasedItem, PartialText, ResultState, ToStore, WorkLease,
 };
@@ -53,11 +53,11 @@
     for _ in 0..5000 {
         let draw = |_| {
             let slots = u32::try_from(random.below(12)).unwrap();
-            ProbedLoad { slots, busy: u32::try_from(random.below(15)).unwrap() }
+            ProbedLoad { slots, outstanding: u32::try_from(random.below(15)).unwrap() }
         };
         let probed: Vec<ProbedLoad> = (0..random.below(4)).map(draw).collect();
         let items = 1 + u32::try_from(random.below(16)).unwrap();
-        let queueing = match random.below(3) {
+        let queue_limit = match random.below(3) {
             0 => QueueLimit::FreeSlotsOnly,
             1 => QueueLimit::PercentOfSlots(34),
             _ => QueueLimit::PercentOfSlots(50),
@@ -66,7 +66,7 @@
             digest.number(u64::from(candidate.accepts(items)));
             digest.number(u64::from(candidate.free_slots()));
         }
-        match choose(&probed, items, queueing, &random) {
+        match choose(&probed, items, queue_limit, &random) {
             None => digest.number(u64::MAX),
             Some(choice) => {
                 digest.number(u64::try_from(choice.index).unwrap());
@@ -142,25 +142,25 @@
             5 => loads.record_answer(&id, &load, now),
             6 => loads.invalidate_report(&id),
             7 => loads.eject(&id, now + Duration::from_millis(random.below(900))),
-            _ => loads.record_unreported_service(&id, now),
+            _ => loads.record_service_without_reports(&id, now),
         }
         if random.below(40) == 0 {
             loads.retain(|known| known != id, now);
         }
         if random.below(10) == 0 {
-            loads.last_heard(&id).record(now);
+            loads.last_activity(&id).record(now);
         }
         for index in 0..5 {
             let id = format!("i-{index}");
-            digest.number(u64::from(loads.busy(&id)));
+            digest.number(u64::from(loads.outstanding_requests(&id)));
             digest.number(loads.version(&id, "m").unwrap_or(u64::MAX));
-            let heard = loads.last_heard(&id).is_within(Duration::from_millis(500), now);
+            let heard = loads.last_activity(&id).is_within(Duration::from_millis(500), now);
             let flags = [
                 loads.is_ejected(&id, now),
                 loads.is_fresh(&id, true, now),
                 loads.is_fresh(&id, false, now),
-                loads.is_unreported_service(&id, now),
-                loads.is_executing_order(&id),
+                loads.is_service_without_reports(&id, now),
+                loads.is_executing_load_order(&id),
                 heard,
             ];
             digest.update(&flags.map(u8::from));
@@ -192,7 +192,7 @@
     let any = VersionRequirement { min_version: 3, single_version: false };
     ItemProgress {
         failed_attempts: u32::try_from(random.below(3)).unwrap(),
-        text: Text::from_partial(partial, any),
+        text: GeneratedText::from_partial(partial, any),
         ..ItemProgress::default()
     }
 }
@@ -263,7 +263,7 @@
 fn texts_match_the_approved_digest(#[case] single_version: bool, #[case] approved: u64) {
     let random = Random::seeded(11);
     let terms = VersionRequirement { min_version: 2, single_version };
-    let (mut text, mut digest) = (Text::default(), Fnv1a::default());
+    let (mut text, mut digest) = (GeneratedText::default(), Fnv1a::default());
     for _ in 0..3000 {
         let is_next = random.below(8) > 0;
         let id = if is_next { text.last_event() + 1 } else { random.below(6) };
@@ -276,8 +276,8 @@
         });
         match random.below(40) {
             0 => text.clear(),
-            1 => text = Text::from_partial(text.partial(), terms),
-            2 => text = Text::from_partial(text.partial_before_last_event(), terms),
+            1 => text = GeneratedText::from_partial(text.partial(), terms),
+            2 => text = GeneratedText::from_partial(text.partial_before_last_event(), terms),
             3 | 4 => text.start_attempt(Some(2 + random.below(2))),
             _ => {}
         }
@@ -453,11 +453,11 @@
 }
 
 #[rstest]
-#[case::no_request_id("POST", "/lot/1", &[], "{}", 400, "the `Request-Id` is missing")]
-#[case::not_json("POST", "/lot/1", &[("request-id", "j")], "[]", 400, "the body is no object")]
-#[case::bad_start("GET", "/lots/j?start_after=x", &[], "", 400, "`start_after` is no whole number")]
-#[case::no_item("GET", "/items/j", &[], "", 400, "`id` is missing")]
-#[case::empty_item("GET", "/items/j?id=", &[], "", 400, "`id` is missing")]
+#[case::no_request_id("POST", "/lot/1", &[], "{}", 400, "header `Request-Id` is missing or empty")]
+#[case::not_json("POST", "/lot/1", &[("request-id", "j")], "[]", 400, "request body is not a JSON object")]
+#[case::bad_start("GET", "/lots/j?start_after=x", &[], "", 400, "query parameter `start_after` is not an unsigned integer")]
+#[case::no_item("GET", "/items/j", &[], "", 400, "query parameter `id` is missing or empty")]
+#[case::empty_item("GET", "/items/j?id=", &[], "", 400, "query parameter `id` is missing or empty")]
 #[case::method_of_a_job("PUT", "/lots/j", &[], "", 405, "")]
 #[case::method_of_an_item("DELETE", "/items/j?id=a", &[], "", 405, "")]
 #[case::method_of_a_route("GET", "/lot/1", &[], "", 405, "")]
--- a/crates/pebblepost-batch-runner/tests/batch_runner/job_json.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/job_json.rs
@@ -36,24 +36,27 @@
 }
 
 #[rstest]
-#[case::not_json("{", "the body is not JSON")]
-#[case::no_object("[]", "the body is no object")]
-#[case::no_requests("{}", "`requests` is missing or no list")]
-#[case::no_id(r#"{"requests":[{"path":"/a"}]}"#, "item 0: `id` is missing")]
-#[case::no_path(r#"{"requests":[{"id":"a","path":"a"}]}"#, "item 0: `path` is no path")]
-#[case::bad_body(r#"{"requests":[{"id":"a","path":"/a","body":"*"}]}"#, "item 0: `body` is no base64")]
+#[case::not_json("{", "request body is not valid JSON")]
+#[case::no_object("[]", "request body is not a JSON object")]
+#[case::no_requests("{}", "`requests` is missing or not an array")]
+#[case::no_id(r#"{"requests":[{"path":"/a"}]}"#, "item 0: `id` is missing or empty")]
+#[case::no_path(
+    r#"{"requests":[{"id":"a","path":"a"}]}"#,
+    "item 0: `path` is not a URI path starting with `/`"
+)]
+#[case::bad_body(r#"{"requests":[{"id":"a","path":"/a","body":"*"}]}"#, "item 0: `body` is not valid base64")]
 #[case::bad_header(
     r#"{"requests":[{"id":"a","path":"/a","headers":{"x":1}}]}"#,
-    "item 0: header `x` is no text"
+    "item 0: header `x` is not a string"
 )]
 #[case::bad_scorer(
     r#"{"requests":[{"id":"a","path":"/a","scorer":{"id":"s"}}]}"#,
-    "item 0: scorer: `hostname` is missing"
+    "item 0: scorer: `hostname` is missing or empty"
 )]
-#[case::bad_step(r#"{"step":"x","requests":[]}"#, "`step` is no whole number")]
+#[case::bad_step(r#"{"step":"x","requests":[]}"#, "`step` is not an unsigned integer")]
 #[case::twice(
     r#"{"requests":[{"id":"a","path":"/a"},{"id":"a","path":"/a"}]}"#,
-    "item 1: its id was used before"
+    "item 1: `id` is already used by another item of the job"
 )]
 fn says_why_a_body_is_not_a_job(#[case] body: &str, #[case] reason: &str) {
     let error = parse("j", JobTerms::default(), body.as_bytes().to_vec()).unwrap_err();
--- a/crates/pebblepost-batch-runner/tests/batch_runner/lease_table.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/lease_table.rs
@@ -5,7 +5,7 @@
 use pebblepost_batch_runner::lease_table::{
     ABANDON_AFTER, LEASE_DURATION, LeaseKey, LeaseStatus, LeaseTable,
 };
-use pebblepost_batch_runner::text::Text;
+use pebblepost_batch_runner::text::GeneratedText;
 use pebblepost_messages::batch::{ActiveLease, Item, LeasedItem, WorkLease};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -78,7 +78,7 @@
     let now = Instant::now();
     let mut table = LeaseTable::default();
     let first = add(&mut table, &work("j", &["a"], 4), now).unwrap();
-    let text = Text::from_partial(partial(2, "x\ny", &[3]), ANY);
+    let text = GeneratedText::from_partial(partial(2, "x\ny", &[3]), ANY);
     table.progress(first, "a").unwrap().borrow_mut().text = text;
     let second = add(&mut table, &work("j", &["a"], 4), now).unwrap();
     assert_eq!(table.status(first, now), LeaseStatus::Ended);
--- a/crates/pebblepost-batch-runner/tests/batch_runner/placement.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/placement.rs
@@ -12,9 +12,9 @@
 #[case::at_threshold(7, 1, false)]
 #[case::no_room_for_all(6, 3, false)]
 fn accepts_a_group_without_another_probe_below_the_threshold(
-    #[case] busy: u32, #[case] items: u32, #[case] accepts: bool,
+    #[case] outstanding: u32, #[case] items: u32, #[case] accepts: bool,
 ) {
-    assert_eq!(ProbedLoad { slots: 8, busy }.accepts(items), accepts);
+    assert_eq!(ProbedLoad { slots: 8, outstanding }.accepts(items), accepts);
 }
 
 #[rstest]
@@ -25,17 +25,18 @@
 #[case::queue_full(&[10, 12], 1, QueueLimit::PercentOfSlots(25), None)]
 #[case::none_probed(&[], 1, QueueLimit::FreeSlotsOnly, None)]
 fn chooses_the_least_busy_up_to_its_capacity(
-    #[case] busy: &[u32], #[case] items: u32, #[case] queueing: QueueLimit,
+    #[case] outstanding: &[u32], #[case] items: u32, #[case] queue_limit: QueueLimit,
     #[case] expected: Option<(usize, u32)>,
 ) {
-    let probed: Vec<ProbedLoad> = busy.iter().map(|busy| ProbedLoad { slots: 8, busy: *busy }).collect();
-    let choice = choose(&probed, items, queueing, &Random::seeded(7));
+    let probed: Vec<ProbedLoad> =
+        outstanding.iter().map(|outstanding| ProbedLoad { slots: 8, outstanding: *outstanding }).collect();
+    let choice = choose(&probed, items, queue_limit, &Random::seeded(7));
     assert_eq!(choice, expected.map(|(index, items)| Choice { index, items }));
 }
 
 #[test]
 fn breaks_ties_at_random() {
-    let probed = [ProbedLoad { slots: 8, busy: 7 }; 2];
+    let probed = [ProbedLoad { slots: 8, outstanding: 7 }; 2];
     let random = Random::seeded(7);
     let mut chosen = [0; 2];
     for _ in 0..100 {
@@ -48,10 +49,14 @@
 #[rstest]
 #[case::idle(0, true)]
 #[case::not_idle(1, false)]
-fn an_idle_transcriber_accepts_a_group_larger_than_itself(#[case] busy: u32, #[case] accepts: bool) {
-    assert_eq!(ProbedLoad { slots: 6, busy }.accepts(16), accepts);
-    let choice =
-        choose(&[ProbedLoad { slots: 6, busy: 0 }], 16, QueueLimit::PercentOfSlots(34), &Random::seeded(7));
+fn an_idle_transcriber_accepts_a_group_larger_than_itself(#[case] outstanding: u32, #[case] accepts: bool) {
+    assert_eq!(ProbedLoad { slots: 6, outstanding }.accepts(16), accepts);
+    let choice = choose(
+        &[ProbedLoad { slots: 6, outstanding: 0 }],
+        16,
+        QueueLimit::PercentOfSlots(34),
+        &Random::seeded(7),
+    );
     assert_eq!(choice, Some(Choice { index: 0, items: 9 }), "six run, three are at hand");
 }
 
--- a/crates/pebblepost-batch-runner/tests/batch_runner/text.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/text.rs
@@ -1,6 +1,6 @@
 //! Texts: events, versions, resumption.
 
-use pebblepost_batch_runner::text::{Text, TextError, VersionRequirement};
+use pebblepost_batch_runner::text::{AppendError, GeneratedText, VersionRequirement};
 use pebblepost_messages::batch::PartialText;
 use pebblepost_transcriber::StreamEvent;
 use rstest::rstest;
@@ -18,7 +18,7 @@
 
 #[test]
 fn joins_events_and_lists_each_version_once() {
-    let mut text = Text::default();
+    let mut text = GeneratedText::default();
     text.start_attempt(Some(3));
     text.append(&event(1, "", None), ANY).unwrap();
     text.append(&event(2, "b", Some(4)), ANY).unwrap();
@@ -32,19 +32,19 @@
 
 #[test]
 fn lists_a_version_only_if_it_made_an_event() {
-    let mut text = Text::default();
+    let mut text = GeneratedText::default();
     text.start_attempt(Some(3));
     text.append(&event(1, "a", Some(5)), SINGLE).unwrap();
     assert_eq!(text.partial().versions, [5]);
 }
 
 #[rstest]
-#[case::gap(event(3, "x", None), TextError::UnexpectedEventId)]
-#[case::repeat(event(1, "x", None), TextError::UnexpectedEventId)]
-#[case::too_old(event(2, "x", Some(2)), TextError::VersionTooOld)]
-#[case::mixed(event(2, "x", Some(4)), TextError::MixedVersions)]
-fn rejects_an_unexpected_event_and_stays_unchanged(#[case] wrong: StreamEvent, #[case] error: TextError) {
-    let mut text = Text::default();
+#[case::gap(event(3, "x", None), AppendError::UnexpectedEventId)]
+#[case::repeat(event(1, "x", None), AppendError::UnexpectedEventId)]
+#[case::too_old(event(2, "x", Some(2)), AppendError::VersionTooOld)]
+#[case::mixed(event(2, "x", Some(4)), AppendError::MixedVersions)]
+fn rejects_an_unexpected_event_and_stays_unchanged(#[case] wrong: StreamEvent, #[case] error: AppendError) {
+    let mut text = GeneratedText::default();
     text.start_attempt(Some(3));
     text.append(&event(1, "a", None), SINGLE).unwrap();
     let before = text.clone();
@@ -60,12 +60,12 @@
 fn resumes_a_stored_text_only_if_its_versions_are_allowed(
     #[case] stored: PartialText, #[case] requirement: VersionRequirement, #[case] last: u64,
 ) {
-    assert_eq!(Text::from_partial(stored, requirement).last_event(), last);
+    assert_eq!(GeneratedText::from_partial(stored, requirement).last_event(), last);
 }
 
 #[test]
 fn resumes_a_single_version_text_only_under_its_version() {
-    let text = Text::from_partial(partial(1, "a", &[3]), SINGLE);
+    let text = GeneratedText::from_partial(partial(1, "a", &[3]), SINGLE);
     assert!(text.can_resume_under(Some(3), SINGLE));
     assert!(!text.can_resume_under(Some(4), SINGLE));
     assert!(text.can_resume_under(Some(4), ANY));
