--- a/crates/pebblepost-batch-runner/src/capacity.rs
+++ b/crates/pebblepost-batch-runner/src/capacity.rs
@@ -17,7 +17,7 @@
 const MIN_TEXT_LIMIT: u32 = 4;
 /// Limit of all items in flight, including those whose complete text awaits its score, as a multiple of the limit of
 /// texts.
-const ITEM_LIMIT_PER_TEXT_LIMIT: u32 = 4;
+const ITEM_LIMIT_MULTIPLIER: u32 = 4;
 /// How long a computed limit is cached, unless the feed changes.
 const LIMIT_CACHE_TTL: Duration = Duration::from_secs(1);
 
@@ -83,7 +83,7 @@
     pub(crate) fn available(&self, text_limit: u32) -> u32 {
         let texts = text_limit.saturating_sub(self.texts_in_flight.get());
         let items =
-            text_limit.saturating_mul(ITEM_LIMIT_PER_TEXT_LIMIT).saturating_sub(self.items_in_flight.get());
+            text_limit.saturating_mul(ITEM_LIMIT_MULTIPLIER).saturating_sub(self.items_in_flight.get());
         texts.min(items)
     }
 
--- a/crates/pebblepost-batch-runner/src/lease_table.rs
+++ b/crates/pebblepost-batch-runner/src/lease_table.rs
@@ -18,8 +18,8 @@
 pub const RENEWAL_OVERDUE_AFTER: Duration = Duration::from_millis(2 * RENEW_MS);
 /// A lease that has been expired for this long is abandoned, because its items have been leased to other proxies.
 pub const ABANDON_AFTER: Duration = Duration::from_secs(10);
-/// How long a cancelled job is remembered, so that a lease sent before the store processed the cancellation is not
-/// executed.
+/// How long a cancelled job is remembered, so that a lease that was in transit when the
+/// cancellation arrived is not executed.
 const CANCELLED_JOB_RETENTION: Duration = Duration::from_secs(30);
 
 /// Identifies a lease within this process.
--- a/crates/pebblepost-batch-runner/src/lib.rs
+++ b/crates/pebblepost-batch-runner/src/lib.rs
@@ -15,7 +15,7 @@
 //! stored by the stores, and the feed's state belongs to the proxy. The crate never changes a configuration and
 //! never grants a lease.
 //!
-//! All tasks run on a current-thread `tokio` runtime (`spawn_local`), so no type in this crate is `Send`.
+//! All tasks run on a current-thread `tokio` runtime (`spawn_local`), so the shared state and the futures are not `Send`.
 
 mod capacity;
 mod change_signal;
--- a/crates/pebblepost-batch-runner/src/placement/choice.rs
+++ b/crates/pebblepost-batch-runner/src/placement/choice.rs
@@ -1,9 +1,10 @@
 //! Placement rule: which of the probed transcribers takes a group of items, and how many of the items.
 //!
 //! One random transcriber is probed first. If its outstanding requests are fewer than its slots less one, and its
-//! free slots hold the whole group, the group goes there. Otherwise further random transcribers are probed, up to
-//! [`MAX_PROBES`] in total, and the group goes to the one with the fewest outstanding requests of all probed. Ties
-//! are broken at random. The group is split if that transcriber lacks capacity for all of it.
+//! free slots hold the whole group, the group goes there. Otherwise further random transcribers are probed until
+//! one meets this condition, up to [`MAX_PROBES`] in total. If none does, the group goes to the one with the fewest
+//! outstanding requests of all probed, with ties broken at random, and is split if that transcriber lacks capacity
+//! for all of it.
 //!
 //! # Differences from the rule in `pebblepost-dispatch`
 //!
--- a/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
@@ -1,8 +1,9 @@
-//! Digests of decisions, of a whole seeded run and of the messages that it sends, against approved values.
+//! Compares digests of decisions and of whole seeded runs, and the messages and responses of a runner, with
+//! approved values.
 
 use crate::support::{
-    END, FakeStore, Reply, RunnerUnderTest, SeenRequest, StoreEnd, Transcribers, events, lease, leased,
-    plain, report, request, run, run_within, stream_head,
+    FakeStore, LAST_CHUNK, Reply, RunnerUnderTest, SeenRequest, StoreEnd, Transcribers, empty_response,
+    events, lease, leased, load_report, request, run, run_within, stream_head,
 };
 use nanoserde::SerBin;
 use pebblepost_batch_runner::BatchRunner;
@@ -29,15 +30,16 @@
 #[rstest]
 #[case::one(1, 0xbee6_f0ff_0fb7_f70f)]
 #[case::large(0x9e37_79b9_7f4a_7c15, 0x0909_31cd_6554_f78e)]
-fn draws_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
+fn random_numbers_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
     let mut digest = Fnv1a::default();
     let elements: Vec<u64> = (0..17).collect();
     for round in 0..500 {
         digest.number(random.below(round + 1));
         digest.number(*random.pick(&elements).unwrap());
-        let pause = random.duration_between(Duration::from_millis(round), Duration::from_millis(2 * round));
-        digest.number(u64::try_from(pause.as_nanos()).unwrap());
+        let duration =
+            random.duration_between(Duration::from_millis(round), Duration::from_millis(2 * round));
+        digest.number(u64::try_from(duration.as_nanos()).unwrap());
     }
     assert!(random.pick::<u64>(&[]).is_none());
     digest.number(random.below(u64::MAX));
@@ -47,7 +49,7 @@
 #[rstest]
 #[case::one(1, 0xc532_112e_c497_2e28)]
 #[case::large(0x9e37_79b9_7f4a_7c15, 0x9f4d_7670_8fbf_3c4b)]
-fn choices_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
+fn placement_choices_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
     let mut digest = Fnv1a::default();
     for _ in 0..5000 {
@@ -88,13 +90,15 @@
     for transcribers in [1, 4, 7, 40, 57, 600] {
         for proxies in [0, 1, 3, 40, 300] {
             let first = SubsetSize::new(transcribers, proxies);
-            for full in [0, 2, 3, 7, 20, 21, 22, 400, u32::MAX] {
-                let size = first.widened_after(full);
+            for full_rounds in [0, 2, 3, 7, 20, 21, 22, 400, u32::MAX] {
+                let size = first.widened_after(full_rounds);
                 for serving in [0, 1, transcribers / 2, transcribers] {
-                    let wide = size.scaled_to_serving(transcribers, serving);
+                    let scaled = size.scaled_to_serving(transcribers, serving);
                     let mut retained: Vec<usize> = (0..transcribers).collect();
-                    let local = subset::retain_subset(&mut retained, wide, |index| *index < transcribers / 3);
-                    for number in [size.local, size.total, wide.local, wide.total, local, retained.len()] {
+                    let local =
+                        subset::retain_subset(&mut retained, scaled, |index| *index < transcribers / 3);
+                    for number in [size.local, size.total, scaled.local, scaled.total, local, retained.len()]
+                    {
                         digest.number(u64::try_from(number).unwrap());
                     }
                     retained.iter().for_each(|index| digest.number(u64::try_from(*index).unwrap()));
@@ -113,7 +117,7 @@
 #[rstest]
 #[case::one(1, 0xcd7c_7a90_3113_d84e)]
 #[case::large(0x9e37_79b9_7f4a_7c15, 0x7845_58da_b80d_84c6)]
-fn loads_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
+fn load_table_matches_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
     let start = Instant::now() + 4 * REPORT_LAG;
     let (mut now, mut loads, mut digest) = (start, LoadTable::default(), Fnv1a::default());
@@ -169,7 +173,7 @@
     assert_eq!(digest.finish(), approved, "{:#x}", digest.finish());
 }
 
-fn work_of(random: &Random, number: u64) -> WorkLease {
+fn random_lease(random: &Random, number: u64) -> WorkLease {
     let leased = |id: u64| LeasedItem {
         item: Item { id: format!("item-{id}"), ..Item::default() },
         ..LeasedItem::default()
@@ -185,7 +189,7 @@
     }
 }
 
-fn progress_of(random: &Random) -> ItemProgress {
+fn random_progress(random: &Random) -> ItemProgress {
     let last_event = random.below(5);
     let message = vec![b'x'; usize::try_from(last_event).unwrap()];
     let partial = PartialText { last_event, message, versions: vec![3] };
@@ -200,7 +204,7 @@
 #[rstest]
 #[case::one(1, 0x60b4_f4ff_e343_e56a)]
 #[case::large(0x9e37_79b9_7f4a_7c15, 0xfa39_a193_ab7e_79f9)]
-fn leases_match_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
+fn lease_table_matches_the_approved_digest(#[case] seed: u64, #[case] approved: u64) {
     let random = Random::seeded(seed);
     let (mut now, mut table, mut digest) = (Instant::now(), LeaseTable::default(), Fnv1a::default());
     let mut keys = Vec::new();
@@ -208,8 +212,8 @@
         now += Duration::from_millis(random.below(400));
         match random.below(8) {
             0..=2 => {
-                let lease = work_of(&random, number);
-                let progress = lease.items.iter().map(|_| progress_of(&random)).collect();
+                let lease = random_lease(&random, number);
+                let progress = lease.items.iter().map(|_| random_progress(&random)).collect();
                 match table.add(&lease, progress, now) {
                     None => digest.number(u64::MAX),
                     Some(key) => keys.push((key, lease)),
@@ -260,7 +264,7 @@
 #[rstest]
 #[case::single(true, 0x7cdb_1dc4_83d4_31df)]
 #[case::any(false, 0x7987_b3fd_d075_18ee)]
-fn texts_match_the_approved_digest(#[case] single_version: bool, #[case] approved: u64) {
+fn generated_texts_match_the_approved_digest(#[case] single_version: bool, #[case] approved: u64) {
     let random = Random::seeded(11);
     let terms = VersionRequirement { min_version: 2, single_version };
     let (mut text, mut digest) = (GeneratedText::default(), Fnv1a::default());
@@ -288,7 +292,7 @@
     assert_eq!(digest.finish(), approved, "{:#x}", digest.finish());
 }
 
-const TWO_SERVICES: &str = r#"{"generation":8,"routes":[
+const WEIGHTED_ROUTE_CONFIGURATION: &str = r#"{"generation":8,"routes":[
  {"name":"r-lots","hostname":"h.example","path_prefix":"/lot/","kind":"rollout","timeout_ms":6000,
   "target_latency_ms":500,"priority":1,"max_attempts":2,"queue_ttl_s":40.0,"run_deadline_ms":4500,
   "single_version":false,
@@ -299,9 +303,9 @@
   {"name":"others","health_path":"/healthz","max_conns":150},
   {"name":"scorers","health_path":"/healthz","max_conns":96}]}"#;
 
-/// Advances the paused clock by a millisecond in about each real one, and never in a leap: what a test waits for
-/// arrives over real sockets.
-fn pass_time() {
+/// Pauses the runtime's clock and advances it by 1 ms about every real millisecond. The clock must not jump ahead,
+/// because the responses that a test waits for arrive over real sockets.
+fn advance_clock_in_real_time() {
     tokio::time::pause();
     tokio::task::spawn_local(async {
         loop {
@@ -314,37 +318,38 @@
     });
 }
 
-/// A transcriber of a seeded run: its reports and responses follow from its number and the item.
-fn transcriber(index: u32, calls: Rc<Cell<u32>>) -> impl FnMut(&SeenRequest) -> Reply + 'static {
+/// Returns the handler of a transcriber in a seeded run. Its reports and responses are determined by its index, by
+/// the number of its earlier reports and by the item.
+fn scripted_transcriber(index: u32, reports: Rc<Cell<u32>>) -> impl FnMut(&SeenRequest) -> Reply + 'static {
     let mut scored = 0;
     move |seen| {
         if seen.text.starts_with("GET /report") {
-            calls.set(calls.get() + 1);
-            return Reply::Write(report(1, (index * 5 + calls.get()) % 11));
+            reports.set(reports.get() + 1);
+            return Reply::Write(load_report(1, (index * 5 + reports.get()) % 11));
         }
         let id = seen.header("request-id").unwrap().to_owned();
         scored += u32::from(id.starts_with("s-"));
         if id.starts_with("s-") && scored % 3 == 0 {
-            return Reply::Write(plain(503, &id, "not-executed: 1\r\n"));
+            return Reply::Write(empty_response(503, &id, "not-executed: 1\r\n"));
         }
         if id.starts_with("s-") {
-            return Reply::Write(plain(200, &id, "response-seal: seal\r\n"));
+            return Reply::Write(empty_response(200, &id, "response-seal: seal\r\n"));
         }
         let last: u64 = seen.header("last-event-id").map_or(0, |last| last.parse().unwrap());
-        match (id.len() as u32 + calls.get()) % 7 {
-            0 => Reply::Write(plain(503, &id, "not-executed: 1\r\n")),
-            1 => Reply::Write(plain(421, &id, "")),
+        match (id.len() as u32 + reports.get()) % 7 {
+            0 => Reply::Write(empty_response(503, &id, "not-executed: 1\r\n")),
+            1 => Reply::Write(empty_response(421, &id, "")),
             2 if last == 0 => Reply::WriteAndClose([stream_head(&id, 1), events(1, 2)].concat()),
-            _ => Reply::Write([stream_head(&id, 1), events(last + 1, 3), END.to_vec()].concat()),
+            _ => Reply::Write([stream_head(&id, 1), events(last + 1, 3), LAST_CHUNK.to_vec()].concat()),
         }
     }
 }
 
-/// A run of single items, each of which ends before the next starts: requests and messages in their order.
+/// Runs single items, each of which ends before the next starts, and returns all requests and outcomes in order.
 async fn transcript(random: Random) -> Vec<String> {
     let (transcribers, _) = Transcribers::recording_reports();
     let mut store = FakeStore::start();
-    let under_test = RunnerUnderTest::start_with(TWO_SERVICES, random);
+    let under_test = RunnerUnderTest::start_with(WEIGHTED_ROUTE_CONFIGURATION, random);
     under_test.set_primary(store.address, 1);
     let (mut end, _) = store.accept().await;
     for index in 0..14_u32 {
@@ -356,17 +361,17 @@
         } else {
             "models"
         };
-        let address = transcribers.start(&id, transcriber(index, Rc::default())).await;
+        let address = transcribers.start(&id, scripted_transcriber(index, Rc::default())).await;
         let zone = if index % 2 == 0 { "z" } else { "y" };
         under_test.announce_in(zone, &id, backend, address, InstanceState::Ready, 1);
     }
-    pass_time();
+    advance_clock_in_real_time();
     let mut lines = Vec::new();
     for round in 0..40_usize {
         tokio::time::advance(Duration::from_millis(1100)).await;
         end.sender.send(&FromStore::WorkAvailable);
         let name = format!("a{}", "x".repeat(round % 9));
-        end.give(vec![lease(vec![leased(&name, round % 3 == 0)], false)]).await;
+        end.grant_work(vec![lease(vec![leased(&name, round % 3 == 0)], false)]).await;
         let outcomes = end.outcomes().await;
         for seen in transcribers.seen.borrow_mut().drain(..) {
             let is_port = |line: &&str| line.starts_with("host: 127.0.0.1:");
@@ -391,28 +396,28 @@
     });
 }
 
-/// Each message that a runner sends to a store, by its bytes.
+/// Compares the bytes of each kind of message that a runner sends to a store.
 #[test]
 fn sent_messages_match_the_approved_bytes() {
     run(async {
         let (transcribers, _) = Transcribers::new();
         let (under_test, mut store) = (RunnerUnderTest::start(false), FakeStore::start());
         under_test.set_primary(store.address, 3);
-        let (mut end, holding) = store.accept().await;
-        let mut sent = vec![holding];
-        let models = transcribers.start("i-1", transcriber(0, Rc::default())).await;
-        under_test.ready("i-1", "models", models);
-        sent.push(first(&mut end, |message| matches!(message, ToStore::RequestWork { .. })).await);
+        let (mut end, announced) = store.accept().await;
+        let mut sent = vec![announced];
+        let models = transcribers.start("i-1", scripted_transcriber(0, Rc::default())).await;
+        under_test.announce_ready("i-1", "models", models);
+        sent.push(next_matching(&mut end, |message| matches!(message, ToStore::RequestWork { .. })).await);
         sent.push(submit(&under_test, &mut end).await);
         for (method, path) in
             [("GET", "/lots/job?start_after=12"), ("DELETE", "/lots/job"), ("GET", "/items/job?id=e%205")]
         {
             let request = request(method, path, &[("wait-ms", "0")], "");
-            let asked = tokio::select! {
-                _ = under_test.runner.answer(None, request) => panic!("answered by nobody"),
-                asked = first(&mut end, is_call) => asked,
+            let call = tokio::select! {
+                _ = under_test.runner.answer(None, request) => panic!("answered without a reply of the store"),
+                call = next_matching(&mut end, is_call) => call,
             };
-            sent.push(asked);
+            sent.push(call);
         }
         let lines: Vec<String> = sent
             .iter()
@@ -430,7 +435,7 @@
     )
 }
 
-async fn first(end: &mut StoreEnd, wanted: impl Fn(&ToStore) -> bool) -> ToStore {
+async fn next_matching(end: &mut StoreEnd, wanted: impl Fn(&ToStore) -> bool) -> ToStore {
     loop {
         let message = end.next().await;
         if wanted(&message) {
@@ -447,8 +452,8 @@
     let route = configuration.route("h.example", "/lot/1");
     let request = request("POST", "/lot/1", &[("request-id", "job")], JOB);
     tokio::select! {
-        _ = under_test.runner.answer(route, request) => panic!("answered by nobody"),
-        asked = first(end, is_call) => asked,
+        _ = under_test.runner.answer(route, request) => panic!("answered without a reply of the store"),
+        call = next_matching(end, is_call) => call,
     }
 }
 
@@ -492,7 +497,7 @@
     });
 }
 
-/// The names of the counters in the operator's output.
+/// Checks the names under which the counters are printed for operators.
 #[test]
 fn metrics_have_the_approved_names() {
     run(async {
@@ -502,14 +507,14 @@
         let (mut end, _) = store.accept().await;
         assert_eq!(under_test.runner.metrics().to_string(), "");
         let answer = |seen: &SeenRequest| match seen.text.starts_with("GET /report") {
-            true => Reply::Write(report(1, 0)),
-            false => Reply::Write(plain(422, seen.header("request-id").unwrap(), "")),
+            true => Reply::Write(load_report(1, 0)),
+            false => Reply::Write(empty_response(422, seen.header("request-id").unwrap(), "")),
         };
         let models = transcribers.start("i-1", answer).await;
-        under_test.ready("i-1", "models", models);
-        end.give(vec![lease(vec![leased("a", false)], false)]).await;
+        under_test.announce_ready("i-1", "models", models);
+        end.grant_work(vec![lease(vec![leased("a", false)], false)]).await;
         let ToStore::Outcomes { outcomes, .. } = end.outcomes().await else { panic!("no outcomes") };
-        let ItemOutcome::Finished(result) = &outcomes[0] else { panic!("handed back") };
+        let ItemOutcome::Finished(result) = &outcomes[0] else { panic!("item was not finished") };
         assert_eq!(result.state, ResultState::DeadLetter);
         assert_eq!(under_test.runner.metrics().to_string(), "groups_whole=1 runs=1");
     });
--- a/crates/pebblepost-batch-runner/tests/batch_runner/execution.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/execution.rs
@@ -1,8 +1,8 @@
-//! Execution of leased items, with a fake store and fake transcribers.
+//! Tests of the execution of leased items, with a fake store and fake transcribers.
 
 use crate::support::{
-    END, FakeStore, Reply, RunnerUnderTest, SeenRequest, StoreEnd, Transcribers, event_with_version, events,
-    lease, leased, plain, report, report_with_order, run, stream_head,
+    FakeStore, LAST_CHUNK, Reply, RunnerUnderTest, SeenRequest, StoreEnd, Transcribers, empty_response,
+    event_with_version, events, lease, leased, load_report, load_report_with_order, run, stream_head,
 };
 use pebblepost_messages::batch::{
     ActiveLease, FromStore, ItemOutcome, ItemResult, PartialText, ResultState, ToStore,
@@ -13,12 +13,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A handler that reports, and answers everything else by `answer`.
+/// Returns a handler that reports version 1 and a load of 0, and answers all other requests with `answer`.
 fn reporting(
     mut answer: impl FnMut(&SeenRequest) -> Reply + 'static,
 ) -> impl FnMut(&SeenRequest) -> Reply + 'static {
     move |seen| match seen.text.starts_with("GET /report") {
-        true => Reply::Write(report(1, 0)),
+        true => Reply::Write(load_report(1, 0)),
         false => answer(seen),
     }
 }
@@ -27,15 +27,15 @@
     seen.header("request-id").unwrap().to_owned()
 }
 
-/// A complete text of three events.
+/// Answers with a complete text of three events.
 fn complete_text(seen: &SeenRequest) -> Reply {
-    Reply::Write([stream_head(&id(seen), 1), events(1, 3), END.to_vec()].concat())
+    Reply::Write([stream_head(&id(seen), 1), events(1, 3), LAST_CHUNK.to_vec()].concat())
 }
 
-/// The rest of a text of three events, after the last event that the request names.
+/// Answers with the events of a text of three that follow the last event stated in the request.
 fn remaining_events(seen: &SeenRequest) -> Reply {
     let last: u64 = seen.header("last-event-id").map_or(0, |last| last.parse().unwrap());
-    Reply::Write([stream_head(&id(seen), 1), events(last + 1, 3), END.to_vec()].concat())
+    Reply::Write([stream_head(&id(seen), 1), events(last + 1, 3), LAST_CHUNK.to_vec()].concat())
 }
 
 fn completed(id: &str, score: &str) -> ItemOutcome {
@@ -59,7 +59,7 @@
 fn outcomes(message: ToStore) -> Vec<ItemOutcome> {
     match message {
         ToStore::Outcomes { store_group: 0, job, lease: 5, outcomes } if job == "job" => outcomes,
-        other => panic!("no outcomes: {other:?}"),
+        other => panic!("not the expected outcomes: {other:?}"),
     }
 }
 
@@ -75,13 +75,14 @@
     run(async {
         let (transcribers, _) = Transcribers::new();
         let models = transcribers.start("i-1", reporting(complete_text)).await;
-        let score = |seen: &SeenRequest| Reply::Write(plain(200, &id(seen), "response-seal: seal\r\n"));
+        let score =
+            |seen: &SeenRequest| Reply::Write(empty_response(200, &id(seen), "response-seal: seal\r\n"));
         let scorers = transcribers.start("i-2", reporting(score)).await;
         let (under_test, _store, mut end) = start(true).await;
-        under_test.ready("i-1", "models", models);
-        under_test.ready("i-2", "scorers", scorers);
-        let requested = end.give(vec![lease(vec![leased("a", true)], true)]).await;
-        assert_eq!(requested, 10, "8 slots, and 15 in 100 more");
+        under_test.announce_ready("i-1", "models", models);
+        under_test.announce_ready("i-2", "scorers", scorers);
+        let requested = end.grant_work(vec![lease(vec![leased("a", true)], true)]).await;
+        assert_eq!(requested, 10, "115 % of 8 slots, rounded up");
         assert_eq!(outcomes(end.outcomes().await), [completed("a", "seal")]);
         let seen: Vec<String> = transcribers.seen.borrow().iter().map(|seen| seen.text.clone()).collect();
         let approved = [
@@ -94,16 +95,17 @@
     });
 }
 
-/// An order in progress changes the model where a newer version of it is named, and another model where not.
+/// A load order in progress may change the model if a newer version of it is named; otherwise it changes another
+/// model.
 #[rstest]
 #[case::of_another_model(1, "i-busy")]
 #[case::perhaps_of_this_model(2, "i-idle")]
-fn an_order_holds_back_texts_of_its_own_model_only(#[case] named: u64, #[case] expected: &str) {
+fn a_load_order_blocks_only_texts_of_its_own_model(#[case] named: u64, #[case] expected: &str) {
     let expected = expected.to_owned();
     run(async move {
         let (transcribers, _) = Transcribers::new();
         let during_order = |seen: &SeenRequest| match seen.text.starts_with("GET /report") {
-            true => Reply::Write(report_with_order(1, 0, true)),
+            true => Reply::Write(load_report_with_order(1, 0, true)),
             false => complete_text(seen),
         };
         let busy = transcribers.start("i-busy", during_order).await;
@@ -111,10 +113,10 @@
         let (under_test, _store, mut end) = start(false).await;
         let version = ModelVersion { model: "daka".to_owned(), generation: named };
         under_test.apply(FeedUpdate::NamedVersions(vec![version]));
-        // The one in the runner's own zone is probed first.
+        // The transcriber in the runner's own zone is probed first.
         under_test.announce_in("z", "i-busy", "models", busy, InstanceState::Ready, 1);
         under_test.announce_in("far", "i-idle", "models", idle, InstanceState::Ready, 1);
-        end.give(vec![lease(vec![leased("a", false)], false)]).await;
+        end.grant_work(vec![lease(vec![leased("a", false)], false)]).await;
         assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
         let attempts: Vec<String> =
             transcribers.seen.borrow().iter().map(|seen| seen.transcriber.clone()).collect();
@@ -126,18 +128,18 @@
 fn resumes_an_interrupted_text_after_its_last_event() {
     run(async {
         let (transcribers, _) = Transcribers::new();
-        let break_off =
+        let interrupt =
             |seen: &SeenRequest| Reply::WriteAndClose([stream_head(&id(seen), 1), events(1, 2)].concat());
-        let breaking = transcribers.start("i-1", reporting(break_off)).await;
+        let interrupting = transcribers.start("i-1", reporting(interrupt)).await;
         let (under_test, _store, mut end) = start(false).await;
-        under_test.ready("i-1", "models", breaking);
-        end.give(vec![lease(vec![leased("a", false)], false)]).await;
+        under_test.announce_ready("i-1", "models", interrupting);
+        end.grant_work(vec![lease(vec![leased("a", false)], false)]).await;
         while transcribers.seen.borrow().is_empty() {
             tokio::task::yield_now().await;
         }
         let other = transcribers.start("i-2", reporting(remaining_events)).await;
-        under_test.ready("i-2", "models", other);
-        under_test.announce("i-1", "models", breaking, InstanceState::Draining, 2);
+        under_test.announce_ready("i-2", "models", other);
+        under_test.announce("i-1", "models", interrupting, InstanceState::Draining, 2);
         assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
         let seen = transcribers.seen.borrow();
         let last = seen.last().unwrap();
@@ -152,10 +154,10 @@
         let (transcribers, _) = Transcribers::new();
         let models = transcribers.start("i-1", reporting(remaining_events)).await;
         let (under_test, _store, mut end) = start(true).await;
-        under_test.ready("i-1", "models", models);
+        under_test.announce_ready("i-1", "models", models);
         let mut item = leased("a", false);
         item.partial = PartialText { last_event: 2, message: b"d1\nd2".to_vec(), versions: vec![1] };
-        end.give(vec![lease(vec![item], true)]).await;
+        end.grant_work(vec![lease(vec![item], true)]).await;
         assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
         assert_eq!(transcribers.seen.borrow()[0].header("last-event-id"), Some("2"));
     });
@@ -177,8 +179,8 @@
         };
         let models = transcribers.start("i-1", reporting(answer)).await;
         let (under_test, _store, mut end) = start(true).await;
-        under_test.ready("i-1", "models", models);
-        end.give(vec![lease(vec![leased("a", false)], true)]).await;
+        under_test.announce_ready("i-1", "models", models);
+        end.grant_work(vec![lease(vec![leased("a", false)], true)]).await;
         assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
         assert_eq!(transcribers.seen.borrow().len(), 2);
         assert_eq!(transcribers.seen.borrow()[1].header("last-event-id"), None);
@@ -191,12 +193,12 @@
         let (transcribers, _) = Transcribers::new();
         let answer = |seen: &SeenRequest| {
             let parts = [stream_head(&id(seen), 1), events(1, 1), event_with_version(2, 2), events(3, 3)];
-            Reply::Write([parts.concat(), END.to_vec()].concat())
+            Reply::Write([parts.concat(), LAST_CHUNK.to_vec()].concat())
         };
         let models = transcribers.start("i-1", reporting(answer)).await;
         let (under_test, _store, mut end) = start(false).await;
-        under_test.ready("i-1", "models", models);
-        end.give(vec![lease(vec![leased("a", false)], false)]).await;
+        under_test.announce_ready("i-1", "models", models);
+        end.grant_work(vec![lease(vec![leased("a", false)], false)]).await;
         let ItemOutcome::Finished(result) = outcomes(end.outcomes().await).remove(0) else { panic!() };
         assert_eq!((result.message, result.versions), (b"d1\nd2\nd3".to_vec(), vec![1, 2]));
     });
@@ -204,22 +206,22 @@
 
 #[rstest]
 #[case::failed(500, 2)]
-#[case::impossible(422, 1)]
+#[case::unprocessable(422, 1)]
 fn an_item_becomes_a_dead_letter(#[case] status: u16, #[case] attempts: usize) {
     run(async move {
         let (transcribers, _) = Transcribers::new();
-        let answer = move |seen: &SeenRequest| Reply::Write(plain(status, &id(seen), ""));
+        let answer = move |seen: &SeenRequest| Reply::Write(empty_response(status, &id(seen), ""));
         let models = transcribers.start("i-1", reporting(answer)).await;
         let (under_test, _store, mut end) = start(true).await;
-        under_test.ready("i-1", "models", models);
-        end.give(vec![lease(vec![leased("a", false)], true)]).await;
+        under_test.announce_ready("i-1", "models", models);
+        end.grant_work(vec![lease(vec![leased("a", false)], true)]).await;
         assert_eq!(outcomes(end.outcomes().await), [dead_letter("a")]);
         assert_eq!(transcribers.seen.borrow().len(), attempts);
     });
 }
 
 #[rstest]
-#[case::version_moved(421, "")]
+#[case::version_mismatch(421, "")]
 #[case::full(503, "not-executed: 1\r\n")]
 fn retries_a_rejected_attempt(#[case] status: u16, #[case] header: &'static str) {
     run(async move {
@@ -227,42 +229,47 @@
         let mut attempts = 0;
         let answer = move |seen: &SeenRequest| {
             attempts += 1;
-            if attempts <= 3 { Reply::Write(plain(status, &id(seen), header)) } else { complete_text(seen) }
+            if attempts <= 3 {
+                Reply::Write(empty_response(status, &id(seen), header))
+            } else {
+                complete_text(seen)
+            }
         };
         let models = transcribers.start("i-1", reporting(answer)).await;
         let (under_test, _store, mut end) = start(true).await;
-        under_test.ready("i-1", "models", models);
-        end.give(vec![lease(vec![leased("a", false)], true)]).await;
+        under_test.announce_ready("i-1", "models", models);
+        end.grant_work(vec![lease(vec![leased("a", false)], true)]).await;
         assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
     });
 }
 
 #[test]
-fn a_scorer_that_fails_too_often_makes_a_dead_letter() {
+fn an_item_whose_scorer_calls_fail_becomes_a_dead_letter() {
     run(async {
         let (transcribers, _) = Transcribers::new();
         let models = transcribers.start("i-1", reporting(complete_text)).await;
-        let scorers =
-            transcribers.start("i-2", reporting(|seen| Reply::Write(plain(500, &id(seen), "")))).await;
+        let scorers = transcribers
+            .start("i-2", reporting(|seen| Reply::Write(empty_response(500, &id(seen), ""))))
+            .await;
         let (under_test, _store, mut end) = start(true).await;
-        under_test.ready("i-1", "models", models);
-        under_test.ready("i-2", "scorers", scorers);
-        end.give(vec![lease(vec![leased("a", true)], true)]).await;
+        under_test.announce_ready("i-1", "models", models);
+        under_test.announce_ready("i-2", "scorers", scorers);
+        end.grant_work(vec![lease(vec![leased("a", true)], true)]).await;
         assert_eq!(outcomes(end.outcomes().await), [dead_letter("a")]);
-        assert_eq!(transcribers.seen.borrow().len(), 3, "the text, and two calls");
+        assert_eq!(transcribers.seen.borrow().len(), 3, "one attempt at the text and two scorer calls");
     });
 }
 
 #[test]
-fn a_cancel_aborts_the_attempts_of_its_job() {
+fn a_cancellation_aborts_the_attempts_of_its_job() {
     run(async {
         let (transcribers, mut closed) = Transcribers::new();
         let answer =
             |seen: &SeenRequest| Reply::WriteAndHang([stream_head(&id(seen), 1), events(1, 1)].concat());
         let models = transcribers.start("i-1", reporting(answer)).await;
         let (under_test, _store, mut end) = start(true).await;
-        under_test.ready("i-1", "models", models);
-        end.give(vec![lease(vec![leased("a", false), leased("b", false)], true)]).await;
+        under_test.announce_ready("i-1", "models", models);
+        end.grant_work(vec![lease(vec![leased("a", false), leased("b", false)], true)]).await;
         while transcribers.seen.borrow().len() < 2 {
             tokio::task::yield_now().await;
         }
@@ -270,15 +277,15 @@
         closed.recv().await.unwrap();
         closed.recv().await.unwrap();
         end.sender.send(&FromStore::WorkAvailable);
-        end.give(vec![lease(vec![leased("c", false)], true)]).await;
+        end.grant_work(vec![lease(vec![leased("c", false)], true)]).await;
         end.sender.send(&FromStore::WorkAvailable);
-        end.give(Vec::new()).await;
-        assert_eq!(transcribers.seen.borrow().len(), 2, "work that crossed the cancel is not started");
+        end.grant_work(Vec::new()).await;
+        assert_eq!(transcribers.seen.borrow().len(), 2, "work in transit at the cancellation is not started");
     });
 }
 
 #[test]
-fn a_lost_link_has_leases_announced_and_outcomes_resent() {
+fn a_new_link_gets_active_leases_announced_and_outcomes_resent() {
     run(async {
         let (transcribers, _) = Transcribers::new();
         let answer = |seen: &SeenRequest| match id(seen).as_str() {
@@ -287,8 +294,8 @@
         };
         let models = transcribers.start("i-1", reporting(answer)).await;
         let (under_test, mut store, mut end) = start(true).await;
-        under_test.ready("i-1", "models", models);
-        end.give(vec![lease(vec![leased("a", false), leased("b", false)], true)]).await;
+        under_test.announce_ready("i-1", "models", models);
+        end.grant_work(vec![lease(vec![leased("a", false), leased("b", false)], true)]).await;
         assert_eq!(outcomes(end.outcomes().await), [completed("a", "")]);
         end.sender.close();
         let (mut end, announced) = store.accept().await;
@@ -299,21 +306,21 @@
 }
 
 #[test]
-fn sends_nothing_of_an_expired_lease_until_it_is_renewed() {
+fn sends_nothing_under_an_expired_lease_until_it_is_renewed() {
     run(async {
         let (transcribers, _) = Transcribers::new();
         let full = |seen: &SeenRequest| match seen.text.starts_with("GET /report") {
-            true => Reply::Write(report(1, 16)),
+            true => Reply::Write(load_report(1, 16)),
             false => complete_text(seen),
         };
         let full = transcribers.start("i-0", full).await;
         let models = transcribers.start("i-1", reporting(complete_text)).await;
         let (under_test, _store, mut end) = start(true).await;
-        under_test.ready("i-0", "models", full);
-        end.give(vec![lease(vec![leased("a", false)], true)]).await;
+        under_test.announce_ready("i-0", "models", full);
+        end.grant_work(vec![lease(vec![leased("a", false)], true)]).await;
         tokio::time::pause();
         end.keep_alive(4).await;
-        under_test.ready("i-1", "models", models);
+        under_test.announce_ready("i-1", "models", models);
         end.keep_alive(1).await;
         assert!(transcribers.seen.borrow().is_empty());
         end.sender.send(&FromStore::Renew { groups: vec![(0, 1)] });
@@ -328,11 +335,11 @@
         let draining = transcribers.start("i-1", reporting(complete_text)).await;
         let models = transcribers.start("i-2", reporting(complete_text)).await;
         let (under_test, _store, mut end) = start(true).await;
-        under_test.ready("i-1", "models", draining);
-        under_test.ready("i-2", "models", models);
+        under_test.announce_ready("i-1", "models", draining);
+        under_test.announce_ready("i-2", "models", models);
         under_test.announce("i-1", "models", draining, InstanceState::Draining, 2);
         let items = (0..6).map(|index| leased(&format!("a{index}"), false)).collect();
-        end.give(vec![lease(items, true)]).await;
+        end.grant_work(vec![lease(items, true)]).await;
         let mut finished = 0;
         while finished < 6 {
             finished += outcomes(end.outcomes().await).len();
@@ -347,10 +354,10 @@
         let (under_test, _store, mut end) = start(true).await;
         let (transcribers, _) = Transcribers::new();
         let models = transcribers.start("i-1", reporting(complete_text)).await;
-        under_test.ready("i-1", "models", models);
+        under_test.announce_ready("i-1", "models", models);
         let mut item = leased("a", false);
         item.item.path = "/gone/3".to_owned();
-        end.give(vec![lease(vec![item], true)]).await;
+        end.grant_work(vec![lease(vec![item], true)]).await;
         tokio::time::pause();
         let returned = ItemOutcome::Returned {
             id: "a".to_owned(),
@@ -371,8 +378,8 @@
             |seen: &SeenRequest| Reply::WriteAndHang([stream_head(&id(seen), 1), events(1, 2)].concat());
         let models = transcribers.start("i-1", reporting(answer)).await;
         let (under_test, _store, mut end) = start(true).await;
-        under_test.ready("i-1", "models", models);
-        end.give(vec![lease(vec![leased("a", false)], true)]).await;
+        under_test.announce_ready("i-1", "models", models);
+        end.grant_work(vec![lease(vec![leased("a", false)], true)]).await;
         while transcribers.seen.borrow().is_empty() {
             tokio::task::yield_now().await;
         }
@@ -392,11 +399,11 @@
 #[test]
 fn requests_no_work_without_capacity() {
     run(async {
-        let (_bench, _store, mut end) = start(true).await;
+        let (_under_test, _store, mut end) = start(true).await;
         end.sender.send(&FromStore::WorkAvailable);
         end.sender.send(&FromStore::Cancel { jobs: Vec::new() });
-        // Without a transcriber there is no capacity: the next message is the keep-alive's announcement,
-        // or nothing at all until the link is closed.
+        // Without a transcriber there is no capacity: until the link is closed the runner sends at most an
+        // announcement of leases, after a keep-alive.
         end.sender.close();
         let messages = end.remaining_messages().await;
         assert!(!messages.iter().any(|message| matches!(message, ToStore::RequestWork { .. })));
@@ -404,33 +411,33 @@
 }
 
 #[test]
-fn prefers_the_own_zone_until_it_is_full() {
+fn prefers_its_own_zone_until_it_is_full() {
     run(async {
         let (transcribers, _) = Transcribers::new();
         let near = transcribers.start("near", reporting(complete_text)).await;
         let (under_test, _store, mut end) = start(true).await;
-        under_test.ready("near", "models", near);
+        under_test.announce_ready("near", "models", near);
         for far in ["far-1", "far-2", "far-3"] {
             let address = transcribers.start(far, reporting(complete_text)).await;
             under_test.announce_in("y", far, "models", address, InstanceState::Ready, 1);
         }
         let items = |name: &str, count| (0..count).map(|n| leased(&format!("{name}{n}"), false)).collect();
-        end.give(vec![lease(items("a", 4), true)]).await;
+        end.grant_work(vec![lease(items("a", 4), true)]).await;
         let mut finished = 0;
         while finished < 4 {
             finished += outcomes(end.outcomes().await).len();
         }
         assert!(transcribers.seen.borrow().iter().all(|seen| seen.transcriber == "near"));
         let full = |seen: &SeenRequest| match seen.text.starts_with("GET /report") {
-            true => Reply::Write(report(1, 8)),
+            true => Reply::Write(load_report(1, 8)),
             false => complete_text(seen),
         };
         let full = transcribers.start("full", full).await;
         under_test.announce("near", "models", near, InstanceState::Terminated, 2);
-        under_test.ready("full", "models", full);
+        under_test.announce_ready("full", "models", full);
         transcribers.seen.borrow_mut().clear();
         end.sender.send(&FromStore::WorkAvailable);
-        end.give(vec![lease(items("b", 4), true)]).await;
+        end.grant_work(vec![lease(items("b", 4), true)]).await;
         finished = 0;
         while finished < 4 {
             finished += outcomes(end.outcomes().await).len();
@@ -449,17 +456,17 @@
         let scorers = move |seen: &SeenRequest| {
             if seen.text.starts_with("GET /report") {
                 counter.set(counter.get() + 1);
-                return Reply::Write(plain(400, "", "not-executed: 1\r\n"));
+                return Reply::Write(empty_response(400, "", "not-executed: 1\r\n"));
             }
-            Reply::Write(plain(200, &id(seen), "response-seal: seal\r\n"))
+            Reply::Write(empty_response(200, &id(seen), "response-seal: seal\r\n"))
         };
         let scorers = transcribers.start("i-2", scorers).await;
         let (under_test, _store, mut end) = start(true).await;
-        under_test.ready("i-1", "models", models);
-        under_test.ready("i-2", "scorers", scorers);
+        under_test.announce_ready("i-1", "models", models);
+        under_test.announce_ready("i-2", "scorers", scorers);
         for name in ["a", "b", "c"] {
             end.sender.send(&FromStore::WorkAvailable);
-            end.give(vec![lease(vec![leased(name, true)], true)]).await;
+            end.grant_work(vec![lease(vec![leased(name, true)], true)]).await;
             assert_eq!(outcomes(end.outcomes().await), [completed(name, "seal")]);
         }
         assert_eq!(probes.get(), 1);
--- a/crates/pebblepost-batch-runner/tests/batch_runner/job_api.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/job_api.rs
@@ -1,4 +1,4 @@
-//! Calls of batch jobs, with fake stores.
+//! Tests of the HTTP calls of batch jobs, with fake stores.
 
 use crate::support::{FakeStore, RunnerUnderTest, StoreEnd, request, run};
 use pebblepost_messages::batch::{
@@ -29,7 +29,7 @@
     (answer.status().as_u16(), retry, body)
 }
 
-/// Next call of a client; requests for work are passed over.
+/// Returns the next call. Requests for work and announcements of leases are ignored.
 async fn next_call(end: &mut StoreEnd) -> ToStore {
     loop {
         let message = end.next().await;
@@ -39,27 +39,27 @@
     }
 }
 
-fn number(message: &ToStore) -> u64 {
+fn call_number(message: &ToStore) -> u64 {
     match message {
         ToStore::Submit { call, .. }
         | ToStore::Read { call, .. }
         | ToStore::ItemBody { call, .. }
         | ToStore::End { call, .. } => *call,
-        other => panic!("no call: {other:?}"),
+        other => panic!("not a call: {other:?}"),
     }
 }
 
-/// Answers the next submission.
+/// Answers the next submission and returns its job.
 async fn answer_submit(end: &mut StoreEnd, outcome: SubmitOutcome) -> Job {
     let message = next_call(end).await;
-    let call = number(&message);
+    let call = call_number(&message);
     end.sender.send(&FromStore::Submitted { call, outcome });
     match message {
         ToStore::Submit { job, store_group, .. } => {
             assert_eq!(store_group, store_group_of("job"));
             job
         }
-        other => panic!("no submission: {other:?}"),
+        other => panic!("not a submission: {other:?}"),
     }
 }
 
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_job_that_no_store_was_offered_is_unavailable() {
+fn a_job_submitted_to_no_store_is_unavailable() {
     run(async {
         let under_test = RunnerUnderTest::start(true);
         tokio::time::pause();
@@ -159,7 +159,7 @@
         let (under_test, mut store) = (RunnerUnderTest::start(true), FakeStore::start());
         under_test.set_primary(store.address, 1);
         let (mut end, _) = store.accept().await;
-        let unclear = async {
+        let uncertain_store = async {
             loop {
                 answer_submit(&mut end, SubmitOutcome::Unknown).await;
             }
@@ -167,7 +167,7 @@
         tokio::time::pause();
         let answer = tokio::select! {
             answer = submit(&under_test) => answer,
-            () = unclear => unreachable!("it has no end"),
+            () = uncertain_store => unreachable!("the store answers forever"),
         };
         assert_eq!((answer.0, answer.1), (504, None));
     });
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn reads_results_and_retries_an_uncertain_store() {
+fn reads_results_and_retries_after_an_indefinite_answer() {
     run(async {
         let (under_test, mut store) = (RunnerUnderTest::start(true), FakeStore::start());
         under_test.set_primary(store.address, 1);
@@ -196,15 +196,16 @@
             let (mut end, _) = store.accept().await;
             let first = next_call(&mut end).await;
             let approved = ToStore::Read {
-                call: number(&first),
+                call: call_number(&first),
                 store_group: store_group_of("job"),
                 job: "job".to_owned(),
                 start: 12,
                 wait_ms: 0,
             };
             assert_eq!(first, approved);
-            let not_sure = FromStore::Results { call: number(&first), answer: JobResponse::Unavailable };
-            end.sender.send(&not_sure);
+            let indefinite =
+                FromStore::Results { call: call_number(&first), answer: JobResponse::Unavailable };
+            end.sender.send(&indefinite);
             let second = next_call(&mut end).await;
             let result = ItemResult {
                 id: "e5".to_owned(),
@@ -214,7 +215,7 @@
                 score: "seal".to_owned(),
             };
             let page = ResultPage { total: 40, start: 12, results: vec![result] };
-            let found = FromStore::Results { call: number(&second), answer: JobResponse::Found(page) };
+            let found = FromStore::Results { call: call_number(&second), answer: JobResponse::Found(page) };
             end.sender.send(&found);
         });
         let approved = r#"{"total":40,"next_token":13,"results":[{"id":"e5","state":"completed","message":"a\nb","versions":[6,7],"score":"seal"}]}"#;
@@ -233,7 +234,7 @@
         let (answer, ()) = tokio::join!(call(&under_test, method, path), async {
             let (mut end, _) = store.accept().await;
             let message = next_call(&mut end).await;
-            let call = number(&message);
+            let call = call_number(&message);
             end.sender.send(&match message {
                 ToStore::Read { .. } => FromStore::Results { call, answer: JobResponse::NotFound },
                 ToStore::End { .. } => FromStore::Ended { call, answer: JobResponse::NotFound },
@@ -263,7 +264,7 @@
         under_test.set_primary(store.address, 1);
         let (mut end, _) = store.accept().await;
         let (answer, ()) = tokio::join!(call(&under_test, "DELETE", "/lots/job"), async {
-            let call = number(&next_call(&mut end).await);
+            let call = call_number(&next_call(&mut end).await);
             end.sender.send(&FromStore::Ended { call, answer: JobResponse::Found(true) });
         });
         assert_eq!(answer.0, 200);
@@ -271,7 +272,7 @@
             let message = next_call(&mut end).await;
             assert!(matches!(&message, ToStore::ItemBody { item, .. } if item == "e5"));
             let answer = JobResponse::Found(b"hi".to_vec());
-            end.sender.send(&FromStore::Body { call: number(&message), answer });
+            end.sender.send(&FromStore::Body { call: call_number(&message), answer });
         });
         assert_eq!((answer.0, answer.2.as_str()), (200, "hi"));
     });
--- a/crates/pebblepost-batch-runner/tests/batch_runner/job_json.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/job_json.rs
@@ -1,4 +1,4 @@
-//! JSON of submitted jobs and of results.
+//! Tests of the JSON of submitted jobs and of results.
 
 use pebblepost_batch_runner::job::request::parse;
 use pebblepost_batch_runner::job::result_page::{MAX_PAGE_BYTES, to_json};
@@ -11,9 +11,10 @@
 
 #[test]
 fn writes_results_as_json() {
-    let mut dead = result("b\"", b"");
-    dead.state = ResultState::DeadLetter;
-    let results = vec![result("a", "\u{1}\\ \t\r\u{e9}\u{1f600}".as_bytes()), dead, result("c", b"\xff")];
+    let mut dead_letter = result("b\"", b"");
+    dead_letter.state = ResultState::DeadLetter;
+    let results =
+        vec![result("a", "\u{1}\\ \t\r\u{e9}\u{1f600}".as_bytes()), dead_letter, result("c", b"\xff")];
     let json = to_json(&ResultPage { total: 3, start: 0, results });
     let approved = concat!(
         r#"{"total":3,"next_token":3,"results":["#,
@@ -25,19 +26,19 @@
 }
 
 #[test]
-fn limits_the_size_of_a_page_but_gives_one_result() {
+fn limits_the_size_of_a_page_but_includes_at_least_one_result() {
     let large = vec![b'x'; MAX_PAGE_BYTES / 2];
     let results = (0..3).map(|index| result(&index.to_string(), &large)).collect();
     let json = to_json(&ResultPage { total: 9, start: 4, results });
     assert!(json.starts_with(br#"{"total":9,"next_token":5,"#));
     let too_large = vec![result("a", &vec![b'x'; 2 * MAX_PAGE_BYTES])];
     let json = to_json(&ResultPage { total: 9, start: 4, results: too_large });
-    assert!(json.starts_with(br#"{"total":9,"next_token":5,"#), "one at least");
+    assert!(json.starts_with(br#"{"total":9,"next_token":5,"#), "a page has at least one result");
 }
 
 #[rstest]
 #[case::not_json("{", "request body is not valid JSON")]
-#[case::no_object("[]", "request body is not a JSON object")]
+#[case::not_an_object("[]", "request body is not a JSON object")]
 #[case::no_requests("{}", "`requests` is missing or not an array")]
 #[case::no_id(r#"{"requests":[{"path":"/a"}]}"#, "item 0: `id` is missing or empty")]
 #[case::no_path(
@@ -54,11 +55,11 @@
     "item 0: scorer: `hostname` is missing or empty"
 )]
 #[case::bad_step(r#"{"step":"x","requests":[]}"#, "`step` is not an unsigned integer")]
-#[case::twice(
+#[case::duplicate_id(
     r#"{"requests":[{"id":"a","path":"/a"},{"id":"a","path":"/a"}]}"#,
     "item 1: `id` is already used by another item of the job"
 )]
-fn says_why_a_body_is_not_a_job(#[case] body: &str, #[case] reason: &str) {
+fn a_parse_error_states_why_the_body_is_not_a_job(#[case] body: &str, #[case] reason: &str) {
     let error = parse("j", JobTerms::default(), body.as_bytes().to_vec()).unwrap_err();
     assert!(error.to_string().starts_with(reason), "{error}");
 }
--- a/crates/pebblepost-batch-runner/tests/batch_runner/load_table.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/load_table.rs
@@ -1,4 +1,4 @@
-//! Known loads of transcribers.
+//! Tests of the load table.
 
 use pebblepost_batch_runner::load_table::{
     LoadTable, REPORT_LAG, REPORT_MAX_AGE, SERVICE_WITHOUT_REPORTS_TTL, VERSIONS_MAX_AGE,
@@ -19,7 +19,7 @@
     loads.start_request("i", start + REPORT_LAG);
     let now = start + REPORT_LAG + Duration::from_millis(10);
     loads.record_report("i", &load(5), now);
-    // The report shows a moment at which one own request was in flight.
+    // The report shows the state at a time when one own request was in flight.
     assert_eq!(loads.outstanding_requests("i"), 4 + 2);
     loads.end_request("i", start, now);
     assert_eq!(loads.outstanding_requests("i"), 4 + 1);
@@ -39,13 +39,13 @@
     let later = now + VERSIONS_MAX_AGE;
     loads.record_answer("i", &load(5), later);
     assert!(loads.is_fresh("i", false, later));
-    assert!(!loads.is_fresh("i", true, later), "its version may have moved");
+    assert!(!loads.is_fresh("i", true, later), "its version may have changed");
     loads.invalidate_report("i");
     assert!(!loads.is_fresh("i", false, later));
 }
 
 #[test]
-fn probes_a_service_without_reports_again_after_a_while() {
+fn probes_a_service_without_reports_again_after_the_ttl() {
     let now = Instant::now();
     let mut loads = LoadTable::default();
     assert!(!loads.is_service_without_reports("scorers", now));
--- a/crates/pebblepost-batch-runner/tests/batch_runner/placement.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/placement.rs
@@ -10,7 +10,7 @@
 #[rstest]
 #[case::below_threshold(6, 2, true)]
 #[case::at_threshold(7, 1, false)]
-#[case::no_room_for_all(6, 3, false)]
+#[case::too_few_free_slots(6, 3, false)]
 fn accepts_a_group_without_another_probe_below_the_threshold(
     #[case] outstanding: u32, #[case] items: u32, #[case] accepts: bool,
 ) {
@@ -18,13 +18,13 @@
 }
 
 #[rstest]
-#[case::fewest_busy(&[7, 5], 2, QueueLimit::FreeSlotsOnly, Some((1, 2)))]
+#[case::fewest_outstanding(&[7, 5], 2, QueueLimit::FreeSlotsOnly, Some((1, 2)))]
 #[case::split(&[7, 6], 4, QueueLimit::FreeSlotsOnly, Some((1, 2)))]
 #[case::full(&[8, 9], 1, QueueLimit::FreeSlotsOnly, None)]
 #[case::queue(&[9, 8], 4, QueueLimit::PercentOfSlots(25), Some((1, 2)))]
 #[case::queue_full(&[10, 12], 1, QueueLimit::PercentOfSlots(25), None)]
 #[case::none_probed(&[], 1, QueueLimit::FreeSlotsOnly, None)]
-fn chooses_the_least_busy_up_to_its_capacity(
+fn chooses_the_fewest_outstanding_requests_up_to_capacity(
     #[case] outstanding: &[u32], #[case] items: u32, #[case] queue_limit: QueueLimit,
     #[case] expected: Option<(usize, u32)>,
 ) {
@@ -49,7 +49,9 @@
 #[rstest]
 #[case::idle(0, true)]
 #[case::not_idle(1, false)]
-fn an_idle_transcriber_accepts_a_group_larger_than_itself(#[case] outstanding: u32, #[case] accepts: bool) {
+fn only_an_idle_transcriber_accepts_a_group_larger_than_its_slots(
+    #[case] outstanding: u32, #[case] accepts: bool,
+) {
     assert_eq!(ProbedLoad { slots: 6, outstanding }.accepts(16), accepts);
     let choice = choose(
         &[ProbedLoad { slots: 6, outstanding: 0 }],
@@ -57,7 +59,7 @@
         QueueLimit::PercentOfSlots(34),
         &Random::seeded(7),
     );
-    assert_eq!(choice, Some(Choice { index: 0, items: 9 }), "six run, three are at hand");
+    assert_eq!(choice, Some(Choice { index: 0, items: 9 }), "6 items run and 3 are queued");
 }
 
 #[rstest]
@@ -68,32 +70,32 @@
     assert_eq!(due_in.map(|due_in| priority(rank, due_in)), expected);
 }
 
-/// Proxies and transcribers, spread over zones in turn.
+/// Proxies and transcribers are distributed over the zones in turn.
 #[rstest]
 #[case::many_zones(60, 48, 4)]
 #[case::few_zones(57, 45, 3)]
 #[case::few_machines(7, 9, 3)]
 #[case::few_proxies(4, 40, 2)]
 #[case::few_transcribers(40, 4, 2)]
-fn every_transcriber_is_in_some_subset_and_none_in_too_many(
+fn every_transcriber_is_in_a_subset_and_none_in_over_three_times_the_mean(
     #[case] proxies: usize, #[case] transcribers: usize, #[case] zones: usize,
 ) {
-    // The subset of a request after a few full rounds.
+    // The size of the subset of a request after three full rounds.
     let size = SubsetSize::new(transcribers, proxies).widened_after(3);
-    let mut shared_by = vec![0; transcribers];
+    let mut proxies_by_transcriber = vec![0; transcribers];
     for proxy in 0..proxies {
         let node = format!("edge-{proxy}");
-        let is_far = |transcriber: usize| transcriber % zones != proxy % zones;
+        let is_remote = |transcriber: usize| transcriber % zones != proxy % zones;
         let mut order: Vec<usize> = (0..transcribers).collect();
         order.sort_by_key(|transcriber| {
-            (is_far(*transcriber), rendezvous_hash(&node, &format!("i-{transcriber}")))
+            (is_remote(*transcriber), rendezvous_hash(&node, &format!("i-{transcriber}")))
         });
-        retain_subset(&mut order, size, |transcriber| !is_far(*transcriber));
+        retain_subset(&mut order, size, |transcriber| !is_remote(*transcriber));
         assert!(order.len() <= size.total);
-        order.iter().for_each(|transcriber| shared_by[*transcriber] += 1);
+        order.iter().for_each(|transcriber| proxies_by_transcriber[*transcriber] += 1);
     }
-    let mean = shared_by.iter().sum::<usize>() as f64 / transcribers as f64;
-    let worst = shared_by.iter().max().map_or(0.0, |worst| *worst as f64);
-    assert!(shared_by.iter().all(|count| *count > 0), "{shared_by:?}");
-    assert!(worst <= 3.0 * mean, "{worst} against {mean}");
+    let mean = proxies_by_transcriber.iter().sum::<usize>() as f64 / transcribers as f64;
+    let max = proxies_by_transcriber.iter().max().map_or(0.0, |max| *max as f64);
+    assert!(proxies_by_transcriber.iter().all(|count| *count > 0), "{proxies_by_transcriber:?}");
+    assert!(max <= 3.0 * mean, "max={max} mean={mean}");
 }
--- a/crates/pebblepost-batch-runner/tests/batch_runner/support.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/support.rs
@@ -44,15 +44,15 @@
     run_within(Duration::from_secs(20), test);
 }
 
-/// As [`run`], with a limit of the runtime's clock.
+/// Like [`run`], but with a time limit by the runtime's clock.
 pub fn run_within<F: Future<Output = ()>>(limit: Duration, test: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::time::timeout(limit, test).await.expect("the test awaits_close");
+        tokio::time::timeout(limit, test).await.expect("test timed out");
     });
 }
 
-/// A store whose side of the links the test plays.
+/// A store whose side of the links is controlled by the test.
 pub struct FakeStore {
     pub address: SocketAddr,
     links: mpsc::UnboundedReceiver<StoreEnd>,
@@ -61,7 +61,7 @@
 /// The store's end of one link.
 pub struct StoreEnd {
     pub sender: Sender,
-    /// Outcomes that came before the announcement of leases.
+    /// Outcomes received before the announcement of leases.
     pub outcomes_before_leases: Vec<ToStore>,
     messages: mpsc::UnboundedReceiver<ToStore>,
 }
@@ -89,7 +89,7 @@
         FakeStore { address, links }
     }
 
-    /// The next link after its hello, with its announcement of leases.
+    /// Accepts the next link, checks its hello message and returns its announcement of leases.
     pub async fn accept(&mut self) -> (StoreEnd, ToStore) {
         let mut end = self.links.recv().await.unwrap();
         let hello = end.next().await;
@@ -104,7 +104,7 @@
 }
 
 impl StoreEnd {
-    /// Next message that is no keep-alive and no repeated announcement.
+    /// Returns the next message that is not a keep-alive.
     pub async fn next(&mut self) -> ToStore {
         loop {
             let message = self.messages.recv().await.expect("the link was closed");
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Answers this many keep-alives, which come every half second.
+    /// Answers `count` keep-alives, which arrive every 500 ms.
     pub async fn keep_alive(&mut self, count: usize) {
         let mut answered = 0;
         while answered < count {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// All messages until the link is closed.
+    /// Returns all messages until the link is closed.
     pub async fn remaining_messages(&mut self) -> Vec<ToStore> {
         let mut messages = Vec::new();
         while let Some(message) = self.messages.recv().await {
@@ -135,7 +135,7 @@
         messages
     }
 
-    /// Next outcomes; other messages are passed over.
+    /// Returns the next outcomes message. Other messages are ignored.
     pub async fn outcomes(&mut self) -> ToStore {
         loop {
             let message = self.next().await;
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Waits for a request for work, and answers it.
-    pub async fn give(&mut self, leases: Vec<WorkLease>) -> u32 {
+    /// Waits for a request for work, answers it with `leases` and returns the requested number of items.
+    pub async fn grant_work(&mut self, leases: Vec<WorkLease>) -> u32 {
         loop {
             if let ToStore::RequestWork { max_items } = self.next().await {
                 self.sender.send(&FromStore::Work(leases));
@@ -156,7 +156,7 @@
     }
 }
 
-/// A request that a fake transcriber read.
+/// A request received by a fake transcriber.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeenRequest {
     pub transcriber: String,
@@ -169,19 +169,19 @@
     }
 }
 
-/// What a fake transcriber does with a request.
+/// Reaction of a fake transcriber to a request.
 pub enum Reply {
-    /// Writes bytes and keeps the connection.
+    /// Writes bytes and keeps the connection open.
     Write(Vec<u8>),
-    /// Writes bytes and closes.
+    /// Writes bytes and closes the connection.
     WriteAndClose(Vec<u8>),
-    /// Writes bytes and waits for the other end to close.
+    /// Writes bytes and waits for the peer to close the connection.
     WriteAndHang(Vec<u8>),
 }
 
 type Handler = Rc<RefCell<dyn FnMut(&SeenRequest) -> Reply>>;
 
-/// Transcribers that share a record of their requests, without those for reports.
+/// Fake transcribers that share a record of their requests, without those for load reports.
 #[derive(Clone)]
 pub struct Transcribers {
     pub seen: Rc<RefCell<Vec<SeenRequest>>>,
@@ -196,13 +196,13 @@
         (transcribers, closed)
     }
 
-    /// A record with the requests for reports, too.
+    /// Creates a record that includes the requests for load reports.
     pub fn recording_reports() -> (Transcribers, mpsc::UnboundedReceiver<String>) {
         let (transcribers, closed) = Transcribers::new();
         (Transcribers { records_reports: true, ..transcribers }, closed)
     }
 
-    /// Starts a transcriber.
+    /// Starts a transcriber and returns its address.
     pub async fn start(&self, id: &str, handler: impl FnMut(&SeenRequest) -> Reply + 'static) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -273,21 +273,21 @@
     Some(lines.collect::<Vec<_>>().join("\n"))
 }
 
-/// A response to `GET /report`.
-pub fn report(version: u64, running: u32) -> Vec<u8> {
-    report_with_order(version, running, false)
+/// Returns a response to `GET /report`.
+pub fn load_report(version: u64, running: u32) -> Vec<u8> {
+    load_report_with_order(version, running, false)
 }
 
-/// A response to `GET /report`, with or without an order in progress.
-pub fn report_with_order(version: u64, running: u32, busy: bool) -> Vec<u8> {
+/// Returns a response to `GET /report`, with or without a load order in progress.
+pub fn load_report_with_order(version: u64, running: u32, order_in_progress: bool) -> Vec<u8> {
     let body = format!(
-        r#"{{"models":[{{"name":"daka","generation":{version}}}],"busy":{busy},"running":{running},"waiting":0}}"#
+        r#"{{"models":[{{"name":"daka","generation":{version}}}],"busy":{order_in_progress},"running":{running},"waiting":0}}"#
     );
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{body}").into_bytes()
 }
 
-/// The head of a stream.
+/// Returns the head of a stream.
 pub fn stream_head(request_id: &str, version: u64) -> Vec<u8> {
     format!(
         "HTTP/1.1 200 OK\r\nrequest-id: {request_id}\r\ncontent-type: text/event-stream\r\n\
@@ -296,7 +296,7 @@
     .into_bytes()
 }
 
-/// Events as chunks: from one id to another, with the data `dN`.
+/// Returns the events from id `first` to `last` as chunks, with the data `dN`.
 pub fn events(first: u64, last: u64) -> Vec<u8> {
     let chunk = |id| {
         let event = format!("id: {id}\ndata: d{id}\n\n");
@@ -305,34 +305,34 @@
     (first..=last).map(chunk).collect::<String>().into_bytes()
 }
 
-/// One event as a chunk, at which the version changes.
+/// Returns one event as a chunk that changes the version.
 pub fn event_with_version(id: u64, version: u64) -> Vec<u8> {
     let event = format!("weight-versions: {version}\nid: {id}\ndata: d{id}\n\n");
     format!("{:x}\r\n{event}\r\n", event.len()).into_bytes()
 }
 
-pub const END: &[u8] = b"0\r\n\r\n";
+pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// A response without a body.
-pub fn plain(status: u16, request_id: &str, header: &str) -> Vec<u8> {
+/// Returns a response without a body.
+pub fn empty_response(status: u16, request_id: &str, header: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} X\r\nrequest-id: {request_id}\r\n{header}content-length: 0\r\n\r\n")
         .into_bytes()
 }
 
-/// A runner with its feed.
+/// The runner under test, with its feed.
 pub struct RunnerUnderTest {
     pub runner: BatchRunner,
     pub feed: Rc<RefCell<FeedState>>,
 }
 
 impl RunnerUnderTest {
-    /// A runner for a job route, with or without the requirement of a single version.
+    /// Starts a runner with a job route that does or does not require a single version.
     pub fn start(single_version: bool) -> RunnerUnderTest {
         let document = CONFIGURATION.replace("SINGLE", if single_version { "true" } else { "false" });
         RunnerUnderTest::start_with(&document, Random::default())
     }
 
-    /// A runner with this configuration.
+    /// Starts a runner with this configuration.
     pub fn start_with(document: &str, random: Random) -> RunnerUnderTest {
         let settings = Settings::parse(SETTINGS, "local.toml").unwrap();
         let client = Client::new(ClientLimits {
@@ -371,7 +371,7 @@
         self.apply(FeedUpdate::StoreGroups((0..STORE_GROUPS).map(group).collect()));
     }
 
-    /// Announces a transcriber.
+    /// Announces a transcriber in the zone of the runner.
     pub fn announce(
         &self, id: &str, backend: &str, address: SocketAddr, state: InstanceState, sequence: u64,
     ) {
@@ -399,12 +399,12 @@
         self.apply(FeedUpdate::Instances { complete: false, instances: vec![instance] });
     }
 
-    pub fn ready(&self, id: &str, backend: &str, address: SocketAddr) {
+    pub fn announce_ready(&self, id: &str, backend: &str, address: SocketAddr) {
         self.announce(id, backend, address, InstanceState::Ready, 1);
     }
 }
 
-/// A request to the runner.
+/// Returns a request to the runner.
 pub fn request(method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> http::Request<Bytes> {
     let mut builder = http::Request::builder().method(method).uri(path).header("host", "h.example");
     for (name, value) in headers {
@@ -413,7 +413,7 @@
     builder.body(Bytes::copy_from_slice(body.as_bytes())).unwrap()
 }
 
-/// An item `id`, with or without a scorer.
+/// Returns a leased item, with or without a scorer.
 pub fn leased(id: &str, scored: bool) -> LeasedItem {
     let scorer = scored.then(|| Scorer {
         id: format!("s-{id}"),
@@ -433,7 +433,7 @@
     LeasedItem { item, ..LeasedItem::default() }
 }
 
-/// A lease of items of the job `job`.
+/// Returns a lease of items of the job `job`.
 pub fn lease(items: Vec<LeasedItem>, single_version: bool) -> WorkLease {
     WorkLease {
         lease: 5,
--- a/crates/pebblepost-batch-runner/tests/batch_runner/text.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/text.rs
@@ -1,4 +1,4 @@
-//! Texts: events, versions, resumption.
+//! Tests of generated texts: events, versions, resumption.
 
 use pebblepost_batch_runner::text::{AppendError, GeneratedText, VersionRequirement};
 use pebblepost_messages::batch::PartialText;
