--- a/crates/pebblepost-batch-runner/src/job/result_page.rs
+++ b/crates/pebblepost-batch-runner/src/job/result_page.rs
@@ -57,13 +57,13 @@
 /// Writes a JSON string with its quotes, escaping `"`, `\` and control characters.
 fn write_string(text: &str, json: &mut Vec<u8>) {
     json.push(b'"');
-    let mut plain = 0;
+    let mut unescaped_start = 0;
     for (index, byte) in text.bytes().enumerate() {
         if byte >= 0x20 && byte != b'"' && byte != b'\\' {
             continue;
         }
-        json.extend_from_slice(&text.as_bytes()[plain..index]);
-        plain = index + 1;
+        json.extend_from_slice(&text.as_bytes()[unescaped_start..index]);
+        unescaped_start = index + 1;
         match byte {
             b'"' => json.extend_from_slice(b"\\\""),
             b'\\' => json.extend_from_slice(b"\\\\"),
@@ -75,6 +75,6 @@
             }
         }
     }
-    json.extend_from_slice(&text.as_bytes()[plain..]);
+    json.extend_from_slice(&text.as_bytes()[unescaped_start..]);
     json.push(b'"');
 }
