--- a/crates/pebblepost-control/tests/control/failover.rs
+++ b/crates/pebblepost-control/tests/control/failover.rs
@@ -26,7 +26,7 @@
     response.body
 }
 
-fn run_until_acting_again(cluster: &mut Cluster, limit: Duration) {
+fn run_until_primary_acts_within(cluster: &mut Cluster, limit: Duration) {
     let until = cluster.now + limit;
     while cluster.acting_nodes().is_empty() {
         assert!(cluster.now < until, "no process acts as primary within {limit:?}");
@@ -46,7 +46,7 @@
     assert_eq!(status(put_configuration(&mut cluster, 0, 3)), 200);
     let former = cluster.primary();
     cluster.kill(former);
-    run_until_acting_again(&mut cluster, Duration::from_secs(4));
+    run_until_primary_acts_within(&mut cluster, Duration::from_secs(4));
     assert_ne!(cluster.primary(), former);
     assert_eq!(status(put_configuration(&mut cluster, 0, 3)), 200, "the repeat of an acknowledged change");
     assert_eq!(status(put_configuration(&mut cluster, 0, 4)), 412);
@@ -82,7 +82,7 @@
     cluster.send_request(former, change.clone());
     cluster.run(Duration::from_millis(3));
     cluster.kill(former);
-    run_until_acting_again(&mut cluster, Duration::from_secs(4));
+    run_until_primary_acts_within(&mut cluster, Duration::from_secs(4));
     let primary = cluster.primary();
     assert_eq!(status(cluster.request(primary, change)), 200);
     let other = http_request("PATCH", "/config", Some(3), patch(7, 901));
@@ -103,7 +103,7 @@
     }
     cluster.run(Duration::from_millis(20));
     cluster.kill(former);
-    run_until_acting_again(&mut cluster, Duration::from_millis(600));
+    run_until_primary_acts_within(&mut cluster, Duration::from_millis(600));
     assert_eq!(read_configuration(&mut cluster), configuration(3, 1000));
 }
 
@@ -127,7 +127,7 @@
         cluster.start(node);
     }
     // The limit covers the grace period and the election. The new epoch contains live replicas only.
-    run_until_acting_again(&mut cluster, Duration::from_millis(1400));
+    run_until_primary_acts_within(&mut cluster, Duration::from_millis(1400));
     assert_eq!(read_configuration(&mut cluster), configuration(3, 1000));
     assert_eq!(status(put_configuration(&mut cluster, 3, 4)), 200);
 }
@@ -141,7 +141,7 @@
     cluster.run(Duration::from_millis(750));
     let response = cluster.request(former, http_request("GET", "/config", None, Vec::new()));
     assert_ne!(status(response), 200);
-    run_until_acting_again(&mut cluster, Duration::from_secs(4));
+    run_until_primary_acts_within(&mut cluster, Duration::from_secs(4));
     assert_eq!(status(put_configuration(&mut cluster, 3, 8)), 200);
     cluster.set_partitioned(former, false);
     cluster.run(Duration::from_secs(3));
@@ -159,7 +159,7 @@
         let seeds: Vec<usize> = (0..cluster.machine_count()).filter(|node| cluster.is_up(*node)).collect();
         let added = cluster.add_machine(&seeds);
         cluster.run(Duration::from_secs(10));
-        run_until_acting_again(&mut cluster, Duration::from_secs(4));
+        run_until_primary_acts_within(&mut cluster, Duration::from_secs(4));
         let primary = cluster.primary();
         let record = cluster.node(primary).record().clone();
         let address = format!("10.0.0.{}:7300", added + 1);
@@ -208,7 +208,7 @@
     cluster.run(Duration::from_millis(600));
     cluster.start(wiped);
     let restarted_at = cluster.now;
-    run_until_acting_again(&mut cluster, Duration::from_secs(1));
+    run_until_primary_acts_within(&mut cluster, Duration::from_secs(1));
     let is_repaired = |cluster: &Cluster| {
         cluster.acting_nodes().first().is_some_and(|primary| {
             let record = cluster.node(*primary).record();
@@ -239,7 +239,7 @@
     );
     cluster.run(Duration::from_millis(100));
     cluster.kill(former);
-    run_until_acting_again(&mut cluster, Duration::from_secs(4));
+    run_until_primary_acts_within(&mut cluster, Duration::from_secs(4));
     let primary = cluster.primary();
     let late = http_request("PUT", "/instances/i-2", None, registration("10.9.0.2:8080", "ready", 2));
     assert_eq!(status(cluster.request(primary, late)), 200);
