--- a/crates/pebblepost-agent/src/acknowledgements.rs
+++ b/crates/pebblepost-agent/src/acknowledgements.rs
@@ -8,7 +8,7 @@
 
 /// Without a proxy, batches are acknowledged after this time, so that nobody waits for a proxy that
 /// is down.
-const DELAY_WITHOUT_PROXY: Duration = Duration::from_millis(100);
+const ACKNOWLEDGE_DELAY_WITHOUT_PROXY: Duration = Duration::from_millis(100);
 
 /// A batch to the proxy that was not acknowledged yet.
 #[derive(Clone, Copy, Debug)]
@@ -23,8 +23,8 @@
 /// acknowledged.
 #[derive(Debug, Default)]
 pub(crate) struct Acknowledgements {
-    received: u64,
-    acknowledged: u64,
+    newest_received: u64,
+    newest_acknowledged: u64,
     /// Oldest first.
     in_flight: VecDeque<ForwardedBatch>,
     due_without_proxy: Option<Instant>,
@@ -32,27 +32,27 @@
 
 impl Acknowledgements {
     /// Notes a batch of the control primary.
-    pub(crate) fn received(&mut self, control_sequence: u64) {
-        self.received = control_sequence;
+    pub(crate) fn record_received(&mut self, control_sequence: u64) {
+        self.newest_received = control_sequence;
     }
 
     /// Notes that all that was received is in this batch to the proxy.
-    pub(crate) fn forwarded(&mut self, proxy_sequence: u64) {
-        self.in_flight.push_back(ForwardedBatch { proxy_sequence, control_sequence: self.received });
+    pub(crate) fn record_forwarded(&mut self, proxy_sequence: u64) {
+        self.in_flight.push_back(ForwardedBatch { proxy_sequence, control_sequence: self.newest_received });
         self.due_without_proxy = None;
     }
 
     /// Notes that there is no proxy to acknowledge what was received.
-    pub(crate) fn no_proxy(&mut self, now: Instant) {
+    pub(crate) fn record_no_proxy(&mut self, now: Instant) {
         self.in_flight.clear();
-        if self.received > self.acknowledged && self.due_without_proxy.is_none() {
-            self.due_without_proxy = Some(now + DELAY_WITHOUT_PROXY);
+        if self.newest_received > self.newest_acknowledged && self.due_without_proxy.is_none() {
+            self.due_without_proxy = Some(now + ACKNOWLEDGE_DELAY_WITHOUT_PROXY);
         }
     }
 
     /// Notes an acknowledgement of the proxy; returns the control sequence to acknowledge, if that
     /// is new.
-    pub(crate) fn acknowledged_by_proxy(&mut self, proxy_sequence: u64) -> Option<u64> {
+    pub(crate) fn record_proxy_acknowledgement(&mut self, proxy_sequence: u64) -> Option<u64> {
         let mut newest = 0;
         while let Some(batch) = self.in_flight.front().filter(|batch| batch.proxy_sequence <= proxy_sequence)
         {
@@ -68,19 +68,19 @@
     }
 
     /// The control sequence to acknowledge without a proxy, if that is due.
-    pub(crate) fn take_due(&mut self, now: Instant) -> Option<u64> {
+    pub(crate) fn take_due_without_proxy(&mut self, now: Instant) -> Option<u64> {
         if self.due_without_proxy.is_none_or(|due| now < due) {
             return None;
         }
         self.due_without_proxy = None;
-        self.acknowledge(self.received)
+        self.acknowledge(self.newest_received)
     }
 
     fn acknowledge(&mut self, control_sequence: u64) -> Option<u64> {
-        if control_sequence <= self.acknowledged {
+        if control_sequence <= self.newest_acknowledged {
             return None;
         }
-        self.acknowledged = control_sequence;
+        self.newest_acknowledged = control_sequence;
         Some(control_sequence)
     }
 }
--- a/crates/pebblepost-agent/src/agent.rs
+++ b/crates/pebblepost-agent/src/agent.rs
@@ -18,9 +18,9 @@
 
 /// Keep-alive interval of the connection to the proxy. Both ends share a machine, so that a long one
 /// is enough.
-const PROXY_KEEP_ALIVE: Duration = Duration::from_secs(60);
+const PROXY_KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(60);
 /// The agent ends this long before the platform's SIGKILL.
-const GRACE_MARGIN: Duration = Duration::from_secs(1);
+const SIGKILL_MARGIN: Duration = Duration::from_secs(1);
 
 /// What an agent is started with.
 pub struct AgentOptions {
@@ -29,11 +29,11 @@
     /// Its zone.
     pub zone: String,
     /// Internal addresses of control processes.
-    pub control: Vec<SocketAddr>,
+    pub control_addresses: Vec<SocketAddr>,
     /// Time between SIGTERM and SIGKILL.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Reads the addresses of the present settings; none if they can't be read.
-    pub reload: Box<dyn Fn() -> Vec<SocketAddr>>,
+    pub read_control_addresses: Box<dyn Fn() -> Vec<SocketAddr>>,
 }
 
 /// Sends the feed to the proxies that connect to `listener`, one after the other. Returns after
@@ -42,7 +42,7 @@
     let subscribed_generation = Rc::new(Cell::new(0));
     let subscribe = subscription(&options, Rc::clone(&subscribed_generation));
     let (control, control_events) =
-        ControlClient::start(options.control.clone(), CONTROL_LINK_LIMITS, subscribe);
+        ControlClient::start(options.control_addresses.clone(), CONTROL_LINK_LIMITS, subscribe);
     let now = Instant::now();
     let agent = Agent {
         control,
@@ -50,10 +50,10 @@
         feed: FeedState::default(),
         proxy: None,
         acknowledgements: Acknowledgements::default(),
-        keep_alive_at: now + PROXY_KEEP_ALIVE,
-        settings_reload: SettingsReload::new(options.reload, now),
+        keep_alive_at: now + PROXY_KEEP_ALIVE_INTERVAL,
+        settings_reload: SettingsReload::new(options.read_control_addresses, now),
         shutdown_deadline: None,
-        grace: options.grace,
+        shutdown_grace: options.shutdown_grace,
     };
     agent.run(control_events, listen(listener), signals).await;
 }
@@ -81,7 +81,7 @@
     settings_reload: SettingsReload,
     /// Set by SIGTERM.
     shutdown_deadline: Option<Instant>,
-    grace: Duration,
+    shutdown_grace: Duration,
 }
 
 impl Agent {
@@ -89,7 +89,7 @@
         mut self, mut control: mpsc::Receiver<ControlEvent>, mut proxies: mpsc::Receiver<ProxyEvent>,
         mut signals: mpsc::Receiver<Signal>,
     ) {
-        while !self.has_ended() {
+        while !self.is_finished() {
             // Events of the control link go first: an acknowledgement never goes to a link other than its batch's.
             tokio::select! {
                 biased;
@@ -129,7 +129,7 @@
             self.subscribed_generation.set(0);
             self.control.reconnect();
         }
-        self.acknowledgements.received(sequence);
+        self.acknowledgements.record_received(sequence);
         self.forward(updates);
     }
 
@@ -146,7 +146,7 @@
             ProxyEvent::Closed(id) if self.is_current(id) => {
                 log::info!("proxy disconnected");
                 self.proxy = None;
-                self.acknowledgements.no_proxy(Instant::now());
+                self.acknowledgements.record_no_proxy(Instant::now());
             }
             ProxyEvent::Reply(..) | ProxyEvent::Closed(_) => {}
         }
@@ -154,7 +154,7 @@
 
     fn on_reply(&mut self, reply: &FeedReply) {
         let FeedReply::Acknowledge { sequence, generation } = *reply;
-        if let Some(control_sequence) = self.acknowledgements.acknowledged_by_proxy(sequence) {
+        if let Some(control_sequence) = self.acknowledgements.record_proxy_acknowledgement(sequence) {
             self.acknowledge(control_sequence, generation);
         }
     }
@@ -163,7 +163,7 @@
         match signal {
             Signal::Terminate => {
                 log::info!("draining until the proxy ends");
-                let grace = self.grace.saturating_sub(GRACE_MARGIN);
+                let grace = self.shutdown_grace.saturating_sub(SIGKILL_MARGIN);
                 self.shutdown_deadline.get_or_insert(Instant::now() + grace);
             }
             Signal::Reload => self.reload_settings(),
@@ -171,11 +171,11 @@
     }
 
     fn on_timer(&mut self, now: Instant) {
-        if let Some(control_sequence) = self.acknowledgements.take_due(now) {
+        if let Some(control_sequence) = self.acknowledgements.take_due_without_proxy(now) {
             self.acknowledge(control_sequence, self.feed.generation());
         }
         if now >= self.keep_alive_at {
-            self.keep_alive_at = now + PROXY_KEEP_ALIVE;
+            self.keep_alive_at = now + PROXY_KEEP_ALIVE_INTERVAL;
             if let Some(proxy) = &self.proxy {
                 proxy.keep_alive();
             }
@@ -190,12 +190,14 @@
     fn forward(&mut self, updates: Vec<FeedUpdate>) {
         let is_configured = self.feed.configuration().is_some();
         match &mut self.proxy {
-            Some(proxy) if proxy.has_snapshot() => self.acknowledgements.forwarded(proxy.send(updates)),
+            Some(proxy) if proxy.has_snapshot() => {
+                self.acknowledgements.record_forwarded(proxy.send(updates))
+            }
             Some(proxy) if is_configured => {
                 let sequence = proxy.send_snapshot(self.feed.snapshot());
-                self.acknowledgements.forwarded(sequence);
+                self.acknowledgements.record_forwarded(sequence);
             }
-            _ => self.acknowledgements.no_proxy(Instant::now()),
+            _ => self.acknowledgements.record_no_proxy(Instant::now()),
         }
     }
 
@@ -220,7 +222,7 @@
             .fold(self.keep_alive_at, Instant::min)
     }
 
-    fn has_ended(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.shutdown_deadline.is_some_and(|deadline| self.proxy.is_none() || Instant::now() >= deadline)
     }
 }
--- a/crates/pebblepost-agent/src/lib.rs
+++ b/crates/pebblepost-agent/src/lib.rs
@@ -54,9 +54,9 @@
     let options = AgentOptions {
         node: settings.node_name.clone(),
         zone: settings.zone.clone(),
-        control: settings.control_links(),
-        grace: settings.bounds.shutdown_grace,
-        reload: Box::new(read_control_links),
+        control_addresses: settings.control_links(),
+        shutdown_grace: settings.bounds.shutdown_grace,
+        read_control_addresses: Box::new(read_control_addresses),
     };
     serve(options, listener, signals).await;
     Ok(())
@@ -73,7 +73,7 @@
     }
 }
 
-fn read_control_links() -> Vec<SocketAddr> {
+fn read_control_addresses() -> Vec<SocketAddr> {
     match Settings::from_environment() {
         Ok(settings) => settings.control_links(),
         Err(error) => {
--- a/crates/pebblepost-agent/src/proxy_connection.rs
+++ b/crates/pebblepost-agent/src/proxy_connection.rs
@@ -81,7 +81,7 @@
                 Ok((sender, receiver)) => {
                     accepted += 1;
                     let id = ConnectionId(accepted);
-                    tokio::task::spawn_local(follow(id, sender, receiver, events.clone()));
+                    tokio::task::spawn_local(relay_replies(id, sender, receiver, events.clone()));
                 }
                 Err(error) => log::warn!("proxy not accepted: {error:#}"),
             }
@@ -90,7 +90,9 @@
     receiver
 }
 
-async fn follow(id: ConnectionId, sender: Sender, mut receiver: Receiver, events: mpsc::Sender<ProxyEvent>) {
+async fn relay_replies(
+    id: ConnectionId, sender: Sender, mut receiver: Receiver, events: mpsc::Sender<ProxyEvent>,
+) {
     if events.send(ProxyEvent::Connected(id, sender)).await.is_err() {
         return;
     }
--- a/crates/pebblepost-agent/tests/agent/harness.rs
+++ b/crates/pebblepost-agent/tests/agent/harness.rs
@@ -41,9 +41,9 @@
         let options = AgentOptions {
             node: "edge-north-1".to_owned(),
             zone: "north".to_owned(),
-            control,
-            grace: Duration::from_secs(8),
-            reload: Box::new(reload),
+            control_addresses: control,
+            shutdown_grace: Duration::from_secs(8),
+            read_control_addresses: Box::new(reload),
         };
         let agent = spawn_local(serve(options, proxy_listener, receiver));
         Harness { signals, agent, transcript: String::new(), proxy_address }
--- a/crates/pebblepost-proxy/src/activity.rs
+++ b/crates/pebblepost-proxy/src/activity.rs
@@ -8,7 +8,7 @@
 
 /// What a connection is doing.
 #[derive(Clone, Copy, Debug)]
-enum State {
+enum ActivityState {
     /// No request since then.
     Idle(Instant),
     /// The first bytes of a head came then.
@@ -19,45 +19,45 @@
 
 /// Activity of a connection; clones share it.
 #[derive(Clone, Debug)]
-pub(crate) struct ConnectionActivity(Rc<Cell<State>>);
+pub(crate) struct ConnectionActivity(Rc<Cell<ActivityState>>);
 
 impl ConnectionActivity {
     /// A connection that was just accepted.
     pub(crate) fn new() -> ConnectionActivity {
-        ConnectionActivity(Rc::new(Cell::new(State::Idle(Instant::now()))))
+        ConnectionActivity(Rc::new(Cell::new(ActivityState::Idle(Instant::now()))))
     }
 
     /// Notes that a head is complete.
-    pub(crate) fn request_started(&self) {
-        self.0.set(State::InRequest);
+    pub(crate) fn mark_request_started(&self) {
+        self.0.set(ActivityState::InRequest);
     }
 
     /// Notes that the response is complete, or given up.
-    pub(crate) fn request_ended(&self) {
-        self.0.set(State::Idle(Instant::now()));
+    pub(crate) fn mark_request_ended(&self) {
+        self.0.set(ActivityState::Idle(Instant::now()));
     }
 
     /// Notes that bytes arrived.
-    pub(crate) fn bytes_read(&self) {
-        if let State::Idle(_) = self.0.get() {
-            self.0.set(State::ReadingHead(Instant::now()));
+    pub(crate) fn mark_bytes_read(&self) {
+        if let ActivityState::Idle(_) = self.0.get() {
+            self.0.set(ActivityState::ReadingHead(Instant::now()));
         }
     }
 
     /// When a head that has begun must be complete.
     pub(crate) fn head_deadline(&self, header_timeout: Duration) -> Option<Instant> {
         match self.0.get() {
-            State::ReadingHead(since) => Some(since + header_timeout),
-            State::Idle(_) | State::InRequest => None,
+            ActivityState::ReadingHead(since) => Some(since + header_timeout),
+            ActivityState::Idle(_) | ActivityState::InRequest => None,
         }
     }
 
     /// When the connection is to be closed if its state stays; `None` during a request.
-    pub(crate) fn deadline(&self, header_timeout: Duration, idle_timeout: Duration) -> Option<Instant> {
+    pub(crate) fn close_deadline(&self, header_timeout: Duration, idle_timeout: Duration) -> Option<Instant> {
         match self.0.get() {
-            State::Idle(since) => Some(since + idle_timeout),
-            State::ReadingHead(since) => Some(since + header_timeout),
-            State::InRequest => None,
+            ActivityState::Idle(since) => Some(since + idle_timeout),
+            ActivityState::ReadingHead(since) => Some(since + header_timeout),
+            ActivityState::InRequest => None,
         }
     }
 }
--- a/crates/pebblepost-proxy/src/connections/connection.rs
+++ b/crates/pebblepost-proxy/src/connections/connection.rs
@@ -102,7 +102,7 @@
 /// When to check a connection again; `None` if a deadline of it has passed.
 fn next_check(activity: &ConnectionActivity, limits: &Limits) -> Option<Instant> {
     let now = Instant::now();
-    match activity.deadline(limits.header_timeout, limits.idle_timeout) {
+    match activity.close_deadline(limits.header_timeout, limits.idle_timeout) {
         Some(deadline) => Some(deadline).filter(|at| *at > now),
         None => Some(now + limits.idle_timeout),
     }
--- a/crates/pebblepost-proxy/src/connections/server.rs
+++ b/crates/pebblepost-proxy/src/connections/server.rs
@@ -16,7 +16,7 @@
 const RESERVED_DESCRIPTORS: usize = 200;
 /// Clients may take one part in this many of the descriptors; the rest is for transcribers and
 /// links.
-const CLIENTS_DIVISOR: usize = 2;
+const CLIENT_DESCRIPTORS_DIVISOR: usize = 2;
 
 /// Accepts connections and counts those that are open.
 #[derive(Debug)]
@@ -28,7 +28,8 @@
 impl Server {
     /// A server without connections; `max_descriptors` is the limit of the process.
     pub(crate) fn new(max_descriptors: usize) -> Server {
-        let max_connections = (max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / CLIENTS_DIVISOR).max(1);
+        let max_connections =
+            (max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / CLIENT_DESCRIPTORS_DIVISOR).max(1);
         Server { max_connections, permits: Arc::new(Semaphore::new(max_connections)) }
     }
 
--- a/crates/pebblepost-proxy/src/connections/tracked_stream.rs
+++ b/crates/pebblepost-proxy/src/connections/tracked_stream.rs
@@ -28,7 +28,7 @@
         let before = buffer.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.activity.bytes_read();
+            self.activity.mark_bytes_read();
         }
         result
     }
--- a/crates/pebblepost-proxy/src/dispatch/admission.rs
+++ b/crates/pebblepost-proxy/src/dispatch/admission.rs
@@ -19,7 +19,7 @@
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
-struct OpenAttempt {
+struct InFlightAttempt {
     number: AttemptNo,
     worker: WorkerId,
     sent: Instant,
@@ -32,17 +32,17 @@
     id: RequestId,
     commands: Rc<CommandQueue>,
     attempts_begun: u8,
-    open: Option<OpenAttempt>,
+    in_flight: Option<InFlightAttempt>,
 }
 
 impl Admission {
     /// Hands a request to the dispatcher. `None`: the dispatcher can't take its class.
-    pub(super) fn request(
+    pub(super) fn submit(
         backend: &Rc<Backend>, policy: &RoutePolicy, time_left: Duration, affinity_key: u64,
     ) -> Option<Admission> {
         let commands = Rc::new(CommandQueue::default());
         let id = backend.begin_request(policy, time_left, affinity_key, commands.clone())?;
-        Some(Admission { backend: backend.clone(), id, commands, attempts_begun: 0, open: None })
+        Some(Admission { backend: backend.clone(), id, commands, attempts_begun: 0, in_flight: None })
     }
 
     /// The next command; gives up at the deadline whatever the dispatcher orders. A command to send
@@ -57,16 +57,16 @@
     }
 
     fn begin_attempt(&mut self, worker: WorkerId) {
-        self.backend.attempt_begun(worker);
-        self.open =
-            Some(OpenAttempt { number: AttemptNo(self.attempts_begun), worker, sent: Instant::now() });
+        self.backend.record_attempt_start(worker);
+        self.in_flight =
+            Some(InFlightAttempt { number: AttemptNo(self.attempts_begun), worker, sent: Instant::now() });
         self.attempts_begun = self.attempts_begun.saturating_add(1);
     }
 
     /// Reports how the attempt in flight ended.
     pub(super) fn end_attempt(&mut self, status: Status, report: Report, after: AfterAttempt) {
-        let Some(OpenAttempt { number, worker, sent }) = self.open.take() else { return };
-        self.backend.attempt_ended(worker);
+        let Some(InFlightAttempt { number, worker, sent }) = self.in_flight.take() else { return };
+        self.backend.record_attempt_end(worker);
         let latency = sent.elapsed();
         self.backend.handle(Event::Outcome {
             id: self.id,
@@ -80,8 +80,8 @@
     }
 
     /// Reports that the attempt's stream has begun: the client has its head.
-    pub(super) fn stream_opened(&mut self) {
-        if let Some(OpenAttempt { number, .. }) = self.open {
+    pub(super) fn report_stream_opened(&mut self) {
+        if let Some(InFlightAttempt { number, .. }) = self.in_flight {
             self.backend.handle(Event::StreamOpened { id: self.id, attempt: number });
         }
     }
--- a/crates/pebblepost-proxy/src/dispatch/attempt.rs
+++ b/crates/pebblepost-proxy/src/dispatch/attempt.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// The first health check of a silent transcriber comes after this many latency targets.
-const HEALTH_CHECK_AFTER_TARGETS: u32 = 2;
+const HEALTH_CHECK_DELAY_LATENCY_TARGETS: u32 = 2;
 /// Shortest delay of the first health check; it doubles with each.
 const MIN_HEALTH_CHECK_DELAY: Duration = Duration::from_millis(250);
 /// A silent transcriber that does not report its load within this time counts as down.
@@ -48,7 +48,7 @@
             return response.await;
         }
         let mut check_delay =
-            (self.policy.target_latency * HEALTH_CHECK_AFTER_TARGETS).max(MIN_HEALTH_CHECK_DELAY);
+            (self.policy.target_latency * HEALTH_CHECK_DELAY_LATENCY_TARGETS).max(MIN_HEALTH_CHECK_DELAY);
         loop {
             if let Ok(response) = tokio::time::timeout(check_delay, response.as_mut()).await {
                 return response;
--- a/crates/pebblepost-proxy/src/dispatch/backend.rs
+++ b/crates/pebblepost-proxy/src/dispatch/backend.rs
@@ -4,7 +4,7 @@
 //! clients itself: it queues commands for the requests' tasks. Probes for load it sends itself.
 
 use super::command_queue::{Command, CommandQueue};
-use super::dispatcher_settings::{WARM_UP, dispatcher_settings};
+use super::dispatcher_settings::{WARM_UP_TIME, dispatcher_settings};
 use super::load_report;
 use super::request_class::ClassTable;
 use super::request_table::{NO_REQUEST, RequestTable};
@@ -92,14 +92,14 @@
     /// Takes over the state of one of its instances.
     pub(super) fn update_instance(self: &Rc<Self>, instance: &Instance) {
         let now = self.now();
-        let change = self.state.borrow_mut().workers.update(instance, now, WARM_UP);
+        let change = self.state.borrow_mut().workers.update(instance, now, WARM_UP_TIME);
         let Some(change) = change else { return };
         debug!(
             "transcriber updated backend={} transcriber={} state={:?}",
             self.name, instance.id, change.entry.state
         );
         self.handle(Event::Members { kind: ListKind::Delta, entries: vec![change.entry] });
-        if let Some(slots) = change.new_with_slots {
+        if let Some(slots) = change.initial_slots {
             self.report_slots(change.entry.worker, slots);
         }
     }
@@ -113,7 +113,7 @@
             status: Status::Moot,
             latency: Duration::ZERO,
             closed: true,
-            report: load_report::unloaded(slots),
+            report: load_report::idle(slots),
         });
     }
 
@@ -124,17 +124,17 @@
 
     /// Whether any worker takes requests.
     pub(super) fn has_ready_worker(&self) -> bool {
-        self.state.borrow().workers.all_ready().next().is_some()
+        self.state.borrow().workers.ready_workers().next().is_some()
     }
 
     /// Whether a worker takes requests to which none of these attempts was sent.
     pub(super) fn has_untried_worker(&self, attempts: &Attempts) -> bool {
-        self.state.borrow().workers.all_ready().any(|worker| !attempts.includes(worker))
+        self.state.borrow().workers.ready_workers().any(|worker| !attempts.contains(worker))
     }
 
     /// A worker, if it takes requests now.
-    pub(super) fn ready(&self, worker: WorkerId) -> Option<Target> {
-        self.state.borrow().workers.ready(worker).cloned()
+    pub(super) fn ready_target(&self, worker: WorkerId) -> Option<Target> {
+        self.state.borrow().workers.ready_target(worker).cloned()
     }
 
     /// The client that reaches the workers.
@@ -150,7 +150,7 @@
     ) -> Option<RequestId> {
         let (id, class) = {
             let State { dispatcher, classes, requests, .. } = &mut *self.state.borrow_mut();
-            let class = classes.id_of(policy.class(), dispatcher)?;
+            let class = classes.find_or_add(policy.class(), dispatcher)?;
             (requests.insert(commands), class)
         };
         self.handle(Event::Request {
@@ -194,9 +194,9 @@
 
     fn execute(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Send { id, worker, .. } => self.command(id, Command::Send(worker)),
-            Action::Refuse { id, retry_after } => self.command(id, Command::GiveUp { retry_after }),
-            Action::Fail { id } => self.command(id, Command::GiveUp { retry_after: None }),
+            Action::Send { id, worker, .. } => self.queue_command(id, Command::Send(worker)),
+            Action::Refuse { id, retry_after } => self.queue_command(id, Command::GiveUp { retry_after }),
+            Action::Fail { id } => self.queue_command(id, Command::GiveUp { retry_after: None }),
             Action::Probe { worker } => {
                 tokio::task::spawn_local(probe(self.clone(), worker));
             }
@@ -207,7 +207,7 @@
         }
     }
 
-    fn command(&self, id: RequestId, command: Command) {
+    fn queue_command(&self, id: RequestId, command: Command) {
         self.state.borrow().requests.push_command(id, command);
     }
 
@@ -223,21 +223,21 @@
     }
 
     /// Counts an attempt that begins at a worker.
-    pub(super) fn attempt_begun(&self, worker: WorkerId) {
-        self.state.borrow_mut().workers.attempt_begun(worker);
+    pub(super) fn record_attempt_start(&self, worker: WorkerId) {
+        self.state.borrow_mut().workers.record_attempt_start(worker);
     }
 
     /// Counts an attempt that ended at a worker.
-    pub(super) fn attempt_ended(&self, worker: WorkerId) {
-        self.state.borrow_mut().workers.attempt_ended(worker);
+    pub(super) fn record_attempt_end(&self, worker: WorkerId) {
+        self.state.borrow_mut().workers.record_attempt_end(worker);
     }
 }
 
 /// Probes a worker for its load and hands the result to the dispatcher.
 async fn probe(backend: Rc<Backend>, worker: WorkerId) {
     let sent = Instant::now();
-    let result = match backend.ready(worker) {
-        Some(target) => backend.client.load_report(&target, PROBE_TIMEOUT).await.map_err(failed_status),
+    let result = match backend.ready_target(worker) {
+        Some(target) => backend.client.load_report(&target, PROBE_TIMEOUT).await.map_err(status_of_error),
         None => Err(Status::ConnectFailed),
     };
     let (status, report) = match result {
@@ -249,7 +249,7 @@
 }
 
 /// A failed call in the dispatcher's terms.
-pub(super) fn failed_status(error: ClientError) -> Status {
+pub(super) fn status_of_error(error: ClientError) -> Status {
     match error {
         ClientError::NotSent => Status::ConnectFailed,
         ClientError::MayHaveRun => Status::Reset,
--- a/crates/pebblepost-proxy/src/dispatch/dispatcher_settings.rs
+++ b/crates/pebblepost-proxy/src/dispatch/dispatcher_settings.rs
@@ -8,14 +8,14 @@
 use std::time::Duration;
 
 /// Shortest time between two calls of the dispatcher's timer.
-const TICK: Duration = Duration::from_millis(2);
+const TICK_INTERVAL: Duration = Duration::from_millis(2);
 /// Longest advice on when to retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Sends that the dispatcher may order for a request, those that never ran included; the limit of
 /// the route is kept by [`super::retry::Attempts`].
-const MAX_SENDS: u32 = 16;
+const MAX_SENDS_PER_REQUEST: u32 = 16;
 /// How long a transcriber is warming up after its start (slow start).
-pub(super) const WARM_UP: Duration = Duration::from_secs(5);
+pub(super) const WARM_UP_TIME: Duration = Duration::from_secs(5);
 
 /// Settings of the dispatcher of a backend that `proxy_count` proxies share. `first_class`: the
 /// class that it knows from the beginning.
@@ -32,7 +32,7 @@
         hedging_enabled: false,
         retry_after_enabled: true,
         max_retry_after: MAX_RETRY_AFTER,
-        max_attempts: MAX_SENDS,
+        max_attempts: MAX_SENDS_PER_REQUEST,
         keepalive: Duration::from_secs(10),
         report_fields: vec![ReportField::FreeSlots, ReportField::Queue],
         report_source: ReportSource::Piggyback,
@@ -44,11 +44,11 @@
         answer_slack: Duration::ZERO,
         max_discovery_interval: Duration::from_secs(10),
         cold_capacity: 0.3,
-        warm_up_time: WARM_UP,
+        warm_up_time: WARM_UP_TIME,
         overload_multiple: 2.0,
         overload_time: Duration::from_millis(500),
         prices: Prices::default(),
-        tick: TICK,
+        tick: TICK_INTERVAL,
         queues_in_order: true,
         reservations: ReservationSettings { enabled: false, ..ReservationSettings::default() },
     }
--- a/crates/pebblepost-proxy/src/dispatch/forwarding.rs
+++ b/crates/pebblepost-proxy/src/dispatch/forwarding.rs
@@ -3,7 +3,7 @@
 
 use super::admission::{Admission, AfterAttempt};
 use super::attempt::{Attempt, AttemptResponse};
-use super::backend::{Backend, failed_status};
+use super::backend::{Backend, status_of_error};
 use super::classification::{ResponseClass, classify};
 use super::command_queue::Command;
 use super::retry::{Attempts, Failure};
@@ -95,14 +95,14 @@
     pub(super) async fn run(&mut self) -> Forwarded {
         let time_left = self.time_left();
         if time_left.is_zero() {
-            return Forwarded::Failed(self.failure(None));
+            return Forwarded::Failed(self.take_failure(None));
         }
-        let admitted = Admission::request(&self.backend, &self.policy, time_left, self.affinity_key);
-        let Some(mut admission) = admitted else { return Forwarded::Failed(self.failure(None)) };
+        let admitted = Admission::submit(&self.backend, &self.policy, time_left, self.affinity_key);
+        let Some(mut admission) = admitted else { return Forwarded::Failed(self.take_failure(None)) };
         loop {
             let worker = match admission.next_command(self.request.deadline).await {
                 Command::Send(worker) => worker,
-                Command::GiveUp { retry_after } => return Forwarded::Failed(self.failure(retry_after)),
+                Command::GiveUp { retry_after } => return Forwarded::Failed(self.take_failure(retry_after)),
             };
             let Some(target) = self.usable_target(&mut admission, worker) else { continue };
             match self.make_attempt(&mut admission, worker, &target).await {
@@ -111,7 +111,7 @@
                     return Forwarded::Stream(OpenStream { head, events, admission });
                 }
                 AttemptOutcome::Failed if self.attempts.can_retry() => {}
-                AttemptOutcome::Failed => return Forwarded::Failed(self.failure(None)),
+                AttemptOutcome::Failed => return Forwarded::Failed(self.take_failure(None)),
             }
         }
     }
@@ -119,13 +119,13 @@
     /// The target of a worker that was ordered, unless the attempt must not be made there; then it is
     /// reported as ended.
     fn usable_target(&self, admission: &mut Admission, worker: WorkerId) -> Option<Target> {
-        if self.attempts.includes(worker) && self.backend.has_untried_worker(&self.attempts) {
+        if self.attempts.contains(worker) && self.backend.has_untried_worker(&self.attempts) {
             // As rejected by the worker again: the dispatcher then excludes it for this request.
             admission.end_attempt(Status::Full, Report::new(), AfterAttempt::MayRetry);
             return None;
         }
         // Checked at the last moment: the worker may be draining since it was chosen.
-        let target = self.backend.ready(worker).filter(|_| self.attempts.can_retry());
+        let target = self.backend.ready_target(worker).filter(|_| self.attempts.can_retry());
         if target.is_none() {
             admission.end_attempt(Status::Moot, Report::new(), AfterAttempt::MayRetry);
         }
@@ -143,13 +143,13 @@
             policy: &self.policy,
             can_retry: self.attempts.can_retry(),
         };
-        match attempt.send(self.outgoing()).await {
+        match attempt.send(self.outgoing_request()).await {
             Ok(AttemptResponse::Stream(head, events)) if classify(&head) == ResponseClass::Final => {
-                admission.stream_opened();
+                admission.report_stream_opened();
                 AttemptOutcome::Stream(head, events)
             }
             Ok(AttemptResponse::Stream(..)) => {
-                self.attempts.failed();
+                self.attempts.record_failure();
                 self.end_attempt(admission, Status::Error, Report::new());
                 AttemptOutcome::Failed
             }
@@ -179,11 +179,11 @@
             }
             ResponseClass::NotExecuted => self.end_attempt(admission, Status::Full, report),
             ResponseClass::Failed => {
-                self.attempts.failed_with(response);
+                self.attempts.record_failed_response(response);
                 self.end_attempt(admission, Status::Error, report);
             }
             ResponseClass::Unusable => {
-                self.attempts.failed();
+                self.attempts.record_failure();
                 self.end_attempt(admission, Status::Error, report);
             }
         }
@@ -193,10 +193,10 @@
     fn process_error(&mut self, admission: &mut Admission, error: ClientError) {
         match error {
             ClientError::NotSent => self.attempts.undo_last(),
-            ClientError::MayHaveRun => self.attempts.failed(),
-            ClientError::TimedOut => self.attempts.timed_out(),
+            ClientError::MayHaveRun => self.attempts.record_failure(),
+            ClientError::TimedOut => self.attempts.record_timeout(),
         }
-        self.end_attempt(admission, failed_status(error), Report::new());
+        self.end_attempt(admission, status_of_error(error), Report::new());
     }
 
     fn end_attempt(&self, admission: &mut Admission, status: Status, report: Report) {
@@ -208,14 +208,16 @@
         load.map_or_else(Report::new, |load| self.backend.load_report(worker, load))
     }
 
-    /// How the request fails now. `advised`: the dispatcher's advice on when to retry.
-    fn failure(&mut self, advised: Option<Duration>) -> Failure {
+    /// How the request fails now. `dispatcher_advice`: the dispatcher's advice on when to retry.
+    fn take_failure(&mut self, dispatcher_advice: Option<Duration>) -> Failure {
         // Transcribers that are gone come back or are replaced, which takes longer than a request.
-        let usual = match self.backend.has_ready_worker() {
+        let default_delay = match self.backend.has_ready_worker() {
             true => (self.policy.target_latency / 2).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
             false => MAX_RETRY_AFTER,
         };
-        self.attempts.failure(advised.map_or(usual, |advised| advised.max(usual)))
+        self.attempts.take_failure(
+            dispatcher_advice.map_or(default_delay, |dispatcher_advice| dispatcher_advice.max(default_delay)),
+        )
     }
 
     /// Time left until the deadline.
@@ -224,7 +226,7 @@
     }
 
     /// The request as a transcriber gets it.
-    fn outgoing(&self) -> OutgoingRequest {
+    fn outgoing_request(&self) -> OutgoingRequest {
         let head = &self.request.head;
         let mut headers = head.headers.clone();
         if let Some(id) = self.last_event_id {
--- a/crates/pebblepost-proxy/src/dispatch/load_report.rs
+++ b/crates/pebblepost-proxy/src/dispatch/load_report.rs
@@ -20,6 +20,6 @@
 }
 
 /// The report of a transcriber without load.
-pub(super) fn unloaded(slots: u32) -> Report {
+pub(super) fn idle(slots: u32) -> Report {
     vec![slots as f32, 0.0]
 }
--- a/crates/pebblepost-proxy/src/dispatch/request_class.rs
+++ b/crates/pebblepost-proxy/src/dispatch/request_class.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 /// Fraction of its value that a response keeps after the latency target.
-const LATE_VALUE: f64 = 0.25;
+const LATE_RESPONSE_VALUE: f64 = 0.25;
 
 /// What distinguishes two classes of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
             deadline: self.timeout,
             idempotency: if self.idempotent { Idempotency::Idempotent } else { Idempotency::NonIdempotent },
             value: 1.0,
-            late_value: LATE_VALUE,
+            late_value: LATE_RESPONSE_VALUE,
             latency_stretch: 0.0,
             kind: None,
             only_kinds: None,
@@ -53,7 +53,9 @@
 
     /// The id of a class, which is added to the dispatcher if it is new. `None`: the dispatcher
     /// takes no more classes.
-    pub(super) fn id_of(&mut self, class: RequestClass, dispatcher: &mut Dispatcher) -> Option<ClassId> {
+    pub(super) fn find_or_add(
+        &mut self, class: RequestClass, dispatcher: &mut Dispatcher,
+    ) -> Option<ClassId> {
         if let Some(index) = self.0.iter().position(|known| *known == class) {
             return u16::try_from(index).ok().map(ClassId);
         }
--- a/crates/pebblepost-proxy/src/dispatch/retry.rs
+++ b/crates/pebblepost-proxy/src/dispatch/retry.rs
@@ -54,7 +54,7 @@
     }
 
     /// Whether an attempt was sent to this worker.
-    pub(super) fn includes(&self, worker: WorkerId) -> bool {
+    pub(super) fn contains(&self, worker: WorkerId) -> bool {
         self.workers.contains(&worker)
     }
 
@@ -69,25 +69,25 @@
     }
 
     /// Notes that the newest attempt may have run, and failed.
-    pub(super) fn failed(&mut self) {
+    pub(super) fn record_failure(&mut self) {
         self.may_have_run = true;
         self.timed_out = false;
     }
 
     /// Notes that the newest attempt may have run, and timed out.
-    pub(super) fn timed_out(&mut self) {
+    pub(super) fn record_timeout(&mut self) {
         self.may_have_run = true;
         self.timed_out = true;
     }
 
     /// Notes that the newest attempt ran and returned a failure.
-    pub(super) fn failed_with(&mut self, response: BufferedResponse) {
-        self.failed();
+    pub(super) fn record_failed_response(&mut self, response: BufferedResponse) {
+        self.record_failure();
         self.failed_response = Some(response);
     }
 
     /// How the request fails now. `retry_after`: advice for a client whose request has not run.
-    pub(super) fn failure(&mut self, retry_after: Duration) -> Failure {
+    pub(super) fn take_failure(&mut self, retry_after: Duration) -> Failure {
         if !self.may_have_run {
             return Failure::NotExecuted { retry_after };
         }
--- a/crates/pebblepost-proxy/src/dispatch/stream_relay.rs
+++ b/crates/pebblepost-proxy/src/dispatch/stream_relay.rs
@@ -13,9 +13,9 @@
 
 /// Clients abandon a stream that is idle for two seconds or four latency targets, whichever is longer;
 /// it is resumed elsewhere after half of that.
-const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// See [`MIN_IDLE_TIMEOUT`].
-const IDLE_TIMEOUT_IN_TARGETS: u32 = 2;
+const MIN_STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
+/// See [`MIN_STREAM_IDLE_TIMEOUT`].
+const STREAM_IDLE_TIMEOUT_LATENCY_TARGETS: u32 = 2;
 
 /// A stream that can't be completed: the client's connection is closed, so that the response does
 /// not look complete.
@@ -73,7 +73,9 @@
         let time_left = self.forwarding.time_left();
         let policy = &self.forwarding.policy;
         let idle_timeout = match policy.is_resumable() {
-            true => (policy.target_latency * IDLE_TIMEOUT_IN_TARGETS).max(MIN_IDLE_TIMEOUT),
+            true => {
+                (policy.target_latency * STREAM_IDLE_TIMEOUT_LATENCY_TARGETS).max(MIN_STREAM_IDLE_TIMEOUT)
+            }
             false => time_left,
         };
         self.stream.events.next(idle_timeout.min(time_left)).await
@@ -93,11 +95,11 @@
     fn end_broken_attempt(&mut self, error: ClientError) {
         let status = match error {
             ClientError::TimedOut => {
-                self.forwarding.attempts.timed_out();
+                self.forwarding.attempts.record_timeout();
                 Status::Timeout
             }
             ClientError::NotSent | ClientError::MayHaveRun => {
-                self.forwarding.attempts.failed();
+                self.forwarding.attempts.record_failure();
                 Status::Reset
             }
         };
--- a/crates/pebblepost-proxy/src/dispatch/worker_table.rs
+++ b/crates/pebblepost-proxy/src/dispatch/worker_table.rs
@@ -35,7 +35,7 @@
     /// The worker's entry for the dispatcher.
     pub(super) entry: Entry,
     /// Its slots, if it is new.
-    pub(super) new_with_slots: Option<u32>,
+    pub(super) initial_slots: Option<u32>,
 }
 
 impl WorkerTable {
@@ -71,7 +71,7 @@
         }
         worker.state = state;
         let entry = self.entry(id, &instance.id, None);
-        Some(WorkerChange { entry, new_with_slots: None })
+        Some(WorkerChange { entry, initial_slots: None })
     }
 
     fn add(
@@ -93,7 +93,7 @@
         let warm_up_left = Duration::from_millis(instance.warm_up_remaining_ms.into());
         let started = (!warm_up_left.is_zero()).then(|| now + warm_up_left - warm_up_time);
         let entry = self.entry(id, &instance.id, started);
-        Some(WorkerChange { entry, new_with_slots: Some(slots) })
+        Some(WorkerChange { entry, initial_slots: Some(slots) })
     }
 
     /// Attempts of this proxy in flight at a worker.
@@ -102,14 +102,14 @@
     }
 
     /// Counts an attempt that begins at a worker.
-    pub(super) fn attempt_begun(&mut self, id: WorkerId) {
+    pub(super) fn record_attempt_start(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.get_mut(id.0 as usize) {
             worker.in_flight = worker.in_flight.saturating_add(1);
         }
     }
 
     /// Counts an attempt that ended at a worker.
-    pub(super) fn attempt_ended(&mut self, id: WorkerId) {
+    pub(super) fn record_attempt_end(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.get_mut(id.0 as usize) {
             worker.in_flight = worker.in_flight.saturating_sub(1);
         }
@@ -140,7 +140,7 @@
     }
 
     /// A worker, if it takes requests now.
-    pub(super) fn ready(&self, id: WorkerId) -> Option<&Target> {
+    pub(super) fn ready_target(&self, id: WorkerId) -> Option<&Target> {
         let worker = self.workers.get(id.0 as usize)?;
         (worker.state == WorkerState::Ready).then_some(&worker.target)
     }
@@ -151,7 +151,7 @@
     }
 
     /// Workers that take requests now.
-    pub(super) fn all_ready(&self) -> impl Iterator<Item = WorkerId> {
+    pub(super) fn ready_workers(&self) -> impl Iterator<Item = WorkerId> {
         let ready = self.workers.iter().enumerate().filter(|(_, worker)| worker.state == WorkerState::Ready);
         ready.map(|(index, _)| WorkerId(index as u32))
     }
--- a/crates/pebblepost-proxy/src/feed/agent_link.rs
+++ b/crates/pebblepost-proxy/src/feed/agent_link.rs
@@ -1,6 +1,6 @@
 //! Link to the agent of this machine, which sends the feed.
 
-use super::updater::{Applied, FeedUpdater};
+use super::updater::{ApplyOutcome, FeedUpdater};
 use log::{debug, info};
 use pebblepost_link::{LinkLimits, connect};
 use pebblepost_messages::feed::{FeedBatch, FeedReply};
@@ -16,9 +16,9 @@
     read_timeout: Duration::from_secs(3600),
 };
 /// First backoff before the agent is connected to again; it doubles.
-const MIN_BACKOFF: Duration = Duration::from_millis(20);
+const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(20);
 /// Longest backoff.
-const MAX_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Error of the link.
 type LinkError = Box<dyn std::error::Error + Send + Sync>;
@@ -31,27 +31,27 @@
     #[error("reading the feed: {0:#}")]
     Receive(LinkError),
     #[error("a patch builds on a configuration that is not here")]
-    Gap,
+    ResyncNeeded,
 }
 
 /// Keeps the link to the agent at `address` for as long as the process runs.
 pub(crate) async fn run(updater: Rc<FeedUpdater>, address: SocketAddr) {
-    let mut backoff = MIN_BACKOFF;
+    let mut backoff = MIN_RECONNECT_BACKOFF;
     loop {
         let mut received = false;
-        let end = follow(&updater, address, &mut received).await;
+        let end = receive_feed(&updater, address, &mut received).await;
         debug!("feed ended agent={address}: {end}");
         if received {
             info!("agent link lost, configuration stays in force agent={address}");
-            backoff = MIN_BACKOFF;
+            backoff = MIN_RECONNECT_BACKOFF;
         }
         tokio::time::sleep(backoff).await;
-        backoff = (backoff * 2).min(MAX_BACKOFF);
+        backoff = (backoff * 2).min(MAX_RECONNECT_BACKOFF);
     }
 }
 
 /// Applies and acknowledges the feed until the link ends. `received` is set with the first batch.
-async fn follow(updater: &FeedUpdater, address: SocketAddr, received: &mut bool) -> FeedEnd {
+async fn receive_feed(updater: &FeedUpdater, address: SocketAddr, received: &mut bool) -> FeedEnd {
     let (sender, mut receiver) = match connect(address, LINK_LIMITS).await {
         Ok(link) => link,
         Err(error) => return FeedEnd::Connect(error.into()),
@@ -62,9 +62,9 @@
             Err(error) => return FeedEnd::Receive(error.into()),
         };
         *received = true;
-        if updater.apply(&batch.updates) == Applied::Gap {
+        if updater.apply(&batch.updates) == ApplyOutcome::ResyncNeeded {
             sender.close();
-            return FeedEnd::Gap;
+            return FeedEnd::ResyncNeeded;
         }
         let generation = updater.generation();
         sender.send(&FeedReply::Acknowledge { sequence: batch.sequence, generation });
--- a/crates/pebblepost-proxy/src/feed/mod.rs
+++ b/crates/pebblepost-proxy/src/feed/mod.rs
@@ -8,7 +8,7 @@
 mod updater;
 
 pub(crate) use cache::FeedCache;
-pub use updater::Applied;
+pub use updater::ApplyOutcome;
 pub(crate) use updater::FeedUpdater;
 
 pub(crate) use agent_link::run as run_agent_link;
--- a/crates/pebblepost-proxy/src/feed/updater.rs
+++ b/crates/pebblepost-proxy/src/feed/updater.rs
@@ -2,7 +2,7 @@
 
 use super::cache::FeedCache;
 use crate::dispatch::Backends;
-use crate::resource_limits::{DEFAULT_CONNECTIONS, client_limits};
+use crate::resource_limits::{DEFAULT_CONNECTIONS_PER_TRANSCRIBER, client_limits};
 use log::{debug, info};
 use pebblepost_batch_runner::BatchRunner;
 use pebblepost_feed::FeedChanges;
@@ -13,12 +13,12 @@
 
 /// What came of updates of the feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// They are in force.
     InForce,
     /// A patch builds on a configuration that this proxy does not have: the feed must be begun
     /// again.
-    Gap,
+    ResyncNeeded,
 }
 
 /// Applies updates of the feed.
@@ -41,12 +41,12 @@
     }
 
     /// Applies updates; when this returns, they are in force.
-    pub(crate) fn apply(&self, updates: &[FeedUpdate]) -> Applied {
-        let mut applied = Applied::InForce;
+    pub(crate) fn apply(&self, updates: &[FeedUpdate]) -> ApplyOutcome {
+        let mut applied = ApplyOutcome::InForce;
         for update in updates {
             let changes = self.cache.apply(update);
             if changes.resync_needed {
-                applied = Applied::Gap;
+                applied = ApplyOutcome::ResyncNeeded;
             }
             self.apply_changes(&changes);
         }
@@ -82,7 +82,8 @@
         let feed = self.cache.state();
         let services = feed.configuration().map(|configuration| configuration.services());
         let fewest = services.and_then(|services| services.iter().map(|service| service.max_conns).min());
-        let share = fewest.map_or(DEFAULT_CONNECTIONS, |connections| connections / feed.proxy_count());
+        let share = fewest
+            .map_or(DEFAULT_CONNECTIONS_PER_TRANSCRIBER, |connections| connections / feed.proxy_count());
         client_limits(&self.machine_limits, share)
     }
 
--- a/crates/pebblepost-proxy/src/handler.rs
+++ b/crates/pebblepost-proxy/src/handler.rs
@@ -51,7 +51,7 @@
     pub(crate) async fn handle(
         self: Rc<Self>, activity: ConnectionActivity, request: Request<Incoming>,
     ) -> Response<ResponseBody> {
-        activity.request_started();
+        activity.mark_request_started();
         let mut response = self.respond(request).await.unwrap_or_else(|rejection| {
             debug!("request rejected: {rejection}");
             self.metrics.update(|counts| counts.rejected += 1);
@@ -78,7 +78,7 @@
         let configuration = configuration.ok_or(Rejection::NotConfigured)?;
         if BatchRunner::is_job_call(head.path_without_query()) {
             // Whatever has become of its route: a job that was accepted is kept and can be read.
-            return self.run_job_call(None, head, body).await;
+            return self.handle_job_call(None, head, body).await;
         }
         if head.request_id.is_empty() {
             return Err(Rejection::Malformed);
@@ -91,7 +91,7 @@
         if head.method != Method::POST {
             return Err(Rejection::NoRoute);
         }
-        self.run_job_call(Some(route), head, body).await
+        self.handle_job_call(Some(route), head, body).await
     }
 
     /// When the client must have its response.
@@ -124,7 +124,7 @@
         }
     }
 
-    async fn run_job_call(
+    async fn handle_job_call(
         &self, route: Option<&Route>, head: RequestHead, body: BufferedBody,
     ) -> Result<Response<Payload>, Rejection> {
         let mut request = Request::new(body.bytes.clone());
@@ -138,6 +138,6 @@
 /// How long a request may wait for the first configuration. Its route is not known before then; a
 /// submitted batch job is recognized by its having no deadline.
 fn configuration_timeout(head: &RequestHead) -> Duration {
-    let is_of_job = head.deadline.is_none() || BatchRunner::is_job_call(head.path_without_query());
-    if is_of_job { JOB_CONFIGURATION_TIMEOUT } else { CONFIGURATION_TIMEOUT }
+    let is_job_call = head.deadline.is_none() || BatchRunner::is_job_call(head.path_without_query());
+    if is_job_call { JOB_CONFIGURATION_TIMEOUT } else { CONFIGURATION_TIMEOUT }
 }
--- a/crates/pebblepost-proxy/src/lib.rs
+++ b/crates/pebblepost-proxy/src/lib.rs
@@ -29,7 +29,7 @@
 mod signals;
 
 pub use error::ProxyError;
-pub use feed::Applied;
+pub use feed::ApplyOutcome;
 pub use metrics::ProxyMetrics;
 pub use proxy::Proxy;
 pub use signals::Signals;
--- a/crates/pebblepost-proxy/src/listener.rs
+++ b/crates/pebblepost-proxy/src/listener.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 
 /// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1024;
+const LISTEN_BACKLOG: i32 = 1024;
 
 /// Listens at an address of the settings; `key` is its key there.
 ///
@@ -25,6 +25,6 @@
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     TcpListener::from_std(socket.into())
 }
--- a/crates/pebblepost-proxy/src/proxy.rs
+++ b/crates/pebblepost-proxy/src/proxy.rs
@@ -3,13 +3,13 @@
 use crate::connections::{ConnectionContext, Server};
 use crate::dispatch::Backends;
 use crate::error::ProxyError;
-use crate::feed::{Applied, FeedCache, FeedUpdater, run_agent_link};
+use crate::feed::{ApplyOutcome, FeedCache, FeedUpdater, run_agent_link};
 use crate::handler::RequestHandler;
 use crate::listener::listen;
 use crate::metrics::{Metrics, ProxyMetrics, metrics_line};
 use crate::readiness::Readiness;
 use crate::request::MemoryBudget;
-use crate::resource_limits::{DEFAULT_CONNECTIONS, client_limits, request_body_bytes};
+use crate::resource_limits::{DEFAULT_CONNECTIONS_PER_TRANSCRIBER, client_limits, request_body_budget_bytes};
 use crate::shutdown::Shutdown;
 use crate::signals::{ReceivedSignal, Signals};
 use log::{info, warn};
@@ -23,13 +23,13 @@
 use tokio::time::Instant;
 
 /// After SIGTERM the platform needs two failed readiness checks, one each second, to notice.
-const READINESS_PROPAGATION: Duration = Duration::from_millis(2800);
+const READINESS_PROPAGATION_TIME: Duration = Duration::from_millis(2800);
 /// The process ends this long before SIGKILL.
-const END_MARGIN: Duration = Duration::from_millis(500);
+const SIGKILL_MARGIN: Duration = Duration::from_millis(500);
 /// Requests have their responses this long before the process ends.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(400);
 /// How often the metrics are written to the log.
-const METRICS_PERIOD: Duration = Duration::from_secs(15);
+const METRICS_LOG_INTERVAL: Duration = Duration::from_secs(15);
 
 /// A proxy that runs on the caller's `LocalSet`.
 #[derive(Debug)]
@@ -58,10 +58,10 @@
         let server = Rc::new(Server::new(settings.limits.max_fds));
 
         let feed = Rc::new(FeedCache::default());
-        let client = Client::new(client_limits(&settings.limits, DEFAULT_CONNECTIONS));
+        let client = Client::new(client_limits(&settings.limits, DEFAULT_CONNECTIONS_PER_TRANSCRIBER));
         let runner = BatchRunner::start(&settings, client.clone(), feed.shared_state());
         let backends = Rc::new(Backends::new(client.clone(), &settings.zone));
-        let memory = MemoryBudget::new(request_body_bytes(&settings.limits));
+        let memory = MemoryBudget::new(request_body_budget_bytes(&settings.limits));
         let metrics = Rc::new(Metrics::default());
         let shutdown = Rc::new(Shutdown::new());
         let agent_address = SocketAddr::from((Ipv4Addr::LOCALHOST, settings.agent_link_port()));
@@ -115,7 +115,7 @@
     }
 
     /// Applies updates of the feed, as those that come from the agent.
-    pub fn apply(&self, updates: &[FeedUpdate]) -> Applied {
+    pub fn apply(&self, updates: &[FeedUpdate]) -> ApplyOutcome {
         self.updater.apply(updates)
     }
 
@@ -142,7 +142,7 @@
     fn reload(&self) {
         match Settings::from_environment() {
             Ok(settings) => {
-                self.memory.set_limit(request_body_bytes(&settings.limits));
+                self.memory.set_limit(request_body_budget_bytes(&settings.limits));
                 info!("settings reloaded");
             }
             Err(error) => warn!("settings not reloaded: {error:#}"),
@@ -153,15 +153,15 @@
     /// finishing what is in flight, all within the grace period of the settings.
     pub async fn shut_down(&self) {
         let grace = self.shutdown_grace;
-        let end = Instant::now() + grace.saturating_sub(END_MARGIN);
-        info!("draining grace={:?}", grace.saturating_sub(END_MARGIN));
+        let end = Instant::now() + grace.saturating_sub(SIGKILL_MARGIN);
+        info!("draining grace={:?}", grace.saturating_sub(SIGKILL_MARGIN));
         self.shutdown.begin_draining(end - RESPONSE_MARGIN.min(grace / 4));
         let runner = async {
-            let timeout = grace.saturating_sub(END_MARGIN + RESPONSE_MARGIN);
+            let timeout = grace.saturating_sub(SIGKILL_MARGIN + RESPONSE_MARGIN);
             self.runner.shut_down(timeout).await;
         };
         let connections = async {
-            tokio::time::sleep(READINESS_PROPAGATION.min(grace / 2)).await;
+            tokio::time::sleep(READINESS_PROPAGATION_TIME.min(grace / 2)).await;
             self.shutdown.begin_closing();
             self.server.all_closed().await;
         };
@@ -189,7 +189,7 @@
 
     async fn run(self) {
         loop {
-            tokio::time::sleep(METRICS_PERIOD).await;
+            tokio::time::sleep(METRICS_LOG_INTERVAL).await;
             info!("{}", self.line());
         }
     }
--- a/crates/pebblepost-proxy/src/request/body.rs
+++ b/crates/pebblepost-proxy/src/request/body.rs
@@ -26,7 +26,7 @@
 pub(crate) async fn read_body(
     mut body: Incoming, limits: &Limits, memory: &MemoryBudget,
 ) -> Result<BufferedBody, Rejection> {
-    let mut reservation = memory.reservation();
+    let mut reservation = memory.empty_reservation();
     let announced = body.size_hint().lower();
     if announced > limits.max_body_bytes as u64 {
         return Err(Rejection::BodyTooLarge);
--- a/crates/pebblepost-proxy/src/request/memory.rs
+++ b/crates/pebblepost-proxy/src/request/memory.rs
@@ -26,7 +26,7 @@
     }
 
     /// A reservation of no bytes, to be grown.
-    pub(crate) fn reservation(&self) -> MemoryReservation {
+    pub(crate) fn empty_reservation(&self) -> MemoryReservation {
         MemoryReservation { budget: self.clone(), bytes: 0 }
     }
 }
--- a/crates/pebblepost-proxy/src/response.rs
+++ b/crates/pebblepost-proxy/src/response.rs
@@ -42,7 +42,7 @@
 
 impl Drop for ResponseBody {
     fn drop(&mut self) {
-        self.activity.request_ended();
+        self.activity.mark_request_ended();
     }
 }
 
--- a/crates/pebblepost-proxy/tests/own_responses.rs
+++ b/crates/pebblepost-proxy/tests/own_responses.rs
@@ -3,7 +3,7 @@
 #[expect(dead_code, reason = "each test program uses a part of the support")]
 mod support;
 
-use pebblepost_proxy::{Applied, Proxy};
+use pebblepost_proxy::{ApplyOutcome, Proxy};
 use std::fmt::Write;
 use support::client::Client;
 use support::{ProxyFixture, ROUTES, approve, configuration, get, post, run, settings};
@@ -68,7 +68,7 @@
 fn updates_are_in_force_or_leave_a_gap() {
     run(async {
         let fixture = ProxyFixture::bare(8.0);
-        assert_eq!(fixture.proxy.apply(&[configuration(1, ROUTES)]), Applied::InForce);
+        assert_eq!(fixture.proxy.apply(&[configuration(1, ROUTES)]), ApplyOutcome::InForce);
         let patch = br#"{"generation":9}"#.to_vec();
         let patch = pebblepost_messages::feed::ConfigurationUpdate::Patch {
             base_generation: 8,
@@ -76,7 +76,7 @@
             patch,
         };
         let patch = pebblepost_messages::feed::FeedUpdate::Configuration(patch);
-        assert_eq!(fixture.proxy.apply(&[patch]), Applied::Gap);
+        assert_eq!(fixture.proxy.apply(&[patch]), ApplyOutcome::ResyncNeeded);
     });
 }
 
