--- a/crates/pebblepost-proxy/src/activity.rs
+++ b/crates/pebblepost-proxy/src/activity.rs
@@ -1,50 +1,50 @@
-//! Activity of one client's connection, so that a single timer can bound how long the connection is
-//! idle and how long the head of a request takes.
+//! Activity of one client connection. It lets a single timer bound both the idle time of the connection
+//! and the time that a request head takes.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a connection is doing.
+/// State of a connection.
 #[derive(Clone, Copy, Debug)]
 enum ActivityState {
-    /// No request since then.
+    /// No request is in progress since this time.
     Idle(Instant),
-    /// The first bytes of a head came then.
+    /// The first bytes of a request head arrived at this time.
     ReadingHead(Instant),
-    /// A request is being read or answered.
+    /// A request body is being read, or a response is in progress.
     InRequest,
 }
 
-/// Activity of a connection; clones share it.
+/// Activity of a connection. Clones share the state.
 #[derive(Clone, Debug)]
 pub(crate) struct ConnectionActivity(Rc<Cell<ActivityState>>);
 
 impl ConnectionActivity {
-    /// A connection that was just accepted.
+    /// Creates the activity of a connection that was just accepted; it is idle.
     pub(crate) fn new() -> ConnectionActivity {
         ConnectionActivity(Rc::new(Cell::new(ActivityState::Idle(Instant::now()))))
     }
 
-    /// Notes that a head is complete.
+    /// Marks a request head as complete.
     pub(crate) fn mark_request_started(&self) {
         self.0.set(ActivityState::InRequest);
     }
 
-    /// Notes that the response is complete, or given up.
+    /// Marks the response as complete or abandoned. The connection is idle from now on.
     pub(crate) fn mark_request_ended(&self) {
         self.0.set(ActivityState::Idle(Instant::now()));
     }
 
-    /// Notes that bytes arrived.
+    /// Marks the arrival of bytes. On an idle connection they begin a request head.
     pub(crate) fn mark_bytes_read(&self) {
         if let ActivityState::Idle(_) = self.0.get() {
             self.0.set(ActivityState::ReadingHead(Instant::now()));
         }
     }
 
-    /// When a head that has begun must be complete.
+    /// Returns the time by which a request head that has begun must be complete.
     pub(crate) fn head_deadline(&self, header_timeout: Duration) -> Option<Instant> {
         match self.0.get() {
             ActivityState::ReadingHead(since) => Some(since + header_timeout),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// When the connection is to be closed if its state stays; `None` during a request.
+    /// Returns when the connection is to be closed if its state does not change; `None` during a request.
     pub(crate) fn close_deadline(&self, header_timeout: Duration, idle_timeout: Duration) -> Option<Instant> {
         match self.0.get() {
             ActivityState::Idle(since) => Some(since + idle_timeout),
--- a/crates/pebblepost-proxy/src/connections/connection.rs
+++ b/crates/pebblepost-proxy/src/connections/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client, until it ends, is idle for too long, or the process closes.
+//! Serves one client connection until it ends, exceeds a deadline, or the process shuts down.
 
 use super::tracked_stream::TrackedStream;
 use crate::activity::ConnectionActivity;
@@ -21,26 +21,26 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, Sleep};
 
-/// Smallest limit of a connection's read buffer.
+/// Lower bound of the maximum size of a connection's read buffer.
 const MIN_BUFFER_BYTES: usize = 64 * 1024;
 
-/// What connections need.
+/// Shared state that connections need.
 #[derive(Debug)]
 pub(crate) struct ConnectionContext {
-    /// Answers their requests.
+    /// Handles the requests.
     pub(crate) handler: Rc<RequestHandler>,
-    /// Gives their limits.
+    /// Source of the limits.
     pub(crate) feed: Rc<FeedCache>,
-    /// Ends them.
+    /// Tells connections to close.
     pub(crate) shutdown: Rc<Shutdown>,
-    /// Counts them.
+    /// Counts connections.
     pub(crate) metrics: Rc<Metrics>,
 }
 
-/// Serves one connection. `_permit` counts it until it is closed.
+/// Serves one connection. `_permit` is held until the connection is closed.
 pub(super) async fn serve(stream: TcpStream, context: Rc<ConnectionContext>, _permit: OwnedSemaphorePermit) {
     if let Err(error) = stream.set_nodelay(true) {
-        debug!("client connection closed at once: {error}");
+        debug!("client connection closed, TCP_NODELAY not set: {error}");
         return;
     }
     let limits = context.feed.limits();
@@ -77,8 +77,10 @@
     }
 }
 
-/// Waits until the connection's deadlines are to be checked; sooner once a head has begun that is
-/// not complete. Polled after the connection, so that a head that came as a whole moves no timer.
+/// Waits until the connection's deadlines must be checked. The check is moved forward while a request
+/// head is incomplete.
+///
+/// It must be polled after the connection, so that a head that arrives as a whole resets no timer.
 async fn check_due(mut check: Pin<&mut Sleep>, activity: &ConnectionActivity, limits: &Limits) {
     poll_fn(|context| {
         let head_deadline = activity.head_deadline(limits.header_timeout);
@@ -99,7 +101,7 @@
     builder
 }
 
-/// When to check a connection again; `None` if a deadline of it has passed.
+/// Returns when to check a connection again; `None` if its deadline has passed.
 fn next_check(activity: &ConnectionActivity, limits: &Limits) -> Option<Instant> {
     let now = Instant::now();
     match activity.close_deadline(limits.header_timeout, limits.idle_timeout) {
--- a/crates/pebblepost-proxy/src/connections/mod.rs
+++ b/crates/pebblepost-proxy/src/connections/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: HTTP/1.1, one task each, within the limits of the configuration.
+//! Client connections: HTTP/1.1, one task per connection, within the limits of the configuration.
 
 mod connection;
 mod server;
--- a/crates/pebblepost-proxy/src/connections/server.rs
+++ b/crates/pebblepost-proxy/src/connections/server.rs
@@ -1,4 +1,4 @@
-//! Accepts connections of clients, no more at once than the process has file descriptors for.
+//! Accepts client connections, within the limit that follows from the process's file descriptors.
 
 use super::connection::{self, ConnectionContext};
 use log::warn;
@@ -10,15 +10,15 @@
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-/// Backoff after a failed accept, such as one for want of descriptors.
+/// Delay after a failed accept, for instance when no file descriptor is left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// Descriptors that are not sockets.
+/// File descriptors that are set aside for other uses than sockets.
 const RESERVED_DESCRIPTORS: usize = 200;
-/// Clients may take one part in this many of the descriptors; the rest is for transcribers and
-/// links.
+/// Divisor of the remaining file descriptors that gives the maximum number of client connections. The
+/// rest is for connections to transcribers and links.
 const CLIENT_DESCRIPTORS_DIVISOR: usize = 2;
 
-/// Accepts connections and counts those that are open.
+/// Accepts client connections and limits the number of open ones.
 #[derive(Debug)]
 pub(crate) struct Server {
     max_connections: usize,
@@ -26,18 +26,19 @@
 }
 
 impl Server {
-    /// A server without connections; `max_descriptors` is the limit of the process.
+    /// Creates a server without connections. `max_descriptors` is the file descriptor limit of the
+    /// process.
     pub(crate) fn new(max_descriptors: usize) -> Server {
         let max_connections =
             (max_descriptors.saturating_sub(RESERVED_DESCRIPTORS) / CLIENT_DESCRIPTORS_DIVISOR).max(1);
         Server { max_connections, permits: Arc::new(Semaphore::new(max_connections)) }
     }
 
-    /// Accepts connections until the shutdown closes the listener.
+    /// Accepts connections until the shutdown begins to close, then closes the listener.
     pub(crate) async fn accept(&self, listener: TcpListener, context: Rc<ConnectionContext>) {
         let mut closing = pin!(context.shutdown.closing());
         loop {
-            // At the limit, new connections wait in the listener's backlog.
+            // The permit comes first: at the limit, new connections wait in the listen backlog.
             let accept = async {
                 let permit = self.permits.clone().acquire_owned().await.map_err(io::Error::other)?;
                 Ok::<_, io::Error>((listener.accept().await?.0, permit))
@@ -62,7 +63,7 @@
     /// Waits until every connection is closed.
     pub(crate) async fn all_closed(&self) {
         let all = u32::try_from(self.max_connections).unwrap_or(u32::MAX);
-        // Fails only if the semaphore is closed, which it never is.
+        // The semaphore is never closed, so this can't fail.
         let _ = self.permits.acquire_many(all).await;
     }
 }
--- a/crates/pebblepost-proxy/src/connections/tracked_stream.rs
+++ b/crates/pebblepost-proxy/src/connections/tracked_stream.rs
@@ -1,4 +1,4 @@
-//! Socket of a client's connection that notes in its [`ConnectionActivity`] when bytes arrive.
+//! Socket of a client connection that marks the arrival of bytes in its [`ConnectionActivity`].
 
 use crate::activity::ConnectionActivity;
 use std::io;
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Socket of a client's connection.
+/// TCP stream of a client connection with its activity.
 #[derive(Debug)]
 pub(crate) struct TrackedStream {
     stream: TcpStream,
@@ -15,7 +15,7 @@
 }
 
 impl TrackedStream {
-    /// Tracks a socket.
+    /// Wraps a stream, whose reads are then marked in `activity`.
     pub(crate) fn new(stream: TcpStream, activity: ConnectionActivity) -> TrackedStream {
         TrackedStream { stream, activity }
     }
--- a/crates/pebblepost-proxy/src/dispatch/admission.rs
+++ b/crates/pebblepost-proxy/src/dispatch/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of one request to its backend's dispatcher: its commands, and reports of its attempts.
+//! Admission of one request to its backend's dispatcher: receives the commands for the request and
+//! reports its attempts.
 
 use super::backend::Backend;
 use super::command_queue::{Command, CommandQueue};
@@ -8,12 +9,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Whether a request needs attempts after the one that ended.
+/// Whether a request may get further attempts after the one that ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterAttempt {
     /// Another attempt may follow.
     MayRetry,
-    /// The request is complete, or no attempt is allowed any more.
+    /// The request is complete, or no further attempt is allowed.
     Closed,
 }
 
@@ -25,7 +26,9 @@
     sent: Instant,
 }
 
-/// A request that the dispatcher knows. Dropping it cancels what is still open.
+/// A request that was passed to the dispatcher.
+///
+/// Dropping it reports the attempt in flight as cancelled and removes the request.
 #[derive(Debug)]
 pub(super) struct Admission {
     backend: Rc<Backend>,
@@ -36,7 +39,8 @@
 }
 
 impl Admission {
-    /// Hands a request to the dispatcher. `None`: the dispatcher can't take its class.
+    /// Passes a request to the dispatcher. Returns `None` if the dispatcher accepts no further request
+    /// class.
     pub(super) fn submit(
         backend: &Rc<Backend>, policy: &RoutePolicy, time_left: Duration, affinity_key: u64,
     ) -> Option<Admission> {
@@ -45,8 +49,9 @@
         Some(Admission { backend: backend.clone(), id, commands, attempts_begun: 0, in_flight: None })
     }
 
-    /// The next command; gives up at the deadline whatever the dispatcher orders. A command to send
-    /// begins an attempt.
+    /// Waits for the next command of the dispatcher; at the deadline, returns [`Command::GiveUp`].
+    ///
+    /// [`Command::Send`] starts an attempt, which the caller must end with [`Admission::end_attempt`].
     pub(super) async fn next_command(&mut self, deadline: Instant) -> Command {
         let next = tokio::time::timeout_at(deadline, self.commands.next()).await;
         let command = next.unwrap_or(Command::GiveUp { retry_after: None });
@@ -63,7 +68,7 @@
         self.attempts_begun = self.attempts_begun.saturating_add(1);
     }
 
-    /// Reports how the attempt in flight ended.
+    /// Reports the result of the attempt in flight. Does nothing if there is none.
     pub(super) fn end_attempt(&mut self, status: Status, report: Report, after: AfterAttempt) {
         let Some(InFlightAttempt { number, worker, sent }) = self.in_flight.take() else { return };
         self.backend.record_attempt_end(worker);
@@ -79,7 +84,7 @@
         });
     }
 
-    /// Reports that the attempt's stream has begun: the client has its head.
+    /// Reports that the stream of the attempt in flight has begun: its head has been received.
     pub(super) fn report_stream_opened(&mut self) {
         if let Some(InFlightAttempt { number, .. }) = self.in_flight {
             self.backend.handle(Event::StreamOpened { id: self.id, attempt: number });
@@ -91,7 +96,8 @@
     fn drop(&mut self) {
         self.end_attempt(Status::Cancelled, Report::new(), AfterAttempt::Closed);
         self.backend.handle(Event::ClientGone { id: self.id });
-        // Sends that were ordered and not carried out.
+        // Send commands that were not carried out are reported as attempts that
+        // never ran.
         for command in self.commands.drain() {
             if let Command::Send(worker) = command {
                 self.begin_attempt(worker);
--- a/crates/pebblepost-proxy/src/dispatch/affinity.rs
+++ b/crates/pebblepost-proxy/src/dispatch/affinity.rs
@@ -1,14 +1,17 @@
-//! Affinity keys: requests that share a prompt prefix go to transcribers whose prefix cache holds it.
+//! Affinity keys, by which requests that share a prompt prefix are sent to transcribers that hold the
+//! prefix in their cache.
 
 use http::HeaderMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 const PROMPT_PREFIX: &str = "prompt-prefix";
-/// Key of a request without affinity.
+/// Affinity key of a request without affinity.
 pub(super) const NO_AFFINITY: u64 = 0;
 
-/// The affinity key of a request by its `Prompt-Prefix` (`id:tokens,id:tokens,…`): the last
-/// segment that other prompts share, or the only one. [`NO_AFFINITY`] without such a header.
+/// Computes the affinity key from the `Prompt-Prefix` header (`id:tokens,id:tokens,…`).
+///
+/// The key is the hash of the last segment that other prompts share, which is the last but one, or of
+/// the only segment. Without such a header it is [`NO_AFFINITY`].
 pub(super) fn affinity_key(headers: &HeaderMap) -> u64 {
     let Some(prefix) = headers.get(PROMPT_PREFIX).and_then(|value| value.to_str().ok()) else {
         return NO_AFFINITY;
--- a/crates/pebblepost-proxy/src/dispatch/attempt.rs
+++ b/crates/pebblepost-proxy/src/dispatch/attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt at one transcriber, with health checks while the transcriber is silent.
+//! One attempt at one transcriber, with health checks while no response arrives.
 //!
-//! Decides nothing about retries; it only gives up a transcriber that seems to be down while
-//! another attempt is allowed.
+//! This module does not decide about retries. It only abandons a transcriber that fails a health
+//! check, and only while another attempt is allowed.
 
 use super::route_policy::RoutePolicy;
 use pebblepost_transcriber::{
@@ -10,38 +10,43 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// The first health check of a silent transcriber comes after this many latency targets.
+/// Delay of the first health check, in latency targets of the route.
 const HEALTH_CHECK_DELAY_LATENCY_TARGETS: u32 = 2;
-/// Shortest delay of the first health check; it doubles with each.
+/// Minimum delay of the first health check. The delay doubles after each check.
 const MIN_HEALTH_CHECK_DELAY: Duration = Duration::from_millis(250);
-/// A silent transcriber that does not report its load within this time counts as down.
+/// A transcriber that does not report its load within this time fails its health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a transcriber returned.
+/// Response of a transcriber to an attempt.
 #[derive(Debug)]
 pub(super) enum AttemptResponse {
-    /// The complete response.
+    /// The transcriber returned a complete response.
     Buffered(BufferedResponse),
-    /// The head of a stream, and its events.
+    /// The transcriber returned the head of a stream; its events follow.
     Stream(ResponseHead, EventStream),
 }
 
-/// Where and how an attempt is made.
+/// Parameters of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt<'a> {
-    /// Sends it.
+    /// Client that sends the request.
     pub(super) client: &'a Client,
-    /// Transcriber that gets it.
+    /// Transcriber that receives the request.
     pub(super) target: &'a Target,
     /// Policy of the request's route.
     pub(super) policy: &'a RoutePolicy,
-    /// Another attempt is allowed if this one fails.
+    /// Whether another attempt is allowed if this one fails.
     pub(super) can_retry: bool,
 }
 
 impl Attempt<'_> {
-    /// Sends an idempotent request with health checks of a silent transcriber, any other without:
-    /// it can't go elsewhere once it was sent.
+    /// Sends the request and waits for the response.
+    ///
+    /// Idempotent requests are accompanied by health checks of the transcriber. Other requests are
+    /// not, because they can't be sent to another transcriber once they have been sent.
+    ///
+    /// # Errors
+    /// Returns the client's error, or [`ClientError::TimedOut`] if a health check fails.
     pub(super) async fn send(&self, request: OutgoingRequest) -> Result<AttemptResponse, ClientError> {
         let mut response = pin!(self.exchange(request));
         if !self.policy.idempotent {
--- a/crates/pebblepost-proxy/src/dispatch/backend.rs
+++ b/crates/pebblepost-proxy/src/dispatch/backend.rs
@@ -1,7 +1,7 @@
-//! One backend: its dispatcher, fed with events, and the actions that the dispatcher orders.
+//! One backend: passes events to its dispatcher and executes the actions that it returns.
 //!
-//! Owns the dispatcher, the worker table, the request table and the timers. It sends no requests of
-//! clients itself: it queues commands for the requests' tasks. Probes for load it sends itself.
+//! A backend owns the dispatcher, the worker table, the request table and the timers. It sends load
+//! probes itself. Client requests are sent by their own tasks, for which it queues commands.
 
 use super::command_queue::{Command, CommandQueue};
 use super::dispatcher_settings::{WARM_UP_TIME, dispatcher_settings};
@@ -24,21 +24,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A probe without a response within this time has failed.
+/// A probe fails if no response arrives within this time.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// What a backend is started with.
+/// Parameters with which a backend is started.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BackendParameters<'a> {
-    /// Name in the configuration.
+    /// Name of the backend in the configuration.
     pub(super) name: &'a str,
-    /// One of the routes that lead to it.
+    /// Policy of one of the routes to the backend; its class is registered first.
     pub(super) first_route: &'a RoutePolicy,
     /// Zone of this machine.
     pub(super) zone: &'a str,
-    /// Proxies that share the backend.
+    /// Number of proxies that share the backend.
     pub(super) proxy_count: u32,
-    /// Seed of the dispatcher's random draws.
+    /// Seed of the dispatcher's random number generator.
     pub(super) seed: u64,
 }
 
@@ -58,12 +58,12 @@
     classes: ClassTable,
     workers: WorkerTable,
     requests: RequestTable,
-    /// Buffer that is kept between events, so that none allocates.
+    /// Buffer for the actions of one event. It is reused to avoid an allocation per event.
     actions: Vec<Action>,
 }
 
 impl Backend {
-    /// Starts a backend without workers, and the task of its timers (`spawn_local`).
+    /// Creates a backend without workers and spawns its timer task on the caller's `LocalSet`.
     pub(super) fn start(parameters: BackendParameters<'_>, client: Client) -> Rc<Backend> {
         let BackendParameters { name, first_route, zone, proxy_count, seed } = parameters;
         let class = first_route.class();
@@ -89,7 +89,7 @@
         Time(u64::try_from(self.started.elapsed().as_nanos()).unwrap_or(u64::MAX))
     }
 
-    /// Takes over the state of one of its instances.
+    /// Applies the state of one of the backend's instances.
     pub(super) fn update_instance(self: &Rc<Self>, instance: &Instance) {
         let now = self.now();
         let change = self.state.borrow_mut().workers.update(instance, now, WARM_UP_TIME);
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Reports a new worker's slots as free, so that the dispatcher knows how many it has.
+    /// Reports all slots of a new worker as free, so that the dispatcher knows their number.
     fn report_slots(self: &Rc<Self>, worker: WorkerId, slots: u32) {
         self.handle(Event::Outcome {
             id: NO_REQUEST,
@@ -117,33 +117,35 @@
         });
     }
 
-    /// Takes over the number of proxies that share the backend.
+    /// Sets the number of proxies that share the backend.
     pub(super) fn set_proxy_count(&self, proxy_count: u32) {
         self.state.borrow_mut().dispatcher.set_nodes(proxy_count);
     }
 
-    /// Whether any worker takes requests.
+    /// Returns whether any worker accepts requests.
     pub(super) fn has_ready_worker(&self) -> bool {
         self.state.borrow().workers.ready_workers().next().is_some()
     }
 
-    /// Whether a worker takes requests to which none of these attempts was sent.
+    /// Returns whether a worker accepts requests to which none of `attempts` was sent.
     pub(super) fn has_untried_worker(&self, attempts: &Attempts) -> bool {
         self.state.borrow().workers.ready_workers().any(|worker| !attempts.contains(worker))
     }
 
-    /// A worker, if it takes requests now.
+    /// Returns the target of a worker if the worker accepts requests.
     pub(super) fn ready_target(&self, worker: WorkerId) -> Option<Target> {
         self.state.borrow().workers.ready_target(worker).cloned()
     }
 
-    /// The client that reaches the workers.
+    /// Returns the client that sends requests to the workers.
     pub(super) fn client(&self) -> &Client {
         &self.client
     }
 
-    /// Hands a request to the dispatcher, whose commands for it go to `commands`. `None`: its class
-    /// can't be added.
+    /// Passes a request to the dispatcher, whose commands for it are pushed to `commands`. Returns
+    /// `None` if the dispatcher accepts no further request class.
+    ///
+    /// The caller must call [`Backend::end_request`] when the request has ended.
     pub(super) fn begin_request(
         self: &Rc<Self>, policy: &RoutePolicy, time_left: Duration, affinity_key: u64,
         commands: Rc<CommandQueue>,
@@ -172,12 +174,12 @@
         let requests = &mut self.state.borrow_mut().requests;
         requests.remove(id);
         if requests.is_empty() {
-            // All timers are those of requests.
+            // The dispatcher sets timers only for requests.
             self.timers.clear();
         }
     }
 
-    /// Hands an event to the dispatcher and executes the actions that it orders.
+    /// Passes an event to the dispatcher and executes the actions that it returns.
     pub(super) fn handle(self: &Rc<Self>, event: Event) {
         let now = self.now();
         let mut actions = {
@@ -201,8 +203,8 @@
                 tokio::task::spawn_local(probe(self.clone(), worker));
             }
             Action::SetTimer { at, token } => self.timers.set(at, token),
-            // Attempts end by themselves, the client closes its idle connections, and the feed
-            // brings the membership without being asked.
+            // Nothing to do: attempts end by themselves, the client closes its idle
+            // connections, and the feed delivers the membership without a request.
             Action::Cancel { .. } | Action::CloseIdle { .. } | Action::Watch | Action::Fetch => {}
         }
     }
@@ -211,18 +213,18 @@
         self.state.borrow().requests.push_command(id, command);
     }
 
-    /// The load report of a worker that reported its load.
+    /// Converts the load that a worker reported to a report for the dispatcher.
     pub(super) fn load_report(&self, worker: WorkerId, load: &Load) -> Report {
         load_report::from_load(load, || self.state.borrow().workers.slots(worker))
     }
 
-    /// The load report of a worker that reports no load.
+    /// Estimates the load report of a worker that reports no load.
     fn in_flight_report(&self, worker: WorkerId) -> Report {
         let workers = &self.state.borrow().workers;
         load_report::from_in_flight(workers.slots(worker), workers.in_flight(worker))
     }
 
-    /// Counts an attempt that begins at a worker.
+    /// Counts an attempt that starts at a worker.
     pub(super) fn record_attempt_start(&self, worker: WorkerId) {
         self.state.borrow_mut().workers.record_attempt_start(worker);
     }
@@ -233,7 +235,7 @@
     }
 }
 
-/// Probes a worker for its load and hands the result to the dispatcher.
+/// Probes a worker for its load and passes the result to the dispatcher.
 async fn probe(backend: Rc<Backend>, worker: WorkerId) {
     let sent = Instant::now();
     let result = match backend.ready_target(worker) {
@@ -248,7 +250,7 @@
     backend.handle(Event::Probed { worker, status, latency: sent.elapsed(), report });
 }
 
-/// A failed call in the dispatcher's terms.
+/// Converts the error of a call to the dispatcher's status.
 pub(super) fn status_of_error(error: ClientError) -> Status {
     match error {
         ClientError::NotSent => Status::ConnectFailed,
@@ -257,7 +259,7 @@
     }
 }
 
-/// Hands timers that are due to the dispatcher, and sleeps until the next one.
+/// Passes timers that are due to the dispatcher and sleeps until the next one.
 async fn run_timers(backend: Rc<Backend>) {
     loop {
         let changed = backend.timers.changed();
--- a/crates/pebblepost-proxy/src/dispatch/backends.rs
+++ b/crates/pebblepost-proxy/src/dispatch/backends.rs
@@ -1,4 +1,4 @@
-//! Backends by name, and the choice among those of a route.
+//! Backends by name, and the choice of a backend for a route.
 
 use super::backend::{Backend, BackendParameters};
 use super::route_policy::RoutePolicy;
@@ -11,8 +11,8 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Backends to which requests are forwarded. A backend that no route names any more stays, with its
-/// learned estimates.
+/// Backends to which requests are forwarded. A backend is kept, with the estimates that its dispatcher
+/// has learned, when no route names it any longer.
 #[derive(Debug)]
 pub(crate) struct Backends {
     client: Client,
@@ -22,12 +22,12 @@
 }
 
 impl Backends {
-    /// No backends; `zone` is that of this machine.
+    /// Creates an empty set of backends. `zone` is the zone of this machine.
     pub(crate) fn new(client: Client, zone: &str) -> Backends {
         Backends { client, zone: zone.to_owned(), proxy_count: Cell::new(1), by_name: RefCell::default() }
     }
 
-    /// Starts backends that a route of the configuration names and that are not known yet.
+    /// Starts each backend that a route of the configuration names and that does not exist yet.
     pub(crate) fn configure(&self, feed: &FeedState, configuration: &Configuration) {
         for route in configuration.routes().iter().filter(|route| route.kind != RouteKind::Rollout) {
             for (backend, _) in &route.backends {
@@ -54,7 +54,7 @@
         self.by_name.borrow_mut().insert(name.to_owned(), backend);
     }
 
-    /// Takes over the state of an instance.
+    /// Applies the state of an instance to its backend.
     pub(crate) fn update_instance(&self, instance: &Instance) {
         let backend = self.by_name.borrow().get(&instance.backend).cloned();
         if let Some(backend) = backend {
@@ -62,15 +62,15 @@
         }
     }
 
-    /// Takes over the number of proxies that share the backends.
+    /// Sets the number of proxies that share the backends.
     pub(crate) fn set_proxy_count(&self, proxy_count: u32) {
         if self.proxy_count.replace(proxy_count) != proxy_count {
             self.by_name.borrow().values().for_each(|backend| backend.set_proxy_count(proxy_count));
         }
     }
 
-    /// The backend for a request: by weighted random choice among those with a ready worker, or
-    /// among all where none has one.
+    /// Chooses the backend for a request, at random by weight among those with a ready worker, or among
+    /// all of the route if none has one. Returns `None` if no backend can be chosen.
     pub(super) fn choose(&self, route: &Route) -> Option<Rc<Backend>> {
         let by_name = self.by_name.borrow();
         if let [(only, _)] = route.backends.as_slice() {
@@ -85,7 +85,7 @@
     }
 }
 
-/// A random name, by weight.
+/// Chooses a name at random by weight. Returns `None` if the weights add up to zero.
 fn choose_weighted<'a>(names: impl Iterator<Item = &'a (String, u64)> + Clone) -> Option<&'a String> {
     let total: u64 = names.clone().map(|(_, weight)| *weight).fold(0, u64::saturating_add);
     if total == 0 {
--- a/crates/pebblepost-proxy/src/dispatch/classification.rs
+++ b/crates/pebblepost-proxy/src/dispatch/classification.rs
@@ -1,4 +1,4 @@
-//! Classification of transcribers' responses: final, to be retried, or unusable.
+//! Classifies the responses of transcribers as final, retryable, or unusable.
 
 use http::header::{CONTENT_ENCODING, HeaderName};
 use http::{HeaderMap, StatusCode};
@@ -6,16 +6,16 @@
 
 const RESPONSE_SEAL: HeaderName = HeaderName::from_static("response-seal");
 
-/// What a response means for its request.
+/// Effect of a response on its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ResponseClass {
-    /// Forwarded to the client.
+    /// The response is forwarded to the client.
     Final,
-    /// The request has not run at this transcriber.
+    /// The transcriber has not executed the request.
     NotExecuted,
-    /// The request ran and failed; the response may be forwarded if no attempt succeeds.
+    /// The request ran and failed. The response may be forwarded if no attempt succeeds.
     Failed,
-    /// The request may have run, and the response must not be forwarded.
+    /// The request may have run, but the response must not be forwarded.
     Unusable,
 }
 
@@ -33,13 +33,14 @@
     }
 }
 
-/// A success needs its seal, and requests ask for bodies without content encoding.
+/// Returns whether a successful response may be forwarded: it must have a `Response-Seal`, and no
+/// content encoding, because requests ask for none.
 fn is_sealed(headers: &HeaderMap) -> bool {
     headers.contains_key(RESPONSE_SEAL) && !headers.contains_key(CONTENT_ENCODING)
 }
 
-/// Statuses that tell a client that its request has not run: without `Not-Executed` there is no
-/// proof of it, so that they must not be forwarded.
+/// Returns whether a status tells the client that its request has not run. Without the
+/// `Not-Executed` header nothing proves that, so such a response must not be forwarded.
 fn promises_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
--- a/crates/pebblepost-proxy/src/dispatch/command_queue.rs
+++ b/crates/pebblepost-proxy/src/dispatch/command_queue.rs
@@ -1,4 +1,4 @@
-//! Commands of the dispatcher for one request, until the request's task carries them out.
+//! Queue of the dispatcher's commands for one request, which the request's task carries out.
 
 use pebblepost_dispatch::api::WorkerId;
 use std::cell::RefCell;
@@ -7,19 +7,21 @@
 use std::task::{Poll, Waker};
 use std::time::Duration;
 
-/// What the dispatcher orders for a request.
+/// Command of the dispatcher for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Command {
-    /// Send it to a worker.
+    /// Send the request to a worker.
     Send(WorkerId),
     /// Make no further attempt.
     GiveUp {
-        /// When the client may retry, where the dispatcher advises it.
+        /// Delay after which the client may retry, if the dispatcher advises one.
         retry_after: Option<Duration>,
     },
 }
 
-/// Commands for one request that were not carried out yet; one task waits for them.
+/// Commands for one request that were not carried out yet.
+///
+/// Only one task may wait for commands: the queue keeps a single waker.
 #[derive(Debug, Default)]
 pub(super) struct CommandQueue {
     commands: RefCell<VecDeque<Command>>,
@@ -35,7 +37,7 @@
         }
     }
 
-    /// Waits for the next command.
+    /// Waits for the next command and takes it out. Cancelling the wait loses no command.
     pub(super) async fn next(&self) -> Command {
         poll_fn(|context| match self.commands.borrow_mut().pop_front() {
             Some(command) => Poll::Ready(command),
@@ -47,7 +49,7 @@
         .await
     }
 
-    /// Takes all commands out.
+    /// Takes out all commands.
     pub(super) fn drain(&self) -> VecDeque<Command> {
         std::mem::take(&mut *self.commands.borrow_mut())
     }
--- a/crates/pebblepost-proxy/src/dispatch/dispatcher_settings.rs
+++ b/crates/pebblepost-proxy/src/dispatch/dispatcher_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the dispatcher of one backend.
+//! Settings of a backend's dispatcher.
 
 use super::request_class::RequestClass;
 use super::worker_table::HOME_ZONE;
@@ -7,18 +7,18 @@
 use pebblepost_dispatch::reservation::ReservationSettings;
 use std::time::Duration;
 
-/// Shortest time between two calls of the dispatcher's timer.
+/// Minimum time between two calls of the dispatcher's timer.
 const TICK_INTERVAL: Duration = Duration::from_millis(2);
-/// Longest advice on when to retry.
+/// Maximum retry delay that the dispatcher advises.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Sends that the dispatcher may order for a request, those that never ran included; the limit of
-/// the route is kept by [`super::retry::Attempts`].
+/// Maximum number of send commands for a request, including those that were never executed. The
+/// attempt limit of the route is enforced by [`super::retry::Attempts`].
 const MAX_SENDS_PER_REQUEST: u32 = 16;
-/// How long a transcriber is warming up after its start (slow start).
+/// Duration of slow start after a transcriber has started.
 pub(super) const WARM_UP_TIME: Duration = Duration::from_secs(5);
 
-/// Settings of the dispatcher of a backend that `proxy_count` proxies share. `first_class`: the
-/// class that it knows from the beginning.
+/// Returns the settings of the dispatcher of a backend that `proxy_count` proxies share.
+/// `first_class` is registered when the dispatcher is created.
 pub(super) fn dispatcher_settings(first_class: RequestClass, proxy_count: u32) -> Settings {
     Settings {
         nodes: proxy_count,
--- a/crates/pebblepost-proxy/src/dispatch/event_body.rs
+++ b/crates/pebblepost-proxy/src/dispatch/event_body.rs
@@ -1,4 +1,4 @@
-//! Body of a streamed response: events on their way from a transcriber to the client.
+//! Body of a streamed response, which yields the events of a transcriber's stream.
 
 use super::forwarding::{Forwarding, OpenStream};
 use super::stream_relay::{BrokenStream, StreamRelay};
@@ -13,9 +13,9 @@
 type NextEvent = Result<Option<Bytes>, BrokenStream>;
 type NextEventFuture = Pin<Box<dyn Future<Output = (StreamRelay, NextEvent)>>>;
 
-/// Body of a streamed response. Dropping it closes the transcriber's connection.
+/// Body of a streamed response. Dropping it closes the connection to the transcriber.
 pub(crate) struct EventBody {
-    /// `None` after the end.
+    /// `None` once the stream has ended.
     next_event: Option<NextEventFuture>,
 }
 
@@ -26,13 +26,16 @@
 }
 
 impl EventBody {
-    /// The events of a stream that has begun.
+    /// Creates the body of a stream whose head has been received.
     pub(super) fn new(forwarding: Forwarding, stream: OpenStream, metrics: Rc<Metrics>) -> EventBody {
         let relay = StreamRelay::new(forwarding, stream, metrics);
         EventBody { next_event: Some(Box::pin(relay.into_next_event())) }
     }
 
-    /// Polls for the next event's bytes; `None` at the complete end.
+    /// Polls for the bytes of the next event. Yields `None` once the stream is complete.
+    ///
+    /// # Errors
+    /// Yields [`BrokenStream`] once if the stream broke off and could not be resumed.
     pub(crate) fn poll_event(
         &mut self, context: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, BrokenStream>>> {
--- a/crates/pebblepost-proxy/src/dispatch/forwarding.rs
+++ b/crates/pebblepost-proxy/src/dispatch/forwarding.rs
@@ -1,5 +1,5 @@
-//! Forwards one request of a client to transcribers of a backend, attempt by attempt, as its
-//! dispatcher orders.
+//! Forwards one client request to the transcribers of a backend, one attempt at a time. The
+//! backend's dispatcher selects the transcriber of each attempt.
 
 use super::admission::{Admission, AfterAttempt};
 use super::attempt::{Attempt, AttemptResponse};
@@ -20,56 +20,56 @@
 use tokio::time::Instant;
 
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// Smallest advice on when to retry is half the latency target, within these bounds.
+/// Lower bound of the default retry delay, which is half the latency target.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// See [`MIN_RETRY_AFTER`].
+/// Upper bound of the default retry delay. It is also the delay while no worker is ready.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A request of a client, read in full.
+/// A client request whose body has been read completely.
 #[derive(Debug)]
 pub(crate) struct ClientRequest {
-    /// Its head.
+    /// Checked head.
     pub(crate) head: RequestHead,
-    /// Its body.
+    /// Complete body, with its memory reservation.
     pub(crate) body: BufferedBody,
-    /// When its client must have the response.
+    /// Time by which the client must have the response.
     pub(crate) deadline: Instant,
 }
 
-/// What forwarding a request led to.
+/// Result of forwarding a request.
 #[derive(Debug)]
 pub(super) enum Forwarded {
-    /// A transcriber's buffered response.
+    /// A transcriber returned a complete final response.
     Response(BufferedResponse),
-    /// A transcriber's stream has begun.
+    /// A transcriber returned the head of a stream.
     Stream(OpenStream),
     /// No transcriber returned a final response.
     Failed(Failure),
 }
 
-/// A stream that has begun, with its admission.
+/// A stream whose head has been received, with the admission of its request.
 #[derive(Debug)]
 pub(super) struct OpenStream {
-    /// Head of the response.
+    /// Head of the transcriber's response.
     pub(super) head: ResponseHead,
-    /// Its events.
+    /// Events that follow the head.
     pub(super) events: EventStream,
-    /// Admission with the stream's attempt in flight.
+    /// Admission of the request; the attempt that carries the stream is in flight.
     pub(super) admission: Admission,
 }
 
-/// How one attempt ended.
+/// Result of one attempt.
 #[derive(Debug)]
 enum AttemptOutcome {
-    /// With a final response.
+    /// The transcriber returned a final response.
     Response(BufferedResponse),
-    /// With the head of a final stream.
+    /// The transcriber returned the head of a stream with a final status.
     Stream(ResponseHead, EventStream),
-    /// Without a final response.
+    /// The transcriber returned no final response.
     Failed,
 }
 
-/// A request on its way, with the state of its attempts.
+/// A client request and the state of its attempts at one backend.
 #[derive(Debug)]
 pub(super) struct Forwarding {
     backend: Rc<Backend>,
@@ -77,12 +77,12 @@
     pub(super) request: ClientRequest,
     affinity_key: u64,
     pub(super) attempts: Attempts,
-    /// Id of the last event that the client has; a resumed stream continues after it.
+    /// Id of the last event forwarded to the client. A resumed stream continues after it.
     pub(super) last_event_id: Option<u64>,
 }
 
 impl Forwarding {
-    /// A request that was not sent yet.
+    /// Creates the state of a request that has not been sent yet.
     pub(super) fn new(
         backend: Rc<Backend>, policy: RoutePolicy, request: ClientRequest, affinity_key: u64,
     ) -> Forwarding {
@@ -90,8 +90,10 @@
         Forwarding { backend, policy, request, affinity_key, attempts, last_event_id: None }
     }
 
-    /// Sends the request where the dispatcher orders, until there is a response or no attempt is
-    /// left. Dropping the future closes the connection of the attempt in flight.
+    /// Sends the request to the workers that the dispatcher selects, until one returns a final
+    /// response or no further attempt is allowed.
+    ///
+    /// Dropping the future closes the connection of the attempt in flight.
     pub(super) async fn run(&mut self) -> Forwarded {
         let time_left = self.time_left();
         if time_left.is_zero() {
@@ -116,15 +118,16 @@
         }
     }
 
-    /// The target of a worker that was ordered, unless the attempt must not be made there; then it is
-    /// reported as ended.
+    /// Returns the target of the worker that the dispatcher selected. Returns `None`, and reports the
+    /// attempt as ended, if the attempt must not be made there.
     fn usable_target(&self, admission: &mut Admission, worker: WorkerId) -> Option<Target> {
         if self.attempts.contains(worker) && self.backend.has_untried_worker(&self.attempts) {
-            // As rejected by the worker again: the dispatcher then excludes it for this request.
+            // Reported as if the worker had rejected the request again, because the dispatcher then
+            // excludes that worker for this request.
             admission.end_attempt(Status::Full, Report::new(), AfterAttempt::MayRetry);
             return None;
         }
-        // Checked at the last moment: the worker may be draining since it was chosen.
+        // Checked right before sending: the worker may have started to drain since it was selected.
         let target = self.backend.ready_target(worker).filter(|_| self.attempts.can_retry());
         if target.is_none() {
             admission.end_attempt(Status::Moot, Report::new(), AfterAttempt::MayRetry);
@@ -132,7 +135,7 @@
         target
     }
 
-    /// Makes one attempt and reports how it ended, or that its stream has begun.
+    /// Makes one attempt and reports to the dispatcher that it ended or that its stream began.
     async fn make_attempt(
         &mut self, admission: &mut Admission, worker: WorkerId, target: &Target,
     ) -> AttemptOutcome {
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Updates the attempts with a buffered response; returns the response if it is final.
+    /// Records a buffered response in the attempts. Returns the response if it is final.
     fn process_response(
         &mut self, admission: &mut Admission, worker: WorkerId, response: BufferedResponse,
     ) -> Option<BufferedResponse> {
@@ -208,24 +211,25 @@
         load.map_or_else(Report::new, |load| self.backend.load_report(worker, load))
     }
 
-    /// How the request fails now. `dispatcher_advice`: the dispatcher's advice on when to retry.
+    /// Returns how the request fails if no further attempt is made. `dispatcher_advice` is the retry
+    /// delay that the dispatcher advises; it only lengthens the default delay.
     fn take_failure(&mut self, dispatcher_advice: Option<Duration>) -> Failure {
-        // Transcribers that are gone come back or are replaced, which takes longer than a request.
+        // While no transcriber is ready, one has to return or be replaced, which takes longer than a
+        // request.
         let default_delay = match self.backend.has_ready_worker() {
             true => (self.policy.target_latency / 2).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
             false => MAX_RETRY_AFTER,
         };
-        self.attempts.take_failure(
-            dispatcher_advice.map_or(default_delay, |dispatcher_advice| dispatcher_advice.max(default_delay)),
-        )
+        self.attempts
+            .take_failure(dispatcher_advice.map_or(default_delay, |advice| advice.max(default_delay)))
     }
 
-    /// Time left until the deadline.
+    /// Returns the time left until the client's deadline; zero once it has passed.
     pub(super) fn time_left(&self) -> Duration {
         self.request.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The request as a transcriber gets it.
+    /// Builds the request that is sent to a transcriber.
     fn outgoing_request(&self) -> OutgoingRequest {
         let head = &self.request.head;
         let mut headers = head.headers.clone();
--- a/crates/pebblepost-proxy/src/dispatch/mod.rs
+++ b/crates/pebblepost-proxy/src/dispatch/mod.rs
@@ -1,10 +1,10 @@
-//! Dispatch: chooses a backend for a request, forwards it by the orders of the backend's
-//! dispatcher, retries it and resumes its stream.
+//! Dispatch: chooses a backend for a request, sends the request to the workers that the backend's
+//! dispatcher selects, retries it, and resumes its stream.
 //!
-//! State lies in `worker_table`, `request_table`, `request_class`, `timers`, `command_queue` and
-//! `retry`; `backend` drives the decision module with it; `admission` and `attempt` carry one
-//! attempt; `forwarding` and `stream_relay` go through the attempts of one request. It never builds
-//! responses for clients: it returns a [`DispatchOutcome`].
+//! `worker_table`, `request_table`, `request_class`, `timers`, `command_queue` and `retry` hold
+//! state. `backend` drives the decision module (`pebblepost-dispatch`). `admission` and `attempt`
+//! make one attempt. `forwarding` and `stream_relay` run through the attempts of one request.
+//! This module never builds responses for clients: it returns a [`DispatchOutcome`].
 
 mod admission;
 mod affinity;
@@ -41,23 +41,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What became of a dispatched request.
+/// Result of dispatching a request.
 #[derive(Debug)]
 pub(crate) enum DispatchOutcome {
-    /// A transcriber's buffered response, a success or a failure.
+    /// A transcriber returned a complete response, which may report a failure.
     Response(BufferedResponse),
-    /// A transcriber's stream has begun.
+    /// A transcriber returned the head of a stream; the events follow.
     Stream(ResponseHead, EventBody),
-    /// The request has not run and never will.
+    /// No transcriber has executed the request, and none will.
     NotExecuted {
-        /// When the client may retry.
+        /// Delay after which the client may retry.
         retry_after: Duration,
     },
-    /// The request may have run; the status for the client is 502 or 504.
+    /// A transcriber may have executed the request; the client gets this status, 502 or 504.
     Indeterminate(StatusCode),
 }
 
-/// Forwards a request of a route to one of the route's backends.
+/// Forwards a request to one of its route's backends.
+///
+/// Dropping the future closes the connection of the attempt in flight.
 pub(crate) async fn dispatch(
     backends: &Backends, metrics: &Rc<Metrics>, route: &Route, request: ClientRequest,
 ) -> DispatchOutcome {
--- a/crates/pebblepost-proxy/src/dispatch/request_class.rs
+++ b/crates/pebblepost-proxy/src/dispatch/request_class.rs
@@ -1,29 +1,29 @@
-//! Classes of requests, as the dispatcher tells them apart.
+//! Request classes, by which the dispatcher distinguishes requests.
 
 use pebblepost_dispatch::Dispatcher;
 use pebblepost_dispatch::api::{Class, ClassId, Idempotency};
 use std::time::Duration;
 
-/// Fraction of its value that a response keeps after the latency target.
+/// Value of a response after the latency target, as a fraction of its full value.
 const LATE_RESPONSE_VALUE: f64 = 0.25;
 
-/// What distinguishes two classes of requests.
+/// Properties that define a request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RequestClass {
-    /// A request may run more than once.
+    /// Whether a request may run more than once.
     pub(super) idempotent: bool,
-    /// The response is a stream.
+    /// Whether the response is a stream.
     pub(super) streaming: bool,
-    /// Longest time until the response.
+    /// Maximum time until the response.
     pub(super) timeout: Duration,
     /// Time within which a response has its full value.
     pub(super) target_latency: Duration,
-    /// Priority, 0 highest.
+    /// Priority; 0 is the highest.
     pub(super) priority: u32,
 }
 
 impl RequestClass {
-    /// The class in the dispatcher's terms.
+    /// Converts the class to the dispatcher's type.
     pub(super) fn to_class(self) -> Class {
         Class {
             latency_target: self.target_latency,
@@ -41,18 +41,18 @@
     }
 }
 
-/// Classes that a dispatcher knows; a class's position is its id.
+/// Classes registered with a dispatcher. The index of a class is its id.
 #[derive(Debug)]
 pub(super) struct ClassTable(Vec<RequestClass>);
 
 impl ClassTable {
-    /// The class with which the dispatcher was created.
+    /// Creates the table of a dispatcher that was created with one class.
     pub(super) fn new(first: RequestClass) -> ClassTable {
         ClassTable(vec![first])
     }
 
-    /// The id of a class, which is added to the dispatcher if it is new. `None`: the dispatcher
-    /// takes no more classes.
+    /// Returns the id of a class, and adds the class to the dispatcher if it is new. Returns `None` if
+    /// the dispatcher accepts no more classes.
     pub(super) fn find_or_add(
         &mut self, class: RequestClass, dispatcher: &mut Dispatcher,
     ) -> Option<ClassId> {
--- a/crates/pebblepost-proxy/src/dispatch/route_policy.rs
+++ b/crates/pebblepost-proxy/src/dispatch/route_policy.rs
@@ -1,41 +1,42 @@
-//! What a route demands of the way its requests are forwarded.
+//! Forwarding policy of a route.
 
 use super::request_class::RequestClass;
 use pebblepost_configuration::{Route, RouteKind};
 use std::time::Duration;
 
-/// How a response reaches the client.
+/// How a response is delivered to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
-    /// As a whole.
+    /// The complete response at once.
     Buffered,
-    /// As a stream of events.
+    /// A stream of events.
     Streaming,
-    /// As a stream of events that may be resumed at another transcriber.
+    /// A stream of events that may be resumed at another transcriber.
     ResumableStream,
 }
 
-/// What a route demands.
+/// How the requests of a route are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RoutePolicy {
-    /// A request may run more than once.
+    /// Whether a request may run more than once.
     pub(super) idempotent: bool,
-    /// How responses reach the client.
+    /// How responses are delivered to the client.
     pub(super) delivery: Delivery,
-    /// Requests with the same prompt prefix go to the same transcribers.
+    /// Whether requests with the same prompt prefix are sent to the same transcribers.
     pub(super) affinity: bool,
-    /// Most transcribers to which a request may be sent.
+    /// Maximum number of attempts of a request, at least one. An attempt of which no byte was sent
+    /// does not count.
     pub(super) max_attempts: usize,
-    /// Longest time until the response.
+    /// Maximum time until the response.
     pub(super) timeout: Duration,
     /// Time within which a response has its full value.
     pub(super) target_latency: Duration,
-    /// Priority, 0 highest.
+    /// Priority; 0 is the highest.
     pub(super) priority: u32,
 }
 
 impl RoutePolicy {
-    /// The policy of a route.
+    /// Derives the policy from a configured route.
     pub(super) fn new(route: &Route) -> RoutePolicy {
         let delivery = match (route.streaming, route.resumable) {
             (false, _) => Delivery::Buffered,
@@ -58,17 +59,17 @@
         }
     }
 
-    /// Whether the response is a stream.
+    /// Returns whether the response is a stream.
     pub(super) fn is_streaming(&self) -> bool {
         self.delivery != Delivery::Buffered
     }
 
-    /// Whether a broken stream may be resumed at another transcriber.
+    /// Returns whether a broken stream may be resumed at another transcriber.
     pub(super) fn is_resumable(&self) -> bool {
         self.delivery == Delivery::ResumableStream
     }
 
-    /// The class of the route's requests.
+    /// Returns the class of the route's requests.
     pub(super) fn class(&self) -> RequestClass {
         RequestClass {
             idempotent: self.idempotent,
--- a/crates/pebblepost-proxy/src/dispatch/stream_relay.rs
+++ b/crates/pebblepost-proxy/src/dispatch/stream_relay.rs
@@ -1,5 +1,5 @@
-//! Relays the events of a stream, and resumes the stream at another transcriber where its route
-//! allows that.
+//! Relays the events of a stream to the client, and resumes the stream at another transcriber if its
+//! route allows it.
 
 use super::admission::AfterAttempt;
 use super::forwarding::{Forwarded, Forwarding, OpenStream};
@@ -11,19 +11,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Clients abandon a stream that is idle for two seconds or four latency targets, whichever is longer;
-/// it is resumed elsewhere after half of that.
+/// Minimum time without an event after which a resumable stream is resumed at another transcriber.
+/// Clients abandon a stream that is idle for two seconds or four latency targets, whichever is
+/// longer; this time-out is half of that.
 const MIN_STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// See [`MIN_STREAM_IDLE_TIMEOUT`].
+/// The same time-out in latency targets; the longer of the two applies.
 const STREAM_IDLE_TIMEOUT_LATENCY_TARGETS: u32 = 2;
 
-/// A stream that can't be completed: the client's connection is closed, so that the response does
-/// not look complete.
+/// Error of a stream that can't be completed. The client's connection is closed, so that the response
+/// does not look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the transcriber's stream broke off")]
+#[error("transcriber stream broke off and could not be resumed")]
 pub(crate) struct BrokenStream;
 
-/// A stream between a transcriber and a client.
+/// State of a stream that is relayed from a transcriber to a client.
 #[derive(Debug)]
 pub(super) struct StreamRelay {
     forwarding: Forwarding,
@@ -32,12 +33,16 @@
 }
 
 impl StreamRelay {
-    /// A stream that has begun.
+    /// Creates the relay of a stream whose head has been received.
     pub(super) fn new(forwarding: Forwarding, stream: OpenStream, metrics: Rc<Metrics>) -> StreamRelay {
         StreamRelay { forwarding, stream, metrics }
     }
 
-    /// The next event's bytes, `None` at the complete end, and the relay itself.
+    /// Waits for the next event. Returns the relay with the event's bytes, or with `None` once the
+    /// stream is complete.
+    ///
+    /// # Errors
+    /// The result is [`BrokenStream`] if the stream broke off and could not be resumed.
     pub(super) async fn into_next_event(mut self) -> (StreamRelay, Result<Option<Bytes>, BrokenStream>) {
         let event = self.next_event().await;
         if event.is_err() {
@@ -81,17 +86,18 @@
         self.stream.events.next(idle_timeout.min(time_left)).await
     }
 
-    /// Whether the client has the event: a resumed stream may begin with it.
+    /// Returns whether the client already has the event. A resumed stream may begin with events that
+    /// were already forwarded.
     fn is_repeated(&self, event: &StreamEvent) -> bool {
         self.forwarding.last_event_id.is_some_and(|last| event.id <= last)
     }
 
-    /// Whether events are missing before this one: ids rise by one.
+    /// Returns whether events are missing before this one. Event ids increase by one.
     fn is_out_of_order(&self, event: &StreamEvent) -> bool {
         self.forwarding.last_event_id.is_some_and(|last| event.id != last + 1)
     }
 
-    /// Ends the attempt that carried the stream, which broke off.
+    /// Reports that the attempt that carried the stream failed.
     fn end_broken_attempt(&mut self, error: ClientError) {
         let status = match error {
             ClientError::TimedOut => {
@@ -106,7 +112,7 @@
         self.stream.admission.end_attempt(status, Report::new(), AfterAttempt::Closed);
     }
 
-    /// Opens the rest of the stream at another transcriber.
+    /// Requests the rest of the stream from another transcriber.
     async fn resume(&mut self) -> Result<(), BrokenStream> {
         if !self.forwarding.policy.is_resumable() || !self.forwarding.attempts.can_retry() {
             return Err(BrokenStream);
--- a/crates/pebblepost-proxy/src/dispatch/timers.rs
+++ b/crates/pebblepost-proxy/src/dispatch/timers.rs
@@ -1,4 +1,4 @@
-//! Timers that the dispatcher asks for.
+//! Timers that the dispatcher requests.
 
 use pebblepost_dispatch::api::{Time, TimerToken};
 use std::cell::RefCell;
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use tokio::sync::Notify;
 
-/// Pending timers, earliest first.
+/// Pending timers, ordered by due time.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     pending: RefCell<BinaryHeap<Reverse<(Time, u64)>>>,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Drops all timers.
+    /// Removes all timers.
     pub(super) fn clear(&self) {
         let mut pending = self.pending.borrow_mut();
         if !pending.is_empty() {
@@ -33,19 +33,19 @@
         }
     }
 
-    /// When the earliest timer is due.
+    /// Returns the due time of the earliest timer.
     pub(super) fn next_due(&self) -> Option<Time> {
         self.pending.borrow().peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes out a timer that is due at `now`.
+    /// Takes out the earliest timer if it is due at `now`.
     pub(super) fn take_due(&self, now: Time) -> Option<TimerToken> {
         let mut pending = self.pending.borrow_mut();
         pending.peek().filter(|Reverse((at, _))| *at <= now)?;
         pending.pop().map(|Reverse((_, token))| TimerToken(token))
     }
 
-    /// Waits until the earliest timer has changed.
+    /// Waits until the earliest timer has changed. A change before the call is not missed.
     pub(super) async fn changed(&self) {
         self.changed.notified().await;
     }
--- a/crates/pebblepost-proxy/src/dispatch/worker_table.rs
+++ b/crates/pebblepost-proxy/src/dispatch/worker_table.rs
@@ -1,4 +1,4 @@
-//! Workers (transcribers) of one backend, numbered for the dispatcher.
+//! Workers of one backend, which are transcribers, under the ids that the dispatcher uses.
 
 use log::warn;
 use pebblepost_dispatch::api::{CellId, Entry, KindId, Time, WorkerId, WorkerState, ZoneId};
@@ -8,10 +8,10 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// The zone of this machine; other zones are numbered as they appear.
+/// Id of the zone of this machine. Other zones get ids in the order in which they appear.
 pub(super) const HOME_ZONE: ZoneId = ZoneId(0);
 
-/// A transcriber.
+/// State of one transcriber.
 #[derive(Clone, Debug)]
 struct Worker {
     target: Target,
@@ -21,7 +21,7 @@
     in_flight: u32,
 }
 
-/// Workers of one backend; those that are gone keep their numbers.
+/// Workers of one backend. A worker that is gone keeps its id.
 #[derive(Debug)]
 pub(super) struct WorkerTable {
     zones: Vec<String>,
@@ -29,23 +29,23 @@
     workers: Vec<Worker>,
 }
 
-/// What an update of an instance changed.
+/// Change of a worker by an update of its instance.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WorkerChange {
-    /// The worker's entry for the dispatcher.
+    /// Membership entry of the worker for the dispatcher.
     pub(super) entry: Entry,
-    /// Its slots, if it is new.
+    /// Number of slots of the worker if it is new.
     pub(super) initial_slots: Option<u32>,
 }
 
 impl WorkerTable {
-    /// No workers, seen from `home_zone`.
+    /// Creates an empty table. `home_zone` is the zone of this machine.
     pub(super) fn new(home_zone: &str) -> WorkerTable {
         WorkerTable { zones: vec![home_zone.to_owned()], ids: HashMap::new(), workers: Vec::new() }
     }
 
-    /// Takes over the state of an instance; `None` if nothing changes for the dispatcher.
-    /// `warm_up_time`: how long the dispatcher expects a worker to be warming up after its start.
+    /// Applies the state of an instance. Returns `None` if nothing changes for the dispatcher.
+    /// `warm_up_time` is the dispatcher's slow-start time after the start of a worker.
     pub(super) fn update(
         &mut self, instance: &Instance, now: Time, warm_up_time: Duration,
     ) -> Option<WorkerChange> {
@@ -96,12 +96,12 @@
         Some(WorkerChange { entry, initial_slots: Some(slots) })
     }
 
-    /// Attempts of this proxy in flight at a worker.
+    /// Returns the number of this proxy's attempts in flight at a worker.
     pub(super) fn in_flight(&self, id: WorkerId) -> u32 {
         self.workers.get(id.0 as usize).map_or(0, |worker| worker.in_flight)
     }
 
-    /// Counts an attempt that begins at a worker.
+    /// Counts an attempt that starts at a worker.
     pub(super) fn record_attempt_start(&mut self, id: WorkerId) {
         if let Some(worker) = self.workers.get_mut(id.0 as usize) {
             worker.in_flight = worker.in_flight.saturating_add(1);
@@ -139,18 +139,18 @@
         }
     }
 
-    /// A worker, if it takes requests now.
+    /// Returns the target of a worker if the worker accepts requests.
     pub(super) fn ready_target(&self, id: WorkerId) -> Option<&Target> {
         let worker = self.workers.get(id.0 as usize)?;
         (worker.state == WorkerState::Ready).then_some(&worker.target)
     }
 
-    /// Slots of a worker.
+    /// Returns the number of slots of a worker; 1 if the id is unknown.
     pub(super) fn slots(&self, id: WorkerId) -> u32 {
         self.workers.get(id.0 as usize).map_or(1, |worker| worker.slots)
     }
 
-    /// Workers that take requests now.
+    /// Returns the workers that accept requests.
     pub(super) fn ready_workers(&self) -> impl Iterator<Item = WorkerId> {
         let ready = self.workers.iter().enumerate().filter(|(_, worker)| worker.state == WorkerState::Ready);
         ready.map(|(index, _)| WorkerId(index as u32))
--- a/crates/pebblepost-proxy/src/error.rs
+++ b/crates/pebblepost-proxy/src/error.rs
@@ -1,39 +1,39 @@
-//! Errors of the proxy's start.
+//! Errors that prevent the proxy from starting.
 
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the proxy can't start.
+/// Error that prevents the proxy from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum ProxyError {
-    /// The runtime can't be built.
-    #[error("starting the runtime")]
+    /// The async runtime can't be built.
+    #[error("cannot build the async runtime")]
     Runtime(#[source] io::Error),
-    /// The handler of a signal can't be installed.
-    #[error("listening for {name}")]
+    /// A signal handler can't be installed.
+    #[error("cannot install the handler of {name}")]
     Signals {
         /// Name of the signal.
         name: &'static str,
-        /// Cause.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The settings have no address for a listener.
-    #[error("the settings have no {key}")]
+    /// The settings lack the address of a listener.
+    #[error("setting {key} is missing")]
     MissingAddress {
-        /// Key of the settings.
+        /// Key of the missing setting.
         key: &'static str,
     },
     /// A listener can't be opened.
-    #[error("listening at {address} ({key})")]
+    #[error("cannot listen on {address} (setting {key})")]
     Listen {
-        /// Address of the settings.
+        /// Address that can't be listened on.
         address: SocketAddr,
-        /// Key of the settings.
+        /// Key of the setting that holds the address.
         key: &'static str,
-        /// Cause.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The address of a listener can't be read.
-    #[error(transparent)]
-    LocalAddress(io::Error),
+    /// The local address of a listener can't be read.
+    #[error("cannot read the local address of a listener")]
+    LocalAddress(#[source] io::Error),
 }
--- a/crates/pebblepost-proxy/src/feed/agent_link.rs
+++ b/crates/pebblepost-proxy/src/feed/agent_link.rs
@@ -1,4 +1,4 @@
-//! Link to the agent of this machine, which sends the feed.
+//! Link to the agent of this machine, which relays the feed.
 
 use super::updater::{ApplyOutcome, FeedUpdater};
 use log::{debug, info};
@@ -12,29 +12,30 @@
     max_frame_bytes: 64 << 20,
     max_queued_bytes: 1 << 20,
     connect_timeout: Duration::from_secs(1),
-    // The agent shares this machine: its end resets the connection.
+    // The agent runs on the same machine, so the connection is reset when the agent ends; no short
+    // read time-out is needed.
     read_timeout: Duration::from_secs(3600),
 };
-/// First backoff before the agent is connected to again; it doubles.
+/// First backoff before a reconnection. It doubles after each attempt.
 const MIN_RECONNECT_BACKOFF: Duration = Duration::from_millis(20);
-/// Longest backoff.
+/// Maximum backoff before a reconnection.
 const MAX_RECONNECT_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Error of the link.
+/// Error of the link, boxed.
 type LinkError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why the feed over one link ended.
+/// Reason for which the feed over one link ended.
 #[derive(Debug, thiserror::Error)]
 enum FeedEnd {
-    #[error("connecting to the agent: {0:#}")]
+    #[error("cannot connect to the agent: {0:#}")]
     Connect(LinkError),
-    #[error("reading the feed: {0:#}")]
+    #[error("receiving from the agent failed: {0:#}")]
     Receive(LinkError),
-    #[error("a patch builds on a configuration that is not here")]
+    #[error("patch is based on a configuration that this proxy does not have")]
     ResyncNeeded,
 }
 
-/// Keeps the link to the agent at `address` for as long as the process runs.
+/// Maintains the link to the agent at `address`. Never returns.
 pub(crate) async fn run(updater: Rc<FeedUpdater>, address: SocketAddr) {
     let mut backoff = MIN_RECONNECT_BACKOFF;
     loop {
@@ -50,7 +51,8 @@
     }
 }
 
-/// Applies and acknowledges the feed until the link ends. `received` is set with the first batch.
+/// Applies and acknowledges batches of the feed until the link ends. Sets `received` when the first
+/// batch arrives.
 async fn receive_feed(updater: &FeedUpdater, address: SocketAddr, received: &mut bool) -> FeedEnd {
     let (sender, mut receiver) = match connect(address, LINK_LIMITS).await {
         Ok(link) => link,
--- a/crates/pebblepost-proxy/src/feed/cache.rs
+++ b/crates/pebblepost-proxy/src/feed/cache.rs
@@ -1,4 +1,4 @@
-//! What the feed has delivered so far: configuration, instances, store groups.
+//! State that the feed has delivered so far: configuration, instances, store groups.
 
 use pebblepost_configuration::{Configuration, Limits};
 use pebblepost_feed::{FeedChanges, FeedState};
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Limits of clients before the first configuration, which may allow much: they reject nothing as
-/// too large that a configuration would allow. The memory budget bounds the bodies.
+/// Limits for client connections before the first configuration. They are wide, so that no request is
+/// rejected as too large that the configuration would allow. The memory budget still bounds the bodies.
 const DEFAULT_LIMITS: Limits = Limits {
     max_header_bytes: 64 * 1024,
     max_body_bytes: usize::MAX,
@@ -18,46 +18,48 @@
     idle_timeout: Duration::from_secs(15),
 };
 
-/// The state of the feed, shared with the batch runner.
+/// State of the feed, shared with the batch runner.
 #[derive(Debug, Default)]
 pub(crate) struct FeedCache {
     state: Rc<RefCell<FeedState>>,
+    /// A batch of updates has been received.
     received: Cell<bool>,
     changed: Notify,
 }
 
 impl FeedCache {
-    /// The state, for the batch runner to read.
+    /// Returns the shared state, which the batch runner reads.
     pub(crate) fn shared_state(&self) -> Rc<RefCell<FeedState>> {
         self.state.clone()
     }
 
-    /// The state.
+    /// Borrows the state. The borrow must not be held across an update.
     pub(super) fn state(&self) -> Ref<'_, FeedState> {
         self.state.borrow()
     }
 
-    /// Folds an update into the state.
+    /// Applies an update to the state and returns what it changed.
     pub(super) fn apply(&self, update: &FeedUpdate) -> FeedChanges {
         self.state.borrow_mut().apply(update)
     }
 
-    /// Notes that a batch of updates was received.
+    /// Records that a batch of updates was received.
     pub(super) fn set_received(&self) {
         self.received.set(true);
     }
 
-    /// Wakes those that wait for a configuration.
+    /// Wakes the tasks that wait for a configuration.
     pub(super) fn notify_changed(&self) {
         self.changed.notify_waiters();
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` before the first one.
     pub(crate) fn configuration(&self) -> Option<Arc<Configuration>> {
         self.state.borrow().configuration().cloned()
     }
 
-    /// The configuration in force, as soon as there is one; `None` if there is none after `timeout`.
+    /// Waits for the first configuration. Returns the configuration in force, or `None` if there is still
+    /// none after `timeout`.
     pub(crate) async fn wait_for_configuration(&self, timeout: Duration) -> Option<Arc<Configuration>> {
         let configured = async {
             loop {
@@ -71,12 +73,12 @@
         tokio::time::timeout(timeout, configured).await.ok()
     }
 
-    /// Limits of clients.
+    /// Returns the limits for client connections.
     pub(crate) fn limits(&self) -> Limits {
         self.state.borrow().configuration().map_or(DEFAULT_LIMITS, |configuration| configuration.limits())
     }
 
-    /// Whether the proxy knows all that it needs to serve.
+    /// Returns whether a batch and a configuration have been received, so that the proxy can serve.
     pub(crate) fn is_complete(&self) -> bool {
         self.received.get() && self.state.borrow().configuration().is_some()
     }
--- a/crates/pebblepost-proxy/src/feed/mod.rs
+++ b/crates/pebblepost-proxy/src/feed/mod.rs
@@ -1,7 +1,7 @@
-//! The feed of the control plane, as the agent of this machine passes it on.
+//! Feed of the control plane, relayed by the agent of this machine.
 //!
-//! `cache` owns what the feed has delivered, `updater` brings updates into force, `agent_link`
-//! receives and acknowledges them.
+//! `agent_link` receives updates and acknowledges them, `updater` applies them, and `cache` holds the
+//! resulting state.
 
 mod agent_link;
 mod cache;
--- a/crates/pebblepost-proxy/src/feed/updater.rs
+++ b/crates/pebblepost-proxy/src/feed/updater.rs
@@ -1,4 +1,4 @@
-//! Brings updates of the feed into force in every part of the proxy that depends on them.
+//! Applies feed updates to every part of the proxy that depends on them.
 
 use super::cache::FeedCache;
 use crate::dispatch::Backends;
@@ -11,17 +11,17 @@
 use pebblepost_transcriber::{Client, ClientLimits, Target};
 use std::rc::Rc;
 
-/// What came of updates of the feed.
+/// Result of applying feed updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// They are in force.
+    /// The updates are in force.
     InForce,
-    /// A patch builds on a configuration that this proxy does not have: the feed must be begun
-    /// again.
+    /// A patch is based on a configuration that this proxy does not have. The feed must be restarted
+    /// with a snapshot. The other updates are in force.
     ResyncNeeded,
 }
 
-/// Applies updates of the feed.
+/// Applies feed updates to the cache, the backends, the client and the batch runner.
 #[derive(Debug)]
 pub(crate) struct FeedUpdater {
     cache: Rc<FeedCache>,
@@ -32,7 +32,7 @@
 }
 
 impl FeedUpdater {
-    /// An updater of these parts. `machine_limits`: of the settings at the start.
+    /// Creates an updater of these parts. `machine_limits` are those of the settings at the start.
     pub(crate) fn new(
         cache: Rc<FeedCache>, backends: Rc<Backends>, client: Client, runner: BatchRunner,
         machine_limits: MachineLimits,
@@ -40,7 +40,7 @@
         FeedUpdater { cache, backends, client, runner, machine_limits }
     }
 
-    /// Applies updates; when this returns, they are in force.
+    /// Applies updates. They are in force when this returns.
     pub(crate) fn apply(&self, updates: &[FeedUpdate]) -> ApplyOutcome {
         let mut applied = ApplyOutcome::InForce;
         for update in updates {
@@ -66,7 +66,7 @@
             if instance.state == InstanceState::Ready {
                 continue;
             }
-            debug!("transcriber takes no requests transcriber={id} state={:?}", instance.state);
+            debug!("transcriber accepts no requests transcriber={id} state={:?}", instance.state);
             if let Ok(address) = instance.address.parse() {
                 self.client.remove_target(&Target { instance: id.clone(), address });
             }
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Limits of the client: this proxy's share of the connections that every transcriber takes.
+    /// Returns the limits of the client. The connection limit is this proxy's share of the smallest
+    /// number of connections that a service accepts.
     fn client_limits(&self) -> ClientLimits {
         let feed = self.cache.state();
         let services = feed.configuration().map(|configuration| configuration.services());
@@ -87,7 +88,7 @@
         client_limits(&self.machine_limits, share)
     }
 
-    /// Generation of the configuration in force; 0 if there is none.
+    /// Returns the generation of the configuration in force; 0 if there is none.
     pub(crate) fn generation(&self) -> u64 {
         self.cache.configuration().map_or(0, |configuration| configuration.generation())
     }
--- a/crates/pebblepost-proxy/src/handler.rs
+++ b/crates/pebblepost-proxy/src/handler.rs
@@ -1,7 +1,7 @@
-//! Handling of one request: reads it, routes it, and responds.
+//! Handles one request: reads it, routes it, and responds.
 //!
-//! Reading lies in `request`, forwarding in `dispatch`, the form of responses in `response`; batch
-//! jobs go to the batch runner.
+//! `request` reads and checks requests, `dispatch` forwards them, and `response` builds the responses.
+//! Calls about batch jobs are passed to the batch runner.
 
 use crate::activity::ConnectionActivity;
 use crate::dispatch::{Backends, ClientRequest, DispatchOutcome, dispatch};
@@ -20,34 +20,35 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request with a deadline that arrives before the first configuration waits for it this long: an
-/// early rejection costs the client little.
+/// Maximum wait of a request with a deadline for the first configuration. It is short because an early
+/// rejection costs the client little.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(15);
-/// Batch jobs and calls about them wait this long. Their callers have tens of seconds and few
-/// attempts, and after a restart of all machines the configuration comes within about a second.
+/// Maximum wait of batch jobs, and of calls about them, for the first configuration. Their callers have
+/// tens of seconds but few attempts, and after a restart of all machines the configuration arrives
+/// within about a second.
 const JOB_CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Responses are sent this long before a client's deadline.
+/// Time between the deadline for a response and the client's own deadline.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
 
-/// Handles requests of all connections.
+/// Handles the requests of all client connections.
 #[derive(Debug)]
 pub(crate) struct RequestHandler {
-    /// Gives the configuration.
+    /// Source of the configuration.
     pub(crate) feed: Rc<FeedCache>,
     /// Backends to which requests are forwarded.
     pub(crate) backends: Rc<Backends>,
     /// Handles batch jobs.
     pub(crate) runner: BatchRunner,
-    /// Bounds the bodies of requests.
+    /// Bounds the memory of request bodies.
     pub(crate) memory: MemoryBudget,
-    /// Counts what becomes of requests.
+    /// Counts requests by result.
     pub(crate) metrics: Rc<Metrics>,
-    /// Gives the last deadline during a shutdown.
+    /// Gives the response deadline during a shutdown.
     pub(crate) shutdown: Rc<Shutdown>,
 }
 
 impl RequestHandler {
-    /// Responds to one request on a client's connection.
+    /// Responds to one request on a client connection. A rejected request gets an error response.
     pub(crate) async fn handle(
         self: Rc<Self>, activity: ConnectionActivity, request: Request<Incoming>,
     ) -> Response<ResponseBody> {
@@ -73,11 +74,11 @@
         let head = RequestHead::check(parts, &limits)?;
         let body = read_body(body, &limits, &self.memory).await?;
         self.metrics.update(|counts| counts.requests += 1);
-        // Looked up once the request is complete: the newest configuration applies to it.
+        // The configuration is looked up after the body was read, so that the newest one applies.
         let configuration = self.feed.wait_for_configuration(configuration_timeout(&head)).await;
         let configuration = configuration.ok_or(Rejection::NotConfigured)?;
         if BatchRunner::is_job_call(head.path_without_query()) {
-            // Whatever has become of its route: a job that was accepted is kept and can be read.
+            // Needs no route: an accepted job stays readable when its route has been removed.
             return self.handle_job_call(None, head, body).await;
         }
         if head.request_id.is_empty() {
@@ -94,7 +95,8 @@
         self.handle_job_call(Some(route), head, body).await
     }
 
-    /// When the client must have its response.
+    /// Returns the time by which the client must have its response: the earliest of the client's
+    /// deadline, the route's time-out and the response deadline of a shutdown.
     fn deadline(&self, route: &Route, head: &RequestHead, arrived: Instant) -> Instant {
         let timeout = head.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
         let deadline = arrived + timeout.saturating_sub(DEADLINE_MARGIN);
@@ -135,8 +137,8 @@
     }
 }
 
-/// How long a request may wait for the first configuration. Its route is not known before then; a
-/// submitted batch job is recognized by its having no deadline.
+/// Returns how long a request may wait for the first configuration. Its route is unknown until then, so
+/// a submitted batch job is recognized by its lack of a deadline.
 fn configuration_timeout(head: &RequestHead) -> Duration {
     let is_job_call = head.deadline.is_none() || BatchRunner::is_job_call(head.path_without_query());
     if is_job_call { JOB_CONFIGURATION_TIMEOUT } else { CONFIGURATION_TIMEOUT }
--- a/crates/pebblepost-proxy/src/lib.rs
+++ b/crates/pebblepost-proxy/src/lib.rs
@@ -1,16 +1,16 @@
-//! Data plane: connections of clients, routing, dispatch to transcribers, attempts and streams.
+//! Data plane: client connections, routing, dispatch to transcribers, attempts and streams.
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `connections`, `activity` | connections of clients and their deadlines |
+//! | `connections`, `activity` | client connections and their deadlines |
 //! | `handler`, `request`, `response` | one request, from its head to its response |
-//! | `dispatch` | backends, the decision module's state for each, attempts and streams |
-//! | `feed` | configuration and instances, as the agent of this machine sends them |
-//! | `readiness`, `shutdown`, `signals` | readiness, and the way from SIGTERM to the end |
-//! | `metrics`, `resource_limits`, `listener` | counts, limits of the machine, sockets |
+//! | `dispatch` | backends, the dispatcher of each backend, attempts and streams |
+//! | `feed` | configuration and instances, received from the agent of this machine |
+//! | `readiness`, `shutdown`, `signals` | readiness checks, signals and graceful shutdown |
+//! | `metrics`, `resource_limits`, `listener` | counters, limits of the machine, listening sockets |
 //!
-//! The proxy keeps nothing on disk and never talks to the control plane itself. Everything runs on
-//! one thread (`spawn_local`).
+//! The proxy stores nothing on disk and has no connection to the control plane: its agent relays the
+//! feed. All tasks run on one thread (`spawn_local`).
 
 mod activity;
 mod connections;
@@ -38,10 +38,10 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-/// Runs the program until SIGTERM.
+/// Runs the proxy until SIGTERM and through its graceful shutdown.
 ///
 /// # Errors
-/// If the proxy can't start.
+/// Returns an error if the proxy can't start.
 pub fn run(settings: Settings) -> Result<(), ProxyError> {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(ProxyError::Runtime)?;
     LocalSet::new().block_on(&runtime, async {
--- a/crates/pebblepost-proxy/src/listener.rs
+++ b/crates/pebblepost-proxy/src/listener.rs
@@ -6,14 +6,14 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// Listens at an address of the settings; `key` is its key there.
+/// Listens on an address of the settings. `key` is the key of the setting, which errors name.
 ///
 /// # Errors
-/// [`ProxyError::MissingAddress`] without an address, [`ProxyError::Listen`] if the address can't
-/// be bound.
+/// Returns [`ProxyError::MissingAddress`] if there is no address, and [`ProxyError::Listen`] if it
+/// can't be bound.
 pub(crate) fn listen(address: Option<SocketAddr>, key: &'static str) -> Result<TcpListener, ProxyError> {
     let address = address.ok_or(ProxyError::MissingAddress { key })?;
     bind(address).map_err(|source| ProxyError::Listen { address, key, source })
@@ -21,7 +21,7 @@
 
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
-    // The process before may have had connections at this address a moment ago.
+    // Connections of a previous process at this address may still be in TIME_WAIT.
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
--- a/crates/pebblepost-proxy/src/metrics.rs
+++ b/crates/pebblepost-proxy/src/metrics.rs
@@ -1,49 +1,50 @@
-//! Metrics: counts of what the proxy has done since its start.
+//! Metrics: counters since the start of the proxy.
 
 use pebblepost_transcriber::ClientMetrics;
 use std::cell::Cell;
 use std::fmt::Display;
 
-/// Counts since the start.
+/// Counters since the start of the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProxyMetrics {
-    /// Connections of clients accepted.
+    /// Client connections that were accepted.
     pub connections: u64,
-    /// Requests read.
+    /// Requests that were read completely.
     pub requests: u64,
-    /// Responses of transcribers forwarded, failures included.
+    /// Responses of transcribers that were forwarded, including failures.
     pub responses_forwarded: u64,
-    /// Requests that got a 503 of this proxy: they have not run and never will.
+    /// Requests that got a 503 of this proxy after dispatch: no transcriber has executed them.
     pub not_executed: u64,
-    /// Requests that ended in a 502 or 504 of this proxy.
+    /// Requests that got a 502 or 504 of this proxy: a transcriber may have executed them.
     pub indeterminate: u64,
-    /// Requests rejected before they were forwarded: 400, 404, 413, 431.
+    /// Requests that were rejected before dispatch: 400, 404, 413, 431, or 503 for lack of memory or of a
+    /// configuration.
     pub rejected: u64,
-    /// Streams resumed at another transcriber.
+    /// Streams that were resumed by another attempt, counted once per resumption.
     pub streams_resumed: u64,
-    /// Streams aborted before their end.
+    /// Streams that were aborted before they were complete.
     pub streams_aborted: u64,
 }
 
-/// The metrics of one thread.
+/// Counters that the tasks of one thread update.
 #[derive(Debug, Default)]
 pub(crate) struct Metrics(Cell<ProxyMetrics>);
 
 impl Metrics {
-    /// Changes one of the counts.
+    /// Applies a change to the counters.
     pub(crate) fn update(&self, change: impl FnOnce(&mut ProxyMetrics)) {
         let mut counts = self.0.get();
         change(&mut counts);
         self.0.set(counts);
     }
 
-    /// The counts so far.
+    /// Returns a copy of the counters.
     pub(crate) fn get(&self) -> ProxyMetrics {
         self.0.get()
     }
 }
 
-/// One line of `name=value` for the log; operators read these names.
+/// Formats the metrics as one log line of `name=value` pairs. Operators rely on these names.
 pub(crate) fn metrics_line(proxy: ProxyMetrics, client: ClientMetrics, runner: &impl Display) -> String {
     format!(
         "counts: requests={} answered={} refused={} failed={} connections={} first={} renewed={} sent={} reports={} {}",
--- a/crates/pebblepost-proxy/src/proxy.rs
+++ b/crates/pebblepost-proxy/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy: builds its parts, starts their tasks, and shuts them down.
+//! Builds the parts of the proxy, starts their tasks, and shuts them down.
 
 use crate::connections::{ConnectionContext, Server};
 use crate::dispatch::Backends;
@@ -22,13 +22,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After SIGTERM the platform needs two failed readiness checks, one each second, to notice.
+/// Time after SIGTERM until the platform sends no more connections. The platform needs two failed
+/// readiness checks, which it makes once per second.
 const READINESS_PROPAGATION_TIME: Duration = Duration::from_millis(2800);
-/// The process ends this long before SIGKILL.
+/// Time between the end of the process and the platform's SIGKILL.
 const SIGKILL_MARGIN: Duration = Duration::from_millis(500);
-/// Requests have their responses this long before the process ends.
+/// Time between the last response deadline and the end of the process.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(400);
-/// How often the metrics are written to the log.
+/// Interval at which the metrics are logged.
 const METRICS_LOG_INTERVAL: Duration = Duration::from_secs(15);
 
 /// A proxy that runs on the caller's `LocalSet`.
@@ -46,10 +47,13 @@
 }
 
 impl Proxy {
-    /// Opens the listeners and starts all tasks (`spawn_local`).
+    /// Opens the listeners and spawns all tasks on the caller's `LocalSet`.
     ///
     /// # Errors
-    /// If the settings lack an address, or a listener can't be opened.
+    /// Returns an error if the settings lack an address or a listener can't be opened.
+    ///
+    /// # Panics
+    /// Panics outside of a `LocalSet`.
     pub fn start(settings: Settings) -> Result<Proxy, ProxyError> {
         let ready_listener = listen(settings.readiness_address, "listen.ready")?;
         let client_listener = listen(settings.client_address, "listen.front")?;
@@ -104,27 +108,28 @@
         })
     }
 
-    /// Address for clients.
+    /// Returns the address at which clients connect.
     pub fn client_address(&self) -> SocketAddr {
         self.client_address
     }
 
-    /// Address for readiness checks.
+    /// Returns the address of the readiness endpoint.
     pub fn ready_address(&self) -> SocketAddr {
         self.ready_address
     }
 
-    /// Applies updates of the feed, as those that come from the agent.
+    /// Applies feed updates as if the agent had sent them. They are in force when this returns.
     pub fn apply(&self, updates: &[FeedUpdate]) -> ApplyOutcome {
         self.updater.apply(updates)
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start of the proxy.
     pub fn metrics(&self) -> ProxyMetrics {
         self.reporter.metrics.get()
     }
 
-    /// Runs until SIGTERM and through the graceful shutdown. SIGHUP reads the settings again.
+    /// Runs until SIGTERM, then shuts down gracefully. SIGHUP reloads the settings; during the shutdown
+    /// it is ignored.
     pub async fn run_until_terminated(&self, signals: &mut Signals) {
         while signals.next().await != ReceivedSignal::Terminate {
             self.reload();
@@ -138,19 +143,22 @@
         }
     }
 
-    /// Takes over the memory limit of the settings file.
+    /// Reads the settings again and applies their memory limit. Other settings need a restart.
     fn reload(&self) {
         match Settings::from_environment() {
             Ok(settings) => {
                 self.memory.set_limit(request_body_budget_bytes(&settings.limits));
-                info!("settings reloaded");
+                info!("settings reloaded, memory limit of request bodies applied");
             }
-            Err(error) => warn!("settings not reloaded: {error:#}"),
+            Err(error) => warn!("settings not reloaded, previous settings stay in force: {error:#}"),
         }
     }
 
-    /// Shuts down gracefully: not ready at once, serving until the platform has noticed, then
-    /// finishing what is in flight, all within the grace period of the settings.
+    /// Shuts down gracefully within the grace period of the settings.
+    ///
+    /// Readiness checks fail at once. New connections are accepted until the platform has had time to
+    /// notice that; then requests in flight are completed. Requests still in flight at the end of the
+    /// grace period are abandoned.
     pub async fn shut_down(&self) {
         let grace = self.shutdown_grace;
         let end = Instant::now() + grace.saturating_sub(SIGKILL_MARGIN);
@@ -167,14 +175,14 @@
         };
         let all = async { tokio::join!(runner, connections) };
         if tokio::time::timeout_at(end, all).await.is_err() {
-            warn!("grace period over with requests in flight");
+            warn!("grace period over, requests in flight are abandoned");
         }
         info!("{}", self.reporter.line());
-        info!("ended");
+        info!("proxy stopped");
     }
 }
 
-/// Writes the metrics to the log.
+/// Logs the metrics of the proxy, of its client and of the batch runner.
 #[derive(Clone, Debug)]
 struct MetricsReporter {
     metrics: Rc<Metrics>,
--- a/crates/pebblepost-proxy/src/readiness.rs
+++ b/crates/pebblepost-proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Readiness: `GET /readyz` says whether new connections should come to this proxy.
+//! Readiness endpoint: `GET /readyz` reports whether this proxy should get new connections.
 
 use crate::feed::FeedCache;
 use crate::shutdown::Shutdown;
@@ -17,15 +17,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-const PATH: &str = "/readyz";
-/// Most connections at once; the platform needs one.
+const READINESS_PATH: &str = "/readyz";
+/// Maximum number of concurrent connections. The platform needs one.
 const MAX_CONNECTIONS: usize = 16;
-/// An idle connection is closed after this time.
+/// Time within which a connection must send the next request head, or it is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Backoff after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What readiness depends on.
+/// Readiness of the proxy, derived from the state of the feed and of the shutdown.
 #[derive(Clone, Debug)]
 pub(crate) struct Readiness {
     feed: Rc<FeedCache>,
@@ -33,7 +33,8 @@
 }
 
 impl Readiness {
-    /// Readiness once the feed is complete, until the shutdown begins.
+    /// Creates the readiness check. The proxy is ready once the feed is complete and until the shutdown
+    /// begins.
     pub(crate) fn new(feed: Rc<FeedCache>, shutdown: Rc<Shutdown>) -> Readiness {
         Readiness { feed, shutdown }
     }
@@ -42,7 +43,7 @@
         self.feed.is_complete() && self.shutdown.is_serving()
     }
 
-    /// Answers readiness checks for as long as the process runs.
+    /// Serves readiness checks for as long as the process runs.
     pub(crate) async fn serve(self, listener: TcpListener) {
         let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
@@ -71,12 +72,12 @@
     });
     let mut builder = Builder::new();
     builder.auto_date_header(false).timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT);
-    // Whoever checks readiness notices a broken connection.
+    // An error needs no handling: the platform sees the broken connection as a failed check.
     let _ = builder.serve_connection(TokioIo::new(stream), service).await;
 }
 
 fn status(readiness: &Readiness, request: &Request<Incoming>) -> StatusCode {
-    if request.uri().path() != PATH || !matches!(*request.method(), Method::GET | Method::HEAD) {
+    if request.uri().path() != READINESS_PATH || !matches!(*request.method(), Method::GET | Method::HEAD) {
         return StatusCode::NOT_FOUND;
     }
     match readiness.is_ready() {
--- a/crates/pebblepost-proxy/src/request/body.rs
+++ b/crates/pebblepost-proxy/src/request/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests, buffered within the limits and the memory budget.
+//! Reads request bodies into memory, within the limits and the memory budget.
 
 use super::memory::{MemoryBudget, MemoryReservation};
 use super::rejection::Rejection;
@@ -7,13 +7,13 @@
 use hyper::body::{Body, Incoming};
 use pebblepost_configuration::Limits;
 
-/// Most bytes of buffer allocated before they arrive, whatever length a client announces.
+/// Maximum buffer that is allocated before the bytes arrive, whatever length a client announces.
 const MAX_PREALLOCATED_BYTES: usize = 1 << 20;
 
-/// A complete body, with the memory that is reserved for it.
+/// A complete body and its memory reservation, which is released when the body is dropped.
 #[derive(Debug)]
 pub(crate) struct BufferedBody {
-    /// Its bytes.
+    /// Content of the body.
     pub(crate) bytes: Bytes,
     _reservation: MemoryReservation,
 }
@@ -21,8 +21,9 @@
 /// Reads a body to its end.
 ///
 /// # Errors
-/// [`Rejection::BodyTooLarge`] above the limit, [`Rejection::NoMemory`] above the budget,
-/// [`Rejection::Malformed`] if the body breaks off or no bytes come for the idle time-out.
+/// Returns [`Rejection::BodyTooLarge`] if the body exceeds the limit, [`Rejection::NoMemory`] if it
+/// exceeds the memory budget, and [`Rejection::Malformed`] if it breaks off or no bytes arrive within
+/// the idle time-out.
 pub(crate) async fn read_body(
     mut body: Incoming, limits: &Limits, memory: &MemoryBudget,
 ) -> Result<BufferedBody, Rejection> {
@@ -35,7 +36,7 @@
     if !reservation.grow_to(announced) {
         return Err(Rejection::NoMemory);
     }
-    // Most bodies are one frame, which is not copied.
+    // Most bodies arrive in one frame, which is used without a copy.
     let mut first = Bytes::new();
     let mut rest = BytesMut::new();
     loop {
--- a/crates/pebblepost-proxy/src/request/head.rs
+++ b/crates/pebblepost-proxy/src/request/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests: checked, and without what concerns one connection only.
+//! Checks request heads and removes the headers that concern only one connection.
 
 use super::rejection::Rejection;
 use http::header::{CONTENT_LENGTH, EXPECT, HOST, HeaderName};
@@ -11,29 +11,29 @@
 const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
 const TARGET_INSTANCE: HeaderName = HeaderName::from_static("target-instance");
 
-/// Head of a request, checked.
+/// Checked head of a request.
 #[derive(Debug)]
 pub(crate) struct RequestHead {
-    /// Method.
+    /// HTTP method.
     pub(crate) method: Method,
-    /// Path and query, as the client sent them.
+    /// Path and query, as sent by the client.
     pub(crate) path: String,
-    /// Host, as the client sent it.
+    /// Value of `Host`, as sent by the client.
     pub(crate) host: String,
-    /// `Request-Id`; empty where there is none, as in calls of batch jobs.
+    /// Value of `Request-Id`; empty if the client sent none, as in calls about batch jobs.
     pub(crate) request_id: String,
-    /// `Deadline-Ms`: how long the client waits, where it says so.
+    /// Value of `Deadline-Ms`: how long the client waits for the response.
     pub(crate) deadline: Option<Duration>,
-    /// Headers to forward, without those of one connection and those that the proxy sets itself.
+    /// Headers to forward, without connection headers and those that the proxy sets itself.
     pub(crate) headers: HeaderMap,
 }
 
 impl RequestHead {
-    /// Checks a head.
+    /// Checks a request head.
     ///
     /// # Errors
-    /// [`Rejection::HeadTooLarge`] above the limit, [`Rejection::Malformed`] without exactly one
-    /// `Host`, with an unusable path, `Request-Id` or `Deadline-Ms`.
+    /// Returns [`Rejection::HeadTooLarge`] if the headers exceed the limit, and [`Rejection::Malformed`]
+    /// if there is not exactly one `Host`, or the path, `Request-Id` or `Deadline-Ms` is invalid.
     pub(crate) fn check(parts: Parts, limits: &Limits) -> Result<RequestHead, Rejection> {
         let Parts { method, uri, mut headers, .. } = parts;
         if head_bytes(&headers) > limits.max_header_bytes {
@@ -54,19 +54,19 @@
         Ok(RequestHead { method, path, host, request_id, deadline, headers })
     }
 
-    /// The path without the query.
+    /// Returns the path without the query.
     pub(crate) fn path_without_query(&self) -> &str {
         self.path.split('?').next().unwrap_or_default()
     }
 }
 
-/// Approximate size of a head on the wire.
+/// Returns the approximate size of the headers on the wire.
 fn head_bytes(headers: &HeaderMap) -> usize {
     const SEPARATOR_BYTES: usize = 4;
     headers.iter().map(|(name, value)| name.as_str().len() + value.len() + SEPARATOR_BYTES).sum()
 }
 
-/// The value of a header that must occur exactly once and not be empty.
+/// Returns the value of a header that must occur exactly once and must not be empty.
 fn single_value(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
@@ -74,7 +74,10 @@
     value.to_str().ok().filter(|text| is_single && !text.is_empty())
 }
 
-/// `Deadline-Ms`; a value that is no duration makes the request malformed.
+/// Parses `Deadline-Ms`.
+///
+/// # Errors
+/// Returns [`Rejection::Malformed`] if the value is not a valid duration.
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Rejection> {
     let Some(value) = headers.get(DEADLINE_MS) else { return Ok(None) };
     let text = value.to_str().map_err(|_| Rejection::Malformed)?;
--- a/crates/pebblepost-proxy/src/request/memory.rs
+++ b/crates/pebblepost-proxy/src/request/memory.rs
@@ -1,9 +1,9 @@
-//! Memory budget: bounds the bytes that bodies of requests take together.
+//! Memory budget, which bounds the total size of the request bodies in memory.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes that bodies may take, and take; clones share the budget.
+/// Limit and current usage of memory for request bodies. Clones share the budget.
 #[derive(Clone, Debug)]
 pub(crate) struct MemoryBudget(Rc<Usage>);
 
@@ -14,24 +14,24 @@
 }
 
 impl MemoryBudget {
-    /// A budget of which nothing is reserved.
+    /// Creates a budget without reservations.
     pub(crate) fn new(limit_bytes: usize) -> MemoryBudget {
         let usage = Usage { limit_bytes: Cell::new(limit_bytes), reserved_bytes: Cell::new(0) };
         MemoryBudget(Rc::new(usage))
     }
 
-    /// Changes the limit; what is reserved stays reserved.
+    /// Changes the limit. Existing reservations are kept, even if they exceed the new limit.
     pub(crate) fn set_limit(&self, limit_bytes: usize) {
         self.0.limit_bytes.set(limit_bytes);
     }
 
-    /// A reservation of no bytes, to be grown.
+    /// Creates a reservation of zero bytes, which can grow.
     pub(crate) fn empty_reservation(&self) -> MemoryReservation {
         MemoryReservation { budget: self.clone(), bytes: 0 }
     }
 }
 
-/// Bytes of one body; returned to the budget on drop.
+/// Memory reserved for one body. Dropping it returns the bytes to the budget.
 #[derive(Debug)]
 pub(crate) struct MemoryReservation {
     budget: MemoryBudget,
@@ -39,7 +39,8 @@
 }
 
 impl MemoryReservation {
-    /// Grows to so many bytes in all; false if the budget does not allow it.
+    /// Grows the reservation to `bytes` in total. Returns false, and reserves nothing more, if the budget
+    /// does not allow it.
     pub(crate) fn grow_to(&mut self, bytes: usize) -> bool {
         let additional = bytes.saturating_sub(self.bytes);
         let usage = &self.budget.0;
--- a/crates/pebblepost-proxy/src/request/mod.rs
+++ b/crates/pebblepost-proxy/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Reading of clients' requests: head and body, within the limits, or a [`Rejection`].
+//! Reads client requests within the limits: yields head and body, or a [`Rejection`].
 
 mod body;
 mod head;
--- a/crates/pebblepost-proxy/src/request/rejection.rs
+++ b/crates/pebblepost-proxy/src/request/rejection.rs
@@ -1,24 +1,24 @@
-//! Rejections: why a request is answered without being forwarded.
+//! Reasons for which the proxy rejects a request.
 
-/// Why a request is rejected. It has not run.
+/// Reason for which a request is rejected before dispatch. No transcriber has executed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Rejection {
-    /// 400.
-    #[error("malformed request")]
+    /// 400: the head or the body is invalid or incomplete.
+    #[error("request is malformed or incomplete")]
     Malformed,
-    /// 404.
-    #[error("no route")]
+    /// 404: no route matches.
+    #[error("no route matches the request")]
     NoRoute,
-    /// 413.
-    #[error("body too large")]
+    /// 413: the body exceeds the limit.
+    #[error("request body exceeds the size limit")]
     BodyTooLarge,
-    /// 431.
-    #[error("head too large")]
+    /// 431: the headers exceed the limit.
+    #[error("request headers exceed the size limit")]
     HeadTooLarge,
-    /// 503: no memory for its body.
-    #[error("no memory for the body")]
+    /// 503: the memory budget does not allow the body.
+    #[error("memory budget of request bodies is exhausted")]
     NoMemory,
-    /// 503: no configuration has come yet.
-    #[error("no configuration yet")]
+    /// 503: no configuration has been received yet.
+    #[error("no configuration received yet")]
     NotConfigured,
 }
--- a/crates/pebblepost-proxy/src/response.rs
+++ b/crates/pebblepost-proxy/src/response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients: those of transcribers unchanged, and the proxy's own.
+//! Responses to clients: forwarded responses of transcribers, and the proxy's own.
 
 use crate::activity::ConnectionActivity;
 use crate::dispatch::{BrokenStream, EventBody};
@@ -13,28 +13,28 @@
 use std::time::Duration;
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
-/// When a client may retry whose request was rejected for want of memory.
+/// Retry delay for a client whose request was rejected because the memory budget was exhausted.
 const RETRY_AFTER_NO_MEMORY: Duration = Duration::from_millis(250);
-/// When a client may retry whose request was rejected for want of a configuration: after a restart
-/// of all machines, the control plane takes about a second to elect a primary.
+/// Retry delay for a client whose request was rejected because there was no configuration yet. After a
+/// restart of all machines, the control plane takes about a second to elect a primary.
 const RETRY_AFTER_NOT_CONFIGURED: Duration = Duration::from_millis(600);
 
-/// Content of a response's body.
+/// Content of a response body.
 pub(crate) enum Payload {
-    /// Complete.
+    /// A complete body.
     Buffered(Bytes),
-    /// Events as they arrive.
+    /// Events that are forwarded as they arrive.
     Events(EventBody),
 }
 
-/// Body of a response on a client's connection, which is idle again once this is dropped.
+/// Body of a response on a client connection. Dropping it marks the connection as idle.
 pub(crate) struct ResponseBody {
     payload: Payload,
     activity: ConnectionActivity,
 }
 
 impl ResponseBody {
-    /// A body on a connection.
+    /// Creates a body that is sent on the connection with this activity.
     pub(crate) fn new(payload: Payload, activity: ConnectionActivity) -> ResponseBody {
         ResponseBody { payload, activity }
     }
@@ -74,7 +74,8 @@
     }
 }
 
-/// A transcriber's buffered response: status, headers and body unchanged.
+/// Builds the response to the client from a transcriber's complete response, with its status, headers
+/// and body. `Content-Length` is kept only where there is no body; otherwise hyper sets it.
 pub(crate) fn buffered(response: BufferedResponse, method: &Method) -> Response<Payload> {
     let BufferedResponse { head, body } = response;
     let has_no_body = *method == Method::HEAD || head.status == StatusCode::NOT_MODIFIED;
@@ -87,7 +88,7 @@
     response
 }
 
-/// The head of a transcriber's stream, with the events that follow.
+/// Builds the response to the client from the head of a transcriber's stream and its events.
 pub(crate) fn streamed(head: ResponseHead, events: EventBody) -> Response<Payload> {
     let mut response = Response::new(Payload::Events(events));
     *response.status_mut() = head.status;
@@ -96,14 +97,15 @@
     response
 }
 
-/// A response of the proxy's own, without a body.
+/// Builds a response of the proxy itself, without a body.
 pub(crate) fn empty(status: StatusCode) -> Response<Payload> {
     let mut response = Response::new(Payload::Buffered(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-/// 503: the request has not run and never will; the client may retry after `retry_after`.
+/// Builds a 503 response: no transcriber has executed the request, and none will. The client may retry
+/// after `retry_after`.
 pub(crate) fn not_executed(retry_after: Duration) -> Response<Payload> {
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
     if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", retry_after.as_secs_f64())) {
@@ -112,7 +114,7 @@
     response
 }
 
-/// The response to a request that is not forwarded.
+/// Builds the response to a request that was rejected before dispatch.
 pub(crate) fn rejected(rejection: Rejection) -> Response<Payload> {
     match rejection {
         Rejection::Malformed => empty(StatusCode::BAD_REQUEST),
@@ -124,7 +126,7 @@
     }
 }
 
-/// Announces how long the connection may be idle.
+/// Sets the `Keep-Alive` header, which tells the client how long the connection may be idle.
 pub(crate) fn set_keep_alive(headers: &mut HeaderMap, idle_timeout: Duration) {
     if let Ok(value) = HeaderValue::from_str(&format!("timeout={}", idle_timeout.as_secs())) {
         headers.insert(KEEP_ALIVE, value);
--- a/crates/pebblepost-proxy/src/shutdown.rs
+++ b/crates/pebblepost-proxy/src/shutdown.rs
@@ -1,33 +1,34 @@
-//! Graceful shutdown: the phase of the process and the deadline of its last responses.
+//! State of the graceful shutdown: the phase of the process and the deadline of its last responses.
 //!
-//! State only; [`crate::proxy`] decides when the phases begin.
+//! [`crate::proxy`] decides when each phase begins.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Phase of the process. It only ever advances.
+/// Phase of the process. Phases only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
-    /// Serves.
+    /// Normal operation.
     Serving,
-    /// Not ready any more, but serves what still arrives; connections close after each response.
+    /// Readiness checks fail, but requests that still arrive are served. Each response closes its
+    /// connection.
     Draining,
-    /// Accepts nothing new and finishes what is in flight.
+    /// No connection or request is accepted; requests in flight are completed.
     Closing,
 }
 
-/// The phase of the process, shared by all of its tasks.
+/// Shutdown state, shared by all tasks of the process.
 #[derive(Debug)]
 pub(crate) struct Shutdown {
     phase: Cell<Phase>,
-    /// Requests must have their responses by then.
+    /// Time by which every request must have its response.
     response_deadline: Cell<Option<Instant>>,
     phase_changed: Notify,
 }
 
 impl Shutdown {
-    /// A process that serves.
+    /// Creates the state of a process in normal operation.
     pub(crate) fn new() -> Shutdown {
         Shutdown {
             phase: Cell::new(Phase::Serving),
@@ -36,12 +37,12 @@
         }
     }
 
-    /// Whether the shutdown has not begun.
+    /// Returns whether the shutdown has not begun.
     pub(crate) fn is_serving(&self) -> bool {
         self.phase.get() == Phase::Serving
     }
 
-    /// Begins draining: every request is to have its response by `response_deadline`.
+    /// Begins draining. Every request must have its response by `response_deadline`.
     pub(crate) fn begin_draining(&self, response_deadline: Instant) {
         self.response_deadline.set(Some(response_deadline));
         self.advance(Phase::Draining);
@@ -59,12 +60,12 @@
         }
     }
 
-    /// When requests must have their responses, once the process drains.
+    /// Returns the time by which requests must have their responses; `None` before draining.
     pub(crate) fn response_deadline(&self) -> Option<Instant> {
         self.response_deadline.get()
     }
 
-    /// Waits until nothing new is accepted.
+    /// Waits until the closing phase has begun.
     pub(crate) async fn closing(&self) {
         loop {
             let changed = self.phase_changed.notified();
--- a/crates/pebblepost-proxy/src/signals.rs
+++ b/crates/pebblepost-proxy/src/signals.rs
@@ -1,9 +1,9 @@
-//! Signals of the process.
+//! Signals that the process handles.
 
 use crate::error::ProxyError;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Receives SIGTERM and SIGHUP; neither ends the process by itself once this exists.
+/// Receives SIGTERM and SIGHUP. Once it has been created, neither signal ends the process by default.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -11,10 +11,13 @@
 }
 
 impl Signals {
-    /// Starts receiving.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// [`ProxyError::Signals`] if the handlers can't be installed.
+    /// Returns [`ProxyError::Signals`] if a handler can't be installed.
+    ///
+    /// # Panics
+    /// Panics outside of a Tokio runtime.
     pub fn listen() -> Result<Signals, ProxyError> {
         Ok(Signals {
             terminate: receive(SignalKind::terminate(), "SIGTERM")?,
@@ -27,7 +30,7 @@
         self.hang_up.recv().await;
     }
 
-    /// Waits for either.
+    /// Waits for the next signal of either kind.
     pub(crate) async fn next(&mut self) -> ReceivedSignal {
         tokio::select! {
             _ = self.terminate.recv() => ReceivedSignal::Terminate,
@@ -41,7 +44,7 @@
 pub(crate) enum ReceivedSignal {
     /// SIGTERM: shut down.
     Terminate,
-    /// SIGHUP: read the settings again.
+    /// SIGHUP: reload the settings.
     HangUp,
 }
 
--- a/crates/pebblepost-proxy/tests/own_responses.rs
+++ b/crates/pebblepost-proxy/tests/own_responses.rs
@@ -90,10 +90,10 @@
     run(async {
         let mut without_front = settings(8.0);
         without_front.client_address = None;
-        assert_eq!(start_error(without_front), "the settings have no listen.front");
+        assert_eq!(start_error(without_front), "setting listen.front is missing");
         let mut without_ready = settings(8.0);
         without_ready.readiness_address = None;
-        assert_eq!(start_error(without_ready), "the settings have no listen.ready");
+        assert_eq!(start_error(without_ready), "setting listen.ready is missing");
 
         let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = taken.local_addr().unwrap();
@@ -101,7 +101,9 @@
         in_use.client_address = Some(address);
         assert_eq!(
             start_error(in_use),
-            format!("listening at {address} (listen.front): Address already in use (os error 98)")
+            format!(
+                "cannot listen on {address} (setting listen.front): Address already in use (os error 98)"
+            )
         );
     });
 }
