--- a/crates/pebblepost-agent/src/acknowledgements.rs
+++ b/crates/pebblepost-agent/src/acknowledgements.rs
@@ -1,48 +1,52 @@
-//! Acknowledgements: which batches of the control plane the proxy has in force.
+//! Tracks which batches of the control primary the proxy has in force, and decides which to
+//! acknowledge.
 //!
-//! State only; the agent sends what this module says.
+//! This module holds state only; the agent sends the acknowledgements.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Without a proxy, batches are acknowledged after this time, so that nobody waits for a proxy that
-/// is down.
+/// Delay after which batches are acknowledged while no proxy is connected, so that the control plane
+/// does not wait for a proxy that is down.
 const ACKNOWLEDGE_DELAY_WITHOUT_PROXY: Duration = Duration::from_millis(100);
 
-/// A batch to the proxy that was not acknowledged yet.
+/// A batch that was sent to the proxy and not acknowledged yet.
 #[derive(Clone, Copy, Debug)]
 struct ForwardedBatch {
-    /// Its number on the link to the proxy.
+    /// Sequence of the batch on the link to the proxy.
     proxy_sequence: u64,
-    /// Newest batch of the control plane that it covers.
+    /// Sequence of the newest batch of the control primary that it includes.
     control_sequence: u64,
 }
 
-/// Batches received over the present link to the control primary, and how far they are
-/// acknowledged.
+/// Acknowledgement state of the batches received over one link to the control primary. A new link starts
+/// with a new state, because batch sequences restart.
 #[derive(Debug, Default)]
 pub(crate) struct Acknowledgements {
+    /// Sequence of the newest batch received from the control primary.
     newest_received: u64,
+    /// Sequence of the newest batch acknowledged to the control primary.
     newest_acknowledged: u64,
-    /// Oldest first.
+    /// Batches in flight to the proxy, oldest first.
     in_flight: VecDeque<ForwardedBatch>,
+    /// When all received batches are acknowledged although no proxy is connected.
     due_without_proxy: Option<Instant>,
 }
 
 impl Acknowledgements {
-    /// Notes a batch of the control primary.
+    /// Records a batch received from the control primary.
     pub(crate) fn record_received(&mut self, control_sequence: u64) {
         self.newest_received = control_sequence;
     }
 
-    /// Notes that all that was received is in this batch to the proxy.
+    /// Records that a batch to the proxy includes everything received so far.
     pub(crate) fn record_forwarded(&mut self, proxy_sequence: u64) {
         self.in_flight.push_back(ForwardedBatch { proxy_sequence, control_sequence: self.newest_received });
         self.due_without_proxy = None;
     }
 
-    /// Notes that there is no proxy to acknowledge what was received.
+    /// Records that no proxy can acknowledge the received batches. They become due after a delay.
     pub(crate) fn record_no_proxy(&mut self, now: Instant) {
         self.in_flight.clear();
         if self.newest_received > self.newest_acknowledged && self.due_without_proxy.is_none() {
@@ -50,8 +54,7 @@
         }
     }
 
-    /// Notes an acknowledgement of the proxy; returns the control sequence to acknowledge, if that
-    /// is new.
+    /// Records an acknowledgement of the proxy. Returns the control sequence to acknowledge if it advances.
     pub(crate) fn record_proxy_acknowledgement(&mut self, proxy_sequence: u64) -> Option<u64> {
         let mut newest = 0;
         while let Some(batch) = self.in_flight.front().filter(|batch| batch.proxy_sequence <= proxy_sequence)
@@ -62,12 +65,12 @@
         self.acknowledge(newest)
     }
 
-    /// When an acknowledgement without a proxy is due.
+    /// Returns when an acknowledgement without a proxy is due.
     pub(crate) fn due_without_proxy(&self) -> Option<Instant> {
         self.due_without_proxy
     }
 
-    /// The control sequence to acknowledge without a proxy, if that is due.
+    /// Returns the control sequence to acknowledge without a proxy if it is due at `now` and advances.
     pub(crate) fn take_due_without_proxy(&mut self, now: Instant) -> Option<u64> {
         if self.due_without_proxy.is_none_or(|due| now < due) {
             return None;
--- a/crates/pebblepost-agent/src/agent.rs
+++ b/crates/pebblepost-agent/src/agent.rs
@@ -1,4 +1,5 @@
-//! The agent's event loop: events of the control link, of the proxy's connection, and signals.
+//! Event loop of the agent: handles events of the control link and of the proxy's connection, and
+//! signals.
 
 use crate::acknowledgements::Acknowledgements;
 use crate::proxy_connection::{ConnectionId, ProxyConnection, ProxyEvent, listen};
@@ -16,28 +17,34 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Keep-alive interval of the connection to the proxy. Both ends share a machine, so that a long one
-/// is enough.
+/// Keep-alive interval of the connection to the proxy. It can be long because both ends run on the same
+/// machine.
 const PROXY_KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(60);
-/// The agent ends this long before the platform's SIGKILL.
+/// Time between the end of the agent and the platform's SIGKILL.
 const SIGKILL_MARGIN: Duration = Duration::from_secs(1);
 
-/// What an agent is started with.
+/// Parameters with which an agent is started.
 pub struct AgentOptions {
-    /// Name of the machine.
+    /// Name of this machine.
     pub node: String,
-    /// Its zone.
+    /// Zone of this machine.
     pub zone: String,
-    /// Internal addresses of control processes.
+    /// Internal addresses of control processes, to which the agent connects first.
     pub control_addresses: Vec<SocketAddr>,
-    /// Time between SIGTERM and SIGKILL.
+    /// Time between SIGTERM and the platform's SIGKILL.
     pub shutdown_grace: Duration,
-    /// Reads the addresses of the present settings; none if they can't be read.
+    /// Reads the settings again and returns their control addresses; empty if they can't be read.
     pub read_control_addresses: Box<dyn Fn() -> Vec<SocketAddr>>,
 }
 
-/// Sends the feed to the proxies that connect to `listener`, one after the other. Returns after
-/// [`Signal::Terminate`]: once no proxy is connected, or a second before the grace period is over.
+/// Relays the feed to the proxy that is connected to `listener`; a new connection replaces the former
+/// one.
+///
+/// Returns after [`Signal::Terminate`], as soon as no proxy is connected, but at the latest one second
+/// before the grace period is over.
+///
+/// # Panics
+/// Panics outside of a `LocalSet`.
 pub async fn serve(options: AgentOptions, listener: Listener, signals: mpsc::Receiver<Signal>) {
     let subscribed_generation = Rc::new(Cell::new(0));
     let subscribe = subscription(&options, Rc::clone(&subscribed_generation));
@@ -72,14 +79,14 @@
 
 struct Agent {
     control: ControlSender,
-    /// Generation of the configuration named by the next subscription; 0 asks for a full one.
+    /// Configuration generation of the next subscription; 0 requests a full configuration.
     subscribed_generation: Rc<Cell<u64>>,
     feed: FeedState,
     proxy: Option<ProxyConnection>,
     acknowledgements: Acknowledgements,
     keep_alive_at: Instant,
     settings_reload: SettingsReload,
-    /// Set by SIGTERM.
+    /// Time by which the agent ends; `None` before SIGTERM.
     shutdown_deadline: Option<Instant>,
     shutdown_grace: Duration,
 }
@@ -90,7 +97,8 @@
         mut signals: mpsc::Receiver<Signal>,
     ) {
         while !self.is_finished() {
-            // Events of the control link go first: an acknowledgement never goes to a link other than its batch's.
+            // Events of the control link take precedence, so that an acknowledgement is only sent over the
+            // link over which its batch was received.
             tokio::select! {
                 biased;
                 Some(event) = control.recv() => self.on_control(event),
@@ -99,7 +107,7 @@
                 () = sleep_until(self.next_timer()) => self.on_timer(Instant::now()),
             }
         }
-        log::info!("ended");
+        log::info!("agent stopped");
     }
 
     fn on_control(&mut self, event: ControlEvent) {
@@ -109,11 +117,13 @@
                 self.acknowledgements = Acknowledgements::default();
             }
             ControlEvent::Disconnected => {
-                log::info!("control plane link lost, configuration stays in force");
+                log::info!("control plane link lost, last configuration stays in force");
                 self.settings_reload.postpone(Instant::now());
             }
             ControlEvent::Message(FromControl::Feed(batch)) => self.on_batch(batch),
-            ControlEvent::Message(other) => log::debug!("unexpected message of the control plane: {other:?}"),
+            ControlEvent::Message(other) => {
+                log::debug!("unexpected message from the control plane ignored: {other:?}")
+            }
         }
     }
 
@@ -124,7 +134,7 @@
             self.subscribed_generation.set(self.feed.generation());
         }
         if changes.resync_needed {
-            log::info!("patch on an unknown configuration, asking for a full one");
+            log::info!("patch is based on an unknown configuration, requesting a full one");
             updates.retain(|update| !matches!(update, FeedUpdate::Configuration(_)));
             self.subscribed_generation.set(0);
             self.control.reconnect();
@@ -162,7 +172,7 @@
     fn on_signal(&mut self, signal: Signal) {
         match signal {
             Signal::Terminate => {
-                log::info!("draining until the proxy ends");
+                log::info!("shutdown requested, draining until the proxy disconnects");
                 let grace = self.shutdown_grace.saturating_sub(SIGKILL_MARGIN);
                 self.shutdown_deadline.get_or_insert(Instant::now() + grace);
             }
@@ -185,8 +195,8 @@
         }
     }
 
-    /// Sends updates to the proxy. One without a snapshot gets the whole state instead, as soon as
-    /// there is a configuration.
+    /// Sends updates to the proxy. A proxy that has no snapshot yet gets the whole state instead, once a
+    /// configuration is known.
     fn forward(&mut self, updates: Vec<FeedUpdate>) {
         let is_configured = self.feed.configuration().is_some();
         match &mut self.proxy {
--- a/crates/pebblepost-agent/src/error.rs
+++ b/crates/pebblepost-agent/src/error.rs
@@ -1,19 +1,19 @@
-//! Errors of the agent's start.
+//! Errors that prevent the agent from starting.
 
 use std::io;
 
-/// Why the agent can't start.
+/// Error that prevents the agent from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum AgentError {
-    /// The runtime can't be built.
-    #[error("starting the runtime of the agent")]
+    /// The async runtime can't be built.
+    #[error("cannot build the async runtime of the agent")]
     Runtime(#[source] io::Error),
-    /// The handler of a signal can't be installed.
-    #[error("listening for {name}")]
+    /// A signal handler can't be installed.
+    #[error("cannot install the handler of {name}")]
     Signals {
         /// Name of the signal.
         name: &'static str,
-        /// Cause.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/pebblepost-agent/src/lib.rs
+++ b/crates/pebblepost-agent/src/lib.rs
@@ -1,12 +1,13 @@
-//! Agent beside each proxy: keeps the link to the control plane.
+//! Agent of a proxy: a sidecar that maintains the link to the control plane.
 //!
-//! It subscribes to the feed of the control primary, folds it, forwards it to the proxy of its machine
-//! over loopback, and acknowledges it once the proxy has it in force. Without a link to the control
-//! plane the proxy keeps what it has, and a proxy that was restarted gets a snapshot.
+//! The agent subscribes to the feed of the control primary, applies it to its own copy of the state,
+//! forwards it to the proxy on the same machine over loopback, and acknowledges it once the proxy has it
+//! in force. While the link to the control plane is down, the proxy keeps its last state, and a
+//! restarted proxy gets a snapshot from the agent.
 //!
-//! `agent` is the event loop; `acknowledgements` and `proxy_connection` own the state of the two ends,
-//! `settings_reload` the addresses of control processes. The agent decides nothing about requests and
-//! keeps nothing on disk.
+//! `agent` is the event loop. `acknowledgements` and `proxy_connection` hold the state of the links to
+//! the control plane and to the proxy; `settings_reload` reads the addresses of control processes. The
+//! agent takes no part in handling requests and stores nothing on disk.
 
 mod acknowledgements;
 mod agent;
@@ -27,21 +28,22 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// Limits of the link to the proxy, which carries what comes over the link to the control plane. Both
-/// ends share a machine, so that a closed connection is seen without a read time-out.
+/// Limits of the link to the proxy. Its frames carry the feed, so they have the size limits of the link to
+/// the control plane. Both ends run on the same machine, where a closed connection is detected without a
+/// short read time-out.
 const PROXY_LINK_LIMITS: LinkLimits = LinkLimits {
     max_frame_bytes: CONTROL_LINK_LIMITS.max_frame_bytes,
     max_queued_bytes: CONTROL_LINK_LIMITS.max_queued_bytes,
     connect_timeout: Duration::from_secs(1),
     read_timeout: Duration::from_secs(3600),
 };
-/// Backoff after the port of the link could not be bound.
+/// Delay before another attempt to bind the port of the link to the proxy.
 const BIND_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Runs the program until SIGTERM.
+/// Runs the agent until SIGTERM and through its shutdown.
 ///
 /// # Errors
-/// If the agent can't start.
+/// Returns an error if the agent can't start.
 pub fn run(settings: Settings) -> Result<(), AgentError> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(AgentError::Runtime)?;
@@ -62,12 +64,13 @@
     Ok(())
 }
 
-/// Listens for the proxy; retries while the port is in use, as by an agent that is shutting down.
+/// Listens for the proxy. Retries while the port is in use, for instance by a previous agent that is still
+/// shutting down.
 async fn bind(address: SocketAddr) -> Listener {
     loop {
         match Listener::bind(address, PROXY_LINK_LIMITS) {
             Ok(listener) => return listener,
-            Err(error) => log::warn!("proxy link not bound, retrying: {error:#}"),
+            Err(error) => log::warn!("listener for the proxy not bound, retrying: {error:#}"),
         }
         sleep(BIND_BACKOFF).await;
     }
@@ -77,7 +80,7 @@
     match Settings::from_environment() {
         Ok(settings) => settings.control_links(),
         Err(error) => {
-            log::warn!("settings not reloaded: {error:#}");
+            log::warn!("settings not reloaded, known control addresses stay in use: {error:#}");
             Vec::new()
         }
     }
--- a/crates/pebblepost-agent/src/signals.rs
+++ b/crates/pebblepost-agent/src/signals.rs
@@ -1,25 +1,26 @@
-//! Signals of the process.
+//! Signals that the process handles.
 
 use crate::error::AgentError;
 use tokio::signal::unix::{self, SignalKind};
 use tokio::sync::mpsc;
 
-/// What the platform asks for.
+/// Signal to the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// SIGTERM: shut down.
     Terminate,
-    /// SIGHUP: the settings file has changed.
+    /// SIGHUP: read the settings again.
     Reload,
 }
 
-/// Signals that may wait; further ones would ask for the same.
+/// Maximum number of queued signals. Further ones would only repeat those that are queued.
 const MAX_QUEUED_SIGNALS: usize = 4;
 
-/// Receives the signals of the process, on the caller's `LocalSet`.
+/// Installs the signal handlers and returns a channel of received signals. The task that receives them
+/// runs on the caller's `LocalSet`.
 ///
 /// # Errors
-/// [`AgentError::Signals`] if the handlers can't be installed.
+/// Returns [`AgentError::Signals`] if a handler can't be installed.
 pub(crate) fn listen() -> Result<mpsc::Receiver<Signal>, AgentError> {
     let mut terminate = install(SignalKind::terminate(), "SIGTERM")?;
     let mut hang_up = install(SignalKind::hangup(), "SIGHUP")?;
--- a/crates/pebblepost-agent/tests/agent/exchanges.rs
+++ b/crates/pebblepost-agent/tests/agent/exchanges.rs
@@ -1,4 +1,4 @@
-//! Exchanges of the feed, compared with approved transcripts.
+//! Message exchanges between control plane, agent and proxy, compared with approved transcripts.
 
 use crate::harness::{Harness, full_configuration, listener, named_versions, patch, transcribers};
 use pebblepost_agent::Signal;
@@ -7,7 +7,7 @@
 use tokio::task::LocalSet;
 
 #[tokio::test]
-async fn the_feed_reaches_the_proxy_and_its_acknowledgement_the_control_plane() {
+async fn feed_is_forwarded_to_the_proxy_and_its_acknowledgements_to_the_control_plane() {
     let exchange = async {
         let (mut control_listener, address) = listener();
         let mut harness = Harness::start(vec![address], Vec::new);
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn acknowledges_without_a_proxy_and_sends_a_new_one_a_snapshot() {
+async fn batches_are_acknowledged_without_a_proxy_and_a_new_proxy_gets_a_snapshot() {
     let exchange = async {
         let (mut control_listener, address) = listener();
         let mut harness = Harness::start(vec![address], Vec::new);
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn a_second_proxy_replaces_the_first() {
+async fn a_second_proxy_connection_replaces_the_first() {
     let exchange = async {
         let (mut control_listener, address) = listener();
         let mut harness = Harness::start(vec![address], Vec::new);
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn the_feed_goes_on_after_a_failover_of_the_primary() {
+async fn the_feed_continues_after_a_failover_of_the_primary() {
     let exchange = async {
         let (mut first_listener, first_address) = listener();
         let (mut second_listener, second_address) = listener();
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn a_patch_on_an_unknown_configuration_asks_for_a_full_one() {
+async fn a_patch_on_an_unknown_configuration_requests_a_full_one() {
     let exchange = async {
         let (mut control_listener, address) = listener();
         let mut harness = Harness::start(vec![address], Vec::new);
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn shuts_down_after_its_proxy() {
+async fn shuts_down_once_its_proxy_has_disconnected() {
     let exchange = async {
         let (mut control_listener, address) = listener();
         let mut harness = Harness::start(vec![address], Vec::new);
--- a/crates/pebblepost-agent/tests/agent/harness.rs
+++ b/crates/pebblepost-agent/tests/agent/harness.rs
@@ -1,4 +1,4 @@
-//! A control process and proxies simulated over loopback, and the transcript of what passes between them.
+//! Simulates a control process and proxies over loopback, and records a transcript of their messages.
 
 use pebblepost_agent::{AgentOptions, Signal, serve};
 use pebblepost_link::{LinkLimits, Listener, Receiver, Sender, connect};
@@ -26,7 +26,7 @@
     (listener, address)
 }
 
-/// A running agent, its inputs, and the transcript.
+/// A running agent with its inputs and the transcript of the test.
 pub struct Harness {
     pub signals: mpsc::Sender<Signal>,
     pub agent: JoinHandle<()>,
@@ -49,12 +49,12 @@
         Harness { signals, agent, transcript: String::new(), proxy_address }
     }
 
-    /// Writes a remark.
+    /// Writes a remark to the transcript.
     pub fn note(&mut self, text: &str) {
         writeln!(self.transcript, "-- {text}").expect("written");
     }
 
-    /// Accepts the next link of the agent and receives its subscription.
+    /// Accepts the agent's next link as a control process, and receives the subscription.
     pub async fn control(&mut self, listener: &mut Listener) -> Control {
         let (sender, receiver) = listener.accept().await.expect("a link");
         let mut control = Control { sender, receiver };
@@ -62,13 +62,14 @@
         control
     }
 
-    /// Connects a proxy.
+    /// Connects a proxy to the agent.
     pub async fn proxy(&mut self, name: &'static str) -> Proxy {
         let (sender, receiver) = connect(self.proxy_address, LIMITS).await.expect("connected");
         Proxy { name, sender, receiver }
     }
 
-    /// Compares the transcript with the approved one. One that differs is written to the target folder.
+    /// Compares the transcript with the approved file. A transcript that differs is written to the target
+    /// directory.
     pub fn assert_approved(&self, name: &str) {
         let approved = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/approved").join(name);
         let text = std::fs::read_to_string(&approved).unwrap_or_default();
@@ -80,7 +81,7 @@
     }
 }
 
-/// A control process, from its side of the link.
+/// Control side of a link to the agent.
 pub struct Control {
     sender: Sender,
     receiver: Receiver,
@@ -96,7 +97,7 @@
         self.send(harness, &FromControl::Feed(FeedBatch { sequence, updates }));
     }
 
-    /// The next message other than keep-alives.
+    /// Receives the next message that is not a keep-alive and records it in the transcript.
     pub async fn expect(&mut self, harness: &mut Harness) {
         loop {
             let message: ToControl = self.receiver.receive().await.expect("a message");
@@ -112,7 +113,7 @@
     }
 }
 
-/// A proxy, from its side of the link.
+/// Proxy side of a link to the agent.
 pub struct Proxy {
     name: &'static str,
     sender: Sender,
--- a/crates/pebblepost-agent/tests/agent/main.rs
+++ b/crates/pebblepost-agent/tests/agent/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the agent against a simulated control process and proxies over loopback.
+//! Tests of the agent against a simulated control process and simulated proxies over loopback.
 
 mod exchanges;
 mod harness;
--- a/crates/pebblepost-agent/tests/agent/shutdown_and_reload.rs
+++ b/crates/pebblepost-agent/tests/agent/shutdown_and_reload.rs
@@ -1,4 +1,4 @@
-//! Signals of the agent: shutdown and reload.
+//! Shutdown on SIGTERM, and reload of the settings on SIGHUP and without a control link.
 
 use crate::harness::{Harness, full_configuration, listener};
 use pebblepost_agent::Signal;
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn reload_adds_seeds_and_ends_nothing() {
+async fn reload_adds_control_addresses_without_ending_the_agent() {
     let exchange = async {
         let (mut control_listener, address) = listener();
         let mut harness = Harness::start(Vec::new(), move || vec![address]);
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn settings_are_read_again_without_a_link_to_the_control_plane() {
+async fn settings_are_reloaded_while_there_is_no_link_to_the_control_plane() {
     let exchange = async {
         let (mut control_listener, address) = listener();
         tokio::time::pause();
--- a/crates/pebblepost-proxy/tests/buffered_responses.rs
+++ b/crates/pebblepost-proxy/tests/buffered_responses.rs
@@ -1,4 +1,5 @@
-//! Buffered responses: which are forwarded, retried, or end in a response of the proxy.
+//! Buffered responses: which are forwarded, which are retried, and which are replaced by a response of
+//! the proxy.
 
 #[expect(dead_code, reason = "each test program uses a part of the support")]
 mod support;
@@ -35,7 +36,7 @@
 #[case::reset(vec![Step::Reset])]
 #[case::closed(vec![Step::Close])]
 #[case::garbage(vec![Step::Write("\u{1}\u{2}nothing of the protocol\r\n\r\n".to_owned()), Step::Close])]
-#[case::cut_body(vec![
+#[case::truncated_body(vec![
     Step::Write("HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: s\r\nContent-Length: 9\r\n\r\nhalf".to_owned()),
     Step::Close,
 ])]
@@ -45,12 +46,12 @@
 ])]
 #[case::no_seal(response("200 OK", &[], "unstamped"))]
 #[case::encoded(response("200 OK", &[SEAL, "Content-Encoding: gzip"], "encoded"))]
-#[case::of_another_request(vec![
+#[case::wrong_request_id(vec![
     Step::Write("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nResponse-Seal: s\r\nContent-Length: 2\r\n\r\nno".to_owned()),
 ])]
-#[case::promise_without_proof(response("503 Service Unavailable", &[SEAL], ""))]
-#[case::late_refusal_without_proof(response("429 Too Many Requests", &[SEAL], ""))]
-#[case::time_out_without_proof(response("408 Request Timeout", &[SEAL], ""))]
+#[case::unavailable_without_not_executed(response("503 Service Unavailable", &[SEAL], ""))]
+#[case::too_many_requests_without_not_executed(response("429 Too Many Requests", &[SEAL], ""))]
+#[case::request_timeout_without_not_executed(response("408 Request Timeout", &[SEAL], ""))]
 fn unusable_responses_are_not_forwarded(#[case] bad: Reply) {
     run(async move {
         let fixture = ProxyFixture::start(3, vec![bad.clone(), success("of another")]).await;
@@ -58,7 +59,7 @@
         assert!(received.starts_with("HTTP/1.1 200 OK") && received.ends_with("of another"), "{received}");
         assert_eq!(fixture.log().lines().count(), 2, "retried once");
 
-        // Not idempotent, and it may have run: no retry.
+        // A request that is not idempotent is not retried, because it may have run.
         fixture.script.borrow_mut().replies = vec![bad].into();
         let received = fixture.exchange(&post("/orders/1", "r2", "x")).await;
         approve(&received, "HTTP/1.1 502 Bad Gateway\nkeep-alive: timeout=2\ncontent-length: 0\n\n");
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn a_surplus_response_never_answers_the_next_request() {
+fn a_surplus_response_is_never_sent_for_the_next_request() {
     run(async {
         let mut twice = success("first");
         twice.extend(success("surplus"));
@@ -103,7 +104,7 @@
 #[case("500 Internal Server Error")]
 #[case("504 Gateway Timeout")]
 #[case("404 Not Found")]
-fn failures_are_retried_if_idempotent_and_otherwise_forwarded(#[case] status: &str) {
+fn failures_are_retried_if_the_request_is_idempotent_and_otherwise_forwarded(#[case] status: &str) {
     let status = status.to_owned();
     run(async move {
         let failure = || response(&status, &[SEAL], "failed");
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn final_statuses_are_not_retried() {
+fn final_responses_are_not_retried() {
     run(async {
         let reply = response("422 Unprocessable Entity", &[SEAL], "never");
         let fixture = ProxyFixture::start(3, vec![reply]).await;
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn rejects_with_retry_after_when_no_transcriber_executes() {
+fn a_request_that_no_transcriber_executes_is_rejected_with_retry_after() {
     run(async {
         let full = || not_executed("503 Service Unavailable");
         let fixture = ProxyFixture::start(5, vec![full(), full(), full(), full()]).await;
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn never_claims_not_executed_after_an_attempt_that_may_have_run() {
+fn no_503_is_sent_after_an_attempt_that_may_have_run() {
     run(async {
         let full = || not_executed("503 Service Unavailable");
         let fixture = ProxyFixture::start(5, vec![vec![Step::Reset], full(), full()]).await;
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn attempts_are_bounded_by_the_route() {
+fn the_route_limits_the_number_of_attempts() {
     run(async {
         let fixture = ProxyFixture::start(6, vec![vec![Step::Reset]; 6]).await;
         let received = fixture.exchange(&get("/twice/1", "r1")).await;
--- a/crates/pebblepost-proxy/tests/concurrent_clients.rs
+++ b/crates/pebblepost-proxy/tests/concurrent_clients.rs
@@ -1,5 +1,5 @@
-//! Many clients and faulty transcribers: every response reaches its own client, and requests that are
-//! not idempotent run once.
+//! Concurrent clients with faulty transcribers: every response reaches its own client, and a request that
+//! is not idempotent runs at most once.
 
 #[expect(dead_code, reason = "each test program uses a part of the support")]
 mod support;
@@ -14,18 +14,19 @@
 use support::{ProxyFixture, get, post, run};
 
 const CLIENTS: usize = 8;
-const REQUESTS_EACH: usize = 50;
+const REQUESTS_PER_CLIENT: usize = 50;
 const TRANSCRIBERS: usize = 4;
 
-/// What a transcriber does with one request.
+/// How a transcriber handles one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Behaviour {
     Responds,
-    /// And responds again.
+    /// Sends the response twice in a row.
     RespondsTwice,
-    /// And responds again, perhaps after the connection was checked for surplus bytes.
+    /// Sends the response again after a pause, possibly after the proxy checked the connection for surplus
+    /// bytes.
     RespondsTwiceLate,
-    /// And sends a response to another request.
+    /// Sends the response, then a response to another request.
     AppendsForeignResponse,
     RespondsToAnotherRequest,
     Resets,
@@ -33,7 +34,7 @@
     CutsBody,
     ClaimsNotExecutedWithoutProof,
     Fails,
-    /// Full, with `Not-Executed`.
+    /// Rejects the request as overloaded, with `Not-Executed`.
     RejectsAsFull,
 }
 
@@ -50,12 +51,13 @@
     Behaviour::RejectsAsFull,
 ];
 
-/// Response to another request, as long as any.
+/// Response to another request, of the same length as a correct one.
 const FOREIGN_RESPONSE: &str =
     "HTTP/1.1 200 OK\r\nRequest-Id: none\r\nResponse-Seal: s\r\nContent-Length: 8\r\n\r\nfor none";
 
 impl Behaviour {
-    /// Ids are four bytes long, as their placeholder in these texts.
+    /// Steps of the reply. Request ids are four bytes long, like the placeholder `{id}`, so that the lengths
+    /// of these texts are right.
     fn reply(self) -> Reply {
         let correct = || success("for {id}");
         let foreign = || Step::Write(FOREIGN_RESPONSE.to_owned());
@@ -85,14 +87,14 @@
     }
 }
 
-/// Behaviours in the order in which requests reach any transcriber: half of them correct.
+/// Returns behaviours in the order in which requests reach the transcribers; about half are correct.
 fn behaviours(seed: u64) -> Vec<Behaviour> {
     let mut state = seed;
     let mut next = || {
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         usize::try_from(state >> 40).expect("24 bits")
     };
-    let most = CLIENTS * REQUESTS_EACH * TRANSCRIBERS;
+    let most = CLIENTS * REQUESTS_PER_CLIENT * TRANSCRIBERS;
     (0..most)
         .map(|_| match next() % 2 {
             0 => Behaviour::Responds,
@@ -105,10 +107,10 @@
     number.is_multiple_of(2)
 }
 
-/// Sends requests one after the other and records the status of each response.
-async fn play(fixture: Rc<ProxyFixture>, client: usize, statuses: Rc<RefCell<BTreeMap<String, u16>>>) {
+/// Sends requests one after the other, checks each response, and records its status.
+async fn run_client(fixture: Rc<ProxyFixture>, client: usize, statuses: Rc<RefCell<BTreeMap<String, u16>>>) {
     let mut connection: Option<Client> = None;
-    for number in 0..REQUESTS_EACH {
+    for number in 0..REQUESTS_PER_CLIENT {
         let id = format!("{client}{number:03}");
         let request = match is_non_idempotent(number) {
             true => post("/orders/1", &id, "x"),
@@ -136,14 +138,16 @@
 }
 
 #[rstest]
-fn responses_reach_their_clients_and_non_idempotent_requests_run_once(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
+fn responses_reach_their_clients_and_non_idempotent_requests_run_at_most_once(
+    #[values(1, 2, 3, 4, 5, 6)] seed: u64,
+) {
     run(async move {
         let behaviours = behaviours(seed);
         let replies = behaviours.iter().map(|behaviour| behaviour.reply()).collect();
         let fixture = Rc::new(ProxyFixture::start(TRANSCRIBERS, replies).await);
         let statuses = Rc::new(RefCell::new(BTreeMap::new()));
         let clients: Vec<_> = (0..CLIENTS)
-            .map(|client| tokio::task::spawn_local(play(fixture.clone(), client, statuses.clone())))
+            .map(|client| tokio::task::spawn_local(run_client(fixture.clone(), client, statuses.clone())))
             .collect();
         for client in clients {
             client.await.unwrap();
@@ -154,7 +158,7 @@
             *runs.entry(id.to_owned()).or_default() += usize::from(*behaviour != Behaviour::RejectsAsFull);
         }
         let statuses = statuses.borrow();
-        assert_eq!(statuses.len(), CLIENTS * REQUESTS_EACH);
+        assert_eq!(statuses.len(), CLIENTS * REQUESTS_PER_CLIENT);
         for (id, status) in statuses.iter() {
             let number: usize = id[1..].parse().unwrap();
             let times = runs.get(id).copied().unwrap_or(0);
--- a/crates/pebblepost-proxy/tests/connections.rs
+++ b/crates/pebblepost-proxy/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: malformed requests, limits, configurations, readiness and shutdown.
+//! Client connections: malformed requests, limits, configurations, readiness and shutdown.
 
 #[expect(dead_code, reason = "each test program uses a part of the support")]
 mod support;
@@ -25,7 +25,7 @@
 #[case::no_protocol("what is this\n\n", "400 Bad Request")]
 #[case::job_call_without_an_id("POST /lots/1 HTTP/1.1\nHost: h.example\n\n", "405 Method Not Allowed")]
 #[case::job_call_of_a_host_without_routes("POST /lots/1 HTTP/1.1\nHost: x\n\n", "405 Method Not Allowed")]
-fn malformed_requests_are_rejected(#[case] request: &str, #[case] status: &str) {
+fn malformed_and_unroutable_requests_are_rejected(#[case] request: &str, #[case] status: &str) {
     run(async move {
         let fixture = ProxyFixture::start(1, vec![]).await;
         let received = fixture.exchange(request).await;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn sizes_are_bounded() {
+fn header_and_body_sizes_are_limited() {
     run(async {
         let fixture = ProxyFixture::start(1, vec![]).await;
         let body = "x".repeat(65);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn idle_time_and_head_time_are_bounded() {
+fn idle_time_and_request_head_time_are_limited() {
     run(async {
         let fixture = ProxyFixture::start(1, vec![]).await;
         let mut idle = fixture.connect().await;
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_new_configuration_applies_at_once_and_an_older_one_never() {
+fn a_newer_configuration_applies_at_once_and_an_older_one_is_ignored() {
     run(async {
         let mut fixture = ProxyFixture::start(1, vec![]).await;
         fixture.add("other", "i-other").await;
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn ready_once_configured_and_not_while_draining() {
+fn readiness_requires_a_configuration_and_ends_with_draining() {
     run(async {
         let fixture = ProxyFixture::bare(1.2);
         assert_eq!(fixture.readyz().await, "HTTP/1.1 503 Service Unavailable");
@@ -196,7 +196,7 @@
         fixture.script.borrow_mut().replies = vec![slow].into();
         let mut in_flight = fixture.connect().await;
         in_flight.write(&post("/orders/1", "r1", "x")).await;
-        fixture.wait_for_requests(1).await;
+        fixture.wait_for_log_lines(1).await;
         let mut idle = fixture.connect().await;
         idle.write(&get("/pages/1", "r2")).await;
         idle.response().await;
@@ -222,7 +222,7 @@
     });
 }
 
-/// More than any test's configuration allows, and than a typical one would.
+/// Exceeds the body limit of every configuration in these tests, and of a typical one.
 const LARGE_JOB_BYTES: usize = 3 << 20;
 
 #[test]
@@ -237,7 +237,8 @@
         );
         let mut client = fixture.connect().await;
         client.write(&job).await;
-        // A later request with a deadline is rejected at once: by then the job was read, and waits.
+        // A later request with a deadline is rejected at once. By then the job has been read and waits for
+        // the configuration.
         let rejected = fixture.exchange(&get("/pages/1", "r2")).await;
         assert!(rejected.starts_with("HTTP/1.1 503 "), "{rejected}");
         fixture.proxy.apply(&[configuration(1, ROLLOUT)]);
--- a/crates/pebblepost-proxy/tests/feed.rs
+++ b/crates/pebblepost-proxy/tests/feed.rs
@@ -1,4 +1,5 @@
-//! Link to the agent: updates are in force before they are acknowledged, and outlive the link.
+//! Link to the agent: updates are in force before they are acknowledged, and stay in force when the link
+//! is lost.
 
 #[expect(dead_code, reason = "each test program uses a part of the support")]
 mod support;
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn acknowledged_updates_are_in_force_and_outlive_the_agent() {
+fn acknowledged_updates_are_in_force_and_stay_so_without_the_agent() {
     run(async {
         let mut fake_agent = start();
         let mut link = fake_agent.agent.accept().await.unwrap();
--- a/crates/pebblepost-proxy/tests/own_responses.rs
+++ b/crates/pebblepost-proxy/tests/own_responses.rs
@@ -1,4 +1,4 @@
-//! The proxy's own responses, byte for byte, and the texts of errors at its start.
+//! Responses of the proxy itself, byte for byte, and the texts of its start errors.
 
 #[expect(dead_code, reason = "each test program uses a part of the support")]
 mod support;
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn updates_are_in_force_or_leave_a_gap() {
+fn updates_are_in_force_or_need_a_resync() {
     run(async {
         let fixture = ProxyFixture::bare(8.0);
         assert_eq!(fixture.proxy.apply(&[configuration(1, ROUTES)]), ApplyOutcome::InForce);
@@ -81,12 +81,12 @@
 }
 
 fn start_error(settings: pebblepost_settings::Settings) -> String {
-    // As the program prints it: the error with its causes.
+    // Formatted as the program prints it: the error followed by its causes.
     format!("{:#}", eyre::Report::from(Proxy::start(settings).expect_err("no start")))
 }
 
 #[test]
-fn a_start_that_fails_names_the_key_and_the_address() {
+fn start_errors_name_the_setting_and_the_address() {
     run(async {
         let mut without_front = settings(8.0);
         without_front.client_address = None;
--- a/crates/pebblepost-proxy/tests/streams.rs
+++ b/crates/pebblepost-proxy/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Streams: forwarded event by event, resumed where the route allows it, never complete by mistake.
+//! Streams: forwarded event by event, resumed if the route allows it, and never ended as complete when
+//! events are missing.
 
 #[expect(dead_code, reason = "each test program uses a part of the support")]
 mod support;
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn a_silent_stream_is_resumed() {
+fn an_idle_stream_is_resumed() {
     run(async {
         let mut silent = stream(&[ONE]);
         silent.push(Step::Silence);
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn repeated_events_are_dropped_and_a_gap_cuts_the_stream() {
+fn repeated_events_are_dropped_and_missing_events_abort_the_stream() {
     run(async {
         let fixture = ProxyFixture::start(3, vec![broken(&[ONE, TWO]), complete(&[TWO, THREE])]).await;
         let received = fixture.exchange(&get("/drafts/1", "r1")).await;
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn a_stream_is_taken_up_at_attempts_are_bounded_by_the_route() {
+fn the_route_limits_the_attempts_that_resume_a_stream() {
     run(async {
         let fixture = ProxyFixture::start(6, vec![broken(&[ONE]), broken(&[TWO]), broken(&[THREE])]).await;
         let received = fixture.exchange(&get("/drafts/1", "r1")).await;
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_ends_its_stream() {
+fn a_client_disconnect_closes_the_stream_of_the_transcriber() {
     run(async {
         let mut reply = stream(&[ONE]);
         reply.push(Step::Silence);
@@ -119,7 +120,7 @@
         client.write(&get("/live/1", "r1")).await;
         client.read_until("data: a\n\n").await;
         drop(client);
-        fixture.wait_for_requests(2).await;
+        fixture.wait_for_log_lines(2).await;
         assert!(fixture.log().ends_with("t1 < connection closed"));
     });
 }
--- a/crates/pebblepost-proxy/tests/support/client.rs
+++ b/crates/pebblepost-proxy/tests/support/client.rs
@@ -1,14 +1,14 @@
-//! A client that writes bytes and reads responses byte for byte.
+//! An HTTP client that writes raw text and returns responses as raw text.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest time for a response in a test.
+/// Maximum time for a response in a test.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One connection.
+/// One connection to the proxy.
 pub struct Client {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -19,12 +19,13 @@
         Client { stream: TcpStream::connect(address).await.expect("connected"), buffer: Vec::new() }
     }
 
-    /// Writes text whose lines end with a line feed, as on the wire.
+    /// Writes text, with each line feed replaced by CR LF.
     pub async fn write(&mut self, text: &str) {
         self.stream.write_all(text.replace('\n', "\r\n").as_bytes()).await.expect("written");
     }
 
-    /// Reads until this text has come, or the connection is closed; returns what came, the text included.
+    /// Reads until `text` has arrived or the connection is closed. Returns everything read, including
+    /// `text`.
     pub async fn read_until(&mut self, text: &str) -> String {
         let filled = tokio::time::timeout(RESPONSE_TIMEOUT, self.fill_until(text.as_bytes())).await;
         let end = filled.expect("the text in time");
@@ -33,7 +34,7 @@
         String::from_utf8_lossy(&taken).replace("\r\n", "\n")
     }
 
-    /// The next response, head and body; `[closed]` where the connection ended.
+    /// Reads the next response, head and body. `[closed]` marks the point where the connection ended.
     pub async fn response(&mut self) -> String {
         tokio::time::timeout(RESPONSE_TIMEOUT, self.read_response()).await.expect("a response in time")
     }
@@ -61,7 +62,7 @@
         head + &self.take(length)
     }
 
-    /// Whether the other end closes the connection.
+    /// Waits for the next read and returns whether the other end closed the connection.
     pub async fn is_closed(&mut self) -> bool {
         tokio::time::timeout(RESPONSE_TIMEOUT, self.read()).await.expect("an end in time") == 0
     }
--- a/crates/pebblepost-proxy/tests/support/mod.rs
+++ b/crates/pebblepost-proxy/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A proxy in this process between clients that write bytes and scripted transcribers.
+//! Runs a proxy in the test process, between raw clients and scripted transcribers.
 
 pub mod client;
 pub mod transcriber;
@@ -28,7 +28,7 @@
 {"name":"e","hostname":"h.example","path_prefix":"/twice/","kind":"idempotent","timeout_ms":1500,
  "target_latency_ms":100,"priority":2,"backend":"pages","max_attempts":2}"#;
 
-/// A configuration with these routes.
+/// Returns an update with a full configuration that has these routes.
 pub fn configuration(generation: u64, routes: &str) -> FeedUpdate {
     let document = format!(
         r#"{{"generation":{generation},"routes":[{routes}],"services":[
@@ -39,13 +39,13 @@
     FeedUpdate::Configuration(ConfigurationUpdate::Full { generation, document: document.into_bytes() })
 }
 
-/// Update of these transcribers.
+/// Returns an update of these transcribers.
 pub fn instances(instances: Vec<Instance>) -> FeedUpdate {
     FeedUpdate::Instances { complete: false, instances }
 }
 
 pub fn settings(grace_s: f64) -> Settings {
-    // Nobody listens at the first ports: the feed comes from the test.
+    // No agent listens at these ports: the tests apply the feed themselves.
     let text = format!(
         "node_name='edge-1'\nip='127.0.0.1'\nzone='here'\nport_range=[1,8]\n\
          [listen]\nfront='127.0.0.1:0'\nready='127.0.0.1:0'\n\
@@ -54,7 +54,7 @@
     Settings::parse(&text, "test").expect("valid settings")
 }
 
-/// A proxy with its transcribers.
+/// A proxy and its transcribers.
 pub struct ProxyFixture {
     pub proxy: Proxy,
     pub script: SharedScript,
@@ -63,7 +63,7 @@
 }
 
 impl ProxyFixture {
-    /// A proxy with [`ROUTES`] and this many transcribers, which respond with `replies` in turn.
+    /// Starts a proxy with [`ROUTES`] and this many transcribers, which together send `replies` in order.
     pub async fn start(transcribers: usize, replies: Vec<Reply>) -> ProxyFixture {
         let mut fixture = ProxyFixture::bare(8.0);
         fixture.script.borrow_mut().replies = replies.into();
@@ -74,7 +74,7 @@
         fixture
     }
 
-    /// A proxy without configuration and transcribers.
+    /// Starts a proxy without a configuration and without transcribers.
     pub fn bare(grace_s: f64) -> ProxyFixture {
         let script = Script { report: r#"{"waiting":0,"running":0}"#.to_owned(), ..Script::default() };
         ProxyFixture {
@@ -85,13 +85,13 @@
         }
     }
 
-    /// Starts a transcriber and announces it.
+    /// Starts a transcriber and announces it to the proxy.
     pub async fn add(&mut self, backend: &str, id: &str) {
         let address = transcriber::start(id, self.script.clone()).await;
         self.announce(backend, id, address);
     }
 
-    /// Announces a transcriber.
+    /// Announces a transcriber to the proxy as ready.
     pub fn announce(&mut self, backend: &str, id: &str, address: SocketAddr) {
         self.sequence += 1;
         let instance = Instance {
@@ -108,7 +108,7 @@
         self.instances.push(instance);
     }
 
-    /// Announces a new state of a transcriber.
+    /// Announces a new state of a transcriber to the proxy.
     pub fn set_state(&mut self, id: &str, state: InstanceState) {
         self.sequence += 1;
         let instance = self.instances.iter_mut().find(|instance| instance.id == id);
@@ -129,33 +129,33 @@
         client.response().await
     }
 
-    /// `GET /readyz`: its status line.
+    /// Sends `GET /readyz` and returns the status line.
     pub async fn readyz(&self) -> String {
         let mut client = Client::connect(self.proxy.ready_address()).await;
         client.write("GET /readyz HTTP/1.1\nHost: edge\n\n").await;
         client.response().await.lines().next().expect("a status line").to_owned()
     }
 
-    /// Takes the log of requests that reached the transcribers.
+    /// Takes out the log of the transcribers, one line per request or closed connection.
     pub fn log(&self) -> String {
         let lines = std::mem::take(&mut self.script.borrow_mut().log);
         lines.join("\n")
     }
 
-    /// Waits until the log of the transcribers has this many lines.
-    pub async fn wait_for_requests(&self, times: usize) {
-        while self.script.borrow().log.len() < times {
+    /// Waits until the log of the transcribers has `lines` lines.
+    pub async fn wait_for_log_lines(&self, lines: usize) {
+        while self.script.borrow().log.len() < lines {
             tokio::task::yield_now().await;
         }
     }
 }
 
-/// A `GET` of a client.
+/// Returns a `GET` request with a deadline of 2 s.
 pub fn get(path: &str, id: &str) -> String {
     format!("GET {path} HTTP/1.1\nHost: h.example\nRequest-Id: {id}\nDeadline-Ms: 2000\n\n")
 }
 
-/// A `POST` of a client.
+/// Returns a `POST` request with a deadline of 2 s.
 pub fn post(path: &str, id: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -164,13 +164,13 @@
     )
 }
 
-/// Runs a test on one thread, as the program runs.
+/// Runs a test on a single-threaded runtime, like the program.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Compares a transcript with the approved one.
+/// Asserts that a transcript equals the approved one, apart from surrounding whitespace.
 #[track_caller]
 pub fn approve(received: &str, approved: &str) {
     let received = received.trim_end();
--- a/crates/pebblepost-proxy/tests/support/transcriber.rs
+++ b/crates/pebblepost-proxy/tests/support/transcriber.rs
@@ -1,5 +1,5 @@
-//! Fake transcribers on loopback: they respond by one shared script, report their load, and log the
-//! requests that reach them.
+//! Simulated transcribers on loopback. They reply according to one shared script, report their load, and
+//! log the requests that reach them.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -9,24 +9,24 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// One step of a response.
+/// One step of a reply.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Writes bytes; `{id}` stands for the request's id.
+    /// Writes text, in which `{id}` is replaced by the request's id.
     Write(String),
-    /// Waits.
+    /// Waits for this time.
     Pause(Duration),
     /// Resets the connection.
     Reset,
     /// Closes the connection.
     Close,
-    /// Sends nothing until the other end closes the connection, which is logged.
+    /// Sends nothing until the other end closes the connection, and logs that.
     Silence,
 }
 
 pub type Reply = Vec<Step>;
 
-/// A response with its length; `head`: further header lines.
+/// Returns a complete response with `Content-Length`. `head` holds further header lines.
 pub fn response(status: &str, head: &[&str], body: &str) -> Reply {
     let head: String = head.iter().map(|line| format!("{line}\r\n")).collect();
     let length = body.len();
@@ -35,17 +35,17 @@
     ))]
 }
 
-/// A success with a seal.
+/// Returns a successful response with a seal.
 pub fn success(body: &str) -> Reply {
     response("200 OK", &["Response-Seal: seal.1"], body)
 }
 
-/// The request was not executed, with proof.
+/// Returns a response with `Not-Executed`, which proves that the request did not run.
 pub fn not_executed(status: &str) -> Reply {
     response(status, &["Not-Executed: 1"], "")
 }
 
-/// Head of a stream and some of its events.
+/// Returns the head of a stream and some of its events, without the end.
 pub fn stream(events: &[&str]) -> Reply {
     let mut steps = vec![Step::Write(
         "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: seal.1\r\n\
@@ -56,12 +56,12 @@
     steps
 }
 
-/// A chunk of a body.
+/// Returns a chunk of a chunked body.
 pub fn chunk(text: &str) -> Step {
     Step::Write(format!("{:x}\r\n{text}\r\n", text.len()))
 }
 
-/// The end of a chunked body.
+/// Returns the end of a chunked body.
 pub fn last_chunk() -> Step {
     Step::Write("0\r\n\r\n".to_owned())
 }
@@ -70,19 +70,20 @@
 #[derive(Debug, Default)]
 pub struct Script {
     pub replies: VecDeque<Reply>,
-    /// Requests that reached them, a line each.
+    /// One line per request that reached them, and per connection closed during [`Step::Silence`].
     pub log: Vec<String>,
-    /// Transcribers in the order in which requests first reached them.
+    /// Ids of the transcribers in the order in which requests first reached them.
     pub reached: Vec<String>,
     /// Body of `GET /report`.
     pub report: String,
     pub reports: usize,
-    /// Ids of those that send nothing at all.
+    /// Ids of the transcribers that respond to nothing, not even to health checks.
     pub down: Vec<String>,
 }
 
 impl Script {
-    /// A name that does not depend on the random choice among transcribers.
+    /// Returns a name by the order of first requests, so that logs do not depend on the random choice among
+    /// transcribers.
     fn name(&mut self, id: &str) -> String {
         let index = self.reached.iter().position(|known| known == id).unwrap_or_else(|| {
             self.reached.push(id.to_owned());
@@ -91,7 +92,7 @@
         format!("t{}", index + 1)
     }
 
-    /// The id of the transcriber that was reached first, second and so on.
+    /// Returns the id of the transcriber that requests reached first (0), second (1) and so on.
     pub fn id_of(&self, index: usize) -> String {
         self.reached[index].clone()
     }
@@ -113,7 +114,7 @@
     address
 }
 
-/// A request as received.
+/// A request that a transcriber received.
 struct Received {
     line: String,
     head: Vec<(String, String)>,
@@ -144,16 +145,16 @@
             stream.write_all(text.as_bytes()).await.expect("written");
             continue;
         }
-        let reply = note(&script, &id, &request);
+        let reply = log_request(&script, &id, &request);
         let request_id = request.header("request-id").unwrap_or("").to_owned();
-        if !play(&mut stream, &id, &script, reply, &request_id).await {
+        if !send_reply(&mut stream, &id, &script, reply, &request_id).await {
             return;
         }
     }
 }
 
-/// Logs a request and takes the next reply of the script; a success once the script is empty.
-fn note(script: &SharedScript, id: &str, request: &Received) -> Reply {
+/// Logs a request and takes the next reply of the script, or a success once the script is empty.
+fn log_request(script: &SharedScript, id: &str, request: &Received) -> Reply {
     let mut script = script.borrow_mut();
     let name = script.name(id);
     let deadline = request.header("deadline-ms").map_or("without a deadline", |_| "with a deadline");
@@ -172,8 +173,8 @@
     script.replies.pop_front().unwrap_or_else(|| success("by default"))
 }
 
-/// Sends a reply step by step; false if the connection has ended.
-async fn play(
+/// Sends a reply step by step. Returns false if the connection has ended.
+async fn send_reply(
     stream: &mut TcpStream, id: &str, script: &SharedScript, reply: Reply, request_id: &str,
 ) -> bool {
     for step in reply {
--- a/crates/pebblepost-proxy/tests/unresponsive_transcribers.rs
+++ b/crates/pebblepost-proxy/tests/unresponsive_transcribers.rs
@@ -1,4 +1,4 @@
-//! Silent transcribers, clients that disconnect, and backends without transcribers.
+//! Transcribers that do not respond, clients that disconnect, and backends without transcribers.
 
 #[expect(dead_code, reason = "each test program uses a part of the support")]
 mod support;
@@ -9,13 +9,13 @@
 use support::{ProxyFixture, approve, get, post, run};
 
 #[test]
-fn a_silent_transcriber_that_fails_its_health_check_is_given_up_if_idempotent() {
+fn an_idempotent_request_is_retried_if_its_transcriber_fails_a_health_check() {
     run(async {
         let fixture = ProxyFixture::start(3, vec![vec![Step::Silence], success("of another")]).await;
         let request = get("/pages/1", "r1");
         let exchange = fixture.exchange(&request);
         let take_down = async {
-            fixture.wait_for_requests(1).await;
+            fixture.wait_for_log_lines(1).await;
             let id = fixture.script.borrow().id_of(0);
             fixture.script.borrow_mut().down.push(id);
         };
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_silent_transcriber_that_passes_its_health_check_is_waited_for() {
+fn a_slow_transcriber_that_passes_its_health_checks_is_not_abandoned() {
     run(async {
         let mut slow = vec![Step::Pause(Duration::from_millis(700))];
         slow.extend(success("slow"));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_non_idempotent_request_without_response_ends_at_its_deadline() {
+fn a_non_idempotent_request_without_a_response_times_out_at_its_deadline() {
     run(async {
         let fixture = ProxyFixture::start(2, vec![vec![Step::Silence]]).await;
         let request = post("/orders/1", "r1", "x").replace("Deadline-Ms: 2000", "Deadline-Ms: 300");
@@ -46,7 +46,7 @@
         approve(&received, "HTTP/1.1 504 Gateway Timeout\nkeep-alive: timeout=2\ncontent-length: 0\n\n");
         let took = started.elapsed();
         assert!((200..450).contains(&took.as_millis()), "{took:?}");
-        fixture.wait_for_requests(2).await;
+        fixture.wait_for_log_lines(2).await;
         approve(
             &fixture.log(),
             "t1 < POST /orders/1 host=h.example request-id=r1 with a deadline body=x\nt1 < connection closed",
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn a_client_that_disconnects_cancels_its_attempt() {
+fn a_client_disconnect_cancels_the_attempt_in_flight() {
     run(async {
         let fixture = ProxyFixture::start(2, vec![vec![Step::Silence]]).await;
         let mut client = fixture.connect().await;
         client.write(&post("/orders/1", "r1", "x")).await;
-        fixture.wait_for_requests(1).await;
+        fixture.wait_for_log_lines(1).await;
         drop(client);
-        fixture.wait_for_requests(2).await;
+        fixture.wait_for_log_lines(2).await;
         approve(
             &fixture.log(),
             "t1 < POST /orders/1 host=h.example request-id=r1 with a deadline body=x\nt1 < connection closed",
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_refused_connection_costs_no_attempt() {
+fn a_refused_connection_does_not_count_as_an_attempt() {
     run(async {
         let mut fixture = ProxyFixture::start(0, vec![]).await;
         let dead = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn draining_and_gone_transcribers_get_no_new_requests() {
+fn draining_and_terminated_transcribers_get_no_new_requests() {
     run(async {
         let mut fixture = ProxyFixture::start(3, vec![]).await;
         fixture.set_state("i-0", InstanceState::Draining);
