--- a/crates/pebblepost-proxy/src/connections/connection.rs
+++ b/crates/pebblepost-proxy/src/connections/connection.rs
@@ -51,8 +51,8 @@
         async { Ok::<_, Infallible>(response.await) }
     });
     let mut connection = pin!(builder(&limits).serve_connection(io, service));
-    let mut closing = pin!(context.shutdown.closing());
-    let mut closed = false;
+    let mut closing = pin!(context.shutdown.wait_until_closing());
+    let mut is_closing = false;
     let mut check = pin!(tokio::time::sleep(limits.idle_timeout));
     loop {
         tokio::select! {
@@ -63,8 +63,8 @@
                 }
                 return;
             }
-            () = closing.as_mut(), if !closed => {
-                closed = true;
+            () = closing.as_mut(), if !is_closing => {
+                is_closing = true;
                 connection.as_mut().graceful_shutdown();
             }
             () = check_due(check.as_mut(), &activity, &limits) => {
--- a/crates/pebblepost-proxy/src/connections/server.rs
+++ b/crates/pebblepost-proxy/src/connections/server.rs
@@ -36,7 +36,7 @@
 
     /// Accepts connections until the shutdown begins to close, then closes the listener.
     pub(crate) async fn accept(&self, listener: TcpListener, context: Rc<ConnectionContext>) {
-        let mut closing = pin!(context.shutdown.closing());
+        let mut closing = pin!(context.shutdown.wait_until_closing());
         loop {
             // The permit comes first: at the limit, new connections wait in the listen backlog.
             let accept = async {
@@ -61,7 +61,7 @@
     }
 
     /// Waits until every connection is closed.
-    pub(crate) async fn all_closed(&self) {
+    pub(crate) async fn wait_until_all_closed(&self) {
         let all = u32::try_from(self.max_connections).unwrap_or(u32::MAX);
         // The semaphore is never closed, so this can't fail.
         let _ = self.permits.acquire_many(all).await;
--- a/crates/pebblepost-proxy/src/dispatch/admission.rs
+++ b/crates/pebblepost-proxy/src/dispatch/admission.rs
@@ -96,8 +96,7 @@
     fn drop(&mut self) {
         self.end_attempt(Status::Cancelled, Report::new(), AfterAttempt::Closed);
         self.backend.handle(Event::ClientGone { id: self.id });
-        // Send commands that were not carried out are reported as attempts that
-        // never ran.
+        // Send commands that were not carried out are reported as attempts that never ran.
         for command in self.commands.drain() {
             if let Command::Send(worker) = command {
                 self.begin_attempt(worker);
--- a/crates/pebblepost-proxy/src/dispatch/backend.rs
+++ b/crates/pebblepost-proxy/src/dispatch/backend.rs
@@ -48,12 +48,12 @@
     name: String,
     client: Client,
     started: Instant,
-    state: RefCell<State>,
+    state: RefCell<BackendState>,
     timers: Timers,
 }
 
 #[derive(Debug)]
-struct State {
+struct BackendState {
     dispatcher: Dispatcher,
     classes: ClassTable,
     workers: WorkerTable,
@@ -67,7 +67,7 @@
     pub(super) fn start(parameters: BackendParameters<'_>, client: Client) -> Rc<Backend> {
         let BackendParameters { name, first_route, zone, proxy_count, seed } = parameters;
         let class = first_route.class();
-        let state = State {
+        let state = BackendState {
             dispatcher: Dispatcher::new(dispatcher_settings(class, proxy_count), seed, Time(0)),
             classes: ClassTable::new(class),
             workers: WorkerTable::new(zone),
@@ -151,7 +151,7 @@
         commands: Rc<CommandQueue>,
     ) -> Option<RequestId> {
         let (id, class) = {
-            let State { dispatcher, classes, requests, .. } = &mut *self.state.borrow_mut();
+            let BackendState { dispatcher, classes, requests, .. } = &mut *self.state.borrow_mut();
             let class = classes.find_or_add(policy.class(), dispatcher)?;
             (requests.insert(commands), class)
         };
@@ -203,8 +203,8 @@
                 tokio::task::spawn_local(probe(self.clone(), worker));
             }
             Action::SetTimer { at, token } => self.timers.set(at, token),
-            // Nothing to do: attempts end by themselves, the client closes its idle
-            // connections, and the feed delivers the membership without a request.
+            // Nothing to do: attempts end by themselves, the client closes its idle connections, and
+            // the feed delivers the membership without a request.
             Action::Cancel { .. } | Action::CloseIdle { .. } | Action::Watch | Action::Fetch => {}
         }
     }
@@ -262,7 +262,7 @@
 /// Passes timers that are due to the dispatcher and sleeps until the next one.
 async fn run_timers(backend: Rc<Backend>) {
     loop {
-        let changed = backend.timers.changed();
+        let changed = backend.timers.wait_for_change();
         match backend.timers.next_due() {
             None => changed.await,
             Some(at) => tokio::select! {
--- a/crates/pebblepost-proxy/src/dispatch/mod.rs
+++ b/crates/pebblepost-proxy/src/dispatch/mod.rs
@@ -67,7 +67,7 @@
     let Some(backend) = backends.choose(route) else {
         return DispatchOutcome::NotExecuted { retry_after: policy.target_latency };
     };
-    let affinity = if policy.affinity { affinity_key(&request.head.headers) } else { NO_AFFINITY };
+    let affinity = if policy.has_affinity { affinity_key(&request.head.headers) } else { NO_AFFINITY };
     let mut forwarding = Forwarding::new(backend, policy, request, affinity);
     match forwarding.run().await {
         Forwarded::Response(response) | Forwarded::Failed(Failure::Response(response)) => {
--- a/crates/pebblepost-proxy/src/dispatch/route_policy.rs
+++ b/crates/pebblepost-proxy/src/dispatch/route_policy.rs
@@ -23,7 +23,7 @@
     /// How responses are delivered to the client.
     pub(super) delivery: Delivery,
     /// Whether requests with the same prompt prefix are sent to the same transcribers.
-    pub(super) affinity: bool,
+    pub(super) has_affinity: bool,
     /// Maximum number of attempts of a request, at least one. An attempt of which no byte was sent
     /// does not count.
     pub(super) max_attempts: usize,
@@ -51,7 +51,7 @@
         RoutePolicy {
             idempotent,
             delivery,
-            affinity: route.sticky,
+            has_affinity: route.sticky,
             max_attempts: usize::try_from(route.max_attempts).unwrap_or(usize::MAX).max(1),
             timeout: route.timeout,
             target_latency: route.target_latency,
--- a/crates/pebblepost-proxy/src/dispatch/timers.rs
+++ b/crates/pebblepost-proxy/src/dispatch/timers.rs
@@ -46,7 +46,7 @@
     }
 
     /// Waits until the earliest timer has changed. A change before the call is not missed.
-    pub(super) async fn changed(&self) {
+    pub(super) async fn wait_for_change(&self) {
         self.changed.notified().await;
     }
 }
--- a/crates/pebblepost-proxy/src/feed/updater.rs
+++ b/crates/pebblepost-proxy/src/feed/updater.rs
@@ -82,8 +82,9 @@
     fn client_limits(&self) -> ClientLimits {
         let feed = self.cache.state();
         let services = feed.configuration().map(|configuration| configuration.services());
-        let fewest = services.and_then(|services| services.iter().map(|service| service.max_conns).min());
-        let share = fewest
+        let min_connections =
+            services.and_then(|services| services.iter().map(|service| service.max_conns).min());
+        let share = min_connections
             .map_or(DEFAULT_CONNECTIONS_PER_TRANSCRIBER, |connections| connections / feed.proxy_count());
         client_limits(&self.machine_limits, share)
     }
--- a/crates/pebblepost-proxy/src/proxy.rs
+++ b/crates/pebblepost-proxy/src/proxy.rs
@@ -171,7 +171,7 @@
         let connections = async {
             tokio::time::sleep(READINESS_PROPAGATION_TIME.min(grace / 2)).await;
             self.shutdown.begin_closing();
-            self.server.all_closed().await;
+            self.server.wait_until_all_closed().await;
         };
         let all = async { tokio::join!(runner, connections) };
         if tokio::time::timeout_at(end, all).await.is_err() {
--- a/crates/pebblepost-proxy/src/shutdown.rs
+++ b/crates/pebblepost-proxy/src/shutdown.rs
@@ -66,7 +66,7 @@
     }
 
     /// Waits until the closing phase has begun.
-    pub(crate) async fn closing(&self) {
+    pub(crate) async fn wait_until_closing(&self) {
         loop {
             let changed = self.phase_changed.notified();
             if self.phase.get() >= Phase::Closing {
