--- a/crates/pebblepost-proxy/src/dispatch/admission.rs
+++ b/crates/pebblepost-proxy/src/dispatch/admission.rs
@@ -1,4 +1,5 @@
-//! Admission of one request to its backend's dispatcher: its commands, and reports of its attempts.
+//! Admission of one request to its backend's dispatcher: receives the commands for the request and
+//! reports its attempts.
 
 use super::backend::Backend;
 use super::command_queue::{Command, CommandQueue};
@@ -8,45 +9,49 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Whether a request needs attempts after the one that ended.
+/// Whether a request may get further attempts after the one that ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterAttempt {
     /// Another attempt may follow.
     MayRetry,
-    /// The request is complete, or no attempt is allowed any more.
+    /// The request is complete, or no further attempt is allowed.
     Closed,
 }
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
-struct OpenAttempt {
+struct InFlightAttempt {
     number: AttemptNo,
     worker: WorkerId,
     sent: Instant,
 }
 
-/// A request that the dispatcher knows. Dropping it cancels what is still open.
+/// A request that was passed to the dispatcher.
+///
+/// Dropping it reports the attempt in flight as cancelled and removes the request.
 #[derive(Debug)]
 pub(super) struct Admission {
     backend: Rc<Backend>,
     id: RequestId,
     commands: Rc<CommandQueue>,
     attempts_begun: u8,
-    open: Option<OpenAttempt>,
+    in_flight: Option<InFlightAttempt>,
 }
 
 impl Admission {
-    /// Hands a request to the dispatcher. `None`: the dispatcher can't take its class.
-    pub(super) fn request(
+    /// Passes a request to the dispatcher. Returns `None` if the dispatcher accepts no further request
+    /// class.
+    pub(super) fn submit(
         backend: &Rc<Backend>, policy: &RoutePolicy, time_left: Duration, affinity_key: u64,
     ) -> Option<Admission> {
         let commands = Rc::new(CommandQueue::default());
         let id = backend.begin_request(policy, time_left, affinity_key, commands.clone())?;
-        Some(Admission { backend: backend.clone(), id, commands, attempts_begun: 0, open: None })
+        Some(Admission { backend: backend.clone(), id, commands, attempts_begun: 0, in_flight: None })
     }
 
-    /// The next command; gives up at the deadline whatever the dispatcher orders. A command to send
-    /// begins an attempt.
+    /// Waits for the next command of the dispatcher; at the deadline, returns [`Command::GiveUp`].
+    ///
+    /// [`Command::Send`] starts an attempt, which the caller must end with [`Admission::end_attempt`].
     pub(super) async fn next_command(&mut self, deadline: Instant) -> Command {
         let next = tokio::time::timeout_at(deadline, self.commands.next()).await;
         let command = next.unwrap_or(Command::GiveUp { retry_after: None });
@@ -57,16 +62,16 @@
     }
 
     fn begin_attempt(&mut self, worker: WorkerId) {
-        self.backend.attempt_begun(worker);
-        self.open =
-            Some(OpenAttempt { number: AttemptNo(self.attempts_begun), worker, sent: Instant::now() });
+        self.backend.record_attempt_start(worker);
+        self.in_flight =
+            Some(InFlightAttempt { number: AttemptNo(self.attempts_begun), worker, sent: Instant::now() });
         self.attempts_begun = self.attempts_begun.saturating_add(1);
     }
 
-    /// Reports how the attempt in flight ended.
+    /// Reports the result of the attempt in flight. Does nothing if there is none.
     pub(super) fn end_attempt(&mut self, status: Status, report: Report, after: AfterAttempt) {
-        let Some(OpenAttempt { number, worker, sent }) = self.open.take() else { return };
-        self.backend.attempt_ended(worker);
+        let Some(InFlightAttempt { number, worker, sent }) = self.in_flight.take() else { return };
+        self.backend.record_attempt_end(worker);
         let latency = sent.elapsed();
         self.backend.handle(Event::Outcome {
             id: self.id,
@@ -79,9 +84,9 @@
         });
     }
 
-    /// Reports that the attempt's stream has begun: the client has its head.
-    pub(super) fn stream_opened(&mut self) {
-        if let Some(OpenAttempt { number, .. }) = self.open {
+    /// Reports that the stream of the attempt in flight has begun: its head has been received.
+    pub(super) fn report_stream_opened(&mut self) {
+        if let Some(InFlightAttempt { number, .. }) = self.in_flight {
             self.backend.handle(Event::StreamOpened { id: self.id, attempt: number });
         }
     }
@@ -91,7 +96,7 @@
     fn drop(&mut self) {
         self.end_attempt(Status::Cancelled, Report::new(), AfterAttempt::Closed);
         self.backend.handle(Event::ClientGone { id: self.id });
-        // Sends that were ordered and not carried out.
+        // Send commands that were not carried out are reported as attempts that never ran.
         for command in self.commands.drain() {
             if let Command::Send(worker) = command {
                 self.begin_attempt(worker);
