--- a/crates/pebblepost-proxy/src/feed/updater.rs
+++ b/crates/pebblepost-proxy/src/feed/updater.rs
@@ -1,8 +1,8 @@
-//! Brings updates of the feed into force in every part of the proxy that depends on them.
+//! Applies feed updates to every part of the proxy that depends on them.
 
 use super::cache::FeedCache;
 use crate::dispatch::Backends;
-use crate::resource_limits::{DEFAULT_CONNECTIONS, client_limits};
+use crate::resource_limits::{DEFAULT_CONNECTIONS_PER_TRANSCRIBER, client_limits};
 use log::{debug, info};
 use pebblepost_batch_runner::BatchRunner;
 use pebblepost_feed::FeedChanges;
@@ -11,17 +11,17 @@
 use pebblepost_transcriber::{Client, ClientLimits, Target};
 use std::rc::Rc;
 
-/// What came of updates of the feed.
+/// Result of applying feed updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
-    /// They are in force.
+pub enum ApplyOutcome {
+    /// The updates are in force.
     InForce,
-    /// A patch builds on a configuration that this proxy does not have: the feed must be begun
-    /// again.
-    Gap,
+    /// A patch is based on a configuration that this proxy does not have. The feed must be restarted
+    /// with a snapshot. The other updates are in force.
+    ResyncNeeded,
 }
 
-/// Applies updates of the feed.
+/// Applies feed updates to the cache, the backends, the client and the batch runner.
 #[derive(Debug)]
 pub(crate) struct FeedUpdater {
     cache: Rc<FeedCache>,
@@ -32,7 +32,7 @@
 }
 
 impl FeedUpdater {
-    /// An updater of these parts. `machine_limits`: of the settings at the start.
+    /// Creates an updater of these parts. `machine_limits` are those of the settings at the start.
     pub(crate) fn new(
         cache: Rc<FeedCache>, backends: Rc<Backends>, client: Client, runner: BatchRunner,
         machine_limits: MachineLimits,
@@ -40,13 +40,13 @@
         FeedUpdater { cache, backends, client, runner, machine_limits }
     }
 
-    /// Applies updates; when this returns, they are in force.
-    pub(crate) fn apply(&self, updates: &[FeedUpdate]) -> Applied {
-        let mut applied = Applied::InForce;
+    /// Applies updates. They are in force when this returns.
+    pub(crate) fn apply(&self, updates: &[FeedUpdate]) -> ApplyOutcome {
+        let mut applied = ApplyOutcome::InForce;
         for update in updates {
             let changes = self.cache.apply(update);
             if changes.resync_needed {
-                applied = Applied::Gap;
+                applied = ApplyOutcome::ResyncNeeded;
             }
             self.apply_changes(&changes);
         }
@@ -60,33 +60,36 @@
 
     fn apply_changes(&self, changes: &FeedChanges) {
         let feed = self.cache.state();
-        for id in &changes.instances {
+        for id in &changes.changed_instances {
             let Some(instance) = feed.instance(id) else { continue };
             self.backends.update_instance(instance);
             if instance.state == InstanceState::Ready {
                 continue;
             }
-            debug!("transcriber takes no requests transcriber={id} state={:?}", instance.state);
+            debug!("transcriber accepts no requests transcriber={id} state={:?}", instance.state);
             if let Ok(address) = instance.address.parse() {
                 self.client.remove_target(&Target { instance: id.clone(), address });
             }
         }
-        if let Some(configuration) = feed.configuration().filter(|_| changes.configuration) {
+        if let Some(configuration) = feed.configuration().filter(|_| changes.configuration_changed) {
             info!("configuration in force generation={}", configuration.generation());
             self.backends.configure(&feed, configuration);
         }
     }
 
-    /// Limits of the client: this proxy's share of the connections that every transcriber takes.
+    /// Returns the limits of the client. The connection limit is this proxy's share of the smallest
+    /// number of connections that a service accepts.
     fn client_limits(&self) -> ClientLimits {
         let feed = self.cache.state();
         let services = feed.configuration().map(|configuration| configuration.services());
-        let fewest = services.and_then(|services| services.iter().map(|service| service.max_conns).min());
-        let share = fewest.map_or(DEFAULT_CONNECTIONS, |connections| connections / feed.proxy_count());
+        let min_connections =
+            services.and_then(|services| services.iter().map(|service| service.max_conns).min());
+        let share = min_connections
+            .map_or(DEFAULT_CONNECTIONS_PER_TRANSCRIBER, |connections| connections / feed.proxy_count());
         client_limits(&self.machine_limits, share)
     }
 
-    /// Generation of the configuration in force; 0 if there is none.
+    /// Returns the generation of the configuration in force; 0 if there is none.
     pub(crate) fn generation(&self) -> u64 {
         self.cache.configuration().map_or(0, |configuration| configuration.generation())
     }
--- a/crates/pebblepost-replication/tests/replication/simulation/violation.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/violation.rs
@@ -1,8 +1,8 @@
-//! Rules that a schedule broke.
+//! Violations of the rules that the simulation checks.
 
 use std::fmt;
 
-/// What a schedule broke.
+/// The violation of a rule by a schedule.
 #[derive(Clone, Debug)]
 pub enum Violation {
     /// Something happened that must never happen.
@@ -12,11 +12,11 @@
 }
 
 impl Violation {
-    /// The same, with the time at which it was found.
+    /// Adds the time at which the violation was found.
     pub fn at(self, milliseconds: u64) -> Self {
         match self {
-            Self::Safety(found) => Self::Safety(format!("at {milliseconds} ms: {found}")),
-            Self::Liveness(found) => Self::Liveness(format!("at {milliseconds} ms: {found}")),
+            Self::Safety(description) => Self::Safety(format!("at {milliseconds} ms: {description}")),
+            Self::Liveness(description) => Self::Liveness(format!("at {milliseconds} ms: {description}")),
         }
     }
 
@@ -28,8 +28,8 @@
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Safety(found) => write!(f, "safety: {found}"),
-            Self::Liveness(found) => write!(f, "liveness: {found}"),
+            Self::Safety(description) => write!(f, "safety: {description}"),
+            Self::Liveness(description) => write!(f, "liveness: {description}"),
         }
     }
 }
--- a/crates/pebblepost-rollout/tests/integration/planner.rs
+++ b/crates/pebblepost-rollout/tests/integration/planner.rs
@@ -1,4 +1,4 @@
-//! Single exchanges with the planner: which answer leads to what.
+//! Reactions of the planner to single events: which outcome or report leads to which action.
 
 use pebblepost_messages::feed::{Instance, InstanceState, ModelVersion};
 use pebblepost_rollout::{LoadMode, LoadOrder, OrderOutcome, PlanOutput, Planner, TranscriberReport};
@@ -24,8 +24,8 @@
     }
 }
 
-fn report(busy: bool, generation: u64) -> Option<TranscriberReport> {
-    Some(TranscriberReport { is_loading: busy, models: vec![(MODEL.to_owned(), generation)], running: 0 })
+fn report(is_loading: bool, generation: u64) -> Option<TranscriberReport> {
+    Some(TranscriberReport { is_loading, models: vec![(MODEL.to_owned(), generation)], running: 0 })
 }
 
 fn orders(planner: &mut Planner) -> Vec<LoadOrder> {
@@ -39,11 +39,11 @@
         .collect()
 }
 
-/// A planner with one transcriber that was just ordered to load version 2.
+/// Returns a planner with one transcriber that was just ordered to load version 2, and that order.
 fn one_order() -> (Planner, LoadOrder) {
     let mut planner = Planner::new(Duration::ZERO);
-    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
-    planner.name_version(ms(0), MODEL, 2, false);
+    planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
+    planner.set_named_version(ms(0), MODEL, 2, false);
     let order = orders(&mut planner).pop().expect("one order");
     (planner, order)
 }
@@ -55,17 +55,17 @@
 #[test]
 fn polls_an_order_until_the_version_is_loaded() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::Accepted);
+    planner.handle_order_outcome(ms(5), &order, OrderOutcome::Accepted);
     planner.tick(ms(300));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(355));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.report_received(ms(360), "i-1", report(true, 1));
+    planner.handle_report(ms(360), "i-1", report(true, 1));
     planner.tick(ms(500));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(510));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.report_received(ms(515), "i-1", report(false, 2));
+    planner.handle_report(ms(515), "i-1", report(false, 2));
     let loaded =
         PlanOutput::VersionLoaded { instance: "i-1".to_owned(), model: MODEL.to_owned(), generation: 2 };
     assert_eq!(planner.take_outputs(), [loaded]);
@@ -73,12 +73,12 @@
 }
 
 #[test]
-fn load_in_progress_is_not_loaded() {
+fn reported_version_is_ignored_while_a_load_is_in_progress() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::Accepted);
+    planner.handle_order_outcome(ms(5), &order, OrderOutcome::Accepted);
     planner.tick(ms(355));
     planner.take_outputs();
-    planner.report_received(ms(360), "i-1", report(true, 2));
+    planner.handle_report(ms(360), "i-1", report(true, 2));
     assert_eq!(planner.take_outputs(), []);
 }
 
@@ -87,16 +87,16 @@
 #[case::several_versions(false, LoadMode::Retain)]
 fn load_mode_depends_on_single_version(#[case] single_version: bool, #[case] mode: LoadMode) {
     let mut planner = Planner::new(Duration::ZERO);
-    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
-    planner.name_version(ms(0), MODEL, 2, single_version);
+    planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
+    planner.set_named_version(ms(0), MODEL, 2, single_version);
     assert_eq!(orders(&mut planner)[0].mode, mode);
 }
 
 #[test]
-fn sends_no_order_before_the_former_lease_is_over() {
+fn sends_no_order_before_the_former_lease_has_expired() {
     let mut planner = Planner::new(ms(3000));
-    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
-    planner.name_version(ms(0), MODEL, 2, false);
+    planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
+    planner.set_named_version(ms(0), MODEL, 2, false);
     assert_eq!(planner.next_wake(ms(0)), Some(ms(3000)));
     planner.tick(ms(2999));
     assert_eq!(planner.take_outputs(), []);
@@ -107,10 +107,10 @@
 #[test]
 fn skips_versions_that_are_not_the_newest() {
     let mut planner = Planner::new(ms(1000));
-    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
-    planner.name_version(ms(0), MODEL, 2, false);
-    planner.name_version(ms(10), MODEL, 3, false);
-    planner.name_version(ms(20), MODEL, 2, false);
+    planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
+    planner.set_named_version(ms(0), MODEL, 2, false);
+    planner.set_named_version(ms(10), MODEL, 3, false);
+    planner.set_named_version(ms(20), MODEL, 2, false);
     planner.tick(ms(1000));
     let sent: Vec<u64> = orders(&mut planner).iter().map(|order| order.generation).collect();
     assert_eq!(sent, [3]);
@@ -119,34 +119,34 @@
 #[test]
 fn polls_an_unanswered_order_before_it_sends_another() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(100), &order, OrderOutcome::Unknown);
+    planner.handle_order_outcome(ms(100), &order, OrderOutcome::Unknown);
     planner.tick(ms(250));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.report_received(ms(255), "i-1", report(false, 1));
-    assert_eq!(planner.take_outputs(), [], "the report may be older than the order");
+    planner.handle_report(ms(255), "i-1", report(false, 1));
+    assert_eq!(planner.take_outputs(), [], "the report may show the state before the order");
     planner.tick(ms(800));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.report_received(ms(805), "i-1", report(false, 1));
+    planner.handle_report(ms(805), "i-1", report(false, 1));
     assert_eq!(orders(&mut planner).len(), 1);
 }
 
 #[test]
 fn does_not_repeat_an_unanswered_order_that_was_accepted() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(100), &order, OrderOutcome::Unknown);
+    planner.handle_order_outcome(ms(100), &order, OrderOutcome::Unknown);
     planner.tick(ms(250));
     planner.take_outputs();
-    planner.report_received(ms(255), "i-1", report(true, 1));
+    planner.handle_report(ms(255), "i-1", report(true, 1));
     planner.tick(ms(800));
     planner.take_outputs();
-    planner.report_received(ms(805), "i-1", report(false, 2));
+    planner.handle_report(ms(805), "i-1", report(false, 2));
     assert_eq!(orders(&mut planner), []);
 }
 
 #[test]
 fn polls_soon_after_a_conflict() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::Conflict);
+    planner.handle_order_outcome(ms(5), &order, OrderOutcome::Conflict);
     planner.tick(ms(100));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(205));
@@ -157,46 +157,46 @@
 fn repeats_a_rejected_order_with_exponential_backoff() {
     let (mut planner, mut order) = one_order();
     let mut now = ms(5);
-    for pause in [300, 600, 1200, 2400, 3000, 3000] {
-        planner.order_answered(now, &order, OrderOutcome::Rejected);
-        planner.tick(now + ms(pause - 1));
+    for backoff_ms in [300, 600, 1200, 2400, 3000, 3000] {
+        planner.handle_order_outcome(now, &order, OrderOutcome::Rejected);
+        planner.tick(now + ms(backoff_ms - 1));
         assert_eq!(planner.take_outputs(), []);
-        now += ms(pause);
+        now += ms(backoff_ms);
         planner.tick(now);
-        order = orders(&mut planner).pop().expect("the order again");
+        order = orders(&mut planner).pop().expect("a repeated order");
     }
 }
 
 #[test]
 fn polls_a_fenced_transcriber_after_a_backoff() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::Fenced);
+    planner.handle_order_outcome(ms(5), &order, OrderOutcome::Fenced);
     planner.tick(ms(1004));
     assert_eq!(planner.take_outputs(), []);
     planner.tick(ms(1005));
     assert_eq!(polls(&planner.take_outputs()), 1);
-    planner.report_received(ms(1010), "i-1", report(false, 1));
+    planner.handle_report(ms(1010), "i-1", report(false, 1));
     assert_eq!(orders(&mut planner).len(), 1);
 }
 
 #[test]
-fn older_announcement_does_not_revert_loaded_versions() {
+fn announcement_with_an_older_version_does_not_revert_loaded_versions() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::AlreadyLoaded);
+    planner.handle_order_outcome(ms(5), &order, OrderOutcome::AlreadyLoaded);
     planner.take_outputs();
-    planner.instance_announced(ms(900), &instance("i-1", 1, 2));
+    planner.handle_instance_update(ms(900), &instance("i-1", 1, 2));
     planner.tick(ms(2000));
     assert_eq!(planner.take_outputs(), []);
 }
 
 #[rstest]
 #[case::draining(InstanceState::Draining)]
-#[case::gone(InstanceState::Terminated)]
-fn sends_no_order_to_a_draining_or_ended_transcriber(#[case] state: InstanceState) {
+#[case::terminated(InstanceState::Terminated)]
+fn sends_no_order_to_a_draining_or_terminated_transcriber(#[case] state: InstanceState) {
     let mut planner = Planner::new(Duration::ZERO);
-    planner.instance_announced(ms(0), &instance("i-1", 1, 1));
-    planner.instance_announced(ms(1), &Instance { state, ..instance("i-1", 1, 2) });
-    planner.name_version(ms(2), MODEL, 2, false);
+    planner.handle_instance_update(ms(0), &instance("i-1", 1, 1));
+    planner.handle_instance_update(ms(1), &Instance { state, ..instance("i-1", 1, 2) });
+    planner.set_named_version(ms(2), MODEL, 2, false);
     planner.tick(ms(5000));
     assert_eq!(planner.take_outputs(), []);
 }
@@ -204,24 +204,26 @@
 #[test]
 fn orders_a_restarted_transcriber_under_its_new_instance_id() {
     let (mut planner, order) = one_order();
-    planner.order_answered(ms(5), &order, OrderOutcome::Accepted);
-    planner
-        .instance_announced(ms(50), &Instance { state: InstanceState::Terminated, ..instance("i-1", 1, 1) });
-    planner.instance_announced(ms(60), &instance("i-2", 1, 1));
+    planner.handle_order_outcome(ms(5), &order, OrderOutcome::Accepted);
+    planner.handle_instance_update(
+        ms(50),
+        &Instance { state: InstanceState::Terminated, ..instance("i-1", 1, 1) },
+    );
+    planner.handle_instance_update(ms(60), &instance("i-2", 1, 1));
     let sent: Vec<String> = orders(&mut planner).into_iter().map(|order| order.instance).collect();
     assert_eq!(sent, ["i-2"]);
 }
 
 #[test]
-fn loads_a_third_at_a_time_spread_over_zones_least_busy_first() {
+fn loads_a_third_at_a_time_spread_over_zones_and_least_busy_first() {
     let mut planner = Planner::new(ms(100));
     for number in 0..7u32 {
         let zone = format!("zone-{}", number % 2);
         let id = format!("i-{number}");
-        planner.instance_announced(ms(0), &Instance { zone, ..instance(&id, 1, 1) });
+        planner.handle_instance_update(ms(0), &Instance { zone, ..instance(&id, 1, 1) });
         planner.set_running_requests(&id, 10 - number);
     }
-    planner.name_version(ms(0), MODEL, 2, false);
+    planner.set_named_version(ms(0), MODEL, 2, false);
     planner.tick(ms(100));
     let sent: Vec<String> = orders(&mut planner).into_iter().map(|order| order.instance).collect();
     assert_eq!(sent, ["i-6", "i-5", "i-4"]);
@@ -231,22 +233,22 @@
 fn unresponsive_transcriber_frees_its_slot_and_is_polled_slowly() {
     let mut planner = Planner::new(Duration::ZERO);
     for id in ["i-1", "i-2"] {
-        planner.instance_announced(ms(0), &instance(id, 1, 1));
+        planner.handle_instance_update(ms(0), &instance(id, 1, 1));
     }
-    planner.name_version(ms(0), MODEL, 2, false);
+    planner.set_named_version(ms(0), MODEL, 2, false);
     let order = orders(&mut planner).pop().expect("one of two loads");
-    planner.order_answered(ms(500), &order, OrderOutcome::Unknown);
+    planner.handle_order_outcome(ms(500), &order, OrderOutcome::Unknown);
     let mut now = ms(500);
     let mut ordered_at = None;
-    let mut asked_after = 0;
+    let mut late_polls = 0;
     while now < ms(6000) {
         now += ms(50);
         planner.tick(now);
         for output in planner.take_outputs() {
             match output {
                 PlanOutput::FetchLoadReport { instance, .. } if instance == order.instance => {
-                    asked_after += usize::from(now >= ms(3000));
-                    planner.report_received(now, &instance, None);
+                    late_polls += usize::from(now >= ms(3000));
+                    planner.handle_report(now, &instance, None);
                 }
                 PlanOutput::SendOrder(next) => ordered_at = ordered_at.or(Some((now, next.instance))),
                 _ => {}
@@ -254,41 +256,42 @@
         }
     }
     assert_eq!(ordered_at, Some((ms(2000), "i-2".to_owned())));
-    assert!((3..=4).contains(&asked_after), "asked {asked_after} times in 3 s");
+    assert!((3..=4).contains(&late_polls), "{late_polls} polls in the last 3 s, expected 3 or 4");
 }
 
 #[test]
-fn models_of_one_transcriber_alternate() {
+fn loads_alternate_between_models_on_the_same_transcribers() {
     let mut planner = Planner::new(ms(10));
     let two = |id: &str| Instance {
         models: ["a", "b"].map(|model| ModelVersion { model: model.to_owned(), generation: 1 }).to_vec(),
         ..instance(id, 1, 1)
     };
     for number in 0..6 {
-        planner.instance_announced(ms(0), &two(&format!("i-{number}")));
+        planner.handle_instance_update(ms(0), &two(&format!("i-{number}")));
     }
-    planner.name_version(ms(1), "a", 2, false);
-    planner.name_version(ms(2), "b", 2, false);
+    planner.set_named_version(ms(1), "a", 2, false);
+    planner.set_named_version(ms(2), "b", 2, false);
     planner.tick(ms(10));
-    let mut order_of_models = Vec::new();
-    let mut open = orders(&mut planner);
-    while let Some(order) = open.pop() {
-        order_of_models.push(order.model.clone());
-        planner.order_answered(ms(20), &order, OrderOutcome::AlreadyLoaded);
-        open.extend(orders(&mut planner));
+    let mut ordered_models = Vec::new();
+    let mut unanswered = orders(&mut planner);
+    while let Some(order) = unanswered.pop() {
+        ordered_models.push(order.model.clone());
+        planner.handle_order_outcome(ms(20), &order, OrderOutcome::AlreadyLoaded);
+        unanswered.extend(orders(&mut planner));
     }
-    assert_eq!(order_of_models.len(), 12);
-    for (index, pair) in order_of_models.chunks(2).enumerate() {
-        assert_ne!(pair[0], pair[1], "pair {index} of {order_of_models:?}");
+    assert_eq!(ordered_models.len(), 12);
+    for (index, pair) in ordered_models.chunks(2).enumerate() {
+        assert_ne!(pair[0], pair[1], "the loads of pair {index} are of the same model: {ordered_models:?}");
     }
 }
 
-/// A planner with this many transcribers, of which a third loads version 2, and its outputs until now.
+/// Returns a planner with this many transcribers, a third of which are ordered to load version 2, and its outputs so
+/// far.
 fn large_fleet(size: u64) -> (Planner, Vec<PlanOutput>) {
     let mut planner = Planner::new(Duration::ZERO);
     (0..size)
-        .for_each(|number| planner.instance_announced(ms(0), &instance(&format!("i-{number:04}"), 1, 1)));
-    planner.name_version(ms(100), MODEL, 2, false);
+        .for_each(|number| planner.handle_instance_update(ms(0), &instance(&format!("i-{number:04}"), 1, 1)));
+    planner.set_named_version(ms(100), MODEL, 2, false);
     let mut outputs = planner.take_outputs();
     for step in 1..20 {
         planner.tick(ms(100 + 50 * step));
@@ -297,7 +300,7 @@
     (planner, outputs)
 }
 
-fn orders_among(outputs: &[PlanOutput]) -> Vec<LoadOrder> {
+fn orders_in(outputs: &[PlanOutput]) -> Vec<LoadOrder> {
     let order = |output: &PlanOutput| match output {
         PlanOutput::SendOrder(order) => Some(order.clone()),
         _ => None,
@@ -306,20 +309,21 @@
 }
 
 #[test]
-fn a_large_fleet_is_ordered_in_slices() {
+fn orders_per_decision_are_bounded_in_a_large_fleet() {
     let mut planner = Planner::new(Duration::ZERO);
-    (0..999).for_each(|number| planner.instance_announced(ms(0), &instance(&format!("i-{number:04}"), 1, 1)));
-    planner.name_version(ms(100), MODEL, 2, false);
-    assert_eq!(orders(&mut planner).len(), 32, "a decision of bounded length");
+    (0..999)
+        .for_each(|number| planner.handle_instance_update(ms(0), &instance(&format!("i-{number:04}"), 1, 1)));
+    planner.set_named_version(ms(100), MODEL, 2, false);
+    assert_eq!(orders(&mut planner).len(), 32, "the orders of one decision are bounded");
     let (_, outputs) = large_fleet(999);
-    assert_eq!(orders_among(&outputs).len(), 333, "a third of them within a second");
+    assert_eq!(orders_in(&outputs).len(), 333, "a third of the transcribers are ordered within a second");
 }
 
 #[test]
-fn the_more_transcribers_load_the_less_often_each_is_polled() {
+fn poll_rate_is_bounded_when_many_transcribers_load() {
     let (mut planner, outputs) = large_fleet(999);
-    for order in orders_among(&outputs) {
-        planner.order_answered(ms(1_100), &order, OrderOutcome::Accepted);
+    for order in orders_in(&outputs) {
+        planner.handle_order_outcome(ms(1_100), &order, OrderOutcome::Accepted);
     }
     planner.take_outputs();
     let mut polled = 0;
@@ -329,25 +333,25 @@
         for output in planner.take_outputs() {
             if let PlanOutput::FetchLoadReport { instance, .. } = output {
                 polled += 1;
-                planner.report_received(now, &instance, report(true, 1));
+                planner.handle_report(now, &instance, report(true, 1));
             }
         }
     }
-    assert!((333..=2 * 333).contains(&polled), "{polled} polls in a second");
+    assert!((333..=2 * 333).contains(&polled), "{polled} polls in a second, expected 333 to 666");
 }
 
 #[rstest]
 #[case::small(30, 1)]
 #[case::large(999, 0)]
-fn an_event_is_followed_by_a_decision_at_once_in_a_small_fleet_only(
-    #[case] size: u64, #[case] orders_at_once: usize,
+fn events_trigger_immediate_decisions_only_in_a_small_fleet(
+    #[case] size: u64, #[case] immediate_orders: usize,
 ) {
     let (mut planner, outputs) = large_fleet(size);
-    let order = orders_among(&outputs).pop().expect("an order");
+    let order = orders_in(&outputs).pop().expect("an order");
     planner.tick(ms(1_100));
     planner.take_outputs();
-    planner.order_answered(ms(1_101), &order, OrderOutcome::AlreadyLoaded);
-    assert_eq!(orders(&mut planner).len(), orders_at_once);
+    planner.handle_order_outcome(ms(1_101), &order, OrderOutcome::AlreadyLoaded);
+    assert_eq!(orders(&mut planner).len(), immediate_orders);
     planner.tick(ms(1_150));
-    assert_eq!(orders(&mut planner).len(), 1 - orders_at_once);
+    assert_eq!(orders(&mut planner).len(), 1 - immediate_orders);
 }
