--- a/crates/pebblepost-agent/src/lib.rs
+++ b/crates/pebblepost-agent/src/lib.rs
@@ -54,7 +54,7 @@
     let options = AgentOptions {
         node: settings.node_name.clone(),
         zone: settings.zone.clone(),
-        control: settings.control_links(),
+        control: settings.control_link_addresses(),
         grace: settings.bounds.shutdown_grace,
         reload: Box::new(read_control_links),
     };
@@ -75,7 +75,7 @@
 
 fn read_control_links() -> Vec<SocketAddr> {
     match Settings::from_environment() {
-        Ok(settings) => settings.control_links(),
+        Ok(settings) => settings.control_link_addresses(),
         Err(error) => {
             log::warn!("settings not reloaded: {error:#}");
             Vec::new()
--- a/crates/pebblepost-batch-runner/src/lease_table.rs
+++ b/crates/pebblepost-batch-runner/src/lease_table.rs
@@ -4,7 +4,7 @@
 //! the current time is an argument.
 
 use crate::item_progress::{ItemProgress, SharedProgress};
-use pebblepost_messages::batch::{ActiveLease, LEASE_MS, RENEW_MS, WorkLease};
+use pebblepost_messages::batch::{ActiveLease, LEASE_DURATION_MS, LEASE_RENEWAL_INTERVAL_MS, WorkLease};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -13,9 +13,9 @@
 use tokio::time::Instant;
 
 /// How long a lease is valid after its last renewal.
-pub const LEASE_DURATION: Duration = Duration::from_millis(LEASE_MS);
+pub const LEASE_DURATION: Duration = Duration::from_millis(LEASE_DURATION_MS);
 /// A lease that has not been renewed for this long is announced to its store again.
-pub const RENEWAL_OVERDUE_AFTER: Duration = Duration::from_millis(2 * RENEW_MS);
+pub const RENEWAL_OVERDUE_AFTER: Duration = Duration::from_millis(2 * LEASE_RENEWAL_INTERVAL_MS);
 /// A lease that has been expired for this long is abandoned, because its items have been leased to other proxies.
 pub const ABANDON_AFTER: Duration = Duration::from_secs(10);
 /// How long a cancelled job is remembered, so that a lease that was in transit when the
--- a/crates/pebblepost-batch-runner/src/lease_terms.rs
+++ b/crates/pebblepost-batch-runner/src/lease_terms.rs
@@ -34,7 +34,7 @@
                 single_version: lease.terms.single_version,
             },
             due_at: now + Duration::from_millis(lease.due_in_ms),
-            expires_at: now + Duration::from_millis(lease.expires_in_ms) + EXPIRY_MARGIN,
+            expires_at: now + Duration::from_millis(lease.dead_letter_in_ms) + EXPIRY_MARGIN,
         }
     }
 }
--- a/crates/pebblepost-batch-runner/src/load_table.rs
+++ b/crates/pebblepost-batch-runner/src/load_table.rs
@@ -125,7 +125,7 @@
             Some(Observation { as_of, received: now, outstanding: outstanding_requests(load) });
         transcriber.reported_at = Some(now);
         transcriber.last_activity.record(now);
-        transcriber.is_executing_load_order = load.order_in_progress;
+        transcriber.is_executing_load_order = load.load_order_in_progress;
         transcriber.versions.clone_from(&load.models);
     }
 
--- a/crates/pebblepost-batch-runner/src/placement/probing.rs
+++ b/crates/pebblepost-batch-runner/src/placement/probing.rs
@@ -65,7 +65,7 @@
     /// ejected.
     async fn request_report(&self, target: &Target, backend: &str) -> bool {
         let id = target.instance.as_str();
-        let result = self.client.load_report(target, PROBE_TIMEOUT).await;
+        let result = self.client.request_load_report(target, PROBE_TIMEOUT).await;
         let now = Instant::now();
         let mut loads = self.loads.borrow_mut();
         match result {
--- a/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
@@ -128,7 +128,7 @@
         let load = Load {
             running: u32::try_from(random.below(9)).unwrap(),
             waiting: u32::try_from(random.below(3)).unwrap(),
-            order_in_progress: random.below(4) == 0,
+            load_order_in_progress: random.below(4) == 0,
             models: vec![("m".to_owned(), random.below(6)), ("n".to_owned(), 3)],
             ..Load::default()
         };
--- a/crates/pebblepost-batch-runner/tests/batch_runner/support.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/support.rs
@@ -392,7 +392,7 @@
             zone: zone.to_owned(),
             slots: 8,
             state,
-            warm_up_remaining_ms: 0,
+            slow_start_remaining_ms: 0,
             models,
             sequence,
         };
@@ -452,7 +452,7 @@
         model: "daka".to_owned(),
         min_version: 1,
         due_in_ms: 4000,
-        expires_in_ms: 39_000,
+        dead_letter_in_ms: 39_000,
         items,
     }
 }
--- a/crates/pebblepost-batch-store/src/program/event_loop.rs
+++ b/crates/pebblepost-batch-store/src/program/event_loop.rs
@@ -99,7 +99,7 @@
         let (subscriber, announcement) = (subscription.clone(), store.announcement());
         let on_connect = move || vec![subscriber.message(), announcement.clone()];
         let (control, control_events) =
-            ControlClient::start(settings.control_links(), CONTROL_LINK_LIMITS, on_connect);
+            ControlClient::start(settings.control_link_addresses(), CONTROL_LINK_LIMITS, on_connect);
         let now = Instant::now();
         Ok(EventLoop {
             peer_links: PeerLinks::new(store.member().clone()),
@@ -240,7 +240,7 @@
 
     fn reload_settings(&mut self) {
         match Settings::from_environment() {
-            Ok(settings) => self.control.add_seeds(&settings.control_links()),
+            Ok(settings) => self.control.add_seeds(&settings.control_link_addresses()),
             Err(error) => log::warn!("settings not reloaded error={error:#}"),
         }
     }
--- a/crates/pebblepost-batch-store/src/store/state/periodic.rs
+++ b/crates/pebblepost-batch-store/src/store/state/periodic.rs
@@ -1,10 +1,10 @@
 //! Schedules of the periodic work.
 
-use pebblepost_messages::batch::RENEW_MS;
+use pebblepost_messages::batch::LEASE_RENEWAL_INTERVAL_MS;
 use std::time::Duration;
 
 /// Interval at which leases are renewed.
-const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(RENEW_MS);
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(LEASE_RENEWAL_INTERVAL_MS);
 /// Interval at which missing barriers are proposed and jobs past their retention are deleted.
 const RETENTION_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
--- a/crates/pebblepost-batch-store/tests/integration/simulation/proxy.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/proxy.rs
@@ -1,7 +1,8 @@
 //! A proxy: keeps links to the stores, takes work, runs items, and makes the calls of its clients.
 
 use pebblepost_messages::batch::{
-    ActiveLease, FromStore, ItemOutcome, ItemResult, LEASE_MS, PartialText, ResultState, ToStore, WorkLease,
+    ActiveLease, FromStore, ItemOutcome, ItemResult, LEASE_DURATION_MS, PartialText, ResultState, ToStore,
+    WorkLease,
 };
 use pebblepost_messages::feed::StoreGroup;
 use rand::RngExt;
@@ -138,7 +139,7 @@
             FromStore::Renew { groups } => {
                 for running in &mut self.running {
                     if groups.contains(&(running.store_group, running.epoch)) {
-                        running.valid_until = now + LEASE_MS;
+                        running.valid_until = now + LEASE_DURATION_MS;
                     }
                 }
             }
@@ -158,7 +159,7 @@
                 job: lease.job.clone(),
                 item: leased.item.id.clone(),
                 ends_at: now + takes,
-                valid_until: now + LEASE_MS,
+                valid_until: now + LEASE_DURATION_MS,
             });
         }
     }
--- a/crates/pebblepost-batch/src/scheduler/grant.rs
+++ b/crates/pebblepost-batch/src/scheduler/grant.rs
@@ -87,7 +87,7 @@
             model: job.model.clone(),
             min_version: job.min_version,
             due_in_ms: self.schedule.due_in_ms(now),
-            expires_in_ms: self.schedule.expires_in_ms(now),
+            dead_letter_in_ms: self.schedule.expires_in_ms(now),
             items: self.items.iter().filter_map(|index| self.leased_item(*index)).collect(),
         }
     }
--- a/crates/pebblepost-batch/src/scheduler/lease_table.rs
+++ b/crates/pebblepost-batch/src/scheduler/lease_table.rs
@@ -3,12 +3,12 @@
 //! The table records the holder and the last renewal of each lease, and which proxies are connected. It
 //! refers to jobs by id only: the caller makes the items of an expired lease pending again.
 
-use pebblepost_messages::batch::LEASE_MS;
+use pebblepost_messages::batch::LEASE_DURATION_MS;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// Duration of a lease, counted from its last renewal.
-const LEASE_DURATION: Duration = Duration::from_millis(LEASE_MS);
+const LEASE_DURATION: Duration = Duration::from_millis(LEASE_DURATION_MS);
 /// Age at which a lease expires even if it is renewed. A proxy that holds a lease for this long is
 /// assumed to have lost track of it.
 const MAX_LEASE_AGE: Duration = Duration::from_secs(30);
--- a/crates/pebblepost-batch/tests/integration/decisions.rs
+++ b/crates/pebblepost-batch/tests/integration/decisions.rs
@@ -96,7 +96,7 @@
             self.digest.number(lease.epoch);
             self.digest.bytes(lease.job.as_bytes());
             self.digest.number(lease.due_in_ms);
-            self.digest.number(lease.expires_in_ms);
+            self.digest.number(lease.dead_letter_in_ms);
             for leased in &lease.items {
                 self.digest.bytes(leased.item.id.as_bytes());
                 self.digest.number(u64::from(leased.failed_attempts));
--- a/crates/pebblepost-batch/tests/integration/scheduler.rs
+++ b/crates/pebblepost-batch/tests/integration/scheduler.rs
@@ -82,7 +82,7 @@
     let lease = &leases[0];
     assert_eq!((lease.store_group, lease.epoch, lease.job.as_str()), (STORE_GROUP, 5, "j"));
     assert_eq!((lease.model.as_str(), lease.min_version), ("m", 4));
-    assert_eq!((lease.due_in_ms, lease.expires_in_ms), (3_500, 18_500));
+    assert_eq!((lease.due_in_ms, lease.dead_letter_in_ms), (3_500, 18_500));
     assert_eq!(lease.items[0].partial, PartialText::default());
 }
 
--- a/crates/pebblepost-control/src/api/registration.rs
+++ b/crates/pebblepost-control/src/api/registration.rs
@@ -72,7 +72,10 @@
         zone: name(&value, "zone").unwrap_or_default(),
         slots: number(&value, "slots").unwrap_or(1).try_into().unwrap_or(u32::MAX),
         state: state(&value)?,
-        warm_up_remaining_ms: number(&value, "cold_remaining_ms").unwrap_or(0).try_into().unwrap_or(u32::MAX),
+        slow_start_remaining_ms: number(&value, "cold_remaining_ms")
+            .unwrap_or(0)
+            .try_into()
+            .unwrap_or(u32::MAX),
         models: models(&value)?,
         sequence: number(&value, "sequence").unwrap_or(0),
     })
--- a/crates/pebblepost-control/src/node/settings.rs
+++ b/crates/pebblepost-control/src/node/settings.rs
@@ -54,8 +54,8 @@
                 zones: tolerance.zones,
                 regions: tolerance.regions,
             },
-            heartbeat_interval: settings.heartbeat,
-            order_lease: settings.bounds.lease,
+            heartbeat_interval: settings.heartbeat_interval,
+            order_lease: settings.bounds.lease_duration,
             random_seed,
         }
     }
--- a/crates/pebblepost-control/src/registry.rs
+++ b/crates/pebblepost-control/src/registry.rs
@@ -247,7 +247,7 @@
 fn needs_publication(known: &Instance, merged: &Instance) -> bool {
     let published = |instance: &Instance| Instance {
         sequence: 0,
-        warm_up_remaining_ms: u32::from(instance.warm_up_remaining_ms > 0),
+        slow_start_remaining_ms: u32::from(instance.slow_start_remaining_ms > 0),
         ..instance.clone()
     };
     published(known) != published(merged)
--- a/crates/pebblepost-control/src/runtime/server.rs
+++ b/crates/pebblepost-control/src/runtime/server.rs
@@ -59,7 +59,7 @@
         let start = Instant::now();
         let node = ControlNode::new(Duration::ZERO, node_settings, recovered);
         let http_limits = http_limits(&settings.limits);
-        let max_calls = max_calls(settings.limits.max_fds);
+        let max_calls = max_calls(settings.limits.max_file_descriptors);
         Server { start, node, disk, completions, links, http_listener, http_limits, max_calls }.serve().await
     });
     // Ends tasks that still wait for a peer.
@@ -82,7 +82,7 @@
 pub fn http_limits(limits: &MachineLimits) -> HttpLimits {
     let memory = usize::try_from(limits.memory_bytes).unwrap_or(usize::MAX);
     HttpLimits {
-        max_connections: max_request_connections(limits.max_fds),
+        max_connections: max_request_connections(limits.max_file_descriptors),
         max_body_memory_bytes: (memory / BODY_MEMORY_DIVISOR).max(MAX_BODY_BYTES),
     }
 }
--- a/crates/pebblepost-control/src/runtime/transcriber_tasks.rs
+++ b/crates/pebblepost-control/src/runtime/transcriber_tasks.rs
@@ -40,11 +40,13 @@
     let _permit = calls.permit().await;
     let target = target(&order.instance, &order.address).filter(|_| Instant::now() < send_by);
     let answer = match target {
-        Some(target) => match calls.client.order(&target, Bytes::from(body), send_by, CALL_TIMEOUT).await {
-            Ok(status) => order_answer(status.as_u16()),
-            Err(ClientError::NotSent) => OrderOutcome::Rejected,
-            Err(_) => OrderOutcome::Unknown,
-        },
+        Some(target) => {
+            match calls.client.send_load_order(&target, Bytes::from(body), send_by, CALL_TIMEOUT).await {
+                Ok(status) => order_answer(status.as_u16()),
+                Err(ClientError::NotSent) => OrderOutcome::Rejected,
+                Err(_) => OrderOutcome::Unknown,
+            }
+        }
         None => OrderOutcome::Rejected,
     };
     log::debug!("load order answered instance={} answer={answer:?}", order.instance);
@@ -56,11 +58,11 @@
 pub async fn fetch_load_report(calls: TranscriberCalls, instance: String, address: String) {
     let _permit = calls.permit().await;
     let report = match target(&instance, &address) {
-        Some(target) => calls.client.load_report(&target, CALL_TIMEOUT).await.ok().flatten(),
+        Some(target) => calls.client.request_load_report(&target, CALL_TIMEOUT).await.ok().flatten(),
         None => None,
     };
     let report = report.map(|load| TranscriberReport {
-        is_loading: load.order_in_progress,
+        is_loading: load.load_order_in_progress,
         models: load.models,
         running: load.running,
     });
--- a/crates/pebblepost-control/tests/control/registry.rs
+++ b/crates/pebblepost-control/tests/control/registry.rs
@@ -104,7 +104,7 @@
 fn end_of_the_warm_up_is_published_once() {
     let mut registry = Registry::new(HEARTBEAT);
     let cold =
-        |left, sequence| Instance { warm_up_remaining_ms: left, ..instance("i", "10.0.0.1:1", sequence) };
+        |left, sequence| Instance { slow_start_remaining_ms: left, ..instance("i", "10.0.0.1:1", sequence) };
     assert_eq!(registry.register(second(1), cold(900, 1)).instances.len(), 1);
     assert!(registry.register(second(2), cold(400, 2)).instances.is_empty());
     assert_eq!(registry.register(second(3), cold(0, 3)).instances.len(), 1);
@@ -154,7 +154,7 @@
         zone: "celje-a".into(),
         slots: 12,
         state: InstanceState::Draining,
-        warm_up_remaining_ms: 70,
+        slow_start_remaining_ms: 70,
         models: vec![ModelVersion { model: "daka510000".into(), generation: 4 }],
         sequence: 4,
     };
--- a/crates/pebblepost-feed/tests/snapshots.rs
+++ b/crates/pebblepost-feed/tests/snapshots.rs
@@ -32,7 +32,7 @@
         zone: "a".into(),
         slots: 4,
         state: state[[0, 0, 0, 0, 1, 2][random.below(6) as usize]],
-        warm_up_remaining_ms: random.below(3) as u32,
+        slow_start_remaining_ms: random.below(3) as u32,
         models: vec![ModelVersion { model: "m".into(), generation: random.below(20) }],
         sequence: random.below(12),
     }
--- a/crates/pebblepost-messages/src/batch/lease.rs
+++ b/crates/pebblepost-messages/src/batch/lease.rs
@@ -5,9 +5,9 @@
 use nanoserde::{DeBin, SerBin};
 
 /// Duration of a lease after its last renewal, in milliseconds.
-pub const LEASE_MS: u64 = 1500;
+pub const LEASE_DURATION_MS: u64 = 1500;
 /// Interval at which a primary renews its leases, in milliseconds.
-pub const RENEW_MS: u64 = 400;
+pub const LEASE_RENEWAL_INTERVAL_MS: u64 = 400;
 
 /// A leased item, with its state as of the lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
@@ -42,7 +42,7 @@
     /// Milliseconds until the results are due; 0 if that has passed.
     pub due_in_ms: u64,
     /// Milliseconds until items may be dead-lettered; 0 if that has passed.
-    pub expires_in_ms: u64,
+    pub dead_letter_in_ms: u64,
     /// The items.
     pub items: Vec<LeasedItem>,
 }
--- a/crates/pebblepost-messages/src/batch/message.rs
+++ b/crates/pebblepost-messages/src/batch/message.rs
@@ -177,7 +177,7 @@
         /// Ids of the jobs.
         jobs: Vec<String>,
     },
-    /// Renews the leases of these groups and epochs for [`LEASE_MS`](super::LEASE_MS) from the receipt on.
+    /// Renews the leases of these groups and epochs for [`LEASE_DURATION_MS`](super::LEASE_DURATION_MS) from the receipt on.
     Renew {
         /// Group and epoch.
         groups: Vec<(u32, u64)>,
--- a/crates/pebblepost-messages/src/batch/mod.rs
+++ b/crates/pebblepost-messages/src/batch/mod.rs
@@ -7,7 +7,9 @@
 mod store_group;
 
 pub use job::{Item, Job, JobTerms, Scorer};
-pub use lease::{ActiveLease, ItemOutcome, LEASE_MS, LeasedItem, RENEW_MS, WorkLease};
+pub use lease::{
+    ActiveLease, ItemOutcome, LEASE_DURATION_MS, LEASE_RENEWAL_INTERVAL_MS, LeasedItem, WorkLease,
+};
 pub use message::{FromStore, JobResponse, ResultPage, SubmitOutcome, ToStore};
 pub use result::{ItemResult, PartialText, ResultState};
 pub use store_group::{STORE_GROUPS, store_group_of};
--- a/crates/pebblepost-messages/src/feed.rs
+++ b/crates/pebblepost-messages/src/feed.rs
@@ -41,7 +41,7 @@
     /// Whether it accepts new requests.
     pub state: InstanceState,
     /// Remaining slow-start time as of the announcement, in milliseconds.
-    pub warm_up_remaining_ms: u32,
+    pub slow_start_remaining_ms: u32,
     /// Loaded models and their versions.
     pub models: Vec<ModelVersion>,
     /// Sequence number of the announcement: a higher one replaces a lower one.
--- a/crates/pebblepost-messages/tests/encodings.rs
+++ b/crates/pebblepost-messages/tests/encodings.rs
@@ -109,7 +109,7 @@
         model: "lm".into(),
         min_version: 6,
         due_in_ms: 700,
-        expires_in_ms: 800,
+        dead_letter_in_ms: 800,
         items: vec![LeasedItem {
             item: item(),
             failed_attempts: 1,
@@ -131,7 +131,7 @@
         zone: "a".into(),
         slots: 6,
         state,
-        warm_up_remaining_ms: 250,
+        slow_start_remaining_ms: 250,
         models: vec![model_version()],
         sequence: 42,
     }
--- a/crates/pebblepost-proxy/src/dispatch/attempt.rs
+++ b/crates/pebblepost-proxy/src/dispatch/attempt.rs
@@ -59,7 +59,7 @@
             tokio::select! {
                 biased;
                 response = response.as_mut() => return response,
-                load = self.client.load_report(self.target, HEALTH_CHECK_TIMEOUT) => {
+                load = self.client.request_load_report(self.target, HEALTH_CHECK_TIMEOUT) => {
                     if load.is_err() {
                         return Err(ClientError::TimedOut);
                     }
--- a/crates/pebblepost-proxy/src/dispatch/backend.rs
+++ b/crates/pebblepost-proxy/src/dispatch/backend.rs
@@ -237,7 +237,9 @@
 async fn probe(backend: Rc<Backend>, worker: WorkerId) {
     let sent = Instant::now();
     let result = match backend.ready(worker) {
-        Some(target) => backend.client.load_report(&target, PROBE_TIMEOUT).await.map_err(failed_status),
+        Some(target) => {
+            backend.client.request_load_report(&target, PROBE_TIMEOUT).await.map_err(failed_status)
+        }
         None => Err(Status::ConnectFailed),
     };
     let (status, report) = match result {
--- a/crates/pebblepost-proxy/src/dispatch/load_report.rs
+++ b/crates/pebblepost-proxy/src/dispatch/load_report.rs
@@ -7,7 +7,7 @@
 /// not say them.
 pub(super) fn from_load(load: &Load, known_slots: impl FnOnce() -> u32) -> Report {
     let slots = load.slots.unwrap_or_else(known_slots).max(1);
-    if load.order_in_progress {
+    if load.load_order_in_progress {
         // Until its order is done, it rejects whatever has not begun.
         return vec![0.0, slots as f32];
     }
--- a/crates/pebblepost-proxy/src/dispatch/worker_table.rs
+++ b/crates/pebblepost-proxy/src/dispatch/worker_table.rs
@@ -90,7 +90,7 @@
         let target = Target { instance: instance.id.clone(), address };
         self.workers.push(Worker { target, slots, state, zone, in_flight: 0 });
         self.ids.insert(instance.id.clone(), id);
-        let warm_up_left = Duration::from_millis(instance.warm_up_remaining_ms.into());
+        let warm_up_left = Duration::from_millis(instance.slow_start_remaining_ms.into());
         let started = (!warm_up_left.is_zero()).then(|| now + warm_up_left - warm_up_time);
         let entry = self.entry(id, &instance.id, started);
         Some(WorkerChange { entry, new_with_slots: Some(slots) })
--- a/crates/pebblepost-proxy/src/metrics.rs
+++ b/crates/pebblepost-proxy/src/metrics.rs
@@ -51,11 +51,11 @@
         proxy.responses_forwarded,
         proxy.not_executed,
         proxy.indeterminate,
-        client.connections,
-        client.initial_connections,
-        client.replaced_connections,
+        client.connection_attempts,
+        client.initial_connection_attempts,
+        client.replacement_connection_attempts,
         client.requests,
-        client.reports,
+        client.load_reports,
         runner,
     )
 }
--- a/crates/pebblepost-proxy/src/proxy.rs
+++ b/crates/pebblepost-proxy/src/proxy.rs
@@ -55,7 +55,7 @@
         let client_listener = listen(settings.client_address, "listen.front")?;
         let client_address = client_listener.local_addr().map_err(ProxyError::LocalAddress)?;
         let ready_address = ready_listener.local_addr().map_err(ProxyError::LocalAddress)?;
-        let server = Rc::new(Server::new(settings.limits.max_fds));
+        let server = Rc::new(Server::new(settings.limits.max_file_descriptors));
 
         let feed = Rc::new(FeedCache::default());
         let client = Client::new(client_limits(&settings.limits, DEFAULT_CONNECTIONS));
--- a/crates/pebblepost-settings/src/model.rs
+++ b/crates/pebblepost-settings/src/model.rs
@@ -10,7 +10,7 @@
     /// Memory of one process, in bytes.
     pub memory_bytes: u64,
     /// File descriptors of one process.
-    pub max_fds: usize,
+    pub max_file_descriptors: usize,
     /// Rate of the machine's network link, in bytes a second.
     pub link_bytes_per_second: u64,
     /// Size of the data disk, in bytes; 0 for none.
@@ -38,21 +38,21 @@
     /// Time from SIGTERM to SIGKILL: a graceful shutdown takes no longer.
     pub shutdown_grace: Duration,
     /// A new configuration is applied by every program within this time.
-    pub config_apply: Duration,
+    pub config_apply_timeout: Duration,
     /// A restarted machine counts as failed until this time has passed: its replicas catch up.
-    pub catch_up: Duration,
+    pub catch_up_period: Duration,
     /// An address may be reused after this time.
-    pub addr_reuse: Duration,
+    pub address_reuse_delay: Duration,
     /// Batch jobs are retained for this time after their submission.
     pub job_retention: Duration,
     /// No request of a job runs later than this after its end was acknowledged.
     pub cancel_timeout: Duration,
     /// Lease duration: orders of two lease holders are at least this far apart.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Transcribers check fencing tokens.
-    pub fencing: bool,
+    pub fencing_enabled: bool,
     /// An event of a stream is forwarded within this time after its creation.
-    pub forward_delay: Duration,
+    pub max_forward_delay: Duration,
 }
 
 impl Default for Bounds {
@@ -62,14 +62,14 @@
             ack_timeout: Duration::from_millis(4000),
             drain_period: Duration::from_millis(2000),
             shutdown_grace: Duration::from_secs(8),
-            config_apply: Duration::from_millis(2000),
-            catch_up: Duration::from_millis(4500),
-            addr_reuse: Duration::from_secs(2),
+            config_apply_timeout: Duration::from_millis(2000),
+            catch_up_period: Duration::from_millis(4500),
+            address_reuse_delay: Duration::from_secs(2),
             job_retention: Duration::from_secs(120),
             cancel_timeout: Duration::from_millis(3000),
-            lease: Duration::from_millis(3000),
-            fencing: false,
-            forward_delay: Duration::from_millis(120),
+            lease_duration: Duration::from_millis(3000),
+            fencing_enabled: false,
+            max_forward_delay: Duration::from_millis(120),
         }
     }
 }
--- a/crates/pebblepost-settings/src/parse.rs
+++ b/crates/pebblepost-settings/src/parse.rs
@@ -39,7 +39,7 @@
         seeds: root.addresses("seeds")?,
         bootstrap: root.flag("bootstrap", false)?,
         data_dir: root.string("data_dir")?.map(PathBuf::from),
-        heartbeat: read_heartbeat(&root)?,
+        heartbeat_interval: read_heartbeat(&root)?,
         zones,
         client_address: listen.address("front")?,
         readiness_address: listen.address("ready")?,
@@ -83,7 +83,7 @@
     Ok(MachineLimits {
         cpu_share: section.number("cpu_share", DEFAULT_CPU_SHARE)?,
         memory_bytes: to_bytes(section.number("memory_mb", DEFAULT_MEMORY_MB)?),
-        max_fds: section.count("max_fds", DEFAULT_MAX_FDS)?,
+        max_file_descriptors: section.count("max_fds", DEFAULT_MAX_FDS)?,
         link_bytes_per_second: (section.number("link_mbps", DEFAULT_LINK_MBPS)? * BYTES_PER_MEGABIT) as u64,
         disk_bytes: to_bytes(section.number("disk_mb", 0.0)?),
     })
@@ -107,13 +107,13 @@
         ack_timeout: section.milliseconds("ack_timeout_ms", default.ack_timeout)?,
         drain_period: section.milliseconds("drain_ms", default.drain_period)?,
         shutdown_grace: section.seconds("grace_s", default.shutdown_grace)?,
-        config_apply: section.milliseconds("config_apply_ms", default.config_apply)?,
-        catch_up: section.seconds("catch_up_s", default.catch_up)?,
-        addr_reuse: section.seconds("addr_reuse_s", default.addr_reuse)?,
+        config_apply_timeout: section.milliseconds("config_apply_ms", default.config_apply_timeout)?,
+        catch_up_period: section.seconds("catch_up_s", default.catch_up_period)?,
+        address_reuse_delay: section.seconds("addr_reuse_s", default.address_reuse_delay)?,
         job_retention: section.seconds("status_s", default.job_retention)?,
         cancel_timeout: section.milliseconds("cancel_ms", default.cancel_timeout)?,
-        lease: section.milliseconds("lease_ms", default.lease)?,
-        fencing: section.flag("fencing", default.fencing)?,
-        forward_delay: section.milliseconds("pass_ms", default.forward_delay)?,
+        lease_duration: section.milliseconds("lease_ms", default.lease_duration)?,
+        fencing_enabled: section.flag("fencing", default.fencing_enabled)?,
+        max_forward_delay: section.milliseconds("pass_ms", default.max_forward_delay)?,
     })
 }
--- a/crates/pebblepost-settings/src/settings.rs
+++ b/crates/pebblepost-settings/src/settings.rs
@@ -38,7 +38,7 @@
     /// Directory of the data disk, if there is one.
     pub data_dir: Option<PathBuf>,
     /// Interval of a transcriber's heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Region of each zone.
     pub zones: RegionByZone,
     /// Address for clients, if the process serves them.
@@ -107,7 +107,7 @@
     }
 
     /// Addresses for links to the seeds: their hosts, at the port of control links.
-    pub fn control_links(&self) -> Vec<SocketAddr> {
+    pub fn control_link_addresses(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), self.control_link_port())).collect()
     }
 }
--- a/crates/pebblepost-settings/tests/settings.rs
+++ b/crates/pebblepost-settings/tests/settings.rs
@@ -52,21 +52,21 @@
     assert_eq!(settings.port_range, (7300, 7315));
     assert!(settings.bootstrap);
     assert_eq!(settings.data_dir, None);
-    assert_eq!(settings.heartbeat, Duration::from_millis(1300));
+    assert_eq!(settings.heartbeat_interval, Duration::from_millis(1300));
     assert_eq!(settings.zones["north"], "country");
     assert_eq!(settings.client_address.unwrap().to_string(), "10.1.0.10:8263");
     assert_eq!(settings.readiness_address.unwrap().to_string(), "10.1.0.10:8268");
     assert_eq!(settings.control_address, None);
     assert_eq!(settings.limits.cpu_share, 0.25);
     assert_eq!(settings.limits.memory_bytes, 260 * 1024 * 1024);
-    assert_eq!(settings.limits.max_fds, 4100);
+    assert_eq!(settings.limits.max_file_descriptors, 4100);
     assert_eq!(settings.limits.link_bytes_per_second, 7_500_000);
     assert_eq!(settings.limits.disk_bytes, 0);
     assert_eq!(
         (settings.tolerance.machines, settings.tolerance.zones, settings.tolerance.regions),
         (1, 0, 0)
     );
-    let links: Vec<String> = settings.control_links().iter().map(ToString::to_string).collect();
+    let links: Vec<String> = settings.control_link_addresses().iter().map(ToString::to_string).collect();
     assert_eq!(links, ["10.1.0.14:7300", "10.2.0.17:7300"]);
     let ports = [settings.control_link_port(), settings.store_link_port(), settings.agent_link_port()];
     assert_eq!(ports, [7300, 7301, 7302]);
@@ -76,10 +76,10 @@
 #[test]
 fn accepts_integers_and_fractions() {
     let bounds = Settings::parse(EDGE, "local.toml").unwrap().bounds;
-    assert_eq!(bounds.catch_up, Duration::from_millis(4700));
+    assert_eq!(bounds.catch_up_period, Duration::from_millis(4700));
     assert_eq!(bounds.job_retention, Duration::from_secs(60));
     assert_eq!(bounds.drain_period, Duration::from_micros(1_500_500));
-    assert!(bounds.fencing);
+    assert!(bounds.fencing_enabled);
 }
 
 #[test]
@@ -88,18 +88,18 @@
     assert!(!settings.bootstrap);
     assert!(settings.seeds.is_empty());
     assert_eq!(settings.data_dir, None);
-    assert_eq!(settings.heartbeat, Duration::from_millis(1200));
+    assert_eq!(settings.heartbeat_interval, Duration::from_millis(1200));
     assert_eq!(settings.bounds.ack_timeout, Duration::from_millis(4000));
     assert_eq!(settings.bounds.drain_period, Duration::from_millis(2000));
     assert_eq!(settings.bounds.shutdown_grace, Duration::from_secs(8));
-    assert_eq!(settings.bounds.config_apply, Duration::from_millis(2000));
-    assert_eq!(settings.bounds.catch_up, Duration::from_millis(4500));
-    assert_eq!(settings.bounds.addr_reuse, Duration::from_secs(2));
+    assert_eq!(settings.bounds.config_apply_timeout, Duration::from_millis(2000));
+    assert_eq!(settings.bounds.catch_up_period, Duration::from_millis(4500));
+    assert_eq!(settings.bounds.address_reuse_delay, Duration::from_secs(2));
     assert_eq!(settings.bounds.job_retention, Duration::from_secs(120));
     assert_eq!(settings.bounds.cancel_timeout, Duration::from_millis(3000));
-    assert_eq!(settings.bounds.lease, Duration::from_millis(3000));
-    assert_eq!(settings.bounds.forward_delay, Duration::from_millis(120));
-    assert!(!settings.bounds.fencing);
+    assert_eq!(settings.bounds.lease_duration, Duration::from_millis(3000));
+    assert_eq!(settings.bounds.max_forward_delay, Duration::from_millis(120));
+    assert!(!settings.bounds.fencing_enabled);
 }
 
 #[test]
--- a/crates/pebblepost-system/src/operator/status.rs
+++ b/crates/pebblepost-system/src/operator/status.rs
@@ -54,7 +54,7 @@
 
 /// State of the primary if it is among the addresses; otherwise of the first process that responds.
 async fn control_state(arguments: &ArgMatches) -> Result<Vec<u8>> {
-    let links = addresses(arguments, "link", Settings::control_links)?;
+    let links = addresses(arguments, "link", Settings::control_link_addresses)?;
     let mut first_state = None;
     let mut last_failure = usage_error("no address to call");
     for link in links {
--- a/crates/pebblepost-transcriber/src/call.rs
+++ b/crates/pebblepost-transcriber/src/call.rs
@@ -113,8 +113,8 @@
         expectation: Expectation<'_>,
     ) -> Result<StartedResponse, ClientError> {
         self.client.metrics.update(|metrics| match reason {
-            ConnectReason::Initial => metrics.initial_connections += 1,
-            ConnectReason::Replacement => metrics.replaced_connections += 1,
+            ConnectReason::Initial => metrics.initial_connection_attempts += 1,
+            ConnectReason::Replacement => metrics.replacement_connection_attempts += 1,
             ConnectReason::Additional => {}
         });
         let mut connection = self.connect(slot).await?;
@@ -129,7 +129,7 @@
     }
 
     async fn connect(&self, slot: ConnectionSlot) -> Result<PooledConnection, ClientError> {
-        self.client.metrics.update(|metrics| metrics.connections += 1);
+        self.client.metrics.update(|metrics| metrics.connection_attempts += 1);
         let connect_deadline = self.deadline.min(Instant::now() + self.limits.connect_timeout);
         match timeout_at(connect_deadline, Connection::open(self.target.address)).await {
             Ok(Ok(connection)) => Ok(slot.fill(connection)),
--- a/crates/pebblepost-transcriber/src/client.rs
+++ b/crates/pebblepost-transcriber/src/client.rs
@@ -75,8 +75,10 @@
     /// # Errors
     ///
     /// See [`ClientError`]; [`ClientError::MayHaveRun`] also if the response is not a load report.
-    pub async fn load_report(&self, target: &Target, timeout: Duration) -> Result<Option<Load>, ClientError> {
-        self.state.metrics.update(|metrics| metrics.reports += 1);
+    pub async fn request_load_report(
+        &self, target: &Target, timeout: Duration,
+    ) -> Result<Option<Load>, ClientError> {
+        self.state.metrics.update(|metrics| metrics.load_reports += 1);
         let request = request::without_id(target, Method::GET, LOAD_REPORT_PATH, Bytes::new(), timeout);
         // One connection more: a transcriber whose connections are all in use must not look unreachable.
         let mut limits = self.state.limits.get();
@@ -97,7 +99,7 @@
     /// # Errors
     ///
     /// See [`ClientError`]; [`ClientError::MayHaveRun`] also if the response is a load report.
-    pub async fn order(
+    pub async fn send_load_order(
         &self, target: &Target, body: Bytes, send_by: Instant, timeout: Duration,
     ) -> Result<StatusCode, ClientError> {
         let mut request = request::without_id(target, Method::POST, ORDER_PATH, body, timeout);
--- a/crates/pebblepost-transcriber/src/event_parser.rs
+++ b/crates/pebblepost-transcriber/src/event_parser.rs
@@ -71,7 +71,7 @@
     }
 
     /// Whether an incomplete event is left: an id, data, or an incomplete line.
-    pub fn is_inside_event(&self) -> bool {
+    pub fn has_incomplete_event(&self) -> bool {
         let unsearched = self.partial[self.searched..].iter().chain(&self.chunk);
         self.has_field || unsearched.clone().next().is_some_and(|first| *first != b':')
     }
--- a/crates/pebblepost-transcriber/src/event_stream.rs
+++ b/crates/pebblepost-transcriber/src/event_stream.rs
@@ -131,7 +131,7 @@
     /// broken connection, or is inside an event.
     async fn finish(&mut self) -> Result<(), ClientError> {
         let Some(source) = self.source.take() else { return Ok(()) };
-        if !source.framing.is_delimited || self.parser.is_inside_event() {
+        if !source.framing.is_delimited || self.parser.has_incomplete_event() {
             return Err(self.abort(ClientError::MayHaveRun));
         }
         source.connection.release(source.framing.idle_limit).await;
--- a/crates/pebblepost-transcriber/src/load.rs
+++ b/crates/pebblepost-transcriber/src/load.rs
@@ -13,9 +13,9 @@
     /// Requests that it runs concurrently, if reported.
     pub slots: Option<u32>,
     /// An order is being carried out.
-    pub order_in_progress: bool,
+    pub load_order_in_progress: bool,
     /// Number of orders accepted.
-    pub sequence: u64,
+    pub accepted_load_orders: u64,
     /// Names of the loaded models, with the versions of their weights.
     pub models: Vec<(String, u64)>,
 }
@@ -49,8 +49,8 @@
         running: small_number("running").unwrap_or(0),
         waiting: small_number("waiting").unwrap_or(0),
         slots: small_number("slots"),
-        order_in_progress: report.get("busy").and_then(|busy| busy.as_bool()).unwrap_or(false),
-        sequence: number("sequence").unwrap_or(0),
+        load_order_in_progress: report.get("busy").and_then(|busy| busy.as_bool()).unwrap_or(false),
+        accepted_load_orders: number("sequence").unwrap_or(0),
         models: parse_models(&report),
     })
 }
--- a/crates/pebblepost-transcriber/src/metrics.rs
+++ b/crates/pebblepost-transcriber/src/metrics.rs
@@ -6,15 +6,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientMetrics {
     /// Connection attempts.
-    pub connections: u64,
+    pub connection_attempts: u64,
     /// Connection attempts to a transcriber to which there was no connection.
-    pub initial_connections: u64,
+    pub initial_connection_attempts: u64,
     /// Connection attempts in place of a connection that was idle for too long or found closed.
-    pub replaced_connections: u64,
+    pub replacement_connection_attempts: u64,
     /// Requests sent, load reports and orders included.
     pub requests: u64,
     /// Load reports requested.
-    pub reports: u64,
+    pub load_reports: u64,
 }
 
 /// The counters in a cell, shared within one thread.
--- a/crates/pebblepost-transcriber/tests/client/exchanges.rs
+++ b/crates/pebblepost-transcriber/tests/client/exchanges.rs
@@ -39,7 +39,7 @@
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
         client.send(&server.target(), outgoing("b")).await.unwrap();
-        assert_eq!((client.metrics().connections, client.metrics().requests), (1, 2));
+        assert_eq!((client.metrics().connection_attempts, client.metrics().requests), (1, 2));
     });
 }
 
@@ -59,7 +59,7 @@
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
         client.send(&server.target(), outgoing("b")).await.unwrap();
-        assert_eq!(client.metrics().connections, 2);
+        assert_eq!(client.metrics().connection_attempts, 2);
     });
 }
 
@@ -81,7 +81,7 @@
         late.send(()).unwrap();
         wait_written.await.unwrap();
         let response = client.send(&server.target(), outgoing("b")).await.unwrap();
-        assert_eq!((&response.body[..], client.metrics().connections), (&b"ho"[..], 2));
+        assert_eq!((&response.body[..], client.metrics().connection_attempts), (&b"ho"[..], 2));
     });
 }
 
@@ -95,7 +95,7 @@
         client.send(&server.target(), outgoing("a")).await.unwrap();
         closed.await.unwrap();
         client.send(&server.target(), outgoing("b")).await.unwrap();
-        assert_eq!(client.metrics().connections, 2);
+        assert_eq!(client.metrics().connection_attempts, 2);
     });
 }
 
@@ -122,7 +122,7 @@
         let failure = client.send(&server.target(), outgoing("a")).await.unwrap_err();
         assert_eq!(failure, ClientError::MayHaveRun);
         client.send(&server.target(), outgoing("b")).await.unwrap();
-        assert_eq!(client.metrics().connections, 2);
+        assert_eq!(client.metrics().connection_attempts, 2);
     });
 }
 
@@ -247,7 +247,7 @@
             });
         assert_eq!(third, ClientError::NotSent);
         assert_eq!((&first.unwrap().body[..], &second.unwrap().body[..]), (&b"hi"[..], &b"ho"[..]));
-        assert_eq!(client.metrics().connections, 1);
+        assert_eq!(client.metrics().connection_attempts, 1);
     });
 }
 
@@ -264,7 +264,7 @@
         });
         let target = server.target();
         let (response, load) = tokio::join!(client.send(&target, outgoing("a")), async {
-            let load = client.load_report(&target, Duration::from_secs(5)).await;
+            let load = client.request_load_report(&target, Duration::from_secs(5)).await;
             release.send(()).unwrap();
             load
         });
@@ -272,7 +272,11 @@
         assert!(response.is_ok());
         let metrics = client.metrics();
         assert_eq!(
-            (metrics.connections, metrics.initial_connections, metrics.replaced_connections),
+            (
+                metrics.connection_attempts,
+                metrics.initial_connection_attempts,
+                metrics.replacement_connection_attempts
+            ),
             (2, 1, 0)
         );
     });
@@ -346,12 +350,12 @@
         tokio::time::advance(Duration::from_millis(1600)).await;
         tokio::time::resume();
         client.send(&server.target(), outgoing("a")).await.unwrap();
-        assert_eq!(client.metrics().connections, 1);
+        assert_eq!(client.metrics().connection_attempts, 1);
         tokio::time::pause();
         tokio::time::advance(Duration::from_millis(1701)).await;
         tokio::time::resume();
         client.send(&server.target(), outgoing("a")).await.unwrap();
-        assert_eq!(client.metrics().connections, 2);
+        assert_eq!(client.metrics().connection_attempts, 2);
     });
 }
 
@@ -365,9 +369,12 @@
         let server = Scripted::start(vec![script]).await;
         let client = client();
         let target = server.target();
-        let load = client.load_report(&target, Duration::from_secs(1)).await.unwrap().unwrap();
+        let load = client.request_load_report(&target, Duration::from_secs(1)).await.unwrap().unwrap();
         assert_eq!((load.running, load.waiting), (12, 1));
-        let status = client.order(&target, "{}".into(), in_a_second(), Duration::from_secs(1)).await.unwrap();
+        let status = client
+            .send_load_order(&target, "{}".into(), in_a_second(), Duration::from_secs(1))
+            .await
+            .unwrap();
         assert_eq!(status, StatusCode::ACCEPTED);
         let host = server.address;
         let approved = [
@@ -378,7 +385,7 @@
             ),
         ];
         assert_eq!(server.requests(), approved);
-        assert_eq!((client.metrics().reports, client.metrics().requests), (1, 2));
+        assert_eq!((client.metrics().load_reports, client.metrics().requests), (1, 2));
     });
 }
 
@@ -391,9 +398,9 @@
         let script = vec![Step::Read, Step::Write(with_load), Step::Read, Step::Write(without)];
         let server = Scripted::start(vec![script]).await;
         let (client, target) = (client(), server.target());
-        let load = client.load_report(&target, Duration::from_secs(1)).await.unwrap().unwrap();
+        let load = client.request_load_report(&target, Duration::from_secs(1)).await.unwrap().unwrap();
         assert_eq!((load.running, load.waiting, load.slots), (2, 1, Some(6)));
-        assert_eq!(client.load_report(&target, Duration::from_secs(1)).await, Ok(None));
+        assert_eq!(client.request_load_report(&target, Duration::from_secs(1)).await, Ok(None));
     });
 }
 
@@ -402,7 +409,8 @@
     run(async {
         let surplus = b"HTTP/1.1 200 OK\r\nrequest-id: old\r\ncontent-length: 2\r\n\r\n{}";
         let server = Scripted::start(vec![vec![Step::Read, Step::Write(surplus)]]).await;
-        let failure = client().load_report(&server.target(), Duration::from_secs(1)).await.unwrap_err();
+        let failure =
+            client().request_load_report(&server.target(), Duration::from_secs(1)).await.unwrap_err();
         assert_eq!(failure, ClientError::MayHaveRun);
     });
 }
@@ -416,8 +424,9 @@
         let script = vec![Step::Read, Step::Write(report), Step::Read, Step::Write(report)];
         let server = Scripted::start(vec![script]).await;
         let (client, target) = (client(), server.target());
-        assert!(client.load_report(&target, Duration::from_secs(1)).await.is_ok());
-        let response = client.order(&target, "{}".into(), in_a_second(), Duration::from_secs(1)).await;
+        assert!(client.request_load_report(&target, Duration::from_secs(1)).await.is_ok());
+        let response =
+            client.send_load_order(&target, "{}".into(), in_a_second(), Duration::from_secs(1)).await;
         assert_eq!(response, Err(ClientError::MayHaveRun), "whether the order was taken is not known");
     });
 }
@@ -445,7 +454,8 @@
             client.send(&target, outgoing("a")).await.unwrap();
         }
         let requests = client.metrics().requests;
-        let response = client.order(&target, "{}".into(), Instant::now(), Duration::from_secs(1)).await;
+        let response =
+            client.send_load_order(&target, "{}".into(), Instant::now(), Duration::from_secs(1)).await;
         assert_eq!(response, Err(ClientError::NotSent));
         assert_eq!(client.metrics().requests, requests, "nothing was written");
     });
@@ -466,7 +476,7 @@
         client.send(&server.target(), long).await.ok();
         let response = client.send(&server.target(), outgoing("b")).await.unwrap();
         assert_eq!(&response.body[..], b"ho");
-        assert_eq!(client.metrics().connections, 2);
+        assert_eq!(client.metrics().connection_attempts, 2);
         drop(client);
         let rest = rest.await.unwrap();
         assert!(rest.iter().all(|byte| *byte == b'x'), "other bytes stand in the place of the body");
--- a/crates/pebblepost-transcriber/tests/client/streams.rs
+++ b/crates/pebblepost-transcriber/tests/client/streams.rs
@@ -44,7 +44,7 @@
         assert_eq!(stream.next(READ_TIMEOUT).await.unwrap(), None);
         assert_eq!(stream.next(READ_TIMEOUT).await.unwrap(), None);
         client.send(&server.target(), outgoing("b")).await.unwrap();
-        assert_eq!(client.metrics().connections, 1);
+        assert_eq!(client.metrics().connection_attempts, 1);
     });
 }
 
--- a/crates/pebblepost-transcriber/tests/parsing.rs
+++ b/crates/pebblepost-transcriber/tests/parsing.rs
@@ -24,7 +24,7 @@
     let mut parser = EventParser::default();
     parser.feed(Bytes::from_static(STREAM.as_bytes()));
     let expected = events(&mut parser);
-    assert!(!parser.is_inside_event());
+    assert!(!parser.has_incomplete_event());
     let summary: Vec<_> =
         expected.iter().map(|event| (event.id, event.data.clone(), event.weight_version)).collect();
     assert_eq!(summary, [(4, b"a\nb".to_vec(), Some(3)), (5, b" c".to_vec(), None)]);
@@ -38,7 +38,7 @@
             found.extend(events(&mut parser));
         }
         assert_eq!(found, expected, "in chunks of {size}");
-        assert!(!parser.is_inside_event());
+        assert!(!parser.has_incomplete_event());
     }
 }
 
@@ -50,7 +50,7 @@
     let mut parser = EventParser::default();
     parser.feed(Bytes::from_static(bytes.as_bytes()));
     events(&mut parser);
-    assert!(parser.is_inside_event());
+    assert!(parser.has_incomplete_event());
 }
 
 #[rstest]
@@ -97,8 +97,8 @@
         running: 12,
         waiting: 1,
         slots: None,
-        order_in_progress: true,
-        sequence: 2,
+        load_order_in_progress: true,
+        accepted_load_orders: 2,
         models: vec![("daka".to_owned(), 2)],
     };
     assert_eq!(parse_load_report(report), Some(expected));
