--- a/crates/pebblepost-transcriber/src/call.rs
+++ b/crates/pebblepost-transcriber/src/call.rs
@@ -1,4 +1,4 @@
-//! One call: a request on a pooled connection, up to the head of its response.
+//! A call: one request on a pooled connection, until the head of its response has arrived.
 
 use crate::connection::{Connection, ExchangeError};
 use crate::error::ClientError;
@@ -13,22 +13,24 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// With less time left than this, a request is not written: `Deadline-Ms` could not express it.
+/// A request with less time left than this is not written, because `Deadline-Ms` counts whole milliseconds.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
 
-/// A call in flight. How far it came decides what its failure means.
+/// A call in flight.
+///
+/// Whether its request may have been written decides which [`ClientError`] a failure is reported as.
 pub(crate) struct Call<'a> {
-    client: &'a ClientState,
+    state: &'a ClientState,
     limits: ClientLimits,
     target: &'a Target,
     deadline: Instant,
-    /// The request is not written later than this.
+    /// Time from which on the request is no longer written, if there is such a limit.
     send_by: Option<Instant>,
-    /// Bytes of the request may have been written.
-    written: Cell<bool>,
+    /// Whether bytes of the request may have been written.
+    may_have_been_written: Cell<bool>,
 }
 
-/// A response whose head has arrived, with the connection on which its body follows.
+/// A response whose head has arrived, and the connection from which its body is still to be read.
 pub(crate) struct StartedResponse {
     pub(crate) connection: PooledConnection,
     pub(crate) response: ValidatedResponse,
@@ -43,7 +45,12 @@
         Ok(StartedResponse { connection, response, body })
     }
 
-    /// Reads the body, and returns the connection to the pool if the response is complete.
+    /// Reads the body, then returns the connection to the pool.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`ClientError::MayHaveRun`] and closes the connection if the body is truncated, exceeds
+    /// `max_body_bytes`, or has an end that cannot be distinguished from a broken connection.
     pub(crate) async fn buffer(self, max_body_bytes: usize) -> Result<BufferedResponse, ClientError> {
         let StartedResponse { mut connection, response, body } = self;
         if !response.framing.is_delimited {
@@ -56,27 +63,32 @@
 }
 
 impl<'a> Call<'a> {
-    /// A call that ends by itself after `timeout`.
+    /// Creates a call whose deadline is `timeout` from now.
     pub(crate) fn new(
-        client: &'a ClientState, limits: ClientLimits, target: &'a Target, timeout: Duration,
+        state: &'a ClientState, limits: ClientLimits, target: &'a Target, timeout: Duration,
     ) -> Call<'a> {
         let deadline = Instant::now() + timeout;
-        Call { client, limits, target, deadline, send_by: None, written: Cell::new(false) }
+        Call { state, limits, target, deadline, send_by: None, may_have_been_written: Cell::new(false) }
     }
 
-    /// The call with a limit on the time of writing.
-    pub(crate) fn sent_by(self, send_by: Instant) -> Call<'a> {
+    /// Sets the time from which on the request is no longer written.
+    pub(crate) fn with_send_by(self, send_by: Instant) -> Call<'a> {
         Call { send_by: Some(send_by), ..self }
     }
 
-    /// Runs the work of this call until its deadline.
-    pub(crate) async fn until_deadline<T>(
+    /// Runs the work of this call, and cancels it at the deadline.
+    ///
+    /// # Errors
+    ///
+    /// At the deadline, returns [`ClientError::TimedOut`] if the request may have been written, else
+    /// [`ClientError::NotSent`].
+    pub(crate) async fn run_until_deadline<T>(
         &self, work: impl Future<Output = Result<T, ClientError>>,
     ) -> Result<T, ClientError> {
-        timeout_at(self.deadline, work).await.unwrap_or_else(|_| Err(self.timeout_error()))
+        timeout_at(self.deadline, work).await.unwrap_or_else(|_| Err(self.deadline_error()))
     }
 
-    /// Sends a request and waits for the head of its response.
+    /// Waits for a connection, sends a request on it and waits for the head of the response.
     pub(crate) async fn start(&self, request: OutgoingRequest) -> Result<StartedResponse, ClientError> {
         let request_id = request.request_id.clone();
         let expectation = Expectation {
@@ -86,33 +98,37 @@
         };
         let request = request::build(self.target, request)?;
         let max_connections = self.limits.max_connections_per_transcriber;
-        match self.client.pool.checkout(self.target, max_connections).await {
-            Checkout::Reused(connection) => self.send_on_reused(connection, request, expectation).await,
-            Checkout::Connect(slot, reason) => self.send_on_new(slot, reason, request, expectation).await,
+        match self.state.pool.checkout(self.target, max_connections).await {
+            Checkout::Reused(connection) => {
+                self.send_on_idle_connection(connection, request, expectation).await
+            }
+            Checkout::Connect(slot, reason) => {
+                self.send_on_new_connection(slot, reason, request, expectation).await
+            }
             Checkout::TargetRemoved => Err(ClientError::NotSent),
         }
     }
 
-    /// Sends on a connection of the pool, or on a new one if the former turns out to be closed.
-    async fn send_on_reused(
+    /// Sends on an idle connection of the pool. If that is closed before a byte is written, sends on a new one.
+    async fn send_on_idle_connection(
         &self, mut connection: PooledConnection, request: WireRequest, expectation: Expectation<'_>,
     ) -> Result<StartedResponse, ClientError> {
         match self.exchange(&mut connection.connection, request).await {
             Ok(response) => StartedResponse::new(connection, response, expectation),
             Err(ExchangeError::NotWritten(request)) => {
-                self.written.set(false);
+                self.may_have_been_written.set(false);
                 let slot = connection.into_slot();
-                self.send_on_new(slot, ConnectReason::Replacement, *request, expectation).await
+                self.send_on_new_connection(slot, ConnectReason::Replacement, *request, expectation).await
             }
             Err(ExchangeError::Broken) => Err(ClientError::MayHaveRun),
         }
     }
 
-    async fn send_on_new(
+    async fn send_on_new_connection(
         &self, slot: ConnectionSlot, reason: ConnectReason, request: WireRequest,
         expectation: Expectation<'_>,
     ) -> Result<StartedResponse, ClientError> {
-        self.client.metrics.update(|metrics| match reason {
+        self.state.metrics.update(|metrics| match reason {
             ConnectReason::Initial => metrics.initial_connection_attempts += 1,
             ConnectReason::Replacement => metrics.replacement_connection_attempts += 1,
             ConnectReason::Additional => {}
@@ -129,36 +145,40 @@
     }
 
     async fn connect(&self, slot: ConnectionSlot) -> Result<PooledConnection, ClientError> {
-        self.client.metrics.update(|metrics| metrics.connection_attempts += 1);
+        self.state.metrics.update(|metrics| metrics.connection_attempts += 1);
         let connect_deadline = self.deadline.min(Instant::now() + self.limits.connect_timeout);
         match timeout_at(connect_deadline, Connection::open(self.target.address)).await {
             Ok(Ok(connection)) => Ok(slot.fill(connection)),
             Ok(Err(error)) => {
-                log::debug!("connecting to transcriber failed address={}: {error}", self.target.address);
+                log::debug!(
+                    "connecting to transcriber failed, request not sent address={}: {error}",
+                    self.target.address
+                );
                 Err(ClientError::NotSent)
             }
             Err(_) => Err(ClientError::NotSent),
         }
     }
 
-    /// Writes a request, with the time left as of now, and waits for the head of the response.
+    /// Writes a request with `Deadline-Ms` set to the time left now, and waits for the head of the response. Does not
+    /// write it if its time is over.
     async fn exchange(
         &self, connection: &mut Connection, mut request: WireRequest,
     ) -> Result<Response<Incoming>, ExchangeError> {
         let now = Instant::now();
         let time_left = self.deadline.saturating_duration_since(now);
-        let is_late = self.send_by.is_some_and(|send_by| now >= send_by);
-        if is_late || time_left < MIN_TIME_LEFT {
+        let is_past_send_by = self.send_by.is_some_and(|send_by| now >= send_by);
+        if is_past_send_by || time_left < MIN_TIME_LEFT {
             return Err(ExchangeError::NotWritten(Box::new(request)));
         }
         request::set_deadline(&mut request, time_left);
-        self.client.metrics.update(|metrics| metrics.requests += 1);
-        self.written.set(true);
+        self.state.metrics.update(|metrics| metrics.requests += 1);
+        self.may_have_been_written.set(true);
         connection.exchange(request).await
     }
 
-    /// What it means that the deadline has passed.
-    fn timeout_error(&self) -> ClientError {
-        if self.written.get() { ClientError::TimedOut } else { ClientError::NotSent }
+    /// Returns the error to report once the deadline has passed.
+    fn deadline_error(&self) -> ClientError {
+        if self.may_have_been_written.get() { ClientError::TimedOut } else { ClientError::NotSent }
     }
 }
--- a/crates/pebblepost-transcriber/src/client.rs
+++ b/crates/pebblepost-transcriber/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: its public operations.
+//! The public operations of the client.
 
 use crate::call::{Call, StartedResponse};
 use crate::error::ClientError;
@@ -16,9 +16,12 @@
 use tokio::time::Instant;
 
 const LOAD_REPORT_PATH: &str = "/report";
-const ORDER_PATH: &str = "/order";
+const LOAD_ORDER_PATH: &str = "/order";
 
-/// The client; cheap to clone, shared within one thread.
+/// An HTTP/1.1 client for transcribers.
+///
+/// Clones share the connections, limits and counters. The client belongs to one thread, and its operations need a
+/// `tokio` runtime.
 #[derive(Clone)]
 pub struct Client {
     state: Rc<ClientState>,
@@ -31,24 +34,29 @@
 }
 
 impl Client {
-    /// A client without connections.
+    /// Creates a client without connections.
     pub fn new(limits: ClientLimits) -> Client {
         Client { state: Rc::new(ClientState::new(limits)) }
     }
 
-    /// Sends a request and reads the complete response. Dropping the future closes the connection.
+    /// Sends a request and reads the complete response.
+    ///
+    /// Waits for a connection while all connections to the transcriber are in use. Dropping the future closes the
+    /// connection, which cancels the request at the transcriber.
     ///
     /// # Errors
     ///
-    /// See [`ClientError`]. A response of any status is not an error.
+    /// See [`ClientError`]. A complete response is not an error, whatever its status.
     pub async fn send(
         &self, target: &Target, request: OutgoingRequest,
     ) -> Result<BufferedResponse, ClientError> {
-        self.send_within(self.state.limits.get(), target, request).await
+        self.send_with_limits(self.state.limits.get(), target, request).await
     }
 
-    /// Sends a request whose response may be an event stream. The head of the response must arrive by the deadline;
-    /// other responses are read completely.
+    /// Sends a request whose response may be an event stream.
+    ///
+    /// The head of the response must arrive by the deadline of the request. The deadline does not limit the events of
+    /// a stream; a response that is not a stream is read completely by the deadline.
     ///
     /// # Errors
     ///
@@ -57,10 +65,10 @@
         &self, target: &Target, request: OutgoingRequest,
     ) -> Result<StreamResponse, ClientError> {
         let call = Call::new(&self.state, self.state.limits.get(), target, request.timeout);
-        call.until_deadline(async {
+        call.run_until_deadline(async {
             let started = call.start(request).await?;
             if !is_event_stream(&started.response.head) {
-                return self.buffer(started).await.map(StreamResponse::Buffered);
+                return self.read_body(started).await.map(StreamResponse::Buffered);
             }
             let StartedResponse { connection, response, body } = started;
             let stream = EventStream::new(connection, body, response.framing);
@@ -69,81 +77,84 @@
         .await
     }
 
-    /// Requests the load of a transcriber (`GET /report`). `None` if the transcriber responds without reporting a
-    /// load. A rejected request may still report it in `Instance-Load`.
+    /// Requests the load of a transcriber (`GET /report`).
+    ///
+    /// If the transcriber rejects the request, returns the load from the `Instance-Load` header of the rejection, or
+    /// `None` without that header.
     ///
     /// # Errors
     ///
-    /// See [`ClientError`]; [`ClientError::MayHaveRun`] also if the response is not a load report.
+    /// See [`ClientError`]. [`ClientError::MayHaveRun`] also stands for a response that is not a load report.
     pub async fn request_load_report(
         &self, target: &Target, timeout: Duration,
     ) -> Result<Option<Load>, ClientError> {
         self.state.metrics.update(|metrics| metrics.load_reports += 1);
-        let request = request::without_id(target, Method::GET, LOAD_REPORT_PATH, Bytes::new(), timeout);
-        // One connection more: a transcriber whose connections are all in use must not look unreachable.
+        let request = request::new_without_id(target, Method::GET, LOAD_REPORT_PATH, Bytes::new(), timeout);
+        // Allows one connection above the limit, so that a transcriber whose connections are all in use does not
+        // appear unreachable.
         let mut limits = self.state.limits.get();
         limits.max_connections_per_transcriber += 1;
-        let response = self.send_within(limits, target, request).await?;
+        let response = self.send_with_limits(limits, target, request).await?;
         if response.head.status == StatusCode::OK {
             return parse_load_report(&response.body).map(Some).ok_or(ClientError::MayHaveRun);
         }
         if response.head.not_executed { Ok(response.head.load) } else { Err(ClientError::MayHaveRun) }
     }
 
-    /// Sends an order (`POST /order`) with a JSON body and returns the status. The order is written before `send_by` or
-    /// not at all ([`ClientError::NotSent`]): it may be valid no longer than that.
+    /// Sends a load order (`POST /order`) with a JSON body and returns the status of the response.
     ///
-    /// Orders and load reports carry no id by which their responses could be distinguished. A load report in place of
-    /// the response is a surplus one, to an earlier request.
+    /// From `send_by` on the load order is no longer written, because it may have become invalid; the call then fails
+    /// with [`ClientError::NotSent`].
     ///
     /// # Errors
     ///
-    /// See [`ClientError`]; [`ClientError::MayHaveRun`] also if the response is a load report.
+    /// See [`ClientError`]. [`ClientError::MayHaveRun`] also stands for a load report in place of the response: load
+    /// orders and load reports carry no id, so a surplus response to an earlier request for a load report can only be
+    /// recognized by its body.
     pub async fn send_load_order(
         &self, target: &Target, body: Bytes, send_by: Instant, timeout: Duration,
     ) -> Result<StatusCode, ClientError> {
-        let mut request = request::without_id(target, Method::POST, ORDER_PATH, body, timeout);
+        let mut request = request::new_without_id(target, Method::POST, LOAD_ORDER_PATH, body, timeout);
         request.headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        let call = Call::new(&self.state, self.state.limits.get(), target, timeout).sent_by(send_by);
-        let response = self.finish(call, request).await?;
+        let call = Call::new(&self.state, self.state.limits.get(), target, timeout).with_send_by(send_by);
+        let response = self.run(call, request).await?;
         if is_load_report(&response.body) { Err(ClientError::MayHaveRun) } else { Ok(response.head.status) }
     }
 
-    /// Replaces the limits; for a new configuration.
+    /// Replaces the limits. A lower limit closes no existing connection.
     pub fn set_limits(&self, limits: ClientLimits) {
         self.state.limits.set(limits);
     }
 
-    /// Closes the idle connections to a transcriber that is draining or gone; those in use are closed after their
-    /// response. Calls to it whose request is not written yet end with [`ClientError::NotSent`].
+    /// Closes the connections to a transcriber that is draining or has terminated: idle ones now, those in use after
+    /// their response.
+    ///
+    /// Calls that wait for a connection to it or for its establishment fail with [`ClientError::NotSent`].
     pub fn remove_target(&self, target: &Target) {
         self.state.pool.remove(target);
     }
 
-    /// Counters so far.
+    /// Returns the counters since the creation of the client.
     pub fn metrics(&self) -> ClientMetrics {
         self.state.metrics.get()
     }
 
-    async fn send_within(
+    async fn send_with_limits(
         &self, limits: ClientLimits, target: &Target, request: OutgoingRequest,
     ) -> Result<BufferedResponse, ClientError> {
         let call = Call::new(&self.state, limits, target, request.timeout);
-        self.finish(call, request).await
+        self.run(call, request).await
     }
 
-    async fn finish(
-        &self, call: Call<'_>, request: OutgoingRequest,
-    ) -> Result<BufferedResponse, ClientError> {
-        call.until_deadline(async {
+    async fn run(&self, call: Call<'_>, request: OutgoingRequest) -> Result<BufferedResponse, ClientError> {
+        call.run_until_deadline(async {
             let started = call.start(request).await?;
-            self.buffer(started).await
+            self.read_body(started).await
         })
         .await
     }
 
-    /// Reads the body, and returns the connection to the pool if the response is complete.
-    async fn buffer(&self, started: StartedResponse) -> Result<BufferedResponse, ClientError> {
+    async fn read_body(&self, started: StartedResponse) -> Result<BufferedResponse, ClientError> {
         started.buffer(self.state.limits.get().max_body_bytes).await
     }
 }
--- a/crates/pebblepost-transcriber/src/connection.rs
+++ b/crates/pebblepost-transcriber/src/connection.rs
@@ -1,7 +1,7 @@
-//! One connection to a transcriber, driven by its user.
+//! One HTTP/1.1 connection to a transcriber, without a task of its own.
 //!
-//! A connection has no task: the future that waits for a response polls the connection as well. Dropping that future
-//! closes the connection, and no message is passed between tasks for a request or response.
+//! The future that waits for a response also polls the connection. So dropping that future closes the connection, and
+//! a request or response needs no message between tasks.
 
 use crate::request::WireRequest;
 use bytes::Bytes;
@@ -18,29 +18,34 @@
 use std::time::Duration;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// A connection whose bytes stay unacknowledged for this long is closed (`TCP_USER_TIMEOUT`).
+/// Time after which the kernel closes a connection with unacknowledged bytes (`TCP_USER_TIMEOUT`).
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Read buffer of a connection.
-const MAX_BUFFERED_BYTES: usize = 64 * 1024;
+/// Maximum size of the buffer that `hyper` uses for one connection.
+const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A connection for one exchange at a time.
+/// A connection that carries one request and response at a time.
 pub(crate) struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     driver: http1::Connection<TokioIo<TcpStream>, Full<Bytes>>,
-    /// The driver has ended: it must not be polled again.
+    /// Whether the driver has ended. It must not be polled again then.
     is_closed: bool,
 }
 
-/// Why an exchange returned no head of a response.
+/// Why a request got no head of a response.
 pub(crate) enum ExchangeError {
-    /// No byte was written; the request is returned.
+    /// No byte of the request was written. Returns the request, so that it can be sent on another connection.
     NotWritten(Box<WireRequest>),
-    /// Bytes may have been written.
+    /// The connection broke after bytes of the request may have been written.
     Broken,
 }
 
 impl Connection {
-    /// Opens a connection.
+    /// Connects to a transcriber.
+    ///
+    /// # Errors
+    ///
+    /// The socket cannot be created or configured, or the connection cannot be established. There is no timeout; the
+    /// caller sets one.
     pub(crate) async fn open(address: SocketAddr) -> io::Result<Connection> {
         let socket = match address {
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -50,28 +55,28 @@
         SockRef::from(&socket).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
         let stream = socket.connect(address).await?;
         let (sender, driver) = http1::Builder::new()
-            .max_buf_size(MAX_BUFFERED_BYTES)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
         Ok(Connection { sender, driver, is_closed: false })
     }
 
-    /// Does the pending input and output.
+    /// Makes progress on pending input and output.
     fn drive(&mut self, context: &mut Context<'_>) {
         if self.is_closed {
             return;
         }
-        if let Poll::Ready(end) = Pin::new(&mut self.driver).poll(context) {
+        if let Poll::Ready(result) = Pin::new(&mut self.driver).poll(context) {
             self.is_closed = true;
-            if let Err(error) = end {
-                log::debug!("connection to transcriber ended: {error}");
+            if let Err(error) = result {
+                log::debug!("connection to transcriber closed with an error: {error}");
             }
         }
     }
 
-    /// Whether another request may be sent: the last response is complete, the peer has not closed the connection,
-    /// and there are no unread bytes.
+    /// Returns whether another request may be sent: the last response is complete, the transcriber has not closed the
+    /// connection, and there are no unread bytes.
     pub(crate) async fn is_reusable(&mut self) -> bool {
         poll_fn(|context| {
             self.drive(context);
@@ -81,6 +86,8 @@
     }
 
     /// Sends a request and waits for the head of its response.
+    ///
+    /// Dropping the future leaves the request in flight: the connection must be closed then.
     pub(crate) async fn exchange(
         &mut self, request: WireRequest,
     ) -> Result<http::Response<Incoming>, ExchangeError> {
@@ -100,7 +107,9 @@
         })
     }
 
-    /// Next frame of a body on this connection; `None` at its end.
+    /// Polls for the next frame of a body that arrives on this connection; `None` at its end.
+    ///
+    /// Frames received already are returned before the connection is read.
     pub(crate) fn poll_frame(
         &mut self, body: &mut Incoming, context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
--- a/crates/pebblepost-transcriber/src/error.rs
+++ b/crates/pebblepost-transcriber/src/error.rs
@@ -1,16 +1,21 @@
-//! What a failed exchange means.
+//! Errors of the client: whether a failed request may have run.
 
-/// Why a call returned no response of the transcriber.
+/// Why a call returned no response, and whether the transcriber may have run the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
-    /// No connection was established, or it was closed before a byte of the request was written: the request did not
-    /// run.
-    #[error("the request was not sent")]
+    /// No byte of the request was written, so it did not run.
+    ///
+    /// No connection was available or established in time, the connection was closed before the first byte, the
+    /// transcriber was removed, or the request cannot be represented in HTTP.
+    #[error("request was not sent to the transcriber")]
     NotSent,
-    /// The connection broke after bytes were written, or the response is invalid: the request may have run.
-    #[error("the response was lost or invalid")]
+    /// The connection broke after bytes may have been written, or the response is invalid: the request may have run.
+    #[error("response was lost or is invalid; the request may have run")]
     MayHaveRun,
-    /// No response arrived by the deadline: the request may have run.
-    #[error("no response by the deadline")]
+    /// Bytes of the request may have been written, but no complete response arrived by the deadline: the request may
+    /// have run.
+    ///
+    /// For an event stream: no event was complete within the read timeout.
+    #[error("transcriber did not respond by the deadline; the request may have run")]
     TimedOut,
 }
--- a/crates/pebblepost-transcriber/src/event_parser.rs
+++ b/crates/pebblepost-transcriber/src/event_parser.rs
@@ -2,44 +2,47 @@
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event accepted.
+/// Maximum number of bytes that are buffered for an incomplete event.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// One event of a stream.
+/// One event of a stream of a transcriber.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its id, a number that rises within a stream.
+    /// Id of the event; increases within a stream.
     pub id: u64,
-    /// Its data lines, joined by line feeds.
+    /// Values of the `data` lines, joined by line feeds.
     pub data: Vec<u8>,
-    /// Version of the weights from this event on, if it names one (`weight-versions`).
+    /// Weight version from this event on, if the event names one (`weight-versions`).
     pub weight_version: Option<u64>,
-    /// Its bytes as received, with the empty line at its end.
+    /// Bytes of the event as received, including the empty line at its end.
     pub raw: Bytes,
 }
 
-/// The bytes are not a valid event of a transcriber: the id is missing, the id or version is not a number, or the event
-/// is too large.
+/// The bytes are not a valid event of a transcriber.
+///
+/// The id is missing, the id or weight version is not a number, or the event is larger than 1 MiB.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("invalid event")]
+#[error("event has no id, has an id or weight version that is not a number, or is larger than 1 MiB")]
 pub struct InvalidEvent;
 
-/// Splits bytes into events. Lines end with LF or CRLF. Lines without an id or data, such as comments, are not an event
-/// by themselves; they belong to the raw bytes of the next one.
+/// Splits the received bytes of a stream into events.
+///
+/// Lines end with LF or CRLF. Lines without an id or data, such as comments, are not an event by themselves, even if an
+/// empty line follows; they belong to the raw bytes of the next event.
 #[derive(Debug, Default)]
 pub struct EventParser {
-    /// Bytes received in one chunk, parsed without a copy while they contain complete events.
+    /// The last chunk of received bytes. Complete events are split off without a copy.
     chunk: Bytes,
-    /// An event of which the end is not received yet.
+    /// Bytes of an event whose end has not been received, copied from several chunks.
     partial: BytesMut,
-    /// Length of the part of `partial` that is searched for the end; it ends at the start of a line.
-    searched: usize,
-    /// The searched part contains an id or data.
+    /// Length of the part of `partial` in which the end was searched for already. It ends at the start of a line.
+    searched_len: usize,
+    /// Whether the searched part contains an id or data.
     has_field: bool,
 }
 
 impl EventParser {
-    /// Adds received bytes.
+    /// Adds received bytes. Does not parse them; see [`EventParser::next_event`].
     pub fn feed(&mut self, bytes: Bytes) {
         if self.chunk.is_empty() && self.partial.is_empty() {
             self.chunk = bytes;
@@ -49,67 +52,73 @@
         self.partial.extend_from_slice(&bytes);
     }
 
-    /// Next event, if it is complete.
+    /// Returns the next event, or `None` until it has been received completely.
     ///
     /// # Errors
     ///
-    /// The bytes are not a valid event. The parser cannot be used any more.
+    /// The bytes are not a valid event. The parser must not be used after an error.
     pub fn next_event(&mut self) -> Result<Option<StreamEvent>, InvalidEvent> {
         if !self.partial.is_empty() {
             return self.next_in_partial();
         }
         let mut has_field = false;
-        match find_end(&self.chunk, 0, &mut has_field) {
-            Search::End(end) => parse(self.chunk.split_to(end)).map(Some),
+        match find_event_end(&self.chunk, 0, &mut has_field) {
+            Search::End(end) => parse_event(self.chunk.split_to(end)).map(Some),
             Search::Incomplete(searched) => {
                 self.partial.extend_from_slice(&std::mem::take(&mut self.chunk));
-                self.searched = searched;
+                self.searched_len = searched;
                 self.has_field = has_field;
-                self.check_size()
+                self.check_partial_size()
             }
         }
     }
 
-    /// Whether an incomplete event is left: an id, data, or an incomplete line.
+    /// Returns whether the bytes received after the last event are the start of another one.
+    ///
+    /// That is an id, data, or an incomplete line that is not a comment. A stream that ends there is truncated.
     pub fn has_incomplete_event(&self) -> bool {
-        let unsearched = self.partial[self.searched..].iter().chain(&self.chunk);
+        let unsearched = self.partial[self.searched_len..].iter().chain(&self.chunk);
         self.has_field || unsearched.clone().next().is_some_and(|first| *first != b':')
     }
 
     fn next_in_partial(&mut self) -> Result<Option<StreamEvent>, InvalidEvent> {
-        match find_end(&self.partial, self.searched, &mut self.has_field) {
+        match find_event_end(&self.partial, self.searched_len, &mut self.has_field) {
             Search::End(end) => {
                 let mut bytes = std::mem::take(&mut self.partial).freeze();
                 let event = bytes.split_to(end);
                 self.chunk = bytes;
-                self.searched = 0;
+                self.searched_len = 0;
                 self.has_field = false;
-                parse(event).map(Some)
+                parse_event(event).map(Some)
             }
             Search::Incomplete(searched) => {
-                self.searched = searched;
-                self.check_size()
+                self.searched_len = searched;
+                self.check_partial_size()
             }
         }
     }
 
-    fn check_size(&self) -> Result<Option<StreamEvent>, InvalidEvent> {
+    /// Returns `None`, or an error if the incomplete event is too large.
+    fn check_partial_size(&self) -> Result<Option<StreamEvent>, InvalidEvent> {
         if self.partial.len() > MAX_EVENT_BYTES { Err(InvalidEvent) } else { Ok(None) }
     }
 }
 
+/// Result of the search for the end of an event.
 enum Search {
     /// The event ends before this offset.
     End(usize),
-    /// The event does not end here; complete lines up to this offset are searched.
+    /// The end is not among the complete lines, which reach up to this offset.
     Incomplete(usize),
 }
 
-/// Searches for the empty line that ends an event, from the start of a line on.
-fn find_end(bytes: &[u8], from: usize, has_field: &mut bool) -> Search {
+/// Searches for the empty line that ends an event. The search starts at `from`, which must be the start of a line.
+///
+/// Sets `has_field` once a line has an id or data; an empty line before that ends no event.
+fn find_event_end(bytes: &[u8], from: usize, has_field: &mut bool) -> Search {
     let mut start = from;
     while let Some(length) = bytes[start..].iter().position(|byte| *byte == b'\n') {
-        let line = without_carriage_return(&bytes[start..start + length]);
+        let line = strip_carriage_return(&bytes[start..start + length]);
         start += length + 1;
         if line.is_empty() && *has_field {
             return Search::End(start);
@@ -119,19 +128,19 @@
     Search::Incomplete(start)
 }
 
-fn without_carriage_return(line: &[u8]) -> &[u8] {
+fn strip_carriage_return(line: &[u8]) -> &[u8] {
     line.strip_suffix(b"\r").unwrap_or(line)
 }
 
-/// Parses the fields of a complete event.
-fn parse(raw: Bytes) -> Result<StreamEvent, InvalidEvent> {
+/// Parses the lines of a complete event.
+fn parse_event(raw: Bytes) -> Result<StreamEvent, InvalidEvent> {
     let mut id = None;
     let mut data: Option<Vec<u8>> = None;
     let mut weight_version = None;
-    for line in raw.split(|byte| *byte == b'\n').map(without_carriage_return) {
+    for line in raw.split(|byte| *byte == b'\n').map(strip_carriage_return) {
         let (name, value) = split_field(line);
         match name {
-            b"id" => id = Some(number(value)?),
+            b"id" => id = Some(parse_number(value)?),
             b"data" => match &mut data {
                 Some(data) => {
                     data.push(b'\n');
@@ -139,7 +148,7 @@
                 }
                 None => data = Some(value.to_vec()),
             },
-            b"weight-versions" => weight_version = Some(number(value)?),
+            b"weight-versions" => weight_version = Some(parse_number(value)?),
             _ => {}
         }
     }
@@ -147,8 +156,8 @@
     Ok(StreamEvent { id, data: data.unwrap_or_default(), weight_version, raw })
 }
 
-/// Name and value of a line; one space after the colon is not part of the value. A comment has an
-/// empty name.
+/// Splits a line into name and value. One space after the colon is not part of the value. The name of a comment is
+/// empty.
 fn split_field(line: &[u8]) -> (&[u8], &[u8]) {
     match line.iter().position(|byte| *byte == b':') {
         Some(colon) => {
@@ -159,7 +168,7 @@
     }
 }
 
-fn number(value: &[u8]) -> Result<u64, InvalidEvent> {
+fn parse_number(value: &[u8]) -> Result<u64, InvalidEvent> {
     let text = std::str::from_utf8(value).map_err(|_| InvalidEvent)?;
     text.trim().parse().map_err(|_| InvalidEvent)
 }
--- a/crates/pebblepost-transcriber/src/event_stream.rs
+++ b/crates/pebblepost-transcriber/src/event_stream.rs
@@ -1,4 +1,4 @@
-//! Event streams, as they arrive from a transcriber.
+//! Event streams: reads events from the body of a response as they arrive.
 
 use crate::error::ClientError;
 use crate::event_parser::{EventParser, StreamEvent};
@@ -15,18 +15,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep};
 
-const EVENT_STREAM: &str = "text/event-stream";
+const EVENT_STREAM_MEDIA_TYPE: &str = "text/event-stream";
 
 /// Response to a request for a stream.
 #[derive(Debug)]
 pub enum StreamResponse {
-    /// A stream begins: the status is 2xx and the content type `text/event-stream`.
+    /// Head of a response with a 2xx status and the content type `text/event-stream`, and its events.
     Stream(ResponseHead, EventStream),
-    /// Any other response, complete.
+    /// Any other response, read completely.
     Buffered(BufferedResponse),
 }
 
-/// A stream whose head has arrived. Dropping it closes the connection, which cancels the request.
+/// The events of a response whose head has arrived.
+///
+/// Dropping it before its end closes the connection, which cancels the request at the transcriber.
 pub struct EventStream {
     /// `None` once the stream has ended.
     source: Option<Source>,
@@ -34,7 +36,7 @@
     read_timer: Option<Pin<Box<Sleep>>>,
 }
 
-/// The connection and body of a stream.
+/// Connection and body from which the bytes of a stream are read.
 struct Source {
     connection: PooledConnection,
     body: Incoming,
@@ -47,11 +49,11 @@
     }
 }
 
-/// Whether a response is an event stream.
+/// Returns whether the body of a response is an event stream.
 pub(crate) fn is_event_stream(head: &ResponseHead) -> bool {
     let content_type = head.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok()).unwrap_or("");
-    let essence = content_type.split(';').next().unwrap_or("").trim();
-    head.status.is_success() && essence.eq_ignore_ascii_case(EVENT_STREAM)
+    let media_type = content_type.split(';').next().unwrap_or("").trim();
+    head.status.is_success() && media_type.eq_ignore_ascii_case(EVENT_STREAM_MEDIA_TYPE)
 }
 
 impl EventStream {
@@ -60,12 +62,13 @@
         EventStream { source: Some(source), parser: EventParser::default(), read_timer: None }
     }
 
-    /// Next event; `None` at the end of the stream.
+    /// Waits for the next event. Returns `None` at the end of the stream.
     ///
     /// # Errors
     ///
-    /// [`ClientError::MayHaveRun`] if the connection broke or the bytes are not a valid event,
-    /// [`ClientError::TimedOut`] if no event was complete within `read_timeout`. The stream has ended then.
+    /// Returns [`ClientError::MayHaveRun`] if the connection broke, the stream is truncated or an event is invalid, and
+    /// [`ClientError::TimedOut`] if no event was complete within `read_timeout`. Either closes the connection; later
+    /// calls return `None`.
     pub async fn next(&mut self, read_timeout: Duration) -> Result<Option<StreamEvent>, ClientError> {
         let mut timer_started = false;
         loop {
@@ -81,7 +84,7 @@
                 self.start_timer(read_timeout);
                 timer_started = true;
             }
-            match self.next_bytes().await {
+            match self.read_bytes().await {
                 Ok(Some(bytes)) => self.parser.feed(bytes),
                 Ok(None) => self.finish().await?,
                 Err(error) => return Err(self.abort(error)),
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Closes the connection.
+    /// Closes the connection, discards incomplete bytes and returns `error`.
     fn abort(&mut self, error: ClientError) -> ClientError {
         self.source = None;
         self.parser = EventParser::default();
@@ -103,8 +106,8 @@
         }
     }
 
-    /// Next bytes of the body; `None` at its end.
-    async fn next_bytes(&mut self) -> Result<Option<Bytes>, ClientError> {
+    /// Waits for bytes of the body. Returns `None` at its end.
+    async fn read_bytes(&mut self) -> Result<Option<Bytes>, ClientError> {
         let Some(source) = &mut self.source else { return Ok(None) };
         let timer = &mut self.read_timer;
         poll_fn(|context| {
@@ -127,8 +130,9 @@
         .await
     }
 
-    /// At the end of the body, returns the connection to the pool. Fails if the end cannot be distinguished from a
-    /// broken connection, or is inside an event.
+    /// Returns the connection to the pool at the end of the body.
+    ///
+    /// Fails if the end cannot be distinguished from a broken connection or is inside an event.
     async fn finish(&mut self) -> Result<(), ClientError> {
         let Some(source) = self.source.take() else { return Ok(()) };
         if !source.framing.is_delimited || self.parser.has_incomplete_event() {
--- a/crates/pebblepost-transcriber/src/lib.rs
+++ b/crates/pebblepost-transcriber/src/lib.rs
@@ -1,13 +1,13 @@
 //! HTTP/1.1 client for transcribers: a connection pool, buffered responses, event streams and load reports.
 //!
-//! The exchanges are those of the protocol, section "Transcribers".
+//! Requests and responses follow the section "Transcribers" of the protocol documentation.
 //!
-//! The crate owns the connections to transcribers and decides what a failed exchange means: whether the request
-//! certainly did not run, or may have. It never retries, routes or chooses a transcriber; its callers do. Everything
-//! runs on a current-thread `tokio` runtime.
+//! The crate owns the connections to transcribers. For a failed request it reports whether the request certainly did
+//! not run or may have run ([`ClientError`]). Retries, routing and the choice of a transcriber are left to the callers.
+//! Everything runs on a current-thread `tokio` runtime.
 //!
-//! Dependencies point downwards: [`Client`] uses a `call`, this one the `pool`, its `connection`s, and the building and
-//! validation of requests and responses.
+//! Modules depend on each other in one direction: `client` uses `call`, which uses `pool`, `connection`, `request` and
+//! `response`.
 
 mod call;
 mod client;
--- a/crates/pebblepost-transcriber/src/metrics.rs
+++ b/crates/pebblepost-transcriber/src/metrics.rs
@@ -5,29 +5,29 @@
 /// Counters of a client since its creation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientMetrics {
-    /// Connection attempts.
+    /// Attempts to establish a connection, those below included.
     pub connection_attempts: u64,
-    /// Connection attempts to a transcriber to which there was no connection.
+    /// Attempts to establish a connection to a transcriber to which there was none.
     pub initial_connection_attempts: u64,
-    /// Connection attempts in place of a connection that was idle for too long or found closed.
+    /// Attempts to replace an idle connection that had expired or was closed by the transcriber.
     pub replacement_connection_attempts: u64,
-    /// Requests sent, load reports and orders included.
+    /// Requests written, including requests for load reports and load orders.
     pub requests: u64,
-    /// Load reports requested.
+    /// Calls that request a load report, whether or not their request was written.
     pub load_reports: u64,
 }
 
-/// The counters in a cell, shared within one thread.
+/// The counters, changed through a shared reference within one thread.
 #[derive(Default)]
 pub(crate) struct MetricsCell(Cell<ClientMetrics>);
 
 impl MetricsCell {
-    /// The counters so far.
+    /// Returns a copy of the counters.
     pub(crate) fn get(&self) -> ClientMetrics {
         self.0.get()
     }
 
-    /// Changes the counters.
+    /// Applies a change to the counters.
     pub(crate) fn update(&self, change: impl FnOnce(&mut ClientMetrics)) {
         let mut metrics = self.0.get();
         change(&mut metrics);
--- a/crates/pebblepost-transcriber/src/model.rs
+++ b/crates/pebblepost-transcriber/src/model.rs
@@ -1,4 +1,4 @@
-//! Requests, responses and limits.
+//! Types of the public interface: requests, responses and limits.
 
 use crate::load::Load;
 use bytes::Bytes;
@@ -6,64 +6,66 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A transcriber to which requests are sent.
+/// An instance of a transcriber to which requests are sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Target {
-    /// Identity of the incarnation, sent as `Target-Instance`.
+    /// Id of the instance, sent as `Target-Instance`.
     pub instance: String,
-    /// Address at which it listens.
+    /// Address at which the instance listens.
     pub address: SocketAddr,
 }
 
 /// A request to forward.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query, sent unchanged.
     pub path: String,
-    /// End-to-end headers, `Host` and `Request-Id` among them; hop-by-hop headers are removed already
-    /// ([`crate::remove_connection_headers`]).
+    /// End-to-end headers, including `Host` and `Request-Id`. The caller must have removed hop-by-hop headers, see
+    /// [`crate::remove_connection_headers`].
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body; its length replaces any `Content-Length` in `headers`.
     pub body: Bytes,
-    /// Id that the response must carry; empty for none.
+    /// `Request-Id` that the response must carry; empty if it must carry none.
     pub request_id: String,
-    /// Time left, sent as `Deadline-Ms`; the call ends by itself then.
+    /// Time left for the call, including the wait for a connection. What is left of it when the request is written is
+    /// sent as `Deadline-Ms`.
     pub timeout: Duration,
 }
 
-/// Head of a response that carries the right `Request-Id`.
+/// Head of a response whose `Request-Id` is that of the request.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
     /// End-to-end headers.
     pub headers: HeaderMap,
-    /// The transcriber states that it did not run the request (`Not-Executed`, or status 421).
+    /// Whether the transcriber states that it did not run the request (`Not-Executed`, or status 421).
     pub not_executed: bool,
-    /// Load of the transcriber, if the response reports it in `Instance-Load`.
+    /// Load of the transcriber, if the response has a valid `Instance-Load`.
     pub load: Option<Load>,
 }
 
-/// A complete response.
+/// A response that was read completely.
 #[derive(Clone, Debug)]
 pub struct BufferedResponse {
-    /// Its head.
+    /// Status, headers and load.
     pub head: ResponseHead,
-    /// Its body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 /// Limits of the client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientLimits {
-    /// Time limit for establishing a connection.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// Most connections to one transcriber, idle and in use together; at least 1.
+    /// Maximum number of connections to one transcriber, idle ones included; 0 counts as 1. Further calls wait.
     pub max_connections_per_transcriber: usize,
-    /// An idle connection is closed after this time, or earlier if the transcriber's `Keep-Alive` says so.
+    /// Time after which an idle connection is closed. A shorter `Keep-Alive` timeout of the transcriber takes
+    /// precedence.
     pub idle_timeout: Duration,
-    /// Largest body of a buffered response, in bytes.
+    /// Maximum size of the body of a buffered response, in bytes.
     pub max_body_bytes: usize,
 }
--- a/crates/pebblepost-transcriber/src/pool.rs
+++ b/crates/pebblepost-transcriber/src/pool.rs
@@ -1,4 +1,4 @@
-//! The connection pool: idle connections by transcriber, and the limit on all connections to one transcriber.
+//! The connection pool: keeps idle connections for reuse and limits the number of connections to each transcriber.
 
 use crate::connection::Connection;
 use crate::model::Target;
@@ -9,25 +9,25 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Interval at which expired connections of all transcribers are closed, while the pool is used.
+/// Minimum interval between sweeps of expired connections. Only a checkout starts a sweep.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The connections to all transcribers.
+/// The connections of one client to all transcribers.
 pub(crate) struct ConnectionPool {
     targets: RefCell<HashMap<Target, Rc<TargetPool>>>,
-    last_sweep: Cell<Instant>,
+    last_sweep_at: Cell<Instant>,
 }
 
 /// The connections to one transcriber.
 #[derive(Default)]
 struct TargetPool {
-    /// Idle connections, the last used at the end.
+    /// Idle connections, the most recently used last.
     idle: RefCell<Vec<IdleConnection>>,
-    /// Slots in use: connections that are idle, in use or being established.
-    open_connections: Cell<usize>,
-    /// Wakes a waiting checkout: a connection is idle again, or a slot is free.
+    /// Number of connections that are idle, in use or being established.
+    occupied_slots: Cell<usize>,
+    /// Notifies one waiting checkout that a connection is idle again or a slot is free.
     available: Notify,
-    /// The transcriber was removed from the pool: no further request is sent to it.
+    /// Whether the transcriber was removed from the pool. No further request is sent to it then.
     is_removed: Cell<bool>,
 }
 
@@ -36,12 +36,12 @@
     expires_at: Instant,
 }
 
-/// One of the connections that a transcriber may have from this client; freed on drop.
+/// Permission to hold one connection to a transcriber, counted against the limit until it is dropped.
 pub(crate) struct ConnectionSlot {
     target: Rc<TargetPool>,
 }
 
-/// A connection in its slot.
+/// A connection together with the slot that it occupies. Dropping it closes the connection and frees the slot.
 pub(crate) struct PooledConnection {
     pub(crate) connection: Box<Connection>,
     slot: ConnectionSlot,
@@ -49,42 +49,42 @@
 
 /// Outcome of a checkout.
 pub(crate) enum Checkout {
-    /// An idle connection.
+    /// An idle connection that can be reused.
     Reused(PooledConnection),
     /// A slot for a new connection.
     Connect(ConnectionSlot, ConnectReason),
-    /// The transcriber was removed while the caller waited.
+    /// The transcriber was removed while the checkout waited.
     TargetRemoved,
 }
 
 /// Why a new connection is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectReason {
-    /// There is no connection to this transcriber.
+    /// There was no connection to this transcriber.
     Initial,
-    /// All connections are in use.
+    /// There are connections, but none was idle.
     Additional,
-    /// The idle connections are expired or closed.
+    /// The idle connections had expired or were closed by the transcriber.
     Replacement,
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        let open_connections = &self.target.open_connections;
-        open_connections.set(open_connections.get().saturating_sub(1));
+        let occupied_slots = &self.target.occupied_slots;
+        occupied_slots.set(occupied_slots.get().saturating_sub(1));
         self.target.available.notify_one();
     }
 }
 
 impl ConnectionSlot {
-    /// Puts a new connection into this slot.
+    /// Assigns a new connection to this slot.
     pub(crate) fn fill(self, connection: Connection) -> PooledConnection {
         PooledConnection { connection: Box::new(connection), slot: self }
     }
 }
 
 impl PooledConnection {
-    /// Whether the transcriber was removed since the slot was acquired.
+    /// Returns whether the transcriber was removed since the slot was acquired.
     pub(crate) fn is_target_removed(&self) -> bool {
         self.slot.target.is_removed.get()
     }
@@ -94,8 +94,9 @@
         self.slot
     }
 
-    /// Returns the connection to the pool, where it stays for at most `idle_limit`; closes it if there is no limit or
-    /// it cannot be reused.
+    /// Returns the connection to the pool, to stay idle for at most `idle_limit`.
+    ///
+    /// Closes it instead if `idle_limit` is `None`, the connection cannot be reused, or the transcriber was removed.
     pub(crate) async fn release(mut self, idle_limit: Option<Duration>) {
         let Some(idle_limit) = idle_limit else { return };
         if !self.connection.is_reusable().await {
@@ -112,9 +113,9 @@
 }
 
 impl TargetPool {
-    /// The last used idle connection that is still usable, else the reason for a new one.
+    /// Takes the most recently used idle connection that can be reused, or returns why a new one is needed.
     async fn take_idle(&self) -> Result<PooledConnection, ConnectReason> {
-        let mut reason = match self.open_connections.get() {
+        let mut reason = match self.occupied_slots.get() {
             0 => ConnectReason::Initial,
             _ => ConnectReason::Additional,
         };
@@ -128,7 +129,7 @@
     }
 
     fn close_expired(&self, now: Instant) {
-        // Dropped after the borrow ends: the drop frees slots.
+        // Collected first, so that the borrow of `idle` ends before the connections are dropped and free their slots.
         let expired: Vec<IdleConnection> =
             self.idle.borrow_mut().extract_if(.., |idle| idle.expires_at <= now).collect();
         drop(expired);
@@ -141,35 +142,38 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub(crate) fn new() -> ConnectionPool {
-        ConnectionPool { targets: RefCell::default(), last_sweep: Cell::new(Instant::now()) }
+        ConnectionPool { targets: RefCell::default(), last_sweep_at: Cell::new(Instant::now()) }
     }
 
-    /// An idle connection, or a slot for a new one. Waits while all slots are in use.
+    /// Returns an idle connection or a slot for a new one. Waits while all slots are occupied and no connection is
+    /// idle.
+    ///
+    /// At least one connection is allowed, even if `max_connections` is 0.
     pub(crate) async fn checkout(&self, target: &Target, max_connections: usize) -> Checkout {
         self.sweep();
-        let pool = self.target_pool(target);
+        let pool = self.get_or_create_target_pool(target);
         loop {
             let reason = match pool.take_idle().await {
                 Ok(connection) => return Checkout::Reused(connection),
                 Err(reason) => reason,
             };
-            if pool.open_connections.get() < max_connections.max(1) {
-                pool.open_connections.set(pool.open_connections.get() + 1);
+            if pool.occupied_slots.get() < max_connections.max(1) {
+                pool.occupied_slots.set(pool.occupied_slots.get() + 1);
                 return Checkout::Connect(ConnectionSlot { target: pool }, reason);
             }
             pool.available.notified().await;
             if pool.is_removed.get() {
-                // Wakes the next waiting checkout.
+                // `remove` notifies one waiting checkout only; each notifies the next.
                 pool.available.notify_one();
                 return Checkout::TargetRemoved;
             }
         }
     }
 
-    /// Removes a transcriber: closes its idle connections, and those in use after their response. Calls that wait for
-    /// a connection to it, or for its establishment, are not sent.
+    /// Removes a transcriber and closes its connections: idle ones now, those in use after their response. Requests
+    /// that wait for a connection to it or for its establishment are not sent.
     pub(crate) fn remove(&self, target: &Target) {
         let pool = self.targets.borrow_mut().remove(target);
         if let Some(pool) = pool {
@@ -179,7 +183,7 @@
         }
     }
 
-    fn target_pool(&self, target: &Target) -> Rc<TargetPool> {
+    fn get_or_create_target_pool(&self, target: &Target) -> Rc<TargetPool> {
         if let Some(pool) = self.targets.borrow().get(target) {
             return pool.clone();
         }
@@ -188,20 +192,21 @@
         pool
     }
 
-    /// Closes expired connections and drops the pools of transcribers without connections or callers.
+    /// Closes expired connections and drops the pools of transcribers without connections or pending checkouts, unless
+    /// the last sweep was less than [`SWEEP_INTERVAL`] ago.
     fn sweep(&self) {
         let now = Instant::now();
-        if now < self.last_sweep.get() + SWEEP_INTERVAL {
+        if now < self.last_sweep_at.get() + SWEEP_INTERVAL {
             return;
         }
-        self.last_sweep.set(now);
+        self.last_sweep_at.set(now);
         let pools: Vec<Rc<TargetPool>> = self.targets.borrow().values().cloned().collect();
         for pool in pools {
             pool.close_expired(now);
         }
         self.targets
             .borrow_mut()
-            .retain(|_, pool| Rc::strong_count(pool) > 1 || pool.open_connections.get() > 0);
+            .retain(|_, pool| Rc::strong_count(pool) > 1 || pool.occupied_slots.get() > 0);
     }
 }
 
--- a/crates/pebblepost-transcriber/src/request.rs
+++ b/crates/pebblepost-transcriber/src/request.rs
@@ -1,4 +1,4 @@
-//! Building of the request that is written to a connection.
+//! Builds the requests that are written to a connection.
 
 use crate::error::ClientError;
 use crate::model::{OutgoingRequest, Target};
@@ -11,14 +11,17 @@
 const TARGET_INSTANCE: HeaderName = HeaderName::from_static("target-instance");
 const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
 
-/// Capacity for the headers of a request without an id, those that [`build`] adds included.
-const HEADERS_WITHOUT_ID: usize = 6;
+/// Capacity for the headers of a request without an id, including those that [`build`] and [`set_deadline`] add.
+const HEADER_CAPACITY_WITHOUT_ID: usize = 6;
 
-/// A request in the type of `hyper`.
+/// A request as `hyper` takes it.
 pub(crate) type WireRequest = Request<Full<Bytes>>;
 
-/// Builds the request without its deadline, which [`set_deadline`] adds at the time of writing. Fails with
-/// [`ClientError::NotSent`] if the path or the instance cannot be sent.
+/// Builds a request without `Deadline-Ms`, which [`set_deadline`] adds when the request is written.
+///
+/// # Errors
+///
+/// Returns [`ClientError::NotSent`] if the path is not a valid URI or the instance id is not a valid header value.
 pub(crate) fn build(target: &Target, outgoing: OutgoingRequest) -> Result<WireRequest, ClientError> {
     let OutgoingRequest { method, path, mut headers, body, .. } = outgoing;
     let uri = Uri::try_from(path).map_err(|_| ClientError::NotSent)?;
@@ -36,7 +39,8 @@
     Ok(request)
 }
 
-/// Whether the request carries `Content-Length`: it has a body, or its method anticipates one (RFC 9110, section 8.6).
+/// Returns whether a request carries `Content-Length`: it has a body, or its method anticipates one (RFC 9110, section
+/// 8.6).
 fn has_content_length(method: &Method, body: &Bytes) -> bool {
     !body.is_empty() || matches!(*method, Method::POST | Method::PUT | Method::PATCH)
 }
@@ -47,20 +51,13 @@
     request.headers_mut().insert(DEADLINE_MS, HeaderValue::from(milliseconds));
 }
 
-/// A request of the client's own, such as one for a load report: it carries no `Request-Id`.
-pub(crate) fn without_id(
-    target: &Target, method: Method, path: &str, body: Bytes, deadline: Duration,
+/// Creates a request without a `Request-Id`, for a load report or a load order.
+pub(crate) fn new_without_id(
+    target: &Target, method: Method, path: &str, body: Bytes, timeout: Duration,
 ) -> OutgoingRequest {
-    let mut headers = HeaderMap::with_capacity(HEADERS_WITHOUT_ID);
+    let mut headers = HeaderMap::with_capacity(HEADER_CAPACITY_WITHOUT_ID);
     if let Ok(host) = HeaderValue::from_str(&target.address.to_string()) {
         headers.insert(HOST, host);
     }
-    OutgoingRequest {
-        method,
-        path: path.to_owned(),
-        headers,
-        body,
-        request_id: String::new(),
-        timeout: deadline,
-    }
+    OutgoingRequest { method, path: path.to_owned(), headers, body, request_id: String::new(), timeout }
 }
--- a/crates/pebblepost-transcriber/src/response.rs
+++ b/crates/pebblepost-transcriber/src/response.rs
@@ -1,4 +1,4 @@
-//! Validation of a response's head, and reading of its body.
+//! Validation of the head of a response, and reading of its body.
 
 use crate::connection::Connection;
 use crate::error::ClientError;
@@ -16,40 +16,44 @@
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
 const INSTANCE_LOAD: HeaderName = HeaderName::from_static("instance-load");
 
-/// A validated head, and what it says about the connection.
+/// A validated head, and how the body and the connection continue after it.
 pub(crate) struct ValidatedResponse {
     pub(crate) head: ResponseHead,
     pub(crate) framing: Framing,
 }
 
-/// How the body ends, and what follows on the connection.
+/// How the end of the body is recognized, and whether the connection can be reused after it.
 #[derive(Clone, Copy)]
 pub(crate) struct Framing {
-    /// The end of the body can be distinguished from a broken connection.
+    /// Whether the end of the body can be distinguished from a broken connection.
     pub(crate) is_delimited: bool,
-    /// Longest time for which the connection may be idle after the body; `None` if it must be closed.
+    /// Maximum idle time of the connection after the body; `None` if it must be closed.
     pub(crate) idle_limit: Option<Duration>,
 }
 
-/// What a response is validated against.
+/// Properties of the request that its response is validated against.
 #[derive(Clone, Copy)]
 pub(crate) struct Expectation<'a> {
-    /// Id that the response must carry; empty if none was sent.
+    /// `Request-Id` that the response must carry; empty if the request has none.
     pub(crate) request_id: &'a str,
-    /// The request was a `HEAD`: the response has no body.
+    /// Whether the request is a `HEAD`, whose response has no body.
     pub(crate) is_head_request: bool,
-    /// Longest idle time of the connection by the client's own limits.
+    /// Maximum idle time of a connection by the limits of the client.
     pub(crate) max_idle: Duration,
 }
 
-/// Validates a head: the response must be to this request, and must carry the transcriber's body unencoded.
+/// Validates the head of a response and removes its hop-by-hop headers.
+///
+/// # Errors
+///
+/// Returns [`ClientError::MayHaveRun`] if the response belongs to another request or has a `Content-Encoding`.
 pub(crate) fn validate(
     response: Response<Incoming>, expectation: Expectation<'_>,
 ) -> Result<(ValidatedResponse, Incoming), ClientError> {
     let (parts, body) = response.into_parts();
     let mut headers = parts.headers;
-    if !is_response_to(&headers, expectation.request_id) {
-        log::debug!("response to another request status={}", parts.status);
+    if !has_request_id(&headers, expectation.request_id) {
+        log::debug!("response has the wrong Request-Id, discarded status={}", parts.status);
         return Err(ClientError::MayHaveRun);
     }
     if headers.contains_key(CONTENT_ENCODING) {
@@ -66,13 +70,17 @@
     Ok((ValidatedResponse { head, framing }, body))
 }
 
-/// Whether the response carries this request id. A response to a request without an id carries none.
-fn is_response_to(headers: &HeaderMap, request_id: &str) -> bool {
-    let returned = headers.get(REQUEST_ID).map_or(&b""[..], |value| value.as_bytes());
-    returned == request_id.as_bytes()
+/// Returns whether the response carries this `Request-Id`, or none if `request_id` is empty.
+fn has_request_id(headers: &HeaderMap, request_id: &str) -> bool {
+    let response_id = headers.get(REQUEST_ID).map_or(&b""[..], |value| value.as_bytes());
+    response_id == request_id.as_bytes()
 }
 
 /// Reads a body to its end. A body that arrives in one frame is not copied.
+///
+/// # Errors
+///
+/// Returns [`ClientError::MayHaveRun`] if the body is truncated or larger than `max_bytes`.
 pub(crate) async fn read_body(
     connection: &mut Connection, mut body: Incoming, max_bytes: usize,
 ) -> Result<Bytes, ClientError> {
--- a/crates/pebblepost-transcriber/src/state.rs
+++ b/crates/pebblepost-transcriber/src/state.rs
@@ -13,7 +13,7 @@
 }
 
 impl ClientState {
-    /// A client without connections.
+    /// Creates the state of a client without connections.
     pub(crate) fn new(limits: ClientLimits) -> ClientState {
         ClientState {
             limits: Cell::new(limits),
--- a/crates/pebblepost-transcriber/tests/client/exchanges.rs
+++ b/crates/pebblepost-transcriber/tests/client/exchanges.rs
@@ -1,6 +1,6 @@
-//! Exchanges with scripted transcribers.
+//! Requests, load reports and load orders to scripted transcribers.
 
-use crate::support::{Scripted, Step, client, limits, outgoing, run};
+use crate::support::{ScriptedTranscriber, Step, client, limits, outgoing, run};
 use http::StatusCode;
 use pebblepost_transcriber::{Client, ClientError, StreamResponse, Target};
 use rstest::rstest;
@@ -12,14 +12,14 @@
 const OK_A: &[u8] = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\nresponse-seal: s\r\ncontent-length: 2\r\n\r\nhi";
 const OK_B: &[u8] = b"HTTP/1.1 200 OK\r\nrequest-id: b\r\ncontent-length: 2\r\n\r\nho";
 
-fn in_a_second() -> Instant {
+fn one_second_from_now() -> Instant {
     Instant::now() + Duration::from_secs(1)
 }
 
 #[test]
 fn sends_a_request_unchanged_with_instance_deadline_and_length() {
     run(async {
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(OK_A)]]).await;
+        let server = ScriptedTranscriber::start(vec![vec![Step::Read, Step::Write(OK_A)]]).await;
         let response = client().send(&server.target(), outgoing("a")).await.unwrap();
         assert_eq!(response.head.status, StatusCode::OK);
         assert_eq!(response.head.headers["response-seal"], "s");
@@ -35,7 +35,7 @@
 fn reuses_a_connection_after_a_complete_response() {
     run(async {
         let script = vec![Step::Read, Step::Write(OK_A), Step::Read, Step::Write(OK_B)];
-        let server = Scripted::start(vec![script]).await;
+        let server = ScriptedTranscriber::start(vec![script]).await;
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
         client.send(&server.target(), outgoing("b")).await.unwrap();
@@ -49,9 +49,9 @@
     b"HTTP/1.1 200 OK\r\nrequest-id: a\r\nkeep-alive: timeout=0\r\ncontent-length: 0\r\n\r\n"
 )]
 #[case::surplus_bytes(b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ncontent-length: 0\r\n\r\nHTTP/1.1 200 OK\r\n")]
-fn does_not_reuse_a_connection(#[case] response: &'static [u8]) {
+fn a_connection_is_not_reused_after_this_response(#[case] response: &'static [u8]) {
     run(async move {
-        let server = Scripted::start(vec![
+        let server = ScriptedTranscriber::start(vec![
             vec![Step::Read, Step::Write(response)],
             vec![Step::Read, Step::Write(OK_B)],
         ])
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn does_not_reuse_a_connection_with_unread_bytes() {
+fn a_connection_with_unread_bytes_is_not_reused() {
     run(async {
         let (late, wait_late) = oneshot::channel();
         let (written, wait_written) = oneshot::channel();
@@ -75,7 +75,7 @@
             Step::Write(OK_A),
             Step::Notify(written),
         ];
-        let server = Scripted::start(vec![first, vec![Step::Read, Step::Write(OK_B)]]).await;
+        let server = ScriptedTranscriber::start(vec![first, vec![Step::Read, Step::Write(OK_B)]]).await;
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
         late.send(()).unwrap();
@@ -90,7 +90,7 @@
     run(async {
         let (notify, closed) = oneshot::channel();
         let first = vec![Step::Read, Step::Write(OK_A), Step::Notify(notify), Step::Close];
-        let server = Scripted::start(vec![first, vec![Step::Read, Step::Write(OK_B)]]).await;
+        let server = ScriptedTranscriber::start(vec![first, vec![Step::Read, Step::Write(OK_B)]]).await;
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
         closed.await.unwrap();
@@ -111,9 +111,9 @@
 #[case::no_response(b"")]
 #[case::garbage(b"\x00\x01 no answer at all\r\n\r\n")]
 #[case::too_large(b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ncontent-length: 1001\r\n\r\n")]
-fn an_incomplete_or_foreign_response_may_have_run(#[case] response: &'static [u8]) {
+fn an_invalid_response_means_that_the_request_may_have_run(#[case] response: &'static [u8]) {
     run(async move {
-        let server = Scripted::start(vec![
+        let server = ScriptedTranscriber::start(vec![
             vec![Step::Read, Step::Write(response), Step::Close],
             vec![Step::Read, Step::Write(OK_B)],
         ])
@@ -132,12 +132,12 @@
         let response = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ntransfer-encoding: chunked\r\n\r\n\
                        2\r\nhi\r\n3\r\n you\r\n0\r\n\r\n";
         let response: &'static [u8] = Box::leak(response.to_vec().into_boxed_slice());
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(response)]]).await;
+        let server = ScriptedTranscriber::start(vec![vec![Step::Read, Step::Write(response)]]).await;
         let failure = client().send(&server.target(), outgoing("a")).await;
         assert_eq!(failure.unwrap_err(), ClientError::MayHaveRun, "a chunk longer than its length");
         let response = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\ntransfer-encoding: chunked\r\n\r\n\
                        2\r\nhi\r\n4\r\n you\r\n0\r\n\r\n";
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(response)]]).await;
+        let server = ScriptedTranscriber::start(vec![vec![Step::Read, Step::Write(response)]]).await;
         let response = client().send(&server.target(), outgoing("a")).await.unwrap();
         assert_eq!(&response.body[..], b"hi you");
         assert!(!response.head.headers.contains_key("transfer-encoding"));
@@ -149,7 +149,7 @@
     run(async {
         let response = b"HTTP/1.1 200 OK\r\nrequest-id: a\r\nconnection: keep-alive, x-hop\r\nx-hop: 1\r\n\
                        keep-alive: timeout=5\r\nproxy-x: 1\r\nx-end: 2\r\ncontent-length: 0\r\n\r\n";
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(response)]]).await;
+        let server = ScriptedTranscriber::start(vec![vec![Step::Read, Step::Write(response)]]).await;
         let response = client().send(&server.target(), outgoing("a")).await.unwrap();
         let mut names: Vec<&str> = response.head.headers.keys().map(|name| name.as_str()).collect();
         names.sort_unstable();
@@ -165,7 +165,7 @@
     #[case] response: &'static [u8], #[case] not_executed: bool,
 ) {
     run(async move {
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(response)]]).await;
+        let server = ScriptedTranscriber::start(vec![vec![Step::Read, Step::Write(response)]]).await;
         let response = client().send(&server.target(), outgoing("a")).await.unwrap();
         assert_eq!(response.head.not_executed, not_executed);
     });
@@ -187,7 +187,7 @@
 #[test]
 fn a_reset_after_the_request_means_may_have_run() {
     run(async {
-        let server = Scripted::start(vec![vec![Step::Read, Step::Reset]]).await;
+        let server = ScriptedTranscriber::start(vec![vec![Step::Read, Step::Reset]]).await;
         let failure = client().send(&server.target(), outgoing("a")).await.unwrap_err();
         assert_eq!(failure, ClientError::MayHaveRun);
     });
@@ -197,7 +197,7 @@
 fn the_deadline_closes_the_connection() {
     run(async {
         let (notify, closed) = oneshot::channel();
-        let server = Scripted::start(vec![vec![Step::Read, Step::AwaitClose(notify)]]).await;
+        let server = ScriptedTranscriber::start(vec![vec![Step::Read, Step::AwaitClose(notify)]]).await;
         let request =
             pebblepost_transcriber::OutgoingRequest { timeout: Duration::from_millis(30), ..outgoing("a") };
         let failure = client().send(&server.target(), request).await.unwrap_err();
@@ -211,8 +211,12 @@
     run(async {
         let (notify, closed) = oneshot::channel();
         let (started, wait_started) = oneshot::channel();
-        let server =
-            Scripted::start(vec![vec![Step::Read, Step::Notify(started), Step::AwaitClose(notify)]]).await;
+        let server = ScriptedTranscriber::start(vec![vec![
+            Step::Read,
+            Step::Notify(started),
+            Step::AwaitClose(notify),
+        ]])
+        .await;
         let client = client();
         let target = server.target();
         tokio::select! {
@@ -229,7 +233,7 @@
         let (release, wait_release) = oneshot::channel();
         let script =
             vec![Step::Read, Step::Await(wait_release), Step::Write(OK_A), Step::Read, Step::Write(OK_B)];
-        let server = Scripted::start(vec![script]).await;
+        let server = ScriptedTranscriber::start(vec![script]).await;
         let client = Client::new(pebblepost_transcriber::ClientLimits {
             max_connections_per_transcriber: 1,
             ..limits()
@@ -252,12 +256,12 @@
 }
 
 #[test]
-fn a_load_report_exceeds_the_connection_limit_by_one() {
+fn a_load_report_may_exceed_the_connection_limit_by_one() {
     run(async {
         let (release, wait_release) = oneshot::channel();
         let busy = vec![Step::Read, Step::Await(wait_release), Step::Write(OK_A)];
         let report = b"HTTP/1.1 200 OK\r\ncontent-length: 25\r\n\r\n{\"waiting\":0,\"running\":1}";
-        let server = Scripted::start(vec![busy, vec![Step::Read, Step::Write(report)]]).await;
+        let server = ScriptedTranscriber::start(vec![busy, vec![Step::Read, Step::Write(report)]]).await;
         let client = Client::new(pebblepost_transcriber::ClientLimits {
             max_connections_per_transcriber: 1,
             ..limits()
@@ -287,7 +291,8 @@
     run(async {
         let (notify, closed) = oneshot::channel();
         let server =
-            Scripted::start(vec![vec![Step::Read, Step::Write(OK_A), Step::AwaitClose(notify)]]).await;
+            ScriptedTranscriber::start(vec![vec![Step::Read, Step::Write(OK_A), Step::AwaitClose(notify)]])
+                .await;
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
         client.remove_target(&server.target());
@@ -301,7 +306,7 @@
         let (started, wait_started) = oneshot::channel();
         let (release, wait_release) = oneshot::channel();
         let script = vec![Step::Read, Step::Notify(started), Step::Await(wait_release), Step::Write(OK_A)];
-        let server = Scripted::start(vec![script]).await;
+        let server = ScriptedTranscriber::start(vec![script]).await;
         let client = Client::new(pebblepost_transcriber::ClientLimits {
             max_connections_per_transcriber: 1,
             ..limits()
@@ -317,16 +322,16 @@
                 release.send(()).unwrap();
             }
         );
-        assert_eq!(&first.unwrap().body[..], b"hi", "what was sent is finished");
+        assert_eq!(&first.unwrap().body[..], b"hi", "the request that was already sent completes");
         assert_eq!((second.unwrap_err(), third.unwrap_err()), (ClientError::NotSent, ClientError::NotSent));
         assert_eq!(server.requests().len(), 1);
     });
 }
 
 #[test]
-fn a_connection_established_to_a_removed_transcriber_carries_nothing() {
+fn no_request_is_sent_on_a_connection_established_to_a_removed_transcriber() {
     run(async {
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(OK_A)]]).await;
+        let server = ScriptedTranscriber::start(vec![vec![Step::Read, Step::Write(OK_A)]]).await;
         let client = client();
         let target = server.target();
         let (response, ()) = tokio::join!(client.send(&target, outgoing("a")), async {
@@ -343,7 +348,7 @@
         let response =
             b"HTTP/1.1 200 OK\r\nrequest-id: a\r\nkeep-alive: timeout=2\r\ncontent-length: 0\r\n\r\n";
         let again = vec![Step::Read, Step::Write(response), Step::Read, Step::Write(response)];
-        let server = Scripted::start(vec![again, vec![Step::Read, Step::Write(response)]]).await;
+        let server = ScriptedTranscriber::start(vec![again, vec![Step::Read, Step::Write(response)]]).await;
         let client = client();
         client.send(&server.target(), outgoing("a")).await.unwrap();
         tokio::time::pause();
@@ -360,19 +365,19 @@
 }
 
 #[test]
-fn load_reports_and_orders_carry_no_request_id() {
+fn load_reports_and_load_orders_carry_no_request_id() {
     run(async {
         let report = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 26\r\n\r\n\
                        {\"running\":12,\"waiting\":1}";
         let accepted = b"HTTP/1.1 202 Accepted\r\ncontent-length: 0\r\n\r\n";
         let script = vec![Step::Read, Step::Write(report), Step::Read, Step::Write(accepted)];
-        let server = Scripted::start(vec![script]).await;
+        let server = ScriptedTranscriber::start(vec![script]).await;
         let client = client();
         let target = server.target();
         let load = client.request_load_report(&target, Duration::from_secs(1)).await.unwrap().unwrap();
         assert_eq!((load.running, load.waiting), (12, 1));
         let status = client
-            .send_load_order(&target, "{}".into(), in_a_second(), Duration::from_secs(1))
+            .send_load_order(&target, "{}".into(), one_second_from_now(), Duration::from_secs(1))
             .await
             .unwrap();
         assert_eq!(status, StatusCode::ACCEPTED);
@@ -396,7 +401,7 @@
                           content-length: 0\r\n\r\n";
         let without = b"HTTP/1.1 400 Bad Request\r\nnot-executed: 1\r\ncontent-length: 0\r\n\r\n";
         let script = vec![Step::Read, Step::Write(with_load), Step::Read, Step::Write(without)];
-        let server = Scripted::start(vec![script]).await;
+        let server = ScriptedTranscriber::start(vec![script]).await;
         let (client, target) = (client(), server.target());
         let load = client.request_load_report(&target, Duration::from_secs(1)).await.unwrap().unwrap();
         assert_eq!((load.running, load.waiting, load.slots), (2, 1, Some(6)));
@@ -408,7 +413,7 @@
 fn a_surplus_response_is_not_a_load_report() {
     run(async {
         let surplus = b"HTTP/1.1 200 OK\r\nrequest-id: old\r\ncontent-length: 2\r\n\r\n{}";
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(surplus)]]).await;
+        let server = ScriptedTranscriber::start(vec![vec![Step::Read, Step::Write(surplus)]]).await;
         let failure =
             client().request_load_report(&server.target(), Duration::from_secs(1)).await.unwrap_err();
         assert_eq!(failure, ClientError::MayHaveRun);
@@ -416,25 +421,29 @@
 }
 
 #[test]
-fn a_surplus_load_report_is_not_the_response_to_an_order() {
+fn a_surplus_load_report_is_not_the_response_to_a_load_order() {
     run(async {
         let report = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 26\r\n\r\n\
                        {\"running\":12,\"waiting\":1}";
-        // The second report comes once the connection was found reusable.
+        // The second report arrives only after the check that the connection is reusable.
         let script = vec![Step::Read, Step::Write(report), Step::Read, Step::Write(report)];
-        let server = Scripted::start(vec![script]).await;
+        let server = ScriptedTranscriber::start(vec![script]).await;
         let (client, target) = (client(), server.target());
         assert!(client.request_load_report(&target, Duration::from_secs(1)).await.is_ok());
         let response =
-            client.send_load_order(&target, "{}".into(), in_a_second(), Duration::from_secs(1)).await;
-        assert_eq!(response, Err(ClientError::MayHaveRun), "whether the order was taken is not known");
+            client.send_load_order(&target, "{}".into(), one_second_from_now(), Duration::from_secs(1)).await;
+        assert_eq!(
+            response,
+            Err(ClientError::MayHaveRun),
+            "it is unknown whether the load order was accepted"
+        );
     });
 }
 
 #[test]
 fn a_response_that_is_not_a_stream_is_buffered() {
     run(async {
-        let server = Scripted::start(vec![vec![Step::Read, Step::Write(OK_A)]]).await;
+        let server = ScriptedTranscriber::start(vec![vec![Step::Read, Step::Write(OK_A)]]).await;
         match client().open_stream(&server.target(), outgoing("a")).await.unwrap() {
             StreamResponse::Buffered(response) => assert_eq!(&response.body[..], b"hi"),
             StreamResponse::Stream(..) => panic!("no stream"),
@@ -444,13 +453,13 @@
 
 #[rstest]
 #[case::on_a_new_connection(false)]
-#[case::on_a_kept_connection(true)]
-fn an_order_is_not_written_once_its_time_is_over(#[case] is_kept: bool) {
+#[case::on_a_reused_connection(true)]
+fn a_load_order_is_not_written_from_its_send_by_time_on(#[case] reuses_connection: bool) {
     run(async {
         let script = vec![Step::Read, Step::Write(OK_A), Step::Read];
-        let server = Scripted::start(vec![script]).await;
+        let server = ScriptedTranscriber::start(vec![script]).await;
         let (client, target) = (client(), server.target());
-        if is_kept {
+        if reuses_connection {
             client.send(&target, outgoing("a")).await.unwrap();
         }
         let requests = client.metrics().requests;
@@ -462,23 +471,26 @@
 }
 
 #[test]
-fn the_rest_of_a_body_that_was_answered_early_is_followed_by_no_other_request() {
+fn a_connection_with_a_partly_written_request_body_is_not_reused() {
     run(async {
         let (read, rest) = oneshot::channel();
         let early = vec![Step::ReadHead, Step::Write(OK_A), Step::ReadToEnd(read)];
         let other = vec![Step::Read, Step::Write(OK_B)];
-        let server = Scripted::start(vec![early, other]).await;
+        let server = ScriptedTranscriber::start(vec![early, other]).await;
         let client = client();
-        // More than a socket buffers, so that the answer comes before the end of the body.
+        // More than a socket buffers, so that the response arrives before the body is written completely.
         let body = vec![b'x'; 8 * 1024 * 1024];
         let long = pebblepost_transcriber::OutgoingRequest { body: body.into(), ..outgoing("a") };
-        // The early answer may count or not.
+        // Both a response and an error are allowed for the early response.
         client.send(&server.target(), long).await.ok();
         let response = client.send(&server.target(), outgoing("b")).await.unwrap();
         assert_eq!(&response.body[..], b"ho");
         assert_eq!(client.metrics().connection_attempts, 2);
         drop(client);
         let rest = rest.await.unwrap();
-        assert!(rest.iter().all(|byte| *byte == b'x'), "other bytes stand in the place of the body");
+        assert!(
+            rest.iter().all(|byte| *byte == b'x'),
+            "bytes other than the body were written to the connection"
+        );
     });
 }
--- a/crates/pebblepost-transcriber/tests/client/main.rs
+++ b/crates/pebblepost-transcriber/tests/client/main.rs
@@ -1,4 +1,4 @@
-//! The client against scripted transcribers over loopback.
+//! Tests of the client against scripted transcribers over loopback.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
--- a/crates/pebblepost-transcriber/tests/client/support.rs
+++ b/crates/pebblepost-transcriber/tests/client/support.rs
@@ -1,4 +1,4 @@
-//! Scripted transcribers over loopback, and requests to them.
+//! ScriptedTranscriber transcribers over loopback, and requests to them.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
@@ -11,13 +11,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::oneshot;
 
-/// What a scripted transcriber does on one connection, in order.
+/// One step of the script that a transcriber runs on a connection.
 pub enum Step {
     /// Reads a complete request and records its text.
     Read,
-    /// Reads the head of a request and leaves its body.
+    /// Reads the head of a request and leaves its body unread.
     ReadHead,
-    /// Reads until the client closes the connection, and hands over the bytes.
+    /// Reads until the client closes or resets the connection, then sends the bytes to the test.
     ReadToEnd(oneshot::Sender<Vec<u8>>),
     /// Writes these bytes.
     Write(&'static [u8]),
@@ -27,21 +27,21 @@
     Reset,
     /// Writes nothing until the client closes the connection, then notifies the test.
     AwaitClose(oneshot::Sender<()>),
-    /// Waits for the test.
+    /// Waits for a signal of the test.
     Await(oneshot::Receiver<()>),
-    /// Notifies the test that the steps before are done.
+    /// Notifies the test that the previous steps are done.
     Notify(oneshot::Sender<()>),
 }
 
-/// A transcriber that runs one script for each connection that it accepts.
-pub struct Scripted {
+/// A transcriber that runs one script for each connection that it accepts, in the order given.
+pub struct ScriptedTranscriber {
     pub address: SocketAddr,
     requests: Rc<RefCell<Vec<String>>>,
 }
 
-impl Scripted {
-    /// Starts it. Needs a `LocalSet`.
-    pub async fn start(scripts: Vec<Vec<Step>>) -> Scripted {
+impl ScriptedTranscriber {
+    /// Binds a loopback port and starts accepting. Must run in a `LocalSet`.
+    pub async fn start(scripts: Vec<Vec<Step>>) -> ScriptedTranscriber {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let requests = Rc::new(RefCell::new(Vec::new()));
@@ -52,7 +52,7 @@
                 tokio::task::spawn_local(run_script(stream, script, record.clone()));
             }
         });
-        Scripted { address, requests }
+        ScriptedTranscriber { address, requests }
     }
 
     pub fn target(&self) -> Target {
@@ -80,7 +80,7 @@
             }
             Step::ReadToEnd(notify) => {
                 let mut bytes = Vec::new();
-                // A reset ends it as well.
+                // A reset ends the read as well.
                 stream.read_to_end(&mut bytes).await.ok();
                 let _ = notify.send(bytes);
                 return;
@@ -114,7 +114,7 @@
     while stream.read(&mut buffer).await.is_ok_and(|length| length > 0) {}
 }
 
-/// Reads a head and a body with a length; replaces the value of `deadline-ms`.
+/// Reads a head and a body delimited by `content-length`. Replaces the value of `deadline-ms`, which depends on time.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     let head_end = loop {
--- a/crates/pebblepost-transcriber/tests/parsing.rs
+++ b/crates/pebblepost-transcriber/tests/parsing.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn events_do_not_depend_on_the_chunks_of_bytes() {
+fn events_do_not_depend_on_chunk_boundaries() {
     let mut parser = EventParser::default();
     parser.feed(Bytes::from_static(STREAM.as_bytes()));
     let expected = events(&mut parser);
