--- a/crates/pebblepost-settings/src/error.rs
+++ b/crates/pebblepost-settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Why settings are rejected. The texts are part of the operator's interface.
+//! Errors of reading and validating settings. Operators read the texts.
 
 use crate::SETTINGS_VARIABLE;
 use std::error::Error;
@@ -6,16 +6,18 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Settings cannot be read or are invalid. The alternate form `{:#}` appends the cause.
+/// The settings cannot be read or are invalid.
+///
+/// The alternate form `{:#}` of the text appends the cause.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The environment variable is not set.
+    /// The environment variable [`SETTINGS_VARIABLE`] is not set.
     MissingVariable,
     /// The file cannot be read.
     Read {
         /// Path of the file.
         path: PathBuf,
-        /// Cause.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The file is not valid TOML.
@@ -31,7 +33,7 @@
         file: String,
         /// Path of the key, such as `bounds.lease_ms`.
         key: String,
-        /// What is wrong with the value.
+        /// Why the value is rejected.
         reason: ValueError,
     },
 }
@@ -59,33 +61,33 @@
     }
 }
 
-/// What is wrong with a value.
+/// Why a value is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ValueError {
-    /// The key is required.
+    /// The key is required, but absent or empty.
     #[error("is missing")]
     Missing,
-    /// The value is of another type.
+    /// The value is of another type than expected.
     #[error("must be {expected}, is of type {found}")]
     WrongType {
-        /// Description of the expected type.
+        /// Description of the expected type, with its article.
         expected: &'static str,
         /// Name of the TOML type found.
         found: &'static str,
     },
-    /// Not an IP address.
+    /// The string is not an IP address.
     #[error("'{0}' is not an IP address")]
     NotAnIpAddress(String),
-    /// Not an address with a port.
-    #[error("'{0}' is not an address with a port")]
+    /// The string is not an IP address with a port.
+    #[error("'{0}' is not an IP address with a port")]
     NotASocketAddress(String),
-    /// Not two ports, but this many.
-    #[error("must be a list of two ports, has {0}")]
+    /// The list does not have two elements, but this many.
+    #[error("must be a list of two ports, has length {0}")]
     WrongPortCount(usize),
-    /// Not a port number.
-    #[error("{0} is not a port")]
+    /// The integer is not a port number.
+    #[error("{0} is not a port number from 1 to 65535")]
     NotAPort(i64),
-    /// The first port of a range is above the last one.
+    /// The first port of a range is greater than the last one.
     #[error("the range {first} to {last} is reversed")]
     ReversedRange {
         /// First port.
@@ -93,32 +95,32 @@
         /// Last port.
         last: u16,
     },
-    /// A range has too few ports.
+    /// The range has fewer ports than the programs use.
     #[error("the range {first} to {last} has fewer than the {needed} ports needed")]
     RangeTooSmall {
         /// First port.
         first: u16,
         /// Last port.
         last: u16,
-        /// Ports needed.
+        /// Number of ports needed.
         needed: u16,
     },
-    /// A negative integer.
+    /// The integer is negative.
     #[error("must not be negative, is {0}")]
     NegativeInteger(i64),
-    /// A negative number.
+    /// The number is negative.
     #[error("must not be negative, is {0}")]
     Negative(f64),
-    /// Infinite, or not a number.
+    /// The number is infinite or NaN.
     #[error("must be finite, is {0}")]
     NotFinite(f64),
-    /// Zero where a positive number is required.
+    /// The number is 0 where a positive one is required.
     #[error("must be above 0")]
     Zero,
-    /// Larger than the platform can represent.
-    #[error("is too large")]
+    /// The integer is larger than a `usize` can represent.
+    #[error("is too large for an integer of this platform")]
     TooLarge,
-    /// A time longer than a `Duration` can represent.
-    #[error("is too long a time")]
+    /// The time is longer than a `Duration` can represent.
+    #[error("exceeds the longest duration that can be represented")]
     TooLong,
 }
--- a/crates/pebblepost-settings/src/lib.rs
+++ b/crates/pebblepost-settings/src/lib.rs
@@ -1,10 +1,10 @@
-//! The settings file of a process: typed and validated, with one error that names the file and the key.
+//! Reads and validates the settings file of a process. Errors name the file and the key.
 //!
-//! The keys are those of the deployment guide, section "Settings of a process".
+//! The section "Settings of a process" of the deployment guide documents the keys.
 //!
-//! The crate owns the keys of the file, their types and their defaults. It never watches the file: programs read it
-//! again on a reload signal. Unknown keys are ignored. Absent keys have defaults, and an empty string counts
-//! as absent; only the identity of the machine (`node_name`, `ip`, `zone`) and `port_range` are required.
+//! The crate owns the keys of the file, their types and their defaults. Only the identity of the machine (`node_name`,
+//! `ip`, `zone`) and `port_range` are required; other absent keys have defaults. An empty string counts as absent, and
+//! unknown keys are ignored. The crate does not watch the file: programs read it again on a reload signal.
 
 mod error;
 mod model;
@@ -16,5 +16,5 @@
 pub use model::{Bounds, FaultTolerance, MachineLimits};
 pub use settings::{RegionByZone, Settings};
 
-/// Environment variable with the path of the settings file.
+/// Name of the environment variable that holds the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "PEBBLEPOST_SETTINGS";
--- a/crates/pebblepost-settings/src/model.rs
+++ b/crates/pebblepost-settings/src/model.rs
@@ -1,4 +1,4 @@
-//! Groups of settings.
+//! Groups of related settings.
 
 use std::time::Duration;
 
@@ -7,56 +7,56 @@
 pub struct MachineLimits {
     /// Share of one processor core.
     pub cpu_share: f64,
-    /// Memory of one process, in bytes.
+    /// Memory limit of one process, in bytes.
     pub memory_bytes: u64,
-    /// File descriptors of one process.
+    /// Maximum number of open file descriptors of one process.
     pub max_file_descriptors: usize,
-    /// Rate of the machine's network link, in bytes a second.
+    /// Bandwidth of the machine's network link, in bytes per second.
     pub link_bytes_per_second: u64,
-    /// Size of the data disk, in bytes; 0 for none.
+    /// Size of the data disk, in bytes; 0 if there is none.
     pub disk_bytes: u64,
 }
 
-/// Failures that the system tolerates at the same time.
+/// Number of simultaneous failures that the system must tolerate.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultTolerance {
-    /// Number of machines.
+    /// Number of failed machines.
     pub machines: usize,
-    /// Number of zones.
+    /// Number of failed zones.
     pub zones: usize,
-    /// Number of regions.
+    /// Number of failed regions.
     pub regions: usize,
 }
 
-/// Time bounds set by the operators, as far as the programs use them.
+/// Time bounds that the operators set, limited to those that the programs read.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// An acknowledgement is due within this time.
+    /// Time within which a request must be acknowledged.
     pub ack_timeout: Duration,
-    /// A draining transcriber keeps serving for this time.
+    /// Time for which a draining transcriber keeps serving.
     pub drain_period: Duration,
-    /// Time from SIGTERM to SIGKILL: a graceful shutdown takes no longer.
+    /// Time from SIGTERM to SIGKILL, within which a graceful shutdown must be complete.
     pub shutdown_grace: Duration,
-    /// A new configuration is applied by every program within this time.
+    /// Time within which every program must have applied a new configuration.
     pub config_apply_timeout: Duration,
-    /// A restarted machine counts as failed until this time has passed: its replicas catch up.
+    /// Time for which a restarted machine still counts as failed, because its replicas are catching up.
     pub catch_up_period: Duration,
-    /// An address may be reused after this time.
+    /// Time after which an address may be reused.
     pub address_reuse_delay: Duration,
-    /// Batch jobs are retained for this time after their submission.
+    /// Time for which a batch job is retained after its submission.
     pub job_retention: Duration,
-    /// No request of a job runs later than this after its end was acknowledged.
+    /// Time after the acknowledged end of a job by which none of its requests may still run.
     pub cancel_timeout: Duration,
-    /// Lease duration: orders of two lease holders are at least this far apart.
+    /// Duration of a lease. Load orders of two successive lease holders are at least this far apart.
     pub lease_duration: Duration,
-    /// Transcribers check fencing tokens.
+    /// Whether transcribers check fencing tokens.
     pub fencing_enabled: bool,
-    /// An event of a stream is forwarded within this time after its creation.
+    /// Time within which an event of a stream must be forwarded after its creation.
     pub max_forward_delay: Duration,
 }
 
 impl Default for Bounds {
-    /// The values of the example in the deployment guide.
+    /// Returns the values of the example in the deployment guide.
     fn default() -> Bounds {
         Bounds {
             ack_timeout: Duration::from_millis(4000),
--- a/crates/pebblepost-settings/src/parse.rs
+++ b/crates/pebblepost-settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! Parsing and validation of a settings file.
+//! Parsing and validation of the settings file.
 
 use crate::error::{SettingsError, ValueError};
 use crate::section::Section;
@@ -6,17 +6,17 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Ports of the range that the programs use: control, store and agent links, and membership.
+/// Number of ports that the programs use: for control, store and agent links, and for the membership protocol.
 const PORTS_NEEDED: u16 = 4;
-const DEFAULT_HEARTBEAT: Duration = Duration::from_millis(1200);
+const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
 const DEFAULT_CPU_SHARE: f64 = 1.0;
 const DEFAULT_MEMORY_MB: f64 = 256.0;
-const DEFAULT_MAX_FDS: u64 = 1024;
+const DEFAULT_MAX_FILE_DESCRIPTORS: u64 = 1024;
 const DEFAULT_LINK_MBPS: f64 = 1000.0;
-const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
+const BYTES_PER_MIB: f64 = 1024.0 * 1024.0;
 const BYTES_PER_MEGABIT: f64 = 1e6 / 8.0;
 
-/// The settings of a TOML text; errors name it `file`.
+/// Parses a TOML document. `file` is its name in errors.
 pub(crate) fn parse(text: &str, file: &str) -> Result<Settings, SettingsError> {
     let table: toml::Table = text.parse().map_err(|error: toml::de::Error| SettingsError::InvalidToml {
         file: file.to_owned(),
@@ -39,7 +39,7 @@
         seeds: root.addresses("seeds")?,
         bootstrap: root.flag("bootstrap", false)?,
         data_dir: root.string("data_dir")?.map(PathBuf::from),
-        heartbeat_interval: read_heartbeat(&root)?,
+        heartbeat_interval: read_heartbeat_interval(&root)?,
         zones,
         client_address: listen.address("front")?,
         readiness_address: listen.address("ready")?,
@@ -70,27 +70,27 @@
     Ok((first, last))
 }
 
-fn read_heartbeat(root: &Section<'_>) -> Result<Duration, SettingsError> {
+fn read_heartbeat_interval(root: &Section<'_>) -> Result<Duration, SettingsError> {
     let key = "heartbeat_ms";
-    let heartbeat = root.milliseconds(key, DEFAULT_HEARTBEAT)?;
-    if heartbeat.is_zero() {
+    let interval = root.milliseconds(key, DEFAULT_HEARTBEAT_INTERVAL)?;
+    if interval.is_zero() {
         return Err(root.invalid(key, ValueError::Zero));
     }
-    Ok(heartbeat)
+    Ok(interval)
 }
 
 fn read_limits(section: &Section<'_>) -> Result<MachineLimits, SettingsError> {
     Ok(MachineLimits {
         cpu_share: section.number("cpu_share", DEFAULT_CPU_SHARE)?,
         memory_bytes: to_bytes(section.number("memory_mb", DEFAULT_MEMORY_MB)?),
-        max_file_descriptors: section.count("max_fds", DEFAULT_MAX_FDS)?,
+        max_file_descriptors: section.count("max_fds", DEFAULT_MAX_FILE_DESCRIPTORS)?,
         link_bytes_per_second: (section.number("link_mbps", DEFAULT_LINK_MBPS)? * BYTES_PER_MEGABIT) as u64,
         disk_bytes: to_bytes(section.number("disk_mb", 0.0)?),
     })
 }
 
-fn to_bytes(megabytes: f64) -> u64 {
-    (megabytes * BYTES_PER_MB) as u64
+fn to_bytes(mebibytes: f64) -> u64 {
+    (mebibytes * BYTES_PER_MIB) as u64
 }
 
 fn read_tolerance(section: &Section<'_>) -> Result<FaultTolerance, SettingsError> {
--- a/crates/pebblepost-settings/src/section.rs
+++ b/crates/pebblepost-settings/src/section.rs
@@ -1,4 +1,4 @@
-//! Typed access to the keys of a TOML table. Errors name the file and the key.
+//! Typed access to the keys of a TOML table. Errors name the file and the full path of the key.
 
 use crate::error::{SettingsError, ValueError};
 use std::net::{IpAddr, SocketAddr};
@@ -6,24 +6,24 @@
 use toml::{Table, Value};
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
-/// Expected type of a port range, in errors.
-const TWO_PORTS: &str = "a list of two ports";
+/// Description of the type of a port range in errors.
+const PORT_PAIR_TYPE: &str = "a list of two ports";
 
-/// A table of the settings file, possibly an absent one.
+/// A table of the settings file. All keys of an absent table are absent.
 pub(crate) struct Section<'a> {
     table: Option<&'a Table>,
     file: &'a str,
-    /// Path of the table in the file, with a dot at its end.
+    /// Path of the table in the file, with a trailing dot; empty for the top level.
     prefix: String,
 }
 
 impl<'a> Section<'a> {
-    /// The top level of the file.
+    /// Returns the top level of the file.
     pub(crate) fn root(table: &'a Table, file: &'a str) -> Section<'a> {
         Section { table: Some(table), file, prefix: String::new() }
     }
 
-    /// A nested table; an absent one, or an empty string in its place, counts as empty.
+    /// Returns a nested table. An absent table, or an empty string in its place, counts as empty.
     pub(crate) fn section(&self, key: &str) -> Result<Section<'a>, SettingsError> {
         let table = match self.value(key) {
             None => None,
@@ -34,44 +34,44 @@
         Ok(Section { table, file: self.file, prefix: format!("{}{key}.", self.prefix) })
     }
 
-    /// The error that the value of a key is invalid.
+    /// Creates the error for an invalid value of a key.
     pub(crate) fn invalid(&self, key: &str, reason: ValueError) -> SettingsError {
         let key = format!("{}{key}", self.prefix);
         SettingsError::InvalidValue { file: self.file.to_owned(), key, reason }
     }
 
-    /// All keys of the table.
+    /// Returns all keys of the table.
     pub(crate) fn keys(&self) -> impl Iterator<Item = &'a str> {
         self.table.into_iter().flat_map(|table| table.keys().map(String::as_str))
     }
 
-    /// A string; an empty one counts as absent.
+    /// Returns a string. An empty one counts as absent.
     pub(crate) fn string(&self, key: &str) -> Result<Option<String>, SettingsError> {
         match self.value(key) {
             None => Ok(None),
             Some(Value::String(text)) if text.is_empty() => Ok(None),
             Some(Value::String(text)) => Ok(Some(text.clone())),
-            Some(other) => Err(self.wrong_type(key, "a text", other)),
+            Some(other) => Err(self.wrong_type(key, "a string", other)),
         }
     }
 
-    /// A required string.
+    /// Returns a required string.
     pub(crate) fn required_string(&self, key: &str) -> Result<String, SettingsError> {
         self.string(key)?.ok_or_else(|| self.invalid(key, ValueError::Missing))
     }
 
-    /// A required IP address.
+    /// Returns a required IP address.
     pub(crate) fn required_ip(&self, key: &str) -> Result<IpAddr, SettingsError> {
         let text = self.required_string(key)?;
         text.parse().map_err(|_| self.invalid(key, ValueError::NotAnIpAddress(text)))
     }
 
-    /// An address with its port.
+    /// Returns an IP address with a port.
     pub(crate) fn address(&self, key: &str) -> Result<Option<SocketAddr>, SettingsError> {
         self.string(key)?.map(|text| self.parse_address(key, &text)).transpose()
     }
 
-    /// A list of addresses with their ports.
+    /// Returns a list of IP addresses with ports. An absent key or an empty string counts as an empty list.
     pub(crate) fn addresses(&self, key: &str) -> Result<Vec<SocketAddr>, SettingsError> {
         let values = match self.value(key) {
             None => return Ok(Vec::new()),
@@ -88,17 +88,17 @@
             .collect()
     }
 
-    /// A required list of two ports.
+    /// Returns a required list of two ports, neither of them 0.
     pub(crate) fn port_pair(&self, key: &str) -> Result<(u16, u16), SettingsError> {
         let value = self.value(key).ok_or_else(|| self.invalid(key, ValueError::Missing))?;
-        let Value::Array(ports) = value else { return Err(self.wrong_type(key, TWO_PORTS, value)) };
+        let Value::Array(ports) = value else { return Err(self.wrong_type(key, PORT_PAIR_TYPE, value)) };
         let [first, last] = ports.as_slice() else {
             return Err(self.invalid(key, ValueError::WrongPortCount(ports.len())));
         };
         Ok((self.port(key, first)?, self.port(key, last)?))
     }
 
-    /// A boolean.
+    /// Returns a boolean.
     pub(crate) fn flag(&self, key: &str, default: bool) -> Result<bool, SettingsError> {
         match self.value(key) {
             None => Ok(default),
@@ -107,36 +107,38 @@
         }
     }
 
-    /// An integer, 0 or more; a float without a fraction counts as one.
+    /// Returns an integer of at least 0. A float without a fraction counts as an integer.
     pub(crate) fn count(&self, key: &str, default: u64) -> Result<usize, SettingsError> {
         let count = match self.value(key) {
             None => default,
             Some(Value::Integer(number)) => {
                 u64::try_from(*number).map_err(|_| self.invalid(key, ValueError::NegativeInteger(*number)))?
             }
-            Some(Value::Float(number)) if number.fract() == 0.0 => self.not_negative(key, *number)? as u64,
-            Some(other) => return Err(self.wrong_type(key, "a whole number", other)),
+            Some(Value::Float(number)) if number.fract() == 0.0 => {
+                self.check_finite_not_negative(key, *number)? as u64
+            }
+            Some(other) => return Err(self.wrong_type(key, "an integer", other)),
         };
         usize::try_from(count).map_err(|_| self.invalid(key, ValueError::TooLarge))
     }
 
-    /// A finite number, 0 or more.
+    /// Returns a finite number of at least 0.
     pub(crate) fn number(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         match self.value(key) {
             None => Ok(default),
-            Some(Value::Integer(number)) => self.not_negative(key, *number as f64),
-            Some(Value::Float(number)) => self.not_negative(key, *number),
+            Some(Value::Integer(number)) => self.check_finite_not_negative(key, *number as f64),
+            Some(Value::Float(number)) => self.check_finite_not_negative(key, *number),
             Some(other) => Err(self.wrong_type(key, "a number", other)),
         }
     }
 
-    /// A time in milliseconds.
+    /// Returns a duration that the file gives in milliseconds.
     pub(crate) fn milliseconds(&self, key: &str, default: Duration) -> Result<Duration, SettingsError> {
         let number = self.number(key, default.as_secs_f64() * MILLISECONDS_PER_SECOND)?;
         self.duration(key, number / MILLISECONDS_PER_SECOND)
     }
 
-    /// A time in seconds.
+    /// Returns a duration that the file gives in seconds.
     pub(crate) fn seconds(&self, key: &str, default: Duration) -> Result<Duration, SettingsError> {
         let number = self.number(key, default.as_secs_f64())?;
         self.duration(key, number)
@@ -151,13 +153,13 @@
     }
 
     fn port(&self, key: &str, value: &Value) -> Result<u16, SettingsError> {
-        let Value::Integer(number) = value else { return Err(self.wrong_type(key, TWO_PORTS, value)) };
+        let Value::Integer(number) = value else { return Err(self.wrong_type(key, PORT_PAIR_TYPE, value)) };
         let port = u16::try_from(*number).ok().filter(|port| *port > 0);
         port.ok_or_else(|| self.invalid(key, ValueError::NotAPort(*number)))
     }
 
-    /// The number, if it is finite and 0 or more.
-    fn not_negative(&self, key: &str, number: f64) -> Result<f64, SettingsError> {
+    /// Returns the number if it is finite and at least 0.
+    fn check_finite_not_negative(&self, key: &str, number: f64) -> Result<f64, SettingsError> {
         if !number.is_finite() {
             return Err(self.invalid(key, ValueError::NotFinite(number)));
         }
--- a/crates/pebblepost-settings/tests/settings.rs
+++ b/crates/pebblepost-settings/tests/settings.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const EDGE: &str = r#"
+const EDGE_MACHINE: &str = r#"
 node_name = "edge-north-1"
 role = "proxy"
 machine_class = "edge"
@@ -41,11 +41,11 @@
 quota_overshoot = 0.1
 "#;
 
-const SMALLEST: &str = "node_name='n'\nip='10.0.0.1'\nzone='z'\nport_range=[7000,7003]\n";
+const REQUIRED_KEYS: &str = "node_name='n'\nip='10.0.0.1'\nzone='z'\nport_range=[7000,7003]\n";
 
 #[test]
-fn the_example_of_an_edge_machine_is_read() {
-    let settings = Settings::parse(EDGE, "local.toml").unwrap();
+fn reads_the_settings_of_an_edge_machine() {
+    let settings = Settings::parse(EDGE_MACHINE, "local.toml").unwrap();
     assert_eq!(settings.node_name, "edge-north-1");
     assert_eq!(settings.ip.to_string(), "10.1.0.10");
     assert_eq!((settings.zone.as_str(), settings.region.as_str()), ("north", "country"));
@@ -75,7 +75,7 @@
 
 #[test]
 fn accepts_integers_and_fractions() {
-    let bounds = Settings::parse(EDGE, "local.toml").unwrap().bounds;
+    let bounds = Settings::parse(EDGE_MACHINE, "local.toml").unwrap().bounds;
     assert_eq!(bounds.catch_up_period, Duration::from_millis(4700));
     assert_eq!(bounds.job_retention, Duration::from_secs(60));
     assert_eq!(bounds.drain_period, Duration::from_micros(1_500_500));
@@ -84,7 +84,7 @@
 
 #[test]
 fn absent_keys_have_defaults() {
-    let settings = Settings::parse(SMALLEST, "local.toml").unwrap();
+    let settings = Settings::parse(REQUIRED_KEYS, "local.toml").unwrap();
     assert!(!settings.bootstrap);
     assert!(settings.seeds.is_empty());
     assert_eq!(settings.data_dir, None);
@@ -103,8 +103,9 @@
 }
 
 #[test]
-fn an_empty_text_counts_as_absent() {
-    let text = format!("data_dir=''\nregion=''\nseeds=''\n{SMALLEST}[listen]\nfront=''\n[zones]\nz='r'\n");
+fn an_empty_string_counts_as_absent() {
+    let text =
+        format!("data_dir=''\nregion=''\nseeds=''\n{REQUIRED_KEYS}[listen]\nfront=''\n[zones]\nz='r'\n");
     let settings = Settings::parse(&text, "local.toml").unwrap();
     assert_eq!(settings.data_dir, None);
     assert_eq!(settings.client_address, None);
@@ -114,13 +115,13 @@
 
 #[test]
 fn reads_the_data_directory() {
-    let text = format!("data_dir='/data/store'\n{SMALLEST}");
+    let text = format!("data_dir='/data/store'\n{REQUIRED_KEYS}");
     let settings = Settings::parse(&text, "local.toml").unwrap();
     assert_eq!(settings.data_dir, Some(PathBuf::from("/data/store")));
 }
 
 #[rstest]
-#[case::wrong_type_of_text("node_name=3", "f.toml: `node_name`: must be a text, is of type integer")]
+#[case::wrong_type_of_string("node_name=3", "f.toml: `node_name`: must be a string, is of type integer")]
 #[case::wrong_type_of_number(
     "heartbeat_ms='x'",
     "f.toml: `heartbeat_ms`: must be a number, is of type string"
@@ -128,30 +129,36 @@
 #[case::zero_heartbeat("heartbeat_ms=0", "f.toml: `heartbeat_ms`: must be above 0")]
 #[case::wrong_type_of_flag("bootstrap=1", "f.toml: `bootstrap`: must be true or false, is of type integer")]
 #[case::bad_ip("ip='10.1.0'", "f.toml: `ip`: '10.1.0' is not an IP address")]
-#[case::bad_seed("seeds=['10.0.0.1']", "f.toml: `seeds`: '10.0.0.1' is not an address with a port")]
+#[case::bad_seed("seeds=['10.0.0.1']", "f.toml: `seeds`: '10.0.0.1' is not an IP address with a port")]
 #[case::seed_of_wrong_type("seeds=[1]", "f.toml: `seeds`: must be a list of addresses, is of type integer")]
 #[case::reversed_range("port_range=[7315,7300]", "f.toml: `port_range`: the range 7315 to 7300 is reversed")]
 #[case::small_range(
     "port_range=[7300,7302]",
     "f.toml: `port_range`: the range 7300 to 7302 has fewer than the 4 ports needed"
 )]
-#[case::one_port("port_range=[7300]", "f.toml: `port_range`: must be a list of two ports, has 1")]
-#[case::port_out_of_range("port_range=[7300,70000]", "f.toml: `port_range`: 70000 is not a port")]
+#[case::one_port("port_range=[7300]", "f.toml: `port_range`: must be a list of two ports, has length 1")]
+#[case::port_out_of_range(
+    "port_range=[7300,70000]",
+    "f.toml: `port_range`: 70000 is not a port number from 1 to 65535"
+)]
 #[case::section_of_wrong_type("bounds=3", "f.toml: `bounds`: must be a table, is of type integer")]
-#[case::bad_listen("listen={front='x'}", "f.toml: `listen.front`: 'x' is not an address with a port")]
+#[case::bad_listen("listen={front='x'}", "f.toml: `listen.front`: 'x' is not an IP address with a port")]
 #[case::negative("bounds={drain_ms=-1}", "f.toml: `bounds.drain_ms`: must not be negative, is -1")]
 #[case::not_finite("bounds={grace_s=inf}", "f.toml: `bounds.grace_s`: must be finite, is inf")]
 #[case::not_a_number("limits={cpu_share=nan}", "f.toml: `limits.cpu_share`: must be finite, is NaN")]
-#[case::too_long("bounds={grace_s=1e300}", "f.toml: `bounds.grace_s`: is too long a time")]
+#[case::too_long(
+    "bounds={grace_s=1e300}",
+    "f.toml: `bounds.grace_s`: exceeds the longest duration that can be represented"
+)]
 #[case::negative_count("tolerate={machines=-1}", "f.toml: `tolerate.machines`: must not be negative, is -1")]
 #[case::fractional_count(
     "tolerate={machines=0.5}",
-    "f.toml: `tolerate.machines`: must be a whole number, is of type float"
+    "f.toml: `tolerate.machines`: must be an integer, is of type float"
 )]
 fn an_error_names_the_file_and_the_key(#[case] line: &str, #[case] error: &str) {
     let key = line.split('=').next().unwrap();
     let other_lines: Vec<&str> =
-        SMALLEST.lines().filter(|other| !other.starts_with(&format!("{key}="))).collect();
+        REQUIRED_KEYS.lines().filter(|other| !other.starts_with(&format!("{key}="))).collect();
     let text = format!("{}\n{line}\n", other_lines.join("\n"));
     assert_eq!(Settings::parse(&text, "f.toml").unwrap_err().to_string(), error);
 }
@@ -161,9 +168,9 @@
 #[case("ip")]
 #[case("zone")]
 #[case("port_range")]
-fn a_missing_key_is_named(#[case] key: &str) {
+fn the_error_names_a_missing_key(#[case] key: &str) {
     let other_lines: Vec<&str> =
-        SMALLEST.lines().filter(|other| !other.starts_with(&format!("{key}="))).collect();
+        REQUIRED_KEYS.lines().filter(|other| !other.starts_with(&format!("{key}="))).collect();
     let error = Settings::parse(&other_lines.join("\n"), "f.toml").unwrap_err();
     assert_eq!(error.to_string(), format!("f.toml: `{key}`: is missing"));
 }
@@ -175,7 +182,7 @@
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn the_error_names_a_missing_file() {
     let error = Settings::read(&PathBuf::from("/nonexistent/local.toml")).unwrap_err();
     assert_eq!(error.to_string(), "reading the settings file /nonexistent/local.toml");
 }
