--- a/crates/pebblepost-messages/src/batch/job.rs
+++ b/crates/pebblepost-messages/src/batch/job.rs
@@ -2,12 +2,12 @@
 
 use nanoserde::{DeBin, SerBin};
 
-/// Request that scores the text of an item.
+/// A request that scores the generated text of an item.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Scorer {
     /// `Request-Id` of the request.
     pub id: String,
-    /// Host by which the request is routed.
+    /// Host name by which the request is routed.
     pub hostname: String,
     /// Path of the request.
     pub path: String,
@@ -18,56 +18,56 @@
 /// An item of a batch job, as submitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Item {
-    /// Its id, sent as `Request-Id`.
+    /// Id of the item, sent as `Request-Id`.
     pub id: String,
-    /// Path of its request.
+    /// Path of the request for the item.
     pub path: String,
-    /// Headers of its request.
+    /// Headers of the request for the item.
     pub headers: Vec<(String, String)>,
-    /// Body of its request, decoded.
+    /// Body of the request for the item, decoded.
     pub body: Vec<u8>,
-    /// Tokens of its prompt plus the most tokens of its output.
+    /// Number of prompt tokens plus the maximum number of output tokens.
     pub tokens: u64,
-    /// Group of samples: its items share their prompt.
+    /// Id of the group of samples, whose items share one prompt.
     pub group: String,
-    /// Request that scores its text, if any.
+    /// Request that scores the generated text, if any.
     pub scorer: Option<Scorer>,
 }
 
-/// Terms of the route of a batch job at the time of submission.
+/// Terms under which a batch job runs: those of its route at the time of submission.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct JobTerms {
     /// Name of the route.
     pub route: String,
-    /// Host of the route.
+    /// Host name of the route.
     pub hostname: String,
     /// Time after the first submission by which all results are due, in milliseconds.
     pub run_deadline_ms: u64,
-    /// Time after the first submission from which on an item may be dead-lettered, in milliseconds.
+    /// Time after the first submission from which an item may be dead-lettered, in milliseconds.
     pub queue_ttl_ms: u64,
-    /// Failed attempts after which an item may be dead-lettered.
+    /// Number of failed attempts after which an item may be dead-lettered.
     pub max_attempts: u32,
-    /// Priority class, 0 highest.
+    /// Priority class; 0 is the highest.
     pub priority: u32,
-    /// The whole text of an item must be made under one version of the weights.
+    /// Whether the whole text of an item must be generated under one weight version.
     pub single_version: bool,
 }
 
 /// A batch job, as submitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Job {
-    /// Its id.
+    /// Id of the job.
     pub id: String,
-    /// Terms of its route.
+    /// Terms under which the job runs.
     pub terms: JobTerms,
-    /// Step of the trainer.
+    /// Training step for which the job was submitted.
     pub step: u64,
-    /// Model that generates the texts; empty if the job names none.
+    /// Name of the model that generates the texts; empty if the job names none.
     pub model: String,
-    /// Oldest version of the weights that may generate its tokens.
+    /// Oldest weight version that may generate tokens of the job.
     pub min_version: u64,
-    /// Complete groups of samples that the trainer waits for.
+    /// Number of complete groups of samples that the trainer waits for.
     pub desired_groups: u32,
-    /// The items, in the order submitted.
+    /// Items in the order of submission.
     pub items: Vec<Item>,
 }
--- a/crates/pebblepost-messages/src/batch/lease.rs
+++ b/crates/pebblepost-messages/src/batch/lease.rs
@@ -1,74 +1,74 @@
-//! Leases: which proxy runs which items, for how long, and how they end.
+//! Work leases: which proxy runs which items, for how long, and with which outcome.
 
 use super::job::{Item, JobTerms};
 use super::result::{ItemResult, PartialText};
 use nanoserde::{DeBin, SerBin};
 
-/// Duration of a lease after its last renewal, in milliseconds.
+/// Duration of a work lease from its last renewal, in milliseconds.
 pub const LEASE_DURATION_MS: u64 = 1500;
-/// Interval at which a primary renews its leases, in milliseconds.
+/// Interval at which a primary renews its work leases, in milliseconds.
 pub const LEASE_RENEWAL_INTERVAL_MS: u64 = 400;
 
-/// A leased item, with its state as of the lease.
+/// A leased item, with its state at the time of the grant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct LeasedItem {
     /// The item.
     pub item: Item,
-    /// Failed attempts of the text so far.
+    /// Number of failed attempts so far to generate the text.
     pub failed_attempts: u32,
-    /// Failed attempts of the scorer's request so far.
+    /// Number of failed attempts so far of the scoring request.
     pub failed_scorer_attempts: u32,
-    /// Text so far.
+    /// Text generated so far.
     pub partial: PartialText,
 }
 
-/// A lease: items of one group of samples that one proxy is to run.
+/// A work lease: the permission for one proxy to run items of one group of samples.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct WorkLease {
-    /// Number of the lease, unique within its store group and epoch.
+    /// Number of the work lease, unique within its store group and epoch.
     pub lease: u64,
-    /// Group of batch jobs.
+    /// Store group of the job.
     pub store_group: u32,
-    /// Epoch of that group.
+    /// Epoch of the store group in which the work lease was granted.
     pub epoch: u64,
     /// Id of the job.
     pub job: String,
-    /// Terms of the job's route.
+    /// Terms under which the job runs.
     pub terms: JobTerms,
-    /// Model; empty for none.
+    /// Name of the model; empty if the job names none.
     pub model: String,
-    /// Oldest version allowed.
+    /// Oldest weight version that may generate tokens.
     pub min_version: u64,
-    /// Milliseconds until the results are due; 0 if that has passed.
+    /// Time until the results are due, in milliseconds; 0 if they are overdue.
     pub due_in_ms: u64,
-    /// Milliseconds until items may be dead-lettered; 0 if that has passed.
+    /// Time until items may be dead-lettered, in milliseconds; 0 if they may be already.
     pub dead_letter_in_ms: u64,
-    /// The items.
+    /// Leased items.
     pub items: Vec<LeasedItem>,
 }
 
-/// How a leased item ended at a proxy.
+/// Outcome of a leased item at a proxy.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum ItemOutcome {
-    /// Finished: the result is final.
+    /// The result is final.
     Finished(ItemResult),
-    /// Not finished: returned with its state, to be leased again.
+    /// The item is unfinished and is returned with its state, to be leased again.
     Returned {
         /// Id of the item.
         id: String,
-        /// Failed attempts of the text.
+        /// Number of failed attempts to generate the text.
         failed_attempts: u32,
-        /// Failed attempts of the scorer's request.
+        /// Number of failed attempts of the scoring request.
         failed_scorer_attempts: u32,
-        /// Text so far.
+        /// Text generated so far.
         partial: PartialText,
     },
 }
 
-/// A lease that a proxy holds, reported to a new primary.
+/// A work lease that a proxy holds, as reported to a new primary.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ActiveLease {
-    /// Group of batch jobs.
+    /// Store group of the job.
     pub store_group: u32,
     /// Id of the job.
     pub job: String,
--- a/crates/pebblepost-messages/src/batch/message.rs
+++ b/crates/pebblepost-messages/src/batch/message.rs
@@ -1,4 +1,4 @@
-//! Messages from and to the batch store.
+//! Messages to and from the batch store.
 
 use super::job::Job;
 use super::lease::{ActiveLease, ItemOutcome, WorkLease};
@@ -6,121 +6,120 @@
 use crate::{DiskId, Member};
 use nanoserde::{DeBin, SerBin};
 
-/// To a storage machine.
+/// Message to a storage machine.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum ToStore {
-    /// First message of a proxy.
+    /// First message of a proxy on a connection.
     ProxyHello {
         /// Name of the machine.
         node: String,
-        /// Its zone.
+        /// Zone of the machine.
         zone: String,
     },
-    /// Submits a batch job.
+    /// Submission of a batch job.
     Submit {
-        /// Request number, unique on this connection.
+        /// Request number, unique on this connection. The response carries the same number.
         call: u64,
-        /// Group of the job.
+        /// Store group of the job.
         store_group: u32,
         /// The job.
         job: Job,
     },
-    /// Asks for the results from an offset on.
+    /// Request for the results of a job from an offset on.
     Read {
         /// Request number.
         call: u64,
-        /// Group of the job.
+        /// Store group of the job.
         store_group: u32,
         /// Id of the job.
         job: String,
         /// Offset of the first result wanted.
         start: u64,
-        /// Longest time to wait for a result, in milliseconds (long polling).
+        /// Maximum time to wait for a result, in milliseconds (long polling).
         wait_ms: u64,
     },
-    /// Asks for the body of an item.
+    /// Request for the body of an item.
     ItemBody {
         /// Request number.
         call: u64,
-        /// Group of the job.
+        /// Store group of the job.
         store_group: u32,
         /// Id of the job.
         job: String,
         /// Id of the item.
         item: String,
     },
-    /// Ends a job.
+    /// Request to end a job.
     End {
         /// Request number.
         call: u64,
-        /// Group of the job.
+        /// Store group of the job.
         store_group: u32,
         /// Id of the job.
         job: String,
     },
-    /// Asks for leases of up to this many more items.
+    /// Request for work leases of further items.
     RequestWork {
-        /// Most items to lease.
+        /// Maximum number of items to lease.
         max_items: u32,
     },
     /// Outcomes of leased items.
     Outcomes {
-        /// Group of the job.
+        /// Store group of the job.
         store_group: u32,
         /// Id of the job.
         job: String,
-        /// Number of the lease.
+        /// Number of the work lease.
         lease: u64,
         /// The outcomes.
         outcomes: Vec<ItemOutcome>,
     },
-    /// The leases that a proxy holds, reported to the new primary of their group.
+    /// The work leases that a proxy holds, reported to the new primary of their store group.
     ActiveLeases(Vec<ActiveLease>),
-    /// Heartbeat: keeps the connection and the leases alive.
+    /// Heartbeat: keeps the connection and the work leases alive.
     KeepAlive,
-    /// First message of another storage machine: its disk.
+    /// First message of another storage machine on a connection: its identity.
     PeerHello {
-        /// The machine.
+        /// The machine and its disk.
         member: Member,
     },
     /// From another storage machine: a message of the replication library.
     Replication {
-        /// Destination disk; a machine at the same address with another disk drops the message.
+        /// Disk for which the message is meant. A machine at the same address with another disk discards the message.
         to: DiskId,
-        /// Group of batch jobs.
+        /// Store group that the message is about.
         store_group: u32,
-        /// The message.
+        /// Encoded message.
         message: Vec<u8>,
     },
-    /// From another storage machine: it is shutting down gracefully, and its replicas are to move to other
-    /// machines.
+    /// From another storage machine: it is shutting down gracefully, so its replicas must move to other machines.
     ShuttingDown,
-    /// Asks for the state of the store, for an operator's command.
+    /// Request for the state of the store, for an operator's command.
     Status,
 }
 
 /// Response to [`ToStore::Submit`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum SubmitOutcome {
-    /// Stored durably, on as many disks as required.
+    /// The job is stored durably, on as many disks as required.
     Accepted,
-    /// Rejected: the job is not stored, and this request will not store it later.
+    /// The job is not stored, and this request will not store it later.
     Rejected {
-        /// Backoff asked of the client, in milliseconds.
+        /// Time that the client should wait before a retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// Not the primary: the job is not stored by this machine.
+    /// This machine is not the primary of the store group and does not store the job.
     NotPrimary,
-    /// Unknown whether the job is stored.
+    /// It is unknown whether the job is stored.
     Unknown,
 }
 
 /// Response to a request about a job.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum JobResponse<T> {
-    /// The value.
+    /// The requested value.
     Found(T),
-    /// No such job or item.
+    /// The job or item does not exist.
     NotFound,
     /// This machine is not the primary, or its lease has expired.
     Unavailable,
@@ -129,15 +128,15 @@
 /// Results of a job from an offset on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct ResultPage {
-    /// Items of the job.
+    /// Number of items of the job.
     pub total: u64,
-    /// Offset of the first result.
+    /// Offset of the first result of this page.
     pub start: u64,
-    /// The results.
+    /// Results in their order.
     pub results: Vec<ItemResult>,
 }
 
-/// From a storage machine.
+/// Message from a storage machine.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum FromStore {
     /// Response to [`ToStore::Submit`].
@@ -151,39 +150,40 @@
     Results {
         /// Request number.
         call: u64,
-        /// The page.
+        /// Page of results.
         answer: JobResponse<ResultPage>,
     },
     /// Response to [`ToStore::ItemBody`].
     Body {
         /// Request number.
         call: u64,
-        /// The bytes.
+        /// Body of the item.
         answer: JobResponse<Vec<u8>>,
     },
     /// Response to [`ToStore::End`].
     Ended {
         /// Request number.
         call: u64,
-        /// Whether the end is stored durably, on as many disks as required.
+        /// Whether the end of the job is stored durably, on as many disks as required.
         answer: JobResponse<bool>,
     },
-    /// Notification that there are items to lease.
+    /// Notification that items are available for work leases.
     WorkAvailable,
-    /// Leases, in response to [`ToStore::RequestWork`]; empty if there are no more items.
+    /// Work leases in response to [`ToStore::RequestWork`]; empty if no items are available.
     Work(Vec<WorkLease>),
-    /// Jobs that have ended: none of their requests may be sent any more.
+    /// Jobs that have ended. No further request of theirs may be sent.
     Cancel {
         /// Ids of the jobs.
         jobs: Vec<String>,
     },
-    /// Renews the leases of these groups and epochs for [`LEASE_DURATION_MS`](super::LEASE_DURATION_MS) from the receipt on.
+    /// Renews the work leases of these store groups and epochs for [`LEASE_DURATION_MS`](super::LEASE_DURATION_MS) from
+    /// the receipt on.
     Renew {
-        /// Group and epoch.
+        /// Number and epoch of each store group.
         groups: Vec<(u32, u64)>,
     },
     /// Heartbeat: keeps the connection alive.
     KeepAlive,
-    /// Response to [`ToStore::Status`], JSON.
+    /// Response to [`ToStore::Status`]: the state as JSON.
     Status(Vec<u8>),
 }
--- a/crates/pebblepost-messages/src/batch/mod.rs
+++ b/crates/pebblepost-messages/src/batch/mod.rs
@@ -1,4 +1,4 @@
-//! Batch jobs: their types, and the messages between proxies and storage machines.
+//! Batch jobs: their types, and the messages between proxies and the batch store.
 
 mod job;
 mod lease;
--- a/crates/pebblepost-messages/src/batch/result.rs
+++ b/crates/pebblepost-messages/src/batch/result.rs
@@ -1,4 +1,4 @@
-//! Results of items, and the text of an item that is not finished.
+//! Results of items, and the partial text of unfinished items.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -8,7 +8,7 @@
     /// The text is complete.
     #[default]
     Completed,
-    /// Dead-lettered: given up after too many attempts or too long a time.
+    /// The item was dead-lettered: it failed too many attempts or exceeded its queue time.
     DeadLetter,
 }
 
@@ -19,21 +19,21 @@
     pub id: String,
     /// How it ended.
     pub state: ResultState,
-    /// Data of all events in order, separated by line feeds.
+    /// Data of all events in their order, separated by line feeds.
     pub message: Vec<u8>,
-    /// Every version of the weights that generated an event of the text, in the order of their first events.
+    /// Every weight version that generated an event of the text, in the order of their first events.
     pub versions: Vec<u64>,
-    /// `Response-Seal` of the scorer's response; empty if the item has no scorer.
+    /// `Response-Seal` of the response to the scoring request; empty if the item has no scorer.
     pub score: String,
 }
 
-/// Text of an item so far, to be resumed after its last event.
+/// Text of an unfinished item. Its generation is resumed after the last event.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct PartialText {
-    /// Id of the last event; 0 for none.
+    /// Id of the last event; 0 if there is none.
     pub last_event: u64,
-    /// Data of the events so far, separated by line feeds.
+    /// Data of the events received so far, separated by line feeds.
     pub message: Vec<u8>,
-    /// Versions so far.
+    /// Weight versions that generated the events, in the order of their first events.
     pub versions: Vec<u64>,
 }
--- a/crates/pebblepost-messages/src/control.rs
+++ b/crates/pebblepost-messages/src/control.rs
@@ -1,119 +1,119 @@
-//! Messages on the internal port of a control process.
+//! Messages on the internal port of a control node.
 
 use crate::feed::{CompressedUpdates, FeedBatch, FeedReply, Instance};
 use crate::{DiskId, Member};
 use nanoserde::{DeBin, SerBin};
 
-/// Kind of a subscriber of the feed.
+/// Role of a subscriber of the feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum SubscriberRole {
-    /// An agent beside a proxy.
+    /// An agent, which forwards the feed to a proxy on the same machine.
     Agent,
     /// A storage machine.
     Store,
-    /// Another control process, which keeps a replica of the registrations.
+    /// A standby control node, which keeps a replica of the registrations.
     Standby,
 }
 
-/// Assignment of a group of batch jobs in one epoch.
+/// Assignment of a store group to disks in one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct GroupEpoch {
     /// Number of the epoch.
     pub epoch: u64,
     /// Disk of the primary.
     pub primary: DiskId,
-    /// Disks of the in-sync replicas, the primary's among them.
+    /// Disks of the in-sync replicas, including that of the primary.
     pub in_sync: Vec<DiskId>,
 }
 
-/// To a control process.
+/// Message to a control node.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum ToControl {
-    /// First message of a subscriber of the feed. Only the primary serves the feed; others respond with
-    /// [`FromControl::Redirect`] and close.
+    /// First message of a subscriber of the feed. Only the primary serves the feed; other control nodes respond with
+    /// [`FromControl::Redirect`] and close the connection.
     Subscribe {
         /// Name of the machine.
         node: String,
-        /// Its zone.
+        /// Zone of the machine.
         zone: String,
-        /// Kind of the subscriber.
+        /// Role of the subscriber.
         role: SubscriberRole,
-        /// Generation of its configuration; 0 for none.
+        /// Version of the configuration that the subscriber has; 0 for none.
         generation: u64,
     },
-    /// A subscriber's acknowledgement.
+    /// Acknowledgement of feed batches by a subscriber.
     Reply(FeedReply),
-    /// A storage machine registers, on each connection first.
+    /// First message of a storage machine on each connection: registers it.
     StoreHello {
         /// The machine and its disk.
         member: Member,
-        /// First start of the system with an empty disk.
+        /// Whether this is the first start of the whole system, with empty disks.
         bootstrap: bool,
     },
-    /// A storage machine proposes a new epoch of a group (compare and swap).
+    /// Proposal of a storage machine for a new epoch of a store group (compare and swap).
     ChangeGroup {
         /// Request number, unique on this connection.
         request: u64,
-        /// The group.
+        /// Number of the store group.
         group: u32,
         /// Epoch on which the proposal is based.
         expected_epoch: u64,
         /// The proposed epoch; its number is `expected_epoch + 1`.
         proposed: GroupEpoch,
     },
-    /// Between control processes: identity of the sender, first on a connection.
+    /// First message of another control node on a connection: its identity.
     PeerHello {
         /// The machine and its disk.
         member: Member,
     },
-    /// Between control processes: a message of the replication library.
+    /// From another control node: a message of the replication library.
     Replication(Vec<u8>),
-    /// Between control processes: a standby forwards registrations that it acknowledged. Not used by
-    /// external clients.
+    /// From a standby: registrations that it has acknowledged, forwarded to the primary. Not sent by external clients.
     Announce(Vec<Instance>),
     /// Heartbeat: keeps the connection alive.
     KeepAlive,
-    /// Asks for the state of the control plane, for an operator's command.
+    /// Request for the state of the control plane, for an operator's command.
     Status,
-    /// From a storage machine: by how many versions the last batch job of a model may lag behind the newest named one.
+    /// From a storage machine: number of weight versions by which the last batch job of a model may lag behind the
+    /// newest named one.
     VersionLag {
-        /// The model.
+        /// Name of the model.
         model: String,
-        /// Versions.
+        /// Number of weight versions.
         lag: u64,
     },
 }
 
-/// From a control process.
+/// Message from a control node.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum FromControl {
-    /// This process is not the primary.
+    /// The sender is not the primary.
     Redirect {
         /// Internal address of the primary, if known.
         primary: Option<String>,
-        /// Internal addresses of all known control processes.
+        /// Internal addresses of all known control nodes.
         members: Vec<String>,
     },
-    /// Updates.
+    /// Updates of the feed.
     Feed(FeedBatch),
-    /// Internal addresses of all known control processes, for reconnecting.
+    /// Internal addresses of all known control nodes, for reconnecting.
     Members(Vec<String>),
     /// Response to [`ToControl::ChangeGroup`].
     GroupChanged {
-        /// Request number.
+        /// Request number of the proposal.
         request: u64,
-        /// The group.
+        /// Number of the store group.
         group: u32,
-        /// Whether the proposed epoch is the current one.
+        /// Whether the proposed epoch is now the current one.
         accepted: bool,
         /// The current epoch.
         current: GroupEpoch,
     },
     /// Heartbeat: keeps the connection alive.
     KeepAlive,
-    /// Response to [`ToControl::Status`], JSON.
+    /// Response to [`ToControl::Status`]: the state as JSON.
     Status(Vec<u8>),
-    /// Updates that belong to the next [`FromControl::Feed`] of the connection, before its own: the same bytes for many
-    /// subscribers.
+    /// Updates to apply as part of the next [`FromControl::Feed`] of the connection, before the updates in it. Many
+    /// subscribers are sent the same bytes.
     SharedUpdates(CompressedUpdates),
 }
--- a/crates/pebblepost-messages/src/feed.rs
+++ b/crates/pebblepost-messages/src/feed.rs
@@ -1,85 +1,85 @@
-//! The feed: versioned updates that the control plane streams to agents, stores and standby
-//! control processes, and that an agent forwards to its proxy.
+//! The feed: versioned updates that the control plane streams to agents, storage machines and standby control nodes.
+//! An agent forwards them to its proxy.
 
 use crate::Member;
 use nanoserde::{DeBin, SerBin};
 
-/// Whether a transcriber accepts new requests.
+/// Whether an instance of a transcriber accepts new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
 pub enum InstanceState {
     /// Accepts requests.
     #[default]
     Ready,
-    /// Draining: finishes its requests and accepts no new ones.
+    /// Completes its requests in flight and accepts no new ones.
     Draining,
-    /// Ended, or declared dead after missed heartbeats.
+    /// Shut down, or declared dead after missed heartbeats.
     Terminated,
 }
 
-/// A model that a transcriber has loaded, with the version of its weights.
+/// A model and a weight version of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct ModelVersion {
     /// Name of the model.
     pub model: String,
-    /// Version of its weights.
+    /// Weight version.
     pub generation: u64,
 }
 
-/// An incarnation of a transcriber, as last announced.
+/// An instance of a transcriber (one run of it), as last announced.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Instance {
-    /// Identity of the incarnation; never reused.
+    /// Id of the instance; never reused.
     pub id: String,
-    /// Service that it belongs to.
+    /// Name of the service that the instance belongs to.
     pub backend: String,
-    /// `ip:port` at which it accepts requests.
+    /// `ip:port` at which the instance accepts requests.
     pub address: String,
-    /// Its zone.
+    /// Zone of the instance.
     pub zone: String,
-    /// Requests that it runs concurrently.
+    /// Maximum number of requests that the instance runs concurrently.
     pub slots: u32,
-    /// Whether it accepts new requests.
+    /// Whether the instance accepts new requests.
     pub state: InstanceState,
-    /// Remaining slow-start time as of the announcement, in milliseconds.
+    /// Remaining time of slow start as of the announcement, in milliseconds.
     pub slow_start_remaining_ms: u32,
-    /// Loaded models and their versions.
+    /// Loaded models with their weight versions.
     pub models: Vec<ModelVersion>,
-    /// Sequence number of the announcement: a higher one replaces a lower one.
+    /// Sequence number of the announcement. An announcement with a higher number replaces one with a lower number.
     pub sequence: u64,
 }
 
-/// The operator's configuration, as a full document or as a patch on the previous version.
+/// The operator's configuration, as a full document or as a patch on an earlier version.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum ConfigurationUpdate {
-    /// The full document.
+    /// The full document, uncompressed.
     Full {
-        /// Its version.
+        /// Version of the document.
         generation: u64,
-        /// The document, JSON.
+        /// The document as JSON.
         document: Vec<u8>,
     },
     /// The full document, compressed.
     Compressed {
-        /// Its version.
+        /// Version of the document.
         generation: u64,
-        /// Length of the document once decompressed.
+        /// Length of the decompressed document, in bytes.
         uncompressed_bytes: u64,
-        /// The document, JSON, as a raw deflate stream.
+        /// The document as JSON, compressed to a raw deflate stream.
         compressed: Vec<u8>,
     },
-    /// A patch on the version `base_generation`.
+    /// A patch on the configuration of version `base_generation`.
     Patch {
-        /// Version that the patch builds on.
+        /// Version to which the patch applies.
         base_generation: u64,
-        /// Version that it makes.
+        /// Version that results from the patch.
         generation: u64,
-        /// The patch, JSON.
+        /// The patch as JSON.
         patch: Vec<u8>,
     },
 }
 
 impl ConfigurationUpdate {
-    /// Version of the configuration that the update makes.
+    /// Returns the version of the configuration that results from the update.
     pub fn generation(&self) -> u64 {
         match self {
             ConfigurationUpdate::Full { generation, .. }
@@ -89,67 +89,68 @@
     }
 }
 
-/// Assignment of a group of batch jobs.
+/// Assignment of a store group to machines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct StoreGroup {
-    /// Number of the group.
+    /// Number of the store group.
     pub group: u32,
-    /// Epoch of the assignment: a higher one replaces a lower one.
+    /// Epoch of the assignment. An assignment with a higher epoch replaces one with a lower epoch.
     pub epoch: u64,
-    /// The primary.
+    /// Primary of the store group.
     pub primary: Member,
-    /// The in-sync replicas, the primary among them.
+    /// In-sync replicas, including the primary.
     pub in_sync: Vec<Member>,
-    /// Machines that the control plane has chosen to replicate the group.
+    /// Machines that the control plane has chosen to hold the replicas of the store group.
     pub targets: Vec<Member>,
 }
 
-/// One change of the state of the data plane.
+/// A change of the state that the control plane distributes to the data plane.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum FeedUpdate {
-    /// The configuration. A receiver ignores one that is not newer than what it has.
+    /// The configuration. A receiver ignores a version that is not newer than its own.
     Configuration(ConfigurationUpdate),
-    /// Transcribers that changed; with `complete` the complete list: ids that are not in it are gone.
+    /// Instances of transcribers that changed, or all of them. Instances that are missing from a complete list no
+    /// longer exist.
     Instances {
-        /// The list is complete.
+        /// Whether `instances` lists all instances.
         complete: bool,
-        /// The transcribers.
+        /// The instances.
         instances: Vec<Instance>,
     },
-    /// Groups of batch jobs that changed.
+    /// Store groups whose assignment changed.
     StoreGroups(Vec<StoreGroup>),
-    /// The newest named version of each model.
+    /// The newest named weight version of each model.
     NamedVersions(Vec<ModelVersion>),
-    /// Number of connected proxies, for their shares of limits.
+    /// Number of connected proxies, from which each proxy derives its share of the limits.
     ProxyCount(u32),
 }
 
-/// Updates that are sent in one message.
+/// Updates of the feed that are sent in one message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct FeedBatch {
-    /// Sequence number of the batch on its connection, from 1; acknowledged by the receiver.
+    /// Sequence number of the batch on its connection, starting at 1. The receiver acknowledges it.
     pub sequence: u64,
-    /// The updates, in their order.
+    /// The updates, in the order in which they apply.
     pub updates: Vec<FeedUpdate>,
 }
 
-/// Updates that several subscribers are sent in the same form: encoded (a list of [`FeedUpdate`]) and compressed once.
+/// A list of [`FeedUpdate`] that is encoded and compressed once and sent to several subscribers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct CompressedUpdates {
-    /// Length of the encoded updates once decompressed.
+    /// Length of the decompressed encoding, in bytes.
     pub uncompressed_bytes: u64,
-    /// The encoded updates, as a raw deflate stream.
+    /// The encoding, compressed to a raw deflate stream.
     pub compressed: Vec<u8>,
 }
 
-/// From a subscriber to the publisher of its feed.
+/// Message from a subscriber to the publisher of its feed.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum FeedReply {
-    /// All batches up to this one are applied.
+    /// The subscriber has applied all batches up to this one.
     Acknowledge {
         /// Sequence number of the newest applied batch.
         sequence: u64,
-        /// Generation of the current configuration.
+        /// Version of the current configuration of the subscriber.
         generation: u64,
     },
 }
--- a/crates/pebblepost-messages/src/identity.rs
+++ b/crates/pebblepost-messages/src/identity.rs
@@ -2,22 +2,23 @@
 
 use nanoserde::{DeBin, SerBin};
 
-/// Identity of a data disk, drawn at random when the disk is first used. A machine that restarts with an
-/// empty disk has a new one.
+/// Random identity of a data disk, generated when the disk is first used.
+///
+/// A machine that restarts with an empty disk gets a new one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct DiskId(pub u64);
 
 /// A machine with a data disk: a member of the control plane or of the batch store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Member {
-    /// Identity of its disk.
+    /// Identity of the disk of the machine.
     pub disk: DiskId,
     /// Name of the machine.
     pub node: String,
-    /// `ip:port` of its internal links.
+    /// `ip:port` at which the machine accepts internal links.
     pub address: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Its region.
+    /// Region of the machine.
     pub region: String,
 }
--- a/crates/pebblepost-messages/tests/encodings.rs
+++ b/crates/pebblepost-messages/tests/encodings.rs
@@ -1,5 +1,5 @@
-//! Every message that crosses a process border, byte for byte: programs of different builds speak to each other, and
-//! batch jobs on disk hold some of these types.
+//! Compares the encoding of every message with approved bytes. Programs of different builds exchange these messages,
+//! and batch jobs on disk contain some of the types, so a changed byte breaks an upgrade.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -18,14 +18,17 @@
 
 const APPROVED: &str = include_str!("approved/encodings.txt");
 
-/// Lines `name hex`, and a check of each that it reads back as the value that was written.
+/// Collects lines `name hex` and checks that each encoding decodes to the original value.
 #[derive(Default)]
 struct Encodings(String);
 
 impl Encodings {
     fn add<T: SerBin + DeBin + PartialEq>(&mut self, name: &str, value: &T) {
         let bytes = value.serialize_bin();
-        assert!(T::deserialize_bin(&bytes).is_ok_and(|read| read == *value), "{name} does not read back");
+        assert!(
+            T::deserialize_bin(&bytes).is_ok_and(|decoded| decoded == *value),
+            "{name} does not decode to the original value"
+        );
         self.0.push_str(name);
         self.0.push(' ');
         for byte in bytes {
@@ -275,7 +278,7 @@
 }
 
 #[test]
-fn every_message_has_the_approved_bytes() {
+fn every_message_encodes_to_the_approved_bytes() {
     let mut encodings = Encodings::default();
     to_store(&mut encodings);
     from_store(&mut encodings);
@@ -283,14 +286,14 @@
     from_control(&mut encodings);
     encodings.add("feed_batch", &FeedBatch { sequence: 9, updates: updates() });
     encodings.add("job", &job());
-    for (written, approved) in encodings.0.lines().zip(APPROVED.lines()) {
-        assert_eq!(written, approved);
+    for (encoded, approved) in encodings.0.lines().zip(APPROVED.lines()) {
+        assert_eq!(encoded, approved);
     }
     assert_eq!(encodings.0.lines().count(), APPROVED.lines().count());
 }
 
 #[test]
-fn a_job_belongs_to_the_group_that_it_always_did() {
+fn the_store_group_of_a_job_does_not_change() {
     let groups: Vec<u32> = ["", "j1", "job-2", "train/step/17"].into_iter().map(store_group_of).collect();
     assert_eq!(groups, [5, 4, 3, 1]);
 }
