--- a/crates/pebblepost-ring/src/disk.rs
+++ b/crates/pebblepost-ring/src/disk.rs
@@ -1,7 +1,7 @@
-//! A thread that owns a journal and writes what is queued for it.
+//! A thread that owns a journal and writes queued records to it.
 //!
-//! [`Disk`] is the caller's handle and never blocks on the storage, but when it is opened and
-//! dropped. `queue` holds what the two sides share, `worker` is the thread.
+//! [`Disk`] is the caller's handle. It blocks on the storage only while it is opened or dropped.
+//! `queue` holds the state shared by handle and thread, `worker` the thread.
 
 mod completion;
 mod queue;
@@ -23,15 +23,18 @@
     thread,
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
-use worker::Worker;
+use worker::DiskThread;
 
 pub use completion::Completion;
 
-/// Longest that dropping a disk waits for its thread; a hanging disk is left behind.
+/// Longest time that dropping a [`Disk`] waits for its thread. A thread that hangs in a storage call
+/// is detached.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A disk with a thread of its own. Dropping it ends the thread, once what is queued has been
-/// attempted.
+/// Handle of a journal that is written by a thread of its own.
+///
+/// Dropping it ends the thread once every queued write has been attempted, and blocks until then or
+/// for at most 2 s. Writes that have failed are not retried after that.
 pub struct Disk {
     shared: Arc<Shared>,
 }
@@ -43,30 +46,34 @@
 }
 
 impl Disk {
-    /// Opens or formats the ring in `folder`, using at most `max_bytes`; blocks (start of a program
-    /// only). `identity` is used when formatting (`None`: drawn at random). `completed` is called on
-    /// the disk's thread.
+    /// Opens the ring in `folder`, formatting it if there is none, and starts its thread. The ring uses
+    /// at most `max_bytes`.
+    ///
+    /// This call blocks and is meant for the start of a program. `identity` is used only when formatting
+    /// and is random if it is `None`. `on_completion` is called on the disk thread, which writes nothing
+    /// until it returns.
     ///
     /// # Errors
     ///
-    /// Fails if the folder can't be opened, the ring is damaged or too small, or the storage fails.
+    /// Fails if the folder can't be opened, the ring is damaged or too small, the storage fails or the
+    /// thread can't be started.
     pub fn open(
-        folder: &Path, max_bytes: u64, identity: Option<u64>, completed: Box<dyn Fn(Completion) + Send>,
+        folder: &Path, max_bytes: u64, identity: Option<u64>, on_completion: Box<dyn Fn(Completion) + Send>,
     ) -> Result<(Disk, Recovered), OpenError> {
         let storage = FileStorage::open(folder)
             .map_err(|source| OpenError::Folder { folder: folder.to_path_buf(), source })?;
         let options = Options::new(max_bytes, identity.unwrap_or_else(random_identity));
-        Disk::open_storage(storage, options, completed)
+        Disk::open_storage(storage, options, on_completion)
             .map_err(|source| OpenError::Ring { folder: folder.to_path_buf(), source })
     }
 
-    /// As [`Disk::open`], over any storage.
+    /// Opens the ring in any storage; otherwise the same as [`Disk::open`].
     ///
     /// # Errors
     ///
-    /// Fails if the ring is damaged or too small, the storage fails or no thread can be started.
+    /// Fails if the ring is damaged or too small, the storage fails or the thread can't be started.
     pub fn open_storage<S>(
-        storage: S, options: Options, completed: Box<dyn Fn(Completion) + Send>,
+        storage: S, options: Options, on_completion: Box<dyn Fn(Completion) + Send>,
     ) -> Result<(Disk, Recovered), RingError>
     where
         S: Storage + Send + 'static,
@@ -74,37 +81,40 @@
     {
         let (journal, recovered) = Journal::open(storage, options)?;
         let shared = Arc::new(Shared::new(journal.journal_bytes(), journal.capacity()));
-        let worker = Worker::new(journal, Arc::clone(&shared), completed);
+        let disk_thread = DiskThread::new(journal, Arc::clone(&shared), on_completion);
         thread::Builder::new()
             .name("disk".to_owned())
-            .spawn(move || worker.run())
+            .spawn(move || disk_thread.run())
             .map_err(|source| RingError::Thread { source })?;
         Ok((Disk { shared }, recovered))
     }
 
-    /// Queues records to be appended; returns a ticket that rises. Queued records are written
-    /// together and synced once.
+    /// Queues records to be appended and returns the ticket of this call. Tickets increase with each
+    /// call; [`Completion::Synced`] reports them. Records that are queued together are written together
+    /// and synced once.
     pub fn append(&self, records: Vec<Vec<u8>>) -> u64 {
         let bytes = records.iter().map(|record| stored_bytes(record.len())).sum();
         let mut queue = self.shared.lock();
-        self.shared.add_bytes(bytes);
+        self.shared.add_bytes_since_checkpoint(bytes);
         queue.push(PendingWrites { checkpoint: None, records, ticket: 0 }, &self.shared)
     }
 
-    /// Queues a checkpoint: `records` replace all that was appended before this call. Space of
-    /// older records is used again once the checkpoint is on disk.
+    /// Queues a checkpoint and returns the ticket of this call. `records` replace everything that was
+    /// appended before. The space of the replaced records is reused once the checkpoint is durable.
     pub fn checkpoint(&self, records: Vec<Vec<u8>>) -> u64 {
         let mut queue = self.shared.lock();
-        self.shared.reset_bytes();
+        self.shared.reset_bytes_since_checkpoint();
         queue.push(PendingWrites { checkpoint: Some(records), records: Vec::new(), ticket: 0 }, &self.shared)
     }
 
-    /// Bytes appended since the newest checkpoint, by which the next one can be timed.
+    /// Returns how many bytes were queued since the newest call of [`Disk::checkpoint`]. Callers use it
+    /// to decide when the next checkpoint is due.
     pub fn bytes_since_checkpoint(&self) -> u64 {
         self.shared.bytes_since_checkpoint()
     }
 
-    /// Bytes that the ring can hold between two checkpoints before it is full.
+    /// Returns how many bytes the ring can hold between two checkpoints, as of the last completed
+    /// write. Writes beyond it fail with [`RingError::Full`] and are retried.
     pub fn capacity(&self) -> u64 {
         self.shared.capacity()
     }
@@ -113,12 +123,12 @@
 impl Drop for Disk {
     fn drop(&mut self) {
         if !self.shared.close(CLOSE_TIMEOUT) {
-            log::warn!("disk close timed out, its thread is left behind");
+            log::warn!("disk thread did not end within {} s of closing, detached", CLOSE_TIMEOUT.as_secs());
         }
     }
 }
 
-/// A random number other than 0.
+/// Returns a random identity other than 0.
 fn random_identity() -> u64 {
     let time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     RandomState::new().hash_one((time, std::process::id())).max(1)
--- a/crates/pebblepost-ring/src/disk/completion.rs
+++ b/crates/pebblepost-ring/src/disk/completion.rs
@@ -1,13 +1,14 @@
-//! What the disk's thread reports.
+//! Notifications of the disk thread.
 
 use crate::error::RingError;
 use std::sync::Arc;
 
-/// What the disk's thread reports.
+/// Notification of the disk thread about queued writes.
 #[derive(Clone, Debug)]
 pub enum Completion {
-    /// All records appended up to this ticket are on disk.
+    /// All calls up to and including the one that returned this ticket are durable.
     Synced(u64),
-    /// A write failed (disk full, I/O error); it is retried until it succeeds.
+    /// A write attempt failed (ring full or I/O error). The thread retries it until it succeeds or the
+    /// disk is closed.
     WriteFailed(Arc<RingError>),
 }
--- a/crates/pebblepost-ring/src/disk/queue.rs
+++ b/crates/pebblepost-ring/src/disk/queue.rs
@@ -1,4 +1,4 @@
-//! What a disk's handle and its thread share: queued writes, and figures for the caller.
+//! State shared by a disk's handle and its thread: queued writes and the fill level of the ring.
 
 use std::{
     sync::{
@@ -8,19 +8,19 @@
     time::{Duration, Instant},
 };
 
-/// Writes that are not on disk.
+/// Writes that are not durable yet.
 #[derive(Default)]
 pub(super) struct PendingWrites {
-    /// Replaces all earlier records.
+    /// Records of a checkpoint, which replaces all earlier records.
     pub(super) checkpoint: Option<Vec<Vec<u8>>>,
     /// Records to append after the checkpoint.
     pub(super) records: Vec<Vec<u8>>,
-    /// Ticket of the newest call among them.
+    /// Ticket of the newest call whose writes are included.
     pub(super) ticket: u64,
 }
 
 impl PendingWrites {
-    /// Adds later writes.
+    /// Merges later writes into these. A later checkpoint drops the earlier records.
     pub(super) fn extend(&mut self, later: PendingWrites) {
         if later.checkpoint.is_some() {
             self.checkpoint = later.checkpoint;
@@ -39,10 +39,10 @@
 #[derive(Default)]
 pub(super) struct Queue {
     pending: PendingWrites,
-    /// Ticket up to which the thread has taken writes.
+    /// Ticket up to which the thread has taken writes from the queue.
     taken_ticket: u64,
     is_closing: bool,
-    has_ended: bool,
+    is_thread_finished: bool,
 }
 
 impl Queue {
@@ -54,7 +54,7 @@
         ticket
     }
 
-    /// Takes what was queued since the last call, if anything was.
+    /// Takes the writes queued since the last call; `None` if there are none.
     fn take(&mut self) -> Option<PendingWrites> {
         if self.pending.ticket <= self.taken_ticket {
             return None;
@@ -64,17 +64,17 @@
     }
 }
 
-/// What the thread finds in the queue.
-pub(super) enum Next {
-    /// More writes.
-    Writes(PendingWrites),
-    /// Nothing more: what has failed is to be retried.
+/// What the thread has to do next.
+pub(super) enum NextAction {
+    /// Write these after what is left of a failed attempt.
+    Write(PendingWrites),
+    /// Retry the failed attempt; nothing more is queued.
     Retry,
-    /// The disk is closing, and nothing is queued.
+    /// End the thread: the disk is closing and nothing more is queued.
     Close,
 }
 
-/// Shared by handle and thread.
+/// State shared by the handle and the thread.
 #[derive(Default)]
 pub(super) struct Shared {
     queue: Mutex<Queue>,
@@ -100,11 +100,11 @@
         self.bytes_since_checkpoint.load(Ordering::Relaxed)
     }
 
-    pub(super) fn add_bytes(&self, bytes: u64) {
+    pub(super) fn add_bytes_since_checkpoint(&self, bytes: u64) {
         self.bytes_since_checkpoint.fetch_add(bytes, Ordering::Relaxed);
     }
 
-    pub(super) fn reset_bytes(&self) {
+    pub(super) fn reset_bytes_since_checkpoint(&self) {
         self.bytes_since_checkpoint.store(0, Ordering::Relaxed);
     }
 
@@ -116,45 +116,46 @@
         self.capacity.store(capacity, Ordering::Relaxed);
     }
 
-    /// Waits for more writes. With `has_failed`, doesn't wait: what has failed is retried.
-    pub(super) fn next(&self, has_failed: bool) -> Next {
+    /// Waits until there is something to do. With `has_failed` it returns at once, because the failed
+    /// attempt has to be retried.
+    pub(super) fn next_action(&self, has_failed: bool) -> NextAction {
         let mut queue = self.lock();
         loop {
             if let Some(writes) = queue.take() {
-                return Next::Writes(writes);
+                return NextAction::Write(writes);
             }
             if queue.is_closing {
-                return Next::Close;
+                return NextAction::Close;
             }
             if has_failed {
-                return Next::Retry;
+                return NextAction::Retry;
             }
             queue = self.changed.wait(queue).unwrap_or_else(PoisonError::into_inner);
         }
     }
 
-    /// Waits for the backoff, or until the disk closes. With `is_full`, a checkpoint ends the wait as
-    /// well: it frees space.
+    /// Waits for the backoff or until the disk closes. With `is_full`, a queued checkpoint ends the wait
+    /// as well, because it frees space.
     pub(super) fn back_off(&self, backoff: Duration, is_full: bool) {
         let deadline = Instant::now() + backoff;
         let mut queue = self.lock();
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
-            let space_is_freed = is_full && queue.pending.checkpoint.is_some();
-            if remaining.is_zero() || queue.is_closing || space_is_freed {
+            let frees_space = is_full && queue.pending.checkpoint.is_some();
+            if remaining.is_zero() || queue.is_closing || frees_space {
                 return;
             }
             queue = self.wait_timeout(queue, remaining);
         }
     }
 
-    /// Asks the thread to end and waits for that; false if it takes longer than the timeout.
+    /// Tells the thread to end and waits for it. Returns false if it has not ended within the timeout.
     pub(super) fn close(&self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         let mut queue = self.lock();
         queue.is_closing = true;
         self.changed.notify_all();
-        while !queue.has_ended {
+        while !queue.is_thread_finished {
             let remaining = deadline.saturating_duration_since(Instant::now());
             if remaining.is_zero() {
                 return false;
@@ -164,9 +165,9 @@
         true
     }
 
-    /// The thread has ended.
-    pub(super) fn set_ended(&self) {
-        self.lock().has_ended = true;
+    /// Records that the thread has ended and wakes [`Shared::close`].
+    pub(super) fn set_thread_finished(&self) {
+        self.lock().is_thread_finished = true;
         self.changed.notify_all();
     }
 
--- a/crates/pebblepost-ring/src/disk/worker.rs
+++ b/crates/pebblepost-ring/src/disk/worker.rs
@@ -1,77 +1,79 @@
-//! The disk's thread: takes queued writes, retries what fails, reports what is durable.
+//! The disk thread: writes what is queued, retries failed writes and reports completions.
 
 use super::{
     completion::Completion,
-    queue::{Next, PendingWrites, Shared},
+    queue::{NextAction, PendingWrites, Shared},
 };
 use crate::{error::RingError, journal::Journal, storage::Storage};
 use std::{sync::Arc, time::Duration};
 
-/// Backoff after the first failed write, doubled with each further one.
-const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest backoff between two attempts of a write.
-const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// Backoff after the first failed attempt; it doubles with each further one.
+const RETRY_BACKOFF_INITIAL: Duration = Duration::from_millis(50);
+/// Longest backoff between two attempts.
+const RETRY_BACKOFF_MAX: Duration = Duration::from_secs(1);
 
-/// Signals the end of the thread, also when a callback panics.
-struct EndSignal(Arc<Shared>);
+/// Reports the end of the thread when dropped, so that it is reported also after a panic in the
+/// callback.
+struct ThreadFinishedGuard(Arc<Shared>);
 
-impl Drop for EndSignal {
+impl Drop for ThreadFinishedGuard {
     fn drop(&mut self) {
-        self.0.set_ended();
+        self.0.set_thread_finished();
     }
 }
 
-/// The thread's state.
-pub(super) struct Worker<S: Storage> {
+/// State of the disk thread.
+pub(super) struct DiskThread<S: Storage> {
     journal: Journal<S>,
     shared: Arc<Shared>,
-    /// Writes taken from the queue and not on disk.
+    /// Writes taken from the queue that are not durable yet.
     pending: PendingWrites,
-    completed: Box<dyn Fn(Completion) + Send>,
+    on_completion: Box<dyn Fn(Completion) + Send>,
 }
 
-impl<S: Storage> Worker<S> {
+impl<S: Storage> DiskThread<S> {
     pub(super) fn new(
-        journal: Journal<S>, shared: Arc<Shared>, completed: Box<dyn Fn(Completion) + Send>,
-    ) -> Worker<S> {
-        Worker { journal, shared, pending: PendingWrites::default(), completed }
+        journal: Journal<S>, shared: Arc<Shared>, on_completion: Box<dyn Fn(Completion) + Send>,
+    ) -> DiskThread<S> {
+        DiskThread { journal, shared, pending: PendingWrites::default(), on_completion }
     }
 
-    /// Writes until the disk closes.
+    /// Writes what is queued until the disk closes.
     pub(super) fn run(mut self) {
-        let _signal = EndSignal(Arc::clone(&self.shared));
-        let mut backoff = INITIAL_BACKOFF;
+        let _guard = ThreadFinishedGuard(Arc::clone(&self.shared));
+        let mut backoff = RETRY_BACKOFF_INITIAL;
         let mut has_failed = false;
         while self.take_writes(has_failed) {
             match self.write() {
                 Ok(()) => {
                     if has_failed {
-                        log::info!("disk writes succeed again");
+                        log::info!("disk write succeeded after failed attempts");
                     }
-                    (has_failed, backoff) = (false, INITIAL_BACKOFF);
-                    (self.completed)(Completion::Synced(self.pending.ticket));
+                    (has_failed, backoff) = (false, RETRY_BACKOFF_INITIAL);
+                    (self.on_completion)(Completion::Synced(self.pending.ticket));
                     self.preallocate();
                 }
                 Err(error) => {
                     if !has_failed {
-                        log::warn!("disk write failed error={error}");
+                        log::warn!("disk write failed, retrying error={error}");
                     }
                     has_failed = true;
                     let is_full = matches!(error, RingError::Full { .. });
-                    (self.completed)(Completion::WriteFailed(Arc::new(error)));
+                    (self.on_completion)(Completion::WriteFailed(Arc::new(error)));
                     self.shared.back_off(backoff, is_full);
-                    backoff = (backoff * 2).min(MAX_BACKOFF);
+                    backoff = (backoff * 2).min(RETRY_BACKOFF_MAX);
                 }
             }
         }
     }
 
-    /// Waits for writes unless some are left from a failed attempt. False: the disk is closing.
+    /// Takes queued writes, waiting for them unless a failed attempt has to be retried. Returns false if
+    /// the disk is closing.
     fn take_writes(&mut self, has_failed: bool) -> bool {
-        match self.shared.next(has_failed) {
-            Next::Writes(later) => self.pending.extend(later),
-            Next::Retry => {}
-            Next::Close => return false,
+        match self.shared.next_action(has_failed) {
+            NextAction::Write(later) => self.pending.extend(later),
+            NextAction::Retry => {}
+            NextAction::Close => return false,
         }
         true
     }
@@ -96,7 +98,7 @@
 
     fn preallocate(&mut self) {
         if let Err(error) = self.journal.preallocate() {
-            log::debug!("segment preallocation failed error={error}");
+            log::debug!("segment preallocation failed, the next write creates the file error={error}");
         }
     }
 }
--- a/crates/pebblepost-ring/src/error.rs
+++ b/crates/pebblepost-ring/src/error.rs
@@ -1,11 +1,11 @@
-//! Errors of the ring.
+//! Errors of opening, reading and writing a ring.
 
 use std::{fmt, io, path::PathBuf};
 
-/// What the journal was doing when its storage failed.
+/// Operation of the journal during which its storage failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Listing, reading or opening files when the ring is opened.
+    /// Listing, opening, reading or syncing files when an existing ring is opened.
     Recovery,
     /// Creating the first files of a ring.
     Formatting,
@@ -13,7 +13,7 @@
     Preparing,
     /// Writing frames.
     Writing,
-    /// Making written frames durable.
+    /// Syncing written frames.
     Syncing,
 }
 
@@ -29,50 +29,51 @@
     }
 }
 
-/// Why the journal could not do what it was asked for.
+/// Failure of opening, reading or writing a ring.
 #[derive(Debug, thiserror::Error)]
 pub enum RingError {
-    /// The storage failed; the same call may succeed later.
+    /// The storage failed. The caller may retry the same call.
     #[error("{step}: {source}")]
     Storage {
-        /// What was being done.
+        /// Operation that failed.
         step: Step,
-        /// The storage's own error.
+        /// Error of the storage.
         source: io::Error,
     },
-    /// The records don't fit until a checkpoint frees older ones.
+    /// The records don't fit until a checkpoint frees the space of older ones.
     #[error("ring full: {needed} bytes needed, {available} available before a checkpoint")]
     Full {
         /// Bytes needed.
         needed: u64,
-        /// Bytes that may still be written.
+        /// Bytes that may be written before the next checkpoint.
         available: u64,
     },
     /// Segments exist, but no complete journal can be read from them.
-    #[error("no whole journal found in the segments")]
+    #[error("no complete journal found in the ring's segments")]
     Damaged,
-    /// The ring is too small to hold a journal and a checkpoint.
-    #[error("{max_bytes} bytes are too few for a ring")]
+    /// The size limit allows fewer than the minimum of 8 segments, which a journal and a checkpoint need
+    /// between them.
+    #[error("size limit of {max_bytes} bytes is less than the 8 segments that a ring needs")]
     TooSmall {
-        /// The size asked for.
+        /// Size limit of the ring, in bytes.
         max_bytes: u64,
     },
-    /// The thread that writes could not be started.
-    #[error("starting the disk's thread")]
+    /// The writer thread could not be started.
+    #[error("starting the disk writer thread")]
     Thread {
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
 impl RingError {
-    /// Wraps an error of the storage with the step at which it arose.
+    /// Returns a function, for `map_err`, that wraps a storage error with the `step` that failed.
     pub fn storage(step: Step) -> impl FnOnce(io::Error) -> RingError {
         move |source| RingError::Storage { step, source }
     }
 }
 
-/// Why a ring in a folder could not be opened.
+/// Failure of opening a ring in a folder.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
     /// The folder could not be created or opened.
@@ -80,7 +81,7 @@
     Folder {
         /// The folder.
         folder: PathBuf,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The ring in the folder could not be opened or formatted.
@@ -88,7 +89,7 @@
     Ring {
         /// The folder.
         folder: PathBuf,
-        /// Why.
+        /// Error of the ring.
         source: RingError,
     },
 }
--- a/crates/pebblepost-ring/src/format.rs
+++ b/crates/pebblepost-ring/src/format.rs
@@ -1,19 +1,19 @@
-//! Layout of the ring on disk: identity file, segment headers and frames.
+//! On-disk layout of the ring: identity file, segment headers and frames. No I/O happens here.
 //!
-//! All integers are little-endian. A frame's checksum is seeded with its segment's header, which
-//! names the ring and the segment's number: bytes left over from an earlier use of the same file
-//! never pass as frames of the current one.
+//! All integers are little-endian. The checksum of a frame is seeded with the identity of the ring and
+//! the number of the segment. Frames left over from an earlier use of the same file are therefore
+//! never accepted as frames of the current segment.
 
 use std::ops::Range;
 
-/// Bytes of a segment's header.
+/// Size of a segment header, in bytes.
 pub const SEGMENT_HEADER_BYTES: usize = 64;
-/// Bytes of a frame's header.
+/// Size of a frame header, in bytes.
 pub const FRAME_HEADER_BYTES: usize = 20;
-/// Bytes of the identity file.
+/// Size of the identity file, in bytes.
 pub const IDENTITY_BYTES: usize = 24;
-/// Largest payload of one frame; longer records are split over several frames.
-pub const MAX_FRAME_PAYLOAD: usize = 128 * 1024;
+/// Largest payload of a frame, in bytes. Longer records are split into several frames.
+pub const MAX_FRAME_PAYLOAD_BYTES: usize = 128 * 1024;
 
 const IDENTITY_MAGIC: u64 = 0x7062_5269_6e67_4944;
 const SEGMENT_MAGIC: u64 = 0x7062_5269_6e67_5347;
@@ -21,10 +21,11 @@
 const FLAG_FIRST: u8 = 1;
 const FLAG_LAST: u8 = 2;
 
-/// A seeded checksum over several parts. Tests replace it to show what it guards against.
+/// A checksum function over several parts, with a seed. Tests replace it to show that recovery relies
+/// on it.
 pub type Checksum = fn(seed: u32, parts: &[&[u8]]) -> u32;
 
-/// The checksum in use: CRC-32.
+/// Computes the CRC-32 of all parts; the checksum function of production rings.
 pub fn crc32(seed: u32, parts: &[&[u8]]) -> u32 {
     let mut hasher = crc32fast::Hasher::new_with_initial(seed);
     for part in parts {
@@ -33,17 +34,17 @@
     hasher.finalize()
 }
 
-/// Content of the identity file: it exists only once a ring is fully formatted.
+/// Content of the identity file, which exists only once a ring is fully formatted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// The ring's identity.
+    /// Identity of the ring, which distinguishes its segments from those of other rings.
     pub identity: u64,
-    /// Length of each segment file.
+    /// Length of each segment file, in bytes.
     pub segment_bytes: u32,
 }
 
 impl Identity {
-    /// Encodes the file's content.
+    /// Encodes the content of the identity file.
     pub fn encode(&self, checksum: Checksum) -> [u8; IDENTITY_BYTES] {
         let mut bytes = [0; IDENTITY_BYTES];
         bytes[0..8].copy_from_slice(&IDENTITY_MAGIC.to_le_bytes());
@@ -54,7 +55,8 @@
         bytes
     }
 
-    /// Decodes the file's content; `None` if it is damaged.
+    /// Decodes the content of the identity file. Returns `None` if its length, magic number or checksum
+    /// is wrong.
     pub fn decode(bytes: &[u8], checksum: Checksum) -> Option<Identity> {
         if bytes.len() != IDENTITY_BYTES || read_u64(bytes, 0) != IDENTITY_MAGIC {
             return None;
@@ -66,24 +68,26 @@
     }
 }
 
-/// Header at the start of each segment file, rewritten for each use of the file.
+/// Header at the start of a segment file, written anew whenever the file is reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentHeader {
     /// Identity of the ring.
     pub identity: u64,
-    /// Number of the segment: its opening in the upper half, a count within it in the lower.
-    /// Never used twice within a ring.
+    /// Number of the segment, unique within a ring: the upper 32 bits count the openings of the ring,
+    /// the lower 32 bits the segments started by that opening.
     pub number: u64,
-    /// Number of the segment that the journal continues from; 0 for the first one.
+    /// Number of the preceding segment of the journal; 0 for the first one.
     pub previous: u64,
-    /// Number of the segment where the newest checkpoint begins; 0 if there was none.
+    /// Number of the segment in which the newest complete checkpoint begins; 0 if there was none when
+    /// this segment was started.
     pub checkpoint_segment: u64,
-    /// Sequence of the first frame. Frames from it onward in earlier segments are void.
+    /// Sequence of the first frame. Frames with this or a higher sequence in earlier segments were
+    /// never committed and are ignored.
     pub first_sequence: u64,
 }
 
 impl SegmentHeader {
-    /// Encodes the header.
+    /// Encodes the segment header.
     pub fn encode(&self, checksum: Checksum) -> [u8; SEGMENT_HEADER_BYTES] {
         let mut bytes = [0; SEGMENT_HEADER_BYTES];
         let fields = [
@@ -102,8 +106,8 @@
         bytes
     }
 
-    /// Decodes a header of the ring `identity`; `None` if it is damaged or belongs to
-    /// another ring.
+    /// Decodes a segment header. Returns `None` if it is damaged or belongs to a ring other than
+    /// `identity`.
     pub fn decode(bytes: &[u8], identity: u64, checksum: Checksum) -> Option<SegmentHeader> {
         if bytes.len() < SEGMENT_HEADER_BYTES || read_u64(bytes, 0) != SEGMENT_MAGIC {
             return None;
@@ -120,20 +124,21 @@
         })
     }
 
-    /// Seed of the checksums of all frames in this segment.
-    pub fn seed(&self, checksum: Checksum) -> u32 {
+    /// Returns the seed for the checksums of all frames in this segment.
+    pub fn frame_seed(&self, checksum: Checksum) -> u32 {
         checksum(0, &[&self.identity.to_le_bytes(), &self.number.to_le_bytes()])
     }
 }
 
-/// What a frame carries.
+/// Type of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
     /// A record or a part of one.
     Record,
-    /// All that follows, up to the end marker, replaces what comes before.
+    /// Start of a checkpoint. The records between this marker and the end marker replace all earlier
+    /// ones.
     CheckpointBegin,
-    /// The checkpoint is complete.
+    /// End of a checkpoint, which becomes effective with this marker.
     CheckpointEnd,
 }
 
@@ -156,16 +161,16 @@
     }
 }
 
-/// Header of a frame, without length and checksum.
+/// Header fields of a frame, except for payload length and checksum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// What the frame carries.
+    /// Type of the frame.
     pub kind: FrameKind,
-    /// First frame of its record.
+    /// Whether this is the first frame of its record.
     pub is_first: bool,
-    /// Last frame of its record.
+    /// Whether this is the last frame of its record.
     pub is_last: bool,
-    /// Position in the journal: one above the previous frame's.
+    /// Position in the journal, one higher than that of the previous frame.
     pub sequence: u64,
 }
 
@@ -184,14 +189,14 @@
     buffer.extend_from_slice(payload);
 }
 
-/// Result of decoding the start of some bytes.
+/// Result of [`decode_frame`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decoded {
-    /// A complete frame, with the range of its payload in the bytes.
+    /// A valid frame, with the range of its payload in the input.
     Frame(Frame, Range<usize>),
-    /// At least this many bytes are needed to decode a frame.
+    /// The input ends inside the frame; at least this many bytes are needed.
     Incomplete(usize),
-    /// There is no valid frame here: the segment's journal ends.
+    /// There is no valid frame: the journal ends here in this segment.
     End,
 }
 
@@ -202,7 +207,7 @@
     }
     let length = read_u32(bytes, 4) as usize;
     let Some(kind) = FrameKind::from_code(bytes[2]) else { return Decoded::End };
-    if u16::from_le_bytes([bytes[0], bytes[1]]) != FRAME_MAGIC || length > MAX_FRAME_PAYLOAD {
+    if u16::from_le_bytes([bytes[0], bytes[1]]) != FRAME_MAGIC || length > MAX_FRAME_PAYLOAD_BYTES {
         return Decoded::End;
     }
     let end = FRAME_HEADER_BYTES + length;
@@ -223,9 +228,10 @@
     Decoded::Frame(frame, payload)
 }
 
-/// Upper bound of the bytes that a record of `length` bytes takes on disk.
+/// Returns an upper bound of the bytes that a record of `length` bytes takes on disk, as long as it is
+/// not split at the end of a segment. Capacity calculations reserve the headers for such splits.
 pub fn stored_bytes(length: usize) -> u64 {
-    (length + FRAME_HEADER_BYTES * (length / MAX_FRAME_PAYLOAD + 1)) as u64
+    (length + FRAME_HEADER_BYTES * (length / MAX_FRAME_PAYLOAD_BYTES + 1)) as u64
 }
 
 fn read_u64(bytes: &[u8], offset: usize) -> u64 {
--- a/crates/pebblepost-ring/src/journal.rs
+++ b/crates/pebblepost-ring/src/journal.rs
@@ -1,13 +1,15 @@
-//! The journal over a storage: formatting, recovery, appends and checkpoints. All calls block.
+//! The write-ahead journal over a [`Storage`]: formatting, recovery, appends and checkpoints. All
+//! calls block.
 //!
-//! A write that fails leaves the journal as it was: nothing of it counts, the segment that it had
-//! reached is not written any further, and the same records can be written again, to a segment
-//! with a higher number. The journal never retries by itself and starts no thread.
+//! A failed write has no effect on the journal's state: none of its records are committed, no further
+//! frames are written to the segment in which it failed, and the caller may retry the same records.
+//! The retry goes to a new segment with a higher number. The journal never retries by itself and
+//! starts no thread.
 
 use crate::{
     error::{RingError, Step},
     format::{Checksum, FRAME_HEADER_BYTES, FrameKind, Identity, SEGMENT_HEADER_BYTES, crc32, stored_bytes},
-    identity_file::{format, read_identity},
+    identity_file::{format_ring, read_identity},
     recovery::{Recovery, recover},
     segments::{Segment, SlotPool, slot_name},
     storage::Storage,
@@ -15,52 +17,56 @@
 };
 use std::io;
 
-/// Number of segments of a ring, between the limits of a segment's length.
-const SEGMENT_COUNT: u64 = 64;
+/// Number of segments that a new ring is divided into. The segment length that follows from it is
+/// clamped to `MIN_SEGMENT_BYTES..=MAX_SEGMENT_BYTES`.
+const TARGET_SEGMENT_COUNT: u64 = 64;
 const MAX_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
 const MIN_SEGMENT_BYTES: u64 = 64 * 1024;
-/// A ring has at least this many segments.
+/// Smallest number of segments with which a ring can be opened.
 const MIN_SEGMENT_COUNT: u64 = 8;
-/// Segments that the capacity leaves out: one to continue in after a failed write, and one for the
-/// parts of segments that stay unused.
-const SPARE_SEGMENTS: u64 = 2;
-/// Larger buffers are shrunk to this size between writes.
+/// Segments excluded from the capacity: one to continue in after a failed write, and one to make up
+/// for the unused space at the ends of the other segments.
+const SPARE_SEGMENT_COUNT: u64 = 2;
+/// Capacity to which a larger write buffer is shrunk between writes.
 const MAX_IDLE_BUFFER_BYTES: usize = 512 * 1024;
 
-/// How a journal is opened.
+/// Parameters for opening a journal.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Upper limit of the bytes of all segments together.
+    /// Upper limit of the total length of all segment files, in bytes.
     pub max_bytes: u64,
-    /// Length of a segment file in bytes, used when formatting; `None`: derived from `max_bytes`.
+    /// Length of a segment file in bytes, used only when formatting. With `None` it is derived from
+    /// `max_bytes`.
     pub segment_bytes: Option<u32>,
-    /// Identity, used when formatting.
+    /// Identity of the ring, used only when formatting. An existing ring keeps its own.
     pub identity: u64,
-    /// Checksum of everything written.
+    /// Checksum function for the identity file, segment headers and frames. It must be the one with
+    /// which the ring was formatted.
     pub checksum: Checksum,
 }
 
 impl Options {
-    /// Options with the checksum in use and the derived segment length.
+    /// Creates options with the CRC-32 checksum and a segment length derived from `max_bytes`.
     pub fn new(max_bytes: u64, identity: u64) -> Options {
         Options { max_bytes, segment_bytes: None, identity, checksum: crc32 }
     }
 
-    /// The identity of a ring that is formatted.
+    /// Returns the content of the identity file for a ring that is about to be formatted.
     fn new_identity(&self) -> Identity {
         let segment_bytes = self.segment_bytes.unwrap_or_else(|| segment_bytes_for(self.max_bytes));
         Identity { identity: self.identity, segment_bytes }
     }
 }
 
-/// What a ring held when it was opened.
+/// State of a ring at the time it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// Identity of the ring: drawn at random, or given, when it was formatted.
+    /// Identity of the ring, set when it was formatted (by the caller or at random).
     pub identity: u64,
-    /// The ring has just been formatted.
+    /// Whether this call formatted the ring.
     pub is_new: bool,
-    /// All live records in the order written: those of the newest complete checkpoint first.
+    /// All live records in the order in which they were written: first those of the newest complete
+    /// checkpoint, then those appended after it.
     pub records: Vec<Vec<u8>>,
 }
 
@@ -69,13 +75,13 @@
     storage: S,
     parameters: SegmentParameters,
     slots: SlotPool,
-    /// Segments that hold the newest checkpoint and all after it.
+    /// Live segments in order: those that hold the newest checkpoint and everything after it.
     chain: Vec<Segment>,
-    /// The last of them, if this opening has written it and no write has failed since.
+    /// The last live segment, if it was started by this opening and no write has failed since.
     tail: Option<Tail<S::File>>,
     next_number: u64,
     next_sequence: u64,
-    /// Number of the segment where the newest checkpoint begins; 0 if there is none.
+    /// Number of the segment in which the newest checkpoint begins; 0 if there is none.
     checkpoint_segment: u64,
     checkpoint_bytes: u64,
     journal_bytes: u64,
@@ -83,13 +89,16 @@
 }
 
 impl<S: Storage> Journal<S> {
-    /// Opens the ring in the storage, formatting it if there is none. A new segment is begun
-    /// durably: from then on, nothing that an earlier opening wrote and this one didn't find can
-    /// come back, whatever the disk still holds of it.
+    /// Opens the ring in the storage, formatting it if there is none.
+    ///
+    /// A new segment is started and synced before this call returns. Frames of an earlier opening
+    /// that recovery did not find can therefore never be recovered later, even if they are still on
+    /// the disk.
     ///
     /// # Errors
     ///
-    /// Fails if the ring is damaged or too small, or the storage fails.
+    /// Fails if the ring is damaged or `max_bytes` is below the minimum number of segments, or if the
+    /// storage fails.
     pub fn open(mut storage: S, options: Options) -> Result<(Journal<S>, Recovered), RingError> {
         let found = read_identity(&mut storage, options.checksum)?;
         let is_new = found.is_none();
@@ -99,7 +108,7 @@
             return Err(RingError::TooSmall { max_bytes: options.max_bytes });
         }
         if is_new {
-            format(&mut storage, identity, options.checksum)?;
+            format_ring(&mut storage, identity, options.checksum)?;
         }
         let recovery = recover(&mut storage, identity.identity, options.checksum)?;
         if !is_new {
@@ -128,7 +137,7 @@
             journal_bytes: recovery.replayed.journal_bytes,
             buffer: Vec::new(),
         };
-        journal.write(|writer| writer.advance())?;
+        journal.write(|writer| writer.start_segment())?;
         recovery.incomplete.iter().for_each(|segment| journal.slots.release(segment.slot));
         Ok((journal, recovered))
     }
@@ -137,9 +146,9 @@
     ///
     /// # Errors
     ///
-    /// Fails if the ring is full or the storage fails; nothing counts as written then.
+    /// Fails if the ring is full or the storage fails. None of the records are committed then.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), RingError> {
-        let needed = total_bytes(records);
+        let needed = total_stored_bytes(records);
         let available = self.capacity().saturating_sub(self.journal_bytes);
         if needed > available {
             return Err(RingError::Full { needed, available });
@@ -149,21 +158,22 @@
         Ok(())
     }
 
-    /// Replaces all that the journal holds by `records`, durably.
+    /// Replaces the whole content of the journal with `records` and makes them durable. Segments that
+    /// hold only older records become free.
     ///
     /// # Errors
     ///
-    /// Fails if the ring is full or the storage fails; nothing has changed then.
+    /// Fails if the ring is full or the storage fails. The content is unchanged then.
     pub fn checkpoint(&mut self, records: &[Vec<u8>]) -> Result<(), RingError> {
-        let needed = total_bytes(records);
-        let available = self.slots.available() * self.payload_bytes();
+        let needed = total_stored_bytes(records);
+        let available = self.slots.available_count() * self.usable_segment_bytes();
         if needed > available {
             return Err(RingError::Full { needed, available });
         }
         self.checkpoint_segment = self.write(|writer| {
-            let segment = writer.marker(FrameKind::CheckpointBegin)?;
+            let segment = writer.write_marker(FrameKind::CheckpointBegin)?;
             write_records(writer, records)?;
-            writer.marker(FrameKind::CheckpointEnd)?;
+            writer.write_marker(FrameKind::CheckpointEnd)?;
             Ok(segment)
         })?;
         self.checkpoint_bytes = needed;
@@ -172,42 +182,48 @@
         Ok(())
     }
 
-    /// Bytes on disk of the records after the newest checkpoint.
+    /// Returns the size on disk, in bytes, of the records after the newest checkpoint.
     pub fn journal_bytes(&self) -> u64 {
         self.journal_bytes
     }
 
-    /// Bytes that may be appended after a checkpoint, so that enough is left for the next one, which
-    /// may be as large as the newest checkpoint and all records after it together.
+    /// Returns how many bytes may be appended between two checkpoints, including those already
+    /// appended since the newest one.
+    ///
+    /// The limit leaves enough space for the next checkpoint, which may be as large as the newest
+    /// checkpoint and all records after it together.
     pub fn capacity(&self) -> u64 {
-        let usable = self.slots.available().saturating_sub(SPARE_SEGMENTS) * self.payload_bytes();
-        let reserved = self.checkpoint_bytes + self.journal_bytes;
-        self.journal_bytes + usable.saturating_sub(reserved) / 2
+        let usable_bytes =
+            self.slots.available_count().saturating_sub(SPARE_SEGMENT_COUNT) * self.usable_segment_bytes();
+        let reserved_bytes = self.checkpoint_bytes + self.journal_bytes;
+        self.journal_bytes + usable_bytes.saturating_sub(reserved_bytes) / 2
     }
 
-    /// Prepares the next segment's file if the current segment is half full.
+    /// Creates the next segment's file ahead of time if the current segment is more than half full.
     ///
     /// # Errors
     ///
-    /// Fails if the storage fails; the next write then prepares the file itself.
+    /// Fails if the storage fails. The next write that needs the file creates it then.
     pub fn preallocate(&mut self) -> Result<(), RingError> {
-        let half = u64::from(self.parameters.segment_bytes) / 2;
-        if self.tail.as_ref().is_some_and(|tail| tail.end().offset > half) {
+        let half_segment_bytes = u64::from(self.parameters.segment_bytes) / 2;
+        if self.tail.as_ref().is_some_and(|tail| tail.position().offset > half_segment_bytes) {
             self.slots.preallocate(&mut self.storage)?;
         }
         Ok(())
     }
 
-    /// Bytes of frames that fit into a segment in any case.
-    fn payload_bytes(&self) -> u64 {
-        let unused = SEGMENT_HEADER_BYTES + 2 * FRAME_HEADER_BYTES + MIN_FRAGMENT_BYTES;
-        u64::from(self.parameters.segment_bytes) - unused as u64
+    /// Returns how many bytes of frames always fit into a segment, however records are split.
+    fn usable_segment_bytes(&self) -> u64 {
+        let max_unused_bytes = SEGMENT_HEADER_BYTES + 2 * FRAME_HEADER_BYTES + MIN_FRAGMENT_BYTES;
+        u64::from(self.parameters.segment_bytes) - max_unused_bytes as u64
     }
 
+    /// Runs one write attempt and commits its result, or discards it and frees the segments that the
+    /// attempt started.
     fn write<T>(
         &mut self, write_frames: impl FnOnce(&mut Writer<'_, S>) -> Result<T, RingError>,
     ) -> Result<T, RingError> {
-        let committed_end = self.tail.as_ref().map(Tail::end);
+        let committed_position = self.tail.as_ref().map(Tail::position);
         let mut writer = Writer {
             storage: &mut self.storage,
             slots: &mut self.slots,
@@ -217,56 +233,59 @@
             previous: self.chain.last().map_or(0, |segment| segment.number),
             tail: self.tail.take(),
             buffer: std::mem::take(&mut self.buffer),
-            opened: Vec::new(),
+            started_segments: Vec::new(),
             sequence: self.next_sequence,
         };
         let written = write_frames(&mut writer).and_then(|value| writer.finish().map(|()| value));
         if matches!(written, Err(RingError::Storage { step: Step::Syncing, .. })) {
-            writer.invalidate_unsynced(committed_end);
+            writer.invalidate_unsynced(committed_position);
         }
-        let Writer { tail, mut buffer, opened, sequence, .. } = writer;
+        let Writer { tail, mut buffer, started_segments, sequence, .. } = writer;
         buffer.clear();
         buffer.shrink_to(MAX_IDLE_BUFFER_BYTES);
         self.buffer = buffer;
         if written.is_ok() {
             self.tail = tail;
             self.next_sequence = sequence;
-            self.chain.extend(opened);
+            self.chain.extend(started_segments);
         } else {
-            opened.iter().for_each(|segment| self.slots.release(segment.slot));
+            started_segments.iter().for_each(|segment| self.slots.release(segment.slot));
         }
         written
     }
 
     fn free_replaced_segments(&mut self) {
-        let live =
+        let first_live =
             self.chain.iter().position(|segment| segment.number >= self.checkpoint_segment).unwrap_or(0);
-        for segment in self.chain.drain(..live) {
+        for segment in self.chain.drain(..first_live) {
             self.slots.release(segment.slot);
         }
     }
 }
 
 fn write_records<S: Storage>(writer: &mut Writer<'_, S>, records: &[Vec<u8>]) -> Result<(), RingError> {
-    records.iter().try_for_each(|record| writer.record(record))
+    records.iter().try_for_each(|record| writer.write_record(record))
 }
 
-fn total_bytes(records: &[Vec<u8>]) -> u64 {
+fn total_stored_bytes(records: &[Vec<u8>]) -> u64 {
     records.iter().map(|record| stored_bytes(record.len())).sum()
 }
 
-/// First segment number of an opening that found `highest`. Openings count in the upper half of
-/// the number: whatever an earlier opening wrote, seen or not, is of a lower number.
+/// Returns the first segment number of an opening whose highest segment found is `highest`.
+///
+/// The upper 32 bits count the openings. Every segment of an earlier opening therefore has a lower
+/// number, even one that recovery did not find.
 fn first_number_after(highest: u64) -> u64 {
     ((highest >> 32) + 1) << 32
 }
 
-/// Length of the segments of a ring of this size.
+/// Returns the segment length for a new ring of at most `max_bytes`.
 fn segment_bytes_for(max_bytes: u64) -> u32 {
-    (max_bytes / SEGMENT_COUNT).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES) as u32
+    (max_bytes / TARGET_SEGMENT_COUNT).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES) as u32
 }
 
-/// What was read may not have been durable, if the process that wrote it was killed in between.
+/// Syncs what recovery read: if the process that wrote it was killed between write and sync, it may
+/// exist only in the page cache.
 fn make_durable<S: Storage>(storage: &mut S, recovery: &Recovery) -> io::Result<()> {
     if let Some(segment) = recovery.chain.last() {
         let mut file = storage.open(&slot_name(segment.slot))?;
--- a/crates/pebblepost-ring/src/lib.rs
+++ b/crates/pebblepost-ring/src/lib.rs
@@ -1,14 +1,15 @@
-//! A journal in a ring of preallocated files that survives torn, lost and reordered writes.
+//! A write-ahead journal in a ring of preallocated segment files. It recovers from torn, lost and
+//! reordered writes.
 //!
-//! * [`mod@format`]: layout of frames, segment headers and the identity file; no I/O.
-//! * [`replay`]: folds the frames of a chain of segments into the live records; no I/O.
-//! * [`storage`]: the file operations needed, on real files or on a simulated disk.
-//! * [`journal`]: formatting, recovery, appends and checkpoints over a storage, all blocking.
-//! * [`disk`]: a thread that owns a journal and serves a queue.
-//! * [`error`]: what can fail.
+//! * [`mod@format`]: on-disk layout of frames, segment headers and the identity file; no I/O.
+//! * [`replay`]: replays the frames of a chain of segments into the live records; no I/O.
+//! * [`storage`]: the file operations that the ring needs. Tests replace them with a simulated disk.
+//! * [`journal`]: formatting, recovery, appends and checkpoints over a storage; all calls block.
+//! * [`disk`]: a thread that owns a journal and writes queued records to it.
+//! * [`error`]: the errors of all modules.
 //!
-//! Once a [`Disk`] is open, blocking calls are made on its own thread only. The ring never looks into
-//! the records: their meaning is the caller's.
+//! Once a [`Disk`] is open, all blocking calls are made on its own thread. Only dropping it may block
+//! the caller, for at most 2 s. Records are opaque bytes to this crate.
 
 pub mod disk;
 pub mod error;
--- a/crates/pebblepost-ring/src/recovery.rs
+++ b/crates/pebblepost-ring/src/recovery.rs
@@ -1,4 +1,6 @@
-//! Recovery: finds the newest complete journal among the segments on disk.
+//! Recovers the newest complete journal from the segments on disk.
+//!
+//! A chain is a list of segments in which each one names its predecessor.
 
 use crate::{
     error::{RingError, Step},
@@ -9,24 +11,26 @@
 };
 use std::{collections::BTreeMap, io};
 
-/// Bytes read from a segment at once: more than the longest frame.
-const READ_BYTES: usize = 256 * 1024;
-/// Longer chains are read twice, so that replaced records are never held in memory.
-const MAX_SEGMENTS_IN_ONE_PASS: usize = 16;
+/// Size of the read buffer, which has to hold the longest frame.
+const READ_BUFFER_BYTES: usize = 256 * 1024;
+/// Longest chain that is read in one pass. Longer ones are read twice: the first pass finds the newest
+/// checkpoint, so that the second needn't hold in memory the records that it replaces.
+const MAX_SINGLE_PASS_SEGMENTS: usize = 16;
 
-/// What the segments hold.
+/// Result of a recovery.
 #[derive(Debug)]
 pub(crate) struct Recovery {
-    /// All slots that exist.
+    /// Slots of all segment files on disk.
     pub(crate) slots: Vec<u32>,
-    /// The live segments, in order.
+    /// Live segments, in order.
     pub(crate) chain: Vec<Segment>,
-    /// Segments after them that hold no complete record or checkpoint. Until a newer segment is
-    /// durable, they still tell the newest journal from what was left behind earlier.
+    /// Segments after the live ones that hold no complete record or checkpoint. They must not be
+    /// reused until a newer segment is durable: until then, they are what distinguishes the newest
+    /// journal from stale segments.
     pub(crate) incomplete: Vec<Segment>,
-    /// Highest number of any segment.
+    /// Highest segment number found, in live or stale segments; 0 without segments.
     pub(crate) highest_number: u64,
-    /// Content of the live segments.
+    /// Replayed content of the live segments.
     pub(crate) replayed: Replayed,
 }
 
@@ -37,7 +41,12 @@
     header: SegmentHeader,
 }
 
-/// Reads all segments of the ring `identity`.
+/// Reads all segments of the ring with this `identity`.
+///
+/// # Errors
+///
+/// Fails with [`RingError::Damaged`] if segments exist but none ends a complete journal, or if the
+/// storage fails.
 pub(crate) fn recover<S: Storage>(
     storage: &mut S, identity: u64, checksum: Checksum,
 ) -> Result<Recovery, RingError> {
@@ -46,12 +55,13 @@
     let found =
         read_headers(storage, &slots, identity, checksum).map_err(RingError::storage(Step::Recovery))?;
     let highest_number = found.keys().next_back().copied().unwrap_or(0);
-    let mut reader = ChainReader { storage, checksum, buffer: vec![0; READ_BYTES] };
-    // A checkpoint was durable when a header named it: nothing older can be the newest journal.
+    let mut reader = ChainReader { storage, checksum, buffer: vec![0; READ_BUFFER_BYTES] };
+    // A header names a checkpoint only once it is durable. Segments before the newest such checkpoint
+    // can't end the newest journal.
     let newest_checkpoint = found.values().map(|found| found.header.checkpoint_segment).max().unwrap_or(0);
     for newest in found.range(newest_checkpoint..).rev().map(|(_, found)| found) {
-        let chain = chain_to(newest, &found);
-        let read = reader.read_newest(&chain).map_err(RingError::storage(Step::Recovery))?;
+        let chain = chain_ending_with(newest, &found);
+        let read = reader.read_newest_journal(&chain).map_err(RingError::storage(Step::Recovery))?;
         if let Some((chain, replayed)) = read {
             let (chain, incomplete) = split_incomplete(chain, &replayed);
             return Ok(Recovery { slots, chain, incomplete, highest_number, replayed });
@@ -69,14 +79,14 @@
     })
 }
 
-/// Tells the segments that hold anything complete from those after them, which hold parts of a record
-/// or checkpoint that was never completed: the journal continues before these.
+/// Splits a chain into the live segments and those after them, which hold only parts of a record or
+/// checkpoint that was never completed. The journal continues before the latter.
 fn split_incomplete(chain: &[FoundSegment], replayed: &Replayed) -> (Vec<Segment>, Vec<Segment>) {
     let segments = |found: &[FoundSegment]| {
         found.iter().map(|found| Segment { slot: found.slot, number: found.header.number }).collect()
     };
-    let live = chain.partition_point(|found| found.header.first_sequence < replayed.next_sequence);
-    (segments(&chain[..live]), segments(&chain[live..]))
+    let live_count = chain.partition_point(|found| found.header.first_sequence < replayed.next_sequence);
+    (segments(&chain[..live_count]), segments(&chain[live_count..]))
 }
 
 fn list_slots<S: Storage>(storage: &mut S) -> io::Result<Vec<u32>> {
@@ -98,8 +108,9 @@
     Ok(found)
 }
 
-/// The segments that lead to `newest`, as far back as its checkpoint or as they were found.
-fn chain_to(newest: &FoundSegment, found: &BTreeMap<u64, FoundSegment>) -> Vec<FoundSegment> {
+/// Returns the chain that ends with `newest`. It begins with the segment of the checkpoint that
+/// `newest` names, or later if a predecessor was not found.
+fn chain_ending_with(newest: &FoundSegment, found: &BTreeMap<u64, FoundSegment>) -> Vec<FoundSegment> {
     let mut chain = vec![*newest];
     let mut oldest = newest;
     while oldest.header.number != newest.header.checkpoint_segment
@@ -120,18 +131,19 @@
 }
 
 impl<S: Storage> ChainReader<'_, S> {
-    /// Reads the longest unbroken end of a chain; `None` if it holds no complete journal.
-    fn read_newest<'b>(
+    /// Replays the longest contiguous end of a chain. Returns `None` if it holds no complete journal:
+    /// it has no complete checkpoint and does not begin with the ring's first segment.
+    fn read_newest_journal<'b>(
         &mut self, chain: &'b [FoundSegment],
     ) -> io::Result<Option<(&'b [FoundSegment], Replayed)>> {
         let mut keep_from = 0;
-        if chain.len() > MAX_SEGMENTS_IN_ONE_PASS {
-            let (_, replayed) = self.read_unbroken(chain, u64::MAX)?;
+        if chain.len() > MAX_SINGLE_PASS_SEGMENTS {
+            let (_, replayed) = self.read_contiguous(chain, u64::MAX)?;
             keep_from = replayed.checkpoint.map_or(0, |position| position.sequence);
         }
-        let (chain, replayed) = self.read_unbroken(chain, keep_from)?;
-        let from_the_start = chain[0].header.previous == 0;
-        if !from_the_start && replayed.checkpoint.is_none() {
+        let (chain, replayed) = self.read_contiguous(chain, keep_from)?;
+        let starts_at_first_segment = chain[0].header.previous == 0;
+        if !starts_at_first_segment && replayed.checkpoint.is_none() {
             return Ok(None);
         }
         let first_live = replayed.checkpoint.map_or(0, |position| position.segment);
@@ -139,7 +151,9 @@
         Ok(Some((&chain[live..], replayed)))
     }
 
-    fn read_unbroken<'b>(
+    /// Replays a chain and returns its longest contiguous end. Where the frames of a segment don't end
+    /// at the first sequence of the next one, the replay starts over with that next segment.
+    fn read_contiguous<'b>(
         &mut self, chain: &'b [FoundSegment], keep_from: u64,
     ) -> io::Result<(&'b [FoundSegment], Replayed)> {
         let mut start = 0;
@@ -156,11 +170,11 @@
         Ok((&chain[start..], replay.finish()))
     }
 
-    /// Replays the frames of a segment up to the sequence `limit`.
+    /// Replays the frames of a segment whose sequences are below `limit`.
     fn read_segment(&mut self, segment: &FoundSegment, limit: u64, replay: &mut Replay) -> io::Result<()> {
-        let seed = segment.header.seed(self.checksum);
+        let seed = segment.header.frame_seed(self.checksum);
         let mut file = self.storage.open(&slot_name(segment.slot))?;
-        let mut window = Window { offset: SEGMENT_HEADER_BYTES as u64, start: 0, end: 0 };
+        let mut window = ReadWindow { offset: SEGMENT_HEADER_BYTES as u64, start: 0, end: 0 };
         loop {
             let bytes = &self.buffer[window.start..window.end];
             match decode_frame(bytes, seed, self.checksum) {
@@ -169,10 +183,10 @@
                         return Ok(());
                     }
                     window.start += payload.end;
-                    replay.frame(segment.header.number, frame, &bytes[payload]);
+                    replay.apply_frame(segment.header.number, frame, &bytes[payload]);
                 }
                 Decoded::Incomplete(needed) => {
-                    self.fill(&mut file, &mut window)?;
+                    self.refill(&mut file, &mut window)?;
                     if window.end < needed {
                         return Ok(());
                     }
@@ -182,8 +196,8 @@
         }
     }
 
-    /// Moves what is left in the window to the start of the buffer and reads on after it.
-    fn fill(&mut self, file: &mut S::File, window: &mut Window) -> io::Result<()> {
+    /// Moves the unread rest of the window to the start of the buffer and reads more bytes after it.
+    fn refill(&mut self, file: &mut S::File, window: &mut ReadWindow) -> io::Result<()> {
         self.buffer.copy_within(window.start..window.end, 0);
         window.offset += window.start as u64;
         window.end -= window.start;
@@ -194,9 +208,9 @@
     }
 }
 
-/// The part of the buffer that holds bytes of a segment not yet replayed.
-struct Window {
-    /// Offset in the file of the buffer's start.
+/// Range of the buffer that holds bytes of a segment not yet replayed.
+struct ReadWindow {
+    /// Offset in the file that corresponds to the start of the buffer, in bytes.
     offset: u64,
     start: usize,
     end: usize,
--- a/crates/pebblepost-ring/src/replay.rs
+++ b/crates/pebblepost-ring/src/replay.rs
@@ -1,8 +1,8 @@
-//! Folds the frames of a chain of segments, in order, into the live records.
+//! Replays the frames of a chain of segments, in order, into the live records.
 
 use crate::format::{FRAME_HEADER_BYTES, Frame, FrameKind};
 
-/// Where the newest complete checkpoint begins.
+/// Position at which the newest complete checkpoint begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CheckpointPosition {
     /// Number of the segment that holds its begin marker.
@@ -11,26 +11,27 @@
     pub sequence: u64,
 }
 
-/// A record of which not all frames have been seen yet.
+/// A record whose last frame has not been replayed yet.
 #[derive(Debug)]
 struct PartialRecord {
-    sequence: u64,
+    first_sequence: u64,
     bytes: Vec<u8>,
 }
 
-/// A checkpoint of which the end marker has not been seen yet.
+/// A checkpoint whose end marker has not been replayed yet.
 #[derive(Debug)]
 struct OpenCheckpoint {
     position: CheckpointPosition,
+    /// Records before the begin marker; the checkpoint replaces them once it is complete.
     records_before: usize,
     bytes: u64,
 }
 
-/// State of a replay.
+/// A replay in progress.
 #[derive(Debug)]
 pub struct Replay {
     next_sequence: u64,
-    keep_from: u64,
+    keep_from_sequence: u64,
     records: Vec<Vec<u8>>,
     partial: Option<PartialRecord>,
     open_checkpoint: Option<OpenCheckpoint>,
@@ -39,28 +40,28 @@
     journal_bytes: u64,
 }
 
-/// Outcome of a replay.
+/// Result of a replay.
 #[derive(Debug)]
 pub struct Replayed {
-    /// The live records, in order.
+    /// Live records, in the order in which they were written.
     pub records: Vec<Vec<u8>>,
     /// The newest complete checkpoint.
     pub checkpoint: Option<CheckpointPosition>,
-    /// Bytes on disk of the newest complete checkpoint.
+    /// Size on disk of the newest complete checkpoint, in bytes.
     pub checkpoint_bytes: u64,
-    /// Bytes on disk of the records after it.
+    /// Size on disk of the records after it, in bytes.
     pub journal_bytes: u64,
-    /// Sequence after the last complete record or checkpoint.
+    /// Sequence of the frame that follows the last complete record or checkpoint.
     pub next_sequence: u64,
 }
 
 impl Replay {
-    /// Starts at the sequence of the chain's first frame. Records of frames before `keep_from` are
-    /// not kept.
-    pub fn new(first_sequence: u64, keep_from: u64) -> Replay {
+    /// Starts a replay at the sequence of the chain's first frame. Records that begin before the
+    /// sequence `keep_from_sequence` are not kept in memory.
+    pub fn new(first_sequence: u64, keep_from_sequence: u64) -> Replay {
         Replay {
             next_sequence: first_sequence,
-            keep_from,
+            keep_from_sequence,
             records: Vec::new(),
             partial: None,
             open_checkpoint: None,
@@ -70,25 +71,26 @@
         }
     }
 
-    /// Sequence that the next frame must have.
+    /// Returns the sequence that the next frame must have.
     pub fn next_sequence(&self) -> u64 {
         self.next_sequence
     }
 
-    /// Takes the frame at [`Replay::next_sequence`], found in the segment of this number.
-    pub fn frame(&mut self, segment: u64, frame: Frame, payload: &[u8]) {
+    /// Applies the frame with the sequence [`Replay::next_sequence`], read from the segment with the
+    /// number `segment`. The caller has checked the sequence.
+    pub fn apply_frame(&mut self, segment: u64, frame: Frame, payload: &[u8]) {
         self.next_sequence = frame.sequence + 1;
-        self.count(FRAME_HEADER_BYTES + payload.len());
+        self.count_bytes(FRAME_HEADER_BYTES + payload.len());
         match frame.kind {
-            FrameKind::Record => self.record(frame, payload),
+            FrameKind::Record => self.apply_record_frame(frame, payload),
             FrameKind::CheckpointBegin => self.begin_checkpoint(segment, frame.sequence),
             FrameKind::CheckpointEnd => self.end_checkpoint(),
         }
     }
 
-    /// Ends the replay. What is not complete is dropped.
+    /// Ends the replay. An incomplete record or checkpoint at its end is dropped.
     pub fn finish(self) -> Replayed {
-        let partial_start = self.partial.as_ref().map(|partial| partial.sequence);
+        let partial_start = self.partial.as_ref().map(|partial| partial.first_sequence);
         let checkpoint_start = self.open_checkpoint.as_ref().map(|open| open.position.sequence);
         let next_sequence = checkpoint_start.or(partial_start).unwrap_or(self.next_sequence);
         let mut records = self.records;
@@ -104,20 +106,20 @@
         }
     }
 
-    fn count(&mut self, bytes: usize) {
+    fn count_bytes(&mut self, bytes: usize) {
         match &mut self.open_checkpoint {
             Some(open) => open.bytes += bytes as u64,
             None => self.journal_bytes += bytes as u64,
         }
     }
 
-    fn record(&mut self, frame: Frame, payload: &[u8]) {
+    fn apply_record_frame(&mut self, frame: Frame, payload: &[u8]) {
         if frame.is_first {
-            self.partial = Some(PartialRecord { sequence: frame.sequence, bytes: Vec::new() });
+            self.partial = Some(PartialRecord { first_sequence: frame.sequence, bytes: Vec::new() });
         }
-        // Without its first frame the record began before the chain: a checkpoint replaces it.
+        // A record without its first frame began before the chain, and a checkpoint replaces it.
         let Some(partial) = &mut self.partial else { return };
-        let is_kept = partial.sequence >= self.keep_from;
+        let is_kept = partial.first_sequence >= self.keep_from_sequence;
         if is_kept && frame.is_first && frame.is_last {
             partial.bytes = payload.to_vec();
         } else if is_kept {
--- a/crates/pebblepost-ring/src/storage.rs
+++ b/crates/pebblepost-ring/src/storage.rs
@@ -1,4 +1,4 @@
-//! The file operations that the ring needs, and their implementation on real files.
+//! File operations that the ring needs, and their implementation on real files.
 
 use std::{
     fs::{self, File, OpenOptions},
@@ -6,12 +6,12 @@
     path::{Path, PathBuf},
 };
 
-/// A folder of files. All calls block; all fail if the underlying system call does.
+/// A folder of files. All calls block.
 pub trait Storage {
     /// An open file.
     type File;
 
-    /// Names of all files in the folder.
+    /// Returns the names of all files in the folder.
     ///
     /// # Errors
     ///
@@ -29,43 +29,44 @@
     ///
     /// Fails if the system call fails.
     fn create(&mut self, name: &str) -> io::Result<Self::File>;
-    /// Length of a file.
+    /// Returns the length of a file, in bytes.
     ///
     /// # Errors
     ///
     /// Fails if the system call fails.
     fn length(&mut self, file: &mut Self::File) -> io::Result<u64>;
-    /// Sets the length of a file; new bytes are zero.
+    /// Sets the length of a file. Bytes added by this are zero.
     ///
     /// # Errors
     ///
     /// Fails if the system call fails.
     fn set_length(&mut self, file: &mut Self::File, length: u64) -> io::Result<()>;
-    /// Reads up to `buffer.len()` bytes; fewer at the end of the file only.
+    /// Fills the buffer from `offset` and returns the number of bytes read, which is less than
+    /// `buffer.len()` only at the end of the file.
     ///
     /// # Errors
     ///
     /// Fails if the system call fails.
     fn read_at(&mut self, file: &mut Self::File, offset: u64, buffer: &mut [u8]) -> io::Result<usize>;
-    /// Writes all bytes.
+    /// Writes all bytes at `offset`.
     ///
     /// # Errors
     ///
-    /// Fails if the system call fails.
+    /// Fails if the system call fails. Some of the bytes may have been written then.
     fn write_at(&mut self, file: &mut Self::File, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Makes content and length durable.
+    /// Makes the content and length of a file durable.
     ///
     /// # Errors
     ///
     /// Fails if the system call fails.
     fn sync_data(&mut self, file: &mut Self::File) -> io::Result<()>;
-    /// Makes content and all attributes durable.
+    /// Makes the content and all attributes of a file durable.
     ///
     /// # Errors
     ///
     /// Fails if the system call fails.
     fn sync_all(&mut self, file: &mut Self::File) -> io::Result<()>;
-    /// Renames a file, replacing one of the new name.
+    /// Renames a file, replacing an existing file of the new name.
     ///
     /// # Errors
     ///
@@ -85,22 +86,23 @@
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// Real files in a folder.
+/// [`Storage`] on the files of a folder.
 #[derive(Debug)]
 pub struct FileStorage {
     folder: PathBuf,
     handle: File,
 }
 
-/// A real file, with its position so that sequential calls need no seek.
+/// An open file with its known position, so that sequential calls need no seek.
 #[derive(Debug)]
 pub struct PositionedFile {
     file: File,
+    /// `None` if the position is not known, because a call is in progress or has failed.
     position: Option<u64>,
 }
 
 impl FileStorage {
-    /// Opens the folder, creating it if it doesn't exist.
+    /// Opens a folder, creating it if it doesn't exist.
     ///
     /// # Errors
     ///
--- a/crates/pebblepost-ring/tests/ring/common/checked.rs
+++ b/crates/pebblepost-ring/tests/ring/common/checked.rs
@@ -1,4 +1,4 @@
-//! A journal on a simulated disk, whose recoveries are all checked.
+//! A journal on a simulated disk. Each recovery is checked against the records known to be durable.
 
 use super::{
     Random,
@@ -15,27 +15,28 @@
 
 type Records = Vec<Vec<u8>>;
 
-/// What a schedule broke.
+/// A guarantee of the journal that a schedule violated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// The journal could not be opened.
-    Unopened(String),
-    /// The ring formatted itself anew, or took another identity.
+    /// The journal could not be opened, for a reason other than a simulated fault.
+    OpenFailed(String),
+    /// The ring was formatted anew or has another identity.
     IdentityChanged { from: u64, to: u64 },
-    /// The ring was full when a checkpoint was due.
+    /// The ring had no space for a checkpoint.
     CheckpointRejected,
-    /// What was recovered is neither what was confirmed nor that and an attempt.
-    Recovered { confirmed: usize, attempts: usize, recovered: Vec<u64> },
+    /// The recovered records are neither the confirmed ones nor those with the effect of one of the
+    /// unconfirmed attempts.
+    WrongRecords { confirmed: usize, attempts: usize, recovered: Vec<u64> },
 }
 
-/// A write that was not reported as done.
+/// A write that failed, so that recovery may or may not find it.
 #[derive(Clone, Debug)]
 enum Attempt {
     Append(Records),
     Checkpoint(Records),
 }
 
-/// How a schedule is run.
+/// Parameters of a random schedule.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Schedule {
     pub seed: u64,
@@ -45,7 +46,7 @@
     pub checksum: Option<Checksum>,
 }
 
-/// The journal with what is known about it.
+/// A journal with a model of the records that it must recover.
 pub struct CheckedJournal {
     pub disk: SimulatedDisk,
     schedule: Schedule,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Runs a random schedule of writes, kills and losses of power.
+    /// Runs a random schedule of writes, process kills and power losses.
     pub fn run(&mut self) -> Result<(), Violation> {
         for _ in 0..self.schedule.steps {
             if self.random.one_in(6) {
@@ -94,7 +95,7 @@
         self.step()
     }
 
-    /// Opens the journal if need be, or writes to it.
+    /// Opens the journal if it is closed, otherwise writes to it.
     pub fn step(&mut self) -> Result<(), Violation> {
         let Some(journal) = &mut self.journal else { return self.open() };
         if journal.journal_bytes() > journal.capacity() / 2 || self.random.one_in(12) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Opens the journal and checks what it holds.
+    /// Opens the journal and checks the recovered records. A simulated fault leaves it closed.
     pub fn open(&mut self) -> Result<(), Violation> {
         let mut options = Options::new(MAX_BYTES, self.random.next());
         options.segment_bytes = Some(SEGMENT_BYTES);
@@ -121,11 +122,11 @@
                 Ok(())
             }
             Err(RingError::Storage { source, .. }) if source.kind() == std::io::ErrorKind::Other => Ok(()),
-            Err(error) => Err(Violation::Unopened(error.to_string())),
+            Err(error) => Err(Violation::OpenFailed(error.to_string())),
         }
     }
 
-    /// Appends records, twice if the first attempt fails: the second time with one more.
+    /// Appends records. If the first attempt fails, it is retried once with one more record.
     fn append(&mut self) -> Result<(), Violation> {
         let mut records = self.new_records();
         for _ in 0..2 {
@@ -145,8 +146,8 @@
     }
 
     fn checkpoint(&mut self) -> Result<(), Violation> {
-        let kept = self.random.below(6).min(self.confirmed.len() as u64) as usize;
-        let mut records = self.confirmed[self.confirmed.len() - kept..].to_vec();
+        let kept_count = self.random.below(6).min(self.confirmed.len() as u64) as usize;
+        let mut records = self.confirmed[self.confirmed.len() - kept_count..].to_vec();
         records.insert(0, self.new_record_of(8));
         let Some(journal) = &mut self.journal else { return Ok(()) };
         match journal.checkpoint(&records) {
@@ -168,13 +169,13 @@
         }
         self.identity = Some(recovered.identity);
         let confirmed = &self.confirmed;
-        let allowed = recovered.records == *confirmed
-            || self.attempts.iter().any(|attempt| allows(confirmed, attempt, &recovered.records));
-        if !allowed {
-            return Err(Violation::Recovered {
+        let is_allowed = recovered.records == *confirmed
+            || self.attempts.iter().any(|attempt| explains(confirmed, attempt, &recovered.records));
+        if !is_allowed {
+            return Err(Violation::WrongRecords {
                 confirmed: confirmed.len(),
                 attempts: self.attempts.len(),
-                recovered: recovered.records.iter().map(|record| label(record)).collect(),
+                recovered: recovered.records.iter().map(|record| record_number(record)).collect(),
             });
         }
         self.confirmed = recovered.records;
@@ -187,7 +188,7 @@
         (0..count).map(|_| self.new_record()).collect()
     }
 
-    /// Mostly of one length, so that bytes left over from earlier line up with new ones.
+    /// Most records have the same length, so that stale frames in reused files align with new ones.
     fn new_record(&mut self) -> Vec<u8> {
         let length = match self.random.below(10) {
             0 => self.random.below(2_000),
@@ -205,7 +206,8 @@
     }
 }
 
-fn allows(confirmed: &Records, attempt: &Attempt, recovered: &Records) -> bool {
+/// Whether an unconfirmed attempt explains the recovered records.
+fn explains(confirmed: &Records, attempt: &Attempt, recovered: &Records) -> bool {
     match attempt {
         Attempt::Checkpoint(records) => recovered == records,
         Attempt::Append(records) => {
@@ -214,6 +216,7 @@
     }
 }
 
-fn label(record: &[u8]) -> u64 {
+/// Returns the number in the first 8 bytes of a record.
+fn record_number(record: &[u8]) -> u64 {
     record.iter().take(8).rev().fold(0, |value, byte| value << 8 | u64::from(*byte))
 }
--- a/crates/pebblepost-ring/tests/ring/common/mod.rs
+++ b/crates/pebblepost-ring/tests/ring/common/mod.rs
@@ -1,4 +1,5 @@
-//! A simulated disk with power loss, and a journal whose recoveries are checked.
+//! A simulated disk with power loss, and a journal whose recoveries are checked against a model.
+
 pub mod checked;
 pub mod simulated_disk;
 
--- a/crates/pebblepost-ring/tests/ring/common/simulated_disk.rs
+++ b/crates/pebblepost-ring/tests/ring/common/simulated_disk.rs
@@ -1,4 +1,4 @@
-//! A folder of files in memory that loses what was not synced when power is lost.
+//! A folder of files in memory that may lose unsynced changes when power is lost.
 
 use super::Random;
 use pebblepost_ring::storage::Storage;
@@ -9,19 +9,19 @@
     sync::{Arc, Mutex, MutexGuard},
 };
 
-/// What a sync leaves out, to show that the checks notice.
+/// Syncs that have no effect, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Omissions {
     pub folder_sync: bool,
     pub data_sync: bool,
 }
 
-/// Where and how the disk fails.
+/// Rates of simulated errors.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// One write in so many fails; 0: none.
+    /// One in this many writes fails on average; none if 0.
     pub write_errors: u64,
-    /// One sync in so many fails; 0: none.
+    /// One in this many syncs fails on average; none if 0.
     pub sync_errors: u64,
 }
 
@@ -54,7 +54,7 @@
 
 #[derive(Clone, Debug)]
 enum NameChange {
-    Make(String, usize),
+    Create(String, usize),
     Rename(String, String, usize),
     Remove(String),
 }
@@ -62,7 +62,7 @@
 impl NameChange {
     fn apply(&self, names: &mut BTreeMap<String, usize>) {
         match self {
-            NameChange::Make(name, content) => {
+            NameChange::Create(name, content) => {
                 names.insert(name.clone(), *content);
             }
             NameChange::Rename(from, to, content) => {
@@ -85,13 +85,13 @@
     unsynced_names: Vec<NameChange>,
     faults: Faults,
     omissions: Omissions,
-    /// Operations until power is lost.
-    operations_left: Option<u64>,
+    /// Operations until power is lost; `None` if no loss is planned.
+    operations_until_power_loss: Option<u64>,
     operations: u64,
     syncs: u64,
 }
 
-/// Handle of the disk; clones share it.
+/// Handle of a simulated disk; clones share its state.
 #[derive(Clone, Debug)]
 pub struct SimulatedDisk(Arc<Mutex<State>>);
 
@@ -105,7 +105,7 @@
             unsynced_names: Vec::new(),
             faults: Faults::default(),
             omissions: Omissions::default(),
-            operations_left: None,
+            operations_until_power_loss: None,
             operations: 0,
             syncs: 0,
         })))
@@ -119,20 +119,21 @@
         self.state().omissions = omissions;
     }
 
-    /// Power is lost after so many more operations.
+    /// Makes power fail after this many more operations; `None` cancels it.
     pub fn lose_power_after(&self, operations: Option<u64>) {
-        self.state().operations_left = operations;
+        self.state().operations_until_power_loss = operations;
     }
 
     pub fn is_powered_off(&self) -> bool {
-        self.state().operations_left == Some(0)
+        self.state().operations_until_power_loss == Some(0)
     }
 
     pub fn syncs(&self) -> u64 {
         self.state().syncs
     }
 
-    /// Fnv1a of all that is on the disk, and of how it came there.
+    /// Returns an FNV-1a hash of the content of the disk, the state of the random generator and the
+    /// numbers of operations and syncs.
     pub fn digest(&self) -> u64 {
         let state = self.state();
         let mut digest = Fnv1a::default();
@@ -150,22 +151,23 @@
         digest.finish()
     }
 
-    /// What the disk holds after power was lost; power is back afterwards.
+    /// Simulates power loss and restart. Each unsynced change is kept, lost or, for writes, torn at
+    /// random; with a chance of one in four, all unsynced changes are lost.
     pub fn restore_power(&self) {
         let mut state = self.state();
         let state = &mut *state;
-        state.operations_left = None;
-        let take_all = state.random.one_in(4);
+        state.operations_until_power_loss = None;
+        let loses_all_unsynced = state.random.one_in(4);
         let unsynced_names = std::mem::take(&mut state.unsynced_names);
         for change in unsynced_names {
-            if !take_all && state.random.one_in(2) {
+            if !loses_all_unsynced && state.random.one_in(2) {
                 change.apply(&mut state.durable_names);
             }
         }
         state.names = state.durable_names.clone();
         for content in &mut state.contents {
             for change in std::mem::take(&mut content.unsynced) {
-                if !take_all {
+                if !loses_all_unsynced {
                     apply_partly(&change, &mut content.durable, &mut state.random);
                 }
             }
@@ -177,28 +179,28 @@
         self.0.lock().expect("the simulated disk's state")
     }
 
-    /// Counts an operation; fails once power is lost.
+    /// Counts an operation. Fails once power is lost.
     fn operate(&self) -> io::Result<MutexGuard<'_, State>> {
         let mut state = self.state();
         state.operations += 1;
-        match &mut state.operations_left {
+        match &mut state.operations_until_power_loss {
             Some(0) => return Err(io::Error::other("no power")),
-            Some(left) => *left -= 1,
+            Some(remaining) => *remaining -= 1,
             None => {}
         }
-        if state.operations_left == Some(0) {
+        if state.operations_until_power_loss == Some(0) {
             return Err(io::Error::other("power lost"));
         }
         Ok(state)
     }
 }
 
-/// The change is found present, absent or torn.
+/// Applies a change completely, partly or not at all.
 fn apply_partly(change: &Change, durable: &mut Vec<u8>, random: &mut Random) {
     match (random.below(3), change) {
         (0, _) => {}
         (1, Change::Write { offset, bytes }) if !bytes.is_empty() => {
-            // Torn: a piece from anywhere in it.
+            // A torn write: an arbitrary part of it reached the disk.
             let start = if random.one_in(2) { 0 } else { random.below(bytes.len() as u64) as usize };
             let end = start + random.below((bytes.len() - start) as u64 + 1) as usize;
             Change::Write { offset: offset + start, bytes: bytes[start..end].to_vec() }.apply(durable);
@@ -208,7 +210,7 @@
 }
 
 impl State {
-    fn fails(&mut self, one_in: u64) -> bool {
+    fn draw_failure(&mut self, one_in: u64) -> bool {
         one_in != 0 && self.random.one_in(one_in)
     }
 
@@ -218,7 +220,7 @@
         content.unsynced.push(change);
     }
 
-    fn name_change(&mut self, change: NameChange) {
+    fn change_name(&mut self, change: NameChange) {
         change.apply(&mut self.names);
         self.unsynced_names.push(change);
     }
@@ -228,10 +230,10 @@
         if self.omissions.data_sync {
             return Ok(());
         }
-        let fails = self.fails(self.faults.sync_errors);
+        let fails = self.draw_failure(self.faults.sync_errors);
         let unsynced = std::mem::take(&mut self.contents[file].unsynced);
         for change in unsynced {
-            // After a failed sync, no later sync makes up for what it left out.
+            // Changes that a failed sync left out are not written by later syncs either.
             if !fails || self.random.one_in(2) {
                 change.apply(&mut self.contents[file].durable);
             }
@@ -259,7 +261,7 @@
         }
         state.contents.push(Content::default());
         let content = state.contents.len() - 1;
-        state.name_change(NameChange::Make(name.to_owned(), content));
+        state.change_name(NameChange::Create(name.to_owned(), content));
         Ok(content)
     }
 
@@ -286,13 +288,13 @@
         let mut state = match self.operate() {
             Ok(state) => state,
             Err(error) => {
-                // The write during which power is lost may leave its traces.
+                // The write during which power is lost may reach the disk in part.
                 self.state().change(*file, change);
                 return Err(error);
             }
         };
         let one_in = state.faults.write_errors;
-        if state.fails(one_in) {
+        if state.draw_failure(one_in) {
             let written = state.random.below(bytes.len() as u64 + 1) as usize;
             state.change(*file, Change::Write { offset: offset as usize, bytes: bytes[..written].to_vec() });
             return Err(io::Error::other("write failed"));
@@ -313,12 +315,12 @@
         let mut state = self.operate()?;
         let content =
             state.names.get(from).copied().ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))?;
-        state.name_change(NameChange::Rename(from.to_owned(), to.to_owned(), content));
+        state.change_name(NameChange::Rename(from.to_owned(), to.to_owned(), content));
         Ok(())
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.operate()?.name_change(NameChange::Remove(name.to_owned()));
+        self.operate()?.change_name(NameChange::Remove(name.to_owned()));
         Ok(())
     }
 
--- a/crates/pebblepost-ring/tests/ring/main.rs
+++ b/crates/pebblepost-ring/tests/ring/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the journal and of the disk thread, on real files and on a simulated disk.
+//! Tests of the journal and the disk thread, on real files and on a simulated disk.
 
 mod common;
 mod disk;
--- a/crates/pebblepost-ring/tests/ring/pinned_bytes.rs
+++ b/crates/pebblepost-ring/tests/ring/pinned_bytes.rs
@@ -1,4 +1,4 @@
-//! Files on disk, whole simulated runs and the texts of errors are those that were approved.
+//! Compares files on disk, the results of simulated schedules and error messages with approved ones.
 
 use crate::common::checked::{CheckedJournal, Schedule};
 use crate::common::simulated_disk::Faults;
@@ -18,15 +18,15 @@
 const SEGMENT_BYTES: u32 = 1024;
 const MAX_BYTES: u64 = 16 * 1024;
 
-/// A folder that is removed at the end.
-struct Folder(PathBuf);
+/// A temporary folder, removed when dropped.
+struct TemporaryFolder(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TemporaryFolder {
+    fn new(name: &str) -> TemporaryFolder {
         let path = std::env::temp_dir().join(format!("pebblepost-ring-pin-{name}-{}", std::process::id()));
         fs::remove_dir_all(&path).ok();
         fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        TemporaryFolder(path)
     }
 
     fn path(&self) -> &Path {
@@ -34,13 +34,13 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TemporaryFolder {
     fn drop(&mut self) {
         fs::remove_dir_all(&self.0).ok();
     }
 }
 
-fn fixture() -> PathBuf {
+fn approved_ring_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/approved/ring")
 }
 
@@ -48,7 +48,7 @@
     Options { segment_bytes: Some(SEGMENT_BYTES), ..Options::new(MAX_BYTES, 0x0102_0304_0506_0708) }
 }
 
-fn files(folder: &Path) -> Vec<(String, Vec<u8>)> {
+fn read_files(folder: &Path) -> Vec<(String, Vec<u8>)> {
     let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("a file"));
     let mut files: Vec<(String, Vec<u8>)> = entries
         .map(|entry| {
@@ -59,7 +59,8 @@
     files
 }
 
-/// Records split over segments, a checkpoint, records after it, and a second opening.
+/// Writes records that are split over segments, a checkpoint and records after it, reopens the ring and
+/// appends once more.
 fn write_ring(folder: &Path) {
     let storage = FileStorage::open(folder).expect("a folder");
     let (mut journal, _) = Journal::open(storage, options()).expect("opening");
@@ -73,15 +74,15 @@
     journal.append(&[vec![6; 1200]]).expect("appending");
 }
 
-fn written_records() -> Vec<Vec<u8>> {
+fn expected_records() -> Vec<Vec<u8>> {
     vec![vec![3; 100], vec![4; 700], vec![5; 20], vec![6; 1200]]
 }
 
 #[test]
-fn a_ring_is_written_with_the_same_bytes() {
-    let folder = Folder::new("written");
+fn a_ring_is_written_with_the_approved_bytes() {
+    let folder = TemporaryFolder::new("written");
     write_ring(folder.path());
-    let (written, approved) = (files(folder.path()), files(&fixture()));
+    let (written, approved) = (read_files(folder.path()), read_files(&approved_ring_folder()));
     assert_eq!(written.len(), approved.len());
     for ((name, bytes), (approved_name, approved_bytes)) in written.iter().zip(&approved) {
         assert_eq!(name, approved_name);
@@ -90,20 +91,20 @@
 }
 
 #[test]
-fn a_ring_of_an_earlier_version_is_read() {
-    let folder = Folder::new("read");
-    for (name, bytes) in files(&fixture()) {
+fn a_ring_of_an_earlier_version_is_recovered() {
+    let folder = TemporaryFolder::new("read");
+    for (name, bytes) in read_files(&approved_ring_folder()) {
         fs::write(folder.path().join(name), bytes).expect("a copy");
     }
     let storage = FileStorage::open(folder.path()).expect("a folder");
     let (journal, recovered) = Journal::open(storage, options()).expect("opening");
     assert_eq!((recovered.identity, recovered.is_new), (0x0102_0304_0506_0708, false));
-    assert!(recovered.records == written_records());
+    assert!(recovered.records == expected_records());
     assert_eq!((journal.journal_bytes(), journal.capacity()), (1280, 4042));
 }
 
 #[test]
-fn seeded_schedules_leave_the_same_disk() {
+fn seeded_schedules_leave_the_approved_disk_digests() {
     let mut text = String::new();
     let fault_rates = [(0, 0), (5, 0), (0, 4), (10, 8)];
     for (write_errors, sync_errors) in fault_rates {
@@ -119,8 +120,8 @@
     assert_eq!(text, include_str!("../approved/schedules.txt"));
 }
 
-/// An error with all its causes, as programs print it.
-fn with_causes(error: &(dyn Error + 'static)) -> String {
+/// Formats an error with all its causes, as programs print it.
+fn format_with_causes(error: &(dyn Error + 'static)) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
     while let Some(error) = cause {
@@ -132,11 +133,11 @@
 
 fn opening_error(folder: &Path, max_bytes: u64) -> String {
     let error = Disk::open(folder, max_bytes, None, Box::new(|_| {})).expect_err("an error");
-    with_causes(&error).replace(&folder.display().to_string(), "FOLDER")
+    format_with_causes(&error).replace(&folder.display().to_string(), "FOLDER")
 }
 
 #[test]
-fn errors_read_as_before() {
+fn error_messages_match_the_approved_texts() {
     let mut text = String::new();
     let steps = [Step::Recovery, Step::Formatting, Step::Preparing, Step::Writing, Step::Syncing];
     for step in steps {
@@ -150,7 +151,7 @@
     ] {
         writeln!(text, "{error}").expect("a string takes it");
     }
-    let folder = Folder::new("errors");
+    let folder = TemporaryFolder::new("errors");
     writeln!(text, "{}", opening_error(folder.path(), 1)).expect("a string takes it");
     fs::write(folder.path().join("identity"), [0; 24]).expect("a file");
     writeln!(text, "{}", opening_error(folder.path(), 1 << 24)).expect("a string takes it");
