--- a/crates/pebblepost-control/src/runtime/driver.rs
+++ b/crates/pebblepost-control/src/runtime/driver.rs
@@ -189,7 +189,7 @@
     fn send(&self, connection: ConnectionId, message: &FromControl) {
         let Some(sender) = self.inbound.get(&connection) else { return };
         match message {
-            FromControl::Redirect { .. } => sender.send_instead(message),
+            FromControl::Redirect { .. } => sender.send_replacing_queue(message),
             _ => sender.send(message),
         };
     }
--- a/crates/pebblepost-link/src/control_client/assembler.rs
+++ b/crates/pebblepost-link/src/control_client/assembler.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a batch of the feed together: shared updates come in messages of their own before it.
+//! Assembles feed batches: updates shared by several subscribers arrive in separate messages before their batch.
 
 use crate::decode::decode;
 use crate::error::FrameError;
@@ -6,43 +6,45 @@
 use pebblepost_messages::control::FromControl;
 use pebblepost_messages::feed::{CompressedUpdates, FeedBatch, FeedUpdate};
 
-/// Shared updates that can't be read. The link has to be closed: what follows builds on them.
+/// Shared updates could not be decoded. The link has to be closed, because later batches build on them.
 #[derive(Debug, thiserror::Error)]
 pub enum AssembleError {
-    /// The bytes can't be decompressed.
-    #[error("shared updates can't be decompressed: {0}")]
+    /// The updates could not be decompressed.
+    #[error("shared updates cannot be decompressed: {0}")]
     Decompress(#[from] DecompressError),
-    /// The decompressed bytes are no updates.
-    #[error("shared updates can't be decoded: {0}")]
+    /// The decompressed bytes could not be decoded as updates.
+    #[error("shared updates cannot be decoded: {0}")]
     Decode(#[from] FrameError),
 }
 
-/// Assembles the batches of one connection.
+/// Assembles the feed batches of one connection.
 #[derive(Debug, Default)]
 pub struct FeedAssembler {
-    shared: Vec<FeedUpdate>,
+    /// Shared updates received since the last batch.
+    shared_updates: Vec<FeedUpdate>,
 }
 
 impl FeedAssembler {
-    /// A message arrived; the message to handle, with all updates of its batch, unless it is only a part of one.
+    /// Processes a received message. Returns the message to handle, where a feed batch contains its shared updates,
+    /// or `None` if the message only carries shared updates for the next batch.
     ///
     /// # Errors
     ///
-    /// Shared updates can't be read.
+    /// Fails if shared updates cannot be decompressed or decoded.
     pub fn receive(&mut self, message: FromControl) -> Result<Option<FromControl>, AssembleError> {
         match message {
             FromControl::SharedUpdates(updates) => {
-                self.shared.extend(read(&updates)?);
+                self.shared_updates.extend(decode_updates(&updates)?);
                 Ok(None)
             }
             FromControl::Feed(FeedBatch { sequence, updates }) => {
-                let mut all = std::mem::take(&mut self.shared);
+                let mut all = std::mem::take(&mut self.shared_updates);
                 all.extend(updates);
                 Ok(Some(FromControl::Feed(FeedBatch { sequence, updates: all })))
             }
             FromControl::Redirect { .. } => {
-                // It went out in the place of what waited, maybe of the batch that these updates belong to.
-                self.shared.clear();
+                // The sender drops its queue for a redirect, which may have contained the batch of these updates.
+                self.shared_updates.clear();
                 Ok(Some(message))
             }
             other => Ok(Some(other)),
@@ -50,7 +52,7 @@
     }
 }
 
-fn read(updates: &CompressedUpdates) -> Result<Vec<FeedUpdate>, AssembleError> {
+fn decode_updates(updates: &CompressedUpdates) -> Result<Vec<FeedUpdate>, AssembleError> {
     let encoded = decompress(updates.uncompressed_bytes, &updates.compressed)?;
     Ok(decode(&encoded)?)
 }
--- a/crates/pebblepost-link/src/control_client/endpoints.rs
+++ b/crates/pebblepost-link/src/control_client/endpoints.rs
@@ -1,29 +1,29 @@
-//! Endpoints of the control plane at which the primary may be found.
+//! Endpoints of the control plane, one of which is the primary.
 
 use std::net::SocketAddr;
 
-/// Most learned endpoints kept besides the seeds.
-const MAX_LEARNED: usize = 32;
+/// Most learned endpoints that are kept in addition to the seeds.
+const MAX_LEARNED_ENDPOINTS: usize = 32;
 
-/// Seeds and learned endpoints, tried in rotation; a primary named by a redirect is tried first.
+/// Seeds and learned endpoints, tried in rotation. A primary named by a redirect is tried before them.
 #[derive(Debug)]
 pub(super) struct Endpoints {
     seeds: Vec<SocketAddr>,
-    /// Members of the control plane, the newest first.
+    /// Known members of the control plane, those learned last first.
     learned: Vec<SocketAddr>,
-    named_primary: Option<SocketAddr>,
+    redirect_target: Option<SocketAddr>,
     next_index: usize,
 }
 
 impl Endpoints {
-    /// The seeds. The first attempt goes to the one at `start` modulo their number, so that a random `start` spreads
-    /// the clients over all seeds.
+    /// Creates endpoints from the seeds. The first attempt goes to the seed at `start` modulo their number, so that a
+    /// random `start` spreads the clients over all seeds.
     pub(super) fn new(seeds: Vec<SocketAddr>, start: u64) -> Endpoints {
         let next_index = start.checked_rem(seeds.len() as u64).unwrap_or(0) as usize;
-        Endpoints { seeds, learned: Vec::new(), named_primary: None, next_index }
+        Endpoints { seeds, learned: Vec::new(), redirect_target: None, next_index }
     }
 
-    /// Adds seeds of newer settings.
+    /// Adds the seeds of newer settings. Earlier seeds are kept.
     pub(super) fn add_seeds(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
             if !self.seeds.contains(seed) {
@@ -32,27 +32,27 @@
         }
     }
 
-    /// Learns the current members of the control plane. Earlier ones are kept after them; texts that are not
-    /// addresses are ignored.
-    pub(super) fn learn(&mut self, members: &[String]) {
+    /// Adds the current members of the control plane before those learned earlier. Strings that are not addresses are
+    /// ignored.
+    pub(super) fn add_members(&mut self, members: &[String]) {
         let mut newest_first: Vec<SocketAddr> =
             members.iter().filter_map(|member| member.parse().ok()).collect();
         newest_first.append(&mut self.learned);
         for address in newest_first {
-            if self.learned.len() < MAX_LEARNED && !self.learned.contains(&address) {
+            if self.learned.len() < MAX_LEARNED_ENDPOINTS && !self.learned.contains(&address) {
                 self.learned.push(address);
             }
         }
     }
 
-    /// Has a named primary tried next.
-    pub(super) fn set_named_primary(&mut self, primary: SocketAddr) {
-        self.named_primary = Some(primary);
+    /// Makes the primary that a redirect named the next endpoint to try.
+    pub(super) fn set_redirect_target(&mut self, primary: SocketAddr) {
+        self.redirect_target = Some(primary);
     }
 
-    /// Next endpoint to try; `None` if none is known.
+    /// Returns the next endpoint to try, or `None` if none is known.
     pub(super) fn next(&mut self) -> Option<SocketAddr> {
-        if let Some(primary) = self.named_primary.take() {
+        if let Some(primary) = self.redirect_target.take() {
             return Some(primary);
         }
         let known =
--- a/crates/pebblepost-link/src/control_client/mod.rs
+++ b/crates/pebblepost-link/src/control_client/mod.rs
@@ -1,7 +1,7 @@
-//! A link to the control primary that is found, kept and re-established.
+//! Client for the control plane: finds the primary, keeps a link to it and reconnects after a failure.
 //!
-//! Used by agents and storage machines. The client follows redirects, learns the members of the control plane, sends
-//! heartbeats, and delivers everything else as events.
+//! Agents and storage nodes use it. The client follows redirects, learns the members of the control plane, sends
+//! heartbeats and delivers all other messages as events.
 
 mod assembler;
 mod backoff;
@@ -21,8 +21,8 @@
 use task::Task;
 use tokio::sync::mpsc;
 
-/// Limits for links to the control plane. A snapshot contains the whole configuration, of which the control plane
-/// accepts up to 33 MiB.
+/// Limits for links to the control plane. A frame has to hold a snapshot, which contains the whole configuration. The
+/// control plane accepts configurations of up to 33 MiB.
 pub const CONTROL_LINK_LIMITS: LinkLimits = LinkLimits {
     max_frame_bytes: 48 * 1024 * 1024,
     max_queued_bytes: 48 * 1024 * 1024,
@@ -30,75 +30,77 @@
     read_timeout: Duration::from_millis(1500),
 };
 
-/// Interval of the heartbeats.
+/// Interval at which the client sends heartbeats.
 pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Capacity of the channel of events; a full one holds back the reading of the link.
-const EVENT_CAPACITY: usize = 16;
+/// Capacity of the event channel. While it is full, the client does not read from the link.
+const EVENT_CHANNEL_CAPACITY: usize = 16;
 
-/// A change of the link, or a message received over it.
+/// A change of the link's state, or a message received over it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlEvent {
-    /// A link to the primary at this address is established: it sent something other than a redirect.
+    /// A link to the primary at this address is established. A node counts as primary once it has sent a message
+    /// other than a redirect.
     Connected(SocketAddr),
-    /// A message of the primary; heartbeats, redirects and lists of members are not delivered.
+    /// A message from the primary. Heartbeats, redirects and member lists are not delivered.
     Message(FromControl),
-    /// The link is lost; the client is looking for the primary again.
+    /// The link to the primary is lost. The client is looking for the primary again.
     Disconnected,
 }
 
-/// State that the sender and the task share.
+/// State shared by the sender and the client task.
 #[derive(Debug)]
 struct State {
     endpoints: Endpoints,
-    /// The link to the primary, from its `Connected` event on.
+    /// Link to the primary; set when its [`ControlEvent::Connected`] is emitted.
     link: Option<Sender>,
 }
 
-/// The sending side; cheap to clone.
+/// Sends messages to the control primary; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct ControlSender {
     state: Rc<RefCell<State>>,
 }
 
 impl ControlSender {
-    /// Sends a message to the primary. Returns false if there is no link to it.
+    /// Sends a message to the primary. Returns false if there is no open link to it.
     pub fn send(&self, message: &ToControl) -> bool {
         self.state.borrow().link.as_ref().is_some_and(|link| link.send(message))
     }
 
-    /// Whether there is a link to the primary.
+    /// Returns whether there is an open link to the primary.
     pub fn is_connected(&self) -> bool {
         self.state.borrow().link.as_ref().is_some_and(|link| !link.is_closed())
     }
 
-    /// Closes the link, if there is one, so that the client connects again.
+    /// Closes the link to the primary, if there is one, so that the client reconnects.
     pub fn reconnect(&self) {
         if let Some(link) = &self.state.borrow().link {
             link.close();
         }
     }
 
-    /// Adds seeds of newer settings to the endpoints that are tried.
+    /// Adds the seeds of newer settings to the endpoints that are tried.
     pub fn add_seeds(&self, seeds: &[SocketAddr]) {
         self.state.borrow_mut().endpoints.add_seeds(seeds);
     }
 }
 
-/// Finds the control primary and keeps a link to it.
+/// Client that finds the control primary and keeps a link to it.
 #[derive(Debug)]
 pub struct ControlClient;
 
 impl ControlClient {
-    /// Starts looking for the primary among the seeds, on the caller's `LocalSet`. The messages that `on_connect`
-    /// returns are sent first on each new connection (`Subscribe` foremost). The client ends when the receiver of
-    /// events is dropped.
+    /// Starts the client on the caller's `LocalSet`. It looks for the primary among the seeds.
+    ///
+    /// The messages that `on_connect` returns, normally beginning with `Subscribe`, are sent first on each new
+    /// connection. The client ends when the receiver of events is dropped.
     pub fn start(
         seeds: Vec<SocketAddr>, limits: LinkLimits, on_connect: impl Fn() -> Vec<ToControl> + 'static,
     ) -> (ControlSender, mpsc::Receiver<ControlEvent>) {
         let endpoints = Endpoints::new(seeds, random::next_u64());
         let state = Rc::new(RefCell::new(State { endpoints, link: None }));
-        let (events, receiver) = mpsc::channel(EVENT_CAPACITY);
+        let (events, receiver) = mpsc::channel(EVENT_CHANNEL_CAPACITY);
         let task = Task { state: Rc::clone(&state), events: events.clone(), limits, on_connect };
         tokio::task::spawn_local(async move {
             tokio::select! {
--- a/crates/pebblepost-link/src/control_client/task.rs
+++ b/crates/pebblepost-link/src/control_client/task.rs
@@ -1,4 +1,4 @@
-//! The task that connects to the primary and reads its messages.
+//! The client task, which connects to the primary and reads its messages.
 
 use super::assembler::FeedAssembler;
 use super::backoff::Backoff;
@@ -18,7 +18,7 @@
     pub(super) on_connect: F,
 }
 
-/// One connection to a control process.
+/// One connection to a control node.
 struct Connection {
     sender: Sender,
     receiver: Receiver,
@@ -26,18 +26,20 @@
     outcome: Outcome,
 }
 
-/// What a connection showed about its control process.
+/// What a connection revealed about its control node.
 #[derive(Clone, Copy, Default)]
 struct Outcome {
-    /// It was the primary.
+    /// Whether the node was the primary.
     was_primary: bool,
-    /// It named the primary in a redirect.
+    /// Whether the node named the primary in a redirect.
     named_primary: bool,
 }
 
 impl<F: Fn() -> Vec<ToControl>> Task<F> {
-    /// Connects to one endpoint after the other; never returns. A redirect is followed at once, but only one in a row:
-    /// two processes that name each other must not make the client spin.
+    /// Connects to one endpoint after the other and never returns.
+    ///
+    /// A redirect is followed without backoff, but not two in a row. Two nodes that name each other as primary would
+    /// otherwise make the client spin.
     pub(super) async fn run(&self) {
         let mut backoff = Backoff::new();
         let mut may_follow_redirect = true;
@@ -63,7 +65,7 @@
         let (sender, receiver) = match connect(address, self.limits).await {
             Ok(link) => link,
             Err(error) => {
-                log::debug!("control link ended: {error:#}");
+                log::debug!("control connection failed: {error:#}");
                 return Outcome::default();
             }
         };
@@ -72,16 +74,19 @@
         }
         let assembler = FeedAssembler::default();
         let mut connection = Connection { sender, receiver, assembler, outcome: Outcome::default() };
-        match self.serve(&mut connection).await {
-            Ok(()) => log::debug!("control link redirected address={address}"),
-            Err(error) => log::debug!("control link ended: {error:#}"),
+        match self.read_messages(&mut connection).await {
+            Ok(()) => {
+                log::debug!("control link closed after a redirect or undecodable updates address={address}")
+            }
+            Err(error) => log::debug!("control link closed: {error:#}"),
         }
         self.state.borrow_mut().link = None;
         connection.outcome
     }
 
-    /// Reads until the link ends, or until a redirect or updates that can't be read (`Ok`).
-    async fn serve(&self, connection: &mut Connection) -> Result<(), LinkError> {
+    /// Reads messages until the link is closed. Returns `Ok` after a redirect or after updates that cannot be
+    /// decoded.
+    async fn read_messages(&self, connection: &mut Connection) -> Result<(), LinkError> {
         let mut keep_alive = interval_at(Instant::now() + KEEP_ALIVE_INTERVAL, KEEP_ALIVE_INTERVAL);
         keep_alive.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -101,25 +106,28 @@
                 Ok(Some(message)) => self.handle(connection, message).await,
                 Ok(None) => {}
                 Err(error) => {
-                    log::warn!("control link closed peer={}: {error}", connection.sender.peer());
+                    log::warn!(
+                        "control link closed, updates could not be decoded peer={}: {error}",
+                        connection.sender.peer()
+                    );
                     return Ok(());
                 }
             }
         }
     }
 
-    /// Remembers what a redirect says. Returns whether it names a primary.
+    /// Stores the members and the primary from a redirect. Returns whether it names a primary.
     fn apply_redirect(&self, primary: Option<&str>, members: &[String]) -> bool {
         let endpoints = &mut self.state.borrow_mut().endpoints;
-        endpoints.learn(members);
+        endpoints.add_members(members);
         let primary = primary.and_then(|address| address.parse().ok());
         if let Some(address) = primary {
-            endpoints.set_named_primary(address);
+            endpoints.set_redirect_target(address);
         }
         primary.is_some()
     }
 
-    /// Handles a message that is not a redirect: its sender is the primary.
+    /// Handles a message that is not a redirect. Only the primary sends such messages.
     async fn handle(&self, connection: &mut Connection, message: FromControl) {
         if !connection.outcome.was_primary {
             connection.outcome.was_primary = true;
@@ -127,13 +135,13 @@
         }
         match message {
             FromControl::KeepAlive => {}
-            FromControl::Members(members) => self.state.borrow_mut().endpoints.learn(&members),
+            FromControl::Members(members) => self.state.borrow_mut().endpoints.add_members(&members),
             other => self.emit(ControlEvent::Message(other)).await,
         }
     }
 
-    /// The link becomes usable in the same step that makes its event receivable: a program that handles events first
-    /// must not send over it what was meant for the previous link.
+    /// Makes the link usable and emits its `Connected` event, without an await point in between. Otherwise a program
+    /// could send over the new link a message that was meant for the previous one, before it has handled the event.
     async fn emit_connected(&self, connection: &Connection) {
         if let Ok(permit) = self.events.reserve().await {
             self.state.borrow_mut().link = Some(connection.sender.clone());
--- a/crates/pebblepost-link/src/decode.rs
+++ b/crates/pebblepost-link/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding of untrusted messages.
+//! Decoding of messages from untrusted bytes.
 
 use crate::FrameError;
 use nanoserde::DeBin;
@@ -9,19 +9,20 @@
     static DECODING: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Whether this thread is decoding a message: a panic is caught then and ends only the link. For programs whose
-/// panic hook ends the process.
+/// Returns whether this thread is decoding a message. A panic is then caught and closes only the link, so a panic
+/// hook that ends the process must not do so.
 pub fn is_decoding() -> bool {
     DECODING.get()
 }
 
-/// Decodes one message that fills the whole frame.
+/// Decodes a message that takes up the whole frame.
 ///
-/// `nanoserde` trusts the lengths in its input and may panic on an invalid one, which must not end the process.
+/// `nanoserde` trusts the lengths in its input and may panic on an invalid one. The panic is caught, because invalid
+/// input must not end the process.
 ///
 /// # Errors
 ///
-/// The message is incomplete, names an impossible length, or is shorter than the frame.
+/// Fails if the message is incomplete, contains an invalid length, or is shorter than the frame.
 pub fn decode<M: DeBin>(frame: &[u8]) -> Result<M, FrameError> {
     let length_bytes = frame.len();
     let mut offset = 0;
@@ -29,7 +30,7 @@
     let outcome = catch_unwind(AssertUnwindSafe(|| M::de_bin(&mut offset, frame)));
     DECODING.set(false);
     let message = outcome
-        .map_err(|_| FrameError::ImpossibleLength { length_bytes })?
+        .map_err(|_| FrameError::InvalidLength { length_bytes })?
         .map_err(|error| FrameError::Undecodable { length_bytes, error })?;
     if offset == length_bytes {
         Ok(message)
--- a/crates/pebblepost-link/src/encoded.rs
+++ b/crates/pebblepost-link/src/encoded.rs
@@ -4,23 +4,23 @@
 use nanoserde::SerBin;
 use std::rc::Rc;
 
-/// A message in the form in which it is written, shared by all links that send it; cheap to clone.
+/// A message encoded as a frame. All links that send it share the bytes; cloning is cheap.
 #[derive(Clone, Debug)]
 pub struct EncodedMessage {
     frame: Rc<[u8]>,
 }
 
 impl EncodedMessage {
-    /// Encodes a message; `None` if it is too long for a frame of any link.
+    /// Encodes a message. Returns `None` if its length does not fit into the 4 bytes of a frame header.
     pub fn new<M: SerBin>(message: &M) -> Option<EncodedMessage> {
         let mut bytes = Vec::new();
-        let is_encoded = frame::append(message, &mut bytes, u32::MAX as usize);
+        let is_encoded = frame::append_frame(message, &mut bytes, u32::MAX as usize);
         is_encoded.then(|| EncodedMessage { frame: bytes.into() })
     }
 
-    /// Length of the message without its frame header, in bytes.
+    /// Returns the length of the message without its frame header, in bytes.
     pub fn message_bytes(&self) -> usize {
-        self.frame.len() - frame::LENGTH_BYTES
+        self.frame.len() - frame::LENGTH_FIELD_BYTES
     }
 
     pub(crate) fn frame(&self) -> &Rc<[u8]> {
--- a/crates/pebblepost-link/src/error.rs
+++ b/crates/pebblepost-link/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a link cannot be established, or why it ended.
+//! Errors of establishing links and reasons for closing them.
 
 use std::error::Error;
 use std::fmt;
@@ -8,44 +8,44 @@
 use std::time::Duration;
 use tokio::time::error::Elapsed;
 
-/// Failure of a link or listener. The alternate form `{:#}` appends the cause.
+/// Failure of a link or listener. The alternate format `{:#}` appends the cause.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
     /// The connection was not established within the time limit.
     ConnectTimeout {
-        /// Address of the other end.
+        /// Address of the peer.
         address: SocketAddr,
-        /// The time limit has passed.
+        /// Time-out of the attempt.
         source: Elapsed,
     },
-    /// The connection was refused, or the address cannot be reached.
+    /// The connection was refused, or the address is unreachable.
     Connect {
-        /// Address of the other end.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Cause.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The options of the socket could not be set.
+    /// The socket options could not be set.
     SocketOptions {
-        /// Address of the other end.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Cause.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The listener could not be bound.
     Listen {
         /// Local address.
         address: SocketAddr,
-        /// Cause.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The address of a listener is not known.
+    /// The local address of a listener could not be read.
     LocalAddress(#[source] io::Error),
-    /// Accepting failed, such as for lack of file descriptors.
+    /// A connection could not be accepted, for instance for lack of file descriptors.
     Accept(#[source] io::Error),
     /// The link is closed.
     Closed {
-        /// Address of the other end.
+        /// Address of the peer.
         peer: SocketAddr,
         /// First reason for which it was closed.
         reason: CloseReason,
@@ -56,15 +56,15 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LinkError::ConnectTimeout { address, .. } => {
-                write!(formatter, "connecting to {address}: no answer")
+                write!(formatter, "connecting to {address}: timed out")
             }
             LinkError::Connect { address, .. } => write!(formatter, "connecting to {address}"),
             LinkError::SocketOptions { address, .. } => {
-                write!(formatter, "setting up the link with {address}")
+                write!(formatter, "setting socket options of the link with {address}")
             }
             LinkError::Listen { address, .. } => write!(formatter, "listening at {address}"),
-            LinkError::LocalAddress(_) => write!(formatter, "asking for the address of a listener"),
-            LinkError::Accept(_) => write!(formatter, "accepting a link"),
+            LinkError::LocalAddress(_) => write!(formatter, "reading the local address of a listener"),
+            LinkError::Accept(_) => write!(formatter, "accepting a connection"),
             LinkError::Closed { peer, reason } => write!(formatter, "link with {peer}: {reason}"),
         }?;
         match self.source() {
@@ -74,23 +74,23 @@
     }
 }
 
-/// Why a link was closed.
+/// Reason for which a link was closed.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum CloseReason {
     /// [`Sender::close`](crate::Sender::close) was called.
-    #[error("closed by this end")]
+    #[error("closed locally")]
     ClosedLocally,
     /// The [`Receiver`](crate::Receiver) was dropped.
-    #[error("no longer read by this end")]
+    #[error("closed locally, receiver dropped")]
     ReceiverDropped,
-    /// The other end closed the connection after a complete frame.
-    #[error("closed by the other end")]
+    /// The peer closed the connection after a complete frame.
+    #[error("closed by the peer")]
     ClosedByPeer,
-    /// The other end closed the connection inside a frame.
-    #[error("closed by the other end in the middle of a frame")]
+    /// The peer closed the connection inside a frame.
+    #[error("closed by the peer inside a frame")]
     IncompleteFrame,
-    /// Nothing was received for the read timeout.
-    #[error("nothing was read for {} ms", .0.as_millis())]
+    /// No bytes were received within the read timeout.
+    #[error("no data received for {} ms", .0.as_millis())]
     ReadTimeout(Duration),
     /// Reading from the socket failed.
     #[error("reading failed: {0}")]
@@ -98,16 +98,16 @@
     /// Writing to the socket failed.
     #[error("writing failed: {0}")]
     WriteFailed(Arc<io::Error>),
-    /// A message to send is larger than a frame may be.
-    #[error("a message is over {max_frame_bytes} bytes")]
+    /// A message to send exceeds the frame limit.
+    #[error("message to send exceeds the limit of {max_frame_bytes} bytes")]
     MessageTooLarge {
-        /// Largest frame, in bytes.
+        /// Largest message of a frame, in bytes.
         max_frame_bytes: usize,
     },
-    /// The send queue is full: the other end reads too slowly.
-    #[error("{queued_bytes} bytes wait to be written, more than allowed")]
+    /// The send queue exceeds its limit, because the peer reads too slowly.
+    #[error("send queue of {queued_bytes} bytes exceeds the limit")]
     QueueFull {
-        /// Bytes that would be queued.
+        /// Bytes queued, including the message that exceeds the limit.
         queued_bytes: usize,
     },
     /// A received frame is invalid.
@@ -115,38 +115,38 @@
     InvalidFrame(#[from] FrameError),
 }
 
-/// Why received bytes are not a valid frame.
+/// Reason for which received bytes are not a valid frame.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The preamble is not that of this protocol and version.
-    #[error("the other end speaks another protocol")]
+    /// The preamble does not match this protocol and version.
+    #[error("preamble mismatch: the peer uses another protocol or version")]
     WrongPreamble,
-    /// The frame is larger than allowed.
-    #[error("a frame of {length_bytes} bytes is over the {max_frame_bytes} allowed")]
+    /// The frame exceeds the limit.
+    #[error("frame of {length_bytes} bytes exceeds the limit of {max_frame_bytes} bytes")]
     TooLarge {
-        /// Announced length of the frame.
+        /// Length that the frame announces, in bytes.
         length_bytes: usize,
-        /// Largest frame allowed.
+        /// Largest frame allowed, in bytes.
         max_frame_bytes: usize,
     },
-    /// A length inside the message cannot be true.
-    #[error("a frame of {length_bytes} bytes names an impossible length")]
-    ImpossibleLength {
-        /// Length of the frame.
+    /// A length inside the message is so large that decoding it panicked.
+    #[error("frame of {length_bytes} bytes contains an invalid length")]
+    InvalidLength {
+        /// Length of the frame, in bytes.
         length_bytes: usize,
     },
     /// The message cannot be decoded.
-    #[error("a frame of {length_bytes} bytes can't be read: {error}")]
+    #[error("frame of {length_bytes} bytes cannot be decoded: {error}")]
     Undecodable {
-        /// Length of the frame.
+        /// Length of the frame, in bytes.
         length_bytes: usize,
         /// Error of the decoder.
         error: nanoserde::DeBinErr,
     },
     /// The frame is longer than its message.
-    #[error("a frame of {length_bytes} bytes has {trailing_bytes} too many")]
+    #[error("frame of {length_bytes} bytes has {trailing_bytes} trailing bytes")]
     TrailingBytes {
-        /// Length of the frame.
+        /// Length of the frame, in bytes.
         length_bytes: usize,
         /// Bytes after the message.
         trailing_bytes: usize,
--- a/crates/pebblepost-link/src/frame.rs
+++ b/crates/pebblepost-link/src/frame.rs
@@ -1,31 +1,32 @@
-//! Encoding of frames, and reassembly of frames from the bytes received.
+//! Encoding of frames, and decoding of frames from received bytes.
 
 use crate::FrameError;
 use crate::decode::decode;
 use nanoserde::{DeBin, SerBin};
 
-/// First bytes on each side of a link: protocol and version of its messages.
+/// First bytes that each side of a link sends; names the protocol and the version of its messages.
 pub(crate) const PREAMBLE: [u8; 8] = *b"pbplink1";
 
-/// Size of the length in front of each frame.
-pub(crate) const LENGTH_BYTES: usize = 4;
-/// Smallest spare capacity offered to a read.
+/// Size of the length field in front of each message, in bytes.
+pub(crate) const LENGTH_FIELD_BYTES: usize = 4;
+/// Smallest spare capacity of the buffer for a read.
 const MIN_READ_BYTES: usize = 4 * 1024;
-/// Largest spare capacity reserved ahead of the data, however long a frame announces to be.
-const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
-/// An empty buffer with more capacity is released.
+/// Largest spare capacity of the buffer for a read, whatever length a frame announces. A peer can therefore not cause
+/// large allocations without sending the data.
+const MAX_READ_BYTES: usize = 64 * 1024;
+/// Largest capacity with which an empty buffer is kept for further reads.
 const MAX_RETAINED_BYTES: usize = 64 * 1024;
 
-/// Appends a frame to the buffer. Returns false, with the buffer unchanged, if the message has more than
+/// Appends a frame to the buffer. Returns false and leaves the buffer unchanged if the message is longer than
 /// `max_bytes`.
-pub(crate) fn append<M: SerBin>(message: &M, buffer: &mut Vec<u8>, max_bytes: usize) -> bool {
+pub(crate) fn append_frame<M: SerBin>(message: &M, buffer: &mut Vec<u8>, max_bytes: usize) -> bool {
     let start = buffer.len();
-    buffer.extend_from_slice(&[0; LENGTH_BYTES]);
+    buffer.extend_from_slice(&[0; LENGTH_FIELD_BYTES]);
     message.ser_bin(buffer);
-    let length = buffer.len() - start - LENGTH_BYTES;
+    let length = buffer.len() - start - LENGTH_FIELD_BYTES;
     match u32::try_from(length) {
         Ok(encoded) if length <= max_bytes => {
-            buffer[start..start + LENGTH_BYTES].copy_from_slice(&encoded.to_le_bytes());
+            buffer[start..start + LENGTH_FIELD_BYTES].copy_from_slice(&encoded.to_le_bytes());
             true
         }
         _ => {
@@ -35,51 +36,51 @@
     }
 }
 
-/// Bytes received and not yet decoded.
+/// Decodes messages from the bytes received on a link.
 #[derive(Debug)]
 pub(crate) struct FrameDecoder {
     buffer: Vec<u8>,
-    /// Bytes at the start of the buffer that are decoded already.
+    /// Bytes at the start of the buffer that are already decoded.
     consumed: usize,
-    preamble_seen: bool,
+    has_preamble: bool,
     max_frame_bytes: usize,
 }
 
 impl FrameDecoder {
-    /// A decoder at the start of a link.
+    /// Creates a decoder that expects the preamble first.
     pub(crate) fn new(max_frame_bytes: usize) -> FrameDecoder {
-        FrameDecoder { buffer: Vec::new(), consumed: 0, preamble_seen: false, max_frame_bytes }
+        FrameDecoder { buffer: Vec::new(), consumed: 0, has_preamble: false, max_frame_bytes }
     }
 
-    /// Next message, if its frame is complete.
-    pub(crate) fn next<M: DeBin>(&mut self) -> Result<Option<M>, FrameError> {
+    /// Decodes the next message. Returns `None` if its frame is incomplete.
+    pub(crate) fn next_message<M: DeBin>(&mut self) -> Result<Option<M>, FrameError> {
         if !self.skip_preamble()? {
             return Ok(None);
         }
         let Some(length) = self.frame_length()? else { return Ok(None) };
-        let start = self.consumed + LENGTH_BYTES;
+        let start = self.consumed + LENGTH_FIELD_BYTES;
         let Some(frame) = self.buffer.get(start..start + length) else { return Ok(None) };
         let message = decode(frame)?;
         self.consumed = start + length;
         Ok(Some(message))
     }
 
-    /// Whether bytes of an incomplete frame are left.
-    pub(crate) fn is_inside_frame(&self) -> bool {
+    /// Returns whether the buffer holds the start of an incomplete frame.
+    pub(crate) fn has_partial_frame(&self) -> bool {
         self.consumed < self.buffer.len()
     }
 
-    /// The buffer with spare capacity, for a read to append to.
+    /// Returns the buffer, with spare capacity, for a read to append to.
     pub(crate) fn read_buffer(&mut self) -> &mut Vec<u8> {
         self.discard_consumed();
         let missing = self.missing_bytes();
-        self.buffer.reserve(missing.clamp(MIN_READ_BYTES, MAX_READ_AHEAD_BYTES));
+        self.buffer.reserve(missing.clamp(MIN_READ_BYTES, MAX_READ_BYTES));
         &mut self.buffer
     }
 
-    /// Consumes the preamble. Returns false while it is incomplete.
+    /// Checks and consumes the preamble. Returns false while it is incomplete.
     fn skip_preamble(&mut self) -> Result<bool, FrameError> {
-        if self.preamble_seen {
+        if self.has_preamble {
             return Ok(true);
         }
         let received = self.buffer.len().min(PREAMBLE.len());
@@ -90,12 +91,12 @@
             return Ok(false);
         }
         self.consumed = PREAMBLE.len();
-        self.preamble_seen = true;
+        self.has_preamble = true;
         Ok(true)
     }
 
     fn frame_length(&self) -> Result<Option<usize>, FrameError> {
-        let Some(prefix) = self.buffer[self.consumed..].first_chunk::<LENGTH_BYTES>() else {
+        let Some(prefix) = self.buffer[self.consumed..].first_chunk::<LENGTH_FIELD_BYTES>() else {
             return Ok(None);
         };
         let length_bytes = usize::try_from(u32::from_le_bytes(*prefix)).unwrap_or(usize::MAX);
@@ -117,11 +118,11 @@
         self.consumed = 0;
     }
 
-    /// Bytes missing from the frame whose length is known.
+    /// Returns how many bytes of the current frame are missing; 0 while its length is not known.
     fn missing_bytes(&self) -> usize {
         match self.frame_length() {
-            Ok(Some(length)) if self.preamble_seen => {
-                (LENGTH_BYTES + length).saturating_sub(self.buffer.len() - self.consumed)
+            Ok(Some(length)) if self.has_preamble => {
+                (LENGTH_FIELD_BYTES + length).saturating_sub(self.buffer.len() - self.consumed)
             }
             _ => 0,
         }
--- a/crates/pebblepost-link/src/lib.rs
+++ b/crates/pebblepost-link/src/lib.rs
@@ -1,11 +1,12 @@
 //! Framed TCP links between processes, with bounded send queues and a read timeout.
 //!
-//! Each side starts with a preamble that names the protocol and its version. A frame is its length (4 bytes, little
-//! endian) followed by one `nanoserde` message. The crate owns the sockets, the queues and the reasons why links
-//! close. It knows nothing of the messages, except for [`control_client`], which keeps a link to the control primary.
-//! It sends nothing by itself: heartbeats are messages of the programs.
+//! Each side first sends a preamble that names the protocol and its version. A frame consists of its length (4 bytes,
+//! little endian) and one `nanoserde` message. The crate owns the sockets and the send queues, and records why a link
+//! was closed. It does not interpret messages, except in [`control_client`], which keeps a link to the control
+//! primary. Links send nothing on their own: heartbeats are messages of the programs.
 //!
-//! Everything runs on the caller's current-thread `tokio` runtime inside a `LocalSet`, so nothing here is `Send`.
+//! All tasks run on the caller's current-thread `tokio` runtime inside a `LocalSet`, so the types of links are not
+//! `Send`.
 
 pub mod control_client;
 mod decode;
@@ -30,15 +31,15 @@
 
 use std::time::Duration;
 
-/// Limits of a link.
+/// Size and time limits of a link.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkLimits {
-    /// Largest frame, in bytes.
+    /// Largest message of a frame, sent or received, in bytes.
     pub max_frame_bytes: usize,
-    /// Most bytes queued for writing; a link that would exceed it is closed.
+    /// Most bytes that may be queued for writing. A link is closed if a message exceeds this limit.
     pub max_queued_bytes: usize,
-    /// Time limit for establishing a connection, and for flushing a closed one.
+    /// Time limit for establishing a connection, and for flushing the send queue of a closed link.
     pub connect_timeout: Duration,
-    /// A link on which nothing is received for this long is closed.
+    /// Time without received bytes after which a link is closed.
     pub read_timeout: Duration,
 }
--- a/crates/pebblepost-link/src/receiver.rs
+++ b/crates/pebblepost-link/src/receiver.rs
@@ -19,10 +19,10 @@
     half: OwnedReadHalf,
     decoder: FrameDecoder,
     last_read: Instant,
-    read_timer: Pin<Box<Sleep>>,
+    read_timeout_timer: Pin<Box<Sleep>>,
 }
 
-/// What ended the wait for more bytes.
+/// Event that ends the wait for more bytes.
 enum ReadEvent {
     Read(io::Result<usize>),
     LinkClosed,
@@ -32,22 +32,24 @@
 impl Receiver {
     pub(crate) fn new(state: Rc<LinkState>, half: OwnedReadHalf) -> Receiver {
         let now = Instant::now();
-        let read_timer = Box::pin(sleep_until(now + state.limits.read_timeout));
+        let read_timeout_timer = Box::pin(sleep_until(now + state.limits.read_timeout));
         let decoder = FrameDecoder::new(state.limits.max_frame_bytes);
-        Receiver { state, half, decoder, last_read: now, read_timer }
+        Receiver { state, half, decoder, last_read: now, read_timeout_timer }
     }
 
-    /// Next message. Cancel safe: dropping the future loses no message.
+    /// Receives the next message.
+    ///
+    /// This method is cancel safe: no message is lost if the future is dropped.
     ///
     /// # Errors
     ///
-    /// The link is closed ([`LinkError::Closed`]); every later call returns the same error.
+    /// Fails with [`LinkError::Closed`] once the link is closed. Every later call returns the same error.
     pub async fn receive<M: DeBin>(&mut self) -> Result<M, LinkError> {
         loop {
             if self.state.phase() == Phase::Flushing {
                 return Err(self.closed_error());
             }
-            match self.decoder.next() {
+            match self.decoder.next_message() {
                 Ok(Some(message)) => return Ok(message),
                 Ok(None) => self.read_more().await?,
                 Err(error) => return Err(self.abort(error.into())),
@@ -57,7 +59,7 @@
 
     async fn read_more(&mut self) -> Result<(), LinkError> {
         match self.next_event().await {
-            ReadEvent::Read(Ok(0)) if self.decoder.is_inside_frame() => {
+            ReadEvent::Read(Ok(0)) if self.decoder.has_partial_frame() => {
                 Err(self.abort(CloseReason::IncompleteFrame))
             }
             ReadEvent::Read(Ok(0)) => Err(self.abort(CloseReason::ClosedByPeer)),
@@ -71,25 +73,27 @@
         }
     }
 
-    /// Reading has precedence: what arrived before the link was closed is still delivered.
+    /// Waits for the next event. Reads have precedence, so that messages that arrived before the link was closed are
+    /// still delivered.
     async fn next_event(&mut self) -> ReadEvent {
         let buffer = self.decoder.read_buffer();
         tokio::select! {
             biased;
             read = self.half.read_buf(buffer) => ReadEvent::Read(read),
             () = self.state.receiver_wake.notified() => ReadEvent::LinkClosed,
-            () = &mut self.read_timer => ReadEvent::TimerFired,
+            () = &mut self.read_timeout_timer => ReadEvent::TimerFired,
         }
     }
 
-    /// The timer is reset only here, when it fires, because resetting it on every read would cost more.
+    /// Closes the link if the read timeout has passed, otherwise sets the timer again. The timer is reset only when
+    /// it fires, because resetting it on every read would cost more.
     fn check_read_timeout(&mut self) -> Result<(), LinkError> {
         let read_timeout = self.state.limits.read_timeout;
         let deadline = self.last_read + read_timeout;
         if Instant::now() >= deadline {
             return Err(self.abort(CloseReason::ReadTimeout(read_timeout)));
         }
-        self.read_timer.as_mut().reset(deadline);
+        self.read_timeout_timer.as_mut().reset(deadline);
         Ok(())
     }
 
@@ -99,7 +103,7 @@
     }
 
     fn closed_error(&self) -> LinkError {
-        // A later call of `receive` must wake up as well.
+        // A later call of `receive` has to be woken as well.
         self.state.receiver_wake.notify_one();
         self.state.closed_error()
     }
--- a/crates/pebblepost-link/src/send_queue.rs
+++ b/crates/pebblepost-link/src/send_queue.rs
@@ -1,4 +1,4 @@
-//! What waits to be written on a link: whole frames, owned by the link or shared with others.
+//! Send queue of a link. It consists of whole frames, owned by the link or shared with other links.
 
 use crate::frame;
 use nanoserde::SerBin;
@@ -6,16 +6,16 @@
 use std::io::IoSlice;
 use std::rc::Rc;
 
-/// A segment that is longer gets no further frames, so that a paced writer can stop between frames.
-const MAX_MERGED_BYTES: usize = 64 * 1024;
-/// Most segments written together.
+/// No further frame is merged into a segment of this length or more, so that a paced writer can stop between frames.
+const SEGMENT_MERGE_LIMIT_BYTES: usize = 64 * 1024;
+/// Most segments that are written together.
 const MAX_BATCH_SEGMENTS: usize = 16;
-/// No further segment is added to a batch of this length.
-const BATCH_BYTES: usize = 64 * 1024;
-/// A written buffer with more capacity is released, not reused.
+/// No further segment is added to a batch of this length or more.
+const BATCH_LIMIT_BYTES: usize = 64 * 1024;
+/// Largest capacity with which a written buffer is kept for reuse.
 const MAX_RETAINED_BYTES: usize = 64 * 1024;
 
-/// Whole frames that lie together in memory.
+/// One or more whole frames, contiguous in memory.
 #[derive(Debug)]
 enum Segment {
     Owned(Vec<u8>),
@@ -31,49 +31,55 @@
     }
 }
 
-/// Frames in the order in which they are written.
+/// Frames to be written, in order.
 #[derive(Debug, Default)]
 pub(crate) struct SendQueue {
     segments: VecDeque<Segment>,
     bytes: usize,
-    /// A written buffer for reuse.
-    spare: Vec<u8>,
+    /// Empty buffer of an earlier batch, reused for the next segment.
+    spare_buffer: Vec<u8>,
 }
 
 impl SendQueue {
-    /// A queue that starts with bytes that are no frame.
-    pub(crate) fn starting_with(bytes: Vec<u8>) -> SendQueue {
+    /// Creates a queue that starts with bytes that are not a frame.
+    pub(crate) fn with_preamble(bytes: Vec<u8>) -> SendQueue {
         let length = bytes.len();
-        SendQueue { segments: VecDeque::from([Segment::Owned(bytes)]), bytes: length, spare: Vec::new() }
+        SendQueue {
+            segments: VecDeque::from([Segment::Owned(bytes)]),
+            bytes: length,
+            spare_buffer: Vec::new(),
+        }
     }
 
-    /// Bytes queued.
+    /// Returns the number of queued bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Queues a message. Returns false, with the queue unchanged, if the message has more than `max_bytes`.
+    /// Queues a message. Returns false and queues nothing if the message is longer than `max_bytes`.
     pub(crate) fn push<M: SerBin>(&mut self, message: &M, max_bytes: usize) -> bool {
-        let spare = &mut self.spare;
-        let has_room =
-            matches!(self.segments.back(), Some(Segment::Owned(last)) if last.len() < MAX_MERGED_BYTES);
-        if !has_room {
-            self.segments.push_back(Segment::Owned(std::mem::take(spare)));
+        let spare_buffer = &mut self.spare_buffer;
+        let can_merge = matches!(
+            self.segments.back(),
+            Some(Segment::Owned(last)) if last.len() < SEGMENT_MERGE_LIMIT_BYTES
+        );
+        if !can_merge {
+            self.segments.push_back(Segment::Owned(std::mem::take(spare_buffer)));
         }
         let Some(Segment::Owned(last)) = self.segments.back_mut() else { return false };
         let before = last.len();
-        let is_queued = frame::append(message, last, max_bytes);
+        let is_queued = frame::append_frame(message, last, max_bytes);
         self.bytes += last.len() - before;
         is_queued
     }
 
-    /// Queues a frame that other links share.
+    /// Queues a frame that is shared with other links.
     pub(crate) fn push_shared(&mut self, frame: Rc<[u8]>) {
         self.bytes += frame.len();
         self.segments.push_back(Segment::Shared(frame));
     }
 
-    /// Drops everything that was not taken for writing.
+    /// Drops all queued frames.
     pub(crate) fn clear(&mut self) {
         self.segments.clear();
         self.bytes = 0;
@@ -82,7 +88,7 @@
     /// Takes the frames to be written next.
     pub(crate) fn take_batch(&mut self) -> Batch {
         let mut batch = Batch::default();
-        while batch.segments.len() < MAX_BATCH_SEGMENTS && batch.bytes < BATCH_BYTES {
+        while batch.segments.len() < MAX_BATCH_SEGMENTS && batch.bytes < BATCH_LIMIT_BYTES {
             let Some(segment) = self.segments.pop_front() else { break };
             batch.bytes += segment.bytes().len();
             batch.segments.push(segment);
@@ -91,21 +97,21 @@
         batch
     }
 
-    /// Keeps a buffer of a written batch for reuse.
+    /// Keeps the largest buffer of a written batch for reuse, if it is within `MAX_RETAINED_BYTES`.
     pub(crate) fn recycle(&mut self, batch: Batch) {
         for segment in batch.segments {
             if let Segment::Owned(mut buffer) = segment
                 && buffer.capacity() <= MAX_RETAINED_BYTES
-                && buffer.capacity() > self.spare.capacity()
+                && buffer.capacity() > self.spare_buffer.capacity()
             {
                 buffer.clear();
-                self.spare = buffer;
+                self.spare_buffer = buffer;
             }
         }
     }
 }
 
-/// Frames taken from a queue, and how far they are written.
+/// Frames taken from a queue, with the number of bytes written so far.
 #[derive(Debug, Default)]
 pub(crate) struct Batch {
     segments: Vec<Segment>,
@@ -114,27 +120,27 @@
 }
 
 impl Batch {
-    /// Bytes that are not written yet.
+    /// Returns the number of bytes that are not written yet.
     pub(crate) fn remaining(&self) -> usize {
         self.bytes - self.written
     }
 
-    /// More bytes are written.
+    /// Records that this many more bytes were written.
     pub(crate) fn advance(&mut self, written: usize) {
         self.written += written;
     }
 
-    /// The next bytes to be written, `limit` at most.
+    /// Returns the next bytes to be written, at most `limit`.
     pub(crate) fn slices(&self, limit: usize) -> Vec<IoSlice<'_>> {
-        let (mut skip, mut left) = (self.written, limit);
+        let (mut skip, mut remaining) = (self.written, limit);
         let mut slices = Vec::with_capacity(self.segments.len());
         for segment in &self.segments {
             let bytes = segment.bytes();
             let start = skip.min(bytes.len());
             skip -= start;
-            let end = bytes.len().min(start.saturating_add(left));
+            let end = bytes.len().min(start.saturating_add(remaining));
             if start < end {
-                left -= end - start;
+                remaining -= end - start;
                 slices.push(IoSlice::new(&bytes[start..end]));
             }
         }
--- a/crates/pebblepost-link/src/sender.rs
+++ b/crates/pebblepost-link/src/sender.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The sending half of a link; cheap to clone. It never blocks: a message that does not fit the queue closes the
-/// link.
+/// The sending half of a link; cheap to clone. Sending never blocks: a message that exceeds the frame limit or the
+/// queue limit closes the link.
 #[derive(Clone, Debug)]
 pub struct Sender {
     state: Rc<LinkState>,
@@ -19,40 +19,42 @@
         Sender { state }
     }
 
-    /// Queues a message. Returns false if the link is closed, or was closed because the message does not fit.
+    /// Queues a message. Returns false if the link is closed or if this message exceeded a limit and closed it. True
+    /// does not mean that the peer receives the message.
     pub fn send<M: SerBin>(&self, message: &M) -> bool {
         self.state.enqueue(message)
     }
 
-    /// Queues a message that is encoded already and may be shared with other links. Returns false as [`Sender::send`]
-    /// does.
+    /// Queues an encoded message, which may be shared with other links. Returns false in the same cases as
+    /// [`Sender::send`].
     pub fn send_encoded(&self, message: &EncodedMessage) -> bool {
         self.state.enqueue_encoded(message)
     }
 
-    /// Queues a message in the place of everything that waits to be written. A frame of which some bytes are written is
-    /// still completed first. Returns false as [`Sender::send`] does.
-    pub fn send_instead<M: SerBin>(&self, message: &M) -> bool {
+    /// Drops all queued messages and queues this one in their place. Frames already taken for writing are still
+    /// written first. Returns false in the same cases as [`Sender::send`].
+    pub fn send_replacing_queue<M: SerBin>(&self, message: &M) -> bool {
         self.state.discard_unsent();
         self.state.enqueue(message)
     }
 
-    /// Closes both halves of the link. The queue is still written, within [`crate::LinkLimits::connect_timeout`].
+    /// Closes both halves of the link. Queued messages are still written, for at most
+    /// [`crate::LinkLimits::connect_timeout`].
     pub fn close(&self) {
         self.state.close(CloseReason::ClosedLocally);
     }
 
-    /// Whether the link is closed.
+    /// Returns whether the link is closed.
     pub fn is_closed(&self) -> bool {
         self.state.phase() != Phase::Open
     }
 
-    /// Bytes queued or being written.
+    /// Returns the number of bytes queued or being written.
     pub fn queued_bytes(&self) -> usize {
         self.state.queued_bytes()
     }
 
-    /// Address of the other end.
+    /// Returns the address of the peer.
     pub fn peer(&self) -> SocketAddr {
         self.state.peer
     }
--- a/crates/pebblepost-link/src/socket.rs
+++ b/crates/pebblepost-link/src/socket.rs
@@ -15,24 +15,25 @@
 use tokio::time::{sleep, timeout};
 
 const LISTEN_BACKLOG: u32 = 256;
-/// Delay after a failure to accept: without it, a lack of file descriptors would make the caller spin.
+/// Delay after a failed accept. Without it, a caller that retries would spin while file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Opens a link.
 ///
 /// # Errors
 ///
-/// The connection is refused or not established in time, or its socket options cannot be set.
+/// Fails if the connection is refused or not established within [`LinkLimits::connect_timeout`], or if its socket
+/// options cannot be set.
 pub async fn connect(address: SocketAddr, limits: LinkLimits) -> Result<(Sender, Receiver), LinkError> {
     let stream = timeout(limits.connect_timeout, TcpStream::connect(address))
         .await
         .map_err(|source| LinkError::ConnectTimeout { address, source })?
         .map_err(|source| LinkError::Connect { address, source })?;
     set_options(&stream, limits).map_err(|source| LinkError::SocketOptions { address, source })?;
-    Ok(start(stream, address, limits, None))
+    Ok(start_link(stream, address, limits, None))
 }
 
-/// Accepts links.
+/// Listens for connections and accepts them as links.
 #[derive(Debug)]
 pub struct Listener {
     listener: TcpListener,
@@ -41,37 +42,37 @@
 }
 
 impl Listener {
-    /// Listens at an address, with address reuse.
+    /// Listens at an address, with `SO_REUSEADDR` set.
     ///
     /// # Errors
     ///
-    /// The address is in use or cannot be bound. The caller may retry.
+    /// Fails if the address is in use or cannot be bound. The caller may retry.
     pub fn bind(address: SocketAddr, limits: LinkLimits) -> Result<Listener, LinkError> {
         let listener = listen(address).map_err(|source| LinkError::Listen { address, source })?;
         Ok(Listener { listener, limits, pacer: None })
     }
 
-    /// Limits the rate at which all links accepted from now on write together.
+    /// Limits the total write rate of all links accepted from now on.
     #[must_use]
     pub fn with_pacer(self, pacer: Pacer) -> Listener {
         Listener { pacer: Some(Rc::new(pacer)), ..self }
     }
 
-    /// Local address.
+    /// Returns the local address.
     ///
     /// # Errors
     ///
-    /// The operating system does not know the address of the socket.
+    /// Fails if the operating system cannot report the address of the socket.
     pub fn local_address(&self) -> Result<SocketAddr, LinkError> {
         self.listener.local_addr().map_err(LinkError::LocalAddress)
     }
 
-    /// Next link.
+    /// Accepts the next link. Connections whose socket options cannot be set are skipped.
     ///
     /// # Errors
     ///
-    /// The operating system cannot accept a connection, such as for lack of file descriptors. The error is returned
-    /// after a short delay, so that the caller may retry at once.
+    /// Fails if the operating system cannot accept a connection, for instance for lack of file descriptors. The error
+    /// is returned after a delay of 50 ms, so that the caller may retry at once.
     pub async fn accept(&mut self) -> Result<(Sender, Receiver), LinkError> {
         loop {
             let (stream, peer) = match self.listener.accept().await {
@@ -82,8 +83,10 @@
                 }
             };
             match set_options(&stream, self.limits) {
-                Ok(()) => return Ok(start(stream, peer, self.limits, self.pacer.clone())),
-                Err(error) => log::debug!("link closed before its setup peer={peer}: {error}"),
+                Ok(()) => return Ok(start_link(stream, peer, self.limits, self.pacer.clone())),
+                Err(error) => {
+                    log::debug!("link dropped, its socket options could not be set peer={peer}: {error}")
+                }
             }
         }
     }
@@ -96,13 +99,15 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Frames are sent without delay, and a connection whose bytes stay unacknowledged for the read timeout is closed.
+/// Sets `TCP_NODELAY`, so that frames are sent without delay, and `TCP_USER_TIMEOUT`, so that a connection is closed
+/// if its bytes stay unacknowledged for the read timeout.
 fn set_options(stream: &TcpStream, limits: LinkLimits) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(limits.read_timeout))
 }
 
-fn start(
+/// Creates a link over a connected stream and starts its writer task.
+fn start_link(
     stream: TcpStream, peer: SocketAddr, limits: LinkLimits, pacer: Option<Rc<Pacer>>,
 ) -> (Sender, Receiver) {
     let state = Rc::new(LinkState::new(peer, limits, pacer));
--- a/crates/pebblepost-link/src/state.rs
+++ b/crates/pebblepost-link/src/state.rs
@@ -1,4 +1,4 @@
-//! State that the halves of a link and its writing task share.
+//! State shared by the two halves of a link and its writer task.
 
 use crate::encoded::EncodedMessage;
 use crate::error::{CloseReason, LinkError};
@@ -11,12 +11,12 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Phase of a link; it only goes forward.
+/// Phase of a link. Later phases are never left for earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Both halves work.
+    /// Messages are sent and received.
     Open,
-    /// Closed; the send queue is still written.
+    /// Closed; the writer task still writes the send queue.
     Flushing,
     /// Closed; nothing more is written.
     Aborted,
@@ -25,31 +25,32 @@
 /// State of one link.
 #[derive(Debug)]
 pub(crate) struct LinkState {
-    /// Address of the other end.
+    /// Address of the peer.
     pub(crate) peer: SocketAddr,
     /// Limits of the link.
     pub(crate) limits: LinkLimits,
-    /// Limits the rate of writing, together with other links.
+    /// Limits the write rate of all links that share it.
     pub(crate) pacer: Option<Rc<Pacer>>,
-    /// Wakes the writing task: something is queued, or the link is to be flushed.
+    /// Wakes the writer task: something is queued, or the link has to be flushed.
     pub(crate) writer_wake: Notify,
-    /// The link is flushing: the writing task has a bounded time left.
+    /// Tells the writer task that the link is flushing and its remaining time is limited.
     pub(crate) writer_closing: Notify,
-    /// Ends the writing task, also inside a write.
+    /// Ends the writer task, even during a write.
     pub(crate) writer_abort: Notify,
-    /// Wakes the receiver: the link is closed.
+    /// Tells the receiver that the link is closed.
     pub(crate) receiver_wake: Notify,
     phase: Cell<Phase>,
     close_reason: RefCell<Option<CloseReason>>,
     queue: RefCell<SendQueue>,
-    /// The preamble, which has to be written before anything else, was taken from the queue.
+    /// Whether the preamble was taken from the queue. Until then the queue must not be cleared, because the preamble
+    /// has to be written before anything else.
     is_preamble_taken: Cell<bool>,
-    /// Bytes taken from the queue and not yet written.
+    /// Bytes that were taken from the queue and are not written yet.
     bytes_in_write: Cell<usize>,
 }
 
 impl LinkState {
-    /// An open link. The preamble is queued and goes out with the first message.
+    /// Creates the state of an open link. The preamble is queued and written together with the first message.
     pub(crate) fn new(peer: SocketAddr, limits: LinkLimits, pacer: Option<Rc<Pacer>>) -> LinkState {
         LinkState {
             peer,
@@ -61,29 +62,29 @@
             receiver_wake: Notify::new(),
             phase: Cell::new(Phase::Open),
             close_reason: RefCell::new(None),
-            queue: RefCell::new(SendQueue::starting_with(frame::PREAMBLE.to_vec())),
+            queue: RefCell::new(SendQueue::with_preamble(frame::PREAMBLE.to_vec())),
             is_preamble_taken: Cell::new(false),
             bytes_in_write: Cell::new(0),
         }
     }
 
-    /// Current phase.
     pub(crate) fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// The error of a closed link, with the first reason for which it was closed.
+    /// Returns the error of a closed link, with the first reason for which it was closed.
     pub(crate) fn closed_error(&self) -> LinkError {
         let reason = self.close_reason.borrow().clone().unwrap_or(CloseReason::ClosedLocally);
         LinkError::Closed { peer: self.peer, reason }
     }
 
-    /// Bytes queued or being written.
+    /// Returns the number of bytes queued or being written.
     pub(crate) fn queued_bytes(&self) -> usize {
         self.queue.borrow().bytes() + self.bytes_in_write.get()
     }
 
-    /// Queues a message. Returns false if the link is closed, and closes it if the message does not fit.
+    /// Queues a message. Returns false if the link is closed. Closes the link and returns false if the message
+    /// exceeds the frame limit or the queue limit.
     pub(crate) fn enqueue<M: SerBin>(&self, message: &M) -> bool {
         if self.phase() != Phase::Open {
             return false;
@@ -93,10 +94,10 @@
             self.abort(CloseReason::MessageTooLarge { max_frame_bytes });
             return false;
         }
-        self.queue_grew()
+        self.check_queue_limit()
     }
 
-    /// Queues a message that is encoded already. Returns false as [`LinkState::enqueue`] does.
+    /// Queues an encoded message. Fails in the same cases as [`LinkState::enqueue`].
     pub(crate) fn enqueue_encoded(&self, message: &EncodedMessage) -> bool {
         if self.phase() != Phase::Open {
             return false;
@@ -107,17 +108,17 @@
             return false;
         }
         self.queue.borrow_mut().push_shared(Rc::clone(message.frame()));
-        self.queue_grew()
+        self.check_queue_limit()
     }
 
-    /// Drops the frames of which nothing is written yet.
+    /// Drops the frames that were not taken for writing yet. Has no effect before the preamble was taken.
     pub(crate) fn discard_unsent(&self) {
         if self.is_preamble_taken.get() {
             self.queue.borrow_mut().clear();
         }
     }
 
-    /// Takes the next frames for writing.
+    /// Takes the next frames for writing. Call this from the writer task only.
     pub(crate) fn take_batch(&self) -> Batch {
         self.is_preamble_taken.set(true);
         let batch = self.queue.borrow_mut().take_batch();
@@ -125,13 +126,14 @@
         batch
     }
 
-    /// Returns a written batch, whose buffers are reused.
+    /// Returns a completely written batch, so that a buffer of it can be reused.
     pub(crate) fn recycle(&self, batch: Batch) {
         self.queue.borrow_mut().recycle(batch);
     }
 
-    /// Wakes the writing task. Returns false, and closes the link, if the queue is full.
-    fn queue_grew(&self) -> bool {
+    /// Wakes the writer task after a message was queued. Closes the link and returns false if the queue now exceeds
+    /// its limit.
+    fn check_queue_limit(&self) -> bool {
         let queued_bytes = self.queued_bytes();
         if queued_bytes > self.limits.max_queued_bytes {
             self.abort(CloseReason::QueueFull { queued_bytes });
@@ -141,34 +143,33 @@
         true
     }
 
-    /// Sets how much of a taken queue is still to be written.
+    /// Sets how many bytes of the taken batch are not written yet.
     pub(crate) fn set_bytes_in_write(&self, bytes: usize) {
         self.bytes_in_write.set(bytes);
     }
 
-    /// Closes the link once the queue is written.
+    /// Closes the link after the queue has been written. Has no effect on a closed link.
     pub(crate) fn close(&self, reason: CloseReason) {
         if self.phase() == Phase::Open {
             self.phase.set(Phase::Flushing);
-            self.set_close_reason(reason);
+            self.set_first_close_reason(reason);
             self.writer_wake.notify_one();
             self.writer_closing.notify_one();
             self.receiver_wake.notify_one();
         }
     }
 
-    /// Closes the link at once.
+    /// Closes the link at once, without writing the queue.
     pub(crate) fn abort(&self, reason: CloseReason) {
         if self.phase() != Phase::Aborted {
             self.phase.set(Phase::Aborted);
-            self.set_close_reason(reason);
+            self.set_first_close_reason(reason);
             self.writer_abort.notify_one();
             self.receiver_wake.notify_one();
         }
     }
 
-    /// The first reason stays.
-    fn set_close_reason(&self, reason: CloseReason) {
+    fn set_first_close_reason(&self, reason: CloseReason) {
         self.close_reason.borrow_mut().get_or_insert(reason);
     }
 }
--- a/crates/pebblepost-link/src/writer.rs
+++ b/crates/pebblepost-link/src/writer.rs
@@ -1,7 +1,7 @@
-//! The writing task of a link: as much of the queue as the pacer grants goes out in one write.
+//! The writer task of a link. Each write takes as much of the queue as the pacer grants.
 
 use crate::error::CloseReason;
-use crate::pacer::{CHUNK_BYTES, UNPACED_BYTES};
+use crate::pacer::{MAX_PACED_CHUNK_BYTES, MAX_UNPACED_BYTES};
 use crate::send_queue::Batch;
 use crate::state::{LinkState, Phase};
 use std::io;
@@ -12,8 +12,8 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::timeout;
 
-/// Writes until the link is closed, then flushes the queue within a bounded time. Dropping the half closes the
-/// outgoing direction of the connection.
+/// Writes until the link is closed, then flushes the queue for at most [`crate::LinkLimits::connect_timeout`].
+/// Dropping the write half closes the outgoing direction of the connection.
 pub(crate) async fn run(state: Rc<LinkState>, mut half: OwnedWriteHalf) {
     let mut writing = pin!(write_until_closed(&state, &mut half));
     tokio::select! {
@@ -24,7 +24,11 @@
     }
     match timeout(state.limits.connect_timeout, writing).await {
         Ok(result) => abort_on_error(&state, result),
-        Err(_) => log::debug!("link flush timed out peer={}", state.peer),
+        Err(_) => log::debug!(
+            "link flush timed out, queued messages dropped peer={} queued_bytes={}",
+            state.peer,
+            state.queued_bytes()
+        ),
     }
 }
 
@@ -56,13 +60,13 @@
 async fn write_batch(state: &LinkState, half: &mut OwnedWriteHalf, batch: &mut Batch) -> io::Result<()> {
     while batch.remaining() > 0 {
         let granted = wait_for_pacer(state, batch.remaining()).await;
-        let mut left = granted;
-        while left > 0 {
-            let written = half.write_vectored(&batch.slices(left)).await?;
+        let mut remaining_granted = granted;
+        while remaining_granted > 0 {
+            let written = half.write_vectored(&batch.slices(remaining_granted)).await?;
             if written == 0 {
                 return Err(io::ErrorKind::WriteZero.into());
             }
-            left -= written;
+            remaining_granted -= written;
             batch.advance(written);
             state.set_bytes_in_write(batch.remaining());
         }
@@ -70,14 +74,14 @@
     Ok(())
 }
 
-/// Waits until the pacer, if there is one, grants some of the `remaining` bytes; how many it grants.
+/// Waits until some of the `remaining` bytes may be written and returns how many. Without a pacer these are all.
 async fn wait_for_pacer(state: &LinkState, remaining: usize) -> usize {
     let Some(pacer) = &state.pacer else { return remaining };
-    if state.queued_bytes() <= UNPACED_BYTES {
-        pacer.count(remaining);
+    if state.queued_bytes() <= MAX_UNPACED_BYTES {
+        pacer.count_unpaced(remaining);
         return remaining;
     }
-    let chunk = remaining.min(CHUNK_BYTES);
+    let chunk = remaining.min(MAX_PACED_CHUNK_BYTES);
     pacer.wait(chunk).await;
     chunk
 }
--- a/crates/pebblepost-link/tests/bulk.rs
+++ b/crates/pebblepost-link/tests/bulk.rs
@@ -1,4 +1,4 @@
-//! Bulk data on many links: pacing, messages encoded once, and redirects that go out before what waits.
+//! Bulk data on many links: pacing, messages encoded once for several links, and messages that replace the queue.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -26,7 +26,8 @@
     Message { number, body: vec![7; length] }
 }
 
-/// The accepting end's sender, and the other end's receiver; both links stay open as long as their halves.
+/// Opens a link. Returns the sender of the accepting end, the receiver of the connecting end, and the two other halves,
+/// which have to be kept for the link to stay open.
 async fn link(listener: &mut Listener) -> (Sender, Receiver, (Sender, Receiver)) {
     let address = listener.local_address().unwrap();
     let (connected, accepted) = tokio::join!(connect(address, LIMITS), listener.accept());
@@ -40,19 +41,19 @@
 }
 
 #[test]
-fn a_pacer_grants_its_rate_after_a_short_burst() {
+fn a_pacer_allows_a_burst_of_20_ms_and_then_its_rate() {
     let start = Instant::now();
     let pacer = Pacer::new(1_000_000);
     let later = start + Duration::from_secs(1);
     let grants: Vec<Instant> = (0..100).map(|_| pacer.reserve(later, 10_000)).collect();
     let at_once = grants.iter().filter(|grant| **grant <= later).count();
-    assert_eq!(at_once, 3, "20 ms of the rate, and the one that exceeds them");
+    assert_eq!(at_once, 3, "two grants in the burst of 20 ms, and the one that exceeds it");
     let last = *grants.last().unwrap();
     assert_eq!(last - later, Duration::from_millis(99 * 10 - 20));
 }
 
 #[test]
-fn an_idle_pacer_saves_up_no_more_than_its_burst() {
+fn an_idle_pacer_accumulates_no_more_than_its_burst() {
     let pacer = Pacer::new(1_000_000);
     let later = Instant::now() + Duration::from_secs(3600);
     let granted = (0..1000).take_while(|_| pacer.reserve(later, 1000) <= later).count();
@@ -60,7 +61,7 @@
 }
 
 #[tokio::test]
-async fn encoded_messages_arrive_in_order_with_others() {
+async fn encoded_and_plain_messages_arrive_in_the_order_sent() {
     let exchange = async {
         let mut listener = listener();
         let (sender, mut receiver, _ends) = link(&mut listener).await;
@@ -91,11 +92,11 @@
 }
 
 #[tokio::test]
-async fn a_message_sent_instead_overtakes_what_waits() {
+async fn a_message_that_replaces_the_queue_drops_queued_messages() {
     let exchange = async {
         let mut listener = listener();
         let (sender, mut receiver, _ends) = link(&mut listener).await;
-        // More than any socket buffers.
+        // The 40 messages exceed the capacity of the socket buffers, so that some stay queued.
         let bulk = EncodedMessage::new(&message(1, 1_000_000)).unwrap();
         let sent = 40;
         for _ in 0..sent {
@@ -104,30 +105,30 @@
         for _ in 0..10 {
             yield_now().await;
         }
-        assert!(sender.send_instead(&message(2, 10)));
+        assert!(sender.send_replacing_queue(&message(2, 10)));
         sender.close();
         let mut received = 0;
         while receiver.receive::<Message>().await.unwrap().number == 1 {
             received += 1;
         }
-        assert!(received < sent, "{received} messages came first");
+        assert!(received < sent, "all {received} queued messages were delivered");
     };
     LocalSet::new().run_until(exchange).await;
 }
 
 #[tokio::test]
-async fn a_message_sent_instead_at_once_keeps_the_preamble() {
+async fn replacing_the_queue_of_a_new_link_keeps_the_preamble() {
     let exchange = async {
         let mut listener = listener();
         let (sender, mut receiver, _ends) = link(&mut listener).await;
-        assert!(sender.send_instead(&message(2, 10)));
+        assert!(sender.send_replacing_queue(&message(2, 10)));
         assert_eq!(receiver.receive::<Message>().await.unwrap(), message(2, 10));
     };
     LocalSet::new().run_until(exchange).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_heartbeat_passes_paced_bulk_data_of_other_links() {
+async fn a_heartbeat_is_not_delayed_by_paced_bulk_data_of_other_links() {
     let exchange = async {
         let mut listener = listener().with_pacer(Pacer::new(100_000));
         let (bulk, _bulk_receiver, _bulk_ends) = link(&mut listener).await;
@@ -136,7 +137,7 @@
         for _ in 0..10 {
             yield_now().await;
         }
-        assert!(bulk.queued_bytes() > 900_000, "the bulk data waits for the pacer");
+        assert!(bulk.queued_bytes() > 900_000, "the bulk data must still wait for the pacer");
         let start = Instant::now();
         assert!(heartbeats.send(&message(2, 10)));
         assert_eq!(receiver.receive::<Message>().await.unwrap(), message(2, 10));
--- a/crates/pebblepost-link/tests/control_client.rs
+++ b/crates/pebblepost-link/tests/control_client.rs
@@ -1,4 +1,4 @@
-//! Finding and keeping the control primary, against scripted processes over loopback.
+//! Tests of the control client against scripted control nodes over loopback.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -33,10 +33,10 @@
     ToControl::Subscribe { node, zone, role: SubscriberRole::Agent, generation }
 }
 
-/// A client that subscribes with a higher generation on every connection.
-fn start(candidates: Vec<SocketAddr>) -> (ControlSender, mpsc::Receiver<ControlEvent>) {
+/// Starts a client that subscribes with the number of the connection as generation.
+fn start(seeds: Vec<SocketAddr>) -> (ControlSender, mpsc::Receiver<ControlEvent>) {
     let connections = Rc::new(Cell::new(0));
-    ControlClient::start(candidates, LIMITS, move || {
+    ControlClient::start(seeds, LIMITS, move || {
         connections.set(connections.get() + 1);
         vec![subscribe(connections.get())]
     })
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn reports_a_lost_primary_and_tries_the_members_it_named() {
+async fn reports_a_lost_primary_and_connects_to_another_member() {
     let exchange = async {
         let (mut first, first_address) = listener();
         let (mut second, second_address) = listener();
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn a_reconnect_subscribes_again() {
+async fn reconnecting_sends_a_new_subscription() {
     let exchange = async {
         let (mut primary, address) = listener();
         let (control, mut events) = start(vec![address]);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn shared_updates_are_part_of_the_next_batch_only() {
+fn shared_updates_are_added_to_the_next_batch_only() {
     let mut assembler = FeedAssembler::default();
     let shared = compress_updates(&many_versions()).unwrap();
     assert_eq!(assembler.receive(FromControl::SharedUpdates(shared)).unwrap(), None);
@@ -175,14 +175,14 @@
     let batch = FromControl::Feed(FeedBatch { sequence: 7, updates: vec![own.clone()] });
     let mut updates = many_versions();
     updates.push(own);
-    let whole = FromControl::Feed(FeedBatch { sequence: 7, updates });
-    assert_eq!(assembler.receive(batch).unwrap(), Some(whole));
+    let assembled = FromControl::Feed(FeedBatch { sequence: 7, updates });
+    assert_eq!(assembler.receive(batch).unwrap(), Some(assembled));
     let next = FromControl::Feed(FeedBatch { sequence: 8, updates: Vec::new() });
     assert_eq!(assembler.receive(next.clone()).unwrap(), Some(next));
 }
 
 #[test]
-fn shared_updates_whose_batch_was_dropped_for_a_redirect_are_dropped_too() {
+fn a_redirect_drops_shared_updates_of_an_unsent_batch() {
     let mut assembler = FeedAssembler::default();
     let shared = compress_updates(&many_versions()).unwrap();
     assert_eq!(assembler.receive(FromControl::SharedUpdates(shared)).unwrap(), None);
@@ -192,15 +192,15 @@
 }
 
 #[test]
-fn damaged_shared_updates_are_an_error() {
-    let sound = compress_updates(&many_versions()).unwrap();
-    let too_long = CompressedUpdates { uncompressed_bytes: u64::MAX, ..sound.clone() };
-    let too_short = CompressedUpdates { uncompressed_bytes: 3, ..sound.clone() };
-    let cut = CompressedUpdates { compressed: sound.compressed[..9].to_vec(), ..sound.clone() };
-    let no_updates = miniz_oxide::deflate::compress_to_vec(&[0xff; 600], 3);
-    let foreign = CompressedUpdates { uncompressed_bytes: 600, compressed: no_updates };
-    for damaged in [too_long, too_short, cut, foreign] {
-        assert!(FeedAssembler::default().receive(FromControl::SharedUpdates(damaged)).is_err());
+fn invalid_shared_updates_are_an_error() {
+    let valid = compress_updates(&many_versions()).unwrap();
+    let too_long = CompressedUpdates { uncompressed_bytes: u64::MAX, ..valid.clone() };
+    let too_short = CompressedUpdates { uncompressed_bytes: 3, ..valid.clone() };
+    let truncated = CompressedUpdates { compressed: valid.compressed[..9].to_vec(), ..valid.clone() };
+    let compressed = miniz_oxide::deflate::compress_to_vec(&[0xff; 600], 3);
+    let not_updates = CompressedUpdates { uncompressed_bytes: 600, compressed };
+    for invalid in [too_long, too_short, truncated, not_updates] {
+        assert!(FeedAssembler::default().receive(FromControl::SharedUpdates(invalid)).is_err());
     }
 }
 
@@ -212,9 +212,9 @@
         let (sender, _receiver) = accept(&mut primary, 1).await;
         sender.send(&FromControl::SharedUpdates(compress_updates(&many_versions()).unwrap()));
         sender.send(&batch(1));
-        let whole = FromControl::Feed(FeedBatch { sequence: 1, updates: many_versions() });
+        let assembled = FromControl::Feed(FeedBatch { sequence: 1, updates: many_versions() });
         assert_eq!(events.recv().await, Some(ControlEvent::Connected(address)));
-        assert_eq!(events.recv().await, Some(ControlEvent::Message(whole)));
+        assert_eq!(events.recv().await, Some(ControlEvent::Message(assembled)));
     };
     LocalSet::new().run_until(exchange).await;
 }
--- a/crates/pebblepost-link/tests/error_texts.rs
+++ b/crates/pebblepost-link/tests/error_texts.rs
@@ -1,4 +1,4 @@
-//! Texts of link errors, causes included: programs print them in their logs and answers.
+//! Texts of link errors with their causes, which programs print in logs and responses.
 
 #![expect(clippy::unwrap_used, reason = "a panic fails the test")]
 
@@ -29,13 +29,13 @@
     (stream.unwrap(), sender, receiver)
 }
 
-/// The error of the next read with its chain of causes.
+/// Returns the error of the next read, formatted with its chain of causes.
 async fn read_error(receiver: &mut Receiver) -> String {
     format!("{:#}", Report::from(receiver.receive::<u64>().await.unwrap_err()))
 }
 
 #[tokio::test]
-async fn a_refused_connection_names_address_and_cause() {
+async fn a_refused_connection_error_contains_address_and_cause() {
     let address = Listener::bind(loopback(), LIMITS).unwrap().local_address().unwrap();
     let error = connect(address, LIMITS).await.unwrap_err();
     assert_eq!(format!("{error:#}"), format!("connecting to {address}: Connection refused (os error 111)"));
@@ -43,9 +43,10 @@
     assert_eq!(format!("{error:#}"), format!("connecting to {address}: Connection refused (os error 111)"));
 }
 
-/// A listener that accepts nothing; once its backlog is full, the kernel leaves connections without an answer.
+/// The listener accepts nothing. Once its backlog is full, the kernel does not answer further connections, so that
+/// connecting times out.
 #[tokio::test]
-async fn a_connection_without_answer_names_address_and_deadline() {
+async fn a_connect_timeout_error_contains_address_and_cause() {
     const MAX_BACKLOG: usize = 16;
     let exchange = async {
         let socket = TcpSocket::new_v4().unwrap();
@@ -55,28 +56,28 @@
         let limits = LinkLimits { connect_timeout: Duration::from_millis(60), ..LIMITS };
         let mut links = Vec::new();
         let error = loop {
-            assert!(links.len() < MAX_BACKLOG, "the backlog does not fill");
+            assert!(links.len() < MAX_BACKLOG, "the backlog is not full after {MAX_BACKLOG} connections");
             match connect(address, limits).await {
                 Ok(link) => links.push(link),
                 Err(error) => break Report::from(error),
             }
         };
-        let expected = format!("connecting to {address}: no answer: deadline has elapsed");
+        let expected = format!("connecting to {address}: timed out: deadline has elapsed");
         assert_eq!(format!("{error:#}"), expected);
     };
     LocalSet::new().run_until(exchange).await;
 }
 
 #[tokio::test]
-async fn a_taken_port_names_address_and_cause() {
-    let taken = Listener::bind(loopback(), LIMITS).unwrap();
-    let address = taken.local_address().unwrap();
+async fn a_port_in_use_error_contains_address_and_cause() {
+    let first_listener = Listener::bind(loopback(), LIMITS).unwrap();
+    let address = first_listener.local_address().unwrap();
     let error = Report::from(Listener::bind(address, LIMITS).unwrap_err());
     assert_eq!(format!("{error:#}"), format!("listening at {address}: Address already in use (os error 98)"));
 }
 
 #[tokio::test]
-async fn a_reset_connection_names_peer_and_cause() {
+async fn a_connection_reset_error_contains_peer_and_cause() {
     let exchange = async {
         let (stream, sender, mut receiver) = accepted_link().await;
         stream.set_zero_linger().unwrap();
@@ -89,11 +90,11 @@
 }
 
 #[tokio::test]
-async fn a_closed_link_names_the_first_reason() {
+async fn a_closed_link_reports_the_first_close_reason() {
     let exchange = async {
         let (_stream, sender, mut receiver) = accepted_link().await;
         sender.close();
-        let expected = format!("link with {}: closed by this end", sender.peer());
+        let expected = format!("link with {}: closed locally", sender.peer());
         assert_eq!(read_error(&mut receiver).await, expected);
         assert_eq!(read_error(&mut receiver).await, expected);
     };
@@ -101,18 +102,19 @@
 }
 
 #[tokio::test]
-async fn an_oversize_message_closes_the_link_with_this_text() {
+async fn an_oversize_message_error_contains_the_frame_limit() {
     let exchange = async {
         let (_stream, sender, mut receiver) = accepted_link().await;
         assert!(!sender.send(&vec![0u8; 1000]));
-        let expected = format!("link with {}: a message is over 1000 bytes", sender.peer());
+        let expected =
+            format!("link with {}: message to send exceeds the limit of 1000 bytes", sender.peer());
         assert_eq!(read_error(&mut receiver).await, expected);
     };
     LocalSet::new().run_until(exchange).await;
 }
 
 #[tokio::test]
-async fn a_full_queue_closes_the_link_with_this_text() {
+async fn a_full_queue_error_contains_the_queued_bytes() {
     let exchange = async {
         let (_stream, sender, mut receiver) = accepted_link().await;
         let message = vec![0u8; 980];
@@ -120,22 +122,21 @@
         assert!(sender.send(&message));
         assert_eq!(sender.queued_bytes(), 8 + 2 * (4 + message.serialize_bin().len()));
         assert!(!sender.send(&message));
-        let expected =
-            format!("link with {}: 2984 bytes wait to be written, more than allowed", sender.peer());
+        let expected = format!("link with {}: send queue of 2984 bytes exceeds the limit", sender.peer());
         assert_eq!(read_error(&mut receiver).await, expected);
     };
     LocalSet::new().run_until(exchange).await;
 }
 
 #[test]
-fn a_frame_that_cannot_be_decoded_says_why() {
+fn decode_errors_contain_frame_length_and_cause() {
     let short = decode::<u64>(&[1, 2]).unwrap_err();
     assert_eq!(
         short.to_string(),
-        "a frame of 2 bytes can't be read: Bin deserialize error at:0 wanted:8 bytes but max size is 2"
+        "frame of 2 bytes cannot be decoded: Bin deserialize error at:0 wanted:8 bytes but max size is 2"
     );
     let long = decode::<u8>(&[1, 2, 3]).unwrap_err();
-    assert_eq!(long.to_string(), "a frame of 3 bytes has 2 too many");
-    let impossible = decode::<Vec<u64>>(&u64::MAX.to_le_bytes()).unwrap_err();
-    assert_eq!(impossible.to_string(), "a frame of 8 bytes names an impossible length");
+    assert_eq!(long.to_string(), "frame of 3 bytes has 2 trailing bytes");
+    let invalid_length = decode::<Vec<u64>>(&u64::MAX.to_le_bytes()).unwrap_err();
+    assert_eq!(invalid_length.to_string(), "frame of 8 bytes contains an invalid length");
 }
--- a/crates/pebblepost-link/tests/link.rs
+++ b/crates/pebblepost-link/tests/link.rs
@@ -38,15 +38,15 @@
     right: (Sender, Receiver),
 }
 
-async fn ends(limits: LinkLimits) -> Ends {
+async fn link_ends(limits: LinkLimits) -> Ends {
     let mut listener = Listener::bind(loopback(), limits).unwrap();
     let address = listener.local_address().unwrap();
     let (left, right) = tokio::join!(connect(address, limits), listener.accept());
     Ends { left: left.unwrap(), right: right.unwrap() }
 }
 
-/// A link whose other end is a plain socket.
-async fn raw_end(limits: LinkLimits) -> (TcpStream, Sender, Receiver) {
+/// Creates a link whose peer is a plain socket.
+async fn link_to_raw_socket(limits: LinkLimits) -> (TcpStream, Sender, Receiver) {
     let mut listener = Listener::bind(loopback(), limits).unwrap();
     let address = listener.local_address().unwrap();
     let (stream, accepted) = tokio::join!(TcpStream::connect(address), listener.accept());
@@ -54,7 +54,7 @@
     (stream.unwrap(), sender, receiver)
 }
 
-async fn error_of(receiver: &mut Receiver) -> String {
+async fn receive_error(receiver: &mut Receiver) -> String {
     receiver.receive::<Message>().await.unwrap_err().to_string()
 }
 
@@ -66,9 +66,9 @@
 }
 
 #[tokio::test]
-async fn messages_of_all_sizes_arrive_complete_and_in_order_both_ways() {
+async fn messages_of_all_sizes_arrive_intact_and_in_order_in_both_directions() {
     let exchange = async {
-        let mut ends = ends(LIMITS).await;
+        let mut ends = link_ends(LIMITS).await;
         let sizes = [0, 1, 3, 4096, 65_536, 100_000, 1_500_000, 2, 0];
         for (number, size) in sizes.into_iter().enumerate() {
             assert!(ends.left.0.send(&message(number as u64, size)));
@@ -88,7 +88,7 @@
 #[tokio::test]
 async fn receiving_is_cancel_safe() {
     let exchange = async {
-        let mut ends = ends(LIMITS).await;
+        let mut ends = link_ends(LIMITS).await;
         for number in 0..200 {
             ends.left.0.send(&message(number, 5000));
         }
@@ -108,16 +108,16 @@
 }
 
 #[tokio::test]
-async fn closing_flushes_the_queue() {
+async fn closing_a_link_flushes_its_send_queue() {
     let exchange = async {
-        let mut ends = ends(LIMITS).await;
+        let mut ends = link_ends(LIMITS).await;
         ends.left.0.send(&message(1, 300_000));
         ends.left.0.close();
         assert!(!ends.left.0.send(&message(2, 1)));
         assert!(ends.left.0.is_closed());
-        assert!(error_of(&mut ends.left.1).await.ends_with("closed by this end"));
+        assert!(receive_error(&mut ends.left.1).await.ends_with("closed locally"));
         assert_eq!(ends.right.1.receive::<Message>().await.unwrap(), message(1, 300_000));
-        assert!(error_of(&mut ends.right.1).await.ends_with(": closed by the other end"));
+        assert!(receive_error(&mut ends.right.1).await.ends_with(": closed by the peer"));
         assert!(ends.right.0.is_closed());
         assert!(!ends.right.0.send(&message(3, 1)));
     };
@@ -127,12 +127,12 @@
 #[tokio::test]
 async fn closing_wakes_a_waiting_receiver() {
     let exchange = async {
-        let ends = ends(LIMITS).await;
+        let ends = link_ends(LIMITS).await;
         let (sender, mut receiver) = ends.left;
-        let waiting = spawn_local(async move { error_of(&mut receiver).await });
+        let waiting = spawn_local(async move { receive_error(&mut receiver).await });
         yield_now().await;
         sender.close();
-        assert!(waiting.await.unwrap().ends_with("closed by this end"));
+        assert!(waiting.await.unwrap().ends_with("closed locally"));
     };
     LocalSet::new().run_until(exchange).await;
 }
@@ -140,34 +140,34 @@
 #[tokio::test]
 async fn dropping_the_receiver_closes_the_link() {
     let exchange = async {
-        let mut ends = ends(LIMITS).await;
+        let mut ends = link_ends(LIMITS).await;
         drop(ends.left.1);
         assert!(ends.left.0.is_closed());
-        assert!(error_of(&mut ends.right.1).await.ends_with("closed by the other end"));
+        assert!(receive_error(&mut ends.right.1).await.ends_with("closed by the peer"));
     };
     LocalSet::new().run_until(exchange).await;
 }
 
 #[tokio::test]
-async fn an_error_names_the_peer_and_stays_the_same() {
+async fn every_receive_on_a_closed_link_returns_the_same_error() {
     let exchange = async {
-        let (stream, sender, mut receiver) = raw_end(LIMITS).await;
+        let (stream, sender, mut receiver) = link_to_raw_socket(LIMITS).await;
         drop(stream);
-        let error = error_of(&mut receiver).await;
-        assert_eq!(error, format!("link with {}: closed by the other end", sender.peer()));
-        assert_eq!(error_of(&mut receiver).await, error);
+        let error = receive_error(&mut receiver).await;
+        assert_eq!(error, format!("link with {}: closed by the peer", sender.peer()));
+        assert_eq!(receive_error(&mut receiver).await, error);
     };
     LocalSet::new().run_until(exchange).await;
 }
 
 #[tokio::test]
-async fn a_half_closed_link_ends_after_its_last_message() {
+async fn a_link_half_closed_by_the_peer_delivers_its_last_message_and_closes() {
     let exchange = async {
-        let (mut stream, sender, mut receiver) = raw_end(LIMITS).await;
+        let (mut stream, sender, mut receiver) = link_to_raw_socket(LIMITS).await;
         stream.write_all(&frame(&message(7, 3).serialize_bin())).await.unwrap();
         stream.shutdown().await.unwrap();
         assert_eq!(receiver.receive::<Message>().await.unwrap(), message(7, 3));
-        assert!(error_of(&mut receiver).await.ends_with("closed by the other end"));
+        assert!(receive_error(&mut receiver).await.ends_with("closed by the peer"));
         assert!(sender.is_closed());
         let mut rest = Vec::new();
         stream.read_to_end(&mut rest).await.unwrap();
@@ -176,50 +176,50 @@
 }
 
 #[tokio::test]
-async fn an_end_inside_a_frame_is_reported() {
+async fn a_connection_closed_inside_a_frame_is_an_error() {
     let exchange = async {
-        let (mut stream, _sender, mut receiver) = raw_end(LIMITS).await;
+        let (mut stream, _sender, mut receiver) = link_to_raw_socket(LIMITS).await;
         let bytes = frame(&message(7, 30).serialize_bin());
         stream.write_all(&bytes[..bytes.len() - 1]).await.unwrap();
         stream.shutdown().await.unwrap();
-        assert!(error_of(&mut receiver).await.ends_with("in the middle of a frame"));
+        assert!(receive_error(&mut receiver).await.ends_with("inside a frame"));
     };
     LocalSet::new().run_until(exchange).await;
 }
 
-/// The body of a [`Message`] whose list announces `length` bytes.
-fn message_of_announced_length(length: u64) -> Vec<u8> {
+/// Encodes the body of a [`Message`] whose list announces `length` bytes and holds none.
+fn message_with_announced_length(length: u64) -> Vec<u8> {
     let mut body = 1u64.to_le_bytes().to_vec();
     body.extend_from_slice(&length.to_le_bytes());
     body
 }
 
 #[rstest]
-#[case::another_protocol(b"GET / HTTP/1.1\r\n\r\n".to_vec(), "the other end speaks another protocol")]
-#[case::start_of_another_protocol(b"GE".to_vec(), "the other end speaks another protocol")]
+#[case::another_protocol(b"GET / HTTP/1.1\r\n\r\n".to_vec(), "preamble mismatch: the peer uses another protocol or version")]
+#[case::start_of_another_protocol(b"GE".to_vec(), "preamble mismatch: the peer uses another protocol or version")]
 #[case::oversize(
     [PREAMBLE, &u32::MAX.to_le_bytes()].concat(),
-    "a frame of 4294967295 bytes is over the 4194304 allowed"
+    "frame of 4294967295 bytes exceeds the limit of 4194304 bytes"
 )]
 #[case::short_body(
     frame(&[1, 2, 3]),
-    "a frame of 3 bytes can't be read: Bin deserialize error at:0 wanted:8 bytes but max size is 3"
+    "frame of 3 bytes cannot be decoded: Bin deserialize error at:0 wanted:8 bytes but max size is 3"
 )]
-#[case::long_body(frame(&[message(1, 1).serialize_bin(), vec![0, 0]].concat()), "a frame of 19 bytes has 2 too many")]
-#[case::impossible_length(
-    frame(&message_of_announced_length(u64::MAX)),
-    "a frame of 16 bytes names an impossible length"
+#[case::long_body(frame(&[message(1, 1).serialize_bin(), vec![0, 0]].concat()), "frame of 19 bytes has 2 trailing bytes")]
+#[case::invalid_length(
+    frame(&message_with_announced_length(u64::MAX)),
+    "frame of 16 bytes contains an invalid length"
 )]
 #[case::empty_body(
     frame(&[]),
-    "a frame of 0 bytes can't be read: Bin deserialize error at:0 wanted:8 bytes but max size is 0"
+    "frame of 0 bytes cannot be decoded: Bin deserialize error at:0 wanted:8 bytes but max size is 0"
 )]
 #[tokio::test]
 async fn invalid_bytes_close_the_link(#[case] bytes: Vec<u8>, #[case] reason: &str) {
     let exchange = async {
-        let (mut stream, sender, mut receiver) = raw_end(LIMITS).await;
+        let (mut stream, sender, mut receiver) = link_to_raw_socket(LIMITS).await;
         stream.write_all(&bytes).await.unwrap();
-        let error = error_of(&mut receiver).await;
+        let error = receive_error(&mut receiver).await;
         assert_eq!(error, format!("link with {}: {reason}", sender.peer()));
         assert!(sender.is_closed());
     };
@@ -229,9 +229,13 @@
 #[tokio::test]
 async fn a_message_over_the_frame_limit_closes_the_link() {
     let exchange = async {
-        let mut ends = ends(LinkLimits { max_frame_bytes: 1000, ..LIMITS }).await;
+        let mut ends = link_ends(LinkLimits { max_frame_bytes: 1000, ..LIMITS }).await;
         assert!(!ends.left.0.send(&message(1, 1000)));
-        assert!(error_of(&mut ends.left.1).await.ends_with("a message is over 1000 bytes"));
+        assert!(
+            receive_error(&mut ends.left.1)
+                .await
+                .ends_with("message to send exceeds the limit of 1000 bytes")
+        );
     };
     LocalSet::new().run_until(exchange).await;
 }
@@ -240,7 +244,7 @@
 async fn a_full_send_queue_closes_the_link() {
     let exchange = async {
         let limits = LinkLimits { max_queued_bytes: 300_000, ..LIMITS };
-        let mut ends = ends(limits).await;
+        let mut ends = link_ends(limits).await;
         let mut sent = 0u64;
         while ends.left.0.send(&message(sent, 50_000)) {
             assert!(ends.left.0.queued_bytes() <= limits.max_queued_bytes);
@@ -249,8 +253,8 @@
         }
         assert!(sent >= 5, "closed after {sent} messages");
         assert!(ends.left.0.is_closed());
-        let error = error_of(&mut ends.left.1).await;
-        assert!(error.ends_with("bytes wait to be written, more than allowed"), "{error}");
+        let error = receive_error(&mut ends.left.1).await;
+        assert!(error.contains("send queue of ") && error.ends_with(" bytes exceeds the limit"), "{error}");
     };
     LocalSet::new().run_until(exchange).await;
 }
@@ -259,7 +263,8 @@
 async fn the_read_timeout_restarts_with_every_read() {
     let exchange = async {
         let read_timeout = Duration::from_millis(1500);
-        let (mut stream, sender, mut receiver) = raw_end(LinkLimits { read_timeout, ..LIMITS }).await;
+        let (mut stream, sender, mut receiver) =
+            link_to_raw_socket(LinkLimits { read_timeout, ..LIMITS }).await;
         tokio::time::pause();
         stream.write_all(PREAMBLE).await.unwrap();
         let bytes = frame(&message(7, 3).serialize_bin());
@@ -269,7 +274,7 @@
             assert_eq!(receiver.receive::<Message>().await.unwrap(), message(7, 3));
         }
         let last = tokio::time::Instant::now();
-        assert!(error_of(&mut receiver).await.ends_with("nothing was read for 1500 ms"));
+        assert!(receive_error(&mut receiver).await.ends_with("no data received for 1500 ms"));
         // The timer rounds up to whole milliseconds.
         assert!((1500..=1501).contains(&last.elapsed().as_millis()), "{:?}", last.elapsed());
         assert!(sender.is_closed());
@@ -278,7 +283,7 @@
 }
 
 #[tokio::test]
-async fn a_port_without_listener_is_an_error_with_the_address() {
+async fn a_connection_refused_error_contains_the_address() {
     let refused = async {
         let address = Listener::bind(loopback(), LIMITS).unwrap().local_address().unwrap();
         let result = connect(address, LIMITS).await;
