--- a/crates/pebblepost-batch-store/tests/integration/approval.rs
+++ b/crates/pebblepost-batch-store/tests/integration/approval.rs
@@ -1,11 +1,11 @@
-//! Comparison of texts with approved files; `APPROVE=1` in the environment writes them anew.
+//! Comparison of texts with approved files. `APPROVE=1` in the environment rewrites the files.
 
 use std::path::{Path, PathBuf};
 
-/// Set to write the approved texts anew.
+/// Environment variable that makes [`approve`] write the approved files.
 const APPROVE_VARIABLE: &str = "APPROVE";
 
-/// Compares lines with an approved file under `tests`.
+/// Compares lines with an approved file under `tests`. Panics if they differ.
 pub fn approve(file: &str, lines: &[String]) {
     let text = lines.join("\n") + "\n";
     if std::env::var_os(APPROVE_VARIABLE).is_some() {
@@ -14,7 +14,7 @@
     assert!(approved(file) == text, "{file} differs; received:\n{text}");
 }
 
-/// Text of an approved file under `tests`; empty if there is none.
+/// Returns the text of an approved file under `tests`, or an empty string if there is none.
 pub fn approved(file: &str) -> String {
     std::fs::read_to_string(path(file)).unwrap_or_default()
 }
--- a/crates/pebblepost-batch-store/tests/integration/main.rs
+++ b/crates/pebblepost-batch-store/tests/integration/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the store in a simulated deployment, and of its stored and approved forms.
+//! Tests of the batch store in a simulated deployment, and of the encoding of its stored records.
 
 mod approval;
 mod exchanges;
--- a/crates/pebblepost-batch-store/tests/integration/simulation/checker.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/checker.rs
@@ -1,49 +1,50 @@
-//! What callers from outside may rely on, checked against what they saw.
+//! Checks the guarantees that the store gives to clients against the answers that they received.
 
 use pebblepost_messages::batch::{ItemResult, Job, JobResponse, ResultPage};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Nothing of a job may run so long after its end was acknowledged, in milliseconds.
-const CANCEL_MS: u64 = 3_000;
+/// Time after the acknowledged end of a job from which none of its items may run, in milliseconds.
+const MAX_CANCEL_DELAY_MS: u64 = 3_000;
 
-/// What callers saw, and what was wrong with it.
+/// Answers that clients received, and the violations found in them.
 #[derive(Debug, Default)]
 pub struct Checker {
     accepted: BTreeMap<String, Job>,
-    seen: BTreeMap<String, Vec<ItemResult>>,
-    /// When each position was first read.
-    seen_at: BTreeMap<String, Vec<u64>>,
+    /// Results of each job that were read, by position.
+    read_results: BTreeMap<String, Vec<ItemResult>>,
+    /// Time at which each position was first read, in milliseconds.
+    first_read_at: BTreeMap<String, Vec<u64>>,
     ended: BTreeMap<String, u64>,
     end_requested: BTreeSet<String>,
-    /// Items that had no body: their time, job and id. They must be listed by then.
+    /// Items whose body was not found: time, job and item id. A read that is sent later must list them.
     without_body: Vec<(u64, String, String)>,
-    /// What was wrong.
+    /// Descriptions of all violations found.
     pub violations: Vec<String>,
 }
 
 impl Checker {
-    /// A job was acknowledged.
-    pub fn accepted(&mut self, job: &Job) {
+    /// Records that a job was accepted.
+    pub fn record_accepted_job(&mut self, job: &Job) {
         self.accepted.insert(job.id.clone(), job.clone());
     }
 
-    /// Ids of the acknowledged jobs.
-    pub fn jobs(&self) -> Vec<String> {
+    /// Returns the ids of the accepted jobs.
+    pub fn accepted_job_ids(&self) -> Vec<String> {
         self.accepted.keys().cloned().collect()
     }
 
-    /// An acknowledged job.
-    pub fn job(&self, id: &str) -> Option<&Job> {
+    /// Returns an accepted job.
+    pub fn accepted_job(&self, id: &str) -> Option<&Job> {
         self.accepted.get(id)
     }
 
-    /// How many results of a job were read.
-    pub fn seen(&self, id: &str) -> usize {
-        self.seen.get(id).map_or(0, Vec::len)
+    /// Returns how many results of a job were read.
+    pub fn read_result_count(&self, id: &str) -> usize {
+        self.read_results.get(id).map_or(0, Vec::len)
     }
 
-    /// A client requested the end of a job.
-    pub fn end_requested(&mut self, id: &str) {
+    /// Records that a client requested the end of a job.
+    pub fn record_end_request(&mut self, id: &str) {
         self.end_requested.insert(id.to_owned());
     }
 
@@ -57,92 +58,100 @@
         self.ended.contains_key(id)
     }
 
-    /// Ids of the items of a job that were read as listed.
-    pub fn listed(&self, id: &str) -> Vec<&str> {
-        self.seen.get(id).map_or(Vec::new(), |seen| seen.iter().map(|result| result.id.as_str()).collect())
+    /// Returns the ids of the items whose results were read.
+    pub fn listed_item_ids(&self, id: &str) -> Vec<&str> {
+        self.read_results
+            .get(id)
+            .map_or(Vec::new(), |read_results| read_results.iter().map(|result| result.id.as_str()).collect())
     }
 
-    /// The end of a job was answered.
-    pub fn ended(&mut self, now: u64, id: &str, answer: &JobResponse<bool>) {
+    /// Checks the answer to a request to end a job.
+    pub fn check_end_answer(&mut self, now: u64, id: &str, answer: &JobResponse<bool>) {
         match answer {
             JobResponse::Found(_) => drop(self.ended.entry(id.to_owned()).or_insert(now)),
             JobResponse::NotFound => {
-                self.violations.push(format!("{now}: job {id} is not there to be ended"))
+                self.violations.push(format!("{now}: job {id} to be ended was not found"))
             }
             JobResponse::Unavailable => {}
         }
     }
 
-    /// A read that was sent at `sent_at` was answered.
-    pub fn read(&mut self, now: u64, sent_at: u64, id: &str, answer: &JobResponse<ResultPage>) {
+    /// Checks the answer to a read that was sent at `sent_at`.
+    pub fn check_read_answer(&mut self, now: u64, sent_at: u64, id: &str, answer: &JobResponse<ResultPage>) {
         match answer {
             JobResponse::Found(page) => {
-                self.page(now, sent_at, id, page);
-                self.explain_missing_bodies(sent_at, id);
+                self.check_page(now, sent_at, id, page);
+                self.check_missing_bodies(sent_at, id);
+            }
+            JobResponse::NotFound => {
+                self.violations.push(format!("{now}: job {id} to be read was not found"))
             }
-            JobResponse::NotFound => self.violations.push(format!("{now}: job {id} is not there to be read")),
             JobResponse::Unavailable => {}
         }
     }
 
-    fn page(&mut self, now: u64, sent_at: u64, id: &str, page: &ResultPage) {
+    fn check_page(&mut self, now: u64, sent_at: u64, id: &str, page: &ResultPage) {
         let Some(job) = self.accepted.get(id) else { return };
-        let seen = self.seen.entry(id.to_owned()).or_default();
+        let read_results = self.read_results.entry(id.to_owned()).or_default();
         let start = usize::try_from(page.start).expect("a position");
         if page.total != job.items.len() as u64 {
-            self.violations.push(format!("{now}: job {id} has {} items", page.total));
+            self.violations.push(format!("{now}: job {id} has a total of {} items", page.total));
         }
-        let seen_at = self.seen_at.entry(id.to_owned()).or_default();
-        if page.results.is_empty() && seen_at.get(start).is_some_and(|seen_at| *seen_at <= sent_at) {
-            self.violations.push(format!("{now}: job {id} has nothing at position {start} any more"));
+        let first_read_at = self.first_read_at.entry(id.to_owned()).or_default();
+        if page.results.is_empty()
+            && first_read_at.get(start).is_some_and(|first_read_at| *first_read_at <= sent_at)
+        {
+            self.violations.push(format!("{now}: job {id} no longer has a result at position {start}"));
         }
         for (position, result) in (start..).zip(&page.results) {
-            if position < seen.len() {
-                if seen[position] != *result {
-                    self.violations.push(format!("{now}: job {id} has another result at {position}"));
+            if position < read_results.len() {
+                if read_results[position] != *result {
+                    self.violations
+                        .push(format!("{now}: job {id} has a different result at position {position}"));
                 }
                 continue;
             }
-            if seen.iter().any(|other| other.id == result.id) {
+            if read_results.iter().any(|other| other.id == result.id) {
                 self.violations.push(format!("{now}: job {id} lists {} twice", result.id));
             }
             if job.items.iter().all(|item| item.id != result.id) {
-                self.violations.push(format!("{now}: job {id} lists {}, which is not its own", result.id));
+                self.violations
+                    .push(format!("{now}: job {id} lists {}, which is not one of its items", result.id));
             }
-            seen.push(result.clone());
-            seen_at.push(now);
+            read_results.push(result.clone());
+            first_read_at.push(now);
         }
     }
 
-    /// An item that had no body before this read was sent must be listed now.
-    fn explain_missing_bodies(&mut self, sent_at: u64, id: &str) {
-        let is_concerned = |(at, job, _): &mut (u64, String, String)| {
+    /// Checks that each item whose body was not found before this read was sent is listed now.
+    fn check_missing_bodies(&mut self, sent_at: u64, id: &str) {
+        let is_due = |(at, job, _): &mut (u64, String, String)| {
             *at <= sent_at && job == id && !self.end_requested.contains(id)
         };
-        let concerned: Vec<_> = self.without_body.extract_if(.., is_concerned).collect();
-        for (at, _, item) in concerned {
-            if !self.listed(id).contains(&item.as_str()) {
-                self.violations.push(format!("{at}: item {item} has no body, and is not listed"));
+        let due: Vec<_> = self.without_body.extract_if(.., is_due).collect();
+        for (at, _, item) in due {
+            if !self.listed_item_ids(id).contains(&item.as_str()) {
+                self.violations.push(format!("{at}: item {item} has no body and no result"));
             }
         }
     }
 
-    /// The body of an item was answered.
-    pub fn body(&mut self, now: u64, id: &str, item: &str, answer: &JobResponse<Vec<u8>>) {
+    /// Checks the answer to a request for the body of an item.
+    pub fn check_body_answer(&mut self, now: u64, id: &str, item: &str, answer: &JobResponse<Vec<u8>>) {
         let Some(job) = self.accepted.get(id) else { return };
         let expected = job.items.iter().find(|other| other.id == item).map(|item| &item.body);
         match answer {
             JobResponse::Found(body) if Some(body) != expected => {
-                self.violations.push(format!("{now}: item {item} has another body"));
+                self.violations.push(format!("{now}: item {item} has a different body"));
             }
             JobResponse::NotFound => self.without_body.push((now, id.to_owned(), item.to_owned())),
             JobResponse::Found(_) | JobResponse::Unavailable => {}
         }
     }
 
-    /// Something of a job runs at a proxy.
-    pub fn runs(&mut self, now: u64, id: &str) {
-        if self.ended.get(id).is_some_and(|ended| now > ended + CANCEL_MS) {
+    /// Checks that an item of this job may run at a proxy now.
+    pub fn check_running_item(&mut self, now: u64, id: &str) {
+        if self.ended.get(id).is_some_and(|ended| now > ended + MAX_CANCEL_DELAY_MS) {
             self.violations.push(format!("{now}: job {id} runs although it has ended"));
         }
     }
--- a/crates/pebblepost-batch-store/tests/integration/simulation/client.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/client.rs
@@ -1,17 +1,16 @@
-//! Clients of the proxies: they submit jobs, read and end them, and retry until they have an
-//! answer.
+//! Clients of the proxies. They submit, read and end jobs and retry each request until it is answered.
 
-use super::world::World;
+use super::deployment::Deployment;
 use pebblepost_messages::batch::{
     FromStore, Item, Job, JobResponse, JobTerms, SubmitOutcome, ToStore, store_group_of,
 };
 use rand::RngExt;
 use std::collections::BTreeMap;
 
-/// A call without an answer is made again after this time, in milliseconds.
-const RETRY_MS: u64 = 400;
+/// Time after which an unanswered call is retried, in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 400;
 
-/// A call under way at a proxy.
+/// A call in flight at a proxy.
 #[derive(Debug)]
 struct Call {
     proxy: usize,
@@ -32,18 +31,19 @@
     End { job: String },
 }
 
-/// Callers from outside.
+/// State of all clients.
 #[derive(Debug, Default)]
 pub struct Clients {
     calls: BTreeMap<u64, Call>,
     last_call: u64,
-    /// Calls that wait for a link to a primary, with the time of the next attempt.
-    waiting: Vec<(u64, usize, Request)>,
-    /// Jobs that were refused.
-    pub refused: Vec<String>,
-    /// Results that a read found last, by job.
+    /// Calls that are not sent, with the time of the next attempt and the proxy. They wait for that time and for a
+    /// link to the primary.
+    pending: Vec<(u64, usize, Request)>,
+    /// Ids of the jobs that were rejected.
+    pub rejected: Vec<String>,
+    /// Whether the newest read of a job found it complete, by job.
     pub complete: BTreeMap<String, bool>,
-    /// Messages are noted in the transcript.
+    /// Whether messages are recorded in the transcript.
     pub is_recorded: bool,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// A job of groups of items, due in 3 s.
+/// Creates a job with groups of items and a run deadline of 3 s.
 pub fn job(id: &str, groups: usize, per_group: usize) -> Job {
     let items = (0..groups * per_group).map(|index| Item {
         id: format!("{id}-{index}"),
@@ -80,29 +80,34 @@
     Job { id: id.to_owned(), terms, items: items.collect(), ..Job::default() }
 }
 
-impl World {
-    /// Makes a call at a proxy and repeats it until it is answered.
+impl Deployment {
+    /// Sends a request through a proxy and retries it until it is answered.
     pub fn call(&mut self, proxy: usize, request: Request) {
         let now = self.now;
         if let Request::End { job } = &request {
-            self.checker.end_requested(job);
+            self.checker.record_end_request(job);
         }
-        self.clients.waiting.push((now, proxy, request));
+        self.clients.pending.push((now, proxy, request));
         self.send_calls(proxy);
     }
 
-    /// Whether no call is under way.
-    pub fn is_quiet(&self) -> bool {
-        self.clients.waiting.is_empty() && self.clients.calls.is_empty()
+    /// Whether all calls are answered.
+    pub fn are_all_calls_answered(&self) -> bool {
+        self.clients.pending.is_empty() && self.clients.calls.is_empty()
     }
 
-    /// Makes calls again that have no answer, and those that wait for a link.
+    /// Retries calls that have timed out and sends pending calls that are due.
     pub fn tick_clients(&mut self, proxy: usize) {
         let now = self.now;
-        let is_late = |call: &Call| call.proxy == proxy && now >= call.sent_at + RETRY_MS;
-        let late: Vec<u64> =
-            self.clients.calls.iter().filter(|(_, call)| is_late(call)).map(|(number, _)| *number).collect();
-        for number in late {
+        let has_timed_out = |call: &Call| call.proxy == proxy && now >= call.sent_at + CALL_TIMEOUT_MS;
+        let timed_out: Vec<u64> = self
+            .clients
+            .calls
+            .iter()
+            .filter(|(_, call)| has_timed_out(call))
+            .map(|(number, _)| *number)
+            .collect();
+        for number in timed_out {
             if let Some(call) = self.clients.calls.remove(&number) {
                 self.retry_elsewhere(call.request);
             }
@@ -110,10 +115,10 @@
         self.send_calls(proxy);
     }
 
-    /// A client without an answer goes to any proxy.
+    /// Retries a request at a random proxy after 60 ms.
     fn retry_elsewhere(&mut self, request: Request) {
         let proxy = self.random.random_range(0..self.proxies.len());
-        self.clients.waiting.push((self.now + 60, proxy, request));
+        self.clients.pending.push((self.now + 60, proxy, request));
     }
 
     fn send_calls(&mut self, proxy: usize) {
@@ -123,19 +128,19 @@
                 && *at_proxy == proxy
                 && self.proxies[proxy].link_of(store_group_of(request.job())).is_some()
         };
-        let due: Vec<(u64, usize, Request)> = self.clients.waiting.extract_if(.., is_due).collect();
+        let due: Vec<(u64, usize, Request)> = self.clients.pending.extract_if(.., is_due).collect();
         for (_, _, request) in due {
             let Some(link) = self.proxies[proxy].link_of(store_group_of(request.job())) else { continue };
             self.clients.last_call += 1;
             let number = self.clients.last_call;
             let message = request.message(number);
             self.clients.calls.insert(number, Call { proxy, sent_at: now, request });
-            self.send(proxy, vec![(link, message)]);
+            self.send_from_proxy(proxy, vec![(link, message)]);
         }
     }
 
-    /// An answer came to a proxy.
-    pub fn answer_client(&mut self, proxy: usize, message: &FromStore) {
+    /// Handles a message that answers a call in flight at a proxy.
+    pub fn handle_answer(&mut self, proxy: usize, message: &FromStore) {
         let number = match message {
             FromStore::Submitted { call, .. }
             | FromStore::Results { call, .. }
@@ -147,44 +152,44 @@
             return;
         }
         let Some(call) = self.clients.calls.remove(&number) else { return };
-        if !self.take_answer(&call, message) {
+        if !self.check_answer(&call, message) {
             self.retry_elsewhere(call.request);
         }
     }
 
-    /// Takes an answer in; whether it ends the call.
-    fn take_answer(&mut self, call: &Call, message: &FromStore) -> bool {
+    /// Checks an answer. Returns whether it ends the call.
+    fn check_answer(&mut self, call: &Call, message: &FromStore) -> bool {
         let now = self.now;
         match (&call.request, message) {
             (Request::Submit(job), FromStore::Submitted { outcome, .. }) => match outcome {
                 SubmitOutcome::Accepted => {
-                    self.checker.accepted(job);
+                    self.checker.record_accepted_job(job);
                     true
                 }
                 SubmitOutcome::Rejected { .. } => {
-                    self.clients.refused.push(job.id.clone());
+                    self.clients.rejected.push(job.id.clone());
                     true
                 }
                 SubmitOutcome::NotPrimary | SubmitOutcome::Unknown => false,
             },
             (Request::Read { job, .. }, FromStore::Results { answer, .. }) => {
-                self.checker.read(now, call.sent_at, job, answer);
+                self.checker.check_read_answer(now, call.sent_at, job, answer);
                 if let JobResponse::Found(page) = answer {
-                    let complete = self.checker.seen(job) as u64 == page.total;
+                    let complete = self.checker.read_result_count(job) as u64 == page.total;
                     self.clients.complete.insert(job.clone(), complete);
                 }
                 *answer != JobResponse::Unavailable
             }
             (Request::Body { job, item }, FromStore::Body { answer, .. }) => {
-                self.checker.body(now, job, item, answer);
+                self.checker.check_body_answer(now, job, item, answer);
                 if *answer == JobResponse::NotFound {
-                    let start = self.checker.seen(job) as u64;
+                    let start = self.checker.read_result_count(job) as u64;
                     self.call(call.proxy, Request::Read { job: job.clone(), start, wait_ms: 0 });
                 }
                 *answer != JobResponse::Unavailable
             }
             (Request::End { job }, FromStore::Ended { answer, .. }) => {
-                self.checker.ended(now, job, answer);
+                self.checker.check_end_answer(now, job, answer);
                 *answer != JobResponse::Unavailable
             }
             _ => false,
--- a/crates/pebblepost-batch-store/tests/integration/simulation/control.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/control.rs
@@ -1,5 +1,5 @@
-//! A control plane that is always there: a register of epochs changed by compare-and-swap, and
-//! which machines replicate which group.
+//! A control plane without faults. It stores the epoch of each store group, changed by compare-and-swap, and assigns
+//! groups to machines.
 
 use pebblepost_messages::batch::STORE_GROUPS;
 use pebblepost_messages::control::GroupEpoch;
@@ -7,30 +7,31 @@
 use pebblepost_messages::{DiskId, Member};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine that is disconnected for this time is replaced, in milliseconds.
-const DEAD_AFTER_MS: u64 = 1_500;
+/// Time after which a disconnected machine is replaced, in milliseconds.
+const REPLACE_DISCONNECTED_AFTER_MS: u64 = 1_500;
 
 #[derive(Debug)]
-struct Known {
+struct KnownMachine {
     member: Member,
     disconnected_since: Option<u64>,
 }
 
-/// A control plane.
+/// A simulated control plane.
 #[derive(Debug)]
 pub struct Control {
     replicas: usize,
     bootstrap_members: usize,
-    known: BTreeMap<DiskId, Known>,
+    known: BTreeMap<DiskId, KnownMachine>,
+    /// Epoch and assigned machines of each group.
     groups: BTreeMap<u32, (GroupEpoch, Vec<DiskId>)>,
-    /// Machines that are to be emptied, or were.
+    /// Machines whose retirement has started. They get no groups.
     retiring: BTreeSet<DiskId>,
-    /// Machines that may have been taken away since.
+    /// Machines whose retirement is complete, which may have been removed since.
     retired: BTreeSet<DiskId>,
 }
 
 impl Control {
-    /// A control plane that creates the groups once `bootstrap_members` machines have announced themselves.
+    /// Creates a control plane that creates the groups once `bootstrap_members` machines are registered.
     pub fn new(replicas: usize, bootstrap_members: usize) -> Control {
         Control {
             replicas,
@@ -42,25 +43,26 @@
         }
     }
 
-    /// A machine announced itself.
-    pub fn announce(&mut self, member: &Member) {
-        self.known.insert(member.disk, Known { member: member.clone(), disconnected_since: None });
+    /// Registers a machine that has connected.
+    pub fn register(&mut self, member: &Member) {
+        self.known.insert(member.disk, KnownMachine { member: member.clone(), disconnected_since: None });
         if self.groups.is_empty() && self.known.len() >= self.bootstrap_members {
             self.bootstrap();
         }
     }
 
-    /// A machine's link is lost.
-    pub fn lost(&mut self, now: u64, disk: DiskId) {
+    /// Records that a machine is disconnected.
+    pub fn handle_disconnect(&mut self, now: u64, disk: DiskId) {
         if let Some(known) = self.known.get_mut(&disk) {
             known.disconnected_since.get_or_insert(now);
         }
     }
 
-    /// Assigns groups of disconnected machines to others; whether anything changed.
-    pub fn retarget(&mut self, now: u64) -> bool {
-        let is_alive =
-            |known: &Known| known.disconnected_since.is_none_or(|since| now < since + DEAD_AFTER_MS);
+    /// Assigns the groups of disconnected and retiring machines to others. Returns whether anything changed.
+    pub fn replace_disconnected(&mut self, now: u64) -> bool {
+        let is_alive = |known: &KnownMachine| {
+            known.disconnected_since.is_none_or(|since| now < since + REPLACE_DISCONNECTED_AFTER_MS)
+        };
         let alive = self.known.iter().filter(|(_, known)| is_alive(known)).map(|(disk, _)| *disk);
         let alive: Vec<DiskId> = alive.filter(|disk| !self.retiring.contains(disk)).collect();
         let mut changed = false;
@@ -84,32 +86,33 @@
         changed
     }
 
-    /// Starts the retirement of a machine: its groups move to others.
+    /// Starts the retirement of a machine, whose groups are assigned to others.
     pub fn retire(&mut self, disk: DiskId) {
         self.retiring.insert(disk);
     }
 
-    /// Whether a machine has no replicas: then no quorum may count on it any more.
-    pub fn completes_retirement(&mut self, disk: DiskId) -> bool {
-        let is_free = |(epoch, targets): &(GroupEpoch, Vec<DiskId>)| {
-            let names_it = epoch.in_sync.contains(&disk) || targets.contains(&disk);
-            !names_it && epoch.in_sync.len() >= self.replicas
+    /// Completes the retirement of a machine if no group depends on it. From then on, no epoch that names it is
+    /// accepted. Returns whether the retirement is complete.
+    pub fn try_complete_retirement(&mut self, disk: DiskId) -> bool {
+        let is_independent = |(epoch, targets): &(GroupEpoch, Vec<DiskId>)| {
+            let is_replica = epoch.in_sync.contains(&disk) || targets.contains(&disk);
+            !is_replica && epoch.in_sync.len() >= self.replicas
         };
-        let is_empty = self.groups.values().all(is_free);
+        let is_empty = self.groups.values().all(is_independent);
         if is_empty {
             self.retired.insert(disk);
         }
         is_empty
     }
 
-    /// Gives a group to other machines, those from `first` on.
-    pub fn shift(&mut self, group: u32, first: usize) {
+    /// Assigns a group to consecutive machines, beginning with the one at index `first`.
+    pub fn assign_group(&mut self, group: u32, first: usize) {
         let disks: Vec<DiskId> = self.known.keys().copied().collect();
         let targets = (0..self.replicas).map(|offset| disks[(first + offset) % disks.len()]).collect();
         self.groups.get_mut(&group).expect("a group").1 = targets;
     }
 
-    /// Whether every group is replicated by its targets.
+    /// Whether the in-sync replicas of every group are its targets.
     pub fn is_converged(&self) -> bool {
         let is_converged = |(epoch, targets): &(GroupEpoch, Vec<DiskId>)| {
             epoch.in_sync.len() == targets.len() && epoch.in_sync.iter().all(|disk| targets.contains(disk))
@@ -117,19 +120,22 @@
         self.groups.values().all(is_converged)
     }
 
-    /// Changes an epoch if it is the expected one; whether it did, and what holds now.
-    pub fn change(&mut self, group: u32, expected: u64, proposed: &GroupEpoch) -> (bool, GroupEpoch) {
+    /// Replaces the epoch of a group if its number is the expected one. Returns whether it did, and the current
+    /// epoch.
+    pub fn compare_and_swap_epoch(
+        &mut self, group: u32, expected: u64, proposed: &GroupEpoch,
+    ) -> (bool, GroupEpoch) {
         let (epoch, _) = self.groups.get_mut(&group).expect("a group");
-        let counts_on_retired = proposed.in_sync.iter().any(|disk| self.retired.contains(disk));
-        let is_accepted = epoch.epoch == expected && proposed.epoch == expected + 1 && !counts_on_retired;
+        let names_retired = proposed.in_sync.iter().any(|disk| self.retired.contains(disk));
+        let is_accepted = epoch.epoch == expected && proposed.epoch == expected + 1 && !names_retired;
         if is_accepted {
             *epoch = proposed.clone();
         }
         (is_accepted, epoch.clone())
     }
 
-    /// What the feed says.
-    pub fn feed(&self) -> Vec<StoreGroup> {
+    /// Returns the store groups for the feed.
+    pub fn feed_groups(&self) -> Vec<StoreGroup> {
         let member = |disk: &DiskId| self.known[disk].member.clone();
         let group = |(group, (epoch, targets)): (&u32, &(GroupEpoch, Vec<DiskId>))| StoreGroup {
             group: *group,
--- a/crates/pebblepost-batch-store/tests/integration/simulation/world.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/deployment.rs
@@ -1,4 +1,4 @@
-//! Machines, network and time of a simulated deployment.
+//! Machines, network and clock of a simulated deployment.
 
 use super::checker::Checker;
 use super::client::Clients;
@@ -24,9 +24,9 @@
 const TICK_MS: u64 = 50;
 const CONTROL_TICK_MS: u64 = 100;
 const PROXY_TICK_MS: u64 = 20;
-const RECONNECT_MS: u64 = 100;
+const RECONNECT_DELAY_MS: u64 = 100;
 
-/// A node that sends and receives.
+/// A sender and receiver of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Node {
     /// A storage machine.
@@ -37,7 +37,7 @@
     Control,
 }
 
-/// Something that happens at a time.
+/// An event that is scheduled for a point in time.
 #[derive(Debug)]
 enum Event {
     StoreTick { machine: usize, incarnation: u64 },
@@ -55,7 +55,7 @@
     LinkLost { proxy: usize, link: u64 },
     LinkClosed { machine: usize, incarnation: u64, link: u64 },
     Start { machine: usize },
-    Heal { machine: usize },
+    EndPartition { machine: usize },
 }
 
 /// A storage machine.
@@ -68,91 +68,88 @@
     frozen_until: u64,
     is_partitioned: bool,
     is_connected_to_control: bool,
-    /// Links that proxies and peers opened to it, and who they are.
+    /// Links that proxies opened to this machine.
     proxies: BTreeMap<u64, usize>,
+    /// Links that other machines opened to this one, by machine and incarnation.
     peers: BTreeMap<(usize, u64), u64>,
 }
 
-/// What a simulation is made of.
+/// Parameters of a simulated deployment.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
-    /// Seed of everything random.
+pub struct DeploymentPlan {
+    /// Seed of the random generator.
     pub seed: u64,
-    /// Storage machines.
+    /// Number of storage machines.
     pub machines: usize,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Losses that must be tolerated.
-    pub tolerate: usize,
-    /// Bytes that jobs may take on a machine.
+    /// Number of machines whose loss must be tolerated.
+    pub tolerated_losses: usize,
+    /// Memory budget for jobs on a machine, in bytes.
     pub max_bytes: u64,
 }
 
 /// A simulated deployment.
 #[derive(Debug)]
-pub struct World {
+pub struct Deployment {
     /// Milliseconds since the start.
     pub now: u64,
-    plan: Plan,
-    /// Everything random.
+    plan: DeploymentPlan,
     pub random: StdRng,
     events: BTreeMap<(u64, u64), Event>,
     last_event: u64,
     last_link: u64,
-    channels: BTreeMap<(Node, Node), u64>,
-    /// Storage machines.
+    /// Latest arrival time of a message, by sender and receiver.
+    last_arrivals: BTreeMap<(Node, Node), u64>,
     pub machines: Vec<Machine>,
-    /// Proxies.
     pub proxies: Vec<Proxy>,
     pub control: Control,
-    /// Callers from outside.
     pub clients: Clients,
-    /// What they may rely on.
+    /// Checks the responses that clients receive.
     pub checker: Checker,
-    /// Messages between proxies and stores, as lines.
+    /// Recorded messages between proxies and stores, one per line.
     pub transcript: Vec<String>,
-    /// All that the stores put out, if it is kept.
+    /// Digest of all outputs of the stores; `None` if none is computed.
     pub digest: Option<Digest>,
 }
 
-impl World {
-    /// A deployment whose machines all start now.
-    pub fn new(plan: Plan) -> World {
-        let mut world = World {
+impl Deployment {
+    /// Creates a deployment whose machines all start at time 0.
+    pub fn new(plan: DeploymentPlan) -> Deployment {
+        let mut deployment = Deployment {
             now: 0,
             plan,
             random: StdRng::seed_from_u64(plan.seed),
             events: BTreeMap::new(),
             last_event: 0,
             last_link: 0,
-            channels: BTreeMap::new(),
+            last_arrivals: BTreeMap::new(),
             machines: (0..plan.machines).map(|index| Machine::new(index, DiskId(index as u64 + 1))).collect(),
             proxies: (0..plan.proxies).map(|_| Proxy::default()).collect(),
-            control: Control::new(plan.tolerate + 1, plan.machines),
+            control: Control::new(plan.tolerated_losses + 1, plan.machines),
             clients: Clients::default(),
             checker: Checker::default(),
             transcript: Vec::new(),
             digest: None,
         };
         for machine in 0..plan.machines {
-            world.after(0, Event::Start { machine });
+            deployment.schedule(0, Event::Start { machine });
         }
         for proxy in 0..plan.proxies {
-            world.after(1, Event::ProxyTick { proxy });
+            deployment.schedule(1, Event::ProxyTick { proxy });
             for machine in 0..plan.machines {
-                world.after(10, Event::ConnectProxy { proxy, machine });
+                deployment.schedule(10, Event::ConnectProxy { proxy, machine });
             }
         }
-        world.after(CONTROL_TICK_MS, Event::ControlTick);
-        world
+        deployment.schedule(CONTROL_TICK_MS, Event::ControlTick);
+        deployment
     }
 
-    /// Seed of everything random.
     pub fn seed(&self) -> u64 {
         self.plan.seed
     }
 
-    /// Runs until a time.
+    /// Processes all events until a point in time.
     pub fn run_until(&mut self, until: u64) {
         while let Some(((at, _), event)) = self.events.pop_first() {
             if at > until {
@@ -166,102 +163,103 @@
         self.now = until;
     }
 
-    /// Runs for a time.
+    /// Processes all events of the next `millis` milliseconds.
     pub fn run(&mut self, millis: u64) {
         self.run_until(self.now + millis);
     }
 
-    /// Kills a machine's process, which starts again after a time; writes that were not synced may
-    /// be lost.
+    /// Kills a machine's process, which restarts after `away_ms`. Unsynced writes may be lost.
     pub fn kill(&mut self, machine: usize, away_ms: u64) {
         self.stop(machine);
-        self.after(away_ms, Event::Start { machine });
+        self.schedule(away_ms, Event::Start { machine });
     }
 
-    /// Kills a machine's process and empties its disk.
+    /// Kills a machine's process and replaces its disk with an empty one. The process restarts after `away_ms`.
     pub fn wipe(&mut self, machine: usize, away_ms: u64) {
         self.stop(machine);
         let disk = DiskId(self.random.random_range(1_000..u64::MAX));
         let incarnation = self.machines[machine].incarnation;
         self.machines[machine] = Machine { incarnation, ..Machine::new(machine, disk) };
-        self.after(away_ms, Event::Start { machine });
+        self.schedule(away_ms, Event::Start { machine });
     }
 
-    /// Freezes a machine's process.
+    /// Suspends a machine's process for `millis` milliseconds.
     pub fn freeze(&mut self, machine: usize, millis: u64) {
         self.machines[machine].frozen_until = self.now + millis;
     }
 
-    /// Partitions a machine from all others.
+    /// Partitions a machine from all other nodes for `millis` milliseconds.
     pub fn partition(&mut self, machine: usize, millis: u64) {
         self.machines[machine].is_partitioned = true;
-        self.control.lost(self.now, self.machines[machine].member.disk);
-        self.after(millis, Event::Heal { machine });
+        self.control.handle_disconnect(self.now, self.machines[machine].member.disk);
+        self.schedule(millis, Event::EndPartition { machine });
     }
 
-    /// Starts a graceful shutdown of a machine, as SIGTERM does.
+    /// Starts the graceful shutdown of a machine, as SIGTERM does.
     pub fn shut_down(&mut self, machine: usize) {
         let now = self.time();
         if let Some(store) = &mut self.machines[machine].store {
             store.start_shutdown(now);
         }
-        self.carry_out(machine);
+        self.process_outputs(machine);
     }
 
-    /// Whether a machine is an in-sync replica of a group.
+    /// Whether a machine is an in-sync replica of any group.
     pub fn is_in_sync_replica(&self, machine: usize) -> bool {
         self.machines[machine].store.as_ref().is_some_and(Store::is_in_sync_replica)
     }
 
-    /// Has the control plane give some groups to other machines.
-    pub fn shift_groups(&mut self) {
+    /// Makes the control plane assign some groups to other machines.
+    pub fn reassign_random_groups(&mut self) {
         for group in 0..pebblepost_messages::batch::STORE_GROUPS {
             if self.random.random_bool(0.4) {
                 let first = self.random.random_range(0..self.machines.len());
-                self.control.shift(group, first);
+                self.control.assign_group(group, first);
             }
         }
-        self.publish();
+        self.publish_feed();
     }
 
-    /// Whether every group is replicated by its targets.
+    /// Whether the in-sync replicas of every group are its targets.
     pub fn is_converged(&self) -> bool {
         self.control.is_converged()
     }
 
-    /// Number of groups that a machine replicates.
+    /// Returns the number of groups that a machine replicates.
     pub fn replica_count(&self, machine: usize) -> usize {
         self.status(machine).matches("\"group\":").count()
     }
 
-    /// Has a machine write a checkpoint.
+    /// Makes a machine write a checkpoint.
     pub fn checkpoint(&mut self, machine: usize) {
         if let Some(store) = &mut self.machines[machine].store {
             store.checkpoint();
         }
-        self.carry_out(machine);
+        self.process_outputs(machine);
     }
 
-    /// State of a machine's store.
+    /// Returns the status of a machine's store as JSON, or an empty string if its process is not running.
     pub fn status(&self, machine: usize) -> String {
         self.machines[machine].store.as_ref().map_or(String::new(), |store| store.status(self.time()))
     }
 
-    /// Machine that is primary of a group, as the control plane sees it.
+    /// Returns the machine that is primary of a group according to the control plane.
     pub fn primary(&self, group: u32) -> Option<usize> {
-        let groups = self.control.feed();
+        let groups = self.control.feed_groups();
         let primary = groups.iter().find(|other| other.group == group)?.primary.disk;
         self.machines.iter().position(|machine| machine.member.disk == primary)
     }
 
-    /// Sends messages of a proxy.
-    pub fn send(&mut self, proxy: usize, messages: Vec<Outgoing>) {
+    /// Sends messages of a proxy over its links. Messages on closed links are dropped.
+    pub fn send_from_proxy(&mut self, proxy: usize, messages: Vec<Outgoing>) {
         for (link, message) in messages {
             let target = self.machines.iter().position(|machine| machine.proxies.get(&link) == Some(&proxy));
             let Some(machine) = target else { continue };
-            self.note(|| format!("proxy-{proxy} -> store-{machine}: {}", transcript::to_store(&message)));
-            let delay = self.delay(Node::Proxy(proxy), Node::Store(machine));
-            self.after(delay, Event::FromProxy { machine, link, message });
+            self.record_message(|| {
+                format!("proxy-{proxy} -> store-{machine}: {}", transcript::format_to_store(&message))
+            });
+            let delay = self.message_delay(Node::Proxy(proxy), Node::Store(machine));
+            self.schedule(delay, Event::FromProxy { machine, link, message });
         }
     }
 
@@ -269,22 +267,22 @@
         Duration::from_millis(self.now)
     }
 
-    fn note(&mut self, line: impl Fn() -> String) {
+    fn record_message(&mut self, line: impl Fn() -> String) {
         if self.clients.is_recorded {
             let line = format!("{:>6} {}", self.now, line());
             self.transcript.push(line);
         }
     }
 
-    fn after(&mut self, millis: u64, event: Event) {
+    fn schedule(&mut self, millis: u64, event: Event) {
         self.last_event += 1;
         self.events.insert((self.now + millis, self.last_event), event);
     }
 
-    /// Time that a message takes; messages between two nodes keep their order.
-    fn delay(&mut self, from: Node, to: Node) -> u64 {
+    /// Returns a random delay for a message that is sent now. Messages between two nodes keep their order.
+    fn message_delay(&mut self, from: Node, to: Node) -> u64 {
         let earliest = self.now + self.random.random_range(1..5);
-        let last = self.channels.entry((from, to)).or_default();
+        let last = self.last_arrivals.entry((from, to)).or_default();
         *last = earliest.max(*last);
         *last - self.now
     }
@@ -294,21 +292,21 @@
         if stopped.store.take().is_none() {
             return;
         }
-        let kept = self.random.random_range(0..=stopped.disk.waiting());
-        stopped.disk.recover(kept);
+        let kept_writes = self.random.random_range(0..=stopped.disk.unsynced_count());
+        stopped.disk.recover(kept_writes);
         stopped.frozen_until = 0;
         let incarnation = (machine, stopped.incarnation);
         stopped.peers.clear();
         let proxies = std::mem::take(&mut stopped.proxies);
         let disk = stopped.member.disk;
-        self.control.lost(self.now, disk);
+        self.control.handle_disconnect(self.now, disk);
         for (link, proxy) in proxies {
-            self.after(2, Event::LinkLost { proxy, link });
+            self.schedule(2, Event::LinkLost { proxy, link });
         }
         for other in 0..self.machines.len() {
             if let Some(link) = self.machines[other].peers.remove(&incarnation) {
                 let incarnation = self.machines[other].incarnation;
-                self.after(2, Event::LinkClosed { machine: other, incarnation, link });
+                self.schedule(2, Event::LinkClosed { machine: other, incarnation, link });
             }
         }
     }
@@ -325,8 +323,8 @@
         started.is_connected_to_control = false;
         started.store = Some(Store::new(now, settings, &records).expect("records can be read"));
         let incarnation = started.incarnation;
-        self.after(5, Event::ConnectControl { machine, incarnation });
-        self.after(0, Event::StoreTick { machine, incarnation });
+        self.schedule(5, Event::ConnectControl { machine, incarnation });
+        self.schedule(0, Event::StoreTick { machine, incarnation });
     }
 
     fn settings(&self, machine: usize) -> StoreSettings {
@@ -335,7 +333,7 @@
             member: self.machines[machine].member.clone(),
             bootstrap: self.now == 0,
             replica: ReplicaSettings {
-                tolerance: Tolerance { machines: self.plan.tolerate, zones: 0, regions: 0 },
+                tolerance: Tolerance { machines: self.plan.tolerated_losses, zones: 0, regions: 0 },
                 heartbeat_interval: millis(200),
                 lease: millis(900),
                 election_timeout: millis(1_100),
@@ -348,11 +346,12 @@
         }
     }
 
-    /// Whether an event of a machine happens now; a frozen machine gets it later.
-    fn reaches(&mut self, machine: usize, event: Event) -> Option<Event> {
+    /// Returns the event if the machine can handle it now. An event of a frozen machine is scheduled for later, and
+    /// one of a stopped machine is dropped.
+    fn deliverable(&mut self, machine: usize, event: Event) -> Option<Event> {
         let frozen_until = self.machines[machine].frozen_until;
         if self.now < frozen_until {
-            self.after(frozen_until - self.now, event);
+            self.schedule(frozen_until - self.now, event);
             return None;
         }
         self.machines[machine].store.is_some().then_some(event)
@@ -367,11 +366,11 @@
             | Event::GroupChanged { machine, .. }
             | Event::LinkClosed { machine, .. }
             | Event::Feed { to: Node::Store(machine), .. } => *machine,
-            _ => return self.handle_elsewhere(event),
+            _ => return self.handle_outside_stores(event),
         };
-        if let Some(event) = self.reaches(machine, event) {
+        if let Some(event) = self.deliverable(machine, event) {
             self.handle_at_store(machine, event);
-            self.carry_out(machine);
+            self.process_outputs(machine);
         }
     }
 
@@ -382,7 +381,7 @@
         match event {
             Event::StoreTick { machine: _, incarnation } if incarnation == machine.incarnation => {
                 store.tick(now);
-                self.after(TICK_MS, Event::StoreTick { machine: number, incarnation });
+                self.schedule(TICK_MS, Event::StoreTick { machine: number, incarnation });
             }
             Event::Synced { incarnation, number, .. } if incarnation == machine.incarnation => {
                 if let Some(ticket) = machine.disk.sync(number) {
@@ -418,72 +417,73 @@
         }
     }
 
-    fn handle_elsewhere(&mut self, event: Event) {
+    fn handle_outside_stores(&mut self, event: Event) {
         match event {
             Event::ProxyTick { proxy } => self.tick_proxy(proxy),
             Event::ControlTick => {
-                if self.control.retarget(self.now) {
-                    self.publish();
+                if self.control.replace_disconnected(self.now) {
+                    self.publish_feed();
                 }
-                self.after(CONTROL_TICK_MS, Event::ControlTick);
+                self.schedule(CONTROL_TICK_MS, Event::ControlTick);
             }
-            Event::ToProxy { proxy, link, message } => self.receive_at_proxy(proxy, link, &message),
+            Event::ToProxy { proxy, link, message } => self.handle_message_at_proxy(proxy, link, &message),
             Event::ToControl { machine, incarnation, message } => {
-                self.receive_at_control(machine, incarnation, message)
+                self.handle_message_at_control(machine, incarnation, message)
             }
             Event::Feed { to: Node::Proxy(proxy), groups } => {
-                let messages = self.proxies[proxy].follow(self.now, &groups);
-                self.send(proxy, messages);
+                let messages = self.proxies[proxy].apply_feed(self.now, &groups);
+                self.send_from_proxy(proxy, messages);
             }
             Event::ConnectProxy { proxy, machine } => self.connect_proxy(proxy, machine),
             Event::ConnectControl { machine, incarnation } => self.connect_control(machine, incarnation),
-            Event::LinkLost { proxy, link } => self.lose_link(proxy, link),
+            Event::LinkLost { proxy, link } => self.handle_lost_link(proxy, link),
             Event::Start { machine } => self.start(machine),
-            Event::Heal { machine } => self.heal(machine),
+            Event::EndPartition { machine } => self.end_partition(machine),
             _ => {}
         }
     }
 
     fn tick_proxy(&mut self, proxy: usize) {
         let messages = self.proxies[proxy].tick(self.now, proxy, &mut self.random);
-        self.send(proxy, messages);
+        self.send_from_proxy(proxy, messages);
         let ignores_leases = self.proxies[proxy].ignores_leases;
-        for running in
-            self.proxies[proxy].running().filter(|running| ignores_leases || running.is_valid(self.now))
+        for running in self.proxies[proxy]
+            .running()
+            .filter(|running| ignores_leases || running.has_valid_lease(self.now))
         {
-            self.checker.runs(self.now, &running.job);
+            self.checker.check_running_item(self.now, &running.job);
         }
         self.tick_clients(proxy);
-        self.after(PROXY_TICK_MS, Event::ProxyTick { proxy });
+        self.schedule(PROXY_TICK_MS, Event::ProxyTick { proxy });
     }
 
-    fn receive_at_proxy(&mut self, proxy: usize, link: u64, message: &FromStore) {
+    fn handle_message_at_proxy(&mut self, proxy: usize, link: u64, message: &FromStore) {
         if !self.proxies[proxy].links.values().any(|known| *known == link) {
             return;
         }
-        self.proxies[proxy].receive(self.now, &mut self.random, link, message);
-        self.answer_client(proxy, message);
+        self.proxies[proxy].handle_message(self.now, &mut self.random, link, message);
+        self.handle_answer(proxy, message);
     }
 
-    fn receive_at_control(&mut self, machine: usize, incarnation: u64, message: ToControl) {
+    fn handle_message_at_control(&mut self, machine: usize, incarnation: u64, message: ToControl) {
         let ToControl::ChangeGroup { request, group, expected_epoch, proposed } = message else { return };
         if self.machines[machine].is_partitioned {
             return;
         }
-        let (is_accepted, current) = self.control.change(group, expected_epoch, &proposed);
+        let (is_accepted, current) = self.control.compare_and_swap_epoch(group, expected_epoch, &proposed);
         if is_accepted {
-            self.publish();
+            self.publish_feed();
         }
-        let delay = self.delay(Node::Control, Node::Store(machine));
-        self.after(delay, Event::GroupChanged { machine, incarnation, request, group, current });
+        let delay = self.message_delay(Node::Control, Node::Store(machine));
+        self.schedule(delay, Event::GroupChanged { machine, incarnation, request, group, current });
     }
 
-    fn publish(&mut self) {
-        let groups = self.control.feed();
+    fn publish_feed(&mut self) {
+        let groups = self.control.feed_groups();
         let stores = (0..self.machines.len()).map(Node::Store);
         for to in stores.chain((0..self.proxies.len()).map(Node::Proxy)).collect::<Vec<_>>() {
-            let delay = self.delay(Node::Control, to);
-            self.after(delay, Event::Feed { to, groups: groups.clone() });
+            let delay = self.message_delay(Node::Control, to);
+            self.schedule(delay, Event::Feed { to, groups: groups.clone() });
         }
     }
 
@@ -491,7 +491,7 @@
         let address = self.machines[machine].member.address.clone();
         let is_up = self.machines[machine].store.is_some() && !self.machines[machine].is_partitioned;
         if !is_up || self.now < self.machines[machine].frozen_until {
-            return self.after(RECONNECT_MS, Event::ConnectProxy { proxy, machine });
+            return self.schedule(RECONNECT_DELAY_MS, Event::ConnectProxy { proxy, machine });
         }
         self.last_link += 1;
         let link = self.last_link;
@@ -500,15 +500,15 @@
         if let Some(store) = &mut connected.store {
             store.handle_link_opened(LinkId(link));
         }
-        let messages = self.proxies[proxy].connected(proxy, &address, link);
-        self.send(proxy, messages);
+        let messages = self.proxies[proxy].handle_link_opened(proxy, &address, link);
+        self.send_from_proxy(proxy, messages);
     }
 
-    fn lose_link(&mut self, proxy: usize, link: u64) {
-        let Some(address) = self.proxies[proxy].lost(link) else { return };
+    fn handle_lost_link(&mut self, proxy: usize, link: u64) {
+        let Some(address) = self.proxies[proxy].handle_link_lost(link) else { return };
         let machine = self.machines.iter().position(|machine| machine.member.address == address);
         if let Some(machine) = machine {
-            self.after(RECONNECT_MS, Event::ConnectProxy { proxy, machine });
+            self.schedule(RECONNECT_DELAY_MS, Event::ConnectProxy { proxy, machine });
         }
     }
 
@@ -518,78 +518,80 @@
             return;
         }
         if connected.is_partitioned || self.now < connected.frozen_until {
-            return self.after(RECONNECT_MS, Event::ConnectControl { machine, incarnation });
+            return self.schedule(RECONNECT_DELAY_MS, Event::ConnectControl { machine, incarnation });
         }
         connected.is_connected_to_control = true;
-        self.control.announce(&connected.member);
+        self.control.register(&connected.member);
         if let Some(store) = &mut connected.store {
             store.handle_control_connected();
         }
-        self.publish();
-        self.carry_out(machine);
+        self.publish_feed();
+        self.process_outputs(machine);
     }
 
-    fn heal(&mut self, machine: usize) {
+    fn end_partition(&mut self, machine: usize) {
         self.machines[machine].is_partitioned = false;
         let incarnation = self.machines[machine].incarnation;
         for (link, proxy) in std::mem::take(&mut self.machines[machine].proxies) {
-            self.after(1, Event::LinkLost { proxy, link });
-            self.after(1, Event::LinkClosed { machine, incarnation, link });
+            self.schedule(1, Event::LinkLost { proxy, link });
+            self.schedule(1, Event::LinkClosed { machine, incarnation, link });
         }
-        self.after(5, Event::ConnectControl { machine, incarnation });
+        self.schedule(5, Event::ConnectControl { machine, incarnation });
     }
 
-    fn carry_out(&mut self, machine: usize) {
+    fn process_outputs(&mut self, machine: usize) {
         let now = self.time();
         let (is_partitioned, incarnation) =
             (self.machines[machine].is_partitioned, self.machines[machine].incarnation);
         let Some(store) = &mut self.machines[machine].store else { return };
         for output in store.take_outputs(now) {
             if let Some(digest) = &mut self.digest {
-                digest.output(self.now, machine, &output);
+                digest.add_output(self.now, machine, &output);
             }
             match output {
                 StoreOutput::Append { ticket, records } => {
                     let number = self.machines[machine].disk.append(ticket, records);
-                    self.sync_later(machine, incarnation, number);
+                    self.schedule_sync(machine, incarnation, number);
                 }
                 StoreOutput::Checkpoint { records } => {
                     let number = self.machines[machine].disk.checkpoint(records);
-                    self.sync_later(machine, incarnation, number);
+                    self.schedule_sync(machine, incarnation, number);
                 }
                 _ if is_partitioned => {}
-                StoreOutput::Reply { link, message } => self.reply(machine, link.0, message),
+                StoreOutput::Reply { link, message } => self.send_to_proxy(machine, link.0, message),
                 StoreOutput::ToPeer { peer, message } => {
                     self.send_to_peer(machine, incarnation, &peer, message)
                 }
                 StoreOutput::ToControl(message) if self.machines[machine].is_connected_to_control => {
-                    let delay = self.delay(Node::Store(machine), Node::Control);
-                    self.after(delay, Event::ToControl { machine, incarnation, message });
+                    let delay = self.message_delay(Node::Store(machine), Node::Control);
+                    self.schedule(delay, Event::ToControl { machine, incarnation, message });
                 }
                 StoreOutput::ToControl(_) => {}
             }
         }
     }
 
-    fn sync_later(&mut self, machine: usize, incarnation: u64, number: u64) {
+    fn schedule_sync(&mut self, machine: usize, incarnation: u64, number: u64) {
         let delay = self.random.random_range(2..8);
-        self.after(delay, Event::Synced { machine, incarnation, number });
+        self.schedule(delay, Event::Synced { machine, incarnation, number });
     }
 
-    fn reply(&mut self, machine: usize, link: u64, message: FromStore) {
+    fn send_to_proxy(&mut self, machine: usize, link: u64, message: FromStore) {
         let Some(proxy) = self.machines[machine].proxies.get(&link).copied() else { return };
-        self.note(|| format!("store-{machine} -> proxy-{proxy}: {}", transcript::from_store(&message)));
-        let delay = self.delay(Node::Store(machine), Node::Proxy(proxy));
-        self.after(delay, Event::ToProxy { proxy, link, message });
+        self.record_message(|| {
+            format!("store-{machine} -> proxy-{proxy}: {}", transcript::format_from_store(&message))
+        });
+        let delay = self.message_delay(Node::Store(machine), Node::Proxy(proxy));
+        self.schedule(delay, Event::ToProxy { proxy, link, message });
     }
 
     fn send_to_peer(&mut self, from: usize, incarnation: u64, peer: &Member, message: ToStore) {
-        // A machine that comes back with another disk has the address of its predecessor.
+        // A machine that restarts with another disk keeps its address.
         let target = self.machines.iter().position(|machine| machine.member.address == peer.address);
         let Some(machine) = target.filter(|machine| !self.machines[*machine].is_partitioned) else { return };
-        let delay = self.delay(Node::Store(from), Node::Store(machine));
+        let delay = self.message_delay(Node::Store(from), Node::Store(machine));
         let member = self.machines[from].member.clone();
-        self.after(
+        self.schedule(
             delay,
             Event::FromPeer { machine, from: member, from_incarnation: (from, incarnation), message },
         );
--- a/crates/pebblepost-batch-store/tests/integration/simulation/digest.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/digest.rs
@@ -1,16 +1,16 @@
-//! A digest of what stores put out in a whole run: times, machines, bytes and their order.
+//! A digest of all outputs of the stores in a schedule, which covers times, machines, bytes and their order.
 
 use nanoserde::SerBin;
 use pebblepost_batch_store::store::StoreOutput;
 use pebblepost_stable_hash::Fnv1a;
 
-/// Digest of all outputs.
+/// Digest of store outputs.
 #[derive(Debug, Default)]
 pub struct Digest(Fnv1a);
 
 impl Digest {
     /// Adds an output of a machine.
-    pub fn output(&mut self, now: u64, machine: usize, output: &StoreOutput) {
+    pub fn add_output(&mut self, now: u64, machine: usize, output: &StoreOutput) {
         self.number(now);
         self.number(machine as u64);
         match output {
@@ -50,7 +50,7 @@
         self.0.number(number);
     }
 
-    /// The digest so far, in hexadecimal.
+    /// Returns the current digest in hexadecimal.
     pub fn hex(&self) -> String {
         format!("{:016x}", self.0.finish())
     }
--- a/crates/pebblepost-batch-store/tests/integration/simulation/disk.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that loses what was not synced.
+//! A simulated disk that loses unsynced writes.
 
 use std::collections::VecDeque;
 
@@ -8,46 +8,48 @@
     Checkpoint { records: Vec<Vec<u8>> },
 }
 
-/// A disk.
+/// A disk with durable records and unsynced writes.
 #[derive(Debug, Default)]
 pub struct Disk {
     durable: Vec<Vec<u8>>,
-    waiting: VecDeque<(u64, Write)>,
-    last: u64,
+    /// Unsynced writes with their numbers, in order.
+    unsynced: VecDeque<(u64, Write)>,
+    last_number: u64,
 }
 
 impl Disk {
-    /// The records after the loss of all writes but the synced ones and the next `synced_writes`.
-    pub fn recover(&mut self, synced_writes: usize) -> Vec<Vec<u8>> {
-        for _ in 0..synced_writes {
-            if let Some((_, write)) = self.waiting.pop_front() {
+    /// Drops the unsynced writes, except for the first `kept_writes`, which become durable. Returns the durable
+    /// records.
+    pub fn recover(&mut self, kept_writes: usize) -> Vec<Vec<u8>> {
+        for _ in 0..kept_writes {
+            if let Some((_, write)) = self.unsynced.pop_front() {
                 self.make_durable(write);
             }
         }
-        self.waiting.clear();
+        self.unsynced.clear();
         self.durable.clone()
     }
 
-    /// Writes that wait.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// Returns the number of unsynced writes.
+    pub fn unsynced_count(&self) -> usize {
+        self.unsynced.len()
     }
 
-    /// Queues records; the number of the write.
+    /// Queues records to be appended and returns the number of the write.
     pub fn append(&mut self, ticket: u64, records: Vec<Vec<u8>>) -> u64 {
         self.queue(Write::Append { ticket, records })
     }
 
-    /// Queues a checkpoint; the number of the write.
+    /// Queues a checkpoint and returns the number of the write.
     pub fn checkpoint(&mut self, records: Vec<Vec<u8>>) -> u64 {
         self.queue(Write::Checkpoint { records })
     }
 
-    /// All up to this write is synced; the newest ticket among it.
+    /// Makes all writes up to this number durable. Returns the newest ticket among them.
     pub fn sync(&mut self, number: u64) -> Option<u64> {
         let mut newest = None;
-        while self.waiting.front().is_some_and(|(waiting, _)| *waiting <= number) {
-            if let Some((_, write)) = self.waiting.pop_front() {
+        while self.unsynced.front().is_some_and(|(unsynced, _)| *unsynced <= number) {
+            if let Some((_, write)) = self.unsynced.pop_front() {
                 newest = self.make_durable(write).or(newest);
             }
         }
@@ -55,9 +57,9 @@
     }
 
     fn queue(&mut self, write: Write) -> u64 {
-        self.last += 1;
-        self.waiting.push_back((self.last, write));
-        self.last
+        self.last_number += 1;
+        self.unsynced.push_back((self.last_number, write));
+        self.last_number
     }
 
     fn make_durable(&mut self, write: Write) -> Option<u64> {
--- a/crates/pebblepost-batch-store/tests/integration/simulation/proxy.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy: keeps links to the stores, takes work, runs items, and makes the calls of its clients.
+//! A simulated proxy, which keeps links to the stores, requests work, runs items and forwards the calls of clients.
 
 use pebblepost_messages::batch::{
     ActiveLease, FromStore, ItemOutcome, ItemResult, LEASE_MS, PartialText, ResultState, ToStore, WorkLease,
@@ -8,66 +8,66 @@
 use rand::rngs::StdRng;
 use std::collections::BTreeMap;
 
-/// Items at work at once.
-const CAPACITY: usize = 12;
-/// An item whose lease is not renewed for this time is abandoned.
-const ABANDON_AFTER_MS: u64 = 10_000;
-/// Results are sent again for this time if the primary changes.
-const RESEND_MS: u64 = 6_000;
+/// Largest number of items that a proxy runs at a time.
+const MAX_RUNNING_ITEMS: usize = 12;
+/// Time after the expiry of its lease from which an item is abandoned, in milliseconds.
+const ABANDON_EXPIRED_ITEM_AFTER_MS: u64 = 10_000;
+/// Time for which a sent result is sent again if the primary changes, in milliseconds.
+const RESULT_RESEND_WINDOW_MS: u64 = 6_000;
 
-/// An item at work.
+/// An item that runs under a work lease.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningItem {
     store_group: u32,
     epoch: u64,
     lease: u64,
-    /// Its job.
     pub job: String,
     item: String,
     ends_at: u64,
-    valid_until: u64,
+    lease_valid_until: u64,
 }
 
-impl Running {
-    /// Whether its lease lets it run now.
-    pub fn is_valid(&self, now: u64) -> bool {
-        now < self.valid_until
+impl RunningItem {
+    /// Whether the lease of the item is valid.
+    pub fn has_valid_lease(&self, now: u64) -> bool {
+        now < self.lease_valid_until
     }
 }
 
-/// A result that was sent.
+/// A result that was sent, kept to be sent again.
 #[derive(Debug)]
-struct Sent {
-    at: u64,
+struct SentResult {
+    sent_at: u64,
     store_group: u32,
     message: ToStore,
 }
 
-/// A proxy.
+/// A simulated proxy.
 #[derive(Debug, Default)]
 pub struct Proxy {
-    /// Links by address of the machine.
+    /// Open links by the address of the machine.
     pub links: BTreeMap<String, u64>,
-    /// Who serves which group, by the newest feed.
+    /// Store groups according to the newest feed.
     pub groups: BTreeMap<u32, StoreGroup>,
-    running: Vec<Running>,
-    sent: Vec<Sent>,
+    running: Vec<RunningItem>,
+    sent_results: Vec<SentResult>,
+    /// Whether a store may have work, by link.
     has_work: BTreeMap<u64, bool>,
-    /// Leases and cancels are ignored, to test the checker.
+    /// Whether lease expiry and cancellation are ignored, to test the checker.
     pub ignores_leases: bool,
 }
 
-/// A message to a store over a link.
+/// A message to a store, with the link to send it over.
 pub type Outgoing = (u64, ToStore);
 
 impl Proxy {
-    /// The link to the primary of a group.
+    /// Returns the link to the primary of a group.
     pub fn link_of(&self, group: u32) -> Option<u64> {
         self.links.get(&self.groups.get(&group)?.primary.address).copied()
     }
 
-    /// A link is up.
-    pub fn connected(&mut self, node: usize, address: &str, link: u64) -> Vec<Outgoing> {
+    /// Adds an opened link. Returns the messages to send over it.
+    pub fn handle_link_opened(&mut self, node: usize, address: &str, link: u64) -> Vec<Outgoing> {
         self.links.insert(address.to_owned(), link);
         self.has_work.insert(link, true);
         let hello = ToStore::ProxyHello { node: format!("proxy-{node}"), zone: "zone".to_owned() };
@@ -76,8 +76,8 @@
         messages
     }
 
-    /// A link is lost.
-    pub fn lost(&mut self, link: u64) -> Option<String> {
+    /// Removes a lost link. Returns the address of its machine.
+    pub fn handle_link_lost(&mut self, link: u64) -> Option<String> {
         self.has_work.remove(&link);
         let address =
             self.links.iter().find(|(_, known)| **known == link).map(|(address, _)| address.clone())?;
@@ -85,8 +85,8 @@
         Some(address)
     }
 
-    /// The feed changed.
-    pub fn follow(&mut self, now: u64, groups: &[StoreGroup]) -> Vec<Outgoing> {
+    /// Applies a new feed. Returns results that have to be sent again and lease reports if an epoch has changed.
+    pub fn apply_feed(&mut self, now: u64, groups: &[StoreGroup]) -> Vec<Outgoing> {
         let mut changed = Vec::new();
         for group in groups {
             let known = self.groups.insert(group.group, group.clone());
@@ -97,16 +97,16 @@
         if changed.is_empty() {
             return Vec::new();
         }
-        self.sent.retain(|sent| now < sent.at + RESEND_MS);
-        let concerned = self.sent.iter().filter(|sent| changed.contains(&sent.store_group));
-        let again =
-            concerned.filter_map(|sent| Some((self.link_of(sent.store_group)?, sent.message.clone())));
-        let mut messages: Vec<Outgoing> = again.collect();
+        self.sent_results.retain(|sent| now < sent.sent_at + RESULT_RESEND_WINDOW_MS);
+        let affected = self.sent_results.iter().filter(|sent| changed.contains(&sent.store_group));
+        let resent =
+            affected.filter_map(|sent| Some((self.link_of(sent.store_group)?, sent.message.clone())));
+        let mut messages: Vec<Outgoing> = resent.collect();
         messages.extend(self.report_leases());
         messages
     }
 
-    /// Reports all leases to the primaries of their groups.
+    /// Returns messages that report all active leases to the primaries of their groups.
     pub fn report_leases(&mut self) -> Vec<Outgoing> {
         let mut active: BTreeMap<u64, Vec<ActiveLease>> =
             self.links.values().map(|link| (*link, Vec::new())).collect();
@@ -122,14 +122,14 @@
         active.into_iter().map(|(link, leases)| (link, ToStore::ActiveLeases(leases))).collect()
     }
 
-    /// A message about work came.
-    pub fn receive(&mut self, now: u64, random: &mut StdRng, link: u64, message: &FromStore) {
+    /// Handles a message about work; ignores all others.
+    pub fn handle_message(&mut self, now: u64, random: &mut StdRng, link: u64, message: &FromStore) {
         match message {
             FromStore::WorkAvailable => drop(self.has_work.insert(link, true)),
             FromStore::Work(leases) => {
                 self.has_work.insert(link, !leases.is_empty());
                 for lease in leases {
-                    self.take(now, random, lease);
+                    self.start_items(now, random, lease);
                 }
             }
             FromStore::Cancel { jobs } if !self.ignores_leases => {
@@ -138,7 +138,7 @@
             FromStore::Renew { groups } => {
                 for running in &mut self.running {
                     if groups.contains(&(running.store_group, running.epoch)) {
-                        running.valid_until = now + LEASE_MS;
+                        running.lease_valid_until = now + LEASE_MS;
                     }
                 }
             }
@@ -146,41 +146,45 @@
         }
     }
 
-    fn take(&mut self, now: u64, random: &mut StdRng, lease: &WorkLease) {
+    /// Starts the items of a lease. A run of the same item under an earlier lease is dropped.
+    fn start_items(&mut self, now: u64, random: &mut StdRng, lease: &WorkLease) {
         for leased in &lease.items {
-            let is_long = random.random_range(0..30) == 0;
-            let takes = if is_long { 8_000 } else { random.random_range(30..400) };
+            let is_long_run = random.random_range(0..30) == 0;
+            let run_ms = if is_long_run { 8_000 } else { random.random_range(30..400) };
             self.running.retain(|running| running.item != leased.item.id);
-            self.running.push(Running {
+            self.running.push(RunningItem {
                 store_group: lease.store_group,
                 epoch: lease.epoch,
                 lease: lease.lease,
                 job: lease.job.clone(),
                 item: leased.item.id.clone(),
-                ends_at: now + takes,
-                valid_until: now + LEASE_MS,
+                ends_at: now + run_ms,
+                lease_valid_until: now + LEASE_MS,
             });
         }
     }
 
-    /// Items at work.
-    pub fn running(&self) -> impl Iterator<Item = &Running> {
+    /// Returns the items that run.
+    pub fn running(&self) -> impl Iterator<Item = &RunningItem> {
         self.running.iter()
     }
 
-    /// Time passed: ends runs, asks for work.
+    /// Finishes items whose time has come, abandons those with an expired lease and requests more work.
     pub fn tick(&mut self, now: u64, node: usize, random: &mut StdRng) -> Vec<Outgoing> {
         if !self.ignores_leases {
-            self.running.retain(|running| now < running.valid_until + ABANDON_AFTER_MS);
+            self.running.retain(|running| now < running.lease_valid_until + ABANDON_EXPIRED_ITEM_AFTER_MS);
         }
         let mut messages = Vec::new();
         let ignores_leases = self.ignores_leases;
-        let has_ended =
-            |running: &mut Running| now >= running.ends_at && (ignores_leases || running.is_valid(now));
-        for running in self.running.extract_if(.., has_ended).collect::<Vec<_>>() {
-            messages.extend(self.finish(now, node, random, running));
+        let is_finished = |running: &mut RunningItem| {
+            now >= running.ends_at && (ignores_leases || running.has_valid_lease(now))
+        };
+        for running in self.running.extract_if(.., is_finished).collect::<Vec<_>>() {
+            messages.extend(self.report_outcome(now, node, random, running));
         }
-        if let Some(capacity) = CAPACITY.checked_sub(self.running.len()).filter(|capacity| *capacity > 0) {
+        if let Some(capacity) =
+            MAX_RUNNING_ITEMS.checked_sub(self.running.len()).filter(|capacity| *capacity > 0)
+        {
             let max_items = u32::try_from(capacity).expect("a small number");
             for (link, has_work) in self.has_work.iter_mut().filter(|(_, has_work)| **has_work) {
                 *has_work = false;
@@ -190,7 +194,10 @@
         messages
     }
 
-    fn finish(&mut self, now: u64, node: usize, random: &mut StdRng, running: Running) -> Option<Outgoing> {
+    /// Returns the message that reports the outcome of an item, unless there is no link to the primary.
+    fn report_outcome(
+        &mut self, now: u64, node: usize, random: &mut StdRng, running: RunningItem,
+    ) -> Option<Outgoing> {
         let is_returned = random.random_range(0..20) == 0;
         let outcome = if is_returned {
             let partial = PartialText { last_event: 1, message: b"part".to_vec(), versions: vec![1] };
@@ -207,7 +214,11 @@
             outcomes: vec![outcome],
         };
         if !is_returned {
-            self.sent.push(Sent { at: now, store_group: running.store_group, message: message.clone() });
+            self.sent_results.push(SentResult {
+                sent_at: now,
+                store_group: running.store_group,
+                message: message.clone(),
+            });
         }
         Some((self.link_of(running.store_group)?, message))
     }
--- a/crates/pebblepost-batch-store/tests/integration/simulation/transcript.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/transcript.rs
@@ -1,6 +1,7 @@
-//! Messages between proxies and stores as lines.
+//! Formats messages between proxies and stores as lines of a transcript.
 //!
-//! The words of the lines are fixed here: they do not follow the names of types and fields in the code.
+//! The wording of the lines is fixed here, because the approved transcripts contain it. It does not follow the names
+//! of types and fields in the code.
 
 use pebblepost_messages::batch::{
     ActiveLease, FromStore, ItemOutcome, ItemResult, JobResponse, ResultPage, SubmitOutcome, ToStore,
@@ -8,17 +9,17 @@
 };
 use std::fmt::Debug;
 
-/// A message to a store.
-pub fn to_store(message: &ToStore) -> String {
+/// Formats a message to a store.
+pub fn format_to_store(message: &ToStore) -> String {
     match message {
         ToStore::Submit { call, store_group, job } => {
             format!("Submit call {call}: job {} of group {store_group}, {} items", job.id, job.items.len())
         }
         ToStore::Outcomes { store_group, job, lease, outcomes } => {
-            let outcomes: Vec<String> = outcomes.iter().map(outcome).collect();
+            let outcomes: Vec<String> = outcomes.iter().map(format_outcome).collect();
             format!(
                 "Outcomes of job {job} of group {store_group}, lease {}: {}",
-                short(*lease),
+                format_lease_id(*lease),
                 outcomes.join(", ")
             )
         }
@@ -40,29 +41,29 @@
     }
 }
 
-/// A message from a store.
-pub fn from_store(message: &FromStore) -> String {
+/// Formats a message from a store.
+pub fn format_from_store(message: &FromStore) -> String {
     match message {
         FromStore::Work(leases) => {
-            format!("Work [{}]", leases.iter().map(lease).collect::<Vec<_>>().join(", "))
+            format!("Work [{}]", leases.iter().map(format_lease).collect::<Vec<_>>().join(", "))
         }
         FromStore::Results { call, answer: JobResponse::Found(found) } => {
-            format!("Results call {call}: {}", page(found))
+            format!("Results call {call}: {}", format_page(found))
         }
         FromStore::Body { call, answer: JobResponse::Found(body) } => {
             format!("Body call {call}: {:?}", String::from_utf8_lossy(body))
         }
         FromStore::Submitted { call, outcome } => {
-            format!("Submitted {{ call: {call}, outcome: {} }}", submit_outcome(*outcome))
+            format!("Submitted {{ call: {call}, outcome: {} }}", format_submit_outcome(*outcome))
         }
         FromStore::Results { call, answer } => {
-            format!("Results {{ call: {call}, answer: {} }}", job_answer(answer))
+            format!("Results {{ call: {call}, answer: {} }}", format_job_answer(answer))
         }
         FromStore::Body { call, answer } => {
-            format!("Body {{ call: {call}, answer: {} }}", job_answer(answer))
+            format!("Body {{ call: {call}, answer: {} }}", format_job_answer(answer))
         }
         FromStore::Ended { call, answer } => {
-            format!("Ended {{ call: {call}, answer: {} }}", job_answer(answer))
+            format!("Ended {{ call: {call}, answer: {} }}", format_job_answer(answer))
         }
         FromStore::Cancel { jobs } => format!("Cancel {{ jobs: {jobs:?} }}"),
         FromStore::Renew { groups } => format!("Renew {{ groups: {groups:?} }}"),
@@ -71,7 +72,7 @@
     }
 }
 
-fn submit_outcome(outcome: SubmitOutcome) -> String {
+fn format_submit_outcome(outcome: SubmitOutcome) -> String {
     match outcome {
         SubmitOutcome::Accepted => "Accepted".to_owned(),
         SubmitOutcome::Rejected { retry_after_ms } => {
@@ -82,7 +83,7 @@
     }
 }
 
-fn job_answer<T: Debug>(answer: &JobResponse<T>) -> String {
+fn format_job_answer<T: Debug>(answer: &JobResponse<T>) -> String {
     match answer {
         JobResponse::Found(found) => format!("Found({found:?})"),
         JobResponse::NotFound => "NoSuch".to_owned(),
@@ -90,34 +91,39 @@
     }
 }
 
-fn outcome(outcome: &ItemOutcome) -> String {
+fn format_outcome(outcome: &ItemOutcome) -> String {
     match outcome {
-        ItemOutcome::Finished(finished) => result(finished),
+        ItemOutcome::Finished(finished) => format_result(finished),
         ItemOutcome::Returned { id, partial, .. } => {
             format!("{id} returned after event {}", partial.last_event)
         }
     }
 }
 
-fn lease(lease: &WorkLease) -> String {
+fn format_lease(lease: &WorkLease) -> String {
     let items: Vec<&str> = lease.items.iter().map(|leased| leased.item.id.as_str()).collect();
-    format!("lease {} of group {} epoch {}: {items:?}", short(lease.lease), lease.store_group, lease.epoch)
+    format!(
+        "lease {} of group {} epoch {}: {items:?}",
+        format_lease_id(lease.lease),
+        lease.store_group,
+        lease.epoch
+    )
 }
 
-fn page(page: &ResultPage) -> String {
-    let results: Vec<String> = page.results.iter().map(result).collect();
+fn format_page(page: &ResultPage) -> String {
+    let results: Vec<String> = page.results.iter().map(format_result).collect();
     format!("from {} of {}: [{}]", page.start, page.total, results.join(", "))
 }
 
-fn result(result: &ItemResult) -> String {
-    format!("{} {}", result.id, words(&result.state))
+fn format_result(result: &ItemResult) -> String {
+    format!("{} {}", result.id, lowercase_debug(&result.state))
 }
 
-fn words(state: &impl Debug) -> String {
+fn lowercase_debug(state: &impl Debug) -> String {
     format!("{state:?}").to_lowercase()
 }
 
-/// A lease's epoch and its number in it.
-fn short(lease: u64) -> String {
+/// Formats a lease as its epoch and its number within the epoch.
+fn format_lease_id(lease: u64) -> String {
     format!("{}.{}", lease >> 32, lease & u64::from(u32::MAX))
 }
--- a/crates/pebblepost-batch-store/tests/integration/stored_form.rs
+++ b/crates/pebblepost-batch-store/tests/integration/stored_form.rs
@@ -1,5 +1,5 @@
-//! Records on the disk and the status of a store by their bytes: those of earlier versions are read,
-//! and the same are written.
+//! Encoding of records on disk: records of earlier versions are read, and the same bytes are written. The status of
+//! a store that resumes from them is compared with an approved text.
 
 use crate::approval::{approve, approved};
 use nanoserde::{DeBin, SerBin};
@@ -16,7 +16,7 @@
 use rstest::rstest;
 use std::time::Duration;
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
@@ -45,13 +45,13 @@
     }
 }
 
-fn entry() -> Vec<u8> {
+fn encoded_entry() -> Vec<u8> {
     let items = vec![Item { id: "i".to_owned(), body: vec![1, 2, 3], ..Item::default() }];
     let job = Job { id: "job-c".to_owned(), items, ..Job::default() };
     Command { now_ms: 1_000, change: Change::AddJob(job) }.encode()
 }
 
-/// Each kind of record, in an order in which a disk may hold them.
+/// Returns one record of each kind, in an order in which a disk may hold them.
 fn records() -> Vec<(&'static str, GroupRecord)> {
     let record = |record: DiskRecord| GroupRecord { group: 6, record: Some(record) };
     vec![
@@ -62,7 +62,7 @@
         ),
         ("epoch", record(DiskRecord::Epoch(epoch_record()))),
         ("acted", record(DiskRecord::Acted { epoch: 1 })),
-        ("entry", record(DiskRecord::Entry { index: 5, epoch: 1, entry: entry() })),
+        ("entry", record(DiskRecord::Entry { index: 5, epoch: 1, entry: encoded_entry() })),
     ]
 }
 
@@ -88,12 +88,12 @@
 #[rstest]
 fn records_encode_to_the_approved_bytes() {
     let lines =
-        records().into_iter().map(|(name, record)| format!("{name} {}", hex(&record.serialize_bin())));
+        records().into_iter().map(|(name, record)| format!("{name} {}", to_hex(&record.serialize_bin())));
     approve("approved/records.txt", &lines.collect::<Vec<_>>());
 }
 
 #[rstest]
-fn records_of_earlier_versions_are_read() {
+fn records_of_earlier_versions_are_decoded() {
     for (line, (name, record)) in approved("approved/records.txt").lines().zip(records()) {
         let bytes = line.split_once(' ').map(|(_, bytes)| from_hex(bytes)).expect("a name and bytes");
         assert_eq!(GroupRecord::deserialize_bin(&bytes).expect("can be read"), record, "{name}");
@@ -101,7 +101,7 @@
 }
 
 #[rstest]
-fn resumes_from_records_of_earlier_versions() {
+fn a_store_resumes_from_records_of_earlier_versions() {
     let bytes = approved("approved/records.txt");
     let records: Vec<Vec<u8>> =
         bytes.lines().filter_map(|line| line.split_once(' ')).map(|(_, bytes)| from_hex(bytes)).collect();
@@ -117,7 +117,7 @@
         targets: vec![member(1)],
     };
     store.apply_assignments(now, &[group]);
-    let mut statuses = Vec::new();
+    let mut lines = Vec::new();
     for step in 1..=80 {
         let now = Duration::from_millis(step * 50);
         store.tick(now);
@@ -135,20 +135,20 @@
     store.handle_message(now, LinkId(1), ToStore::Status);
     for output in store.take_outputs(now) {
         if let StoreOutput::Reply { message: FromStore::Status(status), .. } = output {
-            statuses.push(String::from_utf8(status).expect("text"));
+            lines.push(String::from_utf8(status).expect("text"));
         }
     }
     store.checkpoint();
     for output in store.take_outputs(now) {
         if let StoreOutput::Checkpoint { records } = output {
-            statuses.extend(records.iter().map(|record| hex(record)));
+            lines.extend(records.iter().map(|record| to_hex(record)));
         }
     }
-    approve("approved/resumed.txt", &statuses);
+    approve("approved/resumed.txt", &lines);
 }
 
 #[rstest]
-fn rejects_an_undecodable_record() {
+fn a_store_rejects_an_undecodable_record() {
     let error = Store::new(Duration::ZERO, settings(), &[vec![1, 2, 3]]).expect_err("no record");
     assert_eq!(error.to_string(), "Bin deserialize error at:0 wanted:4 bytes but max size is 3");
 }
