--- a/crates/pebblepost-proxy/tests/own_responses.rs
+++ b/crates/pebblepost-proxy/tests/own_responses.rs
@@ -1,9 +1,9 @@
-//! The proxy's own responses, byte for byte, and the texts of errors at its start.
+//! Responses of the proxy itself, byte for byte, and the texts of its start errors.
 
 #[expect(dead_code, reason = "each test program uses a part of the support")]
 mod support;
 
-use pebblepost_proxy::{Applied, Proxy};
+use pebblepost_proxy::{ApplyOutcome, Proxy};
 use std::fmt::Write;
 use support::client::Client;
 use support::{ProxyFixture, ROUTES, approve, configuration, get, post, run, settings};
@@ -65,10 +65,10 @@
 }
 
 #[test]
-fn updates_are_in_force_or_leave_a_gap() {
+fn updates_are_in_force_or_need_a_resync() {
     run(async {
         let fixture = ProxyFixture::bare(8.0);
-        assert_eq!(fixture.proxy.apply(&[configuration(1, ROUTES)]), Applied::InForce);
+        assert_eq!(fixture.proxy.apply(&[configuration(1, ROUTES)]), ApplyOutcome::InForce);
         let patch = br#"{"generation":9}"#.to_vec();
         let patch = pebblepost_messages::feed::ConfigurationUpdate::Patch {
             base_generation: 8,
@@ -76,24 +76,24 @@
             patch,
         };
         let patch = pebblepost_messages::feed::FeedUpdate::Configuration(patch);
-        assert_eq!(fixture.proxy.apply(&[patch]), Applied::Gap);
+        assert_eq!(fixture.proxy.apply(&[patch]), ApplyOutcome::ResyncNeeded);
     });
 }
 
 fn start_error(settings: pebblepost_settings::Settings) -> String {
-    // As the program prints it: the error with its causes.
+    // Formatted as the program prints it: the error followed by its causes.
     format!("{:#}", eyre::Report::from(Proxy::start(settings).expect_err("no start")))
 }
 
 #[test]
-fn a_start_that_fails_names_the_key_and_the_address() {
+fn start_errors_name_the_setting_and_the_address() {
     run(async {
         let mut without_front = settings(8.0);
         without_front.client_address = None;
-        assert_eq!(start_error(without_front), "the settings have no listen.front");
+        assert_eq!(start_error(without_front), "setting listen.front is missing");
         let mut without_ready = settings(8.0);
         without_ready.readiness_address = None;
-        assert_eq!(start_error(without_ready), "the settings have no listen.ready");
+        assert_eq!(start_error(without_ready), "setting listen.ready is missing");
 
         let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = taken.local_addr().unwrap();
@@ -101,7 +101,9 @@
         in_use.client_address = Some(address);
         assert_eq!(
             start_error(in_use),
-            format!("listening at {address} (listen.front): Address already in use (os error 98)")
+            format!(
+                "cannot listen on {address} (setting listen.front): Address already in use (os error 98)"
+            )
         );
     });
 }
