--- a/crates/pebblepost-fleet-store/src/replica/leadership.rs
+++ b/crates/pebblepost-fleet-store/src/replica/leadership.rs
@@ -6,7 +6,9 @@
 use crate::clock::since;
 use crate::protocol::Response;
 use pebblepost_fleet::heartbeat::HeartbeatReport;
-use pebblepost_fleet::leader::{HeartbeatOutcome, Sessions, drain_status, majority_update, request_totals};
+use pebblepost_fleet::leader::{
+    HeartbeatOutcome, Sessions, drain_status, majority_worker_update, request_totals,
+};
 use pebblepost_fleet::session::SessionTtl;
 use pebblepost_fleet::{Action, Name};
 use std::sync::PoisonError;
@@ -40,8 +42,8 @@
         let now = since(self.started_at);
         let due = self.with_sessions(|sessions| {
             let state = self.state_machine.read();
-            let mut due = sessions.expired(now, &state);
-            due.extend(majority_update(&state, sessions));
+            let mut due = sessions.expire_sessions(now, &state);
+            due.extend(majority_worker_update(&state, sessions));
             due
         });
         due.unwrap_or_default()
--- a/crates/pebblepost-fleet/src/availability/mod.rs
+++ b/crates/pebblepost-fleet/src/availability/mod.rs
@@ -114,12 +114,12 @@
     }
 
     /// How many are unavailable.
-    pub fn unavailable(&self) -> usize {
+    pub fn unavailable_count(&self) -> usize {
         self.subjects.values().filter(|status| status.unavailable).count()
     }
 
     /// How many have the release's version, or a granted permit to change to it.
-    pub fn reached(&self) -> usize {
+    pub fn reached_count(&self) -> usize {
         let count = |release: &Release| {
             self.subjects.values().filter(|status| status.has_reached(release.version.as_str())).count()
         };
--- a/crates/pebblepost-fleet/src/availability/rules.rs
+++ b/crates/pebblepost-fleet/src/availability/rules.rs
@@ -12,8 +12,8 @@
     /// # Errors
     ///
     /// The first rule that makes it wait.
-    pub fn check(&self, name: &Name) -> Result<(), WaitReason> {
-        self.check_with(&self.counts(), name)
+    pub fn check_grant(&self, name: &Name) -> Result<(), WaitReason> {
+        self.check_grant_with(&self.counts(), name)
     }
 
     /// Why one of them could never be granted a permit, even if all others were available; `None`: it could.
@@ -54,11 +54,11 @@
 
     /// The subjects of the queue whose permits are granted now. One whose zone has no capacity lets others
     /// pass; it is first again as soon as anything changes.
-    pub fn grants(&self) -> Vec<Name> {
+    pub fn select_grants(&self) -> Vec<Name> {
         let mut counts = self.counts();
         let (mut grants, mut granted) = (Vec::new(), BTreeSet::new());
         for name in self.queue() {
-            if self.check_with(&counts, name).is_err() {
+            if self.check_grant_with(&counts, name).is_err() {
                 continue;
             }
             if let Some(status) = self.subjects.get(name) {
@@ -90,7 +90,7 @@
                 counts.add_unavailable(status);
             }
         }
-        counts.reached = self.reached();
+        counts.reached = self.reached_count();
         counts.first_waiting_zone = self.first_waiting_zone(&BTreeSet::new());
         counts
     }
@@ -110,7 +110,7 @@
         positions.min().unwrap_or(usize::MAX)
     }
 
-    fn check_with(&self, counts: &Counts<'a>, name: &Name) -> Result<(), WaitReason> {
+    fn check_grant_with(&self, counts: &Counts<'a>, name: &Name) -> Result<(), WaitReason> {
         let budget = self.budget.ok_or(WaitReason::NoBudget)?;
         if self.halted {
             return Err(WaitReason::Halted);
--- a/crates/pebblepost-fleet/src/follower.rs
+++ b/crates/pebblepost-fleet/src/follower.rs
@@ -9,7 +9,9 @@
 
 use crate::command::{Action, Command, CommandResult, Operation, Precondition, Rejection};
 use crate::name::{IncarnationId, Key, Name, RequestId, Subject, SubjectKind, Text};
-use crate::value::{Change, Entry, MAX_DIFF_ENTRIES, Snapshot, Value, Worker, WorkerDiff, WorkerObservation};
+use crate::value::{
+    Change, Entry, MAX_WORKER_DIFF_ENTRIES, Snapshot, Value, Worker, WorkerDiff, WorkerObservation,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -286,7 +288,7 @@
     }
 
     /// The revision at which that incarnation of a dispatcher was permitted to end, if it was.
-    pub fn permit_granted_at(&self, dispatcher: &Name, incarnation_id: IncarnationId) -> Option<u64> {
+    pub fn permit_granted_revision(&self, dispatcher: &Name, incarnation_id: IncarnationId) -> Option<u64> {
         let subject = Subject { kind: SubjectKind::Dispatcher, name: dispatcher.clone() };
         match &self.copy.entries.get(&Key::Permit(subject))?.value {
             // A permit of an earlier incarnation does not count, however old the copy is.
@@ -314,7 +316,7 @@
             _ => None,
         });
         diff.extend(gone.map(|name| (name.clone(), None)));
-        if let Some(first_excess) = diff.keys().nth(MAX_DIFF_ENTRIES).cloned() {
+        if let Some(first_excess) = diff.keys().nth(MAX_WORKER_DIFF_ENTRIES).cloned() {
             diff.split_off(&first_excess);
         }
         diff
--- a/crates/pebblepost-fleet/src/heartbeat.rs
+++ b/crates/pebblepost-fleet/src/heartbeat.rs
@@ -2,7 +2,7 @@
 //! Raft leader and is not replicated: that would be a command from each dispatcher for each worker that goes.
 
 use crate::name::Name;
-use crate::value::{MAX_DIFF_ENTRIES, WorkerDiff};
+use crate::value::{MAX_WORKER_DIFF_ENTRIES, WorkerDiff};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -30,7 +30,7 @@
 impl HeartbeatReport {
     /// The report with bounded lists. Without the full list of busy workers no drain is confirmed.
     pub(crate) fn bounded(mut self) -> Self {
-        if self.worker_diff.len() > MAX_DIFF_ENTRIES {
+        if self.worker_diff.len() > MAX_WORKER_DIFF_ENTRIES {
             self.worker_diff.clear();
         }
         if self.busy_workers.len() > MAX_BUSY_WORKERS {
--- a/crates/pebblepost-fleet/src/leader/mod.rs
+++ b/crates/pebblepost-fleet/src/leader/mod.rs
@@ -9,4 +9,4 @@
 pub use drain_status::{DrainStatus, UnconfirmedReason, drain_status};
 pub use request_totals::{IncarnationRequests, request_totals};
 pub use sessions::{HeartbeatOutcome, Sessions};
-pub use worker_majority::majority_update;
+pub use worker_majority::majority_worker_update;
--- a/crates/pebblepost-fleet/src/leader/sessions.rs
+++ b/crates/pebblepost-fleet/src/leader/sessions.rs
@@ -65,7 +65,7 @@
 
     /// The commands that end the sessions without heartbeats, and free the leases of superseded sessions that
     /// have expired.
-    pub fn expired(&mut self, now: Duration, state: &State) -> Vec<Action> {
+    pub fn expire_sessions(&mut self, now: Duration, state: &State) -> Vec<Action> {
         let is_present = |(_, member): &(&Name, &crate::value::Member)| member.presence == Presence::Present;
         let mut expired = Vec::new();
         for (name, member) in state.members().filter(is_present) {
--- a/crates/pebblepost-fleet/src/leader/worker_majority.rs
+++ b/crates/pebblepost-fleet/src/leader/worker_majority.rs
@@ -3,13 +3,13 @@
 use super::Sessions;
 use crate::command::Action;
 use crate::name::Name;
-use crate::state::{MAX_OPERATIONS, MAX_WORKERS, State};
+use crate::state::{MAX_OPERATIONS_PER_COMMAND, MAX_WORKERS, State};
 use crate::value::{Presence, Worker, WorkerDiff, WorkerObservation};
 use std::collections::BTreeMap;
 
 /// The command that takes in what a majority of the present dispatchers reports alike; `None`: nothing is to
 /// change.
-pub fn majority_update(state: &State, sessions: &Sessions) -> Option<Action> {
+pub fn majority_worker_update(state: &State, sessions: &Sessions) -> Option<Action> {
     let dispatchers =
         state.members().filter(|(_, member)| member.presence == Presence::Present && member.is_dispatcher());
     let mut votes: BTreeMap<(&Name, &Option<WorkerObservation>), usize> = BTreeMap::new();
@@ -32,7 +32,7 @@
         .into_iter()
         .filter(|((name, observation), count)| count * 2 > voters && !is_current(name, observation));
     for ((name, observation), _) in majority {
-        if workers.len() >= MAX_OPERATIONS {
+        if workers.len() >= MAX_OPERATIONS_PER_COMMAND {
             break;
         }
         if observation.is_some() && state.worker(name).is_none() {
--- a/crates/pebblepost-fleet/src/name.rs
+++ b/crates/pebblepost-fleet/src/name.rs
@@ -50,7 +50,7 @@
 
 impl Name {
     /// Comes before all valid names in their order.
-    pub(crate) fn first() -> Self {
+    pub(crate) fn lowest() -> Self {
         Self(String::new())
     }
 }
--- a/crates/pebblepost-fleet/src/simulation.rs
+++ b/crates/pebblepost-fleet/src/simulation.rs
@@ -129,7 +129,7 @@
     fn run(mut self) -> Result<Vec<SimulatedWave>, SimulationError> {
         loop {
             self.begin_restarts();
-            let unavailable = self.state.availability(SubjectKind::Dispatcher).unavailable();
+            let unavailable = self.state.availability(SubjectKind::Dispatcher).unavailable_count();
             self.wave.max_unavailable = self.wave.max_unavailable.max(unavailable);
             match self.driver.next_step(self.now, &self.state.snapshot(), &BTreeMap::new()) {
                 NextStep::Finished => {
@@ -230,7 +230,7 @@
     fn stall_reason(&self) -> String {
         let availability = self.state.availability(SubjectKind::Dispatcher);
         let queue = availability.queue();
-        let waiting = queue.first().and_then(|name| Some((*name, availability.check(name).err()?)));
+        let waiting = queue.first().and_then(|name| Some((*name, availability.check_grant(name).err()?)));
         let unavailable = availability.subjects.iter().find(|(_, status)| status.unavailable);
         match (waiting, unavailable) {
             (Some((name, reason)), _) => format!("{name} waits, as {reason}"),
--- a/crates/pebblepost-fleet/src/state/change.rs
+++ b/crates/pebblepost-fleet/src/state/change.rs
@@ -1,8 +1,8 @@
 //! The operations of a change: what each makes of its key, and which are rejected.
 
 use super::{
-    Command, KeyChanges, MAX_DRAINS, MAX_OPERATIONS, MAX_PERMITS, MAX_WORKERS, Operation, Presence,
-    Rejection, State, invalid,
+    Command, KeyChanges, MAX_DRAINS, MAX_OPERATIONS_PER_COMMAND, MAX_PERMITS, MAX_WORKERS, Operation,
+    Presence, Rejection, State, invalid,
 };
 use crate::name::{Key, Name, Subject, SubjectKind, Text};
 use crate::setting;
@@ -13,9 +13,9 @@
     pub(super) fn change(
         &self, command: &Command, operations: &[Operation], reason: &Text,
     ) -> Result<KeyChanges, Rejection> {
-        if operations.is_empty() || operations.len() > MAX_OPERATIONS {
+        if operations.is_empty() || operations.len() > MAX_OPERATIONS_PER_COMMAND {
             let count = operations.len();
-            return invalid(format!("1 to {MAX_OPERATIONS} changes in one command, not {count}"));
+            return invalid(format!("1 to {MAX_OPERATIONS_PER_COMMAND} changes in one command, not {count}"));
         }
         let mut changed_keys = BTreeSet::new();
         let mut changes = KeyChanges::new();
--- a/crates/pebblepost-fleet/src/state/leases.rs
+++ b/crates/pebblepost-fleet/src/state/leases.rs
@@ -1,8 +1,8 @@
 //! Leases in the state: requests, releases, and the one place that grants them.
 
-use super::{KeyChanges, MAX_LEASES, MAX_OPERATIONS, Rejection, State, invalid};
+use super::{KeyChanges, MAX_LEASES, MAX_OPERATIONS_PER_COMMAND, Rejection, State, invalid};
 use crate::name::{Key, Name, Subject, SubjectKind};
-use crate::value::{Lease, MAX_WAITING, Value};
+use crate::value::{Lease, MAX_WAITING_MEMBERS_PER_LEASE, Value};
 use std::collections::BTreeSet;
 
 impl State {
@@ -16,7 +16,7 @@
 
     /// All leases, by task.
     pub fn leases(&self) -> impl Iterator<Item = (&Name, &Lease)> {
-        let from = Key::Lease(Name::first());
+        let from = Key::Lease(Name::lowest());
         self.entries.range(from..).map_while(|(key, entry)| match (key, &entry.value) {
             (Key::Lease(task), Value::Lease(lease)) => Some((task, lease)),
             _ => None,
@@ -27,15 +27,19 @@
         &self, member: &Name, session: u64, tasks: &[Name],
     ) -> Result<KeyChanges, Rejection> {
         self.in_session(member, session)?;
-        if tasks.len() > MAX_OPERATIONS {
+        if tasks.len() > MAX_OPERATIONS_PER_COMMAND {
             let count = tasks.len();
-            return invalid(format!("at most {MAX_OPERATIONS} tasks in one command, not {count}"));
+            return invalid(format!(
+                "at most {MAX_OPERATIONS_PER_COMMAND} tasks in one command, not {count}"
+            ));
         }
         let mut changes = KeyChanges::new();
         for task in tasks.iter().collect::<BTreeSet<_>>() {
             let current = self.lease(task);
-            let full =
-                || Rejection::Full { resource: format!("members wait for {task}"), capacity: MAX_WAITING };
+            let full = || Rejection::Full {
+                resource: format!("members wait for {task}"),
+                capacity: MAX_WAITING_MEMBERS_PER_LEASE,
+            };
             let requested =
                 current.cloned().unwrap_or_default().with_waiting(member, session).ok_or_else(full)?;
             if current != Some(&requested) {
--- a/crates/pebblepost-fleet/src/state/members.rs
+++ b/crates/pebblepost-fleet/src/state/members.rs
@@ -1,6 +1,6 @@
 //! Members in the state: their incarnations, sessions and readiness.
 
-use super::{KeyChanges, MAX_INCARNATIONS, MAX_MEMBERS, Rejection, State, invalid};
+use super::{KeyChanges, MAX_INCARNATIONS_PER_MEMBER, MAX_MEMBERS, Rejection, State, invalid};
 use crate::name::{IncarnationId, Key, Name};
 use crate::value::{Member, MemberInfo, Presence, Value};
 use std::collections::VecDeque;
@@ -41,7 +41,7 @@
             incarnation: 1,
             session: self.revision + 1,
             presence: Presence::Present,
-            last_report: 0,
+            last_report_sequence: 0,
             incarnation_ids: VecDeque::from([incarnation_id]),
         })
     }
@@ -53,7 +53,7 @@
             info: info.clone(),
             session: self.revision + 1,
             presence: Presence::Present,
-            last_report: 0,
+            last_report_sequence: 0,
             ..old.clone()
         };
         if old.incarnation_id() == Some(incarnation_id) {
@@ -64,7 +64,7 @@
             return Err(Rejection::Superseded { member: name.clone(), incarnation: old.incarnation });
         }
         member.incarnation_ids.push_front(incarnation_id);
-        member.incarnation_ids.truncate(MAX_INCARNATIONS);
+        member.incarnation_ids.truncate(MAX_INCARNATIONS_PER_MEMBER);
         member.incarnation += 1;
         Ok(member)
     }
@@ -81,11 +81,11 @@
         &self, name: &Name, session: u64, sequence: u64, ready: bool,
     ) -> Result<KeyChanges, Rejection> {
         let current = self.in_session(name, session)?;
-        if sequence <= current.last_report {
+        if sequence <= current.last_report_sequence {
             return Ok(KeyChanges::new());
         }
         let info = MemberInfo { ready, ..current.info.clone() };
-        let member = Member { info, last_report: sequence, ..current.clone() };
+        let member = Member { info, last_report_sequence: sequence, ..current.clone() };
         Ok(vec![(Key::Member(name.clone()), Some(Value::Member(member)))])
     }
 
--- a/crates/pebblepost-fleet/src/state/mod.rs
+++ b/crates/pebblepost-fleet/src/state/mod.rs
@@ -34,18 +34,18 @@
 /// Most waves of a release, and most zones in its order.
 pub const MAX_WAVES: usize = 32;
 /// Most numbers of replicas, removed ones included.
-pub const MAX_REPLICAS: usize = 1_024;
+pub const MAX_REPLICA_NUMBERS: usize = 1_024;
 /// Most operations, tasks or workers in one command.
-pub const MAX_OPERATIONS: usize = 1_024;
+pub const MAX_OPERATIONS_PER_COMMAND: usize = 1_024;
 /// Most changed keys in the log of changes; the oldest changes are compacted first.
 pub const MAX_LOGGED_KEYS: usize = 16_384;
 /// Most results that are kept, so that a retry of a request gets the same one.
-pub const MAX_RESULTS: usize = 8_192;
+pub const MAX_STORED_RESULTS: usize = 8_192;
 /// A restored state continues this far beyond the larger of its own revision and the backup's: followers may
 /// have seen revisions that the backup has not.
 pub const RESTORE_REVISION_GAP: u64 = 1 << 20;
 /// Most incarnations of a member that are remembered, so that an old process does not take its name back.
-const MAX_INCARNATIONS: usize = 8;
+const MAX_INCARNATIONS_PER_MEMBER: usize = 8;
 
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -151,7 +151,7 @@
 
     fn remember_result(&mut self, id: RequestId, result: &CommandResult) {
         self.results.push_back((id, result.clone()));
-        if self.results.len() > MAX_RESULTS {
+        if self.results.len() > MAX_STORED_RESULTS {
             self.results.pop_front();
         }
     }
--- a/crates/pebblepost-fleet/src/state/permits.rs
+++ b/crates/pebblepost-fleet/src/state/permits.rs
@@ -86,7 +86,7 @@
     /// The grants of a kind that fit now, with the drain marks of workers.
     fn granted_permits(&self, kind: SubjectKind, revision: u64) -> KeyChanges {
         let mut changes = KeyChanges::new();
-        for name in self.availability(kind).grants() {
+        for name in self.availability(kind).select_grants() {
             let member = self.member(&name).filter(|_| kind == SubjectKind::Dispatcher);
             let incarnation_id = member.and_then(Member::incarnation_id);
             let subject = Subject { kind, name };
--- a/crates/pebblepost-fleet/src/state/replicas.rs
+++ b/crates/pebblepost-fleet/src/state/replicas.rs
@@ -1,6 +1,6 @@
 //! The disks of the Raft group's replicas.
 
-use super::{CommandResult, MAX_REPLICAS, Outcome, Rejection, State, invalid};
+use super::{CommandResult, MAX_REPLICA_NUMBERS, Outcome, Rejection, State, invalid};
 
 impl State {
     /// Registers the disks of the group's replicas, as its membership lists them.
@@ -19,9 +19,9 @@
                     "keeper {replica} has been in the group with another disk; a new disk takes a new number"
                 ));
             }
-            None if self.replica_disks.len() >= MAX_REPLICAS => {
+            None if self.replica_disks.len() >= MAX_REPLICA_NUMBERS => {
                 let resource = "numbers of keepers".to_owned();
-                return Err(Rejection::Full { resource, capacity: MAX_REPLICAS });
+                return Err(Rejection::Full { resource, capacity: MAX_REPLICA_NUMBERS });
             }
             _ => {}
         }
--- a/crates/pebblepost-fleet/src/state/workers.rs
+++ b/crates/pebblepost-fleet/src/state/workers.rs
@@ -1,6 +1,6 @@
 //! Workers in the state, as a majority of the dispatchers observes them.
 
-use super::{KeyChanges, MAX_OPERATIONS, MAX_WORKERS, Rejection, State, invalid};
+use super::{KeyChanges, MAX_OPERATIONS_PER_COMMAND, MAX_WORKERS, Rejection, State, invalid};
 use crate::name::{Key, Name};
 use crate::value::{Value, Worker, WorkerDiff, WorkerObservation};
 
@@ -21,9 +21,11 @@
     /// Takes in observations. Other fields of a worker stay; one that is gone is removed, except for its
     /// drain mark and permit.
     pub(super) fn update_workers(&self, workers: &WorkerDiff) -> Result<KeyChanges, Rejection> {
-        if workers.len() > MAX_OPERATIONS {
+        if workers.len() > MAX_OPERATIONS_PER_COMMAND {
             let count = workers.len();
-            return invalid(format!("at most {MAX_OPERATIONS} workers in one command, not {count}"));
+            return invalid(format!(
+                "at most {MAX_OPERATIONS_PER_COMMAND} workers in one command, not {count}"
+            ));
         }
         let mut changes = KeyChanges::new();
         for (name, observation) in workers {
--- a/crates/pebblepost-fleet/src/value/lease.rs
+++ b/crates/pebblepost-fleet/src/value/lease.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Most members that wait for one lease.
-pub const MAX_WAITING: usize = 64;
+pub const MAX_WAITING_MEMBERS_PER_LEASE: usize = 64;
 
 /// The holder of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,7 +51,7 @@
     pub fn with_waiting(&self, member: &Name, session: u64) -> Option<Self> {
         let mut lease = self.clone();
         if !lease.is_held_by(member, session) && !lease.queue.contains(member) {
-            if lease.queue.len() >= MAX_WAITING {
+            if lease.queue.len() >= MAX_WAITING_MEMBERS_PER_LEASE {
                 return None;
             }
             lease.queue.push(member.clone());
--- a/crates/pebblepost-fleet/src/value/member.rs
+++ b/crates/pebblepost-fleet/src/value/member.rs
@@ -50,7 +50,7 @@
     pub presence: Presence,
     /// The sequence number of its last readiness report in this session.
     #[serde(rename = "reports", default)]
-    pub last_report: u64,
+    pub last_report_sequence: u64,
     /// The present incarnation and those before it, the latest first.
     #[serde(rename = "lives")]
     pub(crate) incarnation_ids: VecDeque<IncarnationId>,
--- a/crates/pebblepost-fleet/src/value/mod.rs
+++ b/crates/pebblepost-fleet/src/value/mod.rs
@@ -10,11 +10,11 @@
 mod release;
 mod worker;
 
-pub use lease::{Lease, LeaseHolder, MAX_WAITING};
+pub use lease::{Lease, LeaseHolder, MAX_WAITING_MEMBERS_PER_LEASE};
 pub use member::{Member, MemberInfo, Presence, Role};
 pub use permit::{Budget, Limit, ParseLimitError, Permit};
 pub use release::Release;
-pub use worker::{MAX_DIFF_ENTRIES, Worker, WorkerDiff, WorkerObservation, WorkerStatus};
+pub use worker::{MAX_WORKER_DIFF_ENTRIES, Worker, WorkerDiff, WorkerObservation, WorkerStatus};
 
 use crate::name::{Key, Name, Text};
 use serde::{Deserialize, Serialize};
--- a/crates/pebblepost-fleet/src/value/worker.rs
+++ b/crates/pebblepost-fleet/src/value/worker.rs
@@ -2,7 +2,7 @@
 //!
 //! Each dispatcher sends with its heartbeats only what differs from the replicated list
 //! ([`Follower::diff_observations`](crate::follower::Follower::diff_observations)). What a majority reports
-//! alike, the Raft leader commits ([`majority_update`](crate::leader::majority_update)), so a dispatcher that
+//! alike, the Raft leader commits ([`majority_worker_update`](crate::leader::majority_worker_update)), so a dispatcher that
 //! is partitioned from a worker or from discovery changes nothing, and a correct list causes no traffic.
 
 use crate::name::{Name, Text};
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 /// Most workers in one heartbeat's diff; the first by name, so that all dispatchers report on the same ones.
-pub const MAX_DIFF_ENTRIES: usize = 64;
+pub const MAX_WORKER_DIFF_ENTRIES: usize = 64;
 
 /// A worker as it was last known.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/pebblepost-fleet/tests/decisions.rs
+++ b/crates/pebblepost-fleet/tests/decisions.rs
@@ -4,7 +4,9 @@
 
 use pebblepost_fleet::follower::Follower;
 use pebblepost_fleet::heartbeat::HeartbeatReport;
-use pebblepost_fleet::leader::{HeartbeatOutcome, Sessions, drain_status, majority_update, request_totals};
+use pebblepost_fleet::leader::{
+    HeartbeatOutcome, Sessions, drain_status, majority_worker_update, request_totals,
+};
 use pebblepost_fleet::release_driver::{NextStep, ReleaseDriver, ReleasePolicy};
 use pebblepost_fleet::session::SessionTtl;
 use pebblepost_fleet::simulation::{ReleasePlan, simulate};
@@ -191,8 +193,8 @@
                 sessions.record_heartbeat(now, &state, &member, session, doing) == HeartbeatOutcome::Renewed;
             digest.json(&counted);
         }
-        acts.extend(sessions.expired(now, &state));
-        acts.extend(majority_update(&state, &sessions));
+        acts.extend(sessions.expire_sessions(now, &state));
+        acts.extend(majority_worker_update(&state, &sessions));
         digest.json(&acts);
         let requests = request_totals(&state, &sessions);
         digest.json(&requests);
@@ -282,15 +284,17 @@
     for kind in [SubjectKind::Dispatcher, SubjectKind::Worker] {
         let availability = state.availability(kind);
         digest.json(&(
-            availability.unavailable(),
-            availability.reached(),
+            availability.unavailable_count(),
+            availability.reached_count(),
             availability.wave_is_complete(),
             availability.queue(),
-            availability.grants(),
+            availability.select_grants(),
         ));
         for name in availability.subjects.keys() {
             digest.text(
-                &availability.check(name).map_or_else(|waits| waits.to_string(), |()| "fits".to_owned()),
+                &availability
+                    .check_grant(name)
+                    .map_or_else(|waits| waits.to_string(), |()| "fits".to_owned()),
             );
             digest.json(&availability.impossible_reason(name).map(|reason| reason.to_string()));
         }
--- a/crates/pebblepost-fleet/tests/leader.rs
+++ b/crates/pebblepost-fleet/tests/leader.rs
@@ -3,9 +3,11 @@
 
 use pebblepost_fleet::follower::Follower;
 use pebblepost_fleet::heartbeat::{HeartbeatReport, MAX_BUSY_WORKERS, RequestCounts};
-use pebblepost_fleet::leader::{Sessions, UnconfirmedReason, drain_status, majority_update, request_totals};
+use pebblepost_fleet::leader::{
+    Sessions, UnconfirmedReason, drain_status, majority_worker_update, request_totals,
+};
 use pebblepost_fleet::session::SessionTtl;
-use pebblepost_fleet::value::{MAX_DIFF_ENTRIES, MemberInfo, Role, WorkerObservation, WorkerStatus};
+use pebblepost_fleet::value::{MAX_WORKER_DIFF_ENTRIES, MemberInfo, Role, WorkerObservation, WorkerStatus};
 use pebblepost_fleet::{
     Action, Budget, Command, IncarnationId, Limit, Name, Operation, RequestId, State, Subject, SubjectKind,
     Text,
@@ -66,7 +68,7 @@
 
     /// Commits what a majority reports, if that changes anything.
     fn commits_majority_update(&mut self) -> bool {
-        let update = majority_update(&self.state, &self.sessions);
+        let update = majority_worker_update(&self.state, &self.sessions);
         update.into_iter().map(|action| self.apply(action)).count() > 0
     }
 
@@ -182,7 +184,7 @@
     assert_eq!(
         (
             fleet.state.availability(SubjectKind::Worker).subjects.len(),
-            fleet.state.availability(SubjectKind::Worker).unavailable()
+            fleet.state.availability(SubjectKind::Worker).unavailable_count()
         ),
         (2, 0)
     );
@@ -222,7 +224,7 @@
     assert!(fleet.commits_majority_update() && granted(&fleet) == 1, "w is gone");
     assert_eq!(fleet.state.worker_count(), 1);
     // A heartbeat lists a bounded number of workers, and all dispatchers list the same.
-    let many: Vec<String> = (0..3 * MAX_DIFF_ENTRIES).map(|n| format!("x{n:04}")).collect();
+    let many: Vec<String> = (0..3 * MAX_WORKER_DIFF_ENTRIES).map(|n| format!("x{n:04}")).collect();
     let many: Vec<(&str, WorkerStatus)> =
         many.iter().map(|worker| (worker.as_str(), WorkerStatus::Ready)).collect();
     let mut rounds = 0;
--- a/crates/pebblepost-fleet/tests/lease.rs
+++ b/crates/pebblepost-fleet/tests/lease.rs
@@ -160,14 +160,14 @@
     // The leader counts from when it saw that the session was superseded, by its own clock and with the
     // margin.
     let (mut leader, at) = (Sessions::new(TTL), Duration::from_secs_f64);
-    assert_eq!(leader.expired(at(10.0), &fleet.state), []);
+    assert_eq!(leader.expire_sessions(at(10.0), &fleet.state), []);
     assert_eq!(
         leader.record_heartbeat(at(13.0), &fleet.state, &name("a"), again, None),
         HeartbeatOutcome::Renewed
     );
-    assert_eq!(leader.expired(at(14.1), &fleet.state), []);
+    assert_eq!(leader.expire_sessions(at(14.1), &fleet.state), []);
     let expire = Action::ExpireSupersededSession { member: name("a"), session: first };
-    assert_eq!(leader.expired(at(14.3), &fleet.state), std::slice::from_ref(&expire));
+    assert_eq!(leader.expire_sessions(at(14.3), &fleet.state), std::slice::from_ref(&expire));
     fleet.apply(expire).expect("it was superseded");
     let (_, newer) = fleet.holder("t").expect("the new incarnation waits");
     assert!(newer > fence);
@@ -445,11 +445,11 @@
                 world.elections += 1;
                 world.leader = Sessions::new(SHORT);
                 if self.without == Without::Extension {
-                    world.leader.expired(Duration::ZERO, &world.fleet.state);
+                    world.leader.expire_sessions(Duration::ZERO, &world.fleet.state);
                 }
             }
             Step::Check => {
-                for action in world.leader.expired(there, &world.fleet.state) {
+                for action in world.leader.expire_sessions(there, &world.fleet.state) {
                     let _ = world.fleet.apply(action);
                 }
             }
--- a/crates/pebblepost-fleet/tests/model.rs
+++ b/crates/pebblepost-fleet/tests/model.rs
@@ -105,11 +105,11 @@
     fn overdue(&self) -> Vec<Action> {
         let mut leader = Sessions::new(TTL);
         // What it has seen since it began, in that order.
-        leader.expired(self.elapsed(self.began), &self.state);
+        leader.expire_sessions(self.elapsed(self.began), &self.state);
         if let Some((session, at)) = self.heard {
             leader.record_heartbeat(self.elapsed(at), &self.state, &name("m"), session, None);
         }
-        leader.expired(self.elapsed(self.now), &self.state)
+        leader.expire_sessions(self.elapsed(self.now), &self.state)
     }
 
     /// Whether an incarnation may rely on its session, by its own clock.
--- a/crates/pebblepost-fleet/tests/permits.rs
+++ b/crates/pebblepost-fleet/tests/permits.rs
@@ -88,7 +88,7 @@
     }
 
     fn wait_reason(&self, kind: SubjectKind, who: &str) -> Option<WaitReason> {
-        self.state.availability(kind).check(&name(who)).err()
+        self.state.availability(kind).check_grant(&name(who)).err()
     }
 }
 
@@ -252,10 +252,10 @@
     let at = fleet.state.permit(&subject("dispatcher/a")).and_then(|permit| permit.granted_at_revision);
     let mut copy = Follower::default();
     copy.apply_snapshot(Duration::ZERO, fleet.state.snapshot()).expect("newer than nothing");
-    assert_eq!((at.is_some(), copy.permit_granted_at(&name("a"), IncarnationId(7, 0))), (true, at));
+    assert_eq!((at.is_some(), copy.permit_granted_revision(&name("a"), IncarnationId(7, 0))), (true, at));
     // The next incarnation reads the same stored copy; another dispatcher reads it as well.
-    assert_eq!(copy.permit_granted_at(&name("a"), IncarnationId(7, 1)), None);
-    assert_eq!(copy.permit_granted_at(&name("b"), IncarnationId(7, 100)), None);
+    assert_eq!(copy.permit_granted_revision(&name("a"), IncarnationId(7, 1)), None);
+    assert_eq!(copy.permit_granted_revision(&name("b"), IncarnationId(7, 100)), None);
 }
 
 #[test]
@@ -409,7 +409,7 @@
         let answer = self.state.apply(&Command { id, issued_by: name("o"), issued_at_ms: 0, action });
         let newly = granted(&self.state).into_iter().any(|n| !before.contains(&n));
         self.over_budget |=
-            newly && self.state.availability(SubjectKind::Dispatcher).unavailable() > self.most;
+            newly && self.state.availability(SubjectKind::Dispatcher).unavailable_count() > self.most;
         answer.is_ok()
     }
 }
--- a/crates/pebblepost-fleet/tests/release.rs
+++ b/crates/pebblepost-fleet/tests/release.rs
@@ -385,5 +385,8 @@
     act(&mut state, change(Operation::SetBudget(SubjectKind::Dispatcher, tight))).expect("a sound budget");
     act(&mut state, release(&["z"])).expect("a sound release");
     assert_eq!(leaving(&state), [2]);
-    assert_eq!(state.availability(SubjectKind::Dispatcher).check(&name("d0")), Err(WaitReason::ZoneOrder));
+    assert_eq!(
+        state.availability(SubjectKind::Dispatcher).check_grant(&name("d0")),
+        Err(WaitReason::ZoneOrder)
+    );
 }
--- a/crates/pebblepost-fleet/tests/state.rs
+++ b/crates/pebblepost-fleet/tests/state.rs
@@ -3,7 +3,7 @@
 use pebblepost_fleet::follower::{Follower, LocalDrainError, ProposalOutcome, UpdateError};
 use pebblepost_fleet::leader::{HeartbeatOutcome, Sessions};
 use pebblepost_fleet::session::SessionTtl;
-use pebblepost_fleet::state::{MAX_LOGGED_KEYS, MAX_OPERATIONS, MAX_RESULTS, MAX_WORKERS};
+use pebblepost_fleet::state::{MAX_LOGGED_KEYS, MAX_OPERATIONS_PER_COMMAND, MAX_STORED_RESULTS, MAX_WORKERS};
 use pebblepost_fleet::value::{MemberInfo, Presence, Role, Worker};
 use pebblepost_fleet::{
     Action, Command, CommandResult, IncarnationId, Key, Name, Operation, Precondition, Rejection, RequestId,
@@ -104,11 +104,12 @@
     // The result was lost, and the request comes again late: it must not bring the mark back.
     assert_eq!(fleet.state.apply(&request), first);
     assert!(!fleet.drained("a"));
-    for n in 0..MAX_RESULTS {
+    for n in 0..MAX_STORED_RESULTS {
         assert!(fleet.change(vec![drain(&format!("w{n}"))], vec![]).is_ok());
     }
     assert!(
-        serde_json::to_string(&fleet.state).expect("plain data").matches("\"Ok\"").count() <= MAX_RESULTS
+        serde_json::to_string(&fleet.state).expect("plain data").matches("\"Ok\"").count()
+            <= MAX_STORED_RESULTS
     );
 }
 
@@ -116,7 +117,7 @@
 fn rejects_invalid_commands_without_any_effect() {
     let mut fleet = Fleet::default();
     let set = |name_: &str, value| vec![Operation::SetSetting(name(name_), value)];
-    let many = (0..=MAX_OPERATIONS).map(|n| drain(&n.to_string())).collect();
+    let many = (0..=MAX_OPERATIONS_PER_COMMAND).map(|n| drain(&n.to_string())).collect();
     let cases = [
         vec![],
         many,
@@ -145,7 +146,7 @@
     let mut fleet = Fleet::default();
     let mut known = 0;
     while known < MAX_WORKERS {
-        let some = MAX_OPERATIONS.min(MAX_WORKERS - known);
+        let some = MAX_OPERATIONS_PER_COMMAND.min(MAX_WORKERS - known);
         let ops =
             (known..known + some).map(|n| Operation::PutWorker(name(&n.to_string()), worker())).collect();
         assert!(fleet.change(ops, vec![]).is_ok());
@@ -207,8 +208,8 @@
     let mut leader = Sessions::new(ttl);
     let at = Duration::from_secs_f64;
     // A new leader has received no heartbeat: it counts from its own beginning.
-    assert_eq!(leader.expired(at(100.0), &fleet.state), []);
-    assert_eq!(leader.expired(at(110.4), &fleet.state), []);
+    assert_eq!(leader.expire_sessions(at(100.0), &fleet.state), []);
+    assert_eq!(leader.expire_sessions(at(110.4), &fleet.state), []);
     assert_eq!(
         leader.record_heartbeat(at(110.4), &fleet.state, &name("n0"), session, None),
         HeartbeatOutcome::Renewed
@@ -217,8 +218,8 @@
         leader.record_heartbeat(at(110.4), &fleet.state, &name("n0"), session + 1, None),
         HeartbeatOutcome::SessionEnded
     );
-    assert_eq!(leader.expired(at(120.8), &fleet.state), []);
-    let expired = leader.expired(at(121.0), &fleet.state);
+    assert_eq!(leader.expire_sessions(at(120.8), &fleet.state), []);
+    let expired = leader.expire_sessions(at(121.0), &fleet.state);
     assert_eq!(expired, [Action::ExpireSession { member: name("n0"), session }]);
     // The command is late: meanwhile the member has joined again.
     let fresh = fleet.join("n0", 1).expect("no rule rejects it").session.expect("a join");
--- a/crates/pebblepost/src/fleet_agent/shared.rs
+++ b/crates/pebblepost/src/fleet_agent/shared.rs
@@ -45,7 +45,7 @@
             newest_drain_revision: follower.newest_drain_revision(),
             local_drains: follower.local_drains().count(),
             settings: settings.collect(),
-            permit_revision: follower.permit_granted_at(&member.name, member.incarnation),
+            permit_revision: follower.permit_granted_revision(&member.name, member.incarnation),
         }
     }
 
--- a/crates/pebblepost/src/operator/permits.rs
+++ b/crates/pebblepost/src/operator/permits.rs
@@ -29,7 +29,7 @@
 
     fn print_availability(&self, availability: &Availability, kind: SubjectKind) {
         let waits_for = |name: &Name| {
-            availability.check(name).err().map_or_else(String::new, |reason| reason.to_string())
+            availability.check_grant(name).err().map_or_else(String::new, |reason| reason.to_string())
         };
         let queue = availability.queue().into_iter();
         let queue: Vec<Json> = queue.map(|name| json!({"name": name, "waits": waits_for(name)})).collect();
@@ -46,7 +46,7 @@
         self.print(json, &|| {
             let budget = availability.budget.map_or("no budget".to_owned(), |budget| budget_text(&budget));
             let halted = if availability.halted { ", halted" } else { "" };
-            let (unavailable, all) = (availability.unavailable(), availability.subjects.len());
+            let (unavailable, all) = (availability.unavailable_count(), availability.subjects.len());
             let mut text = format!("{kind}: {unavailable} of {all} out; {budget}{halted}");
             for (name, subject) in availability.subjects.iter().filter(|(_, subject)| subject.unavailable) {
                 let reason = match subject.permit.and_then(|permit| permit.granted_at_revision) {
--- a/crates/pebblepost/src/operator/releases.rs
+++ b/crates/pebblepost/src/operator/releases.rs
@@ -20,8 +20,8 @@
     /// Prints the status of the release.
     pub(super) fn print_release(&self, snapshot: &Snapshot) {
         let availability = snapshot.availability(SubjectKind::Dispatcher);
-        let (all, unavailable) = (availability.subjects.len(), availability.unavailable());
-        let (reached, queue) = (availability.reached(), availability.queue().len());
+        let (all, unavailable) = (availability.subjects.len(), availability.unavailable_count());
+        let (reached, queue) = (availability.reached_count(), availability.queue().len());
         let limit = availability.release.map(|release| release.wave_limit(all));
         let json = json!({
             "release": availability.release, "all": all, "reached": reached, "wave_allows": limit,
