--- a/crates/pebblepost-fleet/src/availability/counts.rs
+++ b/crates/pebblepost-fleet/src/availability/counts.rs
@@ -3,22 +3,23 @@
 use super::SubjectStatus;
 use std::collections::BTreeMap;
 
-/// How many there are, and how many of them are unavailable.
+/// The size of a group, and how many of its subjects are unavailable.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct GroupCounts {
     pub(super) total: usize,
     pub(super) unavailable: usize,
 }
 
-/// The counts that budgets and waves limit.
+/// The counts of one kind of subjects.
 #[derive(Debug, Default)]
 pub(super) struct Counts<'a> {
     pub(super) fleet: GroupCounts,
-    /// Those that have the release's version, or a granted permit to change to it.
+    /// Number of subjects that have the release's version, or a granted permit to change to it.
     pub(super) reached: usize,
     pub(super) zones: BTreeMap<&'a str, GroupCounts>,
     pub(super) machine_types: BTreeMap<&'a str, GroupCounts>,
-    /// The first position in the release's order of zones at which a subject waits.
+    /// First position in the release's order of zones at which a subject waits for its permit; `usize::MAX`
+    /// if none waits.
     pub(super) first_waiting_zone: usize,
 }
 
--- a/crates/pebblepost-fleet/src/availability/mod.rs
+++ b/crates/pebblepost-fleet/src/availability/mod.rs
@@ -1,10 +1,10 @@
-//! The disruption budget's rules: which permits may be granted now, and why others wait. Pure decisions over
-//! the entries.
+//! The rules of disruption budgets: which permits can be granted now, and why others wait. They are pure
+//! functions of the entries.
 //!
-//! No single program grants permits: whoever wants something out of service requests it, and the state itself
-//! grants whatever fits, in the order of the queue, with each command that it applies. So no driver, however
-//! late, paused or duplicated, can exceed a budget. What is unavailable without a permit (lost, not ready,
-//! drained by hand) uses the budget up as well.
+//! No single process grants permits. An operator or member requests one, and the state itself grants those
+//! that the rules allow, in the order of the queue, with each command that it applies. So a driver that is
+//! late, paused or duplicated cannot exceed a budget. Subjects that are unavailable without a permit (lost,
+//! not ready or drained by hand) count against the budget as well.
 
 mod counts;
 mod reasons;
@@ -16,23 +16,23 @@
 use crate::value::{Budget, Entry, Permit, Release, Role, Snapshot, Value, WorkerStatus};
 use std::collections::BTreeMap;
 
-/// How one dispatcher or worker stands.
+/// The status of one dispatcher or worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SubjectStatus<'a> {
-    /// Its zone, or empty.
+    /// Zone of the subject; empty if it has none.
     pub zone: &'a str,
-    /// Its type of machine, or empty.
+    /// Machine type of a worker; empty if it is unknown, and for dispatchers.
     pub machine_type: &'a str,
-    /// Whether it is unavailable: by a permit, or without one.
+    /// Whether the subject is unavailable, by a granted permit or for another reason.
     pub unavailable: bool,
-    /// Its version, or empty.
+    /// Version of a dispatcher; empty for workers.
     pub version: &'a str,
-    /// Its permit.
+    /// Permit of the subject, requested or granted.
     pub permit: Option<&'a Permit>,
 }
 
 impl SubjectStatus<'_> {
-    /// Whether it has a version, or has a granted permit to change to it.
+    /// Returns whether the subject has the version, or has a granted permit to change to it.
     fn has_reached(&self, version: &str) -> bool {
         let changes_to =
             self.permit.is_some_and(|permit| permit.is_granted() && permit.version.as_str() == version);
@@ -40,28 +40,28 @@
     }
 }
 
-/// All dispatchers or all workers, and the rules that apply to them.
+/// All subjects of one kind, and the rules that apply to them.
 #[derive(Clone, Debug, Default)]
 pub struct Availability<'a> {
-    /// The subjects, by name.
+    /// Status of each subject, by name.
     pub subjects: BTreeMap<&'a Name, SubjectStatus<'a>>,
-    /// The budget; without one nothing is granted.
+    /// Disruption budget; without one no permit is granted.
     pub budget: Option<Budget>,
-    /// Whether nothing is granted until an operator resumes.
+    /// Whether no permit is granted until an operator ends the halt.
     pub halted: bool,
-    /// The release in progress.
+    /// Release in progress.
     pub release: Option<&'a Release>,
 }
 
 impl Snapshot {
-    /// All subjects of a kind, and the rules that apply to them.
+    /// Returns all subjects of a kind, and the rules that apply to them.
     pub fn availability(&self, kind: SubjectKind) -> Availability<'_> {
         Availability::new(&self.entries, kind)
     }
 }
 
 impl<'a> Availability<'a> {
-    /// The view of those entries that concerns one kind.
+    /// Collects the entries that concern one kind.
     pub(crate) fn new(entries: &'a BTreeMap<Key, Entry>, kind: SubjectKind) -> Self {
         let mut availability = Self {
             halted: entries.contains_key(&Key::Halt(kind)),
@@ -113,12 +113,13 @@
         }
     }
 
-    /// How many are unavailable.
+    /// Returns how many subjects are unavailable.
     pub fn unavailable_count(&self) -> usize {
         self.subjects.values().filter(|status| status.unavailable).count()
     }
 
-    /// How many have the release's version, or a granted permit to change to it.
+    /// Returns how many subjects have the release's version, or a granted permit to change to it. 0 without a
+    /// release.
     pub fn reached_count(&self) -> usize {
         let count = |release: &Release| {
             self.subjects.values().filter(|status| status.has_reached(release.version.as_str())).count()
@@ -126,7 +127,8 @@
         self.release.map_or(0, count)
     }
 
-    /// Whether all of the present wave have the release's version and are available.
+    /// Returns whether as many subjects as the present wave allows have the release's version and are
+    /// available.
     pub fn wave_is_complete(&self) -> bool {
         self.release.is_some_and(|release| {
             let is_complete = |status: &&SubjectStatus<'_>| {
--- a/crates/pebblepost-fleet/src/availability/reasons.rs
+++ b/crates/pebblepost-fleet/src/availability/reasons.rs
@@ -1,25 +1,26 @@
-//! Why permits wait, and why some could never be granted.
+//! The reasons why permits wait, and why some could never be granted.
 
 use crate::value::Limit;
 use std::fmt;
 use thiserror::Error;
 
-/// Why a permit waits.
+/// The reason why a permit waits. Its text is shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitReason {
-    /// There is no budget.
+    /// The kind has no disruption budget.
     NoBudget,
-    /// An operator, or a release's driver, has halted.
+    /// An operator or the driver of a release has halted the kind.
     Halted,
-    /// The fleet's limit is reached with that many others unavailable.
+    /// The limit of the fleet is reached: this many others are unavailable.
     FleetLimit(usize),
-    /// The zone's limit is reached with that many others unavailable.
+    /// The limit of the zone is reached: this many others in it are unavailable.
     ZoneLimit(usize),
-    /// The limit of its type of machine is reached with that many others unavailable.
+    /// The limit of the machine type is reached: this many others of it are unavailable.
     MachineTypeLimit(usize),
-    /// The wave's limit is reached: that many have the release's version.
+    /// The limit of the wave is reached: this many have the release's version, or a granted permit to change
+    /// to it.
     WaveLimit(usize),
-    /// Dispatchers of a zone that goes earlier still wait.
+    /// Dispatchers of an earlier zone in the release's order still wait.
     ZoneOrder,
 }
 
@@ -41,31 +42,32 @@
     }
 }
 
-/// Why a permit could never be granted under the present budget.
+/// The reason why a permit could never be granted under the present budget. Its text becomes part of stored
+/// rejections.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ImpossibleReason {
-    /// The fleet's limit is none of its total.
+    /// The limit of the fleet resolves to 0.
     #[error("the budget of {limit} lets none of {total} out")]
     Fleet {
-        /// The limit.
+        /// Limit of the budget.
         limit: Limit,
-        /// How many there are.
+        /// Number of subjects in the fleet.
         total: usize,
     },
-    /// The zone's limit is none of its total.
+    /// The limit of the zone resolves to 0.
     #[error("the budget lets none of the {total} in zone {zone:?} out")]
     Zone {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// How many there are.
+        /// Number of subjects in the zone.
         total: usize,
     },
-    /// The limit of the type of machine is none of its total.
+    /// The limit of the machine type resolves to 0.
     #[error("the budget lets none of the {total} of kind {machine_type:?} out")]
     MachineType {
-        /// The type of machine.
+        /// Machine type.
         machine_type: String,
-        /// How many there are.
+        /// Number of subjects of the machine type.
         total: usize,
     },
 }
--- a/crates/pebblepost-fleet/src/availability/rules.rs
+++ b/crates/pebblepost-fleet/src/availability/rules.rs
@@ -1,4 +1,4 @@
-//! The rules: which permits may be granted now, in which order, and why others wait.
+//! The rules by which permits are granted, the order of the queue, and the reasons why others wait.
 
 use super::counts::{Counts, GroupCounts};
 use super::{Availability, ImpossibleReason, SubjectStatus, WaitReason};
@@ -6,39 +6,40 @@
 use std::collections::BTreeSet;
 
 impl<'a> Availability<'a> {
-    /// Whether one of them could be granted a permit now. One that is unavailable already counts against the
-    /// budget once, not twice: it may be merely partitioned, and go later.
+    /// Checks whether a subject could be granted a permit now. A subject that is already unavailable counts
+    /// against the budget once, not twice: it may only be partitioned and be taken out of service later.
     ///
     /// # Errors
     ///
-    /// The first rule that makes it wait.
+    /// Returns the first rule that makes the subject wait.
     pub fn check_grant(&self, name: &Name) -> Result<(), WaitReason> {
         self.check_grant_with(&self.counts(), name)
     }
 
-    /// Why one of them could never be granted a permit, even if all others were available; `None`: it could.
+    /// Returns why a subject could never be granted a permit, even if all others were available, or `None` if
+    /// it could.
     pub fn impossible_reason(&self, name: &Name) -> Option<ImpossibleReason> {
         let budget = self.budget?;
         let (counts, status) = (self.counts(), self.subjects.get(name));
-        // An unknown one would be one more.
-        let itself = usize::from(status.is_none());
-        let total = counts.fleet.total + itself;
+        // An unknown subject would be added to the totals.
+        let added = usize::from(status.is_none());
+        let total = counts.fleet.total + added;
         if budget.max_unavailable.resolve(total) == 0 {
             return Some(ImpossibleReason::Fleet { limit: budget.max_unavailable, total });
         }
         let zone = status.map_or("", |status| status.zone);
-        let total = counts.zone(status).total + itself;
+        let total = counts.zone(status).total + added;
         if budget.zone_limit(total) == 0 {
             return Some(ImpossibleReason::Zone { zone: zone.to_owned(), total });
         }
         let machine_type = status.map_or("", |status| status.machine_type);
-        let total = counts.machine_type(status).total + itself;
+        let total = counts.machine_type(status).total + added;
         (budget.machine_type_limit(total) == 0)
             .then(|| ImpossibleReason::MachineType { machine_type: machine_type.to_owned(), total })
     }
 
-    /// The subjects whose permits wait: urgent ones first, then by the release's order of zones, then by the
-    /// revision of the request.
+    /// Returns the subjects whose permits wait: urgent ones first, then by the release's order of zones, then
+    /// by the revision of the request.
     pub fn queue(&self) -> Vec<&'a Name> {
         let position = |zone| self.release.map_or(0, |release| release.zone_position(zone));
         let mut queue: Vec<(bool, usize, u64, &Name)> = self
@@ -52,8 +53,9 @@
         queue.into_iter().map(|(_, _, _, name)| name).collect()
     }
 
-    /// The subjects of the queue whose permits are granted now. One whose zone has no capacity lets others
-    /// pass; it is first again as soon as anything changes.
+    /// Returns the subjects of the queue whose permits can be granted now, together. A subject that does not
+    /// fit, for instance because its zone has no capacity, is skipped. It keeps its place in the queue and is
+    /// considered first again after the next change.
     pub fn select_grants(&self) -> Vec<Name> {
         let mut counts = self.counts();
         let (mut grants, mut granted) = (Vec::new(), BTreeSet::new());
@@ -95,8 +97,8 @@
         counts
     }
 
-    /// The first position in the release's order of zones at which a subject waits that is not among those
-    /// granted already.
+    /// Returns the first position in the release's order of zones at which a subject outside `granted` waits
+    /// for a permit of the release, or `usize::MAX` if none does.
     fn first_waiting_zone(&self, granted: &BTreeSet<&Name>) -> usize {
         let Some(release) = self.release else { return usize::MAX };
         let waits = |(name, status): &(&&Name, &SubjectStatus<'_>)| {
@@ -121,25 +123,26 @@
             return Ok(());
         }
         self.check_release(counts, status)?;
-        let itself = usize::from(status.is_some_and(|status| status.unavailable));
-        let others = counts.fleet.unavailable - itself;
+        // A subject that is unavailable already is part of the counts and must not be counted twice.
+        let counted_already = usize::from(status.is_some_and(|status| status.unavailable));
+        let others = counts.fleet.unavailable - counted_already;
         if others + 1 > budget.max_unavailable.resolve(counts.fleet.total) {
             return Err(WaitReason::FleetLimit(others));
         }
         let zone = counts.zone(status);
-        let others = zone.unavailable - itself;
+        let others = zone.unavailable - counted_already;
         if others + 1 > budget.zone_limit(zone.total) {
             return Err(WaitReason::ZoneLimit(others));
         }
         let machine_type = counts.machine_type(status);
-        let others = machine_type.unavailable - itself;
+        let others = machine_type.unavailable - counted_already;
         if others + 1 > budget.machine_type_limit(machine_type.total) {
             return Err(WaitReason::MachineTypeLimit(others));
         }
         Ok(())
     }
 
-    /// The wave's limit and the order of zones, for permits of the release.
+    /// Checks the wave's limit and the order of zones, which apply to permits of the release.
     fn check_release(
         &self, counts: &Counts<'a>, status: Option<&SubjectStatus<'a>>,
     ) -> Result<(), WaitReason> {
--- a/crates/pebblepost-fleet/src/command.rs
+++ b/crates/pebblepost-fleet/src/command.rs
@@ -1,6 +1,6 @@
-//! Commands: what may change the replicated state, and what is answered.
+//! Commands that change the replicated state, and their results.
 //!
-//! This module only holds the messages. It owns no state and checks nothing but their form; the rules are in
+//! This module only defines the messages. It holds no state and checks only their form; the rules are in
 //! [`State::apply`](crate::State::apply).
 
 use crate::name::{IncarnationId, Key, Name, RequestId, Subject, SubjectKind, Text};
@@ -8,222 +8,227 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A request for a change of the replicated state: one entry of the Raft log.
+/// A request to change the replicated state: one entry of the Raft log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Command {
-    /// Identifies the request: a retry carries the same id and is applied once.
+    /// Id of the request. A retry carries the same id and is applied once.
     pub id: RequestId,
-    /// The operator, member or replica that issued it.
+    /// Operator, member or replica that issued the command.
     #[serde(rename = "by")]
     pub issued_by: Name,
-    /// The issuer's wall clock, in Unix time in milliseconds. Shown to operators; no decision depends on it.
+    /// Wall clock of the issuer, in Unix time in milliseconds. It is shown to operators; no decision depends
+    /// on it.
     #[serde(rename = "at_ms")]
     pub issued_at_ms: u64,
-    /// The requested change.
+    /// Requested change.
     #[serde(rename = "act")]
     pub action: Action,
 }
 
-/// What a [`Command`] asks for.
+/// The change that a [`Command`] requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Action {
     /// Applies all operations or none of them.
     Change {
-        /// The operations; each key at most once.
+        /// Operations, each on a different key.
         #[serde(rename = "ops")]
         operations: Vec<Operation>,
-        /// Nothing is changed unless all of these hold.
+        /// Conditions that must all hold; otherwise nothing is changed.
         #[serde(rename = "expect", default)]
         preconditions: Vec<Precondition>,
-        /// The reason, for the history.
+        /// Reason, for the history.
         #[serde(rename = "why", default)]
         reason: Text,
     },
-    /// Replaces drains, settings, budgets and workers by those of a backup. Members, permits and halts stay
-    /// as they are; members that only the backup has become lost. Revisions, sessions and incarnations never
-    /// go back.
+    /// Replaces drains, settings, budgets and workers by those of a backup. Members, leases, permits, halts
+    /// and the release stay as they are, as do the drain marks of workers with a granted permit. Halts that
+    /// only the backup has are added, and so are members, as lost. Revisions, sessions and incarnations never
+    /// decrease.
     Restore(Snapshot),
-    /// Registers the disk of a replica's number, so that the replica may join the Raft group.
+    /// Registers the disk of a replica number, so that the replica may join the Raft group.
     #[serde(rename = "admit")]
     AdmitReplica {
-        /// The replica's number.
+        /// Number of the replica.
         #[serde(rename = "keeper")]
         replica: u64,
-        /// The id of its disk.
+        /// Id of its disk.
         disk: u64,
     },
-    /// Begins a session of a member; its previous session ends.
+    /// Begins a session of a member, which supersedes its previous session.
     Join {
-        /// The member.
+        /// Name of the member.
         member: Name,
-        /// The id of the member's process.
+        /// Id of the member's process.
         #[serde(rename = "life")]
         incarnation_id: IncarnationId,
-        /// What the member says about itself.
+        /// What the member reports about itself.
         #[serde(rename = "card")]
         info: MemberInfo,
     },
     /// Reports whether a member accepts new clients.
     #[serde(rename = "report")]
     ReportReadiness {
-        /// The member.
+        /// Name of the member.
         member: Name,
-        /// Its session.
+        /// Session of the member.
         session: u64,
-        /// Counts the reports of this session, from 1: a late one changes nothing.
+        /// Number of the report in this session, counted from 1. A delayed report changes nothing.
         #[serde(rename = "number")]
         sequence: u64,
-        /// Whether it accepts new clients.
+        /// Whether the member accepts new clients.
         ready: bool,
     },
     /// Ends a session at the member's own request.
     Leave {
-        /// The member.
+        /// Name of the member.
         member: Name,
-        /// Its session.
+        /// Session of the member.
         session: u64,
     },
-    /// Queues a member for the leases of tasks. Each is granted as soon as it is free and the member is next.
+    /// Queues a member for the leases of tasks. Each lease is granted once it is free and the member is the
+    /// next eligible one.
     #[serde(rename = "acquire")]
     AcquireLeases {
-        /// The member.
+        /// Name of the member.
         member: Name,
-        /// Its session.
+        /// Session of the member.
         session: u64,
-        /// The tasks.
+        /// Tasks whose leases are requested.
         tasks: Vec<Name>,
     },
     /// Releases a lease whose holder has stopped acting on it, or removes a waiting member from its queue.
     #[serde(rename = "give_back")]
     ReleaseLease {
-        /// The member.
+        /// Name of the member.
         member: Name,
-        /// Its session when the lease was granted.
+        /// Session of the member at the grant.
         session: u64,
-        /// The task.
+        /// Task of the lease.
         task: Name,
-        /// The member that gets the lease next.
+        /// Waiting member that gets the lease next, ahead of the queue.
         #[serde(rename = "to", default)]
         successor: Option<Name>,
     },
-    /// Frees the leases of a superseded session that has certainly expired. Issued by the Raft leader.
+    /// Frees the leases of a superseded session that has certainly expired. The Raft leader issues this.
     #[serde(rename = "lapse")]
     ExpireSupersededSession {
-        /// The member.
+        /// Name of the member.
         member: Name,
-        /// The superseded session.
+        /// Superseded session.
         session: u64,
     },
-    /// Takes in what a majority of the dispatchers observes of workers. Issued by the Raft leader.
+    /// Applies what a majority of the dispatchers observes of workers. The Raft leader issues this.
     #[serde(rename = "sighted")]
     UpdateWorkers {
-        /// The observations by worker; `None`: the worker is gone.
+        /// Observations by worker; `None` if the worker is gone.
         workers: WorkerDiff,
     },
-    /// Ends a session without heartbeats. Issued by the Raft leader.
+    /// Ends a session that expired without heartbeats. The Raft leader issues this.
     #[serde(rename = "expire")]
     ExpireSession {
-        /// The member.
+        /// Name of the member.
         member: Name,
-        /// The session.
+        /// Expired session.
         session: u64,
     },
 }
 
-/// One change of the value at one key (and of those that follow from it).
+/// A change of the value at one key, with the changes that follow from it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Operation {
-    /// Sets a worker's drain mark: no new work goes to it.
+    /// Sets the drain mark of a worker, which gets no new work from then on.
     Drain(Name),
-    /// Removes a worker's drain mark.
+    /// Removes the drain mark of a worker.
     Undrain(Name),
-    /// Sets a setting's value.
+    /// Sets the value of a setting.
     #[serde(rename = "set")]
     SetSetting(Name, f64),
-    /// Removes a setting's value: the one of the operator's file applies again.
+    /// Removes the value of a setting, so that the value in the operator's configuration file applies again.
     #[serde(rename = "unset")]
     UnsetSetting(Name),
-    /// Adds or replaces a worker.
+    /// Adds or replaces the record of a worker.
     #[serde(rename = "know")]
     PutWorker(Name, Worker),
-    /// Removes a worker.
+    /// Removes the record of a worker.
     #[serde(rename = "forget")]
     RemoveWorker(Name),
-    /// Removes an absent member together with its incarnations.
+    /// Removes an absent member and the record of its incarnations.
     #[serde(rename = "dismiss")]
     RemoveMember(Name),
     /// Sets the disruption budget of a kind.
     #[serde(rename = "budget")]
     SetBudget(SubjectKind, Budget),
-    /// Removes the budget of a kind: no permit is granted without one.
+    /// Removes the disruption budget of a kind. Without one no permit is granted.
     #[serde(rename = "unbudget")]
     RemoveBudget(SubjectKind),
     /// Stops granting permits of a kind. Granted permits stay.
     Halt(SubjectKind),
     /// Ends a halt.
     Resume(SubjectKind),
-    /// Requests a permit. It is granted as soon as the budget allows it; requested again, it is the same
-    /// permit.
+    /// Requests a permit, which is granted as soon as the budget allows it. A request for a subject that has
+    /// a permit has no effect.
     #[serde(rename = "ask")]
     RequestPermit {
-        /// The dispatcher or worker.
+        /// Dispatcher or worker to take out of service.
         subject: Subject,
-        /// Served before requests that are not urgent.
+        /// Whether the request goes ahead of those that are not urgent.
         #[serde(default)]
         urgent: bool,
-        /// The version with which a dispatcher has to return; empty: any.
+        /// Version with which a dispatcher has to return; any if empty.
         #[serde(rename = "want", default)]
         version: Text,
     },
-    /// Withdraws a permit that was not granted yet. A granted one stays: its subject may have gone already.
+    /// Withdraws a permit that is not granted yet. A granted permit cannot be withdrawn, because its subject
+    /// may already be out of service.
     #[serde(rename = "withdraw")]
     WithdrawPermit(Subject),
-    /// A worker has returned: ends the permit granted at that revision and removes the drain mark.
+    /// Ends the permit of a worker that has returned, if it was granted at that revision, and removes the
+    /// drain mark.
     #[serde(rename = "back")]
     CompletePermit(Subject, u64),
-    /// Ends a permit on an operator's responsibility.
+    /// Ends a permit on the responsibility of an operator, who must give a reason.
     #[serde(rename = "force")]
     ForceCompletePermit(Subject),
-    /// Begins a release: every dispatcher with another version gets a permit request. Begun again, it is the
-    /// same release.
+    /// Begins a release: a permit is requested for every dispatcher with another version. If the release of
+    /// that version is in progress, this has no effect.
     #[serde(rename = "release")]
     BeginRelease {
-        /// The version.
+        /// Version to which all dispatchers change.
         #[serde(rename = "want")]
         version: Text,
-        /// How many dispatchers may have the version in each wave, those of earlier waves included.
+        /// Number of dispatchers that may have the version in each wave, those of earlier waves included.
         waves: Vec<Limit>,
-        /// The order of zones; see [`Release`](crate::value::Release).
+        /// Order of zones; see [`Release`](crate::value::Release).
         #[serde(rename = "zones", default)]
         zone_order: Vec<Text>,
     },
-    /// Rolls the release back to this version, in one wave; dispatchers that are unavailable go first.
+    /// Rolls the release back to this version in one wave. Unavailable dispatchers go first.
     #[serde(rename = "go_back")]
     RollBack(Text),
-    /// Ends the wave of this number, counted from 0, and begins the next.
+    /// Ends the wave with this number, counted from 0, and begins the next one.
     #[serde(rename = "advance")]
     AdvanceWave(u32),
-    /// Ends a release that all dispatchers have completed.
+    /// Ends the release once no permit for its version is left.
     EndRelease,
-    /// Asks the holder of a lease to release it.
+    /// Revokes a lease: its holder is asked to release it.
     #[serde(rename = "revoke")]
     RevokeLease {
-        /// The task.
+        /// Task of the lease.
         task: Name,
-        /// The fencing token of the grant that is meant.
+        /// Fencing token of the grant to revoke. A later grant is not affected.
         #[serde(rename = "fence")]
         fencing_token: u64,
-        /// The member that gets the lease next.
+        /// Waiting member that gets the lease next, ahead of the queue.
         #[serde(rename = "to", default)]
         successor: Option<Name>,
     },
 }
 
 impl Operation {
-    /// The key that it changes.
+    /// Returns the key that the operation changes.
     pub fn key(&self) -> Key {
         match self {
             Self::Drain(name) | Self::Undrain(name) => Key::Drain(name.clone()),
@@ -244,80 +249,80 @@
     }
 }
 
-/// A precondition: the last change of a key.
+/// A condition on the revision at which a key was last changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Precondition {
-    /// The key.
+    /// Key that is checked.
     pub key: Key,
-    /// The revision of its last change; 0: the key has no value.
+    /// Required revision of its last change; 0 if the key must have no value.
     pub revision: u64,
 }
 
-/// What an accepted command did.
+/// The result of an accepted command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// The revision of the state after the command, which a command without effect leaves as it was.
+    /// Revision of the state after the command. A command without effect leaves it unchanged.
     pub revision: u64,
-    /// The new session, for [`Action::Join`].
+    /// New session, for [`Action::Join`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub session: Option<u64>,
 }
 
-/// Why a command was rejected without any effect.
+/// The reason why a command was rejected without any effect.
 #[derive(Clone, Debug, Error, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rejection {
     /// A precondition does not hold.
     #[error("{key} was changed at revision {found}, not at {expected}")]
     Conflict {
-        /// The key.
+        /// Key of the precondition.
         key: Key,
-        /// The revision of the precondition.
+        /// Revision that the precondition requires.
         expected: u64,
-        /// The revision of the key's last change; 0: it has no value.
+        /// Revision of the key's last change; 0 if it has no value.
         found: u64,
-        /// The revision of the state that rejects.
+        /// Revision of the state that rejected the command.
         #[serde(rename = "at")]
         state_revision: u64,
     },
-    /// The command is not valid, or not in this state.
+    /// The command is not valid, or not valid in the present state.
     #[error("{reason}")]
     Invalid {
-        /// The reason, for people.
+        /// Reason, as readable text.
         #[serde(rename = "what")]
         reason: String,
     },
     /// A capacity limit is reached.
     #[error("no room for more: at most {capacity} {resource}")]
     Full {
-        /// The limited resource, for people.
+        /// Name of the limited resource, as readable text.
         #[serde(rename = "what")]
         resource: String,
-        /// The limit.
+        /// Maximum number.
         #[serde(rename = "most")]
         capacity: usize,
     },
-    /// A later incarnation has the member's name.
+    /// A later incarnation has taken the member's name.
     #[error(
         "{member} has started anew since (life {incarnation}); this process must end or take another name"
     )]
     Superseded {
-        /// The member.
+        /// Name of the member.
         member: Name,
-        /// The incarnation that has the name now.
+        /// Number of the incarnation that has the name now.
         incarnation: u64,
     },
-    /// The session has ended.
+    /// The session has ended, or was superseded.
     #[error("session {session} of {member} has ended; join again")]
     #[serde(rename = "ended")]
     SessionEnded {
-        /// The member.
+        /// Name of the member.
         member: Name,
-        /// The session named.
+        /// Session given in the command.
         session: u64,
     },
 }
 
-/// The answer to a command.
+/// The result of a command.
 pub type CommandResult = Result<Outcome, Rejection>;
--- a/crates/pebblepost-fleet/src/fencing.rs
+++ b/crates/pebblepost-fleet/src/fencing.rs
@@ -1,5 +1,6 @@
-//! The two sides of a lease outside the state: the holder, which must not act beyond its session, and what is
-//! acted on, which rejects an older holder. No I/O and no clock.
+//! Lease checks outside the replicated state. [`SessionValidity`] keeps a holder from acting beyond its
+//! session; [`FencingGuard`] lets the resource that is acted on reject an earlier holder. No I/O and no
+//! clock.
 
 use crate::name::Name;
 use crate::session::SessionTtl;
@@ -9,32 +10,40 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a member may rely on its session, by its own clock: from before it sent the last acknowledged
-/// heartbeat, less the margin for clock rates. The clock has to run on while the machine is suspended.
+/// The time until which a member may rely on its session, by its own clock. It counts from before the last
+/// acknowledged heartbeat was sent and subtracts the margin for clock rates. The clock must not stop while
+/// the machine is suspended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SessionValidity {
     session: u64,
-    until: Duration,
+    valid_until: Duration,
 }
 
 impl SessionValidity {
-    /// Of a session that an acknowledged join or heartbeat, sent at that time, began or renewed.
+    /// Returns the validity of a session that was begun or renewed by an acknowledged join or heartbeat sent
+    /// at `sent_at`.
     pub fn new(ttl: SessionTtl, session: u64, sent_at: Duration) -> Self {
-        Self { session, until: sent_at + ttl.for_member() }
+        Self { session, valid_until: sent_at + ttl.for_member() }
     }
 
-    /// Renewed by a later acknowledged heartbeat.
+    /// Returns the validity after a further acknowledged heartbeat. Of the same session the later end is
+    /// kept; another session replaces this one.
     #[must_use]
     pub fn renewed(self, ttl: SessionTtl, session: u64, sent_at: Duration) -> Self {
-        let other = Self::new(ttl, session, sent_at);
-        if session == self.session { Self { until: self.until.max(other.until), ..self } } else { other }
+        let renewal = Self::new(ttl, session, sent_at);
+        if session == self.session {
+            Self { valid_until: self.valid_until.max(renewal.valid_until), ..self }
+        } else {
+            renewal
+        }
     }
 
-    /// The fencing token to act with for a step of at most that duration.
+    /// Returns the fencing token for a step of the task that takes at most `max_duration`.
     ///
     /// # Errors
     ///
-    /// The lease is not held by this session, is revoked, or may expire during the step.
+    /// Fails if this session does not hold the lease, if the lease is revoked, or if the session may expire
+    /// during the step.
     pub fn authorize(
         &self, now: Duration, max_duration: Duration, member: &Name, lease: &Lease,
     ) -> Result<u64, NotAuthorized> {
@@ -44,48 +53,48 @@
         if lease.revoked {
             return Err(NotAuthorized::Revoked);
         }
-        if now + max_duration >= self.until {
+        if now + max_duration >= self.valid_until {
             return Err(NotAuthorized::WouldExpire);
         }
         Ok(holder.fencing_token)
     }
 }
 
-/// Why a step of a task must not begin.
+/// A step of a task must not begin.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum NotAuthorized {
     /// Another member, or an earlier session of this one, holds the lease.
-    #[error("the lease is not this session's")]
+    #[error("the lease is not held by this session")]
     NotHolder,
-    /// The holder is asked to release the lease.
-    #[error("the lease is asked back")]
+    /// The lease is revoked: its holder has to release it.
+    #[error("the lease is revoked")]
     Revoked,
     /// The session may expire before the step ends.
-    #[error("the session may end before the step does")]
+    #[error("the session may expire before the step ends")]
     WouldExpire,
 }
 
-/// The highest fencing token seen of each task, at the side that is acted on. Its owner stores it where it
-/// has to survive a restart.
+/// The highest fencing token seen for each task, kept by the resource that is acted on. If the check has to
+/// survive a restart, the owner must store the guard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencingGuard(BTreeMap<Name, u64>);
 
-/// A step came with a fencing token older than one seen before.
+/// A step carries a fencing token that is older than one seen before.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("fence {found} is older than {newest}")]
+#[error("fencing token {found} is older than {newest}")]
 pub struct StaleFencingToken {
-    /// The token of the step.
+    /// Fencing token of the step.
     pub found: u64,
-    /// The newest token seen.
+    /// Newest fencing token seen for the task.
     pub newest: u64,
 }
 
 impl FencingGuard {
-    /// Accepts a step and remembers its token.
+    /// Checks the fencing token of a step and records it.
     ///
     /// # Errors
     ///
-    /// A newer token of the task was seen before.
+    /// Fails if a newer token of the task was seen before.
     pub fn check(&mut self, task: &Name, fencing_token: u64) -> Result<(), StaleFencingToken> {
         let newest = self.0.entry(task.clone()).or_insert(0);
         if fencing_token < *newest {
--- a/crates/pebblepost-fleet/src/follower.rs
+++ b/crates/pebblepost-fleet/src/follower.rs
@@ -1,11 +1,11 @@
-//! A dispatcher's copy of the replicated state, and the drains requested at it while it was partitioned from
-//! the group.
+//! A dispatcher's copy of the replicated state, and the drains requested at the dispatcher while it was
+//! partitioned from the Raft group.
 //!
-//! A drain requested here takes effect at once and is marked *local*. When the group is reached again it is
-//! proposed, with the revision that the drain's key had at the request as precondition. So **the group wins**
-//! where it has changed that worker's drain meanwhile (its decision may be newer, and it is in the history);
-//! otherwise the drain becomes replicated. Either way the local mark is removed only once this copy has what
-//! the group decided: there is no moment without a mark.
+//! A drain requested here takes effect at once as a *local drain*. When the group is reachable again, the
+//! drain is proposed with a precondition: the revision that its key had at the request. If the group has
+//! changed the drain of that worker in the meantime, **the group's decision wins**, because it may be newer
+//! and is in the history. Otherwise the drain becomes replicated. In both cases the local drain is removed
+//! only once this copy contains the decision, so there is no gap without a mark.
 
 use crate::command::{Action, Command, CommandResult, Operation, Precondition, Rejection};
 use crate::name::{IncarnationId, Key, Name, RequestId, Subject, SubjectKind, Text};
@@ -17,113 +17,115 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Most local drains.
+/// Maximum number of local drains.
 pub const MAX_LOCAL_DRAINS: usize = 1_024;
 
-/// A drain that was requested at this dispatcher.
+/// A drain that was requested at this dispatcher and is not yet part of its copy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LocalDrain {
-    /// The same each time that it is proposed.
+    /// Id of the request, which is the same in each proposal.
     #[serde(rename = "id")]
     pub request_id: RequestId,
-    /// Who requested it.
+    /// Operator that requested the drain.
     #[serde(rename = "by")]
     pub requested_by: Name,
-    /// This machine's clock, in Unix time in milliseconds.
+    /// Wall clock of this machine at the request, in Unix time in milliseconds.
     #[serde(rename = "at_ms")]
     pub requested_at_ms: u64,
-    /// The reason.
+    /// Reason given with the request.
     #[serde(rename = "why")]
     pub reason: Text,
-    /// The revision of the drain's key in this copy at the request.
+    /// Revision of the drain's key in this copy at the request; 0 if it had no value.
     #[serde(rename = "seen")]
     pub key_revision: u64,
-    /// The revision at which the group accepted it, or had decided otherwise. The mark stays until the copy
-    /// is there.
+    /// Revision at which the group accepted or overruled the drain, or `None` before that. The local drain
+    /// stays until the copy has reached this revision.
     #[serde(rename = "taken")]
     pub decided_revision: Option<u64>,
 }
 
-/// Why an update does not apply to this copy.
+/// An update cannot be applied to this copy.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum UpdateError {
-    /// It does not follow on this copy: a snapshot is needed.
+    /// The update does not continue at the revision of this copy, so a snapshot is needed.
     #[error("changes from revision {found} do not follow on {own}")]
     Gap {
-        /// First revision of the update.
+        /// Revision of the first change that does not follow, or of the confirmation.
         found: u64,
-        /// Revision of this copy.
+        /// Revision of the copy.
         own: u64,
     },
-    /// It is older than this copy.
+    /// The update is older than this copy.
     #[error("a snapshot of revision {found} is older than {own}")]
     Stale {
-        /// Revision of the update.
+        /// Revision of the snapshot.
         found: u64,
-        /// Revision of this copy.
+        /// Revision of the copy.
         own: u64,
     },
 }
 
-/// Why a request to this dispatcher alone is rejected.
+/// A request to drain or undrain a worker at this dispatcher alone is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum LocalDrainError {
-    /// There are too many local drains.
+    /// The maximum number of local drains is reached.
     #[error("no room for more local drains: at most {MAX_LOCAL_DRAINS}")]
     Full,
-    /// The drain is replicated, so only the group can remove it.
+    /// The drain is or may be replicated, so only the group can remove it.
     #[error("the drain is agreed by the group; take it back there")]
     Replicated,
-    /// The worker has no drain mark.
+    /// The worker has no local drain, and no replicated one.
     #[error("no drain mark of that name")]
     Unknown,
 }
 
-/// What became of a proposed drain.
+/// The outcome of a proposed local drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// The group has accepted it.
+    /// The group has accepted the drain.
     Accepted,
-    /// The group had decided otherwise meanwhile; that applies once the copy has it.
+    /// The group had changed the worker's drain in the meantime. Its decision applies once the copy contains
+    /// it.
     Overruled,
-    /// The group cannot accept it now; it stays local.
+    /// The group cannot accept the drain now. It stays local and is proposed again.
     Deferred,
-    /// It is not among the local drains any more.
+    /// No local drain has this request id any more.
     Unknown,
 }
 
-/// A dispatcher's copy of the state with its local drains.
+/// A dispatcher's copy of the state, with its local drains.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Follower {
     copy: Snapshot,
     #[serde(rename = "local")]
     local_drains: BTreeMap<Name, LocalDrain>,
-    /// When the group last confirmed this copy; not stored.
+    /// Time at which the group last confirmed this copy; not stored.
     #[serde(skip)]
     confirmed_at: Option<Duration>,
 }
 
 impl Follower {
-    /// The revision of the copy.
+    /// Returns the revision of the copy.
     pub fn revision(&self) -> u64 {
         self.copy.revision
     }
 
-    /// The copy.
+    /// Returns the copy.
     pub fn copy(&self) -> &Snapshot {
         &self.copy
     }
 
-    /// How long ago the group last confirmed this copy; `None`: not since this process began.
+    /// Returns how long ago the group last confirmed this copy, or `None` if it has not done so since this
+    /// process started.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.confirmed_at.map(|confirmed_at| now.saturating_sub(confirmed_at))
     }
 
-    /// Takes in that nothing has changed since that revision.
+    /// Records that the group has no changes after that revision.
     ///
     /// # Errors
     ///
-    /// The copy has another revision.
+    /// Fails if the copy has another revision.
     pub fn confirm(&mut self, now: Duration, revision: u64) -> Result<(), UpdateError> {
         if revision != self.copy.revision {
             return Err(UpdateError::Gap { found: revision, own: self.copy.revision });
@@ -132,31 +134,31 @@
         Ok(())
     }
 
-    /// Replaces the copy by the whole state.
+    /// Replaces the copy by a snapshot of the state.
     ///
     /// # Errors
     ///
-    /// The snapshot is older than the copy.
+    /// Fails if the snapshot is older than the copy.
     pub fn apply_snapshot(&mut self, now: Duration, snapshot: Snapshot) -> Result<(), UpdateError> {
         if snapshot.revision < self.copy.revision {
             return Err(UpdateError::Stale { found: snapshot.revision, own: self.copy.revision });
         }
         self.copy = snapshot;
-        self.updated(now);
+        self.mark_confirmed(now);
         Ok(())
     }
 
-    /// Applies changes that follow on this copy; those that it already has are skipped.
+    /// Applies the changes that follow this copy and skips those that it already contains.
     ///
     /// # Errors
     ///
-    /// A revision is missing. The changes before it are applied.
+    /// Fails if a revision is missing. The changes before the gap are applied.
     pub fn apply_changes(&mut self, now: Duration, changes: &[Change]) -> Result<(), UpdateError> {
         let known = self.copy.revision;
         for change in changes.iter().filter(|change| change.revision > known) {
             self.apply_change(change)?;
         }
-        self.updated(now);
+        self.mark_confirmed(now);
         Ok(())
     }
 
@@ -179,7 +181,9 @@
         Ok(())
     }
 
-    fn updated(&mut self, now: Duration) {
+    /// Records a confirmation by the group, and removes the local drains whose decision the copy now
+    /// contains.
+    fn mark_confirmed(&mut self, now: Duration) {
         self.confirmed_at = Some(now);
         let revision = self.copy.revision;
         self.local_drains.retain(|_, drain| drain.decided_revision.is_none_or(|decided| decided > revision));
@@ -189,11 +193,11 @@
         self.copy.entries.get(&Key::Drain(worker.clone())).map_or(0, |entry| entry.revision)
     }
 
-    /// Drains a worker at this dispatcher from now on. Drained here again, it is the same local drain.
+    /// Drains a worker at this dispatcher. A worker that has a local drain keeps it unchanged.
     ///
     /// # Errors
     ///
-    /// There are too many local drains.
+    /// Fails if there are [`MAX_LOCAL_DRAINS`] local drains already.
     pub fn drain(
         &mut self, worker: Name, request_id: RequestId, requested_by: Name, requested_at_ms: u64,
         reason: Text,
@@ -212,11 +216,11 @@
         Ok(())
     }
 
-    /// Removes a local drain. One that is replicated, or may be by now, only the group removes.
+    /// Removes a local drain. Only the group can remove a drain that is or may be replicated.
     ///
     /// # Errors
     ///
-    /// The worker has no drain mark, or one that is or may be replicated.
+    /// Fails if the worker has no drain mark, or one that is or may be replicated.
     pub fn undrain(&mut self, worker: &Name) -> Result<(), LocalDrainError> {
         let is_replicated = self.drain_revision(worker) != 0;
         match self.local_drains.get(worker) {
@@ -229,7 +233,7 @@
         }
     }
 
-    /// The command that proposes the next local drain to the group.
+    /// Returns the command that proposes the next undecided local drain to the group.
     pub fn next_proposal(&self) -> Option<Command> {
         let (worker, drain) = self.local_drains.iter().find(|(_, drain)| drain.decided_revision.is_none())?;
         let precondition = Precondition { key: Key::Drain(worker.clone()), revision: drain.key_revision };
@@ -246,17 +250,18 @@
         })
     }
 
-    /// Takes in the group's answer to a proposal.
+    /// Records the group's answer to a proposal.
     pub fn record_result(&mut self, request_id: RequestId, result: &CommandResult) -> ProposalOutcome {
         let proposed = self.local_drains.iter().find(|(_, drain)| drain.request_id == request_id);
         let Some(worker) = proposed.map(|(worker, _)| worker.clone()) else {
             return ProposalOutcome::Unknown;
         };
-        // Either way the group has decided; the mark stays until this copy has the decision.
+        // After an acceptance or a conflict the group has decided; the local drain stays until this copy
+        // contains the decision.
         let (decided_revision, outcome) = match result {
             Ok(done) => (done.revision, ProposalOutcome::Accepted),
             Err(Rejection::Conflict { state_revision, .. }) => (*state_revision, ProposalOutcome::Overruled),
-            // There may be capacity later.
+            // Other rejections may be temporary: the group may have capacity later.
             Err(_) => return ProposalOutcome::Deferred,
         };
         if decided_revision <= self.copy.revision {
@@ -267,7 +272,7 @@
         outcome
     }
 
-    /// Workers with a drain mark, replicated or local.
+    /// Returns the workers with a drain mark, replicated or local.
     pub fn drained_workers(&self) -> BTreeSet<&Name> {
         let replicated = self.copy.entries.keys().filter_map(|key| match key {
             Key::Drain(worker) => Some(worker),
@@ -276,22 +281,23 @@
         replicated.chain(self.local_drains.keys()).collect()
     }
 
-    /// The revision of the newest replicated drain mark.
+    /// Returns the revision of the newest replicated drain mark, or 0 if there is none.
     pub fn newest_drain_revision(&self) -> u64 {
         let drains = self.copy.entries.iter().take_while(|(key, _)| matches!(key, Key::Drain(_)));
         drains.map(|(_, entry)| entry.revision).max().unwrap_or(0)
     }
 
-    /// The local drains, by worker.
+    /// Iterates over the local drains, by worker.
     pub fn local_drains(&self) -> impl Iterator<Item = (&Name, &LocalDrain)> {
         self.local_drains.iter()
     }
 
-    /// The revision at which that incarnation of a dispatcher was permitted to end, if it was.
+    /// Returns the revision at which this incarnation of a dispatcher was granted a permit to end, if it was.
     pub fn permit_granted_revision(&self, dispatcher: &Name, incarnation_id: IncarnationId) -> Option<u64> {
         let subject = Subject { kind: SubjectKind::Dispatcher, name: dispatcher.clone() };
         match &self.copy.entries.get(&Key::Permit(subject))?.value {
-            // A permit of an earlier incarnation does not count, however old the copy is.
+            // A permit granted to an earlier incarnation does not apply. An outdated copy may still contain
+            // one.
             Value::Permit(permit) if permit.incarnation_id == Some(incarnation_id) => {
                 permit.granted_at_revision
             }
@@ -299,7 +305,8 @@
         }
     }
 
-    /// What a dispatcher with these observations has to report: the differences from the replicated list.
+    /// Returns the differences between a dispatcher's observations and the replicated list, which it reports
+    /// with its heartbeats. The diff is limited to the first [`MAX_WORKER_DIFF_ENTRIES`] workers by name.
     pub fn diff_observations(&self, observed: &BTreeMap<Name, WorkerObservation>) -> WorkerDiff {
         let replicated = |name: &Name| match &self.copy.entries.get(&Key::Worker(name.clone()))?.value {
             Value::Worker(worker) => worker.observation(),
@@ -322,7 +329,7 @@
         diff
     }
 
-    /// A setting's replicated value.
+    /// Returns the replicated value of a setting.
     pub fn setting(&self, name: &str) -> Option<f64> {
         match self.copy.entries.get(&Key::Setting(name.parse().ok()?))?.value {
             Value::Setting(value) => Some(value),
--- a/crates/pebblepost-fleet/src/heartbeat.rs
+++ b/crates/pebblepost-fleet/src/heartbeat.rs
@@ -1,34 +1,36 @@
-//! What a dispatcher reports with its heartbeats. Like the heartbeats themselves this is soft state at the
-//! Raft leader and is not replicated: that would be a command from each dispatcher for each worker that goes.
+//! The reports that dispatchers send with their heartbeats. Like the heartbeats themselves they are soft
+//! state of the Raft leader and are not replicated: that would take one command from each dispatcher for each
+//! worker that is taken out of service.
 
 use crate::name::Name;
 use crate::value::{MAX_WORKER_DIFF_ENTRIES, WorkerDiff};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Most workers that a dispatcher lists as busy. With more it confirms nothing.
+/// Maximum number of busy workers in a report. A report with more confirms no drain.
 pub const MAX_BUSY_WORKERS: usize = 64;
 
-/// A dispatcher's report.
+/// The report of a dispatcher.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatReport {
-    /// All changes up to this revision are in force at the dispatcher and, where it stores a copy of the
-    /// state, stored.
+    /// Revision up to which the dispatcher has applied all changes. If it stores a copy of the state, they
+    /// are stored as well.
     #[serde(rename = "acts_by")]
     pub applied_revision: u64,
-    /// Workers with a drain mark that still have attempts of this dispatcher in flight.
+    /// Drained workers at which this dispatcher still has attempts in flight.
     #[serde(rename = "busy")]
     pub busy_workers: BTreeSet<Name>,
-    /// Its requests.
+    /// Requests of the dispatcher.
     #[serde(rename = "counts")]
     pub requests: RequestCounts,
-    /// Its observations of workers that differ from the replicated list.
+    /// Observations of workers that differ from the replicated list.
     #[serde(rename = "differs", default)]
     pub worker_diff: WorkerDiff,
 }
 
 impl HeartbeatReport {
-    /// The report with bounded lists. Without the full list of busy workers no drain is confirmed.
+    /// Returns the report with lists that exceed their limits cleared. Without the list of busy workers the
+    /// report must not confirm a drain, so the applied revision becomes 0.
     pub(crate) fn bounded(mut self) -> Self {
         if self.worker_diff.len() > MAX_WORKER_DIFF_ENTRIES {
             self.worker_diff.clear();
@@ -41,12 +43,12 @@
     }
 }
 
-/// A dispatcher's requests since its process began.
+/// Counts of a dispatcher's requests since its process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestCounts {
-    /// Requests with a final answer.
+    /// Number of requests with a final answer.
     pub answered: u64,
-    /// Those of them that succeeded.
+    /// Number of answered requests that succeeded.
     #[serde(rename = "served")]
     pub succeeded: u64,
 }
--- a/crates/pebblepost-fleet/src/leader/mod.rs
+++ b/crates/pebblepost-fleet/src/leader/mod.rs
@@ -1,5 +1,6 @@
-//! What the Raft leader knows from heartbeats, and what it concludes from them and the state. Soft state: a
-//! new leader begins without any. No I/O; time is monotonic and comes as an argument.
+//! The heartbeats that the Raft leader has received, and the commands and reports that it derives from them
+//! and the state. They are soft state: a new leader begins without any. No I/O; time is monotonic and passed
+//! as an argument.
 
 mod drain_status;
 mod request_totals;
--- a/crates/pebblepost-fleet/src/leader/request_totals.rs
+++ b/crates/pebblepost-fleet/src/leader/request_totals.rs
@@ -1,4 +1,4 @@
-//! The requests of all dispatchers, by which a release's driver compares versions.
+//! The request counts of all dispatchers, from which the driver of a release compares versions.
 
 use super::Sessions;
 use crate::heartbeat::RequestCounts;
@@ -8,20 +8,20 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The requests of one dispatcher in one incarnation.
+/// The requests of one incarnation of a dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationRequests {
-    /// The incarnation.
+    /// Id of the incarnation.
     #[serde(rename = "life")]
     pub incarnation_id: IncarnationId,
-    /// Its version.
+    /// Version of the dispatcher.
     pub version: Text,
-    /// The requests.
+    /// Counts of its requests.
     #[serde(rename = "counts")]
     pub requests: RequestCounts,
 }
 
-/// The requests of all dispatchers that are present and have reported.
+/// Returns the requests of all members that are present and have reported.
 pub fn request_totals(state: &State, sessions: &Sessions) -> BTreeMap<Name, IncarnationRequests> {
     let present = state.members().filter(|(_, member)| member.presence == Presence::Present);
     present
--- a/crates/pebblepost-fleet/src/leader/sessions.rs
+++ b/crates/pebblepost-fleet/src/leader/sessions.rs
@@ -1,7 +1,7 @@
-//! The sessions that the leader keeps alive by heartbeats, and those that it has ended.
+//! The sessions that heartbeats keep alive at the leader, and the expiry of those without heartbeats.
 //!
-//! A new leader counts all sessions from the moment it began, since it cannot know what its predecessor
-//! received.
+//! A new leader counts the time to live of all sessions from its own start, because it does not know which
+//! heartbeats its predecessor received.
 
 use crate::command::Action;
 use crate::heartbeat::HeartbeatReport;
@@ -12,12 +12,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a heartbeat is answered.
+/// The answer to a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
     /// The session is renewed.
     Renewed,
-    /// There is no such session; the member has to join again.
+    /// The session has ended; the member has to join again.
     SessionEnded,
 }
 
@@ -34,37 +34,37 @@
 pub struct Sessions {
     ttl: SessionTtl,
     heartbeats: BTreeMap<Name, LastHeartbeat>,
-    /// Superseded sessions that still hold leases, with the time at which this leader first saw that.
+    /// Superseded sessions that still hold leases, with the time at which this leader first saw each.
     superseded: BTreeMap<(Name, u64), Duration>,
 }
 
 impl Sessions {
-    /// The sessions of a new leader, which has received nothing.
+    /// Returns the sessions of a new leader, which has received no heartbeats.
     pub fn new(ttl: SessionTtl) -> Self {
         Self { ttl, heartbeats: BTreeMap::new(), superseded: BTreeMap::new() }
     }
 
-    /// Takes in a heartbeat with the member's report; `None`: it has not reported anything yet.
+    /// Records a heartbeat with the member's report, or without one if the member has nothing to report yet.
     pub fn record_heartbeat(
         &mut self, now: Duration, state: &State, member: &Name, session: u64, report: Option<HeartbeatReport>,
     ) -> HeartbeatOutcome {
-        if !lasts(state, member, session) {
+        if !is_current_session(state, member, session) {
             return HeartbeatOutcome::SessionEnded;
         }
-        // A delayed report may replace a newer one: what it confirms stays true (see `drain_status`).
+        // A delayed report may replace a newer one: its confirmations stay true (see `drain_status`).
         let previous = self.heartbeats.remove(member).filter(|last| last.session == session);
         let report = report.map(HeartbeatReport::bounded).or(previous.and_then(|last| last.report));
         self.heartbeats.insert(member.clone(), LastHeartbeat { session, received_at: now, report });
         HeartbeatOutcome::Renewed
     }
 
-    /// The last report of a member in that session.
+    /// Returns the last report of a member in the session.
     pub fn report(&self, member: &Name, session: u64) -> Option<&HeartbeatReport> {
         self.heartbeats.get(member).filter(|last| last.session == session)?.report.as_ref()
     }
 
-    /// The commands that end the sessions without heartbeats, and free the leases of superseded sessions that
-    /// have expired.
+    /// Returns the commands that end sessions without heartbeats and free the leases of superseded sessions
+    /// that have expired. They are returned again on each call until they are applied.
     pub fn expire_sessions(&mut self, now: Duration, state: &State) -> Vec<Action> {
         let is_present = |(_, member): &(&Name, &crate::value::Member)| member.presence == Presence::Present;
         let mut expired = Vec::new();
@@ -84,12 +84,13 @@
         expired
     }
 
-    /// Superseded sessions that hold leases, once no process can rely on them any more: it may have sent a
-    /// heartbeat just before this leader saw that the session was superseded, and was answered.
+    /// Returns the commands for superseded sessions on which no process can rely any more. A process may have
+    /// sent a heartbeat just before this leader saw that the session was superseded, and have received an
+    /// answer; so a full time to live has to pass from then on.
     fn expired_superseded(&mut self, now: Duration, state: &State) -> Vec<Action> {
         let holders = state.leases().filter_map(|(_, lease)| lease.holder.as_ref());
         let superseded: BTreeSet<(Name, u64)> = holders
-            .filter(|holder| !lasts(state, &holder.member, holder.session))
+            .filter(|holder| !is_current_session(state, &holder.member, holder.session))
             .map(|holder| (holder.member.clone(), holder.session))
             .collect();
         self.superseded.retain(|session, _| superseded.contains(session));
@@ -104,7 +105,7 @@
     }
 }
 
-/// Whether that is the member's present session.
-fn lasts(state: &State, member: &Name, session: u64) -> bool {
+/// Returns whether the session is the member's present one and has not ended.
+fn is_current_session(state: &State, member: &Name, session: u64) -> bool {
     state.member(member).is_some_and(|found| found.session == session && found.presence == Presence::Present)
 }
--- a/crates/pebblepost-fleet/src/leader/worker_majority.rs
+++ b/crates/pebblepost-fleet/src/leader/worker_majority.rs
@@ -1,4 +1,4 @@
-//! The list of workers, as a majority of the present dispatchers observes it.
+//! The changes to the list of workers that a majority of the present dispatchers reports.
 
 use super::Sessions;
 use crate::command::Action;
@@ -7,8 +7,8 @@
 use crate::value::{Presence, Worker, WorkerDiff, WorkerObservation};
 use std::collections::BTreeMap;
 
-/// The command that takes in what a majority of the present dispatchers reports alike; `None`: nothing is to
-/// change.
+/// Returns the command that applies what a majority of the present dispatchers reports alike, or `None` if
+/// nothing changes. Workers beyond [`MAX_WORKERS`] are not added.
 pub fn majority_worker_update(state: &State, sessions: &Sessions) -> Option<Action> {
     let dispatchers =
         state.members().filter(|(_, member)| member.presence == Presence::Present && member.is_dispatcher());
@@ -21,8 +21,7 @@
             *votes.entry(vote).or_insert(0) += 1;
         }
     }
-    // A change that was committed meanwhile, of which some dispatchers have not heard yet, is not proposed
-    // again.
+    // Dispatchers may still report a change that was committed meanwhile; it is not proposed again.
     let is_current = |name: &Name, observation: &Option<WorkerObservation>| {
         state.worker(name).and_then(Worker::observation) == *observation
     };
--- a/crates/pebblepost-fleet/src/lib.rs
+++ b/crates/pebblepost-fleet/src/lib.rs
@@ -1,19 +1,20 @@
 //! The replicated state machine of a fleet of dispatchers: members with sessions and leases, drains and
 //! settings, permits under disruption budgets, and releases.
 //!
-//! Nothing here does I/O, reads a clock or draws a random number: time comes as a field of a command or as an
-//! argument, so the same commands give the same state at every replica. A command may be late, duplicated or
-//! from a dead process; the rules are checked in [`State::apply`] and nowhere else.
+//! The crate does no I/O, reads no clock and draws no random numbers. Time is a field of a command or an
+//! argument, so the same commands produce the same state at every replica. A command may be delayed,
+//! duplicated or issued by a process that has stopped since. Its rules are checked in [`State::apply`] and
+//! nowhere else.
 //!
-//! Modules, each using only those before it:
+//! Each module uses only those listed before it:
 //!
-//! * [`name`], [`setting`], [`value`]: names and keys, and the values that the state holds.
-//! * [`heartbeat`], [`session`], [`fencing`]: what members send, how long sessions and leases are valid.
-//! * [`command`]: what may change the state, and what is answered.
-//! * [`availability`]: which permits a disruption budget and a release allow now.
+//! * [`name`], [`setting`], [`value`]: names, keys and the values in the state.
+//! * [`heartbeat`], [`session`], [`fencing`]: reports of members, and the validity of sessions and leases.
+//! * [`command`]: the commands that change the state, and their results.
+//! * [`availability`]: the permits that a disruption budget and a release allow.
 //! * [`state`]: the state, its revisions and its bounded log of changes.
-//! * [`leader`]: what the Raft leader concludes from heartbeats.
-//! * [`follower`]: a dispatcher's copy, its age, and the drains requested at it while it was partitioned.
+//! * [`leader`]: the decisions that the Raft leader derives from heartbeats.
+//! * [`follower`]: a dispatcher's copy of the state, its age, and drains requested during a partition.
 //! * [`release_driver`], [`simulation`]: when a release advances or halts, and its dry run.
 
 pub mod availability;
--- a/crates/pebblepost-fleet/src/name.rs
+++ b/crates/pebblepost-fleet/src/name.rs
@@ -1,31 +1,31 @@
-//! Names, keys and ids: short and printable. They are checked where they are made, so no later code has to.
+//! Names, keys and ids. Each is validated when it is constructed or deserialized, so other code need not.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 200;
-/// Longest free text (a reason, a version), in bytes.
+/// Maximum length of a free text such as a reason or a version, in bytes.
 pub const MAX_TEXT_BYTES: usize = 400;
 
-/// Why a text is not a valid name, text or key.
+/// A string is not a valid name, text or key.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum InvalidName {
-    /// It is empty.
+    /// The name is empty.
     #[error("a name is missing")]
     Empty,
-    /// It has more than this many bytes.
+    /// The string exceeds this many bytes.
     #[error("longer than {0} bytes")]
     TooLong(usize),
-    /// It has a control character.
+    /// The string contains a control character.
     #[error("a control character in it")]
     ControlCharacter,
-    /// It has no known prefix.
+    /// The string has the form of no key or subject, or names an unknown kind.
     #[error(
-        "{0:?} is none of drain/WORKER, worker/WORKER, setting/NAME, member/NAME, budget/KIND, halt/KIND, release/KIND, lease/TASK, permit/KIND/NAME \
-         (KIND: dispatcher, worker)"
+        "{0:?} is not a valid key or kind: expected drain/WORKER, worker/WORKER, setting/NAME, member/NAME, budget/KIND, halt/KIND, release/KIND, \
+         lease/TASK or permit/KIND/NAME, where KIND is dispatcher or worker"
     )]
     UnknownKind(String),
 }
@@ -43,13 +43,13 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Name(String);
 
-/// A reason or the like: at most [`MAX_TEXT_BYTES`] bytes, no control characters, may be empty.
+/// A free text, such as a reason: 0 to [`MAX_TEXT_BYTES`] bytes, no control characters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Text(String);
 
 impl Name {
-    /// Comes before all valid names in their order.
+    /// Returns a name that sorts before all valid ones.
     pub(crate) fn lowest() -> Self {
         Self(String::new())
     }
@@ -72,7 +72,7 @@
     }
 }
 
-/// Conversions of a checked text.
+/// Implements the conversions of a validated string.
 macro_rules! impl_checked_text {
     ($($kind:ident),*) => {$(
         impl From<$kind> for String {
@@ -92,7 +92,7 @@
             }
         }
         impl $kind {
-            /// The text itself.
+            /// Returns the string.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -101,22 +101,22 @@
 }
 impl_checked_text!(Name, Text);
 
-/// Identifies a request, so that a retry (the answer was lost) is applied once. Drawn at random by the
-/// issuer.
+/// The id of a request, drawn at random by its issuer. A retry, sent because the answer was lost, carries the
+/// same id and is applied once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId(pub u64, pub u64);
 
-/// Identifies one process of a member: drawn at random when it starts.
+/// The id of one process of a member, drawn at random when the process starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct IncarnationId(pub u64, pub u64);
 
-/// What a permit takes out of service.
+/// The kind of subject that a permit takes out of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SubjectKind {
-    /// A dispatcher: it exits once it has its permit, and returns in a new incarnation.
+    /// A dispatcher, which exits when its permit is granted and returns in a new incarnation.
     Dispatcher,
-    /// A worker: it has a drain mark for as long as its granted permit lasts.
+    /// A worker, which has a drain mark for as long as its granted permit lasts.
     Worker,
 }
 
@@ -140,13 +140,13 @@
     }
 }
 
-/// One dispatcher or worker. As text: `dispatcher/NAME`, `worker/NAME`.
+/// One dispatcher or worker. Its string form is `dispatcher/NAME` or `worker/NAME`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Subject {
-    /// Its kind.
+    /// Kind of the subject.
     pub kind: SubjectKind,
-    /// Its name.
+    /// Name of the dispatcher or worker.
     pub name: Name,
 }
 
@@ -164,25 +164,25 @@
     }
 }
 
-/// The key of a value in the state. As text: `drain/WORKER`, `worker/WORKER`, `setting/NAME`, `member/NAME`,
-/// `budget/KIND`, `halt/KIND`, `release/KIND`, `lease/TASK`, `permit/KIND/NAME`. Permits come last in their
-/// order, and drains first.
+/// The key of a value in the state. Its string form is `drain/WORKER`, `worker/WORKER`, `setting/NAME`,
+/// `member/NAME`, `budget/KIND`, `halt/KIND`, `release/KIND`, `lease/TASK` or `permit/KIND/NAME`. Drains sort
+/// first and permits last; range scans of the entries rely on it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Key {
-    /// A worker's drain mark.
+    /// The drain mark of a worker.
     Drain(Name),
-    /// A worker as it was last known.
+    /// The last known record of a worker.
     Worker(Name),
-    /// A setting's value.
+    /// The value of a setting.
     Setting(Name),
-    /// A dispatcher or a replica.
+    /// A member: a dispatcher or a replica.
     Member(Name),
-    /// The disruption budget of a kind.
+    /// The disruption budget of one kind.
     Budget(SubjectKind),
-    /// A halt of a kind.
+    /// The halt of one kind: none of its permits are granted.
     Halt(SubjectKind),
-    /// The release in progress.
+    /// The release in progress for one kind.
     Release(SubjectKind),
     /// The lease of a task.
     Lease(Name),
@@ -209,7 +209,7 @@
     }
 }
 
-/// The conversions by which serde stores a type as its text.
+/// Implements the conversions by which serde stores a type in its string form.
 macro_rules! impl_serde_by_text {
     ($($kind:ident),*) => {$(
         impl TryFrom<String> for $kind {
--- a/crates/pebblepost-fleet/src/release_driver/mod.rs
+++ b/crates/pebblepost-fleet/src/release_driver/mod.rs
@@ -1,7 +1,9 @@
-//! What drives a release: it looks at the state now and then, and proposes the next wave, the end, or a halt.
+//! The driver of a release, which inspects the state periodically and proposes the next wave, the end or a
+//! halt.
 //!
-//! It never decides who goes (see [`crate::availability`]): a driver that is dead, late or duplicated delays
-//! a release and breaks nothing. Time is monotonic and comes as an argument.
+//! It never decides which dispatcher restarts; the state does (see [`crate::availability`]). So a driver that
+//! has stopped, is late or is duplicated can delay a release but cannot violate its rules. Time is monotonic
+//! and passed as an argument.
 
 mod halt;
 mod success_rates;
@@ -15,41 +17,41 @@
 use std::time::Duration;
 use success_rates::SuccessRates;
 
-/// While the new version has too few answers a wave is observed for at most this many times the observation
-/// time.
-const MAX_OBSERVATION_FACTOR: u32 = 3;
+/// Maximum factor by which an observation is extended while the new version has too few answers.
+const MAX_OBSERVATION_TIME_FACTOR: u32 = 3;
 
-/// When the driver proposes what.
+/// The times and thresholds by which the driver decides.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReleasePolicy {
-    /// How long a complete wave is observed before the next one begins.
+    /// Time for which a complete wave is observed before the next one begins.
     pub observation_time: Duration,
-    /// A wave that is not complete within this time halts the release.
+    /// Time within which a wave must be complete; otherwise the release halts.
     pub wave_timeout: Duration,
-    /// This many new incarnations without a permit, of dispatchers with the new version, halt the release.
+    /// Number of crashes at which the release halts. A crash is a new incarnation, without a permit, of a
+    /// dispatcher with the new version.
     pub max_crashes: u64,
-    /// How much lower the success rate of the new version may be than that of the old one, during an
-    /// observation.
+    /// Maximum difference by which the success rate of the new version may be lower than that of the old one
+    /// during an observation, as a fraction of requests.
     pub max_success_rate_drop: f64,
-    /// Success rates of fewer answers than this are not compared. 0: none are.
+    /// Minimum number of answers for a success rate to be compared. 0 disables the comparison.
     pub min_answers: u64,
 }
 
-/// What the driver proposes.
+/// The next step of a release.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NextStep {
-    /// Nothing now.
+    /// Nothing to do now.
     Wait,
-    /// A change of the state.
+    /// Propose a change of the state.
     Propose {
-        /// The operation.
+        /// Operation to propose.
         operation: Operation,
-        /// The reason, for the history.
+        /// Reason, for the history.
         reason: String,
     },
-    /// The release is halted: an operator resumes it, or rolls it back.
+    /// The release is halted; an operator has to resume it or roll it back.
     Halted,
-    /// There is no release.
+    /// There is no release in progress.
     Finished,
 }
 
@@ -60,23 +62,23 @@
     }
 }
 
-/// A release's driver, and what it has observed of the present wave.
+/// The driver of a release, with its observations of the present wave.
 #[derive(Clone, Debug)]
 pub struct ReleaseDriver {
     policy: ReleasePolicy,
     wave: Option<u32>,
     wave_began_at: Duration,
-    /// Since when the wave has been complete.
+    /// Time since which the wave has been complete and observed.
     complete_since: Option<Duration>,
-    /// Crashes seen so far.
+    /// Number of crashes at the last step.
     crashes: u64,
-    /// The incarnations of dispatchers with the new version when each was first seen with it.
+    /// Incarnation number of each dispatcher when it was first seen with the new version.
     first_incarnations: BTreeMap<Name, u64>,
     success_rates: SuccessRates,
 }
 
 impl ReleaseDriver {
-    /// A driver that has observed nothing.
+    /// Returns a driver without observations.
     pub fn new(policy: ReleasePolicy) -> Self {
         Self {
             policy,
@@ -89,19 +91,20 @@
         }
     }
 
-    /// The next step, by the state and the requests of the dispatchers as they are now.
+    /// Returns the next step, according to the present state and the request counts of the dispatchers.
     pub fn next_step(
         &mut self, now: Duration, state: &Snapshot, requests: &BTreeMap<Name, IncarnationRequests>,
     ) -> NextStep {
         let availability = state.availability(SubjectKind::Dispatcher);
         let Some(release) = availability.release else { return NextStep::Finished };
         if self.wave != Some(release.current_wave) || availability.halted {
-            // No time is counted during a halt.
+            // The time of a wave starts again with each wave, and does not run during a halt.
             (self.wave, self.wave_began_at, self.complete_since) = (Some(release.current_wave), now, None);
         }
         let crashes = self.count_crashes(release, state);
         if std::mem::replace(&mut self.crashes, crashes) != crashes {
-            // A dispatcher may return a moment after its crash: the observation begins anew.
+            // A dispatcher may return between two steps, so that the wave looks complete throughout. The
+            // crash restarts the observation.
             self.complete_since = None;
         }
         if availability.halted {
@@ -121,7 +124,8 @@
         };
         let has_permits = availability.subjects.values().any(|status| status.permit.is_some());
         match release.is_last_wave() {
-            // In a rollback dispatchers may still wait that had never gone.
+            // In a rollback, permits may still be waiting for dispatchers that were never taken out of
+            // service.
             true if has_permits => NextStep::Wait,
             true => NextStep::Propose { operation: Operation::EndRelease, reason: "all have it".to_owned() },
             false if !observed => NextStep::Wait,
@@ -132,7 +136,8 @@
         }
     }
 
-    /// Counts new incarnations, without a permit, of dispatchers with the release's version.
+    /// Counts the new incarnations of dispatchers with the release's version. The release
+    /// requests no permit for those, so each counts as a crash.
     fn count_crashes(&mut self, release: &Release, state: &Snapshot) -> u64 {
         let mut crashes = 0;
         for (key, entry) in &state.entries {
@@ -155,7 +160,8 @@
         NextStep::halt(&HaltReason::WaveTimeout { wave: release.current_wave, timeout })
     }
 
-    /// Observes a complete wave: whether that has lasted long enough, or why the release has to halt.
+    /// Observes a complete wave. Returns whether it has been observed for long enough, or why the release has
+    /// to halt.
     fn observe(
         &mut self, now: Duration, release: &Release, state: &Snapshot,
         requests: &BTreeMap<Name, IncarnationRequests>,
@@ -167,15 +173,15 @@
         self.success_rates.add(&release.version, requests);
         let all_reported = all_reported(state, requests);
         let min_answers = self.policy.min_answers;
-        // Too few answers of the new version are waited for, unless all dispatchers have reported and there
-        // are few requests.
+        // If the new version has too few answers, more are waited for, unless all dispatchers have reported
+        // and the old version has too few as well.
         let needs_more = self.success_rates.needs_more_answers(min_answers, all_reported);
-        let factor = if needs_more { MAX_OBSERVATION_FACTOR } else { 1 };
+        let factor = if needs_more { MAX_OBSERVATION_TIME_FACTOR } else { 1 };
         let observed = now.saturating_sub(complete_since) >= self.policy.observation_time * factor;
-        // In a rollback nothing is compared: what is left is what was there before.
+        // A rollback is not compared: it returns to the version that ran before.
         if !release.is_rollback() {
             let max_drop = self.policy.max_success_rate_drop;
-            let worse = self.success_rates.why_new_is_worse(min_answers, max_drop, observed);
+            let worse = self.success_rates.halt_reason(min_answers, max_drop, observed);
             let unreported =
                 (observed && !all_reported && min_answers > 0).then_some(HaltReason::MissingReports);
             if let Some(reason) = worse.or(unreported) {
@@ -187,7 +193,7 @@
     }
 }
 
-/// Whether all present dispatchers have reported their requests.
+/// Returns whether all present dispatchers have reported their requests.
 fn all_reported(state: &Snapshot, requests: &BTreeMap<Name, IncarnationRequests>) -> bool {
     state.entries.iter().all(|(key, entry)| match (key, &entry.value) {
         (Key::Member(name), Value::Member(member)) if member.is_dispatcher() => {
--- a/crates/pebblepost-fleet/src/setting.rs
+++ b/crates/pebblepost-fleet/src/setting.rs
@@ -1,31 +1,31 @@
-//! The settings that may change while programs run, each with its range.
+//! The settings that can be changed at run time, each with its valid range.
 
-/// A changeable setting: its name, and the values that it accepts.
+/// A setting that can be changed at run time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Setting {
-    /// Its name, as in the operator's file.
+    /// Name of the setting in the operator's configuration file.
     pub name: &'static str,
-    /// Smallest value.
+    /// Smallest accepted value.
     pub min: f64,
-    /// Largest value.
+    /// Largest accepted value.
     pub max: f64,
-    /// Unit of the value.
+    /// Unit of the values, for messages.
     pub unit: &'static str,
 }
 
-/// All changeable settings.
+/// All settings that can be changed at run time.
 pub const SETTINGS: [Setting; 2] = [
     Setting { name: "faktory.heartbeat_s", min: 0.001, max: 86_400.0, unit: "s" },
     Setting { name: "faktory.reserve_for_s", min: 0.001, max: 86_400.0, unit: "s" },
 ];
 
-/// The setting of that name.
+/// Returns the setting of that name.
 pub fn find(name: &str) -> Option<&'static Setting> {
     SETTINGS.iter().find(|setting| setting.name == name)
 }
 
 impl Setting {
-    /// Whether that value is within its range.
+    /// Returns whether the value is within the setting's range.
     pub fn accepts(&self, value: f64) -> bool {
         (self.min..=self.max).contains(&value)
     }
--- a/crates/pebblepost-fleet/src/simulation.rs
+++ b/crates/pebblepost-fleet/src/simulation.rs
@@ -1,6 +1,6 @@
-//! The simulation of a release before it begins (dry run): the same state, rules and driver, with dispatchers
-//! that return after given times. It tells when each wave begins and ends, or why the release would be
-//! rejected or stall.
+//! The simulation of a release before it begins (dry run). It uses the same state, rules and driver, with
+//! dispatchers that return after a given time. It reports when each wave begins and ends, or why the release
+//! would be rejected or stall.
 
 use crate::command::{Action, Command, Operation, Rejection};
 use crate::name::{IncarnationId, Name, RequestId, SubjectKind, Text};
@@ -12,38 +12,38 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The first half of ids in a simulation. No request of a real fleet has it by chance, so none is answered
-/// from memory.
-const SIMULATED: u64 = u64::MAX;
+/// First half of all ids in a simulation. It keeps them apart from the ids of real requests, whose stored
+/// results would otherwise be returned. Real ids are random and practically never have it.
+const SIMULATION_ID_PREFIX: u64 = u64::MAX;
 
 /// A release to simulate.
 #[derive(Clone, Debug)]
 pub struct ReleasePlan {
-    /// The version that all dispatchers get.
+    /// Version to which all dispatchers change.
     pub version: Text,
-    /// How many dispatchers may have the version in each wave.
+    /// Number of dispatchers that may have the version in each wave, those of earlier waves included.
     pub waves: Vec<Limit>,
-    /// The order of zones.
+    /// Order of zones; zones that are not listed come last.
     pub zone_order: Vec<Text>,
-    /// How long a complete wave is observed.
+    /// Time for which a complete wave is observed.
     pub observation_time: Duration,
-    /// The time from a dispatcher's permit to its return.
+    /// Time from the grant of a dispatcher's permit to its return.
     pub restart_time: Duration,
 }
 
-/// A wave; times count from the beginning of the release.
+/// A simulated wave. Times count from the start of the release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SimulatedWave {
-    /// When its first permit is granted, in seconds.
+    /// Time at which the wave begins, in seconds.
     #[serde(rename = "from_s")]
     pub started_at_s: f64,
-    /// When its last dispatcher has returned, in seconds.
+    /// Time at which its last dispatcher has returned, in seconds.
     #[serde(rename = "back_s")]
     pub completed_at_s: f64,
-    /// Its dispatchers, in the order of their permits.
+    /// Dispatchers that restart in the wave, in the order in which they do.
     #[serde(rename = "goes")]
     pub dispatchers: Vec<Name>,
-    /// The most that are unavailable at once, by this release or otherwise.
+    /// Maximum number of dispatchers unavailable at once, due to this release or for other reasons.
     #[serde(rename = "most_out")]
     pub max_unavailable: usize,
 }
@@ -55,20 +55,20 @@
     }
 }
 
-/// Why the release would not end.
+/// The release would not end.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SimulationError {
-    /// It is rejected.
+    /// The release is rejected.
     #[error(transparent)]
     Rejected(#[from] Rejection),
-    /// It stalls.
+    /// The release stalls.
     #[error("after {stalled_at_s} s nothing goes on in wave {wave}: {reason}")]
     Stalled {
-        /// When, in seconds from the beginning.
+        /// Time of the stall, in seconds from the start of the release.
         stalled_at_s: f64,
-        /// The wave, counted from 1.
+        /// Wave in which it stalls, counted from 1.
         wave: usize,
-        /// What the first of the queue waits for, or which dispatcher does not return.
+        /// Why the first dispatcher of the queue waits, or which dispatcher does not return.
         reason: String,
     },
 }
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 ///
-/// The release is rejected, or stalls.
+/// Fails if the release is rejected or stalls.
 pub fn simulate(
     state: &Snapshot, issued_by: &Name, plan: &ReleasePlan,
 ) -> Result<Vec<SimulatedWave>, SimulationError> {
@@ -91,7 +91,7 @@
     driver: ReleaseDriver,
     commands: u64,
     now: Duration,
-    /// Dispatchers that are restarting, and when each returns.
+    /// Restarting dispatchers, with the time at which each returns.
     restarting: BTreeMap<Name, Duration>,
     completed_waves: Vec<SimulatedWave>,
     wave: SimulatedWave,
@@ -99,7 +99,7 @@
 
 impl<'a> Simulation<'a> {
     fn begin(state: &Snapshot, issued_by: &'a Name, plan: &'a ReleasePlan) -> Result<Self, Rejection> {
-        // Nothing halts the release: what stalls is found without waiting.
+        // The driver never halts a simulated release; `next_event` detects a stall without waiting.
         let policy = ReleasePolicy {
             observation_time: plan.observation_time,
             wave_timeout: Duration::MAX,
@@ -155,9 +155,9 @@
         Ok(())
     }
 
-    /// Dispatchers with a permit for their present incarnation begin to restart.
+    /// Starts the restart of dispatchers whose present incarnation has a granted permit.
     fn begin_restarts(&mut self) {
-        for name in self.leaving() {
+        for name in self.permitted_dispatchers() {
             if !self.restarting.contains_key(&name) {
                 self.restarting.insert(name.clone(), self.now + self.plan.restart_time);
                 self.wave.dispatchers.push(name);
@@ -165,7 +165,7 @@
         }
     }
 
-    fn leaving(&self) -> BTreeSet<Name> {
+    fn permitted_dispatchers(&self) -> BTreeSet<Name> {
         let granted = self
             .state
             .permits()
@@ -178,7 +178,7 @@
         leaving.map(|(subject, _)| subject.name.clone()).collect()
     }
 
-    /// When a dispatcher returns, or the observation is over.
+    /// Returns the time at which the next dispatcher returns or the observation ends.
     fn next_event(&self) -> Result<Duration, SimulationError> {
         if let Some(returns_at) = self.restarting.values().copied().min() {
             return Ok(returns_at);
@@ -210,7 +210,7 @@
         let Some(member) = self.state.member(name) else { return Ok(()) };
         let version = self.plan.version.clone();
         let info = MemberInfo { version, ready: true, role: Role::Dispatcher, ..member.info.clone() };
-        let incarnation_id = IncarnationId(SIMULATED, self.commands + 1);
+        let incarnation_id = IncarnationId(SIMULATION_ID_PREFIX, self.commands + 1);
         self.apply(name, Action::Join { member: name.clone(), incarnation_id, info })
     }
 
@@ -222,7 +222,7 @@
 
     fn apply(&mut self, issued_by: &Name, action: Action) -> Result<(), Rejection> {
         self.commands += 1;
-        let id = RequestId(SIMULATED, self.commands);
+        let id = RequestId(SIMULATION_ID_PREFIX, self.commands);
         let command = Command { id, issued_by: issued_by.clone(), issued_at_ms: 0, action };
         self.state.apply(&command).map(drop)
     }
--- a/crates/pebblepost-fleet/src/state/change.rs
+++ b/crates/pebblepost-fleet/src/state/change.rs
@@ -1,4 +1,5 @@
-//! The operations of a change: what each makes of its key, and which are rejected.
+//! The operations of [`Action::Change`](crate::Action::Change): the new value that each gives its key, and
+//! the reasons to reject it.
 
 use super::{
     Command, KeyChanges, MAX_DRAINS, MAX_OPERATIONS_PER_COMMAND, MAX_PERMITS, MAX_WORKERS, Operation,
@@ -32,7 +33,8 @@
         Ok(changes)
     }
 
-    /// Whether a new value changes anything. A mark that is set again keeps its first issuer and time.
+    /// Returns whether a new value differs from the present one. A drain mark or halt that is set again keeps
+    /// its first issuer, time and reason.
     fn has_effect(&self, key: &Key, new: Option<&Value>) -> bool {
         match (self.entries.get(key).map(|entry| &entry.value), new) {
             (None, None)
@@ -87,10 +89,10 @@
     fn revoked_lease(
         &self, task: &Name, fencing_token: u64, successor: Option<&Name>,
     ) -> Result<Value, Rejection> {
-        let is_meant = |lease: &&Lease| {
+        let is_held_by_grant = |lease: &&Lease| {
             lease.holder.as_ref().is_some_and(|holder| holder.fencing_token == fencing_token)
         };
-        match self.lease(task).filter(is_meant) {
+        match self.lease(task).filter(is_held_by_grant) {
             Some(lease) => {
                 Ok(Value::Lease(Lease { revoked: true, successor: successor.cloned(), ..lease.clone() }))
             }
--- a/crates/pebblepost-fleet/src/state/leases.rs
+++ b/crates/pebblepost-fleet/src/state/leases.rs
@@ -1,4 +1,4 @@
-//! Leases in the state: requests, releases, and the one place that grants them.
+//! The leases in the state: requests, releases, and the only code that grants them.
 
 use super::{KeyChanges, MAX_LEASES, MAX_OPERATIONS_PER_COMMAND, Rejection, State, invalid};
 use crate::name::{Key, Name, Subject, SubjectKind};
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 impl State {
-    /// The lease of a task.
+    /// Returns the lease of a task.
     pub fn lease(&self, task: &Name) -> Option<&Lease> {
         match &self.entries.get(&Key::Lease(task.clone()))?.value {
             Value::Lease(lease) => Some(lease),
@@ -14,7 +14,7 @@
         }
     }
 
-    /// All leases, by task.
+    /// Iterates over all leases, by task.
     pub fn leases(&self) -> impl Iterator<Item = (&Name, &Lease)> {
         let from = Key::Lease(Name::lowest());
         self.entries.range(from..).map_while(|(key, entry)| match (key, &entry.value) {
@@ -26,7 +26,7 @@
     pub(super) fn acquire_leases(
         &self, member: &Name, session: u64, tasks: &[Name],
     ) -> Result<KeyChanges, Rejection> {
-        self.in_session(member, session)?;
+        self.check_session(member, session)?;
         if tasks.len() > MAX_OPERATIONS_PER_COMMAND {
             let count = tasks.len();
             return invalid(format!(
@@ -50,18 +50,19 @@
         Ok(changes)
     }
 
-    /// Releases the lease of its holder, or ends a member's waiting. Another holder's lease is not touched.
+    /// Releases the lease if the session holds it; otherwise removes the member from the queue. A lease held
+    /// by another session stays.
     pub(super) fn release_lease(
         &self, member: &Name, session: u64, task: &Name, successor: Option<&Name>,
     ) -> KeyChanges {
         let Some(current) = self.lease(task) else { return KeyChanges::new() };
         let lease = if current.is_held_by(member, session) {
             Lease { successor: successor.or(current.successor.as_ref()).cloned(), ..current.released() }
-        } else if self.in_session(member, session).is_ok() {
+        } else if self.check_session(member, session).is_ok() {
             let queue = current.queue.iter().filter(|waiting| *waiting != member).cloned().collect();
             Lease { queue, ..current.clone() }
         } else {
-            // A superseded process does not withdraw what its successor waits for.
+            // A superseded process must not remove the queue entry of the process that replaced it.
             return KeyChanges::new();
         };
         if lease == *current {
@@ -70,14 +71,14 @@
         vec![(Key::Lease(task.clone()), Some(Value::Lease(lease)))]
     }
 
-    /// Frees all leases of a session on which no process relies any more.
+    /// Frees all leases of a session. No process may rely on the session any more.
     pub(super) fn free_leases(&self, member: &Name, session: u64) -> KeyChanges {
         let held = self.leases().filter(|(_, lease)| lease.is_held_by(member, session));
         held.map(|(task, lease)| (Key::Lease(task.clone()), Some(Value::Lease(lease.released())))).collect()
     }
 
-    /// Grants free leases to members that wait and are eligible: present, ready, and without a granted
-    /// permit. This is the only place that grants leases.
+    /// Grants free leases to waiting members that are eligible: present, ready and without a granted permit.
+    /// It also removes leases that have neither a holder nor a queue. No other code grants leases.
     pub(super) fn grant_leases(&mut self, revision: u64) -> KeyChanges {
         let mut changes = KeyChanges::new();
         for (task, lease) in self.leases() {
@@ -92,8 +93,8 @@
 
     fn eligible_session(&self, name: &Name) -> Option<u64> {
         let subject = Subject { kind: SubjectKind::Dispatcher, name: name.clone() };
-        let is_leaving = self.permit(&subject).is_some_and(|permit| permit.is_granted());
-        let member = self.member(name).filter(|member| !is_leaving && !member.is_unavailable())?;
+        let has_granted_permit = self.permit(&subject).is_some_and(|permit| permit.is_granted());
+        let member = self.member(name).filter(|member| !has_granted_permit && !member.is_unavailable())?;
         Some(member.session)
     }
 }
--- a/crates/pebblepost-fleet/src/state/log.rs
+++ b/crates/pebblepost-fleet/src/state/log.rs
@@ -1,12 +1,12 @@
-//! Revisions and the bounded log of changes.
+//! Revisions, and the bounded log of changes.
 
 use super::{Command, KeyChanges, MAX_LOGGED_KEYS, Outcome, State};
 use crate::name::{Key, Text};
 use crate::value::{Change, Entry};
 
 impl State {
-    /// The changes after a revision, the oldest first, at most `max`; `None`: they are not all in the log any
-    /// more, or this state never had that revision, so a snapshot is needed.
+    /// Returns at most `max` changes after a revision, the oldest first. Returns `None` if some of them were
+    /// compacted or the state never had that revision; a snapshot is needed then.
     pub fn changes_after(&self, revision: u64, max: usize) -> Option<Vec<Change>> {
         if revision < self.compacted_revision || revision > self.revision {
             return None;
@@ -15,12 +15,13 @@
         Some(self.log.range(from..).take(max).cloned().collect())
     }
 
-    /// The changes that are in the log, the oldest first.
+    /// Iterates over the changes in the log, the oldest first.
     pub fn history(&self) -> impl DoubleEndedIterator<Item = &Change> {
         self.log.iter()
     }
 
-    /// Makes the next revision of these changes and of what follows from them; without changes there is none.
+    /// Commits these changes as the next revision, together with the permits and leases that can be granted
+    /// as a result. Without changes there is no new revision.
     pub(super) fn commit(&mut self, command: &Command, mut items: KeyChanges, reason: Text) -> Outcome {
         if items.is_empty() {
             return Outcome { revision: self.revision, session: None };
@@ -29,7 +30,7 @@
         let revision = self.revision;
         self.put(revision, &items);
         items.extend(self.grant_permits(revision));
-        // A member that came, went or is to go may have freed a lease, or may be eligible now.
+        // Changes of members, leases and permits can free a lease or make a member eligible for one.
         if items.iter().any(|(key, _)| matches!(key, Key::Member(_) | Key::Lease(_) | Key::Permit(_))) {
             items.extend(self.grant_leases(revision));
         }
@@ -40,7 +41,7 @@
         Outcome { revision, session: None }
     }
 
-    /// Sets and removes the values at these keys.
+    /// Sets or removes the values at these keys.
     pub(super) fn put(&mut self, revision: u64, changes: &KeyChanges) {
         for (key, value) in changes {
             match value {
--- a/crates/pebblepost-fleet/src/state/members.rs
+++ b/crates/pebblepost-fleet/src/state/members.rs
@@ -1,4 +1,4 @@
-//! Members in the state: their incarnations, sessions and readiness.
+//! The members in the state: their incarnations, sessions and readiness.
 
 use super::{KeyChanges, MAX_INCARNATIONS_PER_MEMBER, MAX_MEMBERS, Rejection, State, invalid};
 use crate::name::{IncarnationId, Key, Name};
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 impl State {
-    /// A member.
+    /// Returns a member.
     pub fn member(&self, name: &Name) -> Option<&Member> {
         match &self.entries.get(&Key::Member(name.clone()))?.value {
             Value::Member(member) => Some(member),
@@ -14,7 +14,7 @@
         }
     }
 
-    /// All members.
+    /// Iterates over all members.
     pub fn members(&self) -> impl Iterator<Item = (&Name, &Member)> {
         self.entries.iter().filter_map(|(key, entry)| match (key, &entry.value) {
             (Key::Member(name), Value::Member(member)) => Some((name, member)),
@@ -33,7 +33,7 @@
     }
 
     fn new_member(&self, incarnation_id: IncarnationId, info: &MemberInfo) -> Result<Member, Rejection> {
-        if self.count(|key| matches!(key, Key::Member(_))) >= MAX_MEMBERS {
+        if self.count_keys(|key| matches!(key, Key::Member(_))) >= MAX_MEMBERS {
             return Err(Rejection::Full { resource: "members".to_owned(), capacity: MAX_MEMBERS });
         }
         Ok(Member {
@@ -59,7 +59,7 @@
         if old.incarnation_id() == Some(incarnation_id) {
             return Ok(member);
         }
-        // A process that was superseded and has woken up must not take the name back.
+        // A process that was paused and superseded must not take the name back when it resumes.
         if old.incarnation_ids.contains(&incarnation_id) {
             return Err(Rejection::Superseded { member: name.clone(), incarnation: old.incarnation });
         }
@@ -69,8 +69,8 @@
         Ok(member)
     }
 
-    /// The member of that session, if it lasts.
-    pub(super) fn in_session(&self, name: &Name, session: u64) -> Result<&Member, Rejection> {
+    /// Returns the member if the session is its present one and has not ended.
+    pub(super) fn check_session(&self, name: &Name, session: u64) -> Result<&Member, Rejection> {
         let member = self
             .member(name)
             .filter(|member| member.session == session && member.presence == Presence::Present);
@@ -80,7 +80,7 @@
     pub(super) fn report_readiness(
         &self, name: &Name, session: u64, sequence: u64, ready: bool,
     ) -> Result<KeyChanges, Rejection> {
-        let current = self.in_session(name, session)?;
+        let current = self.check_session(name, session)?;
         if sequence <= current.last_report_sequence {
             return Ok(KeyChanges::new());
         }
@@ -89,11 +89,11 @@
         Ok(vec![(Key::Member(name.clone()), Some(Value::Member(member)))])
     }
 
-    /// Ends a session, and frees its leases.
+    /// Ends a session and frees its leases.
     pub(super) fn end_session(
         &self, name: &Name, session: u64, presence: Presence,
     ) -> Result<KeyChanges, Rejection> {
-        let member = Member { presence, ..self.in_session(name, session)?.clone() };
+        let member = Member { presence, ..self.check_session(name, session)?.clone() };
         let mut changes = vec![(Key::Member(name.clone()), Some(Value::Member(member)))];
         changes.extend(self.free_leases(name, session));
         Ok(changes)
@@ -102,7 +102,7 @@
     pub(super) fn expire_superseded_session(
         &self, name: &Name, session: u64,
     ) -> Result<KeyChanges, Rejection> {
-        if self.in_session(name, session).is_ok() {
+        if self.check_session(name, session).is_ok() {
             return invalid(format!("session {session} of {name} goes on"));
         }
         Ok(self.free_leases(name, session))
--- a/crates/pebblepost-fleet/src/state/mod.rs
+++ b/crates/pebblepost-fleet/src/state/mod.rs
@@ -1,9 +1,10 @@
-//! The state, and the one place where it changes.
+//! The replicated state, and the only code that changes it.
 //!
-//! Each command that changes something makes the next *revision*; each key carries the revision of its last
-//! change. The last changes stay in a bounded log, so that a follower goes on where it was; one that is
-//! further behind takes a [`Snapshot`]. All rules are checked in [`State::apply`] and nowhere else; it does
-//! no I/O and reads no clock, so the same commands give the same state at every replica.
+//! Each command that changes something produces the next *revision*, and each key carries the revision of its
+//! last change. The most recent changes stay in a bounded log, from which a follower continues at its own
+//! revision; a follower that is further behind takes a [`Snapshot`]. All rules are checked in
+//! [`State::apply`] and nowhere else. It does no I/O and reads no clock, so the same commands produce the
+//! same state at every replica.
 
 mod change;
 mod leases;
@@ -21,30 +22,31 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Most workers.
+/// Maximum number of workers.
 pub const MAX_WORKERS: usize = 20_000;
-/// Most drain marks.
+/// Maximum number of drain marks.
 pub const MAX_DRAINS: usize = 20_000;
-/// Most members.
+/// Maximum number of members.
 pub const MAX_MEMBERS: usize = 5_000;
-/// Most permits.
+/// Maximum number of permits.
 pub const MAX_PERMITS: usize = 5_000;
-/// Most leases.
+/// Maximum number of leases.
 pub const MAX_LEASES: usize = 20_000;
-/// Most waves of a release, and most zones in its order.
+/// Maximum number of waves of a release, and of zones in its order.
 pub const MAX_WAVES: usize = 32;
-/// Most numbers of replicas, removed ones included.
+/// Maximum number of replica numbers ever used, removed replicas included.
 pub const MAX_REPLICA_NUMBERS: usize = 1_024;
-/// Most operations, tasks or workers in one command.
+/// Maximum number of operations, tasks or workers in one command.
 pub const MAX_OPERATIONS_PER_COMMAND: usize = 1_024;
-/// Most changed keys in the log of changes; the oldest changes are compacted first.
+/// Maximum number of changed keys in the log of changes. The oldest changes are compacted first.
 pub const MAX_LOGGED_KEYS: usize = 16_384;
-/// Most results that are kept, so that a retry of a request gets the same one.
+/// Maximum number of stored results. A retry of a request gets the stored result again.
 pub const MAX_STORED_RESULTS: usize = 8_192;
-/// A restored state continues this far beyond the larger of its own revision and the backup's: followers may
-/// have seen revisions that the backup has not.
+/// Distance of the revision of a restored state from the larger of its previous revision and the backup's.
+/// Followers may have seen revisions that the backup does not contain.
 pub const RESTORE_REVISION_GAP: u64 = 1 << 20;
-/// Most incarnations of a member that are remembered, so that an old process does not take its name back.
+/// Maximum number of incarnation ids kept for a member, by which a superseded process is kept from taking the
+/// name back.
 const MAX_INCARNATIONS_PER_MEMBER: usize = 8;
 
 /// The replicated state.
@@ -55,17 +57,17 @@
     log: VecDeque<Change>,
     #[serde(rename = "logged")]
     logged_keys: usize,
-    /// Revision of the newest change that is no longer in the log.
+    /// Revision of the newest change that was removed from the log.
     #[serde(rename = "compacted")]
     compacted_revision: u64,
     #[serde(rename = "answers")]
     results: VecDeque<(RequestId, CommandResult)>,
-    /// The disk of each replica that there ever was, by the replica's number.
+    /// Disk of each replica that was ever in the group, by the replica's number.
     #[serde(rename = "keepers", default)]
     replica_disks: BTreeMap<u64, u64>,
 }
 
-/// The keys that a command changes, with their new values; `None`: removed.
+/// The keys that a command changes, with their new values; `None` if the value is removed.
 type KeyChanges = Vec<(Key, Option<Value>)>;
 
 fn invalid<T>(reason: impl Into<String>) -> Result<T, Rejection> {
@@ -73,17 +75,18 @@
 }
 
 impl State {
-    /// The state at a snapshot, without the history before it.
+    /// Returns the state at a snapshot, without the history before it.
     pub fn from_snapshot(snapshot: Snapshot) -> Self {
         let Snapshot { revision, entries } = snapshot;
         Self { revision, entries, compacted_revision: revision, ..Self::default() }
     }
 
-    /// Applies a command: all of it or nothing. A retry, known by its id, gets the first result again.
+    /// Applies a command atomically. A retry, which carries the id of an earlier command, returns the first
+    /// result again and changes nothing.
     ///
     /// # Errors
     ///
-    /// The rule that rejects the command. Nothing has changed then.
+    /// Returns the rule that rejects the command. The entries are unchanged then; only the result is stored.
     pub fn apply(&mut self, command: &Command) -> CommandResult {
         if let Some((_, result)) = self.results.iter().rev().find(|(id, _)| *id == command.id) {
             return result.clone();
@@ -93,22 +96,22 @@
         result
     }
 
-    /// The revision of the last change.
+    /// Returns the revision of the last change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The value at a key.
+    /// Returns the entry at a key.
     pub fn get(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// All entries, in the order of their keys.
+    /// Iterates over all entries in the order of their keys.
     pub fn entries(&self) -> impl Iterator<Item = (&Key, &Entry)> {
         self.entries.iter()
     }
 
-    /// All entries, for a follower or a backup.
+    /// Returns all entries, for a follower or a backup.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot { revision: self.revision, entries: self.entries.clone() }
     }
@@ -131,7 +134,8 @@
                 self.report_readiness(member, *session, *sequence, *ready)?
             }
             Action::Leave { member, session } => self.end_session(member, *session, Presence::Left)?,
-            // Both sides measure conservatively: no process relies on the session any more.
+            // Member and leader both apply a clock margin, so no process relies on an expired session any
+            // more.
             Action::ExpireSession { member, session } => {
                 self.end_session(member, *session, Presence::Lost)?
             }
@@ -169,7 +173,8 @@
         })
     }
 
-    /// Checks that the keys of one kind stay within their capacity.
+    /// Checks that the changes keep the number of keys of one kind within its capacity. Changes that add no
+    /// key are always accepted.
     fn check_capacity(
         &self, changes: &KeyChanges, is_kind: fn(&Key) -> bool, resource: &str, capacity: usize,
     ) -> Result<(), Rejection> {
@@ -178,12 +183,12 @@
         };
         match changes.iter().filter(is_added).count() {
             0 => Ok(()),
-            added if self.count(is_kind) + added <= capacity => Ok(()),
+            added if self.count_keys(is_kind) + added <= capacity => Ok(()),
             _ => Err(Rejection::Full { resource: resource.to_owned(), capacity }),
         }
     }
 
-    fn count(&self, is_kind: fn(&Key) -> bool) -> usize {
+    fn count_keys(&self, is_kind: fn(&Key) -> bool) -> usize {
         self.entries.keys().filter(|key| is_kind(key)).count()
     }
 }
--- a/crates/pebblepost-fleet/src/state/permits.rs
+++ b/crates/pebblepost-fleet/src/state/permits.rs
@@ -1,4 +1,4 @@
-//! Permits in the state: what operations make of them, and the one place that grants them.
+//! The permits in the state: the operations on them, and the only code that grants them.
 
 use super::{KeyChanges, State, invalid};
 use crate::availability::Availability;
@@ -7,12 +7,12 @@
 use crate::value::{Member, Permit, Value};
 
 impl State {
-    /// All dispatchers or workers, and the rules that apply to them.
+    /// Returns all subjects of a kind, and the rules that apply to them.
     pub fn availability(&self, kind: SubjectKind) -> Availability<'_> {
         Availability::new(&self.entries, kind)
     }
 
-    /// The permit of a dispatcher or worker.
+    /// Returns the permit of a dispatcher or worker.
     pub fn permit(&self, subject: &Subject) -> Option<&Permit> {
         match &self.entries.get(&Key::Permit(subject.clone()))?.value {
             Value::Permit(permit) => Some(permit),
@@ -20,17 +20,17 @@
         }
     }
 
-    /// All permits with their subjects.
+    /// Iterates over all permits with their subjects, in descending order of their keys.
     pub fn permits(&self) -> impl Iterator<Item = (&Subject, &Permit)> {
-        // Their keys are the last in the order of keys.
+        // Permits come last in the order of keys.
         self.entries.iter().rev().map_while(|(key, entry)| match (key, &entry.value) {
             (Key::Permit(subject), Value::Permit(permit)) => Some((subject, permit)),
             _ => None,
         })
     }
 
-    /// Ends the permits of dispatchers that have returned, and grants those that fit now. Whatever a command
-    /// changed, this is the only place that grants permits.
+    /// Ends the permits of dispatchers that have returned, and grants the permits that the rules allow now.
+    /// It runs after each change; no other code grants permits.
     pub(super) fn grant_permits(&mut self, revision: u64) -> KeyChanges {
         let returned = self.permits().filter(|(subject, permit)| self.has_returned(subject, permit));
         let mut changes: KeyChanges =
@@ -50,8 +50,8 @@
         changes
     }
 
-    /// Whether a dispatcher with a granted permit is available in another incarnation, with the permit's
-    /// version.
+    /// Returns whether a dispatcher with a granted permit is available in another incarnation and with the
+    /// permit's version.
     fn has_returned(&self, subject: &Subject, permit: &Permit) -> bool {
         if subject.kind != SubjectKind::Dispatcher || !permit.is_granted() {
             return false;
@@ -63,9 +63,9 @@
         })
     }
 
-    /// Permits of dispatchers that returned with another version than the permit's: started by someone who
-    /// knew of no permit, or of no rollback. The permit is bound to the new incarnation, so that it ends as
-    /// well; a halt stops that too.
+    /// Returns the changed permits of dispatchers that returned with a version other than the permit's,
+    /// because they were started without knowledge of the permit or of a rollback. Such a permit is bound to
+    /// the new incarnation, so that this incarnation has to end as well. No permit is rebound during a halt.
     fn rebound_permits(&self) -> KeyChanges {
         if self.entries.contains_key(&Key::Halt(SubjectKind::Dispatcher)) {
             return KeyChanges::new();
@@ -73,8 +73,9 @@
         let rebound = |(subject, permit): (&Subject, &Permit)| {
             permit.granted_at_revision.filter(|_| subject.kind == SubjectKind::Dispatcher)?;
             let member = self.member(&subject.name)?;
-            let is_wrong = !permit.version.as_str().is_empty() && permit.version != member.info.version;
-            if !is_wrong || permit.incarnation_id == member.incarnation_id() {
+            let has_other_version =
+                !permit.version.as_str().is_empty() && permit.version != member.info.version;
+            if !has_other_version || permit.incarnation_id == member.incarnation_id() {
                 return None;
             }
             let permit = Permit { incarnation_id: member.incarnation_id(), ..permit.clone() };
@@ -83,7 +84,7 @@
         self.permits().filter_map(rebound).collect()
     }
 
-    /// The grants of a kind that fit now, with the drain marks of workers.
+    /// Returns the permits of a kind that can be granted now, with the drain marks for workers.
     fn granted_permits(&self, kind: SubjectKind, revision: u64) -> KeyChanges {
         let mut changes = KeyChanges::new();
         for name in self.availability(kind).select_grants() {
@@ -106,13 +107,13 @@
         changes
     }
 
-    /// What an operation makes of a permit, and of the drain mark that belongs to it.
+    /// Returns the changes that an operation makes to a permit and to the drain mark that belongs to it.
     pub(super) fn change_permit(
         &self, command: &Command, operation: &Operation, reason: &Text,
     ) -> Result<KeyChanges, Rejection> {
         let Key::Permit(subject) = operation.key() else { return Ok(KeyChanges::new()) };
         match (operation, self.permit(&subject)) {
-            // Requested again, it is the same permit.
+            // A repeated request leaves the existing permit as it is.
             (Operation::RequestPermit { .. }, Some(_)) | (Operation::WithdrawPermit(_), None) => {
                 Ok(KeyChanges::new())
             }
@@ -138,7 +139,7 @@
                 invalid("a force needs a reason, for the history")
             }
             (Operation::CompletePermit(..) | Operation::ForceCompletePermit(_), Some(_)) => {
-                Ok(completed(subject))
+                Ok(end_permit(subject))
             }
             (_, None) => Ok(KeyChanges::new()),
             (_, Some(_)) => invalid(format!("{subject} has a permit")),
@@ -162,7 +163,7 @@
         Ok(vec![(Key::Permit(subject), Some(Value::Permit(permit)))])
     }
 
-    /// A permit that is requested by this command and not urgent.
+    /// Returns a permit that this command requests and that is not urgent.
     pub(super) fn new_permit(&self, command: &Command, version: &Text, reason: &Text) -> Permit {
         Permit {
             requested_by: command.issued_by.clone(),
@@ -177,8 +178,8 @@
     }
 }
 
-/// Ends a permit, and a worker's drain mark with it.
-fn completed(subject: Subject) -> KeyChanges {
+/// Returns the changes that end a permit and remove the drain mark of a worker.
+fn end_permit(subject: Subject) -> KeyChanges {
     let drain = (subject.kind == SubjectKind::Worker).then(|| (Key::Drain(subject.name.clone()), None));
     std::iter::once((Key::Permit(subject), None)).chain(drain).collect()
 }
--- a/crates/pebblepost-fleet/src/state/releases.rs
+++ b/crates/pebblepost-fleet/src/state/releases.rs
@@ -1,22 +1,22 @@
-//! The release in the state: its beginning, its waves, its rollback and its end.
+//! The release in the state: its start, its waves, its rollback and its end.
 
 use super::{KeyChanges, MAX_WAVES, State, invalid};
 use crate::command::{Command, Operation, Rejection};
 use crate::name::{Key, Subject, SubjectKind, Text};
 use crate::value::{Limit, Member, Permit, Release, Role, Value};
 
-const RELEASE: Key = Key::Release(SubjectKind::Dispatcher);
+const RELEASE_KEY: Key = Key::Release(SubjectKind::Dispatcher);
 
 impl State {
-    /// The release in progress.
+    /// Returns the release in progress.
     pub fn release(&self) -> Option<&Release> {
-        match &self.entries.get(&RELEASE)?.value {
+        match &self.entries.get(&RELEASE_KEY)?.value {
             Value::Release(release) => Some(release),
             _ => None,
         }
     }
 
-    /// What an operation makes of the release, and of the permits that belong to it.
+    /// Returns the changes that an operation makes to the release and to its permits.
     pub(super) fn change_release(
         &self, command: &Command, operation: &Operation, reason: &Text,
     ) -> Result<KeyChanges, Rejection> {
@@ -38,7 +38,7 @@
                     begun_by: command.issued_by.clone(),
                     begun_at_ms: command.issued_at_ms,
                 };
-                Ok(self.begin(command, release, reason, |current| current != version))
+                Ok(self.start_release(command, release, reason, |current| current != version))
             }
             (Operation::RollBack(version), Some(current)) => {
                 self.roll_back(command, version, current, reason)
@@ -96,7 +96,7 @@
             begun_by: command.issued_by.clone(),
             begun_at_ms: command.issued_at_ms,
         };
-        Ok(self.begin(command, release, reason, |version| *version == current.version))
+        Ok(self.start_release(command, release, reason, |version| *version == current.version))
     }
 
     fn advance_wave(&self, wave: u32, current: &Release) -> Result<KeyChanges, Rejection> {
@@ -110,27 +110,28 @@
             return invalid("not all of the wave have the version and are ready");
         }
         let release = Release { current_wave: current.current_wave + 1, ..current.clone() };
-        Ok(vec![(RELEASE, Some(Value::Release(release)))])
+        Ok(vec![(RELEASE_KEY, Some(Value::Release(release)))])
     }
 
     fn end_release(&self, current: &Release) -> Result<KeyChanges, Rejection> {
         match self.permits().filter(|(_, permit)| permit.version == current.version).count() {
-            0 => Ok(vec![(RELEASE, None)]),
+            0 => Ok(vec![(RELEASE_KEY, None)]),
             left => invalid(format!("{left} dispatchers have not come back as {}", current.version)),
         }
     }
 
-    /// A release, and requests for permits with its version for the dispatchers that `changes_from` selects
-    /// by their present version. Granted permits stay granted and get the version; other waiting permits are
-    /// withdrawn.
-    fn begin(
+    /// Returns the changes that start a release. Dispatchers that `changes_from` selects by their present
+    /// version get a permit request with the release's version. Granted permits stay granted and get that
+    /// version; waiting permits of other dispatchers are withdrawn.
+    fn start_release(
         &self, command: &Command, release: Release, reason: &Text, changes_from: impl Fn(&Text) -> bool,
     ) -> KeyChanges {
         let mut changes = KeyChanges::new();
         for (name, member) in self.members().filter(|(_, member)| member.info.role == Role::Dispatcher) {
             let subject = Subject { kind: SubjectKind::Dispatcher, name: name.clone() };
             let permit = match self.permit(&subject) {
-                // It may have gone already, for whichever version: it has to return with this one.
+                // The dispatcher may already have exited to change to another version; it has to return with
+                // this one.
                 Some(permit) if permit.is_granted() => {
                     Some(Permit { version: release.version.clone(), ..permit.clone() })
                 }
@@ -141,11 +142,11 @@
             };
             changes.push((Key::Permit(subject), permit.map(Value::Permit)));
         }
-        changes.push((RELEASE, Some(Value::Release(release))));
+        changes.push((RELEASE_KEY, Some(Value::Release(release))));
         changes
     }
 
-    /// In a rollback dispatchers that are unavailable go first.
+    /// Returns a permit request of the release. In a rollback, unavailable dispatchers go first.
     fn release_permit(&self, command: &Command, release: &Release, member: &Member, reason: &Text) -> Permit {
         Permit {
             urgent: release.is_rollback() && member.is_unavailable(),
--- a/crates/pebblepost-fleet/src/state/replicas.rs
+++ b/crates/pebblepost-fleet/src/state/replicas.rs
@@ -1,17 +1,19 @@
-//! The disks of the Raft group's replicas.
+//! The disks of the replicas of the Raft group.
 
 use super::{CommandResult, MAX_REPLICA_NUMBERS, Outcome, Rejection, State, invalid};
 
 impl State {
-    /// Registers the disks of the group's replicas, as its membership lists them.
+    /// Registers the disks of the replicas in the group's membership. A number that is registered already
+    /// keeps its disk.
     pub fn register_replicas(&mut self, disks: impl IntoIterator<Item = (u64, u64)>) {
         for (replica, disk) in disks {
             self.replica_disks.entry(replica).or_insert(disk);
         }
     }
 
-    /// A replica's number belongs for ever to the first disk that had it: with another disk the replica has
-    /// forgotten what it voted for and acknowledged, and the process with the old one may still run.
+    /// Registers the disk of a replica number, which permanently belongs to the first disk registered with
+    /// it. With another disk the replica would have lost its votes and the entries that it acknowledged, and
+    /// a process with the old disk may still be running.
     pub(super) fn admit_replica(&mut self, replica: u64, disk: u64) -> CommandResult {
         match self.replica_disks.get(&replica) {
             Some(known) if *known != disk => {
--- a/crates/pebblepost-fleet/src/state/restore.rs
+++ b/crates/pebblepost-fleet/src/state/restore.rs
@@ -1,4 +1,4 @@
-//! Restoring a backup.
+//! Restoring the state from a backup.
 
 use super::{
     Command, CommandResult, KeyChanges, MAX_DRAINS, MAX_MEMBERS, MAX_WORKERS, Outcome, Presence,
@@ -25,21 +25,22 @@
         Ok(Outcome { revision, session: None })
     }
 
-    /// What is unavailable, and that nothing more may go, are facts of the present and stay.
+    /// Removes the entries that the backup replaces. Entries that tell which subjects are unavailable now,
+    /// and halts, describe the present and stay.
     fn remove_replaced_entries(&mut self) {
-        let out_by_permit: BTreeSet<Name> = self
+        let permitted_workers: BTreeSet<Name> = self
             .permits()
             .filter(|(subject, permit)| subject.kind == SubjectKind::Worker && permit.is_granted())
             .map(|(subject, _)| subject.name.clone())
             .collect();
         self.entries.retain(|key, _| match key {
-            Key::Drain(worker) => out_by_permit.contains(worker),
+            Key::Drain(worker) => permitted_workers.contains(worker),
             Key::Member(_) | Key::Lease(_) | Key::Permit(_) | Key::Halt(_) | Key::Release(_) => true,
             Key::Worker(_) | Key::Setting(_) | Key::Budget(_) => false,
         });
     }
 
-    /// What a value of the backup becomes; `None`: it is not taken over.
+    /// Returns the value to restore for a value of the backup, or `None` if it is not restored.
     fn restored_value(&self, key: &Key, value: &Value) -> Option<Value> {
         match value {
             Value::Permit(_) | Value::Lease(_) | Value::Release(_) => None,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Followers take the whole state; the history says that there was a restore.
+    /// Empties the log, so that followers take a snapshot, and records the restore in the history.
     fn restart_log(&mut self, command: &Command, backup_revision: u64) {
         self.log.clear();
         (self.logged_keys, self.compacted_revision) = (0, self.revision);
@@ -65,7 +66,7 @@
     }
 }
 
-/// Checks that each key has a value of its kind.
+/// Checks that each key in the backup has a valid value of its kind.
 fn check_values(backup: &Snapshot) -> Result<(), Rejection> {
     for (key, entry) in &backup.entries {
         let is_valid = match (key, &entry.value) {
--- a/crates/pebblepost-fleet/src/state/workers.rs
+++ b/crates/pebblepost-fleet/src/state/workers.rs
@@ -1,11 +1,11 @@
-//! Workers in the state, as a majority of the dispatchers observes them.
+//! The workers in the state, as a majority of the dispatchers observes them.
 
 use super::{KeyChanges, MAX_OPERATIONS_PER_COMMAND, MAX_WORKERS, Rejection, State, invalid};
 use crate::name::{Key, Name};
 use crate::value::{Value, Worker, WorkerDiff, WorkerObservation};
 
 impl State {
-    /// A worker.
+    /// Returns the record of a worker.
     pub fn worker(&self, name: &Name) -> Option<&Worker> {
         match &self.entries.get(&Key::Worker(name.clone()))?.value {
             Value::Worker(worker) => Some(worker),
@@ -13,13 +13,13 @@
         }
     }
 
-    /// How many workers there are.
+    /// Returns the number of workers.
     pub fn worker_count(&self) -> usize {
-        self.count(|key| matches!(key, Key::Worker(_)))
+        self.count_keys(|key| matches!(key, Key::Worker(_)))
     }
 
-    /// Takes in observations. Other fields of a worker stay; one that is gone is removed, except for its
-    /// drain mark and permit.
+    /// Applies observations. Fields of a worker that were not observed keep their values. A worker that is
+    /// gone is removed, but its drain mark and permit stay.
     pub(super) fn update_workers(&self, workers: &WorkerDiff) -> Result<KeyChanges, Rejection> {
         if workers.len() > MAX_OPERATIONS_PER_COMMAND {
             let count = workers.len();
--- a/crates/pebblepost-fleet/src/value/member.rs
+++ b/crates/pebblepost-fleet/src/value/member.rs
@@ -5,22 +5,23 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// What a member says about itself when it joins.
+/// What a member reports about itself when it joins.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberInfo {
-    /// Its role.
+    /// Role of the member.
     pub role: Role,
-    /// The version of its program.
+    /// Version of its program.
     #[serde(default)]
     pub version: Text,
-    /// Its address.
+    /// Address of the member, if it has one.
     #[serde(default)]
     pub address: Option<SocketAddr>,
-    /// Its zone.
+    /// Zone of the member; empty if it has none.
     #[serde(default)]
     pub zone: Text,
-    /// Whether it accepts new clients; see [`Action::ReportReadiness`](crate::Action::ReportReadiness).
+    /// Whether the member accepts new clients; see
+    /// [`Action::ReportReadiness`](crate::Action::ReportReadiness).
     #[serde(default)]
     pub ready: bool,
 }
@@ -29,9 +30,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// It dispatches requests to workers.
+    /// Dispatches requests to workers.
     Dispatcher,
-    /// It is a replica of the Raft group.
+    /// Is a replica of the Raft group.
     #[serde(rename = "keeper")]
     Replica,
 }
@@ -39,49 +40,49 @@
 /// A member of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// What it says about itself.
+    /// What the member reported when it joined, with its readiness as last reported.
     #[serde(rename = "card")]
     pub info: MemberInfo,
-    /// Counts its incarnations, from 1.
+    /// Number of the present incarnation, counted from 1.
     pub incarnation: u64,
-    /// Its session: a number that no earlier session had.
+    /// Number of its session, which no earlier session had.
     pub session: u64,
-    /// Whether the session lasts.
+    /// Whether the session is still valid.
     pub presence: Presence,
-    /// The sequence number of its last readiness report in this session.
+    /// Sequence number of the last readiness report in this session; 0 if there was none.
     #[serde(rename = "reports", default)]
     pub last_report_sequence: u64,
-    /// The present incarnation and those before it, the latest first.
+    /// Ids of the present incarnation and earlier ones, the latest first.
     #[serde(rename = "lives")]
     pub(crate) incarnation_ids: VecDeque<IncarnationId>,
 }
 
 impl Member {
-    /// The id of the present incarnation.
+    /// Returns the id of the present incarnation.
     pub fn incarnation_id(&self) -> Option<IncarnationId> {
         self.incarnation_ids.front().copied()
     }
 
-    /// Whether it is a dispatcher.
+    /// Returns whether the member is a dispatcher.
     pub fn is_dispatcher(&self) -> bool {
         self.info.role == Role::Dispatcher
     }
 
-    /// Whether it is absent, of unknown state, or not ready.
+    /// Returns whether the member left, is lost, or is not ready.
     pub(crate) fn is_unavailable(&self) -> bool {
         self.presence != Presence::Present || !self.info.ready
     }
 }
 
-/// Whether a member is present.
+/// Whether the session of a member is valid, and how it ended otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Presence {
-    /// Its session lasts.
+    /// The session is valid.
     #[serde(rename = "here")]
     Present,
-    /// It ended its session itself.
+    /// The member ended its session itself.
     Left,
-    /// Its session expired without heartbeats.
+    /// The session expired without heartbeats.
     Lost,
 }
--- a/crates/pebblepost-fleet/src/value/mod.rs
+++ b/crates/pebblepost-fleet/src/value/mod.rs
@@ -1,7 +1,7 @@
-//! The values of the replicated state: what has a key, and the forms in which followers and backups get it.
+//! The values in the replicated state, and the forms in which followers and backups receive them.
 //!
-//! These types are stored and sent as JSON under names that never change; `tests/stored` pins the bytes.
-//! Nothing here decides anything: the rules are in [`crate::state`], the disruption budget's in
+//! These types are stored and sent as JSON under names that never change; `tests/stored` pins the bytes. The
+//! rules are elsewhere: those of commands in [`crate::state`], those of disruption budgets in
 //! [`crate::availability`].
 
 mod lease;
@@ -20,39 +20,39 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The value of a key.
+/// The value at a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Value {
     /// A drain mark.
     Drain {
-        /// Who set it.
+        /// Operator or member that set it.
         #[serde(rename = "by")]
         set_by: Name,
-        /// That issuer's wall clock, in Unix time in milliseconds.
+        /// Wall clock of the issuer, in Unix time in milliseconds.
         #[serde(rename = "at_ms")]
         set_at_ms: u64,
-        /// The reason.
+        /// Reason given by the issuer.
         #[serde(rename = "why")]
         reason: Text,
     },
-    /// A worker.
+    /// The last known record of a worker.
     Worker(Worker),
-    /// A setting's value.
+    /// The value of a setting.
     Setting(f64),
-    /// A member.
+    /// A member of the fleet.
     Member(Member),
     /// A disruption budget.
     Budget(Budget),
-    /// No further permits are granted.
+    /// A halt: no further permits of the kind are granted.
     Halt {
-        /// Who set it.
+        /// Operator or member that set it.
         #[serde(rename = "by")]
         set_by: Name,
-        /// That issuer's wall clock, in Unix time in milliseconds.
+        /// Wall clock of the issuer, in Unix time in milliseconds.
         #[serde(rename = "at_ms")]
         set_at_ms: u64,
-        /// The reason.
+        /// Reason given by the issuer.
         #[serde(rename = "why")]
         reason: Text,
     },
@@ -60,42 +60,42 @@
     Release(Release),
     /// The lease of a task.
     Lease(Lease),
-    /// A permit.
+    /// A permit, requested or granted.
     Permit(Permit),
 }
 
-/// A value and the revision at which it was set.
+/// A value with the revision at which it was set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The value.
+    /// Value at the key.
     pub value: Value,
-    /// The revision.
+    /// Revision at which the value was set.
     pub revision: u64,
 }
 
-/// What one command changed.
+/// The changes that one command made.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The revision that it made.
+    /// Revision that the command produced.
     pub revision: u64,
-    /// Who issued the command.
+    /// Operator, member or replica that issued the command.
     #[serde(rename = "by")]
     pub issued_by: Name,
-    /// That issuer's wall clock, in Unix time in milliseconds.
+    /// Wall clock of the issuer, in Unix time in milliseconds.
     #[serde(rename = "at_ms")]
     pub issued_at_ms: u64,
-    /// The reason.
+    /// Reason given with the command, for the history.
     #[serde(rename = "why")]
     pub reason: Text,
-    /// The changed keys and their new values; `None`: removed.
+    /// Changed keys with their new values; `None` if the value was removed.
     pub items: Vec<(Key, Option<Value>)>,
 }
 
-/// The entries of the state at a revision, for followers and backups.
+/// All entries of the state at one revision, for followers and backups.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The revision.
+    /// Revision of the state.
     pub revision: u64,
-    /// All entries.
+    /// Entries by key.
     pub entries: BTreeMap<Key, Entry>,
 }
--- a/crates/pebblepost-fleet/src/value/permit.rs
+++ b/crates/pebblepost-fleet/src/value/permit.rs
@@ -1,5 +1,5 @@
-//! Permits and disruption budgets: which dispatcher or worker may be taken out of service, and how many at
-//! once.
+//! Permits to take a dispatcher or worker out of service, and the disruption budgets that limit how many are
+//! unavailable at once.
 
 use crate::name::{IncarnationId, Name, Text};
 use serde::{Deserialize, Serialize};
@@ -8,7 +8,7 @@
 use std::str::FromStr;
 use thiserror::Error;
 
-/// Added before a fraction of a total is rounded down, so that a tenth of thirty is three.
+/// Added before a fraction of a total is rounded down, so that 10% of 30 is 3 in spite of rounding errors.
 const ROUNDING_MARGIN: f64 = 1e-9;
 
 /// A limit, as a count or as a fraction of a total.
@@ -22,10 +22,10 @@
     Fraction(f64),
 }
 
-/// Why a text is no [`Limit`].
+/// A string is not a valid [`Limit`].
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ParseLimitError {
-    /// It is no count.
+    /// The string is not a count.
     #[error("{text:?} is neither a count nor a percentage: {cause}")]
     Count {
         /// The text.
@@ -33,7 +33,7 @@
         /// What is wrong with it.
         cause: ParseIntError,
     },
-    /// It ends in `%` and is no percentage.
+    /// The string ends in `%` and is not a percentage.
     #[error("{text:?} is neither a count nor a percentage: {cause}")]
     Percentage {
         /// The text.
@@ -41,13 +41,13 @@
         /// What is wrong with it.
         cause: ParseFloatError,
     },
-    /// It is a percentage out of range.
-    #[error("{0:?} is not within 0% and 100%")]
+    /// The percentage is out of range.
+    #[error("percentage {0:?} is not between 0% and 100%")]
     OutOfRange(String),
 }
 
 impl Limit {
-    /// The limit as a count, for that total.
+    /// Returns the limit as a count out of `total`.
     pub fn resolve(self, total: usize) -> usize {
         match self {
             Self::Count(count) => count as usize,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether a fraction is within 0 and 1.
+    /// Returns whether the limit is a count, or a fraction between 0 and 1.
     pub fn is_valid(self) -> bool {
         !matches!(self, Self::Fraction(fraction) if !(0.0..=1.0).contains(&fraction))
     }
@@ -64,7 +64,7 @@
 impl FromStr for Limit {
     type Err = ParseLimitError;
 
-    /// `3` or `10%`.
+    /// Parses a count such as `3` or a percentage such as `10%`.
     fn from_str(text: &str) -> Result<Self, ParseLimitError> {
         let owned = || text.to_owned();
         let limit = match text.strip_suffix('%') {
@@ -90,26 +90,26 @@
     }
 }
 
-/// A disruption budget: how many of one kind may be unavailable at once.
+/// A disruption budget: how many dispatchers, or how many workers, may be unavailable at once.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Limit over the fleet.
+    /// Maximum number unavailable in the fleet.
     #[serde(rename = "most")]
     pub max_unavailable: Limit,
-    /// Limit for each zone; `None`: only that of the fleet applies.
+    /// Maximum number unavailable in each zone; if `None`, only the fleet's limit applies.
     #[serde(rename = "most_in_zone", default)]
     pub max_unavailable_per_zone: Option<Limit>,
-    /// Limit for each type of machine; `None`: only that of the fleet applies.
+    /// Maximum number unavailable of each machine type; if `None`, only the fleet's limit applies.
     #[serde(rename = "most_in_kind", default)]
     pub max_unavailable_per_machine_type: Option<Limit>,
-    /// How many stay available in each zone.
+    /// Minimum number available in each zone.
     #[serde(rename = "least_in_zone", default)]
     pub min_available_per_zone: u32,
 }
 
 impl Budget {
-    /// Whether all of its limits are valid.
+    /// Returns whether all limits are valid.
     pub fn is_valid(&self) -> bool {
         [Some(self.max_unavailable), self.max_unavailable_per_zone, self.max_unavailable_per_machine_type]
             .into_iter()
@@ -117,13 +117,13 @@
             .all(Limit::is_valid)
     }
 
-    /// How many may be unavailable in a zone with that total.
+    /// Returns how many may be unavailable in a zone of `total`.
     pub(crate) fn zone_limit(&self, total: usize) -> usize {
         let limit = self.max_unavailable_per_zone.map_or(usize::MAX, |limit| limit.resolve(total));
         limit.min(total.saturating_sub(self.min_available_per_zone as usize))
     }
 
-    /// How many may be unavailable of a type of machine with that total.
+    /// Returns how many of `total` machines of one type may be unavailable.
     pub(crate) fn machine_type_limit(&self, total: usize) -> usize {
         self.max_unavailable_per_machine_type.map_or(usize::MAX, |limit| limit.resolve(total))
     }
@@ -132,33 +132,34 @@
 /// A permit to be taken out of service, requested or granted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Permit {
-    /// Who requested it.
+    /// Operator or member that requested the permit.
     #[serde(rename = "by")]
     pub requested_by: Name,
-    /// The requester's wall clock, in Unix time in milliseconds.
+    /// Wall clock of the requester, in Unix time in milliseconds.
     #[serde(rename = "at_ms")]
     pub requested_at_ms: u64,
-    /// The reason.
+    /// Reason given with the request.
     #[serde(rename = "why")]
     pub reason: Text,
-    /// Served before requests that are not urgent, but never beyond the budget.
+    /// Whether the request goes ahead of those that are not urgent. The budget applies all the same.
     pub urgent: bool,
-    /// The version with which a dispatcher has to return; empty: any.
+    /// Version with which a dispatcher has to return; any if empty.
     #[serde(rename = "want")]
     pub version: Text,
-    /// The revision of the request, which is its position among equally urgent ones.
+    /// Revision of the request, which orders equally urgent requests.
     #[serde(rename = "asked")]
     pub requested_at_revision: u64,
-    /// The revision of the grant. Only the subject's return, or an operator's force, ends a granted permit.
+    /// Revision of the grant, or `None` while the permit waits. Only the return of the subject or a forced
+    /// completion by an operator ends a granted permit.
     #[serde(rename = "granted")]
     pub granted_at_revision: Option<u64>,
-    /// The incarnation of the dispatcher that is to end.
+    /// Incarnation of the dispatcher that has to end.
     #[serde(rename = "life")]
     pub incarnation_id: Option<IncarnationId>,
 }
 
 impl Permit {
-    /// Whether it is granted.
+    /// Returns whether the permit is granted.
     pub fn is_granted(&self) -> bool {
         self.granted_at_revision.is_some()
     }
