--- a/crates/pebblepost-fleet/examples/release_size.rs
+++ b/crates/pebblepost-fleet/examples/release_size.rs
@@ -1,6 +1,6 @@
-//! The cost of a release by the size of the fleet, without sockets: the state machine with N dispatchers that
-//! restart in times drawn from a seed. Prints a table: the duration, and the commands and bytes of changes
-//! for each dispatcher.
+//! Measures the cost of a release by the size of the fleet, without sockets. It runs the state machine with N
+//! dispatchers whose restart times are drawn from a seeded generator. It prints a table of the duration and
+//! of the commands and bytes of changes per dispatcher.
 //!
 //! `cargo run --release -p pebblepost-fleet --example release_size [PLOT.svg]`
 
@@ -17,7 +17,7 @@
 
 struct Fleet {
     state: State,
-    /// The number of the last request.
+    /// Number of the last request.
     last_request: u64,
     commands: u64,
     bytes: usize,
@@ -26,7 +26,7 @@
 impl Fleet {
     fn apply(&mut self, issued_by: &str, action: Action) {
         (self.commands, self.last_request) = (self.commands + 1, self.last_request + 1);
-        let (id, issued_by) = (RequestId(1, self.last_request), issued_by.parse().expect("a sound name"));
+        let (id, issued_by) = (RequestId(1, self.last_request), issued_by.parse().expect("a valid name"));
         let before = self.state.revision();
         self.state.apply(&Command { id, issued_by, issued_at_ms: 0, action }).expect("a valid command");
         let changes = self.state.changes_after(before, 1).unwrap_or_default();
@@ -45,17 +45,17 @@
     }
 
     fn join(&mut self, n: u64, incarnation: u64, version: &str) {
-        let text = |text: String| text.parse::<Text>().expect("a sound text");
+        let text = |text: String| text.parse::<Text>().expect("a valid text");
         let (version, zone) = (text(version.to_owned()), text(format!("z{}", n % 3)));
         let info = MemberInfo { role: Role::Dispatcher, version, address: None, zone, ready: true };
-        let member: Name = format!("d{n}").parse().expect("a sound name");
+        let member: Name = format!("d{n}").parse().expect("a valid name");
         self.apply(
             &format!("d{n}"),
             Action::Join { member, incarnation_id: IncarnationId(n, incarnation), info },
         );
     }
 
-    /// The dispatchers whose first incarnation is permitted to end.
+    /// Returns the dispatchers whose first incarnation has a granted permit.
     fn leaving(&self) -> BTreeSet<u64> {
         let granted = self.state.permits().filter(|(_, permit)| permit.granted_at_revision.is_some());
         granted
@@ -66,8 +66,7 @@
     }
 }
 
-/// The result for one size: the duration in seconds, and the commands and bytes of changes for each
-/// dispatcher.
+/// The result for one size: the duration in seconds, and the commands and bytes of changes per dispatcher.
 struct Point {
     dispatchers: u64,
     seconds: u64,
@@ -75,7 +74,7 @@
     bytes: f64,
 }
 
-/// Draws commands and bytes for each dispatcher, and the length of the release, over the size.
+/// Plots the duration of the release, and the commands and bytes per dispatcher, over the size of the fleet.
 fn plot(path: &str, points: &[Point]) -> Result<(), Box<dyn std::error::Error>> {
     type Row = (&'static str, fn(&Point) -> f64, f64);
     let rows: [Row; 3] = [
@@ -122,7 +121,7 @@
         let (began, mut draws) = (Instant::now(), Pcg64Mcg::seed_from_u64(7));
         let waves = vec![Limit::Count(1), Limit::Fraction(0.05), Limit::Fraction(0.25), Limit::Fraction(1.0)];
         fleet.change(Operation::BeginRelease {
-            version: "2".parse().expect("a sound text"),
+            version: "2".parse().expect("a valid text"),
             waves,
             zone_order: Vec::new(),
         });
@@ -131,11 +130,11 @@
             wave_timeout: Duration::from_secs(600),
             max_crashes: 3,
             max_success_rate_drop: 0.05,
-            // No requests are simulated, so the release is watched by crashes and time only.
+            // No requests are simulated, so the driver observes only crashes and time.
             min_answers: 0,
         });
-        // In tenths of a second: each learns of its permit, ends its requests, and is restarted within 2 to 8
-        // s.
+        // Time in tenths of a second. Each dispatcher returns 2 to 8 s after the grant of its permit: it
+        // learns of the permit, completes its requests and restarts.
         let (mut now, mut returning): (u64, BTreeMap<u64, BTreeSet<u64>>) = (0, BTreeMap::new());
         let mut restarted = BTreeSet::new();
         loop {
--- a/crates/pebblepost-fleet/tests/decisions.rs
+++ b/crates/pebblepost-fleet/tests/decisions.rs
@@ -1,6 +1,6 @@
-//! Decisions pinned by digests of whole seeded runs: random commands, heartbeats, followers, a release's
-//! driver and its simulation. A digest covers what is written (JSON, error texts, numbers) and its order,
-//! never the names of Rust items.
+//! Decisions pinned by digests of whole seeded runs with random commands, heartbeats, followers, and the
+//! driver and simulation of a release. A digest covers what is written out (JSON, error texts, numbers) and
+//! its order, but no names of Rust items.
 
 use pebblepost_fleet::follower::Follower;
 use pebblepost_fleet::heartbeat::HeartbeatReport;
@@ -16,7 +16,7 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Digest of decisions as JSON.
+/// A digest of decisions in their JSON or text form.
 #[derive(Default)]
 struct Digest(Fnv1a);
 
@@ -27,14 +27,14 @@
     }
 
     fn json<T: Serialize>(&mut self, value: &T) {
-        self.text(&serde_json::to_string(value).expect("plain data"));
+        self.text(&serde_json::to_string(value).expect("serializes to JSON"));
     }
 }
 
-/// `splitmix64`, so that the draws depend on no crate's version.
-struct Draws(u64);
+/// A `splitmix64` generator, so that the numbers do not depend on the version of a crate.
+struct RandomNumbers(u64);
 
-impl Draws {
+impl RandomNumbers {
     fn below(&mut self, end: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut mixed = self.0;
@@ -43,7 +43,7 @@
         (mixed ^ (mixed >> 31)) % end
     }
 
-    fn coin(&mut self) -> bool {
+    fn next_bool(&mut self) -> bool {
         self.below(2) == 0
     }
 
@@ -64,12 +64,12 @@
     }
 
     fn operation(&mut self, state: &State) -> String {
-        let kind = if self.coin() { "dispatcher" } else { "worker" };
+        let kind = if self.next_bool() { "dispatcher" } else { "worker" };
         let (worker, dispatcher, revision) = (self.worker(), self.dispatcher(), state.revision());
         let subject =
             if kind == "worker" { format!("worker/{worker}") } else { format!("dispatcher/{dispatcher}") };
         let granted = state
-            .permit(&subject.parse().expect("sound"))
+            .permit(&subject.parse().expect("a valid string"))
             .and_then(|permit| permit.granted_at_revision)
             .unwrap_or(1);
         match self.below(24) {
@@ -91,7 +91,7 @@
             }
             11 => format!(r#"{{"halt":"{kind}"}}"#),
             12 => format!(r#"{{"resume":"{kind}"}}"#),
-            13..=15 => format!(r#"{{"ask":{{"subject":"{subject}","urgent":{}}}}}"#, self.coin()),
+            13..=15 => format!(r#"{{"ask":{{"subject":"{subject}","urgent":{}}}}}"#, self.next_bool()),
             16 => format!(r#"{{"withdraw":"{subject}"}}"#),
             17 => format!(r#"{{"back":["{subject}",{granted}]}}"#),
             18 => format!(r#"{{"force":"{subject}"}}"#),
@@ -103,14 +103,15 @@
             }
             21 => format!(r#"{{"go_back":"v{}"}}"#, self.below(3)),
             22 => format!(r#"{{"advance":{}}}"#, self.below(2)),
-            _ if self.coin() => r#""end_release""#.to_owned(),
+            _ if self.next_bool() => r#""end_release""#.to_owned(),
             _ => format!(r#"{{"revoke":{{"task":"t0","fence":{revision},"to":"{dispatcher}"}}}}"#),
         }
     }
 
-    fn act(&mut self, state: &State) -> String {
+    fn action(&mut self, state: &State) -> String {
         let member = self.dispatcher();
-        let session = state.member(&member.parse().expect("sound")).map_or(1, |member| member.session);
+        let session =
+            state.member(&member.parse().expect("a valid string")).map_or(1, |member| member.session);
         let session = if self.below(8) == 0 { session + 1 } else { session };
         match self.below(20) {
             0..=3 => {
@@ -123,7 +124,7 @@
             4 => format!(
                 r#"{{"report":{{"member":"{member}","session":{session},"number":{},"ready":{}}}}}"#,
                 self.below(5),
-                self.coin()
+                self.next_bool()
             ),
             5 => format!(r#"{{"leave":{{"member":"{member}","session":{session}}}}}"#),
             6 | 7 => format!(
@@ -143,7 +144,10 @@
             11 => format!(r#"{{"expire":{{"member":"{member}","session":{session}}}}}"#),
             12 => format!(r#"{{"admit":{{"keeper":{},"disk":{}}}}}"#, self.below(4), self.below(2)),
             13 if self.below(10) == 0 => {
-                format!(r#"{{"restore":{}}}"#, serde_json::to_string(&state.snapshot()).expect("plain data"))
+                format!(
+                    r#"{{"restore":{}}}"#,
+                    serde_json::to_string(&state.snapshot()).expect("serializes to JSON")
+                )
             }
             _ => {
                 let operations: Vec<String> = (0..1 + self.below(2)).map(|_| self.operation(state)).collect();
@@ -154,7 +158,7 @@
 
     fn heartbeat(&mut self, state: &State) -> String {
         let acts_by = state.revision().saturating_sub(self.below(6));
-        let busy = if self.coin() { format!(r#""{}""#, self.worker()) } else { String::new() };
+        let busy = if self.next_bool() { format!(r#""{}""#, self.worker()) } else { String::new() };
         let answered = self.below(50);
         let served = answered - self.below(answered + 1) / 4;
         let sight = ["ready", "cold", "out"][self.below(3) as usize];
@@ -164,34 +168,36 @@
     }
 }
 
-/// A fleet, its leader, a follower and a driver, over so many steps.
+/// Runs a fleet, its leader, a follower and a driver for a number of steps. Returns the digest of all
+/// decisions.
 fn whole_run(seed: u64, steps: u64) -> u64 {
-    let (mut digest, mut draws, mut state) = (Digest::default(), Draws(seed), State::default());
+    let (mut digest, mut random, mut state) = (Digest::default(), RandomNumbers(seed), State::default());
     let mut sessions = Sessions::new(SessionTtl(Duration::from_secs(10)));
     let mut follower = Follower::default();
-    let pace = ReleasePolicy {
+    let policy = ReleasePolicy {
         observation_time: Duration::from_secs(30),
         wave_timeout: Duration::from_secs(120),
         max_crashes: 2,
         max_success_rate_drop: 0.05,
         min_answers: 10,
     };
-    let mut driver = ReleaseDriver::new(pace);
+    let mut driver = ReleaseDriver::new(policy);
     for step in 0..steps {
         let now = Duration::from_millis(step * 700);
-        let act: Action = serde_json::from_str(&draws.act(&state)).expect("a command");
+        let act: Action = serde_json::from_str(&random.action(&state)).expect("a command");
         let mut acts = vec![act];
         let members: Vec<(Name, u64)> = state
             .members()
-            .filter(|_| draws.below(3) > 0)
+            .filter(|_| random.below(3) > 0)
             .map(|(n, member)| (n.clone(), member.session))
             .collect();
         for (member, session) in members {
-            let doing: Option<HeartbeatReport> =
-                draws.coin().then(|| serde_json::from_str(&draws.heartbeat(&state)).expect("a heartbeat"));
-            let counted =
-                sessions.record_heartbeat(now, &state, &member, session, doing) == HeartbeatOutcome::Renewed;
-            digest.json(&counted);
+            let report: Option<HeartbeatReport> = random
+                .next_bool()
+                .then(|| serde_json::from_str(&random.heartbeat(&state)).expect("a heartbeat"));
+            let renewed =
+                sessions.record_heartbeat(now, &state, &member, session, report) == HeartbeatOutcome::Renewed;
+            digest.json(&renewed);
         }
         acts.extend(sessions.expire_sessions(now, &state));
         acts.extend(majority_worker_update(&state, &sessions));
@@ -199,7 +205,11 @@
         let requests = request_totals(&state, &sessions);
         digest.json(&requests);
         for worker in 0..6 {
-            digest.json(&drain_status(&state, &sessions, &format!("w{worker}").parse().expect("sound")));
+            digest.json(&drain_status(
+                &state,
+                &sessions,
+                &format!("w{worker}").parse().expect("a valid string"),
+            ));
         }
         match driver.next_step(now, &state.snapshot(), &requests) {
             NextStep::Wait => digest.text("wait"),
@@ -217,16 +227,16 @@
         }
         for (n, act) in acts.into_iter().enumerate() {
             let id = RequestId(step, n as u64);
-            let by = "someone".parse().expect("sound");
+            let by = "someone".parse().expect("a valid string");
             let answer = state.apply(&Command { id, issued_by: by, issued_at_ms: step, action: act });
             digest.json(&answer);
-            if let Err(refusal) = &answer {
-                digest.text(&refusal.to_string());
+            if let Err(rejection) = &answer {
+                digest.text(&rejection.to_string());
             }
         }
-        follow(&mut follower, &state, &mut draws, &mut digest, now);
+        follow(&mut follower, &state, &mut random, &mut digest, now);
         if step % 50 == 0 {
-            dry_run(&state, &mut draws, &mut digest);
+            dry_run(&state, &mut random, &mut digest);
         }
     }
     digest.json(&state);
@@ -236,8 +246,10 @@
     digest.0.finish()
 }
 
-fn follow(follower: &mut Follower, state: &State, draws: &mut Draws, digest: &mut Digest, now: Duration) {
-    let result = match draws.below(4) {
+fn follow(
+    follower: &mut Follower, state: &State, random: &mut RandomNumbers, digest: &mut Digest, now: Duration,
+) {
+    let result = match random.below(4) {
         0 => follower.apply_snapshot(now, state.snapshot()),
         1 => follower.confirm(now, state.revision()),
         2 => match state.changes_after(follower.revision(), 64) {
@@ -249,9 +261,9 @@
     if let Err(error) = result {
         digest.text(&error.to_string());
     }
-    let worker: Name = draws.worker().parse().expect("sound");
-    let (id, by) = (RequestId(7, state.revision()), "op".parse().expect("sound"));
-    let local = match draws.below(6) {
+    let worker: Name = random.worker().parse().expect("a valid string");
+    let (id, by) = (RequestId(7, state.revision()), "op".parse().expect("a valid string"));
+    let local = match random.below(6) {
         0 => follower.drain(worker, id, by, 3, Default::default()),
         1 => follower.undrain(&worker),
         _ => Ok(()),
@@ -259,25 +271,25 @@
     if let Err(error) = local {
         digest.text(&error.to_string());
     }
-    if let Some(offer) = follower.next_proposal() {
-        digest.json(&offer);
-        let answer = state.clone().apply(&offer);
-        let _ = follower.record_result(offer.id, &answer);
+    if let Some(proposal) = follower.next_proposal() {
+        digest.json(&proposal);
+        let answer = state.clone().apply(&proposal);
+        let _ = follower.record_result(proposal.id, &answer);
     }
     digest.json(&follower.drained_workers());
     digest.json(&follower.newest_drain_revision());
 }
 
-fn dry_run(state: &State, draws: &mut Draws, digest: &mut Digest) {
-    let waves = vec![Limit::Count(1 + draws.below(2) as u32), Limit::Fraction(1.0)];
-    let play = ReleasePlan {
-        version: "v9".parse().expect("sound"),
+fn dry_run(state: &State, random: &mut RandomNumbers, digest: &mut Digest) {
+    let waves = vec![Limit::Count(1 + random.below(2) as u32), Limit::Fraction(1.0)];
+    let plan = ReleasePlan {
+        version: "v9".parse().expect("a valid string"),
         waves,
         zone_order: Vec::new(),
         observation_time: Duration::from_secs(30),
         restart_time: Duration::from_secs(10),
     };
-    match simulate(&state.snapshot(), &"op".parse().expect("sound"), &play) {
+    match simulate(&state.snapshot(), &"op".parse().expect("a valid string"), &plan) {
         Ok(waves) => digest.json(&waves),
         Err(error) => digest.text(&error.to_string()),
     }
@@ -310,22 +322,22 @@
     );
 }
 
-/// What operators read in an error.
+/// The error texts shown to operators.
 #[test]
 fn texts_of_errors_stay_as_they_are() {
     let path = std::path::PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/stored/error_texts.txt");
     let mut texts = Vec::new();
     for bad in ["", "x/y", "drain/", "drain/a\nb", &format!("drain/{}", "x".repeat(201)), "permit/x/y", "x"] {
-        texts.push(bad.parse::<pebblepost_fleet::Key>().expect_err("no key").to_string());
+        texts.push(bad.parse::<pebblepost_fleet::Key>().expect_err("not a valid key").to_string());
     }
     for bad in ["", "x", "101%", "-1%", "x%", "-1"] {
-        texts.push(bad.parse::<Limit>().expect_err("no limit").to_string());
+        texts.push(bad.parse::<Limit>().expect_err("not a valid limit").to_string());
     }
     for good in ["3", "10%", "100%"] {
         texts.push(good.parse::<Limit>().expect("a limit").to_string());
     }
     texts.extend(error_texts());
-    assert_eq!(texts.join("\n"), std::fs::read_to_string(path).expect("it is there").trim_end());
+    assert_eq!(texts.join("\n"), std::fs::read_to_string(path).expect("the file is readable").trim_end());
 }
 
 fn error_texts() -> Vec<String> {
@@ -363,8 +375,8 @@
         [UpdateError::Gap { found: 1, own: 2 }, UpdateError::Stale { found: 1, own: 2 }]
             .map(|error| error.to_string()),
     );
-    let (mut fence, task) = (FencingGuard::default(), "t".parse().expect("sound"));
-    fence.check(&task, 4).expect("the first");
-    texts.push(fence.check(&task, 3).expect_err("an older one").to_string());
+    let (mut fence, task) = (FencingGuard::default(), "t".parse().expect("a valid string"));
+    fence.check(&task, 4).expect("the first token is accepted");
+    texts.push(fence.check(&task, 3).expect_err("an older token is rejected").to_string());
     texts
 }
--- a/crates/pebblepost-fleet/tests/leader.rs
+++ b/crates/pebblepost-fleet/tests/leader.rs
@@ -1,5 +1,5 @@
-//! What the leader concludes from heartbeats: the progress of a drain, request totals, and the majority of
-//! observations.
+//! Tests of what the leader derives from heartbeats: the progress of a drain, request totals and the majority
+//! of observations.
 
 use pebblepost_fleet::follower::Follower;
 use pebblepost_fleet::heartbeat::{HeartbeatReport, MAX_BUSY_WORKERS, RequestCounts};
@@ -18,7 +18,7 @@
 const NOW: Duration = Duration::ZERO;
 
 fn name(text: &str) -> Name {
-    text.parse().expect("a sound name")
+    text.parse().expect("a valid name")
 }
 
 struct Fleet {
@@ -32,7 +32,7 @@
         self.last_request += 1;
         let command =
             Command { id: RequestId(1, self.last_request), issued_by: name("o"), issued_at_ms: 0, action };
-        let outcome = self.state.apply(&command).expect("nothing against it");
+        let outcome = self.state.apply(&command).expect("the command is accepted");
         outcome.session.unwrap_or(outcome.revision)
     }
 
@@ -40,14 +40,14 @@
         self.apply(Action::Change {
             operations: vec![operation],
             preconditions: Vec::new(),
-            reason: "a test".parse().expect("sound"),
+            reason: "a test".parse().expect("a valid string"),
         })
     }
 
     fn join(&mut self, member: &str, incarnation: u64) -> u64 {
         let info = MemberInfo {
             role: Role::Dispatcher,
-            version: "1".parse().expect("sound"),
+            version: "1".parse().expect("a valid string"),
             address: None,
             zone: Default::default(),
             ready: true,
@@ -55,9 +55,9 @@
         self.apply(Action::Join { member: name(member), incarnation_id: IncarnationId(2, incarnation), info })
     }
 
-    /// Reports what a member with this copy observes of workers.
+    /// Reports a member's observations of workers as differences from its copy.
     fn observe(&mut self, member: &str, session: u64, copy: &Follower, observed: &[(&str, WorkerStatus)]) {
-        let text = |text: &str| text.parse::<Text>().expect("sound");
+        let text = |text: &str| text.parse::<Text>().expect("a valid string");
         let one = |status| WorkerObservation { zone: text("x"), machine_type: text("k"), status };
         let worker_diff = copy.diff_observations(
             &observed.iter().map(|(worker, status)| (name(worker), one(*status))).collect(),
@@ -66,7 +66,7 @@
         self.sessions.record_heartbeat(NOW, &self.state, &name(member), session, Some(report));
     }
 
-    /// Commits what a majority reports, if that changes anything.
+    /// Commits what a majority reports. Returns whether there was anything to change.
     fn commits_majority_update(&mut self) -> bool {
         let update = majority_worker_update(&self.state, &self.sessions);
         update.into_iter().map(|action| self.apply(action)).count() > 0
@@ -74,7 +74,7 @@
 
     fn copy(&self) -> Follower {
         let mut copy = Follower::default();
-        copy.apply_snapshot(NOW, self.state.snapshot()).expect("newer");
+        copy.apply_snapshot(NOW, self.state.snapshot()).expect("the snapshot is newer");
         copy
     }
 
@@ -109,7 +109,10 @@
     let before = fleet.state.revision();
     let subject = Subject { kind: SubjectKind::Worker, name: name("w") };
     fleet.change(Operation::RequestPermit { subject, urgent: false, version: Default::default() });
-    assert!(!drain_status(&fleet.state, &fleet.sessions, &name("w")).is_complete(), "it waits for a budget");
+    assert!(
+        !drain_status(&fleet.state, &fleet.sessions, &name("w")).is_complete(),
+        "the permit waits because there is no budget"
+    );
     fleet.change(Operation::SetBudget(
         SubjectKind::Worker,
         Budget {
@@ -128,8 +131,8 @@
     fleet.report("a", first, granted, &["v"]);
     fleet.report("b", second, granted, &[]);
     assert_eq!(fleet.unconfirmed(), []);
-    // A heartbeat without a report keeps the last one; a new session has none, and an expired one confirms
-    // nothing.
+    // A heartbeat without a report keeps the previous report. A new session has no report, and an expired one
+    // confirms nothing.
     fleet.sessions.record_heartbeat(NOW, &fleet.state, &name("a"), first, None);
     assert_eq!(fleet.unconfirmed(), []);
     let again = fleet.join("a", 3);
@@ -138,7 +141,7 @@
     assert_eq!(
         fleet.unconfirmed(),
         [("a".to_owned(), UnconfirmedReason::NoReport)],
-        "a heartbeat of an old session does not count"
+        "a heartbeat of an old session is ignored"
     );
     fleet.apply(Action::ExpireSession { member: name("a"), session: again });
     assert_eq!(fleet.unconfirmed(), [("a".to_owned(), UnconfirmedReason::Absent)]);
@@ -149,7 +152,7 @@
     fleet.report("b", second, granted, &many.iter().map(String::as_str).collect::<Vec<_>>());
     assert_eq!(fleet.unconfirmed(), [("b".to_owned(), UnconfirmedReason::StaleRevision(0))]);
     let totals = request_totals(&fleet.state, &fleet.sessions);
-    assert_eq!(totals.len(), 1, "present members only");
+    assert_eq!(totals.len(), 1, "only present members are counted");
     assert_eq!(totals[&name("b")].requests, RequestCounts { answered: 10, succeeded: 9 });
     // A new leader has no reports.
     fleet.sessions = Sessions::new(SessionTtl(Duration::from_secs(10)));
@@ -157,7 +160,7 @@
 }
 
 #[test]
-fn workers_follow_the_majority_of_observations_and_a_single_observer_changes_nothing() {
+fn workers_follow_the_majority_of_observations_and_a_single_dispatcher_changes_nothing() {
     let leader_sessions = Sessions::new(SessionTtl(Duration::from_secs(10)));
     let mut fleet = Fleet { state: State::default(), sessions: leader_sessions, last_request: 0 };
     let sessions: Vec<(&str, u64)> =
@@ -168,11 +171,11 @@
     );
     let none = fleet.copy();
     fleet.observe("a", sessions[0].1, &none, &ready);
-    assert!(!fleet.commits_majority_update(), "one of three is no majority");
+    assert!(!fleet.commits_majority_update(), "one of three is not a majority");
     fleet.observe("b", sessions[1].1, &none, &ready);
     assert!(
         fleet.commits_majority_update() && !fleet.commits_majority_update(),
-        "once: what is committed is not proposed again"
+        "a committed change is not proposed again"
     );
     let budget = Budget {
         max_unavailable: Limit::Count(1),
@@ -188,8 +191,8 @@
         ),
         (2, 0)
     );
-    // With the list in its copy no dispatcher has a difference to report; a single one that gets no answer
-    // from w is overruled.
+    // With the list in its copy no dispatcher has a difference to report. A single dispatcher that gets no
+    // answer from w changes nothing.
     let copy = fleet.copy();
     for (member, session) in &sessions {
         fleet.observe(member, *session, &copy, &ready);
@@ -197,8 +200,8 @@
     fleet.observe("c", sessions[2].1, &copy, &out);
     assert!(!fleet.commits_majority_update());
     fleet.observe("a", sessions[0].1, &copy, &out);
-    assert!(fleet.commits_majority_update(), "two of three");
-    // An unavailable worker uses the budget up: v waits until w is ready again, or gone.
+    assert!(fleet.commits_majority_update(), "two of three are a majority");
+    // The unavailable worker w uses up the budget, so v waits until w is ready or gone.
     fleet.change(Operation::RequestPermit {
         subject: Subject { kind: SubjectKind::Worker, name: name("v") },
         urgent: true,
@@ -213,9 +216,9 @@
     }
     assert!(
         fleet.commits_majority_update() && granted(&fleet) == 0,
-        "a worker that warms up counts as unavailable"
+        "a worker in slow start counts as unavailable"
     );
-    // One of three is lost and has no vote: a majority of two are both.
+    // One of three dispatchers is lost and has no vote, so both of the others are needed for a majority.
     fleet.apply(Action::ExpireSession { member: name("c"), session: sessions[2].1 });
     let copy = fleet.copy();
     fleet.observe("a", sessions[0].1, &copy, &ready[..1]);
@@ -223,14 +226,14 @@
     fleet.observe("b", sessions[1].1, &copy, &ready[..1]);
     assert!(fleet.commits_majority_update() && granted(&fleet) == 1, "w is gone");
     assert_eq!(fleet.state.worker_count(), 1);
-    // A heartbeat lists a bounded number of workers, and all dispatchers list the same.
+    // A heartbeat lists a bounded number of workers, and all dispatchers list the same ones.
     let many: Vec<String> = (0..3 * MAX_WORKER_DIFF_ENTRIES).map(|n| format!("x{n:04}")).collect();
     let many: Vec<(&str, WorkerStatus)> =
         many.iter().map(|worker| (worker.as_str(), WorkerStatus::Ready)).collect();
     let mut rounds = 0;
     while fleet.state.worker_count() < many.len() {
         rounds += 1;
-        assert!(rounds < 10, "it comes to an end");
+        assert!(rounds < 10, "all workers are reported within a few rounds");
         let copy = fleet.copy();
         fleet.observe("a", sessions[0].1, &copy, &many);
         fleet.observe("b", sessions[1].1, &copy, &many);
--- a/crates/pebblepost-fleet/tests/model.rs
+++ b/crates/pebblepost-fleet/tests/model.rs
@@ -1,5 +1,5 @@
-//! Model checking of the state machine: every order in which messages can be lost, duplicated and delayed and
-//! processes can restart, up to stated bounds.
+//! Model checking of the state machine: all orders of lost, duplicated and delayed messages and of restarts,
+//! up to the stated bounds.
 
 use pebblepost_fleet::follower::{Follower, ProposalOutcome};
 use pebblepost_fleet::leader::Sessions;
@@ -13,18 +13,19 @@
 use std::time::Duration;
 
 fn name(text: &str) -> Name {
-    text.parse().expect("a sound name")
+    text.parse().expect("a valid name")
 }
 
-/// Hashes the written form: the checker only needs equal states to be equal.
+/// Hashes the JSON form of a value. The checker requires only that equal states have equal hashes.
 fn hash_text<H: Hasher>(value: &impl serde::Serialize, hasher: &mut H) {
-    serde_json::to_string(value).expect("plain data").hash(hasher);
+    serde_json::to_string(value).expect("serializes to JSON").hash(hasher);
 }
 
-// ---- Sessions: a member that is paused, restarted and partitioned, and leaders that change ----
+// ---- Model: the sessions of a member that is paused, restarted and partitioned, with leader changes ----
 
 const TTL: SessionTtl = SessionTtl(Duration::from_secs(4));
-/// One step of time. Clocks of member and leader may differ by the rate that is allowed for.
+/// Duration of one step of time. The allowed difference in clock rates is part of the times to live of member
+/// and leader.
 const STEP: Duration = Duration::from_secs(1);
 
 /// One incarnation of the member.
@@ -32,7 +33,7 @@
 struct Incarnation {
     number: u64,
     session: Option<u64>,
-    /// When it sent the last heartbeat, or its join, that was answered.
+    /// Time at which it sent its last answered join or heartbeat.
     valid_from: u64,
 }
 
@@ -40,15 +41,15 @@
 struct World {
     state: State,
     now: u64,
-    /// The present incarnation first; one before it may be paused and wake up.
+    /// The present incarnation first. An earlier one may be paused and resume.
     incarnations: Vec<Incarnation>,
     started: u64,
     next: u64,
     leader: u64,
-    /// The last heartbeat that the leader of this term received: its session and when. Its sessions are
-    /// rebuilt from that.
-    heard: Option<(u64, u64)>,
-    /// Heartbeats on their way: the session, the incarnation, when they were sent.
+    /// Session and time of the last heartbeat that the leader of this term received. The leader's sessions
+    /// are rebuilt from it.
+    last_heartbeat: Option<(u64, u64)>,
+    /// Heartbeats in flight: session, incarnation and time of sending.
     heartbeats: Vec<(u64, u64, u64)>,
     began: u64,
 }
@@ -65,7 +66,7 @@
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         hash_text(&self.state, hasher);
         (self.now, &self.incarnations, self.started, self.next, self.leader).hash(hasher);
-        (self.heard, &self.heartbeats, self.began).hash(hasher);
+        (self.last_heartbeat, &self.heartbeats, self.began).hash(hasher);
     }
 }
 
@@ -73,14 +74,15 @@
 enum Step {
     /// A second passes.
     Time,
-    /// An incarnation joins; the answer comes.
+    /// An incarnation joins and receives the answer.
     Join(usize),
     /// An incarnation sends a heartbeat.
     Heartbeat(usize),
-    /// A heartbeat arrives and is answered, or is lost.
+    /// A heartbeat arrives and is answered.
     Arrives(usize),
+    /// A heartbeat is lost.
     Lost(usize),
-    /// The process is restarted; the old one may only be paused.
+    /// The process is restarted, while the old one may only be paused.
     Restart,
     /// The leader changes.
     Elect,
@@ -101,18 +103,18 @@
         STEP * u32::try_from(at).unwrap_or(u32::MAX)
     }
 
-    /// The sessions that the present leader would have ended now.
+    /// Returns the commands of the present leader for sessions that have expired by now.
     fn overdue(&self) -> Vec<Action> {
         let mut leader = Sessions::new(TTL);
-        // What it has seen since it began, in that order.
+        // Replays what the leader has received since it began.
         leader.expire_sessions(self.elapsed(self.began), &self.state);
-        if let Some((session, at)) = self.heard {
+        if let Some((session, at)) = self.last_heartbeat {
             leader.record_heartbeat(self.elapsed(at), &self.state, &name("m"), session, None);
         }
         leader.expire_sessions(self.elapsed(self.now), &self.state)
     }
 
-    /// Whether an incarnation may rely on its session, by its own clock.
+    /// Returns whether an incarnation may rely on its session by its own clock.
     fn relies(&self, incarnation: &Incarnation) -> bool {
         incarnation.session.is_some() && self.elapsed(self.now - incarnation.valid_from) <= TTL.for_member()
     }
@@ -132,7 +134,7 @@
             started: 1,
             next: 0,
             leader: 0,
-            heard: None,
+            last_heartbeat: None,
             heartbeats,
             began: 0,
         }]
@@ -180,9 +182,9 @@
                     Ok(done) => {
                         world.incarnations[i].session = done.session;
                         world.incarnations[i].valid_from = sent;
-                        world.heard = done.session.map(|session| (session, sent));
+                        world.last_heartbeat = done.session.map(|session| (session, sent));
                     }
-                    // Its name belongs to a later incarnation: it ends.
+                    // A later incarnation has the name, so the process ends.
                     Err(_) => drop(world.incarnations.remove(i)),
                 }
             }
@@ -193,20 +195,20 @@
             Step::Arrives(i) => {
                 let (session, number, sent) = world.heartbeats.remove(i);
                 let mut leader = Sessions::new(TTL);
-                let goes_on = leader.record_heartbeat(
+                let is_renewed = leader.record_heartbeat(
                     world.elapsed(world.now),
                     &world.state,
                     &name("m"),
                     session,
                     None,
                 ) == pebblepost_fleet::leader::HeartbeatOutcome::Renewed;
-                if goes_on {
-                    world.heard = Some((session, world.now));
+                if is_renewed {
+                    world.last_heartbeat = Some((session, world.now));
                 }
                 let incarnation = world.incarnations.iter_mut().find(|incarnation| {
                     incarnation.number == number && incarnation.session == Some(session)
                 })?;
-                if goes_on {
+                if is_renewed {
                     incarnation.valid_from = incarnation.valid_from.max(sent);
                 } else {
                     incarnation.session = None;
@@ -220,7 +222,7 @@
             }
             Step::Elect => {
                 world.leader += 1;
-                (world.heard, world.began) = (None, world.now);
+                (world.last_heartbeat, world.began) = (None, world.now);
             }
             Step::Check => {
                 let overdue = world.overdue();
@@ -237,10 +239,11 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            // An incarnation may rely on a session that a join of the same name has ended since: fencing
-            // tokens are for that. It must never rely on one that was expired without heartbeats.
+            // An incarnation may still rely on a session that a later join of the same name has superseded;
+            // fencing tokens cover that case. It must never rely on a session that expired without
+            // heartbeats.
             Property::always(
-                "an incarnation that relies on its session has it, unless another joined",
+                "an incarnation relies only on a session that is valid or superseded",
                 |_, world: &World| {
                     let member = world.state.member(&name("m"));
                     world.incarnations.iter().filter(|incarnation| world.relies(incarnation)).all(
@@ -254,7 +257,7 @@
                     )
                 },
             ),
-            Property::always("never two incarnations with the session of the name", |_, world: &World| {
+            Property::always("at most one incarnation has the present session", |_, world: &World| {
                 let session = world.state.member(&name("m")).map(|member| member.session);
                 world
                     .incarnations
@@ -274,22 +277,22 @@
 }
 
 #[test]
-fn no_member_relies_on_a_session_that_has_ended() {
+fn no_member_relies_on_an_expired_session() {
     let checker = MemberModel.checker().target_max_depth(11).spawn_bfs().join();
     checker.assert_properties();
     println!("sessions: {} states, {} unique", checker.state_count(), checker.unique_state_count());
     assert!(checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
 }
 
-// ---- A drain requested at a partitioned dispatcher ----
+// ---- Model: a drain requested at a partitioned dispatcher ----
 
-/// A drain of the worker at the dispatcher.
+/// The drain of the worker that is requested at the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum LocalDrainRequest {
     NotMade,
     Made,
-    /// The group has changed the worker's drain since it was requested here.
-    DecidedMeanwhile,
+    /// The group has changed the worker's drain since the request.
+    DecidedByGroup,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -299,7 +302,7 @@
     drain: LocalDrainRequest,
     proposals: Vec<Command>,
     answers: Vec<(RequestId, CommandResult)>,
-    /// Snapshots on their way, perhaps late and out of order.
+    /// Snapshots in flight, which may be delayed and reordered.
     snapshots: Vec<Snapshot>,
     steps: u8,
     overruled: bool,
@@ -323,18 +326,20 @@
 enum DrainStep {
     /// An operator requests the drain at the dispatcher.
     Request,
-    /// The group drains or undrains the worker by another command.
+    /// The group drains or undrains the worker with another command.
     Drain,
     Undrain,
-    /// A proposal is sent (again), arrives (perhaps duplicated), is lost; its answer arrives or is lost.
+    /// A proposal is sent, for the first time or again.
     Propose,
+    /// A proposal arrives, and is duplicated if the flag is set.
     Arrives(usize, bool),
+    /// An answer arrives, or is lost.
     Answered(usize),
     Unanswered(usize),
-    /// A snapshot is sent, and arrives.
+    /// A snapshot is sent, or arrives.
     SendSnapshot,
     SnapshotArrives(usize),
-    /// The dispatcher restarts from its file.
+    /// The dispatcher restarts from its stored copy.
     Restart,
 }
 
@@ -359,7 +364,7 @@
         let done = self.group.apply(&Command { id, issued_by: name("op"), issued_at_ms: 0, action });
         assert!(done.is_ok());
         if self.drain == LocalDrainRequest::Made && self.group.revision() > revision {
-            self.drain = LocalDrainRequest::DecidedMeanwhile;
+            self.drain = LocalDrainRequest::DecidedByGroup;
         }
     }
 }
@@ -417,13 +422,14 @@
                 world.drain = LocalDrainRequest::Made;
                 let drained =
                     world.follower.drain(name(WORKER), RequestId(9, 9), name("op"), 0, Text::default());
-                drained.expect("room");
+                drained.expect("capacity is left");
             }
             DrainStep::Drain => world.decide(Operation::Drain(name(WORKER))),
             DrainStep::Undrain => world.decide(Operation::Undrain(name(WORKER))),
             DrainStep::Propose => world.proposals.extend(world.follower.next_proposal()),
-            DrainStep::Arrives(i, doubled) => {
-                let proposal = if doubled { world.proposals[i].clone() } else { world.proposals.remove(i) };
+            DrainStep::Arrives(i, duplicated) => {
+                let proposal =
+                    if duplicated { world.proposals[i].clone() } else { world.proposals.remove(i) };
                 let answer = world.group.apply(&proposal);
                 world.answers.push((proposal.id, answer));
             }
@@ -438,8 +444,8 @@
                 let _ = world.follower.apply_snapshot(Duration::ZERO, snapshot);
             }
             DrainStep::Restart => {
-                let text = serde_json::to_string(&world.follower).expect("plain data");
-                let stored: Follower = serde_json::from_str(&text).expect("the same");
+                let text = serde_json::to_string(&world.follower).expect("serializes to JSON");
+                let stored: Follower = serde_json::from_str(&text).expect("the written state is read back");
                 if stored == world.follower {
                     return None;
                 }
@@ -453,23 +459,25 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "a local drain holds until a decision of the group is here",
+                "a local drain stays until the copy has a decision of the group",
                 |_, world: &Partition| {
                     world.drain == LocalDrainRequest::NotMade
                         || world.is_drained()
                         || world.steps > 0 && world.follower.revision() > 0
                 },
             ),
-            Property::always("a mark goes only by a decision that is here", |_, world: &Partition| {
-                !world.lost_mark || world.steps > 0 && world.follower.revision() > 0
-            }),
-            Property::always("it is overruled only by a decision on this worker", |_, world: &Partition| {
-                !world.overruled || world.steps > 0
-            }),
-            Property::sometimes("it becomes replicated", |_, world: &Partition| {
+            Property::always(
+                "a drain mark is removed only by a decision in the copy",
+                |_, world: &Partition| !world.lost_mark || world.steps > 0 && world.follower.revision() > 0,
+            ),
+            Property::always(
+                "a drain is overruled only by a decision on its worker",
+                |_, world: &Partition| !world.overruled || world.steps > 0,
+            ),
+            Property::sometimes("a local drain becomes replicated", |_, world: &Partition| {
                 world.drain == LocalDrainRequest::Made && world.is_replicated() && world.steps == 0
             }),
-            Property::sometimes("it is overruled", |_, world: &Partition| world.overruled),
+            Property::sometimes("a local drain is overruled", |_, world: &Partition| world.overruled),
         ]
     }
 }
@@ -482,22 +490,22 @@
     assert!(checker.unique_state_count() > 1_000, "{}", checker.unique_state_count());
 }
 
-// ---- A replica that restarts between apply and snapshot ----
+// ---- Model: a replica that restarts between apply and snapshot ----
 
-/// Requests that clients send again and again: two of them change one mark.
-const REQUESTS: usize = 3;
+/// Number of distinct requests, which clients retry. Two of them drain a worker and one undrains it.
+const REQUEST_COUNT: usize = 3;
 
-/// A replica's log, how far it has applied it, its state, and the snapshot on its disk.
+/// A replica: its log, the number of applied entries, its state, and the snapshot on its disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Replica {
     log: Vec<usize>,
     applied: usize,
-    /// As text, as it lies on the disk.
+    /// State as JSON, the form in which it is stored.
     state: String,
     snapshot: (usize, String),
-    /// The first answer to each request.
-    answers: [Option<String>; REQUESTS],
-    /// A retry was answered otherwise, or the log applied again gave another state.
+    /// First answer to each request.
+    answers: [Option<String>; REQUEST_COUNT],
+    /// Whether a retry got another answer, or replaying the log gave another state.
     differs: bool,
 }
 
@@ -512,7 +520,7 @@
 struct RestartModel;
 
 fn written(state: &State) -> String {
-    serde_json::to_string(state).expect("plain data")
+    serde_json::to_string(state).expect("serializes to JSON")
 }
 
 fn command(number: usize) -> Command {
@@ -538,7 +546,7 @@
 
     fn actions(&self, replica: &Replica, actions: &mut Vec<ReplicaStep>) {
         if replica.log.len() < 5 {
-            actions.extend((0..REQUESTS).map(ReplicaStep::Request));
+            actions.extend((0..REQUEST_COUNT).map(ReplicaStep::Request));
         }
         if replica.applied < replica.log.len() {
             actions.push(ReplicaStep::Apply);
@@ -548,7 +556,7 @@
 
     fn next_state(&self, replica: &Replica, step: ReplicaStep) -> Option<Replica> {
         let mut replica = replica.clone();
-        let read = |text: &str| serde_json::from_str::<State>(text).expect("as it was written");
+        let read = |text: &str| serde_json::from_str::<State>(text).expect("a state as it was written");
         match step {
             ReplicaStep::Request(number) => replica.log.push(number),
             ReplicaStep::Apply => {
@@ -574,12 +582,13 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "a request has one answer, and a restart changes nothing",
+                "retries get the first answer, and a restart does not change the state",
                 |_, replica: &Replica| !replica.differs,
             ),
-            Property::sometimes("a request is retried after it was undone", |_, replica: &Replica| {
-                replica.applied >= 3 && replica.log.starts_with(&[0, 1, 0])
-            }),
+            Property::sometimes(
+                "a request is retried after another one has undone it",
+                |_, replica: &Replica| replica.applied >= 3 && replica.log.starts_with(&[0, 1, 0]),
+            ),
         ]
     }
 }
--- a/crates/pebblepost-fleet/tests/permits.rs
+++ b/crates/pebblepost-fleet/tests/permits.rs
@@ -1,4 +1,5 @@
-//! Disruption budgets and permits: what is granted, and what every order of commands makes of it.
+//! Tests of disruption budgets and permits, and a model of all orders of messages, crashes and duplicate
+//! drivers.
 
 use pebblepost_fleet::availability::WaitReason;
 use pebblepost_fleet::follower::Follower;
@@ -12,14 +13,14 @@
 use std::time::Duration;
 
 fn name(text: &str) -> Name {
-    text.parse().expect("a sound name")
+    text.parse().expect("a valid name")
 }
 
 fn subject(text: &str) -> Subject {
-    text.parse().expect("a sound subject")
+    text.parse().expect("a valid subject")
 }
 
-/// A fleet, and the number of the last request.
+/// A fleet, with the number of the last request.
 #[derive(Clone, Debug, Default)]
 struct Fleet {
     state: State,
@@ -27,7 +28,7 @@
 }
 
 impl Fleet {
-    /// Dispatchers by name and zone, ready in their first incarnation.
+    /// Returns a fleet of dispatchers, given by name and zone, that are ready in their first incarnation.
     fn with(dispatchers: &[(&str, &str)]) -> Self {
         let mut fleet = Self::default();
         for (n, (member, zone)) in dispatchers.iter().enumerate() {
@@ -43,12 +44,12 @@
     }
 
     fn change(&mut self, operation: Operation) -> CommandResult {
-        let reason = "a test".parse().expect("a sound text");
+        let reason = "a test".parse().expect("a valid text");
         self.apply(Action::Change { operations: vec![operation], preconditions: Vec::new(), reason })
     }
 
     fn join(&mut self, member: &str, zone: &str, incarnation: u64, version: &str, ready: bool) -> u64 {
-        let text = |text: &str| text.parse::<Text>().expect("a sound text");
+        let text = |text: &str| text.parse::<Text>().expect("a valid text");
         let info = MemberInfo {
             role: Role::Dispatcher,
             version: text(version),
@@ -57,25 +58,28 @@
             ready,
         };
         let act = Action::Join { member: name(member), incarnation_id: IncarnationId(7, incarnation), info };
-        self.apply(act).expect("it may join").session.expect("a session")
+        self.apply(act).expect("the join is accepted").session.expect("a session")
     }
 
-    fn budget(&mut self, kind: SubjectKind, most: Limit, most_in_zone: Option<Limit>, least_in_zone: u32) {
+    fn budget(
+        &mut self, kind: SubjectKind, max_unavailable: Limit, max_unavailable_in_zone: Option<Limit>,
+        min_available_in_zone: u32,
+    ) {
         let budget = Budget {
-            max_unavailable: most,
-            max_unavailable_per_zone: most_in_zone,
+            max_unavailable,
+            max_unavailable_per_zone: max_unavailable_in_zone,
             max_unavailable_per_machine_type: None,
-            min_available_per_zone: least_in_zone,
+            min_available_per_zone: min_available_in_zone,
         };
-        self.change(Operation::SetBudget(kind, budget)).expect("a sound budget");
+        self.change(Operation::SetBudget(kind, budget)).expect("a valid budget");
     }
 
     fn request(&mut self, who: &str, urgent: bool, version: &str) -> CommandResult {
-        let version = version.parse().expect("a sound text");
+        let version = version.parse().expect("a valid text");
         self.change(Operation::RequestPermit { subject: subject(who), urgent, version })
     }
 
-    /// The subjects of granted permits.
+    /// Returns the subjects of granted permits.
     fn granted(&self) -> Vec<String> {
         let mut granted: Vec<String> = self
             .state
@@ -97,20 +101,21 @@
 #[test]
 fn permits_are_granted_in_order_and_end_with_a_ready_incarnation_of_the_requested_version() {
     let mut fleet = Fleet::with(&FOUR);
-    // Without a budget nothing is granted.
-    fleet.request("dispatcher/a", false, "2").expect("it waits");
+    // Without a budget no permit is granted.
+    fleet.request("dispatcher/a", false, "2").expect("the request is queued");
     assert_eq!(fleet.wait_reason(SubjectKind::Dispatcher, "a"), Some(WaitReason::NoBudget));
     assert!(fleet.granted().is_empty());
     fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
     assert_eq!(fleet.granted(), ["dispatcher/a"]);
-    fleet.request("dispatcher/b", false, "2").expect("it waits");
-    fleet.request("dispatcher/c", true, "2").expect("it waits, before b");
+    fleet.request("dispatcher/b", false, "2").expect("the request is queued");
+    fleet.request("dispatcher/c", true, "2").expect("the request is queued ahead of b");
     assert_eq!(fleet.wait_reason(SubjectKind::Dispatcher, "b"), Some(WaitReason::FleetLimit(1)));
-    // Requested again by a second driver: the same permit.
+    // A second request, for instance of another driver, leaves the permit as it is.
     let before = fleet.state.permit(&subject("dispatcher/a")).cloned();
-    fleet.request("dispatcher/a", true, "").expect("it has one");
+    fleet.request("dispatcher/a", true, "").expect("a repeated request is accepted");
     assert_eq!(fleet.state.permit(&subject("dispatcher/a")).cloned(), before);
-    // The same incarnation again, one with the wrong version, one that is not ready: the permit stays.
+    // The permit stays if the same incarnation joins again, and if another one has the wrong version or is
+    // not ready.
     fleet.join("a", "x", 0, "2", true);
     assert_eq!(fleet.granted(), ["dispatcher/a"]);
     fleet.join("a", "x", 1, "1", true);
@@ -119,12 +124,12 @@
     assert_eq!(fleet.granted(), ["dispatcher/a"]);
     let report =
         |number, ready| Action::ReportReadiness { member: name("a"), session, sequence: number, ready };
-    fleet.apply(report(2, true)).expect("its session goes on");
-    assert_eq!(fleet.granted(), ["dispatcher/c"], "a has returned, and the urgent one is granted");
-    // A late report changes nothing.
-    fleet.apply(report(1, false)).expect("its session goes on");
-    assert!(fleet.state.member(&name("a")).expect("it joined").info.ready);
-    // A granted permit cannot be withdrawn by a driver, only ended by an operator with a reason.
+    fleet.apply(report(2, true)).expect("the session is valid");
+    assert_eq!(fleet.granted(), ["dispatcher/c"], "a has returned, and the urgent request is granted");
+    // A delayed report changes nothing.
+    fleet.apply(report(1, false)).expect("the session is valid");
+    assert!(fleet.state.member(&name("a")).expect("the member has joined").info.ready);
+    // A granted permit cannot be withdrawn; an operator can end it with a reason.
     assert!(matches!(
         fleet.change(Operation::WithdrawPermit(subject("dispatcher/c"))),
         Err(Rejection::Invalid { .. })
@@ -136,33 +141,35 @@
     };
     assert!(matches!(fleet.apply(without_reason), Err(Rejection::Invalid { .. })));
     assert!(fleet.change(Operation::RemoveMember(name("c"))).is_err());
-    fleet.change(Operation::ForceCompletePermit(subject("dispatcher/c"))).expect("with a reason");
+    fleet
+        .change(Operation::ForceCompletePermit(subject("dispatcher/c")))
+        .expect("a forced completion with a reason is accepted");
     assert_eq!(fleet.granted(), ["dispatcher/b"]);
 }
 
 #[test]
-fn unavailable_members_use_the_budget_up_and_may_get_a_permit_themselves() {
+fn unavailable_members_count_against_the_budget_once_and_can_get_a_permit() {
     let mut fleet = Fleet::with(&FOUR);
     fleet.budget(SubjectKind::Dispatcher, Limit::Fraction(0.5), Some(Limit::Count(1)), 0);
-    let session = fleet.state.member(&name("a")).expect("it joined").session;
-    fleet.apply(Action::ExpireSession { member: name("a"), session }).expect("its session goes on");
-    fleet.request("dispatcher/b", false, "").expect("it waits");
+    let session = fleet.state.member(&name("a")).expect("the member has joined").session;
+    fleet.apply(Action::ExpireSession { member: name("a"), session }).expect("the session is valid");
+    fleet.request("dispatcher/b", false, "").expect("the request is queued");
     assert_eq!(
         fleet.wait_reason(SubjectKind::Dispatcher, "b"),
         Some(WaitReason::ZoneLimit(1)),
-        "a is unavailable in its zone"
+        "a, in the same zone, is unavailable"
     );
-    // A subject of another zone passes b.
-    fleet.request("dispatcher/c", false, "").expect("it goes");
+    // A dispatcher of another zone is granted its permit ahead of b.
+    fleet.request("dispatcher/c", false, "").expect("the permit is granted");
     assert_eq!(fleet.granted(), ["dispatcher/c"]);
-    fleet.request("dispatcher/d", false, "").expect("it waits");
+    fleet.request("dispatcher/d", false, "").expect("the request is queued");
     assert_eq!(fleet.wait_reason(SubjectKind::Dispatcher, "d"), Some(WaitReason::FleetLimit(2)));
-    // The lost one is unavailable already: it counts once.
-    fleet.request("dispatcher/a", false, "").expect("it goes");
+    // The lost dispatcher is unavailable already and counts once.
+    fleet.request("dispatcher/a", false, "").expect("the permit is granted");
     assert_eq!(fleet.granted(), ["dispatcher/a", "dispatcher/c"]);
     fleet.join("a", "x", 1, "", true);
     assert_eq!(fleet.granted(), ["dispatcher/b", "dispatcher/c"]);
-    // A budget below what is unavailable: nothing more is granted, and no permit is revoked.
+    // With a budget below the number that is unavailable, nothing more is granted and no permit is revoked.
     fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
     fleet.join("b", "x", 101, "", true);
     assert_eq!(fleet.granted(), ["dispatcher/c"]);
@@ -171,35 +178,35 @@
 }
 
 #[test]
-fn a_halt_stops_grants_until_it_is_resumed_and_outlasts_a_restore() {
+fn a_halt_stops_grants_until_it_is_resumed_and_survives_a_restore() {
     let mut fleet = Fleet::with(&FOUR);
     fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
     let backup = fleet.state.snapshot();
-    fleet.change(Operation::Halt(SubjectKind::Dispatcher)).expect("a halt");
-    fleet.request("dispatcher/a", true, "").expect("it waits");
+    fleet.change(Operation::Halt(SubjectKind::Dispatcher)).expect("the halt is accepted");
+    fleet.request("dispatcher/a", true, "").expect("the request is queued");
     assert_eq!(fleet.wait_reason(SubjectKind::Dispatcher, "a"), Some(WaitReason::Halted));
-    fleet.apply(Action::Restore(backup)).expect("a sound backup");
-    fleet.request("dispatcher/b", true, "").expect("it waits");
+    fleet.apply(Action::Restore(backup)).expect("a valid backup");
+    fleet.request("dispatcher/b", true, "").expect("the request is queued");
     assert!(fleet.granted().is_empty());
-    fleet.change(Operation::Resume(SubjectKind::Dispatcher)).expect("the end of it");
+    fleet.change(Operation::Resume(SubjectKind::Dispatcher)).expect("the halt ends");
     assert_eq!(fleet.granted(), ["dispatcher/a"]);
-    // A backup from before the grant does not end it.
+    // A restore of a backup from before the grant does not end the permit.
     let earlier = Fleet::with(&FOUR).state.snapshot();
-    fleet.apply(Action::Restore(earlier)).expect("a sound backup");
+    fleet.apply(Action::Restore(earlier)).expect("a valid backup");
     assert_eq!(fleet.granted(), ["dispatcher/a"]);
 }
 
 #[test]
-fn rejects_requests_that_could_never_be_granted_with_the_cause() {
+fn rejects_requests_that_could_never_be_granted_with_the_reason() {
     let mut fleet = Fleet::with(&[("a", "x"), ("b", "y"), ("c", "y")]);
     fleet.budget(SubjectKind::Dispatcher, Limit::Fraction(0.3), None, 0);
-    let none = fleet.request("dispatcher/a", false, "").expect_err("30% of three are none");
+    let none = fleet.request("dispatcher/a", false, "").expect_err("30% of three round down to none");
     assert!(none.to_string().contains("lets none of 3 out"), "{none}");
     fleet.budget(SubjectKind::Dispatcher, Limit::Count(2), None, 1);
-    let last = fleet.request("dispatcher/a", false, "").expect_err("the last of its zone");
+    let last = fleet.request("dispatcher/a", false, "").expect_err("the zone must keep one available");
     assert!(last.to_string().contains("none of the 1 in zone \"x\""), "{last}");
-    fleet.request("dispatcher/b", false, "").expect("one of two may");
-    assert!(fleet.request("dispatcher/e", false, "").is_err(), "it has never joined");
+    fleet.request("dispatcher/b", false, "").expect("one of two can be unavailable");
+    assert!(fleet.request("dispatcher/e", false, "").is_err(), "the dispatcher has never joined");
     let bad = Budget {
         max_unavailable: Limit::Fraction(1.5),
         max_unavailable_per_zone: None,
@@ -210,74 +217,78 @@
 }
 
 #[test]
-fn a_workers_permit_drains_it_and_is_completed_by_its_own_revision_only() {
+fn a_workers_permit_drains_it_and_is_completed_only_with_the_revision_of_its_grant() {
     let mut fleet = Fleet::default();
     for (worker, zone) in [("w-1", "x"), ("w-2", "x"), ("w-3", "y")] {
-        let zone = zone.parse().expect("a sound text");
+        let zone = zone.parse().expect("a valid text");
         let record = Worker { zone, slots: 4, ..Worker::default() };
-        fleet.change(Operation::PutWorker(name(worker), record)).expect("room");
+        fleet.change(Operation::PutWorker(name(worker), record)).expect("capacity is left");
     }
     fleet.budget(SubjectKind::Worker, Limit::Count(2), Some(Limit::Count(1)), 0);
     let drained = |fleet: &Fleet, worker: &str| fleet.state.get(&Key::Drain(name(worker))).is_some();
-    fleet.request("worker/w-1", false, "").expect("it goes");
+    fleet.request("worker/w-1", false, "").expect("the permit is granted");
     assert!(drained(&fleet, "w-1"));
     let at = fleet
         .state
         .permit(&subject("worker/w-1"))
         .and_then(|permit| permit.granted_at_revision)
-        .expect("granted");
-    // A worker drained by hand uses the budget up as well.
-    fleet.change(Operation::Drain(name("w-3"))).expect("room");
-    fleet.request("worker/w-2", false, "").expect("it waits");
+        .expect("the permit is granted");
+    // A worker drained by hand counts against the budget as well.
+    fleet.change(Operation::Drain(name("w-3"))).expect("capacity is left");
+    fleet.request("worker/w-2", false, "").expect("the request is queued");
     assert_eq!(fleet.wait_reason(SubjectKind::Worker, "w-2"), Some(WaitReason::FleetLimit(2)));
     assert!(!drained(&fleet, "w-2"));
-    assert!(fleet.change(Operation::Undrain(name("w-1"))).is_err(), "its permit ends the drain");
+    assert!(fleet.change(Operation::Undrain(name("w-1"))).is_err(), "the drain ends with the permit");
     assert!(
         fleet.change(Operation::CompletePermit(subject("worker/w-1"), at + 1)).is_err(),
-        "another permit"
+        "the revision is that of another grant"
+    );
+    fleet.change(Operation::CompletePermit(subject("worker/w-1"), at)).expect("the permit ends");
+    assert!(
+        !drained(&fleet, "w-1") && drained(&fleet, "w-2"),
+        "the next permit is granted in the same change"
     );
-    fleet.change(Operation::CompletePermit(subject("worker/w-1"), at)).expect("it is back");
-    assert!(!drained(&fleet, "w-1") && drained(&fleet, "w-2"), "the next one is granted in the same change");
     // A restore keeps the drain mark of a granted permit.
     let before = Fleet::default().state.snapshot();
-    fleet.apply(Action::Restore(before)).expect("a sound backup");
+    fleet.apply(Action::Restore(before)).expect("a valid backup");
     assert!(drained(&fleet, "w-2") && !drained(&fleet, "w-3"));
 }
 
 #[test]
-fn a_followers_permit_is_for_the_granted_incarnation_only() {
+fn a_permit_in_a_followers_copy_applies_only_to_the_granted_incarnation() {
     let mut fleet = Fleet::with(&FOUR);
     fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
-    fleet.request("dispatcher/a", false, "").expect("it goes");
+    fleet.request("dispatcher/a", false, "").expect("the permit is granted");
     let at = fleet.state.permit(&subject("dispatcher/a")).and_then(|permit| permit.granted_at_revision);
     let mut copy = Follower::default();
-    copy.apply_snapshot(Duration::ZERO, fleet.state.snapshot()).expect("newer than nothing");
+    copy.apply_snapshot(Duration::ZERO, fleet.state.snapshot())
+        .expect("the snapshot is newer than an empty copy");
     assert_eq!((at.is_some(), copy.permit_granted_revision(&name("a"), IncarnationId(7, 0))), (true, at));
-    // The next incarnation reads the same stored copy; another dispatcher reads it as well.
+    // The next incarnation, or another dispatcher, may read the same stored copy.
     assert_eq!(copy.permit_granted_revision(&name("a"), IncarnationId(7, 1)), None);
     assert_eq!(copy.permit_granted_revision(&name("b"), IncarnationId(7, 100)), None);
 }
 
 #[test]
-fn a_dispatcher_that_returns_with_another_version_leaves_again_except_during_a_halt() {
+fn a_permit_is_rebound_to_an_incarnation_with_another_version_except_during_a_halt() {
     let mut fleet = Fleet::with(&FOUR);
     fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
-    fleet.request("dispatcher/a", false, "2").expect("it goes");
+    fleet.request("dispatcher/a", false, "2").expect("the permit is granted");
     let bound =
         |fleet: &Fleet| fleet.state.permit(&subject("dispatcher/a")).and_then(|permit| permit.incarnation_id);
-    fleet.change(Operation::Halt(SubjectKind::Dispatcher)).expect("a halt");
+    fleet.change(Operation::Halt(SubjectKind::Dispatcher)).expect("the halt is accepted");
     fleet.join("a", "x", 1, "1", true);
-    assert_eq!(bound(&fleet), Some(IncarnationId(7, 0)), "the new incarnation is not bound");
-    fleet.change(Operation::Resume(SubjectKind::Dispatcher)).expect("the end of it");
+    assert_eq!(bound(&fleet), Some(IncarnationId(7, 0)), "the permit is not rebound during a halt");
+    fleet.change(Operation::Resume(SubjectKind::Dispatcher)).expect("the halt ends");
     assert_eq!(bound(&fleet), Some(IncarnationId(7, 1)));
 }
 
 #[test]
-fn limits_grants_by_type_of_machine() {
+fn limits_grants_by_machine_type() {
     let mut fleet = Fleet::default();
     for (worker, kind) in [("w-1", "wide"), ("w-2", "wide"), ("w-3", "small"), ("w-4", "small")] {
-        let record = Worker { machine_type: kind.parse().expect("a sound text"), ..Worker::default() };
-        fleet.change(Operation::PutWorker(name(worker), record)).expect("room");
+        let record = Worker { machine_type: kind.parse().expect("a valid text"), ..Worker::default() };
+        fleet.change(Operation::PutWorker(name(worker), record)).expect("capacity is left");
     }
     let (most, half) = (Limit::Count(3), Limit::Fraction(0.5));
     let budget = Budget {
@@ -286,36 +297,40 @@
         max_unavailable_per_machine_type: Some(half),
         min_available_per_zone: 0,
     };
-    fleet.change(Operation::SetBudget(SubjectKind::Worker, budget)).expect("a sound budget");
+    fleet.change(Operation::SetBudget(SubjectKind::Worker, budget)).expect("a valid budget");
     for worker in ["w-1", "w-2", "w-3"] {
-        fleet.request(&format!("worker/{worker}"), false, "").expect("it waits");
+        fleet.request(&format!("worker/{worker}"), false, "").expect("the request is queued");
     }
-    assert_eq!(fleet.granted(), ["worker/w-1", "worker/w-3"], "a wide one waits, a small one passes it");
+    assert_eq!(
+        fleet.granted(),
+        ["worker/w-1", "worker/w-3"],
+        "the second of its machine type waits, and one of another type is granted ahead of it"
+    );
     assert_eq!(fleet.wait_reason(SubjectKind::Worker, "w-2"), Some(WaitReason::MachineTypeLimit(1)));
-    // Half of one is none: it could never be granted.
-    let record = Worker { machine_type: "odd".parse().expect("a sound text"), ..Worker::default() };
-    fleet.change(Operation::PutWorker(name("w-9"), record)).expect("room");
+    // 50% of one rounds down to none, so the permit could never be granted.
+    let record = Worker { machine_type: "odd".parse().expect("a valid text"), ..Worker::default() };
+    fleet.change(Operation::PutWorker(name("w-9"), record)).expect("capacity is left");
     assert!(fleet.request("worker/w-9", false, "").is_err());
 }
 
-// ---- Every order: duplicate drivers, lost answers, processes that crash and are partitioned ----
+// ---- Model: all orders of duplicate drivers, lost answers, and processes that crash or are partitioned ----
 
-const MOST: usize = 1;
+const MAX_UNAVAILABLE: usize = 1;
 const RULES: [&str; 3] = [
-    "nothing is granted over the budget",
-    "no more have left by a permit than the budget allows",
-    "whoever a permit was requested for has it, or has returned since",
+    "no permit is granted beyond the budget",
+    "no more processes have left with a permit than the budget allows",
+    "a subject with a requested permit keeps it until it has returned",
 ];
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Process {
-    /// Counts its incarnations, from 1.
+    /// Number of its incarnation, counted from 1.
     incarnation: u64,
     runs: bool,
     joined: bool,
-    /// It has ended by its permit.
+    /// Whether the process has ended because of its permit and has not joined since.
     left_by_permit: bool,
-    /// The incarnation whose grant is in its copy, which may be old.
+    /// Incarnation to which the permit in its copy was granted. The copy may be outdated.
     seen_permit_of: Option<u64>,
 }
 
@@ -323,21 +338,22 @@
 struct World {
     state: State,
     processes: Vec<Process>,
-    /// The incarnation of each, as the state had it, when a permit was first requested.
+    /// Incarnation of each process in the state when a permit was first requested for it.
     requested_in: Vec<Option<u64>>,
-    /// Requests that have arrived, by driver and process.
+    /// Requests that have been delivered, by driver and process.
     delivered: Vec<(usize, usize)>,
     crashes: u32,
     partitions: u32,
-    /// The budget, and how often an operator has changed it.
-    most: usize,
-    changes: u32,
-    /// A permit was granted beyond the budget.
+    /// Present budget.
+    max_unavailable: usize,
+    /// Number of budget changes by an operator.
+    budget_changes: u32,
+    /// Whether a permit was granted beyond the budget.
     over_budget: bool,
 }
 
 impl World {
-    /// All that decides what may happen next, without the revisions.
+    /// Describes everything that affects later steps. Revisions are left out, so that more states are equal.
     fn text(&self) -> String {
         let members: Vec<_> = self
             .state
@@ -357,8 +373,10 @@
             })
             .collect();
         permits.sort();
-        let permits: Vec<_> =
-            permits.into_iter().map(|(_, who, granted, life)| (who, granted, life)).collect();
+        let permits: Vec<_> = permits
+            .into_iter()
+            .map(|(_, who, granted, incarnation_id)| (who, granted, incarnation_id))
+            .collect();
         let rest = (
             &self.processes,
             &self.requested_in,
@@ -367,22 +385,23 @@
             self.partitions,
             self.over_budget,
         );
-        let rest = (rest, self.most, self.changes);
+        let rest = (rest, self.max_unavailable, self.budget_changes);
         format!("{members:?}{permits:?}{rest:?}")
     }
 
-    /// An operator sets the budget to none, or back.
+    /// An operator sets the budget to none, or back to its first value.
     fn change_budget(&mut self) {
-        (self.most, self.changes) = (MOST - self.most, self.changes + 1);
+        (self.max_unavailable, self.budget_changes) =
+            (MAX_UNAVAILABLE - self.max_unavailable, self.budget_changes + 1);
         let budget = Budget {
-            max_unavailable: Limit::Count(self.most as u32),
+            max_unavailable: Limit::Count(self.max_unavailable as u32),
             max_unavailable_per_zone: None,
             max_unavailable_per_machine_type: None,
             min_available_per_zone: 0,
         };
         let operations = vec![Operation::SetBudget(SubjectKind::Dispatcher, budget)];
         let action = Action::Change { operations, preconditions: Vec::new(), reason: Text::default() };
-        self.apply(RequestId(9, u64::from(self.changes)), action);
+        self.apply(RequestId(9, u64::from(self.budget_changes)), action);
     }
 
     fn join(&mut self, i: usize, member: Name, incarnation_id: IncarnationId) {
@@ -390,7 +409,7 @@
             role: Role::Dispatcher,
             version: Text::default(),
             address: None,
-            zone: "x".parse().expect("a sound text"),
+            zone: "x".parse().expect("a valid text"),
             ready: true,
         };
         self.processes[i].joined = true;
@@ -399,7 +418,7 @@
         self.apply(id, Action::Join { member, incarnation_id, info });
     }
 
-    /// Applies a command; whether it was accepted.
+    /// Applies a command and returns whether it was accepted.
     fn apply(&mut self, id: RequestId, action: Action) -> bool {
         let granted = |state: &State| {
             let granted = state.permits().filter(|(_, permit)| permit.granted_at_revision.is_some());
@@ -408,8 +427,8 @@
         let before = granted(&self.state);
         let answer = self.state.apply(&Command { id, issued_by: name("o"), issued_at_ms: 0, action });
         let newly = granted(&self.state).into_iter().any(|n| !before.contains(&n));
-        self.over_budget |=
-            newly && self.state.availability(SubjectKind::Dispatcher).unavailable_count() > self.most;
+        self.over_budget |= newly
+            && self.state.availability(SubjectKind::Dispatcher).unavailable_count() > self.max_unavailable;
         answer.is_ok()
     }
 }
@@ -430,18 +449,18 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// A driver's request for one arrives, for the first time or again.
+    /// The request of a driver for a process is delivered, for the first time or again.
     Request(usize, usize),
-    /// A process reads the newest state.
+    /// A process takes the newest state as its copy.
     Update(usize),
-    /// It ends by a permit in its copy.
+    /// A process ends because of a permit in its copy.
     Leave(usize),
     Crash(usize),
     Start(usize),
     Join(usize),
-    /// Its session expires, whether or not it runs.
+    /// The session of a process expires, whether or not it runs.
     Lose(usize),
-    /// An operator sets the budget to none, or back.
+    /// An operator sets the budget to none, or back to its first value.
     Budget,
 }
 
@@ -461,7 +480,7 @@
             Process { incarnation: 1, runs: true, joined: true, left_by_permit: false, seen_permit_of: None };
         let (processes, requested_in) = (vec![process; self.processes], vec![None; self.processes]);
         let (delivered, crashes, partitions) = (Vec::new(), 0, 0);
-        let (most, changes, over_budget) = (MOST, 0, false);
+        let (max_unavailable, budget_changes, over_budget) = (MAX_UNAVAILABLE, 0, false);
         vec![World {
             state: fleet.state,
             processes,
@@ -469,14 +488,14 @@
             delivered,
             crashes,
             partitions,
-            most,
-            changes,
+            max_unavailable,
+            budget_changes,
             over_budget,
         }]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Step>) {
-        if world.changes < 2 {
+        if world.budget_changes < 2 {
             actions.push(Step::Budget);
         }
         for (i, process) in world.processes.iter().enumerate() {
@@ -520,7 +539,7 @@
         };
         let member = name(&format!("d{i}"));
         let who = Subject { kind: SubjectKind::Dispatcher, name: member.clone() };
-        // Incarnation ids as in the state: the first ones joined in `Fleet::with`.
+        // The ids that `Fleet::with` gives to the first incarnations.
         let id_of = |incarnation: u64| IncarnationId(7, i as u64 * 100 + incarnation - 1);
         match step {
             Step::Request(driver, _) => {
@@ -537,7 +556,7 @@
                     world.delivered.push((driver, i));
                     world.delivered.sort();
                 }
-                // A request that no budget allows is rejected.
+                // While the budget is none, the request is rejected as impossible.
                 if world.apply(id, action) {
                     world.requested_in[i].get_or_insert(incarnation);
                 }
@@ -557,7 +576,7 @@
                 world.processes[i].runs = false;
             }
             Step::Start(_) => {
-                // Its copy is as old as it was.
+                // The new incarnation starts with the stored copy of the old one.
                 let seen_permit_of = world.processes[i].seen_permit_of;
                 let incarnation = world.processes[i].incarnation + 1;
                 world.processes[i] = Process {
@@ -573,7 +592,7 @@
             Step::Lose(_) => {
                 let session = world.state.member(&member)?.session;
                 world.partitions += u32::from(world.processes[i].runs);
-                // It is answered that its session has ended, and joins again.
+                // The process learns that its session has ended and has to join again.
                 world.processes[i].joined = false;
                 let id = RequestId(6, world.state.revision() * 10 + i as u64);
                 world.apply(id, Action::ExpireSession { member, session });
@@ -586,7 +605,7 @@
         vec![
             Property::always(RULES[0], |_, world: &World| !world.over_budget),
             Property::always(RULES[1], |_, world: &World| {
-                world.processes.iter().filter(|process| process.left_by_permit).count() <= MOST
+                world.processes.iter().filter(|process| process.left_by_permit).count() <= MAX_UNAVAILABLE
             }),
             Property::always(RULES[2], |_, world: &World| {
                 let kept = |(i, requested_in): (usize, &Option<u64>)| {
@@ -600,7 +619,7 @@
                 };
                 world.requested_in.iter().enumerate().all(kept)
             }),
-            Property::sometimes("all have left and returned", |_, world: &World| {
+            Property::sometimes("all processes have left and returned", |_, world: &World| {
                 world.processes.iter().all(|process| process.incarnation > 1 && process.joined)
                     && world.state.permits().next().is_none()
             }),
@@ -618,14 +637,14 @@
             checker.state_count(),
             checker.unique_state_count()
         );
-        // A path of states is long: its steps are enough.
+        // Only the actions of a path are printed; its states are too long.
         for rule in RULES {
             let path = checker.discovery(rule).map(|path| path.into_actions());
             assert_eq!(path, None, "{rule}");
         }
         assert!(checker.unique_state_count() > 1_000);
         if processes == 2 {
-            assert!(checker.discovery("all have left and returned").is_some());
+            assert!(checker.discovery("all processes have left and returned").is_some());
         }
     }
 }
--- a/crates/pebblepost-fleet/tests/release.rs
+++ b/crates/pebblepost-fleet/tests/release.rs
@@ -1,4 +1,4 @@
-//! Releases: how far a version gets, what halts it, and rollbacks.
+//! Tests of releases: the limits of waves, the reasons to halt, rollbacks and the simulation.
 
 use pebblepost_fleet::availability::WaitReason;
 use pebblepost_fleet::heartbeat::RequestCounts;
@@ -14,18 +14,18 @@
 use std::time::Duration;
 
 fn name(text: &str) -> Name {
-    text.parse().expect("a sound name")
+    text.parse().expect("a valid name")
 }
 
 fn text(text: &str) -> Text {
-    text.parse().expect("a sound text")
+    text.parse().expect("a valid text")
 }
 
-/// Ten dispatchers, of which three may be unavailable.
+/// A fleet of ten dispatchers, of which three may be unavailable.
 struct Fleet {
     state: State,
     last_request: u64,
-    /// The present incarnation of each.
+    /// Number of the present incarnation of each dispatcher.
     incarnations: Vec<u64>,
 }
 
@@ -39,7 +39,7 @@
             max_unavailable_per_machine_type: None,
             min_available_per_zone: 0,
         };
-        fleet.change(Operation::SetBudget(SubjectKind::Dispatcher, budget)).expect("a sound budget");
+        fleet.change(Operation::SetBudget(SubjectKind::Dispatcher, budget)).expect("a valid budget");
         fleet
     }
 
@@ -69,16 +69,16 @@
         })
     }
 
-    /// Joins as a new incarnation, with a version.
+    /// Joins a dispatcher as a new incarnation with a version.
     fn rejoin(&mut self, n: usize, version: &str, ready: bool) {
         self.incarnations[n] += 1;
         let (version, zone) = (text(version), Text::default());
         let info = MemberInfo { role: Role::Dispatcher, version, address: None, zone, ready };
         let (member, incarnation) = (name(&format!("d{n}")), IncarnationId(n as u64, self.incarnations[n]));
-        self.apply(Action::Join { member, incarnation_id: incarnation, info }).expect("it may join");
+        self.apply(Action::Join { member, incarnation_id: incarnation, info }).expect("the join is accepted");
     }
 
-    /// The dispatchers whose present incarnation is permitted to end.
+    /// Returns the dispatchers whose present incarnation has a granted permit.
     fn leaving(&self) -> Vec<usize> {
         let bound = |n: &usize| {
             let subject = Subject { kind: SubjectKind::Dispatcher, name: name(&format!("d{n}")) };
@@ -91,11 +91,12 @@
         (0..10).filter(bound).collect()
     }
 
-    /// All dispatchers with a permit return with this version, until none has one. Returns how many.
+    /// Lets dispatchers with a granted permit return with the version until no granted permit is left.
+    /// Returns how many returned.
     fn run_wave(&mut self, version: &str, ready: bool) -> usize {
         let mut gone = 0;
         while let [first, ..] = self.leaving()[..] {
-            assert!(self.leaving().len() <= 3, "over the budget: {:?}", self.leaving());
+            assert!(self.leaving().len() <= 3, "beyond the budget: {:?}", self.leaving());
             self.rejoin(first, version, ready);
             gone += 1;
         }
@@ -116,10 +117,11 @@
     min_answers: 100,
 };
 
-/// The next step when all have reported and there are no requests.
+/// Returns the next step if all dispatchers have reported and there are no requests.
 fn next_step(driver: &mut ReleaseDriver, at: Duration, fleet: &Fleet) -> NextStep {
     let requests = fleet.state.members().map(|(name, member)| {
-        let (incarnation, version) = (member.incarnation_id().expect("joined"), member.info.version.clone());
+        let (incarnation, version) =
+            (member.incarnation_id().expect("the member has joined"), member.info.version.clone());
         (
             name.clone(),
             IncarnationRequests { incarnation_id: incarnation, version, requests: RequestCounts::default() },
@@ -129,37 +131,40 @@
 }
 
 #[test]
-fn a_wave_begins_only_after_the_last_one_is_complete_and_was_observed() {
+fn a_wave_begins_only_after_the_previous_one_is_complete_and_has_been_observed() {
     let mut fleet = Fleet::new();
-    assert!(fleet.start("2", &[Limit::Fraction(0.5)]).is_err(), "it would never end");
-    fleet.start("2", &WAVES).expect("sound waves");
+    assert!(
+        fleet.start("2", &[Limit::Fraction(0.5)]).is_err(),
+        "the last wave does not reach all dispatchers"
+    );
+    fleet.start("2", &WAVES).expect("valid waves");
     let before = fleet.state.clone();
-    fleet.start("2", &WAVES).expect("the same release");
-    assert_eq!(fleet.state.revision(), before.revision(), "begun twice, it is one release");
-    assert!(fleet.start("3", &WAVES).is_err(), "one at a time");
+    fleet.start("2", &WAVES).expect("the same release is accepted again");
+    assert_eq!(fleet.state.revision(), before.revision(), "the repeated start has no effect");
+    assert!(fleet.start("3", &WAVES).is_err(), "another release is in progress");
     let mut driver = ReleaseDriver::new(POLICY);
     let second = Duration::from_secs(1);
-    // The first wave has a permit for one dispatcher, however often it is requested.
+    // In the first wave only one dispatcher gets a permit.
     assert_eq!(next_step(&mut driver, second, &fleet), NextStep::Wait);
     assert!(fleet.change(Operation::AdvanceWave(0)).is_err(), "the wave is not complete");
     assert_eq!(fleet.run_wave("2", true), 1);
-    assert_eq!(next_step(&mut driver, 2 * second, &fleet), NextStep::Wait, "it is observed");
+    assert_eq!(next_step(&mut driver, 2 * second, &fleet), NextStep::Wait, "the wave is still observed");
     let NextStep::Propose { operation: advance, reason: _ } = next_step(&mut driver, 13 * second, &fleet)
     else {
-        panic!("it was observed")
+        panic!("the wave has been observed and should advance")
     };
-    fleet.change(advance.clone()).expect("the next wave");
-    assert_eq!(fleet.run_wave("2", true), 1, "a quarter of ten is two");
-    // The same proposal of a late second driver changes nothing.
-    fleet.change(advance).expect("it is so already");
+    fleet.change(advance.clone()).expect("the wave advances");
+    assert_eq!(fleet.run_wave("2", true), 1, "25% of ten is two, one of which is from the first wave");
+    // The same proposal of a delayed second driver changes nothing.
+    fleet.change(advance).expect("the command is accepted and has no effect");
     assert_eq!((fleet.count_with("2"), fleet.leaving().len()), (2, 0));
-    fleet.change(Operation::AdvanceWave(1)).expect("the last wave");
+    fleet.change(Operation::AdvanceWave(1)).expect("the wave advances");
     assert_eq!(fleet.run_wave("2", true), 8);
     assert_eq!(
         next_step(&mut driver, 20 * second, &fleet),
         NextStep::Propose { operation: Operation::EndRelease, reason: "all have it".into() }
     );
-    fleet.change(Operation::EndRelease).expect("all have it");
+    fleet.change(Operation::EndRelease).expect("the release ends");
     assert_eq!(next_step(&mut driver, 21 * second, &fleet), NextStep::Finished);
 }
 
@@ -167,25 +172,25 @@
 fn a_version_that_is_never_ready_or_crashes_stays_in_its_wave_and_halts_the_release() {
     let second = Duration::from_secs(1);
     let mut fleet = Fleet::new();
-    fleet.start("bad", &WAVES).expect("sound waves");
+    fleet.start("bad", &WAVES).expect("valid waves");
     let mut driver = ReleaseDriver::new(POLICY);
     assert_eq!(fleet.run_wave("bad", false), 1);
     assert_eq!(next_step(&mut driver, second, &fleet), NextStep::Wait);
     let NextStep::Propose { operation: halt, reason } = next_step(&mut driver, 62 * second, &fleet) else {
-        panic!("it waits")
+        panic!("the release should halt")
     };
     assert!(reason.contains("wave 0 is not back"), "{reason}");
-    fleet.change(halt).expect("a halt");
+    fleet.change(halt).expect("the halt is accepted");
     assert_eq!(next_step(&mut driver, 63 * second, &fleet), NextStep::Halted);
     assert_eq!((fleet.count_with("bad"), fleet.leaving().len()), (1, 0));
-    // A version that is ready and crashes again and again: three incarnations without a permit.
+    // A version that becomes ready and then crashes repeatedly: three incarnations without a permit.
     let mut fleet = Fleet::new();
-    fleet.start("bad", &WAVES).expect("sound waves");
+    fleet.start("bad", &WAVES).expect("valid waves");
     let mut driver = ReleaseDriver::new(POLICY);
     fleet.run_wave("bad", true);
-    let bad = (0..10).find(|n| fleet.incarnations[*n] == 2).expect("one went");
+    let bad = (0..10).find(|n| fleet.incarnations[*n] == 2).expect("one dispatcher has restarted");
     assert_eq!(next_step(&mut driver, second, &fleet), NextStep::Wait);
-    // It returns at once after each crash: that does not count as observed.
+    // The dispatcher returns at once after each crash, which restarts the observation.
     for crash in 1..3 {
         fleet.rejoin(bad, "bad", true);
         assert_eq!(next_step(&mut driver, 9 * crash * second, &fleet), NextStep::Wait);
@@ -194,7 +199,7 @@
     let NextStep::Propose { operation: Operation::Halt(_), reason } =
         next_step(&mut driver, 20 * second, &fleet)
     else {
-        panic!("it goes on")
+        panic!("the release should halt")
     };
     assert!(reason.contains("3 crashes"), "{reason}");
 }
@@ -202,47 +207,50 @@
 #[test]
 fn a_rollback_covers_dispatchers_with_the_bad_version_and_unavailable_ones_go_first() {
     let mut fleet = Fleet::new();
-    fleet.start("bad", &[Limit::Count(4), Limit::Fraction(1.0)]).expect("sound waves");
-    // One has returned ready, one is not ready, one is away, and one of the wave still waits.
+    fleet.start("bad", &[Limit::Count(4), Limit::Fraction(1.0)]).expect("valid waves");
+    // Of the wave one dispatcher has returned ready, one is not ready, one is restarting, and one still
+    // waits.
     let leaving = fleet.leaving();
     assert_eq!(leaving.len(), 3);
     fleet.rejoin(leaving[0], "bad", true);
     fleet.rejoin(leaving[1], "bad", false);
-    assert_eq!(fleet.leaving().len(), 2, "the one that is away, and the last of the wave");
-    fleet.change(Operation::RollBack(text("1"))).expect("a release goes on");
-    fleet.change(Operation::RollBack(text("1"))).expect("it is so already");
-    // The one that returned with the bad version, not ready, is bound again and leaves again.
+    assert_eq!(fleet.leaving().len(), 2, "the restarting dispatcher, and the last one of the wave");
+    fleet.change(Operation::RollBack(text("1"))).expect("a release is in progress");
+    fleet.change(Operation::RollBack(text("1"))).expect("the command is accepted and has no effect");
+    // The permit of the dispatcher that returned unready with the bad version is rebound, so it restarts
+    // again.
     assert!(fleet.leaving().contains(&leaving[1]), "{:?}", fleet.leaving());
-    // The one that was away returns with the bad version all the same: it leaves again as well.
+    // The restarting dispatcher still returns with the bad version, and has to restart again as well.
     fleet.rejoin(leaving[2], "bad", true);
     assert!(fleet.leaving().contains(&leaving[2]), "{:?}", fleet.leaving());
     fleet.run_wave("1", true);
     assert_eq!((fleet.count_with("1"), fleet.state.permits().count()), (10, 0));
     let untouched = (0..10).filter(|n| fleet.incarnations[*n] == 1).count();
-    assert_eq!(untouched, 6, "dispatchers that never left stay");
-    fleet.change(Operation::EndRelease).expect("all are back");
+    assert_eq!(untouched, 6, "dispatchers that kept the old version are not restarted");
+    fleet.change(Operation::EndRelease).expect("the release ends");
 }
 
 #[test]
 fn a_lower_success_rate_than_the_old_versions_halts_the_release() {
-    // Observes for ten seconds: answered and succeeded requests of each second, with the new version and the
-    // old one.
+    // Runs the driver with the given answered and succeeded requests per second of the new and the old
+    // version, until it no longer waits. A complete wave is observed for 10 s, or up to 30 s while answers
+    // are missing.
     let observe = |new: (u64, u64), old: (u64, u64)| {
         let mut fleet = Fleet::new();
-        fleet.start("2", &[Limit::Count(2), Limit::Fraction(1.0)]).expect("sound waves");
+        fleet.start("2", &[Limit::Count(2), Limit::Fraction(1.0)]).expect("valid waves");
         fleet.run_wave("2", true);
         let (mut driver, mut last) = (ReleaseDriver::new(POLICY), NextStep::Wait);
         for second in 0..=31_u64 {
             let requests = fleet.state.members().map(|(name, member)| {
                 let version = member.info.version.clone();
                 let (answered, served) = if version.as_str() == "2" { new } else { old };
-                // What was before the observation does not count: all requests had failed.
+                // The 1,000 requests before the observation all failed; they must not count.
                 let counts =
                     RequestCounts { answered: 1_000 + second * answered, succeeded: second * served };
                 (
                     name.clone(),
                     IncarnationRequests {
-                        incarnation_id: member.incarnation_id().expect("joined"),
+                        incarnation_id: member.incarnation_id().expect("the member has joined"),
                         version,
                         requests: counts,
                     },
@@ -256,7 +264,7 @@
         }
         match last {
             NextStep::Propose { operation: Operation::Halt(_), reason } => reason,
-            NextStep::Propose { operation: Operation::AdvanceWave(0), reason: _ } => "goes on".to_owned(),
+            NextStep::Propose { operation: Operation::AdvanceWave(0), reason: _ } => "advances".to_owned(),
             other => panic!("{other:?}"),
         }
     };
@@ -264,26 +272,31 @@
         observe((100, 80), (100, 98)),
         "the new version serves 0.800 of its requests, the old one 0.980"
     );
-    assert_eq!(observe((100, 95), (100, 98)), "goes on");
-    assert_eq!(observe((100, 60), (100, 62)), "goes on", "a failure of both versions is no sign");
-    assert_eq!(observe((1, 0), (100, 98)), "goes on", "60 answers are too few");
-    assert!(observe((2, 1), (100, 98)).contains("serves 0.500"), "more answers are waited for");
+    assert_eq!(observe((100, 95), (100, 98)), "advances");
+    assert_eq!(observe((100, 60), (100, 62)), "advances", "both versions fail alike");
+    assert_eq!(observe((1, 0), (100, 98)), "advances", "60 answers are fewer than the minimum");
+    assert!(
+        observe((2, 1), (100, 98)).contains("serves 0.500"),
+        "the observation is extended until there are enough answers"
+    );
     assert!(observe((0, 0), (100, 98)).contains("answers nothing"));
-    assert_eq!(observe((0, 0), (1, 1)), "goes on", "there are no requests");
-    // Missing reports are waited for, as the Raft leader may be new, and halt the release then.
+    assert_eq!(observe((0, 0), (1, 1)), "advances", "the old version has too few requests as well");
+    // Missing reports extend the observation, because the Raft leader may be new, and then halt the release.
     let mut fleet = Fleet::new();
-    fleet.start("2", &[Limit::Count(2), Limit::Fraction(1.0)]).expect("sound waves");
+    fleet.start("2", &[Limit::Count(2), Limit::Fraction(1.0)]).expect("valid waves");
     fleet.run_wave("2", true);
     let (mut driver, no_reports, state) =
         (ReleaseDriver::new(POLICY), BTreeMap::new(), fleet.state.snapshot());
     let mut at = |second| driver.next_step(Duration::from_secs(second), &state, &no_reports);
     assert_eq!((at(0), at(12), at(29)), (NextStep::Wait, NextStep::Wait, NextStep::Wait));
-    let NextStep::Propose { operation: Operation::Halt(_), reason } = at(30) else { panic!("it goes on") };
+    let NextStep::Propose { operation: Operation::Halt(_), reason } = at(30) else {
+        panic!("the release should halt")
+    };
     assert!(reason.contains("not all dispatchers"), "{reason}");
 }
 
 #[test]
-fn a_simulation_gives_the_waves_of_a_release_or_why_it_stalls() {
+fn a_simulation_reports_the_waves_of_a_release_or_why_it_stalls() {
     let mut fleet = Fleet::new();
     let plan = |version: &str| ReleasePlan {
         version: text(version),
@@ -293,21 +306,21 @@
         restart_time: Duration::from_secs(10),
     };
     let before = fleet.state.snapshot();
-    let waves = simulate(&before, &name("o"), &plan("2")).expect("it ends");
-    // One; two of ten less that one; the other eight, three at a time.
+    let waves = simulate(&before, &name("o"), &plan("2")).expect("the release ends");
+    // One dispatcher; one more, which makes two of ten; then the other eight, three at a time.
     let summary: Vec<(f64, f64, usize, usize)> = waves
         .iter()
         .map(|wave| (wave.started_at_s, wave.completed_at_s, wave.dispatchers.len(), wave.max_unavailable))
         .collect();
     assert_eq!(summary, [(0.0, 10.0, 1, 1), (40.0, 50.0, 1, 1), (80.0, 110.0, 8, 3)]);
-    assert_eq!(fleet.state.snapshot(), before, "nothing has begun");
-    // A lost dispatcher does not return by itself: the last wave stalls, and the reason names it.
+    assert_eq!(fleet.state.snapshot(), before, "the simulation does not change the state");
+    // A lost dispatcher does not return by itself, so the last wave stalls and the reason names it.
     let session = fleet.state.member(&name("d9")).expect("a member").session;
-    fleet.apply(Action::ExpireSession { member: name("d9"), session }).expect("it is there");
+    fleet.apply(Action::ExpireSession { member: name("d9"), session }).expect("the member is present");
     let Err(SimulationError::Stalled { wave, reason, .. }) =
         simulate(&fleet.state.snapshot(), &name("o"), &plan("2"))
     else {
-        panic!("it ends")
+        panic!("the release should stall")
     };
     assert!(wave == 3 && reason.contains("d9"), "wave {wave}: {reason}");
     // A release without a budget stalls at once.
@@ -315,7 +328,7 @@
     let Err(SimulationError::Stalled { reason, .. }) =
         simulate(&fleet.state.snapshot(), &name("o"), &plan("2"))
     else {
-        panic!("it ends")
+        panic!("the release should stall")
     };
     assert!(reason.contains("no budget"), "{reason}");
     let empty = State::default().snapshot();
@@ -323,7 +336,7 @@
 }
 
 #[test]
-fn zones_go_in_the_given_order_one_after_the_other() {
+fn zones_are_released_one_after_the_other_in_the_given_order() {
     let mut state = State::default();
     let mut number = 0;
     let mut act = |state: &mut State, action: Action| {
@@ -342,7 +355,7 @@
         Action::Join { member: name(&format!("d{n}")), incarnation_id: IncarnationId(n, incarnation), info }
     };
     for n in 0..6 {
-        act(&mut state, joins(n, 1, "1")).expect("it may join");
+        act(&mut state, joins(n, 1, "1")).expect("the join is accepted");
     }
     let budget = Budget {
         max_unavailable: Limit::Count(3),
@@ -350,7 +363,7 @@
         max_unavailable_per_machine_type: None,
         min_available_per_zone: 0,
     };
-    act(&mut state, change(Operation::SetBudget(SubjectKind::Dispatcher, budget))).expect("a sound budget");
+    act(&mut state, change(Operation::SetBudget(SubjectKind::Dispatcher, budget))).expect("a valid budget");
     let release = |zones: &[&str]| {
         let zones = zones.iter().map(|zone| text(zone)).collect();
         change(Operation::BeginRelease {
@@ -359,8 +372,8 @@
             zone_order: zones,
         })
     };
-    assert!(act(&mut state, release(&["nowhere"])).is_err(), "no dispatcher is there");
-    act(&mut state, release(&["z", "x"])).expect("a sound release");
+    assert!(act(&mut state, release(&["nowhere"])).is_err(), "the zone has no dispatcher");
+    act(&mut state, release(&["z", "x"])).expect("a valid release");
     let leaving = |state: &State| -> Vec<u64> {
         let granted = state.permits().filter(|(_, permit)| permit.granted_at_revision.is_some());
         let mut all: Vec<u64> = granted
@@ -370,20 +383,20 @@
         all.sort_unstable();
         all
     };
-    // z has d2 and d5, then comes x, whatever the budget allows; y is not listed and goes last.
-    assert_eq!(leaving(&state), [0, 2, 5], "once all of z have permits, x begins");
-    act(&mut state, joins(2, 2, "2")).expect("it may join");
+    // Zone z has d2 and d5. Zone x follows, and y comes last because it is not listed.
+    assert_eq!(leaving(&state), [0, 2, 5], "x begins once all of z have permits");
+    act(&mut state, joins(2, 2, "2")).expect("the join is accepted");
     assert_eq!(leaving(&state), [0, 3, 5]);
-    act(&mut state, joins(0, 2, "2")).expect("it may join");
-    assert_eq!(leaving(&state), [1, 3, 5], "then y");
-    // A waiting dispatcher of z delays all other zones, with that reason.
+    act(&mut state, joins(0, 2, "2")).expect("the join is accepted");
+    assert_eq!(leaving(&state), [1, 3, 5], "y begins after x");
+    // A waiting dispatcher of z delays all other zones, and the wait reason says so.
     let mut state = State::default();
     for n in 0..6 {
-        act(&mut state, joins(n, 11, "1")).expect("it may join");
+        act(&mut state, joins(n, 11, "1")).expect("the join is accepted");
     }
     let tight = Budget { max_unavailable_per_zone: Some(Limit::Count(1)), ..budget };
-    act(&mut state, change(Operation::SetBudget(SubjectKind::Dispatcher, tight))).expect("a sound budget");
-    act(&mut state, release(&["z"])).expect("a sound release");
+    act(&mut state, change(Operation::SetBudget(SubjectKind::Dispatcher, tight))).expect("a valid budget");
+    act(&mut state, release(&["z"])).expect("a valid release");
     assert_eq!(leaving(&state), [2]);
     assert_eq!(
         state.availability(SubjectKind::Dispatcher).check_grant(&name("d0")),
--- a/crates/pebblepost-fleet/tests/stored_forms.rs
+++ b/crates/pebblepost-fleet/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! Every form that is stored or sent, pinned by its bytes: what an earlier build wrote is read, and the same
-//! bytes are written again. The files under `tests/stored` are never edited to follow the code.
+//! Pins the bytes of every form that is stored or sent: what an earlier build wrote can be read, and the same
+//! bytes are written again. The files under `tests/stored` must not be edited to follow the code.
 
 use pebblepost_fleet::fencing::FencingGuard;
 use pebblepost_fleet::follower::Follower;
@@ -21,14 +21,15 @@
 }
 
 fn written<T: Serialize>(value: &T) -> String {
-    serde_json::to_string(value).expect("plain data")
+    serde_json::to_string(value).expect("serializes to JSON")
 }
 
 fn read<T: DeserializeOwned>(line: &str) -> T {
     serde_json::from_str(line).unwrap_or_else(|error| panic!("{line}: {error}"))
 }
 
-fn reads_and_writes_the_same<T: Serialize + DeserializeOwned>(file: &str, count: usize) {
+/// Checks that each of the `count` lines of a file is read and written again with the same bytes.
+fn assert_keeps_bytes<T: Serialize + DeserializeOwned>(file: &str, count: usize) {
     let text = stored(file);
     assert_eq!(text.lines().count(), count, "{file}");
     for line in text.lines() {
@@ -36,8 +37,8 @@
     }
 }
 
-/// Lines in pairs: the form of an earlier version, and what is written for it now.
-fn reads_the_earlier_form<T: Serialize + DeserializeOwned>(file: &str) {
+/// Checks a file of line pairs: the form of an earlier version, and the form that is written for it now.
+fn assert_reads_earlier_form<T: Serialize + DeserializeOwned>(file: &str) {
     let text = stored(file);
     let lines: Vec<&str> = text.lines().collect();
     for pair in lines.chunks(2) {
@@ -46,38 +47,38 @@
 }
 
 #[test]
-fn commands_and_answers_keep_their_bytes() {
-    reads_and_writes_the_same::<Command>("commands.jsonl", 15);
-    reads_and_writes_the_same::<CommandResult>("answers.jsonl", 7);
-    reads_the_earlier_form::<Command>("earlier_commands.jsonl");
+fn commands_and_results_keep_their_bytes() {
+    assert_keeps_bytes::<Command>("commands.jsonl", 15);
+    assert_keeps_bytes::<CommandResult>("answers.jsonl", 7);
+    assert_reads_earlier_form::<Command>("earlier_commands.jsonl");
 }
 
 #[test]
 fn values_and_changes_of_the_state_keep_their_bytes() {
-    reads_and_writes_the_same::<Value>("values.jsonl", 15);
-    reads_and_writes_the_same::<Change>("changes.jsonl", 1);
-    reads_and_writes_the_same::<Key>("keys.jsonl", 10);
-    reads_the_earlier_form::<Value>("earlier_values.jsonl");
+    assert_keeps_bytes::<Value>("values.jsonl", 15);
+    assert_keeps_bytes::<Change>("changes.jsonl", 1);
+    assert_keeps_bytes::<Key>("keys.jsonl", 10);
+    assert_reads_earlier_form::<Value>("earlier_values.jsonl");
 }
 
 #[test]
-fn heartbeats_and_what_the_leader_makes_of_them_keep_their_bytes() {
-    reads_and_writes_the_same::<HeartbeatReport>("heartbeats.jsonl", 2);
-    reads_the_earlier_form::<HeartbeatReport>("earlier_heartbeats.jsonl");
-    reads_and_writes_the_same::<DrainStatus>("drain_confirmations.jsonl", 2);
-    reads_and_writes_the_same::<IncarnationRequests>("request_counts.jsonl", 1);
+fn heartbeats_and_the_leaders_reports_keep_their_bytes() {
+    assert_keeps_bytes::<HeartbeatReport>("heartbeats.jsonl", 2);
+    assert_reads_earlier_form::<HeartbeatReport>("earlier_heartbeats.jsonl");
+    assert_keeps_bytes::<DrainStatus>("drain_confirmations.jsonl", 2);
+    assert_keeps_bytes::<IncarnationRequests>("request_counts.jsonl", 1);
 }
 
 #[test]
-fn copies_fences_and_simulated_waves_keep_their_bytes() {
-    reads_and_writes_the_same::<Follower>("followers.jsonl", 1);
-    reads_and_writes_the_same::<FencingGuard>("fences.jsonl", 1);
-    reads_and_writes_the_same::<SimulatedWave>("waves.jsonl", 1);
+fn followers_fencing_guards_and_simulated_waves_keep_their_bytes() {
+    assert_keeps_bytes::<Follower>("followers.jsonl", 1);
+    assert_keeps_bytes::<FencingGuard>("fences.jsonl", 1);
+    assert_keeps_bytes::<SimulatedWave>("waves.jsonl", 1);
 }
 
 #[test]
-fn unknown_fields_are_refused_where_they_were() {
-    let refused = [
+fn unknown_fields_are_rejected_in_commands_and_accepted_in_heartbeats() {
+    let rejected = [
         r#"{"id":[1,2],"by":"op","at_ms":17,"act":{"admit":{"keeper":4,"disk":77}},"more":1}"#,
         r#"{"id":[1,2],"by":"op","at_ms":17,"act":{"admit":{"keeper":4,"disk":77,"more":1}}}"#,
         r#"{"id":[1,2],"by":"op","at_ms":17,"act":{"change":{"ops":[{"ask":{"subject":"worker/w","more":1}}]}}}"#,
@@ -86,16 +87,19 @@
         r#"{"id":[1,2],"by":"op","at_ms":17,"act":{"change":{"ops":[],"expect":[{"key":"drain/w","revision":1,"more":1}]}}}"#,
         r#"{"id":[1,2],"by":"d","at_ms":1,"act":{"join":{"member":"d","life":[3,4],"card":{"role":"keeper","more":1}}}}"#,
     ];
-    for line in refused {
+    for line in rejected {
         assert!(serde_json::from_str::<Command>(line).is_err(), "{line}");
     }
-    let taken = r#"{"acts_by":1,"busy":[],"counts":{"answered":0,"served":0,"more":1},"more":1}"#;
-    assert!(serde_json::from_str::<HeartbeatReport>(taken).is_ok(), "heartbeats of later versions are read");
+    let accepted = r#"{"acts_by":1,"busy":[],"counts":{"answered":0,"served":0,"more":1},"more":1}"#;
+    assert!(
+        serde_json::from_str::<HeartbeatReport>(accepted).is_ok(),
+        "heartbeats of later versions can be read"
+    );
 }
 
-/// A scripted run: the answers, the state in whole (as in a Raft snapshot) and the backup of it.
+/// Checks the results of a scripted run, its whole state as in a Raft snapshot, and the backup of the state.
 #[test]
-fn a_run_gives_the_same_answers_state_and_backup() {
+fn a_scripted_run_gives_the_same_results_state_and_backup() {
     let mut state = State::default();
     state.register_replicas([(2, 5)]);
     let mut answers = String::new();
@@ -108,6 +112,9 @@
     assert_eq!(written(&state), text.trim_end());
     assert_eq!(written(&read::<State>(text.trim_end())), text.trim_end());
     let backup = stored("run_backup.json");
-    assert_eq!(serde_json::to_string_pretty(&state.snapshot()).expect("plain data"), backup.trim_end());
+    assert_eq!(
+        serde_json::to_string_pretty(&state.snapshot()).expect("serializes to JSON"),
+        backup.trim_end()
+    );
     assert_eq!(read::<Snapshot>(&backup), state.snapshot());
 }
