--- a/crates/pebblepost-fleet/src/release_driver/mod.rs
+++ b/crates/pebblepost-fleet/src/release_driver/mod.rs
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Counts the new incarnations of dispatchers with the release's version. The release
-    /// requests no permit for those, so each counts as a crash.
+    /// Counts the new incarnations of dispatchers with the release's version. The release requests no permit
+    /// for those, so each counts as a crash.
     fn count_crashes(&mut self, release: &Release, state: &Snapshot) -> u64 {
         let mut crashes = 0;
         for (key, entry) in &state.entries {
--- a/crates/pebblepost-fleet/src/value/permit.rs
+++ b/crates/pebblepost-fleet/src/value/permit.rs
@@ -28,17 +28,17 @@
     /// The string is not a count.
     #[error("{text:?} is neither a count nor a percentage: {cause}")]
     Count {
-        /// The text.
+        /// Rejected string.
         text: String,
-        /// What is wrong with it.
+        /// Error of the number parser.
         cause: ParseIntError,
     },
     /// The string ends in `%` and is not a percentage.
     #[error("{text:?} is neither a count nor a percentage: {cause}")]
     Percentage {
-        /// The text.
+        /// Rejected string.
         text: String,
-        /// What is wrong with it.
+        /// Error of the number parser.
         cause: ParseFloatError,
     },
     /// The percentage is out of range.
