--- a/crates/pebblepost-agent/src/agent.rs
+++ b/crates/pebblepost-agent/src/agent.rs
@@ -1,4 +1,5 @@
-//! The agent's event loop: events of the control link, of the proxy's connection, and signals.
+//! Event loop of the agent: handles events of the control link and of the proxy's connection, and
+//! signals.
 
 use crate::acknowledgements::Acknowledgements;
 use crate::proxy_connection::{ConnectionId, ProxyConnection, ProxyEvent, listen};
@@ -16,33 +17,39 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// Keep-alive interval of the connection to the proxy. Both ends share a machine, so that a long one
-/// is enough.
-const PROXY_KEEP_ALIVE: Duration = Duration::from_secs(60);
-/// The agent ends this long before the platform's SIGKILL.
-const GRACE_MARGIN: Duration = Duration::from_secs(1);
+/// Keep-alive interval of the connection to the proxy. It can be long because both ends run on the same
+/// machine.
+const PROXY_KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(60);
+/// Time between the end of the agent and the platform's SIGKILL.
+const SIGKILL_MARGIN: Duration = Duration::from_secs(1);
 
-/// What an agent is started with.
+/// Parameters with which an agent is started.
 pub struct AgentOptions {
-    /// Name of the machine.
+    /// Name of this machine.
     pub node: String,
-    /// Its zone.
+    /// Zone of this machine.
     pub zone: String,
-    /// Internal addresses of control processes.
-    pub control: Vec<SocketAddr>,
-    /// Time between SIGTERM and SIGKILL.
-    pub grace: Duration,
-    /// Reads the addresses of the present settings; none if they can't be read.
-    pub reload: Box<dyn Fn() -> Vec<SocketAddr>>,
+    /// Internal addresses of control processes, to which the agent connects first.
+    pub control_addresses: Vec<SocketAddr>,
+    /// Time between SIGTERM and the platform's SIGKILL.
+    pub shutdown_grace: Duration,
+    /// Reads the settings again and returns their control addresses; empty if they can't be read.
+    pub read_control_addresses: Box<dyn Fn() -> Vec<SocketAddr>>,
 }
 
-/// Sends the feed to the proxies that connect to `listener`, one after the other. Returns after
-/// [`Signal::Terminate`]: once no proxy is connected, or a second before the grace period is over.
+/// Relays the feed to the proxy that is connected to `listener`; a new connection replaces the former
+/// one.
+///
+/// Returns after [`Signal::Terminate`], as soon as no proxy is connected, but at the latest one second
+/// before the grace period is over.
+///
+/// # Panics
+/// Panics outside of a `LocalSet`.
 pub async fn serve(options: AgentOptions, listener: Listener, signals: mpsc::Receiver<Signal>) {
     let subscribed_generation = Rc::new(Cell::new(0));
     let subscribe = subscription(&options, Rc::clone(&subscribed_generation));
     let (control, control_events) =
-        ControlClient::start(options.control.clone(), CONTROL_LINK_LIMITS, subscribe);
+        ControlClient::start(options.control_addresses.clone(), CONTROL_LINK_LIMITS, subscribe);
     let now = Instant::now();
     let agent = Agent {
         control,
@@ -50,10 +57,10 @@
         feed: FeedState::default(),
         proxy: None,
         acknowledgements: Acknowledgements::default(),
-        keep_alive_at: now + PROXY_KEEP_ALIVE,
-        settings_reload: SettingsReload::new(options.reload, now),
+        keep_alive_at: now + PROXY_KEEP_ALIVE_INTERVAL,
+        settings_reload: SettingsReload::new(options.read_control_addresses, now),
         shutdown_deadline: None,
-        grace: options.grace,
+        shutdown_grace: options.shutdown_grace,
     };
     agent.run(control_events, listen(listener), signals).await;
 }
@@ -72,16 +79,16 @@
 
 struct Agent {
     control: ControlSender,
-    /// Generation of the configuration named by the next subscription; 0 asks for a full one.
+    /// Configuration generation of the next subscription; 0 requests a full configuration.
     subscribed_generation: Rc<Cell<u64>>,
     feed: FeedState,
     proxy: Option<ProxyConnection>,
     acknowledgements: Acknowledgements,
     keep_alive_at: Instant,
     settings_reload: SettingsReload,
-    /// Set by SIGTERM.
+    /// Time by which the agent ends; `None` before SIGTERM.
     shutdown_deadline: Option<Instant>,
-    grace: Duration,
+    shutdown_grace: Duration,
 }
 
 impl Agent {
@@ -89,8 +96,9 @@
         mut self, mut control: mpsc::Receiver<ControlEvent>, mut proxies: mpsc::Receiver<ProxyEvent>,
         mut signals: mpsc::Receiver<Signal>,
     ) {
-        while !self.has_ended() {
-            // Events of the control link go first: an acknowledgement never goes to a link other than its batch's.
+        while !self.is_finished() {
+            // Events of the control link take precedence, so that an acknowledgement is only sent over the
+            // link over which its batch was received.
             tokio::select! {
                 biased;
                 Some(event) = control.recv() => self.on_control(event),
@@ -99,7 +107,7 @@
                 () = sleep_until(self.next_timer()) => self.on_timer(Instant::now()),
             }
         }
-        log::info!("ended");
+        log::info!("agent stopped");
     }
 
     fn on_control(&mut self, event: ControlEvent) {
@@ -109,11 +117,13 @@
                 self.acknowledgements = Acknowledgements::default();
             }
             ControlEvent::Disconnected => {
-                log::info!("control plane link lost, configuration stays in force");
+                log::info!("control plane link lost, last configuration stays in force");
                 self.settings_reload.postpone(Instant::now());
             }
             ControlEvent::Message(FromControl::Feed(batch)) => self.on_batch(batch),
-            ControlEvent::Message(other) => log::debug!("unexpected message of the control plane: {other:?}"),
+            ControlEvent::Message(other) => {
+                log::debug!("unexpected message from the control plane ignored: {other:?}")
+            }
         }
     }
 
@@ -124,12 +134,12 @@
             self.subscribed_generation.set(self.feed.generation());
         }
         if changes.resync_needed {
-            log::info!("patch on an unknown configuration, asking for a full one");
+            log::info!("patch is based on an unknown configuration, requesting a full one");
             updates.retain(|update| !matches!(update, FeedUpdate::Configuration(_)));
             self.subscribed_generation.set(0);
             self.control.reconnect();
         }
-        self.acknowledgements.received(sequence);
+        self.acknowledgements.record_received(sequence);
         self.forward(updates);
     }
 
@@ -146,7 +156,7 @@
             ProxyEvent::Closed(id) if self.is_current(id) => {
                 log::info!("proxy disconnected");
                 self.proxy = None;
-                self.acknowledgements.no_proxy(Instant::now());
+                self.acknowledgements.record_no_proxy(Instant::now());
             }
             ProxyEvent::Reply(..) | ProxyEvent::Closed(_) => {}
         }
@@ -154,7 +164,7 @@
 
     fn on_reply(&mut self, reply: &FeedReply) {
         let FeedReply::Acknowledge { sequence, generation } = *reply;
-        if let Some(control_sequence) = self.acknowledgements.acknowledged_by_proxy(sequence) {
+        if let Some(control_sequence) = self.acknowledgements.record_proxy_acknowledgement(sequence) {
             self.acknowledge(control_sequence, generation);
         }
     }
@@ -162,8 +172,8 @@
     fn on_signal(&mut self, signal: Signal) {
         match signal {
             Signal::Terminate => {
-                log::info!("draining until the proxy ends");
-                let grace = self.grace.saturating_sub(GRACE_MARGIN);
+                log::info!("shutdown requested, draining until the proxy disconnects");
+                let grace = self.shutdown_grace.saturating_sub(SIGKILL_MARGIN);
                 self.shutdown_deadline.get_or_insert(Instant::now() + grace);
             }
             Signal::Reload => self.reload_settings(),
@@ -171,11 +181,11 @@
     }
 
     fn on_timer(&mut self, now: Instant) {
-        if let Some(control_sequence) = self.acknowledgements.take_due(now) {
+        if let Some(control_sequence) = self.acknowledgements.take_due_without_proxy(now) {
             self.acknowledge(control_sequence, self.feed.generation());
         }
         if now >= self.keep_alive_at {
-            self.keep_alive_at = now + PROXY_KEEP_ALIVE;
+            self.keep_alive_at = now + PROXY_KEEP_ALIVE_INTERVAL;
             if let Some(proxy) = &self.proxy {
                 proxy.keep_alive();
             }
@@ -185,17 +195,19 @@
         }
     }
 
-    /// Sends updates to the proxy. One without a snapshot gets the whole state instead, as soon as
-    /// there is a configuration.
+    /// Sends updates to the proxy. A proxy that has no snapshot yet gets the whole state instead, once a
+    /// configuration is known.
     fn forward(&mut self, updates: Vec<FeedUpdate>) {
         let is_configured = self.feed.configuration().is_some();
         match &mut self.proxy {
-            Some(proxy) if proxy.has_snapshot() => self.acknowledgements.forwarded(proxy.send(updates)),
+            Some(proxy) if proxy.has_snapshot() => {
+                self.acknowledgements.record_forwarded(proxy.send(updates))
+            }
             Some(proxy) if is_configured => {
                 let sequence = proxy.send_snapshot(self.feed.snapshot());
-                self.acknowledgements.forwarded(sequence);
+                self.acknowledgements.record_forwarded(sequence);
             }
-            _ => self.acknowledgements.no_proxy(Instant::now()),
+            _ => self.acknowledgements.record_no_proxy(Instant::now()),
         }
     }
 
@@ -220,7 +232,7 @@
             .fold(self.keep_alive_at, Instant::min)
     }
 
-    fn has_ended(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.shutdown_deadline.is_some_and(|deadline| self.proxy.is_none() || Instant::now() >= deadline)
     }
 }
--- a/crates/pebblepost-proxy/src/activity.rs
+++ b/crates/pebblepost-proxy/src/activity.rs
@@ -1,63 +1,63 @@
-//! Activity of one client's connection, so that a single timer can bound how long the connection is
-//! idle and how long the head of a request takes.
+//! Activity of one client connection. It lets a single timer bound both the idle time of the connection
+//! and the time that a request head takes.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a connection is doing.
+/// State of a connection.
 #[derive(Clone, Copy, Debug)]
-enum State {
-    /// No request since then.
+enum ActivityState {
+    /// No request is in progress since this time.
     Idle(Instant),
-    /// The first bytes of a head came then.
+    /// The first bytes of a request head arrived at this time.
     ReadingHead(Instant),
-    /// A request is being read or answered.
+    /// A request body is being read, or a response is in progress.
     InRequest,
 }
 
-/// Activity of a connection; clones share it.
+/// Activity of a connection. Clones share the state.
 #[derive(Clone, Debug)]
-pub(crate) struct ConnectionActivity(Rc<Cell<State>>);
+pub(crate) struct ConnectionActivity(Rc<Cell<ActivityState>>);
 
 impl ConnectionActivity {
-    /// A connection that was just accepted.
+    /// Creates the activity of a connection that was just accepted; it is idle.
     pub(crate) fn new() -> ConnectionActivity {
-        ConnectionActivity(Rc::new(Cell::new(State::Idle(Instant::now()))))
+        ConnectionActivity(Rc::new(Cell::new(ActivityState::Idle(Instant::now()))))
     }
 
-    /// Notes that a head is complete.
-    pub(crate) fn request_started(&self) {
-        self.0.set(State::InRequest);
+    /// Marks a request head as complete.
+    pub(crate) fn mark_request_started(&self) {
+        self.0.set(ActivityState::InRequest);
     }
 
-    /// Notes that the response is complete, or given up.
-    pub(crate) fn request_ended(&self) {
-        self.0.set(State::Idle(Instant::now()));
+    /// Marks the response as complete or abandoned. The connection is idle from now on.
+    pub(crate) fn mark_request_ended(&self) {
+        self.0.set(ActivityState::Idle(Instant::now()));
     }
 
-    /// Notes that bytes arrived.
-    pub(crate) fn bytes_read(&self) {
-        if let State::Idle(_) = self.0.get() {
-            self.0.set(State::ReadingHead(Instant::now()));
+    /// Marks the arrival of bytes. On an idle connection they begin a request head.
+    pub(crate) fn mark_bytes_read(&self) {
+        if let ActivityState::Idle(_) = self.0.get() {
+            self.0.set(ActivityState::ReadingHead(Instant::now()));
         }
     }
 
-    /// When a head that has begun must be complete.
+    /// Returns the time by which a request head that has begun must be complete.
     pub(crate) fn head_deadline(&self, header_timeout: Duration) -> Option<Instant> {
         match self.0.get() {
-            State::ReadingHead(since) => Some(since + header_timeout),
-            State::Idle(_) | State::InRequest => None,
+            ActivityState::ReadingHead(since) => Some(since + header_timeout),
+            ActivityState::Idle(_) | ActivityState::InRequest => None,
         }
     }
 
-    /// When the connection is to be closed if its state stays; `None` during a request.
-    pub(crate) fn deadline(&self, header_timeout: Duration, idle_timeout: Duration) -> Option<Instant> {
+    /// Returns when the connection is to be closed if its state does not change; `None` during a request.
+    pub(crate) fn close_deadline(&self, header_timeout: Duration, idle_timeout: Duration) -> Option<Instant> {
         match self.0.get() {
-            State::Idle(since) => Some(since + idle_timeout),
-            State::ReadingHead(since) => Some(since + header_timeout),
-            State::InRequest => None,
+            ActivityState::Idle(since) => Some(since + idle_timeout),
+            ActivityState::ReadingHead(since) => Some(since + header_timeout),
+            ActivityState::InRequest => None,
         }
     }
 }
