--- a/crates/pebblepost-fleet/src/leader/drain_status.rs
+++ b/crates/pebblepost-fleet/src/leader/drain_status.rs
@@ -40,7 +40,7 @@
             Self::StaleRevision(revision) => {
                 write!(f, "acts by revision {revision}, which precedes the drain")
             }
-            Self::Busy => f.write_str("has attempts in flight at the worker"),
+            Self::Busy => f.write_str("has attempts outstanding at the worker"),
             Self::NoReport => f.write_str("has not sent a report to the present leader"),
             Self::Absent => f.write_str("is cut off or has stopped: it must return or be dismissed first"),
         }
