--- a/crates/pebblepost-fleet/src/leader/worker_majority.rs
+++ b/crates/pebblepost-fleet/src/leader/worker_majority.rs
@@ -1,15 +1,15 @@
-//! The list of workers, as a majority of the present dispatchers observes it.
+//! The changes to the list of workers that a majority of the present dispatchers reports.
 
 use super::Sessions;
 use crate::command::Action;
 use crate::name::Name;
-use crate::state::{MAX_OPERATIONS, MAX_WORKERS, State};
+use crate::state::{MAX_OPERATIONS_PER_COMMAND, MAX_WORKERS, State};
 use crate::value::{Presence, Worker, WorkerDiff, WorkerObservation};
 use std::collections::BTreeMap;
 
-/// The command that takes in what a majority of the present dispatchers reports alike; `None`: nothing is to
-/// change.
-pub fn majority_update(state: &State, sessions: &Sessions) -> Option<Action> {
+/// Returns the command that applies what a majority of the present dispatchers reports alike, or `None` if
+/// nothing changes. Workers beyond [`MAX_WORKERS`] are not added.
+pub fn majority_worker_update(state: &State, sessions: &Sessions) -> Option<Action> {
     let dispatchers =
         state.members().filter(|(_, member)| member.presence == Presence::Present && member.is_dispatcher());
     let mut votes: BTreeMap<(&Name, &Option<WorkerObservation>), usize> = BTreeMap::new();
@@ -21,8 +21,7 @@
             *votes.entry(vote).or_insert(0) += 1;
         }
     }
-    // A change that was committed meanwhile, of which some dispatchers have not heard yet, is not proposed
-    // again.
+    // Dispatchers may still report a change that was committed meanwhile; it is not proposed again.
     let is_current = |name: &Name, observation: &Option<WorkerObservation>| {
         state.worker(name).and_then(Worker::observation) == *observation
     };
@@ -32,7 +31,7 @@
         .into_iter()
         .filter(|((name, observation), count)| count * 2 > voters && !is_current(name, observation));
     for ((name, observation), _) in majority {
-        if workers.len() >= MAX_OPERATIONS {
+        if workers.len() >= MAX_OPERATIONS_PER_COMMAND {
             break;
         }
         if observation.is_some() && state.worker(name).is_none() {
