--- a/crates/pebblepost-harness/src/checker/availability.rs
+++ b/crates/pebblepost-harness/src/checker/availability.rs
@@ -1,23 +1,27 @@
-//! What discovery published and sent of each worker, and how soon dispatchers act on it.
+//! Tracks the availability of workers that discovery published and sent, and measures how long dispatchers take to act on it.
 
 use super::limits::Limits;
 use crate::event_log::{Availability, Entry, Event};
 use std::collections::HashMap;
 
-/// A worker takes nothing new in this state.
+/// Returns whether a worker in this state accepts no new jobs.
 fn is_closed(availability: Availability) -> bool {
     matches!(availability, Availability::Draining | Availability::Gone)
 }
 
-/// An availability, and when it was seen, in seconds of the log.
+/// An availability and the time of its update, in seconds since the start of the log.
 type Update = (f64, Availability);
 
-/// The last update of each worker, by the dispatcher that it was sent to; `None`: the one that discovery published.
+/// The last update by dispatcher and worker. The dispatcher `None` stands for the availability that discovery published, whether
+/// or not it was sent to any dispatcher.
 #[derive(Default)]
 pub(super) struct LastUpdates(HashMap<(Option<usize>, usize), Update>);
 
 impl LastUpdates {
-    /// Takes in an event, if it is an update. The grace of a drain counts from the first update that closes a worker.
+    /// Records an event that updates a worker's availability and ignores all others.
+    ///
+    /// An update from one closed state to another keeps the time of the first: the grace period of a drain begins with the update
+    /// that closes the worker.
     pub(super) fn observe(&mut self, at: f64, event: &Event) {
         let (key, availability) = match event {
             Event::Notified { dispatcher, worker, availability } => {
@@ -32,13 +36,16 @@
         }
     }
 
-    /// The last update of a worker that was sent to this dispatcher.
+    /// Returns the last update of a worker that was sent to this dispatcher.
     pub(super) fn sent_to(&self, dispatcher: usize, worker: usize) -> Option<Update> {
         self.0.get(&(Some(dispatcher), worker)).copied()
     }
 
-    /// Since when a dispatcher must know that a worker takes nothing new: since it was notified or, if no update reached
-    /// it, [`Limits::assumed_notified_after_s`] after discovery published it.
+    /// Returns the time from which a dispatcher is expected to know that a worker accepts no new jobs, and the worker's
+    /// availability.
+    ///
+    /// That is the time of its notification or, if no update reached it, [`Limits::assumed_notified_after_s`] after discovery
+    /// published the change. Returns `None` if the worker accepts jobs.
     pub(super) fn closed_since(&self, limits: &Limits, dispatcher: usize, worker: usize) -> Option<Update> {
         let sent = self.sent_to(dispatcher, worker);
         if let Some(update) = sent.filter(|(_, availability)| is_closed(*availability)) {
@@ -50,9 +57,9 @@
     }
 }
 
-/// Longest time, in seconds, from when a dispatcher must have known that a worker drains or is gone to an attempt that it
-/// sent there; 0 if it sent none.
-pub fn slowest_drain(log: &[Entry], limits: &Limits) -> f64 {
+/// Returns the longest time, in seconds, between the moment at which a dispatcher is expected to know that a worker is draining
+/// or gone and an attempt that it sent there. Returns 0 if there was no such attempt.
+pub fn longest_drain_delay_s(log: &[Entry], limits: &Limits) -> f64 {
     let (mut updates, mut slowest) = (LastUpdates::default(), 0.0_f64);
     for (at, event) in log {
         updates.observe(*at, event);
--- a/crates/pebblepost-harness/src/checker/exits.rs
+++ b/crates/pebblepost-harness/src/checker/exits.rs
@@ -1,23 +1,23 @@
-//! What dispatchers that ended are excused from: the answers that they owed when they were killed.
+//! Removes from the log the missing answers that exits of dispatchers account for, so that they do not count as violations.
 
 use crate::event_log::{Entry, Event};
 use std::collections::HashMap;
 
-/// A dispatcher was killed, or ended by itself.
+/// The exit of a dispatcher, by a kill or on its own, and its restart.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatcherExit {
-    /// Which.
+    /// Index of the dispatcher.
     pub dispatcher: usize,
-    /// When, in seconds of the log.
-    pub from: f64,
-    /// When it took clients again.
-    pub back: f64,
-    /// It lost the requests that it had accepted. One that ended by itself has to answer these, and is only excused from
-    /// connections that it could not accept.
+    /// Time of the exit, in seconds since the start of the log.
+    pub ended_at_s: f64,
+    /// Time at which it accepted clients again, in seconds since the start of the log.
+    pub serving_again_at_s: f64,
+    /// Whether it lost the requests that it had accepted. A dispatcher that shuts down on its own has to answer these, and is
+    /// excused only for connections that it could not accept.
     pub abrupt: bool,
 }
 
-/// A client's attempt, as far as an exit concerns it.
+/// A client's attempt: its dispatcher and the period in which the client waits for the answer.
 struct Pending {
     dispatcher: usize,
     sent_at: f64,
@@ -25,29 +25,34 @@
 }
 
 impl DispatcherExit {
-    /// Whether this exit accounts for an attempt that ended without an answer: sent before the dispatcher was back, still
-    /// waited for when it ended, and over after that.
+    /// Returns whether this exit accounts for an attempt that ended without an answer.
+    ///
+    /// It does if the attempt was sent before the dispatcher accepted clients again, and the client was still waiting when the
+    /// dispatcher exited. If the exit was not abrupt, the attempt must also have been sent after the exit.
     fn excuses(&self, attempt: &Pending, ended_at: f64) -> bool {
-        let meets = attempt.sent_at <= self.back && attempt.gives_up_at.min(ended_at) >= self.from;
-        self.dispatcher == attempt.dispatcher && meets && (self.abrupt || attempt.sent_at >= self.from)
+        let overlaps = attempt.sent_at <= self.serving_again_at_s
+            && attempt.gives_up_at.min(ended_at) >= self.ended_at_s;
+        self.dispatcher == attempt.dispatcher
+            && overlaps
+            && (self.abrupt || attempt.sent_at >= self.ended_at_s)
     }
 }
 
-/// The log without the unanswered ends of those attempts that an exit accounts for.
-pub fn without_excused(log: Vec<Entry>, exits: &[DispatcherExit]) -> Vec<Entry> {
+/// Returns the log without the closed connections and time-outs of attempts that one of `exits` accounts for.
+pub fn remove_excused_events(log: Vec<Entry>, exits: &[DispatcherExit]) -> Vec<Entry> {
     let mut pending: HashMap<String, Pending> = HashMap::new();
     for (at, event) in &log {
-        if let Event::Requested { txn, dispatcher, waits, .. } = event {
-            let attempt = Pending { dispatcher: *dispatcher, sent_at: *at, gives_up_at: at + waits };
+        if let Event::Requested { txn, dispatcher, timeout_s, .. } = event {
+            let attempt = Pending { dispatcher: *dispatcher, sent_at: *at, gives_up_at: at + timeout_s };
             pending.insert(txn.clone(), attempt);
         }
     }
     let is_excused = |ended_at: f64, txn: &String| {
         pending.get(txn).is_some_and(|attempt| exits.iter().any(|exit| exit.excuses(attempt, ended_at)))
     };
-    let stays = |(at, event): &Entry| match event {
+    let is_kept = |(at, event): &Entry| match event {
         Event::ConnectionClosed { txn } | Event::TimedOut { txn } => !is_excused(*at, txn),
         _ => true,
     };
-    log.into_iter().filter(stays).collect()
+    log.into_iter().filter(is_kept).collect()
 }
--- a/crates/pebblepost-harness/src/checker/limits.rs
+++ b/crates/pebblepost-harness/src/checker/limits.rs
@@ -1,17 +1,18 @@
-//! The limits that the rules set.
+//! The limits that the rules are checked with.
 
-/// The limits that the rules set.
+/// The limits that the rules are checked with.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Tolerance of all measured times, in seconds.
+    /// Tolerance for the inaccuracy of all measured times, in seconds.
     pub tolerance_s: f64,
-    /// Most attempts at workers for each attempt of a client.
-    pub attempts: usize,
-    /// Time from the first attempt that may have run in which a repeat of its idempotency key is dropped, in seconds.
+    /// Maximum number of attempts at workers for each attempt of a client.
+    pub max_attempts: usize,
+    /// Time, in seconds, for which workers drop a repeat of an idempotency key, counted from the first attempt that may have run.
+    /// A later repeat may run the job twice.
     pub idempotency_window_s: f64,
-    /// Grace after a drain was announced in which attempts may still be sent there, in seconds.
+    /// Grace period after the notification of a drain in which attempts may still be sent to the worker, in seconds.
     pub drain_grace_s: f64,
-    /// Every dispatcher counts as notified so long after a change, whether the update arrived or not.
+    /// Time after a change, in seconds, from which every dispatcher counts as notified, whether or not the update arrived.
     pub assumed_notified_after_s: f64,
 }
 
@@ -19,7 +20,7 @@
     fn default() -> Self {
         Self {
             tolerance_s: 0.05,
-            attempts: 3,
+            max_attempts: 3,
             idempotency_window_s: 10.0,
             drain_grace_s: 0.5,
             assumed_notified_after_s: 6.0,
--- a/crates/pebblepost-harness/src/checker/mod.rs
+++ b/crates/pebblepost-harness/src/checker/mod.rs
@@ -1,10 +1,12 @@
-//! The rules of the system, checked on the event log of a run. It knows of the dispatchers only what clients, workers and
-//! discovery saw, and changes nothing.
+//! Checks the safety rules of the dispatchers against the event log of a run.
 //!
-//! * [`limits`], [`rules`]: the limits that the rules set, and what of a log breaks them
-//! * [`availability`]: what discovery published and sent of each worker, and how soon dispatchers act on it
-//! * [`slow_start`]: load on workers that have started lately
-//! * [`exits`]: what dispatchers that ended are excused from
+//! The checker is a pure function of the log. The log holds only what clients, workers and discovery observe, so the checker
+//! does not depend on the internals of a dispatcher.
+//!
+//! * [`limits`], [`rules`]: the limits, and the rules that are checked with them
+//! * [`availability`]: the availability of workers as published, and how long dispatchers take to act on it
+//! * [`slow_start`]: the load on workers that have restarted recently
+//! * [`exits`]: the missing answers that exits of dispatchers account for
 
 pub mod availability;
 pub mod exits;
--- a/crates/pebblepost-harness/src/checker/rules.rs
+++ b/crates/pebblepost-harness/src/checker/rules.rs
@@ -1,4 +1,4 @@
-//! The rules, and what of a log breaks them.
+//! The safety rules, and the check of an event log against them.
 
 use super::availability::LastUpdates;
 use super::limits::Limits;
@@ -6,67 +6,70 @@
 use serde::Serialize;
 use std::collections::HashMap;
 
-/// A rule.
+/// A safety rule. Its name is written to the reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// One final answer before the client gives up.
+    /// Each attempt of a client gets exactly one answer, before the client gives up.
     OneAnswer,
-    /// What is served was made by a worker for this attempt.
+    /// The body of a successful answer was produced by a worker for this attempt, and workers receive only requests that clients
+    /// sent.
     Genuine,
-    /// No more attempts than allowed.
+    /// An attempt of a client causes at most [`Limits::max_attempts`] attempts at workers.
     Attempts,
-    /// Nothing runs twice once the repeat is no longer dropped.
+    /// No job is sent again once workers no longer drop repeats of its idempotency key.
     RunsOnce,
-    /// Nothing new to a worker that drains or is gone.
+    /// No new attempt is sent to a worker that is draining or gone.
     Drains,
-    /// No cold worker is overloaded.
+    /// No cold worker is overloaded by dispatchers that were notified of its start.
     Cold,
-    /// Nothing for a client that has disconnected or has its answer.
+    /// No attempt is sent for a client that has disconnected or has received its answer.
     Departed,
 }
 
-/// A rule was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// Which.
+    /// The rule that was broken.
     pub rule: Rule,
-    /// When, in seconds from the start.
+    /// Time of the violation, in seconds since the start of the log.
     pub at: f64,
-    /// What was seen.
+    /// Description of what was observed.
     pub what: String,
 }
 
-/// The body with which a worker answers an attempt.
-pub fn result_for(txn: &str) -> String {
+/// Returns the body with which a worker answers an attempt. It contains the attempt's id, so that a body produced for another
+/// attempt is detected.
+pub fn result_body(txn: &str) -> String {
     format!("draft of {txn}")
 }
 
-/// What is known of a client's attempt.
+/// The state of a client's attempt.
 #[derive(Default)]
 struct ClientAttempt {
     sent_at: f64,
-    waits: f64,
+    timeout_s: f64,
     worker_attempts: usize,
-    over_at: Option<f64>,
-    done_at_worker: bool,
+    finished_at: Option<f64>,
+    completed_by_worker: bool,
 }
 
-/// An attempt at a worker that may have run its job.
+/// An attempt at a worker that may have run the job.
 struct PossibleRun<'log> {
     txn: &'log str,
     worker: usize,
     at: f64,
 }
 
-/// The state of a check, event by event.
+/// The state of a check, updated event by event.
 struct Checker<'log> {
     limits: &'log Limits,
     violations: Vec<Violation>,
     attempts: HashMap<&'log str, ClientAttempt>,
     updates: LastUpdates,
+    /// Attempts that may have run, by idempotency key.
     possible_runs: HashMap<&'log str, Vec<PossibleRun<'log>>>,
-    /// The idempotency key of each attempt.
+    /// The idempotency key by id of the client's attempt.
     keys: HashMap<&'log str, &'log str>,
 }
 
@@ -85,21 +88,21 @@
     fn observe(&mut self, at: f64, event: &'log Event) {
         self.updates.observe(at, event);
         match event {
-            Event::Requested { txn, key, waits, .. } => self.requested(at, txn, key, *waits),
+            Event::Requested { txn, key, timeout_s, .. } => self.requested(at, txn, key, *timeout_s),
             Event::Responded { txn, status, body } => self.responded(at, txn, *status, body),
             Event::ClientCancelled { txn } => {
                 if let Some(attempt) = self.attempts.get_mut(txn.as_str()) {
-                    attempt.over_at = Some(at);
+                    attempt.finished_at = Some(at);
                 }
             }
             Event::ConnectionClosed { txn } => {
-                self.report(Rule::OneAnswer, at, format!("{txn}: closed without an answer"));
+                self.report(Rule::OneAnswer, at, format!("{txn}: connection closed without an answer"));
             }
             Event::TimedOut { txn } => {
-                self.report(Rule::OneAnswer, at, format!("{txn}: no answer in its time"));
+                self.report(Rule::OneAnswer, at, format!("{txn}: no answer before the client's deadline"));
             }
             Event::UnknownRequest { txn } => {
-                self.report(Rule::Genuine, at, format!("a worker got {txn}, never asked for"));
+                self.report(Rule::Genuine, at, format!("a worker received {txn}, which no client sent"));
             }
             Event::Overloaded { worker, since, sent } => self.overloaded(at, *worker, *since, sent),
             Event::AttemptArrived { txn, key, dispatcher, worker } => {
@@ -116,44 +119,44 @@
         self.violations.push(Violation { rule, at, what });
     }
 
-    fn requested(&mut self, at: f64, txn: &'log str, key: &'log str, waits: f64) {
+    fn requested(&mut self, at: f64, txn: &'log str, key: &'log str, timeout_s: f64) {
         self.keys.insert(txn, key);
-        let attempt = ClientAttempt { sent_at: at, waits, ..ClientAttempt::default() };
+        let attempt = ClientAttempt { sent_at: at, timeout_s, ..ClientAttempt::default() };
         if self.attempts.insert(txn, attempt).is_some() {
-            self.report(Rule::OneAnswer, at, format!("the clients asked twice by the id {txn}"));
+            self.report(Rule::OneAnswer, at, format!("clients sent two attempts with the id {txn}"));
         }
     }
 
     fn responded(&mut self, at: f64, txn: &str, status: u16, body: &str) {
         let Some(attempt) = self.attempts.get_mut(txn) else { return };
-        let answered_before = attempt.over_at.replace(at).is_some();
-        let gave_up_at = attempt.sent_at + attempt.waits;
-        let genuine = body == result_for(txn) && attempt.done_at_worker;
-        if answered_before {
+        let already_finished = attempt.finished_at.replace(at).is_some();
+        let gave_up_at = attempt.sent_at + attempt.timeout_s;
+        let genuine = body == result_body(txn) && attempt.completed_by_worker;
+        if already_finished {
             self.report(Rule::OneAnswer, at, format!("{txn} was answered twice"));
         }
         if at > gave_up_at + self.limits.tolerance_s {
             self.report(Rule::OneAnswer, at, format!("{txn} was answered after its client gave up"));
         }
         if status == 200 && !genuine {
-            self.report(Rule::Genuine, at, format!("{txn} was served with what no worker made for it"));
+            self.report(Rule::Genuine, at, format!("{txn} was served a body that no worker produced for it"));
         }
     }
 
-    /// The dispatchers are at fault if two thirds of the work came from those notified of the worker's start.
+    /// Reports a violation if at least two thirds of the work came from dispatchers that were notified of the worker's start.
     fn overloaded(&mut self, at: f64, worker: usize, since: f64, sent: &[(usize, f64)]) {
-        let knew = |dispatcher: usize| {
+        let was_notified = |dispatcher: usize| {
             let update = self.updates.sent_to(dispatcher, worker);
             at > since + self.limits.assumed_notified_after_s
                 || update.is_some_and(|(when, availability)| {
                     when >= since && availability == Availability::Ready { cold: true }
                 })
         };
-        let all: f64 = sent.iter().map(|(_, work)| work).sum();
-        let knowingly: f64 =
-            sent.iter().filter(|(dispatcher, _)| knew(*dispatcher)).map(|(_, work)| work).sum();
-        if knowingly * 3.0 >= all * 2.0 {
-            self.report(Rule::Cold, at, format!("worker {worker} was pushed over while cold"));
+        let total_work: f64 = sent.iter().map(|(_, work)| work).sum();
+        let work_from_notified: f64 =
+            sent.iter().filter(|(dispatcher, _)| was_notified(*dispatcher)).map(|(_, work)| work).sum();
+        if work_from_notified * 3.0 >= total_work * 2.0 {
+            self.report(Rule::Cold, at, format!("worker {worker} was overloaded while cold"));
         }
     }
 
@@ -162,7 +165,9 @@
             && at > since + self.limits.drain_grace_s + self.limits.tolerance_s
         {
             let late_ms = (at - since) * 1e3;
-            let what = format!("{txn} to {worker}, {late_ms:.0} ms after {availability:?} was announced");
+            let what = format!(
+                "{txn} was sent to worker {worker} {late_ms:.0} ms after {availability:?} was announced"
+            );
             self.report(Rule::Drains, at, what);
         }
     }
@@ -170,21 +175,36 @@
     fn check_client_attempt(&mut self, at: f64, txn: &str) {
         let Some(attempt) = self.attempts.get_mut(txn) else { return };
         attempt.worker_attempts += 1;
-        let (count, over_at) = (attempt.worker_attempts, attempt.over_at);
-        if count > self.limits.attempts {
-            self.report(Rule::Attempts, at, format!("attempt {count} of {txn}"));
+        let (count, finished_at) = (attempt.worker_attempts, attempt.finished_at);
+        if count > self.limits.max_attempts {
+            self.report(
+                Rule::Attempts,
+                at,
+                format!(
+                    "attempt {count} of {txn} exceeds the limit of {} attempts",
+                    self.limits.max_attempts
+                ),
+            );
         }
-        if over_at.is_some_and(|over| at > over + self.limits.tolerance_s) {
-            self.report(Rule::Departed, at, format!("{txn} went out after its client was done"));
+        if finished_at.is_some_and(|over| at > over + self.limits.tolerance_s) {
+            self.report(
+                Rule::Departed,
+                at,
+                format!("{txn} was sent to a worker after its client had finished"),
+            );
         }
     }
 
     fn check_repeat(&mut self, at: f64, txn: &'log str, key: &'log str, worker: usize) {
         let runs = self.possible_runs.entry(key).or_default();
-        let first = runs.iter().map(|run| run.at).fold(f64::INFINITY, f64::min);
+        let first_at = runs.iter().map(|run| run.at).fold(f64::INFINITY, f64::min);
         runs.push(PossibleRun { txn, worker, at });
-        if at > first + self.limits.idempotency_window_s + self.limits.tolerance_s {
-            self.report(Rule::RunsOnce, at, format!("{key} again, {:.1} s after its first", at - first));
+        if at > first_at + self.limits.idempotency_window_s + self.limits.tolerance_s {
+            self.report(
+                Rule::RunsOnce,
+                at,
+                format!("{key} was sent again {:.1} s after its first attempt", at - first_at),
+            );
         }
     }
 
@@ -192,10 +212,10 @@
         match end {
             AttemptEnd::Done => {
                 if let Some(attempt) = self.attempts.get_mut(txn) {
-                    attempt.done_at_worker = true;
+                    attempt.completed_by_worker = true;
                 }
             }
-            // Proved never to have run: it does not count.
+            // The worker stated that the job did not run, so a repeat can not run it twice.
             AttemptEnd::NotRun => {
                 let runs = self.keys.get(txn).and_then(|key| self.possible_runs.get_mut(key));
                 if let Some(runs) = runs
@@ -209,7 +229,7 @@
     }
 }
 
-/// Checks a whole log. The violations are in the order of their times.
+/// Checks a complete log and returns the violations in the order of their times.
 pub fn check(log: &[Entry], limits: &Limits) -> Vec<Violation> {
     let mut checker = Checker::new(limits);
     for (at, event) in log {
--- a/crates/pebblepost-harness/src/checker/slow_start.rs
+++ b/crates/pebblepost-harness/src/checker/slow_start.rs
@@ -1,11 +1,11 @@
-//! Load on workers that have started lately, as a multiple of what they can take.
+//! The load on workers that have restarted recently, as a multiple of their capacity.
 
 use super::limits::Limits;
 use crate::event_log::{Availability, Entry, Event};
 use crate::worker::model::{ColdLoad, SentWork};
 use std::collections::HashMap;
 
-/// When each dispatcher was notified of each start of a worker.
+/// The times at which each dispatcher was notified of the starts of each worker.
 #[derive(Default)]
 struct StartNotices(HashMap<(usize, usize), Vec<f64>>);
 
@@ -14,17 +14,21 @@
         self.0.entry((dispatcher, worker)).or_default().push(at);
     }
 
-    /// Whether a dispatcher knew, when it sent this work, of the start that the load came after.
-    fn knew(&self, limits: &Limits, load: &ColdLoad, worker: usize, sent: &SentWork) -> bool {
+    /// Returns whether a dispatcher, when it sent this work, had been notified of the start that precedes `load`, or counts as
+    /// notified because [`Limits::assumed_notified_after_s`] had passed.
+    fn was_notified(&self, limits: &Limits, load: &ColdLoad, worker: usize, sent: &SentWork) -> bool {
         let mut notices = self.0.get(&(sent.dispatcher, worker)).into_iter().flatten();
         sent.at > load.since + limits.assumed_notified_after_s
             || notices.any(|notice| (load.since..=sent.at).contains(notice))
     }
 }
 
-/// Most work that a cold worker was sent within the window in which it overloads, as a multiple of what it could do: by the
-/// dispatchers that knew of its start when they sent it, which are responsible, and by all.
-pub fn cold_multiples(log: &[Entry], limits: &Limits) -> (f64, f64) {
+/// Returns the highest load on a cold worker: the work that it was sent within
+/// [`OVERLOAD_WINDOW_S`](crate::worker::model::OVERLOAD_WINDOW_S), as a multiple of its capacity in that window.
+///
+/// The first value counts only work of dispatchers that had been notified of the worker's start when they sent it, and are
+/// therefore responsible. The second counts the work of all dispatchers.
+pub fn cold_load_multiples(log: &[Entry], limits: &Limits) -> (f64, f64) {
     let mut notices = StartNotices::default();
     let (mut by_notified, mut by_all) = (0.0_f64, 0.0_f64);
     for (at, event) in log {
@@ -37,8 +41,8 @@
                     let sent = load.sent.iter().filter(|sent| counts(sent));
                     sent.map(|sent| sent.work).sum::<f64>() / load.capacity_in_window
                 };
-                let knew = |sent: &SentWork| notices.knew(limits, load, *worker, sent);
-                by_notified = by_notified.max(multiple(&knew));
+                let was_notified = |sent: &SentWork| notices.was_notified(limits, load, *worker, sent);
+                by_notified = by_notified.max(multiple(&was_notified));
                 by_all = by_all.max(multiple(&|_| true));
             }
             _ => {}
--- a/crates/pebblepost-harness/src/cli.rs
+++ b/crates/pebblepost-harness/src/cli.rs
@@ -167,7 +167,7 @@
     #[arg(long)]
     pub(crate) json: bool,
     /// Loads to play, as shares of the workers' capacity.
-    #[arg(long, value_delimiter = ',', default_values_t = reservations::LOADS)]
+    #[arg(long, value_delimiter = ',', default_values_t = reservations::DEFAULT_LOADS)]
     pub(crate) loads: Vec<f64>,
     /// The order of the workers' queues; drawn by the seed by default.
     #[arg(long)]
--- a/crates/pebblepost-harness/src/clients.rs
+++ b/crates/pebblepost-harness/src/clients.rs
@@ -1,5 +1,5 @@
-//! Open-loop clients: each request goes out at its time, whether or not earlier ones have been answered, and is retried after
-//! a rejection or a failure.
+//! Open-loop clients: each request is sent at its planned time, whether or not earlier requests have been answered, and is
+//! retried after a rejection or a failure.
 
 use crate::attempt_id::attempt_id;
 use crate::event_log::{Event, EventLog};
@@ -20,33 +20,34 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// Served, so many seconds after its first attempt.
+    /// Served; the value is the time since its first attempt, in seconds.
     Served(f64),
-    /// Rejected or failed at each attempt.
+    /// Every attempt was rejected or failed.
     Rejected,
-    /// No answer in time, or the connection was closed.
+    /// No answer by the deadline, or the connection was closed.
     Lost,
-    /// The client disconnected.
+    /// The client disconnected before it had an answer.
     Cancelled,
 }
 
-/// How one request went.
+/// The result of one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestResult {
-    /// Its number in the plan.
+    /// Index of its arrival in the plan.
     pub arrival: usize,
     /// How it ended.
     pub outcome: Outcome,
-    /// Attempts.
+    /// Number of attempts that the client made.
     pub attempts: u32,
-    /// Seconds until its first rejection, if any.
+    /// Time from the start of the attempt that was rejected first to its rejection, in seconds; `None` if none was rejected.
     pub first_rejection_after_s: Option<f64>,
 }
 
-/// No attempt begins with less time than this to the deadline.
-const LEAST_TIME_LEFT: Duration = Duration::from_millis(20);
-/// Answers are still read for so long after the deadline.
-const LAST_ANSWER_GRACE: Duration = Duration::from_millis(50);
+/// An attempt is not started with this time or less left until the deadline.
+const MIN_TIME_TO_DEADLINE: Duration = Duration::from_millis(20);
+/// Time after the deadline for which a client still reads an answer, because an answer that was sent at the last moment may
+/// still be in transit.
+const RESPONSE_READ_GRACE: Duration = Duration::from_millis(50);
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
@@ -54,13 +55,13 @@
 pub struct Clients {
     plan: Arc<Plan>,
     log: Arc<EventLog>,
-    /// A pool of connections for each dispatcher.
+    /// A connection pool and the address by dispatcher.
     dispatchers: Vec<(Http, SocketAddr)>,
     results: Mutex<Vec<RequestResult>>,
 }
 
 /// How one attempt ended.
-enum Reply {
+enum AttemptOutcome {
     Served,
     Rejected,
     Lost,
@@ -68,7 +69,7 @@
 }
 
 impl Clients {
-    /// Clients of the dispatchers at these addresses.
+    /// Creates the clients of the dispatchers at these addresses.
     pub fn new(plan: Arc<Plan>, log: Arc<EventLog>, dispatchers: &[SocketAddr]) -> Arc<Self> {
         let connect = |address: &SocketAddr| {
             let mut connector = HttpConnector::new();
@@ -79,46 +80,48 @@
         Arc::new(Self { plan, log, dispatchers, results: Mutex::default() })
     }
 
-    /// Sends all requests from now on; returns how each went, once the last has ended.
-    pub async fn play(self: Arc<Self>) -> Vec<RequestResult> {
+    /// Sends all requests of the plan at their times, relative to now, and returns their results once the last has ended.
+    ///
+    /// The results are in the order in which the requests ended.
+    pub async fn run(self: Arc<Self>) -> Vec<RequestResult> {
         let start = Instant::now();
-        let mut out = tokio::task::JoinSet::new();
+        let mut in_flight = tokio::task::JoinSet::new();
         for index in 0..self.plan.arrivals.len() {
             sleep_until(start + Duration::from_secs_f64(self.plan.arrivals[index].at)).await;
             let this = self.clone();
-            out.spawn(async move { this.request(index).await });
+            in_flight.spawn(async move { this.send_request(index).await });
         }
-        while out.join_next().await.is_some() {}
+        while in_flight.join_next().await.is_some() {}
         std::mem::take(&mut *lock(&self.results))
     }
 
-    async fn request(&self, index: usize) {
+    async fn send_request(&self, index: usize) {
         let arrival = &self.plan.arrivals[index];
-        let began = Instant::now();
-        let deadline = began + Duration::from_secs_f64(DEADLINE_S);
-        let cancels_after_s = arrival.cancels_after_s.map(|after| began + Duration::from_secs_f64(after));
+        let started_at = Instant::now();
+        let deadline = started_at + Duration::from_secs_f64(DEADLINE_S);
+        let cancel_at = arrival.cancels_after_s.map(|after| started_at + Duration::from_secs_f64(after));
         let (mut attempts, mut first_rejection_after_s, mut outcome) = (0, None, Outcome::Rejected);
         while attempts <= arrival.retries {
-            let sent = Instant::now();
-            if sent + LEAST_TIME_LEFT >= deadline {
+            let sent_at = Instant::now();
+            if sent_at + MIN_TIME_TO_DEADLINE >= deadline {
                 break;
             }
             attempts += 1;
-            match self.attempt(index, arrival, attempts - 1, deadline, cancels_after_s).await {
-                Reply::Served => {
-                    outcome = Outcome::Served(began.elapsed().as_secs_f64());
+            match self.send_attempt(index, arrival, attempts - 1, deadline, cancel_at).await {
+                AttemptOutcome::Served => {
+                    outcome = Outcome::Served(started_at.elapsed().as_secs_f64());
                     break;
                 }
-                Reply::Lost => {
+                AttemptOutcome::Lost => {
                     outcome = Outcome::Lost;
                     break;
                 }
-                Reply::Cancelled => {
+                AttemptOutcome::Cancelled => {
                     outcome = Outcome::Cancelled;
                     break;
                 }
-                Reply::Rejected => {
-                    first_rejection_after_s.get_or_insert(sent.elapsed().as_secs_f64());
+                AttemptOutcome::Rejected => {
+                    first_rejection_after_s.get_or_insert(sent_at.elapsed().as_secs_f64());
                     sleep(Duration::from_secs_f64(arrival.backoff)).await;
                 }
             }
@@ -131,17 +134,16 @@
         });
     }
 
-    async fn attempt(
-        &self, index: usize, arrival: &Arrival, attempt: u32, deadline: Instant,
-        cancels_after_s: Option<Instant>,
-    ) -> Reply {
+    async fn send_attempt(
+        &self, index: usize, arrival: &Arrival, attempt: u32, deadline: Instant, cancel_at: Option<Instant>,
+    ) -> AttemptOutcome {
         let (http, address) = &self.dispatchers[arrival.dispatcher % self.dispatchers.len()];
         let (txn, key) = (attempt_id(index, attempt), format!("job-{index:08x}"));
-        let waits = (deadline - Instant::now()).as_secs_f64();
+        let timeout_s = (deadline - Instant::now()).as_secs_f64();
         let mut request = Request::post(format!("http://{address}/api/segments"))
             .header("x-txn", &txn)
             .header("x-lane", "segment")
-            .header("x-remaining-ms", (waits * 1e3).floor().max(1.0).to_string())
+            .header("x-remaining-ms", (timeout_s * 1e3).floor().max(1.0).to_string())
             .header("idempotency-key", &key)
             .header("x-labels", format!("slots={}", arrival.slots));
         if arrival.key != 0 {
@@ -150,23 +152,31 @@
         if let Some(hint) = arrival.hint {
             request = request.header("x-estimate", ((hint * 1e6) as u64).to_string());
         }
-        let Ok(request) = request.body(Full::new(Bytes::from_static(b"audio"))) else { return Reply::Lost };
-        self.log.append(Event::Requested { txn: txn.clone(), key, dispatcher: arrival.dispatcher, waits });
+        let Ok(request) = request.body(Full::new(Bytes::from_static(b"audio"))) else {
+            return AttemptOutcome::Lost;
+        };
+        self.log.append(Event::Requested {
+            txn: txn.clone(),
+            key,
+            dispatcher: arrival.dispatcher,
+            timeout_s,
+        });
         let answer = async {
             let response = http.request(request).await.ok()?;
             let status = response.status().as_u16();
             let body = response.into_body().collect().await.ok()?.to_bytes();
             Some((status, String::from_utf8_lossy(&body).into_owned()))
         };
-        // An answer at the last moment may still be on its way. A client that cancels closes the connection.
-        let until = cancels_after_s.unwrap_or(deadline + LAST_ANSWER_GRACE);
+        // The grace period covers an answer in transit at the deadline. A client that cancels drops the call, which closes its
+        // connection.
+        let until = cancel_at.unwrap_or(deadline + RESPONSE_READ_GRACE);
         let event = timeout_at(until, answer).await;
         let (reply, event) = match event {
-            Ok(Some((200, body))) => (Reply::Served, Event::Responded { txn, status: 200, body }),
-            Ok(Some((status, body))) => (Reply::Rejected, Event::Responded { txn, status, body }),
-            Ok(None) => (Reply::Lost, Event::ConnectionClosed { txn }),
-            Err(_) if cancels_after_s.is_some() => (Reply::Cancelled, Event::ClientCancelled { txn }),
-            Err(_) => (Reply::Lost, Event::TimedOut { txn }),
+            Ok(Some((200, body))) => (AttemptOutcome::Served, Event::Responded { txn, status: 200, body }),
+            Ok(Some((status, body))) => (AttemptOutcome::Rejected, Event::Responded { txn, status, body }),
+            Ok(None) => (AttemptOutcome::Lost, Event::ConnectionClosed { txn }),
+            Err(_) if cancel_at.is_some() => (AttemptOutcome::Cancelled, Event::ClientCancelled { txn }),
+            Err(_) => (AttemptOutcome::Lost, Event::TimedOut { txn }),
         };
         self.log.append(event);
         reply
--- a/crates/pebblepost-harness/src/cpu_cost.rs
+++ b/crates/pebblepost-harness/src/cpu_cost.rs
@@ -1,4 +1,4 @@
-//! Measures the CPU time that a request costs a dispatcher: many equal jobs through one process, two programs or settings in
+//! Measures the CPU time of a dispatcher per request: one process handles many equal jobs, with two programs or settings in
 //! turn.
 
 use crate::clients::Outcome;
@@ -10,34 +10,34 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// One of the two that are compared.
-pub struct Side<'a> {
-    /// The program.
+/// One of the two programs or settings that are compared.
+pub struct Candidate<'a> {
+    /// Path of the program.
     pub program: &'a Path,
-    /// Its operator file.
+    /// Content of its operator file.
     pub operator: &'a Value,
 }
 
-/// CPU time for each request served, in microseconds, by round.
+/// CPU time per served request, in microseconds.
 #[derive(Serialize)]
 pub struct Report {
-    /// The first side.
+    /// Values of the first candidate, by round.
     #[serde(rename = "a")]
     pub first_us: Vec<f64>,
-    /// The second.
+    /// Values of the second candidate, by round.
     #[serde(rename = "b")]
     pub second_us: Vec<f64>,
-    /// Median of the first side.
+    /// Median of the first candidate.
     #[serde(rename = "median_a")]
     pub median_first_us: f64,
-    /// Median of the second side.
+    /// Median of the second candidate.
     #[serde(rename = "median_b")]
     pub median_second_us: f64,
-    /// Median of the rounds' ratios, first by second.
+    /// Median of the ratios of the rounds, first candidate to second.
     pub ratio: f64,
 }
 
-/// Equal jobs of 4 ms, about 2,000 a second.
+/// Returns a run of equal jobs of 4 ms, about 2,000 per second.
 fn equal_jobs(seconds: f64) -> RunSpec {
     let hints = HintSpec::default();
     RunSpec {
@@ -51,29 +51,30 @@
     }
 }
 
-/// Plays both sides in turn, so many rounds after one that is not counted.
+/// Executes both candidates in turn, for one round that is not counted and then `rounds` rounds.
 ///
 /// # Errors
 ///
-/// If a process does not start.
+/// Returns an error if a plan can not be drawn or a process does not start.
 pub async fn measure(
-    first: &Side<'_>, second: &Side<'_>, seconds: f64, rounds: usize, seed: u64,
+    first: &Candidate<'_>, second: &Candidate<'_>, seconds: f64, rounds: usize, seed: u64,
 ) -> Result<Report> {
     let run_spec = equal_jobs(seconds);
     let (mut of_first, mut of_second) = (Vec::new(), Vec::new());
     for round in 0..=rounds {
-        for (side, list) in [(first, &mut of_first), (second, &mut of_second)] {
+        for (candidate, values) in [(first, &mut of_first), (second, &mut of_second)] {
             let run = Run {
                 run_spec: &run_spec,
                 seed,
-                program: side.program,
-                operator: side.operator,
+                program: candidate.program,
+                operator: candidate.operator,
                 supervisor: None,
             };
-            let played = run.play().await?;
-            let served = played.results.iter().filter(|f| matches!(f.outcome, Outcome::Served(_))).count();
+            let run_result = run.execute().await?;
+            let served =
+                run_result.results.iter().filter(|f| matches!(f.outcome, Outcome::Served(_))).count();
             if round > 0 {
-                list.push(played.cpu_s * 1e6 / served.max(1) as f64);
+                values.push(run_result.cpu_s * 1e6 / served.max(1) as f64);
             }
         }
     }
--- a/crates/pebblepost-harness/src/discovery.rs
+++ b/crates/pebblepost-harness/src/discovery.rs
@@ -1,5 +1,5 @@
-//! A simulated discovery service. It learns of a change some time after it happened and writes it to the watches that are
-//! open; what it wrote, and when, is logged.
+//! A simulated discovery service. It publishes changes of workers with a delay, sends them to the open watches and logs every
+//! update that it sends.
 
 use crate::dispatcher::ZONES;
 use crate::event_log::{Availability, Event, EventLog};
@@ -24,42 +24,42 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::UnboundedReceiverStream;
 
-/// While nothing changes, watches get an empty line this often.
+/// Interval at which each watch receives an empty line as a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// A call that would wait in the queue for longer is rejected.
-const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
+/// Maximum time for which a call waits in the queue. A call that would wait for longer is rejected.
+const MAX_QUEUE_DELAY: Duration = Duration::from_secs(2);
 
-/// A worker as it is listed.
+/// The listed state of a worker.
 #[derive(Clone, Copy, Debug)]
 struct Listing {
     availability: Availability,
-    /// When it started last, in milliseconds of the Unix time; 0: long ago.
+    /// Unix time of its last restart, in milliseconds; 0 if it has not restarted during the run.
     started_ms: u64,
 }
 
-/// A dispatcher's open watch.
+/// An open watch of a dispatcher.
 struct Watch {
     dispatcher: usize,
     lines: mpsc::UnboundedSender<StreamedLine>,
 }
 
-/// The list of workers.
-struct EndpointList {
-    /// Number of the last change.
+/// The listed workers and the watches that receive changes.
+struct WorkerList {
+    /// Sequence number of the last change.
     sequence: u64,
     listings: Vec<Listing>,
     watches: Vec<Watch>,
 }
 
-/// The service. Its calls are answered one after another.
+/// The discovery service. If the plan limits its rate, it answers calls one after another.
 pub struct Discovery {
     plan: Arc<Plan>,
     log: Arc<EventLog>,
-    list: Mutex<EndpointList>,
-    /// The addresses of the workers, by dispatcher.
+    list: Mutex<WorkerList>,
+    /// The addresses of the workers by dispatcher and worker.
     worker_addresses: Mutex<Vec<Vec<SocketAddr>>>,
     calls: AtomicU64,
-    /// When the calls that are queued will have been answered.
+    /// Time at which all queued calls will have been answered.
     busy_until: Mutex<tokio::time::Instant>,
 }
 
@@ -68,11 +68,11 @@
 }
 
 impl Discovery {
-    /// A service that lists all workers as ready, and started long ago.
+    /// Creates a service that lists all workers as ready and warm.
     pub fn new(plan: Arc<Plan>, log: Arc<EventLog>) -> Arc<Self> {
         let listing = Listing { availability: Availability::Ready { cold: false }, started_ms: 0 };
         let listings = vec![listing; plan.workers.len()];
-        let list = EndpointList { sequence: 1, listings, watches: Vec::new() };
+        let list = WorkerList { sequence: 1, listings, watches: Vec::new() };
         Arc::new(Self {
             plan,
             log,
@@ -83,17 +83,18 @@
         })
     }
 
-    /// Calls so far.
+    /// Returns the number of calls so far, including the rejected ones.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Opens it to one more dispatcher, which reaches the workers at these addresses. Returns its own address.
+    /// Opens a listener for one more dispatcher, which reaches the workers at `worker_addresses`, and returns the listener's
+    /// address.
     ///
     /// # Errors
     ///
-    /// If no listener can be bound.
-    pub async fn open(self: &Arc<Self>, worker_addresses: Vec<SocketAddr>) -> std::io::Result<SocketAddr> {
+    /// Returns an error if the listener can not be bound.
+    pub async fn listen(self: &Arc<Self>, worker_addresses: Vec<SocketAddr>) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let dispatcher = {
@@ -116,8 +117,8 @@
         Ok(address)
     }
 
-    /// One worker, as JSON for a dispatcher.
-    fn host(&self, dispatcher: usize, worker: usize, listing: Listing) -> Value {
+    /// Returns the JSON of one worker as this dispatcher sees it.
+    fn endpoint_json(&self, dispatcher: usize, worker: usize, listing: Listing) -> Value {
         let spec = &self.plan.workers[worker];
         let health = match listing.availability {
             Availability::Ready { .. } => "ready",
@@ -130,27 +131,29 @@
                "health": health, "share": 1.0, "born_ms": listing.started_ms})
     }
 
-    /// The complete list, as a line for a dispatcher.
-    fn complete_list(&self, dispatcher: usize, list: &EndpointList) -> String {
+    /// Returns the line with the complete list for a dispatcher, and logs a notification for every worker.
+    fn complete_list_line(&self, dispatcher: usize, list: &WorkerList) -> String {
         let listed = list
             .listings
             .iter()
             .enumerate()
             .filter(|(_, listing)| listing.availability != Availability::Gone);
         let hosts: Vec<Value> =
-            listed.map(|(worker, listing)| self.host(dispatcher, worker, *listing)).collect();
+            listed.map(|(worker, listing)| self.endpoint_json(dispatcher, worker, *listing)).collect();
         for (worker, listing) in list.listings.iter().enumerate() {
             self.log.append(Event::Notified { dispatcher, worker, availability: listing.availability });
         }
         format!("{}\n", json!({"seq": list.sequence, "whole": true, "hosts": hosts}))
     }
 
-    /// The list as JSON for a dispatcher's configuration.
-    pub fn known(&self, dispatcher: usize) -> Value {
-        serde_json::from_str(&self.complete_list(dispatcher, &lock(&self.list))).unwrap_or_default()
+    /// Returns the complete list as JSON, for the configuration of a dispatcher. It logs a notification for every worker, as the
+    /// dispatcher starts with this list.
+    pub fn known_workers(&self, dispatcher: usize) -> Value {
+        serde_json::from_str(&self.complete_list_line(dispatcher, &lock(&self.list))).unwrap_or_default()
     }
 
-    /// Answers a call when those before it have been answered, at the rate of the plan.
+    /// Answers a call after those before it, at the rate of the plan. A call that would wait for longer than [`MAX_QUEUE_DELAY`]
+    /// gets status 503 after that delay.
     async fn answer_queued(&self, dispatcher: usize, request: &Request<Incoming>) -> Response<Body> {
         self.calls.fetch_add(1, Ordering::Relaxed);
         if let Some(rate) = self.plan.discovery_rate {
@@ -158,13 +161,13 @@
             let turn = {
                 let mut busy = lock(&self.busy_until);
                 let turn = (*busy).max(now) + Duration::from_secs_f64(1.0 / rate);
-                if turn <= now + MAX_QUEUE_TIME {
+                if turn <= now + MAX_QUEUE_DELAY {
                     *busy = turn;
                 }
                 turn
             };
-            tokio::time::sleep_until(turn.min(now + MAX_QUEUE_TIME)).await;
-            if turn > now + MAX_QUEUE_TIME {
+            tokio::time::sleep_until(turn.min(now + MAX_QUEUE_DELAY)).await;
+            if turn > now + MAX_QUEUE_DELAY {
                 return complete_response(503, &[], String::new());
             }
         }
@@ -176,7 +179,7 @@
             return complete_response(404, &[], String::new());
         }
         let mut list = lock(&self.list);
-        let complete = self.complete_list(dispatcher, &list);
+        let complete = self.complete_list_line(dispatcher, &list);
         if !request
             .uri()
             .query()
@@ -190,29 +193,29 @@
         Response::new(StreamBody::new(UnboundedReceiverStream::new(body)).boxed())
     }
 
-    /// Lists a worker with this availability, and notifies the open watches.
+    /// Changes the listed availability of a worker, and sends the change to the open watches.
     fn publish(&self, worker: usize, availability: Availability) {
         let mut list = lock(&self.list);
-        let has_started = availability == (Availability::Ready { cold: true });
-        let started_ms = if has_started { unix_ms() } else { list.listings[worker].started_ms };
+        let has_restarted = availability == (Availability::Ready { cold: true });
+        let started_ms = if has_restarted { unix_ms() } else { list.listings[worker].started_ms };
         let listing = Listing { availability, started_ms };
         list.sequence += 1;
         list.listings[worker] = listing;
         self.log.append(Event::Published { worker, availability });
         let sequence = list.sequence;
         list.watches.retain(|watch| {
-            let host = self.host(watch.dispatcher, worker, listing);
+            let host = self.endpoint_json(watch.dispatcher, worker, listing);
             let line = format!("{}\n", json!({"seq": sequence, "whole": false, "hosts": [host]}));
-            let open = watch.lines.send(Ok(Frame::data(Bytes::from(line)))).is_ok();
-            if open {
+            let is_open = watch.lines.send(Ok(Frame::data(Bytes::from(line)))).is_ok();
+            if is_open {
                 self.log.append(Event::Notified { dispatcher: watch.dispatcher, worker, availability });
             }
-            open
+            is_open
         });
     }
 
-    /// Publishes the changes of the workers, each late, for as long as it is polled. Of several changes of one worker that are
-    /// under way only the latest is published.
+    /// Publishes the changes of the workers, each with a random delay, for as long as it is polled. If several changes of one
+    /// worker are pending, only the latest is published.
     pub async fn run(self: Arc<Self>, mut changes: mpsc::UnboundedReceiver<(usize, Availability)>) {
         let mut rng = Pcg64Mcg::seed_from_u64(self.plan.seed ^ 0xd15c);
         let mut heartbeat = tokio::time::interval(HEARTBEAT_INTERVAL);
@@ -221,7 +224,8 @@
         loop {
             tokio::select! {
                 Some((worker, availability)) = changes.recv() => {
-                    // A silent process is noticed by missing heartbeats only; what it announces comes sooner.
+                    // A silent process is detected only by missing heartbeats, which takes longer than a change that the worker
+                    // announces itself.
                     let delay_s = match availability {
                         Availability::Draining => rng.random_range(1.1..4.1),
                         Availability::Gone => rng.random_range(7.4..14.0),
--- a/crates/pebblepost-harness/src/dispatcher/mod.rs
+++ b/crates/pebblepost-harness/src/dispatcher/mod.rs
@@ -1,8 +1,8 @@
 //! The dispatchers under test: real `pebblepost` processes.
 //!
-//! * [`process`]: one process, its start, faults, readiness and CPU time
-//! * [`settings`]: the settings that each is started with
-//! * [`program`]: builds the program
+//! * [`process`]: a process, its start, faults, readiness and CPU time
+//! * [`settings`]: the settings that dispatchers are started with
+//! * [`program`]: the build of the program
 
 pub mod process;
 pub mod program;
--- a/crates/pebblepost-harness/src/dispatcher/process.rs
+++ b/crates/pebblepost-harness/src/dispatcher/process.rs
@@ -1,6 +1,6 @@
-//! One dispatcher as a process: its start, faults, readiness and CPU time.
+//! A dispatcher as a process: its start, faults, readiness and CPU time.
 
-use super::settings::{ZONES, refusing_settings, settings};
+use super::settings::{ZONES, rejecting_settings, settings};
 use crate::fault::signal::{self, Signal};
 use anyhow::{Context, Result, bail};
 use bytes::Bytes;
@@ -14,65 +14,66 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A process must be ready within this after its start.
+/// Time after its start within which a process must be ready.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause between two readiness probes at a start.
-const START_PROBE_INTERVAL: Duration = Duration::from_millis(2);
-/// A readiness probe must be answered within this.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// A process that is dropped is killed if it has not ended within this.
+/// Pause between two readiness checks during a start.
+const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// Time within which a readiness check must be answered.
+const READINESS_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time within which a process that is dropped must exit before it is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
-/// The number of the start is in the seed from this bit on: never longer than a seed may be.
-const START_NUMBER_BIT: u32 = 40;
+/// Position of the lowest bit of the start number in the seed. It keeps the seed within the length that the dispatcher accepts.
+const START_NUMBER_SHIFT: u32 = 40;
 
-/// One process. It is ended when this is dropped.
+/// A running dispatcher process. Dropping it shuts the process down, which blocks the thread for up to 8 s, and deletes its
+/// files.
 pub struct DispatcherProcess {
     command: Command,
     child: Child,
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
-    /// How long each of its starts took until it took clients.
-    pub ready: Vec<Duration>,
-    /// When the last readiness probe began that failed: until then it certainly was not ready.
+    /// Time from each start until the process was ready.
+    pub startup_times: Vec<Duration>,
+    /// Start of the last failed readiness check of the latest start. Until then the process was certainly not ready.
     pub not_ready_at: Instant,
     config: Value,
     seed: u64,
     operator: Value,
     files: Files,
-    /// CPU of earlier starts, in seconds.
+    /// CPU time of killed runs of the process, in seconds.
     cpu_of_earlier_runs_s: f64,
 }
 
-/// What a process is started with.
+/// The parameters of a start.
 pub struct Launch<'a> {
-    /// The program.
+    /// Path of the program.
     pub program: &'a Path,
-    /// Its number.
+    /// Index of the dispatcher.
     pub number: usize,
-    /// How many dispatchers there are.
-    pub of: usize,
+    /// Number of dispatchers in the run.
+    pub dispatcher_count: usize,
     /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The list of workers that it begins with.
-    pub known: Value,
-    /// Its seed.
+    /// The list of workers that the dispatcher starts with, as JSON.
+    pub known_workers: Value,
+    /// Seed of the dispatcher.
     pub seed: u64,
-    /// The operator file.
+    /// Content of the operator file.
     pub operator: &'a Value,
     /// The order of the workers' queues, by its name in the settings.
     pub queue_order: &'a str,
-    /// A folder for its files.
-    pub folder: &'a Path,
+    /// Directory for the files of the process.
+    pub directory: &'a Path,
 }
 
-/// Files that a process reads.
+/// Paths of the files that a process reads.
 struct Files {
     config: PathBuf,
     operator: PathBuf,
 }
 
 fn write(path: &Path, json: &Value) -> Result<()> {
-    std::fs::write(path, json.to_string()).with_context(|| path.display().to_string())
+    std::fs::write(path, json.to_string()).with_context(|| format!("failed to write {}", path.display()))
 }
 
 impl Launch<'_> {
@@ -80,18 +81,19 @@
         json!({
             "name": format!("n{}", self.number), "listen": address.to_string(),
             "discovery": self.discovery.to_string(), "seed": format!("{:x}", self.seed),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": self.known,
-            "settings": settings(self.of, self.queue_order),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": self.known_workers,
+            "settings": settings(self.dispatcher_count, self.queue_order),
         })
     }
 
-    /// The operator file of this dispatcher: in its zone, with a folder of its own for its copy of the state.
+    /// Returns the operator file of this dispatcher. It sets the dispatcher's zone and a separate directory for its copy of the
+    /// store's state.
     fn operator_file(&self) -> Value {
         let mut operator = self.operator.clone();
         if let Some(fleet) = operator.get_mut("fleet") {
             fleet["zone"] = ZONES[self.number % ZONES.len()].into();
-            if let Some(folder) = fleet["copy"].as_str().map(PathBuf::from) {
-                fleet["copy"] = json!(folder.join(format!("n{}", self.number)));
+            if let Some(directory) = fleet["copy"].as_str().map(PathBuf::from) {
+                fleet["copy"] = json!(directory.join(format!("n{}", self.number)));
             }
         }
         operator
@@ -99,7 +101,7 @@
 
     fn files(&self, address: SocketAddr) -> Files {
         let id = format!("{}-{address}", std::process::id()).replace(':', "-");
-        let file = |name: &str| self.folder.join(format!("pebblepost-harness-{id}-{name}.json"));
+        let file = |name: &str| self.directory.join(format!("pebblepost-harness-{id}-{name}.json"));
         Files { config: file("config"), operator: file("operator") }
     }
 
@@ -116,14 +118,15 @@
 }
 
 impl DispatcherProcess {
-    /// Starts a process; it takes clients when this returns.
+    /// Starts a process and waits until it accepts clients.
     ///
     /// # Errors
     ///
-    /// If its files can not be written, or it ends at once or is not ready in time.
+    /// Returns an error if the files can not be written, or the process does not start, exits during its start or is not ready
+    /// within 10 s.
     pub async fn start(launch: &Launch<'_>) -> Result<Self> {
-        // An address that nobody connects from: a port that was free a moment ago, or is while the process is started
-        // again, still is. Runs beside each other draw different ports.
+        // No connection originates from this loopback address, so a port that is free now stays free until the process binds
+        // it, and during a restart. Concurrent runs get different ports.
         let [high, low] = u16::try_from(launch.number)?.to_be_bytes();
         let address = TcpListener::bind(SocketAddr::from(([127, 4, high, low], 0)))?.local_addr()?;
         let (config, operator, files) =
@@ -131,12 +134,13 @@
         write(&files.config, &config)?;
         write(&files.operator, &operator)?;
         let mut command = launch.command(&files);
-        let child = command.spawn().with_context(|| launch.program.display().to_string())?;
+        let child =
+            command.spawn().with_context(|| format!("failed to start {}", launch.program.display()))?;
         let mut process = Self {
             command,
             child,
             address,
-            ready: Vec::new(),
+            startup_times: Vec::new(),
             not_ready_at: Instant::now(),
             config,
             seed: launch.seed,
@@ -148,7 +152,7 @@
         Ok(process)
     }
 
-    /// Kills it outright.
+    /// Sends SIGKILL and waits for the exit.
     pub fn kill(&mut self) {
         self.cpu_of_earlier_runs_s = self.cpu_s();
         let _ = self.child.kill();
@@ -156,41 +160,42 @@
     }
 
     fn send_signal(&mut self, signal: Signal) {
-        // The id of a process that has ended may be that of another one.
-        if self.runs() {
+        // The process id may have been reused after the exit.
+        if self.is_running() {
             signal::send(self.child.id(), signal);
         }
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM.
     pub fn stop(&mut self) {
         self.send_signal(Signal::SIGTERM);
     }
 
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     pub fn pause(&mut self) {
         self.send_signal(Signal::SIGSTOP);
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT.
     pub fn resume(&mut self) {
         self.send_signal(Signal::SIGCONT);
     }
 
-    /// Whether it has ended, and then whether without an error.
-    pub fn ended(&mut self) -> Option<bool> {
+    /// Returns `None` while the process is running, and after its exit whether it succeeded.
+    pub fn exited_successfully(&mut self) -> Option<bool> {
         let status = self.child.try_wait().ok().flatten()?;
         Some(status.success())
     }
 
-    /// Sets the version that it has from its next start on. `refuses`: with settings by which it refuses most requests.
+    /// Sets the version from the next start on. With `rejects_requests` the dispatcher gets settings with which it rejects most
+    /// requests.
     ///
     /// # Errors
     ///
-    /// If the operator file can not be written.
-    pub fn set_version(&mut self, version: &str, refuses: bool) -> Result<()> {
-        match (self.operator.as_object_mut(), refuses) {
-            (Some(operator), true) => drop(operator.insert("settings".to_owned(), refusing_settings())),
+    /// Returns an error if the operator file can not be written.
+    pub fn set_version(&mut self, version: &str, rejects_requests: bool) -> Result<()> {
+        match (self.operator.as_object_mut(), rejects_requests) {
+            (Some(operator), true) => drop(operator.insert("settings".to_owned(), rejecting_settings())),
             (Some(operator), false) => drop(operator.remove("settings")),
             (None, _) => {}
         }
@@ -200,24 +205,25 @@
         write(&self.files.operator, &self.operator)
     }
 
-    /// Whether it answers that it is ready.
+    /// Returns whether the process answers a readiness check with success within 250 ms.
     pub async fn is_ready(&self) -> bool {
-        let probe = async {
+        let check = async {
             let http: Client<_, Empty<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
             let uri: Uri = format!("http://{}/ready", self.address).parse().ok()?;
             Some(http.get(uri).await.ok()?.status().is_success())
         };
-        tokio::time::timeout(PROBE_TIMEOUT, probe).await.ok().flatten().unwrap_or(false)
+        tokio::time::timeout(READINESS_TIMEOUT, check).await.ok().flatten().unwrap_or(false)
     }
 
-    /// Starts it again after it has ended, at its address, with the list of workers that it had at first.
+    /// Restarts the process after its exit, at the same address and with its initial list of workers, and waits until it accepts
+    /// clients.
     ///
     /// # Errors
     ///
-    /// If it does not start, ends at once or is not ready in time.
-    pub async fn start_again(&mut self) -> Result<()> {
-        // Each start has a seed of its own.
-        let start_number = (self.ready.len() as u64) << START_NUMBER_BIT;
+    /// Returns an error if the process does not start, exits during its start or is not ready within 10 s.
+    pub async fn restart(&mut self) -> Result<()> {
+        // Each start has a different seed.
+        let start_number = (self.startup_times.len() as u64) << START_NUMBER_SHIFT;
         self.config["seed"] = format!("{:x}", self.seed ^ start_number).into();
         write(&self.files.config, &self.config)?;
         self.child = self.command.spawn()?;
@@ -225,29 +231,31 @@
     }
 
     async fn wait_until_ready(&mut self) -> Result<()> {
-        let began = Instant::now();
-        self.not_ready_at = began;
-        while began.elapsed() < START_TIMEOUT {
+        let started_at = Instant::now();
+        self.not_ready_at = started_at;
+        while started_at.elapsed() < START_TIMEOUT {
             if let Some(status) = self.child.try_wait()? {
-                bail!("a dispatcher ended at its start: {status}");
+                bail!("the dispatcher at {} exited during its start: {status}", self.address);
             }
-            let probed_at = Instant::now();
+            let checked_at = Instant::now();
             if self.is_ready().await {
-                self.ready.push(began.elapsed());
+                self.startup_times.push(started_at.elapsed());
                 return Ok(());
             }
-            self.not_ready_at = probed_at;
-            tokio::time::sleep(START_PROBE_INTERVAL).await;
+            self.not_ready_at = checked_at;
+            tokio::time::sleep(STARTUP_CHECK_INTERVAL).await;
         }
-        bail!("a dispatcher was not ready at {} within 10 s", self.address)
+        bail!("the dispatcher at {} was not ready within 10 s of its start", self.address)
     }
 
-    /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    /// Returns whether the process is running.
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// CPU that it has used, in seconds (proc(5): `stat`, fields 14 and 15, in hundredths).
+    /// Returns the CPU time that the process has used, in seconds, including earlier runs that were killed.
+    ///
+    /// It is read from `/proc/[pid]/stat`, fields 14 and 15, which are in hundredths of a second (see proc(5)).
     pub fn cpu_s(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let fields = stat.rsplit_once(')').map_or("", |(_, rest)| rest).split_whitespace();
@@ -261,7 +269,7 @@
         self.resume();
         self.stop();
         let limit = Instant::now() + SHUTDOWN_TIMEOUT;
-        while Instant::now() < limit && self.runs() {
+        while Instant::now() < limit && self.is_running() {
             std::thread::sleep(Duration::from_millis(20));
         }
         let _ = self.child.kill();
--- a/crates/pebblepost-harness/src/dispatcher/settings.rs
+++ b/crates/pebblepost-harness/src/dispatcher/settings.rs
@@ -1,11 +1,11 @@
-//! The settings that dispatchers are started with. Times on the wire are nanoseconds.
+//! The settings that dispatchers are started with. Times in the settings are in nanoseconds.
 
 use serde_json::{Value, json};
 
-/// The zones; dispatcher `n` is in the one of number `n` modulo their number.
+/// The names of the zones. Dispatcher `n` is in the zone with the index `n` modulo the number of zones.
 pub const ZONES: [&str; 3] = ["honkan", "bekkan", "soko"];
 
-/// The one class of jobs. `on_time_ns`: latency target, in nanoseconds.
+/// Returns the settings of the only job class. `on_time_ns` is its latency target in nanoseconds.
 fn class(on_time_ns: u64) -> Value {
     json!({
         "name": "segment", "effect": "idempotency_key", "group": "all", "window": 10_000_000_000_u64,
@@ -13,7 +13,7 @@
     })
 }
 
-/// Settings of a site, as a platform gives them.
+/// Returns the settings of a site, as the platform supplies them.
 pub(super) fn settings(dispatchers: usize, queue_order: &str) -> Value {
     json!({
         "instances": dispatchers, "locality": 0, "discovery": "ask", "tick": 2_000_000, "worthBy": "work",
@@ -30,7 +30,8 @@
     })
 }
 
-/// Settings of a version that refuses most requests: hardly a worker is fast enough for any job.
-pub(super) fn refusing_settings() -> Value {
+/// Returns settings with which a dispatcher rejects most requests: the latency target is so short (1 ms plus 1.05 times the
+/// work) that hardly any worker is fast enough for any job.
+pub(super) fn rejecting_settings() -> Value {
     json!({"domain": {"classStretch": 1.05}, "classes": [class(1_000_000)]})
 }
--- a/crates/pebblepost-harness/src/event_log.rs
+++ b/crates/pebblepost-harness/src/event_log.rs
@@ -1,5 +1,5 @@
-//! What was seen from outside the dispatchers, in one list with one clock: clients, workers and discovery append to it, the
-//! checker reads it.
+//! The log of all events that are observable from outside the dispatchers, in one list with one clock. Clients, workers and
+//! discovery append to it; the checker reads it.
 
 use crate::worker::model::ColdLoad;
 use std::sync::{Mutex, PoisonError};
@@ -8,49 +8,49 @@
 /// How an attempt ended at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Served.
+    /// The worker completed the job.
     Done,
-    /// Rejected or returned: it never ran.
+    /// The worker rejected or returned the job, so it did not run.
     NotRun,
-    /// It failed, or the worker crashed.
+    /// The job failed, or the worker crashed.
     Failed,
 }
 
 /// The availability of a worker, as discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// Takes work; whether it has started lately.
+    /// The worker accepts jobs.
     Ready {
-        /// It has started lately.
+        /// Whether the worker has restarted recently.
         cold: bool,
     },
-    /// Takes nothing new.
+    /// The worker accepts no new jobs.
     Draining,
-    /// Not listed any more.
+    /// The worker is no longer listed.
     Gone,
 }
 
-/// Something that was seen. Times are seconds from the start of the log.
+/// An observed event. Times are in seconds since the start of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A client's attempt went out to a dispatcher.
+    /// A client sent an attempt to a dispatcher.
     Requested {
         /// Id of the client's attempt.
         txn: String,
-        /// Idempotency key, the same for each attempt of a request.
+        /// Idempotency key, which all attempts of a request share.
         key: String,
-        /// To which dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// Seconds for which the client waits.
-        waits: f64,
+        /// Time for which the client waits for the answer, in seconds.
+        timeout_s: f64,
     },
-    /// The dispatcher answered.
+    /// The dispatcher sent a complete answer.
     Responded {
         /// Id of the client's attempt.
         txn: String,
-        /// Status.
+        /// HTTP status.
         status: u16,
-        /// Body.
+        /// Response body.
         body: String,
     },
     /// The client disconnected before its deadline.
@@ -68,69 +68,69 @@
         /// Id of the client's attempt.
         txn: String,
     },
-    /// An attempt's last byte arrived at a worker.
+    /// A worker received the last byte of an attempt.
     AttemptArrived {
         /// Id of the client's attempt.
         txn: String,
         /// Idempotency key.
         key: String,
-        /// From which dispatcher.
+        /// Index of the dispatcher that sent it.
         dispatcher: usize,
-        /// At which worker.
+        /// Index of the worker.
         worker: usize,
     },
-    /// That attempt ended there.
+    /// An attempt ended at a worker.
     AttemptEnded {
         /// Id of the client's attempt.
         txn: String,
-        /// At which worker.
+        /// Index of the worker.
         worker: usize,
-        /// How.
+        /// How the attempt ended.
         end: AttemptEnd,
     },
-    /// A worker got a request that no client sent.
+    /// A worker received a request that no client sent.
     UnknownRequest {
-        /// The id that it gave.
+        /// The id in the request.
         txn: String,
     },
-    /// Discovery lists a worker as this from now on, whether or not that reaches anyone.
+    /// Discovery changed the availability that it lists for a worker, whether or not any dispatcher is notified.
     Published {
-        /// Of which worker.
+        /// Index of the worker.
         worker: usize,
-        /// Its availability.
+        /// Its new availability.
         availability: Availability,
     },
-    /// Discovery wrote a worker's availability to a dispatcher.
+    /// Discovery sent a worker's availability to a dispatcher.
     Notified {
-        /// To which dispatcher.
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// Of which worker.
+        /// Index of the worker.
         worker: usize,
-        /// Its availability.
+        /// Its new availability.
         availability: Availability,
     },
-    /// The load on a cold worker is the highest since its start.
+    /// The load on a cold worker reached a new maximum since its start.
     ColdLoadPeak {
-        /// Which.
+        /// Index of the worker.
         worker: usize,
         /// The load.
         load: ColdLoad,
     },
     /// A cold worker was overloaded and crashes.
     Overloaded {
-        /// Which.
+        /// Index of the worker.
         worker: usize,
-        /// When it had started.
+        /// Time of its start.
         since: f64,
-        /// Work that it was sent lately, by dispatcher.
+        /// Dispatcher and amount, in seconds at speed 1, of each piece of work sent within the overload window.
         sent: Vec<(usize, f64)>,
     },
 }
 
-/// An event with its time, in seconds from the start.
+/// An event with its time, in seconds since the start of the log.
 pub type Entry = (f64, Event);
 
-/// The list of events of a run.
+/// The events of a run, in the order of their times.
 #[derive(Debug)]
 pub struct EventLog<T = Event> {
     start: Instant,
@@ -144,23 +144,24 @@
 }
 
 impl<T> EventLog<T> {
-    /// Seconds from the start.
+    /// Returns the time since the start of the log, in seconds.
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// The start itself.
+    /// Returns the time at which the log was started.
     pub fn start(&self) -> Instant {
         self.start
     }
 
-    /// Appends an event, at the present time.
+    /// Appends an event with the current time.
     pub fn append(&self, event: T) {
         let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
-        list.push((self.now(), event)); // Timed under the lock, so that the list is in order.
+        // The time is read under the lock, so that the list is ordered by time.
+        list.push((self.now(), event));
     }
 
-    /// Takes all events, in their order.
+    /// Removes and returns all events, in the order of their times.
     pub fn take(&self) -> Vec<(f64, T)> {
         std::mem::take(&mut *self.list.lock().unwrap_or_else(PoisonError::into_inner))
     }
--- a/crates/pebblepost-harness/src/lib.rs
+++ b/crates/pebblepost-harness/src/lib.rs
@@ -1,15 +1,15 @@
-//! Measured runs of real `pebblepost` processes on loopback, with everything around them simulated. It is a test tool and is
-//! not deployed.
+//! Measured runs of real `pebblepost` processes on loopback, with simulated workers, discovery and clients. This is a test tool
+//! and is not deployed.
 //!
-//! * [`workload`]: what a run consists of, and what a seed makes of it
+//! * [`workload`]: the parameters of a run, and the plan that a seed draws from them
 //! * [`worker`], [`discovery`]: simulated workers, and the service that lists them
 //! * [`clients`], [`dispatcher`]: open-loop clients, and the processes under test
-//! * [`event_log`], [`checker`], [`report`]: what was seen, the rules, the figures
-//! * [`fault`]: faults of processes and links; [`store`]: replicas of the agreed store under them
+//! * [`event_log`], [`checker`], [`report`]: the observed events, the rules that they must obey, and the summary
+//! * [`fault`]: faults of processes and links; [`store`]: replicas of the replicated store under faults
 //! * [`supervisor`]: restarts dispatchers; [`release`]: releases under faults
-//! * [`run`]: one run of all of it; [`reservations`], [`cpu_cost`], [`fleet`]: measurements made of runs
+//! * [`run`]: one complete run; [`reservations`], [`cpu_cost`], [`fleet`]: measurements that consist of runs
 //!
-//! It never looks into a process: what it knows is what clients, workers, discovery and operators see.
+//! The harness does not look into the processes. It observes only what clients, workers, discovery and operators see.
 
 #![forbid(unsafe_code)]
 
--- a/crates/pebblepost-harness/src/main.rs
+++ b/crates/pebblepost-harness/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads the command line, plays what it asks for and prints the figures.
+//! The command line program: executes the requested measurement and prints its results.
 
 #![forbid(unsafe_code)]
 
@@ -12,15 +12,15 @@
 
 fn main() -> Result<()> {
     match Cli::parse().command {
-        Command::Room(args) => play_room(args),
-        Command::Cpu(args) => play_cpu(args),
-        Command::Fleet(args) => play_fleet(args),
-        Command::Store(args) => play_store(args),
-        Command::Release(args) => play_release(args),
+        Command::Room(args) => run_reservations(args),
+        Command::Cpu(args) => run_cpu(args),
+        Command::Fleet(args) => run_fleet(args),
+        Command::Store(args) => run_store(args),
+        Command::Release(args) => run_release(args),
     }
 }
 
-fn play_store(args: Store) -> Result<()> {
+fn run_store(args: Store) -> Result<()> {
     let plan = store::plan::Plan {
         replicas: usize::from(args.replicas),
         clients: args.clients.max(1),
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-fn play_release(args: Release) -> Result<()> {
+fn run_release(args: Release) -> Result<()> {
     let plan = release::plan::Plan {
         dispatchers: usize::from(args.dispatchers),
         workers: usize::from(args.workers),
@@ -81,13 +81,13 @@
     Ok(tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?)
 }
 
-fn play_cpu(args: Cpu) -> Result<()> {
+fn run_cpu(args: Cpu) -> Result<()> {
     let program = args.program.map_or_else(dispatcher::build_program, Ok)?;
-    let (on, off) = (reservations::operator(true), reservations::operator(false));
-    let first = cpu_cost::Side { program: &program, operator: &on };
+    let (on, off) = (reservations::operator_file(true), reservations::operator_file(false));
+    let first = cpu_cost::Candidate { program: &program, operator: &on };
     let second = match &args.against {
-        Some(other) => cpu_cost::Side { program: other, operator: &on },
-        None => cpu_cost::Side { program: &program, operator: &off },
+        Some(other) => cpu_cost::Candidate { program: other, operator: &on },
+        None => cpu_cost::Candidate { program: &program, operator: &off },
     };
     let report =
         runtime()?.block_on(cpu_cost::measure(&first, &second, args.seconds, args.rounds, args.seed))?;
@@ -95,10 +95,10 @@
     Ok(())
 }
 
-fn play_fleet(args: Fleet) -> Result<()> {
+fn run_fleet(args: Fleet) -> Result<()> {
     let program = args.program.map_or_else(dispatcher::build_program, Ok)?;
     let (dispatchers, workers) = (args.dispatchers.max(1), args.workers.max(1));
-    let size = fleet::Size { dispatchers, workers, seconds: args.seconds.max(1.0) };
+    let size = fleet::FleetSize { dispatchers, workers, seconds: args.seconds.max(1.0) };
     let (lines, all) = runtime()?.block_on(fleet::measure(size, args.seed, &program))?;
     lines.iter().for_each(|line| println!("{line}"));
     if args.json {
@@ -107,13 +107,13 @@
     Ok(())
 }
 
-fn play_room(args: Room) -> Result<()> {
+fn run_reservations(args: Room) -> Result<()> {
     let program = args.program.map_or_else(dispatcher::build_program, Ok)?;
     let [one, two, four] = args.slots[..] else {
-        anyhow::bail!("--slots: three shares, for 1, 2 and 4 slots")
+        anyhow::bail!("--slots: expected three shares, for 1, 2 and 4 slots, but got {}", args.slots.len())
     };
     if (one + two + four - 1.0).abs() > 1e-6 {
-        anyhow::bail!("--slots: the shares sum to {}, not 1", one + two + four);
+        anyhow::bail!("--slots: the shares must sum to 1, but sum to {}", one + two + four);
     }
     let run_spec = RunSpec {
         order: args.order,
--- a/crates/pebblepost-harness/src/quantile.rs
+++ b/crates/pebblepost-harness/src/quantile.rs
@@ -1,4 +1,4 @@
-//! Quantiles of a few measured values.
+//! Quantiles of small sets of measured values.
 
 fn sorted(values: &[f64]) -> Vec<f64> {
     let mut sorted = values.to_vec();
@@ -6,18 +6,20 @@
     sorted
 }
 
-/// The value of which `quantile` of the values lie below; 0 if there are none.
+/// Returns the value at the index `quantile` times the number of values, rounded down, in ascending order: a share of about
+/// `quantile` of the values lies below it. Returns 0 if there is no such value.
 pub fn quantile(values: &[f64], quantile: f64) -> f64 {
     let index = (values.len() as f64 * quantile) as usize;
     sorted(values).get(index).copied().unwrap_or(0.0)
 }
 
-/// The median: of an even number of values the upper of the two in the middle; 0 if there are none.
+/// Returns the median, or 0 if there are no values. For an even number of values it is the upper of the two middle values.
 pub fn median(values: &[f64]) -> f64 {
     quantile(values, 0.5)
 }
 
-/// The least value that is not below `quantile` of the values (nearest rank); 0 if there are none.
+/// Returns the quantile by the nearest-rank method: the least value that a share of at least `quantile` of the values does not
+/// exceed. Returns 0 if there are no values.
 pub fn nearest_rank(values: &[f64], quantile: f64) -> f64 {
     let rank = (values.len() as f64 * quantile).ceil() as usize;
     sorted(values).get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
--- a/crates/pebblepost-harness/src/release/maintenance.rs
+++ b/crates/pebblepost-harness/src/release/maintenance.rs
@@ -130,7 +130,7 @@
                     window.worker == *worker && began < window.from && *at >= window.from
                 };
                 let excused = |window: &SwitchedOff| {
-                    killed.iter().any(|exit| exit.dispatcher == by && exit.from <= window.from)
+                    killed.iter().any(|exit| exit.dispatcher == by && exit.ended_at_s <= window.from)
                 };
                 if switched_off.iter().find(ran).is_some_and(|window| !excused(window)) {
                     ran_on.insert(txn);
--- a/crates/pebblepost-harness/src/release/run.rs
+++ b/crates/pebblepost-harness/src/release/run.rs
@@ -10,7 +10,7 @@
 use super::summary::{Summary, judge};
 use super::trial::Trial;
 use crate::fault::schedule::Schedule;
-use crate::run::{Played, Run};
+use crate::run::{Run, RunResult};
 use crate::store::client::StoreClient;
 use crate::store::cluster::Cluster;
 use crate::store::retry::retry_until;
@@ -54,10 +54,10 @@
 /// Dispatchers, workers and clients.
 async fn play_clients(
     plan: Plan, program: PathBuf, operator: Value, supervisor: Arc<Supervisor>,
-) -> Result<Played> {
+) -> Result<RunResult> {
     let run_spec = plan.run_spec();
     let (run_spec, operator, supervisor) = (&run_spec, &operator, Some(supervisor.as_ref()));
-    Run { run_spec, seed: plan.seed, program: &program, operator, supervisor }.play().await
+    Run { run_spec, seed: plan.seed, program: &program, operator, supervisor }.execute().await
 }
 
 /// Sets the budgets that releases and maintenance have to keep.
@@ -116,7 +116,7 @@
         "fleet": {"keepers": cluster.named_addresses(), "version": INITIAL_VERSION, "copy": copies},
     });
     let replicas = cluster.client_addresses();
-    let supervisor = Arc::new(Supervisor::of(INITIAL_VERSION, replicas.clone()));
+    let supervisor = Arc::new(Supervisor::new(INITIAL_VERSION, replicas.clone()));
     let trial = Arc::new(Trial {
         plan: plan.clone(),
         operators: Operators { program: program.to_owned(), replicas, killed: Mutex::default() },
--- a/crates/pebblepost-harness/src/release/summary.rs
+++ b/crates/pebblepost-harness/src/release/summary.rs
@@ -9,7 +9,7 @@
 use crate::clients::Outcome;
 use crate::dispatcher::ZONES;
 use crate::quantile::{median, nearest_rank, quantile};
-use crate::run::Played;
+use crate::run::RunResult;
 use crate::supervisor::{Outage, OutageCause, VersionDefect};
 use crate::sync::lock;
 use serde::Serialize;
@@ -116,7 +116,7 @@
 
 /// What the outages, the rules and the workers show to be wrong, in words.
 fn findings(
-    budget_use: &BudgetUse, crashes: &[&Outage], played: &Played, workers_out: usize, worker_budget: u32,
+    budget_use: &BudgetUse, crashes: &[&Outage], played: &RunResult, workers_out: usize, worker_budget: u32,
 ) -> Vec<String> {
     let mut found = Vec::new();
     if budget_use.over_s > 0.0 {
@@ -135,7 +135,7 @@
 }
 
 /// Share of the requests with such an outcome.
-fn share(played: &Played, hit: fn(&Outcome) -> bool) -> f64 {
+fn share(played: &RunResult, hit: fn(&Outcome) -> bool) -> f64 {
     let count = played.results.iter().filter(|result| hit(&result.outcome)).count();
     count as f64 / played.results.len().max(1) as f64
 }
@@ -148,7 +148,7 @@
 
 /// The figures of a trial that is over, and what was found. `found` has what was found before.
 pub(super) fn judge(
-    trial: &Trial, played: &Played, releases: ReleaseCounts, stuck_permits: usize,
+    trial: &Trial, played: &RunResult, releases: ReleaseCounts, stuck_permits: usize,
     faults: BTreeMap<&'static str, usize>, mut found: Vec<String>,
 ) -> (Summary, Vec<String>) {
     let plan = &trial.plan;
@@ -177,7 +177,7 @@
         rolled_back: releases.rolled_back,
         bad_version_reached: VersionDefect::ALL.into_iter().map(reached).max().unwrap_or(0),
         crashing_reached: reached(VersionDefect::Crashes),
-        refusing_reached: reached(VersionDefect::Refuses),
+        refusing_reached: reached(VersionDefect::RejectsRequests),
         halted: releases.rolled_back,
         grants: audit.grants[0],
         grants_to_workers: audit.grants[1],
--- a/crates/pebblepost-harness/src/report.rs
+++ b/crates/pebblepost-harness/src/report.rs
@@ -1,4 +1,4 @@
-//! The figures of runs: shares in time by size, work done, latencies, rules.
+//! The results of runs: shares of requests in time by job size, work, latencies and violations.
 
 use crate::checker::rules::Violation;
 use crate::clients::{Outcome, RequestResult};
@@ -10,42 +10,43 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longer times count as this, in microseconds.
-const LONGEST_TIME_US: u64 = 60_000_000;
-/// The quantile of the normal distribution for an interval of 95%.
-const NORMAL_QUANTILE: f64 = 1.96;
+/// Maximum of the recorded times, in microseconds. Longer times are recorded as this value.
+const MAX_RECORDED_TIME_US: u64 = 60_000_000;
+/// The quantile of the normal distribution for a two-sided 95% interval.
+const NORMAL_QUANTILE_95: f64 = 1.96;
 
-/// A group of requests.
+/// The results of a group of requests.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Group {
-    /// Requests.
+    /// Number of requests.
     #[serde(rename = "asked")]
     pub requests: usize,
-    /// Answered within their latency target.
+    /// Number of requests that were served within their latency target.
     pub in_time: usize,
-    /// Answered later than that.
+    /// Number of requests that were served after their latency target.
     pub late: usize,
-    /// Rejected or failed at each attempt.
+    /// Number of requests of which every attempt was rejected or failed.
     pub refused: usize,
-    /// No answer.
+    /// Number of requests without an answer.
     pub lost: usize,
-    /// Attempts of all.
+    /// Number of attempts of all requests.
     #[serde(rename = "tries")]
     pub attempts: usize,
-    /// Work of all, in seconds of slots.
+    /// Work of all requests, in slot seconds at speed 1.
     pub work: f64,
-    /// Work of those in time, in seconds of slots.
+    /// Work of the requests in time, in slot seconds at speed 1.
     pub work_in_time: f64,
-    /// Median latency of those served, in milliseconds.
+    /// Median latency of the served requests, in milliseconds.
     pub p50_ms: f64,
-    /// The same: 99th percentile.
+    /// 99th percentile of the latency of the served requests, in milliseconds.
     pub p99_ms: f64,
-    /// Time to the first rejection, in milliseconds: 99th percentile.
+    /// 99th percentile of the time until the first rejection, in milliseconds.
     pub refused_p99_ms: f64,
 }
 
 impl Group {
-    /// Adds those of another run; of the latencies the longer ones stay.
+    /// Adds the results of another run. Counts and work are summed; for latencies the maximum is kept, as percentiles can not be
+    /// added.
     fn add(&mut self, other: &Group) {
         self.p50_ms = self.p50_ms.max(other.p50_ms);
         self.p99_ms = self.p99_ms.max(other.p99_ms);
@@ -60,30 +61,33 @@
         self.work_in_time += other.work_in_time;
     }
 
-    /// Share that was answered in time; 1 if there are none.
-    pub fn share(&self) -> f64 {
+    /// Returns the share of the requests that were served in time; 1 if there are no requests.
+    pub fn in_time_share(&self) -> f64 {
         if self.requests == 0 { 1.0 } else { self.in_time as f64 / self.requests as f64 }
     }
 }
 
-/// Wilson's score interval at 95% (E. B. Wilson, 1927), as shares.
-pub fn interval(hits: usize, of: usize) -> (f64, f64) {
-    if of == 0 {
+/// Returns the Wilson score interval at 95% (E. B. Wilson, 1927) of a share, or `(0.0, 1.0)` if `total` is 0.
+pub fn wilson_interval(hits: usize, total: usize) -> (f64, f64) {
+    if total == 0 {
         return (0.0, 1.0);
     }
-    let (n, quantile) = (of as f64, NORMAL_QUANTILE);
+    let (n, quantile) = (total as f64, NORMAL_QUANTILE_95);
     let share = hits as f64 / n;
-    let middle = share + quantile * quantile / (2.0 * n);
-    let off = quantile * (share * (1.0 - share) / n + quantile * quantile / (4.0 * n * n)).sqrt();
-    ((middle - off) / (1.0 + quantile * quantile / n), (middle + off) / (1.0 + quantile * quantile / n))
+    let center = share + quantile * quantile / (2.0 * n);
+    let half_width = quantile * (share * (1.0 - share) / n + quantile * quantile / (4.0 * n * n)).sqrt();
+    (
+        (center - half_width) / (1.0 + quantile * quantile / n),
+        (center + half_width) / (1.0 + quantile * quantile / n),
+    )
 }
 
-/// A histogram of times, to the microsecond, up to a minute. Empty if it can not be made.
-struct Times(Option<Histogram<u64>>);
+/// A histogram of times in microseconds, up to one minute, with three significant digits. It is empty if it can not be created.
+struct TimeHistogram(Option<Histogram<u64>>);
 
-impl Times {
+impl TimeHistogram {
     fn new() -> Self {
-        Self(Histogram::new_with_bounds(1, LONGEST_TIME_US, 3).ok())
+        Self(Histogram::new_with_bounds(1, MAX_RECORDED_TIME_US, 3).ok())
     }
 
     fn record_us(&mut self, time_us: u64) {
@@ -97,21 +101,22 @@
     }
 }
 
-/// 99th percentile of some times, in milliseconds.
+/// Returns the 99th percentile of `times`, in milliseconds.
 pub fn p99_ms(times: &[Duration]) -> f64 {
-    let mut all = Times::new();
+    let mut all = TimeHistogram::new();
     times.iter().for_each(|time| all.record_us(time.as_micros() as u64));
     all.quantile_ms(0.99)
 }
 
-/// The figures of those requests that `which` picks.
-pub fn group(plan: &Plan, results: &[RequestResult], which: impl Fn(&Arrival) -> bool) -> Group {
+/// Summarizes the requests that `which` selects. Requests that the client cancelled are left out.
+pub fn summarize_group(plan: &Plan, results: &[RequestResult], which: impl Fn(&Arrival) -> bool) -> Group {
     let mut group = Group::default();
-    let (mut latencies, mut rejections) = (Times::new(), Times::new());
+    let (mut latencies, mut rejections) = (TimeHistogram::new(), TimeHistogram::new());
     for result in results {
         let arrival = &plan.arrivals[result.arrival];
         if !which(arrival) || result.outcome == Outcome::Cancelled {
-            continue; // A client that cancels is owed no answer.
+            // A client that cancels does not expect an answer.
+            continue;
         }
         let work = arrival.work * f64::from(arrival.slots);
         group.requests += 1;
@@ -141,65 +146,65 @@
     group
 }
 
-/// The figures of one or more runs.
+/// The summary of one or more runs.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// Share of the large jobs in time.
+    /// Share of the large jobs that were served in time.
     pub large_in_time: f64,
-    /// The same of the small ones.
+    /// Share of the small jobs that were served in time.
     pub small_in_time: f64,
     /// Number of large jobs.
     pub large_asked: usize,
     /// Number of small jobs.
     pub small_asked: usize,
-    /// 95% interval of the share of large jobs in time.
+    /// 95% interval of the share of large jobs served in time.
     pub large_interval: (f64, f64),
-    /// The same of the small ones.
+    /// 95% interval of the share of small jobs served in time.
     pub small_interval: (f64, f64),
-    /// Work of requests in time, in seconds of slots.
+    /// Work of the requests that were served in time, in slot seconds at speed 1.
     pub work_in_time: f64,
-    /// Rules broken.
+    /// Number of violations.
     pub rules_broken: usize,
-    /// All figures of the large jobs.
+    /// Results of the large jobs.
     pub large: Group,
-    /// All figures of the small jobs.
+    /// Results of the small jobs.
     pub small: Group,
-    /// Large jobs by the slots they take.
+    /// Results of the large jobs, by the number of slots that they take.
     pub large_by_slots: BTreeMap<u32, Group>,
-    /// CPU of the dispatchers for each request served, in microseconds.
+    /// CPU time of the dispatchers per served request, in microseconds.
     pub cpu_us: f64,
-    /// The first violations.
+    /// The first ten violations.
     pub broken: Vec<Violation>,
 }
 
 impl Summary {
-    /// Sums up several runs as one. `cpu`: seconds of the dispatchers.
-    pub fn of(runs: &[(&Plan, &[RequestResult])], broken: &[Violation], cpu: f64) -> Self {
+    /// Aggregates several runs. `cpu_s` is the CPU time of all dispatchers in these runs, in seconds.
+    pub fn aggregate(runs: &[(&Plan, &[RequestResult])], violations: &[Violation], cpu_s: f64) -> Self {
         let mut groups = [Group::default(), Group::default()];
         let mut large_by_slots: BTreeMap<u32, Group> = BTreeMap::new();
         for (plan, results) in runs {
             for (sum, large) in groups.iter_mut().zip([true, false]) {
-                sum.add(&group(plan, results, |arrival| arrival.large == large));
+                sum.add(&summarize_group(plan, results, |arrival| arrival.large == large));
             }
             for slots in [1, 2, 4] {
-                let part = group(plan, results, |arrival| arrival.large && arrival.slots == slots);
+                let part = summarize_group(plan, results, |arrival| arrival.large && arrival.slots == slots);
                 large_by_slots.entry(slots).or_default().add(&part);
             }
         }
         let [large, small] = groups;
         let served = large.in_time + large.late + small.in_time + small.late;
         Self {
-            large_in_time: large.share(),
-            small_in_time: small.share(),
+            large_in_time: large.in_time_share(),
+            small_in_time: small.in_time_share(),
             large_asked: large.requests,
             small_asked: small.requests,
-            large_interval: interval(large.in_time, large.requests),
-            small_interval: interval(small.in_time, small.requests),
+            large_interval: wilson_interval(large.in_time, large.requests),
+            small_interval: wilson_interval(small.in_time, small.requests),
             work_in_time: large.work_in_time + small.work_in_time,
-            rules_broken: broken.len(),
+            rules_broken: violations.len(),
             large_by_slots,
-            cpu_us: cpu * 1e6 / served.max(1) as f64,
-            broken: broken.iter().take(10).cloned().collect(),
+            cpu_us: cpu_s * 1e6 / served.max(1) as f64,
+            broken: violations.iter().take(10).cloned().collect(),
             large,
             small,
         }
--- a/crates/pebblepost-harness/src/reservations.rs
+++ b/crates/pebblepost-harness/src/reservations.rs
@@ -1,73 +1,78 @@
-//! Measures the reservation of capacity for large jobs: the mixed run with reservations on and off, on the same arrivals, at
-//! several loads.
+//! Measures the effect of reservations of capacity for large jobs: executes the mixed run with reservations on and off, with the
+//! same arrivals, at several loads.
 
 use crate::report::Summary;
-use crate::run::{Played, Run};
+use crate::run::{Run, RunResult};
 use crate::workload::spec::RunSpec;
 use anyhow::Result;
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::path::Path;
 
-/// Loads that are played by default, as shares of the workers' capacity.
-pub const LOADS: [f64; 2] = [0.65, 0.9];
+/// Loads that are measured by default, as shares of the workers' capacity.
+pub const DEFAULT_LOADS: [f64; 2] = [0.65, 0.9];
 
-/// One load, with reservations on and off.
+/// The results at one load, with reservations on and off.
 #[derive(Serialize)]
-pub struct AtLoad {
-    /// The load.
+pub struct LoadComparison {
+    /// The load, as a share of the workers' capacity.
     pub load: f64,
     /// With reservations.
     pub on: Summary,
-    /// Without them.
+    /// Without reservations.
     pub off: Summary,
 }
 
-/// All loads: their sum with reservations on, the same with them off, and each by itself.
+/// The results of all loads together and of each load.
 #[derive(Serialize)]
 pub struct Report {
-    /// The sum, with reservations.
+    /// All loads together, with reservations.
     #[serde(flatten)]
     pub on: Summary,
-    /// The sum, without them.
+    /// All loads together, without reservations.
     pub off: Summary,
-    /// Each load.
-    pub loads: Vec<AtLoad>,
+    /// The results at each load.
+    pub loads: Vec<LoadComparison>,
 }
 
-/// The operator file that turns reservations on or off.
-pub fn operator(on: bool) -> Value {
+/// Returns the content of an operator file that turns reservations on or off.
+pub fn operator_file(on: bool) -> Value {
     json!({"settings": {"room": {"enabled": on}}})
 }
 
-fn summary(runs: &[&Played]) -> Summary {
-    let parts: Vec<_> = runs.iter().map(|played| (&*played.plan, played.results.as_slice())).collect();
-    let broken: Vec<_> = runs.iter().flat_map(|played| played.violations.iter().cloned()).collect();
-    Summary::of(&parts, &broken, runs.iter().map(|played| played.cpu_s).sum())
+fn summary(runs: &[&RunResult]) -> Summary {
+    let parts: Vec<_> =
+        runs.iter().map(|run_result| (&*run_result.plan, run_result.results.as_slice())).collect();
+    let broken: Vec<_> = runs.iter().flat_map(|run_result| run_result.violations.iter().cloned()).collect();
+    Summary::aggregate(&parts, &broken, runs.iter().map(|run_result| run_result.cpu_s).sum())
 }
 
-/// Plays `run_spec` at each load, with reservations on and off. All run at the same time, each with workers of its own, so that
-/// whatever else the machine does affects all.
+/// Executes `run_spec` at each load, with reservations on and off.
+///
+/// All runs are concurrent, each with its own workers, so that other load on the machine affects all of them equally.
 ///
 /// # Errors
 ///
-/// If the spec can not be drawn, or a process does not start.
+/// Returns an error if a plan can not be drawn or a process does not start.
 pub async fn measure(run_spec: &RunSpec, loads: &[f64], seed: u64, program: &Path) -> Result<Report> {
-    let (on_file, off_file) = (operator(true), operator(false));
+    let (on_file, off_file) = (operator_file(true), operator_file(false));
     let (mut on, mut off) = (Vec::new(), Vec::new());
     let run_specs: Vec<_> = loads.iter().map(|load| RunSpec { load: *load, ..run_spec.clone() }).collect();
     let run = |run_spec, operator| async move {
-        Run { run_spec, seed, program, operator, supervisor: None }.play().await
+        Run { run_spec, seed, program, operator, supervisor: None }.execute().await
     };
     let both =
         run_specs.iter().map(|spec| async { tokio::try_join!(run(spec, &on_file), run(spec, &off_file)) });
-    for played in futures_util::future::try_join_all(both).await? {
-        on.push(played.0);
-        off.push(played.1);
+    for (with_reservations, without_reservations) in futures_util::future::try_join_all(both).await? {
+        on.push(with_reservations);
+        off.push(without_reservations);
     }
-    let at =
-        |(i, load): (usize, &f64)| AtLoad { load: *load, on: summary(&[&on[i]]), off: summary(&[&off[i]]) };
-    let all = |runs: &[Played]| summary(&runs.iter().collect::<Vec<_>>());
+    let at = |(i, load): (usize, &f64)| LoadComparison {
+        load: *load,
+        on: summary(&[&on[i]]),
+        off: summary(&[&off[i]]),
+    };
+    let all = |runs: &[RunResult]| summary(&runs.iter().collect::<Vec<_>>());
     Ok(Report { on: all(&on), off: all(&off), loads: loads.iter().enumerate().map(at).collect() })
 }
 
@@ -87,7 +92,7 @@
     )
 }
 
-/// The report as a table.
+/// Formats the report as a table.
 pub fn table(report: &Report) -> String {
     let mut lines = vec![format!(
         "{:<12} {:>24} {:>24} {:>8} {:>8} {:>7} {:>7} {:>7} {:>6} {:>6}",
@@ -110,9 +115,10 @@
     lines.push(row("all off", &report.off));
     for (name, figures) in [("on", &report.on), ("off", &report.off)] {
         for (slots, group) in &figures.large_by_slots {
-            let (share, retried) = (group.share(), group.attempts as f64 / group.requests.max(1) as f64);
+            let (share, mean_attempts) =
+                (group.in_time_share(), group.attempts as f64 / group.requests.max(1) as f64);
             lines.push(format!(
-                "{name}: large of {slots} slots: {share:.3} of {} in time, {retried:.2} attempts",
+                "{name}: large of {slots} slots: {share:.3} of {} in time, {mean_attempts:.2} attempts",
                 group.requests
             ));
         }
--- a/crates/pebblepost-harness/src/store/client_impact.rs
+++ b/crates/pebblepost-harness/src/store/client_impact.rs
@@ -6,7 +6,7 @@
 use crate::clients::Outcome;
 use crate::fault::schedule::{Fault, FaultKind};
 use crate::quantile::{median, quantile};
-use crate::run::{Played, Run};
+use crate::run::{Run, RunResult};
 use crate::workload::spec::RunSpec;
 use anyhow::Result;
 use serde::Serialize;
@@ -61,7 +61,7 @@
     pub changes_per_s: f64,
 }
 
-fn side(played: &Played) -> Side {
+fn side(played: &RunResult) -> Side {
     let latencies_ms: Vec<f64> = played
         .results
         .iter()
@@ -144,7 +144,7 @@
         let run_spec = RunSpec { fault_rate: 0.0, ..RunSpec::mixed(seconds, 0.6) };
         let play = async |operator: &Value| {
             let run = Run { run_spec: &run_spec, seed, program, operator, supervisor: None };
-            anyhow::Ok(side(&run.play().await?))
+            anyhow::Ok(side(&run.execute().await?))
         };
         self.without.push(play(&json!({})).await?);
         let folder =
--- a/crates/pebblepost-harness/src/store/run.rs
+++ b/crates/pebblepost-harness/src/store/run.rs
@@ -84,7 +84,7 @@
         operator: &operator,
         supervisor: None,
     };
-    let played = run.play().await?;
+    let played = run.execute().await?;
     let served = played.results.iter().filter(|result| matches!(result.outcome, Outcome::Served(_))).count();
     let violations =
         played.violations.iter().map(|violation| format!("{:?}: {}", violation.rule, violation.what));
--- a/crates/pebblepost-harness/src/supervisor/defect.rs
+++ b/crates/pebblepost-harness/src/supervisor/defect.rs
@@ -1,32 +1,32 @@
-//! Defective versions of the dispatchers' program, by how their names begin.
+//! Simulated defects of versions of the dispatchers' program. The prefix of a version's name selects its defect.
 
 use std::time::Duration;
 
-/// A version that crashes does so this long after each of its starts.
-pub(super) const CRASHES_AFTER: Duration = Duration::from_secs(2);
+/// Time after each start at which a version with [`VersionDefect::Crashes`] crashes.
+pub(super) const CRASH_DELAY: Duration = Duration::from_secs(2);
 
-/// What is wrong with a version.
+/// A defect of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionDefect {
-    /// `crashes`: it crashes soon after each of its starts.
+    /// The program crashes soon after each start. Prefix `crashes`.
     Crashes,
-    /// `refuses`: its configuration makes it refuse a good part of what it could serve.
-    Refuses,
+    /// The configuration makes the program reject a large part of the requests that it could serve. Prefix `refuses`.
+    RejectsRequests,
 }
 
 impl VersionDefect {
-    /// All of them.
-    pub const ALL: [Self; 2] = [Self::Crashes, Self::Refuses];
+    /// All defects.
+    pub const ALL: [Self; 2] = [Self::Crashes, Self::RejectsRequests];
 
-    /// How the names of versions with it begin.
+    /// Returns the prefix of the names of versions with this defect.
     pub fn name(self) -> &'static str {
         match self {
             Self::Crashes => "crashes",
-            Self::Refuses => "refuses",
+            Self::RejectsRequests => "refuses",
         }
     }
 
-    /// The defect of a version; `None`: it has none.
+    /// Returns the defect of a version, or `None` if it has none.
     pub fn of(version: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|defect| version.starts_with(defect.name()))
     }
--- a/crates/pebblepost-harness/src/supervisor/outage.rs
+++ b/crates/pebblepost-harness/src/supervisor/outage.rs
@@ -1,28 +1,31 @@
-//! Outages of dispatchers, as seen from outside.
+//! Outages of dispatchers, as observed from outside.
 
-/// How an outage began.
+/// The cause of an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageCause {
-    /// It ended by itself without an error, as a program does that has a permit.
+    /// The dispatcher exited on its own without an error, as it does when it has a permit to restart.
     Voluntary,
-    /// By an injected fault.
+    /// A fault was injected.
     Injected,
-    /// It ran, and was not ready.
+    /// The dispatcher was running but not ready.
     NotReady,
-    /// It ended by itself with an error.
+    /// The dispatcher exited on its own with an error.
     Crash,
 }
 
-/// One dispatcher was certainly out: from its first answer that was not that of a ready one to the last poll that did not find
-/// it ready. When it became ready between that poll and the next is not seen; the next dispatcher may go by then.
+/// A period in which one dispatcher was certainly not ready.
+///
+/// It extends from the first poll that did not find the dispatcher ready to the last. The dispatcher becomes ready at an unknown
+/// time between that last poll and the next, and from then on another dispatcher may be taken out, so this interval is not part
+/// of the outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outage {
-    /// Which.
+    /// Index of the dispatcher.
     pub dispatcher: usize,
-    /// From when, in seconds of the log.
+    /// Start of the outage, in seconds since the start of the log.
     pub from: f64,
-    /// Until when.
+    /// End of the outage, in seconds since the start of the log.
     pub to: f64,
-    /// How it began.
+    /// The cause of the outage.
     pub cause: OutageCause,
 }
--- a/crates/pebblepost-harness/src/worker/http.rs
+++ b/crates/pebblepost-harness/src/worker/http.rs
@@ -1,11 +1,11 @@
-//! The wire protocol of a simulated worker: HTTP/1.1 as the platform's transcribers speak it, a job's answer as a stream of
-//! JSON lines.
+//! The wire protocol of a simulated worker: the HTTP/1.1 protocol of the platform's transcribers. The response to a job is a
+//! stream of JSON lines.
 
 use super::model::Admission;
 use super::pool::WorkerPool;
-use super::simulated::{JobUpdate, Mode, SimulatedWorker};
-use crate::attempt_id::arrival_of;
-use crate::checker::rules::result_for;
+use super::simulated::{ConnectionMode, JobUpdate, SimulatedWorker};
+use crate::attempt_id::arrival_index;
+use crate::checker::rules::result_body;
 use crate::event_log::{AttemptEnd, Event};
 use crate::sync::lock;
 use bytes::Bytes;
@@ -23,20 +23,20 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::UnboundedReceiverStream;
 
-/// Work of a load report, in seconds: the middle of what the site states.
+/// Work of a load report, in seconds at speed 1: the middle of the range that the site specifies.
 const LOAD_REPORT_WORK_S: f64 = 0.000_034;
-/// Work of a new connection, in seconds: the middle of what the site states.
+/// Work of a new connection, in seconds at speed 1: the middle of the range that the site specifies.
 const CONNECTION_WORK_S: f64 = 0.002;
-/// A running job reports its progress this often.
+/// Interval between two progress updates of a running job.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The body of a simulated service's response.
+/// The response body of a simulated service.
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// A piece of a streamed body.
+/// A line of a streamed response body.
 pub type StreamedLine = Result<Frame<Bytes>, Infallible>;
 
-/// A response with a body that is complete.
+/// Builds a response whose body is not streamed.
 pub fn complete_response(status: u16, headers: &[(&'static str, &str)], body: String) -> Response<Body> {
     let mut builder = Response::builder().status(status);
     for (name, value) in headers {
@@ -49,12 +49,13 @@
     complete_response(status, &[], String::new())
 }
 
-/// Opens every worker to one more dispatcher, at an address of its own, so that the log can tell who sent what. Returns the
-/// addresses in the order of the workers.
+/// Opens a listener at every worker for one more dispatcher and returns the addresses in the order of the workers.
+///
+/// Each dispatcher has its own address at each worker, so that the log can name the dispatcher that sent an attempt.
 ///
 /// # Errors
 ///
-/// If no listener can be bound.
+/// Returns an error if a listener can not be bound.
 pub async fn listen(pool: &Arc<WorkerPool>, dispatcher: usize) -> std::io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
     for worker in pool.workers() {
@@ -65,7 +66,7 @@
     Ok(addresses)
 }
 
-/// Serves the connections of one dispatcher to one worker.
+/// Accepts and serves the connections from one dispatcher to one worker.
 async fn accept_connections(
     pool: Arc<WorkerPool>, worker: Arc<SimulatedWorker>, dispatcher: usize, listener: TcpListener,
 ) {
@@ -77,16 +78,16 @@
 async fn serve_connection(
     pool: Arc<WorkerPool>, worker: Arc<SimulatedWorker>, dispatcher: usize, stream: TcpStream,
 ) {
-    // A worker that crashes resets its connections.
+    // With a linger time of zero a dropped connection is reset, as after a crash.
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     let _ = stream.set_nodelay(true);
     let mut connections = worker.connections.subscribe();
     let initial = *connections.borrow_and_update();
     match initial.mode {
-        Mode::Down => return,
-        // On a real network it would not come up: no handshake.
-        Mode::Silent => {}
-        Mode::Up => {
+        ConnectionMode::Down => return,
+        // A silent worker on a real network would not complete the handshake, so the connection is not counted.
+        ConnectionMode::Silent => {}
+        ConnectionMode::Up => {
             let mut state = lock(&worker.state);
             state.model.add_overhead(dispatcher, CONNECTION_WORK_S);
             state.connection_opened();
@@ -103,9 +104,9 @@
         hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
         _ = connection => {}
-        _ = connections.wait_for(|now| now.mode == Mode::Down || now.resets != initial.resets) => {}
+        _ = connections.wait_for(|now| now.mode == ConnectionMode::Down || now.resets != initial.resets) => {}
     }
-    if initial.mode == Mode::Up {
+    if initial.mode == ConnectionMode::Up {
         lock(&worker.state).connection_closed();
     }
 }
@@ -113,7 +114,7 @@
 async fn answer(
     pool: Arc<WorkerPool>, worker: Arc<SimulatedWorker>, dispatcher: usize, request: Request<Incoming>,
 ) -> Response<Body> {
-    if worker.mode() == Mode::Silent {
+    if worker.mode() == ConnectionMode::Silent {
         std::future::pending::<()>().await;
     }
     let header = |name| {
@@ -130,7 +131,7 @@
     if request.into_body().collect().await.is_err() {
         return empty_response(400);
     }
-    let Some(arrival) = arrival_of(&txn).filter(|arrival| *arrival < pool.plan.arrivals.len()) else {
+    let Some(arrival) = arrival_index(&txn).filter(|arrival| *arrival < pool.plan.arrivals.len()) else {
         pool.log.append(Event::UnknownRequest { txn });
         return empty_response(400);
     };
@@ -143,11 +144,11 @@
     let mut state = lock(&worker.state);
     state.model.add_overhead(dispatcher, LOAD_REPORT_WORK_S);
     let report = state.report;
-    let body = json!({"util": report.utilization, "eps": report.errors, "x0": report.free_slots});
+    let body = json!({"util": report.utilization, "eps": report.failure_share, "x0": report.free_slots});
     complete_response(200, &[("content-type", "application/json")], body.to_string())
 }
 
-/// Submits a job to the worker; the response is its stream of updates, or a rejection.
+/// Submits a job to the worker and returns the stream of its updates, or a rejection.
 fn submit(
     pool: Arc<WorkerPool>, worker: &SimulatedWorker, dispatcher: usize, txn: String, arrival: usize,
 ) -> Response<Body> {
@@ -172,12 +173,12 @@
     Response::new(StreamBody::new(UnboundedReceiverStream::new(body)).boxed())
 }
 
-/// A job whose updates are written to its response, and whose end is logged whether or not anyone listens.
+/// A job whose updates are written to its response. Its end is logged even if the response is no longer read.
 struct StreamedJob {
     pool: Arc<WorkerPool>,
     worker: usize,
     txn: String,
-    /// Its work, in seconds at speed 1.
+    /// Work of the attempt, in seconds at speed 1.
     work: f64,
     lines: mpsc::UnboundedSender<StreamedLine>,
 }
@@ -199,7 +200,7 @@
                 }
                 Ok(Some(JobUpdate::Done)) => {
                     self.log_end(AttemptEnd::Done);
-                    return self.send_line("done", json!({"result": result_for(&self.txn)}));
+                    return self.send_line("done", json!({"result": result_body(&self.txn)}));
                 }
                 Ok(Some(JobUpdate::Failed)) => {
                     self.log_end(AttemptEnd::Failed);
@@ -209,13 +210,14 @@
                     self.log_end(AttemptEnd::NotRun);
                     return self.send_line("returned", Value::Null);
                 }
-                // The worker crashed; its connections break on their own.
+                // The sender was dropped because the worker crashed. The crash also resets the connections, so no line is sent.
                 Ok(None) => return self.log_end(AttemptEnd::Failed),
             }
         }
     }
 
-    /// Logs the end. Called before the last line is sent: the dispatcher may be quicker than this task.
+    /// Logs the end of the attempt. It must be called before the last line is sent; otherwise the log could show the
+    /// dispatcher's answer before the end of the attempt.
     fn log_end(&self, end: AttemptEnd) {
         self.pool.log.append(Event::AttemptEnded { txn: self.txn.clone(), worker: self.worker, end });
     }
@@ -226,6 +228,7 @@
         if let (Some(line), Value::Object(extra)) = (line.as_object_mut(), extra) {
             line.extend(extra);
         }
+        // Sending fails if the dispatcher has closed the connection.
         let _ = self.lines.send(Ok(Frame::data(Bytes::from(format!("{line}\n")))));
     }
 }
--- a/crates/pebblepost-harness/src/worker/mod.rs
+++ b/crates/pebblepost-harness/src/worker/mod.rs
@@ -1,9 +1,9 @@
 //! Simulated workers.
 //!
-//! * [`model`]: the state of one, without I/O or clock
-//! * [`simulated`]: one in time: its faults, its load reports, its connections' state
-//! * [`http`]: the wire protocol of one
-//! * [`pool`]: all of them, and the clock that drives them
+//! * [`model`]: the state of a worker, without I/O or a clock
+//! * [`simulated`]: a worker with faults, load reports and the state of its connections
+//! * [`http`]: the wire protocol of a worker
+//! * [`pool`]: all workers of a run, and the clock that advances them
 
 pub mod http;
 pub mod model;
--- a/crates/pebblepost-harness/src/worker/model.rs
+++ b/crates/pebblepost-harness/src/worker/model.rs
@@ -1,40 +1,41 @@
-//! The state of a simulated worker, without I/O or clock: slots, queue, speed, slow start, cache and overload. The caller
-//! passes the time and gets back what has happened since.
+//! The state of a simulated worker, without I/O or a clock: slots, queue, speed, slow start, cache and overload. The caller
+//! passes the current time and receives the events since the last call.
 
 use crate::workload::spec::QueueOrder;
 use crate::workload::workers::WorkerSpec;
 use std::collections::VecDeque;
 
-/// A job at a worker, by the caller's number.
+/// The id of a job at a worker, chosen by the caller.
 pub type JobId = u64;
 
-/// A cold worker crashes if it is sent more than this multiple of its capacity within [`OVERLOAD_WINDOW_S`].
+/// A cold worker crashes if the work that it is sent within [`OVERLOAD_WINDOW_S`] exceeds this multiple of its capacity by more
+/// than a small tolerance.
 pub const OVERLOAD_FACTOR: f64 = 3.0;
-/// The window of that, in seconds.
+/// The window in which the work sent to a cold worker is summed, in seconds.
 pub const OVERLOAD_WINDOW_S: f64 = 3.0;
 
-/// Work that a cold worker takes beyond that: about one usual job.
-const OVERLOAD_TOLERANCE: f64 = 0.5;
-/// Share of the cores that overhead takes until it is done.
+/// Work that a cold worker accepts beyond [`OVERLOAD_FACTOR`], in seconds at speed 1: about one usual job.
+const OVERLOAD_TOLERANCE_S: f64 = 0.5;
+/// Share of the cores that overhead uses until it is completed.
 const OVERHEAD_SHARE: f64 = 0.5;
-/// Work that is left by rounding errors.
-const NO_WORK: f64 = 1e-9;
+/// Remaining work up to which a job counts as completed, in seconds: it allows for rounding errors.
+const WORK_EPSILON_S: f64 = 1e-9;
 
-/// What happened to a job.
+/// A change in the state of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobEvent {
-    /// It runs.
+    /// The job started to run.
     Started(JobId),
-    /// It is done.
+    /// The job is completed.
     Done(JobId),
 }
 
 /// Whether a job was admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs or is queued.
+    /// The job is queued and starts as soon as the queue order and the free slots allow it.
     Accepted,
-    /// Rejected: the queue is full, or the job needs more slots than the worker has.
+    /// The queue is full, or the job needs more slots than the worker has.
     Rejected,
 }
 
@@ -42,9 +43,11 @@
 struct Job {
     job_id: JobId,
     slots: u32,
-    /// Seconds of fetching left, and of work at speed 1.
+    /// Remaining time of its fetch from the shared store, in seconds at full speed.
     fetch: f64,
+    /// Remaining work, in seconds at speed 1.
     work: f64,
+    /// Affinity key; 0 if it has none.
     key: u64,
 }
 
@@ -52,7 +55,7 @@
 #[derive(Debug)]
 pub struct WorkerModel {
     spec: WorkerSpec,
-    /// When it last started; `None`: long ago.
+    /// Time of the last restart; `None` if the worker has been warm from the beginning.
     started: Option<f64>,
     now: f64,
     running: Vec<Job>,
@@ -60,10 +63,11 @@
     /// Cached affinity keys, the most recently used at the end.
     cached_keys: VecDeque<u64>,
     fetch_s: f64,
-    /// Work of connections and load reports that is still to be done.
+    /// Remaining work of connections and load reports, in seconds at speed 1.
     overhead: f64,
-    /// Work sent while it was cold.
+    /// Work sent within the overload window while the worker was cold.
     sent: VecDeque<SentWork>,
+    /// Highest load since the last restart, as a multiple of the capacity in the overload window.
     peak_multiple: f64,
     cold_load_peak: Option<ColdLoad>,
     overloaded: bool,
@@ -72,38 +76,39 @@
 /// The load of a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// Slots that no job holds.
+    /// Number of free slots.
     pub free_slots: u32,
-    /// Share of the cores in use.
+    /// Share of the cores in use, at most 1.
     pub utilization: f64,
-    /// Jobs in the queue.
+    /// Number of jobs in the queue.
     pub queued: usize,
 }
 
 /// Work that a worker was sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SentWork {
-    /// When, in seconds.
+    /// Time at which it was sent, in seconds since the start of the log.
     pub at: f64,
-    /// How much, in seconds at speed 1.
+    /// Amount of work, in seconds at speed 1.
     pub work: f64,
-    /// By which dispatcher.
+    /// Index of the dispatcher that sent it.
     pub dispatcher: usize,
 }
 
-/// The load on a cold worker at the moment that it was the highest since its start.
+/// The load on a cold worker when it reached a new maximum since the worker's start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ColdLoad {
-    /// When it had started, in seconds.
+    /// Time of the worker's start, in seconds since the start of the log.
     pub since: f64,
-    /// Work that it could do in [`OVERLOAD_WINDOW_S`] at its speed of that moment.
+    /// Work that it can do in [`OVERLOAD_WINDOW_S`] at its current speed, in seconds at speed 1.
     pub capacity_in_window: f64,
-    /// Work sent within [`OVERLOAD_WINDOW_S`].
+    /// Work that was sent within [`OVERLOAD_WINDOW_S`].
     pub sent: Vec<SentWork>,
 }
 
 impl WorkerModel {
-    /// A warm idle worker. `fetch_s`: seconds that it takes to fetch what a key that is not cached needs.
+    /// Creates a warm, idle worker. `fetch_s` is the time, in seconds, of a fetch from the shared store at full speed; a job with
+    /// an affinity key that is not cached needs one.
     pub fn new(spec: WorkerSpec, fetch_s: f64) -> Self {
         Self {
             spec,
@@ -121,7 +126,7 @@
         }
     }
 
-    /// Restarts, cold and empty. Returns the jobs that are lost.
+    /// Restarts the worker, cold and without jobs. Returns the jobs that were lost.
     pub fn restart(&mut self, now: f64) -> Vec<JobId> {
         let lost = self.running.drain(..).chain(self.queue.drain(..)).map(|job| job.job_id).collect();
         (self.started, self.now, self.overhead, self.overloaded) = (Some(now), now, 0.0, false);
@@ -131,34 +136,35 @@
         lost
     }
 
-    /// Returns the jobs that do not run yet.
+    /// Removes the jobs that have not started from the queue and returns them.
     pub fn return_queued(&mut self) -> Vec<JobId> {
         self.queue.drain(..).map(|job| job.job_id).collect()
     }
 
-    /// What it was made from.
+    /// Returns the specification of the worker.
     pub fn spec(&self) -> &WorkerSpec {
         &self.spec
     }
 
-    /// Share of its capacity that it has now.
+    /// Returns the current share of the full capacity. It rises linearly to 1 during slow start.
     pub fn slow_start_factor(&self) -> f64 {
         let Some(start) = self.started else { return 1.0 };
         let part = (self.now - start) / self.spec.slow_start_s;
         (self.spec.cold_capacity + (1.0 - self.spec.cold_capacity) * part).min(1.0)
     }
 
-    /// Work that it can do in a second, at this moment.
+    /// Returns the work that the worker can currently do per second, in seconds at speed 1.
     pub fn capacity(&self) -> f64 {
         f64::from(self.spec.cores.min(self.spec.slots)) * self.spec.speed * self.slow_start_factor()
     }
 
-    /// The highest load since its start, if it has risen since this was called last.
+    /// Takes the load of the latest maximum since the start, if there was a new one since the last call.
     pub fn take_cold_load_peak(&mut self) -> Option<ColdLoad> {
         self.cold_load_peak.take()
     }
 
-    /// Set once it was overloaded while cold: when it had started, and the work sent by each dispatcher.
+    /// Returns the time of its start and the work sent within the overload window, with the dispatcher that sent it, if the
+    /// worker was overloaded while cold; `None` otherwise.
     pub fn overload(&self) -> Option<(f64, Vec<(usize, f64)>)> {
         let since = self.started.filter(|_| self.overloaded)?;
         Some((since, self.sent.iter().map(|sent| (sent.dispatcher, sent.work)).collect()))
@@ -168,7 +174,7 @@
         self.running.iter().map(|job| job.slots).sum()
     }
 
-    /// Its load now.
+    /// Returns the current load.
     pub fn load(&self) -> Load {
         let used = self.slots_in_use();
         Load {
@@ -178,18 +184,18 @@
         }
     }
 
-    /// Jobs that fetch from the shared store now.
+    /// Returns the number of jobs that are currently fetching from the shared store.
     pub fn fetching(&self) -> usize {
         self.running.iter().filter(|job| job.fetch > 0.0).count()
     }
 
-    /// Adds work that is no job: a new connection, a load report.
-    pub fn add_overhead(&mut self, from: usize, seconds: f64) {
-        self.overhead += seconds;
-        self.record_cold_load(from, seconds);
+    /// Adds the work of a new connection or a load report of the dispatcher `from`, in seconds at speed 1.
+    pub fn add_overhead(&mut self, from: usize, work_s: f64) {
+        self.overhead += work_s;
+        self.record_cold_load(from, work_s);
     }
 
-    /// Counts work against the capacity of a cold worker, whether or not it is admitted.
+    /// Counts work of the dispatcher `from` against the capacity of a cold worker, whether or not it is admitted.
     fn record_cold_load(&mut self, from: usize, work: f64) {
         if self.slow_start_factor() >= 1.0 {
             return self.sent.clear();
@@ -206,11 +212,12 @@
             self.cold_load_peak =
                 Some(ColdLoad { since, capacity_in_window, sent: self.sent.iter().copied().collect() });
         }
-        let limit = OVERLOAD_FACTOR * OVERLOAD_WINDOW_S * self.capacity() + OVERLOAD_TOLERANCE;
+        let limit = OVERLOAD_FACTOR * OVERLOAD_WINDOW_S * self.capacity() + OVERLOAD_TOLERANCE_S;
         self.overloaded |= total > limit;
     }
 
-    /// Admits a job of the dispatcher `from`, if there is capacity for it.
+    /// Admits a job of the dispatcher `from` to the queue, if there is capacity for it. `work` is in seconds at speed 1 while the
+    /// job holds its slots; `key` is its affinity key, 0 if it has none.
     pub fn submit(&mut self, from: usize, job_id: JobId, slots: u32, work: f64, key: u64) -> Admission {
         let slots = slots.max(1);
         self.record_cold_load(from, work * f64::from(slots));
@@ -222,29 +229,32 @@
         Admission::Accepted
     }
 
-    /// Lets time pass until `now`. `store_share`: part of its full speed at which a fetch goes on. Appends what happened to
-    /// `events`, in its order.
-    pub fn advance(&mut self, now: f64, store_share: f64, events: &mut Vec<JobEvent>) {
-        let mut left = (now - self.now).max(0.0);
+    /// Advances the worker to the time `now` and appends the changes of its jobs to `events`, in their order.
+    ///
+    /// `fetch_speed` is the share of the full speed at which the shared store serves a fetch.
+    pub fn advance(&mut self, now: f64, fetch_speed: f64, events: &mut Vec<JobEvent>) {
+        let mut remaining_s = (now - self.now).max(0.0);
         self.start_queued(events);
-        while left > 0.0 && !self.running.is_empty() {
+        while remaining_s > 0.0 && !self.running.is_empty() {
             let used = f64::from(self.slots_in_use()).max(1.0);
-            let share = (f64::from(self.spec.cores) / used).min(1.0);
-            let free = if self.overhead > 0.0 { OVERHEAD_SHARE } else { 1.0 };
-            let speed = self.spec.speed * self.slow_start_factor() * share * free;
-            let ends = |job: &Job| {
-                if job.fetch > 0.0 { job.fetch / store_share.max(1e-6) } else { job.work / speed.max(1e-6) }
+            let core_share = (f64::from(self.spec.cores) / used).min(1.0);
+            let share_for_jobs = if self.overhead > 0.0 { OVERHEAD_SHARE } else { 1.0 };
+            let speed = self.spec.speed * self.slow_start_factor() * core_share * share_for_jobs;
+            let time_to_end = |job: &Job| {
+                if job.fetch > 0.0 { job.fetch / fetch_speed.max(1e-6) } else { job.work / speed.max(1e-6) }
             };
-            let step = self.running.iter().map(ends).fold(left, f64::min).max(1e-7).min(left);
+            let step =
+                self.running.iter().map(time_to_end).fold(remaining_s, f64::min).max(1e-7).min(remaining_s);
             for job in &mut self.running {
-                if job.fetch > 0.0 { job.fetch -= step * store_share } else { job.work -= step * speed }
+                if job.fetch > 0.0 { job.fetch -= step * fetch_speed } else { job.work -= step * speed }
             }
             self.overhead = (self.overhead - step * OVERHEAD_SHARE * self.capacity()).max(0.0);
             self.now += step;
-            left -= step;
-            let done = |job: &Job| job.fetch <= NO_WORK && job.work <= NO_WORK;
-            events.extend(self.running.iter().filter(|job| done(job)).map(|job| JobEvent::Done(job.job_id)));
-            self.running.retain(|job| !done(job));
+            remaining_s -= step;
+            let is_done = |job: &Job| job.fetch <= WORK_EPSILON_S && job.work <= WORK_EPSILON_S;
+            events
+                .extend(self.running.iter().filter(|job| is_done(job)).map(|job| JobEvent::Done(job.job_id)));
+            self.running.retain(|job| !is_done(job));
             self.start_queued(events);
         }
         if self.running.is_empty() {
@@ -253,7 +263,7 @@
         self.now = now.max(self.now);
     }
 
-    /// Starts what fits, by the order of the queue.
+    /// Starts the queued jobs that fit in the free slots, in the order that the queue's policy gives.
     fn start_queued(&mut self, events: &mut Vec<JobEvent>) {
         loop {
             let free = self.spec.slots.saturating_sub(self.slots_in_use());
--- a/crates/pebblepost-harness/src/worker/pool.rs
+++ b/crates/pebblepost-harness/src/worker/pool.rs
@@ -1,6 +1,6 @@
-//! All simulated workers of a run, and the clock that drives them.
+//! All simulated workers of a run, and the clock that advances them.
 
-use super::simulated::{AvailabilityChanges, ConnectionCounts, Mode, SimulatedWorker};
+use super::simulated::{AvailabilityChanges, ConnectionCounts, ConnectionMode, SimulatedWorker};
 use crate::event_log::EventLog;
 use crate::sync::lock;
 use crate::workload::plan::Plan;
@@ -10,23 +10,24 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// The workers are advanced this often.
-const TICK: Duration = Duration::from_millis(1);
+/// Interval at which the workers are advanced.
+const TICK_INTERVAL: Duration = Duration::from_millis(1);
 
-/// All workers of a run.
+/// All simulated workers of a run.
 pub struct WorkerPool {
     pub(super) plan: Arc<Plan>,
     pub(super) log: Arc<EventLog>,
     workers: Vec<Arc<SimulatedWorker>>,
     job_ids: AtomicU64,
-    /// Attempts of each arrival so far: the work of each differs a little.
+    /// Number of attempts of each arrival so far. It selects the factor by which the work of the next attempt differs.
     attempts: Vec<AtomicUsize>,
-    /// Where discovery learns of changes, later.
+    /// Sends changes of availability to discovery, which publishes them with a delay.
     changes: AvailabilityChanges,
 }
 
 impl WorkerPool {
-    /// The workers of a plan, not driven yet. Their changes of availability go to `changes`.
+    /// Creates the workers of a plan, which send changes of their availability to `changes`. They make no progress until
+    /// [`Self::drive`] is polled.
     pub fn new(plan: Arc<Plan>, log: Arc<EventLog>, changes: AvailabilityChanges) -> Arc<Self> {
         let specs = plan.workers.iter().enumerate();
         let workers = specs
@@ -36,23 +37,23 @@
         Arc::new(Self { plan, log, workers, job_ids: AtomicU64::new(0), attempts, changes })
     }
 
-    /// Connections so far.
+    /// Returns the counts of the connections to all workers so far.
     pub fn connection_counts(&self) -> ConnectionCounts {
         let counts = self.workers.iter().map(|worker| worker.connection_counts());
-        counts.fold(ConnectionCounts::default(), ConnectionCounts::with)
+        counts.fold(ConnectionCounts::default(), ConnectionCounts::merge)
     }
 
-    /// The workers, in the order of the plan.
+    /// Returns the workers, in the order of the plan.
     pub(super) fn workers(&self) -> &[Arc<SimulatedWorker>] {
         &self.workers
     }
 
-    /// Advances the workers and injects the plan's faults, for as long as it is polled.
+    /// Advances the workers and injects the faults of the plan for as long as it is polled. It never returns.
     pub async fn drive(self: Arc<Self>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
         let mut pending: VecDeque<_> = self.plan.worker_faults.iter().copied().collect();
-        // Faults that last, with the time of their end.
+        // Active faults: the time of their end, the worker and the fault.
         let mut active: Vec<(f64, usize, WorkerFault)> = Vec::new();
         loop {
             ticks.tick().await;
@@ -75,17 +76,17 @@
     fn advance(&self, now: f64) {
         let fetching: usize = self.workers.iter().map(|worker| lock(&worker.state).model.fetching()).sum();
         let fetch_speed = (self.plan.store.full_speed_fetches / fetching.max(1) as f64).min(1.0);
-        for worker in self.workers.iter().filter(|worker| worker.mode() == Mode::Up) {
+        for worker in self.workers.iter().filter(|worker| worker.mode() == ConnectionMode::Up) {
             worker.advance(now, fetch_speed, &self.log);
         }
     }
 
-    /// An id for a job that was submitted.
+    /// Returns an id for a job that is submitted, unique in the run.
     pub(super) fn next_job_id(&self) -> u64 {
         self.job_ids.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// The work of the next attempt of an arrival, in seconds at speed 1.
+    /// Returns the work of the next attempt of an arrival, in seconds at speed 1.
     pub(super) fn next_attempt_work(&self, arrival: usize) -> f64 {
         let spec = &self.plan.arrivals[arrival];
         let attempt = self.attempts[arrival].fetch_add(1, Ordering::Relaxed);
--- a/crates/pebblepost-harness/src/worker/simulated.rs
+++ b/crates/pebblepost-harness/src/worker/simulated.rs
@@ -1,5 +1,5 @@
-//! One simulated worker in time: a [`WorkerModel`] with faults, load reports and the state of its connections. It does no
-//! I/O: its connections are served elsewhere.
+//! One simulated worker: a [`WorkerModel`] with faults, load reports and the state of its connections. It does no I/O; the
+//! module `http` serves its connections.
 
 use super::model::{JobEvent, JobId, WorkerModel};
 use crate::event_log::{Availability, Event, EventLog};
@@ -14,54 +14,54 @@
 use std::sync::Mutex;
 use tokio::sync::{mpsc, watch};
 
-/// What the workers tell discovery: whose availability changed, and to what.
+/// The channel on which workers notify discovery of changes: the index of the worker and its new availability.
 pub type AvailabilityChanges = mpsc::UnboundedSender<(usize, Availability)>;
 
 /// How a worker treats its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Mode {
-    /// It serves them.
+pub(super) enum ConnectionMode {
+    /// Serves connections.
     Up,
-    /// It accepts them and answers nothing.
+    /// Accepts connections and answers no request.
     Silent,
-    /// It closes them.
+    /// Closes connections.
     Down,
 }
 
 /// The state of a worker's connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionState {
-    /// How new ones are treated.
-    pub(super) mode: Mode,
-    /// How often all were reset.
+    /// How new connections are treated.
+    pub(super) mode: ConnectionMode,
+    /// Number of times that all connections were reset.
     pub(super) resets: u32,
 }
 
-/// What a worker tells the connection of a job.
+/// An update of a job, sent to the connection that submitted it.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum JobUpdate {
-    /// It runs.
+    /// The job started to run.
     Started,
-    /// It is done.
+    /// The job is completed.
     Done,
-    /// It ran and failed.
+    /// The job ran and failed.
     Failed,
-    /// It goes back unstarted.
+    /// The worker returns the job, which has not started.
     Returned,
 }
 
-/// Connections of a pool's workers.
+/// Counts of connections to workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ConnectionCounts {
-    /// New connections.
+    /// Number of connections that were opened.
     pub handshakes: u64,
-    /// Most connections open at one worker at a time.
+    /// Maximum number of connections that were open at one worker at the same time.
     pub worst_worker_connections: usize,
 }
 
 impl ConnectionCounts {
-    /// Sum of the handshakes, maximum of the connections.
-    pub fn with(self, other: Self) -> Self {
+    /// Combines two counts: the sum of the handshakes and the maximum of the open connections.
+    pub fn merge(self, other: Self) -> Self {
         Self {
             handshakes: self.handshakes + other.handshakes,
             worst_worker_connections: self.worst_worker_connections.max(other.worst_worker_connections),
@@ -69,23 +69,24 @@
     }
 }
 
-/// What a worker reports of its load.
+/// A worker's report of its load.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadReport {
     pub(super) free_slots: f64,
     /// Share of the cores in use.
     pub(super) utilization: f64,
-    pub(super) errors: f64,
+    /// Share of the jobs that fail.
+    pub(super) failure_share: f64,
 }
 
-/// The part of a worker behind its lock.
+/// The state of a worker that its lock protects.
 pub(super) struct WorkerState {
     pub(super) model: WorkerModel,
-    /// Where the updates of each job go.
+    /// The receiver of the updates of each job.
     pub(super) jobs: HashMap<JobId, mpsc::UnboundedSender<JobUpdate>>,
-    /// The report that is visible.
+    /// The report that load queries return.
     pub(super) report: LoadReport,
-    /// Reports that are not visible yet, with the time from which they are.
+    /// Reports that load queries do not return yet, each with the time from which they do.
     delayed_reports: VecDeque<(f64, LoadReport)>,
     report_refreshed_at: f64,
     /// Share of the jobs that fail.
@@ -102,7 +103,7 @@
         Self {
             model: WorkerModel::new(spec.clone(), fetch_s),
             jobs: HashMap::new(),
-            report: LoadReport { free_slots: f64::from(spec.slots), utilization: 0.0, errors: 0.0 },
+            report: LoadReport { free_slots: f64::from(spec.slots), utilization: 0.0, failure_share: 0.0 },
             delayed_reports: VecDeque::new(),
             report_refreshed_at: 0.0,
             failure_share: 0.0,
@@ -114,7 +115,8 @@
         }
     }
 
-    /// Tells the connections of the jobs what happened to them.
+    /// Sends updates to the connections of the jobs. A job that is completed fails instead with the probability
+    /// `failure_share`.
     fn send_updates(&mut self, events: Vec<JobEvent>) {
         for event in events {
             match event {
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Takes a new report when it is time, and makes visible those whose delay is over.
+    /// Creates a new report if the refresh interval has passed, and makes the reports visible whose delay has passed.
     fn refresh_report(&mut self, now: f64) {
         let spec = self.model.spec();
         let (refresh_s, delay_s, noise) = (spec.refresh_s, spec.delay_s, spec.noise);
@@ -145,7 +147,7 @@
             let report = LoadReport {
                 free_slots: free.max(0.0),
                 utilization: load.utilization,
-                errors: self.failure_share,
+                failure_share: self.failure_share,
             };
             self.delayed_reports.push_back((now + delay_s, report));
         }
@@ -154,39 +156,39 @@
         }
     }
 
-    /// A connection was opened.
+    /// Counts a connection that was opened.
     pub(super) fn connection_opened(&mut self) {
         self.handshakes += 1;
         self.open_connections += 1;
         self.most_open_connections = self.most_open_connections.max(self.open_connections);
     }
 
-    /// A connection that was counted as opened is closed.
+    /// Records that a connection is closed. It must have been counted by [`Self::connection_opened`].
     pub(super) fn connection_closed(&mut self) {
         self.open_connections -= 1;
     }
 }
 
-/// One worker.
+/// One simulated worker.
 pub(super) struct SimulatedWorker {
-    /// Its number in the plan.
+    /// Index in the plan.
     pub(super) number: usize,
     pub(super) state: Mutex<WorkerState>,
     pub(super) connections: watch::Sender<ConnectionState>,
 }
 
 impl SimulatedWorker {
-    /// A worker without work. `fetch_s`: how long it takes to fetch what a job needs.
+    /// Creates an idle worker. `fetch_s` is the time of a fetch from the shared store at full speed, in seconds.
     pub(super) fn new(number: usize, spec: &WorkerSpec, fetch_s: f64, plan_seed: u64) -> Self {
         let seed = plan_seed ^ (number as u64) << 32;
         Self {
             number,
             state: Mutex::new(WorkerState::new(spec, fetch_s, seed)),
-            connections: watch::Sender::new(ConnectionState { mode: Mode::Up, resets: 0 }),
+            connections: watch::Sender::new(ConnectionState { mode: ConnectionMode::Up, resets: 0 }),
         }
     }
 
-    pub(super) fn mode(&self) -> Mode {
+    pub(super) fn mode(&self) -> ConnectionMode {
         self.connections.borrow().mode
     }
 
@@ -198,7 +200,8 @@
         }
     }
 
-    /// Lets time pass. `fetch_speed`: part of its full speed at which the shared store serves a fetch.
+    /// Advances the worker to the time `now`. `fetch_speed` is the share of the full speed at which the shared store serves a
+    /// fetch.
     pub(super) fn advance(&self, now: f64, fetch_speed: f64, log: &EventLog) {
         let mut state = lock(&self.state);
         let mut events = Vec::new();
@@ -214,7 +217,7 @@
         state.refresh_report(now);
     }
 
-    /// All connections break, and all work is lost.
+    /// Crashes the worker: resets all its connections and loses all its jobs and reports.
     fn crash(&self, state: &mut WorkerState, now: f64) {
         state.model.restart(now);
         state.jobs.clear();
@@ -222,7 +225,7 @@
         self.connections.send_modify(|connections| connections.resets += 1);
     }
 
-    fn set_mode(&self, mode: Mode) {
+    fn set_mode(&self, mode: ConnectionMode) {
         self.connections.send_modify(|connections| connections.mode = mode);
     }
 
@@ -239,11 +242,11 @@
                 let _ = changes.send((self.number, Availability::Draining));
             }
             WorkerFault::Silent(_) => {
-                self.set_mode(Mode::Silent);
+                self.set_mode(ConnectionMode::Silent);
                 let _ = changes.send((self.number, Availability::Gone));
             }
             WorkerFault::Restart(_) => {
-                self.set_mode(Mode::Down);
+                self.set_mode(ConnectionMode::Down);
                 self.crash(&mut state, log.now());
             }
             WorkerFault::Errors { share, .. } => state.failure_share = share,
@@ -260,7 +263,7 @@
             }
             WorkerFault::Silent(_) | WorkerFault::Restart(_) => {
                 self.crash(&mut state, log.now());
-                self.set_mode(Mode::Up);
+                self.set_mode(ConnectionMode::Up);
                 let _ = changes.send((self.number, Availability::Ready { cold: true }));
             }
         }
--- a/crates/pebblepost-harness/src/workload/arrivals.rs
+++ b/crates/pebblepost-harness/src/workload/arrivals.rs
@@ -1,47 +1,48 @@
-//! The requests of a plan: a Poisson process of jobs whose sizes follow the spec.
+//! The requests of a plan: a Poisson process of jobs whose sizes are drawn by the spec.
 
 use super::error::PlanError;
-use super::random::{Part, stream};
+use super::random::{PlanPart, stream};
 use super::spec::RunSpec;
 use rand::{Rng, RngExt};
 use rand_distr::{Distribution, LogNormal, Zipf};
 use serde::Serialize;
 
-/// Sizes drawn to measure their mean.
-const SAMPLED_SIZES: u32 = 20_000;
-/// Distinct affinity keys.
-const KEYS: f64 = 60.0;
-/// Standard deviation of the logarithm of an attempt's work.
-const ATTEMPT_NOISE: f64 = 0.2;
+/// Number of job sizes that are drawn to estimate their mean.
+const JOB_SIZE_SAMPLES: u32 = 20_000;
+/// Number of distinct affinity keys.
+const AFFINITY_KEYS: f64 = 60.0;
+/// Standard deviation of the logarithm of the factor by which the work of an attempt differs from the job's work.
+const ATTEMPT_WORK_LOG_STD_DEV: f64 = 0.2;
 
 /// One client request.
 #[derive(Clone, Debug, Serialize)]
 pub struct Arrival {
-    /// When it comes, in seconds from the start.
+    /// Time of the arrival, in seconds since the start of the run.
     pub at: f64,
-    /// To which dispatcher.
+    /// Index of the dispatcher.
     pub dispatcher: usize,
-    /// Its work, in seconds at speed 1 while it holds its slots.
+    /// Work of the job, in seconds at speed 1 during which it holds its slots.
     pub work: f64,
-    /// Slots it takes.
+    /// Number of slots that the job takes.
     pub slots: u32,
-    /// It was drawn as a large one.
+    /// Whether it was drawn as a large job.
     pub large: bool,
-    /// The client's estimate of its work, in seconds.
+    /// The client's estimate of the work, in seconds; `None` if the client gives none.
     pub hint: Option<f64>,
-    /// Its affinity key; 0: none.
+    /// Affinity key; 0 if it has none.
     pub key: u64,
-    /// Factors of the work of each attempt.
+    /// Factors that the work is multiplied with, one for each attempt at a worker. They are reused from the start if there are
+    /// more attempts.
     pub noise: [f64; 12],
-    /// How often the client retries.
+    /// Maximum number of retries by the client.
     pub retries: u32,
     /// Pause before a retry, in seconds.
     pub backoff: f64,
-    /// The client disconnects after so many seconds, if it has no answer by then.
+    /// Time after which the client disconnects if it has no answer, in seconds; `None` if it waits until its deadline.
     pub cancels_after_s: Option<f64>,
 }
 
-/// What one job takes.
+/// The capacity that one job takes.
 struct JobSize {
     work: f64,
     slots: u32,
@@ -61,7 +62,8 @@
         Ok(Self { spec, usual })
     }
 
-    /// Each job draws the same number of values, so that the share of large ones changes no other draw.
+    /// Draws the size of one job. Every job draws the same number of random values, so that the share of large jobs does not
+    /// affect other draws.
     fn draw(&self, rng: &mut impl Rng) -> JobSize {
         let spec = self.spec;
         let large = rng.random_bool(spec.large_share);
@@ -82,16 +84,18 @@
         JobSize { work: (spec.work_s * multiple).min(spec.longest_work_s), slots, large }
     }
 
-    /// Mean work times slots. Measured: a closed form would not know the limit on the longest job.
+    /// Returns the mean product of work and slots. It is estimated from a sample, as a closed form would not account for the limit
+    /// on the longest job.
     fn mean_area(&self, seed: u64) -> f64 {
-        let mut rng = stream(seed, Part::JobSizeSample);
-        let sizes = (0..SAMPLED_SIZES).map(|_| self.draw(&mut rng));
+        let mut rng = stream(seed, PlanPart::JobSizeSample);
+        let sizes = (0..JOB_SIZE_SAMPLES).map(|_| self.draw(&mut rng));
         let area: f64 = sizes.map(|size| size.work * f64::from(size.slots)).sum();
-        area / f64::from(SAMPLED_SIZES)
+        area / f64::from(JOB_SIZE_SAMPLES)
     }
 }
 
-/// Traffic is spread unevenly: dispatcher `n`, counted from 1, gets a part in proportion to `1 / n`.
+/// The shares of the dispatchers in the traffic. They are uneven: dispatcher `n`, counted from 1, gets a share in proportion to
+/// `1 / n`.
 struct DispatcherShares {
     weights: Vec<f64>,
     total: f64,
@@ -114,7 +118,8 @@
     }
 }
 
-/// The hint that a client gives of its job's work, if clients give hints.
+/// Draws the hint that a client gives of its job's work. Returns `None` if clients give no hints, but draws the same number of
+/// random values.
 fn draw_hint(spec: &RunSpec, work: f64, rng: &mut impl Rng) -> Option<f64> {
     let wrong = rng.random_bool(spec.hints.share);
     let usual_error = (0.1 * (rng.random_range(-1.0..1.0_f64) + rng.random_range(-1.0..1.0))).exp();
@@ -122,13 +127,13 @@
     spec.hints.sent.then_some(hint)
 }
 
-/// Draws the requests. `capacity`: work that the workers can do in a second.
+/// Draws the requests. `capacity` is the work that all workers can do per second, in seconds at speed 1.
 pub(super) fn draw_arrivals(spec: &RunSpec, seed: u64, capacity: f64) -> Result<Vec<Arrival>, PlanError> {
     let sizes = JobSizes::new(spec)?;
     let rate = spec.load * capacity / sizes.mean_area(seed);
     let dispatchers = DispatcherShares::new(spec.dispatchers);
-    let (keys, noise) = (Zipf::new(KEYS, 1.0)?, LogNormal::new(0.0, ATTEMPT_NOISE)?);
-    let (mut rng, mut cancel_rng) = (stream(seed, Part::Arrivals), stream(seed, Part::Cancellations));
+    let (keys, noise) = (Zipf::new(AFFINITY_KEYS, 1.0)?, LogNormal::new(0.0, ATTEMPT_WORK_LOG_STD_DEV)?);
+    let (mut rng, mut cancel_rng) = (stream(seed, PlanPart::Arrivals), stream(seed, PlanPart::Cancellations));
     let (mut at, mut arrivals) = (0.0, Vec::new());
     loop {
         at += -(1.0 - rng.random_range(0.0..1.0_f64)).ln() / rate;
--- a/crates/pebblepost-harness/src/workload/error.rs
+++ b/crates/pebblepost-harness/src/workload/error.rs
@@ -1,12 +1,12 @@
-//! Why a plan can not be drawn.
+//! Errors of drawing a plan.
 
-/// A spec does not describe a distribution.
+/// The figures of a spec do not describe a probability distribution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    /// The sizes of jobs: the mean or the variation is not a positive finite number.
+    /// The distribution of job sizes: the mean or the variation is not a positive finite number.
     #[error(transparent)]
     JobSizes(#[from] rand_distr::NormalError),
-    /// The popularity of keys.
+    /// The distribution of the popularity of affinity keys.
     #[error(transparent)]
     KeyPopularity(#[from] rand_distr::ZipfError),
 }
--- a/crates/pebblepost-harness/src/workload/faults.rs
+++ b/crates/pebblepost-harness/src/workload/faults.rs
@@ -1,13 +1,14 @@
-//! The faults of a plan: what goes wrong at which worker, and when.
+//! The worker faults of a plan.
 
-use super::random::{Part, stream};
+use super::random::{PlanPart, stream};
 use super::spec::{RunSpec, ScheduledWorkerFault, WorkerFault};
 use rand::RngExt;
 
-/// Draws the random faults and merges them with those of the spec, in the order of their times.
+/// Draws the random faults and merges them with those of the spec. The result is in the order of the times.
 pub(super) fn draw_worker_faults(run_spec: &RunSpec, seed: u64) -> Vec<ScheduledWorkerFault> {
-    let mut rng = stream(seed, Part::WorkerFaults);
+    let mut rng = stream(seed, PlanPart::WorkerFaults);
     let mut worker_faults = run_spec.worker_faults.clone();
+    // The fault rate is stated for ten minutes and ten workers.
     let expected = run_spec.fault_rate * run_spec.seconds / 600.0 * run_spec.workers as f64 / 10.0;
     for kind in 0..4 {
         let count = expected.floor() + f64::from(u8::from(rng.random_bool(expected.fract())));
--- a/crates/pebblepost-harness/src/workload/latency_target.rs
+++ b/crates/pebblepost-harness/src/workload/latency_target.rs
@@ -1,13 +1,13 @@
-//! When a request counts as answered in time: the target of the one class of jobs.
+//! The latency target of the only job class, within which a request counts as answered in time.
 
-/// Latency target of a job without work, in seconds.
+/// Latency target of a job with no work, in seconds.
 pub const BASE_LATENCY_TARGET_S: f64 = 0.6;
-/// By how many seconds each second of a job's own running time extends its target.
-pub const LATENCY_TARGET_PER_WORK: f64 = 2.0;
-/// Clients give up after so many seconds.
+/// Number of seconds by which each second of a job's work extends its latency target.
+pub const LATENCY_TARGET_PER_WORK_S: f64 = 2.0;
+/// Time after which a client gives up a request, in seconds.
 pub const DEADLINE_S: f64 = 6.0;
 
-/// The latency target of a job with so much work, in seconds.
+/// Returns the latency target of a job, in seconds. `work` is in seconds at speed 1.
 pub fn latency_target_s(work: f64) -> f64 {
-    (BASE_LATENCY_TARGET_S + LATENCY_TARGET_PER_WORK * work).min(DEADLINE_S)
+    (BASE_LATENCY_TARGET_S + LATENCY_TARGET_PER_WORK_S * work).min(DEADLINE_S)
 }
--- a/crates/pebblepost-harness/src/workload/mod.rs
+++ b/crates/pebblepost-harness/src/workload/mod.rs
@@ -1,11 +1,13 @@
-//! The workload of a run: the workers, the requests and the faults. A [`RunSpec`](spec::RunSpec) is a handful of figures; a [`Plan`](plan::Plan) is what
-//! one seed makes of it, drawn in full before the run, so that arrivals do not wait for answers and two settings meet the same
-//! work. Nothing here knows a clock or a process.
+//! The workload of a run: the workers, the requests and the faults.
 //!
-//! * [`spec`]: what is asked for
+//! A [`RunSpec`](spec::RunSpec) holds the parameters of a run. A [`Plan`](plan::Plan) is drawn from it by a seed, completely and
+//! before the run. Arrivals therefore do not depend on answers, and runs with different settings get the same work. This module
+//! uses neither a clock nor processes.
+//!
+//! * [`spec`]: the parameters of a run
 //! * [`workers`], [`arrivals`], [`faults`]: the three parts of a plan, and how each is drawn
-//! * [`plan`]: a plan as a whole
-//! * [`latency_target`]: when a request counts as answered in time
+//! * [`plan`]: a complete plan
+//! * [`latency_target`]: the latency target within which a request counts as answered in time
 
 pub mod arrivals;
 mod error;
--- a/crates/pebblepost-harness/src/workload/random.rs
+++ b/crates/pebblepost-harness/src/workload/random.rs
@@ -1,12 +1,13 @@
-//! Random streams of a plan.
+//! The random streams of a plan.
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-/// The parts of a plan that draw by themselves, so that a change of one leaves the others as they were. The numbers are part
-/// of what a seed means.
+/// The parts of a plan with a separate random stream, so that a change of one part does not affect the draws of the others.
+///
+/// The discriminants enter the seeds of the streams: changing one changes the plans of all seeds.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Part {
+pub(super) enum PlanPart {
     Workers = 1,
     JobSizeSample = 2,
     Arrivals = 3,
@@ -16,7 +17,7 @@
     Cancellations = 7,
 }
 
-/// The stream of one part.
-pub(super) fn stream(seed: u64, part: Part) -> Pcg64Mcg {
+/// Returns the random stream of one part.
+pub(super) fn stream(seed: u64, part: PlanPart) -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ part as u64)
 }
--- a/crates/pebblepost-harness/src/workload/spec.rs
+++ b/crates/pebblepost-harness/src/workload/spec.rs
@@ -1,4 +1,4 @@
-//! What a run is asked to consist of, before its seed.
+//! The parameters of a run, from which a plan is drawn by a seed.
 
 use serde::Serialize;
 
@@ -13,7 +13,7 @@
 }
 
 impl QueueOrder {
-    /// Its name in the settings of dispatchers.
+    /// Returns the name in the settings of dispatchers.
     pub fn name(self) -> &'static str {
         match self {
             Self::Fifo => "fifo",
@@ -22,12 +22,12 @@
     }
 }
 
-/// Accuracy of the clients' hints.
+/// The accuracy of the clients' hints.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct HintSpec {
-    /// Clients send hints at all.
+    /// Whether clients send hints.
     pub sent: bool,
-    /// Factor by which wrong hints are off; 1: none is (usual hints are a tenth off).
+    /// Factor by which wrong hints differ from the work; with 1 they are exact. All other hints have an error of about a tenth.
     pub factor: f64,
     /// Share of the hints that are wrong.
     pub share: f64,
@@ -39,29 +39,29 @@
     }
 }
 
-/// A fault, with its time and place.
+/// A fault of a worker at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ScheduledWorkerFault {
-    /// When it begins, in seconds from the start.
+    /// Start of the fault, in seconds since the start of the run.
     pub at: f64,
-    /// At which worker.
+    /// Index of the worker.
     pub worker: usize,
-    /// Which fault.
+    /// The fault.
     pub fault: WorkerFault,
 }
 
-/// A fault of a worker; the numbers are seconds that it lasts.
+/// A fault of a worker. The values are durations in seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub enum WorkerFault {
-    /// It drains, and returns the jobs that have not started.
+    /// The worker drains and returns the jobs that have not started.
     Drain(f64),
-    /// It answers nothing, then restarts cold.
+    /// The worker answers no request, and restarts cold at the end.
     Silent(f64),
-    /// It crashes with its connections reset, and restarts cold after that time.
+    /// The worker crashes, which resets its connections, and restarts cold at the end.
     Restart(f64),
-    /// It fails a share of its jobs.
+    /// A share of the worker's jobs fails.
     Errors {
-        /// How long it lasts.
+        /// Duration of the fault, in seconds.
         seconds: f64,
         /// Share of the jobs that fail.
         share: f64,
@@ -69,7 +69,7 @@
 }
 
 impl WorkerFault {
-    /// How long it lasts, in seconds.
+    /// Returns the duration of the fault, in seconds.
     pub fn duration_s(self) -> f64 {
         match self {
             Self::Drain(seconds)
@@ -80,27 +80,27 @@
     }
 }
 
-/// Dispatchers that are killed at once and started again.
+/// A restart of several dispatchers at once: they are killed and started again.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct MassRestart {
-    /// When, in seconds from the start.
+    /// Time of the kill, in seconds since the start of the run.
     pub at: f64,
-    /// Share of the dispatchers.
+    /// Share of the dispatchers that is killed.
     pub share: f64,
 }
 
-/// A run, before its seed.
+/// The parameters of a run. A seed determines everything else.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunSpec {
-    /// Seconds of arrivals.
+    /// Time in which requests arrive, in seconds.
     pub seconds: f64,
-    /// Offered work as a part of what the fleet can do.
+    /// Offered work, as a share of the workers' capacity.
     pub load: f64,
-    /// Dispatchers, which share the traffic unevenly.
+    /// Number of dispatchers. They share the traffic unevenly.
     pub dispatchers: usize,
-    /// Workers.
+    /// Number of workers.
     pub workers: usize,
-    /// The order of their queues; `None`: drawn.
+    /// The order of the workers' queues; `None` if the seed draws it.
     pub order: Option<QueueOrder>,
     /// Mean work of a usual job, in seconds at speed 1.
     pub work_s: f64,
@@ -110,26 +110,28 @@
     pub large_share: f64,
     /// Least and greatest work of a large job, as multiples of the mean of a usual one.
     pub large_multiples: (f64, f64),
-    /// Longest work of a job, in seconds: one that no worker can end before the deadline says nothing of the dispatcher.
+    /// Maximum work of a job, in seconds at speed 1. A job that no worker can complete before the deadline would say nothing about
+    /// the dispatcher.
     pub longest_work_s: f64,
-    /// Shares of large jobs that take one slot, two, and four.
+    /// Shares of the large jobs that take one, two and four slots.
     pub large_slots: [f64; 3],
     /// Accuracy of the hints.
     pub hints: HintSpec,
     /// Share of the clients that disconnect before their deadline.
     pub cancel_share: f64,
-    /// Random faults: each kind about this often in ten minutes on ten workers.
+    /// Expected number of random faults of each kind in ten minutes on ten workers.
     pub fault_rate: f64,
-    /// Faults beside the random ones.
+    /// Faults in addition to the random ones.
     pub worker_faults: Vec<ScheduledWorkerFault>,
-    /// Calls that discovery answers in a second; `None`: as many as come.
+    /// Maximum number of calls that discovery answers per second; `None` if unlimited.
     pub discovery_rate: Option<f64>,
-    /// Dispatchers that are killed at once; `None`: none.
+    /// Restart of several dispatchers at once, if any.
     pub mass_restart: Option<MassRestart>,
 }
 
 impl RunSpec {
-    /// The mixed run: a fleet of the site's kinds, and large jobs of 5.2 to 29 times the usual work.
+    /// Returns the mixed run: workers of the site's kinds of machine, and 3% large jobs with 5.2 to 29 times the mean work of a
+    /// usual job.
     pub fn mixed(seconds: f64, load: f64) -> Self {
         Self {
             seconds,
--- a/crates/pebblepost-harness/src/workload/workers.rs
+++ b/crates/pebblepost-harness/src/workload/workers.rs
@@ -1,6 +1,6 @@
 //! The simulated workers of a plan: their machines, queues and slow start.
 
-use super::random::{Part, stream};
+use super::random::{PlanPart, stream};
 use super::spec::{QueueOrder, RunSpec};
 use rand::RngExt;
 use serde::Serialize;
@@ -8,38 +8,38 @@
 /// One simulated worker.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkerSpec {
-    /// Its name in discovery.
+    /// Name of the worker in discovery.
     pub host: String,
-    /// Its zone, by index.
+    /// Index of its zone.
     pub zone: usize,
-    /// Its kind of machine.
+    /// Name of its kind of machine.
     pub kind: &'static str,
-    /// Cores.
+    /// Number of cores.
     pub cores: u32,
-    /// Jobs of one slot that run at once.
+    /// Number of slots: jobs of one slot that run at the same time.
     pub slots: u32,
-    /// Work that a core does in a second.
+    /// Speed of a core: its work per second, in seconds at speed 1.
     pub speed: f64,
-    /// Capacity of its queue, in jobs.
+    /// Capacity of the queue, in jobs.
     pub queue: usize,
-    /// The order of its queue.
+    /// The order in which queued jobs start.
     pub order: QueueOrder,
-    /// Share of its capacity that it starts with.
+    /// Share of the full capacity right after a restart.
     pub cold_capacity: f64,
-    /// Seconds from its start until it has its full capacity.
+    /// Duration of the slow start, after which the worker has its full capacity, in seconds.
     pub slow_start_s: f64,
-    /// Affinity keys that fit in its cache.
+    /// Number of affinity keys that fit in the cache.
     pub keys: usize,
-    /// Seconds between two load reports.
+    /// Interval between two load reports, in seconds.
     pub refresh_s: f64,
-    /// Seconds after which a load report becomes visible.
+    /// Delay after which a load report becomes visible, in seconds.
     pub delay_s: f64,
-    /// Relative error of the free slots that it reports.
+    /// Standard deviation of the relative error of the reported free slots.
     pub noise: f64,
 }
 
 /// A kind of machine.
-struct KindSpec {
+struct MachineKind {
     name: &'static str,
     share: f64,
     cores: u32,
@@ -47,23 +47,24 @@
 }
 
 /// The kinds of machine of the site.
-const KINDS: [KindSpec; 3] = [
-    KindSpec { name: "small-fast", share: 0.46, cores: 2, speed: (1.1, 1.5) },
-    KindSpec { name: "mid-three", share: 0.2, cores: 3, speed: (0.85, 1.1) },
-    KindSpec { name: "wide-five", share: 0.34, cores: 5, speed: (0.59, 0.8) },
+const MACHINE_KINDS: [MachineKind; 3] = [
+    MachineKind { name: "small-fast", share: 0.46, cores: 2, speed: (1.1, 1.5) },
+    MachineKind { name: "mid-three", share: 0.2, cores: 3, speed: (0.85, 1.1) },
+    MachineKind { name: "wide-five", share: 0.34, cores: 5, speed: (0.59, 0.8) },
 ];
 
-/// Draws the workers: kinds by their shares, the rest of the first kind.
+/// Draws the workers. The numbers of machines of each kind follow the kinds' shares; workers that are missing by rounding get the
+/// first kind.
 pub(super) fn draw_workers(run_spec: &RunSpec, seed: u64, order: QueueOrder) -> Vec<WorkerSpec> {
-    let mut rng = stream(seed, Part::Workers);
+    let mut rng = stream(seed, PlanPart::Workers);
     let count = run_spec.workers;
     let mut kinds = Vec::new();
-    for kind in &KINDS {
+    for kind in &MACHINE_KINDS {
         let of_kind = (kind.share * count as f64).round() as usize;
         kinds.extend(std::iter::repeat_n(kind, of_kind));
     }
-    kinds.resize(count, &KINDS[0]);
-    let mut spec = |(i, kind): (usize, &&KindSpec)| WorkerSpec {
+    kinds.resize(count, &MACHINE_KINDS[0]);
+    let mut spec = |(i, kind): (usize, &&MachineKind)| WorkerSpec {
         host: format!("w-{i:03}-{:08x}", rng.random::<u32>()),
         zone: i % 3,
         kind: kind.name,
--- a/crates/pebblepost-harness/tests/pins.rs
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -1,6 +1,8 @@
-//! What must stay the same from one version to the next: seeded draws (by a digest of numbers, text and order, free of the
-//! names of Rust items), the simulated worker's decisions, JSON keys and command line options. The approved values were
-//! written by the version before the code was renamed.
+//! Compatibility tests against approved outputs: seeded draws, the simulated worker's decisions, JSON keys and command line
+//! options.
+//!
+//! Draws are compared by a digest of their values and order. It does not depend on the names of Rust items, so that it also
+//! holds across renames. The approved values were written by the version before the code was renamed.
 
 use pebblepost_harness::checker::rules::{Rule, Violation};
 use pebblepost_harness::fault::schedule::{Schedule, ScheduleParameters};
@@ -12,7 +14,7 @@
 use std::path::Path;
 use std::process::Command;
 
-/// FNV-1a digest of 64 bits.
+/// A 64-bit FNV-1a digest.
 struct Digest(u64);
 
 impl Digest {
@@ -45,13 +47,13 @@
     }
 }
 
-/// Compares with the approved text. `PEBBLEPOST_APPROVE=1` writes it anew.
+/// Compares `text` with the approved file `name`. If `PEBBLEPOST_APPROVE` is set, the file is written first.
 fn approved(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/approved").join(name);
     if std::env::var_os("PEBBLEPOST_APPROVE").is_some() {
-        std::fs::write(&path, text).expect("a folder that can be written");
+        std::fs::write(&path, text).expect("the approved file can be written");
     }
-    let expected = std::fs::read_to_string(&path).expect("an approved text");
+    let expected = std::fs::read_to_string(&path).expect("the approved file can be read");
     assert_eq!(text, expected, "{}", path.display());
 }
 
@@ -135,7 +137,7 @@
     let mut lines = String::new();
     for (name, run_spec) in &run_specs {
         for seed in [1, 2, 77] {
-            let plan = Plan::draw(run_spec, seed).expect("a valid scenario");
+            let plan = Plan::draw(run_spec, seed).expect("a valid spec");
             let (arrivals, worker_faults) = (plan.arrivals.len(), plan.worker_faults.len());
             lines += &format!("{name} {seed}: {arrivals} {worker_faults} {:016x}\n", digest_plan(&plan));
         }
@@ -146,8 +148,9 @@
 #[test]
 fn runs_of_the_fleet_command_are_the_approved_ones() {
     let mut lines = String::new();
-    for (name, run_spec) in fleet::run_specs(fleet::Size { dispatchers: 20, workers: 15, seconds: 20.0 }) {
-        let plan = Plan::draw(&run_spec, 5).expect("a valid scenario");
+    for (name, run_spec) in fleet::run_specs(fleet::FleetSize { dispatchers: 20, workers: 15, seconds: 20.0 })
+    {
+        let plan = Plan::draw(&run_spec, 5).expect("a valid spec");
         lines += &format!(
             "{name}: {:?} {:016x}\n",
             run_spec.mass_restart.map(|restart| (restart.at, restart.share)),
@@ -162,14 +165,14 @@
     let mut lines = String::new();
     for seed in [1, 2, 3, 77] {
         let draw = ScheduleParameters { processes: 3, seconds: 300.0, mean_interval_s: 0.85, longest_s: 2.0 };
-        let text = serde_json::to_string(&Schedule::draw(draw, seed)).expect("plain data");
+        let text = serde_json::to_string(&Schedule::draw(draw, seed)).expect("serializable data");
         let mut digest = Digest::new();
         digest.text(&text);
         lines += &format!("{seed}: {} {:016x}\n", text.len(), digest.0);
     }
     let plan =
         store::plan::Plan { replicas: 5, clients: 4, seconds: 20.0, seed: 9, pause_ms: 20, dispatchers: 0 };
-    lines += &(serde_json::to_string(&plan.schedule()).expect("plain data") + "\n");
+    lines += &(serde_json::to_string(&plan.schedule()).expect("serializable data") + "\n");
     approved("schedules.txt", &lines);
 }
 
@@ -177,7 +180,7 @@
 fn the_simulated_worker_does_the_approved_work() {
     let mut lines = String::new();
     for seed in [1, 2, 3] {
-        let plan = Plan::draw(&RunSpec::mixed(600.0, 0.25), seed).expect("a valid scenario");
+        let plan = Plan::draw(&RunSpec::mixed(600.0, 0.25), seed).expect("a valid spec");
         let (mut digest, mut events, mut model) =
             (Digest::new(), Vec::new(), WorkerModel::new(plan.workers[2].clone(), plan.store.fetch_s));
         let mut accepted = 0;
@@ -226,8 +229,8 @@
 #[test]
 fn json_that_the_commands_print_has_the_approved_keys() {
     let broken = Violation { rule: Rule::RunsOnce, at: 1.5, what: "seen".to_owned() };
-    let empty = pebblepost_harness::report::Summary::of(&[], &[broken], 0.0);
-    let at_load = reservations::AtLoad { load: 0.65, on: empty.clone(), off: empty.clone() };
+    let empty = pebblepost_harness::report::Summary::aggregate(&[], &[broken], 0.0);
+    let at_load = reservations::LoadComparison { load: 0.65, on: empty.clone(), off: empty.clone() };
     let reports = [
         (
             "room",
@@ -265,7 +268,7 @@
     ];
     let mut lines = String::new();
     for (name, text) in reports {
-        lines += &format!("{name}: {}\n", text.expect("plain data"));
+        lines += &format!("{name}: {}\n", text.expect("serializable data"));
     }
     approved("reports.txt", &lines);
 }
@@ -286,7 +289,7 @@
     approved("rules.txt", &format!("{}\n{}\n", names.join(" "), printed.join(" ")));
 }
 
-/// Options, defaults and possible values; not the texts.
+/// Compares options, defaults and possible values, but not the help texts.
 #[test]
 fn commands_have_the_approved_options() {
     let mut lines = String::new();
--- a/crates/pebblepost-harness/tests/release.rs
+++ b/crates/pebblepost-harness/tests/release.rs
@@ -1,5 +1,5 @@
-//! Releases of real dispatchers by two drivers that are killed, while replicas and dispatchers fail. Safety is checked, as seen
-//! from outside; times are bounded generously and not checked.
+//! Releases of real dispatchers by two drivers that are killed, while replicas and dispatchers fail. The test checks safety as
+//! observed from outside. Times have generous bounds and are not checked.
 
 use pebblepost_harness::dispatcher;
 use pebblepost_harness::release::plan::{DisruptionBudget, Mode, Plan};
@@ -30,11 +30,12 @@
         figures.max_out_dispatchers <= 2 && figures.max_out_in_zone <= 1 && figures.over_budget_ms == 0.0,
         "{found:#?}"
     );
-    // A dispatcher that comes back with another version than wanted restarts again by the same grant.
+    // A dispatcher that starts with a version other than the wanted one restarts again under the same grant.
     assert!(figures.grants >= 3 && figures.grants_to_workers >= figures.workers_off, "{figures:?}");
     assert_eq!(figures.grants_over_budget, 0, "{found:#?}");
-    // Workers are switched off as well, by one crew more than the budget lets out: no job arrives at one that is off.
+    // Workers are also switched off, by one maintenance crew more than the budget admits. No job may arrive at a worker that is
+    // off.
     assert!(figures.workers_off >= 3 && figures.max_out_workers <= 2, "{figures:?}");
     assert_eq!(figures.work_while_off, 0, "{found:#?}");
-    assert!(figures.went >= 3, "only {} went by themselves", figures.went);
+    assert!(figures.went >= 3, "only {} dispatchers exited on their own", figures.went);
 }
--- a/crates/pebblepost-harness/tests/unit/fault_schedule.rs
+++ b/crates/pebblepost-harness/tests/unit/fault_schedule.rs
@@ -1,21 +1,22 @@
-//! Fault schedules: drawing, printing, shrinking.
+//! Tests of fault schedules: drawing, serialization and removal of faults.
 
 use pebblepost_harness::fault::schedule::{Schedule, ScheduleParameters};
 
 #[test]
-fn a_schedule_is_reproducible_serializable_and_shrinks() {
-    let draw = ScheduleParameters { processes: 3, seconds: 600.0, mean_interval_s: 0.85, longest_s: 2.0 };
-    let one = Schedule::draw(draw, 7);
-    assert!(one == Schedule::draw(draw, 7) && one != Schedule::draw(draw, 8));
-    let text = serde_json::to_string(&one).expect("plain data");
-    assert!(serde_json::from_str::<Schedule>(&text).expect("the same") == one);
+fn a_schedule_is_reproducible_and_serializable_and_faults_can_be_removed() {
+    let parameters =
+        ScheduleParameters { processes: 3, seconds: 600.0, mean_interval_s: 0.85, longest_s: 2.0 };
+    let schedule = Schedule::draw(parameters, 7);
+    assert!(schedule == Schedule::draw(parameters, 7) && schedule != Schedule::draw(parameters, 8));
+    let text = serde_json::to_string(&schedule).expect("serializable data");
+    assert!(serde_json::from_str::<Schedule>(&text).expect("a schedule") == schedule);
     assert!(
-        one.counts_by_name().len() >= 10 && one.counts_by_name()["kill"] >= 300,
+        schedule.counts_by_name().len() >= 10 && schedule.counts_by_name()["kill"] >= 300,
         "{:?}",
-        one.counts_by_name()
+        schedule.counts_by_name()
     );
-    assert!(one.0.iter().all(|f| f.begins_at_s + f.duration_s <= 600.0));
-    let less = one.clone().without(&[0, 2]);
-    assert_eq!(less.0.len(), one.0.len() - 2);
-    assert_eq!(less.0[0], one.0[1]);
+    assert!(schedule.0.iter().all(|fault| fault.begins_at_s + fault.duration_s <= 600.0));
+    let reduced = schedule.clone().without(&[0, 2]);
+    assert_eq!(reduced.0.len(), schedule.0.len() - 2);
+    assert_eq!(reduced.0[0], schedule.0[1]);
 }
--- a/crates/pebblepost-harness/tests/unit/fault_tcp_relay.rs
+++ b/crates/pebblepost-harness/tests/unit/fault_tcp_relay.rs
@@ -1,4 +1,4 @@
-//! What a relay does to the bytes of a connection.
+//! Tests of the effect of a relay's link states on connections.
 
 use pebblepost_harness::fault::tcp_relay::{LinkState, Relay};
 use std::time::Duration;
@@ -6,13 +6,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-const SHORT: Duration = Duration::from_millis(150);
-const LONG: Duration = Duration::from_secs(5);
+/// Time after which a byte counts as held.
+const HOLD_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time within which a forwarded byte must arrive.
+const ECHO_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An echo server behind a relay, and a connection through it.
-async fn echo() -> (Relay, TcpStream) {
+/// Starts an echo server behind a relay and opens a connection through it.
+async fn connect_to_echo_server() -> (Relay, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let target = listener.local_addr().expect("bound");
+    let target = listener.local_addr().expect("a bound listener");
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(async move {
@@ -22,7 +24,7 @@
         }
     });
     let relay = Relay::open([127, 0, 9, 1].into(), target).await.expect("a free port");
-    let stream = TcpStream::connect(relay.address).await.expect("a relay");
+    let stream = TcpStream::connect(relay.address).await.expect("the relay accepts connections");
     (relay, stream)
 }
 
@@ -33,52 +35,53 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn held_bytes_arrive_late_and_none_is_lost() {
-    let (relay, mut stream) = echo().await;
+async fn held_bytes_are_delivered_once_the_link_forwards_again() {
+    let (relay, mut stream) = connect_to_echo_server().await;
     for (n, link) in
         [LinkState::Partitioned, LinkState::RequestsHeld, LinkState::RepliesHeld].into_iter().enumerate()
     {
         relay.set(link);
-        stream.write_all(&[n as u8]).await.expect("open");
-        assert_eq!(read_echo(&mut stream, SHORT).await, None, "{link:?}");
+        stream.write_all(&[n as u8]).await.expect("an open connection");
+        assert_eq!(read_echo(&mut stream, HOLD_TIMEOUT).await, None, "{link:?}");
         relay.set(LinkState::Forwarding);
-        assert_eq!(read_echo(&mut stream, LONG).await, Some(n as u8), "{link:?}");
+        assert_eq!(read_echo(&mut stream, ECHO_TIMEOUT).await, Some(n as u8), "{link:?}");
     }
     assert_eq!(relay.bytes_forwarded(), 6);
     relay.set(LinkState::Partitioned);
-    let mut fresh = TcpStream::connect(relay.address).await.expect("accepts and says nothing");
-    fresh.write_all(&[9]).await.expect("open");
-    assert_eq!(read_echo(&mut fresh, SHORT).await, None);
+    let mut new_stream =
+        TcpStream::connect(relay.address).await.expect("a partitioned relay accepts connections");
+    new_stream.write_all(&[9]).await.expect("an open connection");
+    assert_eq!(read_echo(&mut new_stream, HOLD_TIMEOUT).await, None);
     relay.set(LinkState::Forwarding);
-    assert_eq!(read_echo(&mut fresh, LONG).await, Some(9));
+    assert_eq!(read_echo(&mut new_stream, ECHO_TIMEOUT).await, Some(9));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reset_breaks_open_connections_and_new_ones_pass() {
-    let (relay, mut stream) = echo().await;
-    stream.write_all(&[1]).await.expect("open");
-    assert_eq!(read_echo(&mut stream, LONG).await, Some(1));
+async fn a_reset_closes_open_connections_and_allows_new_ones() {
+    let (relay, mut stream) = connect_to_echo_server().await;
+    stream.write_all(&[1]).await.expect("an open connection");
+    assert_eq!(read_echo(&mut stream, ECHO_TIMEOUT).await, Some(1));
     relay.reset();
     let mut byte = [0];
-    let end = timeout(LONG, stream.read(&mut byte)).await.expect("it ends");
-    assert!(end.is_err(), "reset, not closed: {end:?}");
-    let mut fresh = TcpStream::connect(relay.address).await.expect("a relay");
-    fresh.write_all(&[2]).await.expect("open");
-    assert_eq!(read_echo(&mut fresh, LONG).await, Some(2));
+    let end = timeout(ECHO_TIMEOUT, stream.read(&mut byte)).await.expect("the connection ends");
+    assert!(end.is_err(), "the connection must be reset, not closed: {end:?}");
+    let mut new_stream = TcpStream::connect(relay.address).await.expect("the relay accepts connections");
+    new_stream.write_all(&[2]).await.expect("an open connection");
+    assert_eq!(read_echo(&mut new_stream, ECHO_TIMEOUT).await, Some(2));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn delayed_and_throttled_links_are_slow() {
-    let (relay, mut stream) = echo().await;
+async fn delayed_and_throttled_links_take_the_minimum_time() {
+    let (relay, mut stream) = connect_to_echo_server().await;
     relay.set(LinkState::Delayed(100));
     let start = tokio::time::Instant::now();
-    stream.write_all(&[1]).await.expect("open");
-    assert_eq!(read_echo(&mut stream, LONG).await, Some(1));
+    stream.write_all(&[1]).await.expect("an open connection");
+    assert_eq!(read_echo(&mut stream, ECHO_TIMEOUT).await, Some(1));
     assert!(start.elapsed() >= Duration::from_millis(200), "{:?}", start.elapsed());
     relay.set(LinkState::Throttled(200));
-    stream.write_all(&[0; 40]).await.expect("open");
+    stream.write_all(&[0; 40]).await.expect("an open connection");
     let start = tokio::time::Instant::now();
     let mut all = [0; 40];
-    timeout(LONG, stream.read_exact(&mut all)).await.expect("in time").expect("all of it");
+    timeout(ECHO_TIMEOUT, stream.read_exact(&mut all)).await.expect("an echo in time").expect("all bytes");
     assert!(start.elapsed() >= Duration::from_millis(150), "{:?}", start.elapsed());
 }
--- a/crates/pebblepost-harness/tests/unit/main.rs
+++ b/crates/pebblepost-harness/tests/unit/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the parts that need no process: a module for each module of the crate.
+//! Tests of the parts of the harness that start no process, one test module for each module of the crate.
 
 mod checker;
 mod fault_schedule;
--- a/crates/pebblepost-harness/tests/unit/release_maintenance.rs
+++ b/crates/pebblepost-harness/tests/unit/release_maintenance.rs
@@ -1,11 +1,11 @@
-//! Work that reaches a worker while it is off.
+//! Tests of the detection of jobs at workers that are switched off.
 
 use pebblepost_harness::checker::exits::DispatcherExit;
 use pebblepost_harness::event_log::{AttemptEnd, Event};
 use pebblepost_harness::release::maintenance::{SwitchedOff, most_off, work_while_off};
 
 #[test]
-fn finds_jobs_that_arrive_or_run_on_at_a_worker_that_is_off() {
+fn reports_jobs_that_arrive_at_or_continue_on_a_worker_that_is_off() {
     let text = str::to_owned;
     let arrived =
         |txn, worker| Event::AttemptArrived { txn: text(txn), key: text("k"), dispatcher: 0, worker };
@@ -26,7 +26,11 @@
     let found = work_while_off(&log, &switched_off, &[]);
     assert_eq!(found.len(), 2, "{found:?}");
     assert!(found[0].contains("sent new to worker 1") && found[1].contains("on was served"));
-    let killed = [DispatcherExit { dispatcher: 0, from: 1.9, back: 2.9, abrupt: true }];
-    assert_eq!(work_while_off(&log, &switched_off, &killed).len(), 1, "nothing new is excused");
+    let killed = [DispatcherExit { dispatcher: 0, ended_at_s: 1.9, serving_again_at_s: 2.9, abrupt: true }];
+    assert_eq!(
+        work_while_off(&log, &switched_off, &killed).len(),
+        1,
+        "a new job is not excused by the kill of its dispatcher"
+    );
     assert_eq!((most_off(&switched_off), most_off(&[off(1, 1.0, 3.0), off(2, 2.0, 4.0)])), (1, 2));
 }
--- a/crates/pebblepost-harness/tests/unit/release_outages.rs
+++ b/crates/pebblepost-harness/tests/unit/release_outages.rs
@@ -1,19 +1,19 @@
-//! Concurrent outages, and outages during halts.
+//! Tests of the counts of concurrent outages and of outages that begin during halts.
 
 use pebblepost_harness::release::outages::{Halt, by_permit, late_after, most_at_once};
 use pebblepost_harness::supervisor::{Outage, OutageCause};
 
-fn out(dispatcher: usize, from: f64, to: f64, cause: OutageCause) -> Outage {
+fn outage(dispatcher: usize, from: f64, to: f64, cause: OutageCause) -> Outage {
     Outage { dispatcher, from, to, cause }
 }
 
 #[test]
 fn counts_concurrent_outages_and_not_consecutive_ones() {
     let all = [
-        out(0, 1.0, 2.0, OutageCause::Voluntary),
-        out(1, 2.0, 4.0, OutageCause::Voluntary),
-        out(2, 3.0, 3.5, OutageCause::Voluntary),
-        out(3, 3.0, 9.0, OutageCause::Injected),
+        outage(0, 1.0, 2.0, OutageCause::Voluntary),
+        outage(1, 2.0, 4.0, OutageCause::Voluntary),
+        outage(2, 3.0, 3.5, OutageCause::Voluntary),
+        outage(3, 3.0, 9.0, OutageCause::Injected),
     ];
     let permitted = by_permit(&all);
     assert_eq!(most_at_once(&permitted, 1), (2, 0.5));
@@ -24,9 +24,9 @@
 #[test]
 fn only_outages_that_begin_during_a_halt_are_late() {
     let all = [
-        out(0, 1.0, 2.0, OutageCause::Voluntary),
-        out(1, 2.25, 4.0, OutageCause::Voluntary),
-        out(2, 6.0, 7.0, OutageCause::Voluntary),
+        outage(0, 1.0, 2.0, OutageCause::Voluntary),
+        outage(1, 2.25, 4.0, OutageCause::Voluntary),
+        outage(2, 6.0, 7.0, OutageCause::Voluntary),
     ];
     let halt = |acknowledged_at, resumed_at| Halt { acknowledged_at, resumed_at };
     assert_eq!(late_after(&by_permit(&all), &[halt(2.0, 5.0), halt(7.0, 8.0)]), [0.25, 0.0]);
--- a/crates/pebblepost-harness/tests/unit/store_consistency.rs
+++ b/crates/pebblepost-harness/tests/unit/store_consistency.rs
@@ -1,4 +1,4 @@
-//! The judgement of what clients of the agreed store saw.
+//! Tests of the consistency check on histories of clients of the replicated store.
 
 use pebblepost_harness::store::consistency::{Verdict, judge};
 use pebblepost_harness::store::history::{Operation, OperationKind};
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn accepts_what_a_single_copy_would_answer() {
+fn accepts_linearizable_histories() {
     let history = [
         drain(0.0, Some(1.0)),
         read(0.5, 0.9, None),
@@ -33,7 +33,7 @@
     ];
     let verdict = judge(&history, &drained(false));
     assert_eq!(verdict, Verdict { committed: 2, linearizable: true, ..Verdict::default() });
-    // A change whose outcome is unknown may be seen or not, also much later.
+    // A change with an unknown outcome may take effect or not, even much later.
     for found in [None, Some("a")] {
         let verdict = judge(&[drain(0.0, None), read(9.0, 9.1, found)], &drained(true));
         assert_eq!((verdict.lost, verdict.stale_reads, verdict.linearizable), (0, 0, true));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn finds_lost_changes_stale_reads_and_orders_that_no_copy_explains() {
+fn reports_lost_changes_stale_reads_and_histories_that_are_not_linearizable() {
     let lost = judge(&[drain(0.0, Some(1.0))], &drained(false));
     assert_eq!((lost.lost, lost.linearizable), (1, true));
     let undone = judge(
@@ -51,15 +51,16 @@
     assert_eq!(undone.lost, 1);
     let stale = judge(&[drain(0.0, Some(1.0)), read(1.5, 1.6, None)], &drained(true));
     assert_eq!((stale.stale_reads, stale.linearizable), (1, false));
-    // Two concurrent changes: the order of their requests is not that of their effects.
-    let both = [
+    // Two concurrent changes may take effect in another order than they were requested.
+    let concurrent = [
         drain(0.0, Some(2.0)),
         operation(OperationKind::Undrain, 1.0, Some((1.5, None))),
         read(3.0, 4.0, Some("a")),
     ];
-    assert_eq!(judge(&both, &drained(true)).stale_reads, 0);
-    // Seen, then not seen, while the change is still open: neither read is stale by itself.
-    let back = [drain(0.0, Some(9.0)), read(1.0, 2.0, Some("a")), read(3.0, 4.0, None)];
-    let back = judge(&back, &drained(true));
-    assert_eq!((back.stale_reads, back.linearizable), (0, false));
+    assert_eq!(judge(&concurrent, &drained(true)).stale_reads, 0);
+    // While the change is pending, one read returns it and a later one does not. Neither read alone is stale, but together they
+    // are not linearizable.
+    let reverted = [drain(0.0, Some(9.0)), read(1.0, 2.0, Some("a")), read(3.0, 4.0, None)];
+    let reverted = judge(&reverted, &drained(true));
+    assert_eq!((reverted.stale_reads, reverted.linearizable), (0, false));
 }
--- a/crates/pebblepost-harness/tests/unit/worker_model.rs
+++ b/crates/pebblepost-harness/tests/unit/worker_model.rs
@@ -1,4 +1,4 @@
-//! The simulated worker's queue, slots, cache and slow start.
+//! Tests of the simulated worker's queue, slots, cache and slow start.
 
 use pebblepost_harness::worker::model::{Admission, JobEvent, JobId, WorkerModel};
 use pebblepost_harness::workload::spec::QueueOrder;
@@ -27,12 +27,12 @@
 fn started(events: &[JobEvent]) -> Vec<JobId> {
     events
         .iter()
-        .filter_map(|n| if let JobEvent::Started(job_id) = n { Some(*job_id) } else { None })
+        .filter_map(|event| if let JobEvent::Started(job_id) = event { Some(*job_id) } else { None })
         .collect()
 }
 
 #[test]
-fn a_wide_job_waits_first_in_fifo_order_and_is_overtaken_by_backfill() {
+fn a_wide_job_blocks_a_fifo_queue_and_is_overtaken_by_backfill() {
     for (order, expected) in [(QueueOrder::Fifo, vec![1, 2, 3]), (QueueOrder::Backfill, vec![1, 3, 2])] {
         let (mut worker, mut events) = (model(order), Vec::new());
         worker.submit(0, 1, 1, 1.0, 0);
@@ -44,9 +44,13 @@
 }
 
 #[test]
-fn rejects_when_the_queue_is_full_or_the_job_too_wide() {
+fn rejects_jobs_when_the_queue_is_full_or_the_job_needs_too_many_slots() {
     let mut worker = model(QueueOrder::Fifo);
-    assert_eq!(worker.submit(0, 1, 3, 1.0, 0), Admission::Rejected, "wider than the worker");
+    assert_eq!(
+        worker.submit(0, 1, 3, 1.0, 0),
+        Admission::Rejected,
+        "the job needs more slots than the worker has"
+    );
     let mut events = Vec::new();
     for job_id in 0..2 {
         assert_eq!(worker.submit(0, job_id, 1, 1.0, 0), Admission::Accepted);
@@ -59,20 +63,23 @@
 }
 
 #[test]
-fn fetches_a_key_once_and_slowly_from_a_busy_store() {
+fn a_cached_key_is_fetched_once_at_the_speed_of_the_shared_store() {
     let (mut worker, mut events) = (model(QueueOrder::Fifo), Vec::new());
     worker.submit(0, 1, 1, 1.0, 7);
     worker.advance(1.9, 0.5, &mut events);
-    assert!(!events.contains(&JobEvent::Done(1)), "1 s of fetching at half speed, then 1 s of work");
+    assert!(
+        !events.contains(&JobEvent::Done(1)),
+        "a fetch of 0.5 s takes 1 s at half speed, then 1 s of work follows"
+    );
     worker.advance(2.1, 0.5, &mut events);
     assert!(events.contains(&JobEvent::Done(1)));
     worker.submit(0, 2, 1, 1.0, 7);
     worker.advance(3.2, 0.5, &mut events);
-    assert!(events.contains(&JobEvent::Done(2)), "kept");
+    assert!(events.contains(&JobEvent::Done(2)), "the key is cached, so there is no fetch");
 }
 
 #[test]
-fn a_cold_worker_is_slow_and_overloads_at_three_times_its_capacity() {
+fn a_cold_worker_is_slow_and_is_overloaded_beyond_three_times_its_capacity() {
     let (mut worker, mut events) = (model(QueueOrder::Fifo), Vec::new());
     worker.restart(0.0);
     assert!((worker.capacity() - 0.4).abs() < 1e-9);
