--- a/crates/pebblepost/src/discovery/watch.rs
+++ b/crates/pebblepost/src/discovery/watch.rs
@@ -243,7 +243,7 @@
         let Some(connection) = context.net.get(key) else { return Ok(None) };
         let ConnectionRole::Discovery(call) = &mut connection.role else { return Ok(None) };
         if call.response.is_none() {
-            let Some(head) = http::response_head(&mut connection.input)? else { return Ok(None) };
+            let Some(head) = http::take_response_head(&mut connection.input)? else { return Ok(None) };
             if head.status != 200 {
                 return Err(CallError::Status(head.status));
             }
--- a/crates/pebblepost/src/front/faktory/consumers.rs
+++ b/crates/pebblepost/src/front/faktory/consumers.rs
@@ -1,6 +1,6 @@
-//! Worker processes: fetches, deliveries, acknowledgements and heartbeats.
+//! Commands of worker processes: fetches, acknowledgements and heartbeats; and the delivery of jobs to them.
 
-use super::protocol::{DEFAULT_QUEUE, OK, QUIET, bulk_string};
+use super::protocol::{DEFAULT_QUEUE, OK_REPLY, QUIET_REPLY, bulk_string};
 use super::session::Waiting;
 use super::workers::{QueueWorker, Reservation};
 use super::{Faktory, end_attempts, send_error, session, set_waiting};
@@ -11,11 +11,11 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// A `FETCH` that finds no job is answered after this.
+/// A `FETCH` for which no job arrives is answered after this time.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
-/// Backlog in the load report of a worker without a pending fetch. It has no queue, so a job sent there would only be
-/// rejected and use up its attempts; with this report, the decision module holds the job and probes again.
-const NO_CAPACITY_BACKLOG: f32 = 1_000.0;
+/// Backlog reported for a worker without a pending fetch. Such a worker cannot queue jobs, so a job sent to it would be
+/// rejected and use up one of its attempts. With this backlog the decision module holds the job and probes again.
+const NO_CAPACITY_BACKLOG_JOBS: f32 = 1_000.0;
 
 impl Faktory {
     pub(super) fn fetch(
@@ -34,7 +34,7 @@
         set_waiting(context, key, Waiting::Job(queues));
     }
 
-    /// Tells the engine of the queues from which a process fetches for the first time.
+    /// Registers the process with the engine as a worker of each queue from which it fetches for the first time.
     fn register_queues(&mut self, context: &mut Context, wid: &str, queues: &[usize]) {
         let mut changed = false;
         for queue in queues {
@@ -52,7 +52,9 @@
         }
     }
 
-    /// Probes a worker: its pending fetches are its free slots. `false` if it is not one of this front.
+    /// Answers a probe of a worker; its pending fetches count as its free slots.
+    ///
+    /// Returns `false` if the worker does not belong to this front end.
     pub fn probe(&mut self, context: &mut Context, id: WorkerId) -> bool {
         let Some(QueueWorker { wid, queue }) = self.workers.by_id(id) else { return false };
         let (status, report) = match self.workers.get(wid) {
@@ -60,7 +62,7 @@
                 let free = process.fetching.iter().filter(|key| fetches_from(context, **key, *queue)).count();
                 let value = |field: &ReportField| match field {
                     ReportField::FreeSlots => free as f32,
-                    ReportField::Queue if free == 0 => NO_CAPACITY_BACKLOG,
+                    ReportField::Queue if free == 0 => NO_CAPACITY_BACKLOG_JOBS,
                     _ => 0.0,
                 };
                 (Status::Ok, self.report_fields.iter().map(value).collect())
@@ -71,7 +73,9 @@
         true
     }
 
-    /// Gives a job to a pending fetch; `false` if the worker is not one of this front.
+    /// Delivers a job to one of the worker's pending fetches.
+    ///
+    /// Returns `false` if the worker does not belong to this front end. If the worker cannot take the job, the attempt fails.
     pub fn deliver(&mut self, context: &mut Context, attempt: AttemptId, id: WorkerId) -> bool {
         let Some(QueueWorker { wid, queue }) = self.workers.by_id(id).cloned() else { return false };
         let job = self.jobs.get_mut(attempt.request);
@@ -79,7 +83,7 @@
             context.inputs.push(Input::attempt_failed(attempt, Status::ConnectFailed));
             return true;
         };
-        // The engine sends nothing to a draining worker; a fetch that was pending at its drain stays without a job.
+        // The engine sends no jobs to a draining worker. A fetch that was pending when the drain began gets no job.
         let ready = process.state == WorkerState::Ready
             && job.queue == queue
             && !process.reservations.contains_key(&job.jid);
@@ -99,15 +103,15 @@
         true
     }
 
-    /// Forgets an attempt that was abandoned. The worker is not notified: the protocol has no message for that.
+    /// Drops the reservation of an abandoned attempt. The worker is not notified: the protocol has no message for that.
     pub fn abandon(&mut self, attempt: AttemptId) {
         for process in self.workers.processes_mut() {
             process.reservations.retain(|_, reservation| reservation.attempt != attempt);
         }
     }
 
-    /// `ACK` or `FAIL`. One for a job that the worker does not have any more is late, and ignored.
-    pub(super) fn end_job(
+    /// Handles `ACK` and `FAIL`. They are ignored, apart from the reply, if the worker no longer has a reservation for the job.
+    pub(super) fn finish_job(
         &mut self, context: &mut Context, key: ConnectionKey, wid: Option<String>, json: &Value,
         status: Status,
     ) {
@@ -118,14 +122,14 @@
         if let Some(reservation) = process.and_then(|process| process.reservations.remove(jid)) {
             context.inputs.push(Input::attempt_failed(reservation.attempt, status));
         }
-        context.net.send(key, OK);
+        context.net.send(key, OK_REPLY);
     }
 
     pub(super) fn heartbeat(
         &mut self, context: &mut Context, key: ConnectionKey, wid: Option<String>, json: &Value,
     ) {
-        let named = json.get("wid").and_then(Value::as_str).map(str::to_owned).or(wid);
-        let Some(wid) = named.filter(|wid| self.workers.contains(wid)) else {
+        let sent_wid = json.get("wid").and_then(Value::as_str).map(str::to_owned).or(wid);
+        let Some(wid) = sent_wid.filter(|wid| self.workers.contains(wid)) else {
             return send_error(context, key, "unknown worker");
         };
         if let Some(process) = self.workers.get_mut(&wid) {
@@ -134,16 +138,17 @@
         if let Some("quiet" | "terminate") = json.get("current_state").and_then(Value::as_str) {
             self.set_state(context, &wid, WorkerState::Draining);
         }
-        // An operator's drain mark is passed on to the worker in the protocol's own terms.
-        let drained = self.workers.get(&wid).is_some_and(|process| {
+        // An operator's drain mark reaches the worker as the protocol's `quiet` state.
+        let is_drained = self.workers.get(&wid).is_some_and(|process| {
             process.state == WorkerState::Ready
                 && !process.ids.is_empty()
                 && process.ids.values().all(|id| context.registry.is_drained(*id))
         });
-        context.net.send(key, if drained { QUIET } else { OK });
+        context.net.send(key, if is_drained { QUIET_REPLY } else { OK_REPLY });
     }
 
-    /// Tells the engine, in this turn, that a worker process is draining or gone.
+    /// Records that a worker process is draining or gone, and passes the new membership to the engine in the same iteration
+    /// of the event loop.
     fn set_state(&mut self, context: &mut Context, wid: &str, state: WorkerState) {
         let Some(process) = self.workers.get_mut(wid).filter(|process| process.state != state) else {
             return;
@@ -164,13 +169,13 @@
         (context.log)(&format!("faktory: worker={wid} state={state}"));
     }
 
-    /// The worker process is lost: what it had fetched may have run.
+    /// Removes a lost worker process. Its attempts end with `status`, since the jobs it had fetched may have run.
     pub(super) fn remove_worker(&mut self, context: &mut Context, wid: &str, status: Status) {
         self.set_state(context, wid, WorkerState::Gone);
         if let Some(mut process) = self.workers.remove(wid) {
             end_attempts(context, process.end_reservations(|_| true), status);
         }
-        // Should it come back, it starts with a new connection, as a new worker.
+        // If the process comes back, it opens a new connection and registers as a new worker.
         for key in context.net.keys() {
             if session(context, key).is_some_and(|session| session.wid.as_deref() == Some(wid)) {
                 context.net.close(key);
@@ -185,9 +190,9 @@
         process.connections -= 1;
         process.fetching.retain(|fetching| *fetching != key);
         let attempts = process.end_reservations(|reservation| reservation.connection == key);
-        let last = process.connections == 0;
+        let was_last = process.connections == 0;
         end_attempts(context, attempts, Status::Reset);
-        if last {
+        if was_last {
             self.remove_worker(context, wid, Status::Reset);
         }
     }
--- a/crates/pebblepost/src/front/faktory/mod.rs
+++ b/crates/pebblepost/src/front/faktory/mod.rs
@@ -1,11 +1,11 @@
-//! The Faktory work protocol, version 2: producers push jobs, workers fetch them.
+//! Front end for the Faktory work protocol, version 2: producers push jobs, workers fetch them.
 //!
-//! A worker's pending `FETCH`es are its free slots and the load report that its probe gets. `PUSH` is answered with the
-//! job's one final response. A repeat within [`DEDUPLICATION_WINDOW`] does not run and gets the first one's response. Each
-//! queue has a class and a kind of workers of its own, so a worker process that fetches from two queues is two workers to
-//! the engine, with the same slots.
+//! A worker's pending `FETCH` commands count as its free slots and are the load report that a probe returns. `PUSH` is
+//! answered with the job's single final response. A duplicate push within [`DEDUPLICATION_WINDOW`] does not run and gets the
+//! response to the first. Each queue has its own request class and worker kind, so the engine sees a worker process that
+//! fetches from two queues as two workers, which share the same slots.
 //!
-//! Owns the jobs and the worker processes; which worker gets a job is decided by the engine.
+//! This module owns the jobs and the worker processes; the engine decides which worker gets a job.
 
 mod consumers;
 mod jobs;
@@ -25,19 +25,19 @@
 use crate::timer::Timer;
 use jobs::JobTable;
 use pebblepost_dispatch::api::{ReportField, Status};
-use protocol::{HASH_ITERATIONS, MAX_COMMAND_BYTES, OK, PROTOCOL_VERSION, bulk_string};
+use protocol::{HASH_ITERATIONS, MAX_COMMAND_BYTES, OK_REPLY, PROTOCOL_VERSION, bulk_string};
 use serde_json::{Value, json};
 use session::{Session, Waiting};
 use std::hash::{BuildHasher, RandomState};
 use std::time::Duration;
 use workers::WorkerTable;
 
-/// A connection has to say `HELLO` by then.
+/// A connection that has not sent a valid `HELLO` within this time is closed.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often expired workers, reservations and responses are looked for.
+/// Interval of the check for expired workers, reservations and responses.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The Faktory front.
+/// Front end for the Faktory work protocol.
 #[derive(Debug)]
 pub struct Faktory {
     config: FaktoryConfig,
@@ -47,18 +47,18 @@
 }
 
 impl Faktory {
-    /// A front without connections, which sets a timer to look for what has expired.
+    /// Creates the front end and schedules the first expiry check.
     pub fn new(context: &mut Context, config: FaktoryConfig, report_fields: Vec<ReportField>) -> Self {
         schedule_expiry(context);
         Self { config, report_fields, workers: WorkerTable::default(), jobs: JobTable::default() }
     }
 
-    /// Changes the time after which a silent worker is lost, and that after which the reservations of future jobs expire.
+    /// Sets the time after which a silent worker counts as lost, and the default reservation time of jobs pushed from now on.
     pub fn set_timeouts(&mut self, heartbeat: Duration, reserve_for: Duration) {
         (self.config.heartbeat, self.config.reserve_for) = (heartbeat, reserve_for);
     }
 
-    /// A connection was accepted: the server speaks first.
+    /// Handles a new connection. In this protocol the server sends the first message.
     pub fn on_open(&mut self, context: &mut Context, key: ConnectionKey) {
         let greeting = match &self.config.password {
             None => json!({"v": PROTOCOL_VERSION}),
@@ -75,16 +75,16 @@
         context.net.send(key, format!("+HI {greeting}\r\n").as_bytes());
     }
 
-    /// Processes received bytes, or commands that waited for a reply.
+    /// Handles received bytes, including commands buffered while a reply was pending.
     pub fn on_data(&mut self, context: &mut Context, key: ConnectionKey) {
         while let Some(connection) = context.net.get(key) {
             let ConnectionRole::Faktory(session) = &connection.role else { return };
             if session.waiting != Waiting::Nothing {
-                break; // Pipelined commands wait.
+                break; // Pipelined commands stay buffered until the reply is sent.
             }
             let end = connection.input.data().iter().position(|byte| *byte == b'\n');
             if end.unwrap_or(connection.input.len()) > MAX_COMMAND_BYTES {
-                return self.close_with(context, key, &protocol::error("command too long"));
+                return self.close_with(context, key, &protocol::error_reply("command too long"));
             }
             let Some(end) = end else { break };
             let line = connection.input.data()[..end].trim_ascii().to_vec();
@@ -94,13 +94,13 @@
         context.net.update_interest(key);
     }
 
-    /// The connection ended.
+    /// Handles the end of a connection.
     pub fn on_closed(&mut self, context: &mut Context, key: ConnectionKey) {
         self.detach(context, key);
         context.net.close(key);
     }
 
-    /// The connection's deadline: no job arrived for its fetch, or it did not say `HELLO`.
+    /// Handles an expired deadline: replies to a fetch for which no job arrived, or closes a connection without `HELLO`.
     pub fn on_deadline(&mut self, context: &mut Context, key: ConnectionKey) {
         let Some(session) = session(context, key) else { return };
         if !matches!(session.waiting, Waiting::Job(_)) {
@@ -112,11 +112,11 @@
         }
         set_waiting(context, key, Waiting::Nothing);
         context.net.set_deadline(key, None);
-        context.net.send(key, protocol::NO_JOB);
+        context.net.send(key, protocol::NO_JOB_REPLY);
         self.on_data(context, key);
     }
 
-    /// Removes workers that have fallen silent, reservations kept too long, and responses that no repeat can ask for.
+    /// Removes workers whose heartbeat timed out, expired reservations, and responses outside the deduplication window.
     pub fn expire(&mut self, context: &mut Context) {
         let now = context.net.now;
         schedule_expiry(context);
@@ -132,19 +132,19 @@
 
     fn on_command(&mut self, context: &mut Context, key: ConnectionKey, line: &[u8]) {
         let Ok(line) = std::str::from_utf8(line) else {
-            return send_error(context, key, "not UTF-8");
+            return send_error(context, key, "command is not valid UTF-8");
         };
         let (verb, arguments) = line.split_once(' ').unwrap_or((line, ""));
         let Some(session) = session(context, key) else { return };
-        let (greeted, wid) = (session.greeted, session.wid.clone());
-        if !greeted && verb != "HELLO" {
-            return self.close_with(context, key, &protocol::error("say HELLO first"));
+        let (is_greeted, wid) = (session.is_greeted, session.wid.clone());
+        if !is_greeted && verb != "HELLO" {
+            return self.close_with(context, key, &protocol::error_reply("say HELLO first"));
         }
         if let Some(process) = wid.as_ref().and_then(|wid| self.workers.get_mut(wid)) {
             process.last_seen = context.net.now;
         }
         match verb {
-            "HELLO" if greeted => send_error(context, key, "HELLO was said"),
+            "HELLO" if is_greeted => send_error(context, key, "HELLO was said"),
             "END" => self.close_with(context, key, "+OK\r\n"),
             "INFO" => self.info(context, key),
             "FETCH" => self.fetch(context, key, wid, arguments),
@@ -156,8 +156,8 @@
                 match verb {
                     "HELLO" => self.hello(context, key, &json),
                     "PUSH" => self.push(context, key, &json, arguments),
-                    "ACK" => self.end_job(context, key, wid, &json, Status::Ok),
-                    "FAIL" => self.end_job(context, key, wid, &json, Status::Error),
+                    "ACK" => self.finish_job(context, key, wid, &json, Status::Ok),
+                    "FAIL" => self.finish_job(context, key, wid, &json, Status::Error),
                     _ => self.heartbeat(context, key, wid, &json),
                 }
             }
@@ -167,24 +167,24 @@
 
     fn hello(&mut self, context: &mut Context, key: ConnectionKey, json: &Value) {
         if json.get("v").and_then(Value::as_u64) != Some(PROTOCOL_VERSION) {
-            let reply = protocol::error("version 2 of the protocol is spoken here");
+            let reply = protocol::error_reply("version 2 of the protocol is spoken here");
             return self.close_with(context, key, &reply);
         }
         let Some(session) = session(context, key) else { return };
         if let Some(password) = &self.config.password {
-            let proof = json.get("pwdhash").and_then(Value::as_str).unwrap_or("");
-            if proof != password_hash(password, &session.salt, HASH_ITERATIONS) {
-                return self.close_with(context, key, &protocol::error("invalid password"));
+            let presented_hash = json.get("pwdhash").and_then(Value::as_str).unwrap_or("");
+            if presented_hash != password_hash(password, &session.salt, HASH_ITERATIONS) {
+                return self.close_with(context, key, &protocol::error_reply("invalid password"));
             }
         }
-        session.greeted = true;
+        session.is_greeted = true;
         let wid = json.get("wid").and_then(Value::as_str).filter(|wid| !wid.is_empty());
         session.wid = wid.map(str::to_owned);
         context.net.set_deadline(key, None);
         if let Some(wid) = wid {
             self.workers.connect(wid.to_owned(), context.net.now);
         }
-        context.net.send(key, OK);
+        context.net.send(key, OK_REPLY);
     }
 
     fn info(&mut self, context: &mut Context, key: ConnectionKey) {
@@ -199,14 +199,14 @@
         context.net.send(key, &bulk_string(info.to_string().as_bytes()));
     }
 
-    /// Sends a last reply and closes the connection, which is removed from all state first.
+    /// Removes the connection from all state, sends a last reply and closes it.
     fn close_with(&mut self, context: &mut Context, key: ConnectionKey, reply: &str) {
         self.detach(context, key);
         context.net.send(key, reply.as_bytes());
         context.net.close_gracefully(key);
     }
 
-    /// Removes a connection from all that refers to it.
+    /// Removes all references to a connection: its pending push or fetch, and its worker process.
     fn detach(&mut self, context: &mut Context, key: ConnectionKey) {
         let Some(session) = session(context, key) else { return };
         let (wid, waiting) = (session.wid.take(), std::mem::take(&mut session.waiting));
@@ -241,7 +241,7 @@
 }
 
 fn send_error(context: &mut Context, key: ConnectionKey, text: &str) {
-    context.net.send(key, protocol::error(text).as_bytes());
+    context.net.send(key, protocol::error_reply(text).as_bytes());
 }
 
 fn end_attempts(context: &mut Context, attempts: Vec<AttemptId>, status: Status) {
--- a/crates/pebblepost/src/front/faktory/producers.rs
+++ b/crates/pebblepost/src/front/faktory/producers.rs
@@ -1,6 +1,6 @@
-//! Producers: pushes, and the responses to them.
+//! Commands of producers: pushes, and the responses to them.
 
-use super::jobs::{Job, Repeat};
+use super::jobs::{DuplicatePush, Job};
 use super::protocol::DEFAULT_QUEUE;
 use super::session::Waiting;
 use super::{Faktory, send_error, set_waiting};
@@ -11,14 +11,14 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// The times that a job may be reserved for, in seconds.
+/// Permitted values of a job's `reserve_for`, in seconds.
 const RESERVE_FOR_RANGE_S: std::ops::RangeInclusive<f64> = 0.001..=86_400.0;
 
-/// A job as a push describes it.
+/// A job as parsed from a push.
 struct PushedJob<'a> {
     deduplication_key: String,
     jid: &'a str,
-    /// Index of its queue.
+    /// Index of the job's queue in the configuration.
     queue: usize,
     reserve_for: Duration,
 }
@@ -30,9 +30,9 @@
             Err(error) => return send_error(context, key, error),
         };
         let now = context.net.now;
-        match self.jobs.repeat(&pushed.deduplication_key, key, now) {
-            Some(Repeat::Reply(reply)) => return context.net.send(key, reply.as_bytes()),
-            Some(Repeat::Waits) => return set_waiting(context, key, Waiting::Response),
+        match self.jobs.handle_duplicate(&pushed.deduplication_key, key, now) {
+            Some(DuplicatePush::Reply(reply)) => return context.net.send(key, reply.as_bytes()),
+            Some(DuplicatePush::Wait) => return set_waiting(context, key, Waiting::Response),
             None => {}
         }
         if context.is_draining() {
@@ -63,7 +63,11 @@
         context.inputs.push(Input::Request(id, request));
     }
 
-    /// Reads a job; the error is the text of the reply.
+    /// Parses a job and resolves its queue.
+    ///
+    /// # Errors
+    ///
+    /// Fails with the text of the error reply if a field is missing or malformed, or the queue is unknown.
     fn parse_job<'a>(&self, json: &'a Value) -> Result<PushedJob<'a>, &'static str> {
         let text = |name: &str| json.get(name).and_then(Value::as_str).filter(|text| !text.is_empty());
         let arguments = json.get("args").and_then(Value::as_array);
@@ -81,12 +85,14 @@
                 Duration::from_secs_f64(seconds.ok_or("bad reserve_for")?)
             }
         };
-        let own_key = self.config.key.as_ref().and_then(|key| json.pointer("/custom")?.get(key));
-        let deduplication_key = own_key.map_or_else(|| format!("jid {jid}"), |key| format!("key {key}"));
+        let custom_key = self.config.key.as_ref().and_then(|key| json.pointer("/custom")?.get(key));
+        let deduplication_key = custom_key.map_or_else(|| format!("jid {jid}"), |key| format!("key {key}"));
         Ok(PushedJob { deduplication_key, jid, queue, reserve_for })
     }
 
-    /// Gives the final response to all who pushed the job; `false` if it is not one of this front.
+    /// Sends the final response to all producers that wait for the job.
+    ///
+    /// Returns `false` if the job does not belong to this front end.
     pub fn respond(&mut self, context: &mut Context, id: RequestId, response: FinalResponse) -> bool {
         if !self.jobs.contains(id) {
             return false;
@@ -104,8 +110,9 @@
         true
     }
 
-    /// A producer that waited for a response disconnected. The engine learns of it unless somebody else waits for the
-    /// response, or a worker has had the job.
+    /// Handles the disconnection of a producer that waits for a response.
+    ///
+    /// The engine is notified unless another producer waits for the response or the job was already delivered to a worker.
     pub(super) fn on_producer_closed(&mut self, context: &mut Context, key: ConnectionKey) {
         if let Some(id) = self.jobs.remove_producer(key) {
             context.inputs.push(Input::ClientDisconnected(id));
--- a/crates/pebblepost/src/front/faktory/workers.rs
+++ b/crates/pebblepost/src/front/faktory/workers.rs
@@ -1,4 +1,4 @@
-//! Worker processes that fetch jobs.
+//! Table of worker processes that fetch jobs.
 
 use crate::engine::AttemptId;
 use crate::net::ConnectionKey;
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// A job that a worker has fetched.
+/// A job that a worker process has fetched and not finished.
 #[derive(Debug)]
 pub(super) struct Reservation {
     pub(super) attempt: AttemptId,
@@ -14,17 +14,18 @@
     pub(super) expires: Time,
 }
 
-/// A worker process.
+/// A worker process, identified by its `wid`.
 #[derive(Debug)]
 pub(super) struct WorkerProcess {
+    /// Number of open connections of the process.
     pub(super) connections: usize,
-    /// The worker that it is to the engine, for each queue by index.
+    /// The engine's worker id for each queue index from which the process fetches.
     pub(super) ids: BTreeMap<usize, WorkerId>,
     pub(super) state: WorkerState,
     pub(super) last_seen: Time,
-    /// Connections with a pending fetch, in the order of their arrival.
+    /// Connections with a pending fetch, in order of arrival.
     pub(super) fetching: Vec<ConnectionKey>,
-    /// By `jid`.
+    /// Fetched jobs by `jid`.
     pub(super) reservations: HashMap<String, Reservation>,
 }
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// The worker that the engine knows by an id: a process and one of its queues.
+/// A worker as the engine sees it: a process and one of the queues from which it fetches.
 #[derive(Clone, Debug)]
 pub(super) struct QueueWorker {
     pub(super) wid: String,
@@ -55,7 +56,7 @@
     pub(super) queue: usize,
 }
 
-/// All worker processes, by `wid`.
+/// All worker processes by `wid`, with an index by the engine's worker id.
 #[derive(Debug, Default)]
 pub(super) struct WorkerTable {
     processes: HashMap<String, WorkerProcess>,
@@ -83,14 +84,14 @@
         self.processes.values_mut()
     }
 
-    /// A connection of a process said `HELLO`.
+    /// Records a connection of the process whose `HELLO` was accepted, and adds the process if it is new.
     pub(super) fn connect(&mut self, wid: String, now: Time) {
         let process = self.processes.entry(wid).or_insert_with(|| WorkerProcess::new(now));
         process.connections += 1;
         process.last_seen = now;
     }
 
-    /// Records that the engine knows a queue of a process by this id.
+    /// Records the engine's worker id for a process and one of its queues.
     pub(super) fn register(&mut self, id: WorkerId, wid: &str, queue: usize) {
         if let Some(process) = self.processes.get_mut(wid) {
             process.ids.insert(queue, id);
@@ -102,7 +103,7 @@
         self.by_id.remove(&id);
     }
 
-    /// The worker that the engine knows by this id.
+    /// Returns the process and queue behind an engine's worker id.
     pub(super) fn by_id(&self, id: WorkerId) -> Option<&QueueWorker> {
         self.by_id.get(&id)
     }
@@ -111,17 +112,17 @@
         self.processes.remove(wid)
     }
 
-    /// Connections with a pending fetch.
+    /// Returns the number of connections with a pending fetch.
     pub(super) fn fetching(&self) -> usize {
         self.processes.values().map(|process| process.fetching.len()).sum()
     }
 
-    /// Jobs that workers have fetched and not ended.
+    /// Returns the number of jobs that workers have fetched and not finished.
     pub(super) fn reserved(&self) -> usize {
         self.processes.values().map(|process| process.reservations.len()).sum()
     }
 
-    /// Processes that have sent nothing for longer than `heartbeat_timeout`.
+    /// Returns the `wid` of each process that has sent nothing for `heartbeat_timeout`.
     pub(super) fn expired(&self, now: Time, heartbeat_timeout: Duration) -> Vec<String> {
         let expired =
             self.processes.iter().filter(|(_, process)| now >= process.last_seen + heartbeat_timeout);
--- a/crates/pebblepost/src/front/mod.rs
+++ b/crates/pebblepost/src/front/mod.rs
@@ -1,4 +1,5 @@
-//! The fronts: each translates one protocol to the engine's inputs and back, and decides nothing.
+//! Protocol front ends. Each translates one protocol to the engine's inputs and the engine's outputs back; all scheduling
+//! decisions are made by the engine.
 
 pub mod faktory;
 pub mod health;
--- a/crates/pebblepost/src/front/platform/client.rs
+++ b/crates/pebblepost/src/front/platform/client.rs
@@ -1,26 +1,26 @@
-//! State of a client's connection.
+//! Per-connection state of the platform's clients.
 
 use crate::buffer::Buffer;
 use crate::http::{Body, Head};
 use pebblepost_dispatch::api::RequestId;
 
-/// A request of which the head was read and the body was not yet.
+/// A request whose head has been read and whose body is incomplete.
 #[derive(Debug)]
 pub struct IncompleteRequest {
     pub(super) head: Head,
     pub(super) body: Body,
-    /// The decoded part of the body.
+    /// The part of the body decoded so far.
     pub(super) content: Buffer,
 }
 
-/// What the connection of a client is at.
+/// Protocol state of a client's connection.
 #[derive(Debug, Default)]
 pub enum ClientState {
-    /// Between requests, or within a head.
+    /// Between requests, or while a head is incomplete.
     #[default]
     Head,
-    /// Within a body.
+    /// While a body is incomplete.
     Body(Box<IncompleteRequest>),
-    /// The engine has the request.
+    /// The engine holds the request; its response is pending.
     AwaitingResponse(RequestId),
 }
--- a/crates/pebblepost/src/front/platform/request.rs
+++ b/crates/pebblepost/src/front/platform/request.rs
@@ -1,4 +1,4 @@
-//! Requests of the platform's clients: what the engine learns of them, and what a worker gets.
+//! Parses the request properties that the engine needs from a head, and builds the head forwarded to a worker.
 
 use crate::config::RequestClass;
 use crate::engine::Request;
@@ -8,31 +8,35 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Headers that are forwarded to the worker beside those that the protocol demands.
+/// Headers that are forwarded to the worker, besides those that the protocol requires.
 const FORWARDED_HEADERS: [&str; 8] =
     ["x-txn", "idempotency-key", "x-lane", "x-estimate", "x-labels", "x-resent", "cookie", "content-type"];
-/// The longest time that a client is waited for; it keeps sums of times in range.
+/// Upper bound of the time that a client may wait. It keeps sums of times within range.
 const MAX_TIME_LEFT: Duration = Duration::from_secs(86_400);
-/// The `Host` of requests that name none.
+/// The `Host` forwarded for requests without one.
 const DEFAULT_HOST: &str = "api.internal";
-/// The cookie that carries a request's affinity key, with its equals sign.
-const AFFINITY_COOKIE: &str = "k=";
+/// Name of the cookie that carries a request's affinity key, with its equals sign.
+const AFFINITY_COOKIE_PREFIX: &str = "k=";
 
-/// A request that was read from its head.
+/// A request as parsed from its head.
 pub(super) struct ParsedRequest {
-    /// The client's id of it, the header `X-Txn`.
+    /// The client's request id, from the header `X-Txn`.
     pub(super) id: String,
     pub(super) request: Request,
 }
 
-/// The tenant of a request. One that the settings do not name counts as the first, as if there were none.
-pub fn tenant(names: &[String], named: Option<&str>) -> TenantId {
-    let index = named.and_then(|named| names.iter().position(|name| name == named));
+/// Returns the id of the tenant `name`.
+///
+/// A missing name, or one that is not in the settings, maps to the first tenant.
+pub fn tenant_id(names: &[String], name: Option<&str>) -> TenantId {
+    let index = name.and_then(|wanted| names.iter().position(|name| name == wanted));
     TenantId(index.and_then(|index| u16::try_from(index).ok()).unwrap_or(0))
 }
 
-/// Reads what the engine has to know; `None` if a number or name is malformed or missing.
-pub(super) fn parse(classes: &[RequestClass], tenants: &[String], head: &Head) -> Option<ParsedRequest> {
+/// Parses the request properties that the engine needs; `None` if a number or name is missing or malformed.
+pub(super) fn parse_request(
+    classes: &[RequestClass], tenants: &[String], head: &Head,
+) -> Option<ParsedRequest> {
     let is_valid_id = |id: &&str| !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_graphic());
     let id = head.header("x-txn").filter(is_valid_id)?;
     let lane = head.header("x-lane")?;
@@ -42,13 +46,13 @@
         None => classes[class].deadline,
     };
     let work = match head.header("x-estimate") {
-        Some(text) => Some(estimate(text)?),
+        Some(text) => Some(parse_estimate(text)?),
         None => None,
     };
     let demand = Demand::parse(head.header("x-labels").unwrap_or(""))?;
     let class = ClassId(u16::try_from(class).ok()?);
     let cookies = head.header("cookie").unwrap_or("").split(';').map(str::trim);
-    let affinity = cookies.filter_map(|cookie| cookie.strip_prefix(AFFINITY_COOKIE)).next();
+    let affinity = cookies.filter_map(|cookie| cookie.strip_prefix(AFFINITY_COOKIE_PREFIX)).next();
     let request = Request {
         class,
         time_left: time_left.min(MAX_TIME_LEFT),
@@ -57,25 +61,25 @@
         memory: demand.memory,
         work,
         key: affinity.map_or(0, hash_name),
-        tenant: tenant(tenants, head.header("x-org")),
+        tenant: tenant_id(tenants, head.header("x-org")),
     };
     Some(ParsedRequest { id: id.to_owned(), request })
 }
 
-/// An estimate of the execution time, in microseconds on the wire.
-fn estimate(text: &str) -> Option<Duration> {
+/// Parses an estimated execution time, given in microseconds.
+fn parse_estimate(text: &str) -> Option<Duration> {
     let micros = text.parse::<f64>().ok().filter(|micros| micros.is_finite() && *micros >= 0.0)?;
     Duration::try_from_secs_f64(micros / 1e6).ok()
 }
 
-/// What a request takes on a worker.
+/// Resources that a request occupies on a worker: 1 slot and no memory unless its labels say otherwise.
 struct Demand {
     slots: f32,
     memory: f32,
 }
 
 impl Demand {
-    /// Reads pairs `name=value` with commas between.
+    /// Parses comma-separated `name=value` labels; unknown names are ignored. Returns `None` if one is malformed.
     fn parse(labels: &str) -> Option<Self> {
         let mut demand = Self { slots: 1.0, memory: 0.0 };
         for label in labels.split(',').map(str::trim).filter(|label| !label.is_empty()) {
@@ -92,8 +96,8 @@
     }
 }
 
-/// The head of the request as a worker gets it, up to the time that its client waits.
-pub(super) fn forwarded_head(head: &Head, id: &str, body_bytes: usize) -> String {
+/// Builds the head that is sent to a worker, without the header for the remaining time and the empty line at the end.
+pub(super) fn build_forwarded_head(head: &Head, id: &str, body_bytes: usize) -> String {
     let mut forwarded = format!("POST {} HTTP/1.1\r\nX-Txn: {id}\r\n", head.target);
     let host = head.header("host").unwrap_or(DEFAULT_HOST);
     let _ = write!(forwarded, "Host: {host}\r\nContent-Length: {body_bytes}\r\n");
--- a/crates/pebblepost/src/http/body.rs
+++ b/crates/pebblepost/src/http/body.rs
@@ -1,29 +1,29 @@
-//! Incremental decoding of message bodies.
+//! Incremental decoder of message bodies.
 
 use super::head::Framing;
 use super::malformed::Malformed;
 use crate::buffer::Buffer;
 
-/// Longest line that gives the size of a chunk, in bytes.
+/// Maximum length of a chunk's size line, without its CRLF.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
-/// Most bytes of all trailers together.
+/// Maximum total size of the trailer section.
 const MAX_TRAILER_BYTES: usize = 4 * 1024;
-/// Most hexadecimal digits of a chunk's size.
+/// Maximum number of hexadecimal digits in a chunk size.
 const MAX_CHUNK_SIZE_DIGITS: usize = 8;
 
 #[derive(Debug)]
 enum DecoderState {
-    /// This many bytes of data are missing.
+    /// Reading data; holds the number of bytes still missing from the body or chunk.
     Data(usize),
     ChunkSize,
     ChunkEnd,
-    /// This many bytes of trailers were read.
+    /// Reading trailers; holds the number of bytes read so far.
     Trailers(usize),
     UntilClose,
     Complete,
 }
 
-/// Decodes a body as its bytes arrive.
+/// Decoder of a message body whose bytes arrive in parts.
 #[derive(Debug)]
 pub struct Body {
     state: DecoderState,
@@ -31,7 +31,7 @@
 }
 
 impl Body {
-    /// A body with that framing, of which nothing was decoded yet.
+    /// Creates a decoder for a body with this framing.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Length(0) => DecoderState::Complete,
@@ -42,22 +42,24 @@
         Self { state, chunked: framing == Framing::Chunked }
     }
 
-    /// Whether all of it was decoded.
+    /// Returns whether the whole body has been decoded.
+    ///
+    /// Stays `false` for [`Framing::UntilClose`], where only the end of the connection completes the body.
     pub fn is_complete(&self) -> bool {
         matches!(self.state, DecoderState::Complete)
     }
 
-    /// Moves what can be decoded from `input` to `output`.
+    /// Decodes as much of `input` as possible and appends it to `output`.
     ///
     /// # Errors
     ///
-    /// If the chunked coding is malformed.
+    /// Fails if the chunked coding is malformed or its trailers are too large.
     pub fn decode(&mut self, input: &mut Buffer, output: &mut Buffer) -> Result<(), Malformed> {
         while self.step(input, output)? {}
         Ok(())
     }
 
-    /// Decodes one element; `false` if the body is complete or more bytes are needed.
+    /// Decodes one element; returns `false` if the body is complete or more bytes are needed.
     fn step(&mut self, input: &mut Buffer, output: &mut Buffer) -> Result<bool, Malformed> {
         match self.state {
             DecoderState::Complete => return Ok(false),
@@ -78,7 +80,7 @@
             }
             DecoderState::ChunkSize => {
                 let Some(line) = take_line(input, MAX_CHUNK_LINE_BYTES)? else { return Ok(false) };
-                self.state = match chunk_size(&line)? {
+                self.state = match parse_chunk_size(&line)? {
                     0 => DecoderState::Trailers(0),
                     bytes => DecoderState::Data(bytes),
                 };
@@ -106,8 +108,8 @@
     }
 }
 
-/// The size in the first line of a chunk, whose extensions are ignored.
-fn chunk_size(line: &[u8]) -> Result<usize, Malformed> {
+/// Parses the size line of a chunk. Chunk extensions are ignored.
+fn parse_chunk_size(line: &[u8]) -> Result<usize, Malformed> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
     let valid =
         (1..=MAX_CHUNK_SIZE_DIGITS).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
@@ -115,7 +117,11 @@
     usize::from_str_radix(text, 16).map_err(|_| Malformed(400))
 }
 
-/// Takes a line of at most `max_bytes` off the buffer, without its CRLF; `None` if more bytes are needed.
+/// Removes a line of at most `max_bytes` from the buffer and returns it without its CRLF; `None` if more bytes are needed.
+///
+/// # Errors
+///
+/// Fails if the line is longer, or ends in LF without CR.
 fn take_line(input: &mut Buffer, max_bytes: usize) -> Result<Option<Vec<u8>>, Malformed> {
     let data = input.data();
     let Some(end) = data.iter().take(max_bytes + 2).position(|byte| *byte == b'\n') else {
--- a/crates/pebblepost/src/http/head.rs
+++ b/crates/pebblepost/src/http/head.rs
@@ -1,21 +1,21 @@
-//! Heads of requests and responses, parsed by `httparse`.
+//! Request and response heads, parsed with `httparse`.
 
 use super::malformed::Malformed;
 use crate::buffer::Buffer;
 
-/// Largest body of a request, in bytes.
+/// Maximum size of a request body.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Largest head, in bytes.
+/// Maximum size of a message head.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Most headers of a message.
+/// Maximum number of headers in a message.
 const MAX_HEADERS: usize = 64;
 
 /// How a body is delimited (RFC 9112, section 6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// By its length in bytes.
+    /// By a length in bytes.
     Length(usize),
-    /// By the chunked transfer coding.
+    /// With the chunked transfer coding.
     Chunked,
     /// By the end of the connection (responses only).
     UntilClose,
@@ -24,13 +24,13 @@
 /// The parsed head of a request or a response.
 #[derive(Debug)]
 pub struct Head {
-    /// Method of a request; empty for a response.
+    /// Request method; empty for a response.
     pub method: String,
-    /// Target of a request; empty for a response.
+    /// Request target; empty for a response.
     pub target: String,
-    /// Status code of a response; 0 for a request.
+    /// Response status code; 0 for a request.
     pub status: u16,
-    /// Header names in lower case, and their values.
+    /// Headers in the order received: names in lower case, values trimmed.
     pub headers: Vec<(String, String)>,
     /// How the body is delimited.
     pub framing: Framing,
@@ -39,12 +39,12 @@
 }
 
 impl Head {
-    /// The value of the first header with that lower-case name.
+    /// Returns the value of the first header with this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 
-    fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
+    fn header_values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.headers.iter().filter(move |(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 
@@ -61,7 +61,7 @@
             keep_alive: version == 1,
         };
         let options: Vec<String> = head
-            .all("connection")
+            .header_values("connection")
             .flat_map(|value| value.split(','))
             .map(|option| option.trim().to_ascii_lowercase())
             .collect();
@@ -73,21 +73,28 @@
         head
     }
 
-    /// Reads the framing; `None` if no header gives it.
+    /// Determines the framing from the headers; `None` if no header gives it.
     ///
-    /// Two lengths that differ, or a length beside a transfer coding, could be read as different messages by different
-    /// parties (request smuggling, RFC 9112, section 11.2) and are malformed.
+    /// Different `Content-Length` values, or a length together with a transfer coding, are malformed: recipients could
+    /// disagree on where the message ends (request smuggling, RFC 9112, section 11.2).
+    ///
+    /// # Errors
+    ///
+    /// Fails with 400 if the framing is malformed or ambiguous, with 501 for a transfer coding other than `chunked`.
     fn framing(&self) -> Result<Option<Framing>, Malformed> {
         let mut length = None;
-        for value in self.all("content-length") {
+        for value in self.header_values("content-length") {
             let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
             let bytes = value.parse::<usize>().ok().filter(|_| digits).ok_or(Malformed(400))?;
             if length.replace(bytes).is_some_and(|other| other != bytes) {
                 return Err(Malformed(400));
             }
         }
-        let codings: Vec<&str> =
-            self.all("transfer-encoding").flat_map(|value| value.split(',')).map(str::trim).collect();
+        let codings: Vec<&str> = self
+            .header_values("transfer-encoding")
+            .flat_map(|value| value.split(','))
+            .map(str::trim)
+            .collect();
         match (codings.as_slice(), length) {
             ([], length) => Ok(length.map(Framing::Length)),
             ([coding], None) if coding.eq_ignore_ascii_case("chunked") => Ok(Some(Framing::Chunked)),
@@ -97,12 +104,12 @@
     }
 }
 
-/// Takes the head of a request off the buffer; `None` if more bytes are needed.
+/// Removes a request head from the buffer and returns it; `None` if more bytes are needed.
 ///
 /// # Errors
 ///
-/// If the head is malformed or too large, or declares a body larger than [`MAX_BODY_BYTES`].
-pub fn request_head(input: &mut Buffer) -> Result<Option<Head>, Malformed> {
+/// Fails if the head is malformed or too large, or declares a body larger than [`MAX_BODY_BYTES`].
+pub fn take_request_head(input: &mut Buffer) -> Result<Option<Head>, Malformed> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let (head, used) = match request.parse(input.data()) {
@@ -127,12 +134,13 @@
     Ok(Some(head))
 }
 
-/// Takes the head of a response off the buffer, skipping interim ones; `None` if more bytes are needed.
+/// Removes a response head from the buffer and returns it; `None` if more bytes are needed. Interim (1xx) responses are
+/// skipped.
 ///
 /// # Errors
 ///
-/// If the head is malformed or too large.
-pub fn response_head(input: &mut Buffer) -> Result<Option<Head>, Malformed> {
+/// Fails if the head is malformed or too large.
+pub fn take_response_head(input: &mut Buffer) -> Result<Option<Head>, Malformed> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
@@ -147,7 +155,7 @@
         let framing = head.framing()?;
         input.consume(used);
         if (100..200).contains(&head.status) {
-            continue; // Interim responses precede the final one.
+            continue;
         }
         let bodiless = matches!(head.status, 204 | 304);
         head.framing = if bodiless { Framing::Length(0) } else { framing.unwrap_or(Framing::UntilClose) };
--- a/crates/pebblepost/src/http/json_stream.rs
+++ b/crates/pebblepost/src/http/json_stream.rs
@@ -1,4 +1,4 @@
-//! Streams of JSON objects in decoded bodies: discovery's endpoint lists and workers' progress lines.
+//! Streams of JSON in decoded bodies: discovery's endpoint lists and the workers' progress lines.
 
 use super::malformed::Malformed;
 use crate::buffer::Buffer;
@@ -7,18 +7,19 @@
 /// An element of a stream of JSON objects.
 #[derive(Debug, PartialEq)]
 pub enum StreamItem {
-    /// An object.
+    /// A JSON value, normally an object.
     Object(Value),
-    /// An empty line between two objects, which the sender uses as a sign of life.
+    /// An empty line between two objects, sent as a keep-alive.
     EmptyLine,
 }
 
-/// Takes the next element off a decoded stream of objects, on one line each or indented over several; `None` if more
-/// bytes are needed.
+/// Removes the next element from a decoded stream of JSON objects and returns it; `None` if more bytes are needed.
+///
+/// An object may span several lines.
 ///
 /// # Errors
 ///
-/// If the stream is not JSON.
+/// Fails if the stream is not valid JSON.
 pub fn take_json(input: &mut Buffer) -> Result<Option<StreamItem>, Malformed> {
     let data = input.data();
     let blank = data.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
@@ -26,7 +27,7 @@
         input.consume(end + 1);
         return Ok(Some(StreamItem::EmptyLine));
     }
-    // Parsing starts only once an object may be complete, as a large one arrives in many parts.
+    // A large object arrives in many parts. Without a closing brace it cannot be complete, so parsing would be wasted.
     if !data.contains(&b'}') {
         return Ok(None);
     }
@@ -34,7 +35,7 @@
     match objects.next() {
         Some(Ok(object)) => {
             let end = objects.byte_offset();
-            // The end of its line belongs to the object, if it has arrived.
+            // The line ending after the object is consumed with it, so that it does not count as an empty line.
             let rest = &data[end..];
             let line_end = [&b"\r\n"[..], b"\n"]
                 .into_iter()
@@ -48,8 +49,8 @@
     }
 }
 
-/// Takes a line that ends in LF off a decoded stream of lines, trimmed; `None` if more bytes are needed.
-pub fn take_json_line(input: &mut Buffer) -> Option<Vec<u8>> {
+/// Removes a line that ends in LF from a decoded stream and returns it trimmed; `None` if more bytes are needed.
+pub fn take_trimmed_line(input: &mut Buffer) -> Option<Vec<u8>> {
     let end = input.data().iter().position(|byte| *byte == b'\n')?;
     let line = input.data()[..end].trim_ascii().to_vec();
     input.consume(end + 1);
--- a/crates/pebblepost/src/http/malformed.rs
+++ b/crates/pebblepost/src/http/malformed.rs
@@ -1,8 +1,8 @@
-//! The error of messages that cannot be read.
+//! The error for messages that cannot be parsed.
 
 use thiserror::Error;
 
-/// A message that cannot be read; carries the status code that reports it.
+/// A message that cannot be parsed, with the status code to report for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("malformed HTTP message, reported as status {0}")]
+#[error("malformed HTTP message, reported with status {0}")]
 pub struct Malformed(pub u16);
--- a/crates/pebblepost/src/http/mod.rs
+++ b/crates/pebblepost/src/http/mod.rs
@@ -1,6 +1,6 @@
-//! Incremental HTTP/1.1: message heads, bodies by length or in chunks, and responses.
+//! Incremental HTTP/1.1 parser and response encoder: message heads, and bodies delimited by length, chunks or close.
 //!
-//! Works on buffers only; it opens no socket and keeps no connection.
+//! It operates on buffers only and does no I/O.
 
 mod body;
 mod head;
@@ -9,7 +9,7 @@
 mod response;
 
 pub use body::Body;
-pub use head::{Framing, Head, MAX_BODY_BYTES, MAX_HEAD_BYTES, request_head, response_head};
-pub use json_stream::{StreamItem, take_json, take_json_line};
+pub use head::{Framing, Head, MAX_BODY_BYTES, MAX_HEAD_BYTES, take_request_head, take_response_head};
+pub use json_stream::{StreamItem, take_json, take_trimmed_line};
 pub use malformed::Malformed;
-pub use response::{reason_phrase, response, retry_after};
+pub use response::{encode_response, reason_phrase, retry_after_header};
--- a/crates/pebblepost/src/http/response.rs
+++ b/crates/pebblepost/src/http/response.rs
@@ -1,8 +1,8 @@
-//! Responses of the daemon's own listeners.
+//! Encoder of responses that the daemon sends.
 
 use std::time::Duration;
 
-/// The reason phrase of a status code.
+/// Returns the reason phrase of a status code, or `Error` for one that the daemon does not use.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -19,8 +19,8 @@
     }
 }
 
-/// A complete response. `extra_headers` are further header lines, each with its CRLF.
-pub fn response(status: u16, extra_headers: &str, body: &[u8], keep_alive: bool) -> Vec<u8> {
+/// Encodes a complete response. `extra_headers` holds further header lines, each with its CRLF.
+pub fn encode_response(status: u16, extra_headers: &str, body: &[u8], keep_alive: bool) -> Vec<u8> {
     let close = if keep_alive { "" } else { "Connection: close\r\n" };
     let (phrase, length) = (reason_phrase(status), body.len());
     let head =
@@ -28,7 +28,8 @@
     [head.as_bytes(), body].concat()
 }
 
-/// The header line that asks a rejected client to wait, in seconds with three decimals.
-pub fn retry_after(after: Duration) -> String {
+/// Returns the `Retry-After` header line with its CRLF: how long a rejected client should wait, in seconds with three
+/// decimals.
+pub fn retry_after_header(after: Duration) -> String {
     format!("Retry-After: {:.3}\r\n", after.as_secs_f64())
 }
--- a/crates/pebblepost/src/net/accept.rs
+++ b/crates/pebblepost/src/net/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections within the descriptor budget.
+//! Accepts connections within the descriptor budget.
 
 use super::poll::listener_key;
 use super::sockets::{ListenerKind, Sockets};
@@ -11,18 +11,19 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Most connections accepted from a listener in one iteration of the event loop.
+/// Maximum number of connections accepted from one listener per iteration of the event loop.
 const MAX_ACCEPTS: usize = 64;
-/// How long a listener rests after it ran out of descriptors.
+/// How long a listener stops accepting after an `accept` error or when the connection budget is used up.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Share of the budget that accepted connections may use, in eighths; the rest stays free for connections to workers.
+/// Share of the connection budget, in eighths, up to which connections are accepted. The rest stays available for
+/// connections to workers.
 const ACCEPT_BUDGET_EIGHTHS: usize = 5;
 
 impl Sockets {
-    /// Accepts connections that wait at a listener.
+    /// Accepts pending connections of the listener with this index and returns their keys.
     ///
-    /// Beyond the budget the longest idle connections are closed first; then the listener pauses and newcomers stay in its
-    /// backlog.
+    /// When the accept budget is used up, the connection that has been idle longest is closed to make room. If none is
+    /// idle, the listener pauses and new connections stay in the kernel's backlog.
     pub fn accept(
         &mut self, index: usize, role: impl Fn(ListenerKind) -> ConnectionRole,
     ) -> Vec<ConnectionKey> {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Accepts again at every listener after a pause.
+    /// Resumes accepting on all open listeners after a pause.
     pub fn resume_accepting(&mut self) {
         for (index, listener) in self.listeners.iter().enumerate() {
             if let Some(socket) = &listener.socket {
@@ -74,14 +75,17 @@
         }
     }
 
-    /// Closes the connection that has been idle longest, among those without anything in transit; `false` if there is none.
+    /// Closes the connection that has been idle longest and has no input or output pending.
+    ///
+    /// Returns `false` if there is none.
     pub(super) fn close_longest_idle(&mut self) -> bool {
         let idle = self.connections.iter().filter_map(|(index, slot)| {
             Some((slot.connection.idle_since?, ConnectionKey::new(slot.generation, index)))
         });
         let mut idle: Vec<(Time, ConnectionKey)> = idle.collect();
         idle.sort_unstable();
-        let is_quiet = |key: &ConnectionKey| self.get(*key).is_some_and(|connection| connection.is_quiet());
+        let is_quiet =
+            |key: &ConnectionKey| self.get(*key).is_some_and(|connection| connection.is_quiescent());
         let Some(key) = idle.into_iter().map(|(_, key)| key).find(is_quiet) else { return false };
         self.close(key);
         true
--- a/crates/pebblepost/src/net/connection.rs
+++ b/crates/pebblepost/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! A connection: its socket, buffers and timers.
+//! State of a connection: its socket, buffers and timers.
 
 use crate::buffer::Buffer;
 use crate::connection_key::ConnectionKey;
@@ -9,13 +9,13 @@
 use std::io::{self, ErrorKind};
 use std::net::TcpStream;
 
-/// Above this many bytes a connection's input is not read on; one read adds 64 KiB at most. All clients that the budget
-/// admits, each with that much and a body, stay under 192 MB.
+/// Reading from a connection pauses once this many bytes are buffered. One read adds at most 64 KiB, so with this limit all
+/// clients that the connection budget admits, each with full input and a body, use less than 192 MB.
 pub(super) const MAX_INPUT_BYTES: usize = 80 * 1024;
-/// Input of workers and discovery may be larger: a result is escaped inside a line of JSON.
+/// Input limit for workers and discovery. It is larger because a result arrives escaped inside one line of JSON.
 const MAX_TRUSTED_INPUT_BYTES: usize = 1024 * 1024;
 
-/// What the poller watches a connection for.
+/// Readiness that the poller reports for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Interest {
     pub(super) readable: bool,
@@ -28,20 +28,20 @@
     }
 }
 
-/// A connection.
+/// An open connection and its buffers.
 #[derive(Debug)]
 pub struct Connection {
     pub(super) stream: TcpStream,
-    /// Bytes that were received and not consumed yet.
+    /// Bytes that were received and have not been consumed yet.
     pub input: Buffer,
-    /// Number of bytes received after `input` that were dropped.
+    /// Number of bytes that were received after `input` and dropped.
     pub dropped_bytes: usize,
     pub(super) output: Buffer,
-    /// What it is for.
+    /// The protocol role and its state.
     pub role: ConnectionRole,
-    /// Whether it is established.
+    /// Whether the connection is established.
     pub connected: bool,
-    /// Since when it is idle, if it may be closed for want of descriptors.
+    /// When the connection became idle; `None` if it must not be closed to free a descriptor.
     pub idle_since: Option<Time>,
     pub(super) interest: Interest,
     pub(super) deadline: Option<TimerHandle>,
@@ -64,16 +64,16 @@
         }
     }
 
-    /// Whether all output was written.
+    /// Returns whether all output has been written to the socket.
     pub fn is_flushed(&self) -> bool {
         self.output.is_empty()
     }
 
-    /// Whether the peer has sent nothing that was not processed, nor closed the connection.
+    /// Returns whether no input or output is pending and the peer has not closed the connection.
     ///
-    /// Closing a connection with unread input would reset away what is on its way to the peer, and a request sent on it
-    /// would meet that input.
-    pub fn is_quiet(&self) -> bool {
+    /// Closing a connection with unread input sends a reset, which discards data still in transit to the peer. A new request
+    /// on such a connection would read that input as its response.
+    pub fn is_quiescent(&self) -> bool {
         let is_empty = |error: &io::Error| error.kind() == ErrorKind::WouldBlock;
         self.input.is_empty()
             && self.is_flushed()
@@ -84,7 +84,9 @@
         if self.role.is_trusted() { MAX_TRUSTED_INPUT_BYTES } else { MAX_INPUT_BYTES }
     }
 
-    /// What the poller has to watch it for now.
+    /// Returns the interest that the current state requires.
+    ///
+    /// A connection that awaits a response is always read, because the peer's close would go unnoticed otherwise.
     pub(super) fn required_interest(&self) -> Interest {
         Interest {
             readable: self.role.awaits_response() || self.input.len() < self.max_input_bytes(),
--- a/crates/pebblepost/src/net/input.rs
+++ b/crates/pebblepost/src/net/input.rs
@@ -1,20 +1,24 @@
-//! Reading from connections.
+//! Reads from connections, with limits on buffered input.
 
 use super::connection::{Connection, MAX_INPUT_BYTES};
 use super::sockets::Sockets;
 use crate::connection_key::ConnectionKey;
 use std::io::{ErrorKind, Read};
 
-/// A client whose response is pending is read on all the same, as its end would go unnoticed behind unread input. This much
-/// of what it sends ahead is kept, ...
+/// Maximum input buffered for a client whose response is pending.
+///
+/// Such a client is read beyond the usual limit, because its close would go unnoticed behind unread input.
 const MAX_PIPELINED_BYTES: usize = 512 * 1024;
-/// ... as long as all clients together have sent less than this ahead; the rest is dropped.
+/// Maximum pipelined input of all clients together. Once it is reached, each client has only its usual input limit and
+/// further bytes are dropped.
 const MAX_PIPELINED_BYTES_TOTAL: usize = 4 * 1024 * 1024;
-/// A client of which this much was dropped is closed.
+/// A client's connection is closed after this many of its bytes were dropped.
 const MAX_DROPPED_BYTES: usize = 1024 * 1024;
 
 impl Sockets {
-    /// Reads what has arrived; `false` if the peer has closed or reset the connection.
+    /// Reads received bytes into the connection's input.
+    ///
+    /// Returns `false` if the connection has ended: the peer closed or reset it, or too many of its bytes were dropped.
     pub fn read(&mut self, key: ConnectionKey) -> bool {
         let awaits_response =
             self.connections.get(key.slot()).is_some_and(|slot| slot.connection.role.awaits_response());
@@ -31,7 +35,7 @@
         alive
     }
 
-    /// Bytes that clients have sent beyond the usual limit of a connection.
+    /// Returns the number of buffered bytes above the usual input limit, summed over all connections.
     fn pipelined_bytes(&self) -> usize {
         let beyond = |connection: &Connection| connection.input.len().saturating_sub(MAX_INPUT_BYTES);
         self.connections.iter().map(|(_, slot)| beyond(&slot.connection)).sum()
@@ -39,10 +43,12 @@
 }
 
 impl Connection {
-    /// Reads up to `max_bytes` of input; beyond that only if `awaits_response`, and drops it. `false` at the connection's end.
+    /// Reads until `max_bytes` of input are buffered. If `awaits_response`, reads on beyond that and drops the bytes.
+    ///
+    /// Returns `false` if the connection has ended or too many bytes were dropped.
     fn read(&mut self, read_buffer: &mut [u8], max_bytes: usize, awaits_response: bool) -> bool {
-        // If input is full and not polled for, what the poller reports can only be the connection's end, which it would
-        // report again and again.
+        // With a full input buffer the poller is not asked for readability, so an event can only mean that the connection
+        // has ended. Level-triggered polling would report it on every iteration.
         if !self.interest.readable {
             return false;
         }
@@ -50,8 +56,9 @@
             match self.stream.read(read_buffer) {
                 Ok(0) => return false,
                 Ok(count) => {
-                    let alive = self.take_in(&read_buffer[..count], max_bytes);
-                    // Bytes that are only dropped may come without end: other connections have their turn first.
+                    let alive = self.buffer_or_drop(&read_buffer[..count], max_bytes);
+                    // A closing connection may send without limit and its bytes are only dropped, so it gets one read per
+                    // event and does not starve other connections.
                     let may_have_more = count == read_buffer.len() && !self.role.is_closing();
                     if !(alive && may_have_more) {
                         return alive;
@@ -65,8 +72,8 @@
         true
     }
 
-    /// Keeps or drops received bytes; `false` if too many were dropped.
-    fn take_in(&mut self, bytes: &[u8], max_bytes: usize) -> bool {
+    /// Buffers received bytes, or drops them once the limit is reached; returns `false` if too many were dropped.
+    fn buffer_or_drop(&mut self, bytes: &[u8], max_bytes: usize) -> bool {
         if self.dropped_bytes > 0 || self.input.len() >= max_bytes {
             self.dropped_bytes += bytes.len();
             return self.dropped_bytes < MAX_DROPPED_BYTES;
--- a/crates/pebblepost/src/net/mod.rs
+++ b/crates/pebblepost/src/net/mod.rs
@@ -1,7 +1,7 @@
-//! The sockets under the event loop: listeners, connections with their buffers, the poller and the descriptor budget.
+//! Sockets of the event loop: listeners, connections with their buffers, the poller and the descriptor budget.
 //!
-//! Owns every socket and timer of the daemon. It moves bytes and never interprets them; what a connection is for is known
-//! by its [`ConnectionRole`](crate::connection_role::ConnectionRole).
+//! This module owns every socket and timer of the daemon. It transfers bytes without interpreting them; the protocol of a
+//! connection is given by its [`ConnectionRole`](crate::connection_role::ConnectionRole).
 
 mod accept;
 mod connection;
@@ -13,4 +13,4 @@
 pub use crate::connection_key::ConnectionKey;
 pub use connection::Connection;
 pub use poll::{ReadyEvent, Signal};
-pub use sockets::{DESCRIPTOR_RESERVE, ListenerKind, Sockets};
+pub use sockets::{ListenerKind, RESERVED_DESCRIPTORS, Sockets};
--- a/crates/pebblepost/src/net/output.rs
+++ b/crates/pebblepost/src/net/output.rs
@@ -1,4 +1,4 @@
-//! Writing to connections.
+//! Writes to connections.
 
 use super::sockets::Sockets;
 use crate::connection_key::ConnectionKey;
@@ -7,11 +7,13 @@
 use std::net::Shutdown;
 use std::time::Duration;
 
-/// A peer that reads none of its output for this long counts as gone.
+/// A connection whose output cannot be written completely within this time is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Sockets {
-    /// Sends bytes. What cannot be written at once is written as the peer reads.
+    /// Appends bytes to the connection's output and writes as much as the socket accepts.
+    ///
+    /// The rest is written when the socket becomes writable. Does nothing if the connection is closed.
     pub fn send(&mut self, key: ConnectionKey, bytes: &[u8]) {
         if let Some(connection) = self.get(key) {
             connection.output.extend(bytes);
@@ -20,7 +22,9 @@
         }
     }
 
-    /// Writes as much output as the socket takes.
+    /// Writes as much buffered output as the socket accepts.
+    ///
+    /// A connection whose write fails is added to [`Sockets::broken`].
     pub fn flush(&mut self, key: ConnectionKey) {
         let Some(connection) = self.get(key) else { return };
         while connection.connected && !connection.output.is_empty() {
@@ -39,11 +43,11 @@
         self.shut_down_if_closing(key);
     }
 
-    /// Starts the write time-out when output is stuck, and cancels it once all is written.
+    /// Starts the write time-out while output is blocked, and cancels it once all output is written.
     fn update_write_deadline(&mut self, key: ConnectionKey) {
         let Some(connection) = self.get(key) else { return };
-        let stuck = connection.connected && !connection.output.is_empty();
-        match (stuck, connection.write_deadline) {
+        let is_blocked = connection.connected && !connection.output.is_empty();
+        match (is_blocked, connection.write_deadline) {
             (true, None) => {
                 let handle = self.timers.schedule(self.now + WRITE_TIMEOUT, Timer::WriteTimeout(key));
                 if let Some(connection) = self.get(key) {
--- a/crates/pebblepost/src/net/poll.rs
+++ b/crates/pebblepost/src/net/poll.rs
@@ -1,20 +1,20 @@
-//! Keys of the poller and the events that they stand for.
+//! Keys registered with the poller and the events they identify.
 
 use crate::connection_key::ConnectionKey;
 use polling::Event;
 
-const STOP: usize = usize::MAX - 1;
-const RELOAD: usize = usize::MAX - 2;
-const FLEET: usize = usize::MAX - 3;
-/// The first key of a listener.
-const FIRST_LISTENER: usize = usize::MAX - 64;
+const STOP_POLL_KEY: usize = usize::MAX - 1;
+const RELOAD_POLL_KEY: usize = usize::MAX - 2;
+const FLEET_POLL_KEY: usize = usize::MAX - 3;
+/// Key of the listener with index 0; the others follow in order.
+const FIRST_LISTENER_POLL_KEY: usize = usize::MAX - 64;
 
-/// A notification that reaches the event loop through a pipe of its own.
+/// A notification that reaches the event loop through its own pipe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// SIGTERM or SIGINT: shut down gracefully.
     Stop,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
     /// The fleet agent has an update.
     Fleet,
@@ -23,16 +23,16 @@
 impl Signal {
     pub(super) fn poll_key(self) -> usize {
         match self {
-            Self::Stop => STOP,
-            Self::Reload => RELOAD,
-            Self::Fleet => FLEET,
+            Self::Stop => STOP_POLL_KEY,
+            Self::Reload => RELOAD_POLL_KEY,
+            Self::Fleet => FLEET_POLL_KEY,
         }
     }
 }
 
-/// The poll key of a listener.
+/// Returns the poller key of the listener with this index.
 pub(super) fn listener_key(index: usize) -> usize {
-    FIRST_LISTENER + index
+    FIRST_LISTENER_POLL_KEY + index
 }
 
 /// A socket or pipe that became ready.
@@ -42,13 +42,13 @@
     Listener(usize),
     /// A signal was received.
     Signal(Signal),
-    /// A connection can be read or written.
+    /// A connection is readable or writable.
     Connection {
-        /// The connection.
+        /// Key of the connection.
         key: ConnectionKey,
-        /// It can be read.
+        /// Whether the connection is readable.
         readable: bool,
-        /// It can be written, or its establishment has ended.
+        /// Whether the connection is writable, or an attempt to establish it has succeeded or failed.
         writable: bool,
     },
 }
@@ -56,10 +56,10 @@
 impl ReadyEvent {
     pub(super) fn from_poll(event: &Event) -> Self {
         match event.key {
-            STOP => Self::Signal(Signal::Stop),
-            RELOAD => Self::Signal(Signal::Reload),
-            FLEET => Self::Signal(Signal::Fleet),
-            key if key >= FIRST_LISTENER => Self::Listener(key - FIRST_LISTENER),
+            STOP_POLL_KEY => Self::Signal(Signal::Stop),
+            RELOAD_POLL_KEY => Self::Signal(Signal::Reload),
+            FLEET_POLL_KEY => Self::Signal(Signal::Fleet),
+            key if key >= FIRST_LISTENER_POLL_KEY => Self::Listener(key - FIRST_LISTENER_POLL_KEY),
             key => Self::Connection {
                 key: ConnectionKey::from_poll_key(key),
                 readable: event.readable,
--- a/crates/pebblepost/src/net/sockets.rs
+++ b/crates/pebblepost/src/net/sockets.rs
@@ -1,4 +1,4 @@
-//! All sockets of the daemon, its timers, and the descriptor budget.
+//! The daemon's sockets, timers and descriptor budget.
 
 use super::connection::Connection;
 use super::poll::{ReadyEvent, Signal, listener_key};
@@ -17,31 +17,32 @@
 use std::os::fd::AsRawFd;
 use std::time::Duration;
 
-/// Descriptors kept free for the poller, signals, listeners, logs and files.
-pub const DESCRIPTOR_RESERVE: usize = 32;
-/// The least number of connections that are allowed, however few descriptors there are.
-const MIN_CONNECTIONS: usize = 8;
-/// How long to wait for the peer to close after our end, so that our last bytes are not reset away.
-const LINGER: Duration = Duration::from_secs(1);
-/// Connections that the kernel queues at a listener.
+/// File descriptors kept free for the poller, signals, listeners, logs and files.
+pub const RESERVED_DESCRIPTORS: usize = 32;
+/// Lower bound of the connection limit, which holds however small the descriptor limit is.
+const MIN_CONNECTION_LIMIT: usize = 8;
+/// How long to wait for the peer to close after our side was shut down. Closing earlier could send a reset that discards our
+/// last bytes.
+const CLOSE_LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Number of connections that the kernel queues at a listener.
 const LISTEN_BACKLOG: i32 = 1024;
-/// Most bytes of one read.
+/// Size of the buffer that each read uses.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// What a listening socket is for.
+/// The protocol that a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerKind {
-    /// Clients of the platform.
+    /// HTTP requests of the platform's clients.
     Platform,
-    /// Faktory producers and workers.
+    /// The Faktory protocol of producers and workers.
     Faktory,
     /// Agent checks of load balancers.
     AgentCheck,
-    /// Health checks by HTTP.
+    /// HTTP health checks.
     Health,
 }
 
-/// A listening socket; without its socket once it is closed.
+/// A listener. `socket` is `None` once it is closed; the slot stays, so that the indices of other listeners stay valid.
 #[derive(Debug)]
 pub(super) struct ListenerSlot {
     pub(super) kind: ListenerKind,
@@ -54,7 +55,7 @@
     pub(super) connection: Connection,
 }
 
-/// All sockets.
+/// The daemon's listeners, connections, timers and poller.
 pub struct Sockets {
     pub(super) poller: Poller,
     pub(super) connections: Slab<ConnectionSlot>,
@@ -62,21 +63,22 @@
     pub(super) listeners: Vec<ListenerSlot>,
     /// Every timer of the daemon.
     pub timers: TimerQueue<Timer>,
-    /// Connections that broke while output was written to them.
+    /// Connections whose write or poller registration failed. The event loop has to close them.
     pub broken: Vec<ConnectionKey>,
     pub(super) max_connections: usize,
     events: Vec<Event>,
     pub(super) read_buffer: Vec<u8>,
-    /// The time of this iteration of the event loop.
+    /// The time at the start of this iteration of the event loop.
     pub now: Time,
 }
 
 impl Sockets {
-    /// No sockets yet. At most `descriptors` file descriptors may be used, [`DESCRIPTOR_RESERVE`] among them.
+    /// Creates the poller, without any sockets. `descriptors` limits the file descriptors in use, including
+    /// [`RESERVED_DESCRIPTORS`].
     ///
     /// # Errors
     ///
-    /// If the system gives no poller.
+    /// Fails if the system cannot create a poller.
     pub fn new(descriptors: usize, now: Time) -> io::Result<Self> {
         Ok(Self {
             poller: Poller::new()?,
@@ -85,18 +87,18 @@
             listeners: Vec::new(),
             timers: TimerQueue::default(),
             broken: Vec::new(),
-            max_connections: descriptors.saturating_sub(DESCRIPTOR_RESERVE).max(MIN_CONNECTIONS),
+            max_connections: descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTION_LIMIT),
             events: Vec::new(),
             read_buffer: vec![0; READ_BUFFER_BYTES],
             now,
         })
     }
 
-    /// Opens a listener.
+    /// Opens a listener on `address`.
     ///
     /// # Errors
     ///
-    /// If the address cannot be bound, or the poller does not take the socket.
+    /// Fails if the address cannot be bound or the socket cannot be registered with the poller.
     pub fn listen(&mut self, kind: ListenerKind, address: SocketAddr) -> io::Result<()> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
@@ -110,18 +112,19 @@
         Ok(())
     }
 
-    /// Watches the pipe through which a signal is notified.
+    /// Registers the read end of the pipe that announces `signal`.
     ///
     /// # Errors
     ///
-    /// If the poller does not take the pipe.
+    /// Fails if the pipe cannot be registered with the poller.
     pub fn watch_signal(&self, signal: Signal, pipe: &impl AsRawFd) -> io::Result<()> {
         self.poller.add_with_mode(pipe.as_raw_fd(), Event::readable(signal.poll_key()), PollMode::Level)
     }
 
-    /// Closes the listeners of a kind.
+    /// Closes all listeners of a kind.
     pub fn close_listeners(&mut self, kind: ListenerKind) {
-        // The socket itself has to go, or new connections would still be established in its backlog.
+        // The socket must be closed, not only removed from the poller: the kernel would go on establishing connections in
+        // its backlog.
         for listener in self.listeners.iter_mut().filter(|listener| listener.kind == kind) {
             if let Some(socket) = listener.socket.take() {
                 let _ = self.poller.delete(&socket);
@@ -129,27 +132,27 @@
         }
     }
 
-    /// The kind of the listener with this index.
+    /// Returns the kind of the listener with this index.
     pub fn listener_kind(&self, index: usize) -> Option<ListenerKind> {
         self.listeners.get(index).map(|listener| listener.kind)
     }
 
-    /// The index of the first listener of a kind.
+    /// Returns the index of the first listener of a kind.
     pub fn listener_index(&self, kind: ListenerKind) -> Option<usize> {
         self.listeners.iter().position(|listener| listener.kind == kind)
     }
 
-    /// The address of an open listener.
+    /// Returns the local address of the first listener of a kind, if it is open.
     pub fn listener_address(&self, kind: ListenerKind) -> Option<SocketAddr> {
         let listener = self.listeners.iter().find(|listener| listener.kind == kind)?;
         listener.socket.as_ref()?.local_addr().ok()
     }
 
-    /// Waits until a socket is ready or the next timer is due, or not at all, and returns what is ready.
+    /// Waits until a socket is ready or the next timer is due, and returns the ready events. Does not block if `immediately`.
     ///
     /// # Errors
     ///
-    /// If the poller fails.
+    /// Fails if the poller does.
     pub fn wait(&mut self, clock: &Clock, immediately: bool) -> io::Result<Vec<ReadyEvent>> {
         let timeout = if immediately { Some(Duration::ZERO) } else { self.time_to_next_timer(clock) };
         self.events.clear();
@@ -165,33 +168,33 @@
         self.timers.next().map(|at| at.since(clock.now()))
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// The most connections that the descriptor budget allows.
+    /// Returns the maximum number of connections that the descriptor budget allows.
     pub fn max_connections(&self) -> usize {
         self.max_connections
     }
 
-    /// The connection, if it is still open.
+    /// Returns the connection, if it is still open.
     pub fn get(&mut self, key: ConnectionKey) -> Option<&mut Connection> {
         let slot = self.connections.get_mut(key.slot())?;
         key.is_of(slot.generation).then_some(&mut slot.connection)
     }
 
-    /// The role of the connection, if it is still open.
+    /// Returns the role of the connection, if it is still open.
     pub fn role(&mut self, key: ConnectionKey) -> Option<&mut ConnectionRole> {
         self.get(key).map(|connection| &mut connection.role)
     }
 
-    /// Keys of all connections.
+    /// Returns the keys of all connections.
     pub fn keys(&self) -> Vec<ConnectionKey> {
         self.connections.iter().map(|(index, slot)| ConnectionKey::new(slot.generation, index)).collect()
     }
 
-    /// Takes a socket in as a connection.
+    /// Adds a socket as a connection and registers it with the poller.
     pub(super) fn insert(
         &mut self, stream: TcpStream, role: ConnectionRole, connected: bool,
     ) -> io::Result<ConnectionKey> {
@@ -205,22 +208,26 @@
         Ok(key)
     }
 
-    /// Starts to establish a connection. Output is sent once it is established.
+    /// Starts to establish a connection without blocking. Output is buffered and sent once the connection is established.
+    ///
+    /// If the budget is used up, the connection that has been idle longest is closed first.
     ///
     /// # Errors
     ///
-    /// If no descriptor is left, or the connection is refused at once.
+    /// Fails if the descriptor budget is used up, a socket cannot be created or registered, or the connection is refused
+    /// immediately.
     pub fn connect(&mut self, address: SocketAddr, role: ConnectionRole) -> io::Result<ConnectionKey> {
         if self.connections.len() >= self.max_connections
             && !self.close_longest_idle()
             && !role.may_use_reserve()
         {
-            return Err(io::Error::other("no descriptor left"));
+            return Err(io::Error::other("descriptor budget exhausted and no idle connection to close"));
         }
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         socket.set_tcp_nodelay(true)?;
-        // `EINPROGRESS` has no `ErrorKind` of its own everywhere; the result is known once the socket is writable.
+        // `EINPROGRESS` has no stable `ErrorKind` on all platforms, so other errors are ignored here: the result is known once
+        // the socket is writable.
         match socket.connect(&address.into()) {
             Err(error)
                 if matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::AddrNotAvailable) =>
@@ -232,7 +239,7 @@
         self.insert(socket.into(), role, false)
     }
 
-    /// Records that the establishment of a connection has ended; `false` if it failed.
+    /// Marks a connection as established once its socket is writable; returns `false` if establishing it failed.
     pub fn finish_connect(&mut self, key: ConnectionKey) -> bool {
         let Some(connection) = self.get(key) else { return true };
         if !connection.connected {
@@ -245,7 +252,7 @@
         true
     }
 
-    /// Tells the poller what the connection has to be watched for now.
+    /// Updates the poller registration to the interest that the connection's state requires.
     pub fn update_interest(&mut self, key: ConnectionKey) {
         let Some(connection) = self.get(key) else { return };
         let required = connection.required_interest();
@@ -260,7 +267,9 @@
         }
     }
 
-    /// Sets, replaces or cancels the connection's own deadline.
+    /// Sets or replaces the connection's deadline, relative to [`now`](Self::now); `None` cancels it.
+    ///
+    /// The write time-out is independent of it.
     pub fn set_deadline(&mut self, key: ConnectionKey, after: Option<Duration>) {
         let Some(old) = self.get(key).map(|connection| connection.deadline.take()) else { return };
         if let Some(handle) = old {
@@ -272,12 +281,12 @@
         }
     }
 
-    /// Whether the connection's own deadline is set.
+    /// Returns whether the connection has a deadline.
     pub fn has_deadline(&mut self, key: ConnectionKey) -> bool {
         self.get(key).is_some_and(|connection| connection.deadline.is_some())
     }
 
-    /// Closes the connection at once and returns its role.
+    /// Closes the connection immediately and returns its role. Unsent output is discarded.
     pub fn close(&mut self, key: ConnectionKey) -> Option<ConnectionRole> {
         self.get(key)?;
         let connection = self.connections.remove(key.slot()).connection;
@@ -287,7 +296,7 @@
         Some(connection.role)
     }
 
-    /// Closes the connection once all output is sent and the peer has had time to read it.
+    /// Closes the connection after all output is sent and the peer has closed its side or had time to do so.
     pub fn close_gracefully(&mut self, key: ConnectionKey) {
         let now = self.now;
         let Some(connection) = self.get(key) else { return };
@@ -295,11 +304,13 @@
         connection.input = Buffer::default();
         connection.dropped_bytes = 0;
         connection.idle_since = Some(now);
-        self.set_deadline(key, Some(LINGER));
+        self.set_deadline(key, Some(CLOSE_LINGER_TIMEOUT));
         self.flush(key);
     }
 
-    /// Closes the connection with a reset, as a peer that has lost its framing gets no orderly end, and returns its role.
+    /// Closes the connection with a reset and returns its role.
+    ///
+    /// Used when the message framing is lost, so that the peer does not take the close for the regular end of a message.
     pub fn abort(&mut self, key: ConnectionKey) -> Option<ConnectionRole> {
         if let Some(connection) = self.get(key) {
             let _ = SockRef::from(&connection.stream).set_linger(Some(Duration::ZERO));
--- a/crates/pebblepost/src/workers/mod.rs
+++ b/crates/pebblepost/src/workers/mod.rs
@@ -177,7 +177,7 @@
         let pool = self.idle.entry(worker).or_default();
         while let Some(key) = pool.pop() {
             let Some(connection) = context.net.get(key) else { continue };
-            let quiet = connection.is_quiet();
+            let quiet = connection.is_quiescent();
             let ConnectionRole::Worker(worker) = &mut connection.role else { continue };
             if worker.task != Task::Idle {
                 continue;
@@ -212,7 +212,7 @@
             return false;
         }
         if worker.response.is_none() {
-            match http::response_head(&mut connection.input) {
+            match http::take_response_head(&mut connection.input) {
                 Ok(Some(head)) => {
                     let body = Body::new(head.framing);
                     worker.response = Some((head, body));
@@ -262,7 +262,7 @@
                 worker.lines.consume(worker.lines.len());
                 Element::Update(TaskUpdate::Ended { status, report, body: Vec::new() })
             }
-            Task::Attempt(_) if head.status == 200 => match http::take_json_line(&mut worker.lines) {
+            Task::Attempt(_) if head.status == 200 => match http::take_trimmed_line(&mut worker.lines) {
                 Some(line) if line.is_empty() => Element::EmptyLine,
                 Some(line) => TaskUpdate::from_line(names, &worker.request_id, &line)
                     .map_or(Element::Malformed, Element::Update),
--- a/crates/pebblepost/tests/parsers.rs
+++ b/crates/pebblepost/tests/parsers.rs
@@ -4,7 +4,7 @@
 use pebblepost::clock::Clock;
 use pebblepost::config::flatten;
 use pebblepost::discovery::registry::Registry;
-use pebblepost::http::{self, Body, Malformed, request_head, response_head};
+use pebblepost::http::{self, Body, Malformed, take_request_head, take_response_head};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
 use serde_json::{Value, json};
@@ -36,7 +36,7 @@
     for piece in pieces {
         input.extend(piece);
         if head.is_none() {
-            head = request_head(&mut input)?.map(|head| (Body::new(head.framing), head));
+            head = take_request_head(&mut input)?.map(|head| (Body::new(head.framing), head));
         }
         if let Some((body, _)) = &mut head {
             body.decode(&mut input, &mut out)?;
@@ -94,9 +94,9 @@
         let _ = read(&pieces(&bytes, &cuts));
         let (mut input, mut out) = (Buffer::default(), Buffer::default());
         input.extend(&bytes);
-        if let Ok(Some(head)) = response_head(&mut input) {
+        if let Ok(Some(head)) = take_response_head(&mut input) {
             let _ = Body::new(head.framing).decode(&mut input, &mut out);
-            while http::take_json_line(&mut out).is_some() {}
+            while http::take_trimmed_line(&mut out).is_some() {}
         }
     }
 
--- a/crates/pebblepost/tests/platform.rs
+++ b/crates/pebblepost/tests/platform.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{RunningDaemon, Wire, header, lines, platform, post, worker};
-use pebblepost::front::platform::tenant;
+use pebblepost::front::platform::tenant_id;
 use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use std::io::Write;
@@ -503,8 +503,8 @@
 #[test]
 fn a_tenant_is_known_by_its_name() {
     let names = ["office".to_owned(), "studio".to_owned()];
-    let known = [Some("studio"), Some("nobody"), None].map(|named| tenant(&names, named).0);
-    assert_eq!((known, tenant(&[], Some("x")).0), ([1, 0, 0], 0));
+    let known = [Some("studio"), Some("nobody"), None].map(|named| tenant_id(&names, named).0);
+    assert_eq!((known, tenant_id(&[], Some("x")).0), ([1, 0, 0], 0));
 }
 
 /// Regression: a request that a worker rejected as invalid was retried at six workers and counted as a failure of each, so
