--- a/crates/pebblepost/src/config/error.rs
+++ b/crates/pebblepost/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the configuration.
+//! Configuration errors.
 
 use pebblepost_dispatch::wire::WireError;
 use std::io;
@@ -7,7 +7,7 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Why the program cannot start: one line that names the file and the key.
+/// A configuration value is invalid. The message is one line that names the file and the key.
 #[derive(Debug, Error)]
 #[error("{file}: {key}: {problem}")]
 pub struct ConfigError {
@@ -17,17 +17,17 @@
 }
 
 impl ConfigError {
-    /// An error at a key of a file.
+    /// Creates an error at a key of the file `file`.
     pub fn new(file: &str, key: &str, problem: impl Into<ConfigProblem>) -> Self {
         Self { file: file.to_owned(), key: key.to_owned(), problem: problem.into() }
     }
 
-    /// An error at a key of the file at a path.
+    /// Creates an error at a key of the file at `path`.
     pub fn at_path(path: &Path, key: &str, problem: impl Into<ConfigProblem>) -> Self {
         Self::new(&path.display().to_string(), key, problem)
     }
 
-    /// What is wrong.
+    /// Returns what is wrong with the value.
     pub fn problem(&self) -> &ConfigProblem {
         &self.problem
     }
@@ -39,82 +39,82 @@
     /// The file cannot be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The file is not JSON, or not of the form that is expected.
+    /// The file is not valid JSON, or does not have the expected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The decision module does not accept the settings.
+    /// The decision module rejects the settings.
     #[error(transparent)]
     Settings(#[from] WireError),
-    /// A key or file that is needed is not there.
+    /// A required key or file is missing.
     #[error("missing")]
     Missing,
-    /// Neither configuration file is named.
-    #[error("missing, and no operator's file is named")]
+    /// Neither `config.json` nor an operator file is given.
+    #[error("missing, and no operator file is given")]
     NoFileNamed,
-    /// A key that is not known.
+    /// The key is unknown.
     #[error("unknown key")]
     UnknownKey,
-    /// Not an object.
+    /// The value is not an object.
     #[error("not an object")]
     NotObject,
-    /// Not a string.
-    #[error("not a text")]
+    /// The value is not a string.
+    #[error("not a string")]
     NotText,
-    /// Not a boolean.
-    #[error("not true or false")]
+    /// The value is not a boolean.
+    #[error("not a boolean")]
     NotBoolean,
-    /// Not a string that could be an address.
+    /// The value is not a string, so it cannot be an address.
     #[error("not an address such as 127.0.0.1:8081")]
     NotAddress,
-    /// A malformed address.
+    /// The address is malformed.
     #[error("{text:?}: {error}")]
     Address {
-        /// What stands there.
+        /// The configured text.
         text: String,
-        /// What is wrong with it.
+        /// The parse error.
         error: AddrParseError,
     },
-    /// An address of another machine, where whoever reaches it may change the agreed state.
+    /// The address is not a loopback address. Any process that can reach it may change the replicated state.
     #[error("{0}: control and keepers must be loopback addresses")]
     NotLoopback(SocketAddr),
-    /// Not a duration in seconds.
-    #[error("not a number of seconds up to a day")]
+    /// The value is not a duration in seconds within the permitted range.
+    #[error("not a number of seconds from 0.001 to 86400")]
     NotSeconds,
-    /// A seed that is no hexadecimal number.
+    /// The seed is a string that is not a hexadecimal number.
     #[error(transparent)]
     Seed(#[from] ParseIntError),
-    /// A seed of another type.
-    #[error("not a number in hexadecimal")]
+    /// The seed is neither an unsigned integer nor a string.
+    #[error("neither an unsigned integer nor a hexadecimal string")]
     SeedType,
-    /// Too few file descriptors.
-    #[error("not a number above 40")]
+    /// The limit of file descriptors is too low.
+    #[error("not an integer above 40")]
     TooFewDescriptors,
-    /// Settings without classes.
-    #[error("no class of requests")]
+    /// The settings have no request classes.
+    #[error("no request classes")]
     NoClasses,
-    /// Classes of the platform beside Faktory queues, without machine types to keep them apart.
+    /// The platform has request classes besides the Faktory queues, but no worker kinds that keep the two apart.
     #[error("settings.kinds must name the kinds of the platform's own workers")]
     KindsMissing,
-    /// More queues than the decision module can number.
+    /// There are more queues than class or kind indices (`u16`).
     #[error("too many queues")]
     TooManyQueues,
-    /// A text that the fleet store does not take.
-    #[error("too long, or with control characters")]
+    /// The fleet store does not accept the text.
+    #[error("text is too long or contains control characters")]
     UnusableText,
-    /// Name of a replica's group.
-    #[error("a name of 1 to 100 bytes")]
+    /// The name of the replica's group is empty or too long.
+    #[error("must be a name of 1 to 100 bytes")]
     GroupName,
-    /// An address of a replica without a port.
+    /// The replica's address has port 0.
     #[error("a port is missing")]
     PortMissing,
-    /// A replica's address on another machine.
+    /// The replica's address is not a loopback address.
     #[error("listen and dial must be loopback addresses")]
     ReplicaNotLoopback,
-    /// Lifetime of a session.
-    #[error("0.5 to 600 seconds")]
+    /// The session time-to-live is out of range.
+    #[error("must be 0.5 to 600 seconds")]
     SessionTtl,
-    /// Interval of the leader's heartbeats.
-    #[error("20 to 5000 milliseconds")]
+    /// The interval of the leader's heartbeats is out of range.
+    #[error("must be 20 to 5000 milliseconds")]
     HeartbeatInterval,
 }
 
--- a/crates/pebblepost/src/config/faktory.rs
+++ b/crates/pebblepost/src/config/faktory.rs
@@ -1,7 +1,7 @@
-//! The part `faktory` of the operator's file.
+//! Section `faktory` of the operator file.
 
 use super::error::{ConfigProblem, Result, fail};
-use super::json::{address, check_keys, names, object, seconds};
+use super::json::{check_keys, read_address, read_names, read_object, read_seconds};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,66 +11,67 @@
 const DEFAULT_HEARTBEAT_S: f64 = 60.0;
 const DEFAULT_RESERVE_FOR_S: f64 = 1800.0;
 const DEFAULT_DEADLINE_S: f64 = 6.0;
-/// The time within which a queue's workers drop repeats, in nanoseconds.
+/// Time during which duplicates of a job are recognised, in nanoseconds. It equals the front end's
+/// [`DEDUPLICATION_WINDOW`](crate::front::faktory::DEDUPLICATION_WINDOW).
 const DEDUPLICATION_WINDOW_NS: u64 = 10_000_000_000;
 
-/// A queue of the Faktory front.
+/// A queue of the Faktory front end.
 #[derive(Clone, Debug)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: String,
-    /// Index of its class.
+    /// Index of the queue's request class in the settings.
     pub class: u16,
-    /// Index of the kind of the workers that fetch from it.
+    /// Index of the kind of workers that fetch from the queue.
     pub kind: u16,
-    /// How long a producer waits.
+    /// How long a producer waits for the response.
     pub deadline: Duration,
 }
 
-/// The Faktory front.
+/// Configuration of the Faktory front end.
 #[derive(Clone, Debug)]
 pub struct FaktoryConfig {
-    /// Where it listens.
+    /// Address on which the front end listens.
     pub listen: SocketAddr,
-    /// What producers and workers have to prove that they know.
+    /// Password that producers and workers must prove to know; `None` if none is required.
     pub password: Option<String>,
-    /// The queues; others are unknown.
+    /// The queues. A push to any other queue is rejected; a fetch ignores other queues.
     pub queues: Vec<Queue>,
-    /// A worker that sends nothing for this long is lost.
+    /// A worker that sends nothing for this long counts as lost.
     pub heartbeat: Duration,
-    /// A job that a worker has kept for this long is lost, unless the job itself says otherwise.
+    /// How long a worker may keep a job before its attempt times out, unless the job gives its own time.
     pub reserve_for: Duration,
-    /// Name of the entry in a job's `custom` that tells repeats; `None`: the `jid` does.
+    /// Name of the entry in a job's `custom` object that identifies duplicates; `None` to use the `jid`.
     pub key: Option<String>,
 }
 
 impl FaktoryConfig {
-    /// Reads the part, and adds a class and a kind of workers for each queue to `settings`.
+    /// Reads the section, and adds a request class and a worker kind for each queue to `settings`.
     pub(super) fn read(file: &str, json: &Value, settings: &mut Value) -> Result<Self> {
-        let map = object(file, "faktory", json)?;
+        let map = read_object(file, "faktory", json)?;
         check_keys(file, "faktory.", map, &KNOWN_KEYS)?;
-        let text = |name: &str| match map.get(name) {
+        let optional_text = |name: &str| match map.get(name) {
             None | Some(Value::Null) => Ok(None),
             Some(Value::String(text)) => Ok(Some(text.clone())),
             Some(_) => fail(file, &format!("faktory.{name}"), ConfigProblem::NotText),
         };
         let seconds =
-            |name: &str, default_s| seconds(file, &format!("faktory.{name}"), map.get(name), default_s);
-        let Some(listen) = address(file, "faktory.listen", map.get("listen"))? else {
+            |name: &str, default_s| read_seconds(file, &format!("faktory.{name}"), map.get(name), default_s);
+        let Some(listen) = read_address(file, "faktory.listen", map.get("listen"))? else {
             return fail(file, "faktory.listen", ConfigProblem::Missing);
         };
         Ok(Self {
             listen,
-            password: text("password")?,
+            password: optional_text("password")?,
             heartbeat: seconds("heartbeat_s", DEFAULT_HEARTBEAT_S)?,
             reserve_for: seconds("reserve_for_s", DEFAULT_RESERVE_FOR_S)?,
-            key: text("key")?,
+            key: optional_text("key")?,
             queues: add_queues(file, json, settings)?,
         })
     }
 }
 
-/// Settings of a deployment that has only the Faktory front; the operator's file may change them.
+/// Returns the default settings of a deployment with only the Faktory front end. The operator file may override them.
 pub(super) fn default_settings() -> Value {
     json!({
         "instances": 1, "discovery": "push", "tick": 2_000_000, "classes": [], "kinds": [],
@@ -81,10 +82,12 @@
     })
 }
 
-/// Adds a class and a kind of workers for each queue. Jobs of a queue go to workers that fetch from it and to no others, and
-/// requests of other classes never go there.
+/// Adds a request class and a worker kind for each queue to the settings, and returns the queues.
+///
+/// The class of a queue is restricted to the queue's own worker kind, and all other classes to the platform's kinds. Jobs
+/// therefore go only to workers that fetch from their queue, and other requests never go to those workers.
 fn add_queues(file: &str, faktory: &Value, settings: &mut Value) -> Result<Vec<Queue>> {
-    let mut kinds = names(settings, "/kinds");
+    let mut kinds = read_names(settings, "/kinds");
     let platform_kinds: Vec<usize> = (0..kinds.len()).collect();
     let mut classes = settings.get("classes").and_then(Value::as_array).cloned().unwrap_or_default();
     if !classes.is_empty() && platform_kinds.is_empty() {
@@ -94,9 +97,9 @@
         class.entry("kindsOnly").or_insert(json!(platform_kinds));
     }
     let default = json!({"default": {}});
-    let listed = object(file, "faktory.queues", faktory.get("queues").unwrap_or(&default))?;
+    let configured = read_object(file, "faktory.queues", faktory.get("queues").unwrap_or(&default))?;
     let mut queues = Vec::new();
-    for (name, json) in listed {
+    for (name, json) in configured {
         let queue = read_queue(file, name, json)?;
         let (Ok(class), Ok(kind)) = (u16::try_from(classes.len()), u16::try_from(kinds.len())) else {
             return fail(file, &format!("faktory.queues.{name}"), ConfigProblem::TooManyQueues);
@@ -112,19 +115,20 @@
     Ok(queues)
 }
 
-/// What the operator's file says of a queue.
+/// Settings of a queue in the operator file.
 struct QueueSettings {
     deadline: Duration,
     latency_target: Duration,
-    /// The idempotency of its class, as the settings word it.
+    /// Idempotency of the queue's class, as written in the settings.
     effect: &'static str,
 }
 
 impl QueueSettings {
+    /// Builds the settings of the queue's request class.
     fn class_settings(&self, name: &str, kind: u16) -> Value {
         json!({
-            "name": format!("faktory:{name}"), "onTime": nanoseconds(self.latency_target),
-            "deadline": nanoseconds(self.deadline), "worth": 1.0, "lateValue": 1.0, "effect": self.effect,
+            "name": format!("faktory:{name}"), "onTime": to_nanoseconds(self.latency_target),
+            "deadline": to_nanoseconds(self.deadline), "worth": 1.0, "lateValue": 1.0, "effect": self.effect,
             "group": "all", "window": DEDUPLICATION_WINDOW_NS, "kindsOnly": [kind],
         })
     }
@@ -132,13 +136,14 @@
 
 fn read_queue(file: &str, name: &str, json: &Value) -> Result<QueueSettings> {
     let path = format!("faktory.queues.{name}");
-    let map = object(file, &path, json)?;
+    let map = read_object(file, &path, json)?;
     check_keys(file, &format!("{path}."), map, &KNOWN_QUEUE_KEYS)?;
-    let seconds = |key: &str, default_s| seconds(file, &format!("{path}.{key}"), map.get(key), default_s);
+    let seconds =
+        |key: &str, default_s| read_seconds(file, &format!("{path}.{key}"), map.get(key), default_s);
     let deadline = seconds("deadline_s", DEFAULT_DEADLINE_S)?;
     let latency_target = seconds("wanted_s", deadline.as_secs_f64() / 2.0)?;
     let effect = match map.get("workers_drop_repeats") {
-        // Stock Faktory workers run a job again if they get it again.
+        // Standard Faktory workers run a job again if it is delivered again.
         None | Some(Value::Bool(false)) => "non_idempotent",
         Some(Value::Bool(true)) => "idempotency_key",
         Some(_) => return fail(file, &format!("{path}.workers_drop_repeats"), ConfigProblem::NotBoolean),
@@ -146,6 +151,6 @@
     Ok(QueueSettings { deadline, latency_target, effect })
 }
 
-fn nanoseconds(duration: Duration) -> u64 {
+fn to_nanoseconds(duration: Duration) -> u64 {
     u64::try_from(duration.as_nanos()).unwrap_or(u64::MAX)
 }
--- a/crates/pebblepost/src/config/fleet.rs
+++ b/crates/pebblepost/src/config/fleet.rs
@@ -1,7 +1,7 @@
-//! The part `fleet` of the operator's file.
+//! Section `fleet` of the operator file.
 
 use super::error::{ConfigProblem, Result, fail};
-use super::json::address;
+use super::json::read_address;
 use pebblepost_fleet::Text;
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -9,34 +9,35 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// This dispatcher's membership in the fleet.
+/// Configuration of this dispatcher's membership in the fleet.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Fleet")]
 pub struct FleetConfig {
-    /// Addresses of the fleet store's replicas, by number. Without any, only drains requested here are known.
+    /// Addresses of the fleet store's replicas, by number. Without replicas, only drains requested at this dispatcher apply.
     #[serde(default, rename = "keepers")]
     pub replicas: BTreeMap<u64, String>,
-    /// Where operators of this machine request a drain here.
+    /// Loopback address on which operators request drains at this dispatcher.
     pub control: Option<SocketAddr>,
-    /// Where a snapshot of the agreed state is saved over a restart, if anywhere.
+    /// File that keeps a snapshot of the replicated state across restarts; `None` to keep none.
     pub copy: Option<PathBuf>,
-    /// The zone, for the list of members and the budgets.
+    /// Zone of this dispatcher, for the member list and the disruption budgets.
     #[serde(default)]
     pub zone: String,
-    /// What this installation calls its version; the program's own by default.
+    /// Version that this installation reports; the program's own version by default.
     #[serde(default = "program_version")]
     pub version: String,
 }
 
 impl FleetConfig {
-    /// Reads the part.
+    /// Reads and validates the section.
     pub(super) fn read(file: &str, json: &Value) -> Result<Self> {
         let fleet: Self = serde_json::from_value(json.clone()).or_else(|error| fail(file, "fleet", error))?;
         let mut addresses: Vec<SocketAddr> = fleet.control.into_iter().collect();
         for (id, text) in &fleet.replicas {
-            addresses.extend(address(file, &format!("fleet.keepers.{id}"), Some(&json!(text)))?);
+            addresses.extend(read_address(file, &format!("fleet.keepers.{id}"), Some(&json!(text)))?);
         }
-        // Whoever reaches these may change the agreed state, so they stay on this machine.
+        // Any process that can reach these addresses may change the replicated state, so only loopback addresses are
+        // permitted.
         if let Some(remote) = addresses.iter().find(|address| !address.ip().is_loopback()) {
             return fail(file, "fleet", ConfigProblem::NotLoopback(*remote));
         }
--- a/crates/pebblepost/src/config/mod.rs
+++ b/crates/pebblepost/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! Configuration: environment, `config.json` and the operator's file.
+//! Configuration from the environment, `config.json` and the operator file.
 //!
-//! The settings of the decision module stay what they are in `config.json`: they are flattened into the pairs that
-//! [`parse_settings`] reads, so there is no second type for them. Reads files and environment, and starts nothing.
+//! The decision module's settings are not duplicated here in a type of their own: the JSON is flattened into the pairs that
+//! [`parse_settings`] reads. This module only reads files and environment variables.
 
 mod error;
 mod faktory;
@@ -14,7 +14,7 @@
 pub use json::{flatten, overlay};
 
 use error::{Result, fail};
-use json::{address, check_keys, listener, names, object, read_file};
+use json::{check_keys, read_address, read_file, read_listener, read_names, read_object};
 use pebblepost_dispatch::Settings;
 use pebblepost_dispatch::wire::parse_settings;
 use serde_json::{Map, Value};
@@ -22,45 +22,45 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What errors call the environment.
-const ENVIRONMENT: &str = "environment";
+/// File name that errors give for values from the environment.
+const ENVIRONMENT_SOURCE: &str = "environment";
 const KNOWN_OPERATOR_KEYS: [&str; 6] = ["name", "faktory", "agent_check", "health", "fleet", "settings"];
 const KNOWN_ROOM_KEYS: [&str; 3] = ["enabled", "deviations", "mostHeld"];
 const DEFAULT_NAME: &str = "pebblepost";
-const DEFAULT_DESCRIPTORS: usize = 1024;
-/// More descriptors than this are needed.
-const TOO_FEW_DESCRIPTORS: u64 = 40;
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
+/// The limit of file descriptors must be above this number.
+const MIN_DESCRIPTORS_EXCLUSIVE: u64 = 40;
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// The longest time that a rejected client is asked to wait, if the settings say nothing.
+/// Maximum time that a rejected client is asked to wait, if the settings give none.
 const DEFAULT_MAX_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// A class of requests that the platform's clients name.
+/// A request class that the platform's clients name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestClass {
-    /// Its name on the wire.
+    /// Name on the wire.
     pub name: String,
-    /// How long its clients wait unless they say otherwise.
+    /// How long a client waits, unless its request gives the remaining time.
     pub deadline: Duration,
 }
 
-/// The configuration of the daemon.
+/// Configuration of the daemon.
 #[derive(Debug)]
 pub struct Config {
     /// Name of this node.
     pub name: String,
-    /// Where the platform's clients connect.
+    /// Listener address for the platform's clients, if the platform's front end is configured.
     pub listen: Option<SocketAddr>,
-    /// Where discovery is called.
+    /// Address of the discovery service, if one is configured.
     pub discovery: Option<SocketAddr>,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Most file descriptors.
+    /// Maximum number of file descriptors.
     pub max_descriptors: usize,
-    /// The list of workers as this node had it last.
+    /// The worker list that this node last received.
     pub known_endpoints: Option<Value>,
     /// The settings as JSON.
     pub settings_json: Value,
-    /// The settings as the decision module reads them.
+    /// The settings as parsed by the decision module.
     pub settings: Settings,
     /// Classes that the platform's clients name, in the order of the settings.
     pub classes: Vec<RequestClass>,
@@ -70,23 +70,23 @@
     pub zones: Vec<String>,
     /// Names of machine types, in the order of the settings.
     pub kinds: Vec<String>,
-    /// Names of the values of a load report, in the order of the settings.
+    /// Names of the fields of a load report, in the order of the settings.
     pub report_names: Vec<String>,
-    /// How long establishing a connection may take.
+    /// Time-out for establishing a connection to a worker.
     pub connect_timeout: Duration,
-    /// The Faktory front, if the operator's file has one.
+    /// Configuration of the Faktory front end, if the operator file has one.
     pub faktory: Option<FaktoryConfig>,
-    /// Where agent checks are answered, if the operator's file says so.
+    /// Listener address for agent checks, if the operator file has one.
     pub agent_check: Option<SocketAddr>,
-    /// Where health checks by HTTP are answered, if the operator's file says so.
+    /// Listener address for HTTP health checks, if the operator file has one.
     pub health: Option<SocketAddr>,
-    /// The membership in the fleet, if the operator's file has one.
+    /// Configuration of the fleet membership, if the operator file has one.
     pub fleet: Option<FleetConfig>,
 }
 
-/// A file of the configuration.
+/// A parsed configuration file.
 struct File {
-    /// What errors call it.
+    /// File name that errors give.
     name: String,
     json: Value,
 }
@@ -101,21 +101,23 @@
     }
 }
 
-/// Reads the configuration. `variable` reads the environment; `operator` is the path of the operator's file, if one is named.
+/// Reads the configuration. `variable` looks up an environment variable; `operator` is the path of the operator file, if any.
+///
+/// The environment takes precedence over `config.json`.
 ///
 /// # Errors
 ///
-/// If a file cannot be read, or a value is missing, unknown or malformed.
+/// Fails if a file cannot be read, or a value is missing, unknown or malformed.
 pub fn read(variable: impl Fn(&str) -> Option<String>, operator: Option<&Path>) -> Result<Config> {
     let path = variable("PROXY_CONFIG").map(std::path::PathBuf::from);
     let file = read_config_file(path.as_deref())?;
     let (operator_file, operator_map) = read_operator_file(operator)?;
     if path.is_none() && operator.is_none() {
-        return fail(ENVIRONMENT, "PROXY_CONFIG", ConfigProblem::NoFileNamed);
+        return fail(ENVIRONMENT_SOURCE, "PROXY_CONFIG", ConfigProblem::NoFileNamed);
     }
     let address_of = |name: &str, key: &str| match variable(name) {
-        Some(text) => address(ENVIRONMENT, name, Some(&Value::String(text))),
-        None => address(&file.name, key, file.get(key)),
+        Some(text) => read_address(ENVIRONMENT_SOURCE, name, Some(&Value::String(text))),
+        None => read_address(&file.name, key, file.get(key)),
     };
     let listen = address_of("PROXY_LISTEN", "listen")?;
     let discovery = address_of("PROXY_DISCOVERY", "discovery")?;
@@ -127,11 +129,11 @@
     if discovery.is_none() {
         overlay(&mut settings_json, &serde_json::json!({"discovery": "push"}));
     }
-    let class_names = names(&settings_json, "/classes");
+    let class_names = read_names(&settings_json, "/classes");
     let faktory = operator_file.get("faktory");
     let faktory = faktory.map(|json| FaktoryConfig::read(&operator_file.name, json, &mut settings_json));
     let faktory = faktory.transpose()?;
-    let settings = read_settings(&settings_source(&file, &operator_file), &settings_json)?;
+    let settings = read_settings(&settings_source_name(&file, &operator_file), &settings_json)?;
     if listen.is_none() && faktory.is_none() {
         return fail(&file.name, "listen", ConfigProblem::Missing);
     }
@@ -146,26 +148,27 @@
         max_descriptors,
         known_endpoints: file.get("known").filter(|known| known.is_object()).cloned(),
         classes: classes.map(|(name, deadline)| RequestClass { name, deadline }).collect(),
-        tenants: names(&settings_json, "/tenants"),
-        zones: names(&settings_json, "/failureDomains"),
-        kinds: names(&settings_json, "/kinds"),
-        report_names: names(&settings_json, "/report/names"),
-        connect_timeout: connect_timeout(&settings_json),
+        tenants: read_names(&settings_json, "/tenants"),
+        zones: read_names(&settings_json, "/failureDomains"),
+        kinds: read_names(&settings_json, "/kinds"),
+        report_names: read_names(&settings_json, "/report/names"),
+        connect_timeout: read_connect_timeout(&settings_json),
         settings,
         settings_json,
         faktory,
-        agent_check: listener(&operator_file.name, &operator_map, "agent_check")?,
-        health: listener(&operator_file.name, &operator_map, "health")?,
+        agent_check: read_listener(&operator_file.name, &operator_map, "agent_check")?,
+        health: read_listener(&operator_file.name, &operator_map, "health")?,
         fleet: fleet.transpose()?,
     })
 }
 
-/// Reads the settings as the decision module does. Over sockets a rejection can always say when to retry. `file` is what
-/// errors name.
+/// Parses the settings for the decision module. `file` is the file name that errors give.
+///
+/// Retry-after times are always enabled, because the daemon's protocols can carry them in every rejection.
 ///
 /// # Errors
 ///
-/// If the decision module does not accept the settings, or they have no class.
+/// Fails if the decision module rejects the settings or they have no request class.
 pub fn read_settings(file: &str, json: &Value) -> Result<Settings> {
     let mut settings = parse_settings(&flatten(json)).or_else(|error| fail(file, "settings", error))?;
     settings.retry_after_enabled = true;
@@ -178,21 +181,21 @@
     Ok(settings)
 }
 
-fn empty() -> Value {
+fn empty_object() -> Value {
     Value::Object(Map::new())
 }
 
 fn read_config_file(path: Option<&Path>) -> Result<File> {
-    let name = path.map_or_else(|| ENVIRONMENT.to_owned(), |path| path.display().to_string());
-    let json = path.map(read_file).transpose()?.unwrap_or_else(empty);
-    object(&name, "JSON", &json)?;
+    let name = path.map_or_else(|| ENVIRONMENT_SOURCE.to_owned(), |path| path.display().to_string());
+    let json = path.map(read_file).transpose()?.unwrap_or_else(empty_object);
+    read_object(&name, "JSON", &json)?;
     Ok(File { name, json })
 }
 
 fn read_operator_file(path: Option<&Path>) -> Result<(File, Map<String, Value>)> {
-    let json = path.map(read_file).transpose()?.unwrap_or_else(empty);
+    let json = path.map(read_file).transpose()?.unwrap_or_else(empty_object);
     let name = path.map(|path| path.display().to_string()).unwrap_or_default();
-    let map = object(&name, "JSON", &json)?.clone();
+    let map = read_object(&name, "JSON", &json)?.clone();
     check_keys(&name, "", &map, &KNOWN_OPERATOR_KEYS)?;
     Ok((File { name, json }, map))
 }
@@ -212,25 +215,26 @@
 }
 
 fn read_max_descriptors(file: &File) -> Result<usize> {
-    let Some(json) = file.json.pointer("/limits/sockets") else { return Ok(DEFAULT_DESCRIPTORS) };
-    match json.as_u64().filter(|number| *number > TOO_FEW_DESCRIPTORS) {
+    let Some(json) = file.json.pointer("/limits/sockets") else { return Ok(DEFAULT_MAX_DESCRIPTORS) };
+    match json.as_u64().filter(|number| *number > MIN_DESCRIPTORS_EXCLUSIVE) {
         Some(number) => Ok(number as usize),
         None => fail(&file.name, "limits.sockets", ConfigProblem::TooFewDescriptors),
     }
 }
 
-/// The settings of `config.json`, or those of a deployment with Faktory only, with the operator's changes.
+/// Returns the settings of `config.json`, or the defaults of a deployment with only Faktory, with the operator file's changes
+/// applied.
 fn combine_settings(file: &File, operator_file: &File) -> Result<Value> {
     let mut settings = match file.get("settings") {
         Some(settings) => settings.clone(),
         None if operator_file.get("faktory").is_some() => faktory::default_settings(),
         None => return fail(&file.name, "settings", ConfigProblem::Missing),
     };
-    object(&file.name, "settings", &settings)?;
+    read_object(&file.name, "settings", &settings)?;
     if let Some(changes) = operator_file.get("settings") {
-        object(&operator_file.name, "settings", changes)?;
+        read_object(&operator_file.name, "settings", changes)?;
         if let Some(room) = changes.get("room") {
-            let room = object(&operator_file.name, "settings.room", room)?;
+            let room = read_object(&operator_file.name, "settings.room", room)?;
             check_keys(&operator_file.name, "settings.room.", room, &KNOWN_ROOM_KEYS)?;
         }
         overlay(&mut settings, changes);
@@ -238,8 +242,8 @@
     Ok(settings)
 }
 
-/// What errors in the settings name.
-fn settings_source(file: &File, operator_file: &File) -> String {
+/// Returns the file names that errors in the settings give.
+fn settings_source_name(file: &File, operator_file: &File) -> String {
     if operator_file.get("settings").is_some() {
         format!("{} with {}", file.name, operator_file.name)
     } else {
@@ -247,7 +251,7 @@
     }
 }
 
-fn connect_timeout(settings: &Value) -> Duration {
+fn read_connect_timeout(settings: &Value) -> Duration {
     let nanoseconds = settings.pointer("/caps/connectTimeout").and_then(Value::as_f64).unwrap_or(0.0);
     if nanoseconds >= 1.0 { Duration::from_nanos(nanoseconds as u64) } else { DEFAULT_CONNECT_TIMEOUT }
 }
--- a/crates/pebblepost/src/operator/arguments.rs
+++ b/crates/pebblepost/src/operator/arguments.rs
@@ -1,4 +1,7 @@
-//! Commands of an operator as the command line has them. The doc comments of commands and options are their help texts.
+//! Command-line arguments of the operator's commands.
+//!
+//! The doc comments of commands and options are their help texts, and operators' scripts use the names on the command line.
+//! Attributes keep those names where an identifier differs.
 
 use clap::{Args, Subcommand, ValueEnum};
 use pebblepost_fleet::{Key, Limit, Name, Subject, SubjectKind, Text};
@@ -7,7 +10,7 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Options of all commands: whom to ask, and how to print.
+/// Options of all commands: the replicas to query, and the output format.
 #[derive(Args, Debug)]
 pub struct FleetArgs {
     /// The keepers, as NUMBER=ADDRESS with commas between.
@@ -21,19 +24,19 @@
     )]
     pub(super) replicas: Vec<(u64, SocketAddr)>,
     /// Gives up after so many seconds.
-    #[arg(long, default_value_t = 10.0, global = true)]
-    pub(super) within: f64,
+    #[arg(long = "within", value_name = "WITHIN", default_value_t = 10.0, global = true)]
+    pub(super) timeout_s: f64,
     /// Answers as JSON, one object a line.
     #[arg(long, global = true)]
     pub(super) json: bool,
     /// Who asks, for the history.
-    #[arg(long, env = "USER", default_value = "operator", global = true)]
-    pub(super) by: String,
+    #[arg(long = "by", value_name = "BY", env = "USER", default_value = "operator", global = true)]
+    pub(super) issuer: String,
     #[command(subcommand)]
     pub(super) command: FleetCommand,
 }
 
-/// Why a replica on the command line is malformed.
+/// A malformed replica on the command line.
 #[derive(Debug, Error)]
 enum ReplicaArgumentError {
     #[error("not NUMBER=ADDRESS")]
@@ -55,7 +58,8 @@
 #[derive(Subcommand, Debug)]
 pub(super) enum FleetCommand {
     /// Begins a group of all keepers named; once in a group's life.
-    Begin,
+    #[command(name = "begin")]
+    InitializeGroup,
     /// Says of each keeper what it knows.
     Status,
     /// Shows the agreed state, or what stands at some keys.
@@ -78,9 +82,9 @@
         from: u64,
     },
     /// Nothing new goes to these workers.
-    Drain(Workers),
+    Drain(DrainArgs),
     /// Takes drain marks back.
-    Undrain(Workers),
+    Undrain(DrainArgs),
     /// Changes a setting while programs run.
     Set {
         /// Its name.
@@ -88,33 +92,37 @@
         /// Its value; none: what the operator's file says.
         value: Option<f64>,
         #[command(flatten)]
-        reason: Reason,
+        options: ChangeOptions,
     },
     /// Takes in a keeper, first without a vote, then with one.
-    Add {
+    #[command(name = "add")]
+    AddReplica {
         /// Its number.
         id: u64,
         /// Where it listens.
         address: SocketAddr,
     },
     /// Leaves a keeper out.
-    Remove {
+    #[command(name = "remove")]
+    RemoveReplica {
         /// Its number.
         id: u64,
     },
     /// Asks for a drain at one dispatcher (or takes one back, or shows): it holds there at once, also while no keeper is
     /// reached, and is offered to the group.
-    Here {
+    #[command(name = "here")]
+    Local {
         /// The dispatcher's `fleet.control`.
         address: SocketAddr,
         /// What: drain, undrain or show.
-        what: LocalCommand,
+        #[arg(value_name = "WHAT")]
+        action: LocalAction,
         /// The worker.
-        #[arg(required_if_eq_any([("what", "drain"), ("what", "undrain")]))]
+        #[arg(required_if_eq_any([("action", "drain"), ("action", "undrain")]))]
         worker: Option<Name>,
         /// Why, for the history.
-        #[arg(long, default_value = "")]
-        why: Text,
+        #[arg(long = "why", value_name = "WHY", default_value = "")]
+        reason: Text,
     },
     /// Writes the agreed state to a file, which must not exist.
     Backup {
@@ -136,25 +144,26 @@
         /// Of what: dispatcher or worker; both are shown, if none is named.
         kind: Option<SubjectKind>,
         /// Most in the fleet: a count, or a percentage such as 10%. Without it the budget is shown.
-        #[arg(long, requires = "kind")]
-        most: Option<Limit>,
+        #[arg(long = "most", value_name = "MOST", requires = "kind")]
+        max_unavailable: Option<Limit>,
         /// Most in each zone.
-        #[arg(long, requires = "most")]
-        zone: Option<Limit>,
+        #[arg(long = "zone", value_name = "ZONE", requires = "max_unavailable")]
+        max_unavailable_per_zone: Option<Limit>,
         /// Most of each kind of machine, for workers.
-        #[arg(long, requires = "most")]
-        machine_kind: Option<Limit>,
+        #[arg(long = "machine-kind", value_name = "MACHINE_KIND", requires = "max_unavailable")]
+        max_unavailable_per_machine_type: Option<Limit>,
         /// Least that stay in each zone.
-        #[arg(long, requires = "most", default_value_t = 0)]
-        least: u32,
+        #[arg(long = "least", value_name = "LEAST", requires = "max_unavailable", default_value_t = 0)]
+        min_available_per_zone: u32,
         /// Takes the budget away: nothing of the kind may go out.
-        #[arg(long, requires = "kind", conflicts_with = "most")]
-        none: bool,
+        #[arg(long = "none", requires = "kind", conflicts_with = "max_unavailable")]
+        remove: bool,
     },
     /// Permits to go out: for a dispatcher to end and come back, for a worker to be switched off.
     Permit {
         /// What becomes of them.
-        what: PermitCommand,
+        #[arg(value_name = "WHAT")]
+        action: PermitAction,
         /// Which: dispatcher/NAME or worker/NAME.
         #[arg(required = true)]
         subjects: Vec<Subject>,
@@ -162,15 +171,16 @@
         #[arg(long)]
         urgent: bool,
         /// The version that a dispatcher must have to count as back.
-        #[arg(long, default_value = "")]
-        want: Text,
+        #[arg(long = "want", value_name = "WANT", default_value = "")]
+        version: Text,
         /// Why, for the history; `force` needs one.
-        #[arg(long, default_value = "")]
-        why: Text,
+        #[arg(long = "why", value_name = "WHY", default_value = "")]
+        reason: Text,
     },
     /// Waits until a worker that goes by a permit may be switched off: every dispatcher has confirmed its drain, and has
     /// nothing out there. Exit code 0: it may; 1: not within `--within`.
-    Off {
+    #[command(name = "off")]
+    WaitUntilDrained {
         /// The worker.
         worker: Name,
     },
@@ -182,8 +192,8 @@
         /// Of what: dispatcher or worker.
         kind: SubjectKind,
         /// Why, for the history.
-        #[arg(long, default_value = "")]
-        why: Text,
+        #[arg(long = "why", value_name = "WHY", default_value = "")]
+        reason: Text,
     },
     /// Ends a halt.
     Resume {
@@ -191,7 +201,8 @@
         kind: SubjectKind,
     },
     /// Forgets a member that has left or is lost.
-    Dismiss {
+    #[command(name = "dismiss")]
+    RemoveMember {
         /// Its name.
         member: Name,
     },
@@ -202,30 +213,32 @@
     /// Begins it, for all that have another version; nothing more than the first wave goes until it is driven.
     Start {
         /// The version.
-        want: Text,
+        #[arg(value_name = "WANT")]
+        version: Text,
         /// How many may have it in each wave, those of the waves before among them.
         #[arg(long, value_delimiter = ',', default_value = "1,5%,25%,100%")]
         waves: Vec<Limit>,
         /// Zones in the order in which they go: nobody goes while one of an earlier zone waits.
-        #[arg(long, value_delimiter = ',')]
-        zones: Vec<Text>,
+        #[arg(long = "zones", value_name = "ZONES", value_delimiter = ',')]
+        zone_order: Vec<Text>,
         /// Why, for the history.
-        #[arg(long, default_value = "")]
-        why: Text,
+        #[arg(long = "why", value_name = "WHY", default_value = "")]
+        reason: Text,
     },
     /// Plays it through without beginning it: which dispatchers go in each wave, and when; or why it would never end.
     Plan {
         /// The version.
-        want: Text,
+        #[arg(value_name = "WANT")]
+        version: Text,
         /// How many may have it in each wave, those of the waves before among them.
         #[arg(long, value_delimiter = ',', default_value = "1,5%,25%,100%")]
         waves: Vec<Limit>,
         /// Zones in the order in which they go: nobody goes while one of an earlier zone waits.
-        #[arg(long, value_delimiter = ',')]
-        zones: Vec<Text>,
+        #[arg(long = "zones", value_name = "ZONES", value_delimiter = ',')]
+        zone_order: Vec<Text>,
         /// A wave that is back is watched for so many seconds before the next one begins.
-        #[arg(long, default_value_t = 60.0)]
-        pause_s: f64,
+        #[arg(long = "pause-s", value_name = "PAUSE_S", default_value_t = 60.0)]
+        observation_s: f64,
         /// From a dispatcher's permit until it is back, in seconds.
         #[arg(long, default_value_t = 10.0)]
         restart_s: f64,
@@ -233,74 +246,84 @@
     /// Drives it to its end, or until a sign halts it (exit code 1). It may be killed and started again, and run twice.
     Drive {
         /// A wave that is back is watched for so many seconds before the next one begins.
-        #[arg(long, default_value_t = 60.0)]
-        pause_s: f64,
+        #[arg(long = "pause-s", value_name = "PAUSE_S", default_value_t = 60.0)]
+        observation_s: f64,
         /// A wave that is not back within so many seconds halts the release.
         #[arg(long = "patience-s", value_name = "PATIENCE_S", default_value_t = 600.0)]
         wave_timeout_s: f64,
         /// So many crashes of dispatchers with the new version halt it.
-        #[arg(long, default_value_t = 3)]
-        crashes: u64,
+        #[arg(long = "crashes", value_name = "CRASHES", default_value_t = 3)]
+        max_crashes: u64,
         /// The share of requests that the new version serves may be lower by this than the old one's, while a wave is watched.
-        #[arg(long, default_value_t = 0.05)]
-        drop: f64,
+        #[arg(long = "drop", value_name = "DROP", default_value_t = 0.05)]
+        max_success_rate_drop: f64,
         /// Shares of fewer answers than this tell nothing. 0: shares are not looked at.
-        #[arg(long, default_value_t = 200)]
-        sample: u64,
+        #[arg(long = "sample", value_name = "SAMPLE", default_value_t = 200)]
+        min_answers: u64,
     },
     /// Gives it up: all that have its version, or may be going over to it, go back to this one.
-    Back {
+    #[command(name = "back")]
+    RollBack {
         /// The version.
-        to: Text,
+        #[arg(value_name = "TO")]
+        version: Text,
         /// Why, for the history.
-        #[arg(long, default_value = "")]
-        why: Text,
+        #[arg(long = "why", value_name = "WHY", default_value = "")]
+        reason: Text,
     },
     /// Shows how far it is.
     Status,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub(super) enum PermitCommand {
+pub(super) enum PermitAction {
     /// Asks for them; one that has a permit keeps it.
-    Ask,
+    #[value(name = "ask")]
+    Request,
     /// Those that wait do not want it any more.
     Withdraw,
     /// Workers are back.
-    Back,
+    #[value(name = "back")]
+    Complete,
     /// They count as back, whatever is seen; with a reason.
-    Force,
+    #[value(name = "force")]
+    ForceComplete,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub(super) enum LocalCommand {
+pub(super) enum LocalAction {
     Drain,
     Undrain,
     Show,
 }
 
 #[derive(Args, Debug)]
-pub(super) struct Workers {
+pub(super) struct DrainArgs {
     /// The workers.
     #[arg(required = true)]
     pub(super) workers: Vec<Name>,
     #[command(flatten)]
-    pub(super) reason: Reason,
+    pub(super) options: ChangeOptions,
 }
 
 #[derive(Args, Debug)]
-pub(super) struct Reason {
+pub(super) struct ChangeOptions {
     /// Why, for the history.
-    #[arg(long, default_value = "")]
-    pub(super) why: Text,
+    #[arg(long = "why", value_name = "WHY", default_value = "")]
+    pub(super) reason: Text,
     /// Nothing is changed unless the key was changed last at this revision (0: it is not there).
-    #[arg(long)]
-    pub(super) expect: Option<u64>,
+    #[arg(long = "expect", value_name = "EXPECT")]
+    pub(super) expected_revision: Option<u64>,
 }
 
-impl Reason {
-    /// No reason, and no revision that is expected.
+impl ChangeOptions {
+    /// Options without a reason and without an expected revision.
     pub(super) fn none() -> Self {
-        Self { why: Text::default(), expect: None }
+        Self::with_reason(Text::default())
+    }
+
+    /// Options with a reason and without an expected revision.
+    pub(super) fn with_reason(reason: Text) -> Self {
+        Self { reason, expected_revision: None }
     }
 }
--- a/crates/pebblepost/src/operator/error.rs
+++ b/crates/pebblepost/src/operator/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! Errors of the operator's commands.
 
 use pebblepost_fleet::name::InvalidName;
 use pebblepost_fleet::simulation::SimulationError;
@@ -12,171 +12,171 @@
 use std::time::TryFromFloatSecsError;
 use thiserror::Error;
 
-/// Why a command failed.
+/// An operator's command failed.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// The group has rejected the change.
+    /// The store group rejected the change.
     #[error("refused: {0}")]
     Rejected(#[from] Rejection),
-    /// No replica is named.
+    /// No replica is given on the command line or in the environment.
     #[error("no keepers: name them with --keepers 1=127.0.0.1:7501,2=... or in PEBBLEPOST_KEEPERS")]
     NoReplicas,
-    /// A time-out out of its range.
-    #[error("--within: 0.01 to 3600 seconds")]
+    /// The time-out is out of range.
+    #[error("--within: must be 0.01 to 3600 seconds")]
     TimeoutOutOfRange,
-    /// A replica on another machine.
-    #[error("--keepers: {0} is no loopback address")]
+    /// A replica's address is not a loopback address.
+    #[error("--keepers: {0} is not a loopback address")]
     NotLoopback(SocketAddr),
-    /// A name that the history does not take.
+    /// The issuer is not a valid name.
     #[error("--by: {0}")]
     Issuer(#[source] InvalidName),
-    /// The system gives no descriptor for requests.
+    /// The runtime for requests cannot be created.
     #[error("{0}")]
     Runtime(#[source] io::Error),
-    /// An option that is no duration.
+    /// The value of an option is not a valid duration.
     #[error("--{option}: {seconds}: {error}")]
     Duration {
         /// Name of the option.
         option: &'static str,
         /// Its value, in seconds.
         seconds: f64,
-        /// What is wrong with it.
+        /// The conversion error.
         error: TryFromFloatSecsError,
     },
-    /// A share out of its range.
-    #[error("--drop: {0} is not within 0 and 1")]
+    /// The permitted drop of the success rate is out of range.
+    #[error("--drop: {0} is not between 0 and 1")]
     SuccessRateDrop(f64),
-    /// A file that is to be restored or imported cannot be used.
+    /// A file to restore or import cannot be used.
     #[error("{}: {problem}", path.display())]
     Input {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// What is wrong with the file.
         problem: FileProblem,
     },
-    /// Another replica than the one that was named.
-    #[error("keeper {actual} listens {}, not {expected}", location(.address.as_deref()))]
-    OtherReplica {
-        /// The number that was named.
+    /// The replica at an address has another number than the one given.
+    #[error("keeper {actual} listens {}, not {expected}", format_location(.address.as_deref()))]
+    ReplicaIdMismatch {
+        /// The number given on the command line.
         expected: u64,
-        /// The number of the replica.
+        /// The number that the replica reports.
         actual: u64,
-        /// Where it listens, if the error has to say so.
+        /// Address of the replica, if the message should contain it.
         address: Option<String>,
     },
-    /// What is to be brought back has no permit.
+    /// The subject whose permit should be completed has none.
     #[error("{0} has no permit")]
     NoPermit(Subject),
-    /// No replica has responded: it is unknown whether the change was applied.
-    #[error("{0}; it is not known whether it was done: ask again, or look at `fleet history`")]
+    /// No replica responded, so it is unknown whether the request was applied.
+    #[error("{0}; it is unknown whether the request was applied: retry, or check `fleet history`")]
     Unreachable(#[from] Unreachable),
     /// A backup cannot be written.
     #[error("{}: {error}", path.display())]
     Output {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The I/O error.
         error: io::Error,
     },
-    /// A dispatcher's agent did not do what it was asked for.
+    /// A request to a dispatcher's agent failed.
     #[error("{address}: {problem}")]
     Agent {
         /// Address of the agent.
         address: SocketAddr,
-        /// Why not.
+        /// Why the request failed.
         problem: AgentProblem,
     },
-    /// A replica's status is unknown.
+    /// The status of a replica could not be read.
     #[error("keeper {id}: {error}")]
     Status {
         /// Number of the replica.
         id: u64,
-        /// Why.
+        /// Why the status could not be read.
         error: StatusError,
     },
-    /// A replica at an address cannot be reached.
+    /// The replica at an address cannot be reached.
     #[error("{address}: {error}")]
     Address {
         /// The address.
         address: String,
-        /// Why not.
+        /// The I/O error.
         error: io::Error,
     },
     /// The first replica cannot be reached.
     #[error("{0}")]
     Io(#[source] io::Error),
-    /// A replica could not do what it was asked for.
+    /// A replica reported that a request failed.
     #[error("{0}")]
     Replica(String),
-    /// A response to another request.
-    #[error("an answer out of place: {0:?}")]
+    /// The response does not match the request.
+    #[error("unexpected response: {0:?}")]
     UnexpectedResponse(Box<Response>),
-    /// No replica responds.
-    #[error("no keeper answers")]
-    NoReplicaResponds,
-    /// A worker has not drained in time.
+    /// No replica responded.
+    #[error("no keeper responded")]
+    NoReplicaResponded,
+    /// A worker did not finish draining within the time-out.
     #[error("{0} may not be switched off yet")]
     NotDrained(Name),
-    /// The release that is driven is halted.
+    /// The release was halted while it was driven.
     #[error("the release is halted")]
     ReleaseHalted,
-    /// A release would never end.
+    /// The simulation found that a release would never finish.
     #[error(transparent)]
     Simulation(SimulationError),
 }
 
-fn location(address: Option<&str>) -> String {
+fn format_location(address: Option<&str>) -> String {
     address.map_or_else(|| "there".to_owned(), |address| format!("at {address}"))
 }
 
-/// What is wrong with a file that is to be restored or imported.
+/// A problem with a file to restore or import.
 #[derive(Debug, Error)]
 pub enum FileProblem {
-    /// It cannot be read, or its checksum is wrong.
+    /// The file cannot be read, or its checksum is wrong.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is not a backup.
-    #[error("no backup: {0}")]
-    NoBackup(serde_json::Error),
-    /// It is not JSON.
+    /// The file is not a backup.
+    #[error("not a backup: {0}")]
+    NotBackup(serde_json::Error),
+    /// The file is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It is not a file of the store's predecessor.
-    #[error("no registers")]
-    NoRegisters,
-    /// A name in it, or its own, that the fleet store does not take.
+    /// The file is not one of the store's predecessor.
+    #[error("not a file of the earlier store: no object `registers`")]
+    RegistersMissing,
+    /// The fleet store does not accept a name in the file, or the path of the file as a reason.
     #[error(transparent)]
     Name(#[from] InvalidName),
 }
 
-/// Why a dispatcher's agent did not do what it was asked for.
+/// A request to a dispatcher's agent failed.
 #[derive(Debug, Error)]
 pub enum AgentProblem {
-    /// It cannot be reached.
+    /// The agent cannot be reached.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Its reply is not JSON.
+    /// The agent's reply is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Its own reason.
+    /// The agent rejected the request, for the reason it gives.
     #[error("{0}")]
     Rejected(String),
 }
 
-/// Why a replica's status is unknown.
+/// The status of a replica could not be read.
 #[derive(Debug, Error)]
 pub enum StatusError {
-    /// It cannot be reached.
+    /// The replica cannot be reached.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It sent a response to another request.
+    /// The replica's response does not match the request.
     #[error("{0:?}")]
     UnexpectedResponse(Box<Response>),
 }
 
 impl FleetError {
-    /// The exit code: 1 if the command was rejected or failed, 2 if it makes no sense, 3 if it is unknown whether it was
-    /// done.
+    /// Returns the exit code: 1 if the command was rejected or failed, 2 if its arguments are invalid, 3 if it is unknown
+    /// whether it was applied.
     pub fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             Self::Rejected(_)
@@ -187,7 +187,7 @@
             | Self::Io(_)
             | Self::Replica(_)
             | Self::UnexpectedResponse(_)
-            | Self::NoReplicaResponds
+            | Self::NoReplicaResponded
             | Self::NotDrained(_)
             | Self::ReleaseHalted
             | Self::Simulation(_) => 1,
@@ -199,7 +199,7 @@
             | Self::Duration { .. }
             | Self::SuccessRateDrop(_)
             | Self::Input { .. }
-            | Self::OtherReplica { .. }
+            | Self::ReplicaIdMismatch { .. }
             | Self::NoPermit(_) => 2,
             Self::Unreachable(_) => 3,
         })
--- a/crates/pebblepost/src/operator/local.rs
+++ b/crates/pebblepost/src/operator/local.rs
@@ -1,6 +1,6 @@
-//! Requests to one dispatcher's agent.
+//! Requests to the agent of a single dispatcher.
 
-use super::arguments::LocalCommand;
+use super::arguments::LocalAction;
 use super::error::{AgentProblem, FleetError, Result};
 use pebblepost_fleet::{Name, Text};
 use serde_json::{Value as Json, json};
@@ -8,22 +8,23 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Sends one line to a dispatcher's agent and prints its reply.
+/// Sends a request to a dispatcher's agent and prints its reply.
 pub(super) fn run(
-    address: SocketAddr, command: LocalCommand, worker: Option<&Name>, reason: &Text, timeout: Duration,
+    address: SocketAddr, action: LocalAction, worker: Option<&Name>, reason: &Text, timeout: Duration,
 ) -> Result<()> {
-    let request = match command {
-        LocalCommand::Show => json!({"show": true}),
-        LocalCommand::Drain => json!({"drain": worker, "why": reason}),
-        LocalCommand::Undrain => json!({"undrain": worker}),
+    let request = match action {
+        LocalAction::Show => json!({"show": true}),
+        LocalAction::Drain => json!({"drain": worker, "why": reason}),
+        LocalAction::Undrain => json!({"undrain": worker}),
     };
-    let reply = exchange(address, &request, timeout);
+    let reply = send_request(address, &request, timeout);
     let reply = reply.map_err(|problem| FleetError::Agent { address, problem })?;
     let _ = writeln!(std::io::stdout(), "{reply}");
     Ok(())
 }
 
-fn exchange(
+/// Sends a request as one line of JSON and reads one line as the reply.
+fn send_request(
     address: SocketAddr, request: &Json, timeout: Duration,
 ) -> std::result::Result<Json, AgentProblem> {
     let mut stream = TcpStream::connect_timeout(&address, timeout)?;
--- a/crates/pebblepost/src/operator/mod.rs
+++ b/crates/pebblepost/src/operator/mod.rs
@@ -1,6 +1,6 @@
-//! `pebblepost fleet`: an operator queries the fleet store, or has it change something.
+//! The subcommand `pebblepost fleet`, with which an operator queries or changes the fleet store.
 //!
-//! Each command sends requests and prints what comes of them; it keeps no state.
+//! Each command sends requests and prints the responses. No state is kept between commands.
 
 mod arguments;
 mod client;
@@ -27,23 +27,23 @@
 
 const TIMEOUT_RANGE_S: RangeInclusive<f64> = 0.01..=3_600.0;
 
-/// Carries out one command of an operator.
+/// Executes one operator command.
 ///
 /// # Errors
 ///
-/// If the command makes no sense, is rejected or fails, or no replica responds.
+/// Fails if the arguments are invalid, the command is rejected or fails, or no replica responds.
 pub fn run(args: FleetArgs) -> Result<()> {
-    if let FleetCommand::Here { address, what, worker, why } = &args.command {
-        return local::run(*address, *what, worker.as_ref(), why, timeout(args.within)?);
+    if let FleetCommand::Local { address, action, worker, reason } = &args.command {
+        return local::run(*address, *action, worker.as_ref(), reason, parse_timeout(args.timeout_s)?);
     }
     if args.replicas.is_empty() {
         return Err(FleetError::NoReplicas);
     }
-    let timeout = timeout(args.within)?;
+    let timeout = parse_timeout(args.timeout_s)?;
     if let Some((_, address)) = args.replicas.iter().find(|(_, address)| !address.ip().is_loopback()) {
         return Err(FleetError::NotLoopback(*address));
     }
-    let issuer = args.by.parse().map_err(FleetError::Issuer)?;
+    let issuer = args.issuer.parse().map_err(FleetError::Issuer)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(FleetError::Runtime)?;
     let replicas = args.replicas.iter().map(|(id, address)| (*id, address.to_string()));
@@ -54,7 +54,7 @@
     runtime.block_on(client.execute(args.command))
 }
 
-fn timeout(seconds: f64) -> Result<Duration> {
+fn parse_timeout(seconds: f64) -> Result<Duration> {
     if TIMEOUT_RANGE_S.contains(&seconds) {
         Ok(Duration::from_secs_f64(seconds))
     } else {
--- a/crates/pebblepost/src/operator/permits.rs
+++ b/crates/pebblepost/src/operator/permits.rs
@@ -1,9 +1,9 @@
-//! Budgets, permits, and when a drained worker may be switched off.
+//! Commands for disruption budgets, permits, and waiting until a drained worker may be switched off.
 
-use super::arguments::{PermitCommand, Reason};
+use super::arguments::{ChangeOptions, PermitAction};
 use super::client::OperatorClient;
 use super::error::{FleetError, Result};
-use super::text::budget_text;
+use super::text::format_budget;
 use pebblepost_fleet::availability::Availability;
 use pebblepost_fleet::leader::DrainStatus;
 use pebblepost_fleet::value::Value;
@@ -13,12 +13,12 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-/// Interval at which a worker's drain status is requested.
+/// Interval at which a worker's drain status is polled.
 const DRAIN_STATUS_INTERVAL: Duration = Duration::from_millis(100);
 
 impl OperatorClient {
-    /// Prints what is unavailable and what waits for a permit, and why.
-    pub(super) async fn budgets(&mut self, only: Option<SubjectKind>) -> Result<()> {
+    /// Prints the budget, the unavailable subjects, and those that wait for a permit with the reason.
+    pub(super) async fn show_budgets(&mut self, only: Option<SubjectKind>) -> Result<()> {
         let snapshot = self.snapshot().await?;
         let kinds = [SubjectKind::Dispatcher, SubjectKind::Worker];
         for kind in kinds.into_iter().filter(|kind| only.is_none_or(|only| only == *kind)) {
@@ -44,7 +44,7 @@
             "budget": availability.budget, "halted": availability.halted,
         });
         self.print(json, &|| {
-            let budget = availability.budget.map_or("no budget".to_owned(), |budget| budget_text(&budget));
+            let budget = availability.budget.map_or("no budget".to_owned(), |budget| format_budget(&budget));
             let halted = if availability.halted { ", halted" } else { "" };
             let (unavailable, all) = (availability.unavailable(), availability.subjects.len());
             let mut text = format!("{kind}: {unavailable} of {all} out; {budget}{halted}");
@@ -63,49 +63,53 @@
         });
     }
 
-    /// Requests, withdraws or ends permits.
-    pub(super) async fn permits(
-        &mut self, command: PermitCommand, subjects: Vec<Subject>, urgent: bool, version: &Text, why: Text,
+    /// Requests, withdraws or completes permits.
+    pub(super) async fn change_permits(
+        &mut self, action: PermitAction, subjects: Vec<Subject>, urgent: bool, version: &Text, reason: Text,
     ) -> Result<()> {
-        // A permit that has been replaced must not be ended: the one that is seen now is named.
+        // Completing names the revision of the current permit, so that a permit granted later is not completed by mistake.
         let snapshot =
-            if command == PermitCommand::Back { self.snapshot().await? } else { Snapshot::default() };
-        let operation = |subject: Subject| match command {
-            PermitCommand::Ask => Ok(Operation::RequestPermit { subject, urgent, version: version.clone() }),
-            PermitCommand::Withdraw => Ok(Operation::WithdrawPermit(subject)),
-            PermitCommand::Force => Ok(Operation::ForceCompletePermit(subject)),
-            PermitCommand::Back => complete_permit(&snapshot, subject),
+            if action == PermitAction::Complete { self.snapshot().await? } else { Snapshot::default() };
+        let operation = |subject: Subject| match action {
+            PermitAction::Request => {
+                Ok(Operation::RequestPermit { subject, urgent, version: version.clone() })
+            }
+            PermitAction::Withdraw => Ok(Operation::WithdrawPermit(subject)),
+            PermitAction::ForceComplete => Ok(Operation::ForceCompletePermit(subject)),
+            PermitAction::Complete => complete_permit(&snapshot, subject),
         };
         let operations: Vec<Operation> = subjects.into_iter().map(operation).collect::<Result<_>>()?;
-        self.change(operations, Reason { why, expect: None }).await
+        self.change(operations, ChangeOptions::with_reason(reason)).await
     }
 
     /// Prints a worker's drain status whenever it changes, until the worker may be switched off.
+    ///
+    /// Fails with [`FleetError::NotDrained`] if that takes longer than the time-out.
     pub(super) async fn wait_until_drained(&mut self, worker: &Name) -> Result<()> {
-        let (end, mut shown) = (Instant::now() + self.timeout, None);
+        let (deadline, mut last_printed) = (Instant::now() + self.timeout, None);
         loop {
             let status = match self.request(&Request::DrainStatus(worker.clone())).await? {
                 Response::DrainStatus(status) => status,
                 other => return Err(FleetError::unexpected(other)),
             };
             let complete = status.is_complete();
-            if shown.as_ref() != Some(&status) {
+            if last_printed.as_ref() != Some(&status) {
                 let json = json!({"worker": worker, "may_be_switched_off": complete, "off": status});
-                self.print(json, &|| drain_text(worker, &status));
+                self.print(json, &|| format_drain_status(worker, &status));
             }
             if complete {
                 return Ok(());
             }
-            if Instant::now() >= end {
+            if Instant::now() >= deadline {
                 return Err(FleetError::NotDrained(worker.clone()));
             }
-            shown = Some(status);
+            last_printed = Some(status);
             tokio::time::sleep(DRAIN_STATUS_INTERVAL).await;
         }
     }
 }
 
-/// Ends the permit that the subject has now.
+/// Returns the operation that completes the subject's current permit.
 fn complete_permit(snapshot: &Snapshot, subject: Subject) -> Result<Operation> {
     match snapshot.entries.get(&Key::Permit(subject.clone())).map(|entry| &entry.value) {
         Some(Value::Permit(permit)) => {
@@ -115,7 +119,7 @@
     }
 }
 
-fn drain_text(worker: &Name, status: &DrainStatus) -> String {
+fn format_drain_status(worker: &Name, status: &DrainStatus) -> String {
     let Some(revision) = status.granted_at_revision else {
         return format!("{worker}: no permit is granted");
     };
--- a/crates/pebblepost/src/operator/releases.rs
+++ b/crates/pebblepost/src/operator/releases.rs
@@ -1,4 +1,4 @@
-//! Releases: the status of one, its plan, and driving it.
+//! Commands for releases: status, plan and drive.
 
 use super::client::OperatorClient;
 use super::error::{FleetError, Result};
@@ -11,13 +11,13 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Interval at which a release that is driven is looked at.
+/// Interval at which the driver of a release polls the state.
 const DRIVE_INTERVAL: Duration = Duration::from_millis(250);
-/// Most dispatchers of a wave that a plan names.
-const MAX_NAMES_SHOWN: usize = 5;
+/// Maximum number of dispatchers that a printed plan names per wave.
+const MAX_NAMES_PER_WAVE: usize = 5;
 
 impl OperatorClient {
-    /// Prints the status of the release.
+    /// Prints the status of the current release.
     pub(super) fn print_release(&self, snapshot: &Snapshot) {
         let availability = snapshot.availability(SubjectKind::Dispatcher);
         let (all, unavailable) = (availability.subjects.len(), availability.unavailable());
@@ -46,8 +46,8 @@
         });
     }
 
-    /// Prints what a release would do.
-    pub(super) async fn plan(&mut self, plan: &ReleasePlan) -> Result<()> {
+    /// Simulates a release on the current state and prints its waves.
+    pub(super) async fn print_plan(&mut self, plan: &ReleasePlan) -> Result<()> {
         let snapshot = self.snapshot().await?;
         let waves = simulate(&snapshot, &self.issuer, plan).map_err(|error| match error {
             SimulationError::Rejected(rejection) => FleetError::Rejected(rejection),
@@ -57,7 +57,7 @@
             let number = index + 1;
             self.print(json!({"wave": number, "plan": wave}), &|| {
                 let (count, limit) = (wave.dispatchers.len(), wave.max_unavailable);
-                let names = wave.dispatchers.iter().take(MAX_NAMES_SHOWN).map(Name::as_str);
+                let names = wave.dispatchers.iter().take(MAX_NAMES_PER_WAVE).map(Name::as_str);
                 let names: Vec<&str> = names.collect();
                 let more = if count > names.len() { ", ..." } else { "" };
                 let (start, end, names) = (wave.started_at_s, wave.completed_at_s, names.join(", "));
@@ -75,19 +75,26 @@
         Ok(())
     }
 
-    /// Drives a release to its end, or until it is halted. What it proposes is rejected if it makes no sense by then; the
-    /// state is looked at again.
+    /// Drives a release until it is finished or halted.
+    ///
+    /// The store group may reject a proposed step that no longer fits the state; the driver then decides anew from the next
+    /// snapshot.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`FleetError::ReleaseHalted`] if the release is halted. Unreachable replicas are not an error: the driver
+    /// polls until they respond.
     pub(super) async fn drive(&mut self, policy: ReleasePolicy) -> Result<()> {
-        let (began, mut driver, mut shown_revision) = (Instant::now(), ReleaseDriver::new(policy), 0);
+        let (started_at, mut driver, mut shown_revision) = (Instant::now(), ReleaseDriver::new(policy), 0);
         loop {
-            // Without replicas nothing goes on, and nothing can be done about that here.
+            // Without a response from the replicas no step can be taken, so the next iteration tries again.
             if let Ok(snapshot) = self.snapshot().await {
-                // Without the counts of requests the release is driven by the other signs.
+                // Without request counts the driver relies on its other criteria.
                 let totals = match self.request(&Request::RequestTotals).await {
                     Ok(Response::RequestTotals(totals)) => totals,
                     _ => BTreeMap::new(),
                 };
-                let next = driver.next_step(began.elapsed(), &snapshot, &totals);
+                let next = driver.next_step(started_at.elapsed(), &snapshot, &totals);
                 if std::mem::replace(&mut shown_revision, snapshot.revision) != snapshot.revision {
                     self.print_release(&snapshot);
                 }
@@ -106,11 +113,11 @@
         }
     }
 
-    /// Proposes a step of a release, which the group may reject.
+    /// Proposes a step of a release, and logs a rejection by the store group. Other failures are ignored.
     async fn propose(&mut self, action: Action) {
         let command = command(self.issuer.clone(), action);
         if let Ok(Err(rejection)) = self.client.submit(&command, self.timeout).await {
-            tracing::info!(%rejection, "release step rejected");
+            tracing::info!(%rejection, "store group rejected a release step");
         }
     }
 }
--- a/crates/pebblepost/src/operator/replicas.rs
+++ b/crates/pebblepost/src/operator/replicas.rs
@@ -1,4 +1,4 @@
-//! The replicas of the fleet store: their status, beginning a group, adding one.
+//! Commands for the fleet store's replicas: status, initialization of a group, and adding a replica.
 
 use super::client::OperatorClient;
 use super::error::{FleetError, Result, StatusError};
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 
 impl OperatorClient {
-    /// The status of each replica that was named, by number.
-    async fn statuses(&self) -> Vec<(u64, std::result::Result<ReplicaStatus, StatusError>)> {
+    /// Requests the status of each replica given on the command line, by number.
+    async fn request_statuses(&self) -> Vec<(u64, std::result::Result<ReplicaStatus, StatusError>)> {
         let mut statuses = Vec::new();
         for (id, address) in &self.replicas {
             let status = match request_once(address, &Request::Status).await {
@@ -24,13 +24,13 @@
         statuses
     }
 
-    /// Begins the group, with each replica's disk as it is now.
-    pub(super) async fn begin(&mut self) -> Result<()> {
+    /// Initializes the group with all replicas given on the command line, each with the disk id that it reports.
+    pub(super) async fn initialize_group(&mut self) -> Result<()> {
         let mut group = BTreeMap::new();
-        for (id, status) in self.statuses().await {
+        for (id, status) in self.request_statuses().await {
             let status = status.map_err(|error| FleetError::Status { id, error })?;
             if status.id != id {
-                return Err(FleetError::OtherReplica { expected: id, actual: status.id, address: None });
+                return Err(FleetError::ReplicaIdMismatch { expected: id, actual: status.id, address: None });
             }
             let address = self.replicas.get(&id).cloned().unwrap_or_default();
             group.insert(id, Peer { address, disk: status.disk });
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Prints the status of each replica.
+    /// Prints the status of each replica; fails if none could be read.
     pub(super) async fn status(&mut self) -> Result<()> {
-        let statuses = self.statuses().await;
+        let statuses = self.request_statuses().await;
         for (id, status) in &statuses {
             match status {
-                Ok(status) => self.print(json!(status), &|| status_text(*id, status)),
+                Ok(status) => self.print(json!(status), &|| format_status(*id, status)),
                 Err(error) => {
                     let error = error.to_string();
                     self.print(json!({"id": id, "error": error}), &|| format!("keeper {id}: {error}"));
@@ -60,13 +60,13 @@
             }
         }
         if statuses.iter().all(|(_, status)| status.is_err()) {
-            return Err(FleetError::NoReplicaResponds);
+            return Err(FleetError::NoReplicaResponded);
         }
         Ok(())
     }
 
-    /// Adds a replica to the group, first without a vote, then with one.
-    pub(super) async fn add(&mut self, id: u64, address: SocketAddr) -> Result<()> {
+    /// Adds a replica to the group as a learner, then promotes it to a voter.
+    pub(super) async fn add_replica(&mut self, id: u64, address: SocketAddr) -> Result<()> {
         let address = address.to_string();
         let status = match request_once(&address, &Request::Status).await {
             Ok(Response::Status(status)) => *status,
@@ -75,7 +75,7 @@
         };
         if status.id != id {
             let (expected, actual, address) = (id, status.id, Some(address));
-            return Err(FleetError::OtherReplica { expected, actual, address });
+            return Err(FleetError::ReplicaIdMismatch { expected, actual, address });
         }
         match self.request(&Request::AddLearner(id, Peer { address, disk: status.disk })).await? {
             Response::Done => self.request_done(&Request::Promote(id)).await,
@@ -85,7 +85,7 @@
     }
 }
 
-fn status_text(id: u64, status: &ReplicaStatus) -> String {
+fn format_status(id: u64, status: &ReplicaStatus) -> String {
     let leader = status.leader.map_or_else(|| "nobody".to_owned(), |leader| leader.to_string());
     format!(
         "keeper {id}: group {:?}, led by {leader} in term {}, revision {}, log {} (applied {}), voters {:?}",
--- a/crates/pebblepost/src/operator/text.rs
+++ b/crates/pebblepost/src/operator/text.rs
@@ -1,11 +1,11 @@
-//! Values of the agreed state as text.
+//! Text format of values of the replicated state.
 
 use pebblepost_fleet::value::{Presence, Value, WorkerStatus};
 use pebblepost_fleet::{Budget, Permit};
 use std::net::SocketAddr;
 
-/// A value in one line.
-pub(super) fn value_text(value: &Value) -> String {
+/// Formats a value on one line.
+pub(super) fn format_value(value: &Value) -> String {
     match value {
         Value::Drain { set_by, set_at_ms, reason } if reason.as_str().is_empty() => {
             format!("by {set_by} at {set_at_ms}")
@@ -20,7 +20,7 @@
                 Some(WorkerStatus::Unavailable) => ", drains or does not answer",
                 None => "",
             };
-            let (address, zone) = (address_text(worker.address), &worker.zone);
+            let (address, zone) = (format_address(worker.address), &worker.zone);
             format!("{address} zone {zone} kind {} slots {}{status}", worker.machine_type, worker.slots)
         }
         Value::Setting(value) => value.to_string(),
@@ -30,14 +30,14 @@
                 Presence::Left => "left",
                 Presence::Lost => "lost",
             };
-            let (info, address) = (&member.info, address_text(member.info.address));
+            let (info, address) = (&member.info, format_address(member.info.address));
             let ready = if info.ready { "ready" } else { "not ready" };
             format!(
                 "{presence} life {} session {} version {} zone {} at {address}, {ready}",
                 member.incarnation, member.session, info.version, info.zone
             )
         }
-        Value::Budget(budget) => budget_text(budget),
+        Value::Budget(budget) => format_budget(budget),
         Value::Release(release) => {
             let waves: Vec<String> = release.waves.iter().map(ToString::to_string).collect();
             let (waves, current) = (waves.join(", "), release.current_wave + 1);
@@ -57,15 +57,15 @@
             let revoked = if lease.revoked { ", asked back" } else { "" };
             format!("{holder}{revoked}, {} wait", lease.queue.len())
         }
-        Value::Permit(permit) => permit_text(permit),
+        Value::Permit(permit) => format_permit(permit),
     }
 }
 
-fn address_text(address: Option<SocketAddr>) -> String {
+fn format_address(address: Option<SocketAddr>) -> String {
     address.map_or_else(|| "-".to_owned(), |address| address.to_string())
 }
 
-fn permit_text(permit: &Permit) -> String {
+fn format_permit(permit: &Permit) -> String {
     let revision = permit.granted_at_revision;
     let stage = revision.map_or_else(|| "waits".to_owned(), |revision| format!("granted at {revision}"));
     let urgent = if permit.urgent { ", urgent" } else { "" };
@@ -76,8 +76,8 @@
     )
 }
 
-/// A budget in one line.
-pub(super) fn budget_text(budget: &Budget) -> String {
+/// Formats a budget on one line.
+pub(super) fn format_budget(budget: &Budget) -> String {
     let zone = budget.max_unavailable_per_zone;
     let zone = zone.map_or_else(String::new, |limit| format!(", {limit} in a zone"));
     let machine_type = budget.max_unavailable_per_machine_type;
--- a/crates/pebblepost/src/operator/view.rs
+++ b/crates/pebblepost/src/operator/view.rs
@@ -1,28 +1,28 @@
-//! Showing keys and changes of the agreed state, and following them.
+//! Commands that show entries and changes of the replicated state, and follow changes.
 
 use super::client::OperatorClient;
 use super::error::{FleetError, Result};
-use super::text::value_text;
+use super::text::format_value;
 use pebblepost_fleet::value::Entry;
 use pebblepost_fleet::{Change, Key, Snapshot};
 use pebblepost_fleet_store::protocol::{Request, Response};
 use serde_json::json;
 use std::time::Duration;
 
-/// Pause before another replica is asked for changes.
+/// Delay before a watch that could not be opened is retried at another replica.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 impl OperatorClient {
     fn print_entry(&self, key: &Key, entry: &Entry) {
         self.print(json!({"key": key, "revision": entry.revision, "value": entry.value}), &|| {
-            format!("{key}\t{}\t(revision {})", value_text(&entry.value), entry.revision)
+            format!("{key}\t{}\t(revision {})", format_value(&entry.value), entry.revision)
         });
     }
 
     fn print_change(&self, change: &Change) {
         self.print(json!(change), &|| {
             let items = change.items.iter().map(|(key, value)| match value {
-                Some(value) => format!("{key} = {}", value_text(value)),
+                Some(value) => format!("{key} = {}", format_value(value)),
                 None => format!("{key} is gone"),
             });
             let items: Vec<String> = items.collect();
@@ -31,7 +31,7 @@
         });
     }
 
-    /// Prints the entries at some keys, or all, that are of a kind.
+    /// Prints the entries at `keys`, or all entries if it is empty, whose key satisfies `is_shown`.
     pub(super) async fn show(&mut self, keys: Vec<Key>, is_shown: fn(&Key) -> bool) -> Result<()> {
         match self.request(&Request::Get(keys)).await? {
             Response::Entries { revision, entries } => {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Prints the last changes, the newest last.
+    /// Prints the `last` most recent changes, newest last.
     pub(super) async fn history(&mut self, last: usize) -> Result<()> {
         match self.request(&Request::History(last)).await? {
             Response::History(changes) => {
@@ -55,7 +55,9 @@
         }
     }
 
-    /// Prints all changes from a revision on, until the program is interrupted.
+    /// Prints all changes after the revision `from`, until the program is interrupted.
+    ///
+    /// When the stream ends or is silent for longer than the time-out, a new watch starts after the last printed revision.
     pub(super) async fn watch(&mut self, from: u64) -> Result<()> {
         let mut shown_revision = from;
         loop {
@@ -71,10 +73,10 @@
         }
     }
 
-    /// Prints what is newer than the shown revision, and returns the revision that is shown then.
+    /// Prints updates newer than `shown_revision`, and returns the last revision printed so far.
     fn print_update(&self, response: Response, shown_revision: u64) -> u64 {
         match response {
-            // Another replica may be behind what was shown already.
+            // After a reconnect, another replica may be behind what was already printed.
             Response::Snapshot(Snapshot { revision, entries }) if revision > shown_revision => {
                 entries.iter().for_each(|(key, entry)| self.print_entry(key, entry));
                 revision
--- a/crates/pebblepost/tests/fleet.rs
+++ b/crates/pebblepost/tests/fleet.rs
@@ -173,7 +173,7 @@
     for (json, words) in [
         (with("listen", json!("10.0.0.1:7501")), "listen: listen and dial must be loopback addresses"),
         (with("listen", json!("127.0.0.1:0")), "listen: a port is missing"),
-        (with("session_s", json!(0.1)), "session_s: 0.5 to 600 seconds"),
+        (with("session_s", json!(0.1)), "session_s: must be 0.5 to 600 seconds"),
         (with("colour", json!(1)), "unknown field `colour`"),
         (json!({"group": "g"}), "missing field `id`"),
     ] {
