--- a/crates/pebblepost/src/front/faktory/consumers.rs
+++ b/crates/pebblepost/src/front/faktory/consumers.rs
@@ -18,6 +18,7 @@
 const NO_CAPACITY_BACKLOG_JOBS: f32 = 1_000.0;
 
 impl Faktory {
+    /// Handles `FETCH`: the connection waits for a job from one of the named queues. Unknown queues are ignored.
     pub(super) fn fetch(
         &mut self, context: &mut Context, key: ConnectionKey, wid: Option<String>, names: &str,
     ) {
@@ -38,8 +39,8 @@
     fn register_queues(&mut self, context: &mut Context, wid: &str, queues: &[usize]) {
         let mut changed = false;
         for queue in queues {
-            let known = self.workers.get(wid).is_some_and(|process| process.ids.contains_key(queue));
-            if !known {
+            let is_registered = self.workers.get(wid).is_some_and(|process| process.ids.contains_key(queue));
+            if !is_registered {
                 let config = &self.config.queues[*queue];
                 let host = format!("{wid}/{}", config.name);
                 let id = context.registry.register(&host, KindId(config.kind), WorkerState::Ready);
@@ -84,10 +85,10 @@
             return true;
         };
         // The engine sends no jobs to a draining worker. A fetch that was pending when the drain began gets no job.
-        let ready = process.state == WorkerState::Ready
+        let can_take = process.state == WorkerState::Ready
             && job.queue == queue
             && !process.reservations.contains_key(&job.jid);
-        let position = process.fetching.iter().position(|key| ready && fetches_from(context, *key, queue));
+        let position = process.fetching.iter().position(|key| can_take && fetches_from(context, *key, queue));
         let Some(connection) = position.map(|position| process.fetching.remove(position)) else {
             context.inputs.push(Input::attempt_failed(attempt, Status::Full));
             return true;
@@ -125,6 +126,7 @@
         context.net.send(key, OK_REPLY);
     }
 
+    /// Handles `BEAT`. A process that reports `quiet` or `terminate` is marked as draining.
     pub(super) fn heartbeat(
         &mut self, context: &mut Context, key: ConnectionKey, wid: Option<String>, json: &Value,
     ) {
@@ -183,6 +185,7 @@
         }
     }
 
+    /// Handles the end of a worker's connection. Jobs fetched on it are lost; with its last connection the process is removed.
     pub(super) fn on_worker_connection_closed(
         &mut self, context: &mut Context, key: ConnectionKey, wid: &str,
     ) {
--- a/crates/pebblepost/src/front/faktory/producers.rs
+++ b/crates/pebblepost/src/front/faktory/producers.rs
@@ -24,6 +24,9 @@
 }
 
 impl Faktory {
+    /// Handles `PUSH`: passes a new job to the engine, or handles the push as a duplicate.
+    ///
+    /// While the node drains, new jobs are rejected, but duplicates still get their response.
     pub(super) fn push(&mut self, context: &mut Context, key: ConnectionKey, json: &Value, payload: &str) {
         let pushed = match self.parse_job(json) {
             Ok(pushed) => pushed,
--- a/crates/pebblepost/src/net/accept.rs
+++ b/crates/pebblepost/src/net/accept.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Maximum number of connections accepted from one listener per iteration of the event loop.
-const MAX_ACCEPTS: usize = 64;
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
 /// How long a listener stops accepting after an `accept` error or when the connection budget is used up.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// Share of the connection budget, in eighths, up to which connections are accepted. The rest stays available for
@@ -29,7 +29,7 @@
     ) -> Vec<ConnectionKey> {
         let mut accepted = Vec::new();
         let Some(kind) = self.listener_kind(index) else { return accepted };
-        for _ in 0..MAX_ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
             if self.connections.len() >= self.max_connections * ACCEPT_BUDGET_EIGHTHS / 8
                 && !self.close_longest_idle()
             {
@@ -84,9 +84,9 @@
         });
         let mut idle: Vec<(Time, ConnectionKey)> = idle.collect();
         idle.sort_unstable();
-        let is_quiet =
+        let is_quiescent =
             |key: &ConnectionKey| self.get(*key).is_some_and(|connection| connection.is_quiescent());
-        let Some(key) = idle.into_iter().map(|(_, key)| key).find(is_quiet) else { return false };
+        let Some(key) = idle.into_iter().map(|(_, key)| key).find(is_quiescent) else { return false };
         self.close(key);
         true
     }
--- a/crates/pebblepost/src/net/input.rs
+++ b/crates/pebblepost/src/net/input.rs
@@ -24,7 +24,7 @@
             self.connections.get(key.slot()).is_some_and(|slot| slot.connection.role.awaits_response());
         let pipelining = awaits_response && self.pipelined_bytes() < MAX_PIPELINED_BYTES_TOTAL;
         let mut read_buffer = std::mem::take(&mut self.read_buffer);
-        let alive = match self.get(key) {
+        let is_open = match self.get(key) {
             Some(connection) => {
                 let max_bytes = if pipelining { MAX_PIPELINED_BYTES } else { connection.max_input_bytes() };
                 connection.read(&mut read_buffer, max_bytes, awaits_response)
@@ -32,13 +32,13 @@
             None => true,
         };
         self.read_buffer = read_buffer;
-        alive
+        is_open
     }
 
     /// Returns the number of buffered bytes above the usual input limit, summed over all connections.
     fn pipelined_bytes(&self) -> usize {
-        let beyond = |connection: &Connection| connection.input.len().saturating_sub(MAX_INPUT_BYTES);
-        self.connections.iter().map(|(_, slot)| beyond(&slot.connection)).sum()
+        let above_limit = |connection: &Connection| connection.input.len().saturating_sub(MAX_INPUT_BYTES);
+        self.connections.iter().map(|(_, slot)| above_limit(&slot.connection)).sum()
     }
 }
 
@@ -56,12 +56,12 @@
             match self.stream.read(read_buffer) {
                 Ok(0) => return false,
                 Ok(count) => {
-                    let alive = self.buffer_or_drop(&read_buffer[..count], max_bytes);
+                    let within_limit = self.buffer_or_drop(&read_buffer[..count], max_bytes);
                     // A closing connection may send without limit and its bytes are only dropped, so it gets one read per
                     // event and does not starve other connections.
                     let may_have_more = count == read_buffer.len() && !self.role.is_closing();
-                    if !(alive && may_have_more) {
-                        return alive;
+                    if !(within_limit && may_have_more) {
+                        return within_limit;
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
