--- a/crates/pebblepost-harness/src/checker/exits.rs
+++ b/crates/pebblepost-harness/src/checker/exits.rs
@@ -18,7 +18,7 @@
 }
 
 /// A client's attempt: its dispatcher and the period in which the client waits for the answer.
-struct Pending {
+struct PendingAttempt {
     dispatcher: usize,
     sent_at: f64,
     gives_up_at: f64,
@@ -29,7 +29,7 @@
     ///
     /// It does if the attempt was sent before the dispatcher accepted clients again, and the client was still waiting when the
     /// dispatcher exited. If the exit was not abrupt, the attempt must also have been sent after the exit.
-    fn excuses(&self, attempt: &Pending, ended_at: f64) -> bool {
+    fn excuses(&self, attempt: &PendingAttempt, ended_at: f64) -> bool {
         let overlaps = attempt.sent_at <= self.serving_again_at_s
             && attempt.gives_up_at.min(ended_at) >= self.ended_at_s;
         self.dispatcher == attempt.dispatcher
@@ -40,10 +40,11 @@
 
 /// Returns the log without the closed connections and time-outs of attempts that one of `exits` accounts for.
 pub fn remove_excused_events(log: Vec<Entry>, exits: &[DispatcherExit]) -> Vec<Entry> {
-    let mut pending: HashMap<String, Pending> = HashMap::new();
+    let mut pending: HashMap<String, PendingAttempt> = HashMap::new();
     for (at, event) in &log {
         if let Event::Requested { txn, dispatcher, timeout_s, .. } = event {
-            let attempt = Pending { dispatcher: *dispatcher, sent_at: *at, gives_up_at: at + timeout_s };
+            let attempt =
+                PendingAttempt { dispatcher: *dispatcher, sent_at: *at, gives_up_at: at + timeout_s };
             pending.insert(txn.clone(), attempt);
         }
     }
--- a/crates/pebblepost-harness/src/checker/rules.rs
+++ b/crates/pebblepost-harness/src/checker/rules.rs
@@ -88,63 +88,87 @@
     fn observe(&mut self, at: f64, event: &'log Event) {
         self.updates.observe(at, event);
         match event {
-            Event::Requested { txn, key, timeout_s, .. } => self.requested(at, txn, key, *timeout_s),
-            Event::Responded { txn, status, body } => self.responded(at, txn, *status, body),
+            Event::Requested { txn, key, timeout_s, .. } => self.record_request(at, txn, key, *timeout_s),
+            Event::Responded { txn, status, body } => self.check_response(at, txn, *status, body),
             Event::ClientCancelled { txn } => {
                 if let Some(attempt) = self.attempts.get_mut(txn.as_str()) {
                     attempt.finished_at = Some(at);
                 }
             }
             Event::ConnectionClosed { txn } => {
-                self.report(Rule::OneAnswer, at, format!("{txn}: connection closed without an answer"));
+                self.report_violation(
+                    Rule::OneAnswer,
+                    at,
+                    format!("{txn}: connection closed without an answer"),
+                );
             }
             Event::TimedOut { txn } => {
-                self.report(Rule::OneAnswer, at, format!("{txn}: no answer before the client's deadline"));
+                self.report_violation(
+                    Rule::OneAnswer,
+                    at,
+                    format!("{txn}: no answer before the client's deadline"),
+                );
             }
             Event::UnknownRequest { txn } => {
-                self.report(Rule::Genuine, at, format!("a worker received {txn}, which no client sent"));
+                self.report_violation(
+                    Rule::Genuine,
+                    at,
+                    format!("a worker received {txn}, which no client sent"),
+                );
             }
-            Event::Overloaded { worker, since, sent } => self.overloaded(at, *worker, *since, sent),
+            Event::Overloaded { worker, since, sent } => self.check_overload(at, *worker, *since, sent),
             Event::AttemptArrived { txn, key, dispatcher, worker } => {
                 self.check_availability(at, txn, *dispatcher, *worker);
                 self.check_client_attempt(at, txn);
                 self.check_repeat(at, txn, key, *worker);
             }
-            Event::AttemptEnded { txn, worker, end } => self.attempt_ended(txn, *worker, *end),
+            Event::AttemptEnded { txn, worker, end } => self.record_attempt_end(txn, *worker, *end),
             Event::Notified { .. } | Event::Published { .. } | Event::ColdLoadPeak { .. } => {}
         }
     }
 
-    fn report(&mut self, rule: Rule, at: f64, what: String) {
+    fn report_violation(&mut self, rule: Rule, at: f64, what: String) {
         self.violations.push(Violation { rule, at, what });
     }
 
-    fn requested(&mut self, at: f64, txn: &'log str, key: &'log str, timeout_s: f64) {
+    fn record_request(&mut self, at: f64, txn: &'log str, key: &'log str, timeout_s: f64) {
         self.keys.insert(txn, key);
         let attempt = ClientAttempt { sent_at: at, timeout_s, ..ClientAttempt::default() };
         if self.attempts.insert(txn, attempt).is_some() {
-            self.report(Rule::OneAnswer, at, format!("clients sent two attempts with the id {txn}"));
+            self.report_violation(
+                Rule::OneAnswer,
+                at,
+                format!("clients sent two attempts with the id {txn}"),
+            );
         }
     }
 
-    fn responded(&mut self, at: f64, txn: &str, status: u16, body: &str) {
+    fn check_response(&mut self, at: f64, txn: &str, status: u16, body: &str) {
         let Some(attempt) = self.attempts.get_mut(txn) else { return };
         let already_finished = attempt.finished_at.replace(at).is_some();
         let gave_up_at = attempt.sent_at + attempt.timeout_s;
-        let genuine = body == result_body(txn) && attempt.completed_by_worker;
+        let is_genuine = body == result_body(txn) && attempt.completed_by_worker;
         if already_finished {
-            self.report(Rule::OneAnswer, at, format!("{txn} was answered twice"));
+            self.report_violation(Rule::OneAnswer, at, format!("{txn} was answered twice"));
         }
         if at > gave_up_at + self.limits.tolerance_s {
-            self.report(Rule::OneAnswer, at, format!("{txn} was answered after its client gave up"));
+            self.report_violation(
+                Rule::OneAnswer,
+                at,
+                format!("{txn} was answered after its client gave up"),
+            );
         }
-        if status == 200 && !genuine {
-            self.report(Rule::Genuine, at, format!("{txn} was served a body that no worker produced for it"));
+        if status == 200 && !is_genuine {
+            self.report_violation(
+                Rule::Genuine,
+                at,
+                format!("{txn} was served a body that no worker produced for it"),
+            );
         }
     }
 
     /// Reports a violation if at least two thirds of the work came from dispatchers that were notified of the worker's start.
-    fn overloaded(&mut self, at: f64, worker: usize, since: f64, sent: &[(usize, f64)]) {
+    fn check_overload(&mut self, at: f64, worker: usize, since: f64, sent: &[(usize, f64)]) {
         let was_notified = |dispatcher: usize| {
             let update = self.updates.sent_to(dispatcher, worker);
             at > since + self.limits.assumed_notified_after_s
@@ -156,7 +180,7 @@
         let work_from_notified: f64 =
             sent.iter().filter(|(dispatcher, _)| was_notified(*dispatcher)).map(|(_, work)| work).sum();
         if work_from_notified * 3.0 >= total_work * 2.0 {
-            self.report(Rule::Cold, at, format!("worker {worker} was overloaded while cold"));
+            self.report_violation(Rule::Cold, at, format!("worker {worker} was overloaded while cold"));
         }
     }
 
@@ -168,7 +192,7 @@
             let what = format!(
                 "{txn} was sent to worker {worker} {late_ms:.0} ms after {availability:?} was announced"
             );
-            self.report(Rule::Drains, at, what);
+            self.report_violation(Rule::Drains, at, what);
         }
     }
 
@@ -177,7 +201,7 @@
         attempt.worker_attempts += 1;
         let (count, finished_at) = (attempt.worker_attempts, attempt.finished_at);
         if count > self.limits.max_attempts {
-            self.report(
+            self.report_violation(
                 Rule::Attempts,
                 at,
                 format!(
@@ -186,8 +210,8 @@
                 ),
             );
         }
-        if finished_at.is_some_and(|over| at > over + self.limits.tolerance_s) {
-            self.report(
+        if finished_at.is_some_and(|finished| at > finished + self.limits.tolerance_s) {
+            self.report_violation(
                 Rule::Departed,
                 at,
                 format!("{txn} was sent to a worker after its client had finished"),
@@ -200,15 +224,18 @@
         let first_at = runs.iter().map(|run| run.at).fold(f64::INFINITY, f64::min);
         runs.push(PossibleRun { txn, worker, at });
         if at > first_at + self.limits.idempotency_window_s + self.limits.tolerance_s {
-            self.report(
+            self.report_violation(
                 Rule::RunsOnce,
                 at,
-                format!("{key} was sent again {:.1} s after its first attempt", at - first_at),
+                format!(
+                    "{key} was sent again {:.1} s after the first attempt that may have run",
+                    at - first_at
+                ),
             );
         }
     }
 
-    fn attempt_ended(&mut self, txn: &str, worker: usize, end: AttemptEnd) {
+    fn record_attempt_end(&mut self, txn: &str, worker: usize, end: AttemptEnd) {
         match end {
             AttemptEnd::Done => {
                 if let Some(attempt) = self.attempts.get_mut(txn) {
