--- a/crates/pebblepost-system/src/command_line.rs
+++ b/crates/pebblepost-system/src/command_line.rs
@@ -1,4 +1,4 @@
-//! Definition of the command line; its texts are part of the interface for operators.
+//! Definition of the command line. The help texts are part of the operators' interface.
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
   SIGTERM  finish what is open within bounds.grace_s, then end
   SIGHUP   read the settings file again";
 
-/// All commands and arguments.
+/// Builds the definition of all commands and arguments.
 pub fn command_line() -> Command {
     Command::new("pebblepost-system")
         .about("Rollout scheduler for trainers: proxies, control plane and store machines in one program")
@@ -28,12 +28,12 @@
         .subcommand_required(true)
         .arg_required_else_help(true)
         .after_help(AFTER_HELP)
-        .subcommands(roles())
+        .subcommands(role_commands())
         .subcommand(Command::new("check").about("Checks the settings file and says ok, or what is wrong"))
-        .subcommands([status(), config(), retire(), versions()])
+        .subcommands([status_command(), config_command(), retire_command(), versions_command()])
 }
 
-fn roles() -> [Command; 4] {
+fn role_commands() -> [Command; 4] {
     [
         Command::new("proxy").about("Role of edge machines: serves clients and executes batch items"),
         Command::new("agent").about("Role of edge machines: feeds the proxy of its machine"),
@@ -42,7 +42,7 @@
     ]
 }
 
-fn status() -> Command {
+fn status_command() -> Command {
     Command::new("status")
         .about("Prints the state of the control plane, or of a store machine")
         .arg(link_arg())
@@ -56,14 +56,14 @@
         .arg(json_arg())
 }
 
-fn versions() -> Command {
+fn versions_command() -> Command {
     Command::new("versions")
         .about("Prints the newest named version of each model")
         .arg(link_arg())
         .arg(json_arg())
 }
 
-fn config() -> Command {
+fn config_command() -> Command {
     let file = || {
         Arg::new("file")
             .value_name("FILE")
@@ -102,7 +102,7 @@
         )
 }
 
-fn retire() -> Command {
+fn retire_command() -> Command {
     Command::new("retire")
         .about("Has a store machine emptied, so that it can be taken away")
         .arg(Arg::new("node").value_name("NODE").required(true).help("Name of the machine (node_name)"))
--- a/crates/pebblepost-system/src/operator/error.rs
+++ b/crates/pebblepost-system/src/operator/error.rs
@@ -1,14 +1,14 @@
-//! Errors of operators' commands that have exit codes of their own.
+//! Errors of the operators' commands that determine the exit code.
 
 use eyre::Report;
 
 const USAGE_EXIT_CODE: u8 = 2;
 const REJECTED_EXIT_CODE: u8 = 3;
 
-/// Why a command failed, where that has an exit code of its own.
+/// A failure with its own exit code. Every other error exits with the code for general failures.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The arguments, the settings or a file are wrong.
+    /// An argument, the settings or an input file are invalid.
     #[error("{0}")]
     Usage(String),
     /// The control plane rejected the request.
@@ -25,17 +25,17 @@
     }
 }
 
-/// A [`CommandError::Usage`].
+/// Creates a [`CommandError::Usage`].
 pub fn usage_error(reason: impl Into<String>) -> Report {
     CommandError::Usage(reason.into()).into()
 }
 
-/// A [`CommandError::Rejected`].
-pub fn rejected(reason: impl Into<String>) -> Report {
+/// Creates a [`CommandError::Rejected`].
+pub fn rejection(reason: impl Into<String>) -> Report {
     CommandError::Rejected(reason.into()).into()
 }
 
-/// The exit code of an error, if it has one of its own.
+/// Returns the exit code of the first [`CommandError`] in the error's chain of causes, if there is one.
 pub fn exit_code_of(error: &Report) -> Option<u8> {
     error.chain().find_map(|cause| cause.downcast_ref()).map(CommandError::exit_code)
 }
--- a/crates/pebblepost-system/src/operator/status.rs
+++ b/crates/pebblepost-system/src/operator/status.rs
@@ -1,4 +1,5 @@
-//! `status` and `versions`: read the state of a control process or a store over its internal port.
+//! The commands `status` and `versions`, which read the state of a control node or a store machine over its
+//! internal port.
 
 use super::error::usage_error;
 use super::{addresses, text_table};
@@ -14,51 +15,53 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time for one process to respond.
+/// Time for connecting to one process, and time for its response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-const LIMITS: LinkLimits = LinkLimits {
+const LINK_LIMITS: LinkLimits = LinkLimits {
     max_frame_bytes: 16 * 1024 * 1024,
     max_queued_bytes: 1024 * 1024,
     connect_timeout: RESPONSE_TIMEOUT,
     read_timeout: RESPONSE_TIMEOUT,
 };
-/// Part of the state that `versions` prints.
-const VERSIONS: &str = "named_versions";
-/// Field with the role of a control process, and its value at the primary.
-const ROLE: &str = "role";
-const PRIMARY: &str = "primary";
+/// Field of the state that `versions` prints.
+const VERSIONS_FIELD: &str = "named_versions";
+/// Field with the role of a control node.
+const ROLE_FIELD: &str = "role";
+/// Value of [`ROLE_FIELD`] at the primary.
+const PRIMARY_ROLE: &str = "primary";
 
-/// Prints the state of the control plane or of a store.
+/// Prints the state of the control plane or, with `--store`, of a store machine.
 ///
 /// # Errors
-/// If no process responds, or its state can't be read.
-pub async fn status(arguments: &ArgMatches) -> Result<()> {
+/// If no process responds, or the state is not valid JSON.
+pub async fn print_status(arguments: &ArgMatches) -> Result<()> {
     let state = match arguments.get_one::<SocketAddr>("store") {
-        Some(store) => store_state(*store).await?,
-        None => control_state(arguments).await?,
+        Some(store) => fetch_store_state(*store).await?,
+        None => fetch_control_state(arguments).await?,
     };
-    print(arguments, state)
+    print_state(arguments, state)
 }
 
-/// Prints the named versions.
+/// Prints the newest named weight version of each model.
 ///
 /// # Errors
-/// As [`status`], or if the state has no versions.
-pub async fn versions(arguments: &ArgMatches) -> Result<()> {
-    let state = read(&control_state(arguments).await?)?;
-    let Some(versions) = state.get(VERSIONS) else {
-        bail!("the state of the control plane names no versions")
+/// As [`print_status`], or if the state has no field `named_versions`.
+pub async fn print_versions(arguments: &ArgMatches) -> Result<()> {
+    let state = parse_state(&fetch_control_state(arguments).await?)?;
+    let Some(versions) = state.get(VERSIONS_FIELD) else {
+        bail!("the state of the control node has no field `{VERSIONS_FIELD}`")
     };
-    print(arguments, simd_json::to_vec(versions)?)
+    print_state(arguments, simd_json::to_vec(versions)?)
 }
 
-/// State of the primary if it is among the addresses; otherwise of the first process that responds.
-async fn control_state(arguments: &ArgMatches) -> Result<Vec<u8>> {
+/// Fetches the state of the primary, or of the first control node that responds if none of the addresses is
+/// the primary's.
+async fn fetch_control_state(arguments: &ArgMatches) -> Result<Vec<u8>> {
     let links = addresses(arguments, "link", Settings::control_links)?;
     let mut first_state = None;
-    let mut last_failure = usage_error("no address to call");
+    let mut last_failure = usage_error("no control address is given");
     for link in links {
-        match control_state_at(link).await {
+        match fetch_control_state_at(link).await {
             Ok(state) if is_primary(&state) => return Ok(state),
             Ok(state) => first_state = first_state.or(Some(state)),
             Err(error) => last_failure = error,
@@ -68,14 +71,14 @@
 }
 
 fn is_primary(state: &[u8]) -> bool {
-    read(state).is_ok_and(|state| state.get_str(ROLE) == Some(PRIMARY))
+    parse_state(state).is_ok_and(|state| state.get_str(ROLE_FIELD) == Some(PRIMARY_ROLE))
 }
 
-async fn control_state_at(address: SocketAddr) -> Result<Vec<u8>> {
-    let what = || format!("asking the control at {address} for its state");
-    let (sender, mut receiver) = connect(address, LIMITS).await.wrap_err_with(what)?;
+async fn fetch_control_state_at(address: SocketAddr) -> Result<Vec<u8>> {
+    let operation = || format!("requesting the state of the control node at {address}");
+    let (sender, mut receiver) = connect(address, LINK_LIMITS).await.wrap_err_with(operation)?;
     if !sender.send(&ToControl::Status) {
-        bail!("{}: the link closed", what());
+        bail!("{}: the connection is closed", operation());
     }
     let response = async {
         loop {
@@ -84,14 +87,15 @@
             }
         }
     };
-    with_timeout(response).await.wrap_err_with(what)
+    with_timeout(response).await.wrap_err_with(operation)
 }
 
-async fn store_state(address: SocketAddr) -> Result<Vec<u8>> {
-    let what = || format!("asking the store at {address} for its state");
-    let (sender, mut receiver): (_, Receiver) = connect(address, LIMITS).await.wrap_err_with(what)?;
+async fn fetch_store_state(address: SocketAddr) -> Result<Vec<u8>> {
+    let operation = || format!("requesting the state of the store machine at {address}");
+    let (sender, mut receiver): (_, Receiver) =
+        connect(address, LINK_LIMITS).await.wrap_err_with(operation)?;
     if !sender.send(&ToStore::Status) {
-        bail!("{}: the link closed", what());
+        bail!("{}: the connection is closed", operation());
     }
     let response = async {
         loop {
@@ -100,22 +104,23 @@
             }
         }
     };
-    with_timeout(response).await.wrap_err_with(what)
+    with_timeout(response).await.wrap_err_with(operation)
 }
 
 async fn with_timeout<T>(response: impl Future<Output = Result<T>>) -> Result<T> {
-    timeout(RESPONSE_TIMEOUT, response).await.map_err(|_| eyre!("no answer in {RESPONSE_TIMEOUT:?}"))?
+    timeout(RESPONSE_TIMEOUT, response).await.map_err(|_| eyre!("no response within {RESPONSE_TIMEOUT:?}"))?
 }
 
-fn read(state: &[u8]) -> Result<OwnedValue> {
-    simd_json::to_owned_value(&mut state.to_vec()).wrap_err("reading the state")
+fn parse_state(state: &[u8]) -> Result<OwnedValue> {
+    simd_json::to_owned_value(&mut state.to_vec()).wrap_err("the state is not valid JSON")
 }
 
-fn print(arguments: &ArgMatches, state: Vec<u8>) -> Result<()> {
+/// Prints a state as JSON with `--json`, otherwise as text tables.
+fn print_state(arguments: &ArgMatches, state: Vec<u8>) -> Result<()> {
     if arguments.get_flag("json") {
         println!("{}", String::from_utf8_lossy(&state));
     } else {
-        print!("{}", text_table::render(&read(&state)?));
+        print!("{}", text_table::render(&parse_state(&state)?));
     }
     Ok(())
 }
--- a/crates/pebblepost-system/src/operator/text_table.rs
+++ b/crates/pebblepost-system/src/operator/text_table.rs
@@ -1,14 +1,14 @@
-//! Renders JSON as text tables: scalars as `name value` lines, lists of objects as rows.
+//! Renders JSON values as text tables: scalars as lines with name and value, lists of objects as rows.
 
 use simd_json::OwnedValue;
 use simd_json::prelude::{ValueAsArray, ValueAsObject, ValueAsScalar, Writable};
 
-/// Between two columns.
+/// Separator between two columns.
 const COLUMN_GAP: &str = "  ";
-/// Cell of a field that an object lacks.
+/// Text in the cell of a field that the row's object lacks.
 const EMPTY_CELL: &str = "-";
 
-/// Renders a value.
+/// Renders a JSON value as text. Nested objects and lists get a title with their path.
 pub fn render(value: &OwnedValue) -> String {
     let mut text = String::new();
     render_named(&mut text, "", value);
@@ -21,7 +21,7 @@
     } else if let Some(list) = value.as_array() {
         render_list(text, name, list);
     } else {
-        text.push_str(&format!("{name}{COLUMN_GAP}{}\n", cell(value)));
+        text.push_str(&format!("{name}{COLUMN_GAP}{}\n", format_cell(value)));
     }
 }
 
@@ -29,9 +29,10 @@
     let mut fields: Vec<(&String, &OwnedValue)> = object.iter().collect();
     fields.sort_by_key(|(field, _)| *field);
     let (scalars, nested): (Vec<_>, Vec<_>) = fields.into_iter().partition(|(_, value)| is_scalar(value));
-    let rows = scalars.iter().map(|(field, value)| vec![(*field).clone(), cell(value)]).collect::<Vec<_>>();
+    let rows =
+        scalars.iter().map(|(field, value)| vec![(*field).clone(), format_cell(value)]).collect::<Vec<_>>();
     if !rows.is_empty() {
-        title(text, name);
+        write_title(text, name);
         write_rows(text, &rows);
     }
     for (field, value) in nested {
@@ -41,7 +42,7 @@
 }
 
 fn render_list(text: &mut String, name: &str, list: &[OwnedValue]) {
-    title(text, &format!("{name} ({})", list.len()));
+    write_title(text, &format!("{name} ({})", list.len()));
     let mut columns: Vec<String> =
         list.iter().filter_map(|entry| entry.as_object()).flat_map(|object| object.keys().cloned()).collect();
     columns.sort();
@@ -52,16 +53,17 @@
     }
     for entry in list {
         rows.push(match entry.as_object() {
-            Some(object) => {
-                columns.iter().map(|column| object.get(column).map_or(EMPTY_CELL.into(), cell)).collect()
-            }
-            None => vec![cell(entry)],
+            Some(object) => columns
+                .iter()
+                .map(|column| object.get(column).map_or(EMPTY_CELL.into(), format_cell))
+                .collect(),
+            None => vec![format_cell(entry)],
         });
     }
     write_rows(text, &rows);
 }
 
-fn title(text: &mut String, name: &str) {
+fn write_title(text: &mut String, name: &str) {
     if !name.is_empty() {
         text.push_str(&format!("\n{name}\n"));
     }
@@ -69,8 +71,8 @@
 
 fn write_rows(text: &mut String, rows: &[Vec<String>]) {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
-    let width_of = |column: usize| rows.iter().filter_map(|row| row.get(column)).map(String::len).max();
-    let widths: Vec<usize> = (0..columns).map(|column| width_of(column).unwrap_or(0)).collect();
+    let max_width = |column: usize| rows.iter().filter_map(|row| row.get(column)).map(String::len).max();
+    let widths: Vec<usize> = (0..columns).map(|column| max_width(column).unwrap_or(0)).collect();
     for row in rows {
         let cells: Vec<String> =
             row.iter().zip(&widths).map(|(cell, width)| format!("{cell:<width$}")).collect();
@@ -83,6 +85,7 @@
     value.as_object().is_none() && value.as_array().is_none()
 }
 
-fn cell(value: &OwnedValue) -> String {
+/// Formats a scalar, or a nested value as JSON, for a cell.
+fn format_cell(value: &OwnedValue) -> String {
     value.as_str().map_or_else(|| value.encode(), str::to_owned)
 }
--- a/crates/pebblepost-system/tests/command_line.rs
+++ b/crates/pebblepost-system/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: exit codes, one-line errors, requests to the control plane.
+//! Tests of the command line: exit codes, one-line error messages, and requests to the control plane.
 
 use rstest::rstest;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -21,12 +21,12 @@
     command
 }
 
-fn code(output: &Output) -> i32 {
-    output.status.code().expect("ended by itself")
+fn exit_code(output: &Output) -> i32 {
+    output.status.code().expect("not ended by a signal")
 }
 
-fn error_of(output: &Output) -> String {
-    String::from_utf8(output.stderr.clone()).expect("text")
+fn stderr_of(output: &Output) -> String {
+    String::from_utf8(output.stderr.clone()).expect("UTF-8")
 }
 
 fn temporary_file(name: &str, content: &str) -> PathBuf {
@@ -35,22 +35,25 @@
     path
 }
 
-/// A control process that responds with the given answers in turn, and returns the requests that it received.
-fn control(answers: Vec<String>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+/// Starts a fake control node that sends the given responses, one per connection. Its thread returns the
+/// requests that it received.
+fn start_control_node(responses: Vec<String>) -> (SocketAddr, thread::JoinHandle<Vec<String>>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
-    let server = thread::spawn(move || answers.into_iter().map(|answer| serve(&listener, &answer)).collect());
+    let server =
+        thread::spawn(move || responses.into_iter().map(|response| serve(&listener, &response)).collect());
     (address, server)
 }
 
-fn serve(listener: &TcpListener, answer: &str) -> String {
-    let (mut stream, _) = listener.accept().expect("a call");
+/// Accepts one connection, reads its request and sends the response.
+fn serve(listener: &TcpListener, response: &str) -> String {
+    let (mut stream, _) = listener.accept().expect("a connection");
     let request = read_request(&stream);
-    stream.write_all(answer.as_bytes()).expect("written");
+    stream.write_all(response.as_bytes()).expect("written");
     request
 }
 
-/// Reads a request: its first line, `If-Match` and body.
+/// Reads a request and formats its request line, the header `If-Match` and the body.
 fn read_request(stream: &TcpStream) -> String {
     let mut reader = BufReader::new(stream);
     let mut first = String::new();
@@ -75,17 +78,17 @@
     format!("{}{if_match} {}", first.trim(), String::from_utf8_lossy(&body))
 }
 
-fn answer(status: &str, headers: &str, body: &str) -> String {
+fn http_response(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
 #[test]
 fn help_lists_roles_variables_and_exit_codes() {
-    let output = program().arg("--help").output().expect("run");
-    assert_eq!(code(&output), 0);
-    let text = String::from_utf8(output.stdout).expect("text");
+    let output = program().arg("--help").output().expect("the program starts");
+    assert_eq!(exit_code(&output), 0);
+    let text = String::from_utf8(output.stdout).expect("UTF-8");
     for word in ["proxy", "agent", "control", "store", "status", "retire", SETTINGS_VARIABLE, "Exit codes"] {
-        assert!(text.contains(word), "{word} is missing in {text}");
+        assert!(text.contains(word), "the help text lacks {word}: {text}");
     }
 }
 
@@ -99,8 +102,8 @@
 #[case::no_control(&["config", "get"])]
 #[case::bad_node(&["retire", "a/b", "--duration-s", "1", "--control", "127.0.0.1:1"])]
 fn wrong_usage_exits_with_2(#[case] arguments: &[&str]) {
-    let output = program().args(arguments).output().expect("run");
-    assert_eq!(code(&output), 2, "{}", error_of(&output));
+    let output = program().args(arguments).output().expect("the program starts");
+    assert_eq!(exit_code(&output), 2, "{}", stderr_of(&output));
 }
 
 #[rstest]
@@ -108,10 +111,10 @@
 #[case::agent("agent")]
 #[case::control("control")]
 #[case::store("store")]
-fn a_role_without_settings_exits_with_1_and_one_line(#[case] role: &str) {
-    let output = program().arg(role).output().expect("run");
-    assert_eq!(code(&output), 1);
-    let error = error_of(&output);
+fn a_role_without_settings_exits_with_1_and_prints_one_line(#[case] role: &str) {
+    let output = program().arg(role).output().expect("the program starts");
+    assert_eq!(exit_code(&output), 1);
+    let error = stderr_of(&output);
     assert_eq!(error.lines().count(), 1, "{error}");
     assert!(error.contains(SETTINGS_VARIABLE), "{error}");
 }
@@ -119,84 +122,96 @@
 #[test]
 fn check_prints_ok() {
     let path = temporary_file("good.toml", SETTINGS);
-    let output = program().arg("check").env(SETTINGS_VARIABLE, &path).output().expect("run");
-    assert_eq!((code(&output), output.stdout.as_slice()), (0, b"ok\n".as_slice()), "{}", error_of(&output));
+    let output = program().arg("check").env(SETTINGS_VARIABLE, &path).output().expect("the program starts");
+    assert_eq!(
+        (exit_code(&output), output.stdout.as_slice()),
+        (0, b"ok\n".as_slice()),
+        "{}",
+        stderr_of(&output)
+    );
 }
 
 #[test]
-fn check_prints_file_and_key_in_one_line() {
+fn check_prints_the_invalid_key_and_its_file_on_one_line() {
     let path = temporary_file("bad.toml", &SETTINGS.replace("[7300, 7315]", "\"many\""));
-    let output = program().arg("check").env(SETTINGS_VARIABLE, &path).output().expect("run");
-    let error = error_of(&output);
-    assert_eq!((code(&output), error.lines().count()), (2, 1), "{error}");
+    let output = program().arg("check").env(SETTINGS_VARIABLE, &path).output().expect("the program starts");
+    let error = stderr_of(&output);
+    assert_eq!((exit_code(&output), error.lines().count()), (2, 1), "{error}");
     assert!(error.contains("port_range") && error.contains("bad.toml"), "{error}");
 }
 
 #[test]
-fn put_builds_on_the_generation_in_force_and_follows_redirects() {
+fn put_sends_the_generation_in_force_as_if_match_and_follows_redirects() {
     let document = r#"{"generation":7}"#;
     let path = temporary_file("put.json", document);
-    let (primary, at_primary) =
-        control(vec![answer("200 OK", "", r#"{"generation":5}"#), answer("200 OK", "", "{}")]);
-    let redirect = answer("307 Temporary Redirect", &format!("Location: http://{primary}/config\r\n"), "");
-    let (standby, at_standby) = control(vec![redirect.clone(), redirect]);
+    let (primary, at_primary) = start_control_node(vec![
+        http_response("200 OK", "", r#"{"generation":5}"#),
+        http_response("200 OK", "", "{}"),
+    ]);
+    let redirect =
+        http_response("307 Temporary Redirect", &format!("Location: http://{primary}/config\r\n"), "");
+    let (standby, at_standby) = start_control_node(vec![redirect.clone(), redirect]);
     let output = program()
         .args(["config", "put", "--control", &standby.to_string()])
         .arg(&path)
         .output()
-        .expect("run");
-    assert_eq!(code(&output), 0, "{}", error_of(&output));
-    assert_eq!(at_standby.join().expect("served").len(), 2);
-    let calls = at_primary.join().expect("served");
-    assert_eq!(calls[0], "GET /config HTTP/1.1 ");
-    assert_eq!(calls[1], format!("PUT /config HTTP/1.1 if-match 5 {document}"));
+        .expect("the program starts");
+    assert_eq!(exit_code(&output), 0, "{}", stderr_of(&output));
+    assert_eq!(at_standby.join().expect("the control node does not panic").len(), 2);
+    let requests = at_primary.join().expect("the control node does not panic");
+    assert_eq!(requests[0], "GET /config HTTP/1.1 ");
+    assert_eq!(requests[1], format!("PUT /config HTTP/1.1 if-match 5 {document}"));
 }
 
 #[rstest]
 #[case::other_version("412 Precondition Failed")]
 #[case::conflict("409 Conflict")]
 #[case::invalid("400 Bad Request")]
-fn rejections_exit_with_3_and_the_reason(#[case] status: &str) {
+fn a_rejection_exits_with_3_and_prints_the_reason(#[case] status: &str) {
     let path = temporary_file(&format!("refused-{}.json", &status[..3]), r#"{"generation":7}"#);
-    let (address, server) = control(vec![answer(status, "", r#"{"error":"another version"}"#)]);
+    let (address, server) =
+        start_control_node(vec![http_response(status, "", r#"{"error":"another version"}"#)]);
     let output = program()
         .args(["config", "patch", "--base", "5", "--control", &address.to_string()])
         .arg(&path)
         .output()
-        .expect("run");
-    server.join().expect("served");
-    let error = error_of(&output);
-    assert_eq!(code(&output), 3, "{error}");
+        .expect("the program starts");
+    server.join().expect("the control node does not panic");
+    let error = stderr_of(&output);
+    assert_eq!(exit_code(&output), 3, "{error}");
     assert!(error.contains(&status[..3]) && error.contains("another version"), "{error}");
 }
 
 #[test]
-fn retries_elsewhere_after_an_inconclusive_response() {
+fn retries_at_another_address_after_an_inconclusive_response() {
     let body = r#"{"generation":9}"#;
-    let (first, at_first) = control(vec![answer("503 Service Unavailable", "", "")]);
-    let (second, at_second) = control(vec![answer("200 OK", "", body)]);
+    let (first, at_first) = start_control_node(vec![http_response("503 Service Unavailable", "", "")]);
+    let (second, at_second) = start_control_node(vec![http_response("200 OK", "", body)]);
     let output = program()
         .args(["config", "get", "--control", &first.to_string(), "--control", &second.to_string()])
         .output()
-        .expect("run");
-    assert_eq!(code(&output), 0, "{}", error_of(&output));
+        .expect("the program starts");
+    assert_eq!(exit_code(&output), 0, "{}", stderr_of(&output));
     assert_eq!(String::from_utf8_lossy(&output.stdout).trim(), body);
-    assert_eq!(at_first.join().expect("served"), at_second.join().expect("served"));
+    assert_eq!(
+        at_first.join().expect("the control node does not panic"),
+        at_second.join().expect("the control node does not panic")
+    );
 }
 
 #[test]
 fn retire_waits_until_the_machine_is_empty() {
-    let (address, server) = control(vec![
-        answer("200 OK", "", "{}"),
-        answer("200 OK", "", r#"{"state":"running"}"#),
-        answer("200 OK", "", r#"{"state":"completed"}"#),
+    let (address, server) = start_control_node(vec![
+        http_response("200 OK", "", "{}"),
+        http_response("200 OK", "", r#"{"state":"running"}"#),
+        http_response("200 OK", "", r#"{"state":"completed"}"#),
     ]);
     let output = program()
         .args(["retire", "storage-a-1", "--duration-s", "10", "--wait", "--control", &address.to_string()])
         .output()
-        .expect("run");
-    assert_eq!(code(&output), 0, "{}", error_of(&output));
-    let calls = server.join().expect("served");
-    assert_eq!(calls[0], r#"POST /retire/storage-a-1 HTTP/1.1 {"duration_s":10}"#);
-    assert_eq!(calls[2], "GET /retire/storage-a-1 HTTP/1.1 ");
+        .expect("the program starts");
+    assert_eq!(exit_code(&output), 0, "{}", stderr_of(&output));
+    let requests = server.join().expect("the control node does not panic");
+    assert_eq!(requests[0], r#"POST /retire/storage-a-1 HTTP/1.1 {"duration_s":10}"#);
+    assert_eq!(requests[2], "GET /retire/storage-a-1 HTTP/1.1 ");
 }
--- a/crates/pebblepost-system/tests/common/client.rs
+++ b/crates/pebblepost-system/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 requests, each on a new connection.
+//! An HTTP/1.1 client that sends each request on a new connection.
 
 use bytes::Bytes;
 use http::{HeaderMap, Request};
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Time for one request.
+/// Time limit for one request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A request.
@@ -37,7 +37,7 @@
     }
 }
 
-/// A response.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct ApiResponse {
     pub status: u16,
@@ -55,24 +55,24 @@
     }
 
     pub fn json(&self) -> simd_json::OwnedValue {
-        simd_json::to_owned_value(&mut self.body.to_vec()).expect("an answer in JSON")
+        simd_json::to_owned_value(&mut self.body.to_vec()).expect("a JSON body")
     }
 }
 
-/// Why there is no complete response.
+/// The reason why a request has no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    #[error("{0}: no answer in {REQUEST_TIMEOUT:?}")]
+    #[error("{0}: no response within {REQUEST_TIMEOUT:?}")]
     TimedOut(SocketAddr),
     #[error("{address}: {cause}")]
     Failed { address: SocketAddr, cause: Box<dyn std::error::Error + Send + Sync> },
-    #[error("{address}: Location {location:?}")]
+    #[error("{address}: invalid Location {location:?}")]
     BadRedirect { address: SocketAddr, location: String },
     #[error("{0}: too many redirects")]
     TooManyRedirects(SocketAddr),
 }
 
-/// Sends a request.
+/// Sends a request and reads the whole response.
 pub async fn send(address: SocketAddr, call: &ApiRequest) -> Result<ApiResponse, RequestError> {
     let exchanged = timeout(REQUEST_TIMEOUT, exchange(address, call)).await;
     exchanged.map_err(|_| RequestError::TimedOut(address))?
@@ -106,11 +106,11 @@
 ) -> Result<ApiResponse, RequestError> {
     let mut next = address;
     for _ in 0..3 {
-        let answer = send(next, call).await?;
-        if answer.status != 307 {
-            return Ok(answer);
+        let response = send(next, call).await?;
+        if response.status != 307 {
+            return Ok(response);
         }
-        let location = answer.header("Location").unwrap_or_default().to_owned();
+        let location = response.header("Location").unwrap_or_default().to_owned();
         let authority = location.trim_start_matches("http://").split('/').next().unwrap_or_default();
         next = authority
             .parse()
--- a/crates/pebblepost-system/tests/common/cluster.rs
+++ b/crates/pebblepost-system/tests/common/cluster.rs
@@ -1,8 +1,8 @@
-//! A small system of real processes, each machine on a loopback address of its own.
+//! A small cluster of processes of the binary. Each machine has its own loopback address.
 
 use super::client::{ApiRequest, send};
 use super::relay;
-use super::settings::{CONTROL_PORT, FRONT_PORT, Machine, READY_PORT, ZONES};
+use super::settings::{CONTROL_PORT, FRONT_PORT, MachineSettings, READY_PORT, ZONES};
 use std::fs::File;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -11,15 +11,15 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_pebblepost-system");
 const PORTS_PER_RANGE: u16 = 16;
-/// Ranges lie below the ports that the system hands out by itself.
-const FIRST_RANGE: u16 = 12_000;
-const RANGES: u16 = 1_200;
-/// Lines of each log that a failed test prints.
-const LOG_LINES: usize = 25;
+/// First port of the first range. All ranges lie below the operating system's ephemeral ports.
+const FIRST_RANGE_PORT: u16 = 12_000;
+const RANGE_COUNT: u16 = 1_200;
+/// Number of last lines of each log that a failed test prints.
+const PRINTED_LOG_LINES: usize = 25;
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How many machines of each class.
+/// Number of machines of each class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClusterSize {
     pub controls: u8,
@@ -27,14 +27,16 @@
     pub edges: u8,
 }
 
-/// One process.
+/// One process of a role.
 #[derive(Debug)]
 struct Process {
     role: &'static str,
-    machine: usize,
+    /// Index in [`Cluster::hosts`].
+    host: usize,
     child: Option<Child>,
 }
 
+/// One machine, with the settings of its processes.
 #[derive(Debug)]
 struct Host {
     name: String,
@@ -45,7 +47,8 @@
     seeds: Vec<SocketAddr>,
 }
 
-/// The running system. Ends its processes when dropped, and prints their logs if the test failed.
+/// A running cluster. When dropped it kills its processes and, if the test failed, prints the ends of their
+/// logs.
 #[derive(Debug)]
 pub struct Cluster {
     folder: PathBuf,
@@ -54,12 +57,12 @@
 }
 
 impl Cluster {
-    /// Starts all machines; `number` tells the clusters of one test process apart.
+    /// Starts all machines. `number` must be unique among the clusters of one test process.
     pub async fn start(number: u8, size: ClusterSize) -> Cluster {
         let process = std::process::id();
         let folder = std::env::temp_dir().join(format!("pebblepost-end-to-end-{process}-{number}"));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let network = Network { number, third: u8::try_from(process % 250).expect("small") };
+        std::fs::create_dir_all(&folder).expect("a directory");
+        let network = Network { number, third_octet: u8::try_from(process % 250).expect("below 250") };
         let mut ranges = free_ranges(process);
         let common = ranges.next().expect("a free range");
         let mut cluster = Cluster { folder, hosts: Vec::new(), processes: Vec::new() };
@@ -76,7 +79,7 @@
                 (common, seeds.clone())
             } else {
                 let range = ranges.next().expect("a free range");
-                (range, relayed_seeds(network, index, size, common, range).await)
+                (range, start_seed_relays(network, index, size, common, range).await)
             };
             cluster.add_host("edge", index, network.ip(50 + index), first_port, seeds);
         }
@@ -89,7 +92,7 @@
     ) {
         let zone = ZONES[usize::from(index) % ZONES.len()];
         let name = format!("{class}-{zone}-{}", index + 1);
-        let machine = self.hosts.len();
+        let host = self.hosts.len();
         self.hosts.push(Host { name, class, ip, zone, first_port, seeds });
         let roles: &[&'static str] = match class {
             "core" => &["control"],
@@ -97,7 +100,7 @@
             _ => &["proxy", "agent"],
         };
         for role in roles {
-            self.processes.push(Process { role, machine, child: None });
+            self.processes.push(Process { role, host, child: None });
         }
     }
 
@@ -108,14 +111,14 @@
     }
 
     fn start_process(&mut self, index: usize, bootstrap: bool) {
-        let Process { role, machine, .. } = self.processes[index];
-        let host = &self.hosts[machine];
+        let Process { role, host, .. } = self.processes[index];
+        let host = &self.hosts[host];
         let data = self.folder.join(format!("{}-data", host.name));
         let has_disk = host.class != "edge";
         if has_disk {
-            std::fs::create_dir_all(&data).expect("a folder");
+            std::fs::create_dir_all(&data).expect("a directory");
         }
-        let settings = Machine {
+        let settings = MachineSettings {
             name: &host.name,
             class: host.class,
             ip: host.ip,
@@ -126,7 +129,7 @@
             data_dir: has_disk.then_some(data.as_path()),
         };
         let settings_path = self.folder.join(format!("{}-{role}.toml", host.name));
-        std::fs::write(&settings_path, settings.text()).expect("writable");
+        std::fs::write(&settings_path, settings.to_toml()).expect("writable");
         let log = File::options().create(true).append(true).open(self.log_path(index)).expect("writable");
         let child = Command::new(PROGRAM)
             .arg(role)
@@ -142,7 +145,7 @@
 
     fn log_path(&self, index: usize) -> PathBuf {
         let process = &self.processes[index];
-        self.folder.join(format!("{}-{}.log", self.hosts[process.machine].name, process.role))
+        self.folder.join(format!("{}-{}.log", self.hosts[process.host].name, process.role))
     }
 
     fn addresses(&self, class: &str, port: u16) -> Vec<SocketAddr> {
@@ -150,44 +153,44 @@
         hosts.map(|host| SocketAddr::new(host.ip, port)).collect()
     }
 
-    /// Where operators, trainers and transcribers call.
+    /// Returns the addresses of the control nodes' HTTP interfaces.
     pub fn controls(&self) -> Vec<SocketAddr> {
         self.addresses("core", CONTROL_PORT)
     }
 
-    /// Where control processes are asked for their state.
+    /// Returns the internal addresses of the control nodes, where their state can be read.
     pub fn links(&self) -> Vec<SocketAddr> {
         let hosts = self.hosts.iter().filter(|host| host.class == "core");
         hosts.map(|host| SocketAddr::new(host.ip, host.first_port)).collect()
     }
 
-    /// Where clients connect.
+    /// Returns the addresses at which the proxies accept clients.
     pub fn fronts(&self) -> Vec<SocketAddr> {
         self.addresses("edge", FRONT_PORT)
     }
 
-    /// Waits until every edge machine is ready.
+    /// Waits until every edge machine reports that it is ready.
     pub async fn wait_until_ready(&mut self) {
         for address in self.addresses("edge", READY_PORT) {
             let deadline = Instant::now() + READY_TIMEOUT;
             while !is_ready(address).await {
                 self.assert_running();
-                assert!(Instant::now() < deadline, "{address} is not ready within {READY_TIMEOUT:?}");
-                tokio::time::sleep(super::POLL_PERIOD).await;
+                assert!(Instant::now() < deadline, "{address} is not ready after {READY_TIMEOUT:?}");
+                tokio::time::sleep(super::POLL_INTERVAL).await;
             }
         }
     }
 
-    /// Kills (SIGKILL) the process that serves at an address, or the n-th of a role.
+    /// Kills the control node with the IP of an address by SIGKILL, and returns the index of the process.
     pub fn kill_control_at(&mut self, address: SocketAddr) -> usize {
         let index = self
             .processes
             .iter()
-            .position(|process| process.role == "control" && self.hosts[process.machine].ip == address.ip());
+            .position(|process| process.role == "control" && self.hosts[process.host].ip == address.ip());
         self.kill(index.expect("a control process"))
     }
 
-    /// Kills (SIGKILL) the n-th store.
+    /// Kills a store machine by SIGKILL, and returns the index of the process. `number` counts from 0.
     pub fn kill_store(&mut self, number: usize) -> usize {
         let stores = self.processes.iter().enumerate().filter(|(_, process)| process.role == "store");
         let index = stores.map(|(index, _)| index).nth(number).expect("a store");
@@ -201,24 +204,24 @@
         index
     }
 
-    /// Restarts a process that was killed, on its disk.
+    /// Restarts a killed process with its data directory.
     pub fn restart(&mut self, index: usize) {
         self.start_process(index, false);
     }
 
-    /// Fails the test if a process has ended by itself.
+    /// Fails the test if a process that was not killed has ended.
     pub fn assert_running(&mut self) {
         for process in &mut self.processes {
             let Some(child) = &mut process.child else { continue };
             if let Some(status) = child.try_wait().expect("a child") {
-                let name = &self.hosts[process.machine].name;
-                panic!("{} on {name} ended by itself: {status}", process.role);
+                let name = &self.hosts[process.host].name;
+                panic!("{} on {name} ended unexpectedly: {status}", process.role);
             }
         }
     }
 
-    /// Sends SIGTERM to all processes and waits for their ends; they must end with code 0.
-    pub async fn end(mut self) {
+    /// Sends SIGTERM to all processes and waits until they have ended. Asserts that their exit code is 0.
+    pub async fn shut_down(mut self) {
         self.assert_running();
         for process in self.processes.iter().filter_map(|process| process.child.as_ref()) {
             let sent = Command::new("kill").args(["-TERM", &process.id().to_string()]).status();
@@ -235,7 +238,7 @@
                     self.processes[index].child = Some(child);
                     panic!("{:?} did not end within {SHUTDOWN_TIMEOUT:?}", self.log_path(index));
                 }
-                tokio::time::sleep(super::POLL_PERIOD).await;
+                tokio::time::sleep(super::POLL_INTERVAL).await;
             };
             assert!(status.success(), "{:?}: ended with {status}", self.log_path(index));
         }
@@ -252,7 +255,7 @@
         }
         if std::thread::panicking() {
             for index in 0..self.processes.len() {
-                print_end(&self.log_path(index));
+                print_log_tail(&self.log_path(index));
             }
             println!("logs and settings: {}", self.folder.display());
         } else {
@@ -265,25 +268,27 @@
     send(address, &ApiRequest::new("GET", "/readyz")).await.is_ok_and(|response| response.status == 200)
 }
 
-fn print_end(log: &Path) {
+/// Prints the last lines of a log.
+fn print_log_tail(log: &Path) {
     let text = std::fs::read_to_string(log).unwrap_or_default();
     let lines: Vec<&str> = text.lines().collect();
     println!("== {} ({} lines)", log.display(), lines.len());
-    for line in lines.iter().skip(lines.len().saturating_sub(LOG_LINES)) {
+    for line in lines.iter().skip(lines.len().saturating_sub(PRINTED_LOG_LINES)) {
         println!("{line}");
     }
 }
 
-/// Loopback addresses of one cluster.
+/// The loopback addresses of one cluster.
 #[derive(Clone, Copy, Debug)]
 struct Network {
     number: u8,
-    third: u8,
+    /// Derived from the process id, so that simultaneous test processes usually differ.
+    third_octet: u8,
 }
 
 impl Network {
     fn ip(self, host: u8) -> IpAddr {
-        IpAddr::V4(Ipv4Addr::new(127, 10 + self.number, self.third, host))
+        IpAddr::V4(Ipv4Addr::new(127, 10 + self.number, self.third_octet, host))
     }
 
     fn address(self, host: u8, port: u16) -> SocketAddr {
@@ -291,17 +296,20 @@
     }
 }
 
-/// Port ranges that are free on 127.0.0.1, where the agents listen.
+/// Iterates over the port ranges that are free on 127.0.0.1, where the agents listen. The first one depends on
+/// the process id, so that simultaneous test processes usually get different ranges.
 fn free_ranges(process: u32) -> impl Iterator<Item = u16> {
-    let start = u16::try_from(process % u32::from(RANGES)).expect("small");
-    (0..RANGES).map(move |step| FIRST_RANGE + (start + step) % RANGES * PORTS_PER_RANGE).filter(|first| {
-        (*first..first + PORTS_PER_RANGE).all(|port| TcpListener::bind(("127.0.0.1", port)).is_ok())
-    })
+    let start = u16::try_from(process % u32::from(RANGE_COUNT)).expect("below RANGE_COUNT");
+    (0..RANGE_COUNT)
+        .map(move |step| FIRST_RANGE_PORT + (start + step) % RANGE_COUNT * PORTS_PER_RANGE)
+        .filter(|first| {
+            (*first..first + PORTS_PER_RANGE).all(|port| TcpListener::bind(("127.0.0.1", port)).is_ok())
+        })
 }
 
-/// Seeds for an edge machine with a range of its own: relays to the control processes, both for
-/// calls from outside and for links.
-async fn relayed_seeds(
+/// Starts the relays for an edge machine with its own port range, and returns its seeds. Each control node
+/// gets one relay for its HTTP interface and one for its internal address.
+async fn start_seed_relays(
     network: Network, edge: u8, size: ClusterSize, common: u16, range: u16,
 ) -> Vec<SocketAddr> {
     let mut seeds = Vec::new();
--- a/crates/pebblepost-system/tests/common/operator.rs
+++ b/crates/pebblepost-system/tests/common/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: sends configurations until they are accepted, and reads them back.
+//! The operator: writes and reads configurations, and names weight versions.
 
 use super::client::{ApiRequest, ApiResponse, send_with_redirects};
 use std::net::SocketAddr;
@@ -6,24 +6,24 @@
 
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Host of all routes.
+/// Hostname of all routes.
 pub const HOST: &str = "service.example";
-/// Service with the language model.
+/// Service whose transcribers hold the model.
 pub const MODEL_SERVICE: &str = "model-service";
-/// Service of pages and scores.
+/// Service for pages and scores.
 pub const PAGE_SERVICE: &str = "page-service";
-/// The model.
+/// Name of the model.
 pub const MODEL: &str = "model-a";
-/// Prefix of pages.
+/// Path prefix of pages.
 pub const PAGES: &str = "/pages/";
-/// Prefix of pages on the route that a second configuration adds.
+/// Path prefix of pages on the route that the second configuration adds.
 pub const MORE_PAGES: &str = "/more-pages/";
-/// Prefix of batch jobs and their items.
+/// Path prefix of batch jobs and their items.
 pub const JOBS: &str = "/rollouts/";
-/// Prefix of scorers' calls.
+/// Path prefix of the requests to scorers.
 pub const SCORES: &str = "/score/";
 
-/// The first configuration, or a later one with an additional route.
+/// Formats a configuration, with the additional route if `with_more_pages`.
 pub fn configuration(generation: u64, with_more_pages: bool) -> String {
     let page_route = |name: &str, prefix: &str| {
         format!(
@@ -38,50 +38,52 @@
     )
 }
 
-/// Sends a request to one control process after the other until the response is conclusive.
+/// Sends a request to one control node after the other until a response states its outcome.
 pub async fn send_until_conclusive(
     controls: &[SocketAddr], call: &ApiRequest, timeout: Duration,
 ) -> ApiResponse {
     let deadline = Instant::now() + timeout;
-    let mut last = "no address".to_owned();
+    let mut last_failure = "no control address is given".to_owned();
     loop {
         for control in controls {
             assert!(
                 Instant::now() < deadline,
-                "{} {}: not within {timeout:?}; {last}",
+                "{} {}: no conclusive response within {timeout:?}; {last_failure}",
                 call.method,
                 call.path
             );
             match send_with_redirects(*control, call).await {
-                Ok(answer) if answer.status < 500 && answer.status != 429 && answer.status != 408 => {
-                    return answer;
+                Ok(response) if response.status < 500 && response.status != 429 && response.status != 408 => {
+                    return response;
                 }
-                Ok(answer) => last = format!("{control}: {} {}", answer.status, answer.text()),
-                Err(error) => last = error.to_string(),
+                Ok(response) => last_failure = format!("{control}: {} {}", response.status, response.text()),
+                Err(error) => last_failure = error.to_string(),
             }
         }
         tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Puts a configuration on top of a generation.
-pub async fn put(controls: &[SocketAddr], base: u64, document: &str, timeout: Duration) -> ApiResponse {
+/// Sends a whole configuration that builds on the generation `base`.
+pub async fn put_configuration(
+    controls: &[SocketAddr], base: u64, document: &str, timeout: Duration,
+) -> ApiResponse {
     let call = ApiRequest::new("PUT", "/config").header("If-Match", base.to_string()).body(document);
     send_until_conclusive(controls, &call, timeout).await
 }
 
-/// Reads the configuration back.
-pub async fn read(controls: &[SocketAddr], timeout: Duration) -> ApiResponse {
+/// Reads the configuration in force.
+pub async fn read_configuration(controls: &[SocketAddr], timeout: Duration) -> ApiResponse {
     send_until_conclusive(controls, &ApiRequest::new("GET", "/config"), timeout).await
 }
 
-/// The control process that responds without a redirect: the primary.
-pub async fn primary(controls: &[SocketAddr], timeout: Duration) -> SocketAddr {
+/// Returns the address of the primary, which is the control node that responds without a redirect.
+pub async fn find_primary(controls: &[SocketAddr], timeout: Duration) -> SocketAddr {
     let deadline = Instant::now() + timeout;
     loop {
         for control in controls {
-            let answer = super::client::send(*control, &ApiRequest::new("GET", "/config")).await;
-            if answer.is_ok_and(|answer| answer.status == 200) {
+            let response = super::client::send(*control, &ApiRequest::new("GET", "/config")).await;
+            if response.is_ok_and(|response| response.status == 200) {
                 return *control;
             }
         }
@@ -90,10 +92,10 @@
     }
 }
 
-/// Names a version of the model.
+/// Names a weight version of the model.
 pub async fn name_version(controls: &[SocketAddr], generation: u64, timeout: Duration) {
     let body = format!(r#"{{"model":"{MODEL}","generation":{generation}}}"#);
     let call = ApiRequest::new("POST", "/version-put").header("Content-Type", "application/json").body(body);
-    let answer = send_until_conclusive(controls, &call, timeout).await;
-    assert_eq!(answer.status, 200, "naming version {generation}: {}", answer.text());
+    let response = send_until_conclusive(controls, &call, timeout).await;
+    assert_eq!(response.status, 200, "naming version {generation}: {}", response.text());
 }
--- a/crates/pebblepost-system/tests/common/relay.rs
+++ b/crates/pebblepost-system/tests/common/relay.rs
@@ -1,13 +1,13 @@
-//! Relays TCP connections, so that a machine with a port range of its own reaches others.
+//! TCP relays, through which an edge machine with its own port range reaches the control nodes.
 //!
-//! All machines of a deployment have the same ports; here they share one loopback, on which only
-//! one agent can listen at each port. Edge machines after the first have ranges of their own, and
-//! find the control processes at the ports of their range through relays.
+//! All machines of a deployment use the same port range. In the tests they share one loopback address for
+//! the agents, where only one agent can listen on each port. So each edge machine after the first has its
+//! own port range, and relays forward the ports of that range to the control nodes.
 
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Starts a relay; it runs until the runtime ends.
+/// Starts a relay that runs until the runtime ends.
 pub async fn start(listen: SocketAddr, target: SocketAddr) {
     let listener =
         TcpListener::bind(listen).await.unwrap_or_else(|error| panic!("relay at {listen}: {error}"));
--- a/crates/pebblepost-system/tests/common/settings.rs
+++ b/crates/pebblepost-system/tests/common/settings.rs
@@ -1,21 +1,21 @@
-//! Settings files of the test's machines.
+//! Settings files for the machines of a test cluster.
 
 use std::fmt::Write;
 use std::net::{IpAddr, SocketAddr};
 use std::path::Path;
 
-/// Port at which control processes are called from outside.
+/// Port of the control nodes' HTTP interface.
 pub const CONTROL_PORT: u16 = 8262;
-/// Port at which clients connect.
+/// Port at which proxies accept clients.
 pub const FRONT_PORT: u16 = 8263;
-/// Port at which readiness is asked for.
+/// Port of the readiness endpoint of edge machines.
 pub const READY_PORT: u16 = 8268;
-/// Zones of the deployment.
+/// Zones of the test cluster.
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-/// What differs between settings files.
+/// The settings that differ between machines.
 #[derive(Debug)]
-pub struct Machine<'a> {
+pub struct MachineSettings<'a> {
     pub name: &'a str,
     pub class: &'a str,
     pub ip: IpAddr,
@@ -26,10 +26,10 @@
     pub data_dir: Option<&'a Path>,
 }
 
-impl Machine<'_> {
-    /// The file's text.
-    pub fn text(&self) -> String {
-        let Machine { name, class, ip, zone, first_port, .. } = self;
+impl MachineSettings<'_> {
+    /// Formats the settings file.
+    pub fn to_toml(&self) -> String {
+        let MachineSettings { name, class, ip, zone, first_port, .. } = self;
         let seeds: Vec<String> = self.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
         let mut text = format!(
             r#"node_name = "{name}"
@@ -58,12 +58,12 @@
         for zone in ZONES {
             writeln!(text, "{zone} = \"region\"").expect("text");
         }
-        text.push_str(&self.listen());
+        text.push_str(&self.listen_section());
         text.push_str(LIMITS_AND_BOUNDS);
         text
     }
 
-    fn listen(&self) -> String {
+    fn listen_section(&self) -> String {
         let ip = self.ip;
         match self.class {
             "edge" => format!("[listen]\nfront = \"{ip}:{FRONT_PORT}\"\nready = \"{ip}:{READY_PORT}\"\n"),
@@ -73,6 +73,7 @@
     }
 }
 
+/// Sections that are the same for all machines.
 const LIMITS_AND_BOUNDS: &str = r#"
 [limits]
 cpu_share = 0.5
--- a/crates/pebblepost-system/tests/common/trainer.rs
+++ b/crates/pebblepost-system/tests/common/trainer.rs
@@ -1,8 +1,8 @@
-//! The trainer: submits a batch job, reads its results and ends it.
+//! The trainer, which submits batch jobs, reads and checks their results, and ends them.
 
 use super::client::{ApiRequest, ApiResponse, RequestError, send};
 use super::operator::{HOST, JOBS, MODEL, SCORES};
-use super::transcriber::{EVENTS, Transcriber, text_of};
+use super::transcriber::{EVENTS_PER_STREAM, Transcriber, complete_text};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use simd_json::prelude::{ValueAsArray, ValueAsScalar, ValueObjectAccess, Writable};
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// A job that was just accepted may be unknown at other machines for this long.
-const PROPAGATION_TIME: Duration = Duration::from_secs(1);
+/// Time after the acceptance of a job during which other edge machines may not know it yet.
+const JOB_PROPAGATION_MAX: Duration = Duration::from_secs(1);
 
-/// A result that was read.
+/// The result of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobResult {
     pub id: String,
@@ -21,7 +21,7 @@
     pub message: String,
     pub versions: Vec<u64>,
     pub score: String,
-    /// The result's JSON.
+    /// The whole result as JSON.
     pub json: String,
 }
 
@@ -32,13 +32,13 @@
     pub items: Vec<String>,
     pub min_version: u64,
     /// Results read so far, by position.
-    pub read: Vec<JobResult>,
+    pub results: Vec<JobResult>,
     body: String,
     accepted_at: Instant,
 }
 
 impl Job {
-    /// A job of `groups` groups with `samples` items each.
+    /// Creates a job with `groups` groups of `samples` items each.
     pub fn new(id: &str, step: u64, min_version: u64, groups: usize, samples: usize) -> Job {
         let mut items = Vec::new();
         let mut requests = Vec::new();
@@ -53,27 +53,27 @@
             r#"{{"step":{step},"model":"{MODEL}","min_version":{min_version},"desired":{groups},"requests":[{}]}}"#,
             requests.join(",")
         );
-        let read = Vec::new();
-        Job { id: id.to_owned(), items, min_version, read, body, accepted_at: Instant::now() }
+        let results = Vec::new();
+        Job { id: id.to_owned(), items, min_version, results, body, accepted_at: Instant::now() }
     }
 
-    /// Sends the job to one edge machine after the other until it is accepted.
+    /// Submits the job to one edge machine after the other until one accepts it.
     pub async fn submit(&mut self, fronts: &[SocketAddr], timeout: Duration) {
         let call = ApiRequest::new("POST", format!("{JOBS}{}", self.id))
             .header("Host", HOST)
             .header("Request-Id", self.id.clone())
             .header("Content-Type", "application/json")
             .body(self.body.clone());
-        self.call_until(fronts, &call, 202, timeout).await;
+        self.send_until_status(fronts, &call, 202, timeout).await;
         self.accepted_at = Instant::now();
     }
 
-    /// Reads on until there are `wanted` results.
+    /// Reads further results until there are `wanted`.
     pub async fn read_until(&mut self, fronts: &[SocketAddr], wanted: usize, timeout: Duration) {
         let deadline = Instant::now() + timeout;
         let mut attempt = 0;
-        while self.read.len() < wanted {
-            let got = self.read.len();
+        while self.results.len() < wanted {
+            let got = self.results.len();
             assert!(
                 Instant::now() < deadline,
                 "job {}: {got} of {wanted} results within {timeout:?}",
@@ -81,44 +81,49 @@
             );
             let front = fronts[attempt % fronts.len()];
             attempt += 1;
-            let start = self.read.len();
+            let start = self.results.len();
             match self.read_page(front, start).await {
-                Some(page) => self.read.extend(page),
+                Some(page) => self.results.extend(page),
                 None => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
     }
 
-    /// Reads everything again from the start at every edge machine; nothing may have changed.
+    /// Reads all results again from every edge machine and asserts that they are the same.
     pub async fn assert_unchanged(&self, fronts: &[SocketAddr], timeout: Duration) {
         for front in fronts {
             let deadline = Instant::now() + timeout;
             let mut again = Vec::new();
-            while again.len() < self.read.len() {
+            while again.len() < self.results.len() {
                 assert!(Instant::now() < deadline, "job {} can't be read again at {front}", self.id);
                 match self.read_page(*front, again.len()).await {
                     Some(page) => again.extend(page),
                     None => tokio::time::sleep(RETRY_DELAY).await,
                 }
             }
-            assert_eq!(again, self.read, "job {} reads differently at {front}", self.id);
+            assert_eq!(again, self.results, "job {} has other results at {front}", self.id);
         }
     }
 
-    /// One page of results from a position on; `None` if this edge machine has no certain answer now.
+    /// Reads the results from a position on. Returns `None` if the edge machine does not respond or responds
+    /// with an error. Fails the test if the job is unknown after [`JOB_PROPAGATION_MAX`].
     async fn read_page(&self, front: SocketAddr, start: usize) -> Option<Vec<JobResult>> {
         let call = ApiRequest::new("GET", format!("/lots/{}?start_after={start}", self.id))
             .header("Host", HOST)
             .header("Wait-Ms", "500");
-        let answer = send(front, &call).await.ok()?;
-        let has_propagated = self.accepted_at.elapsed() > PROPAGATION_TIME;
-        assert!(answer.status != 404 || !has_propagated, "{front} says that job {} does not exist", self.id);
-        if answer.status != 200 {
+        let response = send(front, &call).await.ok()?;
+        let has_propagated = self.accepted_at.elapsed() > JOB_PROPAGATION_MAX;
+        assert!(
+            response.status != 404 || !has_propagated,
+            "{front} responds that job {} does not exist",
+            self.id
+        );
+        if response.status != 200 {
             return None;
         }
-        let value = answer.json();
+        let value = response.json();
         let results: Vec<JobResult> =
-            value.get("results").and_then(|results| results.as_array())?.iter().map(read_result).collect();
+            value.get("results").and_then(|results| results.as_array())?.iter().map(parse_result).collect();
         let total = value.get("total").and_then(|total| total.as_u64());
         assert_eq!(total, Some(self.items.len() as u64), "total of job {}", self.id);
         let next = value.get("next_token").and_then(|next| next.as_u64());
@@ -126,46 +131,52 @@
         Some(results)
     }
 
-    /// Checks all results against what the transcribers ran.
+    /// Checks all results against the requests that the transcribers executed.
     pub fn assert_correct(&self, model: &[Transcriber], page: &[Transcriber]) {
-        let mut listed: Vec<&str> = self.read.iter().map(|result| result.id.as_str()).collect();
+        let mut listed: Vec<&str> = self.results.iter().map(|result| result.id.as_str()).collect();
         listed.sort_unstable();
         let mut expected: Vec<&str> = self.items.iter().map(String::as_str).collect();
         expected.sort_unstable();
         assert_eq!(listed, expected, "the items of job {}", self.id);
-        for result in &self.read {
+        for result in &self.results {
             assert_eq!(result.state, "completed", "{result:?}");
-            assert_eq!(result.message, text_of(&result.id), "{result:?}");
-            assert_eq!(result.versions.len(), 1, "one version a text: {result:?}");
+            assert_eq!(result.message, complete_text(&result.id), "{result:?}");
+            assert_eq!(result.versions.len(), 1, "a result has one weight version: {result:?}");
             assert!(result.versions[0] >= self.min_version, "{result:?}");
-            assert_run_as_sent(result, model);
+            assert_executed_as_sent(result, model);
             assert_scored(result, model, page);
         }
     }
 
-    /// Ends the job.
+    /// Ends the job. Ending a job that has ended succeeds as well.
     pub async fn end(&self, fronts: &[SocketAddr], timeout: Duration) {
         let call = ApiRequest::new("DELETE", format!("/lots/{}", self.id)).header("Host", HOST);
-        self.call_until(fronts, &call, 200, timeout).await;
+        self.send_until_status(fronts, &call, 200, timeout).await;
     }
 
-    /// The body of an item, as long as it is not listed.
-    pub async fn item_body(&self, front: SocketAddr, item: &str) -> Result<ApiResponse, RequestError> {
+    /// Reads the body of an item, which is available until the item has a result.
+    pub async fn fetch_item_body(&self, front: SocketAddr, item: &str) -> Result<ApiResponse, RequestError> {
         send(front, &ApiRequest::new("GET", format!("/items/{}?id={item}", self.id)).header("Host", HOST))
             .await
     }
 
-    async fn call_until(&self, fronts: &[SocketAddr], call: &ApiRequest, wanted: u16, timeout: Duration) {
+    /// Sends a request to one edge machine after the other until a response has the wanted status.
+    async fn send_until_status(
+        &self, fronts: &[SocketAddr], call: &ApiRequest, wanted: u16, timeout: Duration,
+    ) {
         let deadline = Instant::now() + timeout;
-        let mut last = String::new();
+        let mut last_failure = String::new();
         let mut attempt = 0;
         loop {
             let (method, path) = (call.method, &call.path);
-            assert!(Instant::now() < deadline, "{method} {path}: not within {timeout:?}; {last}");
+            assert!(
+                Instant::now() < deadline,
+                "{method} {path}: no status {wanted} within {timeout:?}; {last_failure}"
+            );
             match send(fronts[attempt % fronts.len()], call).await {
-                Ok(answer) if answer.status == wanted => return,
-                Ok(answer) => last = format!("{} {}", answer.status, answer.text()),
-                Err(error) => last = error.to_string(),
+                Ok(response) if response.status == wanted => return,
+                Ok(response) => last_failure = format!("{} {}", response.status, response.text()),
+                Err(error) => last_failure = error.to_string(),
             }
             attempt += 1;
             tokio::time::sleep(RETRY_DELAY).await;
@@ -173,7 +184,7 @@
     }
 }
 
-/// Body of an item's request.
+/// Returns the body of an item's request.
 pub fn item_body(item: &str) -> Vec<u8> {
     format!("prompt of {item}").into_bytes()
 }
@@ -187,7 +198,7 @@
     )
 }
 
-fn read_result(value: &simd_json::OwnedValue) -> JobResult {
+fn parse_result(value: &simd_json::OwnedValue) -> JobResult {
     let text = |name: &str| value.get(name).and_then(|text| text.as_str()).unwrap_or_default().to_owned();
     let versions = value.get("versions").and_then(|versions| versions.as_array());
     JobResult {
@@ -200,30 +211,42 @@
     }
 }
 
-/// Every run of an item had the path and body that were sent, and resumed after an event that exists.
-fn assert_run_as_sent(result: &JobResult, model: &[Transcriber]) {
+/// Asserts that every execution of an item had the path and body that were sent, and resumed after an event
+/// that exists.
+fn assert_executed_as_sent(result: &JobResult, model: &[Transcriber]) {
     for transcriber in model {
         let state = transcriber.state.borrow();
-        for run in state.runs.iter().filter(|run| run.request_id == result.id) {
-            assert_eq!(run.path, format!("{JOBS}run/{}", result.id));
-            assert_eq!(run.body, item_body(&result.id));
-            assert!(run.last_event_id < EVENTS, "{run:?}");
+        for execution in state.executions.iter().filter(|execution| execution.request_id == result.id) {
+            assert_eq!(execution.path, format!("{JOBS}run/{}", result.id));
+            assert_eq!(execution.body, item_body(&result.id));
+            assert!(execution.last_event_id < EVENTS_PER_STREAM, "{execution:?}");
         }
     }
 }
 
-/// The score is the seal of a call that reached its transcriber after the text's last event.
+/// Asserts that the score is the seal of a request that reached its transcriber after the last event of the
+/// item's stream.
 fn assert_scored(result: &JobResult, model: &[Transcriber], page: &[Transcriber]) {
     let scorer = format!("s{}", result.id);
     let scored_at = page.iter().find_map(|transcriber| {
         let state = transcriber.state.borrow();
-        state.runs.iter().find(|run| run.request_id == scorer && run.seal == result.score).map(|run| run.at)
+        state
+            .executions
+            .iter()
+            .find(|execution| execution.request_id == scorer && execution.seal == result.score)
+            .map(|execution| execution.received_at)
     });
-    let scored_at = scored_at.unwrap_or_else(|| panic!("no call gave this score: {result:?}"));
+    let scored_at = scored_at.unwrap_or_else(|| panic!("no request to a scorer has this score: {result:?}"));
     let first_complete = model.iter().filter_map(|transcriber| {
         let state = transcriber.state.borrow();
-        state.runs.iter().filter(|run| run.request_id == result.id).filter_map(|run| run.finished_at).min()
+        state
+            .executions
+            .iter()
+            .filter(|execution| execution.request_id == result.id)
+            .filter_map(|execution| execution.finished_at)
+            .min()
     });
-    let first_complete = first_complete.min().unwrap_or_else(|| panic!("no text was complete: {result:?}"));
-    assert!(scored_at >= first_complete, "scored before the text was complete: {result:?}");
+    let first_complete =
+        first_complete.min().unwrap_or_else(|| panic!("no stream of the item was complete: {result:?}"));
+    assert!(scored_at >= first_complete, "scored before the stream was complete: {result:?}");
 }
--- a/crates/pebblepost-system/tests/common/transcriber_state.rs
+++ b/crates/pebblepost-system/tests/common/transcriber_state.rs
@@ -1,99 +1,100 @@
-//! State of a fake transcriber, and what it has received.
+//! State of a fake transcriber, and a record of what it has received.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// A run of a request, as the transcriber saw it.
+/// A request that the transcriber executed.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct Execution {
     pub request_id: String,
     pub path: String,
     pub body: Vec<u8>,
-    /// `Last-Event-ID`: the stream resumes after this event.
+    /// Value of `Last-Event-ID`. The stream resumes after this event.
     pub last_event_id: u64,
-    pub at: Instant,
-    /// When its last event was sent.
+    pub received_at: Instant,
+    /// Time at which its last event was sent.
     pub finished_at: Option<Instant>,
     pub seal: String,
 }
 
-/// An order that was accepted or rejected.
+/// A load order that was accepted or rejected.
 #[derive(Clone, Debug)]
 pub struct ReceivedOrder {
     pub holder: String,
     pub fence_token: u64,
     pub generation: u64,
-    pub answer: u16,
-    pub at: Instant,
+    /// HTTP status of the response.
+    pub status: u16,
+    pub received_at: Instant,
 }
 
 /// State of one fake transcriber.
 #[derive(Debug)]
-pub struct State {
+pub struct TranscriberState {
     pub id: String,
     pub service: &'static str,
     pub zone: &'static str,
     pub slots: u32,
-    /// Versions of the models; empty for services without models.
+    /// Loaded version of each model. Empty for services without models.
     pub models: BTreeMap<String, u64>,
-    /// An order is under way.
-    pub loading: bool,
-    pub orders_taken: u64,
+    /// Whether a load order is being executed.
+    pub is_loading: bool,
+    pub orders_accepted: u64,
     pub orders: Vec<ReceivedOrder>,
     pub running: u32,
-    pub runs: Vec<Run>,
-    pub announcements: u64,
+    pub executions: Vec<Execution>,
+    pub registrations_sent: u64,
     pub acknowledged: u64,
-    pub seals: u64,
-    /// Violations of the rules, as far as a transcriber can see them.
+    pub seals_issued: u64,
+    /// Violations of the protocol that a transcriber can detect.
     pub violations: Vec<String>,
 }
 
-impl State {
-    pub fn new(id: String, service: &'static str, zone: &'static str, models: &[&str]) -> State {
-        State {
+impl TranscriberState {
+    pub fn new(id: String, service: &'static str, zone: &'static str, models: &[&str]) -> TranscriberState {
+        TranscriberState {
             id,
             service,
             zone,
             slots: 8,
             models: models.iter().map(|model| ((*model).to_owned(), 1)).collect(),
-            loading: false,
-            orders_taken: 0,
+            is_loading: false,
+            orders_accepted: 0,
             orders: Vec::new(),
             running: 0,
-            runs: Vec::new(),
-            announcements: 0,
+            executions: Vec::new(),
+            registrations_sent: 0,
             acknowledged: 0,
-            seals: 0,
+            seals_issued: 0,
             violations: Vec::new(),
         }
     }
 
-    /// Summary that a failed test prints.
+    /// Formats a summary for the output of a failed test.
     pub fn summary(&self) -> String {
-        let complete = self.runs.iter().filter(|run| run.finished_at.is_some()).count();
+        let complete = self.executions.iter().filter(|execution| execution.finished_at.is_some()).count();
         let orders: Vec<_> = self
             .orders
             .iter()
-            .map(|order| (order.generation, order.answer, order.holder.as_str(), order.fence_token))
+            .map(|order| (order.generation, order.status, order.holder.as_str(), order.fence_token))
             .collect();
         format!(
-            "{}: models {:?}, {} runs ({complete} complete), {} running, {} of {} announcements acknowledged, \
-             orders {orders:?}, violations {:?}",
+            "{}: models {:?}, {} requests executed ({complete} completely), {} running, \
+             {} of {} registrations acknowledged, orders {orders:?}, violations {:?}",
             self.id,
             self.models,
-            self.runs.len(),
+            self.executions.len(),
             self.running,
             self.acknowledged,
-            self.announcements,
+            self.registrations_sent,
             self.violations
         )
     }
 
-    /// A seal that no other response carries.
-    pub fn seal(&mut self) -> String {
-        self.seals += 1;
-        format!("{}.{}", self.id, self.seals)
+    /// Returns a seal that no other response has.
+    pub fn next_seal(&mut self) -> String {
+        self.seals_issued += 1;
+        format!("{}.{}", self.id, self.seals_issued)
     }
 
     fn models_json(&self) -> String {
@@ -103,27 +104,27 @@
         models.collect::<Vec<_>>().join(",")
     }
 
-    /// Body of `GET /report`.
+    /// Formats the body of the response to `GET /report`.
     pub fn report(&self) -> String {
         format!(
             r#"{{"stage":"both","models":[{}],"busy":{},"sequence":{},"waiting":0,"running":{},"kv_used":0,"kv_total":58545,"handles":0}}"#,
             self.models_json(),
-            self.loading,
-            self.orders_taken,
+            self.is_loading,
+            self.orders_accepted,
             self.running
         )
     }
 
-    /// Body of the next announcement.
-    pub fn announcement(&mut self, address: &str) -> String {
-        self.announcements += 1;
+    /// Formats the body of the next registration.
+    pub fn next_registration(&mut self, address: &str) -> String {
+        self.registrations_sent += 1;
         format!(
             r#"{{"backend":"{}","address":"{address}","zone":"{}","generation":"v1","slots":{},"state":"ready","cold_remaining_ms":0,"stage":"both","models":[{}],"sequence":{}}}"#,
             self.service,
             self.zone,
             self.slots,
             self.models_json(),
-            self.announcements
+            self.registrations_sent
         )
     }
 }
--- a/crates/pebblepost-system/tests/operator_texts.rs
+++ b/crates/pebblepost-system/tests/operator_texts.rs
@@ -1,4 +1,4 @@
-//! What operators read, byte for byte: help, output, errors and exit codes of every command.
+//! Compares the help text, output, error messages and exit code of every command with the approved files.
 
 use pebblepost_link::{LinkLimits, Listener};
 use pebblepost_messages::control::{FromControl, ToControl};
@@ -18,13 +18,13 @@
 
 const DOCUMENT: &str = r#"{"generation":7,"routes":[],"services":[]}"#;
 
-/// A folder of this test; transcripts show it as FOLDER.
+/// A temporary directory of one test. Transcripts show its path as FOLDER.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Folder {
         let path = std::env::temp_dir().join(format!("pebblepost-texts-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("a directory");
         Folder(path)
     }
 
@@ -41,8 +41,11 @@
     }
 }
 
-/// Runs the program and adds its output and exit code to the transcript.
-fn record(transcript: &mut String, replaced: &[(&str, &str)], settings: Option<&str>, arguments: &[&str]) {
+/// Runs the program and appends its output and exit code to the transcript, with local paths and addresses
+/// replaced.
+fn record_run(
+    transcript: &mut String, replacements: &[(&str, &str)], settings: Option<&str>, arguments: &[&str],
+) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pebblepost-system"));
     command
         .args(arguments)
@@ -52,42 +55,44 @@
     if let Some(settings) = settings {
         command.env(SETTINGS_VARIABLE, settings);
     }
-    let output = command.output().expect("run");
-    let code = output.status.code().expect("ended by itself");
+    let output = command.output().expect("the program starts");
+    let code = output.status.code().expect("not ended by a signal");
     let mut text = format!("$ pebblepost-system {}\n", arguments.join(" "));
-    write!(text, "{}", String::from_utf8(output.stdout).expect("text")).expect("written");
-    for line in String::from_utf8(output.stderr).expect("text").lines() {
+    write!(text, "{}", String::from_utf8(output.stdout).expect("UTF-8")).expect("written");
+    for line in String::from_utf8(output.stderr).expect("UTF-8").lines() {
         writeln!(text, "stderr: {line}").expect("written");
     }
     writeln!(text, "[exit {code}]\n").expect("written");
-    for (from, to) in replaced {
+    for (from, to) in replacements {
         text = text.replace(from, to);
     }
     transcript.push_str(&text);
 }
 
+/// Fails the test if the transcript differs from the approved file, and writes it below the target directory
+/// for comparison.
 #[track_caller]
-fn approve(name: &str, received: &str) {
+fn assert_approved(name: &str, received: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/approved").join(name);
     let approved = std::fs::read_to_string(path).unwrap_or_default();
     if approved != received {
-        let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        std::fs::write(&left, received).expect("writable");
-        panic!("{} is not approved:\n{received}", left.display());
+        let received_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+        std::fs::write(&received_path, received).expect("writable");
+        panic!("{} differs from the approved file:\n{received}", received_path.display());
     }
 }
 
-/// Answers HTTP calls, one connection each, with the same answer until the test ends.
-fn control(status: &'static str, body: &'static str) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+/// Starts a fake control node that sends the same HTTP response on each connection until the test ends.
+fn start_control_node(status: &'static str, body: &'static str) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let mut stream = stream.expect("a call");
+            let mut stream = stream.expect("a connection");
             let _ = stream.read(&mut [0; 4096]).expect("a request");
-            let answer = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-            stream.write_all(answer.as_bytes()).expect("written");
-            // Reads what is left: a close with unread bytes would reset the connection.
+            let response = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            stream.write_all(response.as_bytes()).expect("written");
+            // Reads the rest of the request: closing a socket with unread bytes would reset the connection.
             let _ = stream.shutdown(Shutdown::Write);
             let _ = std::io::copy(&mut stream, &mut std::io::sink());
         }
@@ -95,8 +100,8 @@
     address
 }
 
-/// A control process that tells its state over its internal port.
-fn control_link(state: &'static str) -> SocketAddr {
+/// Starts a fake control node that sends its state over its internal port.
+fn start_control_node_link(state: &'static str) -> SocketAddr {
     let (sender, receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -144,11 +149,11 @@
         &["retire", "--help"],
     ];
     for arguments in commands {
-        record(&mut transcript, &[], None, arguments);
+        record_run(&mut transcript, &[], None, arguments);
     }
-    record(&mut transcript, &[], None, &["config", "patch", "--help"]);
-    record(&mut transcript, &[], None, &["config", "check", "--help"]);
-    approve("help.txt", &transcript);
+    record_run(&mut transcript, &[], None, &["config", "patch", "--help"]);
+    record_run(&mut transcript, &[], None, &["config", "check", "--help"]);
+    assert_approved("help.txt", &transcript);
 }
 
 #[test]
@@ -156,7 +161,7 @@
     let mut transcript = String::new();
     let folder = Folder::new("usage");
     let (path, settings) = (folder.0.display().to_string(), folder.file("settings.toml", SETTINGS));
-    let replaced = [(path.as_str(), "FOLDER")];
+    let replacements = [(path.as_str(), "FOLDER")];
     let bad = folder.file("bad.toml", &SETTINGS.replace("[7300, 7315]", "\"many\""));
     let no_json = folder.file("no.json", "no json");
     let invalid = folder.file("invalid.json", r#"{"generation":7,"routes":[{"name":"a"}],"services":[]}"#);
@@ -177,17 +182,17 @@
         &["serve"],
         &["status", "--store", "nowhere"],
     ] {
-        record(&mut transcript, &replaced, None, arguments);
+        record_run(&mut transcript, &replacements, None, arguments);
     }
     transcript.push_str("== with settings that name no seeds\n\n");
     for arguments in [&["check"][..], &["status"], &["config", "get"], &["proxy"]] {
-        record(&mut transcript, &replaced, Some(&settings), arguments);
+        record_run(&mut transcript, &replacements, Some(&settings), arguments);
     }
     transcript.push_str("== with settings that can't be read\n\n");
     for arguments in [&["check"][..], &["agent"], &["config", "get"]] {
-        record(&mut transcript, &replaced, Some(&bad), arguments);
+        record_run(&mut transcript, &replacements, Some(&bad), arguments);
     }
-    approve("usage.txt", &transcript);
+    assert_approved("usage.txt", &transcript);
 }
 
 #[test]
@@ -196,11 +201,11 @@
     let folder = Folder::new("calls");
     let valid = folder.file("valid.json", DOCUMENT);
     let path = folder.0.display().to_string();
-    let accepting = control("200 OK", r#"{"generation":5,"state":"completed"}"#).to_string();
-    let refusing = control("409 Conflict", r#"{"error":"another version"}"#).to_string();
-    let empty = control("404 Not Found", "").to_string();
-    let failing = control("500 Internal Server Error", "broken").to_string();
-    let replaced = [
+    let accepting = start_control_node("200 OK", r#"{"generation":5,"state":"completed"}"#).to_string();
+    let refusing = start_control_node("409 Conflict", r#"{"error":"another version"}"#).to_string();
+    let empty = start_control_node("404 Not Found", "").to_string();
+    let failing = start_control_node("500 Internal Server Error", "broken").to_string();
+    let replacements = [
         (path.as_str(), "FOLDER"),
         (&accepting, "ACCEPTING"),
         (&refusing, "REFUSING"),
@@ -221,17 +226,17 @@
         &["config", "put", &valid, "--control", &empty],
         &["config", "get", "--control", &failing],
     ] {
-        record(&mut transcript, &replaced, None, arguments);
+        record_run(&mut transcript, &replacements, None, arguments);
     }
-    approve("calls.txt", &transcript);
+    assert_approved("calls.txt", &transcript);
 }
 
 #[test]
 fn state_tables_match_the_approved_ones() {
     let mut transcript = String::new();
-    let primary = control_link(STATE).to_string();
-    let standby = control_link(r#"{"role":"standby"}"#).to_string();
-    let replaced = [(primary.as_str(), "PRIMARY"), (standby.as_str(), "STANDBY")];
+    let primary = start_control_node_link(STATE).to_string();
+    let standby = start_control_node_link(r#"{"role":"standby"}"#).to_string();
+    let replacements = [(primary.as_str(), "PRIMARY"), (standby.as_str(), "STANDBY")];
     for arguments in [
         &["status", "--link", &standby, "--link", &primary][..],
         &["status", "--json", "--link", &primary],
@@ -242,7 +247,7 @@
         &["status", "--link", "127.0.0.1:1"],
         &["status", "--store", "127.0.0.1:1"],
     ] {
-        record(&mut transcript, &replaced, None, arguments);
+        record_run(&mut transcript, &replacements, None, arguments);
     }
-    approve("states.txt", &transcript);
+    assert_approved("states.txt", &transcript);
 }
