--- a/crates/pebblepost-fleet-store/src/client.rs
+++ b/crates/pebblepost-fleet-store/src/client.rs
@@ -22,28 +22,28 @@
 const MAX_BACKOFF_DOUBLINGS: usize = 4;
 
 /// A new request id, drawn at random.
-pub fn request_id() -> RequestId {
+pub fn new_request_id() -> RequestId {
     RequestId(rand::random(), rand::random())
 }
 
 /// A new incarnation id, drawn at random.
-pub fn incarnation_id() -> IncarnationId {
+pub fn new_incarnation_id() -> IncarnationId {
     IncarnationId(rand::random(), rand::random())
 }
 
 /// A new command, issued now.
-pub fn command(issued_by: Name, action: Action) -> Command {
-    Command { id: request_id(), issued_by, issued_at_ms: unix_ms(), action }
+pub fn new_command(issued_by: Name, action: Action) -> Command {
+    Command { id: new_request_id(), issued_by, issued_at_ms: unix_ms(), action }
 }
 
 /// No replica gave an answer.
 #[derive(Debug, Error)]
-#[error("no keeper answered within {within:?}: {last}")]
-pub struct Unreachable {
+#[error("no keeper answered within {timeout:?}: {last_failure}")]
+pub struct GroupUnreachable {
     /// How long was tried.
-    pub within: Duration,
+    pub timeout: Duration,
     /// Why the last attempt failed.
-    pub last: String,
+    pub last_failure: String,
 }
 
 /// Why an attempt at one replica gave no answer.
@@ -88,19 +88,21 @@
     /// # Errors
     ///
     /// No replica has answered within that time.
-    pub async fn request(&mut self, request: &Request, within: Duration) -> Result<Response, Unreachable> {
-        let deadline = Instant::now() + within;
-        let mut last = "none was tried".to_owned();
+    pub async fn request(
+        &mut self, request: &Request, time_limit: Duration,
+    ) -> Result<Response, GroupUnreachable> {
+        let deadline = Instant::now() + time_limit;
+        let mut last_failure = "none was tried".to_owned();
         let mut attempts = 0;
         while Instant::now() < deadline {
             match self.attempt(request, deadline).await {
                 Ok(response) => return Ok(response),
-                Err(error) => last = error.to_string(),
+                Err(error) => last_failure = error.to_string(),
             }
             attempts += 1;
             self.back_off(attempts).await;
         }
-        Err(Unreachable { within, last })
+        Err(GroupUnreachable { timeout: time_limit, last_failure })
     }
 
     /// Sends a command.
@@ -109,11 +111,14 @@
     ///
     /// No replica has answered within that time. Whether the command was or will be applied is unknown.
     pub async fn submit(
-        &mut self, command: &Command, within: Duration,
-    ) -> Result<CommandResult, Unreachable> {
-        match self.request(&Request::Command(command.clone()), within).await? {
+        &mut self, command: &Command, time_limit: Duration,
+    ) -> Result<CommandResult, GroupUnreachable> {
+        match self.request(&Request::Command(command.clone()), time_limit).await? {
             Response::Command(result) => Ok(result),
-            other => Err(Unreachable { within, last: format!("an answer out of place: {other:?}") }),
+            other => Err(GroupUnreachable {
+                timeout: time_limit,
+                last_failure: format!("an answer out of place: {other:?}"),
+            }),
         }
     }
 
@@ -122,7 +127,7 @@
     /// # Errors
     ///
     /// The replica cannot be reached.
-    pub async fn watch(&mut self, from_revision: u64, next_replica: bool) -> io::Result<Connection> {
+    pub async fn open_watch(&mut self, from_revision: u64, next_replica: bool) -> io::Result<Connection> {
         if next_replica {
             self.preferred = self.next_after(self.preferred);
         }
@@ -168,7 +173,7 @@
             }
         };
         connection.send(request).await?;
-        let response = connection.next().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
+        let response = connection.receive().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
         self.connection = Some((id, connection));
         Ok(response)
     }
@@ -198,7 +203,7 @@
     let exchange = async {
         let mut connection = Connection::connect(address).await?;
         connection.send(request).await?;
-        connection.next().await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        connection.receive().await?.ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     };
     timeout(SINGLE_REQUEST_TIMEOUT, exchange).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))?
 }
--- a/crates/pebblepost-fleet-store/src/clock.rs
+++ b/crates/pebblepost-fleet-store/src/clock.rs
@@ -10,7 +10,7 @@
 
 /// The time since a moment, on the monotonic clock by which sessions are measured
 /// (`PEBBLEPOST_FAULT_CLOCK_RATE`).
-pub fn since(moment: Instant) -> Duration {
+pub fn elapsed_since(moment: Instant) -> Duration {
     let elapsed = moment.elapsed();
     #[cfg(feature = "faults")]
     if let Some(rate) = by_environment("PEBBLEPOST_FAULT_CLOCK_RATE") {
--- a/crates/pebblepost-fleet-store/src/connection.rs
+++ b/crates/pebblepost-fleet-store/src/connection.rs
@@ -48,7 +48,7 @@
     /// # Errors
     ///
     /// The connection failed, or the frame is too long or holds another message.
-    pub async fn next<T: DeserializeOwned>(&mut self) -> io::Result<Option<T>> {
+    pub async fn receive<T: DeserializeOwned>(&mut self) -> io::Result<Option<T>> {
         let Some(frame) = self.0.next().await.transpose()? else { return Ok(None) };
         let message = serde_json::from_slice(&frame);
         message.map(Some).map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))
--- a/crates/pebblepost-fleet-store/src/network.rs
+++ b/crates/pebblepost-fleet-store/src/network.rs
@@ -19,7 +19,7 @@
 pub(crate) struct Network {
     pub(crate) group: String,
     /// Addresses from here, by replica, where they differ from those of the group's membership.
-    pub(crate) dial: BTreeMap<u64, String>,
+    pub(crate) dial_addresses: BTreeMap<u64, String>,
 }
 
 /// The connection to one replica.
@@ -35,7 +35,7 @@
     type Network = PeerConnection;
 
     async fn new_client(&mut self, target: u64, node: &Peer) -> PeerConnection {
-        let address = self.dial.get(&target).unwrap_or(&node.address).clone();
+        let address = self.dial_addresses.get(&target).unwrap_or(&node.address).clone();
         PeerConnection { group: self.group.clone(), target, disk: node.disk, address, connection: None }
     }
 }
@@ -51,7 +51,7 @@
             };
             let (group, target, disk) = (self.group.clone(), self.target, self.disk);
             connection.send(&Request::Raft(RaftEnvelope { group, target, disk, message })).await?;
-            match connection.next().await?.ok_or(io::ErrorKind::UnexpectedEof)? {
+            match connection.receive().await?.ok_or(io::ErrorKind::UnexpectedEof)? {
                 Response::Raft(reply) => {
                     // Kept only after a complete answer: one that was cut short must not be taken for the
                     // next.
--- a/crates/pebblepost-fleet-store/src/replica/config.rs
+++ b/crates/pebblepost-fleet-store/src/replica/config.rs
@@ -36,10 +36,10 @@
     /// The loopback address to listen on.
     pub listen: SocketAddr,
     /// The folder of its disk.
-    pub folder: PathBuf,
+    pub data_dir: PathBuf,
     /// Addresses of other replicas from here, by number, where they differ from those of the group's
     /// membership.
-    pub dial: BTreeMap<u64, String>,
+    pub dial_addresses: BTreeMap<u64, String>,
     /// How long a member's session lasts without a heartbeat.
     pub session_ttl: Duration,
     /// The interval of the leader's Raft heartbeats.
--- a/crates/pebblepost-fleet-store/src/replica/leadership.rs
+++ b/crates/pebblepost-fleet-store/src/replica/leadership.rs
@@ -2,8 +2,8 @@
 //! what a majority of the dispatchers observes of workers.
 
 use super::{REQUEST_TIMEOUT, Replica};
-use crate::client::command;
-use crate::clock::since;
+use crate::client::new_command;
+use crate::clock::elapsed_since;
 use crate::protocol::Response;
 use pebblepost_fleet::heartbeat::HeartbeatReport;
 use pebblepost_fleet::leader::{HeartbeatOutcome, Sessions, drain_status, majority_update, request_totals};
@@ -30,14 +30,14 @@
             sleep(CHECK_INTERVAL).await;
             for action in self.due_actions() {
                 // What fails is due again at the next check.
-                let write = self.raft.client_write(command(self.name.clone(), action));
+                let write = self.raft.client_write(new_command(self.name.clone(), action));
                 let _ = timeout(REQUEST_TIMEOUT, write).await;
             }
         }
     }
 
     fn due_actions(&self) -> Vec<Action> {
-        let now = since(self.started_at);
+        let now = elapsed_since(self.started_at);
         let due = self.with_sessions(|sessions| {
             let state = self.state_machine.read();
             let mut due = sessions.expired(now, &state);
@@ -50,7 +50,7 @@
     /// Takes in a heartbeat. It counts at the leader only; a replica that wrongly believes that it leads
     /// extends nothing, as only the real leader can have a session ended.
     pub(super) fn heartbeat(&self, member: &Name, session: u64, report: Option<HeartbeatReport>) -> Response {
-        let now = since(self.started_at);
+        let now = elapsed_since(self.started_at);
         let outcome = self.with_sessions(|sessions| {
             sessions.record_heartbeat(now, &self.state_machine.read(), member, session, report)
         });
--- a/crates/pebblepost-fleet-store/src/replica/membership.rs
+++ b/crates/pebblepost-fleet-store/src/replica/membership.rs
@@ -2,7 +2,7 @@
 
 use super::Replica;
 use super::commands::{WriteError, write_failed};
-use crate::client::{command, request_once};
+use crate::client::{new_command, request_once};
 use crate::protocol::{Request, Response};
 use crate::raft_types::Peer;
 use openraft::ChangeMembers;
@@ -42,7 +42,7 @@
     }
 
     async fn check_is_new(&self, id: u64, peer: &Peer) -> Result<(), NotNewError> {
-        let address = self.config.dial.get(&id).unwrap_or(&peer.address);
+        let address = self.config.dial_addresses.get(&id).unwrap_or(&peer.address);
         match request_once(address, &Request::Status).await {
             Ok(Response::Status(status)) if status.initialized => Err(NotNewError::AlreadyInGroup { id }),
             Ok(Response::Status(status)) if (status.id, status.disk) == (id, peer.disk) => Ok(()),
@@ -54,7 +54,7 @@
     /// Adds a learner. That its number belongs to that disk is committed first.
     pub(super) async fn add_learner(&self, id: u64, peer: Peer) -> Response {
         let action = Action::AdmitReplica { replica: id, disk: peer.disk };
-        match self.command(command(self.name.clone(), action)).await {
+        match self.command(new_command(self.name.clone(), action)).await {
             Response::Command(Ok(_)) => done(self.raft.add_learner(id, peer, true).await),
             rejected => rejected,
         }
--- a/crates/pebblepost-fleet-store/src/replica/mod.rs
+++ b/crates/pebblepost-fleet-store/src/replica/mod.rs
@@ -102,11 +102,11 @@
 
 impl Replica {
     async fn start(config: ReplicaConfig) -> Result<Self, ReplicaError> {
-        let disk = Disk::open(&config.folder, &config.group, config.id, rand::random())?;
+        let disk = Disk::open(&config.data_dir, &config.group, config.id, rand::random())?;
         let state_machine = StateMachine::open(disk.clone()).map_err(ReplicaError::stopped)?;
         check_not_outdated(&disk, &config).await?;
         let raft_config = config.raft_config().map_err(ReplicaError::stopped)?;
-        let network = Network { group: config.group.clone(), dial: config.dial.clone() };
+        let network = Network { group: config.group.clone(), dial_addresses: config.dial_addresses.clone() };
         let raft = Raft::new(config.id, raft_config, network, disk.clone(), state_machine.clone());
         let raft = raft.await.map_err(ReplicaError::stopped)?;
         let started_at = Instant::now();
@@ -133,10 +133,10 @@
 /// can be reached knows. A leader of an earlier term than the disk's vote proves nothing: what it was sent
 /// may have been replaced since.
 async fn check_not_outdated(disk: &Disk, config: &ReplicaConfig) -> Result<(), ReplicaError> {
-    let known = disk.last_known().map_err(ReplicaError::stopped)?;
+    let known = disk.group_state().map_err(ReplicaError::stopped)?;
     let others = known.replicas.iter().filter(|(id, _)| **id != config.id);
     let statuses = others.map(async |(id, peer)| {
-        let address = config.dial.get(id).unwrap_or(&peer.address);
+        let address = config.dial_addresses.get(id).unwrap_or(&peer.address);
         match timeout(START_CHECK_TIMEOUT, request_once(address, &Request::Status)).await {
             Ok(Ok(Response::Status(status))) => Some(*status),
             _ => None,
--- a/crates/pebblepost-fleet-store/src/replica/server.rs
+++ b/crates/pebblepost-fleet-store/src/replica/server.rs
@@ -47,7 +47,7 @@
     async fn serve(&self, mut connection: Connection) -> io::Result<()> {
         let timed_out = |_| io::Error::from(io::ErrorKind::TimedOut);
         while let Some(request) =
-            timeout(CONNECTION_IDLE_TIMEOUT, connection.next::<Request>()).await.map_err(timed_out)??
+            timeout(CONNECTION_IDLE_TIMEOUT, connection.receive::<Request>()).await.map_err(timed_out)??
         {
             if let Request::Watch(from_revision) = request {
                 return self.watch(connection, from_revision).await;
--- a/crates/pebblepost-fleet-store/src/storage/disk.rs
+++ b/crates/pebblepost-fleet-store/src/storage/disk.rs
@@ -76,7 +76,7 @@
             Some(found) if found.is_same_replica(&expected) => found,
             Some(found) => {
                 let (found, expected) = (found.replica_name(), expected.replica_name());
-                return Err(DiskError::Foreign { path, found, expected });
+                return Err(DiskError::WrongReplica { path, found, expected });
             }
             None => {
                 set_up(&database, &expected).map_err(|error| io_error(&error))?;
--- a/crates/pebblepost-fleet-store/src/storage/error.rs
+++ b/crates/pebblepost-fleet-store/src/storage/error.rs
@@ -45,7 +45,7 @@
     },
     /// It belongs to another replica.
     #[error("{path}: belongs to keeper {found}, not to {expected}")]
-    Foreign {
+    WrongReplica {
         /// The file.
         path: PathBuf,
         /// The replica that it belongs to.
--- a/crates/pebblepost-fleet-store/src/storage/last_known.rs
+++ b/crates/pebblepost-fleet-store/src/storage/group_state.rs
@@ -8,7 +8,7 @@
 
 /// What a disk says about its group.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct LastKnown {
+pub struct PersistedGroupState {
     /// Last index of the log.
     pub last_index: u64,
     /// Term of the vote.
@@ -23,7 +23,7 @@
     /// # Errors
     ///
     /// The disk cannot be read.
-    pub fn last_known(&self) -> Result<LastKnown, AccessError> {
+    pub fn group_state(&self) -> Result<PersistedGroupState, AccessError> {
         let snapshot = self.snapshot()?;
         let purged: Option<LogId> = self.get(PURGED)?;
         let vote: Option<Vote<u64>> = self.get(VOTE)?;
@@ -38,6 +38,6 @@
         let nodes = membership.iter().flat_map(|membership| membership.nodes());
         let replicas = nodes.map(|(id, peer)| (*id, peer.clone())).collect();
         let term = vote.map_or(0, |vote| vote.leader_id.term);
-        Ok(LastKnown { last_index: last.unwrap_or(0), term, replicas })
+        Ok(PersistedGroupState { last_index: last.unwrap_or(0), term, replicas })
     }
 }
--- a/crates/pebblepost-fleet-store/src/storage/mod.rs
+++ b/crates/pebblepost-fleet-store/src/storage/mod.rs
@@ -8,13 +8,13 @@
 mod disk;
 mod error;
 mod faults;
-mod last_known;
+mod group_state;
 mod log_store;
 mod snapshot;
 
 pub use disk::{Disk, DiskIdentity, FILE_NAME};
 pub use error::{AccessError, DiskError};
-pub use last_known::LastKnown;
+pub use group_state::PersistedGroupState;
 pub(crate) use snapshot::{SnapshotMeta, StoredSnapshot};
 
 use openraft::AnyError;
--- a/crates/pebblepost-fleet-store/tests/common/mod.rs
+++ b/crates/pebblepost-fleet-store/tests/common/mod.rs
@@ -18,8 +18,8 @@
         group: "g".to_owned(),
         id: 1,
         listen: listen.expect("a free port"),
-        folder,
-        dial: BTreeMap::new(),
+        data_dir: folder,
+        dial_addresses: BTreeMap::new(),
         session_ttl: Duration::from_secs(10),
         heartbeat_interval: Duration::from_millis(100),
     }
--- a/crates/pebblepost-fleet-store/tests/disk.rs
+++ b/crates/pebblepost-fleet-store/tests/disk.rs
@@ -54,7 +54,7 @@
     let folder = filled_disk().await;
     for (group, id) in [("g", 2), ("h", 1)] {
         let error = Disk::open(&folder.0, group, id, 77).expect_err("another's");
-        assert!(matches!(error, DiskError::Foreign { .. }));
+        assert!(matches!(error, DiskError::WrongReplica { .. }));
         assert!(error.to_string().contains("belongs to keeper 1 of group \"g\""), "{error}");
     }
 }
--- a/crates/pebblepost-fleet-store/tests/stored_forms.rs
+++ b/crates/pebblepost-fleet-store/tests/stored_forms.rs
@@ -5,7 +5,7 @@
 
 use openraft::storage::{RaftLogReader, RaftLogStorage, RaftSnapshotBuilder, RaftStateMachine};
 use openraft::{Entry, EntryPayload, Vote};
-use pebblepost_fleet_store::client::Unreachable;
+use pebblepost_fleet_store::client::GroupUnreachable;
 use pebblepost_fleet_store::connection::{Connection, MAX_FRAME_BYTES};
 use pebblepost_fleet_store::protocol::{Request, Response};
 use pebblepost_fleet_store::raft_types::{EntryResult, TypeConfig};
@@ -84,7 +84,7 @@
     plain.read_exact(&mut frame).await.expect("a frame");
     assert_eq!(&frame, b"\0\0\0\x08\"status\"");
     plain.write_all(b"\0\0\0\x06\"done\"").await.expect("open");
-    assert!(matches!(connection.next::<Response>().await, Ok(Some(Response::Done))));
+    assert!(matches!(connection.receive::<Response>().await, Ok(Some(Response::Done))));
 }
 
 /// The rows of a table, with their values as text.
@@ -197,7 +197,7 @@
     let vote: Vote<u64> = disk.read_vote().await.expect("readable").expect("there");
     // A vote for itself counts as not committed after a restart.
     assert_eq!(written(&vote), r#"{"leader_id":{"term":1,"node_id":1},"committed":false}"#);
-    let known = disk.last_known().expect("readable");
+    let known = disk.group_state().expect("readable");
     assert_eq!((known.last_index, known.term), (3, 1));
     assert_eq!(known.replicas[&1].address, "127.0.0.1:1");
     let mut machine = StateMachine::open(disk).expect("readable");
@@ -217,14 +217,15 @@
         DiskError::Io { path: path(), cause: "w".to_owned() },
         DiskError::Damaged { path: path(), cause: "w".to_owned() },
         DiskError::Outdated { path: path(), last_index: 1, acknowledged_index: 2, leader: 3, term: 4 },
-        DiskError::Foreign { path: path(), found: "f".to_owned(), expected: "w".to_owned() },
+        DiskError::WrongReplica { path: path(), found: "f".to_owned(), expected: "w".to_owned() },
     ];
     let mut texts: Vec<String> = disk.iter().map(ToString::to_string).collect();
     texts.extend(disk.into_iter().map(|error| ReplicaError::from(error).to_string()));
     let listen = std::io::Error::other("o");
     texts.push(ReplicaError::Listen("127.0.0.1:1".parse().expect("sound"), listen).to_string());
     texts.push(ReplicaError::Stopped("s".to_owned()).to_string());
-    texts.push(Unreachable { within: Duration::from_secs(2), last: "l".to_owned() }.to_string());
+    texts
+        .push(GroupUnreachable { timeout: Duration::from_secs(2), last_failure: "l".to_owned() }.to_string());
     assert_eq!(texts.join("\n"), stored("error_texts.txt").trim_end());
     assert_eq!(FILE_NAME, "keeper.redb");
 }
--- a/crates/pebblepost-fleet-store/tests/watch.rs
+++ b/crates/pebblepost-fleet-store/tests/watch.rs
@@ -5,7 +5,7 @@
 use common::{begin, settings};
 use pebblepost_fleet::value::Worker;
 use pebblepost_fleet::{Action, Name, Operation, Text};
-use pebblepost_fleet_store::client::{Client, command};
+use pebblepost_fleet_store::client::{Client, new_command};
 use pebblepost_fleet_store::connection::Connection;
 use pebblepost_fleet_store::protocol::{Request, Response};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 async fn change(client: &mut Client, ops: Vec<Operation>) -> u64 {
     let act = Action::Change { operations: ops, preconditions: vec![], reason: Text::default() };
-    let command = command("t".parse().expect("a name"), act);
+    let command = new_command("t".parse().expect("a name"), act);
     let answer = client.submit(&command, LIMIT).await.expect("it answers");
     answer.expect("nothing against it").revision
 }
@@ -26,7 +26,7 @@
 async fn reads_until(mut connection: Connection, from: u64, until: u64) -> (usize, usize) {
     let (mut at, mut snapshots, mut items) = (from, 0, 0);
     while at < until {
-        match connection.next::<Response>().await.expect("no garbage").expect("open") {
+        match connection.receive::<Response>().await.expect("no garbage").expect("open") {
             Response::Changes(changes) => {
                 for change in changes {
                     assert_eq!(change.revision, at + 1);
--- a/crates/pebblepost-system/src/operator/status.rs
+++ b/crates/pebblepost-system/src/operator/status.rs
@@ -33,7 +33,7 @@
 /// Prints the state of the control plane or, with `--store`, of a store machine.
 ///
 /// # Errors
-/// If no process responds, or the state is not valid JSON.
+/// If no process responds, or if a state to print as tables is not valid JSON.
 pub async fn print_status(arguments: &ArgMatches) -> Result<()> {
     let state = match arguments.get_one::<SocketAddr>("store") {
         Some(store) => fetch_store_state(*store).await?,
--- a/crates/pebblepost/src/fleet_agent/control.rs
+++ b/crates/pebblepost/src/fleet_agent/control.rs
@@ -8,7 +8,7 @@
 use pebblepost_fleet::follower::LocalDrainError;
 use pebblepost_fleet::name::InvalidName;
 use pebblepost_fleet::{Name, Text};
-use pebblepost_fleet_store::client::request_id;
+use pebblepost_fleet_store::client::new_request_id;
 use pebblepost_fleet_store::clock::unix_ms;
 use serde_json::{Value, json};
 use std::io;
@@ -109,7 +109,7 @@
     match request {
         ControlRequest::Drain { worker, reason } => {
             let set_by: Name = LOCAL_OPERATOR.parse().unwrap_or_else(|_| worker.clone());
-            shared.update(|follower| follower.drain(worker, request_id(), set_by, unix_ms(), reason))?;
+            shared.update(|follower| follower.drain(worker, new_request_id(), set_by, unix_ms(), reason))?;
         }
         ControlRequest::Undrain { worker } => shared.update(|follower| follower.undrain(&worker))?,
         ControlRequest::Show => return Ok(state(shared)),
--- a/crates/pebblepost/src/fleet_agent/follow.rs
+++ b/crates/pebblepost/src/fleet_agent/follow.rs
@@ -20,8 +20,8 @@
     let mut failures = 0;
     loop {
         let from = lock(&shared.follower).revision();
-        if let Ok(mut stream) = client.watch(from, failures > 0).await {
-            while let Ok(Ok(Some(response))) = timeout(MAX_SILENCE, stream.next::<Response>()).await {
+        if let Ok(mut stream) = client.open_watch(from, failures > 0).await {
+            while let Ok(Ok(Some(response))) = timeout(MAX_SILENCE, stream.receive::<Response>()).await {
                 let now = shared.now();
                 let applied = shared.update(|follower| match response {
                     Response::Snapshot(snapshot) => follower.apply_snapshot(now, snapshot),
--- a/crates/pebblepost/src/fleet_agent/mod.rs
+++ b/crates/pebblepost/src/fleet_agent/mod.rs
@@ -22,7 +22,7 @@
 use pebblepost_fleet::heartbeat::RequestCounts;
 use pebblepost_fleet::name::InvalidName;
 use pebblepost_fleet::value::{MemberInfo, Role, WorkerObservation};
-use pebblepost_fleet_store::client::incarnation_id;
+use pebblepost_fleet_store::client::new_incarnation_id;
 use shared::{Member, Shared, lock};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -82,7 +82,7 @@
         let follower = load_snapshot(config, log);
         let (wake, notify) = UnixStream::pair()?;
         notify.set_nonblocking(true)?;
-        let member = Member { name: member, incarnation: incarnation_id() };
+        let member = Member { name: member, incarnation: new_incarnation_id() };
         let shared = Arc::new(Shared::new(member, follower, config.copy.is_some(), notify, log));
         let info = MemberInfo {
             role: Role::Dispatcher,
--- a/crates/pebblepost/src/fleet_agent/session.rs
+++ b/crates/pebblepost/src/fleet_agent/session.rs
@@ -6,7 +6,7 @@
 use pebblepost_fleet::follower::ProposalOutcome;
 use pebblepost_fleet::value::MemberInfo;
 use pebblepost_fleet::{Action, Rejection};
-use pebblepost_fleet_store::client::{Client, command};
+use pebblepost_fleet_store::client::{Client, new_command};
 use pebblepost_fleet_store::protocol::{Request, Response};
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -85,7 +85,7 @@
         let member = self.shared.member.clone();
         let (info, incarnation_id) = (self.info.clone(), member.incarnation);
         let join = Action::Join { member: member.name.clone(), incarnation_id, info };
-        match self.client.submit(&command(member.name, join), REQUEST_TIMEOUT).await {
+        match self.client.submit(&new_command(member.name, join), REQUEST_TIMEOUT).await {
             Ok(Ok(applied)) => {
                 let reported_ready = Some(self.info.ready);
                 self.state = State { session: applied.session, last_report: 0, reported_ready };
@@ -111,7 +111,7 @@
         let (member, sequence) = (self.shared.member.name.clone(), self.state.last_report);
         let report = Action::ReportReadiness { member: member.clone(), session, sequence, ready };
         self.state.reported_ready = None;
-        match self.client.submit(&command(member, report), REQUEST_TIMEOUT).await {
+        match self.client.submit(&new_command(member, report), REQUEST_TIMEOUT).await {
             Ok(Ok(_)) => self.state.reported_ready = Some(ready),
             Ok(Err(_)) => self.state.session = None,
             // Whether it was applied is unknown: it is reported again.
--- a/crates/pebblepost/src/fleet_agent/shared.rs
+++ b/crates/pebblepost/src/fleet_agent/shared.rs
@@ -5,7 +5,7 @@
 use pebblepost_fleet::setting::SETTINGS;
 use pebblepost_fleet::value::WorkerObservation;
 use pebblepost_fleet::{IncarnationId, Name};
-use pebblepost_fleet_store::clock::since;
+use pebblepost_fleet_store::clock::elapsed_since;
 #[cfg(feature = "faults")]
 use std::collections::BTreeSet;
 use std::collections::{BTreeMap, HashSet};
@@ -115,7 +115,7 @@
 
     /// Time since the agent's start.
     pub(super) fn now(&self) -> Duration {
-        since(self.started)
+        elapsed_since(self.started)
     }
 
     /// Time since a replica last confirmed the view; `None` if none has since the start.
--- a/crates/pebblepost/src/operator/client.rs
+++ b/crates/pebblepost/src/operator/client.rs
@@ -3,7 +3,7 @@
 use super::arguments::Reason;
 use super::error::{FleetError, Result};
 use pebblepost_fleet::{Action, Name, Operation, Precondition, Snapshot};
-use pebblepost_fleet_store::client::{Client, command};
+use pebblepost_fleet_store::client::{Client, new_command};
 use pebblepost_fleet_store::protocol::{Request, Response};
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
@@ -78,7 +78,7 @@
 
     /// Has the group apply an action and prints the revision.
     pub(super) async fn submit(&mut self, action: Action) -> Result<()> {
-        let command = command(self.issuer.clone(), action);
+        let command = new_command(self.issuer.clone(), action);
         let applied = self.client.submit(&command, self.timeout).await??;
         let revision = applied.revision;
         self.print(json!({"revision": revision}), &|| format!("agreed at revision {revision}"));
--- a/crates/pebblepost/src/operator/error.rs
+++ b/crates/pebblepost/src/operator/error.rs
@@ -3,7 +3,7 @@
 use pebblepost_fleet::name::InvalidName;
 use pebblepost_fleet::simulation::SimulationError;
 use pebblepost_fleet::{Name, Rejection, Subject};
-use pebblepost_fleet_store::client::Unreachable;
+use pebblepost_fleet_store::client::GroupUnreachable;
 use pebblepost_fleet_store::protocol::Response;
 use std::io;
 use std::net::SocketAddr;
@@ -69,7 +69,7 @@
     NoPermit(Subject),
     /// No replica has responded: it is unknown whether the change was applied.
     #[error("{0}; it is not known whether it was done: ask again, or look at `fleet history`")]
-    Unreachable(#[from] Unreachable),
+    Unreachable(#[from] GroupUnreachable),
     /// A backup cannot be written.
     #[error("{}: {error}", path.display())]
     Output {
--- a/crates/pebblepost/src/operator/releases.rs
+++ b/crates/pebblepost/src/operator/releases.rs
@@ -5,7 +5,7 @@
 use pebblepost_fleet::release_driver::{NextStep, ReleaseDriver, ReleasePolicy};
 use pebblepost_fleet::simulation::{ReleasePlan, SimulationError, simulate};
 use pebblepost_fleet::{Action, Name, Snapshot, SubjectKind};
-use pebblepost_fleet_store::client::command;
+use pebblepost_fleet_store::client::new_command;
 use pebblepost_fleet_store::protocol::{Request, Response};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -108,7 +108,7 @@
 
     /// Proposes a step of a release, which the group may reject.
     async fn propose(&mut self, action: Action) {
-        let command = command(self.issuer.clone(), action);
+        let command = new_command(self.issuer.clone(), action);
         if let Ok(Err(rejection)) = self.client.submit(&command, self.timeout).await {
             tracing::info!(%rejection, "release step rejected");
         }
--- a/crates/pebblepost/src/operator/view.rs
+++ b/crates/pebblepost/src/operator/view.rs
@@ -59,12 +59,12 @@
     pub(super) async fn watch(&mut self, from: u64) -> Result<()> {
         let mut shown_revision = from;
         loop {
-            let Ok(mut stream) = self.client.watch(shown_revision, true).await else {
+            let Ok(mut stream) = self.client.open_watch(shown_revision, true).await else {
                 tokio::time::sleep(WATCH_RETRY_DELAY).await;
                 continue;
             };
             while let Ok(Ok(Some(response))) =
-                tokio::time::timeout(self.timeout, stream.next::<Response>()).await
+                tokio::time::timeout(self.timeout, stream.receive::<Response>()).await
             {
                 shown_revision = self.print_update(response, shown_revision);
             }
--- a/crates/pebblepost/src/store_replica.rs
+++ b/crates/pebblepost/src/store_replica.rs
@@ -90,8 +90,8 @@
         group: file.group,
         id: file.id,
         listen: file.listen,
-        folder: file.folder,
-        dial: file.dial.into_iter().map(|(id, address)| (id, address.to_string())).collect(),
+        data_dir: file.folder,
+        dial_addresses: file.dial.into_iter().map(|(id, address)| (id, address.to_string())).collect(),
         session_ttl: Duration::from_secs_f64(file.session_s),
         heartbeat_interval: Duration::from_millis(file.heartbeat_ms),
     })
--- a/crates/pebblepost/tests/behaviour_pins.rs
+++ b/crates/pebblepost/tests/behaviour_pins.rs
@@ -271,8 +271,8 @@
                 read.group,
                 read.id,
                 read.listen,
-                read.folder,
-                read.dial,
+                read.data_dir,
+                read.dial_addresses,
                 read.session_ttl,
                 read.heartbeat_interval
             ),
