--- a/crates/pebblepost-system/src/operator/status.rs
+++ b/crates/pebblepost-system/src/operator/status.rs
@@ -57,7 +57,7 @@
 /// Fetches the state of the primary, or of the first control node that responds if none of the addresses is
 /// the primary's.
 async fn fetch_control_state(arguments: &ArgMatches) -> Result<Vec<u8>> {
-    let links = addresses(arguments, "link", Settings::control_links)?;
+    let links = addresses(arguments, "link", Settings::control_link_addresses)?;
     let mut first_state = None;
     let mut last_failure = usage_error("no control address is given");
     for link in links {
