--- a/crates/pebblepost-fleet-store/src/storage/disk.rs
+++ b/crates/pebblepost-fleet-store/src/storage/disk.rs
@@ -60,20 +60,20 @@
 
 impl Disk {
     /// Opens and checks the disk in a directory, or initializes it if there is none. A new disk gets the id
-    /// `new_disk`.
+    /// `new_disk_id`.
     ///
     /// # Errors
     ///
     /// Returns an error if the file cannot be read or written, is damaged, or belongs to another replica.
-    pub fn open(folder: &Path, group: &str, id: u64, new_disk: u64) -> Result<Self, DiskError> {
-        let path = folder.join(FILE_NAME);
+    pub fn open(data_dir: &Path, group: &str, id: u64, new_disk_id: u64) -> Result<Self, DiskError> {
+        let path = data_dir.join(FILE_NAME);
         let io_error =
             |cause: &dyn std::fmt::Display| DiskError::Io { path: path.clone(), cause: cause.to_string() };
         let damaged =
             |error: AccessError| DiskError::Damaged { path: path.clone(), cause: error.to_string() };
-        std::fs::create_dir_all(folder).map_err(|error| io_error(&error))?;
+        std::fs::create_dir_all(data_dir).map_err(|error| io_error(&error))?;
         let database = open_database(&path)?;
-        let expected = DiskIdentity { group: group.to_owned(), id, disk: new_disk };
+        let expected = DiskIdentity { group: group.to_owned(), id, disk: new_disk_id };
         let identity = match get::<DiskIdentity>(&database, IDENTITY).map_err(damaged)? {
             Some(found) if found.is_same_replica(&expected) => found,
             Some(found) => {
