--- a/crates/pebblepost-harness/src/fault/managed_process.rs
+++ b/crates/pebblepost-harness/src/fault/managed_process.rs
@@ -1,11 +1,11 @@
-//! A process that faults are injected into. It is killed when this is dropped.
+//! A child process that faults are injected into. Dropping a [`ManagedProcess`] kills its process.
 
 use super::signal::{self, Signal};
 use anyhow::{Context, Result};
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 
-/// The process.
+/// A child process that can be killed, suspended, stopped and started again with the same command.
 pub struct ManagedProcess {
     command: Command,
     child: Option<Child>,
@@ -13,18 +13,18 @@
 }
 
 impl ManagedProcess {
-    /// A process that has not been started.
+    /// Creates a process that is not started yet.
     pub fn new(command: Command) -> Self {
         Self { command, child: None, paused: false }
     }
 
-    /// Starts it, unless it runs.
+    /// Starts the process unless it is already running.
     ///
     /// # Errors
     ///
-    /// If the program can not be executed.
+    /// Returns an error that names the program if it cannot be executed.
     pub fn start(&mut self) -> Result<()> {
-        if !self.runs() {
+        if !self.is_running() {
             let child = self.command.spawn();
             self.child = Some(child.with_context(|| format!("{:?}", self.command.get_program()))?);
             self.paused = false;
@@ -32,26 +32,26 @@
         Ok(())
     }
 
-    /// Whether it runs, suspended or not.
-    pub fn runs(&mut self) -> bool {
+    /// Whether the process runs, suspended or not.
+    pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// How it ended by itself, if it has.
-    pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
+    /// Exit status of a process that has ended; `None` if it is running, was never started or was ended by [`Self::kill`].
+    pub fn exit_status(&mut self) -> Option<std::process::ExitStatus> {
         self.child.as_mut()?.try_wait().ok()?
     }
 
     fn send_signal(&mut self, signal: Signal) {
-        // The id of a process that has ended may be that of another one.
-        if self.runs()
+        // The id of a process that has ended may have been reused for another process.
+        if self.is_running()
             && let Some(child) = &self.child
         {
             signal::send(child.id(), signal);
         }
     }
 
-    /// SIGKILL.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -60,29 +60,32 @@
         self.paused = false;
     }
 
-    /// SIGSTOP.
+    /// Suspends the process with SIGSTOP.
     pub fn pause(&mut self) {
         self.send_signal(Signal::SIGSTOP);
         self.paused = true;
     }
 
-    /// SIGCONT.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&mut self) {
         self.send_signal(Signal::SIGCONT);
         self.paused = false;
     }
 
-    /// SIGTERM, and SIGKILL if it has not ended within `limit`. Returns whether it ended by itself.
+    /// Stops the process with SIGTERM, and with SIGKILL if it has not exited within `limit`. Returns whether it
+    /// exited by itself.
+    ///
+    /// Resumes a suspended process first, and blocks the thread for up to `limit`.
     pub fn stop(&mut self, limit: Duration) -> bool {
         self.resume();
         self.send_signal(Signal::SIGTERM);
-        let end = Instant::now() + limit;
-        while Instant::now() < end && self.runs() {
+        let deadline = Instant::now() + limit;
+        while Instant::now() < deadline && self.is_running() {
             std::thread::sleep(Duration::from_millis(10));
         }
-        let by_itself = !self.runs();
+        let exited = !self.is_running();
         self.kill();
-        by_itself
+        exited
     }
 }
 
--- a/crates/pebblepost-harness/src/fault/schedule.rs
+++ b/crates/pebblepost-harness/src/fault/schedule.rs
@@ -1,5 +1,6 @@
-//! Fault schedules: which fault happens when. A schedule is drawn from a seed, printed as JSON, and can be replayed from
-//! there, in whole or without some of its faults, to shrink a failing run. Nothing here injects a fault.
+//! Fault schedules: which fault happens when. A schedule is drawn from a seed and printed as JSON. It can be replayed
+//! from the JSON, in whole or without some of its faults, to reduce a failing run. This module does not inject
+//! faults.
 
 use super::tcp_relay::LinkState;
 use rand::{RngExt, SeedableRng};
@@ -7,56 +8,58 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A fault, without its times. Numbers are those of processes.
+/// A kind of fault, without its times. Processes are identified by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// A process is killed, and started again on its disk at the end.
+    /// Kills a process, and restarts it on its disk when the fault ends.
     Kill(usize),
-    /// A process gets SIGTERM, and is started again at the end.
+    /// Stops a process with SIGTERM, and restarts it when the fault ends.
     Stop(usize),
-    /// A process is suspended (SIGSTOP) until the end.
+    /// Suspends a process (SIGSTOP) until the fault ends.
     Pause(usize),
-    /// The link from one process to another is in this state until the end.
+    /// Puts the link from the first process to the second into this state until the fault ends.
     #[serde(rename = "wire")]
     Link(usize, usize, LinkState),
-    /// All links from and to a process are partitioned until the end.
+    /// Partitions all links from and to a process until the fault ends.
     #[serde(rename = "alone")]
     Isolated(usize),
-    /// The links between a process and its peers are partitioned until the end; clients still reach it.
+    /// Partitions the links between a process and its peers until the fault ends. Clients can still reach the
+    /// process.
     #[serde(rename = "apart")]
     IsolatedFromPeers(usize),
-    /// Requests and replies to a process are held until the end; what it sends arrives.
+    /// Holds requests and replies to a process until the fault ends. What the process sends still arrives.
     #[serde(rename = "deaf")]
     InboundHeld(usize),
-    /// All connections from one process to another are reset.
+    /// Resets all connections from the first process to the second.
     Reset(usize, usize),
-    /// A process is killed and its disk damaged; it must refuse to start on it, and is replaced by a new one at the end.
+    /// Kills a process and damages its disk. The process must refuse to start on the damaged disk, and is replaced by
+    /// a new one when the fault ends.
     Disk(usize, DiskDamage),
 }
 
-/// Damage done to a disk.
+/// Damage to the disk of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiskDamage {
     /// The file is deleted.
     #[serde(rename = "gone")]
     Deleted,
-    /// The second half of the file is cut off.
+    /// The file is truncated to its first half.
     #[serde(rename = "torn")]
     Truncated,
-    /// One bit is inverted: the one of this number, modulo the length of the file.
+    /// One bit is inverted. The value is the index of the bit, modulo the length of the file in bits.
     #[serde(rename = "flipped")]
     BitFlipped(u64),
 }
 
 impl FaultKind {
-    /// Whether this process does not run while the fault lasts.
-    pub fn stops(&self, process: usize) -> bool {
+    /// Whether this fault keeps `process` from running.
+    pub fn stops_process(&self, process: usize) -> bool {
         matches!(*self, Self::Kill(stopped) | Self::Stop(stopped) | Self::Disk(stopped, _) if stopped == process)
     }
 
-    /// The name under which reports count it.
+    /// The name under which reports count the fault.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Kill(_) => "kill",
@@ -77,71 +80,71 @@
     }
 }
 
-/// A fault with its times.
+/// A fault and when it takes place.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// Its number in the schedule.
+    /// Number of the fault in its schedule.
     pub number: usize,
-    /// When it begins, in seconds from the start of the schedule.
+    /// Start of the fault, in seconds from the start of the schedule.
     #[serde(rename = "at")]
     pub begins_at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration of the fault, in seconds.
     #[serde(rename = "lasts")]
     pub duration_s: f64,
-    /// What it is.
+    /// Kind of the fault.
     #[serde(rename = "what")]
     pub kind: FaultKind,
 }
 
-/// Faults in the order in which they begin.
+/// Faults, ordered by their start.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Schedule(pub Vec<Fault>);
 
 /// Parameters of a random schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct ScheduleParameters {
-    /// Processes that faults happen to.
+    /// Number of processes that faults are injected into.
     pub processes: usize,
-    /// All faults are over after so many seconds.
-    pub seconds: f64,
-    /// Mean interval between the beginnings of two faults, in seconds.
+    /// Length of the schedule, in seconds. All faults have ended by then.
+    pub duration_s: f64,
+    /// Mean interval between the starts of two consecutive faults, in seconds.
     pub mean_interval_s: f64,
-    /// Longest fault, in seconds.
-    pub longest_s: f64,
+    /// Upper limit of a fault's duration, in seconds.
+    pub max_fault_duration_s: f64,
 }
 
 impl Schedule {
-    /// Draws one. About half of the faults are kills.
+    /// Draws a schedule from `seed`. About half of its faults are kills.
     pub fn draw(parameters: ScheduleParameters, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xfa17);
         let (mut at, mut faults) = (0.0, Vec::new());
         loop {
-            // Whole milliseconds, so that printing and reading change nothing.
+            // Times are rounded to whole milliseconds so that they survive printing and parsing unchanged.
             let ms = |seconds: f64| (seconds * 1e3).round() / 1e3;
             at = ms(at + parameters.mean_interval_s * rng.random_range(0.3..1.7));
-            let duration_s = ms(rng.random_range(0.1..parameters.longest_s));
-            if at + duration_s > parameters.seconds {
+            let duration_s = ms(rng.random_range(0.1..parameters.max_fault_duration_s));
+            if at + duration_s > parameters.duration_s {
                 return Self(faults);
             }
-            let one = rng.random_range(0..parameters.processes);
-            let other = (one + rng.random_range(1..parameters.processes.max(2))) % parameters.processes;
+            let process = rng.random_range(0..parameters.processes);
+            let peer = (process + rng.random_range(1..parameters.processes.max(2))) % parameters.processes;
             let kind = match rng.random_range(0..21) {
-                0..10 => FaultKind::Kill(one),
-                10 => FaultKind::Stop(one),
-                11 | 12 => FaultKind::Pause(one),
-                13 => FaultKind::Isolated(one),
-                14 => FaultKind::InboundHeld(one),
-                15 => FaultKind::IsolatedFromPeers(one),
+                0..10 => FaultKind::Kill(process),
+                10 => FaultKind::Stop(process),
+                11 | 12 => FaultKind::Pause(process),
+                13 => FaultKind::Isolated(process),
+                14 => FaultKind::InboundHeld(process),
+                15 => FaultKind::IsolatedFromPeers(process),
                 16 => match rng.random_range(0..3) {
-                    0 => FaultKind::Link(one, other, LinkState::Partitioned),
-                    1 => FaultKind::Link(one, other, LinkState::RequestsHeld),
-                    _ => FaultKind::Link(one, other, LinkState::RepliesHeld),
+                    0 => FaultKind::Link(process, peer, LinkState::Partitioned),
+                    1 => FaultKind::Link(process, peer, LinkState::RequestsHeld),
+                    _ => FaultKind::Link(process, peer, LinkState::RepliesHeld),
                 },
-                17 => FaultKind::Link(one, other, LinkState::Delayed(rng.random_range(20..800))),
-                18 => FaultKind::Link(one, other, LinkState::Throttled(rng.random_range(200..5_000))),
-                19 => FaultKind::Reset(one, other),
+                17 => FaultKind::Link(process, peer, LinkState::Delayed(rng.random_range(20..800))),
+                18 => FaultKind::Link(process, peer, LinkState::Throttled(rng.random_range(200..5_000))),
+                19 => FaultKind::Reset(process, peer),
                 _ => FaultKind::Disk(
-                    one,
+                    process,
                     match rng.random_range(0..3) {
                         0 => DiskDamage::Deleted,
                         1 => DiskDamage::Truncated,
@@ -153,13 +156,13 @@
         }
     }
 
-    /// Without the faults of these numbers; the others keep theirs.
-    pub fn without(mut self, left_out: &[usize]) -> Self {
-        self.0.retain(|fault| !left_out.contains(&fault.number));
+    /// Removes the faults with these numbers. The others keep their numbers.
+    pub fn without(mut self, excluded: &[usize]) -> Self {
+        self.0.retain(|fault| !excluded.contains(&fault.number));
         self
     }
 
-    /// Number of faults by [`FaultKind::name`].
+    /// Counts the faults by [`FaultKind::name`].
     pub fn counts_by_name(&self) -> BTreeMap<&'static str, usize> {
         let mut counts_by_name = BTreeMap::new();
         for fault in &self.0 {
--- a/crates/pebblepost-harness/src/fault/tcp_relay.rs
+++ b/crates/pebblepost-harness/src/fault/tcp_relay.rs
@@ -1,5 +1,6 @@
-//! A TCP relay between one client process and one server process. It forwards bytes both ways and can hold, delay, throttle
-//! or reset them. Held bytes are not lost: they are forwarded once the fault is over, as TCP would retransmit them.
+//! A TCP relay between a client process and a server process. It forwards bytes in both directions and can hold,
+//! delay or throttle them, or reset the connections. Held bytes are not lost: they are forwarded once the fault is
+//! over, as TCP would retransmit them.
 
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
@@ -16,23 +17,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LinkState {
-    /// Forwards them.
+    /// Forwards bytes without delay.
     #[default]
     #[serde(rename = "passes")]
     Forwarding,
-    /// Holds those towards the target; replies pass.
+    /// Holds bytes towards the target; replies are forwarded.
     #[serde(rename = "holds_there")]
     RequestsHeld,
-    /// Holds those from the target; requests pass.
+    /// Holds bytes from the target; requests are forwarded.
     #[serde(rename = "holds_back")]
     RepliesHeld,
-    /// Holds both directions.
+    /// Holds bytes in both directions.
     #[serde(rename = "cut")]
     Partitioned,
-    /// Forwards them so many milliseconds later, in each direction.
+    /// Delays each chunk of bytes by this many milliseconds, in each direction.
     #[serde(rename = "late")]
     Delayed(u64),
-    /// Forwards so many bytes a second in each direction.
+    /// Limits each direction to this many bytes per second.
     #[serde(rename = "trickles")]
     Throttled(u64),
 }
@@ -51,14 +52,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct RelayState {
     link: LinkState,
-    /// ConnectionCounts how often all connections were to be reset.
+    /// Number of times that all connections were reset. A change makes the open connections reset themselves.
     resets: u64,
 }
 
-/// A relay; its connections end with it.
+/// A relay. Dropping it closes its listener and its connections.
 #[derive(Debug)]
 pub struct Relay {
-    /// Where it listens.
+    /// Address that the relay listens on.
     pub address: SocketAddr,
     state: watch::Sender<RelayState>,
     bytes_forwarded: Arc<AtomicU64>,
@@ -70,22 +71,27 @@
     ///
     /// # Errors
     ///
-    /// If no listener can be bound there.
+    /// Returns an error if no listener can be bound to `at`.
     pub async fn open(at: IpAddr, target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind((at, 0)).await?;
         let (address, state, bytes_forwarded) =
             (listener.local_addr()?, watch::Sender::default(), Arc::default());
-        let task = tokio::spawn(run(listener, target, state.subscribe(), Arc::clone(&bytes_forwarded)));
+        let task = tokio::spawn(accept_connections(
+            listener,
+            target,
+            state.subscribe(),
+            Arc::clone(&bytes_forwarded),
+        ));
         Ok(Self { address, state, bytes_forwarded, task })
     }
 
-    /// Sets the state of the link, for open connections as well.
-    pub fn set(&self, link: LinkState) {
+    /// Sets the state of the link. It also applies to open connections.
+    pub fn set_link_state(&self, link: LinkState) {
         self.state.send_modify(|state| state.link = link);
     }
 
-    /// Resets all connections, also in the middle of a frame.
-    pub fn reset(&self) {
+    /// Resets all connections, even in the middle of a frame.
+    pub fn reset_connections(&self) {
         self.state.send_modify(|state| state.resets += 1);
     }
 
@@ -101,7 +107,7 @@
     }
 }
 
-async fn run(
+async fn accept_connections(
     listener: TcpListener, target: SocketAddr, state: watch::Receiver<RelayState>,
     bytes_forwarded: Arc<AtomicU64>,
 ) {
@@ -118,7 +124,7 @@
     }
 }
 
-/// Has the connection reset rather than closed, as by a machine that restarts.
+/// Makes the connection end with a reset instead of an orderly close, as after a restart of the machine.
 fn reset_connection(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
@@ -128,15 +134,15 @@
     bytes_forwarded: Arc<AtomicU64>,
 ) {
     let initial_resets = state.borrow().resets;
-    // While partitioned the server does not see a connection that is accepted here.
-    let through = async {
+    // While the link is partitioned, the server must not see a connection that the relay has accepted.
+    let connect = async {
         let mut state = state.clone();
         let _ = state.wait_for(|state| !state.link.holds_bytes(true)).await;
         TcpStream::connect(target).await
     };
     let server = tokio::select! {
-        server = through => server,
-        _ = until_reset(state.clone(), initial_resets) => return reset_connection(&client),
+        server = connect => server,
+        _ = wait_for_reset(state.clone(), initial_resets) => return reset_connection(&client),
     };
     let Ok(mut server) = server else { return reset_connection(&client) };
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
@@ -149,7 +155,7 @@
                     copy_bytes(server_in, client_out, state.clone(), false, &bytes_forwarded)
                 )
             } => false,
-            _ = until_reset(state.clone(), initial_resets) => true,
+            _ = wait_for_reset(state.clone(), initial_resets) => true,
         }
     };
     if reset {
@@ -158,12 +164,13 @@
     }
 }
 
-async fn until_reset(mut state: watch::Receiver<RelayState>, initial_resets: u64) {
-    // An error: the relay itself has gone, and its connections with it.
+async fn wait_for_reset(mut state: watch::Receiver<RelayState>, initial_resets: u64) {
+    // An error means that the relay was dropped, and its connections with it.
     let _ = state.wait_for(|state| state.resets != initial_resets).await;
 }
 
-/// Forwards bytes in one direction until the end of the stream, and then the end itself unless the link holds it back.
+/// Forwards bytes in one direction until the end of the stream. The end itself is forwarded once the link no longer
+/// holds bytes.
 async fn copy_bytes(
     mut from: ReadHalf<'_>, mut to: WriteHalf<'_>, mut state: watch::Receiver<RelayState>,
     towards_target: bool, bytes_forwarded: &AtomicU64,
@@ -171,7 +178,7 @@
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let read_bytes = from.read(&mut buffer).await.unwrap_or(0);
-        // A state set while this waited for bytes applies to these bytes already.
+        // Reads the state after the bytes arrived: a state that was set during the wait already applies to them.
         let link = state.borrow_and_update().link;
         let chunk = match link {
             LinkState::Throttled(rate) => (rate / 20).clamp(1, 4_096) as usize,
@@ -186,7 +193,7 @@
             if state.wait_for(|state| !state.link.holds_bytes(towards_target)).await.is_err() {
                 return;
             }
-            // Counted before the write: whoever has read a byte must find it counted.
+            // Counted before the write, so that a peer that has read a byte always finds it in the count.
             bytes_forwarded.fetch_add(chunk.len() as u64, Ordering::Relaxed);
             if to.write_all(chunk).await.is_err() {
                 bytes_forwarded.fetch_sub(chunk.len() as u64, Ordering::Relaxed);
--- a/crates/pebblepost-harness/src/main.rs
+++ b/crates/pebblepost-harness/src/main.rs
@@ -51,7 +51,7 @@
         println!("{}", serde_json::to_string(&report)?);
         return Ok(());
     }
-    let (summary, found) = runtime()?.block_on(store::run::run(&plan, &schedule, &program))?;
+    let (summary, found) = runtime()?.block_on(store::run::run_trial(&plan, &schedule, &program))?;
     found.iter().for_each(|line| println!("found: {line}"));
     println!("{}", if args.json { serde_json::to_string(&summary)? } else { format!("{summary:#?}") });
     Ok(())
@@ -71,7 +71,7 @@
         mode: args.mode,
     };
     let program = args.program.map_or_else(dispatcher::build_program, Ok)?;
-    let (summary, found) = runtime()?.block_on(release::run::run(&plan, &program))?;
+    let (summary, found) = runtime()?.block_on(release::run::run_trial(&plan, &program))?;
     found.iter().for_each(|line| println!("found: {line}"));
     println!("{}", if args.json { serde_json::to_string(&summary)? } else { format!("{summary:#?}") });
     Ok(())
--- a/crates/pebblepost-harness/src/release/mod.rs
+++ b/crates/pebblepost-harness/src/release/mod.rs
@@ -1,10 +1,12 @@
-//! Releases under faults: real dispatchers that are restarted one version after another, by drivers that are doubled and
-//! killed, while replicas and dispatchers fail. What is judged is only what was seen from outside.
+//! Release trials under faults. Real dispatchers are restarted with one version after another while replicas and
+//! dispatchers fail. Each release is driven by two drivers that are killed at random. The checks use only what is
+//! observed from outside.
 //!
-//! * [`plan`], [`summary`]: what a trial is asked to consist of, and what came of it
+//! * [`plan`], [`summary`]: the parameters and the figures of a trial
 //! * [`run`]: a trial as a whole
-//! * [`operators`]: what operators ask of the store; [`maintenance`]: workers that are switched off by permits
-//! * [`outages`]: judges the outages that the supervisor saw; [`grant_audit`]: judges the grants against their budgets
+//! * [`operators`]: requests of operators to the store; [`maintenance`]: workers that are switched off under permits
+//! * [`outages`]: checks the outages that the supervisor observed; [`grant_audit`]: checks grants against their
+//!   budgets
 
 mod dispatcher_faults;
 pub mod grant_audit;
--- a/crates/pebblepost-harness/src/release/outages.rs
+++ b/crates/pebblepost-harness/src/release/outages.rs
@@ -1,12 +1,12 @@
-//! Judges outages by what was seen from outside: who was ready when, and who ended by itself.
+//! Checks of outages as observed from outside: when each dispatcher was ready, and which ones exited by themselves.
 
 use crate::supervisor::{Outage, OutageCause};
 
-/// The most that were out at once, and for how long, in seconds, that was more than the budget.
-pub fn most_at_once(outages: &[&Outage], budget: usize) -> (usize, f64) {
+/// Returns the maximum number of concurrent outages, and for how many seconds their number exceeded `budget`.
+pub fn max_concurrent_outages(outages: &[&Outage], budget: usize) -> (usize, f64) {
     let mut edges: Vec<(f64, i32)> =
         outages.iter().flat_map(|outage| [(outage.from, 1), (outage.to, -1)]).collect();
-    // One that is back at the moment at which the next one goes was not out beside it.
+    // At equal times ends come before starts: such outages do not overlap.
     edges.sort_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)));
     let (mut out, mut most, mut over, mut since) = (0_i32, 0, 0.0, 0.0);
     for (at, step) in edges {
@@ -19,22 +19,23 @@
     (usize::try_from(most).unwrap_or(0), over)
 }
 
-/// Those that began by themselves, as a program does that has a permit.
-pub fn by_permit(outages: &[Outage]) -> Vec<&Outage> {
+/// Selects the outages that began with an exit without an error, as a dispatcher exits when it has a permit.
+pub fn voluntary_outages(outages: &[Outage]) -> Vec<&Outage> {
     outages.iter().filter(|outage| outage.cause == OutageCause::Voluntary).collect()
 }
 
 /// A halt of releases by an operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Halt {
-    /// When it was acknowledged, in seconds of the log.
+    /// When the store acknowledged the halt, in seconds of the event log.
     pub acknowledged_at: f64,
-    /// When its end was requested, in seconds of the log.
+    /// When the end of the halt was requested, in seconds of the event log.
     pub resumed_at: f64,
 }
 
-/// Time from the acknowledgement of each halt to the last outage that began during it, in seconds; 0: none did.
-pub fn late_after(outages: &[&Outage], halts: &[Halt]) -> Vec<f64> {
+/// Time from the acknowledgement of each halt to the start of the last outage that began during it, in seconds; 0 if
+/// none began.
+pub fn last_outage_delays_s(outages: &[&Outage], halts: &[Halt]) -> Vec<f64> {
     let late = |halt: &Halt| {
         let begun = outages
             .iter()
--- a/crates/pebblepost-harness/src/release/plan.rs
+++ b/crates/pebblepost-harness/src/release/plan.rs
@@ -1,42 +1,43 @@
-//! What a release trial is asked to consist of.
+//! Parameters of a release trial.
 
 use crate::fault::schedule::{Schedule, ScheduleParameters};
 use crate::workload::spec::RunSpec;
 use serde::Serialize;
 
-/// The version that all dispatchers begin with.
+/// Version that all dispatchers start with.
 pub(super) const INITIAL_VERSION: &str = "v0";
 
 /// How dispatchers are brought to a new version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// By permits, under a budget.
+    /// Under permits and a disruption budget.
     Permits,
     /// All at once, by SIGTERM.
     AtOnce,
-    /// Not at all: the same faults and no release.
+    /// Not at all: the same faults without releases.
     None,
 }
 
-/// A release trial.
+/// Parameters of a release trial.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Dispatchers.
+    /// Number of dispatchers.
     pub dispatchers: usize,
-    /// Simulated workers.
+    /// Number of simulated workers.
     pub workers: usize,
-    /// Replicas of the agreed store.
+    /// Number of replicas of the replicated store.
     pub replicas: usize,
-    /// Most dispatchers out at once.
+    /// Maximum number of dispatchers that may be out at once.
     pub budget: DisruptionBudget,
-    /// Most workers out at once; one maintenance crew more switches them off and on.
+    /// Maximum number of workers that may be out at once. The number of maintenance crews is one higher, so that
+    /// crews compete for permits.
     pub worker_budget: u32,
-    /// Seconds for which a driver observes a wave that is back.
+    /// Seconds for which a driver observes a wave after its dispatchers are ready again.
     pub watch_s: f64,
-    /// Seconds of faults and releases.
+    /// Duration of the faults and releases, in seconds.
     pub seconds: f64,
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Whether faults are injected.
     pub faults: bool,
@@ -44,31 +45,31 @@
     pub mode: Mode,
 }
 
-/// Most dispatchers that may be out at once.
+/// Disruption budget: the maximum number of dispatchers that may be out at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DisruptionBudget {
-    /// In all.
+    /// Limit for the whole fleet.
     pub total: u32,
-    /// In each zone.
+    /// Limit for each zone.
     pub per_zone: u32,
 }
 
 impl Plan {
-    /// The faults of the store's replicas; none if the plan asks for none.
+    /// Draws the faults of the store's replicas. The schedule is empty if the plan has no faults.
     pub fn schedule(&self) -> Schedule {
         if !self.faults {
             return Schedule::default();
         }
         let parameters = ScheduleParameters {
             processes: self.replicas,
-            seconds: self.seconds,
+            duration_s: self.seconds,
             mean_interval_s: 1.5,
-            longest_s: 2.5,
+            max_fault_duration_s: 2.5,
         };
         Schedule::draw(parameters, self.seed)
     }
 
-    /// The dispatchers, workers and clients of the trial.
+    /// Specifies the dispatchers, workers and clients of the trial.
     pub fn run_spec(&self) -> RunSpec {
         RunSpec {
             dispatchers: self.dispatchers,
--- a/crates/pebblepost-harness/src/release/rollout.rs
+++ b/crates/pebblepost-harness/src/release/rollout.rs
@@ -1,4 +1,5 @@
-//! Releases of a trial: begun by two operators, driven by two drivers that are killed, halted, and rolled back if defective.
+//! Releases of a trial. Each is started by two operators and driven by two drivers that are killed at random.
+//! Releases are halted, and defective versions are rolled back.
 
 use super::operators::{COMPLETION_TIMEOUT, apply};
 use super::outages::Halt;
@@ -17,29 +18,31 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Answers that a driver needs to judge a version: what a dispatcher gives while it is observed.
-const SAMPLE_SIZE: &str = "20";
-/// A version that serves so much less of its requests is halted; one that refuses a fifth must be far beyond it.
-const MAX_SERVED_DROP: &str = "0.1";
-/// The second wave; the first is one dispatcher, the last is all.
-const SECOND_WAVE: &str = "50%";
-/// Requests by their kind, as the first part of their ids: halts by an operator.
-const HALT_REQUESTS: u64 = 31;
-/// Ends of halts.
-const RESUME_REQUESTS: u64 = 32;
-/// Ends of halts by a driver; the number of the release is added.
-const DRIVER_HALT_REQUESTS: u64 = 33;
-/// A release without permits counts as completed after this.
-const WITHOUT_PERMITS: Duration = Duration::from_secs(20);
+/// Responses that a driver needs before it judges a version: as many as a dispatcher gives while it is observed.
+const MIN_SAMPLE_ANSWERS: &str = "20";
+/// Drop in the served share beyond which a version is halted. A version that refuses a fifth of its requests must far
+/// exceed it.
+const MAX_SERVED_SHARE_DROP: &str = "0.1";
+/// Share of dispatchers in the second wave. The first wave is one dispatcher, the last is all.
+const SECOND_WAVE_SHARE: &str = "50%";
+/// First part of the ids of requests that halt releases on behalf of an operator. Each kind of request has its own
+/// value.
+const HALT_REQUEST_ID_PREFIX: u64 = 31;
+/// First part of the ids of requests that end such a halt.
+const RESUME_REQUEST_ID_PREFIX: u64 = 32;
+/// First part of the ids of requests that end a driver's halt. The number of the wait is added.
+const DRIVER_RESUME_REQUEST_ID_PREFIX: u64 = 33;
+/// Time after which a release without permits counts as completed.
+const UNPERMITTED_RELEASE_DURATION: Duration = Duration::from_secs(20);
 
 /// How a release ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ReleaseEnd {
+enum ReleaseOutcome {
     Completed,
     RolledBack,
 }
 
-/// Releases of a trial.
+/// Numbers of releases in a trial.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReleaseCounts {
     pub(super) begun: usize,
@@ -47,7 +50,7 @@
     pub(super) rolled_back: usize,
 }
 
-/// Suspends a process for so long.
+/// Suspends a process for `duration`.
 async fn suspend(process: &tokio::process::Child, duration: Duration) {
     let Some(process_id) = process.id() else { return };
     signal::send(process_id, Signal::SIGSTOP);
@@ -55,8 +58,9 @@
     signal::send(process_id, Signal::SIGCONT);
 }
 
-/// Runs a driver of the present release that is killed and started again, for as long as it is polled.
-async fn drive(trial: &Trial, mut rng: Pcg64Mcg) -> Result<()> {
+/// Runs a driver of the current release, which is killed and restarted at random, for as long as the future is
+/// polled.
+async fn run_unreliable_driver(trial: &Trial, mut rng: Pcg64Mcg) -> Result<()> {
     let watch = trial.plan.watch_s.to_string();
     loop {
         let arguments = [
@@ -69,15 +73,15 @@
             "--crashes",
             "2",
             "--drop",
-            MAX_SERVED_DROP,
+            MAX_SERVED_SHARE_DROP,
             "--sample",
-            SAMPLE_SIZE,
+            MIN_SAMPLE_ANSWERS,
         ];
         let mut driver = trial.operators.spawn(&arguments)?;
         let lifetime = Duration::from_millis(rng.random_range(2_000..30_000));
         if timeout(lifetime, driver.wait()).await.is_err() {
             if rng.random_range(0..3) == 0 {
-                // It resumes after others have gone on, and sends requests that are out of date.
+                // A driver that resumes after others have made progress sends outdated requests.
                 suspend(&driver, Duration::from_millis(rng.random_range(2_000..8_000))).await;
                 let _ = timeout(Duration::from_secs(1), driver.wait()).await;
             }
@@ -88,90 +92,107 @@
     }
 }
 
-/// Waits until all dispatchers have a version and no permit is left. A halt by a driver ends the wait if `until_halted`, else
-/// it is resumed.
+/// Waits until all dispatchers run `version`, no permit is left and the release has ended. A halt by a driver ends
+/// the wait if `until_halted` is set, and is resumed otherwise.
 async fn wait_for_completion(trial: &Trial, number: u64, version: &str, until_halted: bool) -> Result<()> {
     let mut client = trial.operators.client();
-    let all = trial.plan.dispatchers;
-    let end = Instant::now() + COMPLETION_TIMEOUT + Duration::from_secs(6 * all as u64);
+    let dispatchers = trial.plan.dispatchers;
+    let deadline = Instant::now() + COMPLETION_TIMEOUT + Duration::from_secs(6 * dispatchers as u64);
     for round in 0.. {
-        let now = Progress::read(&mut client, version, DISPATCHER_PERMITS).await;
-        match &now {
-            Ok(now) if now.halted && until_halted => return Ok(()),
-            Ok(now) if now.halted => {
-                apply(&mut client, (DRIVER_HALT_REQUESTS + number, round), &json!({"resume": "dispatcher"}))
-                    .await?;
+        let progress = Progress::read(&mut client, version, DISPATCHER_PERMITS).await;
+        match &progress {
+            Ok(progress) if progress.halted && until_halted => return Ok(()),
+            Ok(progress) if progress.halted => {
+                apply(
+                    &mut client,
+                    (DRIVER_RESUME_REQUEST_ID_PREFIX + number, round),
+                    &json!({"resume": "dispatcher"}),
+                )
+                .await?;
+            }
+            Ok(progress)
+                if (progress.ready_members, progress.permits, progress.in_progress)
+                    == (dispatchers, 0, false) =>
+            {
+                return Ok(());
             }
-            Ok(now) if (now.ready_members, now.permits, now.in_progress) == (all, 0, false) => return Ok(()),
             _ => {}
         }
-        if Instant::now() >= end {
-            bail!("release {version} has not ended: {now:?}");
+        if Instant::now() >= deadline {
+            bail!("release of {version} did not complete in time: {progress:?}");
         }
         sleep(Duration::from_millis(200)).await;
     }
     Ok(())
 }
 
-/// One release: begun by two operators at once, driven by two drivers, halted by an operator in the middle. A defective one
-/// is halted by its drivers and rolled back.
-async fn release(trial: &Trial, number: u64, version: &str, before: &str) -> Result<ReleaseEnd> {
+/// Runs one release, which two operators start at once and two drivers drive. A sound version is halted by an
+/// operator during the release and resumed. A defective version is halted by its drivers and rolled back.
+async fn run_release(
+    trial: &Trial, number: u64, version: &str, previous_version: &str,
+) -> Result<ReleaseOutcome> {
     let mut rng = Pcg64Mcg::seed_from_u64(trial.plan.seed.wrapping_mul(7_919) ^ number);
-    let mut fork = || rng.random::<u64>();
-    let waves = format!("1,{SECOND_WAVE},100%");
+    let mut next_seed = || rng.random::<u64>();
+    let waves = format!("1,{SECOND_WAVE_SHARE},100%");
     let arguments = ["release", "start", version, "--waves", &waves];
-    tokio::try_join!(trial.operators.run(&arguments, fork()), trial.operators.run(&arguments, fork()))?;
-    let seeded = Pcg64Mcg::seed_from_u64;
-    let (one, other, mut rng) = (seeded(fork()), seeded(fork()), seeded(fork()));
-    let steps = async {
+    tokio::try_join!(
+        trial.operators.run(&arguments, next_seed()),
+        trial.operators.run(&arguments, next_seed())
+    )?;
+    let rng_from_seed = Pcg64Mcg::seed_from_u64;
+    let (first_rng, second_rng, mut rng) =
+        (rng_from_seed(next_seed()), rng_from_seed(next_seed()), rng_from_seed(next_seed()));
+    let release_steps = async {
         let mut client = trial.operators.client();
         if VersionDefect::of(version).is_some() {
             wait_for_completion(trial, number * 10, version, true).await?;
-            trial.operators.run(&["release", "back", before], rng.random()).await?;
-            apply(&mut client, (RESUME_REQUESTS, number), &json!({"resume": "dispatcher"})).await?;
-            wait_for_completion(trial, number * 10 + 1, before, false).await?;
-            return Ok(ReleaseEnd::RolledBack);
+            trial.operators.run(&["release", "back", previous_version], rng.random()).await?;
+            apply(&mut client, (RESUME_REQUEST_ID_PREFIX, number), &json!({"resume": "dispatcher"})).await?;
+            wait_for_completion(trial, number * 10 + 1, previous_version, false).await?;
+            return Ok(ReleaseOutcome::RolledBack);
         }
         sleep(Duration::from_millis(rng.random_range(200..6_000))).await;
-        apply(&mut client, (HALT_REQUESTS, number), &json!({"halt": "dispatcher"})).await?;
+        apply(&mut client, (HALT_REQUEST_ID_PREFIX, number), &json!({"halt": "dispatcher"})).await?;
         let acknowledged_at = trial.supervisor.now();
         sleep(Duration::from_millis(rng.random_range(1_000..3_000))).await;
         lock(&trial.halts).push(Halt { acknowledged_at, resumed_at: trial.supervisor.now() });
-        apply(&mut client, (RESUME_REQUESTS, number), &json!({"resume": "dispatcher"})).await?;
+        apply(&mut client, (RESUME_REQUEST_ID_PREFIX, number), &json!({"resume": "dispatcher"})).await?;
         wait_for_completion(trial, number * 10, version, false).await?;
-        Ok(ReleaseEnd::Completed)
+        Ok(ReleaseOutcome::Completed)
     };
     tokio::select! {
-        end = steps => end,
-        driven = drive(trial, one) => bail!("a driver does not start: {driven:?}"),
-        driven = drive(trial, other) => bail!("a driver does not start: {driven:?}"),
+        outcome = release_steps => outcome,
+        driven = run_unreliable_driver(trial, first_rng) => bail!("driver failed: {driven:?}"),
+        driven = run_unreliable_driver(trial, second_rng) => bail!("driver failed: {driven:?}"),
     }
 }
 
-/// Releases one after another until the trial stops; each third is defective.
+/// Makes one release after another until the trial stops. Under permits every third version is defective.
 pub(super) async fn run_releases(trial: Arc<Trial>) -> (ReleaseCounts, Result<()>) {
     let mut counts = ReleaseCounts::default();
-    let mut before = INITIAL_VERSION.to_owned();
+    let mut previous_version = INITIAL_VERSION.to_owned();
     while !trial.stopping.load(Ordering::Relaxed) {
         counts.begun += 1;
         let defective = counts.begun % 3 == 0 && trial.plan.mode == Mode::Permits;
         let defect = VersionDefect::ALL[counts.begun / 3 % VersionDefect::ALL.len()];
         let version = format!("{}{}", if defective { defect.name() } else { "v" }, counts.begun);
-        let ended = match trial.plan.mode {
-            Mode::Permits => release(&trial, counts.begun as u64, &version, &before).await,
+        let outcome = match trial.plan.mode {
+            Mode::Permits => run_release(&trial, counts.begun as u64, &version, &previous_version).await,
             Mode::AtOnce => {
                 (0..trial.plan.dispatchers).for_each(|n| trial.supervisor.inject(n, ProcessFault::Stop));
-                sleep(WITHOUT_PERMITS).await;
-                Ok(ReleaseEnd::Completed)
+                sleep(UNPERMITTED_RELEASE_DURATION).await;
+                Ok(ReleaseOutcome::Completed)
             }
             Mode::None => {
-                sleep(WITHOUT_PERMITS).await;
-                Ok(ReleaseEnd::Completed)
+                sleep(UNPERMITTED_RELEASE_DURATION).await;
+                Ok(ReleaseOutcome::Completed)
             }
         };
-        match ended {
-            Ok(ReleaseEnd::Completed) => (counts.completed, before) = (counts.completed + 1, version),
-            Ok(ReleaseEnd::RolledBack) => counts.rolled_back += 1,
+        match outcome {
+            Ok(ReleaseOutcome::Completed) => {
+                (counts.completed, previous_version) = (counts.completed + 1, version)
+            }
+            Ok(ReleaseOutcome::RolledBack) => counts.rolled_back += 1,
             Err(error) => return (counts, Err(error)),
         }
     }
--- a/crates/pebblepost-harness/src/release/run.rs
+++ b/crates/pebblepost-harness/src/release/run.rs
@@ -1,4 +1,5 @@
-//! A release trial as a whole: replicas of the store, dispatchers with clients and workers, releases, maintenance and faults.
+//! A release trial as a whole: replicas of the store, dispatchers with their clients and workers, releases,
+//! maintenance and faults.
 
 use super::dispatcher_faults::inject_faults;
 use super::grant_audit::{self, GrantAudit};
@@ -7,7 +8,7 @@
 use super::plan::{INITIAL_VERSION, Plan};
 use super::progress::{DISPATCHER_PERMITS, Progress};
 use super::rollout::run_releases;
-use super::summary::{Summary, judge};
+use super::summary::{Summary, summarize};
 use super::trial::Trial;
 use crate::fault::schedule::Schedule;
 use crate::run::{Played, Run};
@@ -26,13 +27,13 @@
 use tokio::time::{Instant, sleep_until};
 
 /// First part of the ids of the requests that set budgets.
-const BUDGET_REQUESTS: u64 = 30;
-/// All dispatchers must have joined within this.
+const BUDGET_REQUEST_ID_PREFIX: u64 = 30;
+/// Time limit for all dispatchers to join the store.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(60);
-/// Releases stop being begun so long before the end, in seconds.
-const LAST_RELEASE_S: f64 = 20.0;
+/// No release is started in this many seconds before the end of the trial.
+const RELEASE_STOP_BEFORE_END_S: f64 = 20.0;
 
-/// Maintenance crews, each with workers of its own, until the trial stops.
+/// Runs the maintenance crews until the trial stops. No two crews share a worker.
 async fn maintain_workers(trial: Arc<Trial>) -> Result<()> {
     let drawn = crate::workload::plan::Plan::draw(&trial.plan.run_spec(), trial.plan.seed)?;
     let count = trial.plan.worker_budget as usize + 1;
@@ -45,14 +46,17 @@
             if hosts.is_empty() {
                 return Ok(());
             }
-            trial.maintenance.work(&trial.operators, &trial.supervisor, &hosts, seed, &trial.stopping).await
+            trial
+                .maintenance
+                .run_crew(&trial.operators, &trial.supervisor, &hosts, seed, &trial.stopping)
+                .await
         }
     });
     futures_util::future::try_join_all(crews).await.map(drop)
 }
 
-/// Dispatchers, workers and clients.
-async fn play_clients(
+/// Runs dispatchers, workers and clients.
+async fn run_clients(
     plan: Plan, program: PathBuf, operator: Value, supervisor: Arc<Supervisor>,
 ) -> Result<Played> {
     let run_spec = plan.run_spec();
@@ -60,13 +64,13 @@
     Run { run_spec, seed: plan.seed, program: &program, operator, supervisor }.play().await
 }
 
-/// Sets the budgets that releases and maintenance have to keep.
+/// Sets the budgets that apply to releases and maintenance.
 async fn set_budgets(client: &mut StoreClient, plan: &Plan) -> Result<()> {
     let dispatchers =
         json!({"most": {"count": plan.budget.total}, "most_in_zone": {"count": plan.budget.per_zone}});
-    apply(client, (BUDGET_REQUESTS, 0), &json!({"budget": ["dispatcher", dispatchers]})).await?;
+    apply(client, (BUDGET_REQUEST_ID_PREFIX, 0), &json!({"budget": ["dispatcher", dispatchers]})).await?;
     let workers = json!({"most": {"count": plan.worker_budget}});
-    apply(client, (BUDGET_REQUESTS, 1), &json!({"budget": ["worker", workers]})).await
+    apply(client, (BUDGET_REQUEST_ID_PREFIX, 1), &json!({"budget": ["worker", workers]})).await
 }
 
 async fn wait_until_joined(client: &mut StoreClient, dispatchers: usize) -> Result<()> {
@@ -80,13 +84,14 @@
     .await
 }
 
-/// Lets faults happen until it is time to stop. Counts those of dispatchers in `counts`.
+/// Injects faults until releases and maintenance must stop. Adds the faults of dispatchers to `counts`.
 async fn run_faults(
     trial: &Trial, cluster: &mut Cluster, schedule: &Schedule, counts: &Mutex<BTreeMap<&'static str, usize>>,
 ) -> Result<()> {
-    let stops_at = Instant::now() + Duration::from_secs_f64((trial.plan.seconds - LAST_RELEASE_S).max(5.0));
+    let stops_at =
+        Instant::now() + Duration::from_secs_f64((trial.plan.seconds - RELEASE_STOP_BEFORE_END_S).max(5.0));
     let until_end = async {
-        cluster.play(schedule, |_| {}).await?;
+        cluster.run_schedule(schedule, |_| {}).await?;
         sleep_until(stops_at).await;
         anyhow::Ok(())
     };
@@ -99,21 +104,21 @@
     }
 }
 
-/// Runs a trial. Returns its figures and, in words, what was found to be wrong.
+/// Runs a trial. Returns its figures and a description of each violation found.
 ///
 /// # Errors
 ///
-/// If a process does not start, or does not answer once all faults are over.
-pub async fn run(plan: &Plan, program: &Path) -> Result<(Summary, Vec<String>)> {
+/// Returns an error if a process does not start, or does not respond once all faults are over.
+pub async fn run_trial(plan: &Plan, program: &Path) -> Result<(Summary, Vec<String>)> {
     let folder =
         std::env::temp_dir().join(format!("pebblepost-harness-release-{}-{}", std::process::id(), plan.seed));
     let schedule = plan.schedule();
     let mut cluster = Cluster::start(program, plan.replicas, folder.clone()).await?;
-    // With a copy each: what one has confirmed it knows over a restart.
+    // Each dispatcher keeps its own copy of the state, so that a restart does not lose what it has confirmed.
     let copies = folder.join("copies");
     std::fs::create_dir_all(&copies)?;
     let operator = json!({
-        "fleet": {"keepers": cluster.named_addresses(), "version": INITIAL_VERSION, "copy": copies},
+        "fleet": {"keepers": cluster.client_addresses_by_id(), "version": INITIAL_VERSION, "copy": copies},
     });
     let replicas = cluster.client_addresses();
     let supervisor = Arc::new(Supervisor::of(INITIAL_VERSION, replicas.clone()));
@@ -128,13 +133,13 @@
     });
     let mut client = trial.operators.client();
     set_budgets(&mut client, plan).await?;
-    let played = tokio::spawn(play_clients(plan.clone(), program.to_owned(), operator, supervisor.clone()));
+    let played = tokio::spawn(run_clients(plan.clone(), program.to_owned(), operator, supervisor.clone()));
     wait_until_joined(&mut client, plan.dispatchers).await?;
     let releases = tokio::spawn(run_releases(trial.clone()));
     let maintenance = tokio::spawn(maintain_workers(trial.clone()));
     let auditor = tokio::spawn({
         let trial = trial.clone();
-        async move { grant_audit::follow(&trial.operators.replicas, &trial.audit).await }
+        async move { grant_audit::follow_changes(&trial.operators.replicas, &trial.audit).await }
     });
     let counts = Mutex::new(schedule.counts_by_name());
     run_faults(&trial, &mut cluster, &schedule, &counts).await?;
@@ -150,5 +155,5 @@
     supervisor.finish();
     let played = played.await??;
     let faults = lock(&counts).clone();
-    Ok(judge(&trial, &played, releases, stuck_permits, faults, found))
+    Ok(summarize(&trial, &played, releases, stuck_permits, faults, found))
 }
--- a/crates/pebblepost-harness/src/store/client_impact.rs
+++ b/crates/pebblepost-harness/src/store/client_impact.rs
@@ -1,7 +1,8 @@
-//! What the agreed store does to the clients of dispatchers: the same traffic without a store, with replicas that are killed
-//! while many changes are made, and with all replicas dead. In turn, over several rounds.
+//! Measures how the replicated store affects the clients of dispatchers. The same traffic is run in three cases:
+//! without a store, with replicas that are killed while many changes are made, and with all replicas dead. The cases
+//! take turns over several rounds.
 
-use super::client::{Leader, StoreClient};
+use super::client::{LeaderHint, StoreClient};
 use super::cluster::Cluster;
 use crate::clients::Outcome;
 use crate::fault::schedule::{Fault, FaultKind};
@@ -19,56 +20,58 @@
 use tokio::time::{Instant, interval, sleep};
 
 /// Replicas of the store.
-const REPLICAS: usize = 3;
-/// Changes that are asked for in a second.
+const REPLICA_COUNT: usize = 3;
+/// Rate of the changes requested from the store.
 const CHANGES_PER_S: u64 = 500;
-/// Clients that ask for them.
-const CHANGING_CLIENTS: u64 = 16;
-/// A replica is killed this often.
+/// Number of clients that request the changes.
+const CHANGE_CLIENTS: u64 = 16;
+/// Interval between two kills of a replica.
 const KILL_INTERVAL: Duration = Duration::from_secs(5);
-/// A killed replica is down for so long.
-const DOWN_TIME: Duration = Duration::from_millis(500);
+/// Time for which a killed replica is down.
+const REPLICA_DOWNTIME: Duration = Duration::from_millis(500);
 
-/// What clients got.
+/// Figures of the clients of dispatchers in one run.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Side {
+pub struct ServingFigures {
     /// Share of the requests that were served.
     pub served_share: f64,
-    /// Latency of those, 99th percentile.
+    /// Latency of the served requests, 99th percentile.
     pub p99_ms: f64,
-    /// CPU of the dispatchers for each request.
+    /// CPU time of the dispatchers per request.
     pub cpu_us: f64,
-    /// Rules broken.
+    /// Number of rules broken.
     pub rules_broken: usize,
 }
 
-/// Medians of all rounds, and of the ratios round by round to the side without a store.
+/// Medians over all rounds. Ratios are taken round by round to the case without a store.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ClientImpact {
-    /// Without a store.
-    pub without: Side,
-    /// Replicas killed in turn while changes are made.
-    pub killed: Side,
-    /// All replicas dead.
-    pub dead: Side,
-    /// Ratio of the 99th percentiles, replicas killed to none.
+    /// Case without a store.
+    pub without: ServingFigures,
+    /// Case in which replicas are killed in turn while changes are made.
+    pub killed: ServingFigures,
+    /// Case in which all replicas are dead.
+    pub dead: ServingFigures,
+    /// Ratio of the 99th percentiles: replicas killed in turn to no store.
     pub p99_killed_ratio: f64,
-    /// The same with all replicas dead.
+    /// Ratio of the 99th percentiles: all replicas dead to no store.
     pub p99_dead_ratio: f64,
-    /// Ratio of the shares served, all replicas dead to none.
+    /// Ratio of the served shares: all replicas dead to no store.
     pub served_dead_ratio: f64,
-    /// Changes acknowledged in a second while replicas were killed.
+    /// Changes acknowledged per second while replicas were killed.
     pub changes_per_s: f64,
 }
 
-fn side(played: &Played) -> Side {
+fn serving_figures(played: &Played) -> ServingFigures {
     let latencies_ms: Vec<f64> = played
         .results
         .iter()
-        .filter_map(|f| if let Outcome::Served(after) = f.outcome { Some(after * 1e3) } else { None })
+        .filter_map(
+            |result| if let Outcome::Served(after_s) = result.outcome { Some(after_s * 1e3) } else { None },
+        )
         .collect();
     let requests = played.results.len().max(1) as f64;
-    Side {
+    ServingFigures {
         served_share: latencies_ms.len() as f64 / requests,
         p99_ms: quantile(&latencies_ms, 0.99),
         cpu_us: played.cpu_s * 1e6 / requests,
@@ -76,52 +79,52 @@
     }
 }
 
-/// A kill of one replica that lasts until it is ended.
-fn kill(number: usize, place: usize) -> Fault {
-    Fault { number, begins_at_s: 0.0, duration_s: 0.0, kind: FaultKind::Kill(place) }
+/// A kill of one replica that lasts until [`Cluster::end_fault`].
+fn kill_fault(number: usize, index: usize) -> Fault {
+    Fault { number, begins_at_s: 0.0, duration_s: 0.0, kind: FaultKind::Kill(index) }
 }
 
-/// Kills replicas in turn, for as long as it is polled.
-async fn kill_in_turn(cluster: &mut Cluster) -> Result<()> {
+/// Kills replicas in turn, for as long as the future is polled.
+async fn kill_replicas_in_turn(cluster: &mut Cluster) -> Result<()> {
     for number in 0.. {
         sleep(KILL_INTERVAL).await;
-        cluster.begin_fault(kill(number, number % REPLICAS));
-        sleep(DOWN_TIME).await;
+        cluster.begin_fault(kill_fault(number, number % REPLICA_COUNT));
+        sleep(REPLICA_DOWNTIME).await;
         cluster.end_fault(number)?;
     }
     Ok(())
 }
 
-/// Changes that are made at a rate until they are stopped.
+/// Clients that change the state at a fixed rate until they are stopped.
 #[derive(Default)]
-struct Changes {
+struct ChangeLoad {
     stopping: AtomicBool,
     acknowledged: AtomicUsize,
 }
 
-impl Changes {
+impl ChangeLoad {
     async fn run(self: Arc<Self>, addresses: Vec<SocketAddr>) {
-        let leader = Leader::default();
+        let leader = LeaderHint::default();
         let start = |number| {
             let client = StoreClient::new(addresses.clone(), leader.clone());
             tokio::spawn(self.clone().run_client(client, number))
         };
-        let clients: Vec<_> = (0..CHANGING_CLIENTS).map(start).collect();
+        let clients: Vec<_> = (0..CHANGE_CLIENTS).map(start).collect();
         for client in clients {
             let _ = client.await;
         }
     }
 
     async fn run_client(self: Arc<Self>, mut client: StoreClient, number: u64) {
-        let mut ticks = interval(Duration::from_micros(CHANGING_CLIENTS * 1_000_000 / CHANGES_PER_S));
+        let mut ticks = interval(Duration::from_micros(CHANGE_CLIENTS * 1_000_000 / CHANGES_PER_S));
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
         for i in 0_u64.. {
             ticks.tick().await;
             if self.stopping.load(Ordering::Relaxed) {
                 return;
             }
-            // A worker that no dispatcher knows: the mark is replicated and changes nothing here.
-            let change = StoreClient::command((number, i), &format!("none-{number}"), i % 2 == 0, "");
+            // No dispatcher knows this worker: the mark is replicated but does not affect the traffic.
+            let change = StoreClient::drain_command((number, i), &format!("none-{number}"), i % 2 == 0, "");
             if client.request(&change, Duration::from_secs(2)).await.is_ok() {
                 self.acknowledged.fetch_add(1, Ordering::Relaxed);
             }
@@ -129,34 +132,36 @@
     }
 }
 
-/// The sides of all rounds.
+/// Figures of each round, by case.
 #[derive(Default)]
 struct Rounds {
-    without: Vec<Side>,
-    killed: Vec<Side>,
-    dead: Vec<Side>,
+    without: Vec<ServingFigures>,
+    killed: Vec<ServingFigures>,
+    dead: Vec<ServingFigures>,
     changes_per_s: Vec<f64>,
 }
 
 impl Rounds {
-    /// Plays all sides once.
-    async fn play(&mut self, program: &Path, seconds: f64, round: usize, seed: u64) -> Result<()> {
+    /// Runs all cases once.
+    async fn run_round(&mut self, program: &Path, seconds: f64, round: usize, seed: u64) -> Result<()> {
         let run_spec = RunSpec { fault_rate: 0.0, ..RunSpec::mixed(seconds, 0.6) };
         let play = async |operator: &Value| {
             let run = Run { run_spec: &run_spec, seed, program, operator, supervisor: None };
-            anyhow::Ok(side(&run.play().await?))
+            anyhow::Ok(serving_figures(&run.play().await?))
         };
         self.without.push(play(&json!({})).await?);
         let folder =
             std::env::temp_dir().join(format!("pebblepost-harness-serving-{}-{round}", std::process::id()));
-        let mut cluster = Cluster::start(program, REPLICAS, folder).await?;
-        let operator = json!({"fleet": {"keepers": cluster.named_addresses()}});
-        let changes = Arc::new(Changes::default());
+        let mut cluster = Cluster::start(program, REPLICA_COUNT, folder).await?;
+        let operator = json!({"fleet": {"keepers": cluster.client_addresses_by_id()}});
+        let changes = Arc::new(ChangeLoad::default());
         let changing = tokio::spawn(changes.clone().run(cluster.client_addresses()));
         let began = Instant::now();
         let killed = tokio::select! {
             killed = play(&operator) => killed?,
-            ended = kill_in_turn(&mut cluster) => anyhow::bail!("the kills ended: {ended:?}"),
+            ended = kill_replicas_in_turn(&mut cluster) => {
+                anyhow::bail!("kills of replicas ended early: {ended:?}")
+            }
         };
         changes.stopping.store(true, Ordering::Relaxed);
         let acknowledged = changes.acknowledged.load(Ordering::Relaxed);
@@ -164,51 +169,52 @@
         cluster.end_all_faults()?;
         changing.await?;
         self.killed.push(killed);
-        (0..REPLICAS).for_each(|place| cluster.begin_fault(kill(place, place)));
+        (0..REPLICA_COUNT).for_each(|index| cluster.begin_fault(kill_fault(index, index)));
         self.dead.push(play(&operator).await?);
         Ok(())
     }
 
-    fn report(&self) -> ClientImpact {
+    fn summarize(&self) -> ClientImpact {
         ClientImpact {
             without: medians(&self.without),
             killed: medians(&self.killed),
             dead: medians(&self.dead),
-            p99_killed_ratio: self.ratio(&self.killed, |side| side.p99_ms),
-            p99_dead_ratio: self.ratio(&self.dead, |side| side.p99_ms),
-            served_dead_ratio: self.ratio(&self.dead, |side| side.served_share),
+            p99_killed_ratio: self.ratio(&self.killed, |figures| figures.p99_ms),
+            p99_dead_ratio: self.ratio(&self.dead, |figures| figures.p99_ms),
+            served_dead_ratio: self.ratio(&self.dead, |figures| figures.served_share),
             changes_per_s: median(&self.changes_per_s),
         }
     }
 
-    /// Median of a figure's ratios, round by round, to the side without a store.
-    fn ratio(&self, sides: &[Side], figure: fn(&Side) -> f64) -> f64 {
-        let rounds = sides.iter().zip(&self.without);
-        let ratios = rounds.map(|(side, without)| figure(side) / figure(without).max(1e-9));
+    /// Median of the ratios of a figure, round by round, to the case without a store.
+    fn ratio(&self, rounds: &[ServingFigures], figure: fn(&ServingFigures) -> f64) -> f64 {
+        let pairs = rounds.iter().zip(&self.without);
+        let ratios = pairs.map(|(figures, without)| figure(figures) / figure(without).max(1e-9));
         median(&ratios.collect::<Vec<_>>())
     }
 }
 
-/// The medians of all figures, but the sum of the rules broken.
-fn medians(sides: &[Side]) -> Side {
-    let of = |figure: fn(&Side) -> f64| median(&sides.iter().map(figure).collect::<Vec<_>>());
-    Side {
-        served_share: of(|side| side.served_share),
-        p99_ms: of(|side| side.p99_ms),
-        cpu_us: of(|side| side.cpu_us),
-        rules_broken: sides.iter().map(|side| side.rules_broken).sum(),
+/// Medians of all figures except for `rules_broken`, which is summed.
+fn medians(rounds: &[ServingFigures]) -> ServingFigures {
+    let median_of =
+        |figure: fn(&ServingFigures) -> f64| median(&rounds.iter().map(figure).collect::<Vec<_>>());
+    ServingFigures {
+        served_share: median_of(|figures| figures.served_share),
+        p99_ms: median_of(|figures| figures.p99_ms),
+        cpu_us: median_of(|figures| figures.cpu_us),
+        rules_broken: rounds.iter().map(|figures| figures.rules_broken).sum(),
     }
 }
 
-/// Measures so many rounds of `seconds` of arrivals on each side.
+/// Measures `rounds` rounds, with arrivals for `seconds` in each case.
 ///
 /// # Errors
 ///
-/// If a process does not start.
+/// Returns an error if a process does not start.
 pub async fn measure(program: &Path, seconds: f64, rounds: usize, seed: u64) -> Result<ClientImpact> {
     let mut all = Rounds::default();
     for round in 0..rounds.max(1) {
-        all.play(program, seconds, round, seed + round as u64).await?;
+        all.run_round(program, seconds, round, seed + round as u64).await?;
     }
-    Ok(all.report())
+    Ok(all.summarize())
 }
--- a/crates/pebblepost-harness/src/store/cluster.rs
+++ b/crates/pebblepost-harness/src/store/cluster.rs
@@ -1,4 +1,4 @@
-//! Replicas as processes, a relay on each directed pair of them, and the faults that are injected into both.
+//! Replicas as processes, a relay on each directed link between them, and the injection of faults into both.
 
 use super::replacement::{damage_file, join_replacement};
 use super::retry::{query, retry_until};
@@ -16,55 +16,58 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Ids that each place may have, one after another, as its disks are replaced.
-const MAX_REPLACEMENTS: usize = 256;
-/// A replica must have refused a damaged disk within this.
-const REFUSAL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Number of ids that each replica index may use. Each replaced disk uses up one.
+const MAX_IDS_PER_REPLICA: usize = 256;
+/// Time limit for a replica to refuse a damaged disk.
+const DISK_REFUSAL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Disks of a cluster.
+/// Numbers of disks of a cluster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiskCounts {
-    /// Lost or damaged, and replaced.
+    /// Disks that were lost or damaged, and replaced.
     pub replaced: usize,
-    /// Of these, damaged and refused by the replica.
+    /// Damaged disks that the replica refused to start on.
     pub refused: usize,
 }
 
-/// A cluster of replicas, and the links between them and from clients. The replica at place `i` of `n` has the id `i + 1`,
-/// and `n` more with each disk that is replaced. The place after the last replica stands for all clients.
+/// A cluster of replicas, with the links between them and from clients.
+///
+/// The replica at index `i` of `n` starts with the id `i + 1`, which grows by `n` with each replacement of its disk.
+/// The index after the last replica stands for all clients.
 pub struct Cluster {
     program: PathBuf,
     replicas: Vec<ManagedProcess>,
-    /// Their ids, by place.
+    /// Current id of each replica, by index.
     replica_ids: Vec<usize>,
     addresses: Vec<SocketAddr>,
     relays: BTreeMap<(usize, usize), Relay>,
-    active: Vec<Fault>,
+    active_faults: Vec<Fault>,
     folder: PathBuf,
-    /// The replacement that joins: one at a time, or a majority might have lost what was committed.
+    /// The replacement that is joining. Only one joins at a time: otherwise a majority could lose committed entries.
     replacement: Option<JoinHandle<Result<()>>>,
-    /// Disks that were lost or damaged.
-    pub disks: DiskCounts,
-    /// Replicas that ended by themselves, or did not where they had to, in words.
-    pub crashed: Vec<String>,
+    /// Disks that were lost or damaged so far.
+    pub disk_counts: DiskCounts,
+    /// Descriptions of replicas that exited by themselves, or failed to exit where they had to.
+    pub violations: Vec<String>,
 }
 
-fn replica_ip(place: usize) -> IpAddr {
-    [127, 0, 1, u8::try_from(place + 1).unwrap_or(u8::MAX)].into()
+fn replica_ip(index: usize) -> IpAddr {
+    [127, 0, 1, u8::try_from(index + 1).unwrap_or(u8::MAX)].into()
 }
 
 impl Cluster {
-    /// Starts so many replicas in a folder of their own, and forms a cluster of them.
+    /// Starts `count` replicas in `folder` and forms a cluster of them.
     ///
     /// # Errors
     ///
-    /// If a replica does not start, or the cluster does not form.
+    /// Returns an error if a replica does not start, or the cluster does not form.
     pub async fn start(program: &Path, count: usize, folder: PathBuf) -> Result<Self> {
         std::fs::create_dir_all(&folder)?;
         let mut addresses = Vec::new();
-        for place in 0..count {
-            // The port is still free when the replica binds it a moment later.
-            addresses.push(TcpListener::bind((replica_ip(place), 0))?.local_addr()?);
+        for index in 0..count {
+            // The listener is dropped at once. The port is expected to be still free when the replica binds it
+            // shortly after.
+            addresses.push(TcpListener::bind((replica_ip(index), 0))?.local_addr()?);
         }
         let mut relays = BTreeMap::new();
         for from in 0..=count {
@@ -78,78 +81,82 @@
             replica_ids: (1..=count).collect(),
             addresses,
             relays,
-            active: Vec::new(),
+            active_faults: Vec::new(),
             folder,
             replacement: None,
-            disks: DiskCounts::default(),
-            crashed: Vec::new(),
+            disk_counts: DiskCounts::default(),
+            violations: Vec::new(),
         };
-        for place in 0..count {
-            let mut replica = cluster.replica(place)?;
+        for index in 0..count {
+            let mut replica = cluster.replica_process(index)?;
             replica.start()?;
             cluster.replicas.push(replica);
         }
-        cluster.form().await?;
+        cluster.bootstrap().await?;
         Ok(cluster)
     }
 
-    fn disk(&self, place: usize) -> PathBuf {
-        self.folder.join(format!("keeper-{}", self.replica_ids[place]))
+    fn disk_folder(&self, index: usize) -> PathBuf {
+        self.folder.join(format!("keeper-{}", self.replica_ids[index]))
     }
 
-    /// The replica at a place, with its present id; not started.
-    fn replica(&self, place: usize) -> Result<ManagedProcess> {
-        let (number, count) = (self.replica_ids[place], self.addresses.len());
+    /// Creates the process of the replica at `index` with its current id, without starting it.
+    fn replica_process(&self, index: usize) -> Result<ManagedProcess> {
+        let (id, count) = (self.replica_ids[index], self.addresses.len());
         let mut dial = BTreeMap::new();
-        for to in (0..count).filter(|to| *to != place) {
-            let through = self.relays[&(place, to)].address.to_string();
+        for to in (0..count).filter(|to| *to != index) {
+            let relay_address = self.relays[&(index, to)].address.to_string();
             dial.extend(
-                (0..MAX_REPLACEMENTS)
-                    .map(|replacement| ((to + 1 + replacement * count).to_string(), through.clone())),
+                (0..MAX_IDS_PER_REPLICA)
+                    .map(|replacement| ((to + 1 + replacement * count).to_string(), relay_address.clone())),
             );
         }
         let config = json!({
-            "group": "rig", "id": number, "listen": self.addresses[place].to_string(),
-            "folder": self.disk(place), "dial": dial, "session_s": 3.0,
+            "group": "rig", "id": id, "listen": self.addresses[index].to_string(),
+            "folder": self.disk_folder(index), "dial": dial, "session_s": 3.0,
         });
-        let path = self.folder.join(format!("keeper-{number}.json"));
+        let path = self.folder.join(format!("keeper-{id}.json"));
         std::fs::write(&path, config.to_string())?;
-        let log = self.folder.join(format!("{}.log", place + 1));
+        let log = self.folder.join(format!("{}.log", index + 1));
         let log = File::options().create(true).append(true).open(log)?;
         let mut command = Command::new(&self.program);
         command.arg("keep").arg(path).stdin(Stdio::null()).stdout(log.try_clone()?).stderr(log);
         Ok(ManagedProcess::new(command))
     }
 
-    async fn form(&self) -> Result<()> {
+    async fn bootstrap(&self) -> Result<()> {
         let mut peers = serde_json::Map::new();
-        for (place, address) in self.addresses.iter().enumerate() {
+        for (index, address) in self.addresses.iter().enumerate() {
             let status =
                 retry_until(Duration::from_secs(20), async || query(*address, &json!("status")).await)
                     .await?;
-            let disk = status.pointer("/status/disk").with_context(|| format!("no disk: {status}"))?.clone();
-            peers.insert((place + 1).to_string(), json!({"address": address.to_string(), "disk": disk}));
+            let disk = status
+                .pointer("/status/disk")
+                .with_context(|| format!("status of the replica at {address} has no disk: {status}"))?
+                .clone();
+            peers.insert((index + 1).to_string(), json!({"address": address.to_string(), "disk": disk}));
         }
         let reply = query(self.addresses[0], &json!({"begin": peers})).await?;
         if reply != json!("done") {
-            bail!("the cluster does not form: {reply}");
+            bail!("failed to form the cluster: expected \"done\", got {reply}");
         }
         Ok(())
     }
 
-    /// Addresses through which clients reach each replica, by place.
+    /// Addresses through which clients reach the replicas, by index.
     pub fn client_addresses(&self) -> Vec<SocketAddr> {
         let count = self.addresses.len();
         (0..count).map(|to| self.relays[&(count, to)].address).collect()
     }
 
-    /// The same by the replicas' ids, as a dispatcher's operator file names them.
-    pub fn named_addresses(&self) -> serde_json::Map<String, Value> {
-        let named = |(place, address): (usize, &SocketAddr)| ((place + 1).to_string(), json!(address));
+    /// Addresses through which clients reach the replicas, by the ids of their first disks, as a dispatcher's
+    /// operator file names them.
+    pub fn client_addresses_by_id(&self) -> serde_json::Map<String, Value> {
+        let named = |(index, address): (usize, &SocketAddr)| ((index + 1).to_string(), json!(address));
         self.client_addresses().iter().enumerate().map(named).collect()
     }
 
-    /// Bytes between replicas so far.
+    /// Bytes forwarded between replicas so far.
     pub fn bytes_forwarded(&self) -> u64 {
         let count = self.addresses.len();
         self.relays
@@ -159,21 +166,28 @@
             .sum()
     }
 
-    /// Injects a fault.
+    /// Starts a fault.
+    ///
+    /// Blocks the thread while a replica stops or refuses a damaged disk.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the fault names a replica or link that does not exist.
     pub fn begin_fault(&mut self, fault: Fault) {
         match fault.kind {
-            FaultKind::Kill(place) => self.replicas[place].kill(),
-            FaultKind::Stop(place) => {
-                self.replicas[place].stop(Duration::from_secs(3));
+            FaultKind::Kill(index) => self.replicas[index].kill(),
+            FaultKind::Stop(index) => {
+                self.replicas[index].stop(Duration::from_secs(3));
             }
-            FaultKind::Pause(place) => self.replicas[place].pause(),
-            FaultKind::Reset(from, to) => self.relays[&(from, to)].reset(),
-            FaultKind::Disk(place, damage) => {
-                self.replicas[place].kill();
+            FaultKind::Pause(index) => self.replicas[index].pause(),
+            FaultKind::Reset(from, to) => self.relays[&(from, to)].reset_connections(),
+            FaultKind::Disk(index, damage) => {
+                self.replicas[index].kill();
                 if !self.is_replacing()
-                    && let Err(error) = self.damage_disk(place, damage)
+                    && let Err(error) = self.damage_disk(index, damage)
                 {
-                    self.crashed.push(format!("the disk of replica {}: {error:#}", self.replica_ids[place]));
+                    self.violations
+                        .push(format!("disk fault at replica {}: {error:#}", self.replica_ids[index]));
                 }
             }
             FaultKind::Link(..)
@@ -181,7 +195,7 @@
             | FaultKind::IsolatedFromPeers(_)
             | FaultKind::InboundHeld(_) => {}
         }
-        self.active.push(fault);
+        self.active_faults.push(fault);
         self.apply_link_states();
     }
 
@@ -189,40 +203,40 @@
         self.replacement.as_ref().is_some_and(|replacement| !replacement.is_finished())
     }
 
-    /// Damages the disk of a replica that was killed. Where something is left of it the replica must refuse to start on it.
-    /// Then it is replaced by one with a new id and an empty disk, which joins once it is started.
-    fn damage_disk(&mut self, place: usize, damage: DiskDamage) -> Result<()> {
-        let file = self.disk(place).join("keeper.redb");
+    /// Damages the disk of a replica that was killed. Unless the file is deleted, the replica must refuse to start on
+    /// it. The replica is then replaced by one with a new id and an empty disk, which joins once it is started.
+    fn damage_disk(&mut self, index: usize, damage: DiskDamage) -> Result<()> {
+        let file = self.disk_folder(index).join("keeper.redb");
         damage_file(&file, damage)?;
         if damage != DiskDamage::Deleted {
-            let replica = &mut self.replicas[place];
+            let replica = &mut self.replicas[index];
             replica.start()?;
-            let end = Instant::now() + REFUSAL_TIMEOUT;
-            while Instant::now() < end && replica.runs() {
+            let deadline = Instant::now() + DISK_REFUSAL_TIMEOUT;
+            while Instant::now() < deadline && replica.is_running() {
                 std::thread::sleep(Duration::from_millis(20));
             }
-            let refused = replica.ended().is_some_and(|status| !status.success());
+            let refused = replica.exit_status().is_some_and(|status| !status.success());
             replica.kill();
-            self.disks.refused += usize::from(refused);
-            // A flipped bit may be one that nothing reads.
+            self.disk_counts.refused += usize::from(refused);
+            // A flipped bit may lie in a part of the file that is never read, so only truncation must be refused.
             if !refused && damage == DiskDamage::Truncated {
-                bail!("truncated, and served");
+                bail!("replica did not refuse to start on a truncated disk");
             }
         }
-        self.disks.replaced += 1;
-        let old = self.replica_ids[place];
-        self.replica_ids[place] += self.addresses.len();
-        self.replicas[place] = self.replica(place)?;
-        let (new, at, addresses) = (self.replica_ids[place], self.addresses[place], self.client_addresses());
+        self.disk_counts.replaced += 1;
+        let old = self.replica_ids[index];
+        self.replica_ids[index] += self.addresses.len();
+        self.replicas[index] = self.replica_process(index)?;
+        let (new, at, addresses) = (self.replica_ids[index], self.addresses[index], self.client_addresses());
         self.replacement = Some(tokio::spawn(join_replacement(old, new, at, addresses)));
         Ok(())
     }
 
-    /// Waits until a replacement that joins is a voter.
+    /// Waits until the replacement in progress, if any, is a voter.
     ///
     /// # Errors
     ///
-    /// If it is not within its time.
+    /// Returns an error if the replacement has failed or timed out.
     pub async fn wait_for_replacement(&mut self) -> Result<()> {
         match self.replacement.take() {
             Some(replacement) => replacement.await?,
@@ -230,54 +244,65 @@
         }
     }
 
-    /// Ends the fault of this number in the schedule, if it is active.
+    /// Ends the fault with this number in its schedule, if it is active.
     ///
     /// # Errors
     ///
-    /// If a process does not start.
+    /// Returns an error if a process does not start.
     pub fn end_fault(&mut self, number: usize) -> Result<()> {
-        let Some(i) = self.active.iter().position(|f| f.number == number) else { return Ok(()) };
-        let fault = self.active.remove(i);
+        let Some(i) = self.active_faults.iter().position(|fault| fault.number == number) else {
+            return Ok(());
+        };
+        let fault = self.active_faults.remove(i);
         self.apply_link_states();
-        let held = |place: usize| self.active.iter().any(|f| f.kind.stops(place));
-        let paused = |place: usize| {
-            self.active.iter().any(|f| matches!(f.kind, FaultKind::Pause(paused) if paused == place))
+        let is_stopped =
+            |index: usize| self.active_faults.iter().any(|fault| fault.kind.stops_process(index));
+        let is_paused = |index: usize| {
+            self.active_faults
+                .iter()
+                .any(|fault| matches!(fault.kind, FaultKind::Pause(paused) if paused == index))
         };
         match fault.kind {
-            FaultKind::Kill(place) | FaultKind::Stop(place) | FaultKind::Disk(place, _) if !held(place) => {
-                self.replicas[place].start()?
+            FaultKind::Kill(index) | FaultKind::Stop(index) | FaultKind::Disk(index, _)
+                if !is_stopped(index) =>
+            {
+                self.replicas[index].start()?
             }
-            FaultKind::Pause(place) if !paused(place) => self.replicas[place].resume(),
+            FaultKind::Pause(index) if !is_paused(index) => self.replicas[index].resume(),
             _ => {}
         }
         Ok(())
     }
 
-    /// Sets each link to the state of the last active fault that concerns it.
+    /// Sets each link to the state given by the most recent active fault that affects it.
     fn apply_link_states(&self) {
         for ((from, to), relay) in &self.relays {
-            let of = |fault: &Fault| match fault.kind {
+            let link_state = |fault: &Fault| match fault.kind {
                 FaultKind::Link(source, target, link) if (source, target) == (*from, *to) => Some(link),
-                FaultKind::Isolated(place) if place == *from || place == *to => Some(LinkState::Partitioned),
-                FaultKind::IsolatedFromPeers(place)
-                    if *from < self.replicas.len() && (place == *from || place == *to) =>
+                FaultKind::Isolated(index) if index == *from || index == *to => Some(LinkState::Partitioned),
+                FaultKind::IsolatedFromPeers(index)
+                    if *from < self.replicas.len() && (index == *from || index == *to) =>
                 {
                     Some(LinkState::Partitioned)
                 }
-                FaultKind::InboundHeld(place) if place == *to => Some(LinkState::RequestsHeld),
-                FaultKind::InboundHeld(place) if place == *from => Some(LinkState::RepliesHeld),
+                FaultKind::InboundHeld(index) if index == *to => Some(LinkState::RequestsHeld),
+                FaultKind::InboundHeld(index) if index == *from => Some(LinkState::RepliesHeld),
                 _ => None,
             };
-            relay.set(self.active.iter().filter_map(of).next_back().unwrap_or_default());
+            relay.set_link_state(
+                self.active_faults.iter().filter_map(link_state).next_back().unwrap_or_default(),
+            );
         }
     }
 
-    /// Injects and ends the faults of a schedule at their times. `begins` is called before each begins.
+    /// Starts and ends the faults of a schedule at their times. Calls `before_fault` before each fault starts.
     ///
     /// # Errors
     ///
-    /// If a process does not start.
-    pub async fn play(&mut self, schedule: &Schedule, mut begins: impl FnMut(&Fault)) -> Result<()> {
+    /// Returns an error if a process does not start.
+    pub async fn run_schedule(
+        &mut self, schedule: &Schedule, mut before_fault: impl FnMut(&Fault),
+    ) -> Result<()> {
         let start = Instant::now();
         let mut steps: Vec<(f64, Option<Fault>, usize)> = Vec::new();
         for fault in &schedule.0 {
@@ -290,7 +315,7 @@
             self.restart_crashed()?;
             match fault {
                 Some(fault) => {
-                    begins(&fault);
+                    before_fault(&fault);
                     tokio::task::block_in_place(|| self.begin_fault(fault));
                 }
                 None => self.end_fault(number)?,
@@ -299,30 +324,33 @@
         Ok(())
     }
 
-    /// Notes replicas that ended without a fault, and starts them again.
+    /// Records replicas that exited without a fault as violations, and restarts them.
     ///
     /// # Errors
     ///
-    /// If one does not start.
+    /// Returns an error if a replica does not start.
     pub fn restart_crashed(&mut self) -> Result<()> {
-        for (place, replica) in self.replicas.iter_mut().enumerate() {
-            if let Some(status) = replica.ended()
-                && !self.active.iter().any(|f| f.kind.stops(place))
+        for (index, replica) in self.replicas.iter_mut().enumerate() {
+            if let Some(status) = replica.exit_status()
+                && !self.active_faults.iter().any(|fault| fault.kind.stops_process(index))
             {
-                self.crashed.push(format!("replica {} ended by itself: {status}", self.replica_ids[place]));
+                self.violations.push(format!(
+                    "replica {} exited without an injected fault: {status}",
+                    self.replica_ids[index]
+                ));
                 replica.start()?;
             }
         }
         Ok(())
     }
 
-    /// Ends all faults; all replicas run then.
+    /// Ends all faults and makes sure that all replicas run.
     ///
     /// # Errors
     ///
-    /// If one does not start.
+    /// Returns an error if a replica does not start.
     pub fn end_all_faults(&mut self) -> Result<()> {
-        for number in self.active.iter().map(|f| f.number).collect::<Vec<_>>() {
+        for number in self.active_faults.iter().map(|fault| fault.number).collect::<Vec<_>>() {
             self.end_fault(number)?;
         }
         for replica in &mut self.replicas {
@@ -332,7 +360,7 @@
         Ok(())
     }
 
-    /// The folder of the replicas' files.
+    /// Folder of the replicas' files.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
--- a/crates/pebblepost-harness/src/store/connection.rs
+++ b/crates/pebblepost-harness/src/store/connection.rs
@@ -1,26 +1,26 @@
-//! A connection to a replica: frames of JSON, each behind its length in four bytes (big-endian).
+//! A connection to a replica. Each frame is a JSON value, preceded by its length as four bytes in big-endian order.
 
 use serde_json::Value;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest frame that is accepted, in bytes.
+/// Maximum length of a received frame.
 const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why a frame was not sent or received.
+/// Error that occurred while a frame was sent or received.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
     /// The connection failed or was closed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// A frame is longer than the protocol allows.
-    #[error("a frame of {bytes} bytes")]
+    #[error("frame of {bytes} bytes exceeds the maximum length")]
     FrameTooLong {
-        /// Its length.
+        /// Length of the frame.
         bytes: usize,
     },
-    /// A frame that is no JSON.
+    /// The content of a frame is not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
@@ -29,11 +29,11 @@
 pub struct Connection(TcpStream);
 
 impl Connection {
-    /// Connects.
+    /// Connects to a replica.
     ///
     /// # Errors
     ///
-    /// If nothing accepts at this address.
+    /// Returns an error if the connection is not accepted.
     pub async fn open(address: SocketAddr) -> Result<Self, ConnectionError> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// If the message is too long for a frame, or the connection fails.
+    /// Returns an error if the message is too long for a frame, or the connection fails.
     pub async fn send(&mut self, message: &Value) -> Result<(), ConnectionError> {
         let text = message.to_string();
         let length =
@@ -54,11 +54,11 @@
         Ok(self.0.write_all(&bytes).await?)
     }
 
-    /// Receives the next message.
+    /// Receives the next message. The connection is unusable if the future is dropped in the middle of a frame.
     ///
     /// # Errors
     ///
-    /// If the connection fails, or the frame is too long or no JSON.
+    /// Returns an error if the connection fails, or the frame is too long or not valid JSON.
     pub async fn receive(&mut self) -> Result<Value, ConnectionError> {
         let length = self.0.read_u32().await? as usize;
         if length > MAX_FRAME_BYTES {
--- a/crates/pebblepost-harness/src/store/follower.rs
+++ b/crates/pebblepost-harness/src/store/follower.rs
@@ -1,6 +1,7 @@
-//! A follower of all changes: its copy of the drains, and gaps in what it was sent.
+//! A follower of all changes of the store. It keeps a copy of the drains and records gaps between the revisions it
+//! receives.
 
-use super::client::tag;
+use super::client::drain_tag;
 use super::connection::Connection;
 use crate::sync::lock;
 use anyhow::Result;
@@ -11,32 +12,32 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A connection must open within this.
+/// Time limit for connecting to a replica.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A watch says something every half second; silent for so long, the next replica is asked.
-const WATCH_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause before the next replica is asked.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Silence after which the next replica is followed; a watch sends a message every half second.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Pause before the next replica is followed.
+const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The follower's copy.
+/// The follower's copy of the state.
 #[derive(Default)]
 pub(super) struct FollowerState {
-    /// Revision of the last change.
+    /// Revision of the last applied change.
     pub(super) revision: u64,
-    /// Tag of each worker's drain.
+    /// Tag of each drained worker.
     pub(super) drains: BTreeMap<String, String>,
-    /// Gaps, in words.
+    /// Descriptions of missing changes.
     pub(super) gaps: Vec<String>,
 }
 
 impl FollowerState {
-    /// Takes in a message of a watch.
-    fn apply(&mut self, message: &Value) {
+    /// Applies a message of a watch: a snapshot, changes or both.
+    fn apply_message(&mut self, message: &Value) {
         if let Some(snapshot) = message.get("snapshot") {
             let revision = snapshot["revision"].as_u64().unwrap_or(0);
             if revision >= self.revision {
                 self.revision = revision;
-                self.drains = drains(&snapshot["entries"]);
+                self.drains = drain_tags(&snapshot["entries"]);
             }
         }
         for change in message.get("changes").and_then(Value::as_array).into_iter().flatten() {
@@ -47,15 +48,18 @@
     fn apply_change(&mut self, change: &Value) {
         let revision = change["revision"].as_u64().unwrap_or(0);
         if revision <= self.revision {
-            return; // From a replica that lags.
+            return; // Sent by a replica that lags behind.
         }
         if revision != self.revision + 1 {
-            self.gaps.push(format!("change {revision} came after {}", self.revision));
+            self.gaps.push(format!(
+                "follower received revision {revision} directly after revision {}",
+                self.revision
+            ));
         }
         self.revision = revision;
         for item in change["items"].as_array().into_iter().flatten() {
             let Some(worker) = item[0].as_str().and_then(|key| key.strip_prefix("drain/")) else { continue };
-            match tag(Some(&json!({"value": item[1]}))) {
+            match drain_tag(Some(&json!({"value": item[1]}))) {
                 Some(tag) => drop(self.drains.insert(worker.to_owned(), tag)),
                 None => drop(self.drains.remove(worker)),
             }
@@ -63,28 +67,29 @@
     }
 }
 
-/// The tag of each drained worker among the entries of the state.
-pub(super) fn drains(entries: &Value) -> BTreeMap<String, String> {
+/// Tag of each drained worker among the entries of the state.
+pub(super) fn drain_tags(entries: &Value) -> BTreeMap<String, String> {
     let entries = entries.as_object().into_iter().flatten();
     let drain = |(key, entry): (&String, &Value)| {
-        Some((key.strip_prefix("drain/")?.to_owned(), tag(Some(entry)).unwrap_or_default()))
+        Some((key.strip_prefix("drain/")?.to_owned(), drain_tag(Some(entry)).unwrap_or_default()))
     };
     entries.filter_map(drain).collect()
 }
 
-/// Follows all changes at one replica after another, each from its own revision on, for as long as it is polled.
-pub(super) async fn follow(addresses: Vec<SocketAddr>, state: Arc<Mutex<FollowerState>>) {
+/// Follows all changes at one replica after another, each from the last applied revision on, for as long as the
+/// future is polled.
+pub(super) async fn follow_changes(addresses: Vec<SocketAddr>, state: Arc<Mutex<FollowerState>>) {
     for address in addresses.iter().cycle() {
         let from = lock(&state).revision;
         let session = async {
             let mut connection = timeout(CONNECT_TIMEOUT, Connection::open(*address)).await??;
             connection.send(&json!({"watch": from})).await?;
             loop {
-                let message = timeout(WATCH_TIMEOUT, connection.receive()).await??;
-                lock(&state).apply(&message);
+                let message = timeout(WATCH_IDLE_TIMEOUT, connection.receive()).await??;
+                lock(&state).apply_message(&message);
             }
         };
         let _: Result<()> = session.await;
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_BACKOFF).await;
     }
 }
--- a/crates/pebblepost-harness/src/store/history.rs
+++ b/crates/pebblepost-harness/src/store/history.rs
@@ -1,30 +1,32 @@
-//! What clients asked of the cluster and what it answered, with the times. Nothing here knows the state of a replica.
+//! What clients requested from the cluster and what it answered, with the times. The history holds no information
+//! from inside a replica.
 
 use crate::event_log::EventLog;
 
 /// An operation on one worker's drain.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OperationKind {
-    /// Begins it with this tag; one that has begun keeps its own.
+    /// Starts a drain with this tag. A drain that has already started keeps its tag.
     Drain(String),
-    /// Ends it.
+    /// Ends the drain.
     Undrain,
-    /// Reads its tag.
+    /// Reads the tag of the drain.
     Read,
 }
 
-/// An operation as a client saw it.
+/// An operation as its client observed it.
 #[derive(Clone, Debug)]
 pub struct Operation {
-    /// On which worker.
+    /// Worker that the operation refers to.
     pub worker: String,
     /// What was requested.
     pub kind: OperationKind,
-    /// When it was requested, in seconds from the start.
+    /// When the operation was requested, in seconds from the start.
     pub requested_at: f64,
-    /// When it was answered, and with what a read found. `None`: it is not known whether it was done.
+    /// When the answer arrived, in seconds from the start, and the tag that a read returned. `None` if the outcome is
+    /// unknown.
     pub answer: Option<(f64, Option<String>)>,
 }
 
-/// The operations, each appended when it has ended or was given up.
+/// The operations of all clients. Each is appended when it has ended or was given up.
 pub type OperationHistory = EventLog<Operation>;
--- a/crates/pebblepost-harness/src/store/load.rs
+++ b/crates/pebblepost-harness/src/store/load.rs
@@ -1,6 +1,6 @@
-//! The clients of a trial: they drain workers, end drains and read, and log each operation.
+//! The clients of a trial: they drain workers, end drains, read drains, and log each operation.
 
-use super::client::{Leader, StoreClient};
+use super::client::{LeaderHint, StoreClient};
 use super::history::{Operation, OperationHistory, OperationKind};
 use super::plan::Plan;
 use crate::quantile::nearest_rank;
@@ -15,122 +15,125 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// An operation is given up after this; it is then not known whether it was done.
+/// Time after which a client gives an operation up. Its outcome is then unknown.
 pub(super) const OPERATION_TIMEOUT: Duration = Duration::from_secs(4);
-/// Drains that a client keeps before it ends the oldest.
-const OWN_DRAINS: usize = 200;
-/// Recent drains that reads choose from.
-const RECENT_DRAINS: usize = 32;
-/// Operations on one contended worker before the clients go on to the next: few enough that all orders can be tried.
-const CONTENDED_OPERATIONS: u64 = 14;
-/// Set in the ids of operations that end an old drain.
-const END_OF_OLD_DRAIN: u64 = 1 << 60;
-
-/// How long no change was acknowledged after a leader was killed.
+/// Maximum number of drains that a client keeps before it ends the oldest.
+const MAX_OWN_DRAINS: usize = 200;
+/// Maximum number of recent drains that reads choose from.
+const MAX_RECENT_DRAINS: usize = 32;
+/// Maximum number of operations on one contended worker before the clients move on to the next. It is small enough
+/// for the linearizability checker to try all orders.
+const MAX_OPERATIONS_PER_CONTENDED_WORKER: u64 = 14;
+/// Bit that is set in the ids of requests that end an old drain, to keep them distinct from the ids of other
+/// requests.
+const UNDRAIN_REQUEST_BIT: u64 = 1 << 60;
+
+/// Times without an acknowledged change after a leader was killed.
 #[derive(Debug, Default)]
 struct LeaderGaps {
-    /// When a leader was killed, until a change is acknowledged.
+    /// When a leader was killed; `None` once a change requested after that is acknowledged.
     killed_at: Option<Instant>,
     gaps_ms: Vec<f64>,
 }
 
-/// What the clients of a trial share.
+/// State shared by the clients of a trial.
 pub(super) struct Load {
     plan: Plan,
-    leader: Leader,
-    /// What was asked and answered.
+    leader: LeaderHint,
+    /// Operations of all clients.
     pub(super) history: OperationHistory,
     stopping: AtomicBool,
-    contended: AtomicU64,
-    /// Workers whose drain was acknowledged lately, for reads that must see it.
-    recent: Mutex<VecDeque<String>>,
-    /// Times of acknowledged changes, in microseconds.
-    change_times: Mutex<Histogram<u64>>,
+    contended_operations: AtomicU64,
+    /// Workers whose drain was acknowledged recently. Reads of these must see it.
+    recently_drained: Mutex<VecDeque<String>>,
+    /// Latencies of acknowledged changes, in microseconds.
+    change_latencies_us: Mutex<Histogram<u64>>,
     leader_gaps: Mutex<LeaderGaps>,
 }
 
 impl Load {
     /// # Errors
     ///
-    /// If the histogram can not be made.
+    /// Returns an error if the histogram cannot be created.
     pub(super) fn new(plan: Plan) -> Result<Self, hdrhistogram::CreationError> {
         Ok(Self {
             plan,
-            leader: Leader::default(),
+            leader: LeaderHint::default(),
             history: OperationHistory::default(),
             stopping: AtomicBool::new(false),
-            contended: AtomicU64::new(0),
-            recent: Mutex::default(),
-            change_times: Mutex::new(Histogram::new(3)?),
+            contended_operations: AtomicU64::new(0),
+            recently_drained: Mutex::default(),
+            change_latencies_us: Mutex::new(Histogram::new(3)?),
             leader_gaps: Mutex::default(),
         })
     }
 
-    /// The replica that the clients think leads.
-    pub(super) fn leader(&self) -> &Leader {
+    /// Replica that the clients assume to be the leader.
+    pub(super) fn leader(&self) -> &LeaderHint {
         &self.leader
     }
 
-    /// Has the clients end after their present operation.
-    pub(super) fn stop(&self) {
+    /// Makes the clients stop after their current operation.
+    pub(super) fn request_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// A replica is killed; if it leads, a gap begins.
-    pub(super) fn replica_killed(&self, place: usize) {
-        if place == self.leader.load(Ordering::Relaxed) {
+    /// Records the kill of a replica. If the replica is the assumed leader, a gap starts.
+    pub(super) fn replica_killed(&self, index: usize) {
+        if index == self.leader.load(Ordering::Relaxed) {
             lock(&self.leader_gaps).killed_at.get_or_insert_with(Instant::now);
         }
     }
 
-    /// Time of an acknowledged change, in milliseconds.
-    pub(super) fn change_ms(&self, quantile: f64) -> f64 {
-        lock(&self.change_times).value_at_quantile(quantile) as f64 / 1e3
+    /// Quantile of the latency of acknowledged changes, in milliseconds.
+    pub(super) fn change_latency_ms(&self, quantile: f64) -> f64 {
+        lock(&self.change_latencies_us).value_at_quantile(quantile) as f64 / 1e3
     }
 
-    /// Time from the kill of a leader to the next acknowledged change, in milliseconds.
+    /// Quantile of the time from the kill of a leader to the next acknowledged change, in milliseconds.
     pub(super) fn leader_gap_ms(&self, quantile: f64) -> f64 {
         nearest_rank(&lock(&self.leader_gaps).gaps_ms, quantile)
     }
 
     fn change_acknowledged(&self, began: Instant) {
-        let _ = lock(&self.change_times).record(began.elapsed().as_micros() as u64);
+        let _ = lock(&self.change_latencies_us).record(began.elapsed().as_micros() as u64);
         let mut gaps = lock(&self.leader_gaps);
-        // Only what was asked after the kill shows that the cluster goes on.
+        // Only a change that was requested after the kill shows that the cluster makes progress.
         if let Some(killed_at) = gaps.killed_at.filter(|killed_at| began > *killed_at) {
             gaps.killed_at = None;
             gaps.gaps_ms.push(killed_at.elapsed().as_secs_f64() * 1e3);
         }
     }
 
-    fn remember(&self, worker: String) {
-        let mut recent = lock(&self.recent);
+    fn add_recent_drain(&self, worker: String) {
+        let mut recent = lock(&self.recently_drained);
         recent.push_back(worker);
-        if recent.len() > RECENT_DRAINS {
+        if recent.len() > MAX_RECENT_DRAINS {
             recent.pop_front();
         }
     }
 
     fn pick_recent(&self, rng: &mut Pcg64Mcg) -> Option<String> {
-        let recent = lock(&self.recent);
+        let recent = lock(&self.recently_drained);
         (!recent.is_empty()).then(|| recent[rng.random_range(0..recent.len())].clone())
     }
 
-    /// A worker that all clients operate on at present.
+    /// Worker that all clients currently operate on.
     fn contended_worker(&self) -> String {
-        let turn = self.contended.fetch_add(1, Ordering::Relaxed) / CONTENDED_OPERATIONS;
-        format!("c-{turn}")
+        let contended_worker =
+            self.contended_operations.fetch_add(1, Ordering::Relaxed) / MAX_OPERATIONS_PER_CONTENDED_WORKER;
+        format!("c-{contended_worker}")
     }
 }
 
-/// One client at work.
+/// One client of a trial.
 pub(super) struct LoadClient<'load> {
     load: &'load Load,
     number: usize,
     client: StoreClient,
     rng: Pcg64Mcg,
-    /// Workers that it has drained, the oldest first.
-    own: VecDeque<String>,
+    /// Workers that this client has drained, oldest first.
+    drained_workers: VecDeque<String>,
 }
 
 impl<'load> LoadClient<'load> {
@@ -140,18 +143,18 @@
             number,
             client: StoreClient::new(addresses, load.leader.clone()),
             rng: Pcg64Mcg::seed_from_u64(load.plan.seed.wrapping_mul(1_000) ^ number as u64),
-            own: VecDeque::new(),
+            drained_workers: VecDeque::new(),
         }
     }
 
-    /// Works until [`Load::stop`].
+    /// Runs operations until [`Load::request_stop`] is called.
     pub(super) async fn run(mut self) {
         let mut next = 0_u64;
         while !self.load.stopping.load(Ordering::Relaxed) {
             next += 1;
             if self.rng.random_bool(0.2) {
-                // One that has led may still think that it does.
-                self.client.start_with(self.rng.random_range(0..self.load.plan.replicas));
+                // A former leader may still assume that it leads.
+                self.client.try_first(self.rng.random_range(0..self.load.plan.replicas));
             }
             match self.rng.random_range(0..10) {
                 0..5 => self.drain_own(next).await,
@@ -177,13 +180,13 @@
     async fn drain_own(&mut self, next: u64) {
         let worker = format!("w-{}-{next}", self.number);
         if self.change(next, &worker, OperationKind::Drain(format!("t{next}"))).await {
-            self.own.push_back(worker.clone());
-            self.load.remember(worker);
+            self.drained_workers.push_back(worker.clone());
+            self.load.add_recent_drain(worker);
         }
-        if self.own.len() > OWN_DRAINS
-            && let Some(oldest) = self.own.pop_front()
+        if self.drained_workers.len() > MAX_OWN_DRAINS
+            && let Some(oldest) = self.drained_workers.pop_front()
         {
-            self.change(next | END_OF_OLD_DRAIN, &oldest, OperationKind::Undrain).await;
+            self.change(next | UNDRAIN_REQUEST_BIT, &oldest, OperationKind::Undrain).await;
         }
     }
 
@@ -193,13 +196,13 @@
         }
     }
 
-    /// Changes a worker's drain. Returns whether that was acknowledged.
+    /// Changes a worker's drain. Returns whether the change was acknowledged.
     async fn change(&mut self, number: u64, worker: &str, kind: OperationKind) -> bool {
         let (drain, tag) = match &kind {
             OperationKind::Drain(tag) => (true, tag.as_str()),
             _ => (false, ""),
         };
-        let command = StoreClient::command((self.number as u64 + 1, number), worker, drain, tag);
+        let command = StoreClient::drain_command((self.number as u64 + 1, number), worker, drain, tag);
         let history = &self.load.history;
         let (requested_at, began) = (history.now(), Instant::now());
         let reply = self.client.request(&command, OPERATION_TIMEOUT).await;
@@ -215,7 +218,7 @@
     async fn read(&mut self, worker: &str) {
         let history = &self.load.history;
         let requested_at = history.now();
-        if let Ok(found) = self.client.read(worker, OPERATION_TIMEOUT).await {
+        if let Ok(found) = self.client.read_drain_tag(worker, OPERATION_TIMEOUT).await {
             let answer = Some((history.now(), found));
             let kind = OperationKind::Read;
             history.append(Operation { worker: worker.to_owned(), kind, requested_at, answer });
--- a/crates/pebblepost-harness/src/store/mod.rs
+++ b/crates/pebblepost-harness/src/store/mod.rs
@@ -1,13 +1,14 @@
-//! The agreed store under faults: real replicas, clients that change and read, and a judge that knows only what they saw.
+//! The replicated store under faults: real replicas, clients that change and read the state, and a consistency check
+//! that uses only what the clients observed.
 //!
-//! * [`cluster`]: the replicas as processes, the relays between them, and the faults that are injected
-//! * [`connection`], [`client`]: the store's protocol, and a client that speaks it
-//! * [`history`] and [`consistency`]: what clients asked and were answered, and whether one copy would have answered so
-//! * [`plan`], [`run`]: a trial, and all of these together
-//! * [`mass_restart`]: many dispatchers that come back at once
-//! * [`client_impact`]: what replicas that fail do to the clients of dispatchers
+//! * [`cluster`]: the replicas as processes, the relays between them, and the injection of faults
+//! * [`connection`], [`client`]: the store's protocol, and a client that implements it
+//! * [`history`] and [`consistency`]: the operations of the clients, and the check of their consistency
+//! * [`plan`], [`run`]: the parameters of a trial, and the trial as a whole
+//! * [`mass_restart`]: many dispatchers that restart at the same time
+//! * [`client_impact`]: how failures of replicas affect the clients of dispatchers
 //!
-//! It never uses the store's own code: the protocol is spoken from its description.
+//! This module does not use the store's own code: it implements the protocol from its documentation.
 
 pub mod client;
 pub mod client_impact;
--- a/crates/pebblepost-harness/src/store/plan.rs
+++ b/crates/pebblepost-harness/src/store/plan.rs
@@ -1,32 +1,32 @@
-//! What a trial of the agreed store is asked to consist of.
+//! Parameters of a trial of the replicated store.
 
 use crate::fault::schedule::{Schedule, ScheduleParameters};
 
-/// A trial of the agreed store.
+/// Parameters of a trial of the replicated store.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Replicas.
+    /// Number of replicas.
     pub replicas: usize,
-    /// Clients that work at the same time.
+    /// Number of concurrent clients.
     pub clients: usize,
-    /// Seconds of work under faults.
+    /// Duration of the load under faults, in seconds.
     pub seconds: f64,
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Pause between two operations of a client, in milliseconds.
     pub pause_ms: u64,
-    /// Dispatchers that follow the store while they serve requests; 0: none.
+    /// Number of dispatchers that follow the store while they serve requests; 0 for none.
     pub dispatchers: usize,
 }
 
 impl Plan {
-    /// The faults of the replicas.
+    /// Draws the faults of the replicas.
     pub fn schedule(&self) -> Schedule {
         let parameters = ScheduleParameters {
             processes: self.replicas,
-            seconds: self.seconds,
+            duration_s: self.seconds,
             mean_interval_s: 0.85,
-            longest_s: 2.0,
+            max_fault_duration_s: 2.0,
         };
         Schedule::draw(parameters, self.seed)
     }
--- a/crates/pebblepost-harness/src/store/replacement.rs
+++ b/crates/pebblepost-harness/src/store/replacement.rs
@@ -1,6 +1,6 @@
-//! Damage to a replica's disk, and the replacement of a replica that has lost its own.
+//! Damage to a replica's disk, and the replacement of a replica that has lost its disk.
 
-use super::client::{Leader, StoreClient};
+use super::client::{LeaderHint, StoreClient};
 use super::retry::query;
 use crate::fault::schedule::DiskDamage;
 use anyhow::{Context, Result, bail};
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// A replacement must be a voter within this, faults or not.
+/// Time limit for a replacement to become a voter, including the time under faults.
 const REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Damages the file of a replica that does not run.
+/// Damages the file of a replica that is not running.
 pub(super) fn damage_file(file: &Path, damage: DiskDamage) -> Result<()> {
     match damage {
         DiskDamage::Deleted => std::fs::remove_file(file)?,
@@ -32,29 +32,34 @@
     Ok(())
 }
 
-/// Has a replica with a new disk replace one whose disk is lost: it joins as a learner, the old one is removed, and it becomes
-/// a voter. In this order no quorum is ever larger than that of the replicas that are left.
+/// Replaces a replica whose disk is lost by one with a new disk: the new replica joins as a learner, the old one is
+/// removed, and the new one is promoted to a voter.
+///
+/// In this order the quorum is never larger than the quorum of the remaining replicas.
 pub(super) async fn join_replacement(
-    old: usize, new: usize, at: SocketAddr, addresses: Vec<SocketAddr>,
+    old_id: usize, new_id: usize, address: SocketAddr, addresses: Vec<SocketAddr>,
 ) -> Result<()> {
-    let (mut client, end) =
-        (StoreClient::new(addresses, Leader::default()), Instant::now() + REPLACEMENT_TIMEOUT);
+    let (mut client, deadline) =
+        (StoreClient::new(addresses, LeaderHint::default()), Instant::now() + REPLACEMENT_TIMEOUT);
     let disk = loop {
-        match query(at, &json!("status")).await {
+        match query(address, &json!("status")).await {
             Ok(status) => {
-                break status.pointer("/status/disk").cloned().with_context(|| status.to_string())?;
+                break status
+                    .pointer("/status/disk")
+                    .cloned()
+                    .with_context(|| format!("status without disk: {status}"))?;
             }
-            Err(error) if Instant::now() >= end => return Err(error),
+            Err(error) if Instant::now() >= deadline => return Err(error),
             Err(_) => sleep(Duration::from_millis(50)).await,
         }
     };
-    let learn = json!({"learn": [new, {"address": at.to_string(), "disk": disk}]});
-    for step in [learn, json!({"remove": old}), json!({"promote": new})] {
+    let learn = json!({"learn": [new_id, {"address": address.to_string(), "disk": disk}]});
+    for step in [learn, json!({"remove": old_id}), json!({"promote": new_id})] {
         loop {
             match client.request(&step, Duration::from_secs(8)).await {
                 Ok(reply) if reply == json!("done") => break,
-                Ok(reply) => bail!("{step}: {reply}"),
-                Err(error) if Instant::now() >= end => return Err(error.into()),
+                Ok(reply) => bail!("replacement step {step} failed: expected \"done\", got {reply}"),
+                Err(error) if Instant::now() >= deadline => return Err(error.into()),
                 Err(_) => {}
             }
         }
--- a/crates/pebblepost-harness/src/store/retry.rs
+++ b/crates/pebblepost-harness/src/store/retry.rs
@@ -1,4 +1,4 @@
-//! Requests to one replica, and retries until something works.
+//! Requests to a single replica, and retries of an operation until it succeeds.
 
 use super::connection::Connection;
 use anyhow::Result;
@@ -7,33 +7,33 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-/// A replica must answer within this.
+/// Time limit for a replica to reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause between two attempts.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Sends a message to one replica and returns its reply.
+/// Sends a message to one replica over a new connection and returns its reply.
 pub(super) async fn query(address: SocketAddr, message: &Value) -> Result<Value> {
-    let work = async {
+    let operation = async {
         let mut connection = Connection::open(address).await?;
         connection.send(message).await?;
         connection.receive().await
     };
-    Ok(timeout(REPLY_TIMEOUT, work).await??)
+    Ok(timeout(REPLY_TIMEOUT, operation).await??)
 }
 
-/// Retries until it works or the time is over.
+/// Retries an operation until it succeeds or `limit` has passed. The limit does not interrupt an attempt in progress.
 ///
 /// # Errors
 ///
-/// The last one, once the time is over.
-pub async fn retry_until<T>(limit: Duration, mut work: impl AsyncFnMut() -> Result<T>) -> Result<T> {
-    let end = Instant::now() + limit;
+/// Returns the error of the last attempt if it fails after `limit`.
+pub async fn retry_until<T>(limit: Duration, mut operation: impl AsyncFnMut() -> Result<T>) -> Result<T> {
+    let deadline = Instant::now() + limit;
     loop {
-        match work().await {
+        match operation().await {
             Ok(found) => return Ok(found),
-            Err(error) if Instant::now() >= end => return Err(error),
-            Err(_) => sleep(RETRY_PAUSE).await,
+            Err(error) if Instant::now() >= deadline => return Err(error),
+            Err(_) => sleep(RETRY_BACKOFF).await,
         }
     }
 }
--- a/crates/pebblepost-harness/src/supervisor/mod.rs
+++ b/crates/pebblepost-harness/src/supervisor/mod.rs
@@ -11,7 +11,7 @@
 use crate::checker::exits::DispatcherExit;
 use crate::dispatcher::DispatcherProcess;
 use crate::event_log::{Availability, Event, EventLog};
-use crate::store::client::{Leader, StoreClient};
+use crate::store::client::{LeaderHint, StoreClient};
 use crate::sync::lock;
 use anyhow::Result;
 use defect::CRASHES_AFTER;
@@ -63,7 +63,7 @@
     /// The version that the agreed state names for a dispatcher that has ended.
     async fn permitted_version(&self, dispatcher: usize) -> Option<String> {
         let key = format!("permit/dispatcher/n{dispatcher}");
-        let mut client = StoreClient::new(self.replicas.clone(), Leader::default());
+        let mut client = StoreClient::new(self.replicas.clone(), LeaderHint::default());
         let reply = client.request(&json!({"get": [key]}), LOOKUP_TIMEOUT).await.ok()?;
         let permit = reply.pointer("/found/entries")?.get(&key)?.pointer("/value/permit")?.clone();
         let granted = permit["granted"].is_u64();
--- a/crates/pebblepost-harness/tests/pins.rs
+++ b/crates/pebblepost-harness/tests/pins.rs
@@ -161,7 +161,12 @@
 fn drawn_schedules_are_the_approved_ones() {
     let mut lines = String::new();
     for seed in [1, 2, 3, 77] {
-        let draw = ScheduleParameters { processes: 3, seconds: 300.0, mean_interval_s: 0.85, longest_s: 2.0 };
+        let draw = ScheduleParameters {
+            processes: 3,
+            duration_s: 300.0,
+            mean_interval_s: 0.85,
+            max_fault_duration_s: 2.0,
+        };
         let text = serde_json::to_string(&Schedule::draw(draw, seed)).expect("plain data");
         let mut digest = Digest::new();
         digest.text(&text);
--- a/crates/pebblepost-harness/tests/release.rs
+++ b/crates/pebblepost-harness/tests/release.rs
@@ -3,7 +3,7 @@
 
 use pebblepost_harness::dispatcher;
 use pebblepost_harness::release::plan::{DisruptionBudget, Mode, Plan};
-use pebblepost_harness::release::run::run;
+use pebblepost_harness::release::run::run_trial;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn no_more_dispatchers_are_out_at_once_than_the_budget_allows_under_faults() {
@@ -20,7 +20,7 @@
         faults: true,
         mode: Mode::Permits,
     };
-    let (figures, found) = run(&plan, &program).await.expect("all answer after all faults");
+    let (figures, found) = run_trial(&plan, &program).await.expect("all answer after all faults");
     assert!(
         figures.completed >= 1 && figures.completed + figures.rolled_back == figures.releases,
         "{found:#?} {figures:?}"
--- a/crates/pebblepost-harness/tests/store.rs
+++ b/crates/pebblepost-harness/tests/store.rs
@@ -4,7 +4,7 @@
 use pebblepost_harness::fault::schedule::{DiskDamage, Fault, FaultKind, Schedule};
 use pebblepost_harness::fault::tcp_relay::LinkState;
 use pebblepost_harness::store::plan::Plan;
-use pebblepost_harness::store::run::run;
+use pebblepost_harness::store::run::run_trial;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn no_acknowledged_change_is_lost_and_no_read_is_stale_under_faults_of_three_replicas() {
@@ -12,7 +12,8 @@
     let plan = Plan { replicas: 3, clients: 4, seconds: 20.0, seed: 2, pause_ms: 20, dispatchers: 2 };
     let schedule = plan.schedule();
     assert!(schedule.counts_by_name()["kill"] >= 8, "{:?}", schedule.counts_by_name());
-    let (summary, found) = run(&plan, &schedule, &program).await.expect("the group answers after all faults");
+    let (summary, found) =
+        run_trial(&plan, &schedule, &program).await.expect("the group answers after all faults");
     assert!(summary.verdict.linearizable, "{found:#?}");
     let (verdict, figures) = (&summary.verdict, &summary);
     assert_eq!(
@@ -37,7 +38,7 @@
     let late = LinkState::Delayed(1_500);
     let slow =
         [(0, 2), (1, 2), (2, 0), (2, 1)].map(|(from, to)| (0.0, 12.0, FaultKind::Link(from, to, late)));
-    let (summary, found) = run(&plan, &faults(slow), &program).await.expect("the group answers");
+    let (summary, found) = run_trial(&plan, &faults(slow), &program).await.expect("the group answers");
     let verdict = &summary.verdict;
     assert_eq!((verdict.lost, verdict.stale_reads, verdict.linearizable), (0, 0, true), "{found:#?}");
     // At the speed of the slow replica a change would take three seconds, and the clients would make some twenty.
@@ -53,7 +54,7 @@
         (6.0, 1.0, FaultKind::Disk(1, DiskDamage::Truncated)),
         (11.0, 1.0, FaultKind::Disk(2, DiskDamage::Deleted)),
     ];
-    let (summary, found) = run(&plan, &faults(spoilt), &program).await.expect("the group answers");
+    let (summary, found) = run_trial(&plan, &faults(spoilt), &program).await.expect("the group answers");
     let (verdict, figures) = (&summary.verdict, &summary);
     assert_eq!(
         (verdict.lost, verdict.stale_reads, figures.drains_forgotten, figures.rules_broken),
--- a/crates/pebblepost-harness/tests/unit/fault_schedule.rs
+++ b/crates/pebblepost-harness/tests/unit/fault_schedule.rs
@@ -4,7 +4,12 @@
 
 #[test]
 fn a_schedule_is_reproducible_serializable_and_shrinks() {
-    let draw = ScheduleParameters { processes: 3, seconds: 600.0, mean_interval_s: 0.85, longest_s: 2.0 };
+    let draw = ScheduleParameters {
+        processes: 3,
+        duration_s: 600.0,
+        mean_interval_s: 0.85,
+        max_fault_duration_s: 2.0,
+    };
     let one = Schedule::draw(draw, 7);
     assert!(one == Schedule::draw(draw, 7) && one != Schedule::draw(draw, 8));
     let text = serde_json::to_string(&one).expect("plain data");
--- a/crates/pebblepost-harness/tests/unit/fault_tcp_relay.rs
+++ b/crates/pebblepost-harness/tests/unit/fault_tcp_relay.rs
@@ -38,18 +38,18 @@
     for (n, link) in
         [LinkState::Partitioned, LinkState::RequestsHeld, LinkState::RepliesHeld].into_iter().enumerate()
     {
-        relay.set(link);
+        relay.set_link_state(link);
         stream.write_all(&[n as u8]).await.expect("open");
         assert_eq!(read_echo(&mut stream, SHORT).await, None, "{link:?}");
-        relay.set(LinkState::Forwarding);
+        relay.set_link_state(LinkState::Forwarding);
         assert_eq!(read_echo(&mut stream, LONG).await, Some(n as u8), "{link:?}");
     }
     assert_eq!(relay.bytes_forwarded(), 6);
-    relay.set(LinkState::Partitioned);
+    relay.set_link_state(LinkState::Partitioned);
     let mut fresh = TcpStream::connect(relay.address).await.expect("accepts and says nothing");
     fresh.write_all(&[9]).await.expect("open");
     assert_eq!(read_echo(&mut fresh, SHORT).await, None);
-    relay.set(LinkState::Forwarding);
+    relay.set_link_state(LinkState::Forwarding);
     assert_eq!(read_echo(&mut fresh, LONG).await, Some(9));
 }
 
@@ -58,7 +58,7 @@
     let (relay, mut stream) = echo().await;
     stream.write_all(&[1]).await.expect("open");
     assert_eq!(read_echo(&mut stream, LONG).await, Some(1));
-    relay.reset();
+    relay.reset_connections();
     let mut byte = [0];
     let end = timeout(LONG, stream.read(&mut byte)).await.expect("it ends");
     assert!(end.is_err(), "reset, not closed: {end:?}");
@@ -70,12 +70,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn delayed_and_throttled_links_are_slow() {
     let (relay, mut stream) = echo().await;
-    relay.set(LinkState::Delayed(100));
+    relay.set_link_state(LinkState::Delayed(100));
     let start = tokio::time::Instant::now();
     stream.write_all(&[1]).await.expect("open");
     assert_eq!(read_echo(&mut stream, LONG).await, Some(1));
     assert!(start.elapsed() >= Duration::from_millis(200), "{:?}", start.elapsed());
-    relay.set(LinkState::Throttled(200));
+    relay.set_link_state(LinkState::Throttled(200));
     stream.write_all(&[0; 40]).await.expect("open");
     let start = tokio::time::Instant::now();
     let mut all = [0; 40];
--- a/crates/pebblepost-harness/tests/unit/release_grant_audit.rs
+++ b/crates/pebblepost-harness/tests/unit/release_grant_audit.rs
@@ -19,14 +19,14 @@
     audit.apply_snapshot(&json!({"revision": 3, "entries": entries}));
     let change = |revision: u64, items: Value| json!({"revision": revision, "items": items});
     audit.apply_change(&change(4, json!([["permit/dispatcher/a", permit]])));
-    assert_eq!((audit.grants, audit.over.len()), ([1, 0], 0));
+    assert_eq!((audit.grants, audit.over_budget.len()), ([1, 0], 0));
     // Sent again by another replica: nothing new.
     audit.apply_change(&change(4, json!([["permit/dispatcher/b", permit]])));
     audit.apply_change(&change(5, json!([["permit/dispatcher/a", null], ["permit/dispatcher/b", permit]])));
-    assert_eq!((audit.grants, audit.over.len()), ([2, 0], 0));
+    assert_eq!((audit.grants, audit.over_budget.len()), ([2, 0], 0));
     audit.apply_change(&change(6, json!([["permit/dispatcher/b", null], ["member/b", member(false)]])));
     audit.apply_change(&change(7, json!([["permit/dispatcher/a", permit]])));
-    assert_eq!((audit.grants, audit.over.len()), ([3, 0], 1), "b is out as it is not ready");
+    assert_eq!((audit.grants, audit.over_budget.len()), ([3, 0], 1), "b is out as it is not ready");
     audit.apply_change(&change(8, json!([["drain/w", {}], ["permit/worker/w", permit]])));
-    assert_eq!((audit.grants, audit.over.len()), ([3, 1], 1), "no budget is known for workers");
+    assert_eq!((audit.grants, audit.over_budget.len()), ([3, 1], 1), "no budget is known for workers");
 }
--- a/crates/pebblepost-harness/tests/unit/release_maintenance.rs
+++ b/crates/pebblepost-harness/tests/unit/release_maintenance.rs
@@ -2,7 +2,9 @@
 
 use pebblepost_harness::checker::exits::DispatcherExit;
 use pebblepost_harness::event_log::{AttemptEnd, Event};
-use pebblepost_harness::release::maintenance::{SwitchedOff, most_off, work_while_off};
+use pebblepost_harness::release::maintenance::{
+    MaintenanceWindow, find_work_during_maintenance, max_concurrent_windows,
+};
 
 #[test]
 fn finds_jobs_that_arrive_or_run_on_at_a_worker_that_is_off() {
@@ -11,7 +13,7 @@
         |txn, worker| Event::AttemptArrived { txn: text(txn), key: text("k"), dispatcher: 0, worker };
     let attempt_ended = |txn, worker| Event::AttemptEnded { txn: text(txn), worker, end: AttemptEnd::Done };
     let responded = |txn| Event::Responded { txn: text(txn), status: 200, body: text("") };
-    let off = |worker, from, to| SwitchedOff { worker, from, to, waited_s: 0.0 };
+    let off = |worker, from, to| MaintenanceWindow { worker, from, to, waited_s: 0.0 };
     let log = [
         (1.0, arrived("before", 1)),
         (1.5, attempt_ended("before", 1)),
@@ -22,11 +24,14 @@
         (2.7, attempt_ended("on", 1)),
         (2.8, responded("on")),
     ];
-    let switched_off = [off(1, 2.0, 3.0), off(2, 3.0, 4.0)];
-    let found = work_while_off(&log, &switched_off, &[]);
+    let windows = [off(1, 2.0, 3.0), off(2, 3.0, 4.0)];
+    let found = find_work_during_maintenance(&log, &windows, &[]);
     assert_eq!(found.len(), 2, "{found:?}");
     assert!(found[0].contains("sent new to worker 1") && found[1].contains("on was served"));
     let killed = [DispatcherExit { dispatcher: 0, from: 1.9, back: 2.9, abrupt: true }];
-    assert_eq!(work_while_off(&log, &switched_off, &killed).len(), 1, "nothing new is excused");
-    assert_eq!((most_off(&switched_off), most_off(&[off(1, 1.0, 3.0), off(2, 2.0, 4.0)])), (1, 2));
+    assert_eq!(find_work_during_maintenance(&log, &windows, &killed).len(), 1, "nothing new is excused");
+    assert_eq!(
+        (max_concurrent_windows(&windows), max_concurrent_windows(&[off(1, 1.0, 3.0), off(2, 2.0, 4.0)])),
+        (1, 2)
+    );
 }
--- a/crates/pebblepost-harness/tests/unit/release_outages.rs
+++ b/crates/pebblepost-harness/tests/unit/release_outages.rs
@@ -1,6 +1,8 @@
 //! Concurrent outages, and outages during halts.
 
-use pebblepost_harness::release::outages::{Halt, by_permit, late_after, most_at_once};
+use pebblepost_harness::release::outages::{
+    Halt, last_outage_delays_s, max_concurrent_outages, voluntary_outages,
+};
 use pebblepost_harness::supervisor::{Outage, OutageCause};
 
 fn out(dispatcher: usize, from: f64, to: f64, cause: OutageCause) -> Outage {
@@ -15,10 +17,10 @@
         out(2, 3.0, 3.5, OutageCause::Voluntary),
         out(3, 3.0, 9.0, OutageCause::Injected),
     ];
-    let permitted = by_permit(&all);
-    assert_eq!(most_at_once(&permitted, 1), (2, 0.5));
-    assert_eq!(most_at_once(&permitted, 2), (2, 0.0));
-    assert_eq!(most_at_once(&all.iter().collect::<Vec<_>>(), 2).0, 3);
+    let permitted = voluntary_outages(&all);
+    assert_eq!(max_concurrent_outages(&permitted, 1), (2, 0.5));
+    assert_eq!(max_concurrent_outages(&permitted, 2), (2, 0.0));
+    assert_eq!(max_concurrent_outages(&all.iter().collect::<Vec<_>>(), 2).0, 3);
 }
 
 #[test]
@@ -29,5 +31,8 @@
         out(2, 6.0, 7.0, OutageCause::Voluntary),
     ];
     let halt = |acknowledged_at, resumed_at| Halt { acknowledged_at, resumed_at };
-    assert_eq!(late_after(&by_permit(&all), &[halt(2.0, 5.0), halt(7.0, 8.0)]), [0.25, 0.0]);
+    assert_eq!(
+        last_outage_delays_s(&voluntary_outages(&all), &[halt(2.0, 5.0), halt(7.0, 8.0)]),
+        [0.25, 0.0]
+    );
 }
--- a/crates/pebblepost-harness/tests/unit/store_consistency.rs
+++ b/crates/pebblepost-harness/tests/unit/store_consistency.rs
@@ -1,6 +1,6 @@
 //! The judgement of what clients of the agreed store saw.
 
-use pebblepost_harness::store::consistency::{Verdict, judge};
+use pebblepost_harness::store::consistency::{Verdict, check_consistency};
 use pebblepost_harness::store::history::{Operation, OperationKind};
 use std::collections::BTreeMap;
 
@@ -31,25 +31,25 @@
         read(2.5, 2.6, None),
         read(3.1, 3.2, None),
     ];
-    let verdict = judge(&history, &drained(false));
+    let verdict = check_consistency(&history, &drained(false));
     assert_eq!(verdict, Verdict { committed: 2, linearizable: true, ..Verdict::default() });
     // A change whose outcome is unknown may be seen or not, also much later.
     for found in [None, Some("a")] {
-        let verdict = judge(&[drain(0.0, None), read(9.0, 9.1, found)], &drained(true));
+        let verdict = check_consistency(&[drain(0.0, None), read(9.0, 9.1, found)], &drained(true));
         assert_eq!((verdict.lost, verdict.stale_reads, verdict.linearizable), (0, 0, true));
     }
 }
 
 #[test]
 fn finds_lost_changes_stale_reads_and_orders_that_no_copy_explains() {
-    let lost = judge(&[drain(0.0, Some(1.0))], &drained(false));
+    let lost = check_consistency(&[drain(0.0, Some(1.0))], &drained(false));
     assert_eq!((lost.lost, lost.linearizable), (1, true));
-    let undone = judge(
+    let undone = check_consistency(
         &[drain(0.0, Some(1.0)), operation(OperationKind::Undrain, 2.0, Some((3.0, None)))],
         &drained(true),
     );
     assert_eq!(undone.lost, 1);
-    let stale = judge(&[drain(0.0, Some(1.0)), read(1.5, 1.6, None)], &drained(true));
+    let stale = check_consistency(&[drain(0.0, Some(1.0)), read(1.5, 1.6, None)], &drained(true));
     assert_eq!((stale.stale_reads, stale.linearizable), (1, false));
     // Two concurrent changes: the order of their requests is not that of their effects.
     let both = [
@@ -57,9 +57,9 @@
         operation(OperationKind::Undrain, 1.0, Some((1.5, None))),
         read(3.0, 4.0, Some("a")),
     ];
-    assert_eq!(judge(&both, &drained(true)).stale_reads, 0);
+    assert_eq!(check_consistency(&both, &drained(true)).stale_reads, 0);
     // Seen, then not seen, while the change is still open: neither read is stale by itself.
     let back = [drain(0.0, Some(9.0)), read(1.0, 2.0, Some("a")), read(3.0, 4.0, None)];
-    let back = judge(&back, &drained(true));
+    let back = check_consistency(&back, &drained(true));
     assert_eq!((back.stale_reads, back.linearizable), (0, false));
 }
