--- a/crates/pebblepost-agent/src/lib.rs
+++ b/crates/pebblepost-agent/src/lib.rs
@@ -56,7 +56,7 @@
     let options = AgentOptions {
         node: settings.node_name.clone(),
         zone: settings.zone.clone(),
-        control_addresses: settings.control_links(),
+        control_addresses: settings.control_link_addresses(),
         shutdown_grace: settings.bounds.shutdown_grace,
         read_control_addresses: Box::new(read_control_addresses),
     };
@@ -78,7 +78,7 @@
 
 fn read_control_addresses() -> Vec<SocketAddr> {
     match Settings::from_environment() {
-        Ok(settings) => settings.control_links(),
+        Ok(settings) => settings.control_link_addresses(),
         Err(error) => {
             log::warn!("settings not reloaded, known control addresses stay in use: {error:#}");
             Vec::new()
--- a/crates/pebblepost-batch-store/tests/integration/simulation/proxy.rs
+++ b/crates/pebblepost-batch-store/tests/integration/simulation/proxy.rs
@@ -1,7 +1,8 @@
 //! A simulated proxy, which keeps links to the stores, requests work, runs items and forwards the calls of clients.
 
 use pebblepost_messages::batch::{
-    ActiveLease, FromStore, ItemOutcome, ItemResult, LEASE_MS, PartialText, ResultState, ToStore, WorkLease,
+    ActiveLease, FromStore, ItemOutcome, ItemResult, LEASE_DURATION_MS, PartialText, ResultState, ToStore,
+    WorkLease,
 };
 use pebblepost_messages::feed::StoreGroup;
 use rand::RngExt;
@@ -138,7 +139,7 @@
             FromStore::Renew { groups } => {
                 for running in &mut self.running {
                     if groups.contains(&(running.store_group, running.epoch)) {
-                        running.lease_valid_until = now + LEASE_MS;
+                        running.lease_valid_until = now + LEASE_DURATION_MS;
                     }
                 }
             }
@@ -159,7 +160,7 @@
                 job: lease.job.clone(),
                 item: leased.item.id.clone(),
                 ends_at: now + run_ms,
-                lease_valid_until: now + LEASE_MS,
+                lease_valid_until: now + LEASE_DURATION_MS,
             });
         }
     }
--- a/crates/pebblepost-proxy/src/dispatch/backend.rs
+++ b/crates/pebblepost-proxy/src/dispatch/backend.rs
@@ -239,7 +239,9 @@
 async fn probe(backend: Rc<Backend>, worker: WorkerId) {
     let sent = Instant::now();
     let result = match backend.ready_target(worker) {
-        Some(target) => backend.client.load_report(&target, PROBE_TIMEOUT).await.map_err(status_of_error),
+        Some(target) => {
+            backend.client.request_load_report(&target, PROBE_TIMEOUT).await.map_err(status_of_error)
+        }
         None => Err(Status::ConnectFailed),
     };
     let (status, report) = match result {
