--- a/crates/pebblepost-harness/src/fault/tcp_relay.rs
+++ b/crates/pebblepost-harness/src/fault/tcp_relay.rs
@@ -111,15 +111,15 @@
     listener: TcpListener, target: SocketAddr, state: watch::Receiver<RelayState>,
     bytes_forwarded: Arc<AtomicU64>,
 ) {
-    let mut open = tokio::task::JoinSet::new();
+    let mut connections = tokio::task::JoinSet::new();
     loop {
         tokio::select! {
             accepted = listener.accept() => {
                 if let Ok((client, _)) = accepted {
-                    open.spawn(forward_connection(client, target, state.clone(), bytes_forwarded.clone()));
+                    connections.spawn(forward_connection(client, target, state.clone(), bytes_forwarded.clone()));
                 }
             }
-            Some(_) = open.join_next() => {}
+            Some(_) = connections.join_next() => {}
         }
     }
 }
--- a/crates/pebblepost-harness/src/release/maintenance.rs
+++ b/crates/pebblepost-harness/src/release/maintenance.rs
@@ -111,13 +111,13 @@
     log: &[Entry], windows: &[MaintenanceWindow], exits: &[DispatcherExit],
 ) -> Vec<String> {
     let (mut found, mut attempts) = (Vec::new(), HashMap::<&str, usize>::new());
-    let mut open: HashMap<(&str, usize), (f64, usize)> = HashMap::new();
+    let mut open_attempts: HashMap<(&str, usize), (f64, usize)> = HashMap::new();
     let mut ran_into_window: HashSet<&str> = HashSet::new();
     for (at, event) in log {
         match event {
             Event::AttemptArrived { txn, dispatcher, worker, .. } => {
                 *attempts.entry(txn).or_insert(0) += 1;
-                open.insert((txn, *worker), (*at, *dispatcher));
+                open_attempts.insert((txn, *worker), (*at, *dispatcher));
                 if let Some(window) = windows
                     .iter()
                     .find(|window| window.worker == *worker && (window.from..window.to).contains(at))
@@ -129,7 +129,7 @@
                 }
             }
             Event::AttemptEnded { txn, worker, .. } => {
-                let Some((began, by)) = open.remove(&(txn.as_str(), *worker)) else { continue };
+                let Some((began, by)) = open_attempts.remove(&(txn.as_str(), *worker)) else { continue };
                 let overlaps = |window: &&MaintenanceWindow| {
                     window.worker == *worker && began < window.from && *at >= window.from
                 };
--- a/crates/pebblepost-harness/src/release/rollout.rs
+++ b/crates/pebblepost-harness/src/release/rollout.rs
@@ -45,7 +45,7 @@
 /// Numbers of releases in a trial.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReleaseCounts {
-    pub(super) begun: usize,
+    pub(super) started: usize,
     pub(super) completed: usize,
     pub(super) rolled_back: usize,
 }
@@ -172,12 +172,12 @@
     let mut counts = ReleaseCounts::default();
     let mut previous_version = INITIAL_VERSION.to_owned();
     while !trial.stopping.load(Ordering::Relaxed) {
-        counts.begun += 1;
-        let defective = counts.begun % 3 == 0 && trial.plan.mode == Mode::Permits;
-        let defect = VersionDefect::ALL[counts.begun / 3 % VersionDefect::ALL.len()];
-        let version = format!("{}{}", if defective { defect.name() } else { "v" }, counts.begun);
+        counts.started += 1;
+        let defective = counts.started % 3 == 0 && trial.plan.mode == Mode::Permits;
+        let defect = VersionDefect::ALL[counts.started / 3 % VersionDefect::ALL.len()];
+        let version = format!("{}{}", if defective { defect.name() } else { "v" }, counts.started);
         let outcome = match trial.plan.mode {
-            Mode::Permits => run_release(&trial, counts.begun as u64, &version, &previous_version).await,
+            Mode::Permits => run_release(&trial, counts.started as u64, &version, &previous_version).await,
             Mode::AtOnce => {
                 (0..trial.plan.dispatchers).for_each(|n| trial.supervisor.inject(n, ProcessFault::Stop));
                 sleep(UNPERMITTED_RELEASE_DURATION).await;
--- a/crates/pebblepost-harness/src/release/summary.rs
+++ b/crates/pebblepost-harness/src/release/summary.rs
@@ -176,7 +176,7 @@
         off_after_p50_ms: quantile(&waits_ms, 0.5),
         off_after_p99_ms: quantile(&waits_ms, 0.99),
         work_while_off: maintenance_violations.len(),
-        releases: releases.begun,
+        releases: releases.started,
         completed: releases.completed,
         rolled_back: releases.rolled_back,
         bad_version_reached: VersionDefect::ALL.into_iter().map(reached).max().unwrap_or(0),
--- a/crates/pebblepost-harness/src/store/client_impact.rs
+++ b/crates/pebblepost-harness/src/store/client_impact.rs
@@ -37,7 +37,7 @@
     pub served_share: f64,
     /// Latency of the served requests, 99th percentile.
     pub p99_ms: f64,
-    /// CPU time of the dispatchers per request.
+    /// CPU time of the dispatchers per request, in microseconds.
     pub cpu_us: f64,
     /// Number of rules broken.
     pub rules_broken: usize,
--- a/crates/pebblepost-harness/src/store/load.rs
+++ b/crates/pebblepost-harness/src/store/load.rs
@@ -79,7 +79,7 @@
     }
 
     /// Records the kill of a replica. If the replica is the assumed leader, a gap starts.
-    pub(super) fn replica_killed(&self, index: usize) {
+    pub(super) fn record_replica_kill(&self, index: usize) {
         if index == self.leader.load(Ordering::Relaxed) {
             lock(&self.leader_gaps).killed_at.get_or_insert_with(Instant::now);
         }
@@ -95,7 +95,7 @@
         nearest_rank(&lock(&self.leader_gaps).gaps_ms, quantile)
     }
 
-    fn change_acknowledged(&self, began: Instant) {
+    fn record_acknowledged_change(&self, began: Instant) {
         let _ = lock(&self.change_latencies_us).record(began.elapsed().as_micros() as u64);
         let mut gaps = lock(&self.leader_gaps);
         // Only a change that was requested after the kill shows that the cluster makes progress.
@@ -208,7 +208,7 @@
         let reply = self.client.request(&command, OPERATION_TIMEOUT).await;
         let done = reply.is_ok_and(|reply| reply.pointer("/answer/Ok").is_some());
         if done {
-            self.load.change_acknowledged(began);
+            self.load.record_acknowledged_change(began);
         }
         let answer = done.then(|| (history.now(), None));
         history.append(Operation { worker: worker.to_owned(), kind, requested_at, answer });
--- a/crates/pebblepost-harness/src/store/run.rs
+++ b/crates/pebblepost-harness/src/store/run.rs
@@ -145,7 +145,7 @@
     });
     let record_kill = |fault: &Fault| {
         if let FaultKind::Kill(index) = fault.kind {
-            load.replica_killed(index);
+            load.record_replica_kill(index);
         }
     };
     cluster.run_schedule(schedule, record_kill).await?;
