--- a/crates/pebblepost-harness/src/supervisor/mod.rs
+++ b/crates/pebblepost-harness/src/supervisor/mod.rs
@@ -14,7 +14,7 @@
 use crate::checker::exits::DispatcherExit;
 use crate::dispatcher::DispatcherProcess;
 use crate::event_log::{Availability, Event, EventLog};
-use crate::store::client::{Leader, StoreClient};
+use crate::store::client::{LeaderHint, StoreClient};
 use crate::sync::lock;
 use anyhow::Result;
 use defect::CRASH_DELAY;
@@ -67,7 +67,7 @@
     /// if the store does not answer within [`PERMIT_LOOKUP_TIMEOUT`].
     async fn permitted_version(&self, dispatcher: usize) -> Option<String> {
         let key = format!("permit/dispatcher/n{dispatcher}");
-        let mut client = StoreClient::new(self.replicas.clone(), Leader::default());
+        let mut client = StoreClient::new(self.replicas.clone(), LeaderHint::default());
         let reply = client.request(&json!({"get": [key]}), PERMIT_LOOKUP_TIMEOUT).await.ok()?;
         let permit = reply.pointer("/found/entries")?.get(&key)?.pointer("/value/permit")?.clone();
         let granted = permit["granted"].is_u64();
--- a/crates/pebblepost-harness/tests/unit/fault_schedule.rs
+++ b/crates/pebblepost-harness/tests/unit/fault_schedule.rs
@@ -4,8 +4,12 @@
 
 #[test]
 fn a_schedule_is_reproducible_and_serializable_and_faults_can_be_removed() {
-    let parameters =
-        ScheduleParameters { processes: 3, seconds: 600.0, mean_interval_s: 0.85, longest_s: 2.0 };
+    let parameters = ScheduleParameters {
+        processes: 3,
+        duration_s: 600.0,
+        mean_interval_s: 0.85,
+        max_fault_duration_s: 2.0,
+    };
     let schedule = Schedule::draw(parameters, 7);
     assert!(schedule == Schedule::draw(parameters, 7) && schedule != Schedule::draw(parameters, 8));
     let text = serde_json::to_string(&schedule).expect("serializable data");
--- a/crates/pebblepost-harness/tests/unit/fault_tcp_relay.rs
+++ b/crates/pebblepost-harness/tests/unit/fault_tcp_relay.rs
@@ -40,19 +40,19 @@
     for (n, link) in
         [LinkState::Partitioned, LinkState::RequestsHeld, LinkState::RepliesHeld].into_iter().enumerate()
     {
-        relay.set(link);
+        relay.set_link_state(link);
         stream.write_all(&[n as u8]).await.expect("an open connection");
         assert_eq!(read_echo(&mut stream, HOLD_TIMEOUT).await, None, "{link:?}");
-        relay.set(LinkState::Forwarding);
+        relay.set_link_state(LinkState::Forwarding);
         assert_eq!(read_echo(&mut stream, ECHO_TIMEOUT).await, Some(n as u8), "{link:?}");
     }
     assert_eq!(relay.bytes_forwarded(), 6);
-    relay.set(LinkState::Partitioned);
+    relay.set_link_state(LinkState::Partitioned);
     let mut new_stream =
         TcpStream::connect(relay.address).await.expect("a partitioned relay accepts connections");
     new_stream.write_all(&[9]).await.expect("an open connection");
     assert_eq!(read_echo(&mut new_stream, HOLD_TIMEOUT).await, None);
-    relay.set(LinkState::Forwarding);
+    relay.set_link_state(LinkState::Forwarding);
     assert_eq!(read_echo(&mut new_stream, ECHO_TIMEOUT).await, Some(9));
 }
 
@@ -61,7 +61,7 @@
     let (relay, mut stream) = connect_to_echo_server().await;
     stream.write_all(&[1]).await.expect("an open connection");
     assert_eq!(read_echo(&mut stream, ECHO_TIMEOUT).await, Some(1));
-    relay.reset();
+    relay.reset_connections();
     let mut byte = [0];
     let end = timeout(ECHO_TIMEOUT, stream.read(&mut byte)).await.expect("the connection ends");
     assert!(end.is_err(), "the connection must be reset, not closed: {end:?}");
@@ -73,12 +73,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn delayed_and_throttled_links_take_the_minimum_time() {
     let (relay, mut stream) = connect_to_echo_server().await;
-    relay.set(LinkState::Delayed(100));
+    relay.set_link_state(LinkState::Delayed(100));
     let start = tokio::time::Instant::now();
     stream.write_all(&[1]).await.expect("an open connection");
     assert_eq!(read_echo(&mut stream, ECHO_TIMEOUT).await, Some(1));
     assert!(start.elapsed() >= Duration::from_millis(200), "{:?}", start.elapsed());
-    relay.set(LinkState::Throttled(200));
+    relay.set_link_state(LinkState::Throttled(200));
     stream.write_all(&[0; 40]).await.expect("an open connection");
     let start = tokio::time::Instant::now();
     let mut all = [0; 40];
--- a/crates/pebblepost-harness/tests/unit/release_grant_audit.rs
+++ b/crates/pebblepost-harness/tests/unit/release_grant_audit.rs
@@ -19,17 +19,21 @@
     audit.apply_snapshot(&json!({"revision": 3, "entries": entries}));
     let change = |revision: u64, items: Value| json!({"revision": revision, "items": items});
     audit.apply_change(&change(4, json!([["permit/dispatcher/a", permit]])));
-    assert_eq!((audit.grants, audit.over.len()), ([1, 0], 0));
+    assert_eq!((audit.grants, audit.over_budget.len()), ([1, 0], 0));
     // Another replica sends revision 4 again, so it is ignored.
     audit.apply_change(&change(4, json!([["permit/dispatcher/b", permit]])));
     audit.apply_change(&change(5, json!([["permit/dispatcher/a", null], ["permit/dispatcher/b", permit]])));
-    assert_eq!((audit.grants, audit.over.len()), ([2, 0], 0));
+    assert_eq!((audit.grants, audit.over_budget.len()), ([2, 0], 0));
     audit.apply_change(&change(6, json!([["permit/dispatcher/b", null], ["member/b", member(false)]])));
     audit.apply_change(&change(7, json!([["permit/dispatcher/a", permit]])));
-    assert_eq!((audit.grants, audit.over.len()), ([3, 0], 1), "member b is not ready and counts as out");
+    assert_eq!(
+        (audit.grants, audit.over_budget.len()),
+        ([3, 0], 1),
+        "member b is not ready and counts as out"
+    );
     audit.apply_change(&change(8, json!([["drain/w", {}], ["permit/worker/w", permit]])));
     assert_eq!(
-        (audit.grants, audit.over.len()),
+        (audit.grants, audit.over_budget.len()),
         ([3, 1], 1),
         "a grant to a worker without a known budget is over budget"
     );
