--- a/crates/pebblepost/src/connection_role.rs
+++ b/crates/pebblepost/src/connection_role.rs
@@ -1,6 +1,6 @@
 //! What a connection is for, with the state of its protocol.
 
-use crate::discovery::call::Call;
+use crate::discovery::call::WatchCall;
 use crate::front::faktory::session::Session;
 use crate::front::platform::client::ClientState;
 use crate::workers::connection::WorkerConnection;
@@ -13,7 +13,7 @@
     /// A connection to a worker.
     Worker(WorkerConnection),
     /// A call to discovery.
-    Discovery(Call),
+    Discovery(WatchCall),
     /// A producer or worker of the Faktory front.
     Faktory(Session),
     /// A load balancer's health checks by HTTP.
@@ -40,7 +40,7 @@
 
     /// Whether it may use a descriptor of the reserve: clients that fill the others must not keep the daemon from its list
     /// of workers.
-    pub fn may_use_reserve(&self) -> bool {
+    pub fn may_use_reserved_descriptors(&self) -> bool {
         matches!(self, Self::Discovery(_))
     }
 }
--- a/crates/pebblepost/src/daemon/fleet_link.rs
+++ b/crates/pebblepost/src/daemon/fleet_link.rs
@@ -44,8 +44,8 @@
         net.watch_signal(Signal::Fleet, &self.agent.wake)
     }
 
-    pub(super) fn control(&self) -> Option<SocketAddr> {
-        self.agent.control
+    pub(super) fn control_address(&self) -> Option<SocketAddr> {
+        self.agent.control_address
     }
 
     /// The body of responses to health checks.
@@ -90,14 +90,14 @@
 
     /// Reports what is in force by now, and what is in flight at drained workers.
     pub(super) fn report(&mut self, context: &Context, engine: &Engine) {
-        self.agent.set_request_counts(engine.counts());
+        self.agent.set_request_counts(engine.request_counts());
         if !std::mem::take(&mut self.report_due) {
             return;
         }
         let registry = &context.registry;
-        let busy = engine.busy(&registry.all_drained()).into_iter();
+        let busy = engine.workers_with_attempts_in_flight(&registry.drained_workers()).into_iter();
         let busy = busy.filter_map(|worker| registry.drained_name(worker)?.parse().ok());
-        self.agent.confirm(self.applied_revision, busy.collect());
+        self.agent.report_applied(self.applied_revision, busy.collect());
         let warm_up_time = engine.settings().warm_up_time;
         if let Some(observations) = registry.observations(context.net.now, warm_up_time, &self.probes) {
             self.agent.set_observations(observations);
--- a/crates/pebblepost/src/daemon/mod.rs
+++ b/crates/pebblepost/src/daemon/mod.rs
@@ -20,7 +20,7 @@
 use crate::front::platform::Platform;
 use crate::net::{ListenerKind, ReadyEvent, Signal, Sockets};
 use crate::timer::Timer;
-use crate::workers::Workers;
+use crate::workers::WorkerConnections;
 use fleet_link::FleetLink;
 use pebblepost_dispatch::api::ListKind;
 use std::io::{self, Read};
@@ -62,7 +62,7 @@
     context: Context,
     engine: Engine,
     platform: Platform,
-    workers: Workers,
+    workers: WorkerConnections,
     watch: Watch,
     faktory: Option<Faktory>,
     /// The link to the fleet store, if the operator's file has one.
@@ -107,7 +107,7 @@
             context,
             engine,
             platform: Platform::new(config.classes, config.tenants),
-            workers: Workers::new(&config.settings, config.connect_timeout, config.report_names),
+            workers: WorkerConnections::new(&config.settings, config.connect_timeout, config.report_names),
             watch: Watch::new(config.discovery, &config.settings, config.seed),
             faktory,
             fleet,
@@ -122,8 +122,8 @@
     }
 
     /// Where the fleet agent listens to operators of this machine.
-    pub fn control(&self) -> Option<SocketAddr> {
-        self.fleet.as_ref()?.control()
+    pub fn control_address(&self) -> Option<SocketAddr> {
+        self.fleet.as_ref()?.control_address()
     }
 
     /// The address of an open listener.
@@ -175,7 +175,7 @@
             Timer::WriteTimeout(key) => self.on_closed(key),
             Timer::Connection(key) => self.on_deadline(key),
             Timer::GracePeriodEnd => self.start_draining(),
-            Timer::DiscoveryCall => self.watch.on_timer(context),
+            Timer::DiscoveryCall => self.watch.on_call_timer(context),
             Timer::ResumeAccepting => context.net.resume_accepting(),
             Timer::FleetReport => {
                 if let Some(fleet) = &mut self.fleet {
@@ -215,7 +215,7 @@
     fn status(&self) -> NodeStatus {
         NodeStatus {
             stopping: self.context.is_stopping(),
-            ready_workers: self.engine.ready_workers(),
+            ready_workers: self.engine.ready_worker_count(),
             connections: self.context.net.connection_count(),
             max_connections: self.context.net.max_connections(),
         }
@@ -227,7 +227,7 @@
         let _ = (&self.signals.reload).read(&mut [0; 16]);
         let log = self.context.log;
         match (self.signals.read_config)().map(|config| config.discovery) {
-            Ok(Some(address)) => self.watch.move_to(&mut self.context, address),
+            Ok(Some(address)) => self.watch.switch_address(&mut self.context, address),
             Ok(None) => log("SIGHUP: the configuration names no discovery, the old one stays"),
             Err(error) => log(&format!("SIGHUP: the old configuration stays: {error}")),
         }
--- a/crates/pebblepost/src/daemon/outputs.rs
+++ b/crates/pebblepost/src/daemon/outputs.rs
@@ -15,7 +15,7 @@
                 fleet.record_probes(self.context.net.now, &inputs);
             }
             let mut outputs = Vec::new();
-            self.engine.turn(self.context.net.now, &mut inputs, &mut outputs);
+            self.engine.process_inputs(self.context.net.now, &mut inputs, &mut outputs);
             for output in outputs {
                 self.carry_out(output);
             }
--- a/crates/pebblepost/src/daemon/shutdown.rs
+++ b/crates/pebblepost/src/daemon/shutdown.rs
@@ -39,7 +39,7 @@
     /// Whether the daemon has drained: every request has its response, and all responses are out.
     pub(super) fn is_finished(&mut self) -> bool {
         self.context.is_draining()
-            && self.engine.unanswered() == 0
+            && self.engine.unanswered_requests() == 0
             && !self.context.net.keys().into_iter().any(|key| self.has_pending_output(key))
     }
 
--- a/crates/pebblepost/src/discovery/call.rs
+++ b/crates/pebblepost/src/discovery/call.rs
@@ -6,7 +6,7 @@
 
 /// A call to discovery that subscribes to changes.
 #[derive(Debug)]
-pub struct Call {
+pub struct WatchCall {
     pub(super) response: Option<(Head, Body)>,
     /// Decoded body that was not processed yet.
     pub(super) objects: Buffer,
@@ -15,7 +15,7 @@
     pub(super) confirmed: bool,
 }
 
-impl Call {
+impl WatchCall {
     pub(super) fn new(now: Time) -> Self {
         Self { response: None, objects: Buffer::default(), opened: now, confirmed: false }
     }
--- a/crates/pebblepost/src/discovery/registry.rs
+++ b/crates/pebblepost/src/discovery/registry.rs
@@ -36,7 +36,7 @@
     /// What the engine has to learn.
     pub input: Input,
     /// Workers that are gone or have moved, whose connections are of no use any more.
-    pub stale: Vec<WorkerId>,
+    pub stale_workers: Vec<WorkerId>,
 }
 
 /// Index of names that the decision module knows by number.
@@ -116,7 +116,7 @@
     }
 
     /// All workers that an operator's drain mark names.
-    pub fn all_drained(&self) -> HashSet<WorkerId> {
+    pub fn drained_workers(&self) -> HashSet<WorkerId> {
         let all = (0..self.endpoints.len()).map(|index| WorkerId(index as u32));
         if self.drained.is_empty() { HashSet::new() } else { all.filter(|id| self.is_drained(*id)).collect() }
     }
@@ -150,7 +150,7 @@
     }
 
     /// Ends [`withhold`](Self::withhold); what the engine has to learn, if anything was withheld.
-    pub fn release(&mut self) -> Option<Input> {
+    pub fn end_withholding(&mut self) -> Option<Input> {
         std::mem::take(&mut self.withheld).then(|| self.membership())
     }
 
@@ -174,11 +174,11 @@
             entries.push(self.effective_entry(worker));
         }
         self.version = list.version;
-        if let Some(input) = self.release() {
-            return Some(AppliedList { input, stale });
+        if let Some(input) = self.end_withholding() {
+            return Some(AppliedList { input, stale_workers: stale });
         }
         let kind = kind.unwrap_or(if list.complete { ListKind::Full } else { ListKind::Delta });
-        Some(AppliedList { input: Input::Membership(kind, entries), stale })
+        Some(AppliedList { input: Input::Membership(kind, entries), stale_workers: stale })
     }
 
     fn remove_unlisted(&mut self, list: &EndpointList, stale: &mut Vec<WorkerId>) {
--- a/crates/pebblepost/src/discovery/watch.rs
+++ b/crates/pebblepost/src/discovery/watch.rs
@@ -4,7 +4,7 @@
 //! below follow from that: a silent watch is noticed within 3 s, and two calls that fail as late as discovery lets them
 //! (2 s each), with the backoff between them, leave time for a third.
 
-use super::call::Call;
+use super::call::WatchCall;
 use crate::connection_role::ConnectionRole;
 use crate::context::Context;
 use crate::http::{self, Body, Malformed, StreamItem};
@@ -125,13 +125,13 @@
     }
 
     /// The timer of the next call is due.
-    pub fn on_timer(&mut self, context: &mut Context) {
+    pub fn on_call_timer(&mut self, context: &mut Context) {
         self.next_call = None;
         self.call(context);
     }
 
     /// Goes over to discovery at another address at once. The old watch counts until the new one brings something.
-    pub fn move_to(&mut self, context: &mut Context, address: SocketAddr) {
+    pub fn switch_address(&mut self, context: &mut Context, address: SocketAddr) {
         let Some(old) = self.address.replace(address) else {
             // Without an address the decision module was told at the start that workers come by other ways.
             self.address = None;
@@ -172,7 +172,7 @@
     /// The watch ended or was malformed.
     pub fn on_closed(&mut self, context: &mut Context, key: ConnectionKey) {
         let now = context.net.now;
-        let lasted = |call: &Call| call.confirmed && now >= call.opened + MIN_WATCH_TIME;
+        let lasted = |call: &WatchCall| call.confirmed && now >= call.opened + MIN_WATCH_TIME;
         let lasted = matches!(context.net.close(key), Some(ConnectionRole::Discovery(call)) if lasted(&call));
         self.previous.take_if(|previous| *previous == key);
         if self.current.take_if(|current| *current == key).is_none() {
@@ -209,7 +209,7 @@
             context.net.timers.cancel(next);
         }
         let from = if self.unconfirmed_address { 0 } else { context.registry.version() };
-        let role = ConnectionRole::Discovery(Call::new(context.net.now));
+        let role = ConnectionRole::Discovery(WatchCall::new(context.net.now));
         match context.net.connect(address, role) {
             Ok(key) => {
                 let request =
@@ -228,7 +228,7 @@
         }
         self.failures = self.failures.saturating_add(1);
         if self.failures >= FAILURES_BEFORE_KNOWN_LIST
-            && let Some(known) = context.registry.release()
+            && let Some(known) = context.registry.end_withholding()
         {
             (context.log)("discovery: unreachable, using the list known at the start");
             context.inputs.push(known);
@@ -268,14 +268,14 @@
         match item {
             StreamItem::EmptyLine => {
                 // Nothing has changed: what is known is what discovery has.
-                context.inputs.extend(context.registry.release());
+                context.inputs.extend(context.registry.end_withholding());
                 Ok(Some(Vec::new()))
             }
             StreamItem::Object(json) => {
                 let applied = context.registry.apply(&json, None, &context.clock);
                 let applied = applied.ok_or(CallError::NoList)?;
                 context.inputs.push(applied.input);
-                Ok(Some(applied.stale))
+                Ok(Some(applied.stale_workers))
             }
         }
     }
--- a/crates/pebblepost/src/engine/mod.rs
+++ b/crates/pebblepost/src/engine/mod.rs
@@ -68,22 +68,22 @@
     }
 
     /// Requests that have no final response yet.
-    pub fn unanswered(&self) -> usize {
+    pub fn unanswered_requests(&self) -> usize {
         self.requests.unanswered()
     }
 
     /// Workers that accept requests, as far as this dispatcher knows.
-    pub fn ready_workers(&self) -> usize {
+    pub fn ready_worker_count(&self) -> usize {
         self.workers.values().filter(|entry| entry.state == WorkerState::Ready).count()
     }
 
     /// Responses given so far.
-    pub fn counts(&self) -> RequestCounts {
+    pub fn request_counts(&self) -> RequestCounts {
         self.requests.counts()
     }
 
     /// Which of these workers have attempts in flight.
-    pub fn busy(&self, among: &HashSet<WorkerId>) -> HashSet<WorkerId> {
+    pub fn workers_with_attempts_in_flight(&self, among: &HashSet<WorkerId>) -> HashSet<WorkerId> {
         self.requests.workers_with_open_attempts(among)
     }
 
@@ -91,7 +91,7 @@
     ///
     /// Disconnections come first: nothing of the same turn, such as a probe's result or a timer, may still send a request
     /// whose client is gone.
-    pub fn turn(&mut self, now: Time, inputs: &mut Vec<Input>, outputs: &mut Vec<Output>) {
+    pub fn process_inputs(&mut self, now: Time, inputs: &mut Vec<Input>, outputs: &mut Vec<Output>) {
         let disconnected = inputs
             .iter()
             .filter_map(|i| if let Input::ClientDisconnected(id) = i { Some(*id) } else { None });
--- a/crates/pebblepost/src/fleet_agent/mod.rs
+++ b/crates/pebblepost/src/fleet_agent/mod.rs
@@ -56,7 +56,7 @@
     /// Becomes readable when there is a new view.
     pub wake: UnixStream,
     /// Where it listens to operators.
-    pub control: Option<SocketAddr>,
+    pub control_address: Option<SocketAddr>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
@@ -94,7 +94,7 @@
         let (stop, stopped) = oneshot::channel();
         let tasks = Tasks { shared: shared.clone(), config: config.clone(), info, control };
         let thread = tasks.spawn(stopped)?;
-        Ok(Self { shared, wake, control: control_address, stop: Some(stop), thread: Some(thread) })
+        Ok(Self { shared, wake, control_address, stop: Some(stop), thread: Some(thread) })
     }
 
     /// The newest view.
@@ -115,7 +115,7 @@
 
     /// Reports that all that is agreed up to this revision is in force in the event loop, which has attempts in flight at
     /// these drained workers.
-    pub fn confirm(&self, revision: u64, busy_workers: BTreeSet<Name>) {
+    pub fn report_applied(&self, revision: u64, busy_workers: BTreeSet<Name>) {
         let mut report = lock(&self.shared.report);
         let is_new = report.busy_workers != busy_workers
             || lock(&self.shared.view).newest_drain_revision > report.applied_revision;
--- a/crates/pebblepost/src/net/sockets.rs
+++ b/crates/pebblepost/src/net/sockets.rs
@@ -213,7 +213,7 @@
     pub fn connect(&mut self, address: SocketAddr, role: ConnectionRole) -> io::Result<ConnectionKey> {
         if self.connections.len() >= self.max_connections
             && !self.close_longest_idle()
-            && !role.may_use_reserve()
+            && !role.may_use_reserved_descriptors()
         {
             return Err(io::Error::other("no descriptor left"));
         }
--- a/crates/pebblepost/src/store_replica.rs
+++ b/crates/pebblepost/src/store_replica.rs
@@ -67,7 +67,7 @@
 /// # Errors
 ///
 /// If the file cannot be read, or a value is missing, unknown or out of its range.
-pub fn read(path: &Path) -> Result<ReplicaConfig, ConfigError> {
+pub fn read_config(path: &Path) -> Result<ReplicaConfig, ConfigError> {
     let file: ReplicaFile = read_file(path)?;
     let fail = |key: &str, problem: ConfigProblem| Err(ConfigError::at_path(path, key, problem));
     if file.group.is_empty() || file.group.len() > MAX_GROUP_NAME_BYTES {
@@ -103,7 +103,7 @@
 ///
 /// If its file is wrong, or it cannot start or go on.
 pub fn run(path: &Path) -> Result<(), StoreReplicaError> {
-    let config = read(path)?;
+    let config = read_config(path)?;
     // Which fault happens when is in the environment (`FAILPOINTS`).
     #[cfg(feature = "faults")]
     let _faults = fail::FailScenario::setup();
--- a/crates/pebblepost/src/workers/mod.rs
+++ b/crates/pebblepost/src/workers/mod.rs
@@ -43,7 +43,7 @@
 
 /// All connections to workers.
 #[derive(Debug)]
-pub struct Workers {
+pub struct WorkerConnections {
     idle: HashMap<WorkerId, Vec<ConnectionKey>>,
     attempts: HashMap<AttemptId, ConnectionKey>,
     connect_timeout: Duration,
@@ -51,7 +51,7 @@
     report_names: ReportNames,
 }
 
-impl Workers {
+impl WorkerConnections {
     /// No connections yet. `report_names` are the names of the values of a load report, in order.
     pub fn new(settings: &Settings, connect_timeout: Duration, report_names: Vec<String>) -> Self {
         let keepalive = if settings.keepalive.is_zero() { DEFAULT_KEEPALIVE } else { settings.keepalive };
--- a/crates/pebblepost/tests/behaviour_pins.rs
+++ b/crates/pebblepost/tests/behaviour_pins.rs
@@ -265,7 +265,7 @@
         let mut json = whole.clone();
         config::overlay(&mut json, &change);
         std::fs::write(&path, json.to_string()).expect("a writable folder");
-        let read = match store_replica::read(&path) {
+        let read = match store_replica::read_config(&path) {
             Ok(read) => format!(
                 "{} {} {} {:?} {:?} {:?} {:?}",
                 read.group,
@@ -511,7 +511,7 @@
     ] {
         let applied = registry.apply(&list, None, &clock);
         let text = match &applied {
-            Some(AppliedList { input: Input::Membership(kind, entries), stale }) => {
+            Some(AppliedList { input: Input::Membership(kind, entries), stale_workers: stale }) => {
                 let stale: Vec<u32> = stale.iter().map(|worker| worker.0).collect();
                 format!("{kind:?} {} stale {stale:?}", entry_numbers(entries))
             }
@@ -560,7 +560,7 @@
 
     fn turn(&mut self, input: Input) {
         let mut outputs = Vec::new();
-        self.engine.turn(Time(self.now), &mut vec![input], &mut outputs);
+        self.engine.process_inputs(Time(self.now), &mut vec![input], &mut outputs);
         for output in outputs {
             self.carry_out(output);
         }
@@ -695,7 +695,7 @@
         }
     }
     around.run_until(6_000);
-    let counts = around.engine.counts();
+    let counts = around.engine.request_counts();
     let trace = TRACE.lock().expect("no panic").clone();
     let mut text: String = trace.lines().take(120).flat_map(|line| [line, "\n"]).collect();
     let _ = writeln!(text, "digest of {} lines {:016x}", trace.lines().count(), digest(trace.bytes()));
@@ -703,8 +703,12 @@
     let count = around.transcript.lines().count();
     let _ = writeln!(text, "digest of {count} outputs {:016x}", digest(around.transcript.bytes()));
     let _ = writeln!(text, "answered {} succeeded {}", counts.answered, counts.succeeded);
-    let _ =
-        writeln!(text, "unanswered {} ready {}", around.engine.unanswered(), around.engine.ready_workers());
+    let _ = writeln!(
+        text,
+        "unanswered {} ready {}",
+        around.engine.unanswered_requests(),
+        around.engine.ready_worker_count()
+    );
     assert_approved("trace.txt", &text);
 }
 
--- a/crates/pebblepost/tests/common/mod.rs
+++ b/crates/pebblepost/tests/common/mod.rs
@@ -94,7 +94,7 @@
         let listeners =
             [ListenerKind::Platform, ListenerKind::Faktory, ListenerKind::AgentCheck, ListenerKind::Health];
         let addresses = listeners.iter().filter_map(|kind| Some((*kind, daemon.address(*kind)?))).collect();
-        let control = daemon.control();
+        let control = daemon.control_address();
         let thread = std::thread::spawn(move || daemon.run().expect("no fault of the poller"));
         Self {
             signal,
--- a/crates/pebblepost/tests/engine.rs
+++ b/crates/pebblepost/tests/engine.rs
@@ -51,7 +51,7 @@
 impl EngineObserver {
     fn turn(&mut self, engine: &mut Engine, input: Input) {
         let (mut inputs, mut out) = (vec![input], Vec::new());
-        engine.turn(Time(self.now), &mut inputs, &mut out);
+        engine.process_inputs(Time(self.now), &mut inputs, &mut out);
         for output in out {
             match output {
                 Output::Deliver { attempt, worker, time_left: left } => {
@@ -153,7 +153,7 @@
         for id in requests {
             prop_assert!(observer.answers.contains_key(&id) != observer.left.contains(&id), "{id:?} is answered unless its client left");
         }
-        prop_assert_eq!(engine.unanswered(), 0);
+        prop_assert_eq!(engine.unanswered_requests(), 0);
     }
 }
 
@@ -192,7 +192,7 @@
 
     fn turn(&mut self, mut inputs: Vec<Input>) {
         let mut out = Vec::new();
-        self.engine.turn(self.now, &mut inputs, &mut out);
+        self.engine.process_inputs(self.now, &mut inputs, &mut out);
         for output in out {
             match output {
                 Output::Deliver { attempt, worker, .. } => self.sent.push((attempt, worker)),
@@ -347,6 +347,6 @@
         let gone = Input::ClientDisconnected(ID);
         bench.turn(if close_first { vec![gone, answer] } else { vec![answer, gone] });
         assert!(bench.sent.is_empty() && bench.answers.is_empty());
-        assert_eq!(bench.engine.unanswered(), 0);
+        assert_eq!(bench.engine.unanswered_requests(), 0);
     }
 }
--- a/crates/pebblepost/tests/platform.rs
+++ b/crates/pebblepost/tests/platform.rs
@@ -469,8 +469,8 @@
     let fleet = pebblepost::config::read(var, Some(&root.join("deploy/fleet.json"))).expect("sound");
     assert_eq!(fleet.fleet.map(|f| f.replicas.len()), Some(3));
     for n in 1..=3 {
-        let keeper =
-            pebblepost::store_replica::read(&root.join(format!("deploy/keeper-{n}.json"))).expect("sound");
+        let keeper = pebblepost::store_replica::read_config(&root.join(format!("deploy/keeper-{n}.json")))
+            .expect("sound");
         assert_eq!((keeper.id, keeper.group.as_str()), (n, "kumamoto-main"));
     }
 }
