--- a/crates/pebblepost/src/engine/messages.rs
+++ b/crates/pebblepost/src/engine/messages.rs
@@ -1,28 +1,28 @@
-//! What goes into the engine and what comes out of it.
+//! Inputs and outputs of the engine.
 
 use pebblepost_dispatch::api::{
     AttemptNo, ClassId, Entry, ListKind, Report, RequestId, Status, TenantId, Time, TimerToken, WorkerId,
 };
 use std::time::Duration;
 
-/// What the engine knows of a request; the front that received it keeps the rest.
+/// The part of a request that the engine needs for its decisions. The front that received the request keeps the rest.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Index of its class.
+    /// Index of the request's class in the settings.
     pub class: ClassId,
-    /// How long its client waits from now on.
+    /// Time until the client's deadline.
     pub time_left: Duration,
-    /// Whether the client says that it has sent it before.
+    /// Whether the client marks the request as one that it has sent before.
     pub repeat: bool,
-    /// Slots that it takes on a worker.
+    /// Slots that the request occupies on a worker.
     pub slots: f32,
-    /// Memory that it takes on a worker, in the units of the settings.
+    /// Memory that the request occupies on a worker, in the unit used in the settings.
     pub memory: f32,
-    /// The client's estimate of its execution time.
+    /// The client's estimate of the execution time.
     pub work: Option<Duration>,
-    /// Hash of its affinity key; 0 if it has none.
+    /// Hash of the affinity key; 0 if the request has none.
     pub key: u64,
-    /// Index of its tenant.
+    /// Index of the request's tenant.
     pub tenant: TenantId,
 }
 
@@ -31,24 +31,25 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// The attempt's number among those of the request.
+    /// The number of the attempt within the request, from 0.
     pub number: AttemptNo,
 }
 
-/// An event reported by the fronts, the worker connections, discovery or the timers.
+/// An event reported to the engine by a front, a worker connection, discovery or a timer.
 #[derive(Debug)]
 pub enum Input {
-    /// A request arrived. Its id was never used before.
+    /// A request arrived. Its id must not have been used before.
     Request(RequestId, Request),
     /// The client of a request disconnected.
     ClientDisconnected(RequestId),
-    /// The list of workers changed.
+    /// The list of workers changed. A full or cached list implies that workers it does not name are gone; a delta says nothing
+    /// about those.
     Membership(ListKind, Vec<Entry>),
-    /// The connection that an attempt waited for is established; nothing was sent on it.
+    /// The new connection of an attempt is established. The request has not been sent on it.
     Connected(AttemptId),
-    /// The worker started an attempt's job.
+    /// The worker started to execute an attempt.
     Started(AttemptId),
-    /// An attempt's job made progress; a fraction of the whole.
+    /// The worker reported the progress of an attempt, as a fraction of the whole.
     Progress(AttemptId, f32),
     /// An attempt ended.
     AttemptEnded {
@@ -58,10 +59,11 @@
         status: Status,
         /// The worker's load report; empty if there was none.
         report: Report,
-        /// Body of the response, if it was served.
+        /// The body of the response; empty unless the status is [`Status::Ok`].
         body: Vec<u8>,
     },
-    /// A worker rejected the request as invalid: no other worker would accept it, and the worker is not at fault.
+    /// A worker rejected the request as invalid. The request fails without a retry, because every other worker would reject it
+    /// too, and the rejection does not count against the worker.
     RequestInvalid(AttemptId),
     /// A load probe ended.
     Probed {
@@ -74,12 +76,12 @@
         /// The worker's load report; empty if there was none.
         report: Report,
     },
-    /// A timer that the engine had set is due.
+    /// A timer set by [`Output::SetTimer`] is due.
     TimerDue(EngineTimer),
 }
 
 impl Input {
-    /// The end of an attempt without a load report or a body.
+    /// Creates the input for an attempt that ended without a load report or a body.
     pub fn attempt_failed(attempt: AttemptId, status: Status) -> Self {
         Self::AttemptEnded { attempt, status, report: Vec::new(), body: Vec::new() }
     }
@@ -90,27 +92,27 @@
 pub enum EngineTimer {
     /// A timer of the decision module.
     Decision(TimerToken),
-    /// The time-out of an attempt.
+    /// The time-out of an attempt, which ends it with [`Status::Timeout`].
     AttemptTimeout(AttemptId),
-    /// The deadline of a request's client.
+    /// The deadline of a request's client, which ends the request.
     ClientDeadline(RequestId),
 }
 
-/// The one final response to a request.
+/// The final response to a request. Each request gets at most one.
 #[derive(Debug, PartialEq)]
 pub enum FinalResponse {
     /// The body that a worker produced.
     Served(Vec<u8>),
-    /// Rejected without having run. A retry is harmless, best after this long.
+    /// The request was rejected without having run. The client may retry it safely, preferably after this time.
     Rejected(Duration),
-    /// Failed; the request may have run.
+    /// The request failed and may have run.
     Failed,
 }
 
-/// What the daemon has to do.
+/// An operation that the engine asks the daemon to perform.
 #[derive(Debug, PartialEq)]
 pub enum Output {
-    /// Deliver the request to the worker.
+    /// Start an attempt: deliver the request to the worker.
     Deliver {
         /// The attempt.
         attempt: AttemptId,
@@ -119,14 +121,14 @@
         /// Time until the client's deadline.
         time_left: Duration,
     },
-    /// Send the request on the connection that has been established for the attempt.
+    /// Send the request on the new connection of the attempt, in response to [`Input::Connected`].
     Transmit {
         /// The attempt.
         attempt: AttemptId,
         /// Time until the client's deadline.
         time_left: Duration,
     },
-    /// Abandon the attempt: end it on the wire. Nothing more of it is reported to the engine.
+    /// Abandon the attempt: end it on the wire. The engine ignores any further input about it.
     Abandon(AttemptId),
     /// Probe the worker's load.
     Probe(WorkerId),
@@ -138,6 +140,6 @@
     Fetch,
     /// Set a timer.
     SetTimer(Time, EngineTimer),
-    /// Give the one final response.
+    /// Send the final response to the client.
     Respond(RequestId, FinalResponse),
 }
--- a/crates/pebblepost/src/engine/mod.rs
+++ b/crates/pebblepost/src/engine/mod.rs
@@ -1,13 +1,18 @@
-//! The engine: requests, attempts and outcomes around the decision module ([`Dispatcher`]).
+//! The engine, which tracks requests and attempts and consults the decision module ([`Dispatcher`]).
 //!
-//! It owns the requests in flight and the state of the workers. It knows no protocol, opens no socket and reads no clock:
-//! a turn takes everything that has happened and returns what is to be done.
+//! The engine owns the requests in flight and the state of the workers. It is independent of protocols and does no I/O: each
+//! call of [`Engine::process_inputs`] takes the time and the events so far and returns the operations to perform.
 //!
-//! Whatever the decision module asks for, the engine itself guarantees: one final response for each request, no more
-//! attempts than the settings allow, no retry that the request's class does not allow, nothing to a worker that is known
-//! to be draining or gone, and nothing after a request's final response or its client's disconnection. These rules are
-//! checked when an attempt is decided on and, if its connection has to be established first, again before its first
-//! byte is sent.
+//! The engine enforces these rules itself, regardless of what the decision module asks for:
+//!
+//! - A request gets exactly one final response, or none if its client disconnects first.
+//! - A request has no more attempts than the settings allow.
+//! - A request is retried only if its class allows it.
+//! - No attempt is sent to a worker that is known to be draining or gone.
+//! - No attempt is sent after the final response or the client's disconnection.
+//!
+//! The rules for attempts are checked when an attempt is started. If its connection has to be established first, they are
+//! checked again before the first byte is sent.
 
 mod delivery_rules;
 mod messages;
@@ -25,25 +30,27 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Most attempts of a request that an [`AttemptNo`] can number.
-const MAX_ATTEMPT_NUMBER: u32 = 255;
+/// Upper limit of attempts per request, which [`AttemptNo`] numbers with 8 bits.
+const MAX_ATTEMPTS_PER_REQUEST: u32 = 255;
 
-/// Requests and attempts around the decision module.
+/// Tracks requests and attempts, and carries out the decisions of the decision module.
 #[derive(Debug)]
 pub struct Engine {
     dispatcher: Dispatcher,
     settings: Settings,
     requests: RequestTable,
     workers: WorkerEntries,
+    /// Actions of the decision module that are not executed yet.
     actions: Vec<Action>,
-    /// Outcomes that the engine itself produced, reported to the decision module after the actions in hand.
+    /// Outcomes of attempts that the engine itself cancelled or rejected. They are reported to the decision module after the
+    /// current batch of actions.
     pending_events: Vec<Event>,
-    /// Receives each event and action of the decision module but timers, if tracing is on.
+    /// Receives a line for each event and action of the decision module except timers; `None` if tracing is off.
     trace: Option<fn(&str)>,
 }
 
 impl Engine {
-    /// An engine without requests and workers.
+    /// Creates an engine without requests or workers.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Self {
         Self {
             dispatcher: Dispatcher::new(settings.clone(), seed, now),
@@ -56,41 +63,42 @@
         }
     }
 
-    /// Writes each event and action but timers to `log` (environment variable `PEBBLEPOST_TRACE`).
+    /// Sets the log that receives each event and action except timers. The environment variable `PEBBLEPOST_TRACE` turns
+    /// tracing on.
     pub fn with_trace(mut self, log: Option<fn(&str)>) -> Self {
         self.trace = log;
         self
     }
 
-    /// The settings in force.
+    /// Returns the settings that the engine was created with.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Requests that have no final response yet.
+    /// Returns the number of requests without a final response.
     pub fn unanswered_requests(&self) -> usize {
         self.requests.unanswered()
     }
 
-    /// Workers that accept requests, as far as this dispatcher knows.
+    /// Returns the number of workers whose last reported state is ready.
     pub fn ready_worker_count(&self) -> usize {
         self.workers.values().filter(|entry| entry.state == WorkerState::Ready).count()
     }
 
-    /// Responses given so far.
+    /// Returns the counts of final responses since the start.
     pub fn request_counts(&self) -> RequestCounts {
         self.requests.counts()
     }
 
-    /// Which of these workers have attempts in flight.
+    /// Returns those of the given workers that have attempts in flight.
     pub fn workers_with_attempts_in_flight(&self, among: &HashSet<WorkerId>) -> HashSet<WorkerId> {
-        self.requests.workers_with_open_attempts(among)
+        self.requests.workers_with_attempts_in_flight(among)
     }
 
-    /// Hands all that happened to the decision module and returns what is to be done, in order.
+    /// Processes all inputs and appends the operations to perform to `outputs`, in order. Drains `inputs`.
     ///
-    /// Disconnections come first: nothing of the same turn, such as a probe's result or a timer, may still send a request
-    /// whose client is gone.
+    /// Client disconnections are processed first. Otherwise another input of the same batch, such as a probe's result or a
+    /// timer, could still send a request whose client is gone.
     pub fn process_inputs(&mut self, now: Time, inputs: &mut Vec<Input>, outputs: &mut Vec<Output>) {
         let disconnected = inputs
             .iter()
@@ -100,16 +108,16 @@
             disconnected.iter().copied().filter(|id| self.requests.contains(*id)).collect();
         for id in known {
             self.on_client_disconnected(now, id);
-            self.run_actions(now, outputs);
+            self.execute_actions(now, outputs);
         }
         for input in inputs.drain(..) {
-            // A client that connected and disconnected within the turn is ignored.
+            // A request whose client disconnected in the same batch is never started.
             if matches!(&input, Input::Request(id, _) | Input::ClientDisconnected(id) if disconnected.contains(id))
             {
                 continue;
             }
             self.on_input(now, input, outputs);
-            self.run_actions(now, outputs);
+            self.execute_actions(now, outputs);
         }
     }
 
@@ -120,34 +128,45 @@
             Input::Membership(kind, entries) => self.on_membership(now, kind, entries),
             Input::Connected(attempt) => self.on_connected(now, attempt, outputs),
             Input::Started(attempt) => {
-                if self.requests.is_open(attempt) {
-                    self.decide(now, Event::Started { id: attempt.request, attempt: attempt.number });
+                if self.requests.is_in_flight(attempt) {
+                    self.notify_dispatcher(
+                        now,
+                        Event::Started { id: attempt.request, attempt: attempt.number },
+                    );
                 }
             }
             Input::Progress(attempt, done) => {
-                if self.requests.is_open(attempt) {
-                    self.decide(now, Event::Progress { id: attempt.request, attempt: attempt.number, done });
+                if self.requests.is_in_flight(attempt) {
+                    self.notify_dispatcher(
+                        now,
+                        Event::Progress { id: attempt.request, attempt: attempt.number, done },
+                    );
                 }
             }
             Input::AttemptEnded { attempt, status, report, body } => {
                 if let Some(event) = self.end_attempt(now, attempt, status, report, body, outputs) {
-                    self.decide(now, event);
+                    self.notify_dispatcher(now, event);
                 }
             }
             Input::RequestInvalid(attempt) => {
-                // Answered here, as a served request is: nothing is left to decide.
-                if self.requests.is_open(attempt) {
+                // The response is final and needs no decision, as for a request that was served.
+                if self.requests.is_in_flight(attempt) {
                     self.requests.respond(attempt.request, FinalResponse::Failed, outputs);
                 }
-                if let Some(event) = self.end_without_report(now, attempt, Status::Cancelled, outputs) {
-                    self.decide(now, event);
+                if let Some(event) = self.end_attempt_without_report(now, attempt, Status::Cancelled, outputs)
+                {
+                    self.notify_dispatcher(now, event);
                 }
             }
             Input::Probed { worker, status, latency, report } => {
-                self.decide(now, Event::Probed { worker, status, latency, report });
+                self.notify_dispatcher(now, Event::Probed { worker, status, latency, report });
+            }
+            Input::TimerDue(EngineTimer::Decision(token)) => {
+                self.notify_dispatcher(now, Event::TimerDue { token })
+            }
+            Input::TimerDue(EngineTimer::AttemptTimeout(attempt)) => {
+                self.time_out_attempt(now, attempt, outputs)
             }
-            Input::TimerDue(EngineTimer::Decision(token)) => self.decide(now, Event::TimerDue { token }),
-            Input::TimerDue(EngineTimer::AttemptTimeout(attempt)) => self.time_out(now, attempt, outputs),
             Input::TimerDue(EngineTimer::ClientDeadline(id)) => self.on_client_deadline(now, id, outputs),
         }
     }
@@ -156,26 +175,30 @@
         let deadline = now + request.time_left;
         self.requests.insert(id, request.class, deadline);
         let Request { class, time_left, repeat, slots, memory, work, key, tenant } = request;
-        self.decide(now, Event::Request { id, class, tenant, time_left, repeat, slots, memory, work, key });
-        // Set after the decision module's own timers, so that these come first at equal times.
+        self.notify_dispatcher(
+            now,
+            Event::Request { id, class, tenant, time_left, repeat, slots, memory, work, key },
+        );
+        // This timer is set before those of the decision module, whose actions are executed after this function returns. Timers
+        // that are due at the same time fire in the order in which they were set.
         outputs.push(Output::SetTimer(deadline, EngineTimer::ClientDeadline(id)));
     }
 
     fn on_membership(&mut self, now: Time, kind: ListKind, entries: Vec<Entry>) {
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            // They stay known by zone and cell: attempts that ran there restrict where retries may go.
+            // Entries are kept, because the zone and cell of an earlier attempt's worker restrict where retries may go.
             self.workers.values_mut().for_each(|entry| entry.state = WorkerState::Gone);
         }
         self.workers.extend(entries.iter().map(|entry| (entry.worker, *entry)));
-        self.decide(now, Event::Members { kind, entries });
+        self.notify_dispatcher(now, Event::Members { kind, entries });
     }
 
-    /// The client has disconnected or its deadline has passed: nothing more is owed to it.
+    /// Handles the end of a client's interest in a request, by disconnection or deadline: no response is given from now on.
     fn on_client_disconnected(&mut self, now: Time, id: RequestId) {
-        if !self.requests.close(id) {
+        if !self.requests.mark_answered(id) {
             return;
         }
-        self.decide(now, Event::ClientGone { id });
+        self.notify_dispatcher(now, Event::ClientGone { id });
         self.requests.remove_if_finished(id);
     }
 
@@ -183,85 +206,88 @@
         let attempts = self.requests.attempt_count(id);
         for number in 0..attempts {
             let attempt = AttemptId { request: id, number: AttemptNo(number as u8) };
-            self.time_out(now, attempt, outputs);
+            self.time_out_attempt(now, attempt, outputs);
         }
-        self.run_actions(now, outputs);
-        // The decision module responds before this; should it not, the client still gets a response.
+        self.execute_actions(now, outputs);
+        // The decision module should have responded before the deadline. If it has not, the request fails here, so that the
+        // client gets a response in any case.
         self.requests.respond(id, FinalResponse::Failed, outputs);
         self.on_client_disconnected(now, id);
     }
 
-    /// The connection of an attempt was established, maybe late: the request is sent if the rules still allow it; else the
-    /// attempt never ran.
+    /// Sends the request on the new connection of an attempt if the delivery rules still allow it. Otherwise the attempt ends
+    /// with [`Status::ConnectFailed`], because it never ran.
     fn on_connected(&mut self, now: Time, attempt: AttemptId, outputs: &mut Vec<Output>) {
         let AttemptId { request: id, number } = attempt;
         let Some(request) = self.requests.get(id) else { return };
-        let open = request.attempts.get(usize::from(number.0)).filter(|attempt| attempt.open);
-        let Some(worker) = open.map(|attempt| attempt.worker) else { return };
+        let in_flight = request.attempts.get(usize::from(number.0)).filter(|attempt| attempt.in_flight);
+        let Some(worker) = in_flight.map(|attempt| attempt.worker) else { return };
         if may_deliver(&self.settings, &self.workers, now, request, worker, Some(number)) {
             outputs.push(Output::Transmit { attempt, time_left: request.deadline.since(now) });
             return;
         }
         outputs.push(Output::Abandon(attempt));
-        if let Some(event) = self.end_without_report(now, attempt, Status::ConnectFailed, outputs) {
-            self.decide(now, event);
+        if let Some(event) = self.end_attempt_without_report(now, attempt, Status::ConnectFailed, outputs) {
+            self.notify_dispatcher(now, event);
         }
     }
 
-    fn time_out(&mut self, now: Time, attempt: AttemptId, outputs: &mut Vec<Output>) {
-        if let Some(event) = self.end_without_report(now, attempt, Status::Timeout, outputs) {
+    fn time_out_attempt(&mut self, now: Time, attempt: AttemptId, outputs: &mut Vec<Output>) {
+        if let Some(event) = self.end_attempt_without_report(now, attempt, Status::Timeout, outputs) {
             outputs.push(Output::Abandon(attempt));
-            self.decide(now, event);
+            self.notify_dispatcher(now, event);
         }
     }
 
-    fn end_without_report(
+    fn end_attempt_without_report(
         &mut self, now: Time, attempt: AttemptId, status: Status, outputs: &mut Vec<Output>,
     ) -> Option<Event> {
         self.end_attempt(now, attempt, status, Vec::new(), Vec::new(), outputs)
     }
 
-    /// Ends an attempt once; later events of it are dropped here. The first one that is served gives the response.
+    /// Ends an attempt and returns the event for the decision module; `None` if the attempt is not in flight, in which case the
+    /// input is ignored. The first attempt with [`Status::Ok`] determines the final response.
     fn end_attempt(
         &mut self, now: Time, attempt: AttemptId, status: Status, report: Report, body: Vec<u8>,
         outputs: &mut Vec<Output>,
     ) -> Option<Event> {
         let AttemptId { request: id, number } = attempt;
-        let ended = self.requests.open_attempt_mut(attempt)?;
-        ended.open = false;
+        let ended = self.requests.attempt_in_flight_mut(attempt)?;
+        ended.in_flight = false;
         ended.may_have_run = !self.settings.never_ran(status);
-        let (worker, latency) = (ended.worker, now.since(ended.sent));
+        let (worker, latency) = (ended.worker, now.since(ended.sent_at));
         if status == Status::Ok {
             self.requests.respond(id, FinalResponse::Served(body), outputs);
         }
-        let closed = self.requests.is_closed(id);
+        let closed = self.requests.is_answered(id);
         self.requests.remove_if_finished(id);
         Some(Event::Outcome { id, attempt: number, worker, status, latency, closed, report })
     }
 
-    fn decide(&mut self, now: Time, event: Event) {
+    /// Passes an event to the decision module, whose actions are appended to `self.actions`.
+    fn notify_dispatcher(&mut self, now: Time, event: Event) {
         if !matches!(event, Event::TimerDue { .. }) {
             self.write_trace(now, &event);
         }
         self.dispatcher.handle(now, event, &mut self.actions);
     }
 
-    /// Carries out the decision module's actions, and reports the outcomes that this produced to it.
-    fn run_actions(&mut self, now: Time, outputs: &mut Vec<Output>) {
+    /// Executes the decision module's actions and reports the resulting outcomes to it, until there are no more of either.
+    fn execute_actions(&mut self, now: Time, outputs: &mut Vec<Output>) {
         loop {
             for action in std::mem::take(&mut self.actions) {
-                self.run_action(now, action, outputs);
+                self.execute_action(now, action, outputs);
             }
             if self.pending_events.is_empty() {
                 return;
             }
             for event in std::mem::take(&mut self.pending_events) {
-                self.decide(now, event);
+                self.notify_dispatcher(now, event);
             }
         }
     }
 
-    fn run_action(&mut self, now: Time, action: Action, outputs: &mut Vec<Output>) {
+    fn execute_action(&mut self, now: Time, action: Action, outputs: &mut Vec<Output>) {
         if !matches!(action, Action::SetTimer { .. }) {
             self.write_trace(now, &action);
         }
@@ -274,7 +300,8 @@
             Action::Fail { id } => self.requests.respond(id, FinalResponse::Failed, outputs),
             Action::Cancel { id, attempt } => {
                 let attempt = AttemptId { request: id, number: attempt };
-                if let Some(event) = self.end_without_report(now, attempt, Status::Cancelled, outputs) {
+                if let Some(event) = self.end_attempt_without_report(now, attempt, Status::Cancelled, outputs)
+                {
                     outputs.push(Output::Abandon(attempt));
                     self.pending_events.push(event);
                 }
@@ -289,12 +316,13 @@
         }
     }
 
-    /// Starts an attempt if every rule allows it; otherwise the decision module learns that it was not sent.
+    /// Starts an attempt if the limit of attempts and the delivery rules allow it. Otherwise the decision module is told that
+    /// the attempt was not sent.
     fn start_attempt(
         &mut self, now: Time, id: RequestId, worker: WorkerId, timeout: Option<Duration>,
         outputs: &mut Vec<Output>,
     ) {
-        let max_attempts = self.settings.max_attempts.clamp(1, MAX_ATTEMPT_NUMBER) as usize;
+        let max_attempts = self.settings.max_attempts.clamp(1, MAX_ATTEMPTS_PER_REQUEST) as usize;
         let allowed = self.requests.get(id).is_some_and(|request| {
             request.attempts.len() < max_attempts
                 && may_deliver(&self.settings, &self.workers, now, request, worker, None)
@@ -311,20 +339,21 @@
         }
     }
 
+    /// Records an attempt that is not sent, and reports it to the decision module with [`Status::Moot`].
     fn reject_attempt(&mut self, now: Time, id: RequestId, worker: WorkerId) {
         let attempt = self.requests.next_attempt_number(id);
         if let Some(request) = self.requests.get_mut(id) {
-            // It takes a number, as the decision module counts it.
+            // The decision module counts the attempt, so it has to occupy a number here as well.
             request.push_attempt(worker, now, false);
         }
-        let closed = self.requests.is_closed(id);
+        let closed = self.requests.is_answered(id);
         let (status, latency, report) = (Status::Moot, Duration::ZERO, Vec::new());
         self.pending_events.push(Event::Outcome { id, attempt, worker, status, latency, closed, report });
     }
 
-    fn write_trace(&self, now: Time, what: &dyn std::fmt::Debug) {
+    fn write_trace(&self, now: Time, event_or_action: &dyn std::fmt::Debug) {
         if let Some(log) = self.trace {
-            log(&format!("trace {:.3} {what:?}", now.0 as f64 / 1e9));
+            log(&format!("trace {:.3} {event_or_action:?}", now.0 as f64 / 1e9));
         }
     }
 }
