--- a/crates/pebblepost/src/workers/connection.rs
+++ b/crates/pebblepost/src/workers/connection.rs
@@ -1,20 +1,20 @@
-//! State of one connection to a worker.
+//! The state of one connection to a worker.
 
 use crate::buffer::Buffer;
 use crate::engine::AttemptId;
 use crate::http::{Body, Head};
 use pebblepost_dispatch::api::{Time, WorkerId};
 
-/// What a connection to a worker is in use for.
+/// The current use of a connection to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Task {
-    /// An attempt.
+    /// Carries an attempt.
     Attempt(AttemptId),
-    /// A load probe, sent at that time.
+    /// Carries a load probe, which was sent at this time.
     Probe(Time),
-    /// The rest of a response whose result is known already.
+    /// Receives the rest of a response whose outcome has been reported already.
     ResponseEnd,
-    /// Nothing.
+    /// Is in the pool of idle connections.
     Idle,
 }
 
@@ -23,14 +23,14 @@
 pub struct WorkerConnection {
     pub(super) worker: WorkerId,
     pub(super) task: Task,
-    /// It was opened for an attempt whose request was not sent on it yet.
-    pub(super) unsent: bool,
-    /// Id of the attempt's request; lines of the response that name another one are errors.
+    /// Whether the connection was opened for an attempt whose request has not been sent on it yet.
+    pub(super) request_unsent: bool,
+    /// Id of the attempt's request. A response line with another id makes the response malformed.
     pub(super) request_id: String,
     pub(super) response: Option<(Head, Body)>,
-    /// Decoded body that was not processed yet.
-    pub(super) lines: Buffer,
-    /// The response became malformed after what is in `lines`, which still counts.
+    /// The decoded part of the response's body that has not been processed yet.
+    pub(super) decoded_body: Buffer,
+    /// Whether the response is malformed after the bytes in `decoded_body`. Those are still processed.
     pub(super) malformed: bool,
 }
 
@@ -39,10 +39,10 @@
         Self {
             worker,
             task,
-            unsent: matches!(task, Task::Attempt(_)),
+            request_unsent: matches!(task, Task::Attempt(_)),
             request_id: String::new(),
             response: None,
-            lines: Buffer::default(),
+            decoded_body: Buffer::default(),
             malformed: false,
         }
     }
