--- a/crates/pebblepost/src/discovery/endpoint_list.rs
+++ b/crates/pebblepost/src/discovery/endpoint_list.rs
@@ -1,37 +1,41 @@
-//! Lists of workers as discovery sends them.
+//! Parsing of the lists of workers that discovery sends.
 
 use pebblepost_dispatch::api::WorkerState;
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The complete list of workers, or its changes.
+/// The complete list of workers, or changes to it.
 #[derive(Debug)]
 pub(super) struct EndpointList {
-    /// Version of the list, on the wire `seq`.
+    /// Version of the list; `seq` on the wire.
     pub(super) version: u64,
-    /// Whether workers that are not on it are gone, on the wire `whole`.
+    /// Whether the list is complete, so that workers that it does not contain are gone; `whole` on the wire.
     pub(super) complete: bool,
-    /// On the wire `hosts`.
+    /// The workers on the list; `hosts` on the wire.
     pub(super) endpoints: Vec<ListedEndpoint>,
 }
 
 /// A worker on a list.
 #[derive(Debug)]
 pub(super) struct ListedEndpoint {
+    /// Name of the worker.
     pub(super) host: String,
+    /// Where the worker is reached, `dial` on the wire; may be `None` only if the worker is gone.
     pub(super) address: Option<SocketAddr>,
-    /// Name or index of its zone, on the wire `site`.
+    /// Name or index of the worker's zone; `site` on the wire.
     pub(super) zone: Value,
-    /// Name or index of its machine type, on the wire `class`.
+    /// Name or index of the worker's machine type; `class` on the wire.
     pub(super) kind: Value,
+    /// Index of the worker's cell, `block` on the wire; 0 if unknown.
     pub(super) cell: u16,
+    /// `health` on the wire.
     pub(super) state: WorkerState,
-    /// Unix time of its start in milliseconds; 0 if unknown.
+    /// Unix time of the worker's start, in milliseconds; 0 if unknown.
     pub(super) born_ms: u64,
 }
 
 impl EndpointList {
-    /// Reads a list; `None` if it is malformed.
+    /// Parses a list; `None` if it is malformed.
     pub(super) fn from_json(json: &Value) -> Option<Self> {
         let hosts = json.get("hosts")?.as_array()?;
         Some(Self {
@@ -53,7 +57,7 @@
         let address = match json.get("dial").and_then(Value::as_str).map(str::parse) {
             Some(Ok(address)) => Some(address),
             Some(Err(_)) => return None,
-            // The address of a worker that is gone does not matter.
+            // A worker that is gone needs no address.
             None if state == WorkerState::Gone => None,
             None => return None,
         };
--- a/crates/pebblepost/src/discovery/mod.rs
+++ b/crates/pebblepost/src/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! Discovery: the list of workers, and the watch that keeps it up to date.
+//! The list of workers from discovery, and the watch that keeps it up to date.
 //!
-//! [`registry`] owns what is known of each worker and decides what the engine learns of it; [`watch`] keeps a call to
-//! discovery open and never interprets a list. Which worker a request goes to is not decided here.
+//! [`registry`] owns the state of each worker and decides what of it is reported to the engine. [`watch`] keeps a call to
+//! discovery open and does not interpret the lists that it receives. Neither decides which worker a request is sent to.
 
 pub(crate) mod call;
 mod endpoint_list;
--- a/crates/pebblepost/src/discovery/registry.rs
+++ b/crates/pebblepost/src/discovery/registry.rs
@@ -1,7 +1,7 @@
-//! The workers known to this dispatcher, and how each is reached.
+//! The workers known to this dispatcher, and how each of them is reached.
 //!
-//! Owns the endpoints, the drain marks of the operators, and the ids and indices that the decision module knows workers,
-//! zones and machine types by. No I/O.
+//! The registry owns the endpoints, the drain marks set by operators, and the ids and indices that identify workers, zones and
+//! machine types in the decision module. It does no I/O.
 
 use super::endpoint_list::{EndpointList, ListedEndpoint};
 use crate::clock::Clock;
@@ -16,35 +16,36 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What is known of a worker.
+/// A worker as known to this dispatcher.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// Its name, the same at every dispatcher.
+    /// The worker's name, which is the same at every dispatcher.
     pub host: String,
-    /// Where it is reached by HTTP; `None` if another front reaches it.
+    /// Where the worker is reached by HTTP; `None` if it is connected to another front instead.
     pub address: Option<SocketAddr>,
-    /// Unix time of its start in milliseconds; 0 if unknown.
+    /// Unix time of the worker's start, in milliseconds; 0 if unknown.
     born_ms: u64,
     entry: Entry,
-    /// Whether a list of discovery has named it.
+    /// Whether a list has contained the worker.
     listed: bool,
 }
 
-/// What a list of discovery has changed.
+/// The changes made by a list of discovery.
 #[derive(Debug)]
 pub struct AppliedList {
-    /// What the engine has to learn.
+    /// The input for the engine.
     pub input: Input,
-    /// Workers that are gone or have moved, whose connections are of no use any more.
+    /// Workers that are gone or have a new address. Their idle connections have to be closed.
     pub stale_workers: Vec<WorkerId>,
 }
 
-/// Index of names that the decision module knows by number.
+/// Maps names to the indices that the decision module uses for them.
 #[derive(Debug, Default)]
 struct NameIndex(Vec<String>);
 
 impl NameIndex {
-    /// The index of a name, which gets a new one if it is unknown, or the number itself if `value` is one.
+    /// Returns the index of a name, which is added if it is unknown. A number is an index already and is returned unchanged.
+    /// Indices beyond the range of `u16` become [`u16::MAX`].
     fn index(&mut self, value: &Value) -> u16 {
         if let Some(number) = value.as_u64() {
             return u16::try_from(number).unwrap_or(u16::MAX);
@@ -57,7 +58,7 @@
         u16::try_from(index).unwrap_or(u16::MAX)
     }
 
-    /// The name at an index, or the index itself if it has none.
+    /// Returns the name with this index, or the index as text if it has no name.
     fn name(&self, index: u16) -> Text {
         let name = self.0.get(usize::from(index)).cloned().unwrap_or_else(|| index.to_string());
         name.parse().unwrap_or_default()
@@ -71,30 +72,32 @@
     endpoints: Vec<Endpoint>,
     zones: NameIndex,
     kinds: NameIndex,
-    /// Names that operators have marked as drained.
+    /// Names in the drain marks of operators.
     drained: HashSet<String>,
+    /// Version of the last list.
     version: u64,
-    /// Discovery's workers are withheld from the engine: what is known of them may be out of date.
+    /// Whether the workers listed by discovery are withheld from the engine, because their state may be out of date.
     withheld: bool,
 }
 
 impl Registry {
-    /// Knows the names of zones and machine types, and no worker.
+    /// Creates a registry without workers. The positions in `zones` and `kinds`, the names of zones and machine types, are
+    /// their indices.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
         Self { zones: NameIndex(zones), kinds: NameIndex(kinds), ..Self::default() }
     }
 
-    /// What is known of a worker.
+    /// Returns a worker; `None` if its id is unknown.
     pub fn get(&self, worker: WorkerId) -> Option<&Endpoint> {
         self.endpoints.get(worker.0 as usize)
     }
 
-    /// The version of the last list of discovery.
+    /// Returns the version of the last list; 0 if there was none.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Adds a worker that another front reaches, or changes its state.
+    /// Adds a worker that is connected to another front, or updates its machine type and state.
     pub fn register(&mut self, host: &str, kind: KindId, state: WorkerState) -> WorkerId {
         let worker = self.worker_id(host);
         let entry = &mut self.endpoints[worker.0 as usize].entry;
@@ -102,7 +105,10 @@
         worker
     }
 
-    /// The name in the operators' drain mark for the worker: its own, or that of the process of which it is a queue.
+    /// Returns the name by which a drain mark covers the worker; `None` if the worker is not drained.
+    ///
+    /// A worker that is one queue of a process is named `PROCESS/QUEUE`. A drain mark covers it by this name or by that of the
+    /// process.
     pub fn drained_name(&self, worker: WorkerId) -> Option<&str> {
         let host = self.get(worker)?.host.as_str();
         [host, host.split('/').next().unwrap_or_default()]
@@ -110,18 +116,19 @@
             .find(|name| self.drained.contains(*name))
     }
 
-    /// Whether an operator's drain mark names the worker.
+    /// Returns whether an operator's drain mark covers the worker.
     pub fn is_drained(&self, worker: WorkerId) -> bool {
         self.drained_name(worker).is_some()
     }
 
-    /// All workers that an operator's drain mark names.
+    /// Returns all workers that an operator's drain mark covers.
     pub fn drained_workers(&self) -> HashSet<WorkerId> {
         let all = (0..self.endpoints.len()).map(|index| WorkerId(index as u32));
         if self.drained.is_empty() { HashSet::new() } else { all.filter(|id| self.is_drained(*id)).collect() }
     }
 
-    /// The state of discovery's workers as this dispatcher sees it; `None` as long as it has no list.
+    /// Returns the state of the workers listed by discovery as this dispatcher observes it; `None` before the first list that
+    /// contains workers. A worker counts as warming up for `warm_up_time` after its start.
     pub fn observations(
         &self, now: Time, warm_up_time: Duration, probes: &UnansweredProbes,
     ) -> Option<BTreeMap<Name, WorkerObservation>> {
@@ -143,27 +150,29 @@
         has_list.then(|| present.filter_map(observe).collect())
     }
 
-    /// Withholds discovery's workers from the engine until discovery has responded or has failed: the list that a new
-    /// process was given at its start may be older than what requests have to go by.
+    /// Withholds the workers listed by discovery from the engine until discovery has responded or has failed. The list that a
+    /// new process is given at its start may be older than the state that requests have to observe.
     pub fn withhold(&mut self) {
         self.withheld = true;
     }
 
-    /// Ends [`withhold`](Self::withhold); what the engine has to learn, if anything was withheld.
+    /// Ends [`withhold`](Self::withhold). Returns the input for the engine, or `None` if nothing was withheld.
     pub fn end_withholding(&mut self) -> Option<Input> {
         std::mem::take(&mut self.withheld).then(|| self.membership())
     }
 
-    /// Applies a list of discovery, or one that this process was given at its start; `None` if it is malformed.
+    /// Applies a list from discovery, or the one that this process was given at its start. Returns `None` if it is malformed.
     ///
-    /// `kind` is what the engine is told of the list's origin, by default whether it is complete.
+    /// `kind` is the kind of list reported to the engine. By default it is [`ListKind::Full`] for a complete list and
+    /// [`ListKind::Delta`] for changes.
     pub fn apply(&mut self, json: &Value, kind: Option<ListKind>, clock: &Clock) -> Option<AppliedList> {
         let list = EndpointList::from_json(json)?;
         let mut stale = Vec::new();
         let mut entries = Vec::new();
         if list.complete {
             self.remove_unlisted(&list, &mut stale);
-            // Workers that another front has registered belong to the complete list as well.
+            // The engine takes every worker that a complete list does not contain for gone, so the list has to include the
+            // workers that other fronts have registered.
             let others = self.endpoints.iter().filter(|endpoint| endpoint.address.is_none());
             let others = others.map(|endpoint| self.effective_entry(endpoint.entry.worker));
             entries.extend(others.filter(|entry| entry.state != WorkerState::Gone));
@@ -181,6 +190,7 @@
         Some(AppliedList { input: Input::Membership(kind, entries), stale_workers: stale })
     }
 
+    /// Marks workers that a complete list does not contain as gone.
     fn remove_unlisted(&mut self, list: &EndpointList, stale: &mut Vec<WorkerId>) {
         let listed: HashSet<&str> = list.endpoints.iter().map(|endpoint| endpoint.host.as_str()).collect();
         let reached = self.endpoints.iter_mut().filter(|endpoint| endpoint.address.is_some());
@@ -203,17 +213,19 @@
         endpoint.address = listed.address.or(endpoint.address);
         (endpoint.entry.zone, endpoint.entry.kind) = (ZoneId(zone), KindId(kind));
         endpoint.entry.cell = CellId(listed.cell);
-        // An older version does not know of a drain that came since, and must not take it back: only a newer one may, or a
-        // restart of the worker. Discovery that has itself gone back counts on from its own version.
-        let takes_back_drain = outdated
+        // A list with an older version may lack a drain that was announced since, so it must not make a draining worker ready
+        // again. Only a newer version or a restart of the worker may. If discovery itself has fallen back to an older version,
+        // later lists are compared with that version.
+        let would_undo_drain = outdated
             && endpoint.listed
             && listed.state == WorkerState::Ready
             && listed.born_ms <= endpoint.born_ms;
-        if !takes_back_drain {
+        if !would_undo_drain {
             endpoint.entry.state = listed.state;
         }
         endpoint.listed = true;
-        // Converted once for each start: converted with each list, jitter of the clocks would look like restarts.
+        // The start time is converted once per start of the worker. Converting it with each list would turn clock jitter into
+        // apparent restarts.
         if listed.born_ms != endpoint.born_ms {
             endpoint.born_ms = listed.born_ms;
             endpoint.entry.started = (listed.born_ms != 0).then(|| clock.from_unix_ms(listed.born_ms));
@@ -221,7 +233,7 @@
         worker
     }
 
-    /// Replaces the operators' drain marks; what the engine has to learn if that changes anything.
+    /// Replaces the drain marks of operators. Returns the input for the engine, or `None` if the marks are unchanged.
     pub fn set_drained(&mut self, drained: HashSet<String>) -> Option<Input> {
         if drained == self.drained {
             return None;
@@ -230,7 +242,8 @@
         Some(self.membership())
     }
 
-    /// All workers but those that are withheld, as a list that does not claim to come from discovery.
+    /// Returns all workers except withheld ones as a list of the kind [`ListKind::Cached`], since it does not come directly from
+    /// discovery.
     pub fn membership(&self) -> Input {
         let known = self.endpoints.iter().filter(|endpoint| !self.withheld || endpoint.address.is_none());
         let entries = known.map(|endpoint| self.effective_entry(endpoint.entry.worker));
@@ -240,14 +253,14 @@
         )
     }
 
-    /// The entry as the engine has to see it: a drain mark of an operator drains a ready worker.
+    /// Returns the entry to report to the engine, in which a ready worker with a drain mark is draining.
     fn effective_entry(&self, worker: WorkerId) -> Entry {
         let entry = self.endpoints[worker.0 as usize].entry;
         let drained = entry.state == WorkerState::Ready && self.is_drained(worker);
         Entry { state: if drained { WorkerState::Draining } else { entry.state }, ..entry }
     }
 
-    /// The id of the worker with this name, which is added if it is unknown.
+    /// Returns the id of the worker with this name. An unknown worker is added in the state [`WorkerState::Gone`].
     fn worker_id(&mut self, host: &str) -> WorkerId {
         if let Some(worker) = self.by_host.get(host) {
             return *worker;
