--- a/crates/pebblepost/src/daemon/connections.rs
+++ b/crates/pebblepost/src/daemon/connections.rs
@@ -1,4 +1,4 @@
-//! Routing of what happens on connections to the protocol that each one speaks.
+//! Routes the events of connections to the module that handles the protocol of each connection.
 
 use super::Daemon;
 use crate::connection_role::ConnectionRole;
@@ -8,11 +8,11 @@
 use crate::net::{ConnectionKey, ListenerKind};
 
 impl Daemon {
-    /// Accepts connections at a listener; `false` if there were none.
+    /// Accepts pending connections at a listener. Returns `false` if there were none.
     pub(super) fn accept(&mut self, index: usize) -> bool {
         let (listener, status) = (self.context.net.listener_kind(index), self.status());
-        let accepted = self.context.net.accept(index, initial_role);
-        let any = !accepted.is_empty();
+        let accepted = self.context.net.accept(index, accepted_connection_role);
+        let any_accepted = !accepted.is_empty();
         let context = &mut self.context;
         for key in accepted {
             match listener {
@@ -25,11 +25,11 @@
                 None => {}
             }
         }
-        any
+        any_accepted
     }
 
-    /// A connection can be read or written.
-    pub(super) fn serve(&mut self, key: ConnectionKey, readable: bool, writable: bool) {
+    /// Handles a connection that is readable or writable.
+    pub(super) fn on_connection_ready(&mut self, key: ConnectionKey, readable: bool, writable: bool) {
         if writable && !self.on_writable(key) {
             return self.on_closed(key);
         }
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Writes output, on a new connection after its establishment; `false` if that failed.
+    /// Writes pending output. On a new connection this first completes the connection attempt. Returns `false` if the attempt
+    /// failed.
     fn on_writable(&mut self, key: ConnectionKey) -> bool {
         let context = &mut self.context;
         let connecting = context.net.get(key).is_some_and(|connection| !connection.connected);
@@ -54,11 +55,12 @@
         true
     }
 
+    /// Reads from a connection and processes what was received before handling its end, if the peer closed it.
     fn on_readable(&mut self, key: ConnectionKey) {
         let context = &mut self.context;
-        let alive = context.net.read(key);
+        let is_open = context.net.read(key);
         match context.net.role(key) {
-            Some(ConnectionRole::Client(_)) if alive => self.platform.on_data(context, key),
+            Some(ConnectionRole::Client(_)) if is_open => self.platform.on_data(context, key),
             Some(ConnectionRole::Worker(_)) => self.workers.on_data(context, key),
             Some(ConnectionRole::Discovery(_)) => {
                 for worker in self.watch.on_data(context, key) {
@@ -68,18 +70,18 @@
             Some(ConnectionRole::Faktory(_)) => {
                 self.faktory.iter_mut().for_each(|faktory| faktory.on_data(context, key));
             }
-            Some(ConnectionRole::Health) if alive => {
+            Some(ConnectionRole::Health) if is_open => {
                 let fleet_status = self.fleet.as_ref().map(|fleet| fleet.status_line());
                 health::on_data(context, key, fleet_status.as_deref().unwrap_or_default());
             }
             _ => {}
         }
-        if !alive {
+        if !is_open {
             self.on_closed(key);
         }
     }
 
-    /// A connection ended or broke.
+    /// Handles a connection that was closed by its peer or broke.
     pub(super) fn on_closed(&mut self, key: ConnectionKey) {
         let context = &mut self.context;
         match context.net.role(key) {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// A connection's own deadline has passed.
+    /// Handles the deadline of a connection, whose meaning depends on its role.
     pub(super) fn on_deadline(&mut self, key: ConnectionKey) {
         let context = &mut self.context;
         match context.net.role(key) {
@@ -110,8 +112,8 @@
     }
 }
 
-/// The role of a connection that was accepted at a listener.
-fn initial_role(listener: ListenerKind) -> ConnectionRole {
+/// Returns the initial role of a connection accepted at a listener.
+fn accepted_connection_role(listener: ListenerKind) -> ConnectionRole {
     match listener {
         ListenerKind::Health => ConnectionRole::Health,
         ListenerKind::AgentCheck => ConnectionRole::Closing,
--- a/crates/pebblepost/src/daemon/mod.rs
+++ b/crates/pebblepost/src/daemon/mod.rs
@@ -1,7 +1,8 @@
-//! The daemon: one thread, one event loop.
+//! The daemon, which runs one event loop on one thread.
 //!
-//! Each iteration gathers all that is ready, hands it to the engine in one turn, and carries out what comes back. The daemon
-//! owns the engine, the fronts, the worker connections and the watch, and routes events between them; it decides nothing.
+//! Each iteration collects all ready events and due timers, passes the resulting inputs to the engine in one batch, and executes
+//! the engine's outputs. The daemon owns the engine, the fronts, the worker connections and the watch, and routes events between
+//! them. It makes no scheduling decisions.
 
 mod connections;
 mod fleet_link;
@@ -28,36 +29,36 @@
 use std::os::unix::net::UnixStream;
 use thiserror::Error;
 
-/// What reaches the daemon from outside while it runs.
+/// Process signals, and the means to read the configuration again.
 pub struct Signals {
-    /// Becomes readable at SIGTERM and SIGINT.
+    /// Becomes readable on SIGTERM and SIGINT.
     pub stop: UnixStream,
-    /// Becomes readable at SIGHUP.
+    /// Becomes readable on SIGHUP.
     pub reload: UnixStream,
     /// Reads the configuration again.
     pub read_config: Box<dyn Fn() -> Result<Config, ConfigError> + Send>,
 }
 
-/// Why the daemon could not start.
+/// The reason why the daemon could not start.
 #[derive(Debug, Error)]
 pub enum DaemonError {
     /// A listener cannot be opened.
     #[error("cannot listen on {address}: {error}")]
     Listen {
-        /// Its address.
+        /// The address of the listener.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         error: io::Error,
     },
     /// The fleet agent cannot start.
     #[error(transparent)]
     FleetAgent(#[from] FleetAgentError),
-    /// The system gives no poller or descriptor.
+    /// The operating system did not provide a poller or a descriptor.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// The daemon.
+/// The dispatcher daemon.
 pub struct Daemon {
     context: Context,
     engine: Engine,
@@ -65,7 +66,7 @@
     workers: WorkerConnections,
     watch: Watch,
     faktory: Option<Faktory>,
-    /// The link to the fleet store, if the operator's file has one.
+    /// The link to the fleet agent; `None` if the operator's file does not configure a fleet.
     fleet: Option<FleetLink>,
     signals: Signals,
 }
@@ -75,7 +76,8 @@
     ///
     /// # Errors
     ///
-    /// If a listener cannot be opened, the fleet agent cannot start, or the system gives no poller or descriptor.
+    /// If a listener cannot be opened, the fleet agent cannot start, or the operating system does not provide a poller or a
+    /// descriptor.
     pub fn new(config: Config, signals: Signals, log: fn(&str)) -> Result<Self, DaemonError> {
         let clock = Clock::default();
         let net = open_sockets(&config, &signals, &clock)?;
@@ -94,12 +96,12 @@
         let mut context = Context::new(net, registry, clock, log);
         context.inputs.push(context.registry.membership());
         let report_fields = config.settings.report_fields.clone();
-        let default_timeouts =
+        let configured_timeouts =
             config.faktory.as_ref().map(|faktory| (faktory.heartbeat, faktory.reserve_for));
         let faktory = config.faktory.map(|faktory| Faktory::new(&mut context, faktory, report_fields));
         let agent = config.fleet.as_ref();
         let agent = agent.map(|fleet| FleetAgent::start(fleet, &config.name, config.listen, log));
-        let fleet = agent.transpose()?.map(|agent| FleetLink::new(agent, default_timeouts));
+        let fleet = agent.transpose()?.map(|agent| FleetLink::new(agent, configured_timeouts));
         if let Some(fleet) = &fleet {
             fleet.watch(&context.net)?;
         }
@@ -121,32 +123,32 @@
         Ok(daemon)
     }
 
-    /// Where the fleet agent listens to operators of this machine.
+    /// Returns the address at which the fleet agent accepts operators of this machine; `None` if there is none.
     pub fn control_address(&self) -> Option<SocketAddr> {
         self.fleet.as_ref()?.control_address()
     }
 
-    /// The address of an open listener.
+    /// Returns the address of a listener; `None` if it is not open.
     pub fn address(&self, listener: ListenerKind) -> Option<SocketAddr> {
         self.context.net.listener_address(listener)
     }
 
-    /// Runs until a stop signal and the last response after it.
+    /// Runs until the graceful shutdown after a stop signal is complete.
     ///
     /// # Errors
     ///
     /// If the poller fails.
     pub fn run(&mut self) -> io::Result<()> {
-        self.turn();
-        while !self.is_finished() {
+        self.process_inputs();
+        while !self.has_drained() {
             let immediately = !self.context.inputs.is_empty();
             for event in self.context.net.wait(&self.context.clock, immediately)? {
-                self.on_ready(event);
+                self.on_ready_event(event);
             }
             while let Some(timer) = self.context.net.timers.pop_due(self.context.net.now) {
                 self.on_timer(timer);
             }
-            self.turn();
+            self.process_inputs();
             if self.context.is_draining() {
                 self.platform.close_idle(&mut self.context);
             }
@@ -155,16 +157,18 @@
         Ok(())
     }
 
-    fn on_ready(&mut self, event: ReadyEvent) {
+    fn on_ready_event(&mut self, event: ReadyEvent) {
         match event {
             ReadyEvent::Signal(Signal::Stop) => {
                 let _ = (&self.signals.stop).read(&mut [0; 16]);
-                self.stop("SIGTERM");
+                self.begin_shutdown("SIGTERM");
             }
             ReadyEvent::Signal(Signal::Reload) => self.reload(),
             ReadyEvent::Signal(Signal::Fleet) => self.on_fleet_update(),
             ReadyEvent::Listener(index) => drop(self.accept(index)),
-            ReadyEvent::Connection { key, readable, writable } => self.serve(key, readable, writable),
+            ReadyEvent::Connection { key, readable, writable } => {
+                self.on_connection_ready(key, readable, writable)
+            }
         }
     }
 
@@ -187,23 +191,24 @@
         }
     }
 
-    /// Puts into force what is agreed in the fleet, as far as it is known.
+    /// Applies the newest view of the state agreed in the fleet: drain marks, the permit to stop and settings.
     fn apply_fleet_view(&mut self) {
         let Some(fleet) = &mut self.fleet else { return };
-        let (view, default_timeouts) = (fleet.take_view(), fleet.default_timeouts);
+        let (view, configured_timeouts) = (fleet.take_view(), fleet.configured_timeouts);
         if let Some(input) = self.context.registry.set_drained(view.drained.clone()) {
             self.context.inputs.push(input);
         }
         if let Some(revision) = view.permit_revision {
-            self.stop(&format!("permitted to end at revision {revision}"));
+            self.begin_shutdown(&format!("permit to stop granted at revision {revision}"));
         }
-        if let (Some(faktory), Some((heartbeat, reserve_for))) = (&mut self.faktory, default_timeouts) {
+        if let (Some(faktory), Some((heartbeat, reserve_for))) = (&mut self.faktory, configured_timeouts) {
             let heartbeat = view.duration("faktory.heartbeat_s").unwrap_or(heartbeat);
             let reserve_for = view.duration("faktory.reserve_for_s").unwrap_or(reserve_for);
             faktory.set_timeouts(heartbeat, reserve_for);
         }
     }
 
+    /// Handles a notification of the fleet agent.
     fn on_fleet_update(&mut self) {
         if let Some(fleet) = &self.fleet {
             fleet.drain_notifications();
@@ -211,7 +216,7 @@
         self.apply_fleet_view();
     }
 
-    /// The state of this node, as load balancers are told.
+    /// Returns the state of this node, as reported to load balancers.
     fn status(&self) -> NodeStatus {
         NodeStatus {
             stopping: self.context.is_stopping(),
@@ -221,19 +226,22 @@
         }
     }
 
-    /// Goes over to the discovery that the configuration names now; all else stays as it was at the start. A configuration
-    /// that cannot be used changes nothing.
+    /// Reads the configuration again and applies a changed discovery address. All other settings stay as at the start. An invalid
+    /// configuration changes nothing.
     fn reload(&mut self) {
         let _ = (&self.signals.reload).read(&mut [0; 16]);
         let log = self.context.log;
         match (self.signals.read_config)().map(|config| config.discovery) {
             Ok(Some(address)) => self.watch.switch_address(&mut self.context, address),
-            Ok(None) => log("SIGHUP: the configuration names no discovery, the old one stays"),
-            Err(error) => log(&format!("SIGHUP: the old configuration stays: {error}")),
+            Ok(None) => log("SIGHUP: configuration has no discovery address; keeping the current one"),
+            Err(error) => {
+                log(&format!("SIGHUP: cannot reload the configuration; keeping the current one: {error}"))
+            }
         }
     }
 }
 
+/// Creates the sockets, registers the signals and opens the configured listeners.
 fn open_sockets(config: &Config, signals: &Signals, clock: &Clock) -> Result<Sockets, DaemonError> {
     let mut net = Sockets::new(config.max_descriptors, clock.now())?;
     for (signal, pipe) in [(Signal::Stop, &signals.stop), (Signal::Reload, &signals.reload)] {
--- a/crates/pebblepost/src/daemon/outputs.rs
+++ b/crates/pebblepost/src/daemon/outputs.rs
@@ -1,4 +1,4 @@
-//! A turn of the engine, and carrying out what it asks for.
+//! Passes inputs to the engine and executes its outputs.
 
 use super::Daemon;
 use crate::engine::{Input, Output};
@@ -6,9 +6,10 @@
 use pebblepost_dispatch::api::Status;
 
 impl Daemon {
-    /// Hands what happened to the engine and carries out what it asks for.
-    pub(super) fn turn(&mut self) {
-        self.close_broken();
+    /// Passes the pending inputs to the engine and executes its outputs. Then updates the readiness and sends reports to the fleet
+    /// agent.
+    pub(super) fn process_inputs(&mut self) {
+        self.close_broken_connections();
         if !self.context.inputs.is_empty() {
             let mut inputs = std::mem::take(&mut self.context.inputs);
             if let Some(fleet) = &mut self.fleet {
@@ -17,9 +18,9 @@
             let mut outputs = Vec::new();
             self.engine.process_inputs(self.context.net.now, &mut inputs, &mut outputs);
             for output in outputs {
-                self.carry_out(output);
+                self.execute(output);
             }
-            self.close_broken();
+            self.close_broken_connections();
         }
         let ready = self.status().is_ready();
         if ready != self.context.ready {
@@ -34,14 +35,14 @@
         }
     }
 
-    /// Closes connections that broke while output was written to them.
-    fn close_broken(&mut self) {
+    /// Handles connections that broke while output was written to them.
+    fn close_broken_connections(&mut self) {
         while let Some(key) = self.context.net.broken.pop() {
             self.on_closed(key);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         let context = &mut self.context;
         let faktory = self.faktory.as_mut();
         match output {
@@ -69,7 +70,7 @@
                 }
             }
             Output::CloseIdle(worker) => self.workers.close_idle(context, worker),
-            // The watch is kept up in any case: when a change comes into force does not wait for the decision module.
+            // Nothing to do: the watch is always open, so that changes take effect without waiting for the decision module.
             Output::Watch | Output::Fetch => {}
             Output::SetTimer(at, timer) => {
                 context.net.timers.schedule(at, Timer::Engine(timer));
--- a/crates/pebblepost/src/daemon/shutdown.rs
+++ b/crates/pebblepost/src/daemon/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: a grace period, then draining until the last response is out.
+//! Graceful shutdown: a grace period, then draining until the last response is sent.
 
 use super::Daemon;
 use crate::connection_role::ConnectionRole;
@@ -7,14 +7,16 @@
 use crate::timer::Timer;
 use std::time::Duration;
 
-/// After a stop signal, connections are accepted and kept for this long, as load balancers notice late.
+/// Time after a stop signal for which connections are still accepted and kept, because load balancers notice the change of
+/// readiness with a delay.
 const GRACE_PERIOD: Duration = Duration::from_millis(500);
-/// This many times what one iteration accepts is a listener's whole backlog.
-const BACKLOG_ITERATIONS: usize = 16;
+/// Number of accept calls after which a listener's full backlog has been accepted. One call accepts a limited number of
+/// connections.
+const MAX_BACKLOG_ACCEPT_ROUNDS: usize = 16;
 
 impl Daemon {
-    /// Starts the grace period, unless that was done.
-    pub(super) fn stop(&mut self, reason: &str) {
+    /// Starts the grace period. Does nothing if the shutdown has begun already.
+    pub(super) fn begin_shutdown(&mut self, reason: &str) {
         if self.context.is_stopping() {
             return;
         }
@@ -23,21 +25,21 @@
         self.context.net.timers.schedule(self.context.net.now + GRACE_PERIOD, Timer::GracePeriodEnd);
     }
 
-    /// The grace period has ended: closes the listeners of clients.
+    /// Ends the grace period: accepts what is in the backlog of the client listeners, then closes them.
     pub(super) fn start_draining(&mut self) {
         self.context.lifecycle = Lifecycle::Draining;
         for listener in [ListenerKind::Platform, ListenerKind::Faktory] {
-            // Whoever has connected is served: closing the listener would reset connections in its backlog.
+            // Closing a listener resets the connections in its backlog, so these are accepted first.
             if let Some(index) = self.context.net.listener_index(listener) {
-                // At most the length of a backlog: clients that go on connecting must not delay the end.
-                let _ = (0..BACKLOG_ITERATIONS).all(|_| self.accept(index));
+                // The number of rounds is limited, so that clients that keep connecting do not delay the shutdown.
+                let _ = (0..MAX_BACKLOG_ACCEPT_ROUNDS).all(|_| self.accept(index));
             }
             self.context.net.close_listeners(listener);
         }
     }
 
-    /// Whether the daemon has drained: every request has its response, and all responses are out.
-    pub(super) fn is_finished(&mut self) -> bool {
+    /// Returns whether the daemon has drained: every request has its final response, and all responses are sent.
+    pub(super) fn has_drained(&mut self) -> bool {
         self.context.is_draining()
             && self.engine.unanswered_requests() == 0
             && !self.context.net.keys().into_iter().any(|key| self.has_pending_output(key))
@@ -45,7 +47,8 @@
 
     fn has_pending_output(&mut self, key: ConnectionKey) -> bool {
         self.context.net.get(key).is_some_and(|connection| match &connection.role {
-            // One that closes stays until its peer has read the response: our end would reset it away.
+            // A closing connection stays open until its peer has read the response. Exiting earlier could reset the connection
+            // and discard the response.
             ConnectionRole::Client(_) | ConnectionRole::Closing => true,
             ConnectionRole::Faktory(_) => !connection.is_flushed(),
             _ => false,
