--- a/crates/pebblepost/src/fleet_agent/control.rs
+++ b/crates/pebblepost/src/fleet_agent/control.rs
@@ -1,8 +1,9 @@
-//! Requests of operators of this machine, at `fleet.control` (loopback), as lines of JSON.
+//! The control endpoint for operators of this machine, at the loopback address `fleet.control`.
 //!
-//! `{"drain":WORKER}` and `{"undrain":WORKER}`, both with an optional `"why"`, and `{"show":true}`; each is answered by one
-//! line, `{"ok":true}`, the state, or `{"error":REASON}`. A drain requested here is in force here at once and is proposed to
-//! the group.
+//! Requests and replies are lines of JSON. A request is `{"drain":WORKER}` or `{"undrain":WORKER}`, both with an optional
+//! `"why"`, or `{"show":true}`. The reply to each is one line: `{"ok":true}`, the state, or `{"error":REASON}`.
+//!
+//! A drain requested here takes effect at this dispatcher immediately and is proposed to the store group.
 
 use super::shared::{Shared, lock};
 use pebblepost_fleet::follower::LocalDrainError;
@@ -21,23 +22,23 @@
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
 
-/// Longest request, in bytes.
-const MAX_LINE_BYTES: u64 = 4_096;
-/// Most connections at a time.
+/// Limit for the length of a request line, in bytes. The rest of a longer line is taken for another request.
+const MAX_REQUEST_LINE_BYTES: u64 = 4_096;
+/// Limit for concurrent connections.
 const MAX_CONNECTIONS: usize = 8;
-/// A connection is closed after this.
+/// Time limit for a connection, after which it is closed.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after the system could not give a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Who has set a local drain, in the history.
-const LOCAL_OPERATOR: &str = "operator here";
+/// Pause after a connection could not be accepted.
+const ACCEPT_ERROR_BACKOFF: Duration = Duration::from_millis(100);
+/// The operator recorded in the history as the one who set a local drain.
+const LOCAL_DRAIN_SET_BY: &str = "operator here";
 
-/// Why a request of an operator failed.
+/// The reason why a request of an operator failed.
 #[derive(Debug, Error)]
 enum ControlError {
-    #[error("a line of JSON is wanted: drain, undrain or show")]
+    #[error("request is not a JSON object; expected drain, undrain or show")]
     NotJson,
-    #[error("drain, undrain or show is wanted")]
+    #[error("unknown request; expected exactly one of drain, undrain or show")]
     UnknownRequest,
     #[error(transparent)]
     InvalidName(#[from] InvalidName),
@@ -69,7 +70,7 @@
     }
 }
 
-/// Listens to operators.
+/// Serves operators on the listener; without one it waits forever.
 pub(super) async fn run(shared: Arc<Shared>, control: Option<TcpListener>) {
     let listener = control.and_then(|listener| tokio::net::TcpListener::from_std(listener).ok());
     let Some(listener) = listener else { return std::future::pending().await };
@@ -80,18 +81,18 @@
             Ok((stream, _)) => {
                 let shared = shared.clone();
                 tokio::spawn(async move {
-                    let _ = timeout(CONNECTION_TIMEOUT, serve(&shared, stream)).await;
+                    let _ = timeout(CONNECTION_TIMEOUT, serve_connection(&shared, stream)).await;
                     drop(permit);
                 });
             }
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_ERROR_BACKOFF).await,
         }
     }
 }
 
-async fn serve(shared: &Shared, stream: TcpStream) -> io::Result<()> {
+async fn serve_connection(shared: &Shared, stream: TcpStream) -> io::Result<()> {
     let (input, mut output) = stream.into_split();
-    let mut input = BufReader::new(input.take(MAX_LINE_BYTES));
+    let mut input = BufReader::new(input.take(MAX_REQUEST_LINE_BYTES));
     let mut line = String::new();
     while input.read_line(&mut line).await? > 0 {
         let reply = match ControlRequest::parse(&line).and_then(|request| execute(shared, request)) {
@@ -100,7 +101,7 @@
         };
         output.write_all(format!("{reply}\n").as_bytes()).await?;
         line.clear();
-        input.get_mut().set_limit(MAX_LINE_BYTES);
+        input.get_mut().set_limit(MAX_REQUEST_LINE_BYTES);
     }
     Ok(())
 }
@@ -108,17 +109,18 @@
 fn execute(shared: &Shared, request: ControlRequest) -> Result<Value, ControlError> {
     match request {
         ControlRequest::Drain { worker, reason } => {
-            let set_by: Name = LOCAL_OPERATOR.parse().unwrap_or_else(|_| worker.clone());
+            let set_by: Name = LOCAL_DRAIN_SET_BY.parse().unwrap_or_else(|_| worker.clone());
             shared.update(|follower| follower.drain(worker, request_id(), set_by, unix_ms(), reason))?;
         }
         ControlRequest::Undrain { worker } => shared.update(|follower| follower.undrain(&worker))?,
-        ControlRequest::Show => return Ok(state(shared)),
+        ControlRequest::Show => return Ok(state_json(shared)),
     }
     shared.report_due.notify_one();
     Ok(json!({"ok": true}))
 }
 
-fn state(shared: &Shared) -> Value {
+/// Returns the agreed revision, the time since it was confirmed and the drained workers as JSON.
+fn state_json(shared: &Shared) -> Value {
     let follower = lock(&shared.follower);
     let local: Vec<&str> = follower.local_drains().map(|(name, _)| name.as_str()).collect();
     let drained: Vec<&str> = follower.drained_workers().into_iter().map(Name::as_str).collect();
--- a/crates/pebblepost/src/fleet_agent/follow.rs
+++ b/crates/pebblepost/src/fleet_agent/follow.rs
@@ -1,4 +1,4 @@
-//! Following the changes of the agreed state.
+//! Follows the changes to the agreed state by a watch on a replica of the fleet store.
 
 use super::retry::backoff;
 use super::shared::{Shared, lock};
@@ -8,20 +8,21 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// A watch brings something every half second; silent for this long, it has failed.
-const MAX_SILENCE: Duration = Duration::from_secs(2);
+/// A watch that delivers nothing for this long has failed. A replica sends something every half second.
+const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Follows all changes, at one replica after another.
+/// Follows all changes. If a watch fails, the next one is opened after a backoff, at another replica.
 pub(super) async fn run(shared: &Shared, config: &FleetConfig) {
     if config.replicas.is_empty() {
         return std::future::pending().await;
     }
     let mut client = Client::new(config.replicas.clone());
-    let mut failures = 0;
+    let mut consecutive_failures = 0;
     loop {
         let from = lock(&shared.follower).revision();
-        if let Ok(mut stream) = client.watch(from, failures > 0).await {
-            while let Ok(Ok(Some(response))) = timeout(MAX_SILENCE, stream.next::<Response>()).await {
+        if let Ok(mut stream) = client.watch(from, consecutive_failures > 0).await {
+            while let Ok(Ok(Some(response))) = timeout(WATCH_SILENCE_TIMEOUT, stream.next::<Response>()).await
+            {
                 let now = shared.now();
                 let applied = shared.update(|follower| match response {
                     Response::Snapshot(snapshot) => follower.apply_snapshot(now, snapshot),
@@ -29,15 +30,17 @@
                     Response::UpToDate(revision) => follower.confirm(now, revision),
                     _ => Ok(()),
                 });
-                // A replica that is behind, or has lost its position: another one is asked.
+                // The replica lags behind or does not continue at the known revision, so another one is watched.
                 if let Err(error) = applied {
-                    (shared.log)(&format!("fleet: {error}"));
+                    (shared.log)(&format!(
+                        "fleet: cannot apply an update of the store; trying another replica: {error}"
+                    ));
                     break;
                 }
-                failures = 0;
+                consecutive_failures = 0;
             }
         }
-        failures += 1;
-        sleep(backoff(failures)).await;
+        consecutive_failures += 1;
+        sleep(backoff(consecutive_failures)).await;
     }
 }
--- a/crates/pebblepost/src/fleet_agent/mod.rs
+++ b/crates/pebblepost/src/fleet_agent/mod.rs
@@ -1,11 +1,12 @@
-//! The fleet agent: a thread beside the event loop that follows the fleet store. It exists only if the operator's file has
-//! a part `fleet`; without one there is no thread and no descriptor.
+//! The fleet agent, which follows the fleet store on a thread of its own.
 //!
-//! The event loop never waits for it. What is agreed is handed over as one value, the newest [`FleetView`], with a byte in a
-//! pipe that wakes the loop; the replica of the agreed state behind it ([`Follower`]) lives in the agent. While no replica of
-//! the store is reached, the last view stays in force, and [`FleetAgent::status_line`] says how old it is.
+//! The agent exists only if the operator's file has the section `fleet`. Otherwise there is no thread and no descriptor for it.
 //!
-//! An operator of this machine reaches the agent at `fleet.control` (see the module `control`).
+//! The event loop never blocks on the agent. The agent keeps a local replica of the agreed state ([`Follower`]) and publishes
+//! the newest [`FleetView`] of it. A byte in a pipe wakes the event loop for each new view. While no replica of the store is
+//! reachable, the last view stays in effect, and [`FleetAgent::status_line`] reports its age.
+//!
+//! Operators of this machine reach the agent at `fleet.control` (see the module `control`).
 
 mod control;
 mod follow;
@@ -34,41 +35,41 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// Why the fleet agent could not start.
+/// The reason why the fleet agent could not start.
 #[derive(Debug, Error)]
 pub enum FleetAgentError {
-    /// The name of this node cannot be that of a member.
-    #[error("fleet: name {name:?}: {error}")]
+    /// The name of this node is not valid as the name of a member.
+    #[error("fleet: name {name:?} is not a valid member name: {error}")]
     MemberName {
-        /// The name.
+        /// The name of this node.
         name: String,
         /// What is wrong with it.
         error: InvalidName,
     },
-    /// The address for operators cannot be bound, or the system gives no thread or descriptor.
+    /// The address for operators could not be bound, or the operating system did not provide a thread or a descriptor.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// The fleet agent, from the event loop's side. Its thread ends when this is dropped.
+/// The event loop's handle to the fleet agent. Dropping it stops the agent's thread and waits for its end.
 pub struct FleetAgent {
     shared: Arc<Shared>,
-    /// Becomes readable when there is a new view.
+    /// Becomes readable when there is a new view. The reader has to drain it.
     pub wake: UnixStream,
-    /// Where it listens to operators.
+    /// Where the agent accepts operators of this machine; `None` if it does not.
     pub control_address: Option<SocketAddr>,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl FleetAgent {
-    /// Starts the agent with the snapshot of the agreed state that was saved, if any. `address` is where this dispatcher takes
+    /// Starts the agent with the saved snapshot of the agreed state, if there is one. `address` is where this dispatcher accepts
     /// clients.
     ///
     /// # Errors
     ///
-    /// If the name cannot be that of a member, the address for operators cannot be bound, or the system gives no thread or
-    /// descriptor.
+    /// If the name is not valid as the name of a member, the address for operators cannot be bound, or the operating system does
+    /// not provide a thread or a descriptor.
     pub fn start(
         config: &FleetConfig, name: &str, address: Option<SocketAddr>, log: fn(&str),
     ) -> Result<Self, FleetAgentError> {
@@ -97,24 +98,26 @@
         Ok(Self { shared, wake, control_address, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// The newest view.
+    /// Returns the newest view.
     pub fn view(&self) -> Arc<FleetView> {
         lock(&self.shared.view).clone()
     }
 
-    /// Reports whether the event loop takes new clients.
+    /// Reports whether the event loop accepts new clients.
     pub fn set_ready(&self, ready: bool) {
         self.shared.ready.store(ready, Ordering::Relaxed);
         self.shared.report_due.notify_one();
     }
 
-    /// Reports the responses that the event loop has given.
+    /// Reports the counts of the final responses given by the event loop.
     pub fn set_request_counts(&self, counts: RequestCounts) {
         lock(&self.shared.report).requests = counts;
     }
 
-    /// Reports that all that is agreed up to this revision is in force in the event loop, which has attempts in flight at
-    /// these drained workers.
+    /// Reports that the event loop has applied the agreed state up to `revision`, and that it has attempts in flight at
+    /// `busy_workers`, which are drained workers.
+    ///
+    /// A heartbeat is sent immediately if the busy workers have changed or a new drain mark has been applied.
     pub fn report_applied(&self, revision: u64, busy_workers: BTreeSet<Name>) {
         let mut report = lock(&self.shared.report);
         let is_new = report.busy_workers != busy_workers
@@ -126,12 +129,12 @@
         }
     }
 
-    /// Reports the state of the workers as the event loop sees it.
+    /// Reports the state of the workers as observed by the event loop.
     pub fn set_observations(&self, observations: BTreeMap<Name, WorkerObservation>) {
         *lock(&self.shared.observations) = Some(observations);
     }
 
-    /// The revision that is in force, its age and the drain marks, in one line.
+    /// Returns the revision of the newest view, the time since it was confirmed and the number of drain marks, as one line.
     pub fn status_line(&self) -> String {
         let view = self.view();
         let confirmed = match self.shared.time_since_confirmed() {
@@ -152,7 +155,7 @@
     }
 }
 
-/// What the agent's thread runs.
+/// The tasks that the agent's thread runs.
 struct Tasks {
     shared: Arc<Shared>,
     config: FleetConfig,
@@ -161,6 +164,7 @@
 }
 
 impl Tasks {
+    /// Starts the thread. It ends when the sender of `stopped` is dropped.
     fn spawn(self, stopped: oneshot::Receiver<()>) -> io::Result<JoinHandle<()>> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let Self { shared, config, info, control } = self;
@@ -179,14 +183,17 @@
     }
 }
 
-/// The snapshot that was saved, or an empty one. One that cannot be read does not keep the program from serving; until a replica
-/// is reached its drains are unknown.
+/// Returns the saved snapshot, or an empty one if none was saved or it cannot be read. An unreadable snapshot does not prevent the
+/// program from serving, but its drain marks are unknown until a replica is reached.
 fn load_snapshot(config: &FleetConfig, log: fn(&str)) -> Follower {
     let Some(path) = config.copy.as_deref() else { return Follower::default() };
     match snapshot_file::load(path) {
         Ok(snapshot) => snapshot.unwrap_or_default(),
         Err(error) => {
-            log(&format!("fleet.copy: {}: {error}; goes on without it", path.display()));
+            log(&format!(
+                "fleet.copy: cannot read the snapshot {}; starting with an empty state: {error}",
+                path.display()
+            ));
             Follower::default()
         }
     }
--- a/crates/pebblepost/src/fleet_agent/shared.rs
+++ b/crates/pebblepost/src/fleet_agent/shared.rs
@@ -1,4 +1,4 @@
-//! State that the event loop and the agent's thread share.
+//! State shared by the event loop and the agent's thread.
 
 use pebblepost_fleet::follower::Follower;
 use pebblepost_fleet::heartbeat::HeartbeatReport;
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// What the event loop goes by.
+/// The part of the agreed state that the event loop applies.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetView {
     /// The agreed revision.
@@ -25,16 +25,16 @@
     pub drained: HashSet<String>,
     /// The revision of the newest agreed drain mark.
     pub newest_drain_revision: u64,
-    /// How many of the drain marks are local.
+    /// Number of drain marks that are local to this dispatcher.
     pub local_drains: usize,
-    /// Agreed settings.
+    /// Agreed settings by name.
     pub settings: BTreeMap<&'static str, f64>,
-    /// The revision at which this process was permitted to stop.
+    /// The revision at which this process was granted a permit to stop; `None` if it has no permit.
     pub permit_revision: Option<u64>,
 }
 
 impl FleetView {
-    fn of(follower: &Follower, member: &Member) -> Self {
+    fn from_follower(follower: &Follower, member: &Member) -> Self {
         let settings = SETTINGS.iter().filter_map(|setting| {
             let value = follower.setting(setting.name)?;
             Some((setting.name, value))
@@ -49,7 +49,7 @@
         }
     }
 
-    /// An agreed setting that is a duration.
+    /// Returns an agreed setting that is a duration, in seconds; `None` if there is none of that name.
     pub fn duration(&self, name: &str) -> Option<Duration> {
         self.settings.get(name).map(|seconds| Duration::from_secs_f64(*seconds))
     }
@@ -59,35 +59,39 @@
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) name: Name,
-    /// Drawn once; it tells this process from those of the same name before and after it.
+    /// Drawn at random once per process. It distinguishes this process from earlier and later ones of the same name.
     pub(super) incarnation: IncarnationId,
 }
 
-/// State that the event loop and the agent's thread share.
+/// State shared by the event loop and the agent's thread.
 pub(super) struct Shared {
     pub(super) member: Member,
-    /// Whether the event loop takes new clients.
+    /// Whether the event loop accepts new clients.
     pub(super) ready: AtomicBool,
-    /// The newest view, whether or not the event loop has taken it.
+    /// The newest view, which the event loop may not have applied yet.
     pub(super) view: Mutex<Arc<FleetView>>,
-    /// When a replica last confirmed the view, in milliseconds from `started`; 0: never.
+    /// When a replica last confirmed the view, in milliseconds since `started`; 0 if none has.
     confirmed_ms: AtomicU64,
+    /// When the agent was started.
     started: Instant,
+    /// The local replica of the agreed state.
     pub(super) follower: Mutex<Follower>,
     /// Notified when there is something to report or propose to the fleet store.
     pub(super) report_due: Notify,
     /// What the event loop last reported.
     pub(super) report: Mutex<HeartbeatReport>,
-    /// How the event loop sees the workers; `None` if it knows too little.
+    /// The state of the workers as observed by the event loop; `None` before its first report.
     pub(super) observations: Mutex<Option<BTreeMap<Name, WorkerObservation>>>,
-    /// The revision of the saved snapshot; the highest if none is saved.
+    /// The revision of the saved snapshot; [`u64::MAX`] if snapshots are not saved.
     pub(super) persisted_revision: AtomicU64,
-    /// Notified when the agreed state has changed here.
+    /// Notified when the view has changed.
     pub(super) changed: Notify,
+    /// The agent's end of the pipe that wakes the event loop.
     wake: UnixStream,
     pub(super) log: fn(&str),
 }
 
+/// Locks a mutex, even if a thread panicked while it held the lock.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -98,7 +102,7 @@
     ) -> Self {
         Self {
             ready: AtomicBool::new(false),
-            view: Mutex::new(Arc::new(FleetView::of(&follower, &member))),
+            view: Mutex::new(Arc::new(FleetView::from_follower(&follower, &member))),
             member,
             confirmed_ms: AtomicU64::new(0),
             started: Instant::now(),
@@ -113,12 +117,12 @@
         }
     }
 
-    /// Time since the agent's start.
+    /// Returns the time since the agent was started.
     pub(super) fn now(&self) -> Duration {
         since(self.started)
     }
 
-    /// Time since a replica last confirmed the view; `None` if none has since the start.
+    /// Returns the time since a replica last confirmed the view; `None` if none has since the start.
     pub(super) fn time_since_confirmed(&self) -> Option<Duration> {
         match self.confirmed_ms.load(Ordering::Relaxed) {
             0 => None,
@@ -126,7 +130,8 @@
         }
     }
 
-    /// What the fleet store is told. A revision that a restart would forget is not confirmed.
+    /// Returns the report for the next heartbeat. The applied revision in it is at most that of the saved snapshot, because a
+    /// restart would lose anything newer.
     pub(super) fn heartbeat_report(&self) -> HeartbeatReport {
         let report = lock(&self.report).clone();
         #[cfg(feature = "faults")]
@@ -139,7 +144,7 @@
         HeartbeatReport { applied_revision, worker_diff: worker_diff.unwrap_or_default(), ..report }
     }
 
-    /// Changes the local replica of the agreed state, and wakes the event loop if that changes its view.
+    /// Applies a change to the local replica of the agreed state, and wakes the event loop if the change affects its view.
     pub(super) fn update<T>(&self, change: impl FnOnce(&mut Follower) -> T) -> T {
         let mut follower = lock(&self.follower);
         let result = change(&mut follower);
@@ -147,13 +152,13 @@
             let confirmed_ms = self.now().saturating_sub(age).as_millis().max(1);
             self.confirmed_ms.store(u64::try_from(confirmed_ms).unwrap_or(u64::MAX), Ordering::Relaxed);
         }
-        let view = FleetView::of(&follower, &self.member);
+        let view = FleetView::from_follower(&follower, &self.member);
         drop(follower);
         let mut current = lock(&self.view);
         if **current != view {
             *current = Arc::new(view);
             drop(current);
-            // If the pipe is full, the event loop is to be woken already.
+            // If the pipe is full, it already holds bytes that wake the event loop.
             let _ = (&self.wake).write(&[1]);
             self.changed.notify_one();
         }
--- a/crates/pebblepost/src/fleet_agent/snapshot_file.rs
+++ b/crates/pebblepost/src/fleet_agent/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! The snapshot of the agreed state that is saved over a restart, in the file `fleet.copy`.
+//! The snapshot of the agreed state in the file `fleet.copy`, which preserves that state across restarts.
 
 use super::shared::{Shared, lock};
 use crate::checksummed_file;
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Least time between two writes of the snapshot.
-const WRITE_INTERVAL: Duration = Duration::from_millis(200);
+/// Minimum time between two writes of the snapshot.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Reads the snapshot; `None` if none was saved.
+/// Reads the snapshot; `None` if the file does not exist.
 ///
 /// # Errors
 ///
@@ -25,7 +25,8 @@
     }
 }
 
-/// Writes the snapshot whenever the agreed state changes, off the thread that follows.
+/// Writes the snapshot whenever the agreed state changes. The writes run on a blocking thread, so that they do not delay the
+/// agent's other tasks. Without a path it waits forever.
 pub(super) async fn run(shared: &Shared, path: Option<&Path>) {
     let Some(path) = path else { return std::future::pending().await };
     loop {
@@ -35,12 +36,15 @@
         let file = path.to_owned();
         let write = move || checksummed_file::replace(&file, &serde_json::to_string(&snapshot)?);
         match tokio::task::spawn_blocking(write).await {
+            // A newly saved drain mark may be reported as applied from now on, so this is reported immediately.
             Ok(Ok(())) if shared.persisted_revision.swap(revision, Ordering::Relaxed) < newest_drain => {
                 shared.report_due.notify_one();
             }
-            Ok(Err(error)) => (shared.log)(&format!("fleet.copy: {}: {error}", path.display())),
+            Ok(Err(error)) => {
+                (shared.log)(&format!("fleet.copy: cannot write the snapshot {}: {error}", path.display()))
+            }
             _ => {}
         }
-        sleep(WRITE_INTERVAL).await;
+        sleep(MIN_WRITE_INTERVAL).await;
     }
 }
