--- a/crates/pebblepost/examples/toy.rs
+++ b/crates/pebblepost/examples/toy.rs
@@ -1,10 +1,10 @@
-//! Toy workers to try pebblepost with, on loopback and with the standard library alone.
+//! Minimal workers, discovery and producer for trying out pebblepost. They run on loopback and use only the standard library.
 //!
-//!     cargo run --example toy            # two HTTP workers, and a discovery that lists them
+//!     cargo run --example toy            # two HTTP workers and a discovery server that lists them
 //!     cargo run --example toy faktory    # one Faktory worker with two slots
 //!     cargo run --example toy push ID    # a Faktory producer of one job
 //!
-//! `examples/README.md` has the whole walk.
+//! `examples/README.md` describes the complete procedure.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -13,52 +13,55 @@
 use std::thread;
 use std::time::Duration;
 
-const DISCOVERY: &str = "127.0.0.1:18500";
-const WORKERS: [&str; 2] = ["127.0.0.1:18501", "127.0.0.1:18502"];
-const FAKTORY: &str = "127.0.0.1:7419";
-const SLOTS: i32 = 2;
+const DISCOVERY_ADDRESS: &str = "127.0.0.1:18500";
+const WORKER_ADDRESSES: [&str; 2] = ["127.0.0.1:18501", "127.0.0.1:18502"];
+const FAKTORY_ADDRESS: &str = "127.0.0.1:7419";
+const SLOTS_PER_WORKER: i32 = 2;
 
 fn main() -> std::io::Result<()> {
     match std::env::args().nth(1).as_deref() {
         None => {
-            for address in WORKERS {
+            for address in WORKER_ADDRESSES {
                 let listener = TcpListener::bind(address)?;
-                let free = Arc::new(AtomicI32::new(SLOTS));
+                let free_slots = Arc::new(AtomicI32::new(SLOTS_PER_WORKER));
                 println!("worker at {address}");
-                thread::spawn(move || each(&listener, move |stream| work(stream, &free)));
+                thread::spawn(move || accept_all(&listener, move |stream| serve_worker(stream, &free_slots)));
             }
-            println!("discovery at {DISCOVERY}");
-            each(&TcpListener::bind(DISCOVERY)?, discover);
+            println!("discovery at {DISCOVERY_ADDRESS}");
+            accept_all(&TcpListener::bind(DISCOVERY_ADDRESS)?, serve_discovery);
             Ok(())
         }
         Some("faktory") => {
-            // Connections end with the program, or when the dispatcher goes.
-            let slots: Vec<_> = (0..SLOTS).map(|_| thread::spawn(faktory)).collect();
+            // A slot runs until the dispatcher closes its connection.
+            let slots: Vec<_> = (0..SLOTS_PER_WORKER).map(|_| thread::spawn(run_faktory_slot)).collect();
             slots.into_iter().try_for_each(|slot| slot.join().unwrap_or(Ok(())))
         }
-        Some("push") => push(&std::env::args().nth(2).unwrap_or_else(|| "j1".to_owned())),
+        Some("push") => push_job(&std::env::args().nth(2).unwrap_or_else(|| "j1".to_owned())),
         Some(_) => Err(std::io::Error::other("usage: toy [faktory | push ID]")),
     }
 }
 
-fn each(listener: &TcpListener, serve: impl Fn(TcpStream) -> std::io::Result<()> + Clone + Send + 'static) {
+/// Serves each connection on a thread of its own.
+fn accept_all(
+    listener: &TcpListener, serve: impl Fn(TcpStream) -> std::io::Result<()> + Clone + Send + 'static,
+) {
     for stream in listener.incoming().flatten() {
         let serve = serve.clone();
         thread::spawn(move || serve(stream));
     }
 }
 
-/// First line, id and body of a request; `None`: the connection has ended.
-fn request(input: &mut BufReader<TcpStream>) -> std::io::Result<Option<(String, String, Vec<u8>)>> {
-    let (mut first, mut id, mut length) = (String::new(), String::new(), 0);
+/// Reads a request and returns its request line, id and body; `None` if the connection has ended.
+fn read_request(input: &mut BufReader<TcpStream>) -> std::io::Result<Option<(String, String, Vec<u8>)>> {
+    let (mut request_line, mut id, mut length) = (String::new(), String::new(), 0);
     loop {
         let mut line = String::new();
         if input.read_line(&mut line)? == 0 {
             return Ok(None);
         }
         let line = line.trim_end();
-        if first.is_empty() {
-            first = line.to_owned();
+        if request_line.is_empty() {
+            request_line = line.to_owned();
         } else if line.is_empty() {
             break;
         } else if let Some((name, value)) = line.split_once(':') {
@@ -71,46 +74,49 @@
     }
     let mut body = vec![0; length];
     input.read_exact(&mut body)?;
-    Ok(Some((first, id, body)))
+    Ok(Some((request_line, id, body)))
 }
 
-fn chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
+fn write_chunk(stream: &mut TcpStream, text: &str) -> std::io::Result<()> {
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
 }
 
-/// A worker that turns a job's text to upper case, in its time.
-fn work(mut stream: TcpStream, free: &AtomicI32) -> std::io::Result<()> {
+/// Serves a worker's connection. A job converts its text to upper case and takes 300 ms.
+fn serve_worker(mut stream: TcpStream, free_slots: &AtomicI32) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut input = BufReader::new(stream.try_clone()?);
-    while let Some((first, id, body)) = request(&mut input)? {
-        if first.starts_with("GET ") {
-            let left = free.load(Ordering::SeqCst).max(0);
+    while let Some((request_line, id, body)) = read_request(&mut input)? {
+        if request_line.starts_with("GET ") {
+            let available = free_slots.load(Ordering::SeqCst).max(0);
             let load = format!(
-                "{{\"util\":{:.2},\"eps\":0.0,\"x0\":{left}}}",
-                1.0 - f64::from(left) / f64::from(SLOTS)
+                "{{\"util\":{:.2},\"eps\":0.0,\"x0\":{available}}}",
+                1.0 - f64::from(available) / f64::from(SLOTS_PER_WORKER)
             );
             stream.write_all(
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{load}", load.len()).as_bytes(),
             )?;
-        } else if free.fetch_sub(1, Ordering::SeqCst) > 0 {
+        } else if free_slots.fetch_sub(1, Ordering::SeqCst) > 0 {
             stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-            chunk(&mut stream, &format!("{{\"id\":\"{id}\",\"state\":\"started\"}}\n"))?;
+            write_chunk(&mut stream, &format!("{{\"id\":\"{id}\",\"state\":\"started\"}}\n"))?;
             thread::sleep(Duration::from_millis(300));
-            free.fetch_add(1, Ordering::SeqCst);
+            free_slots.fetch_add(1, Ordering::SeqCst);
             let text: String = String::from_utf8_lossy(&body).to_uppercase().escape_default().collect();
             println!("job {id} done");
-            chunk(&mut stream, &format!("{{\"id\":\"{id}\",\"state\":\"done\",\"result\":\"{text}\"}}\n"))?;
+            write_chunk(
+                &mut stream,
+                &format!("{{\"id\":\"{id}\",\"state\":\"done\",\"result\":\"{text}\"}}\n"),
+            )?;
             stream.write_all(b"0\r\n\r\n")?;
         } else {
-            free.fetch_add(1, Ordering::SeqCst);
+            free_slots.fetch_add(1, Ordering::SeqCst);
             stream.write_all(b"HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")?;
         }
     }
     Ok(())
 }
 
-/// A discovery whose list never changes.
-fn discover(mut stream: TcpStream) -> std::io::Result<()> {
+/// Serves a connection to a discovery server whose list never changes.
+fn serve_discovery(mut stream: TcpStream) -> std::io::Result<()> {
     let mut input = BufReader::new(stream.try_clone()?);
     let host = |(i, dial): (usize, &&str)| {
         format!(
@@ -118,15 +124,15 @@
              \"health\":\"ready\",\"share\":1.0,\"born_ms\":0}}"
         )
     };
-    let hosts: Vec<String> = WORKERS.iter().enumerate().map(host).collect();
+    let hosts: Vec<String> = WORKER_ADDRESSES.iter().enumerate().map(host).collect();
     let list = format!("{{\"seq\":1,\"whole\":true,\"hosts\":[{}]}}\n", hosts.join(","));
-    while let Some((first, ..)) = request(&mut input)? {
-        if first.contains("watch=1") {
+    while let Some((request_line, ..)) = read_request(&mut input)? {
+        if request_line.contains("watch=1") {
             stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-            chunk(&mut stream, &list)?;
+            write_chunk(&mut stream, &list)?;
             loop {
                 thread::sleep(Duration::from_secs(2));
-                chunk(&mut stream, "\n")?;
+                write_chunk(&mut stream, "\n")?;
             }
         }
         stream.write_all(
@@ -136,49 +142,49 @@
     Ok(())
 }
 
-/// One slot of a Faktory worker.
-fn faktory() -> std::io::Result<()> {
+/// Runs one slot of a Faktory worker.
+fn run_faktory_slot() -> std::io::Result<()> {
     static OUTPUT: Mutex<()> = Mutex::new(());
-    let mut stream = TcpStream::connect(FAKTORY)?;
+    let mut stream = TcpStream::connect(FAKTORY_ADDRESS)?;
     let mut input = BufReader::new(stream.try_clone()?);
-    let mut line = || {
+    let mut read_line = || {
         let mut line = String::new();
         input.read_line(&mut line).map(|_| line.trim_end().to_owned())
     };
     let pid = std::process::id();
-    line()?;
+    read_line()?;
     stream.write_all(
         format!("HELLO {{\"v\":2,\"wid\":\"toy-{pid}\",\"hostname\":\"here\",\"pid\":{pid}}}\r\n").as_bytes(),
     )?;
-    println!("hello: {}", line()?);
+    println!("hello: {}", read_line()?);
     loop {
         stream.write_all(b"FETCH default\r\n")?;
-        match line()?.as_str() {
+        match read_line()?.as_str() {
             "" => return Ok(()),
             "$-1" => continue,
             _ => {}
         }
-        let job = line()?;
-        // A job's id is plain text; a real worker uses a JSON parser.
+        let job = read_line()?;
+        // Finds the id without a JSON parser, which works only for ids without escapes.
         let jid = job.split("\"jid\":\"").nth(1).and_then(|rest| rest.split('"').next()).unwrap_or_default();
         thread::sleep(Duration::from_millis(300));
         stream.write_all(format!("ACK {{\"jid\":\"{jid}\"}}\r\n").as_bytes())?;
-        let reply = line()?;
+        let reply = read_line()?;
         let _lock = OUTPUT.lock().unwrap_or_else(PoisonError::into_inner);
         println!("job {jid}: {reply}");
     }
 }
 
-/// A producer of one job.
-fn push(jid: &str) -> std::io::Result<()> {
-    let mut stream = TcpStream::connect(FAKTORY)?;
+/// Pushes one job as a Faktory producer and prints the replies.
+fn push_job(jid: &str) -> std::io::Result<()> {
+    let mut stream = TcpStream::connect(FAKTORY_ADDRESS)?;
     let mut input = BufReader::new(stream.try_clone()?);
     let job = format!("{{\"jid\":\"{jid}\",\"jobtype\":\"segment\",\"args\":[1]}}");
     stream.write_all(format!("HELLO {{\"v\":2}}\r\nPUSH {job}\r\nEND\r\n").as_bytes())?;
-    for said in ["", "HELLO: ", "PUSH: "] {
+    for label in ["", "HELLO: ", "PUSH: "] {
         let mut line = String::new();
         input.read_line(&mut line)?;
-        println!("{said}{}", line.trim_end());
+        println!("{label}{}", line.trim_end());
     }
     Ok(())
 }
--- a/crates/pebblepost/src/connection_key.rs
+++ b/crates/pebblepost/src/connection_key.rs
@@ -1,11 +1,12 @@
-//! Keys of connections.
+//! Keys that identify connections.
 
+/// The low bits of a key hold the slot, the bits above them the generation.
 const SLOT_BITS: u32 = 32;
 const SLOT_MASK: usize = 0xffff_ffff;
-/// Bits 24 and up of the generation would collide with the poll keys of listeners.
+/// The generation has 24 bits. Higher bits would make keys collide with the poll keys of listeners.
 const GENERATION_MASK: u32 = 0xff_ffff;
 
-/// Identifies a connection; never a later one in the same slot.
+/// Identifies a connection. The generation in the key distinguishes it from other connections in the same slot of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConnectionKey(usize);
 
@@ -14,28 +15,29 @@
         Self((generation.0 as usize) << SLOT_BITS | slot)
     }
 
-    /// The key by which the poller knows the connection.
+    /// Returns the key of the connection at the poller.
     pub(crate) fn poll_key(self) -> usize {
         self.0
     }
 
-    /// The connection that the poller knows by this key.
+    /// Returns the connection with this key at the poller.
     pub(crate) fn from_poll_key(key: usize) -> Self {
         Self(key)
     }
 
-    /// The connection's place in the table.
+    /// Returns the connection's slot in the table.
     pub(crate) fn slot(self) -> usize {
         self.0 & SLOT_MASK
     }
 
-    /// Whether it names the connection of that generation.
+    /// Returns whether the key belongs to this generation of its slot.
     pub(crate) fn is_of(self, generation: Generation) -> bool {
         generation.0 as usize == self.0 >> SLOT_BITS
     }
 }
 
-/// Counts the connections, so that a key of an earlier one in the same slot is recognized.
+/// A number that changes with each connection, so that keys of earlier connections in the same slot are recognized. It has 24 bits
+/// and wraps around.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Generation(u32);
 
--- a/crates/pebblepost/src/connection_role.rs
+++ b/crates/pebblepost/src/connection_role.rs
@@ -1,14 +1,14 @@
-//! What a connection is for, with the state of its protocol.
+//! The role of a connection, with the state of its protocol.
 
 use crate::discovery::call::WatchCall;
 use crate::front::faktory::session::Session;
 use crate::front::platform::client::ClientState;
 use crate::workers::connection::WorkerConnection;
 
-/// What a connection is for.
+/// The role of a connection.
 #[derive(Debug)]
 pub enum ConnectionRole {
-    /// A client of the platform's front.
+    /// A client of the platform front.
     Client(ClientState),
     /// A connection to a worker.
     Worker(WorkerConnection),
@@ -16,30 +16,30 @@
     Discovery(WatchCall),
     /// A producer or worker of the Faktory front.
     Faktory(Session),
-    /// A load balancer's health checks by HTTP.
+    /// A load balancer that sends health checks by HTTP.
     Health,
-    /// Only the last output remains to be sent.
+    /// A connection that is closed once its pending output is sent.
     Closing,
 }
 
 impl ConnectionRole {
-    /// Whether its peer is trusted with large messages: a worker or discovery.
+    /// Returns whether the peer is trusted to send large messages, which holds for workers and discovery.
     pub fn is_trusted(&self) -> bool {
         matches!(self, Self::Worker(_) | Self::Discovery(_))
     }
 
-    /// Whether it is a client whose response is pending.
+    /// Returns whether this is a client that waits for a response.
     pub fn awaits_response(&self) -> bool {
         matches!(self, Self::Client(ClientState::AwaitingResponse(_)))
     }
 
-    /// Whether only the last output remains to be sent.
+    /// Returns whether the connection is closed once its pending output is sent.
     pub fn is_closing(&self) -> bool {
         matches!(self, Self::Closing)
     }
 
-    /// Whether it may use a descriptor of the reserve: clients that fill the others must not keep the daemon from its list
-    /// of workers.
+    /// Returns whether the connection may use a reserved descriptor. The reserve lets the daemon reach discovery when clients use all
+    /// other descriptors.
     pub fn may_use_reserved_descriptors(&self) -> bool {
         matches!(self, Self::Discovery(_))
     }
--- a/crates/pebblepost/src/context.rs
+++ b/crates/pebblepost/src/context.rs
@@ -1,4 +1,4 @@
-//! What the fronts, the worker connections and discovery share in an iteration of the event loop.
+//! State shared by the fronts, the worker connections and discovery within an iteration of the event loop.
 
 use crate::clock::Clock;
 use crate::discovery::registry::Registry;
@@ -7,31 +7,31 @@
 use pebblepost_dispatch::api::{RequestId, WorkerId};
 use std::net::SocketAddr;
 
-/// How far the daemon's graceful shutdown has come.
+/// The phase of the daemon's graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// No stop signal was received.
+    /// The shutdown has not begun.
     #[default]
     Serving,
-    /// A stop signal was received: not ready any more, but connections are accepted until the grace period ends.
+    /// The shutdown has begun. The daemon reports that it is not ready, but accepts connections until the grace period ends.
     GracePeriod,
-    /// Connections are closed after their response.
+    /// The grace period has ended. Client connections are closed after their response.
     Draining,
 }
 
-/// The sockets and the state that their protocols share.
+/// The sockets and the state shared by their protocols.
 pub struct Context {
-    /// The sockets.
+    /// The sockets and timers.
     pub net: Sockets,
-    /// Events that the engine has not processed yet.
+    /// Inputs that the engine has not processed yet.
     pub inputs: Vec<Input>,
     /// The workers known to this dispatcher.
     pub registry: Registry,
-    /// The clock.
+    /// The clock of the event loop.
     pub clock: Clock,
-    /// Whether the daemon is shutting down.
+    /// The phase of the graceful shutdown.
     pub lifecycle: Lifecycle,
-    /// Whether new clients should come, as reported by `/ready`.
+    /// Whether the daemon is ready for new clients, as reported by `/ready`.
     pub ready: bool,
     /// Receives log lines.
     pub log: fn(&str),
@@ -39,7 +39,7 @@
 }
 
 impl Context {
-    /// A context in which nothing has happened yet.
+    /// Creates a context without pending inputs.
     pub fn new(net: Sockets, registry: Registry, clock: Clock, log: fn(&str)) -> Self {
         Self {
             net,
@@ -53,23 +53,23 @@
         }
     }
 
-    /// Whether a stop signal was received.
+    /// Returns whether the shutdown has begun.
     pub fn is_stopping(&self) -> bool {
         self.lifecycle != Lifecycle::Serving
     }
 
-    /// Whether connections are closed after their response.
+    /// Returns whether the daemon is draining.
     pub fn is_draining(&self) -> bool {
         self.lifecycle == Lifecycle::Draining
     }
 
-    /// A request id that was not used before.
+    /// Returns a new request id. Ids are 32-bit and wrap around.
     pub fn next_request_id(&mut self) -> RequestId {
         self.last_request_id = self.last_request_id.wrapping_add(1);
         RequestId(self.last_request_id)
     }
 
-    /// The address of a worker that is reached by HTTP.
+    /// Returns the address of a worker that is reached by HTTP; `None` if it is unknown or connected to another front.
     pub fn worker_address(&self, worker: WorkerId) -> Option<SocketAddr> {
         self.registry.get(worker)?.address
     }
--- a/crates/pebblepost/src/lib.rs
+++ b/crates/pebblepost/src/lib.rs
@@ -1,11 +1,16 @@
-//! pebblepost: a dispatcher on real sockets around the decisions of [`pebblepost_dispatch`].
+//! pebblepost is a dispatcher daemon that sends requests and queued jobs to workers, as decided by [`pebblepost_dispatch`].
 //!
-//! One thread runs one event loop ([`daemon`]). From the bottom up: the sockets and timers ([`net`], [`timer_queue`]); the
-//! engine with the requests in flight ([`engine`]) and the workers known ([`discovery::registry`]); the protocols that use
-//! both ([`front`], [`workers`], [`discovery::watch`]); and the daemon that routes events between them. The fleet agent
-//! ([`fleet_agent`]) is a thread of its own. `docs/daemon.md` follows a request through the daemon.
+//! The daemon runs one event loop on one thread. Its layers, from the bottom up:
 //!
-//! The same program runs a replica of the fleet store ([`store_replica`]) and the operators' commands for it ([`operator`]).
+//! - Sockets and timers: [`net`] and [`timer_queue`].
+//! - State: the requests in flight in the [`engine`], and the known workers in the [`discovery::registry`].
+//! - Protocols: [`front`], [`workers`] and [`discovery::watch`].
+//! - The [`daemon`], which routes events between these modules.
+//!
+//! The fleet agent ([`fleet_agent`]) runs on a thread of its own. `docs/daemon.md` follows a request through the daemon.
+//!
+//! The same program also runs a replica of the fleet store ([`store_replica`]) and the operators' commands for the store
+//! ([`operator`]).
 
 pub mod buffer;
 pub mod checksummed_file;
--- a/crates/pebblepost/src/main.rs
+++ b/crates/pebblepost/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: the daemon, a replica of the fleet store, or a command of an operator.
+//! The program `pebblepost`, which runs the daemon, a replica of the fleet store or an operator's command.
 
 use clap::{Parser, Subcommand};
 use pebblepost::{config, daemon, operator, store_replica};
@@ -9,6 +9,7 @@
 use std::process::ExitCode;
 
 /// A dispatcher for queues of jobs. Without a command it runs; README.md tells of its environment.
+// The doc comments on `Cli` and `Command` are the help texts of the program, which an approved file of the tests contains.
 #[derive(Parser)]
 #[command(version, args_conflicts_with_subcommands = true)]
 struct Cli {
@@ -19,7 +20,6 @@
     command: Option<Command>,
 }
 
-// The doc comments here are the help texts of the commands.
 #[derive(Subcommand)]
 enum Command {
     /// Runs a keeper of the agreed store.
@@ -32,7 +32,7 @@
 }
 
 fn main() -> ExitCode {
-    // First of all: from the start on SIGHUP ends nothing.
+    // The handler is registered first, because SIGHUP ends a process that has no handler for it.
     let reload = UnixStream::pair().and_then(|(reload, notify)| {
         signal_hook::low_level::pipe::register(SIGHUP, notify)?;
         Ok(reload)
@@ -65,7 +65,7 @@
     eprintln!("pebblepost: {error}");
 }
 
-/// The replica's log goes to standard error; `RUST_LOG` says how much of it.
+/// Sends the replica's log to standard error. The environment variable `RUST_LOG` sets the filter.
 fn init_replica_log() {
     let filter = tracing_subscriber::EnvFilter::try_from_default_env();
     let filter = filter.unwrap_or_else(|_| "info,openraft=error".into());
@@ -78,11 +78,11 @@
     for signal in [SIGTERM, SIGINT] {
         signal_hook::low_level::pipe::register(signal, notify.try_clone()?)?;
     }
-    // `eprintln!` would panic once the reader of the log is gone.
+    // `eprintln!` would panic if the reader of standard error has closed it.
     let log = |line: &str| drop(writeln!(std::io::stderr(), "pebblepost: {line}"));
-    // The environment counts at the start only; the file may name another discovery since.
-    let variable = |name: &str| std::env::var(name).ok().filter(|_| name != "PROXY_DISCOVERY");
-    let read_config = Box::new(move || config::read(variable, operator.as_deref()));
+    // On a reload `PROXY_DISCOVERY` is ignored, so that a changed discovery address in the file takes effect.
+    let reload_variable = |name: &str| std::env::var(name).ok().filter(|_| name != "PROXY_DISCOVERY");
+    let read_config = Box::new(move || config::read(reload_variable, operator.as_deref()));
     let signals = daemon::Signals { stop, reload, read_config };
     Ok(daemon::Daemon::new(config, signals, log)?.run()?)
 }
--- a/crates/pebblepost/src/name_hash.rs
+++ b/crates/pebblepost/src/name_hash.rs
@@ -1,8 +1,8 @@
-//! Hash of names that the decision module compares as numbers.
+//! Hashing of names, which the decision module compares as numbers.
 
 use std::hash::{DefaultHasher, Hasher};
 
-/// Hashes a name to a number that is the same at every dispatcher.
+/// Hashes a name. The hash is the same at every dispatcher.
 pub fn hash_name(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     hasher.write(name.as_bytes());
--- a/crates/pebblepost/src/store_replica.rs
+++ b/crates/pebblepost/src/store_replica.rs
@@ -1,4 +1,4 @@
-//! `pebblepost keep`: one replica of the fleet store, configured by a file of its own.
+//! The command `pebblepost keep`, which runs one replica of the fleet store with a configuration file of its own.
 
 use crate::config::json::read_file;
 use crate::config::{ConfigError, ConfigProblem};
@@ -17,25 +17,25 @@
 const HEARTBEAT_INTERVAL_RANGE_MS: RangeInclusive<u64> = 20..=5_000;
 const WORKER_THREADS: usize = 2;
 
-/// A replica's file.
+/// The configuration file of a replica.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct File")]
 struct ReplicaFile {
-    /// Name of the group.
+    /// Name of the store group.
     group: String,
-    /// The replica's number, never used before in this group by another disk.
+    /// The replica's number. It must never have been used in this group by a replica with another disk.
     id: u64,
-    /// Where it listens.
+    /// Address on which the replica listens.
     listen: SocketAddr,
-    /// Its folder.
+    /// Folder for the replica's data.
     folder: PathBuf,
-    /// Where other replicas are reached from here, by number, if not at the address that the group knows.
+    /// Addresses of other replicas by number, for those that are not reached from here at the address known to the group.
     #[serde(default)]
     dial: BTreeMap<u64, SocketAddr>,
-    /// How long a member's session lasts without a heartbeat, in seconds.
+    /// Time for which a member's session lasts without a heartbeat, in seconds.
     #[serde(default = "default_session_ttl_s")]
     session_s: f64,
-    /// Interval of the leader's heartbeats in milliseconds; an election begins after five to ten times that.
+    /// Interval of the leader's heartbeats, in milliseconds. An election begins after five to ten intervals without one.
     #[serde(default = "default_heartbeat_interval_ms")]
     heartbeat_ms: u64,
 }
@@ -48,25 +48,25 @@
     100
 }
 
-/// Why a replica could not start, or stopped.
+/// The reason why a replica could not start, or stopped.
 #[derive(Debug, Error)]
 pub enum StoreReplicaError {
-    /// Its file is wrong.
+    /// The configuration file is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// It could not start, or stopped.
+    /// The replica could not start, or stopped.
     #[error(transparent)]
     Replica(#[from] ReplicaError),
-    /// The system gives no threads or signals.
-    #[error("cannot start: {0}")]
+    /// The operating system did not provide threads or signal handlers.
+    #[error("cannot start the replica's threads or signal handlers: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// Reads a replica's file.
+/// Reads the configuration file of a replica.
 ///
 /// # Errors
 ///
-/// If the file cannot be read, or a value is missing, unknown or out of its range.
+/// If the file cannot be read, or a value is missing, unknown or out of range.
 pub fn read_config(path: &Path) -> Result<ReplicaConfig, ConfigError> {
     let file: ReplicaFile = read_file(path)?;
     let fail = |key: &str, problem: ConfigProblem| Err(ConfigError::at_path(path, key, problem));
@@ -76,7 +76,7 @@
     if file.listen.port() == 0 || file.dial.values().any(|address| address.port() == 0) {
         return fail("listen", ConfigProblem::PortMissing);
     }
-    // Whoever reaches it may change the agreed state, so it stays on this machine.
+    // Every peer that can connect may change the agreed state, so only loopback addresses are allowed.
     if !file.listen.ip().is_loopback() || file.dial.values().any(|address| !address.ip().is_loopback()) {
         return fail("listen", ConfigProblem::ReplicaNotLoopback);
     }
@@ -97,14 +97,14 @@
     })
 }
 
-/// Runs a replica until SIGTERM or SIGINT.
+/// Runs a replica until it receives SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// If its file is wrong, or it cannot start or go on.
+/// If the configuration file is invalid, or the replica cannot start or fails.
 pub fn run(path: &Path) -> Result<(), StoreReplicaError> {
     let config = read_config(path)?;
-    // Which fault happens when is in the environment (`FAILPOINTS`).
+    // The environment variable `FAILPOINTS` selects the injected faults.
     #[cfg(feature = "faults")]
     let _faults = fail::FailScenario::setup();
     let mut runtime = tokio::runtime::Builder::new_multi_thread();
--- a/crates/pebblepost/src/timer.rs
+++ b/crates/pebblepost/src/timer.rs
@@ -1,25 +1,25 @@
-//! Keys of the daemon's timers.
+//! The daemon's timers.
 
 use crate::connection_key::ConnectionKey;
 use crate::engine::EngineTimer;
 
-/// What a timer of the daemon is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug)]
 pub enum Timer {
     /// A timer of the engine.
     Engine(EngineTimer),
-    /// The deadline of a connection, whose meaning depends on its role.
+    /// The deadline of a connection, whose meaning depends on the connection's role.
     Connection(ConnectionKey),
-    /// A connection's peer has to have read some output by now.
+    /// The time limit for a connection's peer to read some of the pending output.
     WriteTimeout(ConnectionKey),
-    /// The grace period after the stop signal ends: listeners and idle connections are closed.
+    /// The end of the grace period of a shutdown, at which the listeners and idle connections of clients are closed.
     GracePeriodEnd,
-    /// Listeners that ran out of descriptors accept again.
+    /// The time at which listeners that paused for lack of descriptors accept again.
     ResumeAccepting,
-    /// Discovery is called again.
+    /// The next call to discovery.
     DiscoveryCall,
-    /// The fleet store is told what is in force here.
+    /// The next periodic report to the fleet agent.
     FleetReport,
-    /// The Faktory front looks for expired workers, reservations and responses.
+    /// The Faktory front's check for expired workers, reservations and responses.
     FaktoryExpiry,
 }
--- a/crates/pebblepost/tests/behaviour_pins.rs
+++ b/crates/pebblepost/tests/behaviour_pins.rs
@@ -472,7 +472,10 @@
     assert!(checksummed_file::create(&path, "x").is_err(), "it exists");
     std::fs::write(&path, written.replace('7', "8")).expect("a writable folder");
     let error = checksummed_file::read(&path).expect_err("another checksum");
-    assert_eq!(error.to_string(), "torn, or not such a file: its checksum is not its body's");
+    assert_eq!(
+        error.to_string(),
+        "file is truncated, damaged or of another format: SHA-256 checksum does not match the body"
+    );
     checksummed_file::replace(&path, "body").expect("replaced");
     assert_eq!(checksummed_file::read(&path).expect("whole"), "body");
     let _ = std::fs::remove_file(&path);
--- a/crates/pebblepost/tests/fleet.rs
+++ b/crates/pebblepost/tests/fleet.rs
@@ -205,7 +205,7 @@
     std::fs::write(&file, format!("{sum}\n{}\n", &body[1..])).expect("a writable folder");
     let torn = replicas.fleet(&["import", &shown]);
     assert_eq!(torn.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&torn.stderr).contains("torn"));
+    assert!(String::from_utf8_lossy(&torn.stderr).contains("checksum does not match"));
     std::fs::write(&file, format!("{sum}\n{body}\n")).expect("a writable folder");
     replicas.fleet_until(&["import", &shown]);
     let state = replicas.fleet_until(&["show"]);
