--- a/crates/pebblepost-control/tests/control/registry.rs
+++ b/crates/pebblepost-control/tests/control/registry.rs
@@ -111,7 +111,7 @@
 fn end_of_the_warm_up_is_published_once() {
     let mut registry = Registry::new(HEARTBEAT_INTERVAL);
     let warming_up = |remaining_ms, sequence| Instance {
-        warm_up_remaining_ms: remaining_ms,
+        slow_start_remaining_ms: remaining_ms,
         ..instance("i", "10.0.0.1:1", sequence)
     };
     assert_eq!(registry.register(seconds(1), warming_up(900, 1)).instances.len(), 1);
@@ -163,7 +163,7 @@
         zone: "celje-a".into(),
         slots: 12,
         state: InstanceState::Draining,
-        warm_up_remaining_ms: 70,
+        slow_start_remaining_ms: 70,
         models: vec![ModelVersion { model: "daka510000".into(), generation: 4 }],
         sequence: 4,
     };
--- a/crates/pebblepost-proxy/src/dispatch/load_report.rs
+++ b/crates/pebblepost-proxy/src/dispatch/load_report.rs
@@ -8,7 +8,7 @@
 /// slots if the load lacks it.
 pub(super) fn from_load(load: &Load, known_slots: impl FnOnce() -> u32) -> Report {
     let slots = load.slots.unwrap_or_else(known_slots).max(1);
-    if load.order_in_progress {
+    if load.load_order_in_progress {
         // Until its load order is done, the transcriber rejects every request that it has not started.
         return vec![0.0, slots as f32];
     }
