--- a/crates/pebblepost/src/discovery/watch.rs
+++ b/crates/pebblepost/src/discovery/watch.rs
@@ -191,7 +191,7 @@
             return;
         }
         if lasted {
-            // The watch worked until now, so the next call is not a retry and has no backoff.
+            // The watch worked until now, so the next call is delayed like a first call and not like a retry.
             (context.log)("discovery: watch ended; reopening it");
             return self.schedule_call(context);
         }
@@ -202,7 +202,7 @@
     pub fn on_data(&mut self, context: &mut Context, key: ConnectionKey) -> Vec<WorkerId> {
         let mut stale = Vec::new();
         loop {
-            match self.read_object(context, key) {
+            match self.read_item(context, key) {
                 Ok(Some(workers)) => stale.extend(workers),
                 Ok(None) => break,
                 Err(_) => {
@@ -256,7 +256,7 @@
     ///
     /// If the response has a status other than 200, is malformed or truncated, or contains an object that is too long or not a
     /// list of endpoints.
-    fn read_object(
+    fn read_item(
         &mut self, context: &mut Context, key: ConnectionKey,
     ) -> Result<Option<Vec<WorkerId>>, CallError> {
         let Some(connection) = context.net.get(key) else { return Ok(None) };
--- a/crates/pebblepost/src/engine/mod.rs
+++ b/crates/pebblepost/src/engine/mod.rs
@@ -107,7 +107,7 @@
         let known: Vec<RequestId> =
             disconnected.iter().copied().filter(|id| self.requests.contains(*id)).collect();
         for id in known {
-            self.on_client_disconnected(now, id);
+            self.on_client_gone(now, id);
             self.execute_actions(now, outputs);
         }
         for input in inputs.drain(..) {
@@ -124,7 +124,7 @@
     fn on_input(&mut self, now: Time, input: Input, outputs: &mut Vec<Output>) {
         match input {
             Input::Request(id, request) => self.on_request(now, id, request, outputs),
-            Input::ClientDisconnected(id) => self.on_client_disconnected(now, id),
+            Input::ClientDisconnected(id) => self.on_client_gone(now, id),
             Input::Membership(kind, entries) => self.on_membership(now, kind, entries),
             Input::Connected(attempt) => self.on_connected(now, attempt, outputs),
             Input::Started(attempt) => {
@@ -180,7 +180,7 @@
             Event::Request { id, class, tenant, time_left, repeat, slots, memory, work, key },
         );
         // This timer is set before those of the decision module, whose actions are executed after this function returns. Timers
-        // that are due at the same time fire in the order in which they were set.
+        // that are due at the same time fire in the order in which they were set, so the client's deadline fires first.
         outputs.push(Output::SetTimer(deadline, EngineTimer::ClientDeadline(id)));
     }
 
@@ -194,7 +194,7 @@
     }
 
     /// Handles the end of a client's interest in a request, by disconnection or deadline: no response is given from now on.
-    fn on_client_disconnected(&mut self, now: Time, id: RequestId) {
+    fn on_client_gone(&mut self, now: Time, id: RequestId) {
         if !self.requests.mark_answered(id) {
             return;
         }
@@ -212,7 +212,7 @@
         // The decision module should have responded before the deadline. If it has not, the request fails here, so that the
         // client gets a response in any case.
         self.requests.respond(id, FinalResponse::Failed, outputs);
-        self.on_client_disconnected(now, id);
+        self.on_client_gone(now, id);
     }
 
     /// Sends the request on the new connection of an attempt if the delivery rules still allow it. Otherwise the attempt ends
--- a/crates/pebblepost/src/fleet_agent/control.rs
+++ b/crates/pebblepost/src/fleet_agent/control.rs
@@ -38,7 +38,7 @@
 enum ControlError {
     #[error("request is not a JSON object; expected drain, undrain or show")]
     NotJson,
-    #[error("unknown request; expected exactly one of drain, undrain or show")]
+    #[error("unknown request; expected one of drain, undrain or show")]
     UnknownRequest,
     #[error(transparent)]
     InvalidName(#[from] InvalidName),
