--- a/crates/pebblepost/src/workers/mod.rs
+++ b/crates/pebblepost/src/workers/mod.rs
@@ -183,7 +183,7 @@
         let pool = self.idle.entry(worker).or_default();
         while let Some(key) = pool.pop() {
             let Some(connection) = context.net.get(key) else { continue };
-            let quiet = connection.is_quiet();
+            let quiet = connection.is_quiescent();
             let ConnectionRole::Worker(worker) = &mut connection.role else { continue };
             if worker.task != Task::Idle {
                 continue;
@@ -219,7 +219,7 @@
             return false;
         }
         if worker.response.is_none() {
-            match http::response_head(&mut connection.input) {
+            match http::take_response_head(&mut connection.input) {
                 Ok(Some(head)) => {
                     let body = Body::new(head.framing);
                     worker.response = Some((head, body));
@@ -269,7 +269,8 @@
                 worker.decoded_body.consume(worker.decoded_body.len());
                 BodyElement::Update(TaskUpdate::Ended { status, report, body: Vec::new() })
             }
-            Task::Attempt(_) if head.status == 200 => match http::take_json_line(&mut worker.decoded_body) {
+            Task::Attempt(_) if head.status == 200 => match http::take_trimmed_line(&mut worker.decoded_body)
+            {
                 Some(line) if line.is_empty() => BodyElement::EmptyLine,
                 Some(line) => TaskUpdate::from_line(names, &worker.request_id, &line)
                     .map_or(BodyElement::Malformed, BodyElement::Update),
