--- a/crates/pebblepost/src/fleet_agent/follow.rs
+++ b/crates/pebblepost/src/fleet_agent/follow.rs
@@ -20,8 +20,9 @@
     let mut consecutive_failures = 0;
     loop {
         let from = lock(&shared.follower).revision();
-        if let Ok(mut stream) = client.watch(from, consecutive_failures > 0).await {
-            while let Ok(Ok(Some(response))) = timeout(WATCH_SILENCE_TIMEOUT, stream.next::<Response>()).await
+        if let Ok(mut stream) = client.open_watch(from, consecutive_failures > 0).await {
+            while let Ok(Ok(Some(response))) =
+                timeout(WATCH_SILENCE_TIMEOUT, stream.receive::<Response>()).await
             {
                 let now = shared.now();
                 let applied = shared.update(|follower| match response {
