--- a/crates/pebblepost/tests/behaviour_pins.rs
+++ b/crates/pebblepost/tests/behaviour_pins.rs
@@ -1,11 +1,14 @@
-//! What others see of this program, as approved texts: errors of the configuration, replies on every listener, requests to
-//! workers and discovery, lines of the trace, stored files, and the command line.
+//! Compares the externally visible output of the program with approved texts: errors of the configuration, replies on every
+//! listener, requests to workers and discovery, trace lines, stored files, and the command line.
 //!
 //! `PEBBLEPOST_APPROVE=1` rewrites the texts in `tests/approved`.
 
 mod common;
 
-use common::{RunningDaemon, Wire, header, lines, platform, post, settings, worker};
+use common::{
+    Connection, RunningDaemon, header, job_request, platform_config, platform_settings, send_lines,
+    start_worker,
+};
 use pebblepost::clock::Clock;
 use pebblepost::config::{self, read_settings};
 use pebblepost::engine::{AttemptId, Engine, FinalResponse, Input, Output, Request};
@@ -32,7 +35,7 @@
 fn assert_approved(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/approved").join(name);
     if std::env::var_os("PEBBLEPOST_APPROVE").is_some() {
-        std::fs::write(&path, text).expect("a writable folder");
+        std::fs::write(&path, text).expect("a writable directory");
     }
     let approved = std::fs::read_to_string(&path).expect("an approved text");
     for (number, (approved, now)) in approved.lines().zip(text.lines()).enumerate() {
@@ -41,8 +44,8 @@
     assert_eq!(text, approved, "{name}");
 }
 
-/// Replaces every run of digits after `mark`, where a text carries a measured time.
-fn without_digits_after(text: &str, mark: &str) -> String {
+/// Replaces each number that directly follows `mark` by `#`, as it is measured and differs between runs.
+fn mask_number_after(text: &str, mark: &str) -> String {
     let mut parts = text.split(mark);
     let mut result = parts.next().unwrap_or_default().to_owned();
     for part in parts {
@@ -52,10 +55,10 @@
     result
 }
 
-/// Sends `text`, ends its half of the connection and reads until the other end closes.
+/// Sends `text`, reads until the daemon closes the connection, and returns what was read.
 fn exchange(daemon: &RunningDaemon, listener: ListenerKind, text: &str) -> String {
     let mut stream = TcpStream::connect(daemon.address(listener)).expect("a listener");
-    stream.set_read_timeout(Some(Duration::from_secs(15))).expect("a sound time-out");
+    stream.set_read_timeout(Some(Duration::from_secs(15))).expect("a valid time-out");
     stream.write_all(text.as_bytes()).expect("an open connection");
     let mut reply = Vec::new();
     let _ = stream.read_to_end(&mut reply);
@@ -63,20 +66,20 @@
     String::from_utf8_lossy(&reply).into_owned()
 }
 
-struct Files {
+struct ConfigFiles {
     config: PathBuf,
     operator: PathBuf,
 }
 
-impl Files {
+impl ConfigFiles {
     fn new() -> Self {
-        Self { config: common::path("config.json"), operator: common::path("operator.json") }
+        Self { config: common::temp_path("config.json"), operator: common::temp_path("operator.json") }
     }
 
     fn read(&self, config: Option<&str>, operator: Option<&str>, variables: &[(&str, &str)]) -> String {
         for (path, text) in [(&self.config, config), (&self.operator, operator)] {
             if let Some(text) = text {
-                std::fs::write(path, text).expect("a writable folder");
+                std::fs::write(path, text).expect("a writable directory");
             }
         }
         let var = |name: &str| {
@@ -95,7 +98,7 @@
     }
 }
 
-impl Drop for Files {
+impl Drop for ConfigFiles {
     fn drop(&mut self) {
         [&self.config, &self.operator].into_iter().for_each(|path| drop(std::fs::remove_file(path)));
     }
@@ -142,7 +145,7 @@
     text
 }
 
-/// Operator's files, most of them with one mistake.
+/// Returns operator's files, most of them with one error.
 fn operator_files() -> Vec<Value> {
     vec![
         json!({}),
@@ -187,8 +190,8 @@
 
 #[test]
 fn configuration_errors_and_values_are_as_approved() {
-    let files = Files::new();
-    let base = || platform(&["127.0.0.1:9".parse().expect("an address")], None);
+    let files = ConfigFiles::new();
+    let base = || platform_config(&["127.0.0.1:9".parse().expect("an address")], None);
     let mut transcript = String::new();
     let mut config_case = |name: &str, change: &dyn Fn(&mut Value)| {
         let mut json = base();
@@ -245,8 +248,8 @@
 }
 
 #[test]
-fn errors_of_a_keepers_file_are_as_approved() {
-    let path = common::path("keeper.json");
+fn errors_of_a_replica_configuration_are_as_approved() {
+    let path = common::temp_path("keeper.json");
     let mut transcript = String::new();
     let whole = json!({"group": "g", "id": 1, "listen": "127.0.0.1:7501", "folder": "/f"});
     for change in [
@@ -264,7 +267,7 @@
     ] {
         let mut json = whole.clone();
         config::overlay(&mut json, &change);
-        std::fs::write(&path, json.to_string()).expect("a writable folder");
+        std::fs::write(&path, json.to_string()).expect("a writable directory");
         let read = match store_replica::read(&path) {
             Ok(read) => format!(
                 "{} {} {} {:?} {:?} {:?} {:?}",
@@ -284,18 +287,21 @@
     assert_approved("keeper_file.txt", &transcript);
 }
 
-/// A daemon with all four listeners and the agent's, and one worker that reports each request's bytes.
+/// Starts a daemon with all four listeners, that of the agent, and one worker. The channel returns the head lines of each
+/// request that the worker gets.
 fn daemon_with_listeners() -> (RunningDaemon, mpsc::Receiver<Vec<String>>) {
     let (sender, requests) = mpsc::channel();
     let sender = std::sync::Arc::new(Mutex::new(sender));
-    let serves = worker(move |wire, head| {
-        let _ = sender.lock().expect("no panic").send(head.to_vec());
-        let id = header(head, "x-txn").expect("an id");
+    let serving = start_worker(move |connection, head| {
+        let _ = sender.lock().expect("no thread has panicked").send(head.to_vec());
+        let id = header(head, "x-txn").expect("an X-Txn header");
         match id.as_str() {
-            "fails" => wire.send("HTTP/1.1 422 No\r\nContent-Length: 0\r\n\r\n"),
-            "object" => lines(wire, &[json!({"id": id, "state": "done", "result": {"a": [1, 2]}})]),
-            _ => lines(
-                wire,
+            "fails" => connection.send("HTTP/1.1 422 No\r\nContent-Length: 0\r\n\r\n"),
+            "object" => {
+                send_lines(connection, &[json!({"id": id, "state": "done", "result": {"a": [1, 2]}})])
+            }
+            _ => send_lines(
+                connection,
                 &[
                     json!({"id": id, "state": "started"}),
                     json!({"id": id, "state": "done", "result": "text"}),
@@ -308,15 +314,15 @@
         "faktory": {"listen": "127.0.0.1:0", "queues": {"default": {}, "images": {"deadline_s": 5}}, "key": "once"},
         "agent_check": listen, "health": listen, "fleet": {"control": "127.0.0.1:0"}
     });
-    let daemon = RunningDaemon::start(Some(platform(&[serves], None)), Some(operator));
+    let daemon = RunningDaemon::start(Some(platform_config(&[serving], None)), Some(operator));
     (daemon, requests)
 }
 
 #[test]
 fn replies_on_http_listeners_and_forwarded_requests_are_as_approved() {
     let (daemon, requests) = daemon_with_listeners();
-    common::within(Duration::from_secs(10), "it serves", || {
-        exchange(&daemon, ListenerKind::Platform, &post("t", "Connection: close\r\n", ""))
+    common::wait_for(Duration::from_secs(10), "the daemon did not serve", || {
+        exchange(&daemon, ListenerKind::Platform, &job_request("t", "Connection: close\r\n", ""))
             .contains(" 200 ")
             .then_some(())
     });
@@ -356,7 +362,7 @@
         let shown: String = text.chars().take(300).collect();
         let _ = writeln!(transcript, "platform {shown:?}\n  -> {reply:?}");
         while let Ok(head) = requests.try_recv() {
-            let head = without_digits_after(&head.join("\r\n"), "X-Remaining-Ms: ");
+            let head = mask_number_after(&head.join("\r\n"), "X-Remaining-Ms: ");
             let _ = writeln!(transcript, "  forwarded {head:?}");
         }
     }
@@ -373,7 +379,7 @@
         let _ = writeln!(transcript, "health {text:?}\n  -> {reply:?}");
     }
     let line = exchange(&daemon, ListenerKind::AgentCheck, "");
-    let _ = writeln!(transcript, "agent check -> {:?}", without_digits_after(&line, "up ready "));
+    let _ = writeln!(transcript, "agent check -> {:?}", mask_number_after(&line, "up ready "));
     assert_approved("http.txt", &transcript);
 }
 
@@ -397,38 +403,41 @@
         let shown: String = text.chars().take(600).collect();
         let _ = writeln!(transcript, "{shown:?}\n  -> {reply:?}");
     }
-    // One job's way: fetched, acknowledged, and pushed again within the window.
+    // One job is fetched, acknowledged, and pushed again within the deduplication window.
     let mut producer = daemon.connect(ListenerKind::Faktory);
     let mut consumer = daemon.connect(ListenerKind::Faktory);
-    let mut say = |wire: &mut Wire, text: &str, replies: usize| {
+    let mut exchange_lines = |connection: &mut Connection, text: &str, replies: usize| {
         if !text.is_empty() {
-            wire.send(&format!("{text}\r\n"));
+            connection.send(&format!("{text}\r\n"));
         }
-        let replies: Vec<String> = (0..replies).map(|_| wire.line()).collect();
+        let replies: Vec<String> = (0..replies).map(|_| connection.read_line()).collect();
         let _ = writeln!(transcript, "{text:?} -> {replies:?}");
     };
-    say(&mut producer, "HELLO {\"v\":2}", 2);
-    say(&mut consumer, "HELLO {\"v\":2,\"wid\":\"w1\"}", 2);
-    say(&mut consumer, "FETCH images default", 0);
+    exchange_lines(&mut producer, "HELLO {\"v\":2}", 2);
+    exchange_lines(&mut consumer, "HELLO {\"v\":2,\"wid\":\"w1\"}", 2);
+    exchange_lines(&mut consumer, "FETCH images default", 0);
     let job =
         "PUSH {\"jid\":\"j\",\"jobtype\":\"t\",\"args\":[1],\"queue\":\"images\",\"custom\":{\"once\":5}}";
-    say(&mut producer, job, 0);
-    say(&mut consumer, "", 2);
-    say(&mut consumer, "ACK {\"jid\":\"j\"}", 1);
-    say(&mut producer, "", 1);
+    exchange_lines(&mut producer, job, 0);
+    exchange_lines(&mut consumer, "", 2);
+    exchange_lines(&mut consumer, "ACK {\"jid\":\"j\"}", 1);
+    exchange_lines(&mut producer, "", 1);
     let mut again = daemon.connect(ListenerKind::Faktory);
-    say(&mut again, "HELLO {\"v\":2}", 2);
-    say(&mut again, job, 1);
-    say(&mut again, "INFO", 2);
-    let transcript = without_digits_after(&transcript, "\"connections\":");
-    let transcript = without_digits_after(&transcript, "\\\"connections\\\":");
+    exchange_lines(&mut again, "HELLO {\"v\":2}", 2);
+    exchange_lines(&mut again, job, 1);
+    exchange_lines(&mut again, "INFO", 2);
+    let transcript = mask_number_after(&transcript, "\"connections\":");
+    let transcript = mask_number_after(&transcript, "\\\"connections\\\":");
     assert_approved("faktory.txt", &transcript);
 }
 
 #[test]
-fn replies_of_the_agent_to_operators_are_as_approved() {
+fn agent_replies_to_operators_are_as_approved() {
     let (daemon, _requests) = daemon_with_listeners();
-    let mut wire = Wire::new(TcpStream::connect(daemon.control.expect("set")).expect("a listener"));
+    let mut connection = Connection::new(
+        TcpStream::connect(daemon.control_address.expect("a control listener is configured"))
+            .expect("a listener"),
+    );
     let mut transcript = String::new();
     for line in [
         "nonsense",
@@ -444,41 +453,41 @@
         r#"{"undrain":"s-9"}"#,
         r#"{"show":true}"#,
     ] {
-        wire.send(&format!("{line}\n"));
-        let _ = writeln!(transcript, "{line} -> {}", wire.line());
+        connection.send(&format!("{line}\n"));
+        let _ = writeln!(transcript, "{line} -> {}", connection.read_line());
     }
     assert_approved("agent_control.txt", &transcript);
 }
 
 #[test]
-fn the_request_to_discovery_is_as_approved() {
+fn the_discovery_request_is_as_approved() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let config = platform(&[], Some(listener.local_addr().expect("bound")));
+    let config = platform_config(&[], Some(listener.local_addr().expect("a bound listener")));
     let _daemon = RunningDaemon::start(Some(config), None);
-    let mut stream = listener.accept().expect("the watch").0;
+    let mut stream = listener.accept().expect("a connection for the watch").0;
     let expected = "GET /v1/endpoints?watch=1&from=1 HTTP/1.1\r\nHost: discovery\r\n\r\n";
-    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a sound time-out");
+    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a valid time-out");
     let mut bytes = vec![0; expected.len()];
-    stream.read_exact(&mut bytes).expect("a whole request");
+    stream.read_exact(&mut bytes).expect("a complete request");
     assert_eq!(String::from_utf8_lossy(&bytes), expected);
 }
 
 #[test]
-fn a_file_with_a_checksum_is_written_as_approved() {
-    let path = common::path("checksum");
-    checksummed_file::create(&path, r#"{"revision":7}"#).expect("a writable folder");
+fn a_checksummed_file_is_written_as_approved() {
+    let path = common::temp_path("checksum");
+    checksummed_file::create(&path, r#"{"revision":7}"#).expect("a writable directory");
     let written = std::fs::read_to_string(&path).expect("written");
     assert_approved("checksummed_file.txt", &written);
-    assert!(checksummed_file::create(&path, "x").is_err(), "it exists");
-    std::fs::write(&path, written.replace('7', "8")).expect("a writable folder");
-    let error = checksummed_file::read(&path).expect_err("another checksum");
+    assert!(checksummed_file::create(&path, "x").is_err(), "an existing file was overwritten");
+    std::fs::write(&path, written.replace('7', "8")).expect("a writable directory");
+    let error = checksummed_file::read(&path).expect_err("a checksum mismatch");
     assert_eq!(error.to_string(), "torn, or not such a file: its checksum is not its body's");
     checksummed_file::replace(&path, "body").expect("replaced");
-    assert_eq!(checksummed_file::read(&path).expect("whole"), "body");
+    assert_eq!(checksummed_file::read(&path).expect("a valid file"), "body");
     let _ = std::fs::remove_file(&path);
 }
 
-fn entry_numbers(entries: &[Entry]) -> String {
+fn format_entries(entries: &[Entry]) -> String {
     let number = |entry: &Entry| {
         format!(
             "{}/{}/{}/{}/{:?}/{:x}/{}",
@@ -495,7 +504,7 @@
 }
 
 #[test]
-fn discovery_lists_reach_the_engine_as_approved() {
+fn engine_inputs_from_endpoint_lists_are_as_approved() {
     let clock = Clock::default();
     let mut registry = Registry::new(vec!["a".into(), "b".into()], vec!["m".into()]);
     let mut transcript = String::new();
@@ -513,7 +522,7 @@
         let text = match &applied {
             Some(AppliedList { input: Input::Membership(kind, entries), stale }) => {
                 let stale: Vec<u32> = stale.iter().map(|worker| worker.0).collect();
-                format!("{kind:?} {} stale {stale:?}", entry_numbers(entries))
+                format!("{kind:?} {} stale {stale:?}", format_entries(entries))
             }
             Some(_) => "another input".to_owned(),
             None => "no list".to_owned(),
@@ -524,7 +533,7 @@
     for names in [&["c"][..], &["c"], &[]] {
         match registry.set_drained(marks(names)) {
             Some(Input::Membership(kind, entries)) => {
-                let _ = writeln!(transcript, "marks {names:?}: {kind:?} {}", entry_numbers(&entries));
+                let _ = writeln!(transcript, "marks {names:?}: {kind:?} {}", format_entries(&entries));
             }
             _ => {
                 let _ = writeln!(transcript, "marks {names:?}: none");
@@ -536,24 +545,24 @@
 
 static TRACE: Mutex<String> = Mutex::new(String::new());
 
-/// FNV-1a, 64 bits.
-fn digest(bytes: impl Iterator<Item = u8>) -> u64 {
+/// Returns the 64-bit FNV-1a hash.
+fn fnv1a_64(bytes: impl Iterator<Item = u8>) -> u64 {
     bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
 }
 
-/// Answers what the engine asks for after a fixed time, in fixed turns of outcomes.
-struct Surroundings {
+/// A deterministic environment of the engine: it answers each output after a fixed delay, with outcomes in a fixed cycle.
+struct SimulatedEnvironment {
     engine: Engine,
     now: u64,
     pending: BTreeMap<(Time, u32), Input>,
     scheduled: u32,
     attempts: u32,
-    /// What the engine asked for, as numbers.
+    /// The engine's outputs as numbers, one output a line.
     transcript: String,
 }
 
-impl Surroundings {
-    fn later(&mut self, at: Time, input: Input) {
+impl SimulatedEnvironment {
+    fn schedule(&mut self, at: Time, input: Input) {
         self.scheduled += 1;
         self.pending.insert((at, self.scheduled), input);
     }
@@ -562,11 +571,11 @@
         let mut outputs = Vec::new();
         self.engine.turn(Time(self.now), &mut vec![input], &mut outputs);
         for output in outputs {
-            self.carry_out(output);
+            self.handle_output(output);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         const MS: u64 = 1_000_000;
         let now = self.now;
         let report = || vec![0.25, 0.0, 3.0];
@@ -575,8 +584,9 @@
         };
         match output {
             Output::Deliver { attempt, worker, time_left: left } => {
-                let AttemptId { request: id, number: no } = attempt;
-                let numbers = [u64::from(id.0), u64::from(no.0), u64::from(worker.0), left.as_nanos() as u64];
+                let AttemptId { request: id, number } = attempt;
+                let numbers =
+                    [u64::from(id.0), u64::from(number.0), u64::from(worker.0), left.as_nanos() as u64];
                 write(&mut self.transcript, "deliver", &numbers);
                 self.attempts += 1;
                 let kinds = [
@@ -589,24 +599,24 @@
                 ];
                 let status = kinds[self.attempts as usize % kinds.len()];
                 match self.attempts % 9 {
-                    0 => self.later(Time(now + 2 * MS), Input::Connected(attempt)),
-                    8 => self.later(Time(now + 2 * MS), Input::RequestInvalid(attempt)),
+                    0 => self.schedule(Time(now + 2 * MS), Input::Connected(attempt)),
+                    8 => self.schedule(Time(now + 2 * MS), Input::RequestInvalid(attempt)),
                     _ => {
-                        self.later(Time(now + MS), Input::Started(attempt));
-                        self.later(Time(now + 2 * MS), Input::Progress(attempt, 0.5));
+                        self.schedule(Time(now + MS), Input::Started(attempt));
+                        self.schedule(Time(now + 2 * MS), Input::Progress(attempt, 0.5));
                         let ended =
                             Input::AttemptEnded { attempt, status, report: report(), body: b"body".to_vec() };
-                        self.later(Time(now + u64::from(3 + self.attempts % 40) * MS), ended);
+                        self.schedule(Time(now + u64::from(3 + self.attempts % 40) * MS), ended);
                     }
                 }
             }
             Output::Transmit { attempt, time_left: left } => {
-                let AttemptId { request: id, number: no } = attempt;
-                let numbers = [u64::from(id.0), u64::from(no.0), left.as_nanos() as u64];
+                let AttemptId { request: id, number } = attempt;
+                let numbers = [u64::from(id.0), u64::from(number.0), left.as_nanos() as u64];
                 write(&mut self.transcript, "transmit", &numbers);
             }
-            Output::Abandon(AttemptId { request: id, number: no }) => {
-                write(&mut self.transcript, "abandon", &[u64::from(id.0), u64::from(no.0)]);
+            Output::Abandon(AttemptId { request: id, number }) => {
+                write(&mut self.transcript, "abandon", &[u64::from(id.0), u64::from(number.0)]);
             }
             Output::Probe(worker) => {
                 write(&mut self.transcript, "probe", &[u64::from(worker.0)]);
@@ -614,14 +624,14 @@
                 let status =
                     if worker.0 == 3 && now.is_multiple_of(7) { Status::Timeout } else { Status::Ok };
                 let probed = Input::Probed { worker, status, latency, report: report() };
-                self.later(Time(now) + latency, probed);
+                self.schedule(Time(now) + latency, probed);
             }
             Output::CloseIdle(worker) => write(&mut self.transcript, "close idle", &[u64::from(worker.0)]),
             Output::Watch => write(&mut self.transcript, "watch", &[]),
             Output::Fetch => write(&mut self.transcript, "fetch", &[]),
             Output::SetTimer(at, due) => {
                 write(&mut self.transcript, "timer", &[at.0]);
-                self.later(at, Input::TimerDue(due));
+                self.schedule(at, Input::TimerDue(due));
             }
             Output::Respond(id, answer) => {
                 let numbers = match answer {
@@ -646,12 +656,12 @@
 }
 
 #[test]
-fn the_engines_outputs_and_trace_are_as_approved() {
+fn engine_outputs_and_trace_are_as_approved() {
     let log: fn(&str) = |line| {
-        let _ = writeln!(TRACE.lock().expect("no panic"), "{line}");
+        let _ = writeln!(TRACE.lock().expect("no thread has panicked"), "{line}");
     };
-    let settings = read_settings("test", &settings()).expect("sound settings");
-    let mut around = Surroundings {
+    let settings = read_settings("test", &platform_settings()).expect("valid settings");
+    let mut environment = SimulatedEnvironment {
         engine: Engine::new(settings, 7, Time(1)).with_trace(Some(log)),
         now: 1,
         pending: BTreeMap::new(),
@@ -669,9 +679,9 @@
         started: None,
     };
     let all = (0..5).map(|number| entry(number, WorkerState::Ready)).collect();
-    around.turn(Input::Membership(ListKind::Full, all));
+    environment.turn(Input::Membership(ListKind::Full, all));
     for id in 1..=300_u32 {
-        around.run_until(u64::from(id) * 9);
+        environment.run_until(u64::from(id) * 9);
         let request = Request {
             class: ClassId(0),
             time_left: Duration::from_millis(100 + u64::from(id * 37 % 1500)),
@@ -682,43 +692,50 @@
             key: u64::from(id % 3),
             tenant: TenantId(0),
         };
-        around.turn(Input::Request(RequestId(id), request));
+        environment.turn(Input::Request(RequestId(id), request));
         match id {
-            100 => around.turn(Input::Membership(ListKind::Delta, vec![entry(1, WorkerState::Draining)])),
-            150 => around.turn(Input::Membership(ListKind::Delta, vec![entry(2, WorkerState::Gone)])),
-            200 => around.turn(Input::Membership(
+            100 => {
+                environment.turn(Input::Membership(ListKind::Delta, vec![entry(1, WorkerState::Draining)]))
+            }
+            150 => environment.turn(Input::Membership(ListKind::Delta, vec![entry(2, WorkerState::Gone)])),
+            200 => environment.turn(Input::Membership(
                 ListKind::Cached,
                 vec![entry(0, WorkerState::Ready), entry(3, WorkerState::Ready)],
             )),
-            _ if id % 13 == 0 => around.turn(Input::ClientDisconnected(RequestId(id - 1))),
+            _ if id % 13 == 0 => environment.turn(Input::ClientDisconnected(RequestId(id - 1))),
             _ => {}
         }
     }
-    around.run_until(6_000);
-    let counts = around.engine.counts();
-    let trace = TRACE.lock().expect("no panic").clone();
+    environment.run_until(6_000);
+    let counts = environment.engine.counts();
+    let trace = TRACE.lock().expect("no thread has panicked").clone();
     let mut text: String = trace.lines().take(120).flat_map(|line| [line, "\n"]).collect();
-    let _ = writeln!(text, "digest of {} lines {:016x}", trace.lines().count(), digest(trace.bytes()));
-    text.extend(around.transcript.lines().take(120).flat_map(|line| [line, "\n"]));
-    let count = around.transcript.lines().count();
-    let _ = writeln!(text, "digest of {count} outputs {:016x}", digest(around.transcript.bytes()));
+    let _ = writeln!(text, "digest of {} lines {:016x}", trace.lines().count(), fnv1a_64(trace.bytes()));
+    text.extend(environment.transcript.lines().take(120).flat_map(|line| [line, "\n"]));
+    let count = environment.transcript.lines().count();
+    let _ = writeln!(text, "digest of {count} outputs {:016x}", fnv1a_64(environment.transcript.bytes()));
     let _ = writeln!(text, "answered {} succeeded {}", counts.answered, counts.succeeded);
-    let _ =
-        writeln!(text, "unanswered {} ready {}", around.engine.unanswered(), around.engine.ready_workers());
+    let _ = writeln!(
+        text,
+        "unanswered {} ready {}",
+        environment.engine.unanswered(),
+        environment.engine.ready_workers()
+    );
     assert_approved("trace.txt", &text);
 }
 
 #[test]
-fn names_and_texts_of_commands_are_as_approved() {
+fn command_line_output_is_as_approved() {
     let mut transcript = String::new();
     let mut run = |arguments: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pebblepost"));
         command.args(arguments).env_remove("USER").env_remove("PEBBLEPOST_KEEPERS");
         command.env_remove("PEBBLEPOST_OPERATOR").env_remove("PROXY_CONFIG");
-        let output = command.output().expect("it starts");
-        let (said, errors) =
+        let output = command.output().expect("the program starts");
+        let (standard_output, errors) =
             (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr));
-        let _ = writeln!(transcript, "== {arguments:?} -> {:?}\n{said}{errors}", output.status.code());
+        let _ =
+            writeln!(transcript, "== {arguments:?} -> {:?}\n{standard_output}{errors}", output.status.code());
     };
     run(&[]);
     run(&["--help"]);
--- a/crates/pebblepost/tests/common/mod.rs
+++ b/crates/pebblepost/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A daemon in a thread, and stand-ins for what it talks to, all on loopback.
+//! Runs a daemon in a thread, with stand-ins for its peers, all on loopback.
 
-#![expect(dead_code, reason = "each test file uses its part")]
+#![expect(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod replicas;
 pub mod stopwatch;
@@ -20,90 +20,95 @@
 
 static FILES: AtomicU32 = AtomicU32::new(0);
 
-/// A fresh path for a file of this test process.
-pub fn path(name: &str) -> PathBuf {
+/// Returns a path for a temporary file that no other test uses.
+pub fn temp_path(name: &str) -> PathBuf {
     let n = FILES.fetch_add(1, Ordering::Relaxed);
     std::env::temp_dir().join(format!("pebblepost-{}-{n}-{name}", std::process::id()))
 }
 
-fn file(json: &Value) -> PathBuf {
-    let path = path("config.json");
+fn write_config_file(json: &Value) -> PathBuf {
+    let path = temp_path("config.json");
     std::fs::write(&path, json.to_string()).expect("a writable temporary folder");
     path
 }
 
-/// Holds a daemon's event loop between two turns, so that a test can prepare what the next turn finds. The loop reads the
-/// configuration at a hangup signal, and is held there.
+/// Blocks a daemon's event loop between two turns, so that a test can prepare the events of the next turn. The loop rereads
+/// its configuration at a reload signal; the gate blocks it in that read.
 #[derive(Default)]
 struct Gate {
     armed: AtomicBool,
-    inside: (Mutex<bool>, Condvar),
+    held: (Mutex<bool>, Condvar),
 }
 
 impl Gate {
-    fn pass(&self) {
+    fn wait_if_armed(&self) {
         if self.armed.swap(false, Ordering::SeqCst) {
-            let mut inside = self.inside.0.lock().expect("no panic");
-            *inside = true;
-            self.inside.1.notify_all();
-            drop(self.inside.1.wait_while(inside, |inside| *inside).expect("no panic"));
+            let mut held = self.held.0.lock().expect("no thread has panicked");
+            *held = true;
+            self.held.1.notify_all();
+            drop(self.held.1.wait_while(held, |held| *held).expect("no thread has panicked"));
         }
     }
 
-    fn wait_inside(&self) {
-        let inside = self.inside.0.lock().expect("no panic");
-        drop(self.inside.1.wait_while(inside, |inside| !*inside).expect("no panic"));
+    fn wait_until_held(&self) {
+        let held = self.held.0.lock().expect("no thread has panicked");
+        drop(self.held.1.wait_while(held, |held| !*held).expect("no thread has panicked"));
     }
 
-    fn open(&self) {
-        *self.inside.0.lock().expect("no panic") = false;
-        self.inside.1.notify_all();
+    fn release(&self) {
+        *self.held.0.lock().expect("no thread has panicked") = false;
+        self.held.1.notify_all();
     }
 }
 
-/// A running daemon. Dropped, it gets the stop signal and must end.
+/// A daemon that runs in a thread of the test. Dropping it sends the stop signal and waits for the thread.
+///
+/// # Panics
+///
+/// The drop panics if the daemon panicked, unless the test is already panicking.
 pub struct RunningDaemon {
-    signal: UnixStream,
-    hangup: UnixStream,
+    stop_signal: UnixStream,
+    reload_signal: UnixStream,
     gate: Arc<Gate>,
     thread: Option<JoinHandle<()>>,
     addresses: Vec<(ListenerKind, SocketAddr)>,
-    /// Where its agent listens to operators.
-    pub control: Option<SocketAddr>,
-    files: Vec<PathBuf>,
+    /// The address at which the daemon's agent accepts operator commands.
+    pub control_address: Option<SocketAddr>,
+    config_files: Vec<PathBuf>,
 }
 
 impl RunningDaemon {
+    /// Starts a daemon with the platform's and the operator's configuration, each written to a temporary file.
     pub fn start(platform: Option<Value>, operator: Option<Value>) -> Self {
-        let platform = platform.map(|json| file(&json));
-        let operator = operator.map(|json| file(&json));
+        let platform = platform.map(|json| write_config_file(&json));
+        let operator = operator.map(|json| write_config_file(&json));
         let (files, op) = (platform.clone(), operator.clone());
         let gate = Arc::new(Gate::default());
-        let held = gate.clone();
+        let loop_gate = gate.clone();
         let read = move || {
-            held.pass();
+            loop_gate.wait_if_armed();
             let var =
                 |name: &str| (name == "PROXY_CONFIG").then(|| files.as_ref()?.to_str().map(str::to_owned))?;
             config::read(var, op.as_deref())
         };
-        let config = read().expect("a sound configuration");
-        let (signal, stop) = UnixStream::pair().expect("a pair of sockets");
-        let (hangup, reload) = UnixStream::pair().expect("a pair of sockets");
+        let config = read().expect("a valid configuration");
+        let (stop_signal, stop) = UnixStream::pair().expect("a pair of sockets");
+        let (reload_signal, reload) = UnixStream::pair().expect("a pair of sockets");
         let signals = Signals { stop, reload, read_config: Box::new(read) };
         let mut daemon = Daemon::new(config, signals, |_| {}).expect("free ports");
         let listeners =
             [ListenerKind::Platform, ListenerKind::Faktory, ListenerKind::AgentCheck, ListenerKind::Health];
         let addresses = listeners.iter().filter_map(|kind| Some((*kind, daemon.address(*kind)?))).collect();
-        let control = daemon.control();
-        let thread = std::thread::spawn(move || daemon.run().expect("no fault of the poller"));
+        let control_address = daemon.control();
+        let thread = std::thread::spawn(move || daemon.run().expect("the event loop runs without an error"));
         Self {
-            signal,
-            hangup,
+            stop_signal,
+            reload_signal,
             gate,
             thread: Some(thread),
             addresses,
-            control,
-            files: platform.into_iter().chain(operator).collect(),
+            control_address,
+            config_files: platform.into_iter().chain(operator).collect(),
         }
     }
 
@@ -111,35 +116,40 @@
         self.addresses.iter().find(|(kind, _)| *kind == listener).expect("an open listener").1
     }
 
-    pub fn connect(&self, listener: ListenerKind) -> Wire {
-        Wire::new(TcpStream::connect(self.address(listener)).expect("a listener"))
+    pub fn connect(&self, listener: ListenerKind) -> Connection {
+        Connection::new(TcpStream::connect(self.address(listener)).expect("a listener"))
     }
 
+    /// Sends the stop signal.
     pub fn stop(&mut self) {
-        let _ = self.signal.write_all(b"x");
+        let _ = self.stop_signal.write_all(b"x");
     }
 
-    /// Replaces the platform's configuration, the first of the files, and has the daemon read it.
+    /// Overwrites the platform's configuration, which is the first of the files, and sends the reload signal.
     pub fn reload(&mut self, text: &str) {
-        std::fs::write(&self.files[0], text).expect("a writable folder");
-        let _ = self.hangup.write_all(b"x");
+        std::fs::write(&self.config_files[0], text).expect("a writable directory");
+        let _ = self.reload_signal.write_all(b"x");
     }
 
-    /// Holds the loop while `meanwhile` runs; the next turn finds all that it has caused.
-    pub fn hold(&mut self, meanwhile: impl FnOnce(&mut Self)) {
+    /// Blocks the event loop between two turns while `meanwhile` runs. The next turn gets all events that `meanwhile` caused.
+    pub fn hold_event_loop(&mut self, meanwhile: impl FnOnce(&mut Self)) {
         self.gate.armed.store(true, Ordering::SeqCst);
-        let _ = self.hangup.write_all(b"x");
-        self.gate.wait_inside();
+        let _ = self.reload_signal.write_all(b"x");
+        self.gate.wait_until_held();
         meanwhile(self);
-        self.gate.open();
+        self.gate.release();
     }
 
     pub fn has_ended(&self) -> bool {
         self.thread.as_ref().is_none_or(JoinHandle::is_finished)
     }
 
-    pub fn wait(&mut self) {
-        self.thread.take().expect("not yet waited for").join().expect("no panic");
+    pub fn join(&mut self) {
+        self.thread
+            .take()
+            .expect("the daemon has not been joined before")
+            .join()
+            .expect("no thread has panicked");
     }
 }
 
@@ -150,16 +160,16 @@
             let ended = thread.join();
             assert!(ended.is_ok() || std::thread::panicking(), "the daemon panicked");
         }
-        self.files.iter().for_each(|f| drop(std::fs::remove_file(f)));
+        self.config_files.iter().for_each(|f| drop(std::fs::remove_file(f)));
     }
 }
 
-/// A blocking connection of a stand-in, read by lines.
-pub struct Wire(BufReader<TcpStream>);
+/// A blocking connection of a stand-in, read line by line with a time-out of 15 s.
+pub struct Connection(BufReader<TcpStream>);
 
-impl Wire {
+impl Connection {
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(Duration::from_secs(15))).expect("a sound time-out");
+        stream.set_read_timeout(Some(Duration::from_secs(15))).expect("a valid time-out");
         stream.set_nodelay(true).expect("TCP");
         Self(BufReader::new(stream))
     }
@@ -168,29 +178,29 @@
         self.0.get_mut().write_all(text.as_bytes()).expect("an open connection");
     }
 
-    /// Sends; `false` if the peer has closed.
+    /// Sends `text`, or returns `false` if the peer has closed the connection.
     pub fn try_send(&mut self, text: &str) -> bool {
         self.0.get_mut().write_all(text.as_bytes()).is_ok()
     }
 
-    /// The next line without its end; empty at the end of the connection.
-    pub fn line(&mut self) -> String {
+    /// Reads the next line, without its line end. Returns an empty line when the peer has closed or the read times out.
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         let _ = self.0.read_line(&mut line);
         line.trim_end().to_owned()
     }
 
-    /// Whether the peer closes within the read time-out, whatever it sends before.
-    pub fn ends(&mut self) -> bool {
+    /// Discards what the peer sends and returns whether it closes the connection before a read times out.
+    pub fn wait_for_close(&mut self) -> bool {
         let mut rest = Vec::new();
         self.0.read_to_end(&mut rest).is_ok()
     }
 
-    /// A head's lines, and its body by its length.
-    pub fn message(&mut self) -> (Vec<String>, String) {
+    /// Reads the lines of a message head, and its body as given by `Content-Length`.
+    pub fn read_message(&mut self) -> (Vec<String>, String) {
         let mut head = Vec::new();
         loop {
-            match self.line() {
+            match self.read_line() {
                 line if line.is_empty() => break,
                 line => head.push(line),
             }
@@ -201,13 +211,13 @@
         (head, String::from_utf8(body).expect("text"))
     }
 
-    /// All that comes until the end.
+    /// Reads until the peer closes.
     pub fn read_to_end(&mut self, rest: &mut Vec<u8>) -> std::io::Result<usize> {
         self.0.read_to_end(rest)
     }
 
-    /// The same connection, to be written from another thread.
-    pub fn peer(&self) -> TcpStream {
+    /// Returns a handle to the same socket, so that another thread can write to it.
+    pub fn clone_stream(&self) -> TcpStream {
         self.0.get_ref().try_clone().expect("a descriptor")
     }
 
@@ -221,8 +231,8 @@
     lines.filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim().to_owned()).next()
 }
 
-/// Settings like the platform's, with one class.
-pub fn settings() -> Value {
+/// Returns settings in the platform's form, with one request class.
+pub fn platform_settings() -> Value {
     json!({
         "instances": 1, "discovery": "ask", "tick": 2_000_000, "failureDomains": ["a", "b"], "kinds": ["m"],
         "locality": 0,
@@ -236,8 +246,8 @@
     })
 }
 
-/// A configuration of the platform with these workers on the list.
-pub fn platform(workers: &[SocketAddr], discovery: Option<SocketAddr>) -> Value {
+/// Returns a platform configuration whose endpoint list holds these workers.
+pub fn platform_config(workers: &[SocketAddr], discovery: Option<SocketAddr>) -> Value {
     let host = |(i, dial): (usize, &SocketAddr)| {
         json!({"host": format!("s-{i}"), "dial": dial, "site": "a", "class": "m", "block": 0, "health": "ready",
                "share": 1.0, "born_ms": 0})
@@ -245,39 +255,40 @@
     let hosts: Vec<Value> = workers.iter().enumerate().map(host).collect();
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
-        "limits": {"sockets": 256}, "known": {"seq": 1, "whole": true, "hosts": hosts}, "settings": settings()
+        "limits": {"sockets": 256}, "known": {"seq": 1, "whole": true, "hosts": hosts}, "settings": platform_settings()
     })
 }
 
-/// A worker that answers probes, and jobs as `job` says: it gets the connection after a job's head and body.
-pub fn worker(job: impl Fn(&mut Wire, &[String]) + Send + Sync + Clone + 'static) -> SocketAddr {
-    worker_while(|| true, job)
+/// Starts a worker that responds to probes and calls `job` for each other request, with the connection and the head of the
+/// request, once its body has been read. Returns its address.
+pub fn start_worker(job: impl Fn(&mut Connection, &[String]) + Send + Sync + Clone + 'static) -> SocketAddr {
+    start_worker_while(|| true, job)
 }
 
-/// The same, but while `is_alive` is false it closes every connection without a response.
-pub fn worker_while(
+/// Starts a worker as [`start_worker`] does. While `is_alive` returns `false`, it closes every connection without a response.
+pub fn start_worker_while(
     is_alive: impl Fn() -> bool + Send + Sync + Clone + 'static,
-    job: impl Fn(&mut Wire, &[String]) + Send + Sync + Clone + 'static,
+    job: impl Fn(&mut Connection, &[String]) + Send + Sync + Clone + 'static,
 ) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("bound");
+    let address = listener.local_addr().expect("a bound listener");
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let (is_alive, job) = (is_alive.clone(), job.clone());
             std::thread::spawn(move || {
-                let mut wire = Wire::new(stream);
+                let mut connection = Connection::new(stream);
                 loop {
-                    let (head, _) = wire.message();
+                    let (head, _) = connection.read_message();
                     match head.first().filter(|_| is_alive()) {
                         None => return,
                         Some(line) if line.starts_with("GET /status/load ") => {
                             let body = r#"{"util":0.1,"eps":0.0,"x0":4}"#;
-                            wire.send(&format!(
+                            connection.send(&format!(
                                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                                 body.len()
                             ));
                         }
-                        Some(_) => job(&mut wire, &head),
+                        Some(_) => job(&mut connection, &head),
                     }
                 }
             });
@@ -286,26 +297,27 @@
     address
 }
 
-/// The head of a job's answer, whose lines follow in chunks.
+/// Head of a job's response, whose lines follow in chunks.
 pub const CHUNKED_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// The end of an answer in chunks.
+/// End of a chunked response.
 pub const LAST_CHUNK: &str = "0\r\n\r\n";
 
-/// Some bytes of a job's answer as a chunk.
-pub fn chunk(wire: &mut Wire, text: &str) {
-    wire.send(&format!("{:x}\r\n{text}\r\n", text.len()));
+/// Sends `text` as one chunk of a job's response.
+pub fn send_chunk(connection: &mut Connection, text: &str) {
+    connection.send(&format!("{:x}\r\n{text}\r\n", text.len()));
 }
 
-/// The lines of a job's answer, in chunks.
-pub fn lines(wire: &mut Wire, lines: &[Value]) {
-    wire.send(CHUNKED_HEAD);
+/// Sends a complete job response: the head, each line in a chunk of its own, and the last chunk.
+pub fn send_lines(connection: &mut Connection, lines: &[Value]) {
+    connection.send(CHUNKED_HEAD);
     for line in lines {
-        chunk(wire, &format!("{line}\n"));
+        send_chunk(connection, &format!("{line}\n"));
     }
-    wire.send(LAST_CHUNK);
+    connection.send(LAST_CHUNK);
 }
 
-pub fn post(txn: &str, extra: &str, body: &str) -> String {
+/// Returns a request of class `render` with 2 s left. `extra` holds further header lines, each with its line end.
+pub fn job_request(txn: &str, extra: &str, body: &str) -> String {
     format!(
         "POST /api?x=1 HTTP/1.1\r\nHost: api.internal\r\nX-Txn: {txn}\r\nX-Lane: render\r\nX-Remaining-Ms: 2000\r\n\
          Idempotency-Key: k{txn}\r\n{extra}Content-Length: {}\r\n\r\n{body}",
@@ -313,7 +325,12 @@
     )
 }
 
-pub fn within<T>(limit: Duration, what: &str, mut check: impl FnMut() -> Option<T>) -> T {
+/// Polls `check` every 5 ms until it returns a value.
+///
+/// # Panics
+///
+/// Panics with the message `what` if that takes longer than `limit`.
+pub fn wait_for<T>(limit: Duration, what: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(found) = check() {
--- a/crates/pebblepost/tests/common/stopwatch.rs
+++ b/crates/pebblepost/tests/common/stopwatch.rs
@@ -1,34 +1,34 @@
-//! A stopwatch that leaves out stalls of a busy machine.
+//! A stopwatch that excludes stalls of a busy machine.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Interval of the thread that detects stalls.
-const WATCH_EVERY: Duration = Duration::from_millis(5);
-/// A thread that wakes up less late than this was not stalled.
-const LEAST_STALL: Duration = Duration::from_millis(10);
+/// Sleep interval of the thread that detects stalls.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Shortest delay of a wake-up that counts as a stall.
+const MIN_STALL: Duration = Duration::from_millis(10);
 
-/// Measures how long something took, without the stretches in which this machine kept a thread of this process from
-/// running although it was due: on a busy machine these fall on the program under test as well, which runs inside the
-/// process of the test.
+/// Measures elapsed time without the periods in which a runnable thread of this process was not scheduled. On a busy machine
+/// such stalls also delay the program under test, which runs in the process of the test.
 #[derive(Debug)]
 pub struct Stopwatch {
     started: Instant,
     stalled_us: Arc<AtomicU64>,
-    ended: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
 }
 
 impl Stopwatch {
     pub fn start() -> Self {
-        let stopwatch = Self { started: Instant::now(), stalled_us: Arc::default(), ended: Arc::default() };
-        let (stalled_us, ended) = (Arc::clone(&stopwatch.stalled_us), Arc::clone(&stopwatch.ended));
+        let stopwatch =
+            Self { started: Instant::now(), stalled_us: Arc::default(), is_stopped: Arc::default() };
+        let (stalled_us, is_stopped) = (Arc::clone(&stopwatch.stalled_us), Arc::clone(&stopwatch.is_stopped));
         std::thread::spawn(move || {
-            while !ended.load(Ordering::Relaxed) {
+            while !is_stopped.load(Ordering::Relaxed) {
                 let before = Instant::now();
-                std::thread::sleep(WATCH_EVERY);
-                let late = before.elapsed().saturating_sub(WATCH_EVERY);
-                if late >= LEAST_STALL {
+                std::thread::sleep(STALL_CHECK_INTERVAL);
+                let late = before.elapsed().saturating_sub(STALL_CHECK_INTERVAL);
+                if late >= MIN_STALL {
                     stalled_us.fetch_add(late.as_micros() as u64, Ordering::Relaxed);
                 }
             }
@@ -44,6 +44,6 @@
 
 impl Drop for Stopwatch {
     fn drop(&mut self) {
-        self.ended.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/pebblepost/tests/discovery.rs
+++ b/crates/pebblepost/tests/discovery.rs
@@ -4,7 +4,10 @@
 mod common;
 
 use common::stopwatch::Stopwatch;
-use common::{RunningDaemon, Wire, chunk, header, lines, platform, post, within, worker};
+use common::{
+    Connection, RunningDaemon, header, job_request, platform_config, send_chunk, send_lines, start_worker,
+    wait_for,
+};
 use pebblepost::net::ListenerKind;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener};
@@ -15,21 +18,21 @@
 
 const LIMIT: Duration = Duration::from_secs(15);
 
-fn serves(wire: &mut Wire, head: &[String]) {
-    let id = header(head, "x-txn").expect("an id");
-    lines(wire, &[json!({"id": id, "state": "done", "result": "text"})]);
+fn serve_job(connection: &mut Connection, head: &[String]) {
+    let id = header(head, "x-txn").expect("an X-Txn header");
+    send_lines(connection, &[json!({"id": id, "state": "done", "result": "text"})]);
 }
 
-/// A worker that must not get requests, and how many it got. Requests that it fails are retried elsewhere, so the responses
-/// do not show them.
-fn unwanted() -> (SocketAddr, Arc<AtomicUsize>) {
-    let asked = Arc::new(AtomicUsize::new(0));
-    let count = asked.clone();
-    let address = worker(move |wire, _| {
+/// Starts a worker that fails every request. Returns its address and the number of requests that it got: they are retried
+/// elsewhere, so the responses do not show them.
+fn start_failing_worker() -> (SocketAddr, Arc<AtomicUsize>) {
+    let request_count = Arc::new(AtomicUsize::new(0));
+    let count = request_count.clone();
+    let address = start_worker(move |connection, _| {
         count.fetch_add(1, Ordering::Relaxed);
-        wire.send("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+        connection.send("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
     });
-    (address, asked)
+    (address, request_count)
 }
 
 fn host(name: &str, dial: SocketAddr, health: &str) -> Value {
@@ -40,213 +43,229 @@
     format!("{}\n", json!({"seq": seq, "whole": whole, "hosts": hosts}))
 }
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const CHUNKED_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A stand-in for discovery: what it does on the nth call for its list, from 0, after the head of its response. The
-/// connection closes when it returns.
-fn discovery(
-    say: impl Fn(&mut Wire, usize) + Send + Sync + Clone + 'static,
+/// Starts a stand-in for discovery that sends the head of its response and then requests `respond`, with the number of the
+/// request for its list, from 0. The connection closes when `respond` returns. Returns the address and the times of the
+/// requests.
+fn start_discovery(
+    respond: impl Fn(&mut Connection, usize) + Send + Sync + Clone + 'static,
 ) -> (SocketAddr, Receiver<Instant>) {
-    raw_discovery(move |wire, n| {
-        wire.send(HEAD);
-        say(wire, n);
+    start_raw_discovery(move |connection, n| {
+        connection.send(CHUNKED_HEAD);
+        respond(connection, n);
     })
 }
 
-/// The same, from the first byte on. Requests for anything but the list (of a daemon that takes the port for a worker's) are
-/// not counted.
-fn raw_discovery(
-    say: impl Fn(&mut Wire, usize) + Send + Sync + Clone + 'static,
+/// Starts a discovery as [`start_discovery`] does, but `respond` also sends the head. Requests for anything but the list are
+/// not counted: a daemon of another test may take the port for that of a worker.
+fn start_raw_discovery(
+    respond: impl Fn(&mut Connection, usize) + Send + Sync + Clone + 'static,
 ) -> (SocketAddr, Receiver<Instant>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let (address, (called, calls)) = (listener.local_addr().expect("bound"), channel());
+    let (address, (request_sender, requests)) = (listener.local_addr().expect("a bound listener"), channel());
     std::thread::spawn(move || {
-        let callers = Arc::new(AtomicUsize::new(0));
+        let list_request_count = Arc::new(AtomicUsize::new(0));
         for stream in listener.incoming().map_while(Result::ok) {
-            let (say, called, callers) = (say.clone(), called.clone(), callers.clone());
+            let (respond, request_sender, list_request_count) =
+                (respond.clone(), request_sender.clone(), list_request_count.clone());
             std::thread::spawn(move || {
-                let mut wire = Wire::new(stream);
-                if wire.message().0.first().is_some_and(|line| line.starts_with("GET /v1/endpoints")) {
-                    let n = callers.fetch_add(1, Ordering::Relaxed);
-                    let _ = called.send(Instant::now());
-                    say(&mut wire, n);
+                let mut connection = Connection::new(stream);
+                if connection
+                    .read_message()
+                    .0
+                    .first()
+                    .is_some_and(|line| line.starts_with("GET /v1/endpoints"))
+                {
+                    let n = list_request_count.fetch_add(1, Ordering::Relaxed);
+                    let _ = request_sender.send(Instant::now());
+                    respond(&mut connection, n);
                 }
             });
         }
     });
-    (address, calls)
+    (address, requests)
 }
 
-/// Keeps a watch open with empty lines as signs of life until the daemon disconnects.
-fn stay(wire: &mut Wire) {
-    while wire.try_send("1\r\n\n\r\n") {
+/// Keeps a watch open with empty lines as heartbeats until the daemon disconnects.
+fn keep_watch_open(connection: &mut Connection) {
+    while connection.try_send("1\r\n\n\r\n") {
         std::thread::sleep(Duration::from_millis(500));
     }
 }
 
-fn ask(daemon: &RunningDaemon, request: &str) -> (String, String) {
-    let mut wire = daemon.connect(ListenerKind::Platform);
-    wire.send(request);
-    let (head, body) = wire.message();
+fn send_request(daemon: &RunningDaemon, request: &str) -> (String, String) {
+    let mut connection = daemon.connect(ListenerKind::Platform);
+    connection.send(request);
+    let (head, body) = connection.read_message();
     (head.first().cloned().unwrap_or_default(), body)
 }
 
-fn served_by(daemon: &RunningDaemon) -> bool {
-    ask(daemon, &post("t", "", "")).1 == "text"
+fn is_served(daemon: &RunningDaemon) -> bool {
+    send_request(daemon, &job_request("t", "", "")).1 == "text"
 }
 
 #[test]
-fn half_a_list_changes_nothing_and_the_whole_one_that_follows_counts() {
-    let ((old, _), new) = (unwanted(), worker(serves));
-    let (address, calls) = discovery(move |wire, n| {
+fn a_truncated_list_is_ignored_and_the_next_complete_list_applied() {
+    let ((old, _), new) = (start_failing_worker(), start_worker(serve_job));
+    let (address, requests) = start_discovery(move |connection, n| {
         let whole = list(9, true, &[host("s-new", new, "ready")]);
         if n == 0 {
-            return wire.send(&format!("{:x}\r\n{}", whole.len(), &whole[..whole.len() / 2]));
+            return connection.send(&format!("{:x}\r\n{}", whole.len(), &whole[..whole.len() / 2]));
         }
-        chunk(wire, &whole);
-        stay(wire);
+        send_chunk(connection, &whole);
+        keep_watch_open(connection);
     });
-    let daemon = RunningDaemon::start(Some(platform(&[old], Some(address))), None);
-    calls.recv_timeout(LIMIT).expect("a first call");
-    calls.recv_timeout(LIMIT).expect("a second, after half of a list");
-    within(LIMIT, "the whole list counts", || served_by(&daemon).then_some(()));
+    let daemon = RunningDaemon::start(Some(platform_config(&[old], Some(address))), None);
+    requests.recv_timeout(LIMIT).expect("a first request to discovery");
+    requests.recv_timeout(LIMIT).expect("a second request, after the truncated list");
+    wait_for(LIMIT, "the complete list was not applied", || is_served(&daemon).then_some(()));
 }
 
 #[test]
-fn an_older_version_takes_no_drain_back_and_a_newer_one_does() {
-    let ((drained, asked), other) = (unwanted(), worker(serves));
+fn an_older_list_does_not_revert_a_drain_but_a_newer_change_does() {
+    let ((drained, request_count), other) = (start_failing_worker(), start_worker(serve_job));
     let go = Arc::new(AtomicBool::new(false));
     let went = go.clone();
-    let (address, calls) = discovery(move |wire, n| {
+    let (address, requests) = start_discovery(move |connection, n| {
         let both = |health| [host("s-0", drained, health), host("s-1", other, "ready")];
         if n == 0 {
             // A drain, then the watch ends.
-            return chunk(wire, &list(7, true, &both("draining")));
+            return send_chunk(connection, &list(7, true, &both("draining")));
         }
-        // Discovery has come back with what it knew before the drain.
-        chunk(wire, &list(5, true, &both("ready")));
-        while !went.load(Ordering::Relaxed) && wire.try_send("1\r\n\n\r\n") {
+        // Discovery comes back with its state from before the drain.
+        send_chunk(connection, &list(5, true, &both("ready")));
+        while !went.load(Ordering::Relaxed) && connection.try_send("1\r\n\n\r\n") {
             std::thread::sleep(Duration::from_millis(20));
         }
-        chunk(wire, &list(6, false, &[host("s-0", drained, "ready"), host("s-1", other, "gone")]));
-        stay(wire);
+        send_chunk(connection, &list(6, false, &[host("s-0", drained, "ready"), host("s-1", other, "gone")]));
+        keep_watch_open(connection);
     });
-    let daemon = RunningDaemon::start(Some(platform(&[drained, other], Some(address))), None);
+    let daemon = RunningDaemon::start(Some(platform_config(&[drained, other], Some(address))), None);
     for _ in 0..2 {
-        calls.recv_timeout(LIMIT).expect("a call");
+        requests.recv_timeout(LIMIT).expect("a request to discovery");
     }
     std::thread::sleep(Duration::from_millis(200));
     for n in 0..20 {
-        assert_eq!(ask(&daemon, &post(&format!("t{n}"), "", "")).1, "text");
+        assert_eq!(send_request(&daemon, &job_request(&format!("t{n}"), "", "")).1, "text");
     }
-    assert_eq!(asked.load(Ordering::Relaxed), 0, "the drained one got work");
+    assert_eq!(request_count.load(Ordering::Relaxed), 0, "the drained worker got requests");
     go.store(true, Ordering::Relaxed);
-    // Discovery counts on from its older version, and changes after that are applied.
-    within(LIMIT, "only the one that is ready again is left", || {
-        (!ask(&daemon, &post("u", "", "")).0.contains(" 200")).then_some(())
+    // Discovery continues from its older version, and its further changes are applied.
+    wait_for(LIMIT, "the changes after the older list were not applied", || {
+        (!send_request(&daemon, &job_request("u", "", "")).0.contains(" 200")).then_some(())
     });
 }
 
 #[test]
-fn a_watch_that_ends_for_all_at_once_is_taken_up_again_by_all_and_not_at_once() {
-    let good = worker(serves);
-    let (address, calls) = discovery(move |wire, n| {
-        chunk(wire, &list(3, true, &[host("s-0", good, "ready")]));
+fn daemons_that_lose_their_watch_together_reconnect_with_jitter() {
+    let good = start_worker(serve_job);
+    let (address, requests) = start_discovery(move |connection, n| {
+        send_chunk(connection, &list(3, true, &[host("s-0", good, "ready")]));
         match n {
             0..4 => std::thread::sleep(Duration::from_millis(2_500)),
-            _ => stay(wire),
+            _ => keep_watch_open(connection),
         }
     });
     let daemons: Vec<RunningDaemon> = (0..4)
         .map(|n| {
-            let mut config = platform(&[good], Some(address));
+            let mut config = platform_config(&[good], Some(address));
             config["seed"] = json!(format!("{}", n + 1));
             config["settings"]["instances"] = json!(4);
             RunningDaemon::start(Some(config), None)
         })
         .collect();
-    let mut at: Vec<Instant> = (0..8).map(|_| calls.recv_timeout(LIMIT).expect("a call")).collect();
+    let mut at: Vec<Instant> =
+        (0..8).map(|_| requests.recv_timeout(LIMIT).expect("a request to discovery")).collect();
     at.drain(..4);
-    assert!(at[3] - at[0] > Duration::from_millis(20), "spread out: {:?}", at[3] - at[0]);
-    assert!(daemons.iter().all(served_by));
+    assert!(at[3] - at[0] > Duration::from_millis(20), "the daemons reconnected within {:?}", at[3] - at[0]);
+    assert!(daemons.iter().all(is_served));
 }
 
 #[test]
-fn an_empty_or_very_old_list_is_none_to_rely_on_and_the_first_news_count() {
-    // On an address of their own, so that no other test is given the ports while a daemon still asks there.
+fn an_empty_or_outdated_cached_list_is_replaced_by_the_first_update() {
+    // These have an address of their own, so that no other test gets the ports while a daemon still connects to them.
     let gone: Vec<SocketAddr> = (0..3)
         .map(|_| {
             TcpListener::bind("127.78.1.1:0").and_then(|listener| listener.local_addr()).expect("a free port")
         })
         .collect();
     for known in [vec![], gone] {
-        let good = worker(serves);
-        let (address, _calls) = discovery(move |wire, _| {
-            chunk(wire, &list(90, true, &[host("s-new", good, "ready")]));
-            stay(wire);
+        let good = start_worker(serve_job);
+        let (address, _requests) = start_discovery(move |connection, _| {
+            send_chunk(connection, &list(90, true, &[host("s-new", good, "ready")]));
+            keep_watch_open(connection);
         });
-        let daemon = RunningDaemon::start(Some(platform(&known, Some(address))), None);
+        let daemon = RunningDaemon::start(Some(platform_config(&known, Some(address))), None);
         let start = Instant::now();
-        let (status, _) = ask(&daemon, &post("t", "", ""));
+        let (status, _) = send_request(&daemon, &job_request("t", "", ""));
         assert!(status.contains(" 503") || status.contains(" 200"), "{status}");
-        assert!(start.elapsed() < Duration::from_secs(2), "answered in its time");
-        within(LIMIT, "the news count", || served_by(&daemon).then_some(()));
+        assert!(start.elapsed() < Duration::from_secs(2), "no response within 2 s");
+        wait_for(LIMIT, "the update was not applied", || is_served(&daemon).then_some(()));
     }
 }
 
 #[test]
-fn a_worker_whose_connection_table_is_full_costs_nobody_an_answer() {
-    // It accepts what it must and resets it at once.
+fn a_worker_that_resets_all_connections_costs_no_response() {
+    // It resets each connection that it accepts.
     let full = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = full.local_addr().expect("bound");
+    let address = full.local_addr().expect("a bound listener");
     std::thread::spawn(move || {
         for stream in full.incoming().map_while(Result::ok) {
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
     });
-    let daemon = RunningDaemon::start(Some(platform(&[address, worker(serves)], None)), None);
+    let daemon = RunningDaemon::start(Some(platform_config(&[address, start_worker(serve_job)], None)), None);
     for n in 0..30 {
-        assert_eq!(ask(&daemon, &post(&format!("t{n}"), "", "")).1, "text", "request {n}");
+        assert_eq!(send_request(&daemon, &job_request(&format!("t{n}"), "", "")).1, "text", "request {n}");
     }
-    let alone = RunningDaemon::start(Some(platform(&[address], None)), None);
+    let alone = RunningDaemon::start(Some(platform_config(&[address], None)), None);
     let start = Instant::now();
-    assert!(ask(&alone, &post("t", "", "")).0.contains(" 503"), "refused: nothing can have run");
+    assert!(
+        send_request(&alone, &job_request("t", "", "")).0.contains(" 503"),
+        "the request cannot have run and must be rejected"
+    );
     assert!(start.elapsed() < Duration::from_secs(2));
 }
 
 #[test]
-fn a_zone_that_falls_silent_with_jobs_out_leaves_each_request_its_answer() {
+fn each_request_gets_a_response_when_a_zone_stops_responding_to_started_jobs() {
     let silent = || {
-        worker(|wire, head| {
-            let id = header(head, "x-txn").expect("an id");
-            wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            chunk(wire, &format!("{}\n", json!({"id": id, "state": "started"})));
-            assert!(wire.line().is_empty(), "until the attempt is given up");
+        start_worker(|connection, head| {
+            let id = header(head, "x-txn").expect("an X-Txn header");
+            connection.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            send_chunk(connection, &format!("{}\n", json!({"id": id, "state": "started"})));
+            assert!(
+                connection.read_line().is_empty(),
+                "the daemon abandons the attempt by closing the connection"
+            );
         })
     };
-    let mut config = platform(&[silent(), silent(), worker(serves)], None);
+    let mut config = platform_config(&[silent(), silent(), start_worker(serve_job)], None);
     config["known"]["hosts"][2]["site"] = json!("b");
     let daemon = RunningDaemon::start(Some(config), None);
     let start = Stopwatch::start();
-    let mut wires: Vec<Wire> = (0..12)
+    let mut connections: Vec<Connection> = (0..12)
         .map(|n| {
-            let mut wire = daemon.connect(ListenerKind::Platform);
-            wire.send(&post(&format!("t{n}"), "", ""));
-            wire
+            let mut connection = daemon.connect(ListenerKind::Platform);
+            connection.send(&job_request(&format!("t{n}"), "", ""));
+            connection
         })
         .collect();
-    let answers: Vec<String> = wires.iter_mut().map(|wire| wire.message().0.remove(0)).collect();
+    let answers: Vec<String> =
+        connections.iter_mut().map(|connection| connection.read_message().0.remove(0)).collect();
     assert!(answers.iter().all(|answer| answer.starts_with("HTTP/1.1 ")), "{answers:?}");
     assert!(
         start.elapsed() < Duration::from_millis(2_050),
-        "before the clients give up: {:?}",
+        "the responses took {:?}, longer than the clients wait",
         start.elapsed()
     );
 }
 
 #[test]
-fn all_workers_cold_at_once_serve_or_refuse_and_nothing_waits_for_its_deadline() {
-    let mut config = platform(&[worker(serves), worker(serves), worker(serves)], None);
+fn requests_are_served_or_rejected_before_their_deadline_while_all_workers_are_cold() {
+    let mut config =
+        platform_config(&[start_worker(serve_job), start_worker(serve_job), start_worker(serve_job)], None);
     let now = std::time::UNIX_EPOCH.elapsed().expect("a clock").as_millis() as u64;
     for n in 0..3 {
         config["known"]["hosts"][n]["born_ms"] = json!(now);
@@ -259,195 +278,205 @@
     let mut served = 0;
     for n in 0..20 {
         let start = Instant::now();
-        let (status, body) = ask(&daemon, &post(&format!("t{n}"), "", ""));
+        let (status, body) = send_request(&daemon, &job_request(&format!("t{n}"), "", ""));
         assert!(status.contains(" 200") || status.contains(" 503"), "{status}");
         assert!(start.elapsed() < Duration::from_millis(1_500), "{status} after {:?}", start.elapsed());
         served += usize::from(body == "text");
         std::thread::sleep(Duration::from_millis(30));
     }
-    assert!(served > 0, "cold ones take their part");
+    assert!(served > 0, "no request was served by a cold worker");
 }
 
-/// Where lists are pushed the decision module never polls, so no change was ever read: a worker added after the start got no
-/// requests, and a drain was never applied.
+/// Regression: in push mode the decision module never polls, so the daemon read no change. A worker added after the start got
+/// no requests, and a drain was never applied.
 #[test]
-fn where_lists_are_pushed_the_watch_is_kept_up_without_being_asked_for() {
-    let ((drained, asked), next) = (unwanted(), worker(serves));
-    let (address, calls) = discovery(move |wire, n| match n {
-        // Its connection ends at once, as an agent's does that is restarted.
-        0 => chunk(wire, &list(2, true, &[host("s-drained", drained, "ready")])),
+fn in_push_mode_the_watch_is_kept_open_without_polls() {
+    let ((drained, request_count), next) = (start_failing_worker(), start_worker(serve_job));
+    let (address, requests) = start_discovery(move |connection, n| match n {
+        // The connection closes at once, as that of an agent that restarts.
+        0 => send_chunk(connection, &list(2, true, &[host("s-drained", drained, "ready")])),
         _ => {
             let news = [host("s-drained", drained, "draining"), host("s-next", next, "ready")];
-            chunk(wire, &list(3, false, &news));
-            stay(wire);
+            send_chunk(connection, &list(3, false, &news));
+            keep_watch_open(connection);
         }
     });
-    let mut config = platform(&[], Some(address));
+    let mut config = platform_config(&[], Some(address));
     config["settings"]["discovery"] = json!("push");
     let daemon = RunningDaemon::start(Some(config), None);
     for _ in 0..2 {
-        calls.recv_timeout(LIMIT).expect("the watch is taken up, and again after its end");
+        requests.recv_timeout(LIMIT).expect("the watch is opened, and reopened after it ended");
     }
-    within(LIMIT, "the worker that was added serves", || served_by(&daemon).then_some(()));
-    let before = asked.load(Ordering::Relaxed);
-    (0..20).for_each(|_| assert!(served_by(&daemon)));
-    assert_eq!(asked.load(Ordering::Relaxed), before, "nothing new to a drained worker");
+    wait_for(LIMIT, "the added worker did not serve", || is_served(&daemon).then_some(()));
+    let before = request_count.load(Ordering::Relaxed);
+    (0..20).for_each(|_| assert!(is_served(&daemon)));
+    assert_eq!(request_count.load(Ordering::Relaxed), before, "the drained worker got new requests");
 }
 
-const REFUSED: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+const UNAVAILABLE: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
-/// How a watch falls silent after its first list, and how the next call fails: the call after that reports a drain, which
-/// has to be in force 6 s after the last sign of life.
+/// A watch falls silent after its first list in one of three ways, and the next connection fails in one of three ways. The
+/// connection after that reports a drain, which must be in force 6 s after the last heartbeat.
 #[test]
-fn a_change_is_in_force_six_seconds_after_the_watch_fell_silent_whatever_fails() {
-    let silences: [fn(&mut Wire); 3] = [
-        |wire| assert!(wire.line().is_empty()),
-        // Half an object, and its rest byte by byte.
-        |wire| {
+fn a_drain_applies_within_six_seconds_of_the_watch_falling_silent() {
+    let silences: [fn(&mut Connection); 3] = [
+        |connection| assert!(connection.read_line().is_empty()),
+        // Half an object, and then one byte at a time.
+        |connection| {
             let mut drops = "{\"seq\":3,".chars().chain(std::iter::repeat(' '));
-            while wire.try_send(&format!("1\r\n{}\r\n", drops.next().expect("endless"))) {
+            while connection.try_send(&format!("1\r\n{}\r\n", drops.next().expect("endless"))) {
                 std::thread::sleep(Duration::from_millis(200));
             }
         },
-        // A chunk that is never filled.
-        |wire| {
-            wire.send("ffff\r\n{");
-            assert!(wire.line().is_empty());
+        // A chunk that is never completed.
+        |connection| {
+            connection.send("ffff\r\n{");
+            assert!(connection.read_line().is_empty());
         },
     ];
-    let failures: [fn(&mut Wire); 3] = [
+    let failures: [fn(&mut Connection); 3] = [
         |_| {},
-        |wire| {
+        |connection| {
             std::thread::sleep(Duration::from_secs(2));
-            let _ = wire.try_send(REFUSED);
+            let _ = connection.try_send(UNAVAILABLE);
         },
-        |wire| {
-            let _ = wire.try_send("HTTP/1.1 200 OK\r\nTransfer-");
+        |connection| {
+            let _ = connection.try_send("HTTP/1.1 200 OK\r\nTransfer-");
         },
     ];
     let pairs =
         silences.into_iter().flat_map(|silence| failures.into_iter().map(move |failure| (silence, failure)));
-    let plays: Vec<_> = pairs
+    let cases: Vec<_> = pairs
         .map(|(silence, failure)| {
             std::thread::spawn(move || {
-                // It serves requests, or it would be ejected.
-                let asked = Arc::new(AtomicUsize::new(0));
-                let count = asked.clone();
-                let drained = worker(move |wire, head| {
+                // The worker serves requests, as it would be ejected otherwise.
+                let request_count = Arc::new(AtomicUsize::new(0));
+                let count = request_count.clone();
+                let drained = start_worker(move |connection, head| {
                     count.fetch_add(1, Ordering::Relaxed);
-                    serves(wire, head);
+                    serve_job(connection, head);
                 });
-                let other = worker(serves);
+                let other = start_worker(serve_job);
                 let both = move |health| [host("s-0", drained, health), host("s-1", other, "ready")];
-                let (address, calls) = raw_discovery(move |wire, n| match n {
+                let (address, requests) = start_raw_discovery(move |connection, n| match n {
                     0 => {
-                        wire.send(HEAD);
-                        chunk(wire, &list(2, true, &both("ready")));
-                        silence(wire);
+                        connection.send(CHUNKED_HEAD);
+                        send_chunk(connection, &list(2, true, &both("ready")));
+                        silence(connection);
                     }
-                    1 => failure(wire),
+                    1 => failure(connection),
                     _ => {
-                        wire.send(HEAD);
-                        chunk(wire, &list(3, false, &both("draining")));
-                        stay(wire);
+                        connection.send(CHUNKED_HEAD);
+                        send_chunk(connection, &list(3, false, &both("draining")));
+                        keep_watch_open(connection);
                     }
                 });
-                let daemon = RunningDaemon::start(Some(platform(&[drained, other], Some(address))), None);
-                let alive = calls.recv_timeout(LIMIT).expect("a first call");
+                let daemon =
+                    RunningDaemon::start(Some(platform_config(&[drained, other], Some(address))), None);
+                let alive = requests.recv_timeout(LIMIT).expect("a first request to discovery");
                 while alive.elapsed() < Duration::from_secs(6) {
-                    served_by(&daemon);
+                    is_served(&daemon);
                     std::thread::sleep(Duration::from_millis(50));
                 }
-                let before = asked.load(Ordering::Relaxed);
-                assert!(before > 0, "it had work before");
-                (0..40).for_each(|_| assert!(served_by(&daemon)));
-                assert_eq!(asked.load(Ordering::Relaxed), before, "nothing new to a drained worker");
+                let before = request_count.load(Ordering::Relaxed);
+                assert!(before > 0, "the worker got no requests before the drain");
+                (0..40).for_each(|_| assert!(is_served(&daemon)));
+                assert_eq!(
+                    request_count.load(Ordering::Relaxed),
+                    before,
+                    "the drained worker got new requests"
+                );
             })
         })
         .collect();
-    plays.into_iter().for_each(|play| play.join().expect("in force in time"));
+    cases.into_iter().for_each(|case| case.join().expect("the drain is in force in time"));
 }
 
-/// A complete list over many lines, as an operator's tool may indent it, in small chunks; then a change in the same form.
+/// A complete list and then a change come over many lines, as an operator's tool may indent them, and in small chunks.
 #[test]
-fn lists_may_be_indented() {
-    let (old, new) = (worker(serves), worker(serves));
-    let (address, _calls) = discovery(move |wire, _| {
+fn indented_lists_are_accepted() {
+    let (old, new) = (start_worker(serve_job), start_worker(serve_job));
+    let (address, _requests) = start_discovery(move |connection, _| {
         let pretty = |value: Value| format!("{}\n", serde_json::to_string_pretty(&value).expect("JSON"));
-        let pieces = |wire: &mut Wire, text: &str| {
+        let pieces = |connection: &mut Connection, text: &str| {
             text.as_bytes()
                 .chunks(7)
-                .for_each(|piece| chunk(wire, std::str::from_utf8(piece).expect("ASCII")));
+                .for_each(|piece| send_chunk(connection, std::str::from_utf8(piece).expect("ASCII")));
         };
-        pieces(wire, &pretty(json!({"seq": 2, "whole": true, "hosts": [host("s-0", old, "ready")]})));
-        chunk(wire, "\n");
+        pieces(connection, &pretty(json!({"seq": 2, "whole": true, "hosts": [host("s-0", old, "ready")]})));
+        send_chunk(connection, "\n");
         let hosts = [host("s-0", old, "draining"), host("s-new", new, "ready")];
-        pieces(wire, &pretty(json!({"seq": 3, "whole": false, "hosts": hosts})));
-        stay(wire);
+        pieces(connection, &pretty(json!({"seq": 3, "whole": false, "hosts": hosts})));
+        keep_watch_open(connection);
+    });
+    // The cached list is empty: only the new list holds a worker that serves.
+    let daemon = RunningDaemon::start(Some(platform_config(&[], Some(address))), None);
+    wait_for(Duration::from_secs(2), "the indented list was not applied", || {
+        is_served(&daemon).then_some(())
     });
-    // The known worker is closed: only the list brings one that serves.
-    let daemon = RunningDaemon::start(Some(platform(&[], Some(address))), None);
-    within(Duration::from_secs(2), "the list counts", || served_by(&daemon).then_some(()));
 }
 
-/// A new process is given a list that may be outdated. It sends nothing by that list before discovery has responded: changes
-/// made long ago are in force from the process's start.
+/// The cached list of a new process may be outdated. The process sends nothing by that list before discovery has responded, so
+/// that changes made long ago are in force from its start.
 #[test]
-fn a_new_process_sends_nothing_by_the_list_it_was_given_while_discovery_answers() {
-    let ((drained, asked), other) = (unwanted(), worker(serves));
+fn a_new_process_waits_for_discovery_before_using_its_cached_list() {
+    let ((drained, request_count), other) = (start_failing_worker(), start_worker(serve_job));
     let (go, wait) = channel::<()>();
     let wait = Arc::new(std::sync::Mutex::new(wait));
-    let (address, calls) = discovery(move |wire, _| {
-        let _ = wait.lock().expect("no panic").recv_timeout(LIMIT);
-        chunk(wire, &list(9, false, &[host("s-0", drained, "draining"), host("s-1", other, "ready")]));
-        stay(wire);
+    let (address, requests) = start_discovery(move |connection, _| {
+        let _ = wait.lock().expect("no thread has panicked").recv_timeout(LIMIT);
+        send_chunk(
+            connection,
+            &list(9, false, &[host("s-0", drained, "draining"), host("s-1", other, "ready")]),
+        );
+        keep_watch_open(connection);
     });
-    let daemon = RunningDaemon::start(Some(platform(&[drained, other], Some(address))), None);
-    calls.recv_timeout(Duration::from_secs(1)).expect("a call at once");
-    let ready = || ask(&daemon, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").0.contains(" 200 ");
-    assert!(!ready(), "not before it knows");
-    let (status, _) = ask(&daemon, &post("t", "", ""));
-    assert!(status.contains(" 503 "), "refused at once, with when to come back: {status}");
-    go.send(()).expect("a waiting call");
-    within(Duration::from_secs(1), "ready with the list", || ready().then_some(()));
-    (0..20).for_each(|_| assert!(served_by(&daemon)));
-    assert_eq!(asked.load(Ordering::Relaxed), 0, "the drained one got work");
+    let daemon = RunningDaemon::start(Some(platform_config(&[drained, other], Some(address))), None);
+    requests.recv_timeout(Duration::from_secs(1)).expect("a request to discovery at once");
+    let ready = || send_request(&daemon, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").0.contains(" 200 ");
+    assert!(!ready(), "ready before discovery has responded");
+    let (status, _) = send_request(&daemon, &job_request("t", "", ""));
+    assert!(status.contains(" 503 "), "the request must be rejected at once: {status}");
+    go.send(()).expect("a waiting request");
+    wait_for(Duration::from_secs(1), "not ready after the list", || ready().then_some(()));
+    (0..20).for_each(|_| assert!(is_served(&daemon)));
+    assert_eq!(request_count.load(Ordering::Relaxed), 0, "the drained worker got requests");
 }
 
-/// Processes that have all just started, with discovery down, refusing each call as late as it may, or answering in turn
-/// and too slowly for all: nine in ten are ready within 10 s, and the rest within 30 s.
+/// Ten processes start together while discovery is down, rejects each request as late as it may, or responds one by one and
+/// too slowly for all: nine in ten are ready within 10 s, and the rest within 30 s.
 #[test]
-fn restarted_processes_are_ready_in_time_whatever_discovery_does() {
-    let good = worker(serves);
+fn restarted_processes_become_ready_in_time_despite_discovery_failures() {
+    let good = start_worker(serve_job);
     let closed =
         TcpListener::bind("127.78.1.3:0").and_then(|listener| listener.local_addr()).expect("a free port");
-    let (refuses, _calls) = raw_discovery(|wire, _| {
+    let (refuses, _requests) = start_raw_discovery(|connection, _| {
         std::thread::sleep(Duration::from_secs(2));
-        let _ = wire.try_send(REFUSED);
+        let _ = connection.try_send(UNAVAILABLE);
     });
     let turn = Arc::new(std::sync::Mutex::new(()));
-    let (busy, _calls) = raw_discovery(move |wire, _| {
-        let asked = Instant::now();
-        let turn = turn.lock().expect("no panic");
-        if asked.elapsed() > Duration::from_secs(2) {
+    let (busy, _requests) = start_raw_discovery(move |connection, _| {
+        let arrived = Instant::now();
+        let turn = turn.lock().expect("no thread has panicked");
+        if arrived.elapsed() > Duration::from_secs(2) {
             drop(turn);
-            let _ = wire.try_send(REFUSED);
+            let _ = connection.try_send(UNAVAILABLE);
             return;
         }
         std::thread::sleep(Duration::from_millis(400));
         drop(turn);
-        if wire.try_send(HEAD) {
-            chunk(wire, &list(3, true, &[host("s-0", good, "ready")]));
-            stay(wire);
+        if connection.try_send(CHUNKED_HEAD) {
+            send_chunk(connection, &list(3, true, &[host("s-0", good, "ready")]));
+            keep_watch_open(connection);
         }
     });
-    let plays: Vec<_> = [closed, refuses, busy]
+    let cases: Vec<_> = [closed, refuses, busy]
         .into_iter()
         .map(|address| {
             std::thread::spawn(move || {
                 let start = Instant::now();
                 let daemons = (0..10).map(|n| {
-                    let mut config = platform(&[good], Some(address));
+                    let mut config = platform_config(&[good], Some(address));
                     config["seed"] = json!(format!("{n}"));
                     config["settings"]["instances"] = json!(10);
                     RunningDaemon::start(Some(config), None)
@@ -456,9 +485,10 @@
                 let mut took: Vec<Duration> = daemons
                     .iter()
                     .map(|daemon| {
-                        within(Duration::from_secs(30), "ready", || {
-                            let ready =
-                                ask(daemon, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").0.contains(" 200 ");
+                        wait_for(Duration::from_secs(30), "the process did not become ready", || {
+                            let ready = send_request(daemon, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n")
+                                .0
+                                .contains(" 200 ");
                             ready.then(|| start.elapsed())
                         })
                     })
@@ -468,43 +498,44 @@
             })
         })
         .collect();
-    plays.into_iter().for_each(|play| play.join().expect("ready in time"));
+    cases.into_iter().for_each(|case| case.join().expect("ready in time"));
 }
 
-/// A discovery that answers each call with the list and then ends it is called with the same backoff as one that fails.
+/// A discovery that answers each request with the list and then closes is contacted with the same backoff as one that fails.
 #[test]
-fn a_watch_that_ends_at_once_is_not_taken_up_in_a_rush() {
+fn a_watch_that_ends_at_once_is_reopened_with_backoff() {
     for (mode, most) in [("ask", 5), ("push", 30)] {
-        let good = worker(serves);
-        let (address, calls) =
-            discovery(move |wire, _| chunk(wire, &list(3, true, &[host("s-0", good, "ready")])));
-        let mut config = platform(&[good], Some(address));
+        let good = start_worker(serve_job);
+        let (address, requests) = start_discovery(move |connection, _| {
+            send_chunk(connection, &list(3, true, &[host("s-0", good, "ready")]))
+        });
+        let mut config = platform_config(&[good], Some(address));
         config["settings"]["discovery"] = json!(mode);
         let daemon = RunningDaemon::start(Some(config), None);
-        let first = calls.recv_timeout(LIMIT).expect("a first call");
+        let first = requests.recv_timeout(LIMIT).expect("a first request to discovery");
         let more = std::iter::from_fn(|| {
-            calls.recv_timeout(Duration::from_secs(1).saturating_sub(first.elapsed())).ok()
+            requests.recv_timeout(Duration::from_secs(1).saturating_sub(first.elapsed())).ok()
         });
         let n = more.count();
-        assert!((1..most).contains(&n), "{mode}: {n} more calls within a second");
-        assert!(served_by(&daemon));
+        assert!((1..most).contains(&n), "{mode}: {n} more requests within 1 s");
+        assert!(is_served(&daemon));
     }
 }
 
-/// An agent without an update begins to respond at once; its first line comes after two seconds.
+/// An agent that has no update sends the head of its response at once, and its first line after 2 s.
 #[test]
-fn an_agent_without_news_is_not_taken_for_one_that_is_down() {
-    let good = worker(serves);
-    let (address, calls) = discovery(|wire, _| {
+fn an_agent_without_updates_does_not_count_as_down() {
+    let good = start_worker(serve_job);
+    let (address, requests) = start_discovery(|connection, _| {
         std::thread::sleep(Duration::from_secs(2));
-        stay(wire);
+        keep_watch_open(connection);
     });
-    let mut config = platform(&[good], Some(address));
+    let mut config = platform_config(&[good], Some(address));
     config["settings"]["discovery"] = json!("push");
     let daemon = RunningDaemon::start(Some(config), None);
-    calls.recv_timeout(LIMIT).expect("a call");
-    within(Duration::from_secs(3), "its line says that the list is current", || {
-        served_by(&daemon).then_some(())
+    requests.recv_timeout(LIMIT).expect("a request to discovery");
+    wait_for(Duration::from_secs(3), "the heartbeat did not confirm the cached list", || {
+        is_served(&daemon).then_some(())
     });
-    assert!(calls.try_recv().is_err(), "called once");
+    assert!(requests.try_recv().is_err(), "discovery was contacted more than once");
 }
--- a/crates/pebblepost/tests/engine.rs
+++ b/crates/pebblepost/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The rules that the engine itself enforces, under random events: late, repeated and out of order.
+//! Checks the rules that the engine itself enforces, under random events that may be late, repeated or out of order.
 
 mod common;
 
@@ -13,21 +13,21 @@
 #[derive(Clone, Debug)]
 enum Step {
     Request,
-    Gone(usize),
-    Members(u32, u8, bool),
-    Ended(usize, u8),
+    ClientDisconnected(usize),
+    Membership(u32, u8, bool),
+    AttemptEnded(usize, u8),
     Probed(u8, f32),
-    Pass(u64),
+    TimePassed(u64),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => Just(Step::Request),
-        1 => any::<usize>().prop_map(Step::Gone),
-        1 => (0_u32..4, 0_u8..3, any::<bool>()).prop_map(|(worker, state, whole)| Step::Members(worker, state, whole)),
-        4 => (any::<usize>(), 0_u8..8).prop_map(|(index, status)| Step::Ended(index, status)),
+        1 => any::<usize>().prop_map(Step::ClientDisconnected),
+        1 => (0_u32..4, 0_u8..3, any::<bool>()).prop_map(|(worker, state, is_full)| Step::Membership(worker, state, is_full)),
+        4 => (any::<usize>(), 0_u8..8).prop_map(|(index, status)| Step::AttemptEnded(index, status)),
         6 => (0_u8..8, 0_f32..5.0).prop_map(|(status, free)| Step::Probed(status, free)),
-        4 => (0_u64..900).prop_map(Step::Pass),
+        4 => (0_u64..900).prop_map(Step::TimePassed),
     ]
 }
 
@@ -36,14 +36,14 @@
     [Ok, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot][usize::from(n) % 8]
 }
 
-/// Checks from outside what the engine is allowed to do.
+/// Applies inputs to an engine and checks each output against what the engine is allowed to do.
 #[derive(Default)]
 struct EngineObserver {
     now: u64,
     deadlines: BTreeMap<(Time, usize), EngineTimer>,
     states: HashMap<WorkerId, WorkerState>,
-    answers: HashMap<RequestId, u32>,
-    left: HashSet<RequestId>,
+    responses: HashMap<RequestId, u32>,
+    disconnected: HashSet<RequestId>,
     attempts: Vec<AttemptId>,
     probes: Vec<WorkerId>,
 }
@@ -55,27 +55,37 @@
         for output in out {
             match output {
                 Output::Deliver { attempt, worker, time_left: left } => {
-                    assert_eq!(self.states.get(&worker), Some(&WorkerState::Ready), "sent to one not ready");
-                    assert!(!self.answers.contains_key(&attempt.request), "sent after the answer");
-                    assert!(!self.left.contains(&attempt.request), "sent after the client left");
-                    assert!(!left.is_zero(), "sent after the deadline");
+                    assert_eq!(
+                        self.states.get(&worker),
+                        Some(&WorkerState::Ready),
+                        "attempt sent to a worker that is not ready"
+                    );
+                    assert!(
+                        !self.responses.contains_key(&attempt.request),
+                        "attempt sent after the final response"
+                    );
+                    assert!(
+                        !self.disconnected.contains(&attempt.request),
+                        "attempt sent after the client disconnected"
+                    );
+                    assert!(!left.is_zero(), "attempt sent after the deadline");
                     let before =
                         self.attempts.iter().filter(|other| other.request == attempt.request).count();
-                    assert!(before < 3, "more attempts than allowed");
+                    assert!(before < 3, "more than 3 attempts of one request");
                     self.attempts.push(attempt);
                 }
-                // Only after `Input::Connected`, which these steps do not make.
+                // It follows `Input::Connected` only, which these steps do not generate.
                 Output::Transmit { .. } => unreachable!(),
                 Output::Respond(id, answer) => {
-                    assert!(!self.left.contains(&id), "an answer to nobody");
-                    *self.answers.entry(id).or_default() += 1;
-                    assert_eq!(self.answers[&id], 1, "one final answer");
+                    assert!(!self.disconnected.contains(&id), "response to a client that has disconnected");
+                    *self.responses.entry(id).or_default() += 1;
+                    assert_eq!(self.responses[&id], 1, "more than one final response");
                     if let FinalResponse::Rejected(after) = answer {
-                        assert!(!after.is_zero(), "a refusal says when to come back");
+                        assert!(!after.is_zero(), "rejection without a retry delay");
                     }
                 }
                 Output::SetTimer(at, due) => {
-                    self.deadlines.insert((at, self.deadlines.len() + self.answers.len()), due);
+                    self.deadlines.insert((at, self.deadlines.len() + self.responses.len()), due);
                 }
                 Output::Probe(worker) => self.probes.push(worker),
                 Output::Abandon(attempt) => assert!(self.attempts.contains(&attempt)),
@@ -84,7 +94,7 @@
         }
     }
 
-    fn pass(&mut self, engine: &mut Engine, millis: u64) {
+    fn advance_time(&mut self, engine: &mut Engine, millis: u64) {
         let until = self.now + millis * 1_000_000;
         while let Some(first) = self.deadlines.first_entry().filter(|entry| entry.key().0.0 <= until) {
             self.now = self.now.max(first.key().0.0);
@@ -99,8 +109,8 @@
     #![proptest_config(Config { rng_seed: RngSeed::Fixed(1), failure_persistence: None, ..Config::with_cases(200) })]
 
     #[test]
-    fn one_answer_each_and_nothing_to_whom_it_must_not_go(steps in prop::collection::vec(step(), 0..150)) {
-        let settings = read_settings("test", &common::settings()).expect("sound settings");
+    fn each_request_gets_one_response_and_only_ready_workers_get_attempts(steps in prop::collection::vec(any_step(), 0..150)) {
+        let settings = read_settings("test", &common::platform_settings()).expect("valid settings");
         let mut engine = Engine::new(settings, 1, Time(1));
         let mut observer = EngineObserver { now: 1, ..EngineObserver::default() };
         let entry = |n: u32, state| Entry {
@@ -119,23 +129,23 @@
                     let request = Request { class, time_left, repeat: false, slots: 1.0, memory: 0.0, work: None, key: 0, tenant: TenantId(0) };
                     observer.turn(&mut engine, Input::Request(id, request));
                 }
-                Step::Gone(i) if !requests.is_empty() => {
+                Step::ClientDisconnected(i) if !requests.is_empty() => {
                     let id = requests[i % requests.len()];
-                    if !observer.answers.contains_key(&id) {
-                        observer.left.insert(id);
+                    if !observer.responses.contains_key(&id) {
+                        observer.disconnected.insert(id);
                     }
                     observer.turn(&mut engine, Input::ClientDisconnected(id));
                 }
-                Step::Members(n, state, whole) => {
+                Step::Membership(n, state, is_full) => {
                     let state = [WorkerState::Ready, WorkerState::Draining, WorkerState::Gone][usize::from(state)];
-                    if whole {
+                    if is_full {
                         observer.states.clear();
                     }
                     observer.states.insert(WorkerId(n), state);
-                    let kind = if whole { ListKind::Full } else { ListKind::Delta };
+                    let kind = if is_full { ListKind::Full } else { ListKind::Delta };
                     observer.turn(&mut engine, Input::Membership(kind, vec![entry(n, state)]));
                 }
-                Step::Ended(index, ended) if !observer.attempts.is_empty() => {
+                Step::AttemptEnded(index, ended) if !observer.attempts.is_empty() => {
                     let attempt = observer.attempts[index % observer.attempts.len()];
                     observer.turn(&mut engine, Input::attempt_failed(attempt, status(ended)));
                 }
@@ -145,49 +155,49 @@
                         observer.turn(&mut engine, Input::Probed { worker, status, latency: Duration::from_millis(1), report });
                     }
                 }
-                Step::Pass(millis) => observer.pass(&mut engine, millis),
-                Step::Gone(_) | Step::Ended(..) => {}
+                Step::TimePassed(millis) => observer.advance_time(&mut engine, millis),
+                Step::ClientDisconnected(_) | Step::AttemptEnded(..) => {}
             }
         }
-        observer.pass(&mut engine, 4_000);
+        observer.advance_time(&mut engine, 4_000);
         for id in requests {
-            prop_assert!(observer.answers.contains_key(&id) != observer.left.contains(&id), "{id:?} is answered unless its client left");
+            prop_assert!(observer.responses.contains_key(&id) != observer.disconnected.contains(&id), "{id:?} must get a response exactly if its client has not disconnected");
         }
         prop_assert_eq!(engine.unanswered(), 0);
     }
 }
 
-/// An engine with three workers: 0 and 1 in one zone, each in a cell of its own, 2 in another zone.
-struct Bench {
+/// An engine with three workers, each in a cell of its own: 0 and 1 in one zone, 2 in another.
+struct EngineFixture {
     engine: Engine,
     now: Time,
     probes: Vec<WorkerId>,
-    sent: Vec<(AttemptId, WorkerId)>,
+    delivered: Vec<(AttemptId, WorkerId)>,
     transmitted: Vec<AttemptId>,
-    given_up: Vec<AttemptId>,
-    answers: Vec<FinalResponse>,
+    abandoned: Vec<AttemptId>,
+    responses: Vec<FinalResponse>,
 }
 
-const ID: RequestId = RequestId(1);
+const REQUEST_ID: RequestId = RequestId(1);
 
-impl Bench {
-    fn new(effect: Idempotency, second_copies: bool) -> Self {
-        let mut settings = read_settings("test", &common::settings()).expect("sound settings");
+impl EngineFixture {
+    fn new(effect: Idempotency, hedging_enabled: bool) -> Self {
+        let mut settings = read_settings("test", &common::platform_settings()).expect("valid settings");
         settings.classes[0].idempotency = effect;
-        settings.hedging_enabled = second_copies;
+        settings.hedging_enabled = hedging_enabled;
         settings.zone = ZoneId(0);
-        let mut bench = Self {
+        let mut fixture = Self {
             engine: Engine::new(settings, 1, Time(1)),
             now: Time(1),
             probes: Vec::new(),
-            sent: Vec::new(),
+            delivered: Vec::new(),
             transmitted: Vec::new(),
-            given_up: Vec::new(),
-            answers: Vec::new(),
+            abandoned: Vec::new(),
+            responses: Vec::new(),
         };
-        let all = [0, 0, 1].into_iter().zip(0..).map(|(zone, n)| bench_entry(n, zone, WorkerState::Ready));
-        bench.turn(vec![Input::Membership(ListKind::Cached, all.collect())]);
-        bench
+        let all = [0, 0, 1].into_iter().zip(0..).map(|(zone, n)| list_entry(n, zone, WorkerState::Ready));
+        fixture.turn(vec![Input::Membership(ListKind::Cached, all.collect())]);
+        fixture
     }
 
     fn turn(&mut self, mut inputs: Vec<Input>) {
@@ -195,17 +205,17 @@
         self.engine.turn(self.now, &mut inputs, &mut out);
         for output in out {
             match output {
-                Output::Deliver { attempt, worker, .. } => self.sent.push((attempt, worker)),
+                Output::Deliver { attempt, worker, .. } => self.delivered.push((attempt, worker)),
                 Output::Transmit { attempt, .. } => self.transmitted.push(attempt),
-                Output::Abandon(attempt) => self.given_up.push(attempt),
+                Output::Abandon(attempt) => self.abandoned.push(attempt),
                 Output::Probe(worker) => self.probes.push(worker),
-                Output::Respond(_, answer) => self.answers.push(answer),
+                Output::Respond(_, answer) => self.responses.push(answer),
                 _ => {}
             }
         }
     }
 
-    fn ask(&mut self, millis: u64) {
+    fn submit_request(&mut self, millis: u64) {
         let time_left = Duration::from_millis(millis);
         let request = Request {
             class: ClassId(0),
@@ -217,14 +227,14 @@
             key: 0,
             tenant: TenantId(0),
         };
-        self.turn(vec![Input::Request(ID, request)]);
+        self.turn(vec![Input::Request(REQUEST_ID, request)]);
     }
 
-    /// Answers all probes with free capacity until one more attempt is sent, if any.
+    /// Answers pending probes with free capacity until one more attempt is sent or no probe is left.
     fn answer_probes(&mut self) {
-        let before = self.sent.len();
+        let before = self.delivered.len();
         for _ in 0..8 {
-            if let Some(worker) = self.probes.pop().filter(|_| self.sent.len() == before) {
+            if let Some(worker) = self.probes.pop().filter(|_| self.delivered.len() == before) {
                 let report = vec![0.0, 0.0, 4.0];
                 self.turn(vec![Input::Probed {
                     worker,
@@ -238,35 +248,35 @@
     }
 }
 
-fn bench_entry(n: u32, zone: u16, state: WorkerState) -> Entry {
+fn list_entry(n: u32, zone: u16, state: WorkerState) -> Entry {
     let (worker, cell) = (WorkerId(n), CellId(n as u16));
     Entry { worker, zone: ZoneId(zone), kind: KindId(0), cell, state, name: u64::from(n), started: None }
 }
 
-/// The protocol's rule on idempotency as a table: after an attempt that ended so, where may a retry go, and may the request
-/// be rejected?
+/// Checks the idempotency rule of the protocol for each class and outcome of the first attempt: to which workers a retry may
+/// go, and whether the request may be rejected.
 #[test]
-fn a_request_is_sent_again_and_refused_as_its_class_allows() {
+fn retries_and_rejections_follow_the_idempotency_of_the_class() {
     let window = Duration::from_secs(10);
     let keyed = |group| Idempotency::Deduplicated { scope: group, window };
     let (all, zone, cell) =
         (keyed(DeduplicationScope::All), keyed(DeduplicationScope::Zone), keyed(DeduplicationScope::Cell));
-    let proves = [Status::Full, Status::ConnectFailed];
-    let unsure = [Status::Error, Status::Reset, Status::Timeout, Status::Cancelled];
+    let never_ran_statuses = [Status::Full, Status::ConnectFailed];
+    let may_have_run_statuses = [Status::Error, Status::Reset, Status::Timeout, Status::Cancelled];
     for effect in [Idempotency::Idempotent, all, zone, cell, Idempotency::NonIdempotent] {
-        for copies in [true, false] {
-            for status in proves.into_iter().chain(unsure) {
-                let never_ran = proves.contains(&status);
-                let mut again = 0;
-                let what = format!("{effect:?}, {status:?}, second copies: {copies}");
-                let mut bench = Bench::new(effect, copies);
-                bench.ask(3_000);
-                bench.answer_probes();
-                let (first, at) = bench.sent[0];
-                bench.turn(vec![Input::attempt_failed(first, status)]);
-                bench.answer_probes();
-                if let Some((_, to)) = bench.sent.get(1) {
-                    again += 1;
+        for hedging in [true, false] {
+            for status in never_ran_statuses.into_iter().chain(may_have_run_statuses) {
+                let never_ran = never_ran_statuses.contains(&status);
+                let mut retries = 0;
+                let what = format!("{effect:?}, {status:?}, hedging: {hedging}");
+                let mut fixture = EngineFixture::new(effect, hedging);
+                fixture.submit_request(3_000);
+                fixture.answer_probes();
+                let (first, at) = fixture.delivered[0];
+                fixture.turn(vec![Input::attempt_failed(first, status)]);
+                fixture.answer_probes();
+                if let Some((_, to)) = fixture.delivered.get(1) {
+                    retries += 1;
                     let same_zone = (at.0 == 2) == (to.0 == 2);
                     let allowed = never_ran
                         || match effect {
@@ -279,74 +289,77 @@
                     assert!(allowed, "{what}: from {at:?} to {to:?}");
                 }
                 assert!(
-                    again == 1 || effect != Idempotency::Idempotent || bench.answers.len() == 1,
-                    "{what}: lost"
+                    retries == 1 || effect != Idempotency::Idempotent || fixture.responses.len() == 1,
+                    "{what}: neither retried nor responded to"
                 );
-                let refused = bench.answers.iter().any(|answer| matches!(answer, FinalResponse::Rejected(_)));
+                let rejected =
+                    fixture.responses.iter().any(|answer| matches!(answer, FinalResponse::Rejected(_)));
                 let harmless = never_ran || matches!(effect, Idempotency::Idempotent) || effect == all;
-                assert!(harmless || !refused, "{what}: refused though it may have run");
+                assert!(harmless || !rejected, "{what}: rejected though it may have run");
             }
         }
     }
 }
 
-/// An attempt's connection is established when the attempt is not allowed any more: it is not sent, and ends as one that
-/// never ran.
+/// An attempt that is no longer allowed when its connection is established is not sent, and ends as one that never ran.
 #[test]
-fn what_was_right_to_send_is_looked_at_again_when_the_connection_is_up() {
+fn an_attempt_is_checked_again_when_its_connection_is_established() {
     let window = Duration::from_millis(300);
-    type Happens = fn(&mut Bench);
-    let late: [(&str, Happens); 5] = [
-        ("all is as it was", |_| {}),
-        ("its worker drains", |bench| {
-            let worker = bench.sent.last().expect("an attempt").1;
+    type Change = fn(&mut EngineFixture);
+    let cases: [(&str, Change); 5] = [
+        ("no change", |_| {}),
+        ("the worker is draining", |fixture| {
+            let worker = fixture.delivered.last().expect("an attempt").1;
             let zone = u16::from(worker.0 == 2);
-            bench.turn(vec![Input::Membership(
+            fixture.turn(vec![Input::Membership(
                 ListKind::Delta,
-                vec![bench_entry(worker.0, zone, WorkerState::Draining)],
+                vec![list_entry(worker.0, zone, WorkerState::Draining)],
             )]);
         }),
-        ("its worker has gone from a whole list", |bench| {
-            bench.turn(vec![Input::Membership(ListKind::Full, Vec::new())]);
+        ("the worker is missing from a full list", |fixture| {
+            fixture.turn(vec![Input::Membership(ListKind::Full, Vec::new())]);
+        }),
+        ("the client has disconnected", |fixture| fixture.turn(vec![Input::ClientDisconnected(REQUEST_ID)])),
+        ("the deduplication window has ended", |fixture| {
+            fixture.now = fixture.now + Duration::from_millis(301)
         }),
-        ("its client has gone", |bench| bench.turn(vec![Input::ClientDisconnected(ID)])),
-        ("the window for repeats has closed", |bench| bench.now = bench.now + Duration::from_millis(301)),
     ];
-    for (what, happens) in late {
-        let mut bench =
-            Bench::new(Idempotency::Deduplicated { scope: DeduplicationScope::All, window }, true);
-        bench.ask(3_000);
-        bench.answer_probes();
-        let first = bench.sent[0].0;
-        bench.turn(vec![Input::Connected(first)]);
-        assert_eq!(bench.transmitted, [first], "the first goes out");
-        bench.turn(vec![Input::attempt_failed(first, Status::Reset)]);
-        bench.answer_probes();
-        let second = bench.sent.get(1).expect("a further attempt").0;
-        happens(&mut bench);
-        bench.turn(vec![Input::Connected(second)]);
-        let goes = bench.transmitted.contains(&second);
-        assert_eq!(goes, what == "all is as it was", "{what}");
-        assert!(goes || bench.given_up.contains(&second), "{what}: its connection is ended");
+    for (what, apply_change) in cases {
+        let mut fixture =
+            EngineFixture::new(Idempotency::Deduplicated { scope: DeduplicationScope::All, window }, true);
+        fixture.submit_request(3_000);
+        fixture.answer_probes();
+        let first = fixture.delivered[0].0;
+        fixture.turn(vec![Input::Connected(first)]);
+        assert_eq!(fixture.transmitted, [first], "the first attempt is sent");
+        fixture.turn(vec![Input::attempt_failed(first, Status::Reset)]);
+        fixture.answer_probes();
+        let second = fixture.delivered.get(1).expect("a retry").0;
+        apply_change(&mut fixture);
+        fixture.turn(vec![Input::Connected(second)]);
+        let is_sent = fixture.transmitted.contains(&second);
+        assert_eq!(is_sent, what == "no change", "{what}");
+        assert!(is_sent || fixture.abandoned.contains(&second), "{what}: the connection is abandoned");
     }
 }
 
-/// Everything that may come in one turn with a client's disconnection: nothing of it may send the client's request.
+/// The probe response that would have the request sent comes in the same turn as the client's disconnection, in either order:
+/// nothing is sent.
 #[test]
-fn a_client_that_has_gone_counts_before_all_else_in_its_turn() {
+fn a_client_disconnection_is_handled_before_other_inputs_of_the_same_turn() {
     for close_first in [true, false] {
-        let mut bench = Bench::new(Idempotency::Idempotent, true);
-        bench.ask(3_000);
-        let worker = bench.probes.pop().expect("a probe");
+        let mut fixture = EngineFixture::new(Idempotency::Idempotent, true);
+        fixture.submit_request(3_000);
+        let worker = fixture.probes.pop().expect("a probe");
         let answer = Input::Probed {
             worker,
             status: Status::Ok,
             latency: Duration::from_millis(1),
             report: vec![0.0, 0.0, 4.0],
         };
-        let gone = Input::ClientDisconnected(ID);
-        bench.turn(if close_first { vec![gone, answer] } else { vec![answer, gone] });
-        assert!(bench.sent.is_empty() && bench.answers.is_empty());
-        assert_eq!(bench.engine.unanswered(), 0);
+        let gone = Input::ClientDisconnected(REQUEST_ID);
+        fixture.turn(if close_first { vec![gone, answer] } else { vec![answer, gone] });
+        assert!(fixture.delivered.is_empty() && fixture.responses.is_empty());
+        assert_eq!(fixture.engine.unanswered(), 0);
     }
 }
--- a/crates/pebblepost/tests/parsers.rs
+++ b/crates/pebblepost/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Random cuts of valid messages and random garbage, from a fixed seed.
+//! Parses valid messages split at random points, and random bytes, from a fixed seed.
 
 use pebblepost::buffer::Buffer;
 use pebblepost::clock::Clock;
@@ -18,19 +18,19 @@
     }
 }
 
-/// The pieces of `bytes` between the cuts.
-fn pieces<'a>(bytes: &'a [u8], cuts: &[prop::sample::Index]) -> Vec<&'a [u8]> {
-    let mut at: Vec<usize> =
-        cuts.iter().map(|cut| cut.index(bytes.len() + 1)).chain([0, bytes.len()]).collect();
-    at.sort_unstable();
-    at.windows(2).map(|bounds| &bytes[bounds[0]..bounds[1]]).collect()
+/// Splits `bytes` at these points.
+fn split<'a>(bytes: &'a [u8], split_points: &[prop::sample::Index]) -> Vec<&'a [u8]> {
+    let mut bounds: Vec<usize> =
+        split_points.iter().map(|point| point.index(bytes.len() + 1)).chain([0, bytes.len()]).collect();
+    bounds.sort_unstable();
+    bounds.windows(2).map(|bounds| &bytes[bounds[0]..bounds[1]]).collect()
 }
 
-/// Target and body of a request, and what follows it.
-type Parts = (String, Vec<u8>, Vec<u8>);
+/// Target and body of a request, and the bytes that follow it.
+type ParsedRequest = (String, Vec<u8>, Vec<u8>);
 
-/// Reads one request that comes in such pieces.
-fn read(pieces: &[&[u8]]) -> Result<Option<Parts>, Malformed> {
+/// Parses one request that arrives in these pieces. Returns `None` if it is incomplete.
+fn parse_request(pieces: &[&[u8]]) -> Result<Option<ParsedRequest>, Malformed> {
     let (mut input, mut out, mut head) = (Buffer::default(), Buffer::default(), None);
     let mut done = false;
     for piece in pieces {
@@ -46,7 +46,8 @@
     Ok(head.filter(|_| done).map(|(_, head)| (head.target, out.data().to_vec(), input.data().to_vec())))
 }
 
-fn request(body: &[u8], chunks: &[usize], next: &[u8]) -> Vec<u8> {
+/// Encodes a request with this body, in chunks of these sizes if there are any, followed by the bytes `next`.
+fn encode_request(body: &[u8], chunks: &[usize], next: &[u8]) -> Vec<u8> {
     let mut bytes = b"POST /api HTTP/1.1\r\nX-Txn: 1\r\n".to_vec();
     if chunks.is_empty() {
         bytes.extend(format!("Content-Length: {}\r\n\r\n", body.len()).bytes());
@@ -73,25 +74,25 @@
     #![proptest_config(config())]
 
     #[test]
-    fn cuts_change_nothing(
+    fn request_parsing_does_not_depend_on_read_boundaries(
         body in prop::collection::vec(any::<u8>(), 0..300),
         chunks in prop::collection::vec(1_usize..90, 0..5),
         next in prop::collection::vec(any::<u8>(), 0..20),
-        cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
+        split_points in prop::collection::vec(any::<prop::sample::Index>(), 0..12),
     ) {
-        let bytes = request(&body, &chunks, &next);
-        let read = read(&pieces(&bytes, &cuts)).expect("a valid request");
-        prop_assert_eq!(read, Some(("/api".to_owned(), body, next)));
+        let bytes = encode_request(&body, &chunks, &next);
+        let parsed = parse_request(&split(&bytes, &split_points)).expect("a valid request");
+        prop_assert_eq!(parsed, Some(("/api".to_owned(), body, next)));
     }
 
     #[test]
-    fn garbage_is_refused_or_waits_and_never_panics(
+    fn arbitrary_bytes_never_cause_a_panic(
         start in prop::sample::select(vec!["", "POST /api HTTP/1.1\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"]),
         bytes in prop::collection::vec(any::<u8>(), 0..400),
-        cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..5),
+        split_points in prop::collection::vec(any::<prop::sample::Index>(), 0..5),
     ) {
         let bytes = [start.as_bytes(), &bytes].concat();
-        let _ = read(&pieces(&bytes, &cuts));
+        let _ = parse_request(&split(&bytes, &split_points));
         let (mut input, mut out) = (Buffer::default(), Buffer::default());
         input.extend(&bytes);
         if let Ok(Some(head)) = take_response_head(&mut input) {
@@ -101,7 +102,7 @@
     }
 
     #[test]
-    fn a_buffer_is_what_was_appended_less_what_was_consumed(
+    fn a_buffer_holds_appended_bytes_minus_consumed_ones(
         steps in prop::collection::vec((prop::collection::vec(any::<u8>(), 0..200), 0_usize..250), 0..30),
     ) {
         let (mut buffer, mut model) = (Buffer::default(), Vec::new());
@@ -115,7 +116,7 @@
     }
 
     #[test]
-    fn discovery_garbage_is_no_list(
+    fn malformed_endpoint_lists_are_rejected(
         line in prop_oneof![
             "\\PC{0,80}",
             "[{}\\[\\]\":,a-z0-9]{0,80}",
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn settings_are_flattened_as_a_start_message_words_them() {
+fn settings_are_flattened_into_start_message_form() {
     let json = json!({"a": {"b": 1, "c": [1, 2], "d": "x, y"}, "l": [{"n": 6e9}, {"n": true}], "e": []});
     assert_eq!(flatten(&json), "a.b=1\na.c=1,2\na.d=x__y\nl.count=2\nl.0.n=6000000000\nl.1.n=true\ne=\n");
 }
