--- a/crates/pebblepost/tests/behaviour_pins.rs
+++ b/crates/pebblepost/tests/behaviour_pins.rs
@@ -274,8 +274,8 @@
                 read.group,
                 read.id,
                 read.listen,
-                read.folder,
-                read.dial,
+                read.data_dir,
+                read.dial_addresses,
                 read.session_ttl,
                 read.heartbeat_interval
             ),
