--- a/crates/pebblepost-control/src/api/registration.rs
+++ b/crates/pebblepost-control/src/api/registration.rs
@@ -20,7 +20,7 @@
     #[error("not JSON: {0}")]
     NotJson(#[from] simd_json::Error),
     /// The identity in the path is empty or too long.
-    #[error("the id is empty or too long")]
+    #[error("the id is empty or longer than {} bytes", MAX_NAME_BYTES)]
     InvalidId,
     /// A required field is absent or not a string.
     #[error("{field}: missing or not a text")]
@@ -29,7 +29,7 @@
         field: &'static str,
     },
     /// A field exceeds the length limit.
-    #[error("{field}: too long")]
+    #[error("{field}: longer than {} bytes", MAX_NAME_BYTES)]
     TooLong {
         /// Name of the field.
         field: &'static str,
@@ -47,7 +47,7 @@
         state: String,
     },
     /// The list of models is longer than its limit.
-    #[error("models: too many")]
+    #[error("models: more than {} entries", MAX_MODELS)]
     TooManyModels,
 }
 
