--- a/crates/pebblepost-batch-store/src/program/event_loop.rs
+++ b/crates/pebblepost-batch-store/src/program/event_loop.rs
@@ -188,7 +188,7 @@
                     self.store.handle_synced(now, ticket);
                 }
             }
-            Completion::WriteFailed(reason) => log::debug!("disk write failed reason={reason}"),
+            Completion::WriteFailed(reason) => log::debug!("disk write failed, retrying reason={reason}"),
         }
     }
 
@@ -217,7 +217,7 @@
 
     fn execute_outputs(&mut self) {
         if self.journal.is_checkpoint_due() {
-            log::debug!("checkpoint due");
+            log::debug!("checkpoint of the store started");
             self.store.checkpoint();
         }
         for output in self.store.take_outputs(self.started_at.elapsed()) {
--- a/crates/pebblepost-batch-store/src/program/settings.rs
+++ b/crates/pebblepost-batch-store/src/program/settings.rs
@@ -13,10 +13,10 @@
 
 /// Interval between heartbeats of a primary.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// How long an acknowledged heartbeat lets a primary act.
+/// Time for which a primary may act after it sent a heartbeat that was acknowledged.
 const PRIMARY_LEASE_DURATION: Duration = Duration::from_millis(900);
-/// How long a replica waits after a heartbeat before it starts an election. It is longer than the lease, so
-/// that the lease of the earlier primary has expired by then.
+/// Time without a heartbeat after which a replica starts an election. It is longer than the lease, so that
+/// the lease of the earlier primary has expired by then.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(1_100);
 /// Time after which a replica that has not acknowledged an entry or a heartbeat is dropped from the
 /// in-sync replicas.
--- a/crates/pebblepost-batch/src/scheduler/job_schedule.rs
+++ b/crates/pebblepost-batch/src/scheduler/job_schedule.rs
@@ -26,12 +26,12 @@
     pub(super) job: String,
 }
 
-/// Which sample groups of a job may be started.
+/// The sample groups of a job that may be started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EligibleSampleGroups {
-    /// As many as the trainer waits for, and [`EXTRA_SAMPLE_GROUPS`] more.
+    /// As many sample groups as the trainer waits for, and [`EXTRA_SAMPLE_GROUPS`] more.
     Required,
-    /// All, once [`OVERSAMPLING_START_PERCENT`] of the time from submission to the due time has passed.
+    /// All sample groups, once [`OVERSAMPLING_START_PERCENT`] of the time from submission to the due time has passed.
     Oversampled,
 }
 
--- a/crates/pebblepost-batch/src/scheduler/lease_table.rs
+++ b/crates/pebblepost-batch/src/scheduler/lease_table.rs
@@ -33,7 +33,7 @@
     pub(super) number: u64,
 }
 
-/// How a lease came into this table.
+/// Origin of a lease in this table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LeaseOrigin {
     /// This primary granted the lease.
--- a/crates/pebblepost-batch/src/scheduler/mod.rs
+++ b/crates/pebblepost-batch/src/scheduler/mod.rs
@@ -242,7 +242,7 @@
     }
 
     /// Takes the proxies that were granted fewer items than they last requested, if items are available
-    /// now. Each is returned once, until its next request falls short again.
+    /// now. Each proxy is returned once until another of its requests is granted fewer items.
     pub fn take_idle_proxies(&mut self, now: Duration, is_acting: impl Fn(u32) -> bool) -> Vec<ProxyId> {
         if self.idle.is_empty() || !self.has_pending_items(now, is_acting) {
             return Vec::new();
--- a/crates/pebblepost-configuration/src/equality.rs
+++ b/crates/pebblepost-configuration/src/equality.rs
@@ -4,7 +4,7 @@
 use simd_json::BorrowedValue;
 use simd_json::prelude::*;
 
-/// Whether two documents are equal as JSON values.
+/// Returns whether two documents are equal as JSON values.
 ///
 /// White space, the order of the fields of an object and the notation of numbers do not matter. Documents that cannot
 /// be parsed are equal only if their bytes are.
--- a/crates/pebblepost-control/src/node/control_group.rs
+++ b/crates/pebblepost-control/src/node/control_group.rs
@@ -18,7 +18,8 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 const LEASE_DURATION: Duration = Duration::from_millis(700);
-/// Time after a heartbeat of the primary before another replica may stand for election. It is longer than the lease.
+/// Time without a heartbeat of the primary after which another replica may start an election. It is longer than the
+/// lease.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(900);
 const MAX_REPLICA_LAG: Duration = Duration::from_millis(500);
 const DISK_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/pebblepost-control/src/runtime/driver.rs
+++ b/crates/pebblepost-control/src/runtime/driver.rs
@@ -141,7 +141,7 @@
                     self.handle(Input::Persisted { write });
                 }
             }
-            Completion::WriteFailed(reason) => log::warn!("disk write failed reason={reason}"),
+            Completion::WriteFailed(reason) => log::warn!("disk write failed, retrying reason={reason}"),
         }
     }
 
--- a/crates/pebblepost-control/tests/control/state.rs
+++ b/crates/pebblepost-control/tests/control/state.rs
@@ -35,7 +35,7 @@
     Member { disk: DiskId(number), node: node.into(), ..Member::default() }
 }
 
-/// Formats an outcome as it stands in the approved transcript, which has names of its own for the outcomes.
+/// Formats an outcome as in the approved transcript, which has names of its own for the outcomes.
 fn outcome_line(outcome: &Outcome) -> String {
     match outcome {
         Outcome::ConfigurationAccepted { generation } => {
--- a/crates/pebblepost-control/tests/control/support/cluster.rs
+++ b/crates/pebblepost-control/tests/control/support/cluster.rs
@@ -297,7 +297,7 @@
         self.partitioned.contains(&index) || self.nodes[index].suspended.is_some()
     }
 
-    /// Returns the machine whose control address stands in the URL of a redirect.
+    /// Returns the machine whose control address is in the URL of a redirect.
     pub fn node_at_control_address(&self, address: &str) -> Option<usize> {
         (0..self.nodes.len()).find(|index| address.contains(&format!("//{}/", control_address(*index))))
     }
--- a/crates/pebblepost-control/tests/control/support/trace.rs
+++ b/crates/pebblepost-control/tests/control/support/trace.rs
@@ -17,7 +17,7 @@
 }
 
 impl Trace {
-    /// Formats the digest as it stands in the approved transcripts.
+    /// Formats the digest as in the approved transcripts.
     pub fn summary(&self) -> String {
         format!("{:016x} after {} outputs", self.hash.finish(), self.outputs)
     }
--- a/crates/pebblepost-dispatch/src/affinity.rs
+++ b/crates/pebblepost-dispatch/src/affinity.rs
@@ -1,6 +1,6 @@
 //! Cache affinity: jobs with the same key go to the same few workers, which cache what the key needs.
 //!
-//! Owns the keys that this dispatcher has sent to each worker and the popularity of keys; decides nothing.
+//! Owns the keys that this dispatcher has sent to each worker and the popularity of keys. Makes no decisions.
 //!
 //! The order of workers for a key is rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings
 //! to increase hit rates", 1998) with weights (Schindelhauer and Schomaker, "Weighted distributed hash
--- a/crates/pebblepost-dispatch/src/api/action.rs
+++ b/crates/pebblepost-dispatch/src/api/action.rs
@@ -12,7 +12,7 @@
         id: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// Time-out of the attempt; `None`: until the client gives up.
+        /// Time-out of the attempt. With `None`, the attempt may last until the deadline of the request.
         timeout: Option<Duration>,
     },
     /// Gives the final answer: rejected. The client may safely retry.
@@ -48,7 +48,7 @@
     SetTimer {
         /// Earliest time of the event.
         at: Time,
-        /// Token that comes back with the event.
+        /// Token that the event must carry.
         token: TimerToken,
     },
     /// Subscribes to changes of the membership.
--- a/crates/pebblepost-dispatch/src/api/event.rs
+++ b/crates/pebblepost-dispatch/src/api/event.rs
@@ -94,7 +94,7 @@
         class: ClassId,
         /// Tenant of the request.
         tenant: TenantId,
-        /// Time left before the client gives up.
+        /// Time left until the deadline of the client.
         time_left: Duration,
         /// Whether this is a client's retry, where clients say so.
         repeat: bool,
@@ -147,7 +147,7 @@
         /// Load report, if attached.
         report: Report,
     },
-    /// A probe ended. The results of a worker's probes must come in the order of the probes.
+    /// A probe ended. The results of a worker's probes must be passed in the order of the probes.
     Probed {
         /// The worker.
         worker: WorkerId,
--- a/crates/pebblepost-dispatch/src/api/ids.rs
+++ b/crates/pebblepost-dispatch/src/api/ids.rs
@@ -61,6 +61,6 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u16);
 
-/// Token of a timer, which comes back in [`Event::TimerDue`](crate::api::Event::TimerDue).
+/// Token of a timer, which the caller passes back in [`Event::TimerDue`](crate::api::Event::TimerDue).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TimerToken(pub u64);
--- a/crates/pebblepost-dispatch/src/api/mod.rs
+++ b/crates/pebblepost-dispatch/src/api/mod.rs
@@ -1,7 +1,7 @@
 //! Interface of the decision module: the configuration of a dispatcher ([`Settings`]), what happens to it
 //! ([`Event`]) and what it asks its caller to do ([`Action`]).
 //!
-//! Owns no state and decides nothing.
+//! Owns no state and makes no decisions.
 //!
 //! Classes, tenants, zones and kinds are indices; the decisions never see names.
 
--- a/crates/pebblepost-dispatch/src/api/settings.rs
+++ b/crates/pebblepost-dispatch/src/api/settings.rs
@@ -103,7 +103,7 @@
     pub cross_zone: f64,
     /// Price of all value that ends unserved after its latency target.
     pub late_fail: f64,
-    /// Price of as much wasted work as was asked for.
+    /// Price of wasted work that equals the requested work.
     pub waste: f64,
     /// Price of one probe per request.
     pub probe: f64,
--- a/crates/pebblepost-dispatch/src/bin/pebblepost-dispatch-adapter.rs
+++ b/crates/pebblepost-dispatch/src/bin/pebblepost-dispatch-adapter.rs
@@ -5,7 +5,7 @@
 
 use pebblepost_dispatch::Dispatcher;
 use pebblepost_dispatch::api::{Action, Time};
-use pebblepost_dispatch::wire::{BATCH_HEADER, BatchHeader, Message, Reply, WireError, parse_batch};
+use pebblepost_dispatch::wire::{BATCH_HEADER_BYTES, BatchHeader, Message, Reply, WireError, parse_batch};
 use std::collections::HashMap;
 use std::io::{self, BufReader, Read, Write};
 use std::process::ExitCode;
@@ -65,9 +65,9 @@
 
 /// Reads the next header. Returns `None` at the clean end of input.
 fn read_header(input: &mut impl Read) -> io::Result<Option<BatchHeader>> {
-    let mut header = Vec::with_capacity(BATCH_HEADER);
-    input.take(BATCH_HEADER as u64).read_to_end(&mut header)?;
-    match <[u8; BATCH_HEADER]>::try_from(header) {
+    let mut header = Vec::with_capacity(BATCH_HEADER_BYTES);
+    input.take(BATCH_HEADER_BYTES as u64).read_to_end(&mut header)?;
+    match <[u8; BATCH_HEADER_BYTES]>::try_from(header) {
         Ok(bytes) => Ok(Some(BatchHeader::parse(&bytes))),
         Err(short) if short.is_empty() => Ok(None),
         Err(_) => Err(io::Error::other(WireError::Truncated("header"))),
--- a/crates/pebblepost-dispatch/src/forecast.rs
+++ b/crates/pebblepost-dispatch/src/forecast.rs
@@ -73,14 +73,15 @@
         self.slots < slots || !self.queue_in_order && slots > 1.0 && self.slots <= slots
     }
 
-    /// Returns the expected releases of the slots that are busy now, the first in front.
+    /// Returns the expected releases of the slots that are busy now, the earliest first.
     fn releases(&self, now: Time) -> Vec<SlotRelease> {
         let own_jobs = self.own_jobs.iter();
         let mut releases: Vec<SlotRelease> =
             own_jobs.map(|job| SlotRelease { at: now.max(job.at), ..*job }).collect();
         let own: f64 = releases.iter().map(|release| release.slots).sum();
-        // Slots of other dispatchers become free one by one, the more of them the sooner the next. Their run
-        // times are taken as memoryless because it is not known when those jobs started.
+        // Slots of other dispatchers become free one by one. The more they hold, the sooner the next one
+        // becomes free. Their run times are taken as memoryless because it is not known when those jobs
+        // started.
         let others = (self.slots - self.free_slots.max(0.0) - own).max(0.0).round() as u32;
         let mut at = now;
         for left in (1..=others).rev() {
--- a/crates/pebblepost-dispatch/src/load.rs
+++ b/crates/pebblepost-dispatch/src/load.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns the number of busy slots and queued jobs. Until the second report, the mean of all workers is
-    /// assumed; without any report, the own jobs if they are more.
+    /// assumed. Before the first report, the number of own jobs is assumed if it is higher.
     pub(crate) fn busy(&self, index: usize) -> f64 {
         let worker = &self.workers[index];
         let own = worker.own_jobs.len() as f64;
--- a/crates/pebblepost-dispatch/src/node_state.rs
+++ b/crates/pebblepost-dispatch/src/node_state.rs
@@ -253,8 +253,8 @@
     /// Records a probe that ended without a report.
     pub(crate) fn record_failed_probe(&mut self, now: Time, index: usize, status: Status, latency: Duration) {
         let worker = &mut self.workers[index];
-        // A broken connection proves nothing, and neither does a time-out of a worker that has reported
-        // since.
+        // A broken connection is no evidence of a failed worker. Neither is a time-out if the worker has
+        // reported since the probe was sent.
         if status != Status::Reset && worker.reported_at + latency <= now {
             worker.outliers.record_failed_probe(now);
         }
--- a/crates/pebblepost-dispatch/src/outlier_detection.rs
+++ b/crates/pebblepost-dispatch/src/outlier_detection.rs
@@ -1,11 +1,11 @@
-//! Outlier detection for one worker: for how long it is ejected from the draws, by what this dispatcher saw
-//! of it.
+//! Outlier detection for one worker: determines from the failures that this dispatcher has observed how long
+//! the worker is ejected, that is, not drawn for jobs.
 //!
 //! Owns the failures of one worker. Reads no clock. The caller decides what counts as a failure and how long
 //! a first ejection lasts.
 //!
-//! Three kinds of failure are told apart: failed jobs (errors and time-outs), failed probes, and jobs of one
-//! class that never start while all others do, as in a process that hangs on one of its own dependencies.
+//! Three kinds of failure are distinguished: failed jobs (errors and time-outs), failed probes, and jobs of
+//! one class that never start while all others do, as in a process that hangs on one of its dependencies.
 
 use crate::api::Time;
 use std::time::Duration;
@@ -21,13 +21,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassStarts {
     class: usize,
-    /// When the latest job that has started was sent.
+    /// Time at which the latest job that has started was sent.
     latest_started: Time,
     consecutive_misses: u32,
     ejected_until: Time,
 }
 
-/// Failures of a worker as seen by one dispatcher.
+/// Failures of a worker that one dispatcher has observed.
 #[derive(Clone, Debug, Default)]
 pub struct OutlierDetector {
     failed_jobs: u32,
--- a/crates/pebblepost-dispatch/src/placement.rs
+++ b/crates/pebblepost-dispatch/src/placement.rs
@@ -14,8 +14,9 @@
 use crate::reservation::{ReservationRequest, Reservations};
 use crate::retry;
 
-/// The parameter d. Two choices bring most of the gain, and probes have a price.
-pub(crate) const CHOICES: usize = 2;
+/// Number of workers compared in one round, the parameter d of the mechanism. Two choices bring most of the
+/// gain, and probes have a price.
+pub(crate) const WORKERS_PER_ROUND: usize = 2;
 /// Maximum number of probe rounds in which a large job may hold a reservation.
 const MAX_RESERVED_ROUNDS: u32 = 16;
 /// Numbers of slots from which on L is the number of slots less one, and less two: the optimum at load 0.8
--- a/crates/pebblepost-dispatch/src/report_quality.rs
+++ b/crates/pebblepost-dispatch/src/report_quality.rs
@@ -27,7 +27,7 @@
 
 impl ReportAge {
     /// Creates an estimate halfway, on a logarithmic scale, between the lowest and the highest age that would
-    /// matter. It holds until evidence comes in.
+    /// matter. It is used until reports confirm or refute it.
     pub(crate) fn new(settings: &Settings) -> Self {
         let age = (seconds(settings.tick) * seconds(settings.overload_time)).sqrt();
         Self { age: from_seconds(age), sends: 0 }
@@ -103,8 +103,8 @@
         update_mean(&mut self.rejected, f64::from(u8::from(rejected)), EWMA_GAIN);
     }
 
-    /// Returns whether stale reports mislead. They still tell busy workers from others until many sends are
-    /// rejected.
+    /// Returns whether stale reports mislead. Until many sends are rejected, stale reports still distinguish
+    /// busy workers from others.
     pub(crate) fn is_misleading(&self) -> bool {
         self.rejected > EWMA_GAIN
     }
--- a/crates/pebblepost-dispatch/src/request_flow.rs
+++ b/crates/pebblepost-dispatch/src/request_flow.rs
@@ -9,7 +9,7 @@
 use crate::connections::Connection;
 use crate::estimators::{from_seconds, seconds};
 use crate::node_state::{AttemptEnd, NodeState};
-use crate::placement::CHOICES;
+use crate::placement::WORKERS_PER_ROUND;
 use crate::request_table::{Arrival, Attempt, Phase, Request};
 use crate::retry;
 use crate::timers::Timer;
@@ -19,8 +19,9 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Number of excluded workers of a request up to which a worker that takes no part is replaced by another.
-const MAX_EXCLUDED_WORKERS_FOR_REPLACEMENT: usize = 2 * CHOICES;
+/// Limit on the excluded workers of a request. Up to this number, an excluded worker is replaced by another
+/// random one in the same round.
+const MAX_EXCLUDED_WORKERS_FOR_REPLACEMENT: usize = 2 * WORKERS_PER_ROUND;
 /// Number of remote workers probed when all local ones are full. A free worker is worth a few probes while
 /// most remote workers have capacity; under congestion fewer probes are sent.
 const SPILLOVER_PROBES: usize = 3;
@@ -84,7 +85,7 @@
         request.start_round();
         if !self.state.settings.probing_enabled {
             // Exception: where probes are not allowed, d random workers are compared by the load known here.
-            self.draw(id, CHOICES, Locality::Local);
+            self.draw(id, WORKERS_PER_ROUND, Locality::Local);
             return self.place_on_least_busy(id);
         }
         if self.draw_one(id) == 0 {
@@ -147,7 +148,7 @@
         self.actions.push(Action::Probe { worker: worker.id });
     }
 
-    /// Returns the time after which a round goes on without the answer to a probe: the upper bound of the
+    /// Returns the time after which a round continues without the answer to a probe: the upper bound of the
     /// usual round trip. A later answer is still recorded.
     fn probe_timeout(&self) -> Duration {
         self.state.probe_round_trip.upper_bound().max(2 * self.state.settings.tick)
@@ -250,7 +251,7 @@
         let Some(request) = self.state.requests.get_mut(id) else { return };
         request.phase = Phase::FurtherProbes;
         let awaits_probes = request.awaits_probes();
-        if self.draw(id, CHOICES - 1, Locality::Local) == 0 && !awaits_probes {
+        if self.draw(id, WORKERS_PER_ROUND - 1, Locality::Local) == 0 && !awaits_probes {
             return self.place_on_least_busy(id);
         }
         self.set_step_timer(id, self.probe_timeout());
--- a/crates/pebblepost-dispatch/src/request_table.rs
+++ b/crates/pebblepost-dispatch/src/request_table.rs
@@ -1,6 +1,6 @@
 //! Request table of a dispatcher: requests that are not finished, and their attempts.
 //!
-//! Owns the state of each request; decides nothing.
+//! Owns the state of each request. Makes no decisions.
 
 use crate::api::{AttemptNo, RequestId, Time};
 use crate::report_quality::LoadLevel;
@@ -18,9 +18,9 @@
     SpilloverProbes,
     /// An attempt is in flight.
     InFlight,
-    /// Waits before the next probe round.
+    /// The request waits before the next probe round.
     Backoff,
-    /// Answered. Kept until its attempts have ended.
+    /// The request is answered. It stays in the table until its attempts have ended.
     Answered,
 }
 
@@ -34,26 +34,26 @@
 /// An attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    /// Index of its worker.
+    /// Index of the worker.
     pub(crate) worker: usize,
     pub(crate) sent: Time,
     pub(crate) slots: f64,
     pub(crate) in_flight: bool,
     pub(crate) started: Option<Time>,
-    /// Time for which its connection had been idle before, or `None` for a new connection.
+    /// Time for which the connection had been idle before the send, or `None` for a new connection.
     pub(crate) connection_idle: Option<Duration>,
     /// Whether the attempt found no free slot.
     pub(crate) queued: bool,
-    /// Load level of the worker by the report on which the attempt was sent.
+    /// Load level of the worker according to the report on which the attempt was sent.
     pub(crate) load_level: LoadLevel,
-    /// Number of jobs at the worker by that report.
+    /// Number of jobs at the worker according to that report.
     pub(crate) reported_jobs: f64,
 }
 
 /// The first attempt of a request that may have run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FirstRun {
-    /// Index of its worker.
+    /// Index of the worker.
     pub(crate) worker: usize,
     pub(crate) sent: Time,
 }
@@ -65,11 +65,11 @@
     pub(crate) class: usize,
     pub(crate) tenant: usize,
     pub(crate) time_left: Duration,
-    /// Whether this is a client's retry.
+    /// Whether the request is a retry by the client.
     pub(crate) is_retry: bool,
     pub(crate) slots: f64,
     pub(crate) memory: f64,
-    /// Hint of its work, in seconds on a worker of speed 1.
+    /// Hinted work, in seconds on a worker of speed 1, or `None` without a hint.
     pub(crate) work: Option<f64>,
     pub(crate) key: u64,
 }
@@ -78,24 +78,24 @@
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) id: RequestId,
-    /// Index of its class.
+    /// Index of the class.
     pub(crate) class: usize,
-    /// Index of its tenant.
+    /// Index of the tenant.
     pub(crate) tenant: usize,
     pub(crate) arrived: Time,
     pub(crate) deadline: Time,
     pub(crate) slots: f64,
     pub(crate) memory: f64,
-    /// Hint of its work, in seconds on a worker of speed 1.
+    /// Hinted work, in seconds on a worker of speed 1, or `None` without a hint.
     pub(crate) work: Option<f64>,
-    /// Work as a multiple of a mean job: by its hint where there is one, otherwise by its class.
+    /// Work as a multiple of a mean job, computed from the hint or, without a hint, from the class.
     pub(crate) cost: f64,
-    /// Whether the job is large among the recent ones.
+    /// Whether the job is large compared with the recent ones.
     pub(crate) is_large: bool,
     /// Affinity key; see [`crate::affinity`].
     pub(crate) key: u64,
     pub(crate) phase: Phase,
-    /// Number of the current step. Timers and probe results of earlier steps are told apart by it.
+    /// Number of the current step. It distinguishes its timers and probe results from those of earlier steps.
     pub(crate) step: u32,
     pub(crate) backoffs: u32,
     /// Workers drawn in this probe round, and those of them that have answered.
--- a/crates/pebblepost-dispatch/src/service_times.rs
+++ b/crates/pebblepost-dispatch/src/service_times.rs
@@ -51,7 +51,7 @@
         self.kinds.get(&kind).map_or(1.0, |kind| kind.relative_service_time)
     }
 
-    /// Returns what was learned of a kind, or `None` before its first report.
+    /// Returns the estimates of a kind, or `None` before its first report.
     pub(crate) fn kind(&self, kind: KindId) -> Option<&KindEstimate> {
         self.kinds.get(&kind)
     }
--- a/crates/pebblepost-dispatch/src/slow_start.rs
+++ b/crates/pebblepost-dispatch/src/slow_start.rs
@@ -17,7 +17,7 @@
 const EXPECTED_SPEED_MULTIPLE: f64 = 1.6;
 /// Fraction of the overload threshold that all dispatchers together may use.
 const SAFE_LOAD_FRACTION: f64 = 0.5;
-/// Fraction of that for dispatchers of other zones, because they draw the worker rarely.
+/// Fraction of that load for dispatchers of other zones. It is low because they draw the worker rarely.
 const REMOTE_LOAD_FRACTION: f64 = 0.25;
 
 /// Returns the fraction of its capacity that a worker is guaranteed to have. It grows at least linearly
--- a/crates/pebblepost-dispatch/src/timers.rs
+++ b/crates/pebblepost-dispatch/src/timers.rs
@@ -46,7 +46,7 @@
 }
 
 impl Timer {
-    /// Returns the token that comes back when the timer is due.
+    /// Returns the token that the event of the timer carries.
     pub(crate) fn token(self) -> TimerToken {
         let (kind, number, request) = match self {
             Self::RequestDeadline(request) => (REQUEST_DEADLINE, 0, request.0),
--- a/crates/pebblepost-dispatch/src/wire/mod.rs
+++ b/crates/pebblepost-dispatch/src/wire/mod.rs
@@ -13,7 +13,7 @@
 mod reply;
 mod settings;
 
-pub use records::{BATCH_HEADER, BatchHeader, Message, parse_batch};
+pub use records::{BATCH_HEADER_BYTES, BatchHeader, Message, parse_batch};
 pub use reply::Reply;
 pub use settings::parse_settings;
 
@@ -31,7 +31,7 @@
     /// A value is out of its range.
     #[error("value {1} in {0} is out of range")]
     BadValue(&'static str, u64),
-    /// A settings line has no value, or one that does not parse.
+    /// A line of the settings has no value, or a value that cannot be parsed.
     #[error("invalid setting {0}")]
     Setting(String),
     /// A setting is out of its range.
--- a/crates/pebblepost-dispatch/src/wire/reader.rs
+++ b/crates/pebblepost-dispatch/src/wire/reader.rs
@@ -7,14 +7,14 @@
 /// Unread bytes of a record.
 pub(super) struct Reader<'a> {
     pub(super) bytes: &'a [u8],
-    /// Name of the record, for error messages.
-    pub(super) what: &'static str,
+    /// Name of the record, or of the part of a batch, for error messages.
+    pub(super) record_name: &'static str,
 }
 
 macro_rules! read_number {
     ($($name:ident: $kind:ty),*) => {$(
         pub(super) fn $name(&mut self) -> Result<$kind> {
-            let (head, rest) = self.bytes.split_first_chunk().ok_or(WireError::Truncated(self.what))?;
+            let (head, rest) = self.bytes.split_first_chunk().ok_or(WireError::Truncated(self.record_name))?;
             self.bytes = rest;
             Ok(<$kind>::from_le_bytes(*head))
         }
@@ -25,7 +25,7 @@
     read_number!(u8: u8, u16: u16, u32: u32, u64: u64, f32: f32);
 
     pub(super) fn take(&mut self, size: usize) -> Result<&'a [u8]> {
-        let (head, rest) = self.bytes.split_at_checked(size).ok_or(WireError::Truncated(self.what))?;
+        let (head, rest) = self.bytes.split_at_checked(size).ok_or(WireError::Truncated(self.record_name))?;
         self.bytes = rest;
         Ok(head)
     }
@@ -61,11 +61,11 @@
             5 => Status::Reset,
             6 => Status::Cancelled,
             7 => Status::Moot,
-            other => return Err(WireError::BadValue(self.what, other.into())),
+            other => return Err(WireError::BadValue(self.record_name, other.into())),
         })
     }
 
     pub(super) fn finish(&self) -> Result<()> {
-        if self.bytes.is_empty() { Ok(()) } else { Err(WireError::WrongLength(self.what)) }
+        if self.bytes.is_empty() { Ok(()) } else { Err(WireError::WrongLength(self.record_name)) }
     }
 }
--- a/crates/pebblepost-dispatch/src/wire/reply.rs
+++ b/crates/pebblepost-dispatch/src/wire/reply.rs
@@ -3,15 +3,16 @@
 use crate::api::Action;
 use std::time::Duration;
 
-const SEND: u8 = 10;
-const REFUSE: u8 = 20;
-const FAIL: u8 = 30;
-const CANCEL: u8 = 40;
-const SET_TIMER: u8 = 50;
-const PROBE: u8 = 60;
-const CLOSE_IDLE: u8 = 70;
-const WATCH: u8 = 110;
-const FETCH: u8 = 120;
+// Codes of the actions, with the names of the simulator's protocol.
+const ACTION_SEND: u8 = 10;
+const ACTION_REFUSE: u8 = 20;
+const ACTION_FAIL: u8 = 30;
+const ACTION_CANCEL: u8 = 40;
+const ACTION_SET_TIMER: u8 = 50;
+const ACTION_PROBE: u8 = 60;
+const ACTION_CLOSE_IDLE: u8 = 70;
+const ACTION_WATCH: u8 = 110;
+const ACTION_FETCH: u8 = 120;
 
 /// Reply under construction.
 #[derive(Debug, Default)]
@@ -53,24 +54,24 @@
     match *action {
         Action::Send { id, worker, timeout } => {
             let parts: [&[u8]; 3] = [&id.0.to_le_bytes(), &encode_nanos(timeout), &worker.0.to_le_bytes()];
-            (SEND, parts.concat())
+            (ACTION_SEND, parts.concat())
         }
         Action::Refuse { id, retry_after } => {
             let parts: [&[u8]; 2] = [&id.0.to_le_bytes(), &encode_nanos(retry_after)];
-            (REFUSE, parts.concat())
+            (ACTION_REFUSE, parts.concat())
         }
-        Action::Fail { id } => (FAIL, id.0.to_le_bytes().to_vec()),
+        Action::Fail { id } => (ACTION_FAIL, id.0.to_le_bytes().to_vec()),
         Action::Cancel { id, attempt } => {
             let parts: [&[u8]; 2] = [&id.0.to_le_bytes(), &[attempt.0]];
-            (CANCEL, parts.concat())
+            (ACTION_CANCEL, parts.concat())
         }
         Action::SetTimer { at, token } => {
             let parts: [&[u8]; 2] = [&at.0.to_le_bytes(), &token.0.to_le_bytes()];
-            (SET_TIMER, parts.concat())
+            (ACTION_SET_TIMER, parts.concat())
         }
-        Action::Probe { worker } => (PROBE, worker.0.to_le_bytes().to_vec()),
-        Action::CloseIdle { worker } => (CLOSE_IDLE, worker.0.to_le_bytes().to_vec()),
-        Action::Watch => (WATCH, vec![1]),
-        Action::Fetch => (FETCH, Vec::new()),
+        Action::Probe { worker } => (ACTION_PROBE, worker.0.to_le_bytes().to_vec()),
+        Action::CloseIdle { worker } => (ACTION_CLOSE_IDLE, worker.0.to_le_bytes().to_vec()),
+        Action::Watch => (ACTION_WATCH, vec![1]),
+        Action::Fetch => (ACTION_FETCH, Vec::new()),
     }
 }
--- a/crates/pebblepost-dispatch/src/worker_table.rs
+++ b/crates/pebblepost-dispatch/src/worker_table.rs
@@ -1,6 +1,6 @@
 //! Worker table of a dispatcher: membership, last load reports, own jobs and the pools to draw from.
 //!
-//! Owns this state and keeps it consistent; decides nothing.
+//! Owns this state and keeps it consistent. Makes no decisions.
 
 use crate::affinity::RecentKeys;
 use crate::api::{
@@ -140,7 +140,7 @@
     pub(crate) state: WorkerState,
     /// A number that is the same at every dispatcher.
     pub(crate) name: u64,
-    /// Time of its latest start, if known to be recent.
+    /// Time of the latest start, if known to be recent.
     pub(crate) started: Option<Time>,
     pub(crate) connection_failures: ConnectionFailures,
     /// Random rank in this dispatcher's seeded order of workers.
@@ -282,7 +282,7 @@
         (worker.zone, worker.kind, worker.cell) = (entry.zone, entry.kind, entry.cell);
         (worker.state, worker.name) = (entry.state, entry.name);
         if entry.started > worker.started {
-            // The process is new, so what was learned of the old one no longer holds.
+            // The worker was restarted, so the observations of its former process are discarded.
             worker.started = entry.started;
             (worker.outliers, worker.recent_keys, worker.queue_wait) = Default::default();
         }
--- a/crates/pebblepost-dispatch/tests/dispatcher/rules.rs
+++ b/crates/pebblepost-dispatch/tests/dispatcher/rules.rs
@@ -1,10 +1,15 @@
 //! Invariants of the actions under random orders of events and varied settings.
 //!
-//! 1. Each request gets one answer, in time.
-//! 2. A job is sent again only where its idempotency allows that, is refused only if a retry by the client is harmless,
-//!    and has overlapping attempts only if hedging is enabled.
-//! 3. Jobs go only to ready workers.
-//! 4. A warming worker gets no more jobs than its capacity at the time allows.
+//! 1. Each request gets exactly one answer, at the latest `answer_slack` after its deadline. It gets the answer at once
+//!    if its last attempt has ended and no further attempt is allowed. Nothing is sent for it after the answer.
+//! 2. A job that may have run is sent again only where and when its idempotency allows that. It is refused only if a
+//!    retry by the client is harmless. Its attempts overlap only if hedging is enabled.
+//! 3. Jobs and probes go only to ready workers. Jobs go only to the zones and kinds that their class permits.
+//! 4. A warming worker has at most `max(1, ceil(slots * min(1, 3 * capacity)))` jobs of this dispatcher in flight.
+//!    `capacity` is the fraction of its full capacity that it has reached. Jobs sent before its start do not count.
+//!
+//! The dispatcher must also send at most `max_attempts` attempts of a request, set `retry_after` exactly if that is
+//! enabled and, if `close_idle_within` is set, close the idle connections to a draining worker.
 
 use crate::node::{START, settings};
 use pebblepost_dispatch::Dispatcher;
@@ -190,7 +195,7 @@
                 assert_eq!(
                     self.workers[&worker.0].0,
                     WorkerState::Ready,
-                    "probe of worker {}, which is not ready",
+                    "invariant 3: probe of worker {}, which is not ready",
                     worker.0
                 );
                 self.probes.push(worker.0);
@@ -227,13 +232,22 @@
         assert_eq!(state, WorkerState::Ready, "invariant 3: sent to worker {worker}, which is not ready");
         let class = &self.settings.classes[self.pending[&id].class];
         let permitted = |zones: &Vec<ZoneId>| zones.contains(&ZoneId(zone(worker) as u16));
-        assert!(class.only_zones.as_ref().is_none_or(permitted), "zone of worker {worker} is not permitted");
+        assert!(
+            class.only_zones.as_ref().is_none_or(permitted),
+            "invariant 3: zone of worker {worker} is not permitted"
+        );
         let permitted = |kinds: &Vec<KindId>| kinds.contains(&KindId(kind(worker) as u16));
-        assert!(class.only_kinds.as_ref().is_none_or(permitted), "kind of worker {worker} is not permitted");
+        assert!(
+            class.only_kinds.as_ref().is_none_or(permitted),
+            "invariant 3: kind of worker {worker} is not permitted"
+        );
         let request = self.pending.get_mut(&id).expect("a sent request is known");
-        assert!(!request.ended, "invariant 1: sent after the answer");
+        assert!(!request.ended, "invariant 1: request {id} sent after its answer");
         let open = request.attempts.iter().any(|(.., outcome)| outcome.is_none());
-        assert!(self.settings.hedging_enabled || !open, "invariant 2: overlapping attempts without hedging");
+        assert!(
+            self.settings.hedging_enabled || !open,
+            "invariant 2: request {id} has overlapping attempts without hedging"
+        );
         assert!((request.attempts.len() as u32) < self.settings.max_attempts);
         let settings = &self.settings;
         let may_have_run = |(.., outcome): &&(u32, Time, Option<Status>)| {
@@ -243,7 +257,7 @@
             match self.settings.classes[request.class].idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => {
-                    panic!("invariant 2: non-idempotent job sent again after it may have run")
+                    panic!("invariant 2: non-idempotent request {id} sent again after it may have run")
                 }
                 Idempotency::Deduplicated { scope, window } => {
                     assert!(now < *at + window, "invariant 2: retry after the deduplication window");
@@ -260,8 +274,7 @@
             }
         }
         request.attempts.push((worker, now, None));
-        // Invariant 4: a warming worker never holds more of this node's jobs than one, or three times its usable slots,
-        // and never more than its slots. Workers report at most three slots here.
+        // Checks invariant 4. Workers report at most three slots in this test.
         let (_, started) = self.workers[&worker];
         if started.is_some_and(|start| now < start + self.settings.warm_up_time) {
             let jobs_in_flight = |request: &PendingRequest| {
@@ -308,7 +321,10 @@
                 !request.ended && self.now > request.deadline + self.settings.answer_slack
             };
             let overdue = self.pending.iter().find(|(_, request)| is_overdue(request));
-            assert!(overdue.is_none(), "invariant 1: no answer in time: {overdue:?}");
+            assert!(
+                overdue.is_none(),
+                "invariant 1: no answer within answer_slack after the deadline: {overdue:?}"
+            );
         }
     }
 
--- a/crates/pebblepost-dispatch/tests/simulation/mod.rs
+++ b/crates/pebblepost-dispatch/tests/simulation/mod.rs
@@ -5,7 +5,7 @@
 
 use pebblepost_dispatch::Dispatcher;
 use pebblepost_dispatch::api::Time;
-use pebblepost_dispatch::wire::{BATCH_HEADER, BatchHeader, Message, Reply, parse_batch};
+use pebblepost_dispatch::wire::{BATCH_HEADER_BYTES, BatchHeader, Message, Reply, parse_batch};
 use pebblepost_stable_hash::Fnv1a;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -244,7 +244,7 @@
 
 /// Decodes one record as the adapter does.
 pub fn decode_record(now: u64, record: &[u8]) -> Message {
-    let mut header = [0; BATCH_HEADER];
+    let mut header = [0; BATCH_HEADER_BYTES];
     header[..8].copy_from_slice(&now.to_le_bytes());
     header[8..12].copy_from_slice(&(record.len() as u32).to_le_bytes());
     header[12..].copy_from_slice(&1_u32.to_le_bytes());
--- a/crates/pebblepost-dispatch/tests/wire.rs
+++ b/crates/pebblepost-dispatch/tests/wire.rs
@@ -49,8 +49,8 @@
 }
 
 fn decode_batch(bytes: &[u8]) -> Result<Vec<(u32, Message)>, WireError> {
-    let header: [u8; BATCH_HEADER] = bytes[..BATCH_HEADER].try_into().expect("a complete header");
-    parse_batch(&BatchHeader::parse(&header), &bytes[BATCH_HEADER..])
+    let header: [u8; BATCH_HEADER_BYTES] = bytes[..BATCH_HEADER_BYTES].try_into().expect("a complete header");
+    parse_batch(&BatchHeader::parse(&header), &bytes[BATCH_HEADER_BYTES..])
 }
 
 #[test]
--- a/crates/pebblepost-feed/src/changes.rs
+++ b/crates/pebblepost-feed/src/changes.rs
@@ -17,7 +17,7 @@
 }
 
 impl FeedChanges {
-    /// Whether anything changed or a resync is needed.
+    /// Returns whether anything changed or a resync is needed.
     pub fn has_changes(&self) -> bool {
         *self != FeedChanges::default()
     }
--- a/crates/pebblepost-membership/src/member.rs
+++ b/crates/pebblepost-membership/src/member.rs
@@ -34,7 +34,7 @@
 }
 
 impl MemberState {
-    /// Whether the member still counts as taking part, which it does if it is alive or suspected.
+    /// Returns whether the member still counts as part of the group: it is alive or suspected.
     pub fn is_present(self) -> bool {
         self <= MemberState::Suspect
     }
@@ -67,7 +67,7 @@
 }
 
 impl Update {
-    /// Whether this update replaces another one about the same member.
+    /// Returns whether this update replaces another one about the same member.
     ///
     /// A higher incarnation takes precedence; under the same incarnation, the later state in the order of
     /// [`MemberState`] does.
--- a/crates/pebblepost-membership/tests/membership/common/mod.rs
+++ b/crates/pebblepost-membership/tests/membership/common/mod.rs
@@ -32,7 +32,7 @@
 
 /// A change of a member that another node reported.
 #[derive(Clone, Debug)]
-#[expect(dead_code, reason = "who saw it, and when, is printed where an assertion fails")]
+#[expect(dead_code, reason = "the fields are printed by Debug where an assertion fails")]
 pub struct Observation {
     pub at: Duration,
     pub by: usize,
--- a/crates/pebblepost-replication/src/register/attempt.rs
+++ b/crates/pebblepost-replication/src/register/attempt.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a witness had accepted when it made its promise.
+/// The promise of a witness: the record that it had accepted by then, and the number of the proposal.
 #[derive(Debug)]
 pub(super) struct Promise {
     pub(super) accepted_number: ProposalNumber,
--- a/crates/pebblepost-replication/src/replica.rs
+++ b/crates/pebblepost-replication/src/replica.rs
@@ -2,7 +2,7 @@
 //!
 //! This is primary-backup replication. An entry is committed once every in-sync replica of the current
 //! epoch has it on disk. The primary acts, that is, accepts proposals and answers reads, while all
-//! in-sync replicas acknowledge its heartbeats. A replica that has not heard from the primary for the
+//! in-sync replicas acknowledge its heartbeats. A replica that has received nothing from the primary for the
 //! election timeout campaigns: it asks the configuration manager for the next epoch with itself as
 //! primary. The replica never decides on epochs itself. It reads no clock and does no I/O: times are
 //! those of the caller's monotonic clock, and the caller takes the required actions from
--- a/crates/pebblepost-replication/src/replica/api.rs
+++ b/crates/pebblepost-replication/src/replica/api.rs
@@ -30,8 +30,9 @@
         self.targets = targets;
     }
 
-    /// Sets the replicas that the caller has recently heard from. A replica that campaigns leaves out
-    /// the others if enough remain. If this was never called, it leaves out only the former primary.
+    /// Sets the replicas from which the caller has recently received messages. A replica that campaigns
+    /// leaves out the others if enough remain. If this was never called, it leaves out only the former
+    /// primary.
     pub fn set_reachable(&mut self, disks: BTreeSet<DiskId>) {
         self.election.reachable = Some(disks);
     }
--- a/crates/pebblepost-replication/src/replica/election.rs
+++ b/crates/pebblepost-replication/src/replica/election.rs
@@ -1,5 +1,5 @@
-//! Campaigning: a replica requests an epoch with itself as primary once it has not heard from the
-//! primary for the election timeout.
+//! Campaigning: a replica requests an epoch with itself as primary once it has received nothing
+//! from the primary for the election timeout.
 
 use super::core::Replica;
 use super::state_machine::StateMachine;
@@ -70,8 +70,8 @@
         let in_sync = &self.record.in_sync;
         let reachable: Vec<Member> =
             in_sync.iter().filter(|member| self.is_local_or_reachable(member)).cloned().collect();
-        // If no primary was heard from since this process started, the primary may have been restarted
-        // as well, and is kept if it is reachable.
+        // If no message of a primary has arrived since this process started, the primary may have been
+        // restarted as well. It is kept if it is reachable.
         let may_be_restarted = !self.election.had_primary_contact && self.election.reachable.is_some();
         let preferred = if may_be_restarted { reachable } else { others(&reachable) };
         let choices = [preferred, others(in_sync)];
--- a/crates/pebblepost-replication/src/replica/election_state.rs
+++ b/crates/pebblepost-replication/src/replica/election_state.rs
@@ -7,20 +7,21 @@
 /// State that decides when this replica may campaign, and when it may act as primary.
 #[derive(Debug)]
 pub(super) struct ElectionState {
-    /// The replica does not campaign before this time, because the primary that it heard from may act
-    /// until then.
+    /// The replica does not campaign before this time, because the primary whose message it received may
+    /// act until then.
     pub(super) campaign_not_before: Duration,
     /// The replica does not act as primary before this time, because the primary whose heartbeat it
     /// acknowledged, maybe in a former incarnation, may act until then.
     pub(super) act_not_before: Duration,
     /// Epoch whose primary has reported that it stepped down.
     pub(super) stepped_down_epoch: Option<u64>,
-    /// A primary was heard from since this process started.
+    /// Whether a message of a primary has arrived since this process started.
     pub(super) had_primary_contact: bool,
     /// The epoch in which this replica was primary before its process was restarted, if it may resume
     /// without waiting for the election timeout.
     pub(super) resumed_epoch: Option<u64>,
-    /// The replicas that the caller has recently heard from; `None` if it never reported them.
+    /// The replicas from which the caller has recently received messages; `None` if it never reported
+    /// them.
     pub(super) reachable: Option<BTreeSet<DiskId>>,
 }
 
--- a/crates/pebblepost-replication/src/replica/progress.rs
+++ b/crates/pebblepost-replication/src/replica/progress.rs
@@ -11,7 +11,7 @@
 /// lost.
 const MAX_WATERMARK_AGE_HEARTBEATS: u64 = 20;
 
-/// How entries are sent to a replica.
+/// Mode in which entries are sent to a replica.
 #[derive(Debug)]
 pub(super) enum SendState {
     /// One append at a time, until the index at which the logs agree is known.
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(super) struct Progress {
     pub(super) member: Member,
-    /// Index up to which its log agrees with the primary's and is on disk; `None` until that is known.
+    /// Index up to which the replica's log agrees with the primary's and is on disk; `None` until that is known.
     pub(super) matched: Option<u64>,
     /// Index of the next entry to send.
     pub(super) next_index: u64,
@@ -45,9 +45,9 @@
     pub(super) in_flight: VecDeque<u64>,
     /// Time at which the newest acknowledged heartbeat was sent. The lease that it grants starts there.
     pub(super) lease_start: Option<Duration>,
-    /// Time at which it last acknowledged a heartbeat, or was added.
+    /// Time at which the replica last acknowledged a heartbeat, or was added.
     pub(super) last_ack_at: Duration,
-    /// Time since which it has acknowledged no further entry although some are pending.
+    /// Time since which the replica has acknowledged no further entry although some are pending.
     pub(super) pending_since: Duration,
     /// The heartbeat whose acknowledgement shows whether a message before it was lost.
     watermark: Option<Watermark>,
@@ -85,7 +85,7 @@
         self.in_flight.clear();
     }
 
-    /// Returns the snapshot in transfer to it, if any.
+    /// Returns the snapshot that is being sent to the replica, if any.
     pub(super) fn snapshot(&self) -> Option<&OutgoingSnapshot> {
         match &self.state {
             SendState::Snapshot(snapshot) => Some(snapshot),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Records that a heartbeat is sent to it. The watermark stays at an earlier unacknowledged
+    /// Records that a heartbeat is sent to the replica. The watermark stays at an earlier unacknowledged
     /// heartbeat, so that a long round trip does not move it, until the acknowledgement of that
     /// heartbeat counts as lost.
     pub(super) fn on_heartbeat_sent(&mut self, heartbeat: u64) {
@@ -151,7 +151,7 @@
         self.in_flight.len() < MAX_APPENDS_IN_FLIGHT
     }
 
-    /// Returns whether a message to it is due.
+    /// Returns whether a message to the replica is due.
     pub(super) fn is_due(&self, last_index: u64) -> bool {
         match self.state {
             SendState::Probe | SendState::Snapshot(_) => self.is_send_due,
@@ -165,7 +165,7 @@
         self.in_flight.push_back(last_index);
     }
 
-    /// Handles the acknowledgement that its log agrees and is on disk up to `index`.
+    /// Handles the acknowledgement that the replica's log agrees and is on disk up to `index`.
     pub(super) fn on_appended(&mut self, index: u64, now: Duration) {
         if self.matched.is_none_or(|matched| matched < index) {
             self.matched = Some(index);
@@ -179,21 +179,21 @@
         self.next_index = self.next_index.max(index + 1);
     }
 
-    /// Restarts its timeouts.
+    /// Restarts the timeouts that [`Self::is_lagging`] checks.
     pub(super) fn reset_timeouts(&mut self, now: Duration) {
         self.last_ack_at = now;
         self.pending_since = now;
     }
 
-    /// Returns whether it has left heartbeats or an entry unacknowledged for longer than `max_lag`.
+    /// Returns whether the replica has not acknowledged heartbeats or an entry for longer than `max_lag`.
     pub(super) fn is_lagging(&self, now: Duration, last_index: u64, max_lag: Duration) -> bool {
         let is_behind = self.matched.is_none_or(|matched| matched < last_index);
         let is_timed_out = now.saturating_sub(self.last_ack_at) > max_lag;
         is_timed_out || (is_behind && now.saturating_sub(self.pending_since) > max_lag)
     }
 
-    /// Returns whether the lease that it grants is unexpired, counted from the time at which the
-    /// heartbeat that it acknowledged was sent.
+    /// Returns whether the lease that the replica grants is unexpired, counted from the time at which
+    /// the heartbeat that it acknowledged was sent.
     pub(super) fn grants_lease(&self, now: Duration, lease: Duration) -> bool {
         self.lease_start.is_some_and(|start| now.saturating_sub(start) < lease)
     }
--- a/crates/pebblepost-replication/src/replica/resumption.rs
+++ b/crates/pebblepost-replication/src/replica/resumption.rs
@@ -7,8 +7,8 @@
 use pebblepost_messages::{DiskId, Member};
 use std::time::Duration;
 
-/// Time that a restarted primary waits until it has heard from the other in-sync replicas, in heartbeat
-/// intervals.
+/// Time that a restarted primary waits for messages of the other in-sync replicas before it campaigns, in
+/// heartbeat intervals.
 const RESUME_WAIT_HEARTBEATS: u32 = 2;
 
 impl<S: StateMachine> Replica<S> {
@@ -31,7 +31,7 @@
         self.is_recorded_primary() && self.election.resumed_epoch == Some(self.record.epoch)
     }
 
-    /// Handles the message that the primary's machine came back with another disk. The process of the
+    /// Handles the message that the primary's machine was restarted with another disk. The process of the
     /// primary has ended, and its lease with it.
     pub(super) fn on_primary_replaced(&mut self, epoch: u64, primary: DiskId) {
         let is_current = epoch == self.record.epoch && primary == self.record.primary;
@@ -42,8 +42,8 @@
         self.election.campaign_not_before = self.election.campaign_not_before.min(self.now);
     }
 
-    /// Tells the in-sync replicas that the recorded primary is gone, if this replica has replaced it at
-    /// its address.
+    /// Notifies the in-sync replicas that the recorded primary is gone, if this replica has replaced it
+    /// at its address.
     pub(super) fn announce_replacement(&mut self) {
         let Some(primary) = self.record.primary_member() else { return };
         if primary.address != self.local.address || primary.disk == self.local.disk {
--- a/crates/pebblepost-replication/src/replica/role.rs
+++ b/crates/pebblepost-replication/src/replica/role.rs
@@ -69,7 +69,7 @@
     /// Number of a heartbeat whose acknowledgement waits until the epoch record is on disk.
     pub(super) pending_heartbeat: Option<u64>,
     pub(super) snapshot: Option<IncomingSnapshot>,
-    /// Time at which the primary was last heard from in this epoch.
+    /// Time at which the last message of the primary arrived in this epoch.
     pub(super) last_contact_at: Option<Duration>,
     pub(super) next_join_request_at: Duration,
     pub(super) join_request_count: u32,
--- a/crates/pebblepost-replication/src/replica/term_history.rs
+++ b/crates/pebblepost-replication/src/replica/term_history.rs
@@ -2,7 +2,7 @@
 
 use crate::record::EpochRecord;
 
-/// What a replica knows about the current term, and about its own earlier terms as primary.
+/// State of a replica about the current term, and about its own earlier terms as primary.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct TermHistory {
     /// First epoch of the term of the recorded primary, as far as this replica knows.
--- a/crates/pebblepost-replication/tests/replication/resumption.rs
+++ b/crates/pebblepost-replication/tests/replication/resumption.rs
@@ -22,7 +22,7 @@
 }
 
 const ELECTION_TIMEOUT_MS: u64 = 700;
-/// Milliseconds after which a restarted primary leaves out the replicas that it has not heard from.
+/// Milliseconds after which a restarted primary leaves out the replicas from which no message has arrived.
 const RESUME_WAIT_MS: u64 = 200;
 
 fn settings() -> ReplicaSettings {
--- a/crates/pebblepost-replication/tests/replication/simulation/witness_change.rs
+++ b/crates/pebblepost-replication/tests/replication/simulation/witness_change.rs
@@ -4,8 +4,8 @@
 use pebblepost_replication::record::EpochRecord;
 
 /// Returns the record that replaces an unreachable witness with a reachable machine, or that finishes
-/// such a change; `None` if no change is needed. `reachable` are the machines recently heard from, and
-/// `count` is the desired number of witnesses.
+/// such a change; `None` if no change is needed. `reachable` are the machines from which messages
+/// arrived recently, and `count` is the desired number of witnesses.
 pub fn next_witness_change(record: &EpochRecord, reachable: &[Member], count: usize) -> Option<EpochRecord> {
     let mut next = record.clone();
     next.epoch += 1;
--- a/crates/pebblepost-rollout/src/pending_order.rs
+++ b/crates/pebblepost-rollout/src/pending_order.rs
@@ -14,7 +14,7 @@
 const POLL_PERIOD: Duration = Duration::from_millis(150);
 /// Time between polls of an unresponsive transcriber.
 const UNRESPONSIVE_POLL_PERIOD: Duration = Duration::from_secs(1);
-/// A report that was requested less than this after an order was sent may show the state before the order.
+/// Time after an order was sent within which a requested report may still show the state before the order.
 const MAX_REPORT_LAG: Duration = Duration::from_millis(700);
 /// Time after which an accepted order that no report shows is considered lost.
 const LOST_ORDER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Whether this is the state of the given order.
+    /// Returns whether this is the state of the given order.
     pub(crate) fn matches(&self, order: &LoadOrder) -> bool {
         self.model == order.model && self.generation == order.generation
     }
 
-    /// Whether the transcriber occupies one of the slots for concurrent loads of its service.
+    /// Returns whether the transcriber occupies one of the slots for concurrent loads of its service.
     pub(crate) fn occupies_slot(&self, now: Duration) -> bool {
         self.stage != Stage::Fenced && !self.is_unresponsive(now)
     }
@@ -99,7 +99,7 @@
         self.next_poll = now + FIRST_POLL_DELAY;
     }
 
-    /// Records that the order was refused because another load is in progress.
+    /// Records that the order was rejected because another load is in progress.
     pub(crate) fn on_conflict(&mut self, now: Duration) {
         self.last_response = now;
         self.stage = Stage::Conflicting;
@@ -147,9 +147,9 @@
         true
     }
 
-    /// Whether a report that was requested at `polled_at` and shows no load in progress settles the order.
+    /// Returns whether a report that was requested at `polled_at` and shows no load in progress resolves the order.
     ///
-    /// It does so if the version is loaded, or if the order was certainly not accepted or was lost.
+    /// It does if the version is loaded, or if it is certain that the order was not accepted or was lost.
     pub(crate) fn is_resolved(&self, loaded: u64, polled_at: Duration) -> bool {
         match self.stage {
             Stage::Sent => false,
--- a/crates/pebblepost-rollout/src/placement.rs
+++ b/crates/pebblepost-rollout/src/placement.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// At most one in this many transcribers of a service loads at the same time. More concurrent loads slow each other
-/// down.
+/// Divisor for the limit on concurrent loads: at most one in this many transcribers of a service loads at the same
+/// time. More concurrent loads slow each other down.
 const CONCURRENT_LOADS_DIVISOR: usize = 3;
 
 /// Target for the number of models whose jobs a transcriber serves with its loaded versions, on average.
@@ -59,7 +59,8 @@
 /// Rank of a possible load. The load with the lowest rank is selected; earlier fields take precedence.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Rank<'a> {
-    /// Whether the loaded version still serves the jobs of the model. Those that no longer do come first.
+    /// Whether the loaded version is recent enough for the jobs of the model. Transcribers whose version is too old
+    /// come first.
     still_serves: bool,
     /// Number of transcribers that serve the jobs of the model.
     serving: usize,
@@ -86,8 +87,8 @@
 
     /// Returns how many transcribers are to serve the jobs of a model.
     ///
-    /// Where more than two models share the transcribers, this is only a part of them. Otherwise loads would keep the
-    /// transcribers busy.
+    /// If more than two models share the transcribers, only a part of them serves each model. Otherwise the loads for
+    /// all models would keep the transcribers busy.
     fn target_serving(&self, model: &str) -> usize {
         let transcribers = self.model(model).transcribers;
         let models = self.by_model.len().max(1);
--- a/crates/pebblepost-rollout/src/planner.rs
+++ b/crates/pebblepost-rollout/src/planner.rs
@@ -16,9 +16,9 @@
 
 /// Largest fleet, in transcribers, in which every event is followed by a decision at once.
 const MAX_TRANSCRIBERS_FOR_IMMEDIATE_DECISIONS: usize = 64;
-/// In a larger fleet, an event is followed by a decision only if the last one is at least this long ago for each
-/// transcriber above that number, so that events are handled together. A decision scans all transcribers, and each of
-/// the hundreds that may be loading causes several events a second.
+/// Minimum interval between two decisions in a larger fleet, for each transcriber above that number. One decision
+/// handles all events of the interval. This bounds the load: a decision scans all transcribers, and each of the
+/// hundreds that may be loading causes several events per second.
 const DECISION_DELAY_PER_TRANSCRIBER: Duration = Duration::from_micros(20);
 /// Upper bound on the orders of one decision, because placing each order scans all transcribers.
 const MAX_ORDERS_PER_DECISION: usize = 32;
@@ -27,7 +27,7 @@
 const MAX_ORDERS_POLLED_UNTHROTTLED: usize = 64;
 /// With more pending orders, two polls of a transcriber are at least this far apart for each order above that number.
 /// This bounds the number of polls per second over all transcribers.
-const POLL_PERIOD_PER_TRANSCRIBER: Duration = Duration::from_millis(2);
+const POLL_PERIOD_PER_EXCESS_ORDER: Duration = Duration::from_millis(2);
 
 /// The roll-out planner of one lease holder.
 ///
@@ -111,7 +111,7 @@
         self.decide_unless_recent(now);
     }
 
-    /// Handles a report that was fetched; `None` stands for a call that failed.
+    /// Handles a report that was fetched; `None` means that the call failed.
     pub fn handle_report(&mut self, now: Duration, instance: &str, report: Option<TranscriberReport>) {
         if let Some(transcriber) = self.transcribers.get_mut(instance) {
             let newly_loaded = transcriber.apply_report(now, report).into_iter();
@@ -174,7 +174,7 @@
     fn min_poll_period(&self) -> Duration {
         let pending = self.transcribers.values().filter(|transcriber| transcriber.pending_order.is_some());
         let excess = pending.count().saturating_sub(MAX_ORDERS_POLLED_UNTHROTTLED);
-        POLL_PERIOD_PER_TRANSCRIBER.saturating_mul(u32::try_from(excess).unwrap_or(u32::MAX))
+        POLL_PERIOD_PER_EXCESS_ORDER.saturating_mul(u32::try_from(excess).unwrap_or(u32::MAX))
     }
 
     /// Requests the reports that are due.
--- a/crates/pebblepost-rollout/src/transcriber.rs
+++ b/crates/pebblepost-rollout/src/transcriber.rs
@@ -17,22 +17,22 @@
 /// An instance of a transcriber that has not terminated.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Transcriber {
-    /// Name of the service to which it belongs.
+    /// Name of the service to which the transcriber belongs.
     pub(crate) backend: String,
     pub(crate) address: String,
     pub(crate) zone: String,
-    /// Whether it accepts orders.
+    /// Whether the transcriber announced the state `ready`. Otherwise it accepts no orders.
     pub(crate) is_ready: bool,
-    /// Sequence number of its newest announcement.
+    /// Sequence number of the newest announcement.
     sequence: u64,
     /// Versions that are known to be loaded, by model. They never decrease during the life of an instance.
     pub(crate) loaded: BTreeMap<String, u64>,
-    /// Number of running requests, from its newest report or from the caller.
+    /// Number of running requests, from the newest report or from the caller.
     pub(crate) running_requests: u32,
-    /// Time from which it counts towards the limit on concurrent loads.
+    /// Time from which the transcriber counts towards the limit on concurrent loads.
     pub(crate) counts_from: Duration,
     pub(crate) pending_order: Option<PendingOrder>,
-    /// Time before which it is sent no order.
+    /// Time before which no order is sent to the transcriber.
     pub(crate) not_before: Duration,
     backoff: Backoff,
 }
@@ -58,7 +58,7 @@
         self.is_ready = instance.state == InstanceState::Ready;
     }
 
-    /// Whether an order may be sent to it now.
+    /// Returns whether an order may be sent to the transcriber now.
     pub(crate) fn accepts_order(&self, now: Duration) -> bool {
         self.is_ready && self.pending_order.is_none() && now >= self.not_before
     }
@@ -94,7 +94,7 @@
         false
     }
 
-    /// Applies a report that was polled while an order is pending; `None` stands for a failed poll.
+    /// Applies a report that was polled while an order is pending; `None` means that the poll failed.
     ///
     /// Returns the versions that were not known to be loaded. Without a pending order the report is ignored. While a
     /// load is in progress the reported versions are ignored.
--- a/crates/pebblepost-rollout/tests/integration/fleet.rs
+++ b/crates/pebblepost-rollout/tests/integration/fleet.rs
@@ -13,6 +13,8 @@
 const SEEDS_TIMES_TRANSCRIBERS: u64 = 360;
 
 /// Names six versions of every model, with a random pause of less than 2.5 s before each.
+///
+/// With three models, the 18 names are thus spread over about 20 s.
 fn name_versions(simulation: &mut Simulation, shape: FleetShape, random: &mut Random) {
     let mut newest = vec![1; shape.models];
     for _ in 0..6 {
