--- a/crates/pebblepost/src/net/sockets.rs
+++ b/crates/pebblepost/src/net/sockets.rs
@@ -219,7 +219,7 @@
     pub fn connect(&mut self, address: SocketAddr, role: ConnectionRole) -> io::Result<ConnectionKey> {
         if self.connections.len() >= self.max_connections
             && !self.close_longest_idle()
-            && !role.may_use_reserve()
+            && !role.may_use_reserved_descriptors()
         {
             return Err(io::Error::other("descriptor budget exhausted and no idle connection to close"));
         }
