--- a/crates/pebblepost-batch-runner/src/capacity.rs
+++ b/crates/pebblepost-batch-runner/src/capacity.rs
@@ -18,7 +18,7 @@
 /// Limit of all items in flight, including those whose complete text awaits its score, as a multiple of the limit of
 /// texts.
 const ITEM_LIMIT_MULTIPLIER: u32 = 4;
-/// How long a computed limit is cached, unless the feed changes.
+/// Time for which a computed limit is cached, unless the feed changes.
 const LIMIT_CACHE_TTL: Duration = Duration::from_secs(1);
 
 /// A cached limit with the time at which it was computed.
--- a/crates/pebblepost-batch-runner/src/execution/attempt.rs
+++ b/crates/pebblepost-batch-runner/src/execution/attempt.rs
@@ -33,7 +33,7 @@
 /// An attempt without an event for this long is resumed at another transcriber.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptOutcome {
     /// The text is complete.
--- a/crates/pebblepost-batch-runner/src/execution/item.rs
+++ b/crates/pebblepost-batch-runner/src/execution/item.rs
@@ -24,18 +24,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long to wait for the renewal of a lease before its status is checked again.
+/// Interval at which the status of an expired lease is checked while its renewal is awaited.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Backoff after an attempt that did not complete the text.
+/// Backoff after an attempt that did not complete the text, unless its outcome has a backoff of its own.
 const RETRY_BACKOFF: Duration = Duration::from_millis(10);
+/// Backoff after [`AttemptOutcome::Rejected`].
 const REJECTED_BACKOFF: Duration = Duration::from_millis(50);
+/// Backoff after [`AttemptOutcome::Unknown`].
 const UNKNOWN_BACKOFF: Duration = Duration::from_millis(200);
 /// Bounds of the backoff between scorer calls, which doubles after each call.
-const FIRST_SCORER_BACKOFF: Duration = Duration::from_millis(20);
+const INITIAL_SCORER_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_SCORER_BACKOFF: Duration = Duration::from_millis(400);
 /// Delay before an item without a route is returned to its store.
 const NO_ROUTE_RETURN_DELAY: Duration = Duration::from_millis(1000);
-/// How long a transcriber is ejected after it interrupted an attempt or could not be reached.
+/// Time for which a transcriber is ejected after it interrupted an attempt or could not be reached.
 const EJECTION_AFTER_INTERRUPTION: Duration = Duration::from_millis(700);
 /// Number of unexpected events after which a text is discarded and generated from the start.
 const UNEXPECTED_EVENTS_BEFORE_RESTART: u32 = 2;
@@ -205,7 +207,7 @@
     /// Calls the scorer until it returns a score.
     async fn score(&self, task: &ItemTask) -> Result<String, UnscoredOutcome> {
         let Some(scorer) = &task.item.scorer else { return Ok(String::new()) };
-        let mut backoff = FIRST_SCORER_BACKOFF;
+        let mut backoff = INITIAL_SCORER_BACKOFF;
         loop {
             self.wait_until_lease_is_valid(task.key).await?;
             if Instant::now() >= task.terms.expires_at {
--- a/crates/pebblepost-batch-runner/src/execution/scorer.rs
+++ b/crates/pebblepost-batch-runner/src/execution/scorer.rs
@@ -27,10 +27,10 @@
 const CALL_LIMIT_PERCENT_OF_SHARE: u64 = 120;
 /// Lower bound of the limit of calls in flight.
 const MIN_CALL_LIMIT: u32 = 2;
-/// How long a transcriber is ejected after it interrupted a call.
+/// Time for which a transcriber is ejected after it interrupted a call.
 const EJECTION_AFTER_INTERRUPTION: Duration = Duration::from_millis(500);
 
-/// How a scorer call ended.
+/// Outcome of a scorer call.
 pub(crate) enum ScorerOutcome {
     /// The call succeeded. The score is the seal of the complete 2xx response.
     Scored(String),
--- a/crates/pebblepost-batch-runner/src/job/api.rs
+++ b/crates/pebblepost-batch-runner/src/job/api.rs
@@ -18,9 +18,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// How long a submission is tried at the primary of the job's store group and at its successors.
+/// Time limit of a submission, which is retried at the primary of the job's store group and at its successors.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(3500);
-/// How long the other calls are retried, in addition to the wait that the client requests.
+/// Time limit of the other calls, retries included. The wait that the client requests is added to it.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Maximum time that a read waits for a result.
 const MAX_READ_WAIT: Duration = Duration::from_millis(2000);
--- a/crates/pebblepost-batch-runner/src/lease_table.rs
+++ b/crates/pebblepost-batch-runner/src/lease_table.rs
@@ -12,13 +12,13 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// How long a lease is valid after its last renewal.
+/// Time for which a lease is valid after its last renewal.
 pub const LEASE_DURATION: Duration = Duration::from_millis(LEASE_DURATION_MS);
 /// A lease that has not been renewed for this long is announced to its store again.
 pub const RENEWAL_OVERDUE_AFTER: Duration = Duration::from_millis(2 * LEASE_RENEWAL_INTERVAL_MS);
 /// A lease that has been expired for this long is abandoned, because its items have been leased to other proxies.
 pub const ABANDON_AFTER: Duration = Duration::from_secs(10);
-/// How long a cancelled job is remembered, so that a lease that was in transit when the
+/// Time for which the id of a cancelled job is retained, so that a lease that was in transit when the
 /// cancellation arrived is not executed.
 const CANCELLED_JOB_RETENTION: Duration = Duration::from_secs(30);
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaseKey(u64);
 
-/// Whether requests of a lease may be sent.
+/// State of a lease, which determines whether its requests may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseStatus {
     /// Requests may be sent.
--- a/crates/pebblepost-batch-runner/src/load_table.rs
+++ b/crates/pebblepost-batch-runner/src/load_table.rs
@@ -13,11 +13,12 @@
 
 /// Age of the state that a report shows when it arrives.
 pub const REPORT_LAG: Duration = Duration::from_millis(300);
-/// How long an observed load is used before the transcriber is probed again.
+/// Age at which an observed load is no longer used and the transcriber is probed again.
 pub const REPORT_MAX_AGE: Duration = Duration::from_millis(200);
-/// How long the versions in a report are used while the load is known from responses to requests.
+/// Age at which the versions in a report are no longer used, even while the load is known from responses to
+/// requests.
 pub const VERSIONS_MAX_AGE: Duration = Duration::from_millis(1000);
-/// How long a service whose transcribers report no load is not probed again.
+/// Time for which a service whose transcribers report no load is not probed again.
 pub const SERVICE_WITHOUT_REPORTS_TTL: Duration = Duration::from_secs(30);
 
 /// Time at which a transcriber last sent bytes. Clones share the time.
@@ -32,7 +33,7 @@
 
     /// Returns whether the transcriber sent bytes within the last `time`.
     pub fn is_within(&self, time: Duration, now: Instant) -> bool {
-        self.0.get().is_some_and(|heard| now < heard + time)
+        self.0.get().is_some_and(|last| now < last + time)
     }
 }
 
--- a/crates/pebblepost-batch-runner/src/placement/choice.rs
+++ b/crates/pebblepost-batch-runner/src/placement/choice.rs
@@ -55,7 +55,7 @@
         self.outstanding < self.accept_threshold() && self.free_slots() >= items.min(self.slots)
     }
 
-    /// Number of outstanding requests from which on another transcriber is probed.
+    /// Returns the number of outstanding requests from which on another transcriber is probed.
     fn accept_threshold(&self) -> u32 {
         self.slots.saturating_sub(1).max(1)
     }
--- a/crates/pebblepost-batch-runner/src/placement/probing.rs
+++ b/crates/pebblepost-batch-runner/src/placement/probing.rs
@@ -16,7 +16,7 @@
 
 /// A probe that is not answered within this time has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a transcriber is ejected after a failed probe.
+/// Time for which a transcriber is ejected after a failed probe.
 const EJECTION_AFTER_FAILED_PROBE: Duration = Duration::from_millis(500);
 
 /// Sends probes and health checks to transcribers.
--- a/crates/pebblepost-batch-runner/src/store/link.rs
+++ b/crates/pebblepost-batch-runner/src/store/link.rs
@@ -56,7 +56,7 @@
     task: RefCell<Option<AbortHandle>>,
 }
 
-/// How a call on a link ended.
+/// Outcome of a call on a link.
 pub(crate) enum CallOutcome {
     /// The store replied.
     Reply(FromStore),
--- a/crates/pebblepost-batch-runner/src/store/outbox.rs
+++ b/crates/pebblepost-batch-runner/src/store/outbox.rs
@@ -13,9 +13,9 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// How long outcomes are collected before they are sent together.
+/// Time for which outcomes are collected before they are sent together.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
-/// How long a sent outcome is retained.
+/// Time for which a sent outcome is retained.
 const SENT_OUTCOME_RETENTION: Duration = Duration::from_secs(6);
 /// Maximum size of the retained sent outcomes.
 const MAX_RETAINED_SENT_BYTES: usize = 16 * 1024 * 1024;
--- a/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
+++ b/crates/pebblepost-batch-runner/tests/batch_runner/approved.rs
@@ -158,14 +158,14 @@
             let id = format!("i-{index}");
             digest.number(u64::from(loads.outstanding_requests(&id)));
             digest.number(loads.version(&id, "m").unwrap_or(u64::MAX));
-            let heard = loads.last_activity(&id).is_within(Duration::from_millis(500), now);
+            let is_active = loads.last_activity(&id).is_within(Duration::from_millis(500), now);
             let flags = [
                 loads.is_ejected(&id, now),
                 loads.is_fresh(&id, true, now),
                 loads.is_fresh(&id, false, now),
                 loads.is_service_without_reports(&id, now),
                 loads.is_executing_load_order(&id),
-                heard,
+                is_active,
             ];
             digest.update(&flags.map(u8::from));
         }
--- a/crates/pebblepost-fleet-store/src/client.rs
+++ b/crates/pebblepost-fleet-store/src/client.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// Time to wait for one replica's response before the next replica is asked.
+/// Time limit of an attempt at one replica, after which the next replica is tried.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time limit of [`request_once`].
 const SINGLE_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/pebblepost-fleet-store/src/storage/error.rs
+++ b/crates/pebblepost-fleet-store/src/storage/error.rs
@@ -22,7 +22,7 @@
     Damaged {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// Description of the damage.
         cause: String,
     },
     /// The file is an older copy, which lacks entries that the replica has acknowledged.
--- a/crates/pebblepost-fleet-store/tests/stored_forms.rs
+++ b/crates/pebblepost-fleet-store/tests/stored_forms.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn requests_responses_and_log_entries_keep_their_bytes() {
+fn requests_responses_and_log_entries_match_the_stored_bytes() {
     assert_round_trip::<Request>("requests.jsonl", 16);
     assert_round_trip::<Response>("replies.jsonl", 19);
     assert_round_trip::<Entry<TypeConfig>>("log_entries.jsonl", 4);
--- a/crates/pebblepost-fleet/src/command.rs
+++ b/crates/pebblepost-fleet/src/command.rs
@@ -174,7 +174,7 @@
     RequestPermit {
         /// Dispatcher or worker to take out of service.
         subject: Subject,
-        /// Whether the request goes ahead of those that are not urgent.
+        /// Whether the request is granted before those that are not urgent.
         #[serde(default)]
         urgent: bool,
         /// Version with which a dispatcher has to return; any if empty.
--- a/crates/pebblepost-fleet/src/leader/drain_status.rs
+++ b/crates/pebblepost-fleet/src/leader/drain_status.rs
@@ -1,4 +1,4 @@
-//! Whether a drained worker may be stopped, which requires a confirmation by every dispatcher.
+//! Determines whether a drained worker may be stopped, which requires a confirmation by every dispatcher.
 //!
 //! Heartbeats suffice for this, because a confirmation stays true:
 //!
--- a/crates/pebblepost-fleet/src/release_driver/mod.rs
+++ b/crates/pebblepost-fleet/src/release_driver/mod.rs
@@ -98,7 +98,7 @@
         let availability = state.availability(SubjectKind::Dispatcher);
         let Some(release) = availability.release else { return NextStep::Finished };
         if self.wave != Some(release.current_wave) || availability.halted {
-            // The time of a wave starts again with each wave, and does not run during a halt.
+            // The time limit restarts with each wave, and at the end of a halt.
             (self.wave, self.wave_began_at, self.complete_since) = (Some(release.current_wave), now, None);
         }
         let crashes = self.count_crashes(release, state);
--- a/crates/pebblepost-fleet/src/session.rs
+++ b/crates/pebblepost-fleet/src/session.rs
@@ -9,7 +9,7 @@
 /// Maximum difference in rate between the clocks of two machines, as a fraction.
 pub const MAX_CLOCK_RATE_ERROR: f64 = 0.05;
 
-/// How long a session lasts without a heartbeat, before the clock margin of either side is applied.
+/// Time to live of a session without a heartbeat, before the clock margin of either side is applied.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SessionTtl(pub Duration);
 
--- a/crates/pebblepost-fleet/src/simulation.rs
+++ b/crates/pebblepost-fleet/src/simulation.rs
@@ -13,7 +13,8 @@
 use thiserror::Error;
 
 /// First half of all ids in a simulation. It keeps them apart from the ids of real requests, whose stored
-/// results would otherwise be returned. Real ids are random and practically never have it.
+/// results would otherwise be returned. Real ids are random, so a collision is practically
+/// impossible.
 const SIMULATION_ID_PREFIX: u64 = u64::MAX;
 
 /// A release to simulate.
@@ -55,7 +56,7 @@
     }
 }
 
-/// The release would not end.
+/// A simulated release does not end.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SimulationError {
     /// The release is rejected.
--- a/crates/pebblepost-fleet/src/state/mod.rs
+++ b/crates/pebblepost-fleet/src/state/mod.rs
@@ -45,7 +45,7 @@
 /// Distance of the revision of a restored state from the larger of its previous revision and the backup's.
 /// Followers may have seen revisions that the backup does not contain.
 pub const RESTORE_REVISION_GAP: u64 = 1 << 20;
-/// Maximum number of incarnation ids kept for a member, by which a superseded process is kept from taking the
+/// Maximum number of incarnation ids stored for a member. They prevent a superseded process from taking the
 /// name back.
 const MAX_INCARNATIONS_PER_MEMBER: usize = 8;
 
--- a/crates/pebblepost-fleet/src/value/member.rs
+++ b/crates/pebblepost-fleet/src/value/member.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// What a member reports about itself when it joins.
+/// Information that a member reports about itself when it joins.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberInfo {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Whether the session of a member is valid, and how it ended otherwise.
+/// State of a member's session: valid, or the way in which it ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Presence {
--- a/crates/pebblepost-fleet/src/value/permit.rs
+++ b/crates/pebblepost-fleet/src/value/permit.rs
@@ -141,7 +141,7 @@
     /// Reason given with the request.
     #[serde(rename = "why")]
     pub reason: Text,
-    /// Whether the request goes ahead of those that are not urgent. The budget applies all the same.
+    /// Whether the request is granted before those that are not urgent. The budget applies to it as well.
     pub urgent: bool,
     /// Version with which a dispatcher has to return; any if empty.
     #[serde(rename = "want")]
--- a/crates/pebblepost-fleet/tests/decisions.rs
+++ b/crates/pebblepost-fleet/tests/decisions.rs
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn whole_runs_give_the_digests_of_earlier_builds() {
+fn seeded_runs_match_the_approved_digests() {
     let digests: Vec<u64> = (1..=4).map(|seed| whole_run(seed, 600)).collect();
     assert_eq!(
         digests,
@@ -324,7 +324,7 @@
 
 /// The error texts shown to operators.
 #[test]
-fn texts_of_errors_stay_as_they_are() {
+fn error_texts_match_the_stored_texts() {
     let path = std::path::PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/stored/error_texts.txt");
     let mut texts = Vec::new();
     for bad in ["", "x/y", "drain/", "drain/a\nb", &format!("drain/{}", "x".repeat(201)), "permit/x/y", "x"] {
--- a/crates/pebblepost-fleet/tests/permits.rs
+++ b/crates/pebblepost-fleet/tests/permits.rs
@@ -96,11 +96,11 @@
     }
 }
 
-const FOUR: [(&str, &str); 4] = [("a", "x"), ("b", "x"), ("c", "y"), ("d", "y")];
+const FOUR_DISPATCHERS: [(&str, &str); 4] = [("a", "x"), ("b", "x"), ("c", "y"), ("d", "y")];
 
 #[test]
 fn permits_are_granted_in_order_and_end_with_a_ready_incarnation_of_the_requested_version() {
-    let mut fleet = Fleet::with(&FOUR);
+    let mut fleet = Fleet::with(&FOUR_DISPATCHERS);
     // Without a budget no permit is granted.
     fleet.request("dispatcher/a", false, "2").expect("the request is queued");
     assert_eq!(fleet.wait_reason(SubjectKind::Dispatcher, "a"), Some(WaitReason::NoBudget));
@@ -149,7 +149,7 @@
 
 #[test]
 fn unavailable_members_count_against_the_budget_once_and_can_get_a_permit() {
-    let mut fleet = Fleet::with(&FOUR);
+    let mut fleet = Fleet::with(&FOUR_DISPATCHERS);
     fleet.budget(SubjectKind::Dispatcher, Limit::Fraction(0.5), Some(Limit::Count(1)), 0);
     let session = fleet.state.member(&name("a")).expect("the member has joined").session;
     fleet.apply(Action::ExpireSession { member: name("a"), session }).expect("the session is valid");
@@ -179,7 +179,7 @@
 
 #[test]
 fn a_halt_stops_grants_until_it_is_resumed_and_survives_a_restore() {
-    let mut fleet = Fleet::with(&FOUR);
+    let mut fleet = Fleet::with(&FOUR_DISPATCHERS);
     fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
     let backup = fleet.state.snapshot();
     fleet.change(Operation::Halt(SubjectKind::Dispatcher)).expect("the halt is accepted");
@@ -191,7 +191,7 @@
     fleet.change(Operation::Resume(SubjectKind::Dispatcher)).expect("the halt ends");
     assert_eq!(fleet.granted(), ["dispatcher/a"]);
     // A restore of a backup from before the grant does not end the permit.
-    let earlier = Fleet::with(&FOUR).state.snapshot();
+    let earlier = Fleet::with(&FOUR_DISPATCHERS).state.snapshot();
     fleet.apply(Action::Restore(earlier)).expect("a valid backup");
     assert_eq!(fleet.granted(), ["dispatcher/a"]);
 }
@@ -256,7 +256,7 @@
 
 #[test]
 fn a_permit_in_a_followers_copy_applies_only_to_the_granted_incarnation() {
-    let mut fleet = Fleet::with(&FOUR);
+    let mut fleet = Fleet::with(&FOUR_DISPATCHERS);
     fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
     fleet.request("dispatcher/a", false, "").expect("the permit is granted");
     let at = fleet.state.permit(&subject("dispatcher/a")).and_then(|permit| permit.granted_at_revision);
@@ -271,7 +271,7 @@
 
 #[test]
 fn a_permit_is_rebound_to_an_incarnation_with_another_version_except_during_a_halt() {
-    let mut fleet = Fleet::with(&FOUR);
+    let mut fleet = Fleet::with(&FOUR_DISPATCHERS);
     fleet.budget(SubjectKind::Dispatcher, Limit::Count(1), None, 0);
     fleet.request("dispatcher/a", false, "2").expect("the permit is granted");
     let bound =
--- a/crates/pebblepost-fleet/tests/stored_forms.rs
+++ b/crates/pebblepost-fleet/tests/stored_forms.rs
@@ -29,7 +29,7 @@
 }
 
 /// Checks that each of the `count` lines of a file is read and written again with the same bytes.
-fn assert_keeps_bytes<T: Serialize + DeserializeOwned>(file: &str, count: usize) {
+fn assert_matches_stored_bytes<T: Serialize + DeserializeOwned>(file: &str, count: usize) {
     let text = stored(file);
     assert_eq!(text.lines().count(), count, "{file}");
     for line in text.lines() {
@@ -47,33 +47,33 @@
 }
 
 #[test]
-fn commands_and_results_keep_their_bytes() {
-    assert_keeps_bytes::<Command>("commands.jsonl", 15);
-    assert_keeps_bytes::<CommandResult>("answers.jsonl", 7);
+fn commands_and_results_match_the_stored_bytes() {
+    assert_matches_stored_bytes::<Command>("commands.jsonl", 15);
+    assert_matches_stored_bytes::<CommandResult>("answers.jsonl", 7);
     assert_reads_earlier_form::<Command>("earlier_commands.jsonl");
 }
 
 #[test]
-fn values_and_changes_of_the_state_keep_their_bytes() {
-    assert_keeps_bytes::<Value>("values.jsonl", 15);
-    assert_keeps_bytes::<Change>("changes.jsonl", 1);
-    assert_keeps_bytes::<Key>("keys.jsonl", 10);
+fn values_changes_and_keys_match_the_stored_bytes() {
+    assert_matches_stored_bytes::<Value>("values.jsonl", 15);
+    assert_matches_stored_bytes::<Change>("changes.jsonl", 1);
+    assert_matches_stored_bytes::<Key>("keys.jsonl", 10);
     assert_reads_earlier_form::<Value>("earlier_values.jsonl");
 }
 
 #[test]
-fn heartbeats_and_the_leaders_reports_keep_their_bytes() {
-    assert_keeps_bytes::<HeartbeatReport>("heartbeats.jsonl", 2);
+fn heartbeats_and_leader_reports_match_the_stored_bytes() {
+    assert_matches_stored_bytes::<HeartbeatReport>("heartbeats.jsonl", 2);
     assert_reads_earlier_form::<HeartbeatReport>("earlier_heartbeats.jsonl");
-    assert_keeps_bytes::<DrainStatus>("drain_confirmations.jsonl", 2);
-    assert_keeps_bytes::<IncarnationRequests>("request_counts.jsonl", 1);
+    assert_matches_stored_bytes::<DrainStatus>("drain_confirmations.jsonl", 2);
+    assert_matches_stored_bytes::<IncarnationRequests>("request_counts.jsonl", 1);
 }
 
 #[test]
-fn followers_fencing_guards_and_simulated_waves_keep_their_bytes() {
-    assert_keeps_bytes::<Follower>("followers.jsonl", 1);
-    assert_keeps_bytes::<FencingGuard>("fences.jsonl", 1);
-    assert_keeps_bytes::<SimulatedWave>("waves.jsonl", 1);
+fn followers_fencing_guards_and_simulated_waves_match_the_stored_bytes() {
+    assert_matches_stored_bytes::<Follower>("followers.jsonl", 1);
+    assert_matches_stored_bytes::<FencingGuard>("fences.jsonl", 1);
+    assert_matches_stored_bytes::<SimulatedWave>("waves.jsonl", 1);
 }
 
 #[test]
--- a/crates/pebblepost-link/src/control_client/endpoints.rs
+++ b/crates/pebblepost-link/src/control_client/endpoints.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-/// Most learned endpoints that are kept in addition to the seeds.
+/// Maximum number of learned endpoints that are kept in addition to the seeds.
 const MAX_LEARNED_ENDPOINTS: usize = 32;
 
 /// Seeds and learned endpoints, tried in rotation. A primary named by a redirect is tried before them.
--- a/crates/pebblepost-link/src/control_client/task.rs
+++ b/crates/pebblepost-link/src/control_client/task.rs
@@ -26,7 +26,7 @@
     outcome: Outcome,
 }
 
-/// What a connection revealed about its control node.
+/// Information about a control node that one connection to it gave.
 #[derive(Clone, Copy, Default)]
 struct Outcome {
     /// Whether the node was the primary.
--- a/crates/pebblepost-link/src/error.rs
+++ b/crates/pebblepost-link/src/error.rs
@@ -101,7 +101,7 @@
     /// A message to send exceeds the frame limit.
     #[error("message to send exceeds the limit of {max_frame_bytes} bytes")]
     MessageTooLarge {
-        /// Largest message of a frame, in bytes.
+        /// Maximum size of a message, in bytes.
         max_frame_bytes: usize,
     },
     /// The send queue exceeds its limit, because the peer reads too slowly.
@@ -126,7 +126,7 @@
     TooLarge {
         /// Length that the frame announces, in bytes.
         length_bytes: usize,
-        /// Largest frame allowed, in bytes.
+        /// Maximum size of a message, in bytes.
         max_frame_bytes: usize,
     },
     /// A length inside the message is so large that decoding it panicked.
--- a/crates/pebblepost-link/src/frame.rs
+++ b/crates/pebblepost-link/src/frame.rs
@@ -9,12 +9,12 @@
 
 /// Size of the length field in front of each message, in bytes.
 pub(crate) const LENGTH_FIELD_BYTES: usize = 4;
-/// Smallest spare capacity of the buffer for a read.
+/// Minimum spare capacity of the buffer for a read.
 const MIN_READ_BYTES: usize = 4 * 1024;
-/// Largest spare capacity of the buffer for a read, whatever length a frame announces. A peer can therefore not cause
+/// Maximum spare capacity of the buffer for a read, whatever length a frame announces. A peer can therefore not cause
 /// large allocations without sending the data.
 const MAX_READ_BYTES: usize = 64 * 1024;
-/// Largest capacity with which an empty buffer is kept for further reads.
+/// Maximum capacity of an empty buffer that is kept for further reads.
 const MAX_RETAINED_BYTES: usize = 64 * 1024;
 
 /// Appends a frame to the buffer. Returns false and leaves the buffer unchanged if the message is longer than
--- a/crates/pebblepost-link/src/lib.rs
+++ b/crates/pebblepost-link/src/lib.rs
@@ -34,9 +34,9 @@
 /// Size and time limits of a link.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkLimits {
-    /// Largest message of a frame, sent or received, in bytes.
+    /// Maximum size of a message, sent or received, in bytes.
     pub max_frame_bytes: usize,
-    /// Most bytes that may be queued for writing. A link is closed if a message exceeds this limit.
+    /// Maximum number of bytes queued for writing. A message that would exceed this limit closes the link.
     pub max_queued_bytes: usize,
     /// Time limit for establishing a connection, and for flushing the send queue of a closed link.
     pub connect_timeout: Duration,
--- a/crates/pebblepost-link/src/pacer.rs
+++ b/crates/pebblepost-link/src/pacer.rs
@@ -8,12 +8,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// Most bytes written between two reservations.
+/// Maximum number of bytes written between two reservations.
 pub(crate) const MAX_PACED_CHUNK_BYTES: usize = 16 * 1024;
 /// A link with at most this many queued bytes does not wait for the pacer, so that heartbeats and redirects are not
 /// delayed by bulk data of other links. Its bytes still count toward the rate.
 pub(crate) const MAX_UNPACED_BYTES: usize = 1024;
-/// How far writers may be ahead of the rate. This bounds the queue that they cause at the interface.
+/// Maximum time by which writers may be ahead of the rate. It bounds the queue that they cause at the interface.
 const MAX_BURST: Duration = Duration::from_millis(20);
 
 /// Limits the total write rate of the links that share it.
--- a/crates/pebblepost-link/src/send_queue.rs
+++ b/crates/pebblepost-link/src/send_queue.rs
@@ -8,11 +8,11 @@
 
 /// No further frame is merged into a segment of this length or more, so that a paced writer can stop between frames.
 const SEGMENT_MERGE_LIMIT_BYTES: usize = 64 * 1024;
-/// Most segments that are written together.
+/// Maximum number of segments that are written together.
 const MAX_BATCH_SEGMENTS: usize = 16;
 /// No further segment is added to a batch of this length or more.
 const BATCH_LIMIT_BYTES: usize = 64 * 1024;
-/// Largest capacity with which a written buffer is kept for reuse.
+/// Maximum capacity of a written buffer that is kept for reuse.
 const MAX_RETAINED_BYTES: usize = 64 * 1024;
 
 /// One or more whole frames, contiguous in memory.
--- a/crates/pebblepost-messages/src/feed.rs
+++ b/crates/pebblepost-messages/src/feed.rs
@@ -4,7 +4,7 @@
 use crate::Member;
 use nanoserde::{DeBin, SerBin};
 
-/// Whether an instance of a transcriber accepts new requests.
+/// State of a transcriber's instance: whether it accepts new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, SerBin, DeBin)]
 pub enum InstanceState {
     /// Accepts requests.
--- a/crates/pebblepost-proxy/src/dispatch/admission.rs
+++ b/crates/pebblepost-proxy/src/dispatch/admission.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Whether a request may get further attempts after the one that ended.
+/// States whether a request may get further attempts after the one that ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterAttempt {
     /// Another attempt may follow.
--- a/crates/pebblepost-proxy/src/dispatch/route_policy.rs
+++ b/crates/pebblepost-proxy/src/dispatch/route_policy.rs
@@ -4,7 +4,7 @@
 use pebblepost_configuration::{Route, RouteKind};
 use std::time::Duration;
 
-/// How a response is delivered to the client.
+/// Mode in which a response is delivered to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
     /// The complete response at once.
@@ -15,7 +15,7 @@
     ResumableStream,
 }
 
-/// How the requests of a route are forwarded.
+/// Rules for forwarding the requests of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RoutePolicy {
     /// Whether a request may run more than once.
--- a/crates/pebblepost-proxy/tests/concurrent_clients.rs
+++ b/crates/pebblepost-proxy/tests/concurrent_clients.rs
@@ -17,7 +17,7 @@
 const REQUESTS_PER_CLIENT: usize = 50;
 const TRANSCRIBERS: usize = 4;
 
-/// How a transcriber handles one request.
+/// Behaviour of a transcriber on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Behaviour {
     Responds,
--- a/crates/pebblepost-proxy/tests/feed.rs
+++ b/crates/pebblepost-proxy/tests/feed.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn acknowledged_updates_are_in_force_and_stay_so_without_the_agent() {
+fn acknowledged_updates_stay_in_force_without_the_agent() {
     run(async {
         let mut fake_agent = start();
         let mut link = fake_agent.agent.accept().await.unwrap();
--- a/crates/pebblepost-ring/src/disk/queue.rs
+++ b/crates/pebblepost-ring/src/disk/queue.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// What the thread has to do next.
+/// Next action of the disk thread.
 pub(super) enum NextAction {
     /// Write these after what is left of a failed attempt.
     Write(PendingWrites),
--- a/crates/pebblepost-ring/src/error.rs
+++ b/crates/pebblepost-ring/src/error.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RingError {
     /// The storage failed. The caller may retry the same call.
-    #[error("{step}: {source}")]
+    #[error("{step} failed: {source}")]
     Storage {
         /// Operation that failed.
         step: Step,
@@ -59,7 +59,7 @@
         max_bytes: u64,
     },
     /// The writer thread could not be started.
-    #[error("starting the disk writer thread")]
+    #[error("cannot start the disk writer thread")]
     Thread {
         /// Error of the operating system.
         source: io::Error,
@@ -77,7 +77,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
     /// The folder could not be created or opened.
-    #[error("opening {}", folder.display())]
+    #[error("cannot open {}", folder.display())]
     Folder {
         /// The folder.
         folder: PathBuf,
@@ -85,7 +85,7 @@
         source: io::Error,
     },
     /// The ring in the folder could not be opened or formatted.
-    #[error("opening the ring in {}", folder.display())]
+    #[error("cannot open the ring in {}", folder.display())]
     Ring {
         /// The folder.
         folder: PathBuf,
--- a/crates/pebblepost-ring/src/recovery.rs
+++ b/crates/pebblepost-ring/src/recovery.rs
@@ -13,8 +13,9 @@
 
 /// Size of the read buffer, which has to hold the longest frame.
 const READ_BUFFER_BYTES: usize = 256 * 1024;
-/// Longest chain that is read in one pass. Longer ones are read twice: the first pass finds the newest
-/// checkpoint, so that the second needn't hold in memory the records that it replaces.
+/// Maximum length of a chain that is read in one pass, in segments. Longer chains are read twice: the
+/// first pass finds the newest checkpoint, so that the second needn't hold in memory the records that
+/// it replaces.
 const MAX_SINGLE_PASS_SEGMENTS: usize = 16;
 
 /// Result of a recovery.
--- a/crates/pebblepost-ring/tests/ring/common/checked.rs
+++ b/crates/pebblepost-ring/tests/ring/common/checked.rs
@@ -206,7 +206,7 @@
     }
 }
 
-/// Whether an unconfirmed attempt explains the recovered records.
+/// Returns whether an unconfirmed attempt explains the recovered records.
 fn explains(confirmed: &Records, attempt: &Attempt, recovered: &Records) -> bool {
     match attempt {
         Attempt::Checkpoint(records) => recovered == records,
--- a/crates/pebblepost-settings/src/error.rs
+++ b/crates/pebblepost-settings/src/error.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Why a value is rejected.
+/// Reason for which a value is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ValueError {
     /// The key is required, but absent or empty.
--- a/crates/pebblepost-system/src/operator/retire.rs
+++ b/crates/pebblepost-system/src/operator/retire.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Interval between queries of the retirement's state with `--wait`.
-const POLL_PERIOD: Duration = Duration::from_millis(500);
+/// Interval at which `--wait` queries the state of the retirement.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// `--wait` times out after this multiple of the given duration.
 const WAIT_TIMEOUT_FACTOR: u32 = 10;
 /// Value of the field `state` once the machine is empty.
@@ -56,7 +56,7 @@
             println!("{node} is empty and can be taken away");
             return Ok(());
         }
-        sleep(POLL_PERIOD).await;
+        sleep(POLL_INTERVAL).await;
     }
     bail!("retiring {node}: not completed within {wait_timeout:?}")
 }
--- a/crates/pebblepost-system/src/operator/status.rs
+++ b/crates/pebblepost-system/src/operator/status.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Time for connecting to one process, and time for its response.
+/// Time limit for connecting to one process, and again for its response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 const LINK_LIMITS: LinkLimits = LinkLimits {
     max_frame_bytes: 16 * 1024 * 1024,
--- a/crates/pebblepost-transcriber/src/connection.rs
+++ b/crates/pebblepost-transcriber/src/connection.rs
@@ -31,7 +31,7 @@
     is_closed: bool,
 }
 
-/// Why a request got no head of a response.
+/// Reason for which no response head was received for a request.
 pub(crate) enum ExchangeError {
     /// No byte of the request was written. Returns the request, so that it can be sent on another connection.
     NotWritten(Box<WireRequest>),
--- a/crates/pebblepost-transcriber/src/error.rs
+++ b/crates/pebblepost-transcriber/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of the client: whether a failed request may have run.
 
-/// Why a call returned no response, and whether the transcriber may have run the request.
+/// Reason for which a call returned no response; states whether the transcriber may have run the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientError {
     /// No byte of the request was written, so it did not run.
