--- a/crates/pebblepost-harness/src/release/maintenance.rs
+++ b/crates/pebblepost-harness/src/release/maintenance.rs
@@ -134,7 +134,7 @@
                     window.worker == *worker && began < window.from && *at >= window.from
                 };
                 let excused = |window: &MaintenanceWindow| {
-                    exits.iter().any(|exit| exit.dispatcher == by && exit.from <= window.from)
+                    exits.iter().any(|exit| exit.dispatcher == by && exit.ended_at_s <= window.from)
                 };
                 if windows.iter().find(overlaps).is_some_and(|window| !excused(window)) {
                     ran_into_window.insert(txn);
