--- a/crates/pebblepost-transcriber/tests/client/support.rs
+++ b/crates/pebblepost-transcriber/tests/client/support.rs
@@ -1,4 +1,4 @@
-//! ScriptedTranscriber transcribers over loopback, and requests to them.
+//! Scripted transcribers on loopback, and requests to them.
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
